--- /dev/null
+++ b/internal/api/golden_test.go
@@ -0,0 +1,23 @@
+package api
+
+import (
+	"testing"
+
+	"caperlatch/internal/golden"
+	"caperlatch/internal/wire"
+)
+
+// encodedTypes are those whose values answer questions for the state of the cluster.
+var encodedTypes = []golden.Type{
+	golden.Of[StandbyStatus]("the standby"),
+	golden.Of[HandedOver]("a handover"),
+	golden.Of[ZonesStatus]("the zones"),
+}
+
+// TestEncoded has them be encoded as they were.
+func TestEncoded(t *testing.T) {
+	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
+}
+
+// TestEncodedTags has all their fields be named by tags.
+func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
--- /dev/null
+++ b/internal/leader/golden_test.go
@@ -0,0 +1,36 @@
+package leader
+
+import (
+	"testing"
+
+	"caperlatch/internal/golden"
+	"caperlatch/internal/wire"
+)
+
+// encodedTypes are those whose values are stored by the leader, or explain a job.
+var encodedTypes = []golden.Type{
+	golden.Of[booking]("a booking"),
+	golden.Of[runningList]("a list of machines that are up"),
+	golden.Of[progress]("the progress of a job"),
+	golden.Of[staffingRecord]("the staffing"),
+	golden.Of[typeRecord]("the staffing of a type"),
+	golden.Of[StopNote]("a stop in an explanation"),
+	golden.Of[TaskNote]("a task in an explanation"),
+	golden.Of[Explanation]("an explanation"),
+}
+
+// TestEncoded has them be encoded as they were.
+func TestEncoded(t *testing.T) {
+	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
+}
+
+// TestEncodedTags has all their fields be named by tags.
+func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
+
+// TestKeys has the keys that the leader makes be what they were.
+func TestKeys(t *testing.T) {
+	golden.Check(t, "keys.golden", []golden.Section{
+		{Name: "a task", Text: taskName("j-000412", 3)},
+		{Name: "progress of a job", Text: progressKey("j-000412", 2)},
+	})
+}
--- /dev/null
+++ b/internal/replica/golden_test.go
@@ -0,0 +1,40 @@
+package replica
+
+import (
+	"testing"
+
+	"caperlatch/internal/golden"
+	"caperlatch/internal/wire"
+)
+
+// encodedTypes are those whose values are stored or told to other nodes.
+var encodedTypes = []golden.Type{
+	golden.Of[Job]("a stored job"),
+	golden.Of[Leader]("who leads"),
+	golden.Of[Token]("the highest token"),
+	golden.Of[Cancellation]("a cancellation told to another node"),
+}
+
+// TestEncoded has them be encoded as they were.
+func TestEncoded(t *testing.T) {
+	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
+}
+
+// TestEncodedTags has all their fields be named by tags.
+func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
+
+// TestKeys has the keys of the state service be called as they were.
+func TestKeys(t *testing.T) {
+	golden.Check(t, "keys.golden", []golden.Section{
+		{Name: "all", Text: Prefix},
+		{Name: "who leads", Text: LeaderKey},
+		{Name: "the highest token", Text: TokenKey},
+		{Name: "the catalog", Text: CatalogKey},
+		{Name: "the staffing", Text: StaffingKey},
+		{Name: "the zones", Text: ZonesKey},
+		{Name: "jobs", Text: JobPrefix},
+		{Name: "progress of jobs", Text: ProgressPrefix},
+		{Name: "bookings", Text: BookingPrefix},
+		{Name: "lists of machines that are up", Text: UpPrefix},
+	})
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,70 @@
+package wire
+
+import (
+	"testing"
+
+	"caperlatch/internal/golden"
+)
+
+// encodedTypes are those whose values go to and come from users, workers, the cloud and the state service.
+var encodedTypes = []golden.Type{
+	golden.Of[Job]("a job"),
+	golden.Of[submission]("a submission"),
+	golden.Of[JobStatus]("the status of a job"),
+	golden.Of[Report]("a worker's report"),
+	golden.Of[ReportTask]("a task in a report"),
+	golden.Of[Command]("an order to a worker"),
+	golden.Of[ReportAnswer]("the answer to a report"),
+	golden.Of[Redirect]("the answer that sends a worker to another node"),
+	golden.Of[DirectCommands]("a request to a worker's own address"),
+	golden.Of[MachineType]("a type in the catalog"),
+	golden.Of[Catalog]("the catalog"),
+	golden.Of[Rental]("a request for machines"),
+	golden.Of[Names]("names of machines"),
+	golden.Of[ListedMachine]("a machine in the cloud's list"),
+	golden.Of[MachineList]("a page of the cloud's list"),
+	golden.Of[Entry]("a key of the state service"),
+	golden.Of[EntryPage]("a page of keys"),
+	golden.Of[Condition]("a condition of a transaction"),
+	golden.Of[Op]("a change in a transaction"),
+	golden.Of[Txn]("a transaction"),
+	golden.Of[TxnAnswer]("the answer to a transaction"),
+	golden.Of[Event]("a change seen by a watch"),
+	golden.Of[Events]("the answer to a watch"),
+	golden.Of[HoldRequest]("a request for a hold"),
+	golden.Of[HoldAnswer]("the answer to it"),
+	golden.Of[ErrorBody]("what was wrong"),
+	golden.Of[struct{}]("nothing"),
+}
+
+// TestEncoded has them be encoded as they were.
+func TestEncoded(t *testing.T) {
+	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: Marshal, Decode: Unmarshal}, encodedTypes...)
+}
+
+// TestEncodedTags has all their fields be named by tags.
+func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
+
+// TestWords has the words of the protocol be what they were, and its limits.
+func TestWords(t *testing.T) {
+	words := []struct {
+		what string
+		list any
+	}{
+		{"priorities", priorities},
+		{"the priority of urgent work", PriorityUrgent},
+		{"shapes of jobs", []string{ShapeArray, ShapeGang, ShapeService}},
+		{"states of jobs", []string{JobPending, JobRunning, JobDone, JobCancelled}},
+		{"states of tasks", []string{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}},
+		{"causes of exits", []string{CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseNoSuch, CausePeers, CauseIncomplete}},
+		{"orders", []string{VerbStart, VerbStop, VerbClear}},
+		{"states of machines", []string{MachineBooting, MachineRunning, MachineFailed}},
+		{"type of bodies", ContentType},
+		{"limits", []int{MaxBody, MaxTasks}},
+	}
+	var sections []golden.Section
+	for _, w := range words {
+		sections = append(sections, golden.Section{Name: w.what, Text: golden.Values(w.list)})
+	}
+	golden.Check(t, "words.golden", sections)
+}
