--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -1,8 +1,12 @@
 package api
 
 import (
+	"slices"
+	"strings"
 	"testing"
 
+	"github.com/labstack/echo/v4"
+
 	"caperlatch/internal/golden"
 	"caperlatch/internal/wire"
 )
@@ -21,3 +25,13 @@
 
 // TestEncodedTags has all their fields be named by tags.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
+
+// TestRoutes has a node answer the requests that it answered.
+func TestRoutes(t *testing.T) {
+	var routes []string
+	for _, r := range New(&Handler{Times: NewTimes()}).(*echo.Echo).Routes() {
+		routes = append(routes, r.Method+" "+r.Path)
+	}
+	slices.Sort(routes)
+	golden.Check(t, "routes.golden", []golden.Section{{Name: "routes", Text: strings.Join(routes, "\n")}})
+}
--- /dev/null
+++ b/internal/failover/golden_test.go
@@ -0,0 +1,66 @@
+package failover
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/parquet-go/parquet-go"
+
+	"caperlatch/internal/golden"
+)
+
+// TestHistoryColumns has the file of a history hold what it held, and be read as it was written.
+// The schema's own name is the one that the type had when histories were first written.
+func TestHistoryColumns(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "history.parquet")
+	change := golden.Filled(reflect.TypeFor[Change]()).Interface().(Change)
+	if err := Write(path, []Change{change}); err != nil {
+		t.Fatal(err)
+	}
+	if read, err := Read(path); err != nil || len(read) != 1 || read[0] != change {
+		t.Errorf("read %+v, %v, want %+v", read, err, change)
+	}
+	b, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer b.Close()
+	info, err := b.Stat()
+	if err != nil {
+		t.Fatal(err)
+	}
+	file, err := parquet.OpenFile(b, info.Size())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var rows strings.Builder
+	for _, group := range file.RowGroups() {
+		reader := group.Rows()
+		buffer := make([]parquet.Row, 2)
+		n, _ := reader.ReadRows(buffer)
+		for _, row := range buffer[:n] {
+			for _, value := range row {
+				fmt.Fprintln(&rows, file.Schema().Columns()[value.Column()][0], value)
+			}
+		}
+		if err := reader.Close(); err != nil {
+			t.Error(err)
+		}
+	}
+	golden.Check(t, "history.golden", []golden.Section{
+		{Name: "schema", Text: file.Schema().String()},
+		{Name: "a row", Text: strings.TrimSuffix(rows.String(), "\n")},
+		{Name: "causes", Text: golden.Values([]Cause{Killed, Frozen, Planned})},
+		{Name: "modes", Text: golden.Values([]Mode{Cold, Warm})},
+		{Name: "what did not happen", Text: golden.Values(Missing)},
+	})
+}
+
+// TestHistoryTags has all columns be named by tags.
+func TestHistoryTags(t *testing.T) {
+	golden.CheckTags(t, "parquet", golden.Of[Change]("a change of leader"))
+}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -2,8 +2,9 @@
 // service, in files and by commands, with golden files under testdata, byte for byte.
 //
 // It owns the form of the golden files, and how a value is filled so that every field shows.
-// The files hold no names of Go's: a type or field may be called otherwise without a change in
-// what it says. It knows no package of caperlatch, so that each of them may use it.
+// The files hold no names of Go's, but where these are seen outside, as in errors of decoding: a
+// type or field may be called otherwise without a change in what is said. It knows no package of
+// caperlatch, so that each of them may use it.
 package golden
 
 import (
--- /dev/null
+++ b/internal/lab/golden_test.go
@@ -0,0 +1,69 @@
+package lab
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"caperlatch/internal/failover"
+	"caperlatch/internal/golden"
+	"caperlatch/internal/micros"
+)
+
+// TestFaultNames has a fault with every field set be written as it was, the example be read as it
+// was, and what is told of a wrong file be what it was. Errors of decoding name the type and
+// fields here, so that these are seen outside.
+func TestFaultNames(t *testing.T) {
+	b, err := toml.Marshal(golden.Filled(reflect.TypeFor[Fault]()).Interface())
+	if err != nil {
+		t.Fatal(err)
+	}
+	content, err := os.ReadFile(filepath.Join("..", "..", "deploy", "faults.example.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	faults, err := ParseFaults("faults.example.toml", content, 3, []string{"a", "b"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sections := []golden.Section{
+		{Name: "all fields", Text: strings.TrimSuffix(string(b), "\n")},
+		{Name: "the example", Text: golden.Values(faults)},
+		{Name: "kinds", Text: golden.Values([]Kind{Kill, Terminate, Freeze, StateDown, Silence})},
+	}
+	for _, c := range []struct{ name, content string }{
+		{"no number", "[[fault]]\nat_s = \"x\""},
+		{"no list", "fault = 3"},
+		{"an unknown field", "[[fault]]\nwhen_s = 3"},
+		{"an unknown kind", "[[fault]]\nkind = \"flood\""},
+		{"an unknown node", "[[fault]]\nkind = \"kill\"\nfor_s = 1.0\nnode = \"host-9\""},
+	} {
+		_, err := ParseFaults("faults.toml", []byte(c.content), 3, []string{"a", "b"})
+		sections = append(sections, golden.Section{Name: c.name, Text: fmt.Sprint(err)})
+	}
+	golden.Check(t, "faults.golden", sections)
+}
+
+// TestFaultTags has all fields of a fault be named by tags.
+func TestFaultTags(t *testing.T) { golden.CheckTags(t, "toml", golden.Of[Fault]("a fault")) }
+
+// TestSummaryTexts has a summary say what it said.
+func TestSummaryTexts(t *testing.T) {
+	var whole, empty strings.Builder
+	all := golden.Filled(reflect.TypeFor[Summary]()).Interface().(Summary)
+	all.Classes[0].Waits = failover.Summary{Median: 1250 * micros.Millisecond, P95: 2500 * micros.Millisecond, Max: 3750 * micros.Millisecond}
+	all.Classes[0].Runs = failover.Summary{Count: 9, Median: 4 * micros.Second, P95: 5 * micros.Second, Max: 6 * micros.Second}
+	all.Print(&whole)
+	new(Summary).Print(&empty)
+	golden.Check(t, "summary.golden", []golden.Section{
+		{Name: "with all", Text: strings.TrimSuffix(whole.String(), "\n")},
+		{Name: "with nothing", Text: strings.TrimSuffix(empty.String(), "\n")},
+		{Name: "what was wrong", Text: fmt.Sprint(all.Err())},
+		{Name: "what was open", Text: fmt.Sprint((&Summary{Seed: all.Seed, Open: all.Open}).Err())},
+	})
+}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"fmt"
 	"testing"
 
 	"caperlatch/internal/golden"
@@ -68,3 +69,30 @@
 	}
 	golden.Check(t, "words.golden", sections)
 }
+
+// TestErrorTexts has what a user is told of a body that is no job be what it was. Errors of
+// decoding name the type and fields here, so that these are seen outside.
+func TestErrorTexts(t *testing.T) {
+	var sections []golden.Section
+	for _, c := range []struct {
+		name string
+		body any
+	}{
+		{"no text", map[string]any{"lane": 3}},
+		{"no number", map[string]any{"pieces": "x"}},
+		{"no list of texts", map[string]any{"builds": []int{1}}},
+		{"a list", []int{1}},
+		{"a number", 7},
+		{"nothing said", nil},
+	} {
+		b, err := Marshal(c.body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, err = ParseJob(b)
+		sections = append(sections, golden.Section{Name: c.name, Text: fmt.Sprint(err)})
+		var report Report
+		sections = append(sections, golden.Section{Name: c.name + ", for a report", Text: fmt.Sprint(Unmarshal(b, &report))})
+	}
+	golden.Check(t, "errors.golden", sections)
+}
