--- a/cluster_test.go
+++ b/cluster_test.go
@@ -52,13 +52,13 @@
 	s.External.State, s.External.Cloud = "state", "cloud"
 	s.Params = settings.Params{
 		Zones: []string{"a"},
-		Teams: []settings.Team{{Name: "blue"}, {Name: "small", CPUs: 2, CPUsMax: 4}},
+		Teams: []settings.Team{{Name: "blue"}, {Name: "small", GuaranteedCPUs: 2, MaxCPUs: 4}},
 		Workers: settings.Workers{
-			ReportS:   reportS,
-			LeaseS:    leaseS,
-			CancelS:   cancelS,
-			GangWaitS: fake.GangWaitS,
-			GangPeerS: fake.GangPeerS,
+			HeartbeatIntervalS:   reportS,
+			LeaseDurationS:       leaseS,
+			CancellationTimeoutS: cancelS,
+			GangAssemblyTimeoutS: fake.GangWaitS,
+			GangLossTimeoutS:     fake.GangPeerS,
 		},
 		State:  settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6},
 		Cloud:  settings.Cloud{RPS: 20, ListLagS: 1},
@@ -174,12 +174,12 @@
 
 // conditioned checks that no write can be carried out late to harm: each is conditioned
 // on its key's version, and the leader's on its leader key.
-func (c *cluster) conditioned(conditions []wire.Condition, keys []string) {
-	someoneLeads := slices.ContainsFunc(conditions, func(x wire.Condition) bool {
-		return x.Key == replica.LeaderKey && x.Stamp != 0
+func (c *cluster) conditioned(conditions []wire.Compare, keys []string) {
+	someoneLeads := slices.ContainsFunc(conditions, func(x wire.Compare) bool {
+		return x.Key == replica.LeaderKey && x.ModRevision != 0
 	})
 	for _, key := range keys {
-		if !slices.ContainsFunc(conditions, func(x wire.Condition) bool { return x.Key == key }) {
+		if !slices.ContainsFunc(conditions, func(x wire.Compare) bool { return x.Key == key }) {
 			c.t.Errorf("%s is written whatever its version", key)
 		}
 		if ofLeader(key) && !someoneLeads {
@@ -214,7 +214,7 @@
 		"id":           id,
 		"lane":         "l",
 		"desk":         "blue",
-		"shape":        wire.ShapeArray,
+		"shape":        wire.KindArray,
 		"rank":         "normal",
 		"pieces":       tasks,
 		"vcpus":        1.0,
--- a/cmd/caperlatch/explain.go
+++ b/cmd/caperlatch/explain.go
@@ -36,7 +36,7 @@
 	if status == http.StatusOK {
 		return e, wire.Unmarshal(body, &e)
 	}
-	var why wire.ErrorBody
+	var why wire.ErrorResponse
 	if err := wire.Unmarshal(body, &why); err != nil || why.Error == "" {
 		why.Error = fmt.Sprintf("%d %s", status, http.StatusText(status))
 	}
--- a/cmd/caperlatch/jobs.go
+++ b/cmd/caperlatch/jobs.go
@@ -173,7 +173,7 @@
 	if code == http.StatusOK || code == http.StatusCreated {
 		return status, wire.Unmarshal(answer, &status)
 	}
-	var why wire.ErrorBody
+	var why wire.ErrorResponse
 	if wire.Unmarshal(answer, &why) != nil || why.Error == "" {
 		why.Error = strings.ToLower(http.StatusText(code))
 	}
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -56,7 +56,7 @@
 	if status == http.StatusOK {
 		return wire.Unmarshal(body, out)
 	}
-	var why wire.ErrorBody
+	var why wire.ErrorResponse
 	if err := wire.Unmarshal(body, &why); err != nil || why.Error == "" {
 		why.Error = fmt.Sprintf("%d %s (a version without it?)", status, http.StatusText(status))
 	}
--- a/explain_test.go
+++ b/explain_test.go
@@ -18,9 +18,9 @@
 func (c *cluster) why(node int, id string) (int, leader.Explanation, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	status, b, err := wire.Exchange(ctx, c.user, http.MethodGet, fmt.Sprintf("http://%s/v1/jobs/%s/why", fmt.Sprintf("host-%d:8080", node), id), nil)
+	status, b, err := wire.Call(ctx, c.user, http.MethodGet, fmt.Sprintf("http://%s/v1/jobs/%s/why", fmt.Sprintf("host-%d:8080", node), id), nil)
 	var e leader.Explanation
-	var body wire.ErrorBody
+	var body wire.ErrorResponse
 	if err == nil && status == http.StatusOK {
 		err = wire.Unmarshal(b, &e)
 	} else if err == nil {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -24,7 +24,7 @@
 func TestFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 5, func(s *settings.Settings) {
-			s.Params.Workers = settings.Workers{ReportS: 8, LeaseS: 45, CancelS: 75}
+			s.Params.Workers = settings.Workers{HeartbeatIntervalS: 8, LeaseDurationS: 45, CancellationTimeoutS: 75}
 			s.Params.State = settings.State{RPS: 100, WriteRPS: 30, ValueKB: 4, TxnOps: 8}
 			s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 322, MaxSockets: 3200}
 		})
--- a/gang_meetings_test.go
+++ b/gang_meetings_test.go
@@ -55,9 +55,9 @@
 	}
 	c.cloud.FetchS = 3
 	c.submitJob(gangJob(gangWaits, 3, 3, map[string]any{"bundle": "img-2"}))
-	c.until(gangWaits, map[string]int{wire.TaskFetching: 3})
+	c.until(gangWaits, map[string]int{wire.TaskPullingImage: 3})
 	c.cloud.With(gangWaits)[1].Hang(8 * time.Second)
-	c.until(gangWaits, map[string]int{wire.TaskWaiting: 2, wire.TaskFetching: 1})
+	c.until(gangWaits, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 	c.cloud.With(gangStops)[2].Take(12 * time.Second)
 }
 
@@ -69,7 +69,7 @@
 		defer c.close()
 		c.cloud.RunFor = func(string) float64 { return 90 }
 		m.begin(c)
-		if n := c.states(gangWaits)[wire.TaskWaiting]; n == 0 {
+		if n := c.states(gangWaits)[wire.TaskWaitingForGang]; n == 0 {
 			t.Error("no gang waits")
 		}
 		var met tally
@@ -108,7 +108,7 @@
 // saves waits until a gang's tasks save, and notes it.
 func (c *cluster) saves(id string, met *tally) {
 	for i := 0; i < 100 && met.of("gang being stopped") == 0; i++ {
-		if c.states(id)[wire.TaskSaving] > 0 {
+		if c.states(id)[wire.TaskCheckpointing] > 0 {
 			met.add("gang being stopped")
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -223,7 +223,7 @@
 				return fake.Pass
 			})
 			c.saves(gangStops, met)
-			old := held.all(func(r *wire.Report) bool { return attemptsOf(r, gangStops) > 0 })
+			old := held.all(func(r *wire.Heartbeat) bool { return attemptsOf(r, gangStops) > 0 })
 			c.until(gangStops, map[string]int{wire.TaskRunning: 3}) // the next attempt
 			for range 3 {
 				before := c.token()
@@ -248,11 +248,11 @@
 				return fake.Pass
 			})
 			c.saves(gangStops, met)
-			for i := 0; c.states(gangStops)[wire.TaskSaving] > 0 && i < 100; i++ {
+			for i := 0; c.states(gangStops)[wire.TaskCheckpointing] > 0 && i < 100; i++ {
 				time.Sleep(50 * time.Millisecond)
 			}
 			// Before and between its attempts; some show the first, some none.
-			old := held.all(func(*wire.Report) bool { return true })
+			old := held.all(func(*wire.Heartbeat) bool { return true })
 			c.until(gangStops, map[string]int{wire.TaskRunning: 3}) // the next attempt
 			ids := map[string]bool{}
 			for _, w := range c.cloud.With(gangStops) {
@@ -296,15 +296,15 @@
 
 // endsJob tells whether a transaction is a leader's that stores the end of a job.
 func endsJob(x *fake.Transaction) bool {
-	byLeader := slices.ContainsFunc(x.Conditions, func(k wire.Condition) bool { return k.Key == replica.LeaderKey && k.Stamp != 0 })
+	byLeader := slices.ContainsFunc(x.Conditions, func(k wire.Compare) bool { return k.Key == replica.LeaderKey && k.ModRevision != 0 })
 	return byLeader && slices.ContainsFunc(x.Keys, func(key string) bool { return strings.HasPrefix(key, replica.JobPrefix) })
 }
 
 // attemptsOf counts the attempts of a job that a report shows.
-func attemptsOf(r *wire.Report, id string) int {
+func attemptsOf(r *wire.Heartbeat, id string) int {
 	numbers := map[uint64]bool{}
 	for _, x := range r.Tasks {
-		if strings.HasPrefix(x.Task, id+"/") {
+		if strings.HasPrefix(x.TaskID, id+"/") {
 			numbers[x.Attempt] = true
 		}
 	}
--- a/gangs_test.go
+++ b/gangs_test.go
@@ -45,8 +45,8 @@
 // long whether its progress was.
 func TestGangs(t *testing.T) {
 	const id = "j-000001"
-	wide := gangJob(id, 3, 3, nil) // a machine has four CPUs: on three of them
-	waiting := func(n int) map[string]int { return map[string]int{wire.TaskWaiting: n} }
+	wide := gangJob(id, 3, 3, nil) // a machine has four GuaranteedCPUs: on three of them
+	waiting := func(n int) map[string]int { return map[string]int{wire.TaskWaitingForGang: n} }
 	running := func(n int) map[string]int { return map[string]int{wire.TaskRunning: n} }
 	cases := []struct {
 		name    string
@@ -71,18 +71,18 @@
 		{"a whole team's limit", gangJob(id, 4, 1, map[string]any{"desk": "small"}), nil, 0, func(*cluster) {}, 1, 40 * time.Second},
 		// A replacement under the same number completes it.
 		{"a machine hangs before it starts", wide, nil, 3, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskFetching: 3})
+			c.until(id, map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.With(id)[1].Hang(time.Minute)
 		}, 1, 60 * time.Second},
 		{"a machine is taken while the others wait", wide, nil, 3, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskFetching: 3})
+			c.until(id, map[string]int{wire.TaskPullingImage: 3})
 			hung := c.cloud.With(id)[1]
 			hung.Hang(4 * time.Second)
-			c.until(id, map[string]int{wire.TaskWaiting: 2, wire.TaskFetching: 1})
+			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			hung.Take(0)
 		}, 1, 60 * time.Second},
 		{"a machine is taken with a notice while the others wait", wide, nil, 3, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskFetching: 3})
+			c.until(id, map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.With(id)[0].Take(8 * time.Second)
 		}, 1, 60 * time.Second},
 		// The rest notices, and all begin anew.
@@ -130,16 +130,16 @@
 			time.Sleep(15 * time.Second)
 		}, -1, 120 * time.Second},
 		{"the leader ends while it waits", wide, nil, 4, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskFetching: 3})
+			c.until(id, map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.With(id)[0].Hang(6 * time.Second)
-			c.until(id, map[string]int{wire.TaskWaiting: 2, wire.TaskFetching: 1})
+			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			c.back(c.leader())
 		}, 1, 60 * time.Second},
 		{"the leader ends while it waits for a machine that is lost", wide, nil, 4, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskFetching: 3})
+			c.until(id, map[string]int{wire.TaskPullingImage: 3})
 			hung := c.cloud.With(id)[0]
 			hung.Hang(20 * time.Second)
-			c.until(id, map[string]int{wire.TaskWaiting: 2, wire.TaskFetching: 1})
+			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			hung.Take(0)
 			c.back(c.leader())
 		}, 1, 80 * time.Second},
@@ -158,7 +158,7 @@
 			c.until(id, running(3))
 			time.Sleep(8 * time.Second)
 			c.cloud.With(id)[2].Take(12 * time.Second)
-			for i := 0; i < 600 && len(c.cloud.States()) == 3 && !slices.Contains(slices.Collect(maps.Values(c.cloud.States())), wire.TaskSaving); i++ {
+			for i := 0; i < 600 && len(c.cloud.States()) == 3 && !slices.Contains(slices.Collect(maps.Values(c.cloud.States())), wire.TaskCheckpointing); i++ {
 				time.Sleep(100 * time.Millisecond)
 			}
 			c.back(c.leader())
@@ -292,9 +292,9 @@
 		{"cancelled while it waits", func(c *cluster) {
 			c.cloud.FetchS = 3
 			c.submitJob(gangJob("j-000001", 3, 3, nil))
-			c.until("j-000001", map[string]int{wire.TaskFetching: 3})
+			c.until("j-000001", map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.With("j-000001")[0].Hang(10 * time.Second)
-			c.until("j-000001", map[string]int{wire.TaskWaiting: 2, wire.TaskFetching: 1})
+			c.until("j-000001", map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			if code, _ := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK {
 				c.t.Errorf("cancelled: %d", code)
 			}
--- a/gap_test.go
+++ b/gap_test.go
@@ -136,7 +136,7 @@
 				g.t.Fatal(err)
 			}
 			j.State, j.EndedAt = wire.JobCancelled, j.SubmittedAt-600*micros.Second // when it was sent
-			b, err := wire.Marshal(wire.Txn{If: []wire.Condition{{Key: e.Key, Stamp: e.Stamp}}, Then: []wire.Op{{Write: e.Key, Value: j}}})
+			b, err := wire.Marshal(wire.Txn{If: []wire.Compare{{Key: e.Key, ModRevision: e.ModRevision}}, Then: []wire.Op{{Put: e.Key, Value: j}}})
 			if err != nil {
 				g.t.Fatal(err)
 			}
--- a/guards_test.go
+++ b/guards_test.go
@@ -76,8 +76,8 @@
 				time.Sleep(3 * time.Second)
 				// One that changes both is too large, and comes again in parts.
 				c.state.SetFate(func(x fake.Transaction) fake.Fate {
-					names := slices.ContainsFunc(x.Conditions, func(k wire.Condition) bool {
-						return strings.HasPrefix(k.Key, replica.BookingPrefix) && k.Stamp != 0
+					names := slices.ContainsFunc(x.Conditions, func(k wire.Compare) bool {
+						return strings.HasPrefix(k.Key, replica.BookingPrefix) && k.ModRevision != 0
 					})
 					switch {
 					case names && len(x.Keys) > 1:
@@ -118,7 +118,9 @@
 // know of the machines that run the last job, and starts the job's tasks elsewhere.
 func TestOldPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newTunedCluster(t, 3, func(s *settings.Settings) { s.Params.Workers.LeaseS, s.Params.Workers.CancelS = 20, 50 })
+		c := newTunedCluster(t, 3, func(s *settings.Settings) {
+			s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = 20, 50
+		})
 		defer c.close()
 		c.cloud.RunFor = func(string) float64 { return 60 }
 		const between = 45 // keys of jobs that are read between the bookings and the leader key
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -166,12 +166,12 @@
 // comeBack tells a user when to come back.
 func comeBack(c echo.Context, code int) error {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(int(statestore.RetryAfter/micros.Second)))
-	return reply(c, code, wire.ErrorBody{Error: "come back later"})
+	return reply(c, code, wire.ErrorResponse{Error: "come back later"})
 }
 
 // bad answers with what is wrong.
 func bad(c echo.Context, code int, err error) error {
-	return reply(c, code, wire.ErrorBody{Error: err.Error()})
+	return reply(c, code, wire.ErrorResponse{Error: err.Error()})
 }
 
 // ready tells whether this node can take requests, and which versions serve.
--- a/internal/api/explain.go
+++ b/internal/api/explain.go
@@ -25,7 +25,7 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), userTimeout.Duration())
 	defer cancel()
 	id := c.Param("id")
-	if !wire.ValidJobID(id) {
+	if !wire.IsValidJobID(id) {
 		return bad(c, http.StatusNotFound, errNoSuchJob)
 	}
 	if !h.Replica.Loaded() {
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return bad(c, http.StatusBadRequest, err)
 	}
-	id := wire.SubmittedID(body)
+	id := wire.ParseSubmissionID(body)
 	if id == "" {
 		return bad(c, http.StatusBadRequest, errNoJobID)
 	}
@@ -116,7 +116,7 @@
 	if !h.Store.AcceptsValue(job) {
 		return replica.Job{}, &refusal{http.StatusBadRequest, errTooLong}
 	}
-	var catalog wire.Catalog
+	var catalog wire.InstanceTypeList
 	stamp, err := h.Replica.Get(replica.CatalogKey, &catalog)
 	if err != nil {
 		return replica.Job{}, err
@@ -224,7 +224,7 @@
 // poll tells a job's status.
 func (h *Handler) poll(c echo.Context) error {
 	id := c.Param("id")
-	if !wire.ValidJobID(id) {
+	if !wire.IsValidJobID(id) {
 		return bad(c, http.StatusNotFound, errNoSuchJob)
 	}
 	job, err := h.known(c.Request().Context(), id)
@@ -242,7 +242,7 @@
 func (h *Handler) abort(c echo.Context) error {
 	id := c.Param("id")
 	ctx := c.Request().Context()
-	if !wire.ValidJobID(id) {
+	if !wire.IsValidJobID(id) {
 		return bad(c, http.StatusNotFound, errNoSuchJob)
 	}
 	job, err := h.known(ctx, id)
--- a/internal/api/report.go
+++ b/internal/api/report.go
@@ -41,11 +41,11 @@
 
 // answerReport answers a report at the node that leads.
 func (h *Handler) answerReport(c echo.Context, l *leader.Leader, body []byte) error {
-	var report wire.Report
+	var report wire.Heartbeat
 	if err := wire.Unmarshal(body, &report); err != nil {
 		return bad(c, http.StatusBadRequest, err)
 	}
-	if front := h.Node.Front(report.Machine); front != "" && !h.cameBack(report.Machine) {
+	if front := h.Node.Front(report.MachineID); front != "" && !h.cameBack(report.MachineID) {
 		return redirect(c, front)
 	}
 	answer, err := l.Report(&report)
@@ -63,11 +63,11 @@
 	}
 	if !h.Node.Relays() && !h.Node.ExpectsLeader() {
 		// A worker that comes back cannot reach the leader either.
-		var report wire.Report
+		var report wire.Heartbeat
 		if err := wire.Unmarshal(body, &report); err != nil {
 			return bad(c, http.StatusBadRequest, err)
 		}
-		if !h.cameBack(report.Machine) {
+		if !h.cameBack(report.MachineID) {
 			return redirect(c, member)
 		}
 	}
@@ -82,7 +82,7 @@
 
 // redirect sends a worker to another node.
 func redirect(c echo.Context, member string) error {
-	return reply(c, http.StatusMisdirectedRequest, wire.Redirect{ReportTo: member})
+	return reply(c, http.StatusMisdirectedRequest, wire.Redirect{Member: member})
 }
 
 // cameBack tells whether a worker was sent to another node a short while ago.
--- a/internal/api/runnable.go
+++ b/internal/api/runnable.go
@@ -12,7 +12,7 @@
 
 // Runnable tells why a job can never run (422), or nil. What is refused is lost, and what
 // is accepted must run: a gang is weighed whole, as it runs whole.
-func Runnable(j *wire.Job, types []wire.MachineType, teams []settings.Team) error {
+func Runnable(j *wire.Job, types []wire.InstanceType, teams []settings.Team) error {
 	if err := withinTeam(j, teams); err != nil {
 		return err
 	}
@@ -21,8 +21,8 @@
 		return errors.New("a task fits no allowed machine type")
 	}
 	// At most half of a spread gang's tasks may be in a zone, and all run at once.
-	spreadGang := j.Shape == wire.ShapeGang && j.Spread && j.Tasks > 1
-	if spreadGang && (j.OneZone || len(zones) < 2) {
+	spreadGang := j.Kind == wire.KindGang && j.SpreadZones && j.Tasks > 1
+	if spreadGang && (j.SingleZone || len(zones) < 2) {
 		return errors.New("the gang's tasks may not all run in the zones allowed")
 	}
 	return nil
@@ -35,10 +35,10 @@
 		return fmt.Errorf("team %s is unknown", j.Team)
 	}
 	needs, atOnce := "a task needs", 1.0
-	if j.Shape == wire.ShapeGang {
+	if j.Kind == wire.KindGang {
 		needs, atOnce = "all tasks of the gang need", float64(max(1, j.Tasks))
 	}
-	if t := teams[i]; over(j.CPUs, atOnce, t.CPUsMax) || over(j.GPUs, atOnce, t.GPUsMax) {
+	if t := teams[i]; over(j.CPUs, atOnce, t.MaxCPUs) || over(j.GPUs, atOnce, t.MaxGPUs) {
 		return fmt.Errorf("%s more than team %s may use", needs, j.Team)
 	}
 	return nil
@@ -46,10 +46,10 @@
 
 // zonesThatFit lists the zones allowed in which some allowed machine type has room for a
 // task, and tells whether any type has.
-func zonesThatFit(j *wire.Job, types []wire.MachineType) (zones map[string]bool, fits bool) {
+func zonesThatFit(j *wire.Job, types []wire.InstanceType) (zones map[string]bool, fits bool) {
 	zones = map[string]bool{}
 	for _, t := range types {
-		allowed := (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && (j.Zone == "" || slices.Contains(t.Zones, j.Zone))
+		allowed := (len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, t.Name)) && (j.Zone == "" || slices.Contains(t.Zones, j.Zone))
 		if !allowed || j.CPUs > t.CPUs || j.GPUs > t.GPUs || j.MemoryGB > t.MemoryGB {
 			continue
 		}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -28,10 +28,10 @@
 
 // Limits of the interface.
 const (
-	MaxRent   = 50
-	MaxReturn = 100
-	maxList   = 500
-	timeout   = 5 * micros.Second
+	MaxLaunch    = 50
+	MaxTerminate = 100
+	maxList      = 500
+	timeout      = 5 * micros.Second
 )
 
 // requestShare is which part of the rate limit a node may use: only the leader calls often.
@@ -76,12 +76,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	status, body, err := wire.Exchange(ctx, c.http, q.method, c.base+q.path, q.body)
+	status, body, err := wire.Call(ctx, c.http, q.method, c.base+q.path, q.body)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
 	if status != http.StatusOK {
-		var e wire.ErrorBody
+		var e wire.ErrorResponse
 		if wire.Unmarshal(body, &e) == nil && status == http.StatusServiceUnavailable && e.Error == noCapacity {
 			return ErrNoCapacity
 		}
@@ -96,46 +96,46 @@
 	return nil
 }
 
-// Catalog reads the machine types.
-func (c *Client) Catalog(ctx context.Context) (wire.Catalog, error) {
-	var out wire.Catalog
+// InstanceTypes reads the machine types.
+func (c *Client) InstanceTypes(ctx context.Context) (wire.InstanceTypeList, error) {
+	var out wire.InstanceTypeList
 	err := c.call(ctx, request{method: http.MethodGet, path: "/catalog"}, &out)
 	return out, err
 }
 
-// Rent asks for machines; the same request name gets the same answer. It is sent only if
+// Launch asks for machines; the same request name gets the same answer. It is sent only if
 // mayGo says so at that moment.
-func (c *Client) Rent(ctx context.Context, r wire.Rental, mayGo func() bool) ([]string, error) {
-	var out wire.Names
+func (c *Client) Launch(ctx context.Context, r wire.LaunchRequest, mayGo func() bool) ([]string, error) {
+	var out wire.InstanceIDs
 	err := c.call(ctx, request{method: http.MethodPost, path: "/hosts", body: r, mayGo: mayGo}, &out)
-	return out.Machines, err
+	return out.IDs, err
 }
 
-// Return gives machines back. After a nil error they and all that was on them
+// Terminate gives machines back. After a nil error they and all that was on them
 // are gone. It is sent only if mayGo says so at that moment: the cloud knows no token that
 // would refuse a leader whose term has ended while it waited.
-func (c *Client) Return(ctx context.Context, ids []string, mayGo func() bool) error {
-	q := request{method: http.MethodPost, path: "/hosts/return", body: wire.Names{Machines: ids}, mayGo: mayGo}
+func (c *Client) Terminate(ctx context.Context, ids []string, mayGo func() bool) error {
+	q := request{method: http.MethodPost, path: "/hosts/return", body: wire.InstanceIDs{IDs: ids}, mayGo: mayGo}
 	return c.call(ctx, q, nil)
 }
 
-// List reads the whole list of machines, which may be old.
-func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
-	var all []wire.ListedMachine
+// ListInstances reads the whole list of machines, which may be old.
+func (c *Client) ListInstances(ctx context.Context) ([]wire.InstanceStatus, error) {
+	var all []wire.InstanceStatus
 	after := ""
 	for {
 		q := url.Values{"most": {strconv.Itoa(maxList)}}
 		if after != "" {
 			q.Set("after", after)
 		}
-		var page wire.MachineList
+		var page wire.InstancePage
 		if err := c.call(ctx, request{method: http.MethodGet, path: "/hosts?" + q.Encode()}, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Machines...)
-		if !page.More || len(page.Machines) == 0 {
+		all = append(all, page.Instances...)
+		if !page.HasMore || len(page.Instances) == 0 {
 			return all, nil
 		}
-		after = page.Machines[len(page.Machines)-1].ID
+		after = page.Instances[len(page.Instances)-1].ID
 	}
 }
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -19,7 +19,7 @@
 
 func (c *countingTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	c.requests++
-	body, err := wire.Marshal(wire.Names{Machines: []string{}})
+	body, err := wire.Marshal(wire.InstanceIDs{IDs: []string{}})
 	if err != nil {
 		return nil, err
 	}
@@ -32,10 +32,10 @@
 func TestTermEndsWhileWaiting(t *testing.T) {
 	calls := map[string]func(c *Client, mayGo func() bool) error{
 		"return": func(c *Client, mayGo func() bool) error {
-			return c.Return(context.Background(), []string{"i-1"}, mayGo)
+			return c.Terminate(context.Background(), []string{"i-1"}, mayGo)
 		},
 		"rental": func(c *Client, mayGo func() bool) error {
-			_, err := c.Rent(context.Background(), wire.Rental{Request: "r-1", Count: 1}, mayGo)
+			_, err := c.Launch(context.Background(), wire.LaunchRequest{RequestID: "r-1", Count: 1}, mayGo)
 			return err
 		},
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -285,13 +285,13 @@
 func (e *Election) takeLeaderKey(ctx context.Context, leader replica.Leader, tokenStamp uint64) (revision uint64, err error) {
 	token := replica.Token{Token: leader.Token}
 	revision, err = e.store.Commit(ctx, wire.Txn{
-		If: []wire.Condition{
+		If: []wire.Compare{
 			{Key: replica.LeaderKey},
-			{Key: replica.TokenKey, Stamp: tokenStamp},
+			{Key: replica.TokenKey, ModRevision: tokenStamp},
 		},
 		Then: []wire.Op{
-			{Write: replica.LeaderKey, Value: leader, Hold: leader.Session},
-			{Write: replica.TokenKey, Value: token},
+			{Put: replica.LeaderKey, Value: leader, SessionID: leader.Session},
+			{Put: replica.TokenKey, Value: token},
 		},
 	})
 	if err != nil {
--- a/internal/leader/ask.go
+++ b/internal/leader/ask.go
@@ -155,21 +155,21 @@
 var errOtherMachine = errors.New("another machine answers")
 
 // askOnce sends a machine this term's token without commands, and takes its report.
-func (l *Leader) askOnce(ctx context.Context, to askTarget) (*wire.Report, error) {
+func (l *Leader) askOnce(ctx context.Context, to askTarget) (*wire.Heartbeat, error) {
 	l.calls <- struct{}{}
 	defer func() { <-l.calls }()
 	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
-	body := wire.DirectCommands{Token: l.Token, Session: to.session, Commands: []wire.Command{}}
-	_, answer, err := wire.Exchange(ctx, l.Workers, http.MethodPost, "http://"+to.address+"/commands", body)
+	body := wire.CommandRequest{FencingToken: l.Token, Incarnation: to.session, Commands: []wire.Command{}}
+	_, answer, err := wire.Call(ctx, l.Workers, http.MethodPost, "http://"+to.address+"/commands", body)
 	if err != nil {
 		return nil, err
 	}
-	var report wire.Report
+	var report wire.Heartbeat
 	if err := wire.Unmarshal(answer, &report); err != nil {
 		return nil, err
 	}
-	if report.Machine != to.machine {
+	if report.MachineID != to.machine {
 		return nil, errOtherMachine
 	}
 	return &report, nil
@@ -180,18 +180,18 @@
 func (m *machine) confirmed() bool { return m.resolved && !m.unconfirmed }
 
 // answeredAsk takes a machine's tasks from its answer, unless a report came first.
-func (l *Leader) answeredAsk(m *machine, r *wire.Report, now micros.Micros) {
-	if m.confirmed() || l.machines[m.id] != m || l.superseded || r.Session < m.session {
+func (l *Leader) answeredAsk(m *machine, r *wire.Heartbeat, now micros.Micros) {
+	if m.confirmed() || l.machines[m.id] != m || l.superseded || r.Incarnation < m.session {
 		return
 	}
-	m.session = r.Session
-	if r.Token != l.Token {
+	m.session = r.Incarnation
+	if r.FencingToken != l.Token {
 		return
 	}
 	a := l.zoneAnswers[m.kind.Zone]
 	a.answered++
 	l.zoneAnswers[m.kind.Zone] = a
-	m.asked = r.Seq
+	m.asked = r.Sequence
 	// It is alive; and no answer of an earlier term renews its lease from now on.
 	m.reported, m.answered = now, now
 	l.reconcile(m, r, now)
--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -15,7 +15,7 @@
 )
 
 // workers answers calls to workers' addresses.
-type workers func(c *wire.DirectCommands) (int, *wire.Report)
+type workers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
 
 // RoundTrip implements http.RoundTripper.
 func (f workers) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var c wire.DirectCommands
+	var c wire.CommandRequest
 	if err := wire.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
@@ -39,53 +39,53 @@
 // worker heard of this term proves them: until then a start of an earlier term may
 // still be carried out, and a task that is started elsewhere would run twice.
 func TestAsk(t *testing.T) {
-	running := wire.ReportTask{Task: "j-000001/0", Attempt: 5, State: wire.TaskRunning}
-	answer := func(session, seq, baton uint64) *wire.Report {
+	running := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}
+	answer := func(session, seq, baton uint64) *wire.Heartbeat {
 		r := report(seq, baton, running)
-		r.Session = session
+		r.Incarnation = session
 		return r
 	}
 	other := answer(1, 20, token)
-	other.Machine = "i-9"
+	other.MachineID = "i-9"
 	rest := []string{"start j-000001/1", "start j-000001/2"}
 	cases := []struct {
 		name    string
 		worker  workers
-		already *wire.Report // comes while the worker is asked
+		already *wire.Heartbeat // comes while the worker is asked
 		done    bool
-		report  *wire.Report // comes afterwards
+		report  *wire.Heartbeat // comes afterwards
 		want    []string
 	}{
-		{"it tells", func(*wire.DirectCommands) (int, *wire.Report) { return 200, answer(1, 20, token) }, nil, true,
+		{"it tells", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, token) }, nil, true,
 			report(21, token, running), rest},
-		{"in a later session", func(c *wire.DirectCommands) (int, *wire.Report) {
-			if c.Session != 3 {
+		{"in a later session", func(c *wire.CommandRequest) (int, *wire.Heartbeat) {
+			if c.Incarnation != 3 {
 				return 409, answer(3, 20, token-1)
 			}
 			return 200, answer(3, 21, token)
 		}, nil, true, answer(3, 22, token), rest},
 		// It is older than the answer: what it shows may have ended since, and what
 		// was started since does not show.
-		{"a report from before the answer", func(*wire.DirectCommands) (int, *wire.Report) { return 200, answer(1, 20, token) }, nil, true,
+		{"a report from before the answer", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, token) }, nil, true,
 			report(19, token, running), []string{}},
-		{"it has not heard of this term", func(*wire.DirectCommands) (int, *wire.Report) { return 409, answer(1, 20, token-1) }, nil, false,
+		{"it has not heard of this term", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 409, answer(1, 20, token-1) }, nil, false,
 			report(21, token-1, running), []string{}},
-		{"another machine has its address", func(*wire.DirectCommands) (int, *wire.Report) { return 200, other }, nil, false,
+		{"another machine has its address", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, other }, nil, false,
 			report(21, token-1, running), []string{}},
-		{"no answer", func(*wire.DirectCommands) (int, *wire.Report) { return 0, nil }, nil, false,
+		{"no answer", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 0, nil }, nil, false,
 			report(21, token-1, running), []string{}},
 		// The report drew starts that the answer cannot show.
-		{"a report is faster", func(*wire.DirectCommands) (int, *wire.Report) { return 200, answer(1, 20, token) }, report(21, token, running), true,
-			report(22, token, running, wire.ReportTask{Task: "j-000001/1", Attempt: token<<32 | 1, State: wire.TaskRunning},
-				wire.ReportTask{Task: "j-000001/2", Attempt: token<<32 | 2, State: wire.TaskRunning}), []string{}},
+		{"a report is faster", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, token) }, report(21, token, running), true,
+			report(22, token, running, wire.TaskStatus{TaskID: "j-000001/1", Attempt: token<<32 | 1, State: wire.TaskRunning},
+				wire.TaskStatus{TaskID: "j-000001/2", Attempt: token<<32 | 2, State: wire.TaskRunning}), []string{}},
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
 		m := l.machines["i-1"]
 		m.address, m.current = "i-1:9000", false
-		l.Workers = &http.Client{Transport: workers(func(d *wire.DirectCommands) (int, *wire.Report) {
-			if d.Token != token || len(d.Commands) != 0 {
-				t.Errorf("%s: asked with token %d and %d commands", c.name, d.Token, len(d.Commands))
+		l.Workers = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
+			if d.FencingToken != token || len(d.Commands) != 0 {
+				t.Errorf("%s: asked with token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
 			}
 			if c.already != nil {
 				if _, err := l.Report(c.already); err != nil {
--- a/internal/leader/backlog.go
+++ b/internal/leader/backlog.go
@@ -24,8 +24,8 @@
 	staying   []staffing.Running // of running, what gives its room to nobody
 	work      map[string]float64 // CPU seconds that wait, by the type that is best for them
 	total     float64            // CPU seconds
-	supply    float64            // CPUs
-	unknown   float64            // CPUs of machines whose tasks are not known
+	supply    float64            // GuaranteedCPUs
+	unknown   float64            // GuaranteedCPUs of machines whose tasks are not known
 	boot      float64            // seconds, of the type that boots soonest
 	planned   map[*job]int       // tasks that have a place
 	displaced map[*job]int       // tasks on machines that are to be replaced in other zones
@@ -138,7 +138,7 @@
 
 // countJob counts n waiting tasks of a job, for a type.
 func (l *Leader) countJob(d *demandCount, j *job, t *machineType, n int, wall micros.Micros) {
-	d.boot = math.Min(d.boot, t.BootS)
+	d.boot = math.Min(d.boot, t.BootTimeS)
 	work := float64(n) * j.spec.CPUs * l.expected(j.spec)
 	if per := t.capacity.Times(j.need, n+1); j.isGang() && per > 0 && per <= n {
 		// It fills whole machines at once, with what its tasks leave unused there.
@@ -147,7 +147,7 @@
 	due, late := l.due(j, false, wall)
 	in := (due - wall).Seconds()
 	if late { // it is to be done soon all the same
-		in = 2 * t.BootS
+		in = 2 * t.BootTimeS
 	}
 	demand := staffing.Demand{Work: work, Due: in}
 	d.waiting = append(d.waiting, demand)
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -31,8 +31,8 @@
 // benchSettings describe a deployment of the larger kind.
 func benchSettings() *settings.Settings {
 	return &settings.Settings{Params: settings.Params{
-		Teams:   []settings.Team{{Name: "blue"}, {Name: "red", CPUs: 500, CPUsMax: 5000}},
-		Workers: settings.Workers{ReportS: 8, LeaseS: 45, CancelS: 75},
+		Teams:   []settings.Team{{Name: "blue"}, {Name: "red", GuaranteedCPUs: 500, MaxCPUs: 5000}},
+		Workers: settings.Workers{HeartbeatIntervalS: 8, LeaseDurationS: 45, CancellationTimeoutS: 75},
 		State:   settings.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 4, TxnOps: 8},
 		Objectives: []settings.Objective{
 			{Kind: "wait", Class: "c0", WithinS: 2, Share: 0.96}, {Kind: "finished", Class: "c1", WithinS: 150, Share: 0.9},
@@ -45,9 +45,9 @@
 	r := replica.New(nil)
 	for i := range benchJobs {
 		id := fmt.Sprintf("j-%06d", i+1)
-		s := &wire.Job{ID: id, Class: fmt.Sprintf("c%d", i%3), Team: []string{"blue", "red"}[i%2], Shape: wire.ShapeArray,
+		s := &wire.Job{ID: id, Class: fmt.Sprintf("c%d", i%3), Team: []string{"blue", "red"}[i%2], Kind: wire.KindArray,
 			Priority: []string{"normal", "urgent"}[i%2], Tasks: benchTasks, CPUs: 4, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%20),
-			ImageGB: 2, EstimateS: float64(20 + i%50), Spot: true}
+			ImageSizeGB: 2, EstimatedRuntimeS: float64(20 + i%50), AllowSpot: true}
 		r.Wrote(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
 	}
 	for i := range machines / 50 {
@@ -71,7 +71,7 @@
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: r,
 		Store: statestore.New("unused", s.Params.State, nil), Token: token,
 		Term: &fakeTerm{held: true, sure: true, confirmed: now + 3600*micros.Second, alone: now}})
-	l.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "m16", CPUs: 16, MemoryGB: 64, CacheGB: 60, FetchGBPerS: 1, Price: 0.97, SpotPrice: 0.35, BootS: 50, Zones: []string{"a", "b"}}}})
+	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 60, ImagePullGBPerS: 1, OnDemandPrice: 0.97, SpotPrice: 0.35, BootTimeS: 50, Zones: []string{"a", "b"}}}})
 	if err := l.rebuild(); err != nil {
 		b.Fatal(err)
 	}
@@ -79,15 +79,15 @@
 }
 
 // full has every machine report twice, so that all hold tasks.
-func full(b *testing.B, l *Leader, machines int) map[string]*wire.Report {
+func full(b *testing.B, l *Leader, machines int) map[string]*wire.Heartbeat {
 	b.Helper()
-	reports := map[string]*wire.Report{}
+	reports := map[string]*wire.Heartbeat{}
 	for round := range 3 {
 		for i := range machines {
 			id := benchMachine(i)
 			r := reports[id]
 			if r == nil {
-				r = &wire.Report{Machine: id, Type: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Session: 1, Token: token}
+				r = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: token}
 				reports[id] = r
 			}
 			if round == 2 && i == 0 {
@@ -101,15 +101,15 @@
 }
 
 // benchReport sends a report and carries out what it is told.
-func benchReport(b *testing.B, l *Leader, r *wire.Report) {
-	r.Seq++
+func benchReport(b *testing.B, l *Leader, r *wire.Heartbeat) {
+	r.Sequence++
 	a, err := l.Report(r)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for _, c := range a.Commands {
 		if c.Verb == wire.VerbStart {
-			r.Tasks = append(r.Tasks, wire.ReportTask{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			r.Tasks = append(r.Tasks, wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 	}
 }
--- a/internal/leader/boot.go
+++ b/internal/leader/boot.go
@@ -30,7 +30,7 @@
 
 func (l *Leader) bootTime(m *machine) micros.Micros {
 	if t := l.types[m.kind.Type]; t != nil {
-		return micros.FromSeconds(t.BootS)
+		return micros.FromSeconds(t.BootTimeS)
 	}
 	return 30 * micros.Second
 }
--- a/internal/leader/boot_test.go
+++ b/internal/leader/boot_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
-		l.types["m4"].BootS = 20
+		l.types["m4"].BootTimeS = 20
 		l.returned(l.machines["i-1"])
 		now := l.began + 1000*s
 		l.lateBoots = boots{c.came, c.never}
@@ -74,7 +74,7 @@
 func TestRentedLate(t *testing.T) {
 	for _, waited := range []micros.Micros{0, 45 * micros.Second, 300 * micros.Second} {
 		l, _ := newTest(t)
-		l.types["m4"].BootS = 20
+		l.types["m4"].BootTimeS = 20
 		b := &booking{id: "r-5", Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - waited}
 		l.bookings[b.id] = b
 		l.rented(b, []string{"i-7", "i-8"})
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -53,7 +53,7 @@
 			for ; k > i; k-- {
 				o := ms[k]
 				if o.draining == "" && !o.closedToPatient && into[k].Fits(a.job.need) &&
-					placement.Allowed(&placement.Job{Types: a.job.spec.Types, Zone: a.job.spec.Zone, Spot: a.job.spec.Spot}, o.kind.Type, o.kind.Zone, o.kind.Spot) {
+					placement.Allowed(&placement.Job{Types: a.job.spec.InstanceTypes, Zone: a.job.spec.Zone, Spot: a.job.spec.AllowSpot}, o.kind.Type, o.kind.Zone, o.kind.Spot) {
 					break
 				}
 			}
@@ -69,7 +69,7 @@
 		m.draining = spread
 		slog.Debug("consolidating", "machine", m.id, "type", m.kind.Type, "spot", m.kind.Spot, "tasks", len(m.tasks))
 		for _, a := range m.tasks {
-			l.stop(a, micros.FromSeconds(a.job.spec.SaveS), spread)
+			l.stop(a, micros.FromSeconds(a.job.spec.CheckpointDurationS), spread)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	for _, a := range m.tasks {
 		// A gang would be stopped whole, wherever else its tasks are.
 		s := a.job.spec
-		if a.job.isGang() || s.CheckpointS <= 0 || s.OneZone || s.Spread || a.job.over || a.stopped != 0 ||
+		if a.job.isGang() || s.CheckpointIntervalS <= 0 || s.SingleZone || s.SpreadZones || a.job.over || a.stopped != 0 ||
 			a.running == 0 || now-a.running < movedAfter {
 			return false
 		}
@@ -103,7 +103,7 @@
 		// fetch, a fifth of the jobs with a deadline were.
 		wall := micros.Wall()
 		due, late := l.due(a.job, false, wall)
-		over := s.SaveS + s.ImageGB/math.Max(0.01, l.types[m.kind.Type].FetchGBPerS) + 2*l.report.Seconds()
+		over := s.CheckpointDurationS + s.ImageSizeGB/math.Max(0.01, l.types[m.kind.Type].ImagePullGBPerS) + 2*l.report.Seconds()
 		if late || (due-wall).Seconds()+run-l.left(a, now) < 3*over {
 			return false
 		}
--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -19,7 +19,7 @@
 		ran             micros.Micros
 		surplus         bool
 		waiting         bool
-		tasks           [2]int // on each machine of four CPUs
+		tasks           [2]int // on each machine of four GuaranteedCPUs
 		held            bool
 		closedToPatient bool // the other machine
 		due             float64
@@ -43,7 +43,7 @@
 		l, term := newTest(t)
 		term.held = c.held
 		now := micros.Now() + 1000*s
-		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Tasks: 20, CPUs: 1, EstimateS: 300, Spot: true, CheckpointS: c.saves, SaveS: 3}}, false)
+		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Tasks: 20, CPUs: 1, EstimatedRuntimeS: 300, AllowSpot: true, CheckpointIntervalS: c.saves, CheckpointDurationS: 3}}, false)
 		if j.submitted = micros.Wall(); c.due > 0 {
 			j.spec.DeadlineS = &c.due
 		}
@@ -92,7 +92,7 @@
 			if i > 0 {
 				l.addMachine(fmt.Sprintf("i-%d", i+1), l.bookings["r-1"], l.began)
 			}
-			j := newJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00030%d", i), Team: "blue", Tasks: 1, CPUs: 1, Spot: true}}, false)
+			j := newJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00030%d", i), Team: "blue", Tasks: 1, CPUs: 1, AllowSpot: true}}, false)
 			j.priority = p
 			l.hold(&attempt{job: j, machine: l.order[i]})
 		}
@@ -131,7 +131,7 @@
 		l, _ := newTest(t)
 		m, now := l.machines["i-1"], micros.Now()+1000*s
 		m.resolved, m.reported = true, now
-		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimateS: 300, CheckpointS: 30, SaveS: 3, Spot: true}}, false)
+		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimatedRuntimeS: 300, CheckpointIntervalS: 30, CheckpointDurationS: 3, AllowSpot: true}}, false)
 		l.jobs = map[string]*job{j.spec.ID: j}
 		for range 4 {
 			task, _ := j.take()
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -135,7 +135,7 @@
 		return "its place is reserved, the start goes with its machine's next report"
 	case a.machine.unconfirmed:
 		return "on its machine as the leader before said, which the machine has not confirmed yet"
-	case a.state == wire.TaskWaiting:
+	case a.state == wire.TaskWaitingForGang:
 		return "waiting for the other tasks of its gang"
 	case a.state == "":
 		return "start sent"
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -188,8 +188,8 @@
 	for _, a := range m.tasks {
 		if a.job.isGang() {
 			l.leaveWith(a, saveGrace(a.job), "its machine is faulty", now)
-		} else if a.job.spec.CheckpointS > 0 {
-			l.stop(a, micros.FromSeconds(a.job.spec.SaveS), "its machine is faulty")
+		} else if a.job.spec.CheckpointIntervalS > 0 {
+			l.stop(a, micros.FromSeconds(a.job.spec.CheckpointDurationS), "its machine is faulty")
 		}
 	}
 	slog.Info("machine is faulty", "machine", m.id, "good_jobs_failures", m.strikes, "other_jobs", suspects)
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -96,7 +96,7 @@
 	for i := 2; i <= 3; i++ {
 		l.addMachine(fmt.Sprintf("i-%d", i), b, l.began)
 	}
-	j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimateS: 10, Spot: true}, SubmittedAt: micros.Wall()}, false)
+	j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
 	l.jobs[j.spec.ID] = j
 	l.demand(j)
 	now := micros.Now()
@@ -156,7 +156,7 @@
 	} {
 		l, _ := newTest(t)
 		now := micros.Now()
-		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 50, CPUs: 1, EstimateS: 10, Spot: true}}, false)
+		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}}, false)
 		l.jobs[j.spec.ID] = j
 		j.failTook = c.failTook
 		l.hold(&attempt{job: j, machine: l.machines["i-1"], running: now})
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -256,7 +256,7 @@
 	l.bookingSeq++
 	b := &booking{
 		id:   fmt.Sprintf("r-%d-%d", l.Token, l.bookingSeq),
-		Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: min(count, cloud.MaxRent), At: micros.Wall(),
+		Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: min(count, cloud.MaxLaunch), At: micros.Wall(),
 	}
 	slog.Debug("renting", "booking", b.id, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", b.Count)
 	l.bookings[b.id] = b
@@ -270,9 +270,9 @@
 		l.mu.Lock()
 		b := l.bookings[id]
 		over := b == nil || ctx.Err() != nil || l.handing || !l.Term.Sure()
-		var r wire.Rental
+		var r wire.LaunchRequest
 		if b != nil {
-			r = wire.Rental{Request: id, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}
+			r = wire.LaunchRequest{RequestID: id, InstanceType: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}
 			if over {
 				b.asking = false
 			}
@@ -281,7 +281,7 @@
 		if over {
 			return
 		}
-		ids, err := l.Cloud.Rent(ctx, r, l.mayDecide)
+		ids, err := l.Cloud.Launch(ctx, r, l.mayDecide)
 		l.mu.Lock()
 		switch {
 		case err == nil:
@@ -365,7 +365,7 @@
 func (l *Leader) returnLoop(ctx context.Context) {
 	micros.Every(ctx, 200*micros.Millisecond, func() {
 		l.mu.Lock()
-		n := min(len(l.toReturn), cloud.MaxReturn)
+		n := min(len(l.toReturn), cloud.MaxTerminate)
 		if l.handing {
 			n = 0
 		}
@@ -382,7 +382,7 @@
 func (l *Leader) returnAll(ctx context.Context, ids []string) {
 	for wait := 500 * micros.Millisecond; ; wait = min(2*wait, 8*micros.Second) {
 		if l.Term.Held() {
-			err := l.Cloud.Return(ctx, ids, l.Term.Held)
+			err := l.Cloud.Terminate(ctx, ids, l.Term.Held)
 			if err == nil {
 				break
 			}
@@ -429,7 +429,7 @@
 func (l *Leader) listLoop(ctx context.Context) {
 	lag := micros.FromSeconds(l.Settings.Params.Cloud.ListLagS)
 	micros.Every(ctx, max(4*micros.Second, lag), func() {
-		list, err := l.Cloud.List(ctx)
+		list, err := l.Cloud.ListInstances(ctx)
 		if err != nil {
 			slog.Debug("list", "error", err)
 			return
@@ -440,7 +440,7 @@
 
 // listedMachines returns what nobody knows of and what has failed. The list
 // is late, so it proves nothing about tasks.
-func (l *Leader) listedMachines(list []wire.ListedMachine, lag micros.Micros) {
+func (l *Leader) listedMachines(list []wire.InstanceStatus, lag micros.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := micros.Now()
@@ -458,7 +458,7 @@
 			m.listed, m.missing = true, 0
 		}
 		switch {
-		case m != nil && x.State == wire.MachineFailed && !m.leaving:
+		case m != nil && x.State == wire.InstanceFailed && !m.leaving:
 			l.giveUp(m, "failed")
 		case m != nil || open:
 		default:
--- a/internal/leader/flush.go
+++ b/internal/leader/flush.go
@@ -93,12 +93,12 @@
 // transaction conditions each write on its key's version as well as on the leadership:
 // a transaction that got no answer may be applied late, and must not undo a newer one.
 func (l *Leader) transaction(ws []write) wire.Txn {
-	t := wire.Txn{If: []wire.Condition{{Key: replica.LeaderKey, Stamp: l.Stamp}}}
+	t := wire.Txn{If: []wire.Compare{{Key: replica.LeaderKey, ModRevision: l.Stamp}}}
 	for _, w := range ws {
-		t.If = append(t.If, wire.Condition{Key: w.key, Stamp: w.stamp})
-		op := wire.Op{Write: w.key, Value: w.value}
+		t.If = append(t.If, wire.Compare{Key: w.key, ModRevision: w.stamp})
+		op := wire.Op{Put: w.key, Value: w.value}
 		if w.value == nil {
-			op = wire.Op{Remove: w.key}
+			op = wire.Op{Delete: w.key}
 		}
 		t.Then = append(t.Then, op)
 	}
@@ -310,7 +310,7 @@
 			"job", id,
 			"class", j.spec.Class,
 			"tasks", j.spec.Tasks,
-			"estimate_s", j.spec.EstimateS,
+			"estimate_s", j.spec.EstimatedRuntimeS,
 			"took", (micros.Wall() - j.submitted).Duration(),
 			"first_start", (j.firstStart - j.submitted).Duration(),
 			"last_start", (j.lastStart - j.submitted).Duration(),
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -35,7 +35,7 @@
 	short   micros.Micros // since when machines lack for those that are missing, 0 if they don't
 }
 
-func (j *job) isGang() bool { return j.spec.Shape == wire.ShapeGang }
+func (j *job) isGang() bool { return j.spec.Kind == wire.KindGang }
 
 // gangReady is how many tasks may be started: all of a new attempt, or those that are
 // missing in one that has not started.
@@ -49,7 +49,7 @@
 // saveGrace is enough time for a gang to save.
 func saveGrace(j *job) micros.Micros {
 	// The wire's amount may be a trace more than whole microseconds.
-	return micros.FromSeconds(j.spec.SaveS) + micros.Millisecond
+	return micros.FromSeconds(j.spec.CheckpointDurationS) + micros.Millisecond
 }
 
 // acceptAtOnce is how late places may start a gang that are taken as soon as they are found.
@@ -102,7 +102,7 @@
 		}
 		a.reserved, a.sentAt = false, m.seq
 		l.publishPlaced(a)
-		orders = append(orders, wire.Command{Verb: wire.VerbStart, Task: taskName(a.job.spec.ID, a.task), Attempt: a.n})
+		orders = append(orders, wire.Command{Verb: wire.VerbStart, TaskID: taskName(a.job.spec.ID, a.task), Attempt: a.n})
 	}
 	return orders
 }
@@ -132,11 +132,11 @@
 	switch {
 	case a.n < g.n:
 		l.stop(a, 0, "a later attempt of its gang is there")
-	case a.state == wire.TaskWaiting && g.waits == 0:
+	case a.state == wire.TaskWaitingForGang && g.waits == 0:
 		g.waits = now
 	case a.state == wire.TaskRunning:
 		g.started = true
-	case a.state == wire.TaskSaving:
+	case a.state == wire.TaskCheckpointing:
 		g.started = true
 		if !g.ending {
 			// An earlier leader was stopping the gang: all must be told in time.
@@ -185,22 +185,22 @@
 
 // gangExited has the other tasks stopped when one ended in a way that tells of the whole
 // attempt, whether or not it was known here.
-func (l *Leader) gangExited(j *job, task int, a *attempt, t *wire.ReportTask) {
+func (l *Leader) gangExited(j *job, task int, a *attempt, t *wire.TaskStatus) {
 	if !j.isGang() || j.over || j.ndone > 0 {
 		return
 	}
-	if t.Cause == wire.CausePeers || t.Cause == wire.CauseIncomplete {
+	if t.ExitReason == wire.ExitGangTaskLost || t.ExitReason == wire.ExitGangTimeout {
 		j.attemptOver = max(j.attemptOver, t.Attempt)
 	}
 	if j.gang.ending || t.Attempt != j.gang.n || a != nil && a.stopped != 0 {
 		return
 	}
-	switch t.Cause {
-	case wire.CausePeers:
+	switch t.ExitReason {
+	case wire.ExitGangTaskLost:
 		l.stopAll(j, 0, "another task of its gang is gone")
-	case wire.CauseIncomplete:
+	case wire.ExitGangTimeout:
 		l.stopAll(j, 0, "its gang was not complete in time")
-	case wire.CauseStopped:
+	case wire.ExitStopped:
 		// An earlier leader's stop. Once one has saved, so have all. One that waited is
 		// replaced, and its exit may be listed again beside its replacement.
 		if j.gang.started && (a != nil || j.on[task] == nil) {
@@ -241,7 +241,7 @@
 	switch {
 	case !a.job.gang.started && a.stopped == 0:
 		l.stop(a, grace, why)
-	case a.job.spec.CheckpointS > 0 && a.stopped == 0:
+	case a.job.spec.CheckpointIntervalS > 0 && a.stopped == 0:
 		l.stopGang(a.job, grace, why, now)
 	}
 }
@@ -291,8 +291,8 @@
 	if m.address == "" {
 		return
 	}
-	address, body := m.address, wire.DirectCommands{Token: l.Token, Session: m.session, Commands: commands}
-	until := micros.Now() + l.Settings.Params.Workers.GangPeer()
+	address, body := m.address, wire.CommandRequest{FencingToken: l.Token, Incarnation: m.session, Commands: commands}
+	until := micros.Now() + l.Settings.Params.Workers.GangLossTimeout()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), (until - micros.Now()).Duration())
 		defer cancel()
@@ -303,7 +303,7 @@
 				return
 			}
 			callCtx, done := context.WithTimeout(ctx, tellTimeout.Duration())
-			_, _, err := wire.Exchange(callCtx, l.Workers, http.MethodPost, "http://"+address+"/commands", body)
+			_, _, err := wire.Call(callCtx, l.Workers, http.MethodPost, "http://"+address+"/commands", body)
 			done()
 			<-l.calls
 			if err == nil {
@@ -356,7 +356,7 @@
 		case j.gang.started && j.waiting() > 0 && !l.mustWait(j, unresolved):
 			// Its task was lost in an earlier term, or between two.
 			l.stopAll(j, 0, "another task of its gang is gone")
-		case !j.gang.started && j.gang.waits != 0 && now-j.gang.waits > launchLimit(l.Settings.Params.Workers.GangWait()):
+		case !j.gang.started && j.gang.waits != 0 && now-j.gang.waits > launchLimit(l.Settings.Params.Workers.GangAssemblyTimeout()):
 			l.stopAll(j, saveGrace(j), "its gang was not complete in time") // it may run unseen already
 		}
 	}
@@ -541,13 +541,13 @@
 			if st := l.offers[o]; st != nil && now < st.until || l.zones.Decide(o.Zone).Rent < zone.AnyNumber || most(o.Zone) <= inZone[o.Zone] {
 				continue
 			}
-			if best.Type == "" || j.spec.OneZone && inZone[o.Zone] > inZone[best.Zone] {
+			if best.Type == "" || j.spec.SingleZone && inZone[o.Zone] > inZone[best.Zone] {
 				best = o
 			}
 		}
 		if t := l.types[best.Type]; t != nil {
 			missing := min(want-sum, most(best.Zone)-inZone[best.Zone])
-			if j.spec.OneZone {
+			if j.spec.SingleZone {
 				missing = want - inZone[best.Zone]
 			}
 			per := t.capacity.Times(j.need, missing)
@@ -567,14 +567,14 @@
 	}
 	most = func(zone string) int {
 		switch {
-		case s.Spread:
+		case s.SpreadZones:
 			return max(0, min(want, (s.Tasks+1)/2-held[zone]))
-		case s.OneZone && len(held) > 0 && held[zone] == 0:
+		case s.SingleZone && len(held) > 0 && held[zone] == 0:
 			return 0
 		}
 		return want
 	}
-	probe := placement.Job{Types: s.Types, Zone: s.Zone, Spot: s.Spot}
+	probe := placement.Job{Types: s.InstanceTypes, Zone: s.Zone, Spot: s.AllowSpot}
 	inZone = map[string]int{}
 	for _, m := range l.order {
 		t := l.types[m.kind.Type]
@@ -585,7 +585,7 @@
 		inZone[m.kind.Zone] += n
 		sum += n
 	}
-	if s.OneZone {
+	if s.SingleZone {
 		sum = 0
 		for _, n := range inZone {
 			sum = max(sum, n)
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -27,8 +27,8 @@
 	l.Workers = &http.Client{Transport: heard{}}
 	l.Replica.Wrote(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
 	l.takeChanges()
-	spec := &wire.Job{ID: "j-000002", Team: "blue", Shape: wire.ShapeGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
-		EstimateS: 60, CheckpointS: 20, SaveS: 3, Spot: true}
+	spec := &wire.Job{ID: "j-000002", Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
+		EstimatedRuntimeS: 60, CheckpointIntervalS: 20, CheckpointDurationS: 3, AllowSpot: true}
 	l.jobs[spec.ID] = newJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, old)
 	b := l.bookings["r-1"]
 	for _, id := range []string{"i-2", "i-3"} {
@@ -47,7 +47,7 @@
 func tellTasks(t *testing.T, l *Leader, machine string, tasks ...string) []string {
 	t.Helper()
 	m := l.machines[machine]
-	r := &wire.Report{Machine: machine, Address: machine + ":9000", Type: "m4", Zone: "a", Session: 1, Seq: m.seq + 1, Token: token, Tasks: nil}
+	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token, Tasks: nil}
 	for _, s := range tasks {
 		f := strings.Fields(s)
 		number, at, _ := strings.Cut(f[0], "@")
@@ -57,14 +57,14 @@
 				break
 			}
 		}
-		x := wire.ReportTask{Task: "j-000002/" + number, State: f[1], Attempt: l.jobs["j-000002"].gang.n}
+		x := wire.TaskStatus{TaskID: "j-000002/" + number, State: f[1], Attempt: l.jobs["j-000002"].gang.n}
 		if at != "" {
 			if _, err := fmt.Sscan(at, &x.Attempt); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if len(f) > 2 {
-			x.Cause = f[2]
+			x.ExitReason = f[2]
 		}
 		r.Tasks = append(r.Tasks, x)
 	}
@@ -95,11 +95,11 @@
 }
 
 // tellPlain has a machine report tasks as they are given, and returns what it is told.
-func tellPlain(t *testing.T, l *Leader, machine string, tasks ...wire.ReportTask) []string {
+func tellPlain(t *testing.T, l *Leader, machine string, tasks ...wire.TaskStatus) []string {
 	t.Helper()
 	m := l.machines[machine]
 	l.replan, l.plannedAt = true, 0
-	answer, err := l.Report(&wire.Report{Machine: m.id, Address: m.address, Type: "m4", Zone: "a", Session: m.session, Seq: m.seq + 1, Token: token, Tasks: tasks})
+	answer, err := l.Report(&wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: m.session, Sequence: m.seq + 1, FencingToken: token, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -52,14 +52,14 @@
 // bound to types or a zone, which most of a reserve could not serve.
 func (l *Leader) reserveFor(j *job) *gangReserve {
 	s := j.spec
-	if !j.isGang() || s.Spread || s.Zone != "" || len(s.Types) > 0 {
+	if !j.isGang() || s.SpreadZones || s.Zone != "" || len(s.InstanceTypes) > 0 {
 		return nil
 	}
 	for _, o := range l.offersFor(j) {
 		if l.types[o.Type].capacity.Times(j.need, s.Tasks) < s.Tasks {
 			continue
 		}
-		kind := reserveKind{Type: o.Type, Ordinary: !s.Spot}
+		kind := reserveKind{Type: o.Type, Ordinary: !s.AllowSpot}
 		r := l.reserves[kind]
 		if r == nil {
 			r = &gangReserve{kind: kind, window: staffing.NewWindow(l.Tuning.Window)}
@@ -71,7 +71,7 @@
 }
 
 // reserveDemand counts a gang that came in. Its size is the part of a machine that it
-// keeps from other gangs of its size: 12 of 16 CPUs are a whole one, 6 are half of one.
+// keeps from other gangs of its size: 12 of 16 GuaranteedCPUs are a whole one, 6 are half of one.
 func (l *Leader) reserveDemand(j *job, now micros.Micros) {
 	r := l.reserveFor(j)
 	if r == nil {
@@ -80,7 +80,7 @@
 	t := l.types[r.kind.Type]
 	perMachine := t.capacity.Times(j.need, 1<<20) / j.spec.Tasks
 	size := 1 / float64(max(1, perMachine))
-	fetch := j.spec.ImageGB / math.Max(t.FetchGBPerS, 0.01)
+	fetch := j.spec.ImageSizeGB / math.Max(t.ImagePullGBPerS, 0.01)
 	r.service.Estimate(size, l.expected(j.spec)+fetch)
 	r.batches.Add(size, 1, false)
 	r.standing = max(r.standing, l.standingFor(j, fetch))
@@ -117,7 +117,7 @@
 		lambda, mu := r.window.EarlyRate(now, l.Tuning.Z), r.service.Mu(0)
 		r.mean = staffing.Step(r.mean, lambda, mu, 1)
 		// What is rented now is up after a boot and should then do for an interval.
-		horizon := l.types[r.kind.Type].BootS + l.Tuning.ReviewInterval.Seconds()
+		horizon := l.types[r.kind.Type].BootTimeS + l.Tuning.ReviewInterval.Seconds()
 		peak := staffing.PeakMean(r.mean, lambda, mu, horizon)
 		target := 0
 		if peak >= leastReserveMean {
@@ -173,7 +173,7 @@
 		return
 	}
 	t := l.types[r.kind.Type]
-	joined := l.joinReserve(r, others, missing, t.BootS, now)
+	joined := l.joinReserve(r, others, missing, t.BootTimeS, now)
 	missing -= joined
 	if n := missing - coming; n > 0 {
 		slog.Debug("reserve is short", "type", r.kind.Type, "target", r.target, "missing", missing, "coming", coming)
@@ -282,7 +282,7 @@
 			if a == nil {
 				continue
 			}
-			grace := micros.FromSeconds(a.job.spec.SaveS)
+			grace := micros.FromSeconds(a.job.spec.CheckpointDurationS)
 			if wall+grace > w.Due || a.running == 0 || now-a.running < grace {
 				grace = 0
 			}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/wire"
 )
 
-// newReserveTest makes a leader of 32 machines of four CPUs that are up and idle, and of no
+// newReserveTest makes a leader of 32 machines of four GuaranteedCPUs that are up and idle, and of no
 // jobs. A gang is to start within 2 s with a chance of 0.85.
 func newReserveTest(t *testing.T) *Leader {
 	t.Helper()
@@ -30,7 +30,7 @@
 
 // addJob has a job come in, or be known at a take-over.
 func addJob(l *Leader, id string, shape string, tasks int, old bool, edit func(*wire.Job)) *job {
-	spec := &wire.Job{ID: id, Class: "pairs", Team: "blue", Shape: shape, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: 60, Spot: true}
+	spec := &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: shape, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}
 	if edit != nil {
 		edit(spec)
 	}
@@ -55,11 +55,11 @@
 	gang := func(edit func(*wire.Job)) func(*Leader) {
 		return func(l *Leader) {
 			for i := range 4 {
-				addJob(l, fmt.Sprintf("j-00010%d", i), wire.ShapeGang, 2, false, edit)
+				addJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, false, edit)
 			}
 		}
 	}
-	// Two CPUs of four: a gang is half of a machine. Four that came in now, over a third
+	// Two GuaranteedCPUs of four: a gang is half of a machine. Four that came in now, over a third
 	// of a window at least and with 1.3 deviations of their number, are 3.9 machines in the mean
 	// by the end of an interval, rounded up. Seven machines that report every 8 s
 	// must have room: 0.75^7 = 0.13. The fleet's share bounds both.
@@ -68,7 +68,7 @@
 		play func(*Leader)
 		want int
 	}{
-		{"arrays alone", func(l *Leader) { addJob(l, "j-000100", wire.ShapeArray, 40, false, nil) }, 0},
+		{"arrays alone", func(l *Leader) { addJob(l, "j-000100", wire.KindArray, 40, false, nil) }, 0},
 		{"gangs", gang(nil), 4},
 		{"gangs in a larger fleet", func(l *Leader) {
 			for i := range 200 {
@@ -79,13 +79,13 @@
 		}, 11},
 		{"known at a take-over", func(l *Leader) {
 			for i := range 4 {
-				addJob(l, fmt.Sprintf("j-00010%d", i), wire.ShapeGang, 2, true, nil)
+				addJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, true, nil)
 			}
 		}, 4},
 		{"larger than a machine", gang(func(j *wire.Job) { j.CPUs = 3 }), 0},
-		{"scattered", gang(func(j *wire.Job) { j.Spread = true }), 0},
+		{"scattered", gang(func(j *wire.Job) { j.SpreadZones = true }), 0},
 		{"bound to a zone", gang(func(j *wire.Job) { j.Zone = "a" }), 0},
-		{"bound to a type", gang(func(j *wire.Job) { j.Types = []string{"m4"} }), 0},
+		{"bound to a type", gang(func(j *wire.Job) { j.InstanceTypes = []string{"m4"} }), 0},
 	} {
 		l := newReserveTest(t)
 		c.play(l)
@@ -100,15 +100,15 @@
 // it is not returned while it is wanted, and is open to all when it is not.
 func TestGangReserveUse(t *testing.T) {
 	l := newReserveTest(t)
-	addJob(l, "j-000100", wire.ShapeGang, 2, false, nil)
+	addJob(l, "j-000100", wire.KindGang, 2, false, nil)
 	l.staff(micros.Now())
 	if reserved(l) == 0 {
 		t.Fatal("nothing is reserved")
 	}
-	addJob(l, "j-000200", wire.ShapeArray, 1000, false, nil)
+	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.plannedAt = 0
 	for _, m := range l.order {
-		if _, err := l.Report(&wire.Report{Machine: m.id, Address: m.address, Type: "m4", Zone: "a", Session: 1, Seq: m.seq + 1, Token: token}); err != nil {
+		if _, err := l.Report(&wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -153,20 +153,20 @@
 // whose tasks are not known yet, full of an array, idle, or with a gang.
 func TestGangReserveTakeOver(t *testing.T) {
 	l := newReserveTest(t)
-	gang := addJob(l, "j-000100", wire.ShapeGang, 2, true, nil)
-	addJob(l, "j-000101", wire.ShapeGang, 2, true, nil)
-	array := addJob(l, "j-000200", wire.ShapeArray, 1000, true, nil)
+	gang := addJob(l, "j-000100", wire.KindGang, 2, true, nil)
+	addJob(l, "j-000101", wire.KindGang, 2, true, nil)
+	array := addJob(l, "j-000200", wire.KindArray, 1000, true, nil)
 	l.stepReserves(micros.Now())
-	running := func(j *job, tasks ...int) (out []wire.ReportTask) {
+	running := func(j *job, tasks ...int) (out []wire.TaskStatus) {
 		for _, n := range tasks {
-			out = append(out, wire.ReportTask{Task: taskName(j.spec.ID, n), Attempt: 5, State: wire.TaskRunning})
+			out = append(out, wire.TaskStatus{TaskID: taskName(j.spec.ID, n), Attempt: 5, State: wire.TaskRunning})
 		}
 		return out
 	}
 	for _, c := range []struct {
 		name     string
 		machine  string
-		tasks    []wire.ReportTask
+		tasks    []wire.TaskStatus
 		reserved bool
 	}{
 		{"tasks of an array", "i-10", running(array, 0, 1), false},
@@ -178,7 +178,7 @@
 	} {
 		m := l.machines[c.machine]
 		m.resolved = false
-		l.reconcile(m, &wire.Report{Machine: m.id, Session: 1, Seq: 1, Token: token, Tasks: c.tasks}, micros.Now())
+		l.reconcile(m, &wire.Heartbeat{MachineID: m.id, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
 		if got := m.reserve != nil; got != c.reserved {
 			t.Errorf("%s: reserved: %t, want %t", c.name, got, c.reserved)
 		}
@@ -201,10 +201,10 @@
 		{"and does not explain all", 2, 1, 20, 3, 1},
 	} {
 		l := newReserveTest(t)
-		l.setCatalog(wire.Catalog{Types: []wire.MachineType{
-			{Name: "m4", CPUs: 4, MemoryGB: 16, FetchGBPerS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}},
-			{Name: "m8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 3, SpotPrice: 3, Zones: []string{"a"}}}})
-		array := addJob(l, "j-000200", wire.ShapeArray, 1000, false, nil)
+		l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{
+			{Name: "m4", CPUs: 4, MemoryGB: 16, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}},
+			{Name: "m8", CPUs: 8, MemoryGB: 32, ImagePullGBPerS: 1, OnDemandPrice: 3, SpotPrice: 3, Zones: []string{"a"}}}})
+		array := addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 		for n := range c.held {
 			l.hold(&attempt{job: array, task: n, n: 1, machine: l.order[n/4]})
 		}
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -63,17 +63,17 @@
 	}{
 		{"its start is not sent", nil, 20, 0},
 		{"its start is sent", []string{"", "", ""}, 20, 1},
-		{"it fetches", []string{wire.TaskFetching, wire.TaskFetching, wire.TaskFetching}, 20, 1},
-		{"it waits", []string{wire.TaskWaiting, wire.TaskWaiting, wire.TaskFetching}, 20, 1},
-		{"it runs, which is not known", []string{wire.TaskWaiting, wire.TaskWaiting, wire.TaskWaiting}, 20, 1},
+		{"it fetches", []string{wire.TaskPullingImage, wire.TaskPullingImage, wire.TaskPullingImage}, 20, 1},
+		{"it waits", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskPullingImage}, 20, 1},
+		{"it runs, which is not known", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 1},
 		{"it runs", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 20, 3},
-		{"it runs, which only another has shown", []string{wire.TaskRunning, wire.TaskWaiting, wire.TaskWaiting}, 20, 3},
+		{"it runs, which only another has shown", []string{wire.TaskRunning, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 3},
 		{"it runs and can't save", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 0, 0},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
-		j.spec.CheckpointS = c.saveEvery
+		j.spec.CheckpointIntervalS = c.saveEvery
 		tellTasks(t, l, "i-1")
 		for i := 1; i < len(c.states); i++ {
 			tellTasks(t, l, fmt.Sprintf("i-%d", i+1))
@@ -167,16 +167,16 @@
 		{"nothing of it is placed", func(*testing.T, *Leader) {}, 0},
 		{"one start is sent", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, 1},
 		{"all starts are sent", launched(""), 3},
-		{"it fetches", launched(wire.TaskFetching), 3},
-		{"it waits", launched(wire.TaskWaiting), 3},
+		{"it fetches", launched(wire.TaskPullingImage), 3},
+		{"it waits", launched(wire.TaskWaitingForGang), 3},
 		{"it runs", launched(wire.TaskRunning), 3},
 		{"it waits for a replacement", func(t *testing.T, l *Leader) {
-			launchGang(t, l, wire.TaskWaiting)
+			launchGang(t, l, wire.TaskWaitingForGang)
 			leave(l, "i-2")
 			tellTasks(t, l, "i-2", ". ended stopped")
 		}, 2},
 		{"it has a place for a replacement", func(t *testing.T, l *Leader) {
-			launchGang(t, l, wire.TaskWaiting)
+			launchGang(t, l, wire.TaskWaitingForGang)
 			leave(l, "i-2")
 			addUp(l, "i-4", "a")
 			tellTasks(t, l, "i-2", ". ended stopped")
@@ -222,14 +222,14 @@
 			if a.stopped == 0 || a.grace != 0 || a.reserved {
 				t.Errorf("%s: task %d is told nothing, or has %v", c.name, a.task, a.grace.Duration())
 			}
-			task := wire.ReportTask{Task: taskName(j.spec.ID, a.task), Attempt: a.n}
-			for _, task.State = range []string{wire.TaskFetching, wire.TaskWaiting, wire.TaskRunning, wire.TaskSaving} {
-				if got := tellPlain(t, l, m.id, task); !slices.Equal(got, []string{"stop " + task.Task}) {
+			task := wire.TaskStatus{TaskID: taskName(j.spec.ID, a.task), Attempt: a.n}
+			for _, task.State = range []string{wire.TaskPullingImage, wire.TaskWaitingForGang, wire.TaskRunning, wire.TaskCheckpointing} {
+				if got := tellPlain(t, l, m.id, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
 					t.Errorf("%s: %s is told %v while its task is %s", c.name, m.id, got, task.State)
 				}
 			}
-			task.State, task.Cause = wire.TaskExited, wire.CauseStopped
-			if got := tellPlain(t, l, m.id, task); !slices.Equal(got, []string{"clear " + task.Task}) {
+			task.State, task.ExitReason = wire.TaskExited, wire.ExitStopped
+			if got := tellPlain(t, l, m.id, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
 				t.Errorf("%s: %s is told %v when its task has ended", c.name, m.id, got)
 			}
 		}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -165,7 +165,7 @@
 	l := newGangTest(t, false)
 	l.began -= 100 * s
 	now := micros.Now()
-	small := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimateS: 5, Spot: true, Priority: "normal"}}, false)
+	small := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
 	for _, m := range l.order {
 		for range 4 {
 			task, _ := small.take()
@@ -224,7 +224,7 @@
 		{"it is cancelled", 1, nil, cancel, "i-1", nil, nil},
 		{"it has a place there", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(*Leader) {}, "i-2", nil, []string{"start"}},
 		{"it has a place there, and its team is at its limit by now", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(l *Leader) {
-			l.teams["blue"] = settings.Team{Name: "blue", CPUsMax: 9.5}
+			l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 9.5}
 			l.used["blue"] = l.used["blue"].Plus(placement.Resources{CPU: 1000}, 1)
 		}, "i-2", nil, nil},
 		{"one of its tasks is done", 1, nil, func(*Leader) {}, "i-1", []string{"0@5 ended done"}, nil},
@@ -290,15 +290,15 @@
 		launch string // state that its tasks have at first; empty: a new leader has not heard of it
 		steps  []step
 	}{
-		{"a task that was replaced is listed again as stopped", wire.TaskWaiting, append(slices.Clone(replaced),
+		{"a task that was replaced is listed again as stopped", wire.TaskWaitingForGang, append(slices.Clone(replaced),
 			step{nil, "i-4", []string{". running"}, nil},
 			step{nil, "i-1", []string{". running"}, nil},
 			step{nil, "i-2", []string{"1 ended stopped"}, []string{"clear"}},
 			step{nil, "i-1", []string{". running"}, nil})},
-		{"the others run, so the one that has its place is too late", wire.TaskWaiting, append(slices.Clone(moved),
+		{"the others run, so the one that has its place is too late", wire.TaskWaitingForGang, append(slices.Clone(moved),
 			step{nil, "i-1", []string{". running"}, []string{"stop"}},
 			step{nil, "i-4", nil, nil})},
-		{"one is to leave as they wait, and another shows that they run", wire.TaskWaiting, []step{
+		{"one is to leave as they wait, and another shows that they run", wire.TaskWaitingForGang, []step{
 			{func(l *Leader) { leave(l, "i-2") }, "i-1", []string{". running"}, []string{"stop"}},
 			{nil, "i-3", []string{". running"}, []string{"stop"}},
 			{nil, "i-2", []string{". flushing"}, []string{"stop"}}}},
@@ -312,14 +312,14 @@
 			{nil, "i-3", nil, []string{"start"}},
 			{nil, "i-1", []string{". running"}, nil},
 			{nil, "i-3", []string{". running"}, nil}}},
-		{"a start is carried out when the others have left as incomplete", wire.TaskWaiting, append(slices.Clone(replaced),
+		{"a start is carried out when the others have left as incomplete", wire.TaskWaitingForGang, append(slices.Clone(replaced),
 			step{nil, "i-1", []string{". ended incomplete"}, []string{"clear"}},
 			step{nil, "i-3", []string{". ended incomplete"}, []string{"clear"}},
 			step{nil, "i-4", []string{". waiting"}, []string{"stop"}},
 			step{nil, "i-1", nil, nil},
 			step{nil, "i-3", nil, nil},
 			step{nil, "i-4", []string{". ended stopped"}, []string{"clear", "start"}})},
-		{"one gives its gang up before any was seen running", wire.TaskWaiting, []step{
+		{"one gives its gang up before any was seen running", wire.TaskWaitingForGang, []step{
 			{nil, "i-3", []string{". ended peers"}, []string{"clear"}},
 			{nil, "i-1", []string{". waiting"}, []string{"stop"}}}},
 		{"a task that runs without the others exits", wire.TaskRunning, []step{
@@ -366,11 +366,11 @@
 // TestGangSurelyGone has the machine of a task that is about to run fall silent and more.
 // The task may be started elsewhere, under the same number, only when it is surely gone.
 func TestGangSurelyGone(t *testing.T) {
-	say := func(edit func(r *wire.Report)) func(t *testing.T, l *Leader, m *machine) {
+	say := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *machine) {
 		return func(_ *testing.T, l *Leader, m *machine) {
-			r := &wire.Report{Machine: m.id, Address: m.address, Type: "m4", Zone: "a", Session: 1, Seq: m.seq + 1, Token: token}
+			r := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token}
 			edit(r)
-			if _, err := l.Report(r); err != nil && r.Seq > m.seq {
+			if _, err := l.Report(r); err != nil && r.Sequence > m.seq {
 				t.Error(err)
 			}
 		}
@@ -396,17 +396,17 @@
 		{"it is to be returned", func(_ *testing.T, l *Leader, m *machine) { l.giveUp(m, "test") }, false},
 		{"the cloud has answered that it is returned", func(_ *testing.T, l *Leader, m *machine) { l.returned(m) }, true},
 		{"the cloud's list calls it failed", func(_ *testing.T, l *Leader, m *machine) {
-			l.listedMachines([]wire.ListedMachine{{ID: m.id, State: wire.MachineFailed}}, micros.Second)
+			l.listedMachines([]wire.InstanceStatus{{ID: m.id, State: wire.InstanceFailed}}, micros.Second)
 		}, false},
 		{"the cloud's lists lack it", func(_ *testing.T, l *Leader, _ *machine) {
 			for range 3 {
 				l.listedMachines(nil, micros.Second)
 			}
 		}, false},
-		{"it reports in a new session", say(func(r *wire.Report) { r.Session = 2 }), true},
-		{"a late copy of a report from before the start comes", say(func(r *wire.Report) { r.Seq = 1 }), false},
-		{"a report of an earlier term comes", say(func(r *wire.Report) { r.Token = token - 1 }), false},
-		{"it reports in a new session, and knows an earlier term", say(func(r *wire.Report) { r.Session, r.Token = 2, token-1 }), true},
+		{"it reports in a new session", say(func(r *wire.Heartbeat) { r.Incarnation = 2 }), true},
+		{"a late copy of a report from before the start comes", say(func(r *wire.Heartbeat) { r.Sequence = 1 }), false},
+		{"a report of an earlier term comes", say(func(r *wire.Heartbeat) { r.FencingToken = token - 1 }), false},
+		{"it reports in a new session, and knows an earlier term", say(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, token-1 }), true},
 		{"it reports without the task", shows(), true},
 		{"it reports another attempt, which is to be cleared", shows("1@3 ended stopped", ". waiting"), false},
 		{"it still fetches", shows(". pulling"), false},
@@ -417,7 +417,7 @@
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
-		launchGang(t, l, wire.TaskWaiting)
+		launchGang(t, l, wire.TaskWaitingForGang)
 		j, m := l.jobs["j-000002"], l.machines["i-2"]
 		n, a := j.gang.n, taskOn(l, "i-2")
 		c.event(t, l, m)
@@ -446,7 +446,7 @@
 		starts int                           // told to other machines, three in the other zone and one in its own
 		same   bool                          // attempt
 	}{
-		{"it waits: a replacement must be in its zone", wire.TaskWaiting, func(*testing.T, *Leader) {}, 1, true},
+		{"it waits: a replacement must be in its zone", wire.TaskWaitingForGang, func(*testing.T, *Leader) {}, 1, true},
 		{"it runs, and the others have not left", wire.TaskRunning, func(*testing.T, *Leader) {}, 0, true},
 		{"one is left", wire.TaskRunning, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1", ". ended stopped") }, 0, true},
 		{"one is left on a machine that is to be returned", wire.TaskRunning, func(t *testing.T, l *Leader) {
@@ -461,7 +461,7 @@
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
-		j.spec.OneZone = true
+		j.spec.SingleZone = true
 		launchGang(t, l, c.state)
 		n := j.gang.n
 		ends(l)
@@ -497,19 +497,19 @@
 	}{
 		{"its places are reserved", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, false},
 		{"its starts are sent", func(t *testing.T, l *Leader) { launchGang(t, l, "") }, false},
-		{"it fetches", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskFetching) }, false},
-		{"it waits", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskWaiting) }, false},
+		{"it fetches", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskPullingImage) }, false},
+		{"it waits", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskWaitingForGang) }, false},
 		{"it runs", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskRunning) }, false},
 		{"it is stopped", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.stopAll(l.jobs["j-000002"], 0, "test")
 		}, false},
 		{"it is cancelled, and not gone", func(t *testing.T, l *Leader) {
-			launchGang(t, l, wire.TaskWaiting)
+			launchGang(t, l, wire.TaskWaitingForGang)
 			l.forget(l.jobs["j-000002"], wire.JobCancelled)
 		}, false},
 		{"it is cancelled, and one is gone", func(t *testing.T, l *Leader) {
-			launchGang(t, l, wire.TaskWaiting)
+			launchGang(t, l, wire.TaskWaitingForGang)
 			j := l.jobs["j-000002"]
 			l.forget(j, wire.JobCancelled)
 			l.returned(l.machines["i-3"])
@@ -517,9 +517,9 @@
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
-		l.teams["blue"] = settings.Team{Name: "blue", CPUsMax: 9}
+		l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 9}
 		c.before(t, l)
-		small := &wire.Job{ID: "j-000003", Team: "blue", Shape: wire.ShapeArray, Priority: "prod", Tasks: 4, CPUs: 1, EstimateS: 5, Spot: true}
+		small := &wire.Job{ID: "j-000003", Team: "blue", Kind: wire.KindArray, Priority: "prod", Tasks: 4, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true}
 		l.jobs[small.ID] = newJob(replica.Job{Spec: small, SubmittedAt: micros.Wall()}, false)
 		addUp(l, "i-4", "a")
 		got := tellPlain(t, l, "i-4")
@@ -546,7 +546,7 @@
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
-		launchGang(t, l, wire.TaskFetching)
+		launchGang(t, l, wire.TaskPullingImage)
 		a := taskOn(l, "i-2")
 		l.machines["i-2"].notUntil = micros.Now() + 100*micros.Second
 		for range 3 {
@@ -567,10 +567,10 @@
 // TestAttemptNumbers has jobs of each shape start: a gang's tasks share a number, for
 // others it only tells one start from another.
 func TestAttemptNumbers(t *testing.T) {
-	for shape, numbers := range map[string]int{wire.ShapeGang: 1, wire.ShapeArray: 3, wire.ShapeService: 3} {
+	for shape, numbers := range map[string]int{wire.KindGang: 1, wire.KindArray: 3, wire.KindService: 3} {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
-		j.spec.Shape = shape
+		j.spec.Kind = shape
 		launchGang(t, l, "")
 		seen := map[uint64]bool{}
 		for _, a := range j.on {
@@ -601,14 +601,14 @@
 	}
 	m, n := l.machines["i-2"], j.gang.n
 	name := taskName(j.spec.ID, a.task)
-	ended := &wire.Report{Machine: m.id, Address: m.address, Type: "m4", Zone: "a", Session: 1, Seq: m.seq + 1, Token: token,
-		Tasks: []wire.ReportTask{{Task: name, Attempt: n, State: wire.TaskExited, Cause: wire.CauseStopped}}}
+	ended := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token,
+		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.plannedAt = 0
 	if answer, err := l.Report(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
 		t.Fatalf("told %v (%v), want the start again", answer.Commands, err)
 	}
 	waiting := *ended
-	waiting.Seq, waiting.Tasks = ended.Seq+1, []wire.ReportTask{{Task: name, Attempt: n, State: wire.TaskWaiting}}
+	waiting.Sequence, waiting.Tasks = ended.Sequence+1, []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskWaitingForGang}}
 	if _, err := l.Report(&waiting); err != nil || j.gang.n != n {
 		t.Fatalf("attempt %d (%v), want %d", j.gang.n, err, n)
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -128,7 +128,7 @@
 	typeOrder []string
 	catalog   int // raised with each new one
 	// A catalog that was refused is not sent again. Not guarded by mu.
-	catalogRefused *wire.Catalog
+	catalogRefused *wire.InstanceTypeList
 }
 
 // planState is what waits, and when it was planned.
@@ -167,7 +167,7 @@
 
 // machineType is a type of the catalog with its staffing.
 type machineType struct {
-	wire.MachineType
+	wire.InstanceType
 	capacity     placement.Resources
 	m            float64
 	mBestEffort  float64 // of m, by patient jobs
@@ -189,8 +189,8 @@
 		Config:    c,
 		began:     micros.Now(),
 		beganWall: micros.Wall(),
-		report:    workers.Report(),
-		lease:     workers.Lease(),
+		report:    workers.HeartbeatInterval(),
+		lease:     workers.LeaseDuration(),
 		lost:      make(chan struct{}),
 		tallies:   tallies{},
 		jobState: jobState{
@@ -285,7 +285,7 @@
 
 // loadCatalog uses the stored catalog or else asks the cloud.
 func (l *Leader) loadCatalog(ctx context.Context) error {
-	var c wire.Catalog
+	var c wire.InstanceTypeList
 	stamp, err := l.Replica.Get(replica.CatalogKey, &c)
 	if err != nil {
 		return err
@@ -300,11 +300,11 @@
 // refreshCatalog asks the cloud for the present prices and stores a catalog
 // that is new.
 func (l *Leader) refreshCatalog(ctx context.Context) error {
-	c, err := l.Cloud.Catalog(ctx)
+	c, err := l.Cloud.InstanceTypes(ctx)
 	if err != nil {
 		return err
 	}
-	var stored wire.Catalog
+	var stored wire.InstanceTypeList
 	stamp, err := l.Replica.Get(replica.CatalogKey, &stored)
 	if err != nil {
 		return err
@@ -317,8 +317,8 @@
 		return nil
 	}
 	rev, err := l.Store.Commit(ctx, wire.Txn{
-		If:   []wire.Condition{{Key: replica.LeaderKey, Stamp: l.Stamp}, {Key: replica.CatalogKey, Stamp: stamp}},
-		Then: []wire.Op{{Write: replica.CatalogKey, Value: c}},
+		If:   []wire.Compare{{Key: replica.LeaderKey, ModRevision: l.Stamp}, {Key: replica.CatalogKey, ModRevision: stamp}},
+		Then: []wire.Op{{Put: replica.CatalogKey, Value: c}},
 	})
 	if errors.Is(err, statestore.ErrRefused) {
 		// The leader goes on with what it was told. Submissions are judged by the
@@ -335,7 +335,7 @@
 }
 
 // sameTypes compares what decides whether a job can ever run.
-func sameTypes(a, b wire.Catalog) bool {
+func sameTypes(a, b wire.InstanceTypeList) bool {
 	if len(a.Types) != len(b.Types) {
 		return false
 	}
@@ -349,7 +349,7 @@
 	return true
 }
 
-func (l *Leader) setCatalog(c wire.Catalog) {
+func (l *Leader) setCatalog(c wire.InstanceTypeList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.typeOrder = l.typeOrder[:0]
@@ -361,7 +361,7 @@
 			mt = &machineType{window: staffing.NewWindow(l.Tuning.Window), bestEffort: staffing.NewWindow(l.Tuning.Window)}
 			l.types[t.Name] = mt
 		}
-		mt.MachineType = t
+		mt.InstanceType = t
 		mt.capacity = placement.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: floor(t.MemoryGB)}
 	}
 }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -34,11 +34,11 @@
 	term := &fakeTerm{held: true, sure: true, confirmed: now}
 	s := &settings.Settings{Params: settings.Params{
 		Teams:   []settings.Team{{Name: "blue"}},
-		Workers: settings.Workers{ReportS: 2, LeaseS: 16, CancelS: 41},
+		Workers: settings.Workers{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41},
 	}}
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
 		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, Token: token})
-	l.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}})
+	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
 	b := &booking{id: "r-1", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}}
 	l.bookings[b.id] = b
 	m := l.addMachine("i-1", b, now)
@@ -46,7 +46,7 @@
 	m.current = true
 	l.runningLists = []*runningList{{Machines: []string{"i-1"}}}
 	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
-		ID: "j-000001", Team: "blue", Shape: wire.ShapeArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}}
+		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
 	l.Replica.Wrote(replica.JobPrefix+"j-000001", job, 1)
 	l.jobChanged("j-000001", true)
 	l.ready = true
@@ -54,13 +54,13 @@
 	return l, term
 }
 
-func report(seq, baton uint64, tasks ...wire.ReportTask) *wire.Report {
-	return &wire.Report{Machine: "i-1", Address: "", Type: "m4", Zone: "a", Session: 1, Seq: seq, Token: baton, Tasks: tasks}
+func report(seq, baton uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{MachineID: "i-1", Address: "", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: baton, Tasks: tasks}
 }
 
-func verbs(a wire.ReportAnswer) (out []string) {
+func verbs(a wire.HeartbeatResponse) (out []string) {
 	for _, c := range a.Commands {
-		out = append(out, c.Verb+" "+c.Task)
+		out = append(out, c.Verb+" "+c.TaskID)
 	}
 	slices.Sort(out)
 	return out
@@ -69,13 +69,13 @@
 // TestReport goes through what a machine reports after a take-over, step by
 // step, and what it is told.
 func TestReport(t *testing.T) {
-	running := func(task string, n uint64) wire.ReportTask {
-		return wire.ReportTask{Task: task, Attempt: n, State: wire.TaskRunning}
+	running := func(task string, n uint64) wire.TaskStatus {
+		return wire.TaskStatus{TaskID: task, Attempt: n, State: wire.TaskRunning}
 	}
 	l, _ := newTest(t)
 	steps := []struct {
 		name   string
-		report *wire.Report
+		report *wire.Heartbeat
 		want   []string // nil: not answered
 	}{
 		// Made before the worker knew of this term: an old leader's start may
@@ -90,9 +90,9 @@
 			running("j-000001/2", token<<32|4), running("j-000099/0", 2)), []string{"stop j-000099/0"}},
 		// The result is kept on the worker until it is surely stored.
 		{"a task is done", report(14, token, running("j-000001/0", 5), running("j-000001/1", token<<32|3),
-			wire.ReportTask{Task: "j-000001/2", Attempt: token<<32 | 4, State: wire.TaskExited, Cause: wire.CauseDone}), []string{}},
+			wire.TaskStatus{TaskID: "j-000001/2", Attempt: token<<32 | 4, State: wire.TaskExited, ExitReason: wire.ExitDone}), []string{}},
 		{"a refused start is cleared and tried again", report(15, token, running("j-000001/0", 5),
-			wire.ReportTask{Task: "j-000001/1", Attempt: token<<32 | 3, State: wire.TaskExited, Cause: wire.CauseStopped}),
+			wire.TaskStatus{TaskID: "j-000001/1", Attempt: token<<32 | 3, State: wire.TaskExited, ExitReason: wire.ExitStopped}),
 			[]string{"clear j-000001/1", "start j-000001/1"}},
 	}
 	for _, s := range steps {
@@ -236,9 +236,9 @@
 		l, _ := newTest(t)
 		m := l.machines["i-1"]
 		for _, there := range c.lists {
-			var list []wire.ListedMachine
+			var list []wire.InstanceStatus
 			if there {
-				list = append(list, wire.ListedMachine{ID: "i-1", State: wire.MachineRunning})
+				list = append(list, wire.InstanceStatus{ID: "i-1", State: wire.InstanceRunning})
 			}
 			l.listedMachines(list, micros.Second)
 		}
@@ -265,7 +265,7 @@
 	} {
 		l, _ := newTest(t)
 		m := l.machines["i-1"]
-		var tasks []wire.ReportTask
+		var tasks []wire.TaskStatus
 		for i, want := range c.told {
 			l.plannedAt = 0
 			if i == 4 {
@@ -277,7 +277,7 @@
 			}
 			for _, o := range a.Commands {
 				if c.obeys {
-					tasks = append(tasks, wire.ReportTask{Task: o.Task, Attempt: o.Attempt, State: wire.TaskRunning})
+					tasks = append(tasks, wire.TaskStatus{TaskID: o.TaskID, Attempt: o.Attempt, State: wire.TaskRunning})
 				}
 			}
 		}
@@ -308,7 +308,7 @@
 	}{{1, 0, true, 0}, {2, token - 1, true, 0}, {3, token, false, 0}, {4, token, true, 3}} {
 		m.upStored, l.plannedAt = c.upStored, 0
 		r := report(c.seq, c.token)
-		r.Machine = "i-2"
+		r.MachineID = "i-2"
 		if a, err := l.Report(r); err != nil || len(a.Commands) != c.starts {
 			t.Errorf("report %d: told %v (%v), want %d starts", i, a.Commands, err, c.starts)
 		}
@@ -333,8 +333,8 @@
 		l.gone["i-7"] = c.gone
 		for i, n := range c.tokens {
 			r := report(uint64(i+1), n)
-			r.Machine = "i-7"
-			if a, err := l.Report(r); (err != nil) != c.gone || err == nil && (a.Token != token || len(a.Commands) > 0) {
+			r.MachineID = "i-7"
+			if a, err := l.Report(r); (err != nil) != c.gone || err == nil && (a.FencingToken != token || len(a.Commands) > 0) {
 				t.Errorf("%s: answered %+v, %v", c.name, a, err)
 			}
 		}
@@ -348,7 +348,7 @@
 func TestEntitled(t *testing.T) {
 	l, term := newTest(t)
 	seq := uint64(10)
-	ask := func() (wire.ReportAnswer, error) {
+	ask := func() (wire.HeartbeatResponse, error) {
 		seq++
 		l.plannedAt = 0
 		return l.Report(report(seq, token))
@@ -363,7 +363,7 @@
 	if a, err := ask(); err != nil || len(a.Commands) > 0 {
 		t.Errorf("a worker that came back gets its lease and no start: %v, %v", a, err)
 	}
-	term.confirmed = micros.Now() - l.Settings.Params.Workers.RenewFor()
+	term.confirmed = micros.Now() - l.Settings.Params.Workers.LeaseRenewalWindow()
 	if _, err := ask(); err == nil {
 		t.Error("answered although a cancellation could not be seen in time")
 	}
@@ -379,10 +379,10 @@
 		alone, answered micros.Micros
 		after, notAfter micros.Micros // since the term began
 	}{
-		{"an earlier leader may renew it", false, 0, 0, w.RenewFor() + w.Lease(), w.Cancel()},
-		{"all peers know of this term", false, l.began + micros.Second, 0, w.Lease() + micros.Second, w.Lease() + 3*micros.Second},
-		{"answered by this term", true, 0, l.began + 5*micros.Second, w.Lease() + 5*micros.Second, w.Lease() + 7*micros.Second},
-		{"answered and not resolved", false, l.began + micros.Second, l.began + 5*micros.Second, w.Lease() + 5*micros.Second, w.Lease() + 7*micros.Second},
+		{"an earlier leader may renew it", false, 0, 0, w.LeaseRenewalWindow() + w.LeaseDuration(), w.CancellationTimeout()},
+		{"all peers know of this term", false, l.began + micros.Second, 0, w.LeaseDuration() + micros.Second, w.LeaseDuration() + 3*micros.Second},
+		{"answered by this term", true, 0, l.began + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
+		{"answered and not resolved", false, l.began + micros.Second, l.began + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
 	}
 	for _, c := range cases {
 		m.resolved, m.answered, term.alone = c.resolved, c.answered, c.alone
@@ -478,10 +478,10 @@
 		{"tasks that do not", 0, []string{}},
 	} {
 		l, _ := newTest(t)
-		l.jobs["j-000001"].spec.CheckpointS = c.checkpoint
-		r := report(11, token, wire.ReportTask{Task: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
+		l.jobs["j-000001"].spec.CheckpointIntervalS = c.checkpoint
+		r := report(11, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
 		notice := 15.0
-		r.NoticeS = &notice
+		r.InterruptionNoticeS = &notice
 		a, err := l.Report(r)
 		if got := verbs(a); err != nil || !slices.Equal(got, c.want) {
 			t.Errorf("%s: told %v (%v), want %v", c.name, got, err, c.want)
@@ -494,33 +494,33 @@
 // them stopped; and they count against their team's limit until they are gone.
 func TestCancelledBefore(t *testing.T) {
 	l, _ := newTest(t)
-	l.teams["blue"] = settings.Team{Name: "blue", CPUsMax: 3}
+	l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 3}
 	l.Replica.Wrote(replica.JobPrefix+"j-000002", replica.Job{State: wire.JobCancelled, Spec: &wire.Job{
-		ID: "j-000002", Team: "blue", Shape: wire.ShapeArray, Tasks: 8, CPUs: 1, MemoryGB: 1, SaveS: 5, CheckpointS: 1, Spot: true}}, 2)
+		ID: "j-000002", Team: "blue", Kind: wire.KindArray, Tasks: 8, CPUs: 1, MemoryGB: 1, CheckpointDurationS: 5, CheckpointIntervalS: 1, AllowSpot: true}}, 2)
 	l.machines["i-1"].free.CPU = 8000 // the limit alone is in the way
-	task := func(n int, state string) wire.ReportTask {
-		w := wire.ReportTask{Task: taskName("j-000002", n), Attempt: 3<<32 | 1, State: state}
+	task := func(n int, state string) wire.TaskStatus {
+		w := wire.TaskStatus{TaskID: taskName("j-000002", n), Attempt: 3<<32 | 1, State: state}
 		if state == wire.TaskExited {
-			w.Cause = wire.CauseStopped
+			w.ExitReason = wire.ExitStopped
 		}
 		return w
 	}
-	started := func(n int) wire.ReportTask {
-		return wire.ReportTask{Task: taskName("j-000001", n), Attempt: token<<32 | uint64(n+1), State: wire.TaskRunning}
+	started := func(n int) wire.TaskStatus {
+		return wire.TaskStatus{TaskID: taskName("j-000001", n), Attempt: token<<32 | uint64(n+1), State: wire.TaskRunning}
 	}
 	stranger := report(1, 0, task(0, wire.TaskRunning))
-	stranger.Machine = "i-2"
+	stranger.MachineID = "i-2"
 	steps := []struct {
 		name   string
-		report *wire.Report
+		report *wire.Heartbeat
 		want   []string
 	}{
 		{"an unknown machine", stranger, []string{"stop j-000002/0"}},
-		{"a report from before this term", report(1, 3, task(0, wire.TaskRunning), task(1, wire.TaskSaving)),
+		{"a report from before this term", report(1, 3, task(0, wire.TaskRunning), task(1, wire.TaskCheckpointing)),
 			[]string{"stop j-000002/0", "stop j-000002/1"}},
-		{"two of the team's three", report(2, token, task(0, wire.TaskRunning), task(1, wire.TaskSaving)),
+		{"two of the team's three", report(2, token, task(0, wire.TaskRunning), task(1, wire.TaskCheckpointing)),
 			[]string{"start j-000001/0", "stop j-000002/0", "stop j-000002/1"}},
-		{"one is gone", report(3, token, started(0), task(0, wire.TaskExited), task(1, wire.TaskSaving)),
+		{"one is gone", report(3, token, started(0), task(0, wire.TaskExited), task(1, wire.TaskCheckpointing)),
 			[]string{"clear j-000002/0", "start j-000001/1", "stop j-000002/1"}},
 		{"the other too", report(4, token, started(0), started(1), task(1, wire.TaskExited)),
 			[]string{"clear j-000002/1", "start j-000001/2"}},
@@ -545,27 +545,27 @@
 		want bool
 	}{
 		{"nothing in the way", func(*Leader, *job, *machine) {}, true},
-		{"another type", func(_ *Leader, j *job, _ *machine) { j.spec.Types = []string{"m8"} }, false},
+		{"another type", func(_ *Leader, j *job, _ *machine) { j.spec.InstanceTypes = []string{"m8"} }, false},
 		{"another zone", func(_ *Leader, j *job, _ *machine) { j.spec.Zone = "b" }, false},
-		{"no spot machine", func(_ *Leader, j *job, m *machine) { j.spec.Spot, m.kind.Spot = false, true }, false},
+		{"no spot machine", func(_ *Leader, j *job, m *machine) { j.spec.AllowSpot, m.kind.Spot = false, true }, false},
 		{"at the team's limit", func(l *Leader, j *job, _ *machine) {
-			l.teams["blue"] = settings.Team{CPUsMax: 2}
+			l.teams["blue"] = settings.Team{MaxCPUs: 2}
 			l.used["blue"] = l.used["blue"].Plus(j.need, 2)
 		}, false},
 		{"machines with unknown tasks may be at it", func(l *Leader, j *job, _ *machine) {
-			l.teams["blue"] = settings.Team{CPUsMax: 2}
+			l.teams["blue"] = settings.Team{MaxCPUs: 2}
 			l.hidden = l.hidden.Plus(j.need, 2)
 		}, false},
 		{"its other tasks are in another zone", func(_ *Leader, j *job, m *machine) {
-			j.spec.OneZone = true
+			j.spec.SingleZone = true
 			j.on[0], j.zones["b"] = &attempt{}, 1
 		}, false},
 		{"its other tasks are here", func(_ *Leader, j *job, m *machine) {
-			j.spec.OneZone = true
+			j.spec.SingleZone = true
 			j.on[0], j.zones["a"] = &attempt{}, 1
 		}, true},
-		{"two of three are here", func(_ *Leader, j *job, m *machine) { j.spec.Spread, j.zones["a"] = true, 2 }, false},
-		{"one of three is here", func(_ *Leader, j *job, m *machine) { j.spec.Spread, j.zones["a"] = true, 1 }, true},
+		{"two of three are here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.zones["a"] = true, 2 }, false},
+		{"one of three is here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.zones["a"] = true, 1 }, true},
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
@@ -580,27 +580,27 @@
 // TestContradictions has a machine report what cannot be. Nothing of that may upset the
 // counts of what is in use, or keep the tasks from running once it reports sense again.
 func TestContradictions(t *testing.T) {
-	task := func(name string, n uint64, state, cause string) wire.ReportTask {
-		return wire.ReportTask{Task: name, Attempt: n, State: state, Cause: cause}
+	task := func(name string, n uint64, state, cause string) wire.TaskStatus {
+		return wire.TaskStatus{TaskID: name, Attempt: n, State: state, ExitReason: cause}
 	}
 	const own, other = token<<32 | 1, 3<<32 | 9
 	cases := []struct {
 		name  string
-		tasks []wire.ReportTask
+		tasks []wire.TaskStatus
 	}{
-		{"a task twice, running", []wire.ReportTask{task("j-000001/0", own, wire.TaskRunning, ""), task("j-000001/0", own, wire.TaskRunning, "")}},
-		{"a task running and failed", []wire.ReportTask{task("j-000001/0", own, wire.TaskRunning, ""), task("j-000001/0", own, wire.TaskExited, wire.CauseError)}},
-		{"a task failed and running", []wire.ReportTask{task("j-000001/0", own, wire.TaskExited, wire.CauseError), task("j-000001/0", own, wire.TaskRunning, "")}},
-		{"two attempts running", []wire.ReportTask{task("j-000001/0", other, wire.TaskRunning, ""), task("j-000001/0", own, wire.TaskRunning, "")}},
-		{"an unknown state", []wire.ReportTask{task("j-000001/0", own, "dreaming", "")}},
-		{"an unknown cause", []wire.ReportTask{task("j-000001/0", own, wire.TaskExited, "bored")}},
-		{"no state", []wire.ReportTask{task("j-000001/0", own, "", "")}},
-		{"tasks that cannot be", []wire.ReportTask{task("j-000001/7", own, wire.TaskRunning, ""), task("j-000001/-1", own, wire.TaskRunning, ""),
+		{"a task twice, running", []wire.TaskStatus{task("j-000001/0", own, wire.TaskRunning, ""), task("j-000001/0", own, wire.TaskRunning, "")}},
+		{"a task running and failed", []wire.TaskStatus{task("j-000001/0", own, wire.TaskRunning, ""), task("j-000001/0", own, wire.TaskExited, wire.ExitError)}},
+		{"a task failed and running", []wire.TaskStatus{task("j-000001/0", own, wire.TaskExited, wire.ExitError), task("j-000001/0", own, wire.TaskRunning, "")}},
+		{"two attempts running", []wire.TaskStatus{task("j-000001/0", other, wire.TaskRunning, ""), task("j-000001/0", own, wire.TaskRunning, "")}},
+		{"an unknown state", []wire.TaskStatus{task("j-000001/0", own, "dreaming", "")}},
+		{"an unknown cause", []wire.TaskStatus{task("j-000001/0", own, wire.TaskExited, "bored")}},
+		{"no state", []wire.TaskStatus{task("j-000001/0", own, "", "")}},
+		{"tasks that cannot be", []wire.TaskStatus{task("j-000001/7", own, wire.TaskRunning, ""), task("j-000001/-1", own, wire.TaskRunning, ""),
 			task("j-000001", own, wire.TaskRunning, ""), task("", 0, "", ""), task("j-999999/0", own, wire.TaskRunning, "")}},
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
-		for i, r := range []*wire.Report{report(1, token), report(2, token, c.tasks...), report(3, token, c.tasks...), report(4, token)} {
+		for i, r := range []*wire.Heartbeat{report(1, token), report(2, token, c.tasks...), report(3, token, c.tasks...), report(4, token)} {
 			l.replan, l.plannedAt = true, 0
 			if _, err := l.Report(r); err != nil {
 				t.Errorf("%s: report %d: %v", c.name, i, err)
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -102,14 +102,14 @@
 func (l *Leader) leaseOver(m *machine) micros.Micros {
 	if !m.resolved {
 		w := l.Settings.Params.Workers
-		// Another node may have renewed the lease until RenewFor after it
+		// Another node may have renewed the lease until LeaseRenewalWindow after it
 		// last saw itself entitled, which was before this term began, unless
 		// all are known to have heard of this term sooner.
-		last := l.began + w.RenewFor()
+		last := l.began + w.LeaseRenewalWindow()
 		if alone := l.Term.Alone(); alone != 0 {
 			last = min(last, alone)
 		}
-		return max(last, m.answered) + w.Lease() + micros.Drift(w.Cancel()) + micros.Second
+		return max(last, m.answered) + w.LeaseDuration() + micros.Drift(w.CancellationTimeout()) + micros.Second
 	}
 	return m.answered + l.lease + micros.Drift(l.lease) + micros.Second
 }
@@ -185,7 +185,7 @@
 // says that its lease is. Where many are silent at once the network is more likely at fault
 // than they are: they are kept as long as their leases last, and as long again.
 func (l *Leader) whyReturn(m *machine, over bool, now micros.Micros) string {
-	report := l.Settings.Params.Workers.Report()
+	report := l.Settings.Params.Workers.HeartbeatInterval()
 	kept := func() bool { return l.zones.Decide(m.kind.Zone).KeepSilent }
 	switch {
 	case m.leaving:
@@ -215,7 +215,7 @@
 		return false
 	}
 	w := l.Settings.Params.Workers
-	limit := (w.Cancel() - w.Lease()) / 2
+	limit := (w.CancellationTimeout() - w.LeaseDuration()) / 2
 	for _, a := range m.tasks {
 		if a.stopped != 0 && a.job.over && now-a.stopped > limit {
 			return true
@@ -316,7 +316,7 @@
 }
 
 func stopCommand(a *attempt) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, Task: taskName(a.job.spec.ID, a.task), Attempt: a.n, GraceS: seconds(a.grace)}
+	return wire.Command{Verb: wire.VerbStop, TaskID: taskName(a.job.spec.ID, a.task), Attempt: a.n, GracePeriodS: seconds(a.grace)}
 }
 
 func seconds(m micros.Micros) *float64 {
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -131,7 +131,7 @@
 	{replica.BookingPrefix, reflect.TypeFor[booking](), reflect.TypeFor[v3a714abBooking]()},
 	{replica.UpPrefix, reflect.TypeFor[runningList](), reflect.TypeFor[v3a714abUpList]()},
 	{replica.StaffingKey, reflect.TypeFor[staffingRecord](), reflect.TypeFor[v3a714abStaffing]()},
-	{replica.CatalogKey, reflect.TypeFor[wire.Catalog](), reflect.TypeFor[v3a714abCatalog]()},
+	{replica.CatalogKey, reflect.TypeFor[wire.InstanceTypeList](), reflect.TypeFor[v3a714abCatalog]()},
 	{replica.TokenKey, reflect.TypeFor[replica.Token](), reflect.TypeFor[v3a714abToken]()},
 	{replica.LeaderKey, reflect.TypeFor[replica.Leader](), reflect.TypeFor[v3a714abLeader]()},
 }
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -113,7 +113,7 @@
 		l.stopGang(a.job, saveGrace(a.job), why, now)
 		return
 	}
-	grace := micros.FromSeconds(a.job.spec.SaveS)
+	grace := micros.FromSeconds(a.job.spec.CheckpointDurationS)
 	if a.running == 0 || now-a.running < grace {
 		grace = 0 // saving takes longer than doing it again
 	}
@@ -265,13 +265,13 @@
 		Need:     j.need,
 		Waiting:  n,
 		Total:    s.Tasks,
-		Types:    s.Types,
+		Types:    s.InstanceTypes,
 		Zone:     s.Zone,
-		OneZone:  s.OneZone,
-		Spread:   s.Spread,
+		OneZone:  s.SingleZone,
+		Spread:   s.SpreadZones,
 		Whole:    j.isGang(),
-		Spot:     s.Spot,
-		ImageGB:  s.ImageGB,
+		Spot:     s.AllowSpot,
+		ImageGB:  s.ImageSizeGB,
 	}
 	w.Due, w.Later, w.Late = l.dues(j, covered, wall)
 	w.Pressing = w.Due-wall < 4*l.report && !j.probing()
@@ -285,7 +285,7 @@
 		w.Accept = max(acceptAtOnce, wall-j.submitted)
 	}
 	w.Work = float64(n) * s.CPUs * l.expected(s)
-	if s.OneZone || s.Spread {
+	if s.SingleZone || s.SpreadZones {
 		w.PerZone = maps.Clone(j.zones)
 	}
 	return w
@@ -313,7 +313,7 @@
 	return &other
 }
 
-// openCPUs counts the CPUs of the machines that may get tasks.
+// openCPUs counts the GuaranteedCPUs of the machines that may get tasks.
 func (l *Leader) openCPUs(now micros.Micros) float64 {
 	cpus := 0.0
 	for _, m := range l.order {
@@ -391,7 +391,7 @@
 	out := make(map[*job]bool, len(l.jobs))
 	for name, jobs := range byTeam {
 		t := l.teams[name]
-		if t.CPUs == 0 && t.GPUs == 0 {
+		if t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
 			continue
 		}
 		slices.SortFunc(jobs, func(a, b *job) int {
@@ -413,7 +413,7 @@
 }
 
 func guarantee(t settings.Team) placement.Resources {
-	return placement.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: 1 << 60}
+	return placement.Resources{CPU: floor(t.GuaranteedCPUs), GPU: floor(t.GuaranteedGPUs), Mem: 1 << 60}
 }
 
 // teamUse counts what each team's tasks may be using at worst: what is known
@@ -421,7 +421,7 @@
 func (l *Leader) teamUse() map[string]*placement.Team {
 	teams := make(map[string]*placement.Team, len(l.teams))
 	for name, t := range l.teams {
-		teams[name] = &placement.Team{Used: l.used[name], Limit: placement.Resources{CPU: floor(t.CPUsMax), GPU: floor(t.GPUsMax)}}
+		teams[name] = &placement.Team{Used: l.used[name], Limit: placement.Resources{CPU: floor(t.MaxCPUs), GPU: floor(t.MaxGPUs)}}
 	}
 	l.hidden = placement.Resources{}
 	for _, m := range l.order {
@@ -452,7 +452,7 @@
 		Idle:            len(m.tasks) == 0,
 		ClosedToPatient: m.closedToPatient,
 		Images:          m.have,
-		GBPerS:          t.FetchGBPerS,
+		GBPerS:          t.ImagePullGBPerS,
 		Penalty:         micros.FromSeconds(l.priceRatio(t, m.kind.Spot) - 1),
 	}
 	if late := now - m.reported - l.report - l.report/4; late > 0 {
@@ -535,7 +535,7 @@
 // left is how many seconds a task should still take. The longer one has
 // outlasted its estimate, the longer it may go on; a service never ends.
 func (l *Leader) left(a *attempt, now micros.Micros) float64 {
-	if a.job.spec.Shape == wire.ShapeService {
+	if a.job.spec.Kind == wire.KindService {
 		return 3600
 	}
 	run, ran := l.expected(a.job.spec), (now - a.began).Seconds()
@@ -560,8 +560,8 @@
 	if a.running == 0 {
 		return 0
 	}
-	if a.job.spec.CheckpointS > 0 {
-		return min(now-a.running, micros.FromSeconds(a.job.spec.SaveS))
+	if a.job.spec.CheckpointIntervalS > 0 {
+		return min(now-a.running, micros.FromSeconds(a.job.spec.CheckpointDurationS))
 	}
 	return now - a.running
 }
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -25,18 +25,18 @@
 const bounceAgain = 15 * micros.Second
 
 // Report takes a worker's report and answers with its orders.
-func (l *Leader) Report(r *wire.Report) (wire.ReportAnswer, error) {
+func (l *Leader) Report(r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := micros.Now()
-	answer := wire.ReportAnswer{Token: l.Token, Commands: []wire.Command{}}
+	answer := wire.HeartbeatResponse{FencingToken: l.Token, Commands: []wire.Command{}}
 	if !l.mayAnswer(r, now) {
 		return answer, ErrNotEntitled
 	}
 	// What this node has told a user, or was told by a peer, holds for the answer: no
 	// task of a job that is known here as cancelled may start.
 	l.takeChanges()
-	m := l.machines[r.Machine]
+	m := l.machines[r.MachineID]
 	if m == nil {
 		answer.Commands = append(answer.Commands, l.stopsOf(r)...)
 		return answer, l.unknown(r, now)
@@ -55,17 +55,17 @@
 
 // mayAnswer tells whether this node may answer a report now. A report with a higher
 // token ends the term.
-func (l *Leader) mayAnswer(r *wire.Report, now micros.Micros) bool {
-	if l.superseded || r.Token > l.Token {
+func (l *Leader) mayAnswer(r *wire.Heartbeat, now micros.Micros) bool {
+	if l.superseded || r.FencingToken > l.Token {
 		l.superseded = true
 		l.lostOnce.Do(func() { close(l.lost) })
 		return false
 	}
-	return l.ready && !l.handing && now < l.Term.Confirmed()+l.Settings.Params.Workers.RenewFor()
+	return l.ready && !l.handing && now < l.Term.Confirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
 }
 
 // accepts tells whether a known machine's report is to be answered.
-func (l *Leader) accepts(m *machine, r *wire.Report, now micros.Micros) bool {
+func (l *Leader) accepts(m *machine, r *wire.Heartbeat, now micros.Micros) bool {
 	if !l.Term.Sure() && now-m.bounced > bounceAgain {
 		// Another node may lead by now. A worker that finds no other answer
 		// comes back and has its lease renewed.
@@ -73,13 +73,13 @@
 		return false
 	}
 	// A late copy is refused. Its worker gave up waiting for the answer.
-	late := r.Session < m.session || r.Session == m.session && r.Seq <= m.seq
+	late := r.Incarnation < m.session || r.Incarnation == m.session && r.Sequence <= m.seq
 	return !late
 }
 
 // endEarlierSession frees the tasks of a worker's session when a later one reports.
-func (l *Leader) endEarlierSession(m *machine, r *wire.Report) {
-	if m.session == 0 || r.Session <= m.session {
+func (l *Leader) endEarlierSession(m *machine, r *wire.Heartbeat) {
+	if m.session == 0 || r.Incarnation <= m.session {
 		return
 	}
 	// That an earlier session ended says nothing of what earlier terms started in this
@@ -92,14 +92,14 @@
 }
 
 // recordReport notes what a report tells besides the tasks.
-func (l *Leader) recordReport(m *machine, r *wire.Report, now micros.Micros) {
-	m.session, m.seq, m.address = r.Session, r.Seq, r.Address
+func (l *Leader) recordReport(m *machine, r *wire.Heartbeat, now micros.Micros) {
+	m.session, m.seq, m.address = r.Incarnation, r.Sequence, r.Address
 	l.checkZone(m, r)
 	m.reported = now
 	m.answered = now
 	m.recallAt = 0
-	if r.NoticeS != nil {
-		m.recallAt = now + micros.FromSeconds(*r.NoticeS)
+	if r.InterruptionNoticeS != nil {
+		m.recallAt = now + micros.FromSeconds(*r.InterruptionNoticeS)
 	}
 	if m.first == 0 {
 		m.first = now
@@ -113,9 +113,9 @@
 }
 
 // takeTasks takes over the tasks of a report that is a snapshot of its machine.
-func (l *Leader) takeTasks(m *machine, r *wire.Report, now micros.Micros) {
+func (l *Leader) takeTasks(m *machine, r *wire.Heartbeat, now micros.Micros) {
 	// One that is older than what the machine answered when asked tells nothing new.
-	m.current = r.Token == l.Token && r.Seq > m.asked
+	m.current = r.FencingToken == l.Token && r.Sequence > m.asked
 	if !m.current && m.told {
 		l.unheard(m, now)
 	}
@@ -140,7 +140,7 @@
 // reconcile compares a report with what should be on the machine. The report
 // carries this term's token, so the worker made it after it had accepted an
 // answer of this term: starts of earlier terms can no longer be executed.
-func (l *Leader) reconcile(m *machine, r *wire.Report, now micros.Micros) {
+func (l *Leader) reconcile(m *machine, r *wire.Heartbeat, now micros.Micros) {
 	confirmed := m.confirmed()
 	if !confirmed {
 		m.resolved, m.unconfirmed = true, false
@@ -148,7 +148,7 @@
 	}
 	listed := make(map[string]bool, len(r.Tasks))
 	for i := range r.Tasks {
-		listed[r.Tasks[i].Task] = true
+		listed[r.Tasks[i].TaskID] = true
 	}
 	l.judgeHearing(m, listed, now)
 	m.clears = m.clears[:0]
@@ -159,7 +159,7 @@
 		// A worker has one report in flight, and drops late answers: if the
 		// start that went with an earlier report's answer does not show in a
 		// newer report, it never will.
-		if !listed[name] && a.sentAt < r.Seq && !a.reserved {
+		if !listed[name] && a.sentAt < r.Sequence && !a.reserved {
 			l.ended(a, "the start was lost")
 		}
 	}
@@ -174,7 +174,7 @@
 func (l *Leader) judgeHearing(m *machine, listed map[string]bool, now micros.Micros) {
 	obeyed, missed := false, false
 	for _, c := range m.sent {
-		if listed[c.Task] == (c.Verb == wire.VerbStart) {
+		if listed[c.TaskID] == (c.Verb == wire.VerbStart) {
 			obeyed = true
 		} else {
 			missed = true
@@ -215,12 +215,12 @@
 }
 
 // listed takes over one task of a report.
-func (l *Leader) listed(m *machine, t *wire.ReportTask, now micros.Micros) {
-	a := m.tasks[t.Task]
-	if a != nil && t.State == wire.TaskExited && a.n != t.Attempt && t.Cause != wire.CauseDone {
+func (l *Leader) listed(m *machine, t *wire.TaskStatus, now micros.Micros) {
+	a := m.tasks[t.TaskID]
+	if a != nil && t.State == wire.TaskExited && a.n != t.Attempt && t.ExitReason != wire.ExitDone {
 		// An older attempt that was not cleared yet, or a refusal of a newer
 		// one that never ran; what should be on the machine is not it.
-		if t.Attempt > a.n && t.Cause != wire.CauseBusy {
+		if t.Attempt > a.n && t.ExitReason != wire.ExitOtherAttemptPresent {
 			l.ended(a, "the worker shows another attempt")
 		}
 		m.clears = append(m.clears, clearCommand(t))
@@ -229,7 +229,7 @@
 	if a != nil && a.n == t.Attempt && a.state == "" && a.sentAt != 0 {
 		l.zoneCounters(m).started++
 	}
-	id, task, err := parseTask(t.Task)
+	id, task, err := parseTask(t.TaskID)
 	j := l.jobs[id]
 	if a != nil {
 		j = a.job
@@ -241,7 +241,7 @@
 		l.rejectTask(m, t)
 	case t.State != wire.TaskExited:
 		l.present(m, j, task, a, t, now)
-	case a != nil && a.reserved && t.Cause != wire.CauseDone:
+	case a != nil && a.reserved && t.ExitReason != wire.ExitDone:
 		// An earlier start of the same attempt, for whose place this one is held.
 		m.clears = append(m.clears, clearCommand(t))
 	default:
@@ -250,7 +250,7 @@
 }
 
 // rejectTask has a task that belongs to no job stopped, or cleared if it has ended.
-func (l *Leader) rejectTask(m *machine, t *wire.ReportTask) {
+func (l *Leader) rejectTask(m *machine, t *wire.TaskStatus) {
 	if t.State == wire.TaskExited {
 		m.clears = append(m.clears, clearCommand(t))
 		return
@@ -260,7 +260,7 @@
 }
 
 // present takes over a task that is on its machine. a is nil if it was not known there.
-func (l *Leader) present(m *machine, j *job, task int, a *attempt, t *wire.ReportTask, now micros.Micros) {
+func (l *Leader) present(m *machine, j *job, task int, a *attempt, t *wire.TaskStatus, now micros.Micros) {
 	if a == nil {
 		if a = l.adopt(m, j, task, t, now); a == nil {
 			return
@@ -273,7 +273,7 @@
 	if t.State == wire.TaskRunning && a.running == 0 {
 		l.noteRunning(m, a, now)
 	}
-	if t.State != a.state && !wire.KnownState(t.State) {
+	if t.State != a.state && !wire.IsKnownTaskState(t.State) {
 		l.tallies.add(fmt.Sprintf("a task's state is unknown, it is taken to be there: %.40q", t.State), m.id)
 	}
 	a.state = t.State
@@ -282,7 +282,7 @@
 
 // adopt counts a task as being on a machine that was not known to have it. It has the
 // task stopped instead, and gives nil, if that is done or on another machine.
-func (l *Leader) adopt(m *machine, j *job, task int, t *wire.ReportTask, now micros.Micros) *attempt {
+func (l *Leader) adopt(m *machine, j *job, task int, t *wire.TaskStatus, now micros.Micros) *attempt {
 	if other := j.on[task]; other != nil && other.reserved {
 		l.release(other, "an earlier start of it is on "+m.id)
 	}
@@ -310,24 +310,24 @@
 		j.firstStart = j.lastStart
 	}
 	if mt := l.types[m.kind.Type]; mt != nil {
-		m.images.use(j.spec.Image, j.spec.ImageGB, mt.CacheGB)
+		m.images.use(j.spec.Image, j.spec.ImageSizeGB, mt.ImageCacheGB)
 		l.countImages(m)
 	}
 }
 
 // stopAtOnce stops a reported task without time to save.
-func stopAtOnce(t *wire.ReportTask) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, Task: t.Task, Attempt: t.Attempt, GraceS: seconds(0)}
+func stopAtOnce(t *wire.TaskStatus) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, TaskID: t.TaskID, Attempt: t.Attempt, GracePeriodS: seconds(0)}
 }
 
 // stopsOf has the tasks of jobs that are over stopped by the answer to a report which is
 // not taken for the machine's snapshot. Every answer that renews a lease must do that: one
 // that came first after a take-over, to a machine which then heard nothing more, kept
 // cancelled tasks for a lease too long.
-func (l *Leader) stopsOf(r *wire.Report) (stops []wire.Command) {
+func (l *Leader) stopsOf(r *wire.Heartbeat) (stops []wire.Command) {
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		id, _, err := parseTask(t.Task)
+		id, _, err := parseTask(t.TaskID)
 		if err != nil || t.State == wire.TaskExited {
 			continue
 		}
@@ -358,42 +358,42 @@
 }
 
 // exited takes over a task that has ended on its machine.
-func (l *Leader) exited(m *machine, j *job, task int, a *attempt, t *wire.ReportTask, now micros.Micros) {
-	if t.Cause == wire.CauseDone && j.spec.Shape != wire.ShapeService {
+func (l *Leader) exited(m *machine, j *job, task int, a *attempt, t *wire.TaskStatus, now micros.Micros) {
+	if t.ExitReason == wire.ExitDone && j.spec.Kind != wire.KindService {
 		l.exitedDone(m, j, task, a, t, now)
 		return
 	}
-	if !wire.KnownCause(t.Cause) {
-		l.tallies.add(fmt.Sprintf("a task ended for an unknown cause: %.40q", t.Cause), m.id)
+	if !wire.IsKnownExitReason(t.ExitReason) {
+		l.tallies.add(fmt.Sprintf("a task ended for an unknown cause: %.40q", t.ExitReason), m.id)
 	}
 	m.clears = append(m.clears, clearCommand(t))
 	l.gangExited(j, task, a, t)
 	if a == nil {
 		return
 	}
-	switch t.Cause {
-	case wire.CauseError:
+	switch t.ExitReason {
+	case wire.ExitError:
 		j.failures++
 		j.lastFailed = m.id
 		if a.running != 0 {
 			j.failTook = max(j.failTook, now-a.running)
 		}
 		l.attributeFault(m, j, now)
-	case wire.CauseNoRoom:
+	case wire.ExitInsufficientResources:
 		// Our count of what is free was wrong: wait for the next reports.
 		m.notUntil = now + 2*l.report
-	case wire.CauseNoSuch:
+	case wire.ExitJobNotFound:
 		// The worker cannot find the job yet.
 		j.notBefore = now + 5*micros.Second
 		j.waitsFor = "the workers do not find its description"
-	case wire.CauseBusy:
+	case wire.ExitOtherAttemptPresent:
 		// Another attempt of the task is there; the report lists it too.
 	}
-	l.ended(a, "ended: "+t.Cause)
+	l.ended(a, "ended: "+t.ExitReason)
 }
 
 // exitedDone takes over a task that is done.
-func (l *Leader) exitedDone(m *machine, j *job, task int, a *attempt, t *wire.ReportTask, now micros.Micros) {
+func (l *Leader) exitedDone(m *machine, j *job, task int, a *attempt, t *wire.TaskStatus, now micros.Micros) {
 	if !j.done.has(task) && !j.over {
 		j.done.set(task)
 		j.ndone++
@@ -421,8 +421,8 @@
 	l.wakeFlush()
 }
 
-func clearCommand(t *wire.ReportTask) wire.Command {
-	return wire.Command{Verb: wire.VerbClear, Task: t.Task, Attempt: t.Attempt}
+func clearCommand(t *wire.TaskStatus) wire.Command {
+	return wire.Command{Verb: wire.VerbClear, TaskID: t.TaskID, Attempt: t.Attempt}
 }
 
 // orders are the commands for a machine that has just reported.
@@ -432,7 +432,7 @@
 	orders = make([]wire.Command, 0, len(m.clears)+m.stopping+len(m.planned))
 	for name, a := range m.tasks {
 		if a.stopped != 0 && a.n != 0 {
-			orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: name, Attempt: a.n, GraceS: seconds(a.grace)})
+			orders = append(orders, wire.Command{Verb: wire.VerbStop, TaskID: name, Attempt: a.n, GracePeriodS: seconds(a.grace)})
 		}
 	}
 	for _, c := range m.clears {
@@ -467,7 +467,7 @@
 			j.protectedTasks++
 		}
 		l.hold(a)
-		orders = append(orders, wire.Command{Verb: wire.VerbStart, Task: taskName(j.spec.ID, task), Attempt: n})
+		orders = append(orders, wire.Command{Verb: wire.VerbStart, TaskID: taskName(j.spec.ID, task), Attempt: n})
 	}
 	m.planned = m.planned[:0]
 	return orders
@@ -481,20 +481,20 @@
 // allowedMore tells it of so many more tasks; none more: of one that has its place there.
 func (l *Leader) allowedMore(j *job, m *machine, more int) bool {
 	s := j.spec
-	if len(s.Types) > 0 && !slices.Contains(s.Types, m.kind.Type) || s.Zone != "" && s.Zone != m.kind.Zone || m.kind.Spot && !s.Spot {
+	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.kind.Type) || s.Zone != "" && s.Zone != m.kind.Zone || m.kind.Spot && !s.AllowSpot {
 		return false
 	}
-	if t := l.teams[s.Team]; t.CPUsMax > 0 || t.GPUsMax > 0 {
+	if t := l.teams[s.Team]; t.MaxCPUs > 0 || t.MaxGPUs > 0 {
 		used := l.used[s.Team].Plus(l.hidden, 1).Plus(j.need, int64(more))
-		if t.CPUsMax > 0 && used.CPU > floor(t.CPUsMax) || t.GPUsMax > 0 && used.GPU > floor(t.GPUsMax) {
+		if t.MaxCPUs > 0 && used.CPU > floor(t.MaxCPUs) || t.MaxGPUs > 0 && used.GPU > floor(t.MaxGPUs) {
 			return false
 		}
 	}
-	if !s.OneZone && !s.Spread {
+	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
 	here := j.zones[m.kind.Zone]
-	return (!s.OneZone || here == len(j.on)) && (!s.Spread || 2*(here+more) <= s.Tasks+1)
+	return (!s.SingleZone || here == len(j.on)) && (!s.SpreadZones || 2*(here+more) <= s.Tasks+1)
 }
 
 // attempt is a new number for a start: rising across terms without a write, as the
@@ -529,36 +529,36 @@
 		s := a.job.spec
 		if a.job.isGang() {
 			l.leaveWith(a, max(saveGrace(a.job), m.recallAt-now), "its spot machine is being taken", now)
-		} else if s.CheckpointS > 0 && a.stopped == 0 {
-			l.stop(a, max(micros.FromSeconds(s.SaveS), m.recallAt-now), "its spot machine is being taken")
+		} else if s.CheckpointIntervalS > 0 && a.stopped == 0 {
+			l.stop(a, max(micros.FromSeconds(s.CheckpointDurationS), m.recallAt-now), "its spot machine is being taken")
 		}
 	}
 }
 
 // unknown handles a machine that no answered booking explains: a rental
 // carried out late.
-func (l *Leader) unknown(r *wire.Report, now micros.Micros) error {
-	if l.gone[r.Machine] {
+func (l *Leader) unknown(r *wire.Heartbeat, now micros.Micros) error {
+	if l.gone[r.MachineID] {
 		return ErrNotEntitled
 	}
 	for _, b := range l.bookings {
-		if !b.Answered && b.Type == r.Type && b.Zone == r.Zone && b.Spot == r.Spot {
+		if !b.Answered && b.Type == r.InstanceType && b.Zone == r.Zone && b.Spot == r.Spot {
 			return nil // the booking's answer will name it
 		}
 	}
-	if r.Token != l.Token {
+	if r.FencingToken != l.Token {
 		// It may be a late copy, and its machine long gone: taken for a machine it would
 		// count as supply, and a next leader would wait for what it may hold. The answer
 		// tells a live one this term's token, and it reports again at once.
 		return nil
 	}
 	b := &booking{
-		id: "x-" + r.Machine, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: 1, Answered: true,
-		Machines: []string{r.Machine}, At: micros.Wall(),
+		id: "x-" + r.MachineID, Type: r.InstanceType, Zone: r.Zone, Spot: r.Spot, Count: 1, Answered: true,
+		Machines: []string{r.MachineID}, At: micros.Wall(),
 	}
-	slog.Info("adopting a machine", "machine", r.Machine)
+	slog.Info("adopting a machine", "machine", r.MachineID)
 	l.bookings[b.id] = b
-	l.addMachine(r.Machine, b, now)
+	l.addMachine(r.MachineID, b, now)
 	l.markBooking(b)
 	return nil
 }
@@ -576,12 +576,12 @@
 	default:
 		return
 	}
-	address, body := m.address, wire.DirectCommands{Token: l.Token, Session: m.session, Commands: []wire.Command{c}}
+	address, body := m.address, wire.CommandRequest{FencingToken: l.Token, Incarnation: m.session, Commands: []wire.Command{c}}
 	go func() {
 		defer func() { <-l.calls }()
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if _, _, err := wire.Exchange(ctx, l.Workers, http.MethodPost, "http://"+address+"/commands", body); err != nil {
+		if _, _, err := wire.Call(ctx, l.Workers, http.MethodPost, "http://"+address+"/commands", body); err != nil {
 			slog.Debug("direct command", "machine", address, "error", err)
 		}
 	}()
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -19,9 +19,9 @@
 // what the class has taken so far.
 func (l *Leader) expected(s *wire.Job) float64 {
 	if e := l.estimates[s.Class]; e != nil {
-		return e.Corrected(s.EstimateS)
+		return e.Corrected(s.EstimatedRuntimeS)
 	}
-	return s.EstimateS
+	return s.EstimatedRuntimeS
 }
 
 // finishedTask learns from a task that completed in one go here.
@@ -35,13 +35,13 @@
 	}
 	t.finished++
 	t.service.Finished(fraction(t, j.need), (now - a.began).Seconds(), j.spec.Tasks)
-	if a.running != 0 && (j.spec.CheckpointS == 0 || !j.resumed[a.task]) {
+	if a.running != 0 && (j.spec.CheckpointIntervalS == 0 || !j.resumed[a.task]) {
 		e := l.estimates[j.spec.Class]
 		if e == nil {
 			e = newEstimate()
 			l.estimates[j.spec.Class] = e
 		}
-		e.Observe(j.spec.EstimateS, (now - a.running).Seconds(), j.spec.Tasks)
+		e.Observe(j.spec.EstimatedRuntimeS, (now - a.running).Seconds(), j.spec.Tasks)
 	}
 }
 
@@ -82,11 +82,11 @@
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				price := t.Price
+				price := t.OnDemandPrice
 				if spot {
 					price = t.SpotPrice
 				}
-				probe := placement.Job{Types: s.Types, Zone: s.Zone, Spot: s.Spot}
+				probe := placement.Job{Types: s.InstanceTypes, Zone: s.Zone, Spot: s.AllowSpot}
 				if placement.Allowed(&probe, name, zone, spot) {
 					out = append(out, priced{offer{name, zone, spot}, price * fraction(t, need)})
 				}
@@ -127,7 +127,7 @@
 	work := float64(j.waiting()) * fraction(t, j.need)
 	j.demandOf, j.demandWork = t, work
 	due, _ := l.due(j, false, j.submitted)
-	t.batches.Add(float64(j.spec.Tasks)*fraction(t, j.need), j.spec.Tasks, (due-j.submitted).Seconds() > t.BootS)
+	t.batches.Add(float64(j.spec.Tasks)*fraction(t, j.need), j.spec.Tasks, (due-j.submitted).Seconds() > t.BootTimeS)
 	if j.old {
 		j.demandWork = 0 // the record's rate has it
 	} else {
@@ -136,14 +136,14 @@
 			t.bestEffort.Add(now, work)
 		}
 	}
-	t.service.Estimate(work, l.expected(j.spec)+j.spec.ImageGB/math.Max(t.FetchGBPerS, 0.01))
+	t.service.Estimate(work, l.expected(j.spec)+j.spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
 }
 
 // patient tells whether a job can do without ordinary machines: it is of the lowest
 // priority and nobody says when it should be done. At about three times the price its
 // work would cost more than it is worth.
 func (l *Leader) patient(j *job) bool {
-	return j.priority == 0 && j.spec.Spot && j.spec.DeadlineS == nil &&
+	return j.priority == 0 && j.spec.AllowSpot && j.spec.DeadlineS == nil &&
 		!slices.ContainsFunc(l.Settings.Params.Objectives, func(o settings.Objective) bool { return o.Class == j.spec.Class })
 }
 
@@ -208,7 +208,7 @@
 	return supply
 }
 
-// shortage is what the types so far could not give, in CPUs.
+// shortage is what the types so far could not give, in GuaranteedCPUs.
 type shortage struct {
 	any      float64
 	ordinary float64 // the part that may be ordinary machines
@@ -250,10 +250,10 @@
 	}
 }
 
-// rentOrdinary rents ordinary machines for so many CPUs, the cheapest first. They cost about
+// rentOrdinary rents ordinary machines for so many GuaranteedCPUs, the cheapest first. They cost about
 // three times as much: it is what no type had as spot machines.
 func (l *Leader) rentOrdinary(types []*machineType, cpus float64, now micros.Micros) {
-	slices.SortStableFunc(types, func(a, b *machineType) int { return cmp.Compare(a.Price/a.CPUs, b.Price/b.CPUs) })
+	slices.SortStableFunc(types, func(a, b *machineType) int { return cmp.Compare(a.OnDemandPrice/a.CPUs, b.OnDemandPrice/b.CPUs) })
 	for _, t := range types {
 		size := math.Max(t.CPUs, 0.001)
 		if n := int(ceiling(cpus / size)); n > 0 {
@@ -343,7 +343,7 @@
 	// A job's demand is counted for one type, and its tasks run on any: what is held beyond
 	// the means counts only as far as it is more than all of these. Raised type by type, the
 	// means doubled at a take-over, and the fleet with them.
-	missing, beyond := 0.0, 0.0 // CPUs
+	missing, beyond := 0.0, 0.0 // GuaranteedCPUs
 	for name, t := range l.types {
 		missing += (held[name] - t.m) * t.CPUs
 		beyond += math.Max(0, held[name]-t.m) * t.CPUs
@@ -388,7 +388,7 @@
 func (l *Leader) priceRatio(t *machineType, spot bool) float64 {
 	least := math.Inf(1)
 	for _, x := range l.types {
-		least = math.Min(least, math.Min(x.Price, x.SpotPrice)/x.CPUs)
+		least = math.Min(least, math.Min(x.OnDemandPrice, x.SpotPrice)/x.CPUs)
 	}
 	return math.Max(1, price(t, spot)/t.CPUs/least)
 }
@@ -436,7 +436,7 @@
 		count := min((left+len(open)-i-1)/(len(open)-i), l.mayRent(o.Zone))
 		for k := 0; count > 0 && k < maxBookings; k++ {
 			l.book(o, count)
-			part := min(count, cloud.MaxRent)
+			part := min(count, cloud.MaxLaunch)
 			booked, count = booked+part, count-part
 		}
 	}
@@ -474,8 +474,8 @@
 		if j.ready(now) <= 0 || now-j.seen < specialWait || wall-j.lastStart < specialWait {
 			continue
 		}
-		probe := placement.Job{Types: j.spec.Types, Zone: j.spec.Zone, Spot: j.spec.Spot,
-			OneZone: j.spec.OneZone, Spread: j.spec.Spread, Total: j.spec.Tasks, PerZone: j.zones}
+		probe := placement.Job{Types: j.spec.InstanceTypes, Zone: j.spec.Zone, Spot: j.spec.AllowSpot,
+			OneZone: j.spec.SingleZone, Spread: j.spec.SpreadZones, Total: j.spec.Tasks, PerZone: j.zones}
 		closed, coming := 0, 0
 		for o, n := range kinds {
 			if placement.Open(&probe, o.Type, o.Zone, o.Spot) {
@@ -550,7 +550,7 @@
 		tight += x.batches.Tight()
 		types++
 	}
-	keep := micros.FromSeconds(t.BootS / l.priceRatio(t, spot) * tight / types)
+	keep := micros.FromSeconds(t.BootTimeS / l.priceRatio(t, spot) * tight / types)
 	return max(2*l.report, keep)
 }
 
@@ -558,7 +558,7 @@
 	if spot {
 		return t.SpotPrice
 	}
-	return t.Price
+	return t.OnDemandPrice
 }
 
 // staffingRecord is what a new leader goes on from.
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -154,7 +154,7 @@
 // term began: the machine's lease counts from then on, as if this term had answered it.
 //
 // A machine with a task that cannot be counted, as its job is over and kept no description, is
-// left unresolved: the task may still take its team's CPUs.
+// left unresolved: the task may still take its team's GuaranteedCPUs.
 func (l *Leader) adoptHandedOver(m *machine, known *standby.Machine) {
 	var attempts []*attempt
 	for name, task := range known.Tasks {
@@ -233,7 +233,7 @@
 	case l.Followers == nil:
 		return u.machines > 0
 	}
-	probe := placement.Job{Types: j.spec.Types, Zone: j.spec.Zone, Spot: j.spec.Spot}
+	probe := placement.Job{Types: j.spec.InstanceTypes, Zone: j.spec.Zone, Spot: j.spec.AllowSpot}
 	return slices.ContainsFunc(u.kinds, func(kind offer) bool {
 		return placement.Allowed(&probe, kind.Type, kind.Zone, kind.Spot)
 	})
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -34,9 +34,9 @@
 	return m
 }
 
-func reportOf(machine string, seq uint64, tasks ...wire.ReportTask) *wire.Report {
+func reportOf(machine string, seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	r := report(seq, token, tasks...)
-	r.Machine = machine
+	r.MachineID = machine
 	return r
 }
 
@@ -143,17 +143,17 @@
 // TestHandedOverConfirmed has the machine report after a handover: what it does not show is
 // lost, what it shows is kept, and what nobody told of is adopted.
 func TestHandedOverConfirmed(t *testing.T) {
-	running := func(task string) wire.ReportTask {
-		return wire.ReportTask{Task: task, Attempt: 5, State: wire.TaskRunning}
+	running := func(task string) wire.TaskStatus {
+		return wire.TaskStatus{TaskID: task, Attempt: 5, State: wire.TaskRunning}
 	}
 	cases := []struct {
 		name  string
-		tasks []wire.ReportTask
+		tasks []wire.TaskStatus
 		on    []int
 	}{
-		{"as told", []wire.ReportTask{running("j-000001/0")}, []int{0}},
+		{"as told", []wire.TaskStatus{running("j-000001/0")}, []int{0}},
 		{"its start was lost", nil, nil},
-		{"another task", []wire.ReportTask{running("j-000001/0"), running("j-000001/2")}, []int{0, 2}},
+		{"another task", []wire.TaskStatus{running("j-000001/0"), running("j-000001/2")}, []int{0, 2}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -186,7 +186,7 @@
 func TestHandedOverGang(t *testing.T) {
 	l, _ := newTest(t)
 	m := withSecond(l)
-	l.jobs["j-000001"].spec.Shape = wire.ShapeGang
+	l.jobs["j-000001"].spec.Kind = wire.KindGang
 	l.Expected = handedView()
 	l.useExpected()
 	a, err := l.Report(reportOf("i-2", 1))
@@ -196,7 +196,7 @@
 	if l.jobs["j-000001"].gang.n != 5 {
 		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].gang.n)
 	}
-	waiting := wire.ReportTask{Task: "j-000001/0", Attempt: 5, State: wire.TaskWaiting}
+	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
 	l.machines["i-1"].notUntil = l.began + 100*micros.Second
 	if _, err := l.Report(reportOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
@@ -219,10 +219,10 @@
 		{"any machine will do", func(*job) {}, true, true, false},
 		{"it is new", func(j *job) { j.old = false }, false, false, false},
 		{"no machine is unknown", func(*job) {}, false, false, true},
-		{"it may be there", func(j *job) { j.spec.Zone, j.spec.Types = "a", []string{"m4", "m8"} }, true, true, false},
+		{"it may be there", func(j *job) { j.spec.Zone, j.spec.InstanceTypes = "a", []string{"m4", "m8"} }, true, true, false},
 		{"only in another zone", func(j *job) { j.spec.Zone = "b" }, true, false, false},
-		{"only on another type", func(j *job) { j.spec.Types = []string{"m8"} }, true, false, false},
-		{"only on ordinary machines", func(j *job) { j.spec.Spot = false }, true, false, false},
+		{"only on another type", func(j *job) { j.spec.InstanceTypes = []string{"m8"} }, true, false, false},
+		{"only on ordinary machines", func(j *job) { j.spec.AllowSpot = false }, true, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -276,12 +276,12 @@
 	l.Followers = p
 	steps := []struct {
 		name   string
-		report *wire.Report
+		report *wire.Heartbeat
 	}{
-		{"the first", report(11, token, wire.ReportTask{Task: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"starts lost", report(12, token, wire.ReportTask{Task: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"one is done", report(13, token, wire.ReportTask{Task: "j-000001/0", Attempt: 5, State: wire.TaskExited, Cause: wire.CauseDone},
-			wire.ReportTask{Task: "j-000001/1", Attempt: token<<32 | 3, State: wire.TaskRunning})},
+		{"the first", report(11, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"starts lost", report(12, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"one is done", report(13, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskExited, ExitReason: wire.ExitDone},
+			wire.TaskStatus{TaskID: "j-000001/1", Attempt: token<<32 | 3, State: wire.TaskRunning})},
 		{"nothing is left", report(14, token)},
 	}
 	for _, s := range steps {
@@ -314,7 +314,7 @@
 	l, _ := newTest(t)
 	p := standby.NewPublisher(token, 1000)
 	l.Followers = p
-	l.jobs["j-000001"].spec.Shape = wire.ShapeGang
+	l.jobs["j-000001"].spec.Kind = wire.KindGang
 	m := l.machines["i-1"]
 	m.resolved = true
 	view := func() map[string]standby.TaskState {
@@ -427,13 +427,13 @@
 // term before had not told to stop: the next report is answered with the stop.
 func TestHandedOverCancelled(t *testing.T) {
 	l, _ := newTest(t)
-	spec := &wire.Job{ID: "j-000009", Team: "blue", Shape: wire.ShapeArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
+	spec := &wire.Job{ID: "j-000009", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
 	l.Replica.Wrote(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
 	l.Expected = handedView()
 	l.Expected.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
 	l.useExpected()
-	r := report(1, token, wire.ReportTask{Task: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.ReportTask{Task: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
-	r.Session = 4
+	r := report(1, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
+	r.Incarnation = 4
 	a, err := l.Report(r)
 	if err != nil || !slices.Contains(verbs(a), "stop j-000009/0") {
 		t.Errorf("told %v (%v), want a stop of j-000009/0", verbs(a), err)
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -302,7 +302,7 @@
 	if j.spec.Zone != "" {
 		return j.spec.Zone
 	}
-	if j.spec.OneZone {
+	if j.spec.SingleZone {
 		for name, n := range j.zones {
 			if n > 0 {
 				return name
@@ -320,7 +320,7 @@
 }
 
 // checkZone tells of a worker that names another zone than its booking. The booking counts.
-func (l *Leader) checkZone(m *machine, r *wire.Report) {
+func (l *Leader) checkZone(m *machine, r *wire.Heartbeat) {
 	if r.Zone != m.kind.Zone && m.first == 0 {
 		l.tallies.add(fmt.Sprintf("a worker reports zone %.40q, it was booked in zone %s, which counts", r.Zone, m.kind.Zone), m.id)
 	}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -21,7 +21,7 @@
 	c := zone.DefaultConfig(l.report)
 	c.Confirm = 0
 	l.zoneState = newZoneState(zone.NewManager(c))
-	l.setCatalog(wire.Catalog{Types: []wire.MachineType{{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
+	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.order, l.machines = nil, map[string]*machine{}
 	now = micros.Now() + 1000*micros.Second
 	term.confirmed = now
@@ -105,7 +105,7 @@
 		m := l.machines["i-15"]
 		for _, a := range c.arrivals {
 			now += micros.FromSeconds(a.afterS)
-			r := &wire.Report{Machine: m.id, Address: m.address, Type: "m4", Zone: "b", Session: a.session, Seq: a.seq, Token: a.token}
+			r := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "b", Incarnation: a.session, Sequence: a.seq, FencingToken: a.token}
 			if l.accepts(m, r, now) {
 				l.recordReport(m, r, now)
 				l.takeTasks(m, r, now)
@@ -121,8 +121,8 @@
 // whom, which do not count as supply, and what is rented there.
 func TestZoneCarriedOut(t *testing.T) {
 	l, now := newZonesTest(t)
-	bound := newJob(replica.Job{Spec: &wire.Job{ID: "j-000002", Team: "blue", Zone: "b", Tasks: 1, Spot: true}}, false)
-	together := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", OneZone: true, Tasks: 2, Spot: true}}, false)
+	bound := newJob(replica.Job{Spec: &wire.Job{ID: "j-000002", Team: "blue", Zone: "b", Tasks: 1, AllowSpot: true}}, false)
+	together := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", SingleZone: true, Tasks: 2, AllowSpot: true}}, false)
 	together.zones["b"] = 1
 	expect := func(state string, wantClosed, wantReplaced, wantRent int, wantBound string) {
 		t.Helper()
@@ -193,7 +193,7 @@
 	m := l.order[0]
 	m.first = 0
 	for seq := uint64(101); seq < 104; seq++ {
-		l.recordReport(m, &wire.Report{Machine: m.id, Type: "m4", Zone: "c", Session: 1, Seq: seq, Token: token}, now)
+		l.recordReport(m, &wire.Heartbeat{MachineID: m.id, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
 	}
 	told := slices.DeleteFunc(slices.Collect(maps.Keys(l.tallies)), func(line string) bool { return !strings.Contains(line, "booked in zone a, which counts") })
 	if len(told) != 1 || l.tallies[told[0]].count != 1 || m.kind.Zone != "a" {
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -376,15 +376,15 @@
 }
 
 // capturedReport, and the functions after it, are what the captured messages say.
-func capturedReport() wire.Report {
+func capturedReport() wire.Heartbeat {
 	notice := 12.5
-	return wire.Report{Machine: "i-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Seq: 88, Token: 41,
-		NoticeS: &notice, Tasks: []wire.ReportTask{{Task: "j-000412/3", Attempt: 2, State: wire.TaskRunning},
-			{Task: "j-000398/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}}}
+	return wire.Heartbeat{MachineID: "i-000231", Address: "10.1.0.232:9000", InstanceType: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 88, FencingToken: 41,
+		InterruptionNoticeS: &notice, Tasks: []wire.TaskStatus{{TaskID: "j-000412/3", Attempt: 2, State: wire.TaskRunning},
+			{TaskID: "j-000398/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone}}}
 }
 
-func capturedAnswer() wire.ReportAnswer {
-	return wire.ReportAnswer{Token: 41, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000412/4", Attempt: 2}}}
+func capturedAnswer() wire.HeartbeatResponse {
+	return wire.HeartbeatResponse{FencingToken: 41, Commands: []wire.Command{{Verb: wire.VerbStart, TaskID: "j-000412/4", Attempt: 2}}}
 }
 
 func capturedProbe() *Probe {
@@ -397,17 +397,17 @@
 			Job: replica.Job{SubmittedAt: 3, State: wire.JobCancelled, Reason: "cancelled by its user", EndedAt: 5}}}}
 }
 
-func capturedGangReport() wire.Report {
-	return wire.Report{Machine: "i-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a", Session: 1, Seq: 89, Token: 41, Tasks: []wire.ReportTask{
-		{Task: "j-000501/0", Attempt: 7, State: "waiting"}, {Task: "j-000502/1", Attempt: 8, State: "running"},
-		{Task: "j-000503/2", Attempt: 9, State: "flushing"}, {Task: "j-000504/3", Attempt: 10, State: "ended", Cause: "stopped", Saved: true},
-		{Task: "j-000505/0", Attempt: 11, State: "ended", Cause: "peers"}, {Task: "j-000506/0", Attempt: 12, State: "ended", Cause: "incomplete"}}}
+func capturedGangReport() wire.Heartbeat {
+	return wire.Heartbeat{MachineID: "i-000231", Address: "10.1.0.232:9000", InstanceType: "g8", Zone: "a", Incarnation: 1, Sequence: 89, FencingToken: 41, Tasks: []wire.TaskStatus{
+		{TaskID: "j-000501/0", Attempt: 7, State: "waiting"}, {TaskID: "j-000502/1", Attempt: 8, State: "running"},
+		{TaskID: "j-000503/2", Attempt: 9, State: "flushing"}, {TaskID: "j-000504/3", Attempt: 10, State: "ended", ExitReason: "stopped", Checkpointed: true},
+		{TaskID: "j-000505/0", Attempt: 11, State: "ended", ExitReason: "peers"}, {TaskID: "j-000506/0", Attempt: 12, State: "ended", ExitReason: "incomplete"}}}
 }
 
-func capturedGangAnswer() wire.ReportAnswer {
+func capturedGangAnswer() wire.HeartbeatResponse {
 	grace := 10.0
-	return wire.ReportAnswer{Token: 41, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "j-000507/0", Attempt: 13},
-		{Verb: wire.VerbStart, Task: "j-000507/1", Attempt: 13}, {Verb: wire.VerbStop, Task: "j-000502/1", Attempt: 8, GraceS: &grace}}}
+	return wire.HeartbeatResponse{FencingToken: 41, Commands: []wire.Command{{Verb: wire.VerbStart, TaskID: "j-000507/0", Attempt: 13},
+		{Verb: wire.VerbStart, TaskID: "j-000507/1", Attempt: 13}, {Verb: wire.VerbStop, TaskID: "j-000502/1", Attempt: 8, GracePeriodS: &grace}}}
 }
 
 func capturedHeartbeat() *membership.Heartbeat {
@@ -469,8 +469,8 @@
 			}{
 				{"probe", read[Request](t, said["probe"]).Probe, capturedProbe()},
 				{"state", read[Response](t, said["state"]).State, capturedState(v.version)},
-				{"a report passed on", read[wire.Report](t, read[Request](t, said["relay"]).Relay[0]), capturedReport()},
-				{"its answer", read[wire.ReportAnswer](t, read[Response](t, said["relayed"]).Relay[0].Answer), capturedAnswer()},
+				{"a report passed on", read[wire.Heartbeat](t, read[Request](t, said["relay"]).Relay[0]), capturedReport()},
+				{"its answer", read[wire.HeartbeatResponse](t, read[Response](t, said["relayed"]).Relay[0].Answer), capturedAnswer()},
 				{"one that was not answered", read[Response](t, said["relayed"]).Relay[1].Error, "not entitled"},
 				{"a question", read[Request](t, said["explain"]).Explain, "j-000412"},
 				{"its answer's job", read[Response](t, said["explained"]).Explain.Job, "j-000412"},
@@ -485,10 +485,10 @@
 			if !v.gangs {
 				return
 			}
-			if got := read[wire.Report](t, said["gang report"]); !reflect.DeepEqual(got, capturedGangReport()) {
+			if got := read[wire.Heartbeat](t, said["gang report"]); !reflect.DeepEqual(got, capturedGangReport()) {
 				t.Errorf("a report of gangs: %+v", got)
 			}
-			if got := read[wire.ReportAnswer](t, said["gang answer"]); !reflect.DeepEqual(got, capturedGangAnswer()) {
+			if got := read[wire.HeartbeatResponse](t, said["gang answer"]); !reflect.DeepEqual(got, capturedGangAnswer()) {
 				t.Errorf("its answer: %+v", got)
 			}
 			if !v.zones {
@@ -572,8 +572,8 @@
 func TestOldVersionsUnderstand(t *testing.T) {
 	report, answer := capturedReport(), capturedAnswer()
 	grace := 10.0
-	answer.Commands = append(answer.Commands, wire.Command{Verb: wire.VerbStop, Task: "j-000377/1", Attempt: 1, GraceS: &grace})
-	report.Tasks[1].Saved = true
+	answer.Commands = append(answer.Commands, wire.Command{Verb: wire.VerbStop, TaskID: "j-000377/1", Attempt: 1, GracePeriodS: &grace})
+	report.Tasks[1].Checkpointed = true
 	request := Request{ID: 7, Probe: capturedProbe(), Relay: []wire.Raw{raw(t, report)}, Explain: "j-000412",
 		Standby: capturedQuery(), Zones: true, Heartbeat: capturedHeartbeat()}
 	response := Response{ID: 7, State: capturedState(Version), Relay: []Relayed{{Answer: raw(t, answer)}, {Error: "not entitled"}}, Error: "not leading",
@@ -617,10 +617,10 @@
 			if got := read[Response](t, resaid(t, raw(t, response), v.response)); !reflect.DeepEqual(got, want) {
 				t.Errorf("response: %+v, want %+v", got, want)
 			}
-			if got := read[wire.Report](t, resaid(t, raw(t, report), v.report)); !reflect.DeepEqual(got, report) {
+			if got := read[wire.Heartbeat](t, resaid(t, raw(t, report), v.report)); !reflect.DeepEqual(got, report) {
 				t.Errorf("report: %+v, want %+v", got, report)
 			}
-			if got := read[wire.ReportAnswer](t, resaid(t, raw(t, answer), v.answer)); !reflect.DeepEqual(got, answer) {
+			if got := read[wire.HeartbeatResponse](t, resaid(t, raw(t, answer), v.answer)); !reflect.DeepEqual(got, answer) {
 				t.Errorf("answer: %+v, want %+v", got, answer)
 			}
 		})
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -173,7 +173,7 @@
 	have := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		have[e.Key] = true
-		r.put(e.Key, e.Value, e.Stamp)
+		r.put(e.Key, e.Value, e.ModRevision)
 	}
 	for key, it := range r.items {
 		if !have[key] && it.stamp <= revision {
@@ -187,7 +187,7 @@
 }
 
 // list reads all pages of keys, and the first page's revision.
-func (r *Replica) list(ctx context.Context) (entries []wire.Entry, revision uint64, err error) {
+func (r *Replica) list(ctx context.Context) (entries []wire.KeyValue, revision uint64, err error) {
 	after := ""
 	for {
 		page, err := r.store.List(ctx, Prefix, after)
@@ -198,7 +198,7 @@
 			revision = page.Revision
 		}
 		entries = append(entries, page.Entries...)
-		if !page.More || len(page.Entries) == 0 {
+		if !page.HasMore || len(page.Entries) == 0 {
 			return entries, revision, nil
 		}
 		after = page.Entries[len(page.Entries)-1].Key
@@ -249,19 +249,19 @@
 
 // Apply takes over the answer of a watch that began at or before the present
 // revision. Answers may overlap and come in any order.
-func (r *Replica) Apply(e wire.Events, sent micros.Micros) {
-	slices.SortStableFunc(e.Events, func(a, b wire.Event) int { return cmp.Compare(a.Stamp, b.Stamp) })
+func (r *Replica) Apply(e wire.WatchResponse, sent micros.Micros) {
+	slices.SortStableFunc(e.Events, func(a, b wire.Event) int { return cmp.Compare(a.ModRevision, b.ModRevision) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seen = max(r.seen, sent)
 	before := r.revision
 	for _, ev := range e.Events {
 		switch {
-		case ev.Stamp <= before:
-		case ev.Write != "":
-			r.put(ev.Write, ev.Value, ev.Stamp)
-		case ev.Remove != "" && r.items[ev.Remove].stamp < ev.Stamp:
-			delete(r.items, ev.Remove)
+		case ev.ModRevision <= before:
+		case ev.Put != "":
+			r.put(ev.Put, ev.Value, ev.ModRevision)
+		case ev.Delete != "" && r.items[ev.Delete].stamp < ev.ModRevision:
+			delete(r.items, ev.Delete)
 		}
 	}
 	r.revision = max(r.revision, e.Revision)
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -54,7 +54,7 @@
 	c.teams(p.Teams)
 	c.workers(p.Workers)
 	c.state("params.state.", p.State)
-	c.state("params.state.next.", p.State.Later())
+	c.state("params.state.next.", p.State.AfterChange())
 	c.amount("params.cloud.rps", p.Cloud.RPS, little)
 	c.amount("params.cloud.list_lag_s", p.Cloud.ListLagS, 0)
 	c.amount("params.limits.cpu", p.Limits.CPU, little)
@@ -70,23 +70,23 @@
 		c.text(at+"name", t.Name)
 		c.that(!names[t.Name], at+"name", "stands there twice")
 		names[t.Name] = true
-		c.amount(at+"cpus", t.CPUs, 0)
-		c.amount(at+"cpus_max", t.CPUsMax, 0)
-		c.amount(at+"gpus", t.GPUs, 0)
-		c.amount(at+"gpus_max", t.GPUsMax, 0)
-		c.that(t.CPUsMax == 0 || t.CPUs <= t.CPUsMax, at+"cpus", "is over cpus_max")
-		c.that(t.GPUsMax == 0 || t.GPUs <= t.GPUsMax, at+"gpus", "is over gpus_max")
+		c.amount(at+"cpus", t.GuaranteedCPUs, 0)
+		c.amount(at+"cpus_max", t.MaxCPUs, 0)
+		c.amount(at+"gpus", t.GuaranteedGPUs, 0)
+		c.amount(at+"gpus_max", t.MaxGPUs, 0)
+		c.that(t.MaxCPUs == 0 || t.GuaranteedCPUs <= t.MaxCPUs, at+"cpus", "is over cpus_max")
+		c.that(t.MaxGPUs == 0 || t.GuaranteedGPUs <= t.MaxGPUs, at+"gpus", "is over gpus_max")
 	}
 }
 
 // workers checks the times that workers keep.
 func (c *checker) workers(w Workers) {
-	c.amount("params.workers.report_s", w.ReportS, little)
-	c.amount("params.workers.lease_s", w.LeaseS, little)
-	c.amount("params.workers.cancel_s", w.CancelS, little)
-	c.that(w.CancelS > w.LeaseS, "params.workers.cancel_s", "must be over lease_s")
-	c.amount("params.workers.gang_wait_s", w.GangWaitS, 0)
-	c.amount("params.workers.gang_peer_s", w.GangPeerS, 0)
+	c.amount("params.workers.report_s", w.HeartbeatIntervalS, little)
+	c.amount("params.workers.lease_s", w.LeaseDurationS, little)
+	c.amount("params.workers.cancel_s", w.CancellationTimeoutS, little)
+	c.that(w.CancellationTimeoutS > w.LeaseDurationS, "params.workers.cancel_s", "must be over lease_s")
+	c.amount("params.workers.gang_wait_s", w.GangAssemblyTimeoutS, 0)
+	c.amount("params.workers.gang_peer_s", w.GangLossTimeoutS, 0)
 }
 
 // checker keeps the first thing found wrong.
--- a/internal/settings/features.go
+++ b/internal/settings/features.go
@@ -36,7 +36,7 @@
 //
 // where each section turns a part on and may be left out, but not all of them.
 func ParseFeatures(r io.Reader, p *Params) (Features, error) {
-	standby, zones, members := defaultStandby(), zone.DefaultConfig(p.Workers.Report()), membership.DefaultConfig()
+	standby, zones, members := defaultStandby(), zone.DefaultConfig(p.Workers.HeartbeatInterval()), membership.DefaultConfig()
 	parser := newElementParser(r)
 	parser.sections[standbySection] = standbyElements(parser, &standby)
 	parser.sections[zonesSection] = zonesElements(parser, &zones, p)
--- a/internal/settings/features_test.go
+++ b/internal/settings/features_test.go
@@ -15,7 +15,7 @@
 	return &Params{
 		Zones:      []string{"a", "b"},
 		Objectives: []Objective{{Kind: "wait", Class: "scan"}, {Kind: "wait", Class: "update"}},
-		Workers:    Workers{ReportS: 8, LeaseS: 45, CancelS: 75},
+		Workers:    Workers{HeartbeatIntervalS: 8, LeaseDurationS: 45, CancellationTimeoutS: 75},
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,11 +53,11 @@
 
 // Team has a guarantee and a limit; 0 means none.
 type Team struct {
-	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`
+	GuaranteedCPUs float64 `toml:"cpus"`
+	MaxCPUs        float64 `toml:"cpus_max"`
+	GuaranteedGPUs float64 `toml:"gpus"`
+	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
 // Objective is an aim on starting or finishing.
@@ -71,68 +71,72 @@
 
 // Workers holds the times that workers keep.
 type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+	HeartbeatIntervalS   float64 `toml:"report_s"`
+	LeaseDurationS       float64 `toml:"lease_s"`
+	CancellationTimeoutS float64 `toml:"cancel_s"`
 	// Of gangs; 0: not given, as by deployments that have none.
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
+	GangAssemblyTimeoutS float64 `toml:"gang_wait_s"`
+	GangLossTimeoutS     float64 `toml:"gang_peer_s"`
 }
 
-// GangWait is how long a gang's task waits for the others before it exits. If nobody
+// GangAssemblyTimeout is how long a gang's task waits for the others before it exits. If nobody
 // says, a task's lease is taken: longer than that no task waits unheard.
-func (w Workers) GangWait() micros.Micros { return micros.FromSeconds(cmp.Or(w.GangWaitS, w.LeaseS)) }
+func (w Workers) GangAssemblyTimeout() micros.Micros {
+	return micros.FromSeconds(cmp.Or(w.GangAssemblyTimeoutS, w.LeaseDurationS))
+}
 
-// GangPeer is within what time all tasks of a gang must be told to stop, and how soon
+// GangLossTimeout is within what time all tasks of a gang must be told to stop, and how soon
 // they notice that one is gone. If nobody says, two reports are taken.
-func (w Workers) GangPeer() micros.Micros {
-	return micros.FromSeconds(cmp.Or(w.GangPeerS, 2*w.ReportS))
+func (w Workers) GangLossTimeout() micros.Micros {
+	return micros.FromSeconds(cmp.Or(w.GangLossTimeoutS, 2*w.HeartbeatIntervalS))
 }
 
-// Lease is the worker lease.
-func (w Workers) Lease() micros.Micros { return micros.FromSeconds(w.LeaseS) }
+// LeaseDuration is the worker lease.
+func (w Workers) LeaseDuration() micros.Micros { return micros.FromSeconds(w.LeaseDurationS) }
 
-// Report is the usual time between two reports.
-func (w Workers) Report() micros.Micros { return micros.FromSeconds(w.ReportS) }
+// HeartbeatInterval is the usual time between two reports.
+func (w Workers) HeartbeatInterval() micros.Micros { return micros.FromSeconds(w.HeartbeatIntervalS) }
 
-// Cancel is how soon a cancelled job's tasks must be gone.
-func (w Workers) Cancel() micros.Micros { return micros.FromSeconds(w.CancelS) }
+// CancellationTimeout is how soon a cancelled job's tasks must be gone.
+func (w Workers) CancellationTimeout() micros.Micros {
+	return micros.FromSeconds(w.CancellationTimeoutS)
+}
 
 // renewMargin is to spare beside what the clocks may run apart.
 const renewMargin = 2 * micros.Second
 
-// RenewFor is how long after the last contact with the state service a node
+// LeaseRenewalWindow is how long after the last contact with the state service a node
 // may still renew worker leases: a lease renewed at the end of it runs out
 // before a cancellation that the node could not see is due.
-func (w Workers) RenewFor() micros.Micros {
-	return max(0, w.Cancel()-w.Lease()-micros.Drift(w.Cancel())-renewMargin)
+func (w Workers) LeaseRenewalWindow() micros.Micros {
+	return max(0, w.CancellationTimeout()-w.LeaseDuration()-micros.Drift(w.CancellationTimeout())-renewMargin)
 }
 
 // State holds the state service's limits: the present ones and, in Next, those that
 // come into force some time later without notice.
 type State struct {
-	RPS      float64    `toml:"rps"`
-	WriteRPS float64    `toml:"write_rps"`
-	ValueKB  float64    `toml:"value_kb"`
-	TxnOps   int        `toml:"txn_ops"`
-	Next     StateLater `toml:"next"`
+	RPS      float64        `toml:"rps"`
+	WriteRPS float64        `toml:"write_rps"`
+	ValueKB  float64        `toml:"value_kb"`
+	TxnOps   int            `toml:"txn_ops"`
+	Upcoming UpcomingLimits `toml:"next"`
 }
 
-// StateLater holds limits of a later time; what is nil does not change.
-type StateLater struct {
+// UpcomingLimits holds limits of a later time; what is nil does not change.
+type UpcomingLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Later is the limits after the change; without one they are the present ones.
-func (s State) Later() State {
+// AfterChange is the limits after the change; without one they are the present ones.
+func (s State) AfterChange() State {
 	return State{
-		RPS:      orPresent(s.Next.RPS, s.RPS),
-		WriteRPS: orPresent(s.Next.WriteRPS, s.WriteRPS),
-		ValueKB:  orPresent(s.Next.ValueKB, s.ValueKB),
-		TxnOps:   orPresent(s.Next.TxnOps, s.TxnOps),
+		RPS:      orPresent(s.Upcoming.RPS, s.RPS),
+		WriteRPS: orPresent(s.Upcoming.WriteRPS, s.WriteRPS),
+		ValueKB:  orPresent(s.Upcoming.ValueKB, s.ValueKB),
+		TxnOps:   orPresent(s.Upcoming.TxnOps, s.TxnOps),
 	}
 }
 
@@ -144,11 +148,11 @@
 	return *later
 }
 
-// Always is the limits that hold at any time, before the change and after it: the
+// Strictest is the limits that hold at any time, before the change and after it: the
 // smaller of each two. The change comes without notice, so a node that kept to the
 // present ones would learn of it by refusals, in the middle of whatever it does.
-func (s State) Always() State {
-	later := s.Later()
+func (s State) Strictest() State {
+	later := s.AfterChange()
 	return State{
 		RPS:      min(s.RPS, later.RPS),
 		WriteRPS: min(s.WriteRPS, later.WriteRPS),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -125,10 +125,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := s.Params.State.Later(); got != c.later {
+			if got := s.Params.State.AfterChange(); got != c.later {
 				t.Errorf("later %+v, want %+v", got, c.later)
 			}
-			if got := s.Params.State.Always(); got != c.always {
+			if got := s.Params.State.Strictest(); got != c.always {
 				t.Errorf("at any time %+v, want %+v", got, c.always)
 			}
 		})
@@ -137,8 +137,8 @@
 
 func TestRenewFor(t *testing.T) {
 	// A lease renewed at the very end must run out before cancel_s.
-	for _, w := range []Workers{{ReportS: 2, LeaseS: 16, CancelS: 41}, {ReportS: 3, LeaseS: 45, CancelS: 75}, {ReportS: 1, LeaseS: 10, CancelS: 11}} {
-		if end := w.RenewFor() + w.Lease() + micros.Drift(w.Lease()); end > w.Cancel() {
+	for _, w := range []Workers{{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41}, {HeartbeatIntervalS: 3, LeaseDurationS: 45, CancellationTimeoutS: 75}, {HeartbeatIntervalS: 1, LeaseDurationS: 10, CancellationTimeoutS: 11}} {
+		if end := w.LeaseRenewalWindow() + w.LeaseDuration() + micros.Drift(w.LeaseDuration()); end > w.CancellationTimeout() {
 			t.Errorf("%+v: leases may last until %v s", w, end.Seconds())
 		}
 	}
--- a/internal/settings/standby.go
+++ b/internal/settings/standby.go
@@ -11,19 +11,19 @@
 
 // Standby holds the settings of the warm standby; nil where it is off.
 type Standby struct {
-	Pull       micros.Micros // between a follower's queries
-	Suspect    micros.Micros // without an answer, the leader is suspected
-	LogEntries int           // that a leader keeps for followers which are behind
-	Handover   micros.Micros // what a planned handover may take
+	QueryInterval   micros.Micros // between a follower's queries
+	SuspectAfter    micros.Micros // without an answer, the leader is suspected
+	MaxLogEntries   int           // that a leader keeps for followers which are behind
+	HandoverTimeout micros.Micros // what a planned handover may take
 }
 
 // defaultStandby is what holds for the elements that are left out.
 func defaultStandby() Standby {
 	return Standby{
-		Pull:       100 * micros.Millisecond,
-		Suspect:    800 * micros.Millisecond,
-		LogEntries: 50_000,
-		Handover:   1500 * micros.Millisecond,
+		QueryInterval:   100 * micros.Millisecond,
+		SuspectAfter:    800 * micros.Millisecond,
+		MaxLogEntries:   50_000,
+		HandoverTimeout: 1500 * micros.Millisecond,
 	}
 }
 
@@ -63,16 +63,16 @@
 // standbyElements are the elements of the section.
 func standbyElements(p *elementParser, s *Standby) section {
 	return section{check: s.check, fields: map[string]field{
-		"pull_ms":     p.milliseconds(&s.Pull, 20, 5_000),
-		"suspect_ms":  p.milliseconds(&s.Suspect, 100, 60_000),
-		"log_entries": p.count(&s.LogEntries, 1_000, 1_000_000),
-		"handover_ms": p.milliseconds(&s.Handover, 200, 10_000),
+		"pull_ms":     p.milliseconds(&s.QueryInterval, 20, 5_000),
+		"suspect_ms":  p.milliseconds(&s.SuspectAfter, 100, 60_000),
+		"log_entries": p.count(&s.MaxLogEntries, 1_000, 1_000_000),
+		"handover_ms": p.milliseconds(&s.HandoverTimeout, 200, 10_000),
 	}}
 }
 
 // check checks the settings against each other.
 func (s *Standby) check() error {
-	if s.Suspect <= s.Pull {
+	if s.SuspectAfter <= s.QueryInterval {
 		return errors.New("suspect_ms must be over pull_ms")
 	}
 	return nil
--- a/internal/settings/standby_test.go
+++ b/internal/settings/standby_test.go
@@ -12,7 +12,7 @@
 func TestParseStandby(t *testing.T) {
 	wrap := func(s string) string { return "<caperlatch><standby>" + s + "</standby></caperlatch>" }
 	changed := defaultStandby()
-	changed.Pull, changed.LogEntries = 50*micros.Millisecond, 2000
+	changed.QueryInterval, changed.MaxLogEntries = 50*micros.Millisecond, 2000
 	cases := []struct {
 		name, text string
 		want       Standby
--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -56,9 +56,9 @@
 }
 
 // Catalog is what this cloud offers.
-func Catalog() wire.Catalog {
-	return wire.Catalog{Types: []wire.MachineType{{
-		Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 2, Zones: []string{"a"},
+func Catalog() wire.InstanceTypeList {
+	return wire.InstanceTypeList{Types: []wire.InstanceType{{
+		Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 0.3, BootTimeS: 2, Zones: []string{"a"},
 	}}}
 }
 
@@ -79,16 +79,16 @@
 		}
 		send(w, http.StatusOK, offers)
 	case "GET/hosts":
-		send(w, http.StatusOK, wire.MachineList{Machines: []wire.ListedMachine{}})
+		send(w, http.StatusOK, wire.InstancePage{Instances: []wire.InstanceStatus{}})
 	case "POST/hosts":
-		var q wire.Rental
+		var q wire.LaunchRequest
 		if wire.Unmarshal(body, &q) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		ids, known := c.bookings[q.Request]
+		ids, known := c.bookings[q.RequestID]
 		if !known && c.full(q.Zone) {
-			send(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
+			send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
 			return
 		}
 		for i := 0; i < q.Count && !known && !c.full(q.Zone); i++ {
@@ -101,15 +101,15 @@
 			c.machines[id] = wk
 			c.Net.Handle(wk.address, wk)
 		}
-		c.bookings[q.Request] = ids
-		send(w, http.StatusOK, wire.Names{Machines: ids})
+		c.bookings[q.RequestID] = ids
+		send(w, http.StatusOK, wire.InstanceIDs{IDs: ids})
 	case "POST/hosts/return":
-		var q wire.Names
+		var q wire.InstanceIDs
 		if wire.Unmarshal(body, &q) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		for _, id := range q.Machines {
+		for _, id := range q.IDs {
 			if wk := c.machines[id]; wk != nil {
 				wk.stop()
 				delete(c.machines, id)
--- a/internal/sim/fake/fate.go
+++ b/internal/sim/fake/fate.go
@@ -26,7 +26,7 @@
 
 // Transaction is what a test is shown of a transaction to decide its fate.
 type Transaction struct {
-	Conditions []wire.Condition
+	Conditions []wire.Compare
 	Keys       []string // that it changes
 }
 
--- a/internal/sim/fake/gang.go
+++ b/internal/sim/fake/gang.go
@@ -83,7 +83,7 @@
 
 // fallBack has what ran since the last checkpoint be lost.
 func (g *gangs) fallBack(a *gangAttempt, job *wire.Job, until time.Time) {
-	if every := seconds(job.CheckpointS); every > 0 {
+	if every := seconds(job.CheckpointIntervalS); every > 0 {
 		g.saved[job.ID] = (g.saved[job.ID] + until.Sub(a.started)) / every * every
 	}
 }
@@ -93,8 +93,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.attempt(t, job).members[t.Task] = &gangMember{joined: now, seen: now}
-	t.State = wire.TaskWaiting
+	g.attempt(t, job).members[t.TaskID] = &gangMember{joined: now, seen: now}
+	t.State = wire.TaskWaitingForGang
 }
 
 // step has a task that is on its machine do what the others' state asks for, and tells
@@ -103,43 +103,43 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now, a, was := time.Now(), g.attempt(t, job), t.State
-	m := a.members[t.Task]
+	m := a.members[t.TaskID]
 	if m == nil {
 		m = &gangMember{joined: now}
-		a.members[t.Task] = m
+		a.members[t.TaskID] = m
 	}
 	m.seen = now
 	exit := func(cause string, saved bool) {
-		t.State, t.Cause, t.Saved = wire.TaskExited, cause, saved
-		if cause != wire.CauseDone && !a.stored {
-			delete(a.members, t.Task)
+		t.State, t.ExitReason, t.Checkpointed = wire.TaskExited, cause, saved
+		if cause != wire.ExitDone && !a.stored {
+			delete(a.members, t.TaskID)
 		}
 	}
 	switch {
 	case g.done[job.ID]:
-		exit(wire.CauseDone, false)
+		exit(wire.ExitDone, false)
 	case !a.firstStop.IsZero():
 		switch {
 		case a.stored && m.told:
-			exit(wire.CauseStopped, true)
-		case !a.failed && a.allTold(job) && a.all(job, now) && now.Sub(a.lastStop) >= seconds(job.SaveS):
+			exit(wire.ExitStopped, true)
+		case !a.failed && a.allTold(job) && a.all(job, now) && now.Sub(a.lastStop) >= seconds(job.CheckpointDurationS):
 			a.stored = true
 			g.saved[job.ID] += a.firstStop.Sub(a.started)
-			exit(wire.CauseStopped, true)
+			exit(wire.ExitStopped, true)
 		case !a.failed && (!a.all(job, now) || now.Sub(a.firstStop) > seconds(GangPeerS) && !a.allTold(job)):
 			a.failed = true
 			g.fallBack(a, job, a.firstStop)
 		}
 		if a.failed && m.told {
-			exit(wire.CauseStopped, false)
+			exit(wire.ExitStopped, false)
 		} else if a.failed {
-			exit(wire.CausePeers, false)
+			exit(wire.ExitGangTaskLost, false)
 		}
 	case !a.started.IsZero():
 		if a.all(job, now) && a.lost.IsZero() {
 			if !now.Before(a.ends) {
 				g.done[job.ID] = true
-				exit(wire.CauseDone, false)
+				exit(wire.ExitDone, false)
 			} else {
 				t.State = wire.TaskRunning
 			}
@@ -150,14 +150,14 @@
 			g.fallBack(a, job, now)
 		}
 		if now.Sub(a.lost) >= seconds(GangPeerS)-unseen {
-			exit(wire.CausePeers, false)
+			exit(wire.ExitGangTaskLost, false)
 		}
 	case a.all(job, now):
 		a.started, a.ends = now, now.Add(seconds(runFor)-g.saved[job.ID])
 		g.runs[job.ID]++
 		t.State = wire.TaskRunning
 	case now.Sub(m.joined) > seconds(GangWaitS):
-		exit(wire.CauseIncomplete, false)
+		exit(wire.ExitGangTimeout, false)
 	}
 	return t.State != was
 }
@@ -167,19 +167,19 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now, a := time.Now(), g.attempt(t, job)
-	m := a.members[t.Task]
+	m := a.members[t.TaskID]
 	switch {
-	case t.State == wire.TaskSaving && grace > 0:
+	case t.State == wire.TaskCheckpointing && grace > 0:
 		return
-	case m != nil && t.State == wire.TaskRunning && job.CheckpointS > 0 && grace >= job.SaveS:
+	case m != nil && t.State == wire.TaskRunning && job.CheckpointIntervalS > 0 && grace >= job.CheckpointDurationS:
 		if a.firstStop.IsZero() {
 			a.firstStop = now
 		}
-		a.lastStop, m.told, t.State = now, true, wire.TaskSaving
+		a.lastStop, m.told, t.State = now, true, wire.TaskCheckpointing
 		return
 	}
-	t.State, t.Cause = wire.TaskExited, wire.CauseStopped
-	delete(a.members, t.Task)
+	t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
+	delete(a.members, t.TaskID)
 }
 
 // GangRuns counts the attempts of a job of which all tasks ran at the same time.
@@ -223,7 +223,7 @@
 		w.mu.Lock()
 		for _, t := range w.tasks {
 			if t.State != wire.TaskExited {
-				out[t.Task] = t.State
+				out[t.TaskID] = t.State
 			}
 		}
 		w.mu.Unlock()
--- a/internal/sim/fake/gang_test.go
+++ b/internal/sim/fake/gang_test.go
@@ -36,13 +36,13 @@
 func newGangBench(t *testing.T, machines int) *gangBench {
 	n := NewNet()
 	rules := NewRules(time.Minute, map[string]float64{"blue": 0})
-	rules.Submits(wire.Job{ID: "j-000001", Team: "blue", Shape: wire.ShapeGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointS: 5, SaveS: 2, Spot: true})
+	rules.Submits(wire.Job{ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 2, AllowSpot: true})
 	b := &gangBench{t: t, cloud: NewCloud(n, rules, []string{"host-0:8080"}, 1, 60, func(string) float64 { return 20 })}
 	n.Handle("host-0:8080", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
-		send(rw, http.StatusOK, wire.ReportAnswer{Token: 1, Commands: []wire.Command{}})
+		send(rw, http.StatusOK, wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}})
 	}))
 	for i := range machines {
-		w := newWorker(b.cloud, fmt.Sprintf("i-%06d", i), wire.Rental{Type: "m4", Zone: "a", Spot: true})
+		w := newWorker(b.cloud, fmt.Sprintf("i-%06d", i), wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
 		b.workers = append(b.workers, w)
 	}
 	return b
@@ -62,11 +62,11 @@
 		w.Hang(e.hangsFor)
 		return
 	}
-	command := wire.Command{Verb: e.verb, Task: fmt.Sprintf("j-000001/%d", e.task), Attempt: e.attempt}
+	command := wire.Command{Verb: e.verb, TaskID: fmt.Sprintf("j-000001/%d", e.task), Attempt: e.attempt}
 	if e.verb == wire.VerbStop {
-		command.GraceS = &e.leewayS
+		command.GracePeriodS = &e.leewayS
 	}
-	body, err := wire.Marshal(wire.DirectCommands{Token: 1, Session: 1, Commands: []wire.Command{command}})
+	body, err := wire.Marshal(wire.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: []wire.Command{command}})
 	if err != nil {
 		b.t.Error(err)
 	}
@@ -81,9 +81,9 @@
 		state := "-"
 		for _, task := range w.tasks {
 			if state = task.State; state == wire.TaskExited {
-				state = task.Cause
+				state = task.ExitReason
 			}
-			if task.Saved {
+			if task.Checkpointed {
 				state += "+stored"
 			}
 		}
--- a/internal/sim/fake/restore.go
+++ b/internal/sim/fake/restore.go
@@ -9,14 +9,14 @@
 
 // Restore has the cloud own machines that report what they reported once, as if they had
 // been rented and worked on. The rules must know the jobs of their tasks.
-func (c *Cloud) Restore(reports []wire.Report) error {
+func (c *Cloud) Restore(reports []wire.Heartbeat) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range reports {
 		r := &reports[i]
-		rental := wire.Rental{Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-		c.Rules.Rented(r.Machine, rental)
-		w := makeWorker(c, r.Machine, rental)
+		rental := wire.LaunchRequest{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
+		c.Rules.Rented(r.MachineID, rental)
+		w := makeWorker(c, r.MachineID, rental)
 		w.restore(r)
 		c.machines[w.ID] = w
 		c.Net.Handle(w.address, w)
@@ -28,7 +28,7 @@
 		}
 	}
 	for i := range reports { // only now, since the tasks of a gang watch each other
-		w := c.machines[reports[i].Machine]
+		w := c.machines[reports[i].MachineID]
 		go w.run(w.ctx)
 	}
 	return nil
@@ -48,39 +48,39 @@
 // the lock.
 func (c *Cloud) restoreSite(t *workerTask, machine string) {
 	switch {
-	case t.State == wire.TaskFetching:
+	case t.State == wire.TaskPullingImage:
 		// Noted when it begins.
 	case t.State != wire.TaskExited:
-		c.Rules.Started(t.Task, machine)
-		c.sites[t.Task] = machine
-	case t.Cause == wire.CauseDone:
-		c.Rules.Started(t.Task, machine)
-		c.Rules.Left(t.Task, machine, true)
+		c.Rules.Started(t.TaskID, machine)
+		c.sites[t.TaskID] = machine
+	case t.ExitReason == wire.ExitDone:
+		c.Rules.Started(t.TaskID, machine)
+		c.Rules.Left(t.TaskID, machine, true)
 	}
 }
 
 // restore has a worker that does not run yet be as its report told.
-func (w *Worker) restore(r *wire.Report) {
-	w.session, w.seq, w.token = r.Session, r.Seq, r.Token
-	if r.NoticeS != nil {
-		w.recall = time.Now().Add(seconds(*r.NoticeS))
+func (w *Worker) restore(r *wire.Heartbeat) {
+	w.session, w.seq, w.token = r.Incarnation, r.Sequence, r.FencingToken
+	if r.InterruptionNoticeS != nil {
+		w.recall = time.Now().Add(seconds(*r.InterruptionNoticeS))
 	}
 	for _, reported := range r.Tasks {
-		t := &workerTask{ReportTask: reported}
-		job := w.job(t.Task)
+		t := &workerTask{TaskStatus: reported}
+		job := w.job(t.TaskID)
 		switch t.State {
-		case wire.TaskFetching:
+		case wire.TaskPullingImage:
 			t.ends = time.Now().Add(seconds(w.cloud.FetchS))
 		case wire.TaskRunning:
-			t.ends = time.Now().Add(seconds(w.cloud.RunFor(t.Task)))
-		case wire.TaskSaving:
-			t.ends = time.Now().Add(seconds(job.SaveS))
+			t.ends = time.Now().Add(seconds(w.cloud.RunFor(t.TaskID)))
+		case wire.TaskCheckpointing:
+			t.ends = time.Now().Add(seconds(job.CheckpointDurationS))
 		}
-		if t.State != wire.TaskFetching {
+		if t.State != wire.TaskPullingImage {
 			w.images[job.Image] = true
 		}
-		if job.Shape == wire.ShapeGang {
-			w.cloud.gangs.restore(t, &job, w.cloud.RunFor(t.Task))
+		if job.Kind == wire.KindGang {
+			w.cloud.gangs.restore(t, &job, w.cloud.RunFor(t.TaskID))
 		}
 		w.tasks = append(w.tasks, t)
 	}
@@ -93,18 +93,18 @@
 	now, a := time.Now(), g.attempt(t, job)
 	m := &gangMember{joined: now, seen: now}
 	switch t.State {
-	case wire.TaskFetching:
+	case wire.TaskPullingImage:
 		return
 	case wire.TaskExited:
-		if t.Cause == wire.CauseDone {
+		if t.ExitReason == wire.ExitDone {
 			g.done[job.ID] = true
 		}
 		return
-	case wire.TaskRunning, wire.TaskSaving:
+	case wire.TaskRunning, wire.TaskCheckpointing:
 		a.started, a.ends = now, now.Add(seconds(runFor))
 	}
-	if t.State == wire.TaskSaving {
+	if t.State == wire.TaskCheckpointing {
 		a.firstStop, a.lastStop, m.told = now, now, true
 	}
-	a.members[t.Task] = m
+	a.members[t.TaskID] = m
 }
--- a/internal/sim/fake/rules.go
+++ b/internal/sim/fake/rules.go
@@ -14,18 +14,18 @@
 // Rules watches what users are told and what runs, and notes each broken rule of the
 // protocol by its name there.
 type Rules struct {
-	Cancel time.Duration      // cancel_s
-	Limits map[string]float64 // CPUs that a team may use, by team; 0: no limit
-	Offers []wire.MachineType // what the cloud has
-	Watch  func(TaskEvent)    // is told what tasks do, in order; nil: nobody is
+	Cancel time.Duration       // cancel_s
+	Limits map[string]float64  // GuaranteedCPUs that a team may use, by team; 0: no limit
+	Offers []wire.InstanceType // what the cloud has
+	Watch  func(TaskEvent)     // is told what tasks do, in order; nil: nobody is
 
 	mu        sync.Mutex
 	jobs      map[string]*watched
 	on        map[string]string // task -> machine that has it
 	used      map[string]float64
-	kinds     map[string]wire.Rental // of machines
-	cancelled []*watched             // jobs that users were told are cancelled
-	after     int                    // starts of these
+	kinds     map[string]wire.LaunchRequest // of machines
+	cancelled []*watched                    // jobs that users were told are cancelled
+	after     int                           // starts of these
 	broken    []string
 }
 
@@ -64,7 +64,7 @@
 // NewRules watches nothing yet.
 func NewRules(cancel time.Duration, limits map[string]float64) *Rules {
 	return &Rules{Cancel: cancel, Limits: limits, Offers: Catalog().Types, jobs: map[string]*watched{}, on: map[string]string{},
-		used: map[string]float64{}, kinds: map[string]wire.Rental{}}
+		used: map[string]float64{}, kinds: map[string]wire.LaunchRequest{}}
 }
 
 func (r *Rules) breaks(rule, format string, args ...any) {
@@ -80,7 +80,7 @@
 }
 
 // Rented notes what kind of machine one is.
-func (r *Rules) Rented(machine string, kind wire.Rental) {
+func (r *Rules) Rented(machine string, kind wire.LaunchRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kinds[machine] = kind
@@ -102,7 +102,7 @@
 	}
 	kind := r.kinds[machine]
 	r.zones(w, task, kind.Zone)
-	if len(w.spec.Types) > 0 && !slices.Contains(w.spec.Types, kind.Type) || w.spec.Zone != "" && w.spec.Zone != kind.Zone || kind.Spot && !w.spec.Spot {
+	if len(w.spec.InstanceTypes) > 0 && !slices.Contains(w.spec.InstanceTypes, kind.InstanceType) || w.spec.Zone != "" && w.spec.Zone != kind.Zone || kind.Spot && !w.spec.AllowSpot {
 		r.breaks("wrong_place", "%s on %+v", task, kind)
 	}
 	if w.final == wire.JobCancelled {
@@ -138,7 +138,7 @@
 	if done {
 		w.done[task] = true
 	}
-	for t := 0; done && w.spec.Shape == wire.ShapeGang && t < w.spec.Tasks; t++ {
+	for t := 0; done && w.spec.Kind == wire.KindGang && t < w.spec.Tasks; t++ {
 		w.done[fmt.Sprintf("%s/%d", id, t)] = true // they complete together
 	}
 }
@@ -146,7 +146,7 @@
 // zones checks where a task of a job that binds its tasks to each other's zones starts,
 // given where its other tasks are.
 func (r *Rules) zones(w *watched, task, zone string) {
-	if !w.spec.OneZone && !w.spec.Spread {
+	if !w.spec.SingleZone && !w.spec.SpreadZones {
 		return
 	}
 	here := 1
@@ -156,11 +156,11 @@
 		}
 		if z := r.kinds[r.on[other]].Zone; z == zone {
 			here++
-		} else if w.spec.OneZone {
+		} else if w.spec.SingleZone {
 			r.breaks("wrong_place", "%s starts in zone %s while %s is in %s", task, zone, other, z)
 		}
 	}
-	if w.spec.Spread && here > (w.spec.Tasks+1)/2 {
+	if w.spec.SpreadZones && here > (w.spec.Tasks+1)/2 {
 		r.breaks("wrong_place", "%s makes %d of %d tasks in zone %s", task, here, w.spec.Tasks, zone)
 	}
 }
@@ -229,11 +229,11 @@
 		return "unknown team"
 	case limit > 0 && spec.CPUs > limit:
 		return "over the team's limit"
-	case limit > 0 && spec.Shape == wire.ShapeGang && spec.CPUs*float64(spec.Tasks) > limit+1e-6:
+	case limit > 0 && spec.Kind == wire.KindGang && spec.CPUs*float64(spec.Tasks) > limit+1e-6:
 		return "the whole gang is over the team's limit"
 	}
 	for _, t := range r.Offers {
-		if (len(spec.Types) == 0 || slices.Contains(spec.Types, t.Name)) && (spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)) &&
+		if (len(spec.InstanceTypes) == 0 || slices.Contains(spec.InstanceTypes, t.Name)) && (spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)) &&
 			spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs && spec.MemoryGB <= t.MemoryGB {
 			return ""
 		}
--- a/internal/sim/fake/rules_test.go
+++ b/internal/sim/fake/rules_test.go
@@ -23,7 +23,7 @@
 	}
 	// apart starts the tasks of a job on these machines.
 	apart := func(r *Rules, job wire.Job, machines ...string) {
-		job.ID, job.Team, job.Tasks, job.Spot = "j-000002", "blue", 4, true
+		job.ID, job.Team, job.Tasks, job.AllowSpot = "j-000002", "blue", 4, true
 		r.Submits(job)
 		for i, m := range machines {
 			r.Started(fmt.Sprintf("j-000002/%d", i), m)
@@ -106,14 +106,14 @@
 			time.Sleep(10 * time.Second)
 			r.Left("j-000001/0", "i-1", false)
 		}},
-		{"wrong_place", func(r *Rules) { apart(r, wire.Job{OneZone: true}, "i-1", "i-3") }},
-		{"", func(r *Rules) { apart(r, wire.Job{OneZone: true}, "i-1", "i-2", "i-2") }},
-		{"wrong_place", func(r *Rules) { apart(r, wire.Job{Spread: true}, "i-1", "i-3", "i-2", "i-1") }},
-		{"", func(r *Rules) { apart(r, wire.Job{Spread: true}, "i-1", "i-3", "i-2") }},
+		{"wrong_place", func(r *Rules) { apart(r, wire.Job{SingleZone: true}, "i-1", "i-3") }},
+		{"", func(r *Rules) { apart(r, wire.Job{SingleZone: true}, "i-1", "i-2", "i-2") }},
+		{"wrong_place", func(r *Rules) { apart(r, wire.Job{SpreadZones: true}, "i-1", "i-3", "i-2", "i-1") }},
+		{"", func(r *Rules) { apart(r, wire.Job{SpreadZones: true}, "i-1", "i-3", "i-2") }},
 		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "small", CPUs: 3}) }},
 		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "blue", CPUs: 5}) }},
 		{"accepted_wrong", func(r *Rules) {
-			accepted(r, wire.Job{Team: "small", CPUs: 1, Tasks: 3, Shape: wire.ShapeGang})
+			accepted(r, wire.Job{Team: "small", CPUs: 1, Tasks: 3, Kind: wire.KindGang})
 		}},
 		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "blue", CPUs: 1, Zone: "z"}) }},
 		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "nobody's", CPUs: 1}) }},
@@ -131,10 +131,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0})
 			for _, m := range []string{"i-1", "i-2"} {
-				r.Rented(m, wire.Rental{Type: "m4", Zone: "a", Spot: true})
+				r.Rented(m, wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
 			}
-			r.Rented("i-3", wire.Rental{Type: "m4", Zone: "b", Spot: true})
-			r.Submits(wire.Job{ID: "j-000001", Team: "small", Tasks: 2, CPUs: 1, Zone: "a", Spot: true})
+			r.Rented("i-3", wire.LaunchRequest{InstanceType: "m4", Zone: "b", Spot: true})
+			r.Submits(wire.Job{ID: "j-000001", Team: "small", Tasks: 2, CPUs: 1, Zone: "a", AllowSpot: true})
 			told(r, "POST", "/v1/jobs", 201, wire.JobPending)
 			c.day(r)
 			broken := r.Broken()
--- a/internal/sim/fake/state.go
+++ b/internal/sim/fake/state.go
@@ -14,11 +14,11 @@
 // State is a stand-in of the state service.
 type State struct {
 	// Check is shown each transaction's conditions and the keys that it changes, if set.
-	Check func(conditions []wire.Condition, keys []string)
+	Check func(conditions []wire.Compare, keys []string)
 
 	mu       sync.Mutex
 	revision uint64
-	keys     map[string]wire.Entry
+	keys     map[string]wire.KeyValue
 	log      []wire.Event
 	holds    map[uint64]*hold
 	nextHold uint64
@@ -35,11 +35,11 @@
 
 // NewState makes an empty state service.
 func NewState() *State {
-	return &State{keys: map[string]wire.Entry{}, holds: map[uint64]*hold{}, changed: make(chan struct{})}
+	return &State{keys: map[string]wire.KeyValue{}, holds: map[uint64]*hold{}, changed: make(chan struct{})}
 }
 
 // Get reads a key.
-func (s *State) Get(key string) (wire.Entry, bool) {
+func (s *State) Get(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.keys[key]
@@ -47,7 +47,7 @@
 }
 
 // Entries lists the keys with a prefix, in any order.
-func (s *State) Entries(prefix string) (entries []wire.Entry) {
+func (s *State) Entries(prefix string) (entries []wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, e := range s.keys {
@@ -63,8 +63,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.keys[key] = wire.Entry{Key: key, Value: value, Stamp: s.revision}
-	s.log = append(s.log, wire.Event{Write: key, Value: value, Stamp: s.revision})
+	s.keys[key] = wire.KeyValue{Key: key, Value: value, ModRevision: s.revision}
+	s.log = append(s.log, wire.Event{Put: key, Value: value, ModRevision: s.revision})
 	s.wake()
 }
 
@@ -146,16 +146,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	prefix, after := r.URL.Query().Get("starts"), r.URL.Query().Get("after")
-	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.revision}
+	page := wire.KeyPage{Entries: []wire.KeyValue{}, Revision: s.revision}
 	for key, e := range s.keys {
 		if strings.HasPrefix(key, prefix) && key > after {
 			page.Entries = append(page.Entries, e)
 		}
 	}
-	slices.SortFunc(page.Entries, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(page.Entries, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	const most = 3 // small, so that every test goes through several pages
 	if len(page.Entries) > most {
-		page.Entries, page.More = page.Entries[:most], true
+		page.Entries, page.HasMore = page.Entries[:most], true
 	}
 	send(w, http.StatusOK, page)
 }
@@ -168,9 +168,9 @@
 	defer deadline.Stop()
 	for {
 		s.mu.Lock()
-		answer := wire.Events{Revision: s.revision, Events: []wire.Event{}}
+		answer := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
 		for _, e := range s.log {
-			if e.Stamp > after && strings.HasPrefix(e.Write+e.Remove, q.Get("starts")) {
+			if e.ModRevision > after && strings.HasPrefix(e.Put+e.Delete, q.Get("starts")) {
 				answer.Events = append(answer.Events, e)
 			}
 		}
@@ -192,7 +192,7 @@
 
 // transaction is the body of a request for one.
 type transaction struct {
-	If   []wire.Condition `json:"when"`
+	If   []wire.Compare `json:"when"`
 	Then []struct {
 		Write  string   `json:"write"`
 		Value  wire.Raw `json:"data"`
@@ -225,18 +225,18 @@
 	}
 	for _, op := range t.Then {
 		if op.Hold != 0 && s.holds[op.Hold] == nil {
-			send(w, http.StatusBadRequest, wire.ErrorBody{Error: "no such lease"})
+			send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"})
 			return
 		}
 	}
 	var failed []string
 	for _, c := range t.If {
-		if s.keys[c.Key].Stamp != c.Stamp {
+		if s.keys[c.Key].ModRevision != c.ModRevision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		send(w, http.StatusConflict, wire.TxnAnswer{Revision: s.revision, Failed: failed})
+		send(w, http.StatusConflict, wire.TxnResponse{Revision: s.revision, Failed: failed})
 		return
 	}
 	s.revision++
@@ -245,17 +245,17 @@
 			s.remove(op.Remove)
 			continue
 		}
-		s.keys[op.Write] = wire.Entry{Key: op.Write, Value: op.Value, Stamp: s.revision, Hold: op.Hold}
-		s.log = append(s.log, wire.Event{Write: op.Write, Value: op.Value, Stamp: s.revision})
+		s.keys[op.Write] = wire.KeyValue{Key: op.Write, Value: op.Value, ModRevision: s.revision, SessionID: op.Hold}
+		s.log = append(s.log, wire.Event{Put: op.Write, Value: op.Value, ModRevision: s.revision})
 	}
 	s.wake()
-	send(w, http.StatusOK, wire.TxnAnswer{Revision: s.revision})
+	send(w, http.StatusOK, wire.TxnResponse{Revision: s.revision})
 }
 
 func (s *State) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
-		s.log = append(s.log, wire.Event{Remove: key, Stamp: s.revision})
+		s.log = append(s.log, wire.Event{Delete: key, ModRevision: s.revision})
 	}
 }
 
@@ -268,20 +268,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(path) == 0 {
-		var q wire.HoldRequest
+		var q wire.SessionRequest
 		if wire.Unmarshal(body, &q) != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 		s.nextHold++
 		id := s.nextHold
-		life := time.Duration(q.LifeMS) * time.Millisecond
+		life := time.Duration(q.TTLMS) * time.Millisecond
 		s.holds[id] = &hold{life, time.AfterFunc(life, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.end(id)
 		})}
-		send(w, http.StatusOK, wire.HoldAnswer{Hold: id})
+		send(w, http.StatusOK, wire.SessionResponse{SessionID: id})
 		return
 	}
 	id, _ := strconv.ParseUint(path[0], 10, 64)
@@ -302,7 +302,7 @@
 	delete(s.holds, id)
 	s.revision++
 	for key, e := range s.keys {
-		if e.Hold == id {
+		if e.SessionID == id {
 			s.remove(key)
 		}
 	}
--- a/internal/sim/fake/worker.go
+++ b/internal/sim/fake/worker.go
@@ -21,7 +21,7 @@
 	ID      string
 	cloud   *Cloud
 	address string
-	rental  wire.Rental
+	rental  wire.LaunchRequest
 	ctx     context.Context // ends with the machine
 	cancel  context.CancelFunc
 	client  *http.Client
@@ -40,19 +40,19 @@
 }
 
 type workerTask struct {
-	wire.ReportTask
+	wire.TaskStatus
 	ends time.Time // of what its state says
 }
 
 // newWorker is a worker that runs.
-func newWorker(c *Cloud, id string, r wire.Rental) *Worker {
+func newWorker(c *Cloud, id string, r wire.LaunchRequest) *Worker {
 	w := makeWorker(c, id, r)
 	go w.run(w.ctx)
 	return w
 }
 
 // makeWorker is a worker that does not run yet.
-func makeWorker(c *Cloud, id string, r wire.Rental) *Worker {
+func makeWorker(c *Cloud, id string, r wire.LaunchRequest) *Worker {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Worker{ID: id, cloud: c, address: id + workerPort, rental: r, ctx: ctx, cancel: cancel, session: 1,
 		client: &http.Client{Transport: c.Net.From(id)}, renewed: time.Now(), changed: make(chan struct{}, 1), images: map[string]bool{}}
@@ -107,7 +107,7 @@
 	if w.rental.Spot {
 		return t.SpotPrice
 	}
-	return t.Price
+	return t.OnDemandPrice
 }
 
 // Zone is where the machine is.
@@ -120,7 +120,7 @@
 	var out []string
 	for _, t := range w.tasks {
 		if t.State != wire.TaskExited {
-			out = append(out, t.Task)
+			out = append(out, t.TaskID)
 		}
 	}
 	return out
@@ -179,7 +179,7 @@
 	now := time.Now()
 	if now.Sub(w.renewed) > seconds(w.cloud.LeaseS) {
 		for _, t := range w.tasks {
-			w.cloud.left(t.Task, w.ID, false)
+			w.cloud.left(t.TaskID, w.ID, false)
 		}
 		w.tasks = nil
 		w.session++
@@ -189,7 +189,7 @@
 		return
 	}
 	for _, t := range w.tasks {
-		if job := w.job(t.Task); job.Shape == wire.ShapeGang && t.State != wire.TaskExited && t.State != wire.TaskFetching {
+		if job := w.job(t.TaskID); job.Kind == wire.KindGang && t.State != wire.TaskExited && t.State != wire.TaskPullingImage {
 			w.stepGang(t, &job)
 			continue
 		}
@@ -197,15 +197,15 @@
 			continue
 		}
 		switch t.State {
-		case wire.TaskFetching:
-			w.images[w.image(t.Task)] = true
+		case wire.TaskPullingImage:
+			w.images[w.image(t.TaskID)] = true
 			w.begin(t)
 		case wire.TaskRunning:
-			t.State, t.Cause = wire.TaskExited, wire.CauseDone
-			w.cloud.left(t.Task, w.ID, true)
-		case wire.TaskSaving:
-			t.State, t.Cause, t.Saved = wire.TaskExited, wire.CauseStopped, true
-			w.cloud.left(t.Task, w.ID, false)
+			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
+			w.cloud.left(t.TaskID, w.ID, true)
+		case wire.TaskCheckpointing:
+			t.State, t.ExitReason, t.Checkpointed = wire.TaskExited, wire.ExitStopped, true
+			w.cloud.left(t.TaskID, w.ID, false)
 		default:
 			continue
 		}
@@ -223,39 +223,39 @@
 
 // stepGang has a gang's task keep up with the others.
 func (w *Worker) stepGang(t *workerTask, job *wire.Job) {
-	if !w.cloud.gangs.step(t, job, w.cloud.RunFor(t.Task)) {
+	if !w.cloud.gangs.step(t, job, w.cloud.RunFor(t.TaskID)) {
 		return
 	}
 	if t.State == wire.TaskExited {
-		w.cloud.left(t.Task, w.ID, t.Cause == wire.CauseDone)
+		w.cloud.left(t.TaskID, w.ID, t.ExitReason == wire.ExitDone)
 	}
 	w.wake()
 }
 
 // begin has a task run that has its image.
 func (w *Worker) begin(t *workerTask) {
-	if job := w.job(t.Task); job.Shape == wire.ShapeGang {
-		w.cloud.started(t.Task, w.ID)
+	if job := w.job(t.TaskID); job.Kind == wire.KindGang {
+		w.cloud.started(t.TaskID, w.ID)
 		w.cloud.gangs.join(t, &job)
 		w.stepGang(t, &job)
 		return
 	}
-	run := seconds(w.cloud.RunFor(t.Task))
+	run := seconds(w.cloud.RunFor(t.TaskID))
 	t.State, t.ends = wire.TaskRunning, time.Now().Add(run)
-	w.cloud.started(t.Task, w.ID)
+	w.cloud.started(t.TaskID, w.ID)
 	time.AfterFunc(run, w.wake)
 }
 
-func (w *Worker) message() *wire.Report {
+func (w *Worker) message() *wire.Heartbeat {
 	w.seq++
-	r := &wire.Report{Machine: w.ID, Address: w.address, Type: w.rental.Type, Zone: w.rental.Zone, Spot: w.rental.Spot,
-		Session: w.session, Seq: w.seq, Token: w.token, Tasks: []wire.ReportTask{}}
+	r := &wire.Heartbeat{MachineID: w.ID, Address: w.address, InstanceType: w.rental.InstanceType, Zone: w.rental.Zone, Spot: w.rental.Spot,
+		Incarnation: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.ReportTask)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	if !w.recall.IsZero() {
 		left := max(0, time.Until(w.recall).Seconds())
-		r.NoticeS = &left
+		r.InterruptionNoticeS = &left
 	}
 	return r
 }
@@ -277,15 +277,15 @@
 	defer w.mu.Unlock()
 	switch code {
 	case http.StatusOK:
-		var a wire.ReportAnswer
+		var a wire.HeartbeatResponse
 		if w.ctx.Err() != nil {
 			return true
 		}
-		if wire.Unmarshal(body, &a) != nil || a.Token < w.token || r.Session != w.session {
+		if wire.Unmarshal(body, &a) != nil || a.FencingToken < w.token || r.Incarnation != w.session {
 			return true
 		}
-		if a.Token > w.token {
-			w.token = a.Token
+		if a.FencingToken > w.token {
+			w.token = a.FencingToken
 			w.wake()
 		}
 		w.renewed = sent
@@ -295,7 +295,7 @@
 	case http.StatusMisdirectedRequest:
 		var a wire.Redirect
 		if wire.Unmarshal(body, &a) == nil {
-			if i := slices.IndexFunc(w.cloud.Nodes, func(n string) bool { return n == a.ReportTo+":8080" }); i >= 0 {
+			if i := slices.IndexFunc(w.cloud.Nodes, func(n string) bool { return n == a.Member+":8080" }); i >= 0 {
 				w.node = i
 				w.wake()
 				return true
@@ -318,7 +318,7 @@
 	}
 }
 
-func (w *Worker) post(ctx context.Context, node string, r *wire.Report) (int, []byte) {
+func (w *Worker) post(ctx context.Context, node string, r *wire.Heartbeat) (int, []byte) {
 	b, err := wire.Marshal(r)
 	if err != nil {
 		panic(err)
@@ -343,21 +343,21 @@
 
 func (w *Worker) execute(commands []wire.Command) {
 	for _, c := range commands {
-		i := slices.IndexFunc(w.tasks, func(t *workerTask) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
+		i := slices.IndexFunc(w.tasks, func(t *workerTask) bool { return t.TaskID == c.TaskID && t.Attempt == c.Attempt })
 		switch c.Verb {
 		case wire.VerbStart:
 			if i >= 0 {
 				continue
 			}
-			t := &workerTask{ReportTask: wire.ReportTask{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}}
-			if slices.ContainsFunc(w.tasks, func(o *workerTask) bool { return o.Task == c.Task && o.State != wire.TaskExited }) {
-				t.State, t.Cause = wire.TaskExited, wire.CauseBusy
-			} else if w.cloud.Fails != nil && w.cloud.Fails(c.Task, w.ID) {
-				t.State, t.Cause = wire.TaskExited, wire.CauseError
-				w.cloud.started(c.Task, w.ID)
-				w.cloud.left(c.Task, w.ID, false)
-			} else if w.cloud.FetchS > 0 && !w.images[w.image(c.Task)] {
-				t.State, t.ends = wire.TaskFetching, time.Now().Add(seconds(w.cloud.FetchS))
+			t := &workerTask{TaskStatus: wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning}}
+			if slices.ContainsFunc(w.tasks, func(o *workerTask) bool { return o.TaskID == c.TaskID && o.State != wire.TaskExited }) {
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitOtherAttemptPresent
+			} else if w.cloud.Fails != nil && w.cloud.Fails(c.TaskID, w.ID) {
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitError
+				w.cloud.started(c.TaskID, w.ID)
+				w.cloud.left(c.TaskID, w.ID, false)
+			} else if w.cloud.FetchS > 0 && !w.images[w.image(c.TaskID)] {
+				t.State, t.ends = wire.TaskPullingImage, time.Now().Add(seconds(w.cloud.FetchS))
 			} else {
 				w.begin(t)
 			}
@@ -367,24 +367,24 @@
 				continue
 			}
 			grace := 0.0
-			if c.GraceS != nil {
-				grace = *c.GraceS
+			if c.GracePeriodS != nil {
+				grace = *c.GracePeriodS
 			}
-			job := w.job(c.Task)
-			if job.Shape == wire.ShapeGang && w.tasks[i].State != wire.TaskFetching {
+			job := w.job(c.TaskID)
+			if job.Kind == wire.KindGang && w.tasks[i].State != wire.TaskPullingImage {
 				if w.cloud.gangs.stop(w.tasks[i], &job, grace); w.tasks[i].State == wire.TaskExited {
-					w.cloud.left(c.Task, w.ID, false)
+					w.cloud.left(c.TaskID, w.ID, false)
 				}
 				w.wake()
 				continue
 			}
 			switch {
-			case w.tasks[i].State == wire.TaskRunning && job.CheckpointS > 0 && job.SaveS > 0 && grace >= job.SaveS:
-				w.tasks[i].State, w.tasks[i].ends = wire.TaskSaving, time.Now().Add(seconds(job.SaveS))
-			case w.tasks[i].State == wire.TaskSaving && grace > 0:
+			case w.tasks[i].State == wire.TaskRunning && job.CheckpointIntervalS > 0 && job.CheckpointDurationS > 0 && grace >= job.CheckpointDurationS:
+				w.tasks[i].State, w.tasks[i].ends = wire.TaskCheckpointing, time.Now().Add(seconds(job.CheckpointDurationS))
+			case w.tasks[i].State == wire.TaskCheckpointing && grace > 0:
 			default:
-				w.tasks[i].State, w.tasks[i].Cause = wire.TaskExited, wire.CauseStopped
-				w.cloud.left(c.Task, w.ID, false)
+				w.tasks[i].State, w.tasks[i].ExitReason = wire.TaskExited, wire.ExitStopped
+				w.cloud.left(c.TaskID, w.ID, false)
 			}
 		case wire.VerbClear:
 			if i >= 0 && w.tasks[i].State == wire.TaskExited {
@@ -398,7 +398,7 @@
 // ServeHTTP implements http.Handler: commands sent directly.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
-	var c wire.DirectCommands
+	var c wire.CommandRequest
 	if err != nil || wire.Unmarshal(body, &c) != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
@@ -411,11 +411,11 @@
 		rw.WriteHeader(http.StatusServiceUnavailable) // what was held by the machine is gone with it
 		return
 	}
-	if c.Token < w.token || c.Session != w.session {
+	if c.FencingToken < w.token || c.Incarnation != w.session {
 		send(rw, http.StatusConflict, w.message())
 		return
 	}
-	w.token = c.Token
+	w.token = c.FencingToken
 	w.execute(c.Commands)
 	send(rw, http.StatusOK, w.message())
 }
--- a/internal/sim/harness/users.go
+++ b/internal/sim/harness/users.go
@@ -54,7 +54,7 @@
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), userPatience)
 	defer cancel()
-	code, answer, err := wire.Exchange(ctx, u.Client, method, "http://"+host(node)+path, body)
+	code, answer, err := wire.Call(ctx, u.Client, method, "http://"+host(node)+path, body)
 	if err != nil {
 		return 0, wire.JobStatus{}
 	}
@@ -77,7 +77,7 @@
 	if err != nil {
 		panic(err)
 	}
-	id := wire.SubmittedID(content)
+	id := wire.ParseSubmissionID(content)
 	if spec, err := wire.ParseJob(content); err == nil {
 		u.Rules.Submits(spec)
 	} else if id != "" {
--- a/internal/sim/harness/world.go
+++ b/internal/sim/harness/world.go
@@ -65,16 +65,16 @@
 func surroundings(n *fake.Net, nodes int, s *settings.Settings, runFor func(task string) float64) (Users, *fake.Cloud) {
 	limits := map[string]float64{}
 	for _, team := range s.Params.Teams {
-		limits[team.Name] = team.CPUsMax
+		limits[team.Name] = team.MaxCPUs
 	}
 	var hosts []string
 	for i := range nodes {
 		hosts = append(hosts, host(i))
 	}
 	workers := s.Params.Workers
-	rules := fake.NewRules(workers.Cancel().Duration(), limits)
+	rules := fake.NewRules(workers.CancellationTimeout().Duration(), limits)
 	users := Users{Client: &http.Client{Transport: n.From("user")}, Rules: rules, Nodes: nodes}
-	return users, fake.NewCloud(n, rules, hosts, workers.ReportS, workers.LeaseS, runFor)
+	return users, fake.NewCloud(n, rules, hosts, workers.HeartbeatIntervalS, workers.LeaseDurationS, runFor)
 }
 
 // faultOf is the fault that a message meets.
--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -156,7 +156,7 @@
 	s, _ := sampleSettings(0, l.options.Nodes)
 	l.history = fake.NewHistory()
 	l.history.ClassOf, l.history.Hit = classOf, l.hit
-	l.history.Recent = s.Params.Workers.Lease().Duration()
+	l.history.Recent = s.Params.Workers.LeaseDuration().Duration()
 	l.processes.Rules.Watch = l.history.Watch
 	l.processes.Net.SetFault(l.faultOf)
 }
--- a/internal/sim/lab/lab_test.go
+++ b/internal/sim/lab/lab_test.go
@@ -51,7 +51,7 @@
 	defer l.processes.Close()
 	l.observe()
 	rules := l.processes.Rules
-	rules.Rented("i-000000", wire.Rental{Type: "m4", Zone: "a", Spot: true, Count: 1})
+	rules.Rented("i-000000", wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true, Count: 1})
 	rules.Submits(classes[0].job(jobID(0, 1)))
 	done := make(chan struct{})
 	go func() {
