--- a/internal/sim/lab/sample.go
+++ b/internal/sim/lab/sample.go
@@ -23,12 +23,12 @@
 	dueS     float64 // from the submission
 }
 
-// classes use some 40 CPUs together.
+// classes use some 40 GuaranteedCPUs together.
 var classes = []class{
-	{"interactive", wire.ShapeArray, wire.PriorityUrgent, time.Second, 4, 1, 5},
-	{"batch", wire.ShapeArray, "normal", 2 * time.Second, 12, 3, 15},
-	{"training", wire.ShapeGang, "normal", 6 * time.Second, 3, 4, 20},
-	{"nightly", wire.ShapeArray, "idle", 4 * time.Second, 10, 4, 60},
+	{"interactive", wire.KindArray, wire.PriorityUrgent, time.Second, 4, 1, 5},
+	{"batch", wire.KindArray, "normal", 2 * time.Second, 12, 3, 15},
+	{"training", wire.KindGang, "normal", 6 * time.Second, 3, 4, 20},
+	{"nightly", wire.KindArray, "idle", 4 * time.Second, 10, 4, 60},
 }
 
 // firstJob parts the numbers of the classes' jobs.
@@ -49,19 +49,19 @@
 // job is a class's job.
 func (c *class) job(id string) wire.Job {
 	return wire.Job{
-		ID:        id,
-		Class:     c.name,
-		Team:      "blue",
-		Shape:     c.shape,
-		Priority:  c.priority,
-		Tasks:     c.tasks,
-		CPUs:      1,
-		MemoryGB:  1,
-		Image:     c.name,
-		ImageGB:   1,
-		Spot:      true,
-		EstimateS: c.runS,
-		DeadlineS: &c.dueS,
+		ID:                id,
+		Class:             c.name,
+		Team:              "blue",
+		Kind:              c.shape,
+		Priority:          c.priority,
+		Tasks:             c.tasks,
+		CPUs:              1,
+		MemoryGB:          1,
+		Image:             c.name,
+		ImageSizeGB:       1,
+		AllowSpot:         true,
+		EstimatedRuntimeS: c.runS,
+		DeadlineS:         &c.dueS,
 	}
 }
 
@@ -80,7 +80,7 @@
 // runFor is how long a task of a job takes, in seconds.
 func (l *Lab) runFor(task string) float64 {
 	id, _, _ := strings.Cut(task, "/")
-	return l.processes.Rules.Job(id).EstimateS
+	return l.processes.Rules.Job(id).EstimatedRuntimeS
 }
 
 // submitAll gives a class's jobs until the time for jobs is over.
--- a/internal/statestore/batch.go
+++ b/internal/statestore/batch.go
@@ -158,8 +158,8 @@
 func transaction(batch []*put) wire.Txn {
 	var t wire.Txn
 	for _, p := range batch {
-		t.If = append(t.If, wire.Condition{Key: p.key, Stamp: p.stamp})
-		t.Then = append(t.Then, wire.Op{Write: p.key, Value: p.value})
+		t.If = append(t.If, wire.Compare{Key: p.key, ModRevision: p.stamp})
+		t.Then = append(t.Then, wire.Op{Put: p.key, Value: p.value})
 	}
 	return t
 }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -81,7 +81,7 @@
 // settings.State.Always. Only a new job's description may be larger, see AcceptsValue.
 func New(addr string, limits settings.State, transport http.RoundTripper) *Client {
 	present := limits.ValueKB
-	limits = limits.Always()
+	limits = limits.Strictest()
 	requests := limits.RPS * requestShare
 	burst := max(minWriteBurst, int(limits.WriteRPS/writeBurstPart))
 	return &Client{
@@ -129,7 +129,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	status, b, err := wire.Exchange(ctx, c.http, method, c.base+path, in)
+	status, b, err := wire.Call(ctx, c.http, method, c.base+path, in)
 	if err != nil {
 		c.failed.Store(int64(micros.Now()))
 		return 0, fmt.Errorf("state service: %w", err)
@@ -161,7 +161,7 @@
 	case http.StatusTooManyRequests:
 		return fmt.Errorf("state service: %w", ErrTooMany)
 	case http.StatusBadRequest:
-		var e wire.ErrorBody
+		var e wire.ErrorResponse
 		if wire.Unmarshal(answer, &e) == nil && e.Error == noSuchLease {
 			return ErrNoSession
 		}
@@ -174,12 +174,12 @@
 const maxPage = "500"
 
 // List reads a page of keys.
-func (c *Client) List(ctx context.Context, prefix, after string) (wire.EntryPage, error) {
+func (c *Client) List(ctx context.Context, prefix, after string) (wire.KeyPage, error) {
 	q := url.Values{"starts": {prefix}, "most": {maxPage}}
 	if after != "" {
 		q.Set("after", after)
 	}
-	var page wire.EntryPage
+	var page wire.KeyPage
 	code, err := c.call(ctx, http.MethodGet, "/store?"+q.Encode(), nil, &page, 2*Timeout)
 	if err == nil && code != http.StatusOK {
 		err = fmt.Errorf("state service: list answered %d", code)
@@ -198,7 +198,7 @@
 
 // Commit carries out a transaction at once and returns its revision.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	var a wire.TxnAnswer
+	var a wire.TxnResponse
 	code, err := c.call(ctx, http.MethodPost, "/txn", t, &a, Timeout)
 	switch {
 	case err != nil:
@@ -213,13 +213,13 @@
 
 // Watch returns the changes of keys with the prefix after a revision, waiting
 // at most wait for one. With no wait it is a read barrier.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait micros.Micros) (wire.Events, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait micros.Micros) (wire.WatchResponse, error) {
 	q := url.Values{
 		"starts":  {prefix},
 		"after":   {strconv.FormatUint(after, 10)},
 		"wait_ms": {strconv.FormatInt(int64(wait/micros.Millisecond), 10)},
 	}
-	var e wire.Events
+	var e wire.WatchResponse
 	code, err := c.call(ctx, http.MethodGet, "/watch?"+q.Encode(), nil, &e, wait+Timeout)
 	switch {
 	case err != nil:
@@ -235,12 +235,12 @@
 // NewSession begins a session, which the service calls a hold: it ends unless it is renewed
 // within life, and the keys written with it are removed then.
 func (c *Client) NewSession(ctx context.Context, life micros.Micros) (uint64, error) {
-	var a wire.HoldAnswer
-	code, err := c.call(ctx, http.MethodPost, "/holds", wire.HoldRequest{LifeMS: int64(life / micros.Millisecond)}, &a, Timeout)
+	var a wire.SessionResponse
+	code, err := c.call(ctx, http.MethodPost, "/holds", wire.SessionRequest{TTLMS: int64(life / micros.Millisecond)}, &a, Timeout)
 	if err == nil && code != http.StatusOK {
 		err = fmt.Errorf("state service: session answered %d", code)
 	}
-	return a.Hold, err
+	return a.SessionID, err
 }
 
 // RenewSession has a session live for its whole life again.
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -43,7 +43,7 @@
 		}
 		var keys []string
 		for _, op := range t.Then {
-			keys = append(keys, op.Write)
+			keys = append(keys, op.Put)
 		}
 		*sizes = append(*sizes, len(keys))
 		a := s(len(*sizes), keys)
@@ -69,7 +69,7 @@
 func TestErrors(t *testing.T) {
 	ctx := context.Background()
 	commit := func(c *Client) error {
-		_, err := c.Commit(ctx, wire.Txn{Then: []wire.Op{{Write: "c/x", Value: 1}}})
+		_, err := c.Commit(ctx, wire.Txn{Then: []wire.Op{{Put: "c/x", Value: 1}}})
 		return err
 	}
 	list := func(c *Client) error { _, err := c.List(ctx, "c/", ""); return err }
@@ -85,20 +85,20 @@
 		known bool  // it surely was not executed, or was
 		heard bool
 	}{
-		{"a transaction", commit, answer{200, wire.TxnAnswer{Revision: 9}}, nil, true, true},
-		{"conditions that failed", commit, answer{409, wire.TxnAnswer{Failed: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
-		{"a transaction that is too large", commit, answer{400, wire.ErrorBody{Error: "value too large"}}, ErrRefused, true, true},
-		{"a write by an ended session", commit, answer{400, wire.ErrorBody{Error: noSuchLease}}, ErrNoSession, true, true},
+		{"a transaction", commit, answer{200, wire.TxnResponse{Revision: 9}}, nil, true, true},
+		{"conditions that failed", commit, answer{409, wire.TxnResponse{Failed: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
+		{"a transaction that is too large", commit, answer{400, wire.ErrorResponse{Error: "value too large"}}, ErrRefused, true, true},
+		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Error: noSuchLease}}, ErrNoSession, true, true},
 		{"too many changes", commit, answer{429, nil}, ErrTooMany, true, true},
 		{"an outage", commit, answer{503, nil}, ErrUnavailable, true, false},
 		{"no answer", commit, answer{}, errCut, false, false},
 		{"an answer that nobody knows", commit, answer{500, nil}, nil, false, true},
-		{"a list", list, answer{200, wire.EntryPage{}}, nil, true, true},
+		{"a list", list, answer{200, wire.KeyPage{}}, nil, true, true},
 		{"no list", list, answer{404, nil}, nil, false, true},
-		{"a watch", watch, answer{200, wire.Events{}}, nil, true, true},
+		{"a watch", watch, answer{200, wire.WatchResponse{}}, nil, true, true},
 		{"a watch from a revision that is gone", watch, answer{410, nil}, ErrCompacted, true, true},
 		{"a watch in an outage", watch, answer{503, nil}, ErrUnavailable, true, false},
-		{"a session", open, answer{200, wire.HoldAnswer{Hold: 7}}, nil, true, true},
+		{"a session", open, answer{200, wire.SessionResponse{SessionID: 7}}, nil, true, true},
 		{"a renewal", renew, answer{200, nil}, nil, true, true},
 		{"a renewal of an ended session", renew, answer{404, nil}, ErrNoSession, true, true},
 		{"an end", end, answer{204, nil}, nil, true, true},
@@ -132,7 +132,7 @@
 // what it takes for storable: the smaller of the limits before and after a change.
 func TestLimits(t *testing.T) {
 	half, ops, kb := 50.0, 2, 2.0
-	later := settings.StateLater{RPS: &half, WriteRPS: &half, TxnOps: &ops, ValueKB: &kb}
+	later := settings.UpcomingLimits{RPS: &half, WriteRPS: &half, TxnOps: &ops, ValueKB: &kb}
 	cases := []struct {
 		name           string
 		limits         settings.State
@@ -142,12 +142,12 @@
 	}{
 		{"wide", settings.State{RPS: 200, WriteRPS: 100, ValueKB: 4, TxnOps: 8}, 1100, 633, 8, 8, 4},
 		{"few changes", settings.State{RPS: 100, WriteRPS: 6, ValueKB: 4, TxnOps: 8}, 550, 39, 8, 3, 4},
-		{"lower later", settings.State{RPS: 100, WriteRPS: 100, ValueKB: 4, TxnOps: 8, Next: later}, 275, 275, 2, 2, 2},
+		{"lower later", settings.State{RPS: 100, WriteRPS: 100, ValueKB: 4, TxnOps: 8, Upcoming: later}, 275, 275, 2, 2, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				client, _ := service(func(int, []string) answer { return answer{200, wire.TxnAnswer{}} }).client(c.limits)
+				client, _ := service(func(int, []string) answer { return answer{200, wire.TxnResponse{}} }).client(c.limits)
 				count := func(send func(ctx context.Context) error) (n int) {
 					ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 					defer cancel()
@@ -159,7 +159,7 @@
 				}
 				near := func(got, want int) bool { return got >= want-2 && got <= want+2 }
 				requests := count(func(ctx context.Context) error { _, err := client.List(ctx, "", ""); return err })
-				one := wire.Txn{Then: []wire.Op{{Write: "c/x"}}}
+				one := wire.Txn{Then: []wire.Op{{Put: "c/x"}}}
 				changes := count(func(ctx context.Context) error { _, err := client.CommitPaced(ctx, one); return err })
 				if !near(requests, c.requests) || !near(changes, c.changes) {
 					t.Errorf("%d requests and %d changes, want %d and %d", requests, changes, c.requests, c.changes)
@@ -187,11 +187,11 @@
 		want  map[int]error // of other than nil, by write
 		sizes string        // of the transactions
 	}{
-		{"all taken", second, answer{200, wire.TxnAnswer{Revision: 9}}, nil, "[1 4 3]"},
-		{"a condition fails, the others go on without it", withKey, answer{409, wire.TxnAnswer{Failed: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
-		{"a conflict that names none of them", withKey, answer{409, wire.TxnAnswer{Failed: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
-		{"a value is refused, halves find it", withKey, answer{400, wire.ErrorBody{Error: "value too large"}}, map[int]error{2: ErrRefused}, "[1 4 2 1 1 2 3]"},
-		{"their number is refused, fewer go from then on", many, answer{400, wire.ErrorBody{Error: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
+		{"all taken", second, answer{200, wire.TxnResponse{Revision: 9}}, nil, "[1 4 3]"},
+		{"a condition fails, the others go on without it", withKey, answer{409, wire.TxnResponse{Failed: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
+		{"a conflict that names none of them", withKey, answer{409, wire.TxnResponse{Failed: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
+		{"a value is refused, halves find it", withKey, answer{400, wire.ErrorResponse{Error: "value too large"}}, map[int]error{2: ErrRefused}, "[1 4 2 1 1 2 3]"},
+		{"their number is refused, fewer go from then on", many, answer{400, wire.ErrorResponse{Error: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
 		{"no answer", second, answer{}, all(errCut), "[1 4 3]"},
 		{"too many at once", second, answer{429, nil}, all(ErrTooMany), "[1 4 3]"},
 	}
@@ -205,7 +205,7 @@
 					if c.where(n, keys) {
 						return c.answer
 					}
-					return answer{200, wire.TxnAnswer{Revision: 9}}
+					return answer{200, wire.TxnResponse{Revision: 9}}
 				}).client(testLimits)
 				b := NewBatcher(client)
 				var errs [8]error
--- a/internal/wire/exchange.go
+++ b/internal/wire/exchange.go
@@ -8,9 +8,9 @@
 	"net/http"
 )
 
-// Exchange sends a request, with in as its body unless that is nil, and reads
+// Call sends a request, with in as its body unless that is nil, and reads
 // the whole answer. After an error nobody knows whether it was carried out.
-func Exchange(ctx context.Context, c *http.Client, method, url string, in any) (status int, answer []byte, err error) {
+func Call(ctx context.Context, c *http.Client, method, url string, in any) (status int, answer []byte, err error) {
 	var body io.Reader
 	if in != nil {
 		b, err := Marshal(in)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -12,29 +12,29 @@
 	golden.Of[Job]("a job"),
 	golden.Of[submission]("a submission"),
 	golden.Of[JobStatus]("the status of a job"),
-	golden.Of[Report]("a worker's report"),
-	golden.Of[ReportTask]("a task in a report"),
+	golden.Of[Heartbeat]("a worker's report"),
+	golden.Of[TaskStatus]("a task in a report"),
 	golden.Of[Command]("an order to a worker"),
-	golden.Of[ReportAnswer]("the answer to a report"),
+	golden.Of[HeartbeatResponse]("the answer to a report"),
 	golden.Of[Redirect]("the answer that sends a worker to another node"),
-	golden.Of[DirectCommands]("a request to a worker's own address"),
-	golden.Of[MachineType]("a type in the catalog"),
-	golden.Of[Catalog]("the catalog"),
-	golden.Of[Rental]("a request for machines"),
-	golden.Of[Names]("names of machines"),
-	golden.Of[ListedMachine]("a machine in the cloud's list"),
-	golden.Of[MachineList]("a page of the cloud's list"),
-	golden.Of[Entry]("a key of the state service"),
-	golden.Of[EntryPage]("a page of keys"),
-	golden.Of[Condition]("a condition of a transaction"),
+	golden.Of[CommandRequest]("a request to a worker's own address"),
+	golden.Of[InstanceType]("a type in the catalog"),
+	golden.Of[InstanceTypeList]("the catalog"),
+	golden.Of[LaunchRequest]("a request for machines"),
+	golden.Of[InstanceIDs]("names of machines"),
+	golden.Of[InstanceStatus]("a machine in the cloud's list"),
+	golden.Of[InstancePage]("a page of the cloud's list"),
+	golden.Of[KeyValue]("a key of the state service"),
+	golden.Of[KeyPage]("a page of keys"),
+	golden.Of[Compare]("a condition of a transaction"),
 	golden.Of[Op]("a change in a transaction"),
 	golden.Of[Txn]("a transaction"),
-	golden.Of[TxnAnswer]("the answer to a transaction"),
+	golden.Of[TxnResponse]("the answer to a transaction"),
 	golden.Of[Event]("a change seen by a watch"),
-	golden.Of[Events]("the answer to a watch"),
-	golden.Of[HoldRequest]("a request for a hold"),
-	golden.Of[HoldAnswer]("the answer to it"),
-	golden.Of[ErrorBody]("what was wrong"),
+	golden.Of[WatchResponse]("the answer to a watch"),
+	golden.Of[SessionRequest]("a request for a hold"),
+	golden.Of[SessionResponse]("the answer to it"),
+	golden.Of[ErrorResponse]("what was wrong"),
 	golden.Of[struct{}]("nothing"),
 }
 
@@ -54,12 +54,12 @@
 	}{
 		{"priorities", priorities},
 		{"the priority of urgent work", PriorityUrgent},
-		{"shapes of jobs", []string{ShapeArray, ShapeGang, ShapeService}},
+		{"shapes of jobs", []string{KindArray, KindGang, KindService}},
 		{"states of jobs", []string{JobPending, JobRunning, JobDone, JobCancelled}},
-		{"states of tasks", []string{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}},
-		{"causes of exits", []string{CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseNoSuch, CausePeers, CauseIncomplete}},
+		{"states of tasks", []string{TaskPullingImage, TaskWaitingForGang, TaskRunning, TaskCheckpointing, TaskExited}},
+		{"causes of exits", []string{ExitDone, ExitStopped, ExitError, ExitInsufficientResources, ExitOtherAttemptPresent, ExitJobNotFound, ExitGangTaskLost, ExitGangTimeout}},
 		{"orders", []string{VerbStart, VerbStop, VerbClear}},
-		{"states of machines", []string{MachineBooting, MachineRunning, MachineFailed}},
+		{"states of machines", []string{InstanceBooting, InstanceRunning, InstanceFailed}},
 		{"type of bodies", ContentType},
 		{"limits", []int{MaxBody, MaxTasks}},
 	}
@@ -91,7 +91,7 @@
 		}
 		_, err = ParseJob(b)
 		sections = append(sections, golden.Section{Name: c.name, Text: fmt.Sprint(err)})
-		var report Report
+		var report Heartbeat
 		sections = append(sections, golden.Section{Name: c.name + ", for a report", Text: fmt.Sprint(Unmarshal(b, &report))})
 	}
 	golden.Check(t, "errors.golden", sections)
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -12,64 +12,64 @@
 
 // Job is a checked job description, as it is also stored.
 type Job struct {
-	ID          string   `json:"id"`
-	Class       string   `json:"lane"`
-	Team        string   `json:"desk"`
-	Shape       string   `json:"shape"`
-	Priority    string   `json:"rank"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"vcpus"`
-	GPUs        float64  `json:"cards"`
-	MemoryGB    float64  `json:"memory_gb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"pull_gb"`
-	Types       []string `json:"builds,omitempty"`
-	Zone        string   `json:"hall,omitempty"`
-	OneZone     bool     `json:"together"`
-	Spread      bool     `json:"scatter"`
-	Spot        bool     `json:"standby"`
-	EstimateS   float64  `json:"expect_s"`
-	CheckpointS float64  `json:"save_every_s"`
-	SaveS       float64  `json:"store_s"`
-	DeadlineS   *float64 `json:"due_s,omitempty"`
+	ID                  string   `json:"id"`
+	Class               string   `json:"lane"`
+	Team                string   `json:"desk"`
+	Kind                string   `json:"shape"`
+	Priority            string   `json:"rank"`
+	Tasks               int      `json:"pieces"`
+	CPUs                float64  `json:"vcpus"`
+	GPUs                float64  `json:"cards"`
+	MemoryGB            float64  `json:"memory_gb"`
+	Image               string   `json:"bundle"`
+	ImageSizeGB         float64  `json:"pull_gb"`
+	InstanceTypes       []string `json:"builds,omitempty"`
+	Zone                string   `json:"hall,omitempty"`
+	SingleZone          bool     `json:"together"`
+	SpreadZones         bool     `json:"scatter"`
+	AllowSpot           bool     `json:"standby"`
+	EstimatedRuntimeS   float64  `json:"expect_s"`
+	CheckpointIntervalS float64  `json:"save_every_s"`
+	CheckpointDurationS float64  `json:"store_s"`
+	DeadlineS           *float64 `json:"due_s,omitempty"`
 }
 
 // submission has a pointer for every field that must be there.
 type submission struct {
-	ID          *string  `json:"id"`
-	Class       *string  `json:"lane"`
-	Team        *string  `json:"desk"`
-	Shape       *string  `json:"shape"`
-	Priority    *string  `json:"rank"`
-	Tasks       *int     `json:"pieces"`
-	CPUs        *float64 `json:"vcpus"`
-	GPUs        *float64 `json:"cards"`
-	MemoryGB    *float64 `json:"memory_gb"`
-	Image       *string  `json:"bundle"`
-	ImageGB     *float64 `json:"pull_gb"`
-	Types       []string `json:"builds"`
-	Zone        *string  `json:"hall"`
-	OneZone     *bool    `json:"together"`
-	Spread      *bool    `json:"scatter"`
-	Spot        *bool    `json:"standby"`
-	EstimateS   *float64 `json:"expect_s"`
-	CheckpointS *float64 `json:"save_every_s"`
-	SaveS       *float64 `json:"store_s"`
-	DeadlineS   *float64 `json:"due_s"`
+	ID                  *string  `json:"id"`
+	Class               *string  `json:"lane"`
+	Team                *string  `json:"desk"`
+	Kind                *string  `json:"shape"`
+	Priority            *string  `json:"rank"`
+	Tasks               *int     `json:"pieces"`
+	CPUs                *float64 `json:"vcpus"`
+	GPUs                *float64 `json:"cards"`
+	MemoryGB            *float64 `json:"memory_gb"`
+	Image               *string  `json:"bundle"`
+	ImageSizeGB         *float64 `json:"pull_gb"`
+	InstanceTypes       []string `json:"builds"`
+	Zone                *string  `json:"hall"`
+	SingleZone          *bool    `json:"together"`
+	SpreadZones         *bool    `json:"scatter"`
+	AllowSpot           *bool    `json:"standby"`
+	EstimatedRuntimeS   *float64 `json:"expect_s"`
+	CheckpointIntervalS *float64 `json:"save_every_s"`
+	CheckpointDurationS *float64 `json:"store_s"`
+	DeadlineS           *float64 `json:"due_s"`
 }
 
 var jobID = regexp.MustCompile(`^j-[0-9]{6,19}$`)
 
-// ValidJobID tells whether an id has the protocol's form.
-func ValidJobID(id string) bool { return jobID.MatchString(id) }
+// IsValidJobID tells whether an id has the protocol's form.
+func IsValidJobID(id string) bool { return jobID.MatchString(id) }
 
-// SubmittedID reads only the id of a submission: a known job is answered
+// ParseSubmissionID reads only the id of a submission: a known job is answered
 // whatever else its repeat says. It is empty if there is none in good form.
-func SubmittedID(body []byte) string {
+func ParseSubmissionID(body []byte) string {
 	var s struct {
 		ID string `json:"id"`
 	}
-	if Unmarshal(body, &s) != nil || !ValidJobID(s.ID) {
+	if Unmarshal(body, &s) != nil || !IsValidJobID(s.ID) {
 		return ""
 	}
 	return s.ID
@@ -106,23 +106,23 @@
 func (s *submission) job() (Job, error) {
 	var r fieldReader
 	job := Job{
-		ID:          r.text("id", s.ID),
-		Class:       r.text("lane", s.Class),
-		Team:        r.text("desk", s.Team),
-		Shape:       r.text("shape", s.Shape),
-		Priority:    r.text("rank", s.Priority),
-		CPUs:        r.amount("vcpus", s.CPUs),
-		GPUs:        r.amount("cards", s.GPUs),
-		MemoryGB:    r.amount("memory_gb", s.MemoryGB),
-		Image:       r.text("bundle", s.Image),
-		ImageGB:     r.amount("pull_gb", s.ImageGB),
-		Types:       s.Types,
-		OneZone:     r.flag("together", s.OneZone),
-		Spread:      r.flag("scatter", s.Spread),
-		Spot:        r.flag("standby", s.Spot),
-		EstimateS:   r.amount("expect_s", s.EstimateS),
-		CheckpointS: r.amount("save_every_s", s.CheckpointS),
-		SaveS:       r.amount("store_s", s.SaveS),
+		ID:                  r.text("id", s.ID),
+		Class:               r.text("lane", s.Class),
+		Team:                r.text("desk", s.Team),
+		Kind:                r.text("shape", s.Kind),
+		Priority:            r.text("rank", s.Priority),
+		CPUs:                r.amount("vcpus", s.CPUs),
+		GPUs:                r.amount("cards", s.GPUs),
+		MemoryGB:            r.amount("memory_gb", s.MemoryGB),
+		Image:               r.text("bundle", s.Image),
+		ImageSizeGB:         r.amount("pull_gb", s.ImageSizeGB),
+		InstanceTypes:       s.InstanceTypes,
+		SingleZone:          r.flag("together", s.SingleZone),
+		SpreadZones:         r.flag("scatter", s.SpreadZones),
+		AllowSpot:           r.flag("standby", s.AllowSpot),
+		EstimatedRuntimeS:   r.amount("expect_s", s.EstimatedRuntimeS),
+		CheckpointIntervalS: r.amount("save_every_s", s.CheckpointIntervalS),
+		CheckpointDurationS: r.amount("store_s", s.CheckpointDurationS),
 	}
 	if s.Zone != nil {
 		job.Zone = r.text("hall", s.Zone)
@@ -137,9 +137,9 @@
 // check tells what the protocol does not allow in a job that has all its fields.
 func (s *submission) check(job *Job) error {
 	switch {
-	case !ValidJobID(job.ID):
+	case !IsValidJobID(job.ID):
 		return errors.New("id is not in the form j-000000")
-	case job.Shape != ShapeArray && job.Shape != ShapeGang && job.Shape != ShapeService:
+	case job.Kind != KindArray && job.Kind != KindGang && job.Kind != KindService:
 		return errors.New("shape is unknown")
 	case PriorityRank(job.Priority) < 0:
 		return errors.New("rank is unknown")
@@ -147,7 +147,7 @@
 		return errors.New("pieces is missing")
 	case *s.Tasks < 1 || *s.Tasks > MaxTasks:
 		return errors.New("pieces is out of range")
-	case s.Types != nil && len(s.Types) == 0:
+	case s.InstanceTypes != nil && len(s.InstanceTypes) == 0:
 		return errors.New("builds is empty")
 	}
 	return nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -77,8 +77,8 @@
 	return len(b)
 }
 
-// ErrTooLarge says that a body is over MaxBody.
-var ErrTooLarge = errors.New("body over the limit")
+// ErrBodyTooLarge says that a body is over MaxBody.
+var ErrBodyTooLarge = errors.New("body over the limit")
 
 // maxJSONPerByte is how many JSON characters a CBOR byte can stand for. Only bodies that may
 // be too large by it need to be measured.
@@ -91,12 +91,12 @@
 		return nil, fmt.Errorf("read body: %w", err)
 	}
 	if buf.Len() > MaxBody {
-		return nil, ErrTooLarge
+		return nil, ErrBodyTooLarge
 	}
 	if buf.Len() > MaxBody/maxJSONPerByte {
 		var v map[string]any
 		if err := Unmarshal(buf.Bytes(), &v); err == nil && JSONSize(v) > MaxBody {
-			return nil, ErrTooLarge
+			return nil, ErrBodyTooLarge
 		}
 	}
 	return buf.Bytes(), nil
@@ -122,9 +122,9 @@
 // tasks that run until the job is cancelled. The protocol tells of the first two
 // alone; see docs/questions.md.
 const (
-	ShapeArray   = "sweep"
-	ShapeGang    = "gang"
-	ShapeService = "service"
+	KindArray   = "sweep"
+	KindGang    = "gang"
+	KindService = "service"
 )
 
 // Job states as users see them.
@@ -147,57 +147,57 @@
 // attempt do not. One that loses its gang or is being stopped with it is still called
 // running until it exits.
 const (
-	TaskFetching = "pulling"
-	TaskWaiting  = "waiting"
-	TaskRunning  = "running"
-	TaskSaving   = "flushing"
-	TaskExited   = "ended"
+	TaskPullingImage   = "pulling"
+	TaskWaitingForGang = "waiting"
+	TaskRunning        = "running"
+	TaskCheckpointing  = "flushing"
+	TaskExited         = "ended"
 )
 
 // Causes of an exit.
 const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseNoRoom  = "no_room"
-	CauseBusy    = "busy"
-	CauseNoSuch  = "no_such"
+	ExitDone                  = "done"
+	ExitStopped               = "stopped"
+	ExitError                 = "error"
+	ExitInsufficientResources = "no_room"
+	ExitOtherAttemptPresent   = "busy"
+	ExitJobNotFound           = "no_such"
 	// Of a gang's tasks: another one is gone; not all were there within gang_wait_s.
-	CausePeers      = "peers"
-	CauseIncomplete = "incomplete"
+	ExitGangTaskLost = "peers"
+	ExitGangTimeout  = "incomplete"
 )
 
-// KnownState tells whether a task's state is one of the protocol's.
-func KnownState(state string) bool {
-	return slices.Contains([]string{TaskFetching, TaskWaiting, TaskRunning, TaskSaving, TaskExited}, state)
+// IsKnownTaskState tells whether a task's state is one of the protocol's.
+func IsKnownTaskState(state string) bool {
+	return slices.Contains([]string{TaskPullingImage, TaskWaitingForGang, TaskRunning, TaskCheckpointing, TaskExited}, state)
 }
 
-// KnownCause tells whether the cause of an exit is one of the protocol's.
-func KnownCause(cause string) bool {
-	return slices.Contains([]string{CauseDone, CauseStopped, CauseError, CauseNoRoom, CauseBusy, CauseNoSuch, CausePeers, CauseIncomplete}, cause)
+// IsKnownExitReason tells whether the cause of an exit is one of the protocol's.
+func IsKnownExitReason(cause string) bool {
+	return slices.Contains([]string{ExitDone, ExitStopped, ExitError, ExitInsufficientResources, ExitOtherAttemptPresent, ExitJobNotFound, ExitGangTaskLost, ExitGangTimeout}, cause)
 }
 
-// Report is what a worker tells of itself.
-type Report struct {
-	Machine string       `json:"host"`
-	Address string       `json:"address"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"hall"`
-	Spot    bool         `json:"standby"`
-	Session uint64       `json:"shift"`
-	Seq     uint64       `json:"tick"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"recall_s"`
-	Tasks   []ReportTask `json:"pieces"`
+// Heartbeat is what a worker tells of itself.
+type Heartbeat struct {
+	MachineID           string       `json:"host"`
+	Address             string       `json:"address"`
+	InstanceType        string       `json:"build"`
+	Zone                string       `json:"hall"`
+	Spot                bool         `json:"standby"`
+	Incarnation         uint64       `json:"shift"`
+	Sequence            uint64       `json:"tick"`
+	FencingToken        uint64       `json:"baton"`
+	InterruptionNoticeS *float64     `json:"recall_s"`
+	Tasks               []TaskStatus `json:"pieces"`
 }
 
-// ReportTask is one task in a report.
-type ReportTask struct {
-	Task    string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	State   string `json:"status"`
-	Cause   string `json:"cause,omitempty"`
-	Saved   bool   `json:"stored,omitempty"`
+// TaskStatus is one task in a report.
+type TaskStatus struct {
+	TaskID       string `json:"piece"`
+	Attempt      uint64 `json:"try"`
+	State        string `json:"status"`
+	ExitReason   string `json:"cause,omitempty"`
+	Checkpointed bool   `json:"stored,omitempty"`
 }
 
 // Verbs of commands.
@@ -209,154 +209,154 @@
 
 // Command is one order to a worker.
 type Command struct {
-	Verb    string   `json:"verb"`
-	Task    string   `json:"piece"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"leeway_s,omitempty"`
+	Verb         string   `json:"verb"`
+	TaskID       string   `json:"piece"`
+	Attempt      uint64   `json:"try"`
+	GracePeriodS *float64 `json:"leeway_s,omitempty"`
 }
 
-// ReportAnswer is the answer to a report.
-type ReportAnswer struct {
-	Token    uint64    `json:"baton"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse is the answer to a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect sends a worker to another node.
 type Redirect struct {
-	ReportTo string `json:"reports_to,omitempty"`
+	Member string `json:"reports_to,omitempty"`
 }
 
-// DirectCommands is the body of a request to a worker's own address.
-type DirectCommands struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"shift"`
-	Commands []Command `json:"orders"`
+// CommandRequest is the body of a request to a worker's own address.
+type CommandRequest struct {
+	FencingToken uint64    `json:"baton"`
+	Incarnation  uint64    `json:"shift"`
+	Commands     []Command `json:"orders"`
 }
 
-// MachineType is an entry of the catalog.
-type MachineType struct {
-	Name        string   `json:"name"`
-	CPUs        float64  `json:"vcpus"`
-	GPUs        float64  `json:"cards"`
-	MemoryGB    float64  `json:"memory_gb"`
-	CacheGB     float64  `json:"local_gb"`
-	FetchGBPerS float64  `json:"fetch_gb_per_s"`
-	Price       float64  `json:"price"`
-	SpotPrice   float64  `json:"low_price"`
-	BootS       float64  `json:"startup_s"`
-	Zones       []string `json:"halls"`
+// InstanceType is an entry of the catalog.
+type InstanceType struct {
+	Name            string   `json:"name"`
+	CPUs            float64  `json:"vcpus"`
+	GPUs            float64  `json:"cards"`
+	MemoryGB        float64  `json:"memory_gb"`
+	ImageCacheGB    float64  `json:"local_gb"`
+	ImagePullGBPerS float64  `json:"fetch_gb_per_s"`
+	OnDemandPrice   float64  `json:"price"`
+	SpotPrice       float64  `json:"low_price"`
+	BootTimeS       float64  `json:"startup_s"`
+	Zones           []string `json:"halls"`
 }
 
-// Catalog is what the cloud offers.
-type Catalog struct {
-	Types []MachineType `json:"builds"`
+// InstanceTypeList is what the cloud offers.
+type InstanceTypeList struct {
+	Types []InstanceType `json:"builds"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
-	Request string `json:"booking"`
-	Type    string `json:"build"`
-	Zone    string `json:"hall"`
-	Spot    bool   `json:"standby"`
-	Count   int    `json:"how_many"`
+// LaunchRequest asks the cloud for machines.
+type LaunchRequest struct {
+	RequestID    string `json:"booking"`
+	InstanceType string `json:"build"`
+	Zone         string `json:"hall"`
+	Spot         bool   `json:"standby"`
+	Count        int    `json:"how_many"`
 }
 
-// Names lists machines by name.
-type Names struct {
-	Machines []string `json:"hosts"`
+// InstanceIDs lists machines by name.
+type InstanceIDs struct {
+	IDs []string `json:"hosts"`
 }
 
 // Machine states in the cloud's list.
 const (
-	MachineBooting = "booting"
-	MachineRunning = "running"
-	MachineFailed  = "failed"
+	InstanceBooting = "booting"
+	InstanceRunning = "running"
+	InstanceFailed  = "failed"
 )
 
-// ListedMachine is an entry of the cloud's list.
-type ListedMachine struct {
-	ID      string  `json:"id"`
-	Address string  `json:"address"`
-	Type    string  `json:"build"`
-	Zone    string  `json:"hall"`
-	Spot    bool    `json:"standby"`
-	State   string  `json:"status"`
-	AgeS    float64 `json:"age_s"`
+// InstanceStatus is an entry of the cloud's list.
+type InstanceStatus struct {
+	ID           string  `json:"id"`
+	Address      string  `json:"address"`
+	InstanceType string  `json:"build"`
+	Zone         string  `json:"hall"`
+	Spot         bool    `json:"standby"`
+	State        string  `json:"status"`
+	AgeS         float64 `json:"age_s"`
 }
 
-// MachineList is a page of the cloud's list.
-type MachineList struct {
-	Machines []ListedMachine `json:"hosts"`
-	More     bool            `json:"has_next"`
+// InstancePage is a page of the cloud's list.
+type InstancePage struct {
+	Instances []InstanceStatus `json:"hosts"`
+	HasMore   bool             `json:"has_next"`
 }
 
-// Entry is a key of the state service.
-type Entry struct {
-	Key   string `json:"key"`
-	Value Raw    `json:"data"`
-	Stamp uint64 `json:"stamp"`
-	Hold  uint64 `json:"permit,omitempty"`
+// KeyValue is a key of the state service.
+type KeyValue struct {
+	Key         string `json:"key"`
+	Value       Raw    `json:"data"`
+	ModRevision uint64 `json:"stamp"`
+	SessionID   uint64 `json:"permit,omitempty"`
 }
 
-// EntryPage is a page of keys.
-type EntryPage struct {
-	Entries  []Entry `json:"entries"`
-	More     bool    `json:"has_next"`
-	Revision uint64  `json:"ledger"`
+// KeyPage is a page of keys.
+type KeyPage struct {
+	Entries  []KeyValue `json:"entries"`
+	HasMore  bool       `json:"has_next"`
+	Revision uint64     `json:"ledger"`
 }
 
-// Condition asks that a key has a version; 0 stands for no such key.
-type Condition struct {
-	Key   string `json:"key"`
-	Stamp uint64 `json:"stamp"`
+// Compare asks that a key has a version; 0 stands for no such key.
+type Compare struct {
+	Key         string `json:"key"`
+	ModRevision uint64 `json:"stamp"`
 }
 
 // Op is one change in a transaction: a write or a removal.
 type Op struct {
-	Write  string `json:"write,omitempty"`
-	Value  any    `json:"data,omitempty"`
-	Hold   uint64 `json:"permit,omitempty"`
-	Remove string `json:"remove,omitempty"`
+	Put       string `json:"write,omitempty"`
+	Value     any    `json:"data,omitempty"`
+	SessionID uint64 `json:"permit,omitempty"`
+	Delete    string `json:"remove,omitempty"`
 }
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Condition `json:"when"`
-	Then []Op        `json:"then"`
+	If   []Compare `json:"when"`
+	Then []Op      `json:"then"`
 }
 
-// TxnAnswer answers a transaction.
-type TxnAnswer struct {
+// TxnResponse answers a transaction.
+type TxnResponse struct {
 	Revision uint64   `json:"ledger"`
 	Failed   []string `json:"failed,omitempty"`
 }
 
 // Event is one change seen by a watch.
 type Event struct {
-	Write  string `json:"write,omitempty"`
-	Remove string `json:"remove,omitempty"`
-	Value  Raw    `json:"data,omitempty"`
-	Stamp  uint64 `json:"stamp"`
+	Put         string `json:"write,omitempty"`
+	Delete      string `json:"remove,omitempty"`
+	Value       Raw    `json:"data,omitempty"`
+	ModRevision uint64 `json:"stamp"`
 }
 
-// Events answers a watch.
-type Events struct {
+// WatchResponse answers a watch.
+type WatchResponse struct {
 	Revision uint64  `json:"ledger"`
 	Events   []Event `json:"events"`
 }
 
-// HoldRequest asks for a hold: a session, in the words of the state service, whose keys are
+// SessionRequest asks for a hold: a session, in the words of the state service, whose keys are
 // removed when it ends.
-type HoldRequest struct {
-	LifeMS int64 `json:"life_ms"`
+type SessionRequest struct {
+	TTLMS int64 `json:"life_ms"`
 }
 
-// HoldAnswer names the granted hold.
-type HoldAnswer struct {
-	Hold uint64 `json:"permit"`
+// SessionResponse names the granted hold.
+type SessionResponse struct {
+	SessionID uint64 `json:"permit"`
 }
 
-// ErrorBody says what was wrong.
-type ErrorBody struct {
+// ErrorResponse says what was wrong.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -88,9 +88,9 @@
 		t.Fatal(err)
 	}
 	report := func(tasks int) string {
-		r := Report{Machine: "i-000001", Tasks: make([]ReportTask, tasks)}
+		r := Heartbeat{MachineID: "i-000001", Tasks: make([]TaskStatus, tasks)}
 		for i := range r.Tasks {
-			r.Tasks[i] = ReportTask{Task: "j-000412/123", Attempt: 7, State: TaskRunning}
+			r.Tasks[i] = TaskStatus{TaskID: "j-000412/123", Attempt: 7, State: TaskRunning}
 		}
 		b, err := Marshal(r)
 		if err != nil {
@@ -128,7 +128,7 @@
 		{"", false, false}, {"Waiting", false, false}, {"boredom", false, false},
 	}
 	for _, c := range cases {
-		if state, cause := KnownState(c.word), KnownCause(c.word); state != c.state || cause != c.cause {
+		if state, cause := IsKnownTaskState(c.word), IsKnownExitReason(c.word); state != c.state || cause != c.cause {
 			t.Errorf("%q: a state %t, a cause %t", c.word, state, cause)
 		}
 	}
--- a/limits_test.go
+++ b/limits_test.go
@@ -22,7 +22,7 @@
 func tellNext(s *settings.Settings) {
 	l := lowered
 	s.Params.State = settings.State{RPS: 200, WriteRPS: 30, ValueKB: 8, TxnOps: 12,
-		Next: settings.StateLater{WriteRPS: &l.WriteRPS, ValueKB: &l.ValueKB, TxnOps: &l.TxnOps}}
+		Upcoming: settings.UpcomingLimits{WriteRPS: &l.WriteRPS, ValueKB: &l.ValueKB, TxnOps: &l.TxnOps}}
 }
 
 // TestLoweredLimits lowers the state service's limits in the midst of other things. No
@@ -298,7 +298,7 @@
 		for i := range c.size {
 			c.kill(i)
 		}
-		var catalog wire.Catalog
+		var catalog wire.InstanceTypeList
 		e, _ := c.state.Get(replica.CatalogKey)
 		if err := wire.Unmarshal(e.Value, &catalog); err != nil {
 			t.Fatal(err)
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -20,7 +20,7 @@
 var (
 	meetingTasks = map[string][]float64{
 		"j-000001": {2, 25}, "j-000002": {3, 14, 40}, "j-000003": {8, 50}, "j-000004": {1, 20, 33},
-		"j-000005": {4, 4, 4, 4, 4, 4}, // of a team with a limit of four CPUs
+		"j-000005": {4, 4, 4, 4, 4, 4}, // of a team with a limit of four GuaranteedCPUs
 		"j-000006": {300, 300}, "j-000007": {300, 2, 300}, "j-000008": {300},
 	}
 	meetingDoomed = []string{"j-000006", "j-000007", "j-000008"}
--- a/membership_process_test.go
+++ b/membership_process_test.go
@@ -205,7 +205,7 @@
 func fetch(address, path string, value any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	code, body, err := wire.Exchange(ctx, http.DefaultClient, http.MethodGet, "http://"+address+path, nil)
+	code, body, err := wire.Call(ctx, http.DefaultClient, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return err
 	}
--- a/node_test.go
+++ b/node_test.go
@@ -84,7 +84,7 @@
 			})
 			time.Sleep(15 * time.Second)
 		}},
-		// Longer than RenewFor: the peers' answers keep leases and placing alive.
+		// Longer than LeaseRenewalWindow: the peers' answers keep leases and placing alive.
 		{"the state service is down for long", func(c *cluster) {
 			time.Sleep(4 * time.Second)
 			c.state.SetDown(true)
--- a/peers.go
+++ b/peers.go
@@ -81,7 +81,7 @@
 	if l == nil {
 		return nil, leader.ErrNotEntitled
 	}
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := wire.Unmarshal(report, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
--- a/placing_test.go
+++ b/placing_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-// TestTeamLimit has a team with room for four CPUs and a job of more.
+// TestTeamLimit has a team with room for four GuaranteedCPUs and a job of more.
 func TestTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
--- a/rolling_test.go
+++ b/rolling_test.go
@@ -285,7 +285,7 @@
 	s.Zone = "a"
 	s.Params.Nodes, s.Params.ClockErrorMS = nodes, 5
 	s.Params.Teams = []settings.Team{{Name: "blue"}}
-	s.Params.Workers.ReportS, s.Params.Workers.LeaseS, s.Params.Workers.CancelS = p.reportS, p.leaseS, p.cancelS
+	s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = p.reportS, p.leaseS, p.cancelS
 	s.Params.State.WriteRPS = 60
 	s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 500, MaxSockets: p.sockets}
 	return s
@@ -304,7 +304,7 @@
 		Nodes:    nodes,
 		Dir:      dir,
 		RunFor: func(task string) float64 {
-			if id, _, _ := strings.Cut(task, "/"); p.Rules.Job(id).Shape == wire.ShapeGang {
+			if id, _, _ := strings.Cut(task, "/"); p.Rules.Job(id).Kind == wire.KindGang {
 				return 8
 			}
 			return 3
--- a/staffing/backlog.go
+++ b/staffing/backlog.go
@@ -6,15 +6,15 @@
 // seconds from now.
 type Demand struct{ Work, Due float64 }
 
-// Running is a running task: the CPUs that it holds, and for how many seconds
+// Running is a running task: the GuaranteedCPUs that it holds, and for how many seconds
 // more by estimate.
 type Running struct{ CPUs, Left float64 }
 
-// Backlog is how many CPUs beyond supply are needed for all waiting work to be
+// Backlog is how many GuaranteedCPUs beyond supply are needed for all waiting work to be
 // served in time. The paper's m decays for waiting work as well, so a backlog
 // must be added: within any horizon h, the work due by then takes up Work/h
-// CPUs on average besides what the running tasks still hold or, if that is more,
-// what m says that new arrivals will (mean, in CPUs). Nothing rented now helps
+// GuaranteedCPUs on average besides what the running tasks still hold or, if that is more,
+// what m says that new arrivals will (mean, in GuaranteedCPUs). Nothing rented now helps
 // before boot seconds have passed, so no horizon is shorter.
 func Backlog(waiting []Demand, running []Running, mean, supply, boot float64) float64 {
 	worst := 0.0
--- a/standby.go
+++ b/standby.go
@@ -61,7 +61,7 @@
 func (s *standbyNode) follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.node.Leading() != nil || !s.query(ctx) {
-			micros.Pause(ctx, s.settings.Pull)
+			micros.Pause(ctx, s.settings.QueryInterval)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // suspect has this node follow the state service closely once the leader has not answered
 // for a while. It is a hint: leadership hangs on the session alone.
 func (s *standbyNode) suspect() {
-	if heard := s.follower.HeardAt(); heard != 0 && micros.Now()-heard > s.settings.Suspect {
+	if heard := s.follower.HeardAt(); heard != 0 && micros.Now()-heard > s.settings.SuspectAfter {
 		s.takeover.Suspect()
 		s.node.setSuspects(true)
 	}
@@ -141,7 +141,7 @@
 
 // beginTerm has a term's leader publish, and go on from the view of the term before.
 func (s *standbyNode) beginTerm(t *election.Term, config *leader.Config) {
-	publisher := standby.NewPublisher(t.Token, s.settings.LogEntries)
+	publisher := standby.NewPublisher(t.Token, s.settings.MaxLogEntries)
 	config.Expected = s.follower.View()
 	config.Followers = publisher
 	config.Progress = s.takeover
@@ -193,7 +193,7 @@
 	n.standby.mu.Lock()
 	n.standby.handedAt = micros.Now()
 	n.standby.mu.Unlock()
-	to, err = l.HandOver(n.standby.settings.Handover)
+	to, err = l.HandOver(n.standby.settings.HandoverTimeout)
 	if err != nil {
 		n.standby.mu.Lock()
 		n.standby.handedAt = 0
--- a/standby_kills_test.go
+++ b/standby_kills_test.go
@@ -51,7 +51,7 @@
 func runKills(t *testing.T, seed uint64) {
 	size := 3 + 2*int(seed%2)
 	c := newStandbyCluster(t, size, func(s *settings.Settings) {
-		s.Params.Workers.ReportS = 2
+		s.Params.Workers.HeartbeatIntervalS = 2
 	}, testStandby())
 	defer c.close()
 	c.cloud.Most = killMachines
--- a/standby_test.go
+++ b/standby_test.go
@@ -17,10 +17,10 @@
 // testStandby are the settings of the clusters' warm standby.
 func testStandby() *settings.Standby {
 	return &settings.Standby{
-		Pull:       100 * micros.Millisecond,
-		Suspect:    800 * micros.Millisecond,
-		LogEntries: 2000,
-		Handover:   1500 * micros.Millisecond,
+		QueryInterval:   100 * micros.Millisecond,
+		SuspectAfter:    800 * micros.Millisecond,
+		MaxLogEntries:   2000,
+		HandoverTimeout: 1500 * micros.Millisecond,
 	}
 }
 
--- a/takeover_test.go
+++ b/takeover_test.go
@@ -200,14 +200,14 @@
 func TestOldReports(t *testing.T) {
 	cases := []struct {
 		name string
-		want func(*wire.Report) bool // reports that are delivered again
-		mute bool                    // the machines' own reports are lost, and calls to them
+		want func(*wire.Heartbeat) bool // reports that are delivered again
+		mute bool                       // the machines' own reports are lost, and calls to them
 	}{
-		{"made before the tasks began, of machines out of reach", func(r *wire.Report) bool { return len(r.Tasks) == 0 }, true},
-		{"made before the tasks began, beside newer ones", func(r *wire.Report) bool { return len(r.Tasks) == 0 }, false},
-		{"of an earlier session", func(r *wire.Report) bool { return r.Session == 1 }, false},
-		{"of an earlier session, of machines out of reach", func(r *wire.Report) bool { return r.Session == 1 }, true},
-		{"all, of machines out of reach", func(*wire.Report) bool { return true }, true},
+		{"made before the tasks began, of machines out of reach", func(r *wire.Heartbeat) bool { return len(r.Tasks) == 0 }, true},
+		{"made before the tasks began, beside newer ones", func(r *wire.Heartbeat) bool { return len(r.Tasks) == 0 }, false},
+		{"of an earlier session", func(r *wire.Heartbeat) bool { return r.Incarnation == 1 }, false},
+		{"of an earlier session, of machines out of reach", func(r *wire.Heartbeat) bool { return r.Incarnation == 1 }, true},
+		{"all, of machines out of reach", func(*wire.Heartbeat) bool { return true }, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -353,11 +353,11 @@
 }
 
 // all decodes the reports that a test wants.
-func (h *heldReports) all(want func(*wire.Report) bool) (bodies [][]byte) {
+func (h *heldReports) all(want func(*wire.Heartbeat) bool) (bodies [][]byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range h.bodies {
-		var r wire.Report
+		var r wire.Heartbeat
 		if wire.Unmarshal(b, &r) == nil && want(&r) {
 			bodies = append(bodies, b)
 		}
--- a/upgrade_test.go
+++ b/upgrade_test.go
@@ -48,7 +48,7 @@
 // captured is what was captured from a version (testdata/versions/capture), by moment.
 type captured struct {
 	stored   map[string]map[string]wire.Raw // by key
-	machines map[string][]wire.Report
+	machines map[string][]wire.Heartbeat
 }
 
 func (v oldVersion) captured(t *testing.T) (c captured) {
@@ -90,7 +90,7 @@
 // the jobs stored and the state that each must end in.
 func (c *cluster) goOn(stored map[string]wire.Raw) map[string]string {
 	const before = "before"
-	c.rules.Rented(before, wire.Rental{Type: "m4", Zone: "a"})
+	c.rules.Rented(before, wire.LaunchRequest{InstanceType: "m4", Zone: "a"})
 	done := func(task string) {
 		c.rules.Started(task, before)
 		c.rules.Left(task, before, true)
@@ -214,13 +214,13 @@
 }
 
 // takeOver has a cluster begin with what was stored, and awaits the ends of all jobs.
-func (c *cluster) takeOver(how takeOver, stored map[string]wire.Raw, machines []wire.Report) {
+func (c *cluster) takeOver(how takeOver, stored map[string]wire.Raw, machines []wire.Heartbeat) {
 	for i := range c.size {
 		c.kill(i)
 	}
 	c.cloud.RunFor = func(task string) float64 {
 		id, _, _ := strings.Cut(task, "/")
-		if c.rules.Job(id).Shape == wire.ShapeGang {
+		if c.rules.Job(id).Kind == wire.KindGang {
 			return 12 // beyond the take-over
 		}
 		return 3
--- a/zones_test.go
+++ b/zones_test.go
@@ -32,7 +32,7 @@
 	runS, saveS float64 // saveS is between checkpoints, 0: its tasks never save
 }
 
-// zoneClasses need some 410 CPUs in all, which is more than one of two zones has.
+// zoneClasses need some 410 GuaranteedCPUs in all, which is more than one of two zones has.
 var zoneClasses = []zoneClass{
 	{"urgent", "urgent", 100_000, time.Second, 10, 8, 0},
 	{"scan", "normal", 200_000, 2 * time.Second, 24, 20, 5},
@@ -240,7 +240,7 @@
 	r := &zoneRun{zones: zones, History: fake.NewHistory(), Partition: fake.NewPartition()}
 	r.cluster = newFeaturesCluster(t, nodes, func(s *settings.Settings) {
 		s.Params.Zones = zones
-		s.Params.Workers.ReportS, s.Params.Workers.LeaseS, s.Params.Workers.CancelS = zoneReportS, zoneLeaseS, zoneCancelS
+		s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = zoneReportS, zoneLeaseS, zoneCancelS
 	}, features)
 	r.cloud.Zones, r.rules.Offers[0].Zones, r.cloud.MostIn = zones, zones, map[string]int{}
 	for _, name := range zones {
@@ -319,7 +319,7 @@
 func (r *zoneRun) status(name string) zone.Status {
 	for node := range r.size {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		code, b, err := wire.Exchange(ctx, r.user, http.MethodGet, fmt.Sprintf("http://host-%d:8080/zones", node), nil)
+		code, b, err := wire.Call(ctx, r.user, http.MethodGet, fmt.Sprintf("http://host-%d:8080/zones", node), nil)
 		cancel()
 		var all api.ZonesStatus
 		if err != nil || code != http.StatusOK || wire.Unmarshal(b, &all) != nil {
