--- a/cluster_test.go
+++ b/cluster_test.go
@@ -121,14 +121,14 @@
 func (c *cluster) newLife(life harness.Life) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
-	n := newNode(s, settings.DefaultTuning(), c.featuresOf(life.Node), outside{
-		services: c.net.From(life.Sender),
-		workers:  c.net.From(life.Sender),
-		dial:     func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
-		listen:   func() (net.Listener, error) { return c.pipes.Listen(life.Member), nil },
+	n := newNode(s, settings.DefaultTuning(), c.featuresOf(life.Node), network{
+		serviceTransport: c.net.From(life.Sender),
+		workerTransport:  c.net.From(life.Sender),
+		dialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
+		listenForPeers:   func() (net.Listener, error) { return c.pipes.Listen(life.Member), nil },
 	})
 	c.nodes[life.Node] = n
-	return n.handler(), n.work
+	return n.handler(), n.runBackground
 }
 
 // start begins a new life of a node.
@@ -190,10 +190,10 @@
 
 // ofLeader tells whether only the leader may write a key.
 func ofLeader(key string) bool {
-	if key == replica.StaffingKey || key == replica.CatalogKey || key == replica.ZonesKey {
+	if key == replica.AutoscalerKey || key == replica.InstanceTypesKey || key == replica.ZonesKey {
 		return true
 	}
-	prefixes := []string{replica.ProgressPrefix, replica.BookingPrefix, replica.UpPrefix}
+	prefixes := []string{replica.ProgressPrefix, replica.LaunchIntentPrefix, replica.MachineListPrefix}
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
--- a/cmd/caperlatch/golden_test.go
+++ b/cmd/caperlatch/golden_test.go
@@ -85,7 +85,7 @@
 		{[]string{"explain", "j-000412"}, filled[leader.Explanation](), leader.Explanation{}},
 		{[]string{"versions"}, filled[peer.Versions](), peer.Versions{}},
 		{[]string{"standby"}, filled[api.StandbyStatus](), api.StandbyStatus{}},
-		{[]string{"handover"}, filled[api.HandedOver](), api.HandedOver{}},
+		{[]string{"handover"}, filled[api.HandoverResponse](), api.HandoverResponse{}},
 		{[]string{"zones"}, filled[api.ZonesStatus](), api.ZonesStatus{}},
 		{[]string{"members"}, filled[membership.Status](), membership.Status{}},
 	} {
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -43,7 +43,7 @@
 }
 
 // printHandover writes whom a leader handed over to.
-func printHandover(w io.Writer, done *api.HandedOver) {
+func printHandover(w io.Writer, done *api.HandoverResponse) {
 	fmt.Fprintln(w, "handed over to", cmp.Or(done.To, "any node, as none follows closely"))
 }
 
@@ -82,7 +82,7 @@
 
 // printFollower writes how far a follower is behind a position.
 func printFollower(w io.Writer, position uint64, f standby.FollowerState) {
-	if !f.Whole {
+	if !f.Complete {
 		fmt.Fprintf(w, "  %s: takes a snapshot, asked %.1f s ago\n", f.Member, f.AgeS)
 		return
 	}
@@ -92,14 +92,14 @@
 // printProgress writes how far the asked follower is.
 func printProgress(w io.Writer, p *standby.Progress) {
 	state := "whole"
-	if !p.Whole {
+	if !p.Complete {
 		state = "taking a snapshot"
 	}
 	fmt.Fprintf(w, "  follows term %d: position %d, %s, %d machines, %d tasks\n", p.Token, p.Position, state, p.Machines, p.Tasks)
 	if p.LagS >= 0 {
 		fmt.Fprintf(w, "  behind: %d entries, %.1f s\n", p.LagEntries, p.LagS)
 	}
-	for kind, n := range p.Refused {
+	for kind, n := range p.Rejected {
 		fmt.Fprintf(w, "  refused pages: %d, %s\n", n, kind)
 	}
 }
--- a/guards_test.go
+++ b/guards_test.go
@@ -39,8 +39,8 @@
 
 // unbooked counts the machines that stand in a stored list, but in no stored booking.
 func (c *cluster) unbooked() (n int) {
-	booked := c.storedNames(replica.BookingPrefix)
-	for id := range c.storedNames(replica.UpPrefix) {
+	booked := c.storedNames(replica.LaunchIntentPrefix)
+	for id := range c.storedNames(replica.MachineListPrefix) {
 		if !booked[id] {
 			n++
 		}
@@ -77,7 +77,7 @@
 				// One that changes both is too large, and comes again in parts.
 				c.state.SetFate(func(x fake.Transaction) fake.Fate {
 					names := slices.ContainsFunc(x.Conditions, func(k wire.Compare) bool {
-						return strings.HasPrefix(k.Key, replica.BookingPrefix) && k.ModRevision != 0
+						return strings.HasPrefix(k.Key, replica.LaunchIntentPrefix) && k.ModRevision != 0
 					})
 					switch {
 					case names && len(x.Keys) > 1:
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -30,22 +30,22 @@
 
 // Node is what the handlers ask of the node they run on.
 type Node interface {
-	// Leading is this node's leader if it leads, else nil.
-	Leading() *leader.Leader
+	// LocalLeader is this node's leader if it leads, else nil.
+	LocalLeader() *leader.Leader
 	// LeaderMember names the leader as known here, if any.
 	LeaderMember() string
-	// Ready tells whether the node can take requests.
-	Ready() bool
+	// IsReady tells whether the node can take requests.
+	IsReady() bool
 	// Versions tells which versions serve, as far as it is known here.
 	Versions() peer.Versions
-	// Counts shows how far a job is, as well as it is known here.
-	Counts(id string) (done, running int)
-	// Relays tells whether reports can be passed on to the leader.
-	Relays() bool
-	// Relay asks the leader for its answer to a report.
-	Relay(ctx context.Context, report wire.Raw) (wire.Raw, error)
-	// Front names the node that takes a machine's reports for the leader.
-	Front(machine string) string
+	// TaskCounts shows how far a job is, as well as it is known here.
+	TaskCounts(id string) (done, running int)
+	// CanForward tells whether reports can be passed on to the leader.
+	CanForward() bool
+	// ForwardHeartbeat asks the leader for its answer to a report.
+	ForwardHeartbeat(ctx context.Context, report wire.Raw) (wire.Raw, error)
+	// ForwarderFor names the node that takes a machine's reports for the leader.
+	ForwarderFor(machine string) string
 	// Explain asks the leader about a job.
 	Explain(ctx context.Context, id string) (leader.Explanation, error)
 	// AwaitHandover waits, for a moment at most, while leadership is being handed over.
@@ -65,17 +65,17 @@
 
 // Handler holds what the handlers work with.
 type Handler struct {
-	Node     Node
-	Settings *settings.Settings
-	Store    *statestore.Client
-	Batch    *statestore.Batcher
-	Replica  *replica.Replica
-	Times    *Times
-	Keep     micros.Micros // how long a report that is passed on is kept for its answer
-
-	mu         sync.Mutex
-	redirected map[string]micros.Micros // machines sent to another node, when
-	swept      micros.Micros            // when old ones were forgotten
+	Node          Node
+	Settings      *settings.Settings
+	Store         *statestore.Client
+	Batcher       *statestore.Batcher
+	Replica       *replica.Replica
+	RequestTimes  *RequestTimes
+	HeartbeatHold micros.Micros // how long a report that is passed on is kept for its answer
+
+	mu               sync.Mutex
+	redirected       map[string]micros.Micros // machines sent to another node, when
+	redirectsSweptAt micros.Micros            // when old ones were forgotten
 }
 
 // New makes the HTTP handler.
@@ -83,7 +83,7 @@
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = answerError
-	e.Use(h.Times.middleware)
+	e.Use(h.RequestTimes.middleware)
 	intake, polls := newLimiter(), newLimiter()
 	e.POST("/v1/jobs", h.submit, limited(intake))
 	e.GET("/v1/jobs/:id", h.poll, limited(polls))
@@ -95,7 +95,7 @@
 	e.POST("/standby/handover", h.handOver)
 	e.GET("/zones", h.zones)
 	e.GET("/members", h.members)
-	e.POST("/hello", h.report)
+	e.POST("/hello", h.heartbeat)
 	return e
 }
 
@@ -137,7 +137,7 @@
 		return func(c echo.Context) error {
 			permit, ok := l.TryAcquirePermit()
 			if !ok {
-				return comeBack(c, http.StatusTooManyRequests)
+				return respondRetryLater(c, http.StatusTooManyRequests)
 			}
 			err := next(c)
 			// What is refused says nothing of how long work takes.
@@ -151,8 +151,8 @@
 	}
 }
 
-// reply answers with a value.
-func reply(c echo.Context, code int, v any) error {
+// respond answers with a value.
+func respond(c echo.Context, code int, v any) error {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		return err
@@ -160,25 +160,27 @@
 	return c.Blob(code, wire.ContentType, b)
 }
 
-// unavailable tells a user at once to come back.
-func unavailable(c echo.Context) error { return comeBack(c, http.StatusServiceUnavailable) }
+// respondUnavailable tells a user at once to come back.
+func respondUnavailable(c echo.Context) error {
+	return respondRetryLater(c, http.StatusServiceUnavailable)
+}
 
-// comeBack tells a user when to come back.
-func comeBack(c echo.Context, code int) error {
+// respondRetryLater tells a user when to come back.
+func respondRetryLater(c echo.Context, code int) error {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(int(statestore.RetryAfter/micros.Second)))
-	return reply(c, code, wire.ErrorResponse{Error: "come back later"})
+	return respond(c, code, wire.ErrorResponse{Error: "come back later"})
 }
 
-// bad answers with what is wrong.
-func bad(c echo.Context, code int, err error) error {
-	return reply(c, code, wire.ErrorResponse{Error: err.Error()})
+// respondError answers with what is wrong.
+func respondError(c echo.Context, code int, err error) error {
+	return respond(c, code, wire.ErrorResponse{Error: err.Error()})
 }
 
 // ready tells whether this node can take requests, and which versions serve.
 func (h *Handler) ready(c echo.Context) error {
 	code := http.StatusOK
-	if !h.Node.Ready() {
+	if !h.Node.IsReady() {
 		code = http.StatusServiceUnavailable
 	}
-	return reply(c, code, h.Node.Versions())
+	return respond(c, code, h.Node.Versions())
 }
--- a/internal/api/conns.go
+++ b/internal/api/conns.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// Conns bounds the connections that users and workers hold open. Over the limit of
+// ConnLimiter bounds the connections that users and workers hold open. Over the limit of
 // sockets new ones fail, also those to the state service, and a leader that cannot
 // renew its session leads no more: one node that was left with the connections of two
 // thousand machines and their users came within a hundred of it. So a part is kept
 // free for what the node opens itself, and the connection that has been idle for
 // longest makes room; workers and users open another when they need it.
-type Conns struct {
+type ConnLimiter struct {
 	limit int
 
 	mu   sync.Mutex
@@ -21,23 +21,23 @@
 	idle list.List                  // of net.Conn, idle for longest first
 }
 
-// ownShare is what part of a node's sockets is kept for what it opens itself.
-const ownShare = 8
+// reservedShare is what part of a node's sockets is kept for what it opens itself.
+const reservedShare = 8
 
-// NewConns bounds connections for a node that may have so many sockets.
-func NewConns(sockets int) *Conns {
-	return &Conns{limit: sockets - sockets/ownShare, open: map[net.Conn]*list.Element{}}
+// NewConnLimiter bounds connections for a node that may have so many sockets.
+func NewConnLimiter(sockets int) *ConnLimiter {
+	return &ConnLimiter{limit: sockets - sockets/reservedShare, open: map[net.Conn]*list.Element{}}
 }
 
 // State follows a connection, as http.Server tells of it.
-func (c *Conns) State(conn net.Conn, s http.ConnState) {
+func (c *ConnLimiter) State(conn net.Conn, s http.ConnState) {
 	if over := c.follow(conn, s); over != nil {
 		over.Close()
 	}
 }
 
 // follow notes a connection's state and names one that has to go.
-func (c *Conns) follow(conn net.Conn, s http.ConnState) (over net.Conn) {
+func (c *ConnLimiter) follow(conn net.Conn, s http.ConnState) (over net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at := c.open[conn]; at != nil {
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -34,7 +34,7 @@
 		{"none goes twice", append(opened(limit), event{3, http.StateIdle}, event{limit, http.StateNew}, event{3, http.StateClosed}, event{limit + 1, http.StateNew}), []int{3, limit + 1}},
 	}
 	for _, c := range cases {
-		conns := NewConns(16)
+		conns := NewConnLimiter(16)
 		var all []net.Conn
 		for range limit + 2 {
 			conn, other := net.Pipe()
--- a/internal/api/explain.go
+++ b/internal/api/explain.go
@@ -26,28 +26,28 @@
 	defer cancel()
 	id := c.Param("id")
 	if !wire.IsValidJobID(id) {
-		return bad(c, http.StatusNotFound, errNoSuchJob)
+		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	}
-	if !h.Replica.Loaded() {
-		return bad(c, http.StatusServiceUnavailable, errors.New("this node has not read the state service yet"))
+	if !h.Replica.IsLoaded() {
+		return respondError(c, http.StatusServiceUnavailable, errors.New("this node has not read the state service yet"))
 	}
 	asking, stop := context.WithTimeout(ctx, explainBarrier.Duration())
 	barrier := h.Replica.Barrier(asking)
 	stop()
 	job, _, ok := h.Replica.Job(id)
-	ageS := (micros.Now() - h.Replica.Seen()).Seconds()
+	ageS := (micros.Now() - h.Replica.CurrentAsOf()).Seconds()
 	switch {
 	case !ok && barrier != nil:
-		return bad(c, http.StatusServiceUnavailable, fmt.Errorf("not known here, and the state service has not answered for %.0f s", ageS))
+		return respondError(c, http.StatusServiceUnavailable, fmt.Errorf("not known here, and the state service has not answered for %.0f s", ageS))
 	case !ok:
-		return bad(c, http.StatusNotFound, errNoSuchJob)
+		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	}
 	explanation := h.explanation(ctx, id, job, ageS)
 	if barrier != nil {
 		explanation.Notes = append(explanation.Notes, fmt.Sprintf(
 			"the state service has not answered %s for %.0f s: what was submitted, cancelled or stored since is not known here", h.Settings.Member, ageS))
 	}
-	return reply(c, http.StatusOK, explanation)
+	return respond(c, http.StatusOK, explanation)
 }
 
 // explanation is what the leader tells of a job or, if it does not answer, what is known
@@ -62,10 +62,10 @@
 	if spec := job.Spec; spec != nil {
 		e.Team, e.Class, e.Priority, e.Tasks = spec.Team, spec.Class, spec.Priority, spec.Tasks
 		if err != nil {
-			e.Done, e.Running = h.Node.Counts(id)
+			e.Done, e.Running = h.Node.TaskCounts(id)
 		}
 	}
-	if job.Final() {
+	if job.IsFinal() {
 		e.Why = append(e.Why, "it is "+job.State+": "+job.Reason)
 	}
 	return e
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -14,7 +14,7 @@
 // encodedTypes are those whose values answer questions for the state of the cluster.
 var encodedTypes = []golden.Type{
 	golden.Of[StandbyStatus]("the standby"),
-	golden.Of[HandedOver]("a handover"),
+	golden.Of[HandoverResponse]("a handover"),
 	golden.Of[ZonesStatus]("the zones"),
 }
 
@@ -29,7 +29,7 @@
 // TestRoutes has a node answer the requests that it answered.
 func TestRoutes(t *testing.T) {
 	var routes []string
-	for _, r := range New(&Handler{Times: NewTimes()}).(*echo.Echo).Routes() {
+	for _, r := range New(&Handler{RequestTimes: NewRequestTimes()}).(*echo.Echo).Routes() {
 		routes = append(routes, r.Method+" "+r.Path)
 	}
 	slices.Sort(routes)
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -26,28 +26,28 @@
 	errCatalogUnknown = errors.New("the catalog is not known yet")
 )
 
-// refusal says that a submission can never be accepted as it is.
-type refusal struct {
+// rejection says that a submission can never be accepted as it is.
+type rejection struct {
 	code   int // HTTP status
 	reason error
 }
 
 // Error is what the user is told.
-func (r *refusal) Error() string { return r.reason.Error() }
+func (r *rejection) Error() string { return r.reason.Error() }
 
 // Unwrap is the reason.
-func (r *refusal) Unwrap() error { return r.reason }
+func (r *rejection) Unwrap() error { return r.reason }
 
 // storedJob is a job with its key's version.
 type storedJob struct {
 	replica.Job
-	stamp uint64
+	modRevision uint64
 }
 
-// known finds a job as it is now: a job that is over stays so, anything else
+// currentJob finds a job as it is now: a job that is over stays so, anything else
 // is only known after a read barrier. The error is errNoSuchJob if there is none.
-func (h *Handler) known(ctx context.Context, id string) (storedJob, error) {
-	if job, stamp, ok := h.Replica.Job(id); ok && job.Final() {
+func (h *Handler) currentJob(ctx context.Context, id string) (storedJob, error) {
+	if job, stamp, ok := h.Replica.Job(id); ok && job.IsFinal() {
 		return storedJob{job, stamp}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, userTimeout.Duration())
@@ -65,8 +65,8 @@
 // status is what users are shown of a job.
 func (h *Handler) status(id string, job replica.Job) wire.JobStatus {
 	s := wire.JobStatus{ID: id, Status: job.State}
-	if !job.Final() {
-		done, running := h.Node.Counts(id)
+	if !job.IsFinal() {
+		done, running := h.Node.TaskCounts(id)
 		s.Done, s.Running = &done, &running
 		if running > 0 {
 			s.Status = wire.JobRunning
@@ -80,23 +80,23 @@
 func (h *Handler) submit(c echo.Context) error {
 	body, err := wire.ReadBody(c.Request().Body)
 	if err != nil {
-		return bad(c, http.StatusBadRequest, err)
+		return respondError(c, http.StatusBadRequest, err)
 	}
 	id := wire.ParseSubmissionID(body)
 	if id == "" {
-		return bad(c, http.StatusBadRequest, errNoJobID)
+		return respondError(c, http.StatusBadRequest, errNoJobID)
 	}
-	if !h.Replica.Loaded() {
-		return unavailable(c)
+	if !h.Replica.IsLoaded() {
+		return respondUnavailable(c)
 	}
 	if _, _, ok := h.Replica.Job(id); ok {
-		return h.answerKnown(c, id)
+		return h.respondWithStatus(c, id)
 	}
 	job, err := h.checkSubmission(body)
-	var refused *refusal
+	var refused *rejection
 	switch {
 	case errors.Is(err, errCatalogUnknown):
-		return unavailable(c)
+		return respondUnavailable(c)
 	case errors.As(err, &refused):
 		return h.refuse(c, id, refused)
 	case err != nil:
@@ -110,46 +110,46 @@
 func (h *Handler) checkSubmission(body []byte) (replica.Job, error) {
 	spec, err := wire.ParseJob(body)
 	if err != nil {
-		return replica.Job{}, &refusal{http.StatusBadRequest, err}
+		return replica.Job{}, &rejection{http.StatusBadRequest, err}
 	}
 	job := replica.Job{Spec: &spec, SubmittedAt: micros.Wall(), State: wire.JobPending}
-	if !h.Store.AcceptsValue(job) {
-		return replica.Job{}, &refusal{http.StatusBadRequest, errTooLong}
+	if !h.Store.ValueFitsNow(job) {
+		return replica.Job{}, &rejection{http.StatusBadRequest, errTooLong}
 	}
 	var catalog wire.InstanceTypeList
-	stamp, err := h.Replica.Get(replica.CatalogKey, &catalog)
+	stamp, err := h.Replica.Get(replica.InstanceTypesKey, &catalog)
 	if err != nil {
 		return replica.Job{}, err
 	}
 	if stamp == 0 {
 		return replica.Job{}, errCatalogUnknown
 	}
-	if err := Runnable(&spec, catalog.Types, h.Settings.Params.Teams); err != nil {
-		return replica.Job{}, &refusal{http.StatusUnprocessableEntity, err}
+	if err := CheckRunnable(&spec, catalog.Types, h.Settings.Params.Teams); err != nil {
+		return replica.Job{}, &rejection{http.StatusUnprocessableEntity, err}
 	}
 	return job, nil
 }
 
 // refuse answers a submission that cannot be accepted, unless its id is known.
-func (h *Handler) refuse(c echo.Context, id string, r *refusal) error {
-	if answered, err := h.answerIfKnown(c, id); answered {
+func (h *Handler) refuse(c echo.Context, id string, r *rejection) error {
+	if answered, err := h.respondIfKnown(c, id); answered {
 		return err
 	}
 	slog.Debug("submission refused", "job", id, "code", r.code, "error", r.reason)
-	return bad(c, r.code, r.reason)
+	return respondError(c, r.code, r.reason)
 }
 
-// answerIfKnown answers a submission whose id was accepted elsewhere: that keeps its answer
+// respondIfKnown answers a submission whose id was accepted elsewhere: that keeps its answer
 // whatever its repeat says. It answers as well if that cannot be told now.
-func (h *Handler) answerIfKnown(c echo.Context, id string) (answered bool, err error) {
-	_, err = h.known(c.Request().Context(), id)
+func (h *Handler) respondIfKnown(c echo.Context, id string) (answered bool, err error) {
+	_, err = h.currentJob(c.Request().Context(), id)
 	switch {
 	case errors.Is(err, errNoSuchJob):
 		return false, nil
 	case err != nil:
-		return true, unavailable(c)
+		return true, respondUnavailable(c)
 	}
-	return true, h.answerKnown(c, id)
+	return true, h.respondWithStatus(c, id)
 }
 
 // storeSubmission writes a checked job and answers with how that ended.
@@ -158,30 +158,30 @@
 	revision, err := h.put(c.Request().Context(), key, 0, job)
 	switch {
 	case err == nil:
-		h.Replica.Wrote(key, job, revision)
-		return reply(c, http.StatusCreated, wire.JobStatus{ID: id, Status: wire.JobPending})
+		h.Replica.ApplyPut(key, job, revision)
+		return respond(c, http.StatusCreated, wire.JobStatus{ID: id, Status: wire.JobPending})
 	case errors.Is(err, statestore.ErrConflict):
-		return h.answerKnown(c, id)
-	case errors.Is(err, statestore.ErrRefused):
+		return h.respondWithStatus(c, id)
+	case errors.Is(err, statestore.ErrRejected):
 		// Its description is over a limit that has come into force. From then on no copy
 		// of it that got no answer is stored either; one may have been before.
-		if answered, err := h.answerIfKnown(c, id); answered {
+		if answered, err := h.respondIfKnown(c, id); answered {
 			return err
 		}
 		slog.Info("submission refused by the state service", "job", id, "error", err)
-		return bad(c, http.StatusBadRequest, errTooLong)
+		return respondError(c, http.StatusBadRequest, errTooLong)
 	}
 	slog.Debug("submission", "job", id, "error", err)
-	return unavailable(c)
+	return respondUnavailable(c)
 }
 
-// answerKnown answers a submission of a job that was accepted before.
-func (h *Handler) answerKnown(c echo.Context, id string) error {
-	job, err := h.known(c.Request().Context(), id)
+// respondWithStatus answers a submission of a job that was accepted before.
+func (h *Handler) respondWithStatus(c echo.Context, id string) error {
+	job, err := h.currentJob(c.Request().Context(), id)
 	if err != nil {
-		return unavailable(c)
+		return respondUnavailable(c)
 	}
-	return reply(c, http.StatusOK, h.status(id, job.Job))
+	return respond(c, http.StatusOK, h.status(id, job.Job))
 }
 
 // Tries of a write whose user waits: refusals for the rate limit pass soon.
@@ -199,13 +199,13 @@
 func (h *Handler) put(ctx context.Context, key string, stamp uint64, value any) (revision uint64, err error) {
 	begun, lost := micros.Now(), 0
 	for {
-		revision, err = h.Batch.Put(ctx, key, stamp, value)
+		revision, err = h.Batcher.Put(ctx, key, stamp, value)
 		switch {
 		case err == nil, isDecided(err):
 			return revision, err
 		case ctx.Err() != nil || micros.Now()-begun > putWithin:
 			return revision, err
-		case !errors.Is(err, statestore.ErrTooMany):
+		case !errors.Is(err, statestore.ErrRateLimited):
 			if lost++; lost == maxLostAnswers {
 				return revision, err
 			}
@@ -218,24 +218,24 @@
 func isDecided(err error) bool {
 	return errors.Is(err, statestore.ErrConflict) ||
 		errors.Is(err, statestore.ErrUnavailable) ||
-		errors.Is(err, statestore.ErrRefused)
+		errors.Is(err, statestore.ErrRejected)
 }
 
 // poll tells a job's status.
 func (h *Handler) poll(c echo.Context) error {
 	id := c.Param("id")
 	if !wire.IsValidJobID(id) {
-		return bad(c, http.StatusNotFound, errNoSuchJob)
+		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	}
-	job, err := h.known(c.Request().Context(), id)
+	job, err := h.currentJob(c.Request().Context(), id)
 	switch {
 	case errors.Is(err, errNoSuchJob):
-		return bad(c, http.StatusNotFound, errNoSuchJob)
+		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	case err != nil:
 		slog.Debug("poll", "job", id, "error", err)
-		return unavailable(c)
+		return respondUnavailable(c)
 	}
-	return reply(c, http.StatusOK, h.status(id, job.Job))
+	return respond(c, http.StatusOK, h.status(id, job.Job))
 }
 
 // abort cancels a job unless it is over, and tells how it ended.
@@ -243,29 +243,29 @@
 	id := c.Param("id")
 	ctx := c.Request().Context()
 	if !wire.IsValidJobID(id) {
-		return bad(c, http.StatusNotFound, errNoSuchJob)
+		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	}
-	job, err := h.known(ctx, id)
+	job, err := h.currentJob(ctx, id)
 	switch {
 	case errors.Is(err, errNoSuchJob):
-		return bad(c, http.StatusNotFound, errNoSuchJob)
+		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	case err != nil:
-		return unavailable(c)
-	case job.Final():
-		return reply(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
+		return respondUnavailable(c)
+	case job.IsFinal():
+		return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
 	}
 	err = h.storeCancellation(ctx, id, job)
 	switch {
 	case err == nil:
-		return reply(c, http.StatusOK, wire.JobStatus{ID: id, Status: wire.JobCancelled})
+		return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: wire.JobCancelled})
 	case errors.Is(err, statestore.ErrConflict):
 		// A job's key changes once after its creation, when it ends: a read tells how.
-		if job, err = h.known(ctx, id); err == nil && job.Final() {
-			return reply(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
+		if job, err = h.currentJob(ctx, id); err == nil && job.IsFinal() {
+			return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
 		}
 	}
 	slog.Debug("abort", "job", id, "error", err)
-	return unavailable(c)
+	return respondUnavailable(c)
 }
 
 // storeCancellation writes that a job is cancelled, on the condition that it has not
@@ -279,18 +279,18 @@
 		Reason:      "cancelled by its user",
 		EndedAt:     micros.Wall(),
 	}
-	if !h.Store.FitsValue(cancelled) {
+	if !h.Store.ValueAlwaysFits(cancelled) {
 		cancelled.Spec = nil
 	}
 	key := replica.JobPrefix + id
-	revision, err := h.put(ctx, key, job.stamp, cancelled)
-	if errors.Is(err, statestore.ErrRefused) && cancelled.Spec != nil {
+	revision, err := h.put(ctx, key, job.modRevision, cancelled)
+	if errors.Is(err, statestore.ErrRejected) && cancelled.Spec != nil {
 		// The service takes less than the settings say.
 		cancelled.Spec = nil
-		revision, err = h.put(ctx, key, job.stamp, cancelled)
+		revision, err = h.put(ctx, key, job.modRevision, cancelled)
 	}
 	if err == nil {
-		h.Replica.Wrote(key, cancelled, revision)
+		h.Replica.ApplyPut(key, cancelled, revision)
 	}
 	return err
 }
--- a/internal/api/members.go
+++ b/internal/api/members.go
@@ -14,7 +14,7 @@
 func (h *Handler) members(c echo.Context) error {
 	status, err := h.Node.Members()
 	if err != nil {
-		return bad(c, http.StatusNotFound, err)
+		return respondError(c, http.StatusNotFound, err)
 	}
-	return reply(c, http.StatusOK, status)
+	return respond(c, http.StatusOK, status)
 }
--- a/internal/api/report.go
+++ b/internal/api/report.go
@@ -15,7 +15,7 @@
 // Times of redirecting: a worker that comes back so soon after it was redirected cannot stay
 // where it was sent.
 const (
-	comesBackWithin = 15 * micros.Second
+	redirectMemory = 15 * micros.Second
 	// stillHereWithin is how soon after its redirection a report does not show yet that
 	// the worker came back.
 	stillHereWithin = micros.Second
@@ -23,87 +23,87 @@
 
 var errNoLeader = errors.New("no leader known")
 
-// report answers a worker. The leader has the other nodes take the reports, which
+// heartbeat answers a worker. The leader has the other nodes take the reports, which
 // they pass on to it: one node that took all of a large fleet's reports would
 // spend its processor on connections. The leader alone makes the answers, so
 // whoever hands them over, they are bound by the leader's token and contact.
-func (h *Handler) report(c echo.Context) error {
+func (h *Handler) heartbeat(c echo.Context) error {
 	body, err := wire.ReadBody(c.Request().Body)
 	if err != nil {
-		return bad(c, http.StatusBadRequest, err)
+		return respondError(c, http.StatusBadRequest, err)
 	}
 	h.Node.AwaitHandover(c.Request().Context())
-	if l := h.Node.Leading(); l != nil {
-		return h.answerReport(c, l, body)
+	if l := h.Node.LocalLeader(); l != nil {
+		return h.respondToHeartbeat(c, l, body)
 	}
-	return h.relayReport(c, body)
+	return h.forwardHeartbeat(c, body)
 }
 
-// answerReport answers a report at the node that leads.
-func (h *Handler) answerReport(c echo.Context, l *leader.Leader, body []byte) error {
+// respondToHeartbeat answers a report at the node that leads.
+func (h *Handler) respondToHeartbeat(c echo.Context, l *leader.Leader, body []byte) error {
 	var report wire.Heartbeat
 	if err := wire.Unmarshal(body, &report); err != nil {
-		return bad(c, http.StatusBadRequest, err)
+		return respondError(c, http.StatusBadRequest, err)
 	}
-	if front := h.Node.Front(report.MachineID); front != "" && !h.cameBack(report.MachineID) {
+	if front := h.Node.ForwarderFor(report.MachineID); front != "" && !h.hasComeBack(report.MachineID) {
 		return redirect(c, front)
 	}
-	answer, err := l.Report(&report)
+	answer, err := l.HandleHeartbeat(&report)
 	if err != nil {
-		return bad(c, http.StatusServiceUnavailable, err)
+		return respondError(c, http.StatusServiceUnavailable, err)
 	}
-	return reply(c, http.StatusOK, answer)
+	return respond(c, http.StatusOK, answer)
 }
 
-// relayReport passes a report on to the leader, or sends the worker there.
-func (h *Handler) relayReport(c echo.Context, body []byte) error {
+// forwardHeartbeat passes a report on to the leader, or sends the worker there.
+func (h *Handler) forwardHeartbeat(c echo.Context, body []byte) error {
 	member := h.Node.LeaderMember()
 	if member == "" || member == h.Settings.Member {
-		return bad(c, http.StatusServiceUnavailable, errNoLeader)
+		return respondError(c, http.StatusServiceUnavailable, errNoLeader)
 	}
-	if !h.Node.Relays() && !h.Node.ExpectsLeader() {
+	if !h.Node.CanForward() && !h.Node.ExpectsLeader() {
 		// A worker that comes back cannot reach the leader either.
 		var report wire.Heartbeat
 		if err := wire.Unmarshal(body, &report); err != nil {
-			return bad(c, http.StatusBadRequest, err)
+			return respondError(c, http.StatusBadRequest, err)
 		}
-		if !h.cameBack(report.MachineID) {
+		if !h.hasComeBack(report.MachineID) {
 			return redirect(c, member)
 		}
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), h.Keep.Duration())
+	ctx, cancel := context.WithTimeout(c.Request().Context(), h.HeartbeatHold.Duration())
 	defer cancel()
-	answer, err := h.Node.Relay(ctx, body)
+	answer, err := h.Node.ForwardHeartbeat(ctx, body)
 	if err != nil {
-		return bad(c, http.StatusServiceUnavailable, err)
+		return respondError(c, http.StatusServiceUnavailable, err)
 	}
 	return c.Blob(http.StatusOK, wire.ContentType, answer)
 }
 
 // redirect sends a worker to another node.
 func redirect(c echo.Context, member string) error {
-	return reply(c, http.StatusMisdirectedRequest, wire.Redirect{Member: member})
+	return respond(c, http.StatusMisdirectedRequest, wire.Redirect{Member: member})
 }
 
-// cameBack tells whether a worker was sent to another node a short while ago.
+// hasComeBack tells whether a worker was sent to another node a short while ago.
 // One that is answered here then stays; now and then it is sent again.
-func (h *Handler) cameBack(machine string) bool {
+func (h *Handler) hasComeBack(machine string) bool {
 	now := micros.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.redirected == nil || now-h.swept > comesBackWithin {
+	if h.redirected == nil || now-h.redirectsSweptAt > redirectMemory {
 		for id, at := range h.redirected {
-			if now-at > comesBackWithin {
+			if now-at > redirectMemory {
 				delete(h.redirected, id)
 			}
 		}
-		h.swept = now
+		h.redirectsSweptAt = now
 	}
 	if h.redirected == nil {
 		h.redirected = map[string]micros.Micros{}
 	}
 	since, ok := h.redirected[machine]
-	if !ok || now-since > comesBackWithin {
+	if !ok || now-since > redirectMemory {
 		h.redirected[machine] = now
 		return false
 	}
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -32,8 +32,8 @@
 	Last *standby.Record `json:"last,omitempty"`
 }
 
-// HandedOver answers a request to hand over.
-type HandedOver struct {
+// HandoverResponse answers a request to hand over.
+type HandoverResponse struct {
 	To string `json:"to"` // the member that was named; empty: any
 }
 
@@ -41,25 +41,25 @@
 func (h *Handler) standby(c echo.Context) error {
 	status, err := h.Node.Standby()
 	if err != nil {
-		return bad(c, http.StatusNotFound, err)
+		return respondError(c, http.StatusNotFound, err)
 	}
-	return reply(c, http.StatusOK, status)
+	return respond(c, http.StatusOK, status)
 }
 
 // handOver hands leadership over. Users reach the same address, so it is asked for on the
 // node's own machine only.
 func (h *Handler) handOver(c echo.Context) error {
 	if !sameMachine(c.Request()) {
-		return bad(c, http.StatusForbidden, errNotLocal)
+		return respondError(c, http.StatusForbidden, errNotLocal)
 	}
 	to, err := h.Node.HandOver()
 	switch {
 	case errors.Is(err, ErrStandbyOff):
-		return bad(c, http.StatusNotFound, err)
+		return respondError(c, http.StatusNotFound, err)
 	case err != nil:
-		return bad(c, http.StatusConflict, err)
+		return respondError(c, http.StatusConflict, err)
 	}
-	return reply(c, http.StatusOK, HandedOver{To: to})
+	return respond(c, http.StatusOK, HandoverResponse{To: to})
 }
 
 // sameMachine tells whether a request comes from the address that it was sent to, or from
--- a/internal/api/times.go
+++ b/internal/api/times.go
@@ -11,14 +11,16 @@
 	"caperlatch/internal/micros"
 )
 
-// Times keeps how long requests take, by route.
-type Times struct {
+// RequestTimes keeps how long requests take, by route.
+type RequestTimes struct {
 	mu     sync.Mutex
 	routes map[string]*hdrhistogram.Histogram
 }
 
-// NewTimes makes an empty record.
-func NewTimes() *Times { return &Times{routes: map[string]*hdrhistogram.Histogram{}} }
+// NewRequestTimes makes an empty record.
+func NewRequestTimes() *RequestTimes {
+	return &RequestTimes{routes: map[string]*hdrhistogram.Histogram{}}
+}
 
 const (
 	// slowest is the longest time told apart.
@@ -30,7 +32,7 @@
 )
 
 // record notes how long a request to a route took.
-func (t *Times) record(route string, took micros.Micros) {
+func (t *RequestTimes) record(route string, took micros.Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.routes[route]
@@ -43,7 +45,7 @@
 }
 
 // middleware times every request.
-func (t *Times) middleware(next echo.HandlerFunc) echo.HandlerFunc {
+func (t *RequestTimes) middleware(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		begun := micros.Now()
 		err := next(c)
@@ -53,10 +55,10 @@
 }
 
 // Run logs the times of each minute until ctx ends.
-func (t *Times) Run(ctx context.Context) { micros.Every(ctx, logEvery, t.log) }
+func (t *RequestTimes) Run(ctx context.Context) { micros.Every(ctx, logEvery, t.log) }
 
 // log writes the times since the last call and forgets them.
-func (t *Times) log() {
+func (t *RequestTimes) log() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for route, h := range t.routes {
--- a/internal/api/zones.go
+++ b/internal/api/zones.go
@@ -26,9 +26,9 @@
 	all, err := h.Node.Zones(ctx)
 	switch {
 	case errors.Is(err, ErrZonesOff):
-		return bad(c, http.StatusNotFound, err)
+		return respondError(c, http.StatusNotFound, err)
 	case err != nil:
-		return bad(c, http.StatusServiceUnavailable, err)
+		return respondError(c, http.StatusServiceUnavailable, err)
 	}
-	return reply(c, http.StatusOK, ZonesStatus{Leader: h.Node.LeaderMember(), Zones: all})
+	return respond(c, http.StatusOK, ZonesStatus{Leader: h.Node.LeaderMember(), Zones: all})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -23,42 +23,42 @@
 // The session's life bounds how long nobody leads after a leader's crash. It is
 // renewed often enough to survive two lost requests.
 const (
-	SessionLife = 3 * micros.Second
-	renewEvery  = 700 * micros.Millisecond
-	retryEvery  = 200 * micros.Millisecond
-	// refusedPause is between campaigns that the service refuses as they are.
-	refusedPause = 5 * micros.Second
+	SessionTTL           = 3 * micros.Second
+	sessionRenewInterval = 700 * micros.Millisecond
+	retryInterval        = 200 * micros.Millisecond
+	// rejectedBackoff is between campaigns that the service refuses as they are.
+	rejectedBackoff = 5 * micros.Second
 )
 
 // Peers is what the election asks of the other nodes' last answers.
 type Peers interface {
-	// Confirmed is when all peers last were without a higher token.
-	Confirmed(token uint64) micros.Micros
-	// AbstainUntil is until when all peers abstain from trying to lead, 0 if they do not.
-	AbstainUntil(token uint64) micros.Micros
-	// KnownSince is since when all peers have known a token, 0 if they do not.
-	KnownSince(token uint64) micros.Micros
+	// LastConfirmed is when all peers last were without a higher token.
+	LastConfirmed(token uint64) micros.Micros
+	// AbstainingUntil is until when all peers abstain from trying to lead, 0 if they do not.
+	AbstainingUntil(token uint64) micros.Micros
+	// TokenKnownSince is since when all peers have known a token, 0 if they do not.
+	TokenKnownSince(token uint64) micros.Micros
 }
 
 // Election runs for leadership on behalf of one member.
 type Election struct {
-	member  string
-	store   *statestore.Client
-	replica *replica.Replica
-	peers   Peers
-	lead    func(ctx context.Context, t *Term)
-	began   micros.Micros
-	// abstention is how long one of an earlier life may bind this one.
-	abstention  micros.Micros
-	pause       micros.Micros // after a campaign in vain
-	campaigning func()
-	yield       func() micros.Micros
-	freeSince   micros.Micros // since when nobody is seen to lead, 0 if somebody is
+	member    string
+	store     *statestore.Client
+	replica   *replica.Replica
+	peers     Peers
+	onElected func(ctx context.Context, t *Term)
+	startedAt micros.Micros
+	// maxAbstention is how long one of an earlier life may bind this one.
+	maxAbstention   micros.Micros
+	campaignBackoff micros.Micros // after a campaign in vain
+	onCampaign      func()
+	yieldFor        func() micros.Micros
+	vacantSince     micros.Micros // since when nobody is seen to lead, 0 if somebody is
 
 	mu           sync.Mutex
 	abstainUntil micros.Micros // until then this node must not try to lead
-	trying       bool          // a campaign's outcome is open
-	highest      replica.Leader
+	campaigning  bool          // a campaign's outcome is open
+	highestKnown replica.Leader
 }
 
 // Config is what an election works with.
@@ -67,30 +67,30 @@
 	Store   *statestore.Client
 	Replica *replica.Replica
 	Peers   Peers
-	// Abstention is the longest that a node may have been told to abstain for.
-	Abstention micros.Micros
+	// MaxAbstention is the longest that a node may have been told to abstain for.
+	MaxAbstention micros.Micros
 	// Campaigning, if set, is called as this node begins to try to lead.
-	Campaigning func()
+	OnCampaign func()
 	// Yield, if set, is for how long this node lets others go first when nobody leads. It
 	// only saves time: a node that yields in vain leads a little later.
-	Yield func() micros.Micros
-	// Lead is called for each term and must return soon after its context ends.
-	Lead func(context.Context, *Term)
+	YieldFor func() micros.Micros
+	// OnElected is called for each term and must return soon after its context ends.
+	OnElected func(context.Context, *Term)
 }
 
 // New makes an election.
 func New(c Config) *Election {
 	return &Election{
-		member:      c.Member,
-		store:       c.Store,
-		replica:     c.Replica,
-		peers:       c.Peers,
-		lead:        c.Lead,
-		began:       micros.Now(),
-		abstention:  c.Abstention,
-		pause:       retryEvery,
-		campaigning: c.Campaigning,
-		yield:       c.Yield,
+		member:          c.Member,
+		store:           c.Store,
+		replica:         c.Replica,
+		peers:           c.Peers,
+		onElected:       c.OnElected,
+		startedAt:       micros.Now(),
+		maxAbstention:   c.MaxAbstention,
+		campaignBackoff: retryInterval,
+		onCampaign:      c.OnCampaign,
+		yieldFor:        c.YieldFor,
 	}
 }
 
@@ -99,7 +99,7 @@
 func (e *Election) Abstain(life micros.Micros) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.trying {
+	if e.campaigning {
 		return false
 	}
 	e.abstainUntil = max(e.abstainUntil, micros.Now()+life)
@@ -111,10 +111,10 @@
 func (e *Election) beginCampaign() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := micros.Now(); now < e.abstainUntil || now < e.began+e.abstention {
+	if now := micros.Now(); now < e.abstainUntil || now < e.startedAt+e.maxAbstention {
 		return false
 	}
-	e.trying = true
+	e.campaigning = true
 	return true
 }
 
@@ -122,34 +122,34 @@
 func (e *Election) endCampaign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.trying = false
+	e.campaigning = false
 }
 
-// Told takes over a token that a peer knows of.
-func (e *Election) Told(token uint64, member string) {
+// ObserveToken takes over a token that a peer knows of.
+func (e *Election) ObserveToken(token uint64, member string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if token > e.highest.Token {
-		e.highest = replica.Leader{Member: member, Token: token}
+	if token > e.highestKnown.FencingToken {
+		e.highestKnown = replica.Leader{Member: member, FencingToken: token}
 	}
 }
 
-// Highest is who has the highest token known here. The session is not always known.
-func (e *Election) Highest() replica.Leader {
-	var token replica.Token
+// HighestKnown is who has the highest token known here. The session is not always known.
+func (e *Election) HighestKnown() replica.Leader {
+	var token replica.TokenRecord
 	if _, err := e.replica.Get(replica.TokenKey, &token); err != nil {
 		slog.Error("token key", "error", err)
 	}
 	l, _ := e.Leader()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.highest.Token > token.Token || e.highest.Token == token.Token && l.Token != token.Token {
-		return e.highest
+	if e.highestKnown.FencingToken > token.FencingToken || e.highestKnown.FencingToken == token.FencingToken && l.FencingToken != token.FencingToken {
+		return e.highestKnown
 	}
-	if l.Token == token.Token {
-		e.highest = l
+	if l.FencingToken == token.FencingToken {
+		e.highestKnown = l
 	}
-	return replica.Leader{Member: l.Member, Token: token.Token}
+	return replica.Leader{Member: l.Member, FencingToken: token.FencingToken}
 }
 
 // Leader is the leader as known here, and the version of its key: 0 if nobody leads.
@@ -161,14 +161,14 @@
 	return l, stamp
 }
 
-// idleWait is how long to wait for a change of the leader key before looking again.
-const idleWait = micros.Second
+// idlePollInterval is how long to wait for a change of the leader key before looking again.
+const idlePollInterval = micros.Second
 
 // Run takes part until ctx ends.
 func (e *Election) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := e.replica.Changed()
-		wait := e.step(ctx)
+		wait := e.reactToLeaderKey(ctx)
 		if wait == 0 {
 			continue
 		}
@@ -180,64 +180,64 @@
 	}
 }
 
-// step does what the leader key asks of this node now, and tells for how long to wait for
+// reactToLeaderKey does what the leader key asks of this node now, and tells for how long to wait for
 // a change after that.
-func (e *Election) step(ctx context.Context) (wait micros.Micros) {
+func (e *Election) reactToLeaderKey(ctx context.Context) (wait micros.Micros) {
 	l, stamp := e.Leader()
 	if stamp != 0 {
-		e.freeSince = 0
+		e.vacantSince = 0
 	}
 	switch {
-	case !e.replica.Loaded():
-		return idleWait
+	case !e.replica.IsLoaded():
+		return idlePollInterval
 	case stamp == 0:
-		if wait := e.yielding(); wait > 0 {
+		if wait := e.remainingYield(); wait > 0 {
 			return wait
 		}
-		return e.tryToLead(ctx)
+		return e.campaignAndServe(ctx)
 	case l.Member == e.member:
 		// An earlier life of this member, or an unanswered campaign of
 		// this one, holds the key. Nothing acts for it any more: every
 		// term gets its own token, also for the same member.
-		slog.Info("ending the session of an earlier term", "token", l.Token)
-		e.endSession(ctx, l.Session)
-		return retryEvery
+		slog.Info("ending the session of an earlier term", "token", l.FencingToken)
+		e.endSession(ctx, l.SessionID)
+		return retryInterval
 	}
-	return idleWait
+	return idlePollInterval
 }
 
-// yielding is for how much longer this node lets others go first.
-func (e *Election) yielding() micros.Micros {
+// remainingYield is for how much longer this node lets others go first.
+func (e *Election) remainingYield() micros.Micros {
 	now := micros.Now()
-	if e.freeSince == 0 {
-		e.freeSince = now
+	if e.vacantSince == 0 {
+		e.vacantSince = now
 	}
-	if e.yield == nil {
+	if e.yieldFor == nil {
 		return 0
 	}
-	return min(retryEvery, e.freeSince+e.yield()-now)
+	return min(retryInterval, e.vacantSince+e.yieldFor()-now)
 }
 
-// tryToLead runs a campaign, and the term if it is won.
-func (e *Election) tryToLead(ctx context.Context) (wait micros.Micros) {
+// campaignAndServe runs a campaign, and the term if it is won.
+func (e *Election) campaignAndServe(ctx context.Context) (wait micros.Micros) {
 	if !e.beginCampaign() {
-		return retryEvery
+		return retryInterval
 	}
-	if e.campaigning != nil {
-		e.campaigning()
+	if e.onCampaign != nil {
+		e.onCampaign()
 	}
 	t := e.campaign(ctx)
 	if t != nil {
-		e.serve(ctx, t)
+		e.serveTerm(ctx, t)
 		// Somebody led meanwhile, this node. Counted from before its own term, a leader that
 		// handed over let nobody go first, and took the lead back at once.
-		e.freeSince = 0
+		e.vacantSince = 0
 	}
 	e.endCampaign()
 	if t != nil {
 		return 0
 	}
-	return e.pause + micros.Micros(rand.Int64N(int64(retryEvery)))
+	return e.campaignBackoff + micros.Micros(rand.Int64N(int64(retryInterval)))
 }
 
 // endSession ends a session at the state service, if it can be reached.
@@ -250,123 +250,123 @@
 // campaign tries to become leader; the token is raised in the transaction
 // that takes the key.
 func (e *Election) campaign(ctx context.Context) *Term {
-	var token replica.Token
+	var token replica.TokenRecord
 	tokenStamp, err := e.replica.Get(replica.TokenKey, &token)
 	if err != nil {
 		slog.Error("token key", "error", err)
 		return nil
 	}
 	sent := micros.Now()
-	session, err := e.store.NewSession(ctx, SessionLife)
+	session, err := e.store.NewSession(ctx, SessionTTL)
 	if err != nil {
 		slog.Debug("campaign", "error", err)
 		return nil
 	}
-	leader := replica.Leader{Member: e.member, Token: token.Token + 1, Session: session}
+	leader := replica.Leader{Member: e.member, FencingToken: token.FencingToken + 1, SessionID: session}
 	revision, err := e.takeLeaderKey(ctx, leader, tokenStamp)
-	e.pause = pauseAfter(err)
+	e.campaignBackoff = backoffAfter(err)
 	if err != nil {
 		slog.Debug("campaign", "error", err)
 		e.endSession(ctx, session)
 		return nil
 	}
 	return &Term{
-		peers:     e.peers,
-		replica:   e.replica,
-		Token:     leader.Token,
-		Stamp:     revision,
-		session:   session,
-		confirmed: sent,
+		peers:              e.peers,
+		replica:            e.replica,
+		FencingToken:       leader.FencingToken,
+		LeaderKeyRevision:  revision,
+		sessionID:          session,
+		sessionConfirmedAt: sent,
 	}
 }
 
 // takeLeaderKey stores the leader and its token, if nobody leads and the token has not been
 // raised since.
 func (e *Election) takeLeaderKey(ctx context.Context, leader replica.Leader, tokenStamp uint64) (revision uint64, err error) {
-	token := replica.Token{Token: leader.Token}
+	token := replica.TokenRecord{FencingToken: leader.FencingToken}
 	revision, err = e.store.Commit(ctx, wire.Txn{
 		If: []wire.Compare{
 			{Key: replica.LeaderKey},
 			{Key: replica.TokenKey, ModRevision: tokenStamp},
 		},
 		Then: []wire.Op{
-			{Put: replica.LeaderKey, Value: leader, SessionID: leader.Session},
+			{Put: replica.LeaderKey, Value: leader, SessionID: leader.SessionID},
 			{Put: replica.TokenKey, Value: token},
 		},
 	})
 	if err != nil {
 		return 0, err
 	}
-	e.replica.Wrote(replica.LeaderKey, leader, revision)
-	e.replica.Wrote(replica.TokenKey, token, revision)
+	e.replica.ApplyPut(replica.LeaderKey, leader, revision)
+	e.replica.ApplyPut(replica.TokenKey, token, revision)
 	return revision, nil
 }
 
-// pauseAfter is how long to wait after a campaign that ended with err.
-func pauseAfter(err error) micros.Micros {
-	if !errors.Is(err, statestore.ErrRefused) {
-		return retryEvery
+// backoffAfter is how long to wait after a campaign that ended with err.
+func backoffAfter(err error) micros.Micros {
+	if !errors.Is(err, statestore.ErrRejected) {
+		return retryInterval
 	}
 	// Two short values: nothing could be made smaller. Whatever it is, being
 	// asked five times a second does not mend it.
 	slog.Error("the state service refuses to store who leads", "error", err)
-	return refusedPause
+	return rejectedBackoff
 }
 
-// serve keeps the session and leads until the term is over.
-func (e *Election) serve(ctx context.Context, t *Term) {
-	slog.Info("leading", "token", t.Token)
+// serveTerm keeps the session and leads until the term is over.
+func (e *Election) serveTerm(ctx context.Context, t *Term) {
+	slog.Info("leading", "token", t.FencingToken)
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		e.lead(ctx, t)
+		e.onElected(ctx, t)
 	}()
-	e.keep(ctx, t, done)
+	e.maintainSession(ctx, t, done)
 	t.end()
 	cancel()
 	<-done
-	slog.Info("no longer leading", "token", t.Token)
+	slog.Info("no longer leading", "token", t.FencingToken)
 	ending, stop := context.WithTimeout(context.Background(), statestore.Timeout.Duration())
 	defer stop()
-	e.endSession(ending, t.session)
+	e.endSession(ending, t.sessionID)
 }
 
-// superseded tells whether the leader key is another's, or a peer knows of a
+// isSuperseded tells whether the leader key is another's, or a peer knows of a
 // higher token: then the workers have to go there soon.
-func (e *Election) superseded(t *Term) bool {
-	if _, stamp := e.Leader(); stamp != t.Stamp {
+func (e *Election) isSuperseded(t *Term) bool {
+	if _, stamp := e.Leader(); stamp != t.LeaderKeyRevision {
 		return true
 	}
-	return e.Highest().Token > t.Token
+	return e.HighestKnown().FencingToken > t.FencingToken
 }
 
-// keep renews the session until the term is lost or given up.
-func (e *Election) keep(ctx context.Context, t *Term, done <-chan struct{}) {
+// maintainSession renews the session until the term is lost or given up.
+func (e *Election) maintainSession(ctx context.Context, t *Term, done <-chan struct{}) {
 	for {
 		changed := e.replica.Changed()
-		if e.superseded(t) {
+		if e.isSuperseded(t) {
 			return
 		}
-		wait := renewEvery
+		wait := sessionRenewInterval
 		sent := micros.Now()
-		switch err := e.store.RenewSession(ctx, t.session); {
+		switch err := e.store.RenewSession(ctx, t.sessionID); {
 		case err == nil:
 			t.confirm(sent)
-		case errors.Is(err, statestore.ErrNoSession):
+		case errors.Is(err, statestore.ErrSessionNotFound):
 			return
 		default:
 			slog.Debug("renew session", "error", err)
-			wait = retryEvery
+			wait = retryInterval
 		}
-		if !e.waitInTerm(ctx, t, done, changed, wait) {
+		if !e.waitWithinTerm(ctx, t, done, changed, wait) {
 			return
 		}
 	}
 }
 
-// waitInTerm waits and tells whether the term goes on.
-func (e *Election) waitInTerm(ctx context.Context, t *Term, done, changed <-chan struct{}, wait micros.Micros) bool {
+// waitWithinTerm waits and tells whether the term goes on.
+func (e *Election) waitWithinTerm(ctx context.Context, t *Term, done, changed <-chan struct{}, wait micros.Micros) bool {
 	deadline := time.After(wait.Duration())
 	for {
 		select {
@@ -378,7 +378,7 @@
 			return true
 		case <-changed:
 			changed = e.replica.Changed()
-			if e.superseded(t) {
+			if e.isSuperseded(t) {
 				return false
 			}
 		}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -16,9 +16,9 @@
 // noPeers are peers that say nothing.
 type noPeers struct{}
 
-func (noPeers) Confirmed(uint64) micros.Micros    { return 0 }
-func (noPeers) AbstainUntil(uint64) micros.Micros { return 0 }
-func (noPeers) KnownSince(uint64) micros.Micros   { return 0 }
+func (noPeers) LastConfirmed(uint64) micros.Micros   { return 0 }
+func (noPeers) AbstainingUntil(uint64) micros.Micros { return 0 }
+func (noPeers) TokenKnownSince(uint64) micros.Micros { return 0 }
 
 // abstention is how long a node abstains from leading in these tests.
 const abstention = 1500 * micros.Millisecond
@@ -49,12 +49,12 @@
 				began := time.Now()
 				led := make(chan time.Duration, 1)
 				e := New(Config{
-					Member:     "host-0",
-					Store:      store,
-					Replica:    copied,
-					Peers:      noPeers{},
-					Abstention: abstention,
-					Lead: func(ctx context.Context, _ *Term) {
+					Member:        "host-0",
+					Store:         store,
+					Replica:       copied,
+					Peers:         noPeers{},
+					MaxAbstention: abstention,
+					OnElected: func(ctx context.Context, _ *Term) {
 						led <- time.Since(began)
 						<-ctx.Done()
 					},
@@ -94,12 +94,12 @@
 		const yields = 2 * time.Second
 		terms, ended := make(chan time.Time, 2), time.Time{}
 		e := New(Config{
-			Member:  "host-0",
-			Store:   store,
-			Replica: copied,
-			Peers:   noPeers{},
-			Yield:   func() micros.Micros { return micros.Micros(yields / time.Microsecond) },
-			Lead: func(ctx context.Context, _ *Term) {
+			Member:   "host-0",
+			Store:    store,
+			Replica:  copied,
+			Peers:    noPeers{},
+			YieldFor: func() micros.Micros { return micros.Micros(yields / time.Microsecond) },
+			OnElected: func(ctx context.Context, _ *Term) {
 				terms <- time.Now()
 				if len(terms) == 1 {
 					time.Sleep(5 * time.Second)
@@ -107,7 +107,7 @@
 					if _, err := copied.Get(replica.LeaderKey, &l); err != nil {
 						t.Error(err)
 					}
-					if err := store.EndSession(ctx, l.Session); err != nil {
+					if err := store.EndSession(ctx, l.SessionID); err != nil {
 						t.Error(err)
 					}
 					time.Sleep(time.Second) // it sees that nobody leads before the term ends here
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -12,59 +12,61 @@
 	peers   Peers
 	replica *replica.Replica
 
-	Token   uint64
-	Stamp   uint64 // of the leader key; every write of the term is conditioned on it
-	session uint64 // of the state service
+	FencingToken      uint64
+	LeaderKeyRevision uint64 // of the leader key; every write of the term is conditioned on it
+	sessionID         uint64 // of the state service
 
-	mu        sync.Mutex
-	confirmed micros.Micros // send time of the last good renewal of the session
-	over      bool
+	mu                 sync.Mutex
+	sessionConfirmedAt micros.Micros // send time of the last good renewal of the session
+	ended              bool
 }
 
-// Confirmed is when it was last proved that this term may act and knows of all
+// LastConfirmed is when it was last proved that this term may act and knows of all
 // cancellations: by the state service, where the session lives and the changes are
 // read by separate requests and the older one counts, or by all peers' answers.
-func (t *Term) Confirmed() micros.Micros {
-	peers, seen := t.peers.Confirmed(t.Token), t.replica.Seen()
+func (t *Term) LastConfirmed() micros.Micros {
+	peers, seen := t.peers.LastConfirmed(t.FencingToken), t.replica.CurrentAsOf()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(min(t.confirmed, seen), peers)
+	return max(min(t.sessionConfirmedAt, seen), peers)
 }
 
-// Alone is since when no other node can answer workers with a lower token; 0
+// EarlierTermsFencedSince is since when no other node can answer workers with a lower token; 0
 // while that is not known.
-func (t *Term) Alone() micros.Micros { return t.peers.KnownSince(t.Token) }
+func (t *Term) EarlierTermsFencedSince() micros.Micros {
+	return t.peers.TokenKnownSince(t.FencingToken)
+}
 
-// Held tells whether the session has not ended, even if the service's clock runs
+// HoldsSession tells whether the session has not ended, even if the service's clock runs
 // fast.
-func (t *Term) Held() bool {
+func (t *Term) HoldsSession() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.over && micros.Now() < t.confirmed+SessionLife-micros.Drift(SessionLife)
+	return !t.ended && micros.Now() < t.sessionConfirmedAt+SessionTTL-micros.Drift(SessionTTL)
 }
 
-// Sure tells whether nobody else can be leader now: the session has not ended, or
+// IsExclusive tells whether nobody else can be leader now: the session has not ended, or
 // all others, who cannot reach the state service either, abstain from trying.
-func (t *Term) Sure() bool {
-	if t.Held() {
+func (t *Term) IsExclusive() bool {
+	if t.HoldsSession() {
 		return true
 	}
 	t.mu.Lock()
-	over := t.over
+	over := t.ended
 	t.mu.Unlock()
-	return !over && micros.Now() < t.peers.AbstainUntil(t.Token)
+	return !over && micros.Now() < t.peers.AbstainingUntil(t.FencingToken)
 }
 
 // confirm notes that the session lived when a request was sent.
 func (t *Term) confirm(sent micros.Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.confirmed = max(t.confirmed, sent)
+	t.sessionConfirmedAt = max(t.sessionConfirmedAt, sent)
 }
 
 // end notes that the term is over.
 func (t *Term) end() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.over = true
+	t.ended = true
 }
--- a/internal/leader/ask.go
+++ b/internal/leader/ask.go
@@ -72,7 +72,7 @@
 		zone.asked++
 		l.zoneAnswers[m.kind.Zone] = zone
 	}
-	if l.Expected != nil {
+	if l.PreviousTerm != nil {
 		l.askOrder(machines)
 	}
 	return machines
@@ -118,7 +118,7 @@
 		if !needed {
 			return true
 		}
-		if !l.Term.Sure() {
+		if !l.Term.IsExclusive() {
 			return false
 		}
 		report, err := l.askOnce(ctx, to)
@@ -160,8 +160,8 @@
 	defer func() { <-l.calls }()
 	ctx, cancel := context.WithTimeout(ctx, askTimeout.Duration())
 	defer cancel()
-	body := wire.CommandRequest{FencingToken: l.Token, Incarnation: to.session, Commands: []wire.Command{}}
-	_, answer, err := wire.Call(ctx, l.Workers, http.MethodPost, "http://"+to.address+"/commands", body)
+	body := wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: to.session, Commands: []wire.Command{}}
+	_, answer, err := wire.Call(ctx, l.WorkerClient, http.MethodPost, "http://"+to.address+"/commands", body)
 	if err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 		return
 	}
 	m.session = r.Incarnation
-	if r.FencingToken != l.Token {
+	if r.FencingToken != l.FencingToken {
 		return
 	}
 	a := l.zoneAnswers[m.kind.Zone]
@@ -201,7 +201,7 @@
 // probableSession is the session that a machine is probably in.
 func (m *machine) probableSession() uint64 {
 	if m.session == 0 && m.expected != nil {
-		return max(1, m.expected.Session)
+		return max(1, m.expected.Incarnation)
 	}
 	return max(1, m.session)
 }
--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -83,12 +83,12 @@
 		l, _ := newTest(t)
 		m := l.machines["i-1"]
 		m.address, m.current = "i-1:9000", false
-		l.Workers = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
+		l.WorkerClient = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if d.FencingToken != token || len(d.Commands) != 0 {
 				t.Errorf("%s: asked with token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
 			}
 			if c.already != nil {
-				if _, err := l.Report(c.already); err != nil {
+				if _, err := l.HandleHeartbeat(c.already); err != nil {
 					t.Errorf("%s: %v", c.name, err)
 				}
 			}
@@ -104,7 +104,7 @@
 			t.Errorf("%s: its lease counts as over", c.name)
 		}
 		l.plannedAt = 0
-		a, err := l.Report(c.report)
+		a, err := l.HandleHeartbeat(c.report)
 		if got := verbs(a); err != nil || !slices.Equal(got, c.want) {
 			t.Errorf("%s: told %v (%v), want %v", c.name, got, err, c.want)
 		}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -48,15 +48,15 @@
 		s := &wire.Job{ID: id, Class: fmt.Sprintf("c%d", i%3), Team: []string{"blue", "red"}[i%2], Kind: wire.KindArray,
 			Priority: []string{"normal", "urgent"}[i%2], Tasks: benchTasks, CPUs: 4, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%20),
 			ImageSizeGB: 2, EstimatedRuntimeS: float64(20 + i%50), AllowSpot: true}
-		r.Wrote(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
+		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
 	}
 	for i := range machines / 50 {
 		b := booking{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
 		for k := range 50 {
 			b.Machines = append(b.Machines, benchMachine(i*50+k))
 		}
-		r.Wrote(replica.BookingPrefix+fmt.Sprintf("r-1-%d", i), b, uint64(i+5000))
-		r.Wrote(runningListKey(i), runningList{Machines: b.Machines}, uint64(i+6000))
+		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), b, uint64(i+5000))
+		r.ApplyPut(runningListKey(i), runningList{Machines: b.Machines}, uint64(i+6000))
 	}
 	return r
 }
@@ -69,7 +69,7 @@
 	now := micros.Now()
 	s := benchSettings()
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: r,
-		Store: statestore.New("unused", s.Params.State, nil), Token: token,
+		Store: statestore.New("unused", s.Params.State, nil), FencingToken: token,
 		Term: &fakeTerm{held: true, sure: true, confirmed: now + 3600*micros.Second, alone: now}})
 	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 60, ImagePullGBPerS: 1, OnDemandPrice: 0.97, SpotPrice: 0.35, BootTimeS: 50, Zones: []string{"a", "b"}}}})
 	if err := l.rebuild(); err != nil {
@@ -103,7 +103,7 @@
 // benchReport sends a report and carries out what it is told.
 func benchReport(b *testing.B, l *Leader, r *wire.Heartbeat) {
 	r.Sequence++
-	a, err := l.Report(r)
+	a, err := l.HandleHeartbeat(r)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -191,7 +191,7 @@
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.AllCounts()
+			l.AllTaskCounts()
 		}
 	})
 }
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -21,7 +21,7 @@
 // of a fleet up for minutes after everybody else had gone. It acts only while nothing
 // waits, so that a moved task finds its room at once.
 func (l *Leader) consolidate(now micros.Micros) {
-	if len(l.queue.jobs) > 0 || !l.Term.Held() || !l.Term.Sure() || l.unresolved() > 0 {
+	if len(l.queue.jobs) > 0 || !l.Term.HoldsSession() || !l.Term.IsExclusive() || l.unresolved() > 0 {
 		return
 	}
 	var ms []*machine
--- a/internal/leader/counts_test.go
+++ b/internal/leader/counts_test.go
@@ -20,7 +20,7 @@
 		j.running = 1
 		l.jobs[id] = j
 	}
-	counts, _ := l.AllCounts()
+	counts, _ := l.AllTaskCounts()
 	message, err := wire.Marshal(counts)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -173,7 +173,7 @@
 			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", len(l.gatherings[j.spec.ID].machines)))
 		}
 	}
-	if !l.Term.Sure() {
+	if !l.Term.IsExclusive() {
 		why = append(why, "the leader is not sure of its leadership")
 	}
 	if len(why) > 0 {
@@ -197,8 +197,8 @@
 	return append(why, fmt.Sprintf("no machine has room for a task; %d are coming up", coming))
 }
 
-// Counts is what is shown of a job that is not over.
-func (l *Leader) Counts(id string) (done, running int, ok bool) {
+// TaskCounts is what is shown of a job that is not over.
+func (l *Leader) TaskCounts(id string) (done, running int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	j := l.jobs[id]
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -47,7 +47,7 @@
 }
 
 func (l *Leader) markBooking(b *booking) {
-	l.dirty[replica.BookingPrefix+b.id] = true
+	l.dirty[replica.LaunchIntentPrefix+b.id] = true
 	l.wakeFlush()
 }
 
@@ -55,7 +55,7 @@
 	b := l.bookings[id]
 	if b == nil || b.dropped {
 		w.stored = func() { delete(l.bookings, id) }
-		return w, l.Replica.Stamp(w.key) != 0
+		return w, l.Replica.ModRevision(w.key) != 0
 	}
 	snapshot := *b
 	snapshot.Machines = slices.Clone(b.Machines)
@@ -87,12 +87,12 @@
 
 func runningEntry(m *machine) string { return m.id + " " + m.address }
 
-func runningListKey(n int) string { return replica.UpPrefix + strconv.Itoa(n) }
+func runningListKey(n int) string { return replica.MachineListPrefix + strconv.Itoa(n) }
 
 // restoreRunningLists reads which machines an earlier term may have given tasks.
 func (l *Leader) restoreRunningLists() error {
-	for _, key := range l.Replica.Keys(replica.UpPrefix) {
-		n, err := strconv.Atoi(strings.TrimPrefix(key, replica.UpPrefix))
+	for _, key := range l.Replica.Keys(replica.MachineListPrefix) {
+		n, err := strconv.Atoi(strings.TrimPrefix(key, replica.MachineListPrefix))
 		if err != nil || n < 0 || n > 1<<20 {
 			return fmt.Errorf("stored %s: no list of machines", key)
 		}
@@ -144,7 +144,7 @@
 	fits := func(entries []string) int {
 		lo, hi := 1, len(entries)
 		for lo < hi { // the most that fit
-			if mid := (lo + hi + 1) / 2; l.Store.FitsValue(runningList{Machines: entries[:mid]}) {
+			if mid := (lo + hi + 1) / 2; l.Store.ValueAlwaysFits(runningList{Machines: entries[:mid]}) {
 				lo = mid
 			} else {
 				hi = mid - 1
@@ -180,7 +180,7 @@
 func (l *Leader) markUp(m *machine) {
 	m.up = true
 	n := len(l.runningLists) - 1
-	if n < 0 || !l.Store.FitsValue(runningList{Machines: append(l.runningLists[n].Machines, runningEntry(m), runningEntry(m))}) {
+	if n < 0 || !l.Store.ValueAlwaysFits(runningList{Machines: append(l.runningLists[n].Machines, runningEntry(m), runningEntry(m))}) {
 		l.runningLists = append(l.runningLists, &runningList{})
 		n++
 	}
@@ -191,7 +191,7 @@
 }
 
 func (l *Leader) buildRunningList(w write) (write, bool) {
-	n, err := strconv.Atoi(strings.TrimPrefix(w.key, replica.UpPrefix))
+	n, err := strconv.Atoi(strings.TrimPrefix(w.key, replica.MachineListPrefix))
 	if err != nil || n >= len(l.runningLists) {
 		return w, false
 	}
@@ -201,7 +201,7 @@
 		return w, w.stamp != 0
 	}
 	w.value = runningList{Machines: snapshot}
-	if w.stamp != 0 && len(snapshot) > 1 && !l.Store.FitsValue(w.value) {
+	if w.stamp != 0 && len(snapshot) > 1 && !l.Store.ValueAlwaysFits(w.value) {
 		return w, false // it is being split
 	}
 	w.stored = func() {
@@ -236,7 +236,7 @@
 	l.mu.Lock()
 	handing := l.handing
 	l.mu.Unlock()
-	return !handing && l.Term.Sure()
+	return !handing && l.Term.IsExclusive()
 }
 
 // rentLoop asks the cloud for what is booked.
@@ -255,7 +255,7 @@
 func (l *Leader) book(o offer, count int) {
 	l.bookingSeq++
 	b := &booking{
-		id:   fmt.Sprintf("r-%d-%d", l.Token, l.bookingSeq),
+		id:   fmt.Sprintf("r-%d-%d", l.FencingToken, l.bookingSeq),
 		Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: min(count, cloud.MaxLaunch), At: micros.Wall(),
 	}
 	slog.Debug("renting", "booking", b.id, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", b.Count)
@@ -269,7 +269,7 @@
 	for wait := 500 * micros.Millisecond; ; wait = min(2*wait, 8*micros.Second) {
 		l.mu.Lock()
 		b := l.bookings[id]
-		over := b == nil || ctx.Err() != nil || l.handing || !l.Term.Sure()
+		over := b == nil || ctx.Err() != nil || l.handing || !l.Term.IsExclusive()
 		var r wire.LaunchRequest
 		if b != nil {
 			r = wire.LaunchRequest{RequestID: id, InstanceType: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}
@@ -347,7 +347,7 @@
 // out minutes later, on machines that the next leader uses. An isolated leader
 // to which all machines were silent once lost a whole fleet that way.
 func (l *Leader) giveUp(m *machine, why string) {
-	if !l.Term.Held() {
+	if !l.Term.HoldsSession() {
 		return
 	}
 	l.tallies.add("returning: "+why, m.id)
@@ -357,7 +357,7 @@
 		a.why = "its machine is returned: " + why
 	}
 	l.toReturn = append(l.toReturn, m.id)
-	l.publish(standby.Entry{Returning: &standby.Returning{Machine: m.id, Why: why}})
+	l.publish(standby.Entry{MachineTerminating: &standby.MachineTerminating{Machine: m.id, Reason: why}})
 }
 
 // returnLoop has the cloud take machines back, many in a call: calls are few,
@@ -381,8 +381,8 @@
 // returnAll returns machines and asks until the cloud has answered.
 func (l *Leader) returnAll(ctx context.Context, ids []string) {
 	for wait := 500 * micros.Millisecond; ; wait = min(2*wait, 8*micros.Second) {
-		if l.Term.Held() {
-			err := l.Cloud.Terminate(ctx, ids, l.Term.Held)
+		if l.Term.HoldsSession() {
+			err := l.Cloud.Terminate(ctx, ids, l.Term.HoldsSession)
 			if err == nil {
 				break
 			}
@@ -410,7 +410,7 @@
 		l.order = slices.Delete(l.order, i, i+1)
 	}
 	l.gone[m.id] = true
-	l.publish(standby.Entry{Gone: &standby.Gone{Machine: m.id}})
+	l.publish(standby.Entry{MachineTerminated: &standby.MachineTerminated{Machine: m.id}})
 	b := m.booking
 	b.Machines = slices.DeleteFunc(b.Machines, func(id string) bool { return id == m.id })
 	if m.up {
@@ -422,7 +422,7 @@
 		l.markLazily(runningListKey(m.runningList))
 	}
 	b.dropped = b.Answered && len(b.Machines) == 0
-	l.markLazily(replica.BookingPrefix + b.id)
+	l.markLazily(replica.LaunchIntentPrefix + b.id)
 }
 
 // listLoop compares the cloud's list with the known machines.
--- a/internal/leader/flush.go
+++ b/internal/leader/flush.go
@@ -53,7 +53,7 @@
 
 // flush writes one transaction and tells whether more is waiting.
 func (l *Leader) flush(ctx context.Context) (more bool) {
-	if !l.Term.Sure() {
+	if !l.Term.IsExclusive() {
 		return false
 	}
 	l.mu.Lock()
@@ -64,7 +64,7 @@
 		return false
 	}
 	defer l.endWriting()
-	rev, err := l.Store.CommitPaced(ctx, l.transaction(ws))
+	rev, err := l.Store.CommitRateLimited(ctx, l.transaction(ws))
 	var conflict *statestore.Conflict
 	switch {
 	case err == nil:
@@ -74,7 +74,7 @@
 		slog.Info("a newer term has begun")
 		l.lostOnce.Do(func() { close(l.lost) })
 		return false
-	case errors.Is(err, statestore.ErrRefused):
+	case errors.Is(err, statestore.ErrRejected):
 		l.flushRefused(ws, err)
 		return true
 	}
@@ -93,7 +93,7 @@
 // transaction conditions each write on its key's version as well as on the leadership:
 // a transaction that got no answer may be applied late, and must not undo a newer one.
 func (l *Leader) transaction(ws []write) wire.Txn {
-	t := wire.Txn{If: []wire.Compare{{Key: replica.LeaderKey, ModRevision: l.Stamp}}}
+	t := wire.Txn{If: []wire.Compare{{Key: replica.LeaderKey, ModRevision: l.LeaderKeyRevision}}}
 	for _, w := range ws {
 		t.If = append(t.If, wire.Compare{Key: w.key, ModRevision: w.stamp})
 		op := wire.Op{Put: w.key, Value: w.value}
@@ -109,9 +109,9 @@
 func (l *Leader) flushed(ws []write, rev uint64) {
 	for _, w := range ws {
 		if w.value == nil {
-			l.Replica.Removed(w.key, rev)
+			l.Replica.ApplyDelete(w.key, rev)
 		} else {
-			l.Replica.Wrote(w.key, w.value, rev)
+			l.Replica.ApplyPut(w.key, w.value, rev)
 		}
 	}
 	l.mu.Lock()
@@ -147,7 +147,7 @@
 	if len(ws) == 1 {
 		w := ws[0]
 		l.tooLarge[w.key] = wire.JSONSize(w.value)
-		l.flushOps = l.Store.FlushOps()
+		l.flushOps = l.Store.MaxLeaderOps()
 		slog.Error("the state service refuses a value, which is given up", "key", w.key, "bytes", l.tooLarge[w.key], "error", err)
 		return
 	}
@@ -198,7 +198,7 @@
 // that still names them only makes a next leader careful. When that came before the
 // ends, nobody was told of a finished job for a minute while a fleet went home.
 func (l *Leader) urgency(key string) int {
-	for i, prefix := range []string{replica.JobPrefix, replica.UpPrefix, replica.ZonesKey, replica.StaffingKey, replica.BookingPrefix} {
+	for i, prefix := range []string{replica.JobPrefix, replica.MachineListPrefix, replica.ZonesKey, replica.AutoscalerKey, replica.LaunchIntentPrefix} {
 		if strings.HasPrefix(key, prefix) && l.dirty[key] {
 			return i
 		}
@@ -216,8 +216,8 @@
 // whose first write got no answer, was repeated, removed when over, and then carried out
 // after all. The next leader would rent once more for such a booking.
 func (l *Leader) sweep() {
-	for _, key := range l.Replica.Keys(replica.BookingPrefix) {
-		if l.bookings[strings.TrimPrefix(key, replica.BookingPrefix)] == nil {
+	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
+		if l.bookings[strings.TrimPrefix(key, replica.LaunchIntentPrefix)] == nil {
 			l.markLazily(key)
 		}
 	}
@@ -237,11 +237,11 @@
 
 // build makes a dirty key's present value.
 func (l *Leader) build(key string) (write, bool) {
-	w := write{key: key, stamp: l.Replica.Stamp(key)}
-	if strings.HasPrefix(key, replica.UpPrefix) {
+	w := write{key: key, stamp: l.Replica.ModRevision(key)}
+	if strings.HasPrefix(key, replica.MachineListPrefix) {
 		return l.buildRunningList(w)
 	}
-	if id, ok := strings.CutPrefix(key, replica.BookingPrefix); ok {
+	if id, ok := strings.CutPrefix(key, replica.LaunchIntentPrefix); ok {
 		return l.buildBooking(w, id)
 	}
 	if id, ok := strings.CutPrefix(key, replica.JobPrefix); ok {
@@ -253,7 +253,7 @@
 	if key == replica.ZonesKey {
 		return l.buildZones(w)
 	}
-	if key == replica.StaffingKey {
+	if key == replica.AutoscalerKey {
 		w.value = l.staffingRecord()
 		return w, true
 	}
@@ -266,7 +266,7 @@
 	// The version and the state go together: were the version read later,
 	// a cancellation that came in between would be overwritten.
 	known, stamp, _ := l.Replica.Job(id)
-	if known.Final() {
+	if known.IsFinal() {
 		return w, false
 	}
 	w.value, w.stamp = final, stamp
@@ -279,7 +279,7 @@
 	id, chunk, err := parseProgressKey(w.key)
 	j := l.jobs[id]
 	if err != nil || j == nil {
-		return w, l.Replica.Stamp(w.key) != 0 // the job is over
+		return w, l.Replica.ModRevision(w.key) != 0 // the job is over
 	}
 	if _, finishing := l.finals[id]; finishing {
 		return w, false // the final state says it all
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -248,7 +248,7 @@
 
 // reachable tells whether all tasks of a gang should hear a stop in time.
 func (l *Leader) reachable(j *job, now micros.Micros) bool {
-	if !l.Term.Sure() {
+	if !l.Term.IsExclusive() {
 		return false
 	}
 	for _, a := range j.on {
@@ -291,19 +291,19 @@
 	if m.address == "" {
 		return
 	}
-	address, body := m.address, wire.CommandRequest{FencingToken: l.Token, Incarnation: m.session, Commands: commands}
+	address, body := m.address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.session, Commands: commands}
 	until := micros.Now() + l.Settings.Params.Workers.GangLossTimeout()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), (until - micros.Now()).Duration())
 		defer cancel()
-		for ctx.Err() == nil && l.Term.Sure() {
+		for ctx.Err() == nil && l.Term.IsExclusive() {
 			select {
 			case l.calls <- struct{}{}:
 			case <-ctx.Done():
 				return
 			}
 			callCtx, done := context.WithTimeout(ctx, tellTimeout.Duration())
-			_, _, err := wire.Call(callCtx, l.Workers, http.MethodPost, "http://"+address+"/commands", body)
+			_, _, err := wire.Call(callCtx, l.WorkerClient, http.MethodPost, "http://"+address+"/commands", body)
 			done()
 			<-l.calls
 			if err == nil {
@@ -507,7 +507,7 @@
 func (l *Leader) rentForGangs(now micros.Micros) {
 	teams, unresolved := l.teamUse(), l.unknownTasks()
 	for _, j := range l.gangs() {
-		if l.mustWait(j, unresolved) || !l.Term.Sure() {
+		if l.mustWait(j, unresolved) || !l.Term.IsExclusive() {
 			continue
 		}
 		want := j.ready(now)
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -24,8 +24,8 @@
 func newGangTest(t *testing.T, old bool) *Leader {
 	t.Helper()
 	l, _ := newTest(t)
-	l.Workers = &http.Client{Transport: heard{}}
-	l.Replica.Wrote(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
+	l.WorkerClient = &http.Client{Transport: heard{}}
+	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
 	l.takeChanges()
 	spec := &wire.Job{ID: "j-000002", Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
 		EstimatedRuntimeS: 60, CheckpointIntervalS: 20, CheckpointDurationS: 3, AllowSpot: true}
@@ -69,7 +69,7 @@
 		r.Tasks = append(r.Tasks, x)
 	}
 	l.plannedAt = 0
-	a, err := l.Report(r)
+	a, err := l.HandleHeartbeat(r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	t.Helper()
 	m := l.machines[machine]
 	l.replan, l.plannedAt = true, 0
-	answer, err := l.Report(&wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: m.session, Sequence: m.seq + 1, FencingToken: token, Tasks: tasks})
+	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: m.session, Sequence: m.seq + 1, FencingToken: token, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -108,7 +108,7 @@
 	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.plannedAt = 0
 	for _, m := range l.order {
-		if _, err := l.Report(&wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token}); err != nil {
+		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -207,7 +207,7 @@
 		l := newGangTest(t, false)
 		c.before(t, l)
 		j := l.jobs["j-000002"]
-		l.Replica.Wrote(replica.JobPrefix+j.spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.spec}, 9)
+		l.Replica.ApplyPut(replica.JobPrefix+j.spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.spec}, 9)
 		l.takeChanges()
 		told := 0
 		for _, m := range slices.Clone(l.order) {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -209,7 +209,7 @@
 func TestGangOldQueue(t *testing.T) {
 	cancel := func(l *Leader) {
 		spec := l.jobs["j-000002"].spec
-		l.Replica.Wrote(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 3)
+		l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 3)
 	}
 	cases := []struct {
 		name    string
@@ -370,7 +370,7 @@
 		return func(_ *testing.T, l *Leader, m *machine) {
 			r := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token}
 			edit(r)
-			if _, err := l.Report(r); err != nil && r.Sequence > m.seq {
+			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.seq {
 				t.Error(err)
 			}
 		}
@@ -604,15 +604,15 @@
 	ended := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token,
 		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.plannedAt = 0
-	if answer, err := l.Report(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
+	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
 		t.Fatalf("told %v (%v), want the start again", answer.Commands, err)
 	}
 	waiting := *ended
 	waiting.Sequence, waiting.Tasks = ended.Sequence+1, []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskWaitingForGang}}
-	if _, err := l.Report(&waiting); err != nil || j.gang.n != n {
+	if _, err := l.HandleHeartbeat(&waiting); err != nil || j.gang.n != n {
 		t.Fatalf("attempt %d (%v), want %d", j.gang.n, err, n)
 	}
-	if _, err := l.Report(ended); err == nil {
+	if _, err := l.HandleHeartbeat(ended); err == nil {
 		t.Error("a late copy was answered")
 	}
 	l.addMachine("i-4", l.bookings["r-1"], l.began)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -28,34 +28,34 @@
 
 // Term is the part of an election's term that the leader needs.
 type Term interface {
-	Held() bool               // the hold has not ended
-	Sure() bool               // nobody else can lead
-	Confirmed() micros.Micros // when that was last proved
-	Alone() micros.Micros     // since when nobody answers with a lower token, 0 if unknown
+	HoldsSession() bool                     // the hold has not ended
+	IsExclusive() bool                      // nobody else can lead
+	LastConfirmed() micros.Micros           // when that was last proved
+	EarlierTermsFencedSince() micros.Micros // since when nobody answers with a lower token, 0 if unknown
 }
 
 var _ Term = (*election.Term)(nil)
 
 // Config is what a leader works with.
 type Config struct {
-	Settings *settings.Settings
-	Tuning   settings.Tuning
-	Store    *statestore.Client
-	Cloud    *cloud.Client
-	Replica  *replica.Replica
-	Term     Term
-	Token    uint64
-	Stamp    uint64 // of the leader key
-	Workers  *http.Client
+	Settings          *settings.Settings
+	Tuning            settings.Tuning
+	Store             *statestore.Client
+	Cloud             *cloud.Client
+	Replica           *replica.Replica
+	Term              Term
+	FencingToken      uint64
+	LeaderKeyRevision uint64 // of the leader key
+	WorkerClient      *http.Client
 	// Of a node with a warm standby; nil without.
-	Followers Followers
-	Progress  Progress
-	Expected  *standby.View // of the term before, if one was followed
+	Followers        Followers
+	FailoverProgress FailoverProgress
+	PreviousTerm     *standby.View // of the term before, if one was followed
 	// Zones decides on zones; nil: the default policy.
 	Zones zone.Policy
-	// Isolated tells whether this node hears neither the state service nor most of its peers;
+	// IsIsolated tells whether this node hears neither the state service nor most of its peers;
 	// nil: it is not known.
-	Isolated func() bool
+	IsIsolated func() bool
 }
 
 // Leader acts for one term. Its mu guards all that changes after New, except
@@ -89,7 +89,7 @@
 	zoneState
 
 	// What is shown to users and written to the log.
-	counts    map[string][2]int // see AllCounts
+	counts    map[string][2]int // see AllTaskCounts
 	countsAt  micros.Micros
 	lastStops []StopNote
 	tallies   tallies
@@ -219,7 +219,7 @@
 			dirty:    map[string]bool{},
 			finals:   map[string]replica.Job{},
 			flushNow: make(chan struct{}, 1),
-			flushOps: c.Store.FlushOps(),
+			flushOps: c.Store.MaxLeaderOps(),
 			tooLarge: map[string]int{},
 		},
 		workerCalls: workerCalls{
@@ -254,7 +254,7 @@
 			return
 		}
 	}
-	if l.Progress != nil && !l.Progress.Confirmed(l.Replica.Revision(), l.Expected != nil && l.Expected.Proves(l.Token)) {
+	if l.FailoverProgress != nil && !l.FailoverProgress.StateRead(l.Replica.Revision(), l.PreviousTerm != nil && l.PreviousTerm.ProvesAssignments(l.FencingToken)) {
 		slog.Error("take-over", "error", "there is no proof that the term before has ended")
 		return
 	}
@@ -286,7 +286,7 @@
 // loadCatalog uses the stored catalog or else asks the cloud.
 func (l *Leader) loadCatalog(ctx context.Context) error {
 	var c wire.InstanceTypeList
-	stamp, err := l.Replica.Get(replica.CatalogKey, &c)
+	stamp, err := l.Replica.Get(replica.InstanceTypesKey, &c)
 	if err != nil {
 		return err
 	}
@@ -305,7 +305,7 @@
 		return err
 	}
 	var stored wire.InstanceTypeList
-	stamp, err := l.Replica.Get(replica.CatalogKey, &stored)
+	stamp, err := l.Replica.Get(replica.InstanceTypesKey, &stored)
 	if err != nil {
 		return err
 	}
@@ -317,10 +317,10 @@
 		return nil
 	}
 	rev, err := l.Store.Commit(ctx, wire.Txn{
-		If:   []wire.Compare{{Key: replica.LeaderKey, ModRevision: l.Stamp}, {Key: replica.CatalogKey, ModRevision: stamp}},
-		Then: []wire.Op{{Put: replica.CatalogKey, Value: c}},
+		If:   []wire.Compare{{Key: replica.LeaderKey, ModRevision: l.LeaderKeyRevision}, {Key: replica.InstanceTypesKey, ModRevision: stamp}},
+		Then: []wire.Op{{Put: replica.InstanceTypesKey, Value: c}},
 	})
-	if errors.Is(err, statestore.ErrRefused) {
+	if errors.Is(err, statestore.ErrRejected) {
 		// The leader goes on with what it was told. Submissions are judged by the
 		// catalog stored before; a take-over must not wait for what cannot be.
 		l.catalogRefused = &c
@@ -330,7 +330,7 @@
 	if err != nil {
 		return err
 	}
-	l.Replica.Wrote(replica.CatalogKey, c, rev)
+	l.Replica.ApplyPut(replica.InstanceTypesKey, c, rev)
 	return nil
 }
 
@@ -380,12 +380,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := micros.Now()
-	for _, key := range l.Replica.Keys(replica.BookingPrefix) {
+	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
 		var b booking
 		if _, err := l.Replica.Get(key, &b); err != nil {
 			return err
 		}
-		b.id = strings.TrimPrefix(key, replica.BookingPrefix)
+		b.id = strings.TrimPrefix(key, replica.LaunchIntentPrefix)
 		l.bookings[b.id] = &b
 		b.stored = true
 		for _, id := range b.Machines {
@@ -396,7 +396,7 @@
 	if err := l.restoreRunningLists(); err != nil {
 		return err
 	}
-	for _, id := range l.Replica.TakeChanged(true) {
+	for _, id := range l.Replica.TakeChangedJobs(true) {
 		l.jobChanged(id, true)
 	}
 	for _, key := range l.Replica.Keys(replica.ProgressPrefix) {
@@ -429,7 +429,7 @@
 	l.stepReserves(now)
 	l.ready = true
 	l.replan = true
-	slog.Info("take-over", "token", l.Token, "jobs", len(l.jobs), "machines", len(l.machines), "unresolved", l.unresolved())
+	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.machines), "unresolved", l.unresolved())
 	return nil
 }
 
@@ -476,7 +476,7 @@
 
 // takeChanges takes over what the replica has seen since the last time.
 func (l *Leader) takeChanges() {
-	for _, id := range l.Replica.TakeChanged(false) {
+	for _, id := range l.Replica.TakeChangedJobs(false) {
 		l.jobChanged(id, false)
 	}
 }
@@ -490,9 +490,9 @@
 	}
 	j := l.jobs[id]
 	switch {
-	case r.Final() && j != nil:
+	case r.IsFinal() && j != nil:
 		l.forget(j, r.State)
-	case !r.Final() && j == nil:
+	case !r.IsFinal() && j == nil:
 		if _, finishing := l.finals[id]; finishing {
 			return
 		}
@@ -506,7 +506,7 @@
 
 // Supersede ends all answers to workers, as another node has a higher token.
 func (l *Leader) Supersede(token uint64) {
-	if token <= l.Token {
+	if token <= l.FencingToken {
 		return
 	}
 	l.mu.Lock()
@@ -518,9 +518,9 @@
 // countsEvery is how often the counts are taken anew; they are for display only.
 const countsEvery = 2 * micros.Second
 
-// AllCounts is how far the jobs are that are not over: done and running tasks, as
+// AllTaskCounts is how far the jobs are that are not over: done and running tasks, as
 // of at most countsEvery ago, and since when. The map must not be changed.
-func (l *Leader) AllCounts() (map[string][2]int, micros.Micros) {
+func (l *Leader) AllTaskCounts() (map[string][2]int, micros.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now := micros.Now(); l.counts == nil || now-l.countsAt >= countsEvery {
@@ -561,7 +561,7 @@
 	for chunk := range j.chunks() {
 		key := progressKey(j.spec.ID, chunk)
 		delete(l.dirty, key)
-		if l.Replica.Stamp(key) != 0 {
+		if l.Replica.ModRevision(key) != 0 {
 			l.dirty[key] = true
 		}
 	}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -19,10 +19,10 @@
 	confirmed, alone micros.Micros
 }
 
-func (t *fakeTerm) Held() bool               { return t.held }
-func (t *fakeTerm) Sure() bool               { return t.sure }
-func (t *fakeTerm) Confirmed() micros.Micros { return t.confirmed }
-func (t *fakeTerm) Alone() micros.Micros     { return t.alone }
+func (t *fakeTerm) HoldsSession() bool                     { return t.held }
+func (t *fakeTerm) IsExclusive() bool                      { return t.sure }
+func (t *fakeTerm) LastConfirmed() micros.Micros           { return t.confirmed }
+func (t *fakeTerm) EarlierTermsFencedSince() micros.Micros { return t.alone }
 
 const token = 7
 
@@ -37,7 +37,7 @@
 		Workers: settings.Workers{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41},
 	}}
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
-		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, Token: token})
+		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: token})
 	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
 	b := &booking{id: "r-1", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}}
 	l.bookings[b.id] = b
@@ -47,7 +47,7 @@
 	l.runningLists = []*runningList{{Machines: []string{"i-1"}}}
 	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
 		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
-	l.Replica.Wrote(replica.JobPrefix+"j-000001", job, 1)
+	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
 	l.jobChanged("j-000001", true)
 	l.ready = true
 	l.replan = true
@@ -97,7 +97,7 @@
 	}
 	for _, s := range steps {
 		l.plannedAt = 0 // plans may follow each other at once
-		a, err := l.Report(s.report)
+		a, err := l.HandleHeartbeat(s.report)
 		if (err != nil) != (s.want == nil) {
 			t.Fatalf("%s: error %v", s.name, err)
 		}
@@ -113,10 +113,10 @@
 	if len(numbers) != len(slices.Compact(numbers)) {
 		t.Errorf("attempt numbers repeat: %v", numbers)
 	}
-	if _, err := l.Report(report(16, token+1)); err == nil {
+	if _, err := l.HandleHeartbeat(report(16, token+1)); err == nil {
 		t.Error("a worker with a higher token was answered")
 	}
-	if _, err := l.Report(report(17, token)); err == nil {
+	if _, err := l.HandleHeartbeat(report(17, token)); err == nil {
 		t.Error("answered after a higher token was seen")
 	}
 }
@@ -131,7 +131,7 @@
 		m := l.addMachine(fmt.Sprintf("i-9%02d", i), b, l.began)
 		l.returned(m)
 	}
-	l.dirty[replica.StaffingKey] = true
+	l.dirty[replica.AutoscalerKey] = true
 	l.markUp(l.addMachine("i-2", l.bookings["r-1"], l.began))
 	j := l.jobs["j-000001"]
 	for i := range j.spec.Tasks {
@@ -143,14 +143,14 @@
 	ws, more := l.gather()
 	// The record goes before progress: behind it, a busy leader's was never written, and
 	// the next one knew nothing of the jobs at fault.
-	if len(ws) < 3 || !more || ws[0].key != replica.JobPrefix+"j-000001" || ws[1].key != runningListKey(0) || ws[2].key != replica.StaffingKey {
+	if len(ws) < 3 || !more || ws[0].key != replica.JobPrefix+"j-000001" || ws[1].key != runningListKey(0) || ws[2].key != replica.AutoscalerKey {
 		t.Fatalf("written first: %+v", ws)
 	}
 	if ws, _ = l.gather(); len(ws) == 0 {
 		t.Error("nothing is written after them")
 	}
 	for _, w := range ws {
-		if !strings.HasPrefix(w.key, replica.BookingPrefix) {
+		if !strings.HasPrefix(w.key, replica.LaunchIntentPrefix) {
 			t.Errorf("%s is written before machines that are gone", w.key)
 		}
 	}
@@ -160,9 +160,9 @@
 // removed, and what is in use is not.
 func TestSweep(t *testing.T) {
 	l, _ := newTest(t)
-	leftovers := []string{replica.BookingPrefix + "r-9", progressKey("j-000009", 0)}
-	for _, key := range append(leftovers, replica.BookingPrefix+"r-1", progressKey("j-000001", 0)) {
-		l.Replica.Wrote(key, map[string]any{}, 5)
+	leftovers := []string{replica.LaunchIntentPrefix + "r-9", progressKey("j-000009", 0)}
+	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", progressKey("j-000001", 0)) {
+		l.Replica.ApplyPut(key, map[string]any{}, 5)
 	}
 	l.sweep()
 	ws, _ := l.gather()
@@ -271,7 +271,7 @@
 			if i == 4 {
 				m.notUntil = 0
 			}
-			a, err := l.Report(report(uint64(11+i), token, tasks...))
+			a, err := l.HandleHeartbeat(report(uint64(11+i), token, tasks...))
 			if err != nil || len(a.Commands) != want {
 				t.Fatalf("%s: answer %d tells %v (%v), want %d starts", c.name, i, a.Commands, err, want)
 			}
@@ -309,7 +309,7 @@
 		m.upStored, l.plannedAt = c.upStored, 0
 		r := report(c.seq, c.token)
 		r.MachineID = "i-2"
-		if a, err := l.Report(r); err != nil || len(a.Commands) != c.starts {
+		if a, err := l.HandleHeartbeat(r); err != nil || len(a.Commands) != c.starts {
 			t.Errorf("report %d: told %v (%v), want %d starts", i, a.Commands, err, c.starts)
 		}
 	}
@@ -334,7 +334,7 @@
 		for i, n := range c.tokens {
 			r := report(uint64(i+1), n)
 			r.MachineID = "i-7"
-			if a, err := l.Report(r); (err != nil) != c.gone || err == nil && (a.FencingToken != token || len(a.Commands) > 0) {
+			if a, err := l.HandleHeartbeat(r); (err != nil) != c.gone || err == nil && (a.FencingToken != token || len(a.Commands) > 0) {
 				t.Errorf("%s: answered %+v, %v", c.name, a, err)
 			}
 		}
@@ -351,7 +351,7 @@
 	ask := func() (wire.HeartbeatResponse, error) {
 		seq++
 		l.plannedAt = 0
-		return l.Report(report(seq, token))
+		return l.HandleHeartbeat(report(seq, token))
 	}
 	if a, err := ask(); err != nil || len(a.Commands) == 0 {
 		t.Fatalf("sure of its leadership: %v, %v", a, err)
@@ -407,7 +407,7 @@
 		t.Fatalf("the end is written as %+v, want under the version decided on", ws)
 	}
 	l.dirty[replica.JobPrefix+"j-000001"] = true
-	l.Replica.Wrote(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
+	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
 	if ws, _ := l.gather(); len(ws) != 0 {
 		t.Errorf("a cancelled job is written as %+v", ws)
 	}
@@ -482,7 +482,7 @@
 		r := report(11, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
 		notice := 15.0
 		r.InterruptionNoticeS = &notice
-		a, err := l.Report(r)
+		a, err := l.HandleHeartbeat(r)
 		if got := verbs(a); err != nil || !slices.Equal(got, c.want) {
 			t.Errorf("%s: told %v (%v), want %v", c.name, got, err, c.want)
 		}
@@ -495,7 +495,7 @@
 func TestCancelledBefore(t *testing.T) {
 	l, _ := newTest(t)
 	l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 3}
-	l.Replica.Wrote(replica.JobPrefix+"j-000002", replica.Job{State: wire.JobCancelled, Spec: &wire.Job{
+	l.Replica.ApplyPut(replica.JobPrefix+"j-000002", replica.Job{State: wire.JobCancelled, Spec: &wire.Job{
 		ID: "j-000002", Team: "blue", Kind: wire.KindArray, Tasks: 8, CPUs: 1, MemoryGB: 1, CheckpointDurationS: 5, CheckpointIntervalS: 1, AllowSpot: true}}, 2)
 	l.machines["i-1"].free.CPU = 8000 // the limit alone is in the way
 	task := func(n int, state string) wire.TaskStatus {
@@ -527,7 +527,7 @@
 	}
 	for _, s := range steps {
 		l.replan, l.plannedAt = true, 0
-		answer, err := l.Report(s.report)
+		answer, err := l.HandleHeartbeat(s.report)
 		if got := verbs(answer); err != nil || !slices.Equal(got, s.want) {
 			t.Errorf("%s: %v, %v, want %v", s.name, got, err, s.want)
 		}
@@ -602,7 +602,7 @@
 		l, _ := newTest(t)
 		for i, r := range []*wire.Heartbeat{report(1, token), report(2, token, c.tasks...), report(3, token, c.tasks...), report(4, token)} {
 			l.replan, l.plannedAt = true, 0
-			if _, err := l.Report(r); err != nil {
+			if _, err := l.HandleHeartbeat(r); err != nil {
 				t.Errorf("%s: report %d: %v", c.name, i, err)
 			}
 		}
@@ -630,7 +630,7 @@
 		for _, told := range c.told {
 			l.Supersede(told)
 		}
-		if _, err := l.Report(report(10, token)); (err == nil) != c.answers {
+		if _, err := l.HandleHeartbeat(report(10, token)); (err == nil) != c.answers {
 			t.Errorf("%s: error %v, answers wanted: %t", c.name, err, c.answers)
 		}
 	}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -46,7 +46,7 @@
 			put := func(key string, u runningList) {
 				revision++
 				stored[key] = slices.Clone(u.Machines)
-				l.Replica.Wrote(key, u, revision)
+				l.Replica.ApplyPut(key, u, revision)
 			}
 			put(runningListKey(0), runningList{Machines: entries})
 			if c.twice {
@@ -67,8 +67,8 @@
 						continue
 					case w.value == nil:
 						delete(stored, w.key)
-						l.Replica.Removed(w.key, revision+1)
-					case !l.Store.FitsValue(w.value):
+						l.Replica.ApplyDelete(w.key, revision+1)
+					case !l.Store.ValueAlwaysFits(w.value):
 						t.Fatalf("%s is written too large", w.key)
 					default:
 						put(w.key, w.value.(runningList))
@@ -92,7 +92,7 @@
 			total := 0
 			for key, list := range stored {
 				total += len(list)
-				if !l.Store.FitsValue(runningList{Machines: list}) {
+				if !l.Store.ValueAlwaysFits(runningList{Machines: list}) {
 					t.Errorf("%s stays too large", key)
 				}
 			}
@@ -122,11 +122,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, nil)
-			l.flushOps = l.Store.FlushOps()
+			l.flushOps = l.Store.MaxLeaderOps()
 			clear(l.dirty)
 			for i := range 8 {
 				id := fmt.Sprintf("j-%06d", 101+i)
-				l.Replica.Wrote(replica.JobPrefix+id, replica.Job{State: wire.JobPending}, uint64(10+i))
+				l.Replica.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending}, uint64(10+i))
 				l.finals[id] = replica.Job{State: wire.JobDone}
 				l.dirty[replica.JobPrefix+id] = true
 			}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -106,7 +106,7 @@
 		// last saw itself entitled, which was before this term began, unless
 		// all are known to have heard of this term sooner.
 		last := l.began + w.LeaseRenewalWindow()
-		if alone := l.Term.Alone(); alone != 0 {
+		if alone := l.Term.EarlierTermsFencedSince(); alone != 0 {
 			last = min(last, alone)
 		}
 		return max(last, m.answered) + w.LeaseDuration() + micros.Drift(w.CancellationTimeout()) + micros.Second
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -128,11 +128,11 @@
 var v3a714abLayouts = []layout{
 	{replica.JobPrefix, reflect.TypeFor[replica.Job](), reflect.TypeFor[v3a714abJob]()},
 	{replica.ProgressPrefix, reflect.TypeFor[progress](), reflect.TypeFor[v3a714abProgress]()},
-	{replica.BookingPrefix, reflect.TypeFor[booking](), reflect.TypeFor[v3a714abBooking]()},
-	{replica.UpPrefix, reflect.TypeFor[runningList](), reflect.TypeFor[v3a714abUpList]()},
-	{replica.StaffingKey, reflect.TypeFor[staffingRecord](), reflect.TypeFor[v3a714abStaffing]()},
-	{replica.CatalogKey, reflect.TypeFor[wire.InstanceTypeList](), reflect.TypeFor[v3a714abCatalog]()},
-	{replica.TokenKey, reflect.TypeFor[replica.Token](), reflect.TypeFor[v3a714abToken]()},
+	{replica.LaunchIntentPrefix, reflect.TypeFor[booking](), reflect.TypeFor[v3a714abBooking]()},
+	{replica.MachineListPrefix, reflect.TypeFor[runningList](), reflect.TypeFor[v3a714abUpList]()},
+	{replica.AutoscalerKey, reflect.TypeFor[staffingRecord](), reflect.TypeFor[v3a714abStaffing]()},
+	{replica.InstanceTypesKey, reflect.TypeFor[wire.InstanceTypeList](), reflect.TypeFor[v3a714abCatalog]()},
+	{replica.TokenKey, reflect.TypeFor[replica.TokenRecord](), reflect.TypeFor[v3a714abToken]()},
 	{replica.LeaderKey, reflect.TypeFor[replica.Leader](), reflect.TypeFor[v3a714abLeader]()},
 }
 
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -43,7 +43,7 @@
 	}
 	l.queue = l.newQueue(now)
 	q := &l.queue
-	if len(q.jobs) == 0 || !l.Term.Sure() {
+	if len(q.jobs) == 0 || !l.Term.IsExclusive() {
 		return
 	}
 	machines, ms := l.placeable(now, q.least)
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -14,8 +14,8 @@
 	"caperlatch/placement"
 )
 
-// ErrNotEntitled says that this node must not answer a report now.
-var ErrNotEntitled = errors.New("not entitled to answer")
+// ErrCannotRespond says that this node must not answer a report now.
+var ErrCannotRespond = errors.New("not entitled to answer")
 
 // maxOrders keeps an answer to a worker well within wire.MaxBody.
 const maxOrders = 300
@@ -24,14 +24,14 @@
 // for an answer.
 const bounceAgain = 15 * micros.Second
 
-// Report takes a worker's report and answers with its orders.
-func (l *Leader) Report(r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
+// HandleHeartbeat takes a worker's report and answers with its orders.
+func (l *Leader) HandleHeartbeat(r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := micros.Now()
-	answer := wire.HeartbeatResponse{FencingToken: l.Token, Commands: []wire.Command{}}
+	answer := wire.HeartbeatResponse{FencingToken: l.FencingToken, Commands: []wire.Command{}}
 	if !l.mayAnswer(r, now) {
-		return answer, ErrNotEntitled
+		return answer, ErrCannotRespond
 	}
 	// What this node has told a user, or was told by a peer, holds for the answer: no
 	// task of a job that is known here as cancelled may start.
@@ -42,7 +42,7 @@
 		return answer, l.unknown(r, now)
 	}
 	if !l.accepts(m, r, now) {
-		return answer, ErrNotEntitled
+		return answer, ErrCannotRespond
 	}
 	l.endEarlierSession(m, r)
 	l.recordReport(m, r, now)
@@ -56,17 +56,17 @@
 // mayAnswer tells whether this node may answer a report now. A report with a higher
 // token ends the term.
 func (l *Leader) mayAnswer(r *wire.Heartbeat, now micros.Micros) bool {
-	if l.superseded || r.FencingToken > l.Token {
+	if l.superseded || r.FencingToken > l.FencingToken {
 		l.superseded = true
 		l.lostOnce.Do(func() { close(l.lost) })
 		return false
 	}
-	return l.ready && !l.handing && now < l.Term.Confirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
+	return l.ready && !l.handing && now < l.Term.LastConfirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
 }
 
 // accepts tells whether a known machine's report is to be answered.
 func (l *Leader) accepts(m *machine, r *wire.Heartbeat, now micros.Micros) bool {
-	if !l.Term.Sure() && now-m.bounced > bounceAgain {
+	if !l.Term.IsExclusive() && now-m.bounced > bounceAgain {
 		// Another node may lead by now. A worker that finds no other answer
 		// comes back and has its lease renewed.
 		m.bounced = now
@@ -115,7 +115,7 @@
 // takeTasks takes over the tasks of a report that is a snapshot of its machine.
 func (l *Leader) takeTasks(m *machine, r *wire.Heartbeat, now micros.Micros) {
 	// One that is older than what the machine answered when asked tells nothing new.
-	m.current = r.FencingToken == l.Token && r.Sequence > m.asked
+	m.current = r.FencingToken == l.FencingToken && r.Sequence > m.asked
 	if !m.current && m.told {
 		l.unheard(m, now)
 	}
@@ -331,7 +331,7 @@
 		if err != nil || t.State == wire.TaskExited {
 			continue
 		}
-		if j, _, ok := l.Replica.Job(id); ok && j.Final() {
+		if j, _, ok := l.Replica.Job(id); ok && j.IsFinal() {
 			stops = append(stops, stopAtOnce(t))
 		}
 	}
@@ -347,7 +347,7 @@
 		return j
 	}
 	r, _, ok := l.Replica.Job(id)
-	if !ok || !r.Final() || r.Spec == nil {
+	if !ok || !r.IsFinal() || r.Spec == nil {
 		return nil
 	}
 	j := newJob(r, true)
@@ -501,12 +501,12 @@
 // term's token stands above.
 func (l *Leader) attempt() uint64 {
 	l.attempts++
-	return l.Token<<32 | l.attempts
+	return l.FencingToken<<32 | l.attempts
 }
 
 // mayStart tells whether tasks may be started on a machine now.
 func (l *Leader) mayStart(m *machine, now micros.Micros) bool {
-	return m.open(now) && l.Term.Sure()
+	return m.open(now) && l.Term.IsExclusive()
 }
 
 // open tells what of that is the machine's part. Its last report must have been
@@ -539,14 +539,14 @@
 // carried out late.
 func (l *Leader) unknown(r *wire.Heartbeat, now micros.Micros) error {
 	if l.gone[r.MachineID] {
-		return ErrNotEntitled
+		return ErrCannotRespond
 	}
 	for _, b := range l.bookings {
 		if !b.Answered && b.Type == r.InstanceType && b.Zone == r.Zone && b.Spot == r.Spot {
 			return nil // the booking's answer will name it
 		}
 	}
-	if r.FencingToken != l.Token {
+	if r.FencingToken != l.FencingToken {
 		// It may be a late copy, and its machine long gone: taken for a machine it would
 		// count as supply, and a next leader would wait for what it may hold. The answer
 		// tells a live one this term's token, and it reports again at once.
@@ -568,7 +568,7 @@
 // The answer is not used: a report made there may be newer than the last and
 // still lack a start that is on its way.
 func (l *Leader) direct(m *machine, c wire.Command) {
-	if m.address == "" || !l.Term.Sure() {
+	if m.address == "" || !l.Term.IsExclusive() {
 		return
 	}
 	select {
@@ -576,12 +576,12 @@
 	default:
 		return
 	}
-	address, body := m.address, wire.CommandRequest{FencingToken: l.Token, Incarnation: m.session, Commands: []wire.Command{c}}
+	address, body := m.address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.session, Commands: []wire.Command{c}}
 	go func() {
 		defer func() { <-l.calls }()
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		if _, _, err := wire.Call(ctx, l.Workers, http.MethodPost, "http://"+address+"/commands", body); err != nil {
+		if _, _, err := wire.Call(ctx, l.WorkerClient, http.MethodPost, "http://"+address+"/commands", body); err != nil {
 			slog.Debug("direct command", "machine", address, "error", err)
 		}
 	}()
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -170,7 +170,7 @@
 	l.rentForGangs(now)
 	l.consolidate(now)
 	if record := int64(l.Tuning.RecordInterval / micros.Second); record < 1 || int64(now/micros.Second)%record == 0 {
-		l.dirty[replica.StaffingKey] = true
+		l.dirty[replica.AutoscalerKey] = true
 		l.publishEstimates()
 		l.sweep()
 		l.wakeFlush()
@@ -408,7 +408,7 @@
 // rentMore books up to n machines of a type and kind spread over the zones, and
 // tells how many.
 func (l *Leader) rentMore(t *machineType, spot bool, n int, now micros.Micros) int {
-	if !l.Term.Sure() {
+	if !l.Term.IsExclusive() {
 		return n
 	}
 	var open []offer
@@ -496,7 +496,7 @@
 			}
 			s := l.offers[o]
 			count := int(ceiling(float64(j.ready(now))*fraction(l.types[o.Type], j.need))) - coming
-			if count > 0 && (s == nil || now >= s.until) && l.Term.Sure() {
+			if count > 0 && (s == nil || now >= s.until) && l.Term.IsExclusive() {
 				l.book(o, min(count, 4))
 				break
 			}
@@ -520,7 +520,7 @@
 // returnIdle returns up to n idle machines, the dearest first, but none
 // before its paid time is used.
 func (l *Leader) returnIdle(t *machineType, n int, now micros.Micros) {
-	if !l.Term.Held() {
+	if !l.Term.HoldsSession() {
 		// That a machine is gone could not be stored, and a next leader would
 		// have to wait for its lease.
 		return
@@ -589,7 +589,7 @@
 			r.Types[b.Type] = x
 		}
 	}
-	if !l.Store.FitsValue(r) {
+	if !l.Store.ValueAlwaysFits(r) {
 		r.AtFault = nil // a next leader finds that again
 	}
 	return r
@@ -598,7 +598,7 @@
 // restoreStaffing goes on from the record.
 func (l *Leader) restoreStaffing(now micros.Micros) error {
 	var r staffingRecord
-	if _, err := l.Replica.Get(replica.StaffingKey, &r); err != nil {
+	if _, err := l.Replica.Get(replica.AutoscalerKey, &r); err != nil {
 		return err
 	}
 	l.restoreAtFault(r.AtFault, now)
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -25,13 +25,13 @@
 	Applied(member string, position uint64) bool
 }
 
-// Progress is told how far the take-over is.
-type Progress interface {
-	// Confirmed notes that all that earlier terms stored is known through a revision, and
+// FailoverProgress is told how far the take-over is.
+type FailoverProgress interface {
+	// StateRead notes that all that earlier terms stored is known through a revision, and
 	// tells whether that allows to decide.
-	Confirmed(readThrough uint64, handedOver bool) bool
-	// Adopted notes that the tasks of all machines are known.
-	Adopted()
+	StateRead(readThrough uint64, handedOver bool) bool
+	// TasksKnown notes that the tasks of all machines are known.
+	TasksKnown()
 }
 
 // standbyState is what the leader keeps for followers, and for a handover.
@@ -56,7 +56,7 @@
 	if l.Followers == nil {
 		return
 	}
-	l.publish(standby.Entry{Placed: &standby.Placed{
+	l.publish(standby.Entry{TaskAssigned: &standby.TaskAssigned{
 		Machine: a.machine.id,
 		Task:    taskName(a.job.spec.ID, a.task),
 		TaskState: standby.TaskState{
@@ -71,18 +71,18 @@
 // publishLeft tells that a task is surely no longer on a machine.
 func (l *Leader) publishLeft(a *attempt) {
 	if l.Followers != nil {
-		l.publish(standby.Entry{Left: &standby.Left{Machine: a.machine.id, Task: taskName(a.job.spec.ID, a.task)}})
+		l.publish(standby.Entry{TaskRemoved: &standby.TaskRemoved{Machine: a.machine.id, Task: taskName(a.job.spec.ID, a.task)}})
 	}
 }
 
 // publishMachine tells what has changed of a machine besides its tasks.
 func (l *Leader) publishMachine(m *machine) {
-	state := standby.MachineState{Session: m.session, Resolved: m.confirmed()}
+	state := standby.MachineState{Incarnation: m.session, TasksKnown: m.confirmed()}
 	if l.Followers == nil || m.published == state {
 		return
 	}
 	m.published = state
-	l.publish(standby.Entry{Observed: &standby.Observed{Machine: m.id, MachineState: state}})
+	l.publish(standby.Entry{MachineObserved: &standby.MachineObserved{Machine: m.id, MachineState: state}})
 }
 
 // publishEstimates tells what the classes' run times have been, which is not stored.
@@ -91,7 +91,7 @@
 		return
 	}
 	for class, e := range l.estimates {
-		l.publish(standby.Entry{Estimated: &standby.Estimated{Class: class, Moments: e.Moments()}})
+		l.publish(standby.Entry{EstimateUpdated: &standby.EstimateUpdated{Class: class, Moments: e.Moments()}})
 	}
 }
 
@@ -99,24 +99,24 @@
 // first and in which session, which returns to repeat and how classes' run times turned
 // out. Only a complete handover proves more.
 func (l *Leader) useExpected() {
-	v := l.Expected
+	v := l.PreviousTerm
 	if v == nil {
 		return
 	}
 	for class, moments := range v.Estimates {
 		l.restoreEstimate(class, moments)
 	}
-	l.handedOver = v.Proves(l.Token)
+	l.handedOver = v.ProvesAssignments(l.FencingToken)
 	for id, known := range v.Machines {
 		m := l.machines[id]
 		if m == nil {
 			continue
 		}
 		m.expected = known
-		if l.handedOver && known.Resolved && !m.resolved {
+		if l.handedOver && known.TasksKnown && !m.resolved {
 			l.adoptHandedOver(m, known)
 		}
-		if known.Returning && v.Token+1 == l.Token && l.Term.Held() {
+		if known.Terminating && v.Token+1 == l.FencingToken && l.Term.HoldsSession() {
 			// A return is never taken back; the term before may not have had its answer. A
 			// leader in between may have used the machine, not knowing of it.
 			l.giveUp(m, "an earlier leader was returning it")
@@ -133,7 +133,7 @@
 // answers proves it anew.
 func (l *Leader) returnDropped() {
 	for _, m := range l.order {
-		if !m.resolved && m.expected == nil && l.Term.Held() {
+		if !m.resolved && m.expected == nil && l.Term.HoldsSession() {
 			l.giveUp(m, "an earlier leader had returned it")
 		}
 	}
@@ -254,11 +254,11 @@
 
 // noteAdopted tells once that the tasks of all machines are known.
 func (l *Leader) noteAdopted() {
-	if l.Progress == nil || l.adopted || !l.ready || l.unresolved()+l.unconfirmed() > 0 {
+	if l.FailoverProgress == nil || l.adopted || !l.ready || l.unresolved()+l.unconfirmed() > 0 {
 		return
 	}
 	l.adopted = true
-	l.Progress.Adopted()
+	l.FailoverProgress.TasksKnown()
 }
 
 // askOrder has machines asked in the order in which their answers matter: while urgent work
@@ -313,7 +313,7 @@
 	for to != "" && micros.Now() < began+limit && !l.Followers.Applied(to, position) {
 		handoverPoll.Sleep()
 	}
-	slog.Info("handing over", "token", l.Token, "to", to, "applied", to != "" && l.Followers.Applied(to, position), "took", (micros.Now() - began).Duration())
+	slog.Info("handing over", "token", l.FencingToken, "to", to, "applied", to != "" && l.Followers.Applied(to, position), "took", (micros.Now() - began).Duration())
 	l.lostOnce.Do(func() { close(l.lost) })
 	return to, nil
 }
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -18,7 +18,7 @@
 func handedView() *standby.View {
 	v := standby.NewView(token - 1)
 	v.Machines["i-1"] = &standby.Machine{
-		MachineState: standby.MachineState{Session: 4, Resolved: true},
+		MachineState: standby.MachineState{Incarnation: 4, TasksKnown: true},
 		Tasks:        map[string]standby.TaskState{"j-000001/0": {Attempt: 5}},
 	}
 	v.Handover = &standby.Handover{To: "host-1", Complete: true}
@@ -53,7 +53,7 @@
 		{"not complete", func(v *standby.View) { v.Handover.Complete = false }, nil},
 		{"no handover, a crash", func(v *standby.View) { v.Handover = nil }, nil},
 		{"another term led in between", func(v *standby.View) { v.Token-- }, nil},
-		{"the machine's tasks were not known", func(v *standby.View) { v.Machines["i-1"].Resolved = false }, nil},
+		{"the machine's tasks were not known", func(v *standby.View) { v.Machines["i-1"].TasksKnown = false }, nil},
 		{"the machine is not in the view", func(v *standby.View) { delete(v.Machines, "i-1") }, nil},
 		{"the start was never sent", func(v *standby.View) {
 			v.Machines["i-1"].Tasks["j-000001/0"] = standby.TaskState{Attempt: 5, Reserved: true}
@@ -74,9 +74,9 @@
 			withSecond(l)
 			v := handedView()
 			tc.edit(v)
-			l.Expected = v
+			l.PreviousTerm = v
 			l.useExpected()
-			a, err := l.Report(reportOf("i-2", 1))
+			a, err := l.HandleHeartbeat(reportOf("i-2", 1))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -96,9 +96,9 @@
 		edit func(v *standby.View)
 		want []string
 	}{
-		{"being returned", func(v *standby.View) { v.Machines["i-1"].Returning = true }, []string{"i-1"}},
-		{"after a crash", func(v *standby.View) { v.Machines["i-1"].Returning, v.Handover = true, nil }, []string{"i-1"}},
-		{"another term led in between", func(v *standby.View) { v.Machines["i-1"].Returning = true; v.Token-- }, nil},
+		{"being returned", func(v *standby.View) { v.Machines["i-1"].Terminating = true }, []string{"i-1"}},
+		{"after a crash", func(v *standby.View) { v.Machines["i-1"].Terminating, v.Handover = true, nil }, []string{"i-1"}},
+		{"another term led in between", func(v *standby.View) { v.Machines["i-1"].Terminating = true; v.Token-- }, nil},
 		{"not being returned", func(*standby.View) {}, nil},
 		{"dropped", func(v *standby.View) { delete(v.Machines, "i-1") }, []string{"i-1"}},
 		{"not known after a crash", func(v *standby.View) { delete(v.Machines, "i-1"); v.Handover = nil }, nil},
@@ -108,7 +108,7 @@
 			l, _ := newTest(t)
 			v := handedView()
 			tc.edit(v)
-			l.Expected = v
+			l.PreviousTerm = v
 			l.useExpected()
 			if !slices.Equal(l.toReturn, tc.want) {
 				t.Errorf("to be returned: %v, want %v", l.toReturn, tc.want)
@@ -123,7 +123,7 @@
 func TestHandedOverLease(t *testing.T) {
 	l, term := newTest(t)
 	withSecond(l)
-	l.Expected = handedView()
+	l.PreviousTerm = handedView()
 	l.useExpected()
 	m := l.machines["i-1"]
 	if over := l.leaseOver(m); over < l.began+l.lease {
@@ -158,14 +158,14 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			l, _ := newTest(t)
-			l.Expected = handedView()
+			l.PreviousTerm = handedView()
 			l.useExpected()
 			m := l.machines["i-1"]
 			if m.probableSession() != 4 {
 				t.Errorf("it is asked in session %d", m.probableSession())
 			}
 			m.notUntil = l.began + 100*micros.Second // no starts here
-			if _, err := l.Report(reportOf("i-1", 3, tc.tasks...)); err != nil {
+			if _, err := l.HandleHeartbeat(reportOf("i-1", 3, tc.tasks...)); err != nil {
 				t.Fatal(err)
 			}
 			var on []int
@@ -187,9 +187,9 @@
 	l, _ := newTest(t)
 	m := withSecond(l)
 	l.jobs["j-000001"].spec.Kind = wire.KindGang
-	l.Expected = handedView()
+	l.PreviousTerm = handedView()
 	l.useExpected()
-	a, err := l.Report(reportOf("i-2", 1))
+	a, err := l.HandleHeartbeat(reportOf("i-2", 1))
 	if err != nil || len(a.Commands) > 0 {
 		t.Errorf("told %v (%v) before the gang's machine has confirmed", verbs(a), err)
 	}
@@ -198,11 +198,11 @@
 	}
 	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
 	l.machines["i-1"].notUntil = l.began + 100*micros.Second
-	if _, err := l.Report(reportOf("i-1", 3, waiting)); err != nil {
+	if _, err := l.HandleHeartbeat(reportOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
 	}
 	l.plannedAt, m.notUntil = 0, 0
-	if a, err = l.Report(reportOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
+	if a, err = l.HandleHeartbeat(reportOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
 		t.Errorf("told %v (%v), want the other two under attempt 5", a.Commands, err)
 	}
 }
@@ -286,17 +286,17 @@
 	}
 	for _, s := range steps {
 		l.plannedAt = 0
-		if _, err := l.Report(s.report); err != nil {
+		if _, err := l.HandleHeartbeat(s.report); err != nil {
 			t.Fatal(err)
 		}
 		f := standby.NewFollower("host-1")
-		for !f.Progress().Whole || f.Progress().Position < p.Position() {
-			if err := f.Apply(p.Answer(f.Query(token)), micros.Now()); err != nil {
+		for !f.Progress().Complete || f.Progress().Position < p.Position() {
+			if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		known := f.View().Machines["i-1"]
-		if !known.Resolved || known.Session != 1 || len(known.Tasks) != len(l.machines["i-1"].tasks) {
+		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].tasks) {
 			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].tasks))
 		}
 		for name, a := range l.machines["i-1"].tasks {
@@ -319,7 +319,7 @@
 	m.resolved = true
 	view := func() map[string]standby.TaskState {
 		f := standby.NewFollower("host-1")
-		if err := f.Apply(p.Answer(f.Query(token)), micros.Now()); err != nil {
+		if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
 			t.Fatal(err)
 		}
 		return f.View().Machines["i-1"].Tasks
@@ -331,7 +331,7 @@
 			t.Errorf("%s is published as started before any answer", task)
 		}
 	}
-	answer, err := l.Report(report(11, token))
+	answer, err := l.HandleHeartbeat(report(11, token))
 	if err != nil || len(answer.Commands) != 3 {
 		t.Fatalf("told %v (%v)", verbs(answer), err)
 	}
@@ -380,7 +380,7 @@
 			if last == nil || last.To != tc.follower || last.Complete != tc.resolved {
 				t.Errorf("the last entry is %+v", last)
 			}
-			if _, err := l.Report(report(12, token)); !errors.Is(err, ErrNotEntitled) {
+			if _, err := l.HandleHeartbeat(report(12, token)); !errors.Is(err, ErrCannotRespond) {
 				t.Errorf("a report is answered after the handover: %v", err)
 			}
 			if len(f.entries) > 0 && f.entries[len(f.entries)-1].Handover == nil {
@@ -428,13 +428,13 @@
 func TestHandedOverCancelled(t *testing.T) {
 	l, _ := newTest(t)
 	spec := &wire.Job{ID: "j-000009", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
-	l.Replica.Wrote(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
-	l.Expected = handedView()
-	l.Expected.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
+	l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
+	l.PreviousTerm = handedView()
+	l.PreviousTerm.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
 	l.useExpected()
 	r := report(1, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
 	r.Incarnation = 4
-	a, err := l.Report(r)
+	a, err := l.HandleHeartbeat(r)
 	if err != nil || !slices.Contains(verbs(a), "stop j-000009/0") {
 		t.Errorf("told %v (%v), want a stop of j-000009/0", verbs(a), err)
 	}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -77,7 +77,7 @@
 		return w, w.stamp != 0
 	}
 	w.value = r
-	if !l.Store.FitsValue(r) {
+	if !l.Store.ValueAlwaysFits(r) {
 		slog.Error("zones", "not_stored", "the record is larger than a value may be", "zones", len(r.Zones))
 		return w, false
 	}
@@ -87,7 +87,7 @@
 // watchZones shows the policy the machines as they are, and carries out what it decides.
 func (l *Leader) watchZones(now micros.Micros) {
 	evidence := l.zoneEvidence(now)
-	changes := l.zones.Observe(now, zone.Observation{Zones: evidence, Isolated: l.Isolated != nil && l.Isolated()})
+	changes := l.zones.Observe(now, zone.Observation{Zones: evidence, Isolated: l.IsIsolated != nil && l.IsIsolated()})
 	for _, t := range changes {
 		l.zoneChanged(t)
 	}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -207,7 +207,7 @@
 	lost := zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.Stored{"b": {State: zone.Lost, Since: micros.Wall(), Flaps: 2}}}
 	for want, stored := range map[string]any{"lost": lost, "healthy": "nonsense"} {
 		l, now := newZonesTest(t)
-		l.Replica.Wrote(replica.ZonesKey, stored, 3)
+		l.Replica.ApplyPut(replica.ZonesKey, stored, 3)
 		l.restoreZones(now)
 		for range 3 {
 			l.watchZones(now)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -19,13 +19,13 @@
 
 	mu      sync.Mutex
 	conn    net.Conn
-	next    uint64
+	nextID  uint64
 	waiting map[uint64]chan Response
 	sending chan struct{} // holds one while a request is being written
 
-	relayMu  sync.Mutex
-	reports  []*relay // to be passed on
-	relaying bool
+	forwardMu         sync.Mutex
+	pendingHeartbeats []*pendingHeartbeat // to be passed on
+	forwarding        bool
 }
 
 // NewClient makes a client of the peer at addr; it connects when asked.
@@ -41,8 +41,8 @@
 	}
 	answer := make(chan Response, 1)
 	c.mu.Lock()
-	c.next++
-	q.ID = c.next
+	c.nextID++
+	q.ID = c.nextID
 	c.waiting[q.ID] = answer
 	c.mu.Unlock()
 	defer func() {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -12,8 +12,8 @@
 	golden.Of[Request]("a request"),
 	golden.Of[Response]("a response"),
 	golden.Of[Probe]("a probe"),
-	golden.Of[State]("the state of a node"),
-	golden.Of[Relayed]("the answer to a report that was passed on"),
+	golden.Of[NodeState]("the state of a node"),
+	golden.Of[ForwardedResponse]("the answer to a report that was passed on"),
 	golden.Of[Versions]("versions"),
 	golden.Of[PeerVersion]("the version of a peer"),
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -21,10 +21,10 @@
 
 // Request asks a peer one of these things.
 type Request struct {
-	ID      uint64     `json:"id"`
-	Probe   *Probe     `json:"probe,omitempty"`
-	Relay   []wire.Raw `json:"relay,omitempty"` // workers' reports
-	Explain string     `json:"explain,omitempty"`
+	ID         uint64     `json:"id"`
+	Probe      *Probe     `json:"probe,omitempty"`
+	Heartbeats []wire.Raw `json:"relay,omitempty"` // workers' reports
+	Explain    string     `json:"explain,omitempty"`
 	// Standby asks a leader what it has decided. One of a version before this one ignores
 	// the field, and its answer says nothing.
 	Standby *standby.Query `json:"standby,omitempty"`
@@ -37,35 +37,35 @@
 
 // Probe tells a peer of its sender and asks for its state.
 type Probe struct {
-	Member string            `json:"member"`
-	Token  uint64            `json:"token"`            // highest known
-	Leader string            `json:"leader"`           // whose token that is
-	Doubt  bool              `json:"doubt"`            // it leads, and does not know whether its session has ended
-	Counts map[string][2]int `json:"counts,omitempty"` // done and running tasks, from the leader
-	Since  uint64            `json:"since"`            // revision up to which it knows all cancellations
+	Member             string            `json:"member"`
+	HighestToken       uint64            `json:"token"`            // highest known
+	Leader             string            `json:"leader"`           // whose token that is
+	LeadershipInDoubt  bool              `json:"doubt"`            // it leads, and does not know whether its session has ended
+	TaskCounts         map[string][2]int `json:"counts,omitempty"` // done and running tasks, from the leader
+	CancellationsSince uint64            `json:"since"`            // revision up to which it knows all cancellations
 }
 
-// State is what a node tells of itself.
-type State struct {
-	Loaded     bool          `json:"loaded"`
-	Token      uint64        `json:"token"`       // highest known
-	Leader     string        `json:"leader"`      // whose token that is
-	SinceHeard micros.Micros `json:"since_heard"` // since the state service last answered it
-	Promise    micros.Micros `json:"promise"`     // for this long it abstains from trying to lead; 0: it may try
-	Fronts     bool          `json:"fronts"`      // it takes reports and passes them on to the one that asks
-	// Cancelled are the cancellations that it knows of since the revision asked for: all
+// NodeState is what a node tells of itself.
+type NodeState struct {
+	Loaded             bool          `json:"loaded"`
+	HighestToken       uint64        `json:"token"`       // highest known
+	Leader             string        `json:"leader"`      // whose token that is
+	SinceStateService  micros.Micros `json:"since_heard"` // since the state service last answered it
+	AbstainFor         micros.Micros `json:"promise"`     // for this long it abstains from trying to lead; 0: it may try
+	ForwardsHeartbeats bool          `json:"fronts"`      // it takes reports and passes them on to the one that asks
+	// Cancellations are the cancellations that it knows of since the revision asked for: all
 	// there are up to Through, and with Whole all that it ever told a user.
-	Cancelled []replica.Cancellation `json:"cancelled"`
-	Through   uint64                 `json:"through"`
-	Whole     bool                   `json:"whole"`
-	Version   int                    `json:"version,omitempty"` // that it speaks
+	Cancellations         []replica.Cancellation `json:"cancelled"`
+	CancelledThrough      uint64                 `json:"through"`
+	CancellationsComplete bool                   `json:"whole"`
+	Version               int                    `json:"version,omitempty"` // that it speaks
 }
 
 // Response answers the request of the same id.
 type Response struct {
 	ID        uint64                `json:"id"`
-	State     *State                `json:"state,omitempty"`
-	Relay     []Relayed             `json:"relay,omitempty"`
+	State     *NodeState            `json:"state,omitempty"`
+	Forwarded []ForwardedResponse   `json:"relay,omitempty"`
 	Explain   *leader.Explanation   `json:"explain,omitempty"`
 	Standby   *standby.Page         `json:"standby,omitempty"`
 	Zones     []zone.Status         `json:"zones,omitempty"`
@@ -73,11 +73,11 @@
 	Error     string                `json:"error,omitempty"`
 }
 
-// Relayed is the leader's answer to one report that was passed on, or why there
+// ForwardedResponse is the leader's answer to one report that was passed on, or why there
 // is none.
-type Relayed struct {
-	Answer wire.Raw `json:"answer,omitempty"`
-	Error  string   `json:"error,omitempty"`
+type ForwardedResponse struct {
+	Response wire.Raw `json:"answer,omitempty"`
+	Error    string   `json:"error,omitempty"`
 }
 
 // maxMessage bounds what a peer may send in one value.
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -388,12 +388,12 @@
 }
 
 func capturedProbe() *Probe {
-	return &Probe{Member: "host-1", Token: 41, Leader: "host-1", Doubt: true, Counts: map[string][2]int{"j-000412": {3, 13}}, Since: 430}
+	return &Probe{Member: "host-1", HighestToken: 41, Leader: "host-1", LeadershipInDoubt: true, TaskCounts: map[string][2]int{"j-000412": {3, 13}}, CancellationsSince: 430}
 }
 
-func capturedState(version int) *State {
-	return &State{Loaded: true, Token: 41, Leader: "host-1", SinceHeard: 1500 * micros.Millisecond,
-		Promise: PromiseLife, Fronts: true, Through: 431, Whole: true, Version: version, Cancelled: []replica.Cancellation{{ID: "j-000377", Stamp: 431,
+func capturedState(version int) *NodeState {
+	return &NodeState{Loaded: true, HighestToken: 41, Leader: "host-1", SinceStateService: 1500 * micros.Millisecond,
+		AbstainFor: AbstentionTTL, ForwardsHeartbeats: true, CancelledThrough: 431, CancellationsComplete: true, Version: version, Cancellations: []replica.Cancellation{{ID: "j-000377", ModRevision: 431,
 			Job: replica.Job{SubmittedAt: 3, State: wire.JobCancelled, Reason: "cancelled by its user", EndedAt: 5}}}}
 }
 
@@ -422,24 +422,24 @@
 
 func capturedPage() *standby.Page {
 	state := standby.TaskState{Attempt: 7, Stopping: true, Urgent: true, Reserved: true}
-	machine := standby.MachineState{Session: 3, Resolved: true}
+	machine := standby.MachineState{Incarnation: 3, TasksKnown: true}
 	return &standby.Page{Version: 1, Token: 41, Latest: 19, From: 12, Compacted: true,
 		Entries: []standby.Entry{
-			{Placed: &standby.Placed{Machine: "i-000231", Task: "j-000412/3", TaskState: state}},
-			{Left: &standby.Left{Machine: "i-000231", Task: "j-000412/4"}},
-			{Observed: &standby.Observed{Machine: "i-000232", MachineState: machine}},
-			{Returning: &standby.Returning{Machine: "i-000233", Why: "idle"}},
-			{Gone: &standby.Gone{Machine: "i-000234"}},
-			{Estimated: &standby.Estimated{Class: "batch", Moments: []float64{2, 3.5, 8.25}}},
+			{TaskAssigned: &standby.TaskAssigned{Machine: "i-000231", Task: "j-000412/3", TaskState: state}},
+			{TaskRemoved: &standby.TaskRemoved{Machine: "i-000231", Task: "j-000412/4"}},
+			{MachineObserved: &standby.MachineObserved{Machine: "i-000232", MachineState: machine}},
+			{MachineTerminating: &standby.MachineTerminating{Machine: "i-000233", Reason: "idle"}},
+			{MachineTerminated: &standby.MachineTerminated{Machine: "i-000234"}},
+			{EstimateUpdated: &standby.EstimateUpdated{Class: "batch", Moments: []float64{2, 3.5, 8.25}}},
 			{Handover: &standby.Handover{To: "host-2", Complete: true}},
 		},
 		Snapshot: &standby.SnapshotPage{
-			Machines:  []standby.MachineRecord{{Name: "i-000235", MachineState: machine, Returning: true, Tasks: []standby.TaskRecord{{Task: "j-000413/0", TaskState: state}}}},
+			Machines:  []standby.MachineRecord{{Name: "i-000235", MachineState: machine, Terminating: true, Tasks: []standby.TaskRecord{{Task: "j-000413/0", TaskState: state}}}},
 			More:      true,
-			Estimates: []standby.Estimated{{Class: "scan", Moments: []float64{1, 0.5}}},
+			Estimates: []standby.EstimateUpdated{{Class: "scan", Moments: []float64{1, 0.5}}},
 			Handover:  &standby.Handover{To: "host-1", Complete: true},
 		},
-		Followers: []standby.FollowerState{{Member: "host-2", Position: 18, Whole: true, AgeS: 0.25}},
+		Followers: []standby.FollowerState{{Member: "host-2", Position: 18, Complete: true, AgeS: 0.25}},
 	}
 }
 
@@ -469,9 +469,9 @@
 			}{
 				{"probe", read[Request](t, said["probe"]).Probe, capturedProbe()},
 				{"state", read[Response](t, said["state"]).State, capturedState(v.version)},
-				{"a report passed on", read[wire.Heartbeat](t, read[Request](t, said["relay"]).Relay[0]), capturedReport()},
-				{"its answer", read[wire.HeartbeatResponse](t, read[Response](t, said["relayed"]).Relay[0].Answer), capturedAnswer()},
-				{"one that was not answered", read[Response](t, said["relayed"]).Relay[1].Error, "not entitled"},
+				{"a report passed on", read[wire.Heartbeat](t, read[Request](t, said["relay"]).Heartbeats[0]), capturedReport()},
+				{"its answer", read[wire.HeartbeatResponse](t, read[Response](t, said["relayed"]).Forwarded[0].Response), capturedAnswer()},
+				{"one that was not answered", read[Response](t, said["relayed"]).Forwarded[1].Error, "not entitled"},
 				{"a question", read[Request](t, said["explain"]).Explain, "j-000412"},
 				{"its answer's job", read[Response](t, said["explained"]).Explain.Job, "j-000412"},
 				{"its answer's reasons", read[Response](t, said["explained"]).Explain.Why, []string{"no room"}},
@@ -574,9 +574,9 @@
 	grace := 10.0
 	answer.Commands = append(answer.Commands, wire.Command{Verb: wire.VerbStop, TaskID: "j-000377/1", Attempt: 1, GracePeriodS: &grace})
 	report.Tasks[1].Checkpointed = true
-	request := Request{ID: 7, Probe: capturedProbe(), Relay: []wire.Raw{raw(t, report)}, Explain: "j-000412",
+	request := Request{ID: 7, Probe: capturedProbe(), Heartbeats: []wire.Raw{raw(t, report)}, Explain: "j-000412",
 		Standby: capturedQuery(), Zones: true, Heartbeat: capturedHeartbeat()}
-	response := Response{ID: 7, State: capturedState(Version), Relay: []Relayed{{Answer: raw(t, answer)}, {Error: "not entitled"}}, Error: "not leading",
+	response := Response{ID: 7, State: capturedState(Version), Forwarded: []ForwardedResponse{{Response: raw(t, answer)}, {Error: "not entitled"}}, Error: "not leading",
 		Explain: capturedExplanation(), Standby: capturedPage(), Zones: capturedZones(), Heartbeat: capturedHeartbeat()}
 	set := map[string]bool{}
 	for _, message := range []any{request, response, report, answer} {
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -11,45 +11,45 @@
 
 // Times of probing.
 const (
-	probeEvery   = 400 * micros.Millisecond
-	probeTimeout = 1200 * micros.Millisecond
-	// PromiseLife is how long a node that abstains does not try to lead.
-	PromiseLife = 1500 * micros.Millisecond
-	// HeardWithin is how fresh contact with the state service counts.
-	HeardWithin = 3 * micros.Second
-	// frontWithin is how fresh an answer must be for sending workers to a peer, or
+	probeInterval = 400 * micros.Millisecond
+	probeTimeout  = 1200 * micros.Millisecond
+	// AbstentionTTL is how long a node that abstains does not try to lead.
+	AbstentionTTL = 1500 * micros.Millisecond
+	// FreshWithin is how fresh contact with the state service counts.
+	FreshWithin = 3 * micros.Second
+	// forwarderFreshWithin is how fresh an answer must be for sending workers to a peer, or
 	// for passing reports on to it.
-	frontWithin = 1500 * micros.Millisecond
+	forwarderFreshWithin = 1500 * micros.Millisecond
 )
 
 // Peers keeps what the other nodes last answered about themselves.
 type Peers struct {
-	clients map[string]*Client
-	probe   func(told *micros.Micros) *Probe
-	heard   func(s *State) // called with each answer
+	clients   map[string]*Client
+	makeProbe func(told *micros.Micros) *Probe
+	onState   func(s *NodeState) // called with each answer
 
 	mu   sync.Mutex
-	last map[string]lastAnswer
+	last map[string]lastResponse
 }
 
-// lastAnswer is what a peer last answered; of one that never did it is zero.
-type lastAnswer struct {
-	sent  micros.Micros // when the peer was asked
-	state State
-	// highest is the highest token that the peer ever told, and since is when it first did.
-	highest uint64
-	since   micros.Micros
+// lastResponse is what a peer last answered; of one that never did it is zero.
+type lastResponse struct {
+	sentAt micros.Micros // when the peer was asked
+	state  NodeState
+	// highestToken is the highest token that the peer ever told, and since is when it first did.
+	highestToken uint64
+	highestSince micros.Micros
 }
 
-// freshWithin tells whether the answer was asked for at most age ago.
-func (a *lastAnswer) freshWithin(age micros.Micros) bool {
-	return a.sent != 0 && a.sent > micros.Now()-age
+// isFreshWithin tells whether the answer was asked for at most age ago.
+func (a *lastResponse) isFreshWithin(age micros.Micros) bool {
+	return a.sentAt != 0 && a.sentAt > micros.Now()-age
 }
 
 // NewPeers keeps the answers of peers by member. It asks each with what probe returns, which
 // notes in told what need not be sent to that peer again, and calls heard with each answer.
-func NewPeers(clients map[string]*Client, probe func(told *micros.Micros) *Probe, heard func(*State)) *Peers {
-	return &Peers{clients: clients, probe: probe, heard: heard, last: map[string]lastAnswer{}}
+func NewPeers(clients map[string]*Client, probe func(told *micros.Micros) *Probe, heard func(*NodeState)) *Peers {
+	return &Peers{clients: clients, makeProbe: probe, onState: heard, last: map[string]lastResponse{}}
 }
 
 // Run probes the peers until ctx ends.
@@ -61,7 +61,7 @@
 			var told micros.Micros
 			for ctx.Err() == nil {
 				p.ask(ctx, member, client, &told)
-				micros.Pause(ctx, probeEvery)
+				micros.Pause(ctx, probeInterval)
 			}
 		})
 	}
@@ -73,25 +73,25 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	sent := micros.Now()
-	response, err := client.Ask(ctx, Request{Probe: p.probe(told)})
+	response, err := client.Ask(ctx, Request{Probe: p.makeProbe(told)})
 	if err != nil || response.State == nil {
 		slog.Debug("probe", "peer", member, "error", err)
 		return
 	}
 	// What the peer tells is taken over before its answer counts: that stands for all
 	// cancellations that the peer knows of.
-	p.heard(response.State)
+	p.onState(response.State)
 	p.keep(member, sent, *response.State)
 }
 
 // keep notes what a peer answered to a probe.
-func (p *Peers) keep(member string, sent micros.Micros, state State) {
+func (p *Peers) keep(member string, sent micros.Micros, state NodeState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.last[member]
-	a.sent, a.state = sent, state
-	if state.Token > a.highest {
-		a.highest, a.since = state.Token, micros.Now()
+	a.sentAt, a.state = sent, state
+	if state.HighestToken > a.highestToken {
+		a.highestToken, a.highestSince = state.HighestToken, micros.Now()
 	}
 	p.last[member] = a
 }
@@ -100,7 +100,7 @@
 func (p *Peers) Client(member string) *Client { return p.clients[member] }
 
 // each calls f with the last answer of every peer.
-func (p *Peers) each(f func(*lastAnswer)) {
+func (p *Peers) each(f func(*lastResponse)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for member := range p.clients {
@@ -109,43 +109,43 @@
 	}
 }
 
-// Confirmed is the latest instant at which every peer was known not to have
+// LastConfirmed is the latest instant at which every peer was known not to have
 // seen a token above mine, and had told of all cancellations that it knows; 0 if never.
 // It stands for contact with the state service: only nodes tell users that
 // jobs are cancelled, and only a node with a higher token may lead.
-func (p *Peers) Confirmed(token uint64) micros.Micros {
+func (p *Peers) LastConfirmed(token uint64) micros.Micros {
 	at := micros.Now()
-	p.each(func(a *lastAnswer) {
-		if !a.state.Loaded || a.state.Token > token || !a.state.Whole {
+	p.each(func(a *lastResponse) {
+		if !a.state.Loaded || a.state.HighestToken > token || !a.state.CancellationsComplete {
 			at = 0
 		}
-		at = min(at, a.sent)
+		at = min(at, a.sentAt)
 	})
 	return at
 }
 
-// AbstainUntil is until when all peers abstain from trying to lead; 0 if they do
+// AbstainingUntil is until when all peers abstain from trying to lead; 0 if they do
 // not.
-func (p *Peers) AbstainUntil(token uint64) micros.Micros {
-	until := micros.Now() + PromiseLife
-	p.each(func(a *lastAnswer) {
-		life := a.state.Promise
-		if a.sent == 0 || !a.state.Loaded || a.state.Token > token || life == 0 {
+func (p *Peers) AbstainingUntil(token uint64) micros.Micros {
+	until := micros.Now() + AbstentionTTL
+	p.each(func(a *lastResponse) {
+		life := a.state.AbstainFor
+		if a.sentAt == 0 || !a.state.Loaded || a.state.HighestToken > token || life == 0 {
 			until = 0
 		}
-		until = min(until, a.sent+life-micros.Drift(life))
+		until = min(until, a.sentAt+life-micros.Drift(life))
 	})
 	return until
 }
 
-// KnownSince is since when every peer has known a token: from then on none of
+// TokenKnownSince is since when every peer has known a token: from then on none of
 // them answers workers with a lower one, not even after a restart, which makes
 // it forget the lower one as well. 0 if not all know it.
-func (p *Peers) KnownSince(token uint64) micros.Micros {
+func (p *Peers) TokenKnownSince(token uint64) micros.Micros {
 	since, all := micros.Micros(0), true
-	p.each(func(a *lastAnswer) {
-		all = all && a.highest >= token
-		since = max(since, a.since)
+	p.each(func(a *lastResponse) {
+		all = all && a.highestToken >= token
+		since = max(since, a.highestSince)
 	})
 	if !all || since == 0 {
 		return 0
@@ -153,13 +153,13 @@
 	return since
 }
 
-// Fronts lists, by name, the peers that answered lately that they pass reports on to
+// Forwarders lists, by name, the peers that answered lately that they pass reports on to
 // this node as the leader with a token.
-func (p *Peers) Fronts(token uint64) (members []string) {
+func (p *Peers) Forwarders(token uint64) (members []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for member, a := range p.last {
-		if a.freshWithin(frontWithin) && a.state.Loaded && a.state.Fronts && a.state.Token == token {
+		if a.isFreshWithin(forwarderFreshWithin) && a.state.Loaded && a.state.ForwardsHeartbeats && a.state.HighestToken == token {
 			members = append(members, member)
 		}
 	}
@@ -167,26 +167,26 @@
 	return members
 }
 
-// InContact tells whether some peer has lately heard from the state service.
-func (p *Peers) InContact() bool {
+// AnyReachesStateService tells whether some peer has lately heard from the state service.
+func (p *Peers) AnyReachesStateService() bool {
 	some := false
-	p.each(func(a *lastAnswer) {
-		some = some || a.freshWithin(HeardWithin) && a.state.Loaded && a.state.SinceHeard < HeardWithin
+	p.each(func(a *lastResponse) {
+		some = some || a.isFreshWithin(FreshWithin) && a.state.Loaded && a.state.SinceStateService < FreshWithin
 	})
 	return some
 }
 
-// Heard tells whether some peer has lately answered at all.
-func (p *Peers) Heard() bool {
+// AnyResponds tells whether some peer has lately answered at all.
+func (p *Peers) AnyResponds() bool {
 	some := false
-	p.each(func(a *lastAnswer) { some = some || a.freshWithin(HeardWithin) })
+	p.each(func(a *lastResponse) { some = some || a.isFreshWithin(FreshWithin) })
 	return some
 }
 
-// Reachable tells whether a member answered lately.
-func (p *Peers) Reachable(member string) bool {
+// IsReachable tells whether a member answered lately.
+func (p *Peers) IsReachable(member string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := p.last[member]
-	return last.freshWithin(frontWithin)
+	return last.isFreshWithin(forwarderFreshWithin)
 }
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -14,38 +14,38 @@
 // wake-up where each report costs an HTTP request. The pause is what a start may
 // wait for that; with a tenth of it nearly every report went alone.
 const (
-	relayPause = 60 * micros.Millisecond
-	relayBytes = 256 << 10 // of a batch, well within maxMessage
-	relayLimit = 2500 * micros.Millisecond
+	forwardBatchDelay    = 60 * micros.Millisecond
+	maxForwardBatchBytes = 256 << 10 // of a batch, well within maxMessage
+	forwardTimeout       = 2500 * micros.Millisecond
 )
 
-// ErrRefused says that the peer has got a report and does not answer it.
-var ErrRefused = errors.New("refused")
+// ErrRejected says that the peer has got a report and does not answer it.
+var ErrRejected = errors.New("refused")
 
-// relay is a report that waits for its answer.
-type relay struct {
-	report wire.Raw
-	done   chan Relayed
+// pendingHeartbeat is a report that waits for its answer.
+type pendingHeartbeat struct {
+	heartbeat wire.Raw
+	done      chan ForwardedResponse
 }
 
-// Relay has the peer answer a worker's report. After an error other than
-// ErrRefused nobody knows whether the peer has seen it.
-func (c *Client) Relay(ctx context.Context, report wire.Raw) (wire.Raw, error) {
-	r := &relay{report, make(chan Relayed, 1)}
-	c.relayMu.Lock()
-	c.reports = append(c.reports, r)
-	if !c.relaying {
-		c.relaying = true
-		go c.relayAll()
+// ForwardHeartbeat has the peer answer a worker's report. After an error other than
+// ErrRejected nobody knows whether the peer has seen it.
+func (c *Client) ForwardHeartbeat(ctx context.Context, report wire.Raw) (wire.Raw, error) {
+	r := &pendingHeartbeat{report, make(chan ForwardedResponse, 1)}
+	c.forwardMu.Lock()
+	c.pendingHeartbeats = append(c.pendingHeartbeats, r)
+	if !c.forwarding {
+		c.forwarding = true
+		go c.forwardBatches()
 	}
-	c.relayMu.Unlock()
+	c.forwardMu.Unlock()
 	select {
 	case a := <-r.done:
 		switch {
-		case a.Answer != nil:
-			return a.Answer, nil
+		case a.Response != nil:
+			return a.Response, nil
 		case a.Error != "":
-			return nil, fmt.Errorf("%w: %s", ErrRefused, a.Error)
+			return nil, fmt.Errorf("%w: %s", ErrRejected, a.Error)
 		}
 		return nil, fmt.Errorf("peer %s: no answer", c.addr)
 	case <-ctx.Done():
@@ -53,42 +53,42 @@
 	}
 }
 
-// relayAll sends batches until no report waits.
-func (c *Client) relayAll() {
+// forwardBatches sends batches until no report waits.
+func (c *Client) forwardBatches() {
 	for {
-		micros.Pause(context.Background(), relayPause)
-		c.relayMu.Lock()
+		micros.Pause(context.Background(), forwardBatchDelay)
+		c.forwardMu.Lock()
 		n, size := 0, 0
-		for n < len(c.reports) && (n == 0 || size+len(c.reports[n].report) <= relayBytes) {
-			size += len(c.reports[n].report)
+		for n < len(c.pendingHeartbeats) && (n == 0 || size+len(c.pendingHeartbeats[n].heartbeat) <= maxForwardBatchBytes) {
+			size += len(c.pendingHeartbeats[n].heartbeat)
 			n++
 		}
 		if n == 0 {
-			c.relaying = false
-			c.relayMu.Unlock()
+			c.forwarding = false
+			c.forwardMu.Unlock()
 			return
 		}
-		batch := slices.Clone(c.reports[:n])
-		c.reports = slices.Delete(c.reports, 0, n)
-		c.relayMu.Unlock()
-		go c.relayBatch(batch)
+		batch := slices.Clone(c.pendingHeartbeats[:n])
+		c.pendingHeartbeats = slices.Delete(c.pendingHeartbeats, 0, n)
+		c.forwardMu.Unlock()
+		go c.forwardBatch(batch)
 	}
 }
 
-// relayBatch sends one batch and hands out the answers.
-func (c *Client) relayBatch(batch []*relay) {
-	ctx, cancel := context.WithTimeout(context.Background(), relayLimit.Duration())
+// forwardBatch sends one batch and hands out the answers.
+func (c *Client) forwardBatch(batch []*pendingHeartbeat) {
+	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout.Duration())
 	defer cancel()
-	q := Request{Relay: make([]wire.Raw, len(batch))}
+	q := Request{Heartbeats: make([]wire.Raw, len(batch))}
 	for i, r := range batch {
-		q.Relay[i] = r.report
+		q.Heartbeats[i] = r.heartbeat
 	}
 	a, err := c.Ask(ctx, q)
 	for i, r := range batch {
-		if err == nil && i < len(a.Relay) {
-			r.done <- a.Relay[i]
+		if err == nil && i < len(a.Forwarded) {
+			r.done <- a.Forwarded[i]
 		} else {
-			r.done <- Relayed{}
+			r.done <- ForwardedResponse{}
 		}
 	}
 }
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -16,22 +16,24 @@
 // fullAnswers answers each report with as many orders as a worker takes.
 type fullAnswers struct{ shown int }
 
-func (*fullAnswers) Probed(*Probe) *State { return &State{} }
+func (*fullAnswers) HandleProbe(*Probe) *NodeState { return &NodeState{} }
 
-func (f *fullAnswers) Relayed(wire.Raw) (wire.Raw, error) {
+func (f *fullAnswers) HandleForwardedHeartbeat(wire.Raw) (wire.Raw, error) {
 	f.shown++
 	return wire.Marshal(make([]byte, 20<<10))
 }
 
-func (*fullAnswers) Explained(string) (leader.Explanation, error) {
+func (*fullAnswers) HandleExplain(string) (leader.Explanation, error) {
 	return leader.Explanation{}, errors.New("none")
 }
 
-func (*fullAnswers) Followed(*standby.Query) *standby.Page { return nil }
+func (*fullAnswers) HandleStandbyQuery(*standby.Query) *standby.Page { return nil }
 
-func (*fullAnswers) ZonesTold() ([]zone.Status, error) { return nil, nil }
+func (*fullAnswers) HandleZones() ([]zone.Status, error) { return nil, nil }
 
-func (*fullAnswers) Heartbeat(*membership.Heartbeat) *membership.Heartbeat { return nil }
+func (*fullAnswers) HandleMembershipHeartbeat(*membership.Heartbeat) *membership.Heartbeat {
+	return nil
+}
 
 // TestRelayMuch has a follower pass on the reports of a fleet that waits to be filled.
 // The answers to all of them do not fit one message: those that do must arrive, and
@@ -42,17 +44,17 @@
 		here, there := net.Pipe()
 		go func() { _ = serveConn(there, h) }() // ends with the pipe
 		c := NewClient("leader", func(context.Context, string) (net.Conn, error) { return here, nil })
-		q := Request{Relay: make([]wire.Raw, reports)}
-		for i := range q.Relay {
-			q.Relay[i] = wire.Raw{0xa0}
+		q := Request{Heartbeats: make([]wire.Raw, reports)}
+		for i := range q.Heartbeats {
+			q.Heartbeats[i] = wire.Raw{0xa0}
 		}
 		a, err := c.Ask(t.Context(), q)
-		if err != nil || len(a.Relay) != reports {
-			t.Fatalf("%d reports: %d answers, error %v", reports, len(a.Relay), err)
+		if err != nil || len(a.Forwarded) != reports {
+			t.Fatalf("%d reports: %d answers, error %v", reports, len(a.Forwarded), err)
 		}
 		answered := 0
-		for _, r := range a.Relay {
-			if r.Answer != nil {
+		for _, r := range a.Forwarded {
+			if r.Response != nil {
 				answered++
 			}
 		}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -24,18 +24,18 @@
 
 // Handler answers requests at once.
 type Handler interface {
-	// Probed takes over what a peer tells and tells of this node.
-	Probed(p *Probe) *State
-	// Relayed answers a worker's report that a peer passes on.
-	Relayed(report wire.Raw) (wire.Raw, error)
-	// Explained tells what the leader here knows of a job.
-	Explained(job string) (leader.Explanation, error)
-	// Followed tells a follower what the leader here has decided; nil if none publishes.
-	Followed(q *standby.Query) *standby.Page
-	// ZonesTold tells a peer what the leader here thinks of the zones.
-	ZonesTold() ([]zone.Status, error)
-	// Heartbeat takes over a peer's heartbeat and answers with this node's; nil if it sends none.
-	Heartbeat(h *membership.Heartbeat) *membership.Heartbeat
+	// HandleProbe takes over what a peer tells and tells of this node.
+	HandleProbe(p *Probe) *NodeState
+	// HandleForwardedHeartbeat answers a worker's report that a peer passes on.
+	HandleForwardedHeartbeat(report wire.Raw) (wire.Raw, error)
+	// HandleExplain tells what the leader here knows of a job.
+	HandleExplain(job string) (leader.Explanation, error)
+	// HandleStandbyQuery tells a follower what the leader here has decided; nil if none publishes.
+	HandleStandbyQuery(q *standby.Query) *standby.Page
+	// HandleZones tells a peer what the leader here thinks of the zones.
+	HandleZones() ([]zone.Status, error)
+	// HandleMembershipHeartbeat takes over a peer's heartbeat and answers with this node's; nil if it sends none.
+	HandleMembershipHeartbeat(h *membership.Heartbeat) *membership.Heartbeat
 }
 
 // Serve answers requests on connections of l until ctx ends.
@@ -67,22 +67,22 @@
 	}
 }
 
-// maxAnswers is how many bytes of answers to reports go into one message; what comes on top
+// maxForwardedResponseBytes is how many bytes of answers to reports go into one message; what comes on top
 // of them, and the last answer, must still fit into maxMessage.
-const maxAnswers = maxMessage / 2
+const maxForwardedResponseBytes = maxMessage / 2
 
-// relayed answers reports that were passed on, as many as one message holds. The rest
+// respondToForwarded answers reports that were passed on, as many as one message holds. The rest
 // must not be shown to the leader at all: were the message too large, the starts in all
 // its answers would be lost, again and again while a whole fleet waits to be filled.
-func relayed(reports []wire.Raw, h Handler) []Relayed {
-	out, size := make([]Relayed, len(reports)), 0
+func respondToForwarded(reports []wire.Raw, h Handler) []ForwardedResponse {
+	out, size := make([]ForwardedResponse, len(reports)), 0
 	for i, r := range reports {
-		if size > maxAnswers {
+		if size > maxForwardedResponseBytes {
 			out[i].Error = "too many answers at once"
 			continue
 		}
-		answer, err := h.Relayed(r)
-		if out[i].Answer = answer; err != nil {
+		answer, err := h.HandleForwardedHeartbeat(r)
+		if out[i].Response = answer; err != nil {
 			out[i].Error = err.Error()
 		}
 		size += len(answer)
@@ -115,19 +115,19 @@
 	answer := Response{ID: q.ID}
 	switch {
 	case q.Probe != nil:
-		answer.State = h.Probed(q.Probe)
-	case q.Relay != nil:
-		answer.Relay = relayed(q.Relay, h)
+		answer.State = h.HandleProbe(q.Probe)
+	case q.Heartbeats != nil:
+		answer.Forwarded = respondToForwarded(q.Heartbeats, h)
 	case q.Standby != nil:
-		answer.Standby = h.Followed(q.Standby)
+		answer.Standby = h.HandleStandbyQuery(q.Standby)
 	case q.Zones:
-		zones, err := h.ZonesTold()
+		zones, err := h.HandleZones()
 		answer.Zones = zones
 		answer.fail(err)
 	case q.Heartbeat != nil:
-		answer.Heartbeat = h.Heartbeat(q.Heartbeat)
+		answer.Heartbeat = h.HandleMembershipHeartbeat(q.Heartbeat)
 	case q.Explain != "":
-		explanation, err := h.Explained(q.Explain)
+		explanation, err := h.HandleExplain(q.Explain)
 		answer.Explain = &explanation
 		answer.fail(err)
 	}
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -34,7 +34,7 @@
 	defer p.mu.Unlock()
 	for _, m := range slices.Sorted(maps.Keys(p.clients)) {
 		one := PeerVersion{Member: m}
-		if last := p.last[m]; last.freshWithin(HeardWithin) {
+		if last := p.last[m]; last.isFreshWithin(FreshWithin) {
 			one.Heard, one.Version = true, max(0, last.state.Version)
 		}
 		all.Common = min(all.Common, one.Version)
--- a/internal/peer/version_test.go
+++ b/internal/peer/version_test.go
@@ -12,21 +12,21 @@
 
 // TestVersions goes through what peers may say of their version.
 func TestVersions(t *testing.T) {
-	heard := func(v int) *lastAnswer { return &lastAnswer{state: State{Version: v}} }
-	long := &lastAnswer{state: State{Version: Version}, sent: -2 * HeardWithin}
+	heard := func(v int) *lastResponse { return &lastResponse{state: NodeState{Version: v}} }
+	long := &lastResponse{state: NodeState{Version: Version}, sentAt: -2 * FreshWithin}
 	cases := []struct {
 		name   string
-		last   map[string]*lastAnswer
+		last   map[string]*lastResponse
 		peers  []PeerVersion
 		common int
 	}{
-		{"all ours", map[string]*lastAnswer{"b": heard(Version), "c": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", true, Version}}, Version},
-		{"one of before there were versions", map[string]*lastAnswer{"b": heard(0), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
-		{"one never heard", map[string]*lastAnswer{"b": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"all ours", map[string]*lastResponse{"b": heard(Version), "c": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", true, Version}}, Version},
+		{"one of before there were versions", map[string]*lastResponse{"b": heard(0), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one never heard", map[string]*lastResponse{"b": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
 		// It may have come back with the old version meanwhile.
-		{"one not heard for long", map[string]*lastAnswer{"b": heard(Version), "c": long}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
-		{"one of a later version", map[string]*lastAnswer{"b": heard(Version + 7), "c": heard(Version)}, []PeerVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
-		{"nonsense", map[string]*lastAnswer{"b": heard(-3), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one not heard for long", map[string]*lastResponse{"b": heard(Version), "c": long}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"one of a later version", map[string]*lastResponse{"b": heard(Version + 7), "c": heard(Version)}, []PeerVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
+		{"nonsense", map[string]*lastResponse{"b": heard(-3), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 				time.Sleep(time.Minute)
 				peers := NewPeers(map[string]*Client{"b": nil, "c": nil}, nil, nil)
 				for m, s := range tc.last {
-					s.sent += micros.Now()
+					s.sentAt += micros.Now()
 					peers.last[m] = *s
 				}
 				want := Versions{Member: "a", Version: Version, Common: tc.common, Peers: tc.peers}
@@ -53,7 +53,7 @@
 		Loaded bool   `json:"loaded"`
 		Token  uint64 `json:"token"`
 	}
-	b, err := wire.Marshal(State{Loaded: true, Token: 3, Version: Version})
+	b, err := wire.Marshal(NodeState{Loaded: true, HighestToken: 3, Version: Version})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,8 +64,8 @@
 	if b, err = wire.Marshal(old); err != nil {
 		t.Fatal(err)
 	}
-	var s State
-	if err := wire.Unmarshal(b, &s); err != nil || s.Version != 0 || s.Token != 3 {
+	var s NodeState
+	if err := wire.Unmarshal(b, &s); err != nil || s.Version != 0 || s.HighestToken != 3 {
 		t.Errorf("after: %+v, %v", s, err)
 	}
 }
--- a/internal/replica/barrier.go
+++ b/internal/replica/barrier.go
@@ -14,8 +14,8 @@
 // shared limit as the pauses of the watch do.
 const barrierPause = 150 * micros.Millisecond
 
-// round is one request on behalf of all who wait for a barrier.
-type round struct {
+// barrierRound is one request on behalf of all who wait for a barrier.
+type barrierRound struct {
 	done chan struct{}
 	err  error
 }
@@ -25,13 +25,13 @@
 // waits for the next, since that one's answer may be older than the call.
 func (r *Replica) Barrier(ctx context.Context) error {
 	r.barrierMu.Lock()
-	if r.next == nil {
-		r.next = &round{done: make(chan struct{})}
+	if r.nextRound == nil {
+		r.nextRound = &barrierRound{done: make(chan struct{})}
 	}
-	mine := r.next
-	if !r.running {
-		r.running = true
-		go r.barriers()
+	mine := r.nextRound
+	if !r.barrierRunning {
+		r.barrierRunning = true
+		go r.runBarrierRounds()
 	}
 	r.barrierMu.Unlock()
 	select {
@@ -42,33 +42,33 @@
 	}
 }
 
-// barriers runs rounds until nobody waits for one.
-func (r *Replica) barriers() {
+// runBarrierRounds runs rounds until nobody waits for one.
+func (r *Replica) runBarrierRounds() {
 	for {
 		r.barrierMu.Lock()
-		current := r.next
-		r.next = nil
+		current := r.nextRound
+		r.nextRound = nil
 		if current == nil {
-			r.running = false
+			r.barrierRunning = false
 			r.barrierMu.Unlock()
 			return
 		}
 		r.barrierMu.Unlock()
-		current.err = r.barrier()
+		current.err = r.runBarrierRound()
 		close(current.done)
 		time.Sleep(barrierPause.Duration())
 	}
 }
 
-// barrier reads the changes up to the present.
-func (r *Replica) barrier() error {
-	if !r.Loaded() {
+// runBarrierRound reads the changes up to the present.
+func (r *Replica) runBarrierRound() error {
+	if !r.IsLoaded() {
 		return errors.New("barrier: nothing loaded yet")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), statestore.Timeout.Duration())
 	defer cancel()
 	err := r.catchUp(ctx)
-	if errors.Is(err, statestore.ErrTooMany) {
+	if errors.Is(err, statestore.ErrRateLimited) {
 		// All who wait share this request: a refusal for the rate limit, which
 		// passes soon, would send them all away.
 		micros.Pause(ctx, barrierPause)
@@ -87,6 +87,6 @@
 	if err != nil {
 		return err
 	}
-	r.Apply(e, sent)
+	r.ApplyWatch(e, sent)
 	return nil
 }
--- a/internal/replica/cancellations.go
+++ b/internal/replica/cancellations.go
@@ -4,27 +4,27 @@
 
 // Cancellation is a job's stored cancellation, as nodes tell it each other.
 type Cancellation struct {
-	ID    string `json:"id"`
-	Stamp uint64 `json:"stamp"`
-	Job   Job    `json:"job"`
+	ID          string `json:"id"`
+	ModRevision uint64 `json:"stamp"`
+	Job         Job    `json:"job"`
 }
 
 // Cancellations is a list of cancellations, oldest first.
 type Cancellations struct {
 	List []Cancellation
-	// Through is the revision up to which these are all there are.
-	Through uint64
-	// Whole says that these are all that are known here, which includes all that this node
+	// KnownThrough is the revision up to which these are all there are.
+	KnownThrough uint64
+	// Complete says that these are all that are known here, which includes all that this node
 	// ever told a user.
-	Whole bool
+	Complete bool
 }
 
 // Bounds of the cancellations in one message between nodes: their number, and their size as
 // JSON. One transaction, whose changes share a stamp, takes a small part of either, so each
 // message tells more than the one before it.
 const (
-	maxListed      = 1000
-	maxListedBytes = 1 << 19
+	maxCancellations     = 1000
+	maxCancellationBytes = 1 << 19
 )
 
 // CancelledThrough is a revision up to which every cancellation is known here: what the
@@ -32,7 +32,7 @@
 func (r *Replica) CancelledThrough() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return max(r.revision, r.adopted)
+	return max(r.revision, r.adoptedThrough)
 }
 
 // CancelledSince lists the cancellations known here with a stamp above since. It tells them
@@ -40,37 +40,37 @@
 func (r *Replica) CancelledSince(since uint64) Cancellations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	from := len(r.cancelled)
-	for from > 0 && r.jobs[r.cancelled[from-1]].stamp > since {
+	from := len(r.cancelledJobs)
+	for from > 0 && r.jobs[r.cancelledJobs[from-1]].modRevision > since {
 		from--
 	}
 	var list []Cancellation
 	size := 0
-	for _, id := range r.cancelled[from:] {
+	for _, id := range r.cancelledJobs[from:] {
 		stored := r.jobs[id]
 		size += wire.JSONSize(stored.job)
-		if len(list) == maxListed || len(list) > 0 && size > maxListedBytes {
+		if len(list) == maxCancellations || len(list) > 0 && size > maxCancellationBytes {
 			// A transaction's changes share one stamp, so the last may be told in part.
-			complete := list[len(list)-1].Stamp - 1
-			return Cancellations{List: list, Through: min(r.revision, complete)}
+			complete := list[len(list)-1].ModRevision - 1
+			return Cancellations{List: list, KnownThrough: min(r.revision, complete)}
 		}
-		list = append(list, Cancellation{id, stored.stamp, stored.job})
+		list = append(list, Cancellation{id, stored.modRevision, stored.job})
 	}
-	return Cancellations{List: list, Through: r.revision, Whole: true}
+	return Cancellations{List: list, KnownThrough: r.revision, Complete: true}
 }
 
-// Adopt takes over what another node told by CancelledSince(since), where since was
+// AdoptCancellations takes over what another node told by CancelledSince(since), where since was
 // CancelledThrough here or less. A cancellation is final, so it holds here as if it had
 // been read from the state service.
-func (r *Replica) Adopt(list []Cancellation, through uint64) {
+func (r *Replica) AdoptCancellations(list []Cancellation, through uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range list {
 		if c.Job.State == wire.JobCancelled {
-			r.putJob(c.ID, c.Job, c.Stamp)
+			r.putJob(c.ID, c.Job, c.ModRevision)
 		}
 	}
-	r.adopted = max(r.adopted, through)
+	r.adoptedThrough = max(r.adoptedThrough, through)
 	if len(list) > 0 {
 		r.notify()
 	}
--- a/internal/replica/cancellations_test.go
+++ b/internal/replica/cancellations_test.go
@@ -22,7 +22,7 @@
 		sharing   int // cancellations that share a transaction
 	}{
 		{"few", 10, 10, 3},
-		{"many", 2*maxListed + 5, 10, 12},
+		{"many", 2*maxCancellations + 5, 10, 12},
 		{"large", 300, 7000, 8},
 		{"all in one transaction", 60, 1000, 60},
 	}
@@ -32,7 +32,7 @@
 			for i := range tc.jobs {
 				id := fmt.Sprintf("j-%06d", i)
 				job := Job{State: wire.JobCancelled, Spec: &wire.Job{ID: id, Image: strings.Repeat("x", tc.imageName)}}
-				teller.Wrote(JobPrefix+id, job, uint64(10+i/tc.sharing))
+				teller.ApplyPut(JobPrefix+id, job, uint64(10+i/tc.sharing))
 			}
 			teller.revision = uint64(10 + tc.jobs)
 			messages := 0
@@ -48,11 +48,11 @@
 				if len(message) > messageBytes {
 					t.Fatalf("a message of %d bytes", len(message))
 				}
-				listener.Adopt(told.List, told.Through)
-				whole = told.Whole
+				listener.AdoptCancellations(told.List, told.KnownThrough)
+				whole = told.Complete
 			}
-			if len(listener.cancelled) != tc.jobs {
-				t.Errorf("%d of %d cancellations were told in %d messages", len(listener.cancelled), tc.jobs, messages)
+			if len(listener.cancelledJobs) != tc.jobs {
+				t.Errorf("%d of %d cancellations were told in %d messages", len(listener.cancelledJobs), tc.jobs, messages)
 			}
 		})
 	}
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -11,7 +11,7 @@
 var encodedTypes = []golden.Type{
 	golden.Of[Job]("a stored job"),
 	golden.Of[Leader]("who leads"),
-	golden.Of[Token]("the highest token"),
+	golden.Of[TokenRecord]("the highest token"),
 	golden.Of[Cancellation]("a cancellation told to another node"),
 }
 
@@ -29,12 +29,12 @@
 		{Name: "all", Text: Prefix},
 		{Name: "who leads", Text: LeaderKey},
 		{Name: "the highest token", Text: TokenKey},
-		{Name: "the catalog", Text: CatalogKey},
-		{Name: "the staffing", Text: StaffingKey},
+		{Name: "the catalog", Text: InstanceTypesKey},
+		{Name: "the staffing", Text: AutoscalerKey},
 		{Name: "the zones", Text: ZonesKey},
 		{Name: "jobs", Text: JobPrefix},
 		{Name: "progress of jobs", Text: ProgressPrefix},
-		{Name: "bookings", Text: BookingPrefix},
-		{Name: "lists of machines that are up", Text: UpPrefix},
+		{Name: "bookings", Text: LaunchIntentPrefix},
+		{Name: "lists of machines that are up", Text: MachineListPrefix},
 	})
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -24,16 +24,16 @@
 
 // Keys of the state service, all below Prefix.
 const (
-	Prefix         = "c/"
-	LeaderKey      = "c/leader"
-	TokenKey       = "c/token"
-	CatalogKey     = "c/catalog"
-	StaffingKey    = "c/staffing"
-	ZonesKey       = "c/zones"
-	JobPrefix      = "c/j/"
-	ProgressPrefix = "c/p/"
-	BookingPrefix  = "c/b/"
-	UpPrefix       = "c/u/"
+	Prefix             = "c/"
+	LeaderKey          = "c/leader"
+	TokenKey           = "c/token"
+	InstanceTypesKey   = "c/catalog"
+	AutoscalerKey      = "c/staffing"
+	ZonesKey           = "c/zones"
+	JobPrefix          = "c/j/"
+	ProgressPrefix     = "c/p/"
+	LaunchIntentPrefix = "c/b/"
+	MachineListPrefix  = "c/u/"
 )
 
 // Job is a stored job. One that is done keeps no description. One that is cancelled does:
@@ -47,101 +47,101 @@
 	EndedAt     micros.Micros `json:"end,omitempty"` // time of day
 }
 
-// Final tells whether the job is over.
-func (j *Job) Final() bool { return j.State != wire.JobPending }
+// IsFinal tells whether the job is over.
+func (j *Job) IsFinal() bool { return j.State != wire.JobPending }
 
 // Leader is the content of LeaderKey. Session lets a restarted member end the session of
 // its earlier life.
 type Leader struct {
-	Member  string `json:"member"`
-	Token   uint64 `json:"token"`
-	Session uint64 `json:"hold"`
+	Member       string `json:"member"`
+	FencingToken uint64 `json:"token"`
+	SessionID    uint64 `json:"hold"`
 }
 
-// Token is the content of TokenKey: the highest fencing token given out.
-type Token struct {
-	Token uint64 `json:"token"`
+// TokenRecord is the content of TokenKey: the highest fencing token given out.
+type TokenRecord struct {
+	FencingToken uint64 `json:"token"`
 }
 
-// item is the value of a key other than a job's.
-type item struct {
-	value wire.Raw
-	stamp uint64
+// storedValue is the value of a key other than a job's.
+type storedValue struct {
+	value       wire.Raw
+	modRevision uint64
 }
 
 // storedJob is a job with its key's version.
 type storedJob struct {
-	job   Job
-	stamp uint64
+	job         Job
+	modRevision uint64
 }
 
 // Replica is safe for concurrent use.
 type Replica struct {
-	store *statestore.Client
-	eager atomic.Bool
-
-	mu        sync.Mutex
-	loaded    bool
-	revision  uint64
-	seen      micros.Micros // send time of the last read of the changes
-	items     map[string]item
-	jobs      map[string]storedJob
-	changed   map[string]bool // jobs changed since the last TakeChanged
-	cancelled []string        // jobs, in the order of their stamps
-	adopted   uint64          // revision up to which a peer told all cancellations
-	wake      chan struct{}   // closed at the next change
-
-	barrierMu sync.Mutex
-	running   bool
-	next      *round
+	store      *statestore.Client
+	lowLatency atomic.Bool
+
+	mu             sync.Mutex
+	loaded         bool
+	revision       uint64
+	currentAsOf    micros.Micros // send time of the last read of the changes
+	items          map[string]storedValue
+	jobs           map[string]storedJob
+	changed        map[string]bool // jobs changed since the last TakeChangedJobs
+	cancelledJobs  []string        // jobs, in the order of their stamps
+	adoptedThrough uint64          // revision up to which a peer told all cancellations
+	changedCh      chan struct{}   // closed at the next change
+
+	barrierMu      sync.Mutex
+	barrierRunning bool
+	nextRound      *barrierRound
 }
 
 // New makes an empty replica.
 func New(store *statestore.Client) *Replica {
 	return &Replica{
-		store:   store,
-		items:   map[string]item{},
-		jobs:    map[string]storedJob{},
-		changed: map[string]bool{},
-		wake:    make(chan struct{}),
+		store:     store,
+		items:     map[string]storedValue{},
+		jobs:      map[string]storedJob{},
+		changed:   map[string]bool{},
+		changedCh: make(chan struct{}),
 	}
 }
 
 // Times between two requests, so that a busy day does not use up the state
 // service's shared limit.
 const (
-	watchWait  = 10 * micros.Second
-	eagerPause = 100 * micros.Millisecond // the leader, who starts what comes in
-	calmPause  = 400 * micros.Millisecond // all others
-	retryPause = 250 * micros.Millisecond
+	watchWait          = 10 * micros.Second
+	leaderWatchPause   = 100 * micros.Millisecond // the leader, who starts what comes in
+	followerWatchPause = 400 * micros.Millisecond // all others
+	retryPause         = 250 * micros.Millisecond
 )
 
-// SetEager has the replica follow the changes as closely as it may. Only the leader
+// SetLowLatency has the replica follow the changes as closely as it may. Only the leader
 // needs that: questions are answered after a barrier. When all five nodes did, on a day
 // of many small jobs, their watches took most of the state service's limit, and questions
 // and submissions were refused.
-func (r *Replica) SetEager(eager bool) { r.eager.Store(eager) }
+func (r *Replica) SetLowLatency(eager bool) { r.lowLatency.Store(eager) }
 
 // Run loads the replica and follows the changes until ctx ends.
 func (r *Replica) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.load(ctx)
 		for err == nil {
-			err = r.follow(ctx)
+			err = r.watchOnce(ctx)
 		}
 		slog.Debug("replica must load", "error", err)
 		micros.Pause(ctx, retryPause)
 	}
 }
 
-// follow waits for changes once and takes them over. Its error says that the replica must
+// watchOnce waits for changes once and takes them over. Its error says that the replica must
 // be loaded anew, or that ctx has ended.
-func (r *Replica) follow(ctx context.Context) error {
+func (r *Replica) watchOnce(ctx context.Context) error {
 	sent := micros.Now()
 	e, err := r.store.Watch(ctx, Prefix, r.Revision(), watchWait)
 	switch {
 	case err == nil:
-		r.Apply(e, sent)
+		r.ApplyWatch(e, sent)
 		micros.Pause(ctx, r.watchPause())
 		return nil
 	case errors.Is(err, statestore.ErrCompacted), ctx.Err() != nil:
@@ -154,10 +154,10 @@
 
 // watchPause is the time between two watches.
 func (r *Replica) watchPause() micros.Micros {
-	if r.eager.Load() {
-		return eagerPause
+	if r.lowLatency.Load() {
+		return leaderWatchPause
 	}
-	return calmPause
+	return followerWatchPause
 }
 
 // load reads every key and takes the values over. The pages are not of one revision: the
@@ -176,7 +176,7 @@
 		r.put(e.Key, e.Value, e.ModRevision)
 	}
 	for key, it := range r.items {
-		if !have[key] && it.stamp <= revision {
+		if !have[key] && it.modRevision <= revision {
 			delete(r.items, key)
 		}
 	}
@@ -209,12 +209,12 @@
 func (r *Replica) put(key string, value wire.Raw, stamp uint64) {
 	id, isJob := strings.CutPrefix(key, JobPrefix)
 	if !isJob {
-		if stamp > r.items[key].stamp {
-			r.items[key] = item{value, stamp}
+		if stamp > r.items[key].modRevision {
+			r.items[key] = storedValue{value, stamp}
 		}
 		return
 	}
-	if stamp <= r.jobs[id].stamp {
+	if stamp <= r.jobs[id].modRevision {
 		return
 	}
 	var j Job
@@ -227,40 +227,40 @@
 
 // putJob takes a job over unless what is known is as new.
 func (r *Replica) putJob(id string, j Job, stamp uint64) {
-	if stamp <= r.jobs[id].stamp {
+	if stamp <= r.jobs[id].modRevision {
 		return
 	}
 	r.jobs[id] = storedJob{j, stamp}
 	r.changed[id] = true
 	if j.State == wire.JobCancelled {
-		at := len(r.cancelled)
-		for at > 0 && r.jobs[r.cancelled[at-1]].stamp > stamp {
+		at := len(r.cancelledJobs)
+		for at > 0 && r.jobs[r.cancelledJobs[at-1]].modRevision > stamp {
 			at--
 		}
-		r.cancelled = slices.Insert(r.cancelled, at, id)
+		r.cancelledJobs = slices.Insert(r.cancelledJobs, at, id)
 	}
 }
 
 // notify wakes those who wait for a change; mu must be held.
 func (r *Replica) notify() {
-	close(r.wake)
-	r.wake = make(chan struct{})
+	close(r.changedCh)
+	r.changedCh = make(chan struct{})
 }
 
-// Apply takes over the answer of a watch that began at or before the present
+// ApplyWatch takes over the answer of a watch that began at or before the present
 // revision. Answers may overlap and come in any order.
-func (r *Replica) Apply(e wire.WatchResponse, sent micros.Micros) {
+func (r *Replica) ApplyWatch(e wire.WatchResponse, sent micros.Micros) {
 	slices.SortStableFunc(e.Events, func(a, b wire.Event) int { return cmp.Compare(a.ModRevision, b.ModRevision) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = max(r.seen, sent)
+	r.currentAsOf = max(r.currentAsOf, sent)
 	before := r.revision
 	for _, ev := range e.Events {
 		switch {
 		case ev.ModRevision <= before:
 		case ev.Put != "":
 			r.put(ev.Put, ev.Value, ev.ModRevision)
-		case ev.Delete != "" && r.items[ev.Delete].stamp < ev.ModRevision:
+		case ev.Delete != "" && r.items[ev.Delete].modRevision < ev.ModRevision:
 			delete(r.items, ev.Delete)
 		}
 	}
@@ -270,8 +270,8 @@
 	}
 }
 
-// Wrote takes over a write of this node's own that was committed.
-func (r *Replica) Wrote(key string, value any, revision uint64) {
+// ApplyPut takes over a write of this node's own that was committed.
+func (r *Replica) ApplyPut(key string, value any, revision uint64) {
 	raw, err := wire.Marshal(value)
 	if err != nil {
 		slog.Error("encode own write", "key", key, "error", err)
@@ -283,27 +283,27 @@
 	r.notify()
 }
 
-// Removed takes over a removal of this node's own.
-func (r *Replica) Removed(key string, revision uint64) {
+// ApplyDelete takes over a removal of this node's own.
+func (r *Replica) ApplyDelete(key string, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.items[key].stamp < revision {
+	if r.items[key].modRevision < revision {
 		delete(r.items, key)
 	}
 }
 
-// Loaded tells whether the replica has been filled.
-func (r *Replica) Loaded() bool {
+// IsLoaded tells whether the replica has been filled.
+func (r *Replica) IsLoaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded
 }
 
-// Seen is an instant up to which all changes are known here.
-func (r *Replica) Seen() micros.Micros {
+// CurrentAsOf is an instant up to which all changes are known here.
+func (r *Replica) CurrentAsOf() micros.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seen
+	return r.currentAsOf
 }
 
 // Revision is what the replica has seen at least.
@@ -317,7 +317,7 @@
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.wake
+	return r.changedCh
 }
 
 // Job returns a job as far as it is known here.
@@ -325,18 +325,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, ok := r.jobs[id]
-	return s.job, s.stamp, ok
+	return s.job, s.modRevision, ok
 }
 
-// TakeChanged returns the jobs that changed since the last call; with all it
+// TakeChangedJobs returns the jobs that changed since the last call; with all it
 // returns every job that is not over.
-func (r *Replica) TakeChanged(all bool) []string {
+func (r *Replica) TakeChangedJobs(all bool) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
 	if all {
 		for id, s := range r.jobs {
-			if !s.job.Final() {
+			if !s.job.IsFinal() {
 				ids = append(ids, id)
 			}
 		}
@@ -362,17 +362,17 @@
 	if err := wire.Unmarshal(it.value, v); err != nil {
 		return 0, fmt.Errorf("stored %s: %w", key, err)
 	}
-	return it.stamp, nil
+	return it.modRevision, nil
 }
 
-// Stamp is a key's version as known here.
-func (r *Replica) Stamp(key string) uint64 {
+// ModRevision is a key's version as known here.
+func (r *Replica) ModRevision(key string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if id, ok := strings.CutPrefix(key, JobPrefix); ok {
-		return r.jobs[id].stamp
+		return r.jobs[id].modRevision
 	}
-	return r.items[key].stamp
+	return r.items[key].modRevision
 }
 
 // Keys lists the keys with a prefix, jobs aside.
--- a/internal/sim/harness/leadership.go
+++ b/internal/sim/harness/leadership.go
@@ -52,11 +52,11 @@
 
 // Token is the highest token given out, as stored; 0 if there is none.
 func (l Leadership) Token() uint64 {
-	var n replica.Token
+	var n replica.TokenRecord
 	if e, ok := l.State.Get(replica.TokenKey); !ok || wire.Unmarshal(e.Value, &n) != nil {
 		return 0
 	}
-	return n.Token
+	return n.FencingToken
 }
 
 // LedAfter waits until another leader leads than the one with this token.
--- a/internal/standby/bench_test.go
+++ b/internal/standby/bench_test.go
@@ -30,7 +30,7 @@
 // exchange has a follower ask once, with the encoding both ways, and tells the answer's size.
 func exchange(b *testing.B, f *Follower, p *Publisher) (size int) {
 	b.Helper()
-	body, err := wire.Marshal(p.Answer(f.Query(testToken)))
+	body, err := wire.Marshal(p.HandleQuery(f.Query(testToken)))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 // BenchmarkPull has a follower take 100 entries a time.
 func BenchmarkPull(b *testing.B) {
 	p, f := benchFleet(), NewFollower("host-1")
-	for !f.Progress().Whole || f.Progress().LagEntries > 0 {
+	for !f.Progress().Complete || f.Progress().LagEntries > 0 {
 		exchange(b, f, p)
 	}
 	size, i := 0, 0
@@ -69,7 +69,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		f := NewFollower("host-1")
-		for !f.Progress().Whole {
+		for !f.Progress().Complete {
 			size += exchange(b, f, p)
 		}
 		n++
--- a/internal/standby/entry.go
+++ b/internal/standby/entry.go
@@ -24,17 +24,17 @@
 // Entry is one decision or observation of a leader. Exactly one field is set. Every entry
 // says what is so from then on, so applying one again, in order, changes nothing.
 type Entry struct {
-	Placed    *Placed    `json:"placed,omitempty"`
-	Left      *Left      `json:"left,omitempty"`
-	Observed  *Observed  `json:"observed,omitempty"`
-	Returning *Returning `json:"returning,omitempty"`
-	Gone      *Gone      `json:"gone,omitempty"`
-	Estimated *Estimated `json:"estimated,omitempty"`
-	Handover  *Handover  `json:"handover,omitempty"`
+	TaskAssigned       *TaskAssigned       `json:"placed,omitempty"`
+	TaskRemoved        *TaskRemoved        `json:"left,omitempty"`
+	MachineObserved    *MachineObserved    `json:"observed,omitempty"`
+	MachineTerminating *MachineTerminating `json:"returning,omitempty"`
+	MachineTerminated  *MachineTerminated  `json:"gone,omitempty"`
+	EstimateUpdated    *EstimateUpdated    `json:"estimated,omitempty"`
+	Handover           *Handover           `json:"handover,omitempty"`
 }
 
-// Placed says that a task is on a machine, or that its start or its stop is on the way.
-type Placed struct {
+// TaskAssigned says that a task is on a machine, or that its start or its stop is on the way.
+type TaskAssigned struct {
 	Machine string `json:"machine"`
 	Task    string `json:"task"`
 	TaskState
@@ -49,39 +49,39 @@
 	Reserved bool `json:"reserved,omitempty"`
 }
 
-// Left says that a task is surely no longer on a machine.
-type Left struct {
+// TaskRemoved says that a task is surely no longer on a machine.
+type TaskRemoved struct {
 	Machine string `json:"machine"`
 	Task    string `json:"task"`
 }
 
-// Observed says what a machine's reports tell besides its tasks.
-type Observed struct {
+// MachineObserved says what a machine's reports tell besides its tasks.
+type MachineObserved struct {
 	Machine string `json:"machine"`
 	MachineState
 }
 
 // MachineState is what is known of a machine besides its tasks.
 type MachineState struct {
-	Session uint64 `json:"session"`
+	Incarnation uint64 `json:"session"`
 	// Resolved: all tasks that it may hold are known.
-	Resolved bool `json:"resolved"`
+	TasksKnown bool `json:"resolved"`
 }
 
-// Returning says that the cloud is being asked to take a machine back.
-type Returning struct {
+// MachineTerminating says that the cloud is being asked to take a machine back.
+type MachineTerminating struct {
 	Machine string `json:"machine"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 }
 
-// Gone says that a machine was returned.
-type Gone struct {
+// MachineTerminated says that a machine was returned.
+type MachineTerminated struct {
 	Machine string `json:"machine"`
 }
 
-// Estimated says how a class's run times compare with its owners' estimates: a staffing
+// EstimateUpdated says how a class's run times compare with its owners' estimates: a staffing
 // step that is not stored.
-type Estimated struct {
+type EstimateUpdated struct {
 	Class   string    `json:"class"`
 	Moments []float64 `json:"moments"`
 }
@@ -115,22 +115,22 @@
 			named = named && name != ""
 		}
 	}
-	if p := e.Placed; p != nil {
+	if p := e.TaskAssigned; p != nil {
 		count(true, p.Machine, p.Task)
 	}
-	if p := e.Left; p != nil {
+	if p := e.TaskRemoved; p != nil {
 		count(true, p.Machine, p.Task)
 	}
-	if p := e.Observed; p != nil {
+	if p := e.MachineObserved; p != nil {
 		count(true, p.Machine)
 	}
-	if p := e.Returning; p != nil {
+	if p := e.MachineTerminating; p != nil {
 		count(true, p.Machine)
 	}
-	if p := e.Gone; p != nil {
+	if p := e.MachineTerminated; p != nil {
 		count(true, p.Machine)
 	}
-	if p := e.Estimated; p != nil {
+	if p := e.EstimateUpdated; p != nil {
 		count(true, p.Class)
 	}
 	count(e.Handover != nil)
@@ -174,16 +174,16 @@
 	Machines []MachineRecord `json:"machines"`
 	More     bool            `json:"more"`
 	// With the last page, which has no more.
-	Estimates []Estimated `json:"estimates,omitempty"`
-	Handover  *Handover   `json:"handover,omitempty"`
+	Estimates []EstimateUpdated `json:"estimates,omitempty"`
+	Handover  *Handover         `json:"handover,omitempty"`
 }
 
 // MachineRecord is a machine of a snapshot.
 type MachineRecord struct {
 	Name string `json:"name"`
 	MachineState
-	Returning bool         `json:"returning,omitempty"`
-	Tasks     []TaskRecord `json:"tasks,omitempty"`
+	Terminating bool         `json:"returning,omitempty"`
+	Tasks       []TaskRecord `json:"tasks,omitempty"`
 }
 
 // TaskRecord is a task of a machine of a snapshot.
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -14,27 +14,27 @@
 type Follower struct {
 	member string
 
-	mu       sync.Mutex
-	view     *View // nil until a leader was followed
-	snapshot *snapshot
-	latest   uint64        // position of the leader's newest entry, as last told
-	caughtUp micros.Micros // when a query was sent whose answer left nothing missing
-	heard    micros.Micros // when the last page came that was not refused
-	refused  map[string]int
+	mu         sync.Mutex
+	view       *View // nil until a leader was followed
+	snapshot   *snapshotProgress
+	latest     uint64        // position of the leader's newest entry, as last told
+	caughtUp   micros.Micros // when a query was sent whose answer left nothing missing
+	lastPageAt micros.Micros // when the last page came that was not refused
+	rejected   map[string]int
 }
 
-// snapshot is how far taking a snapshot is.
-type snapshot struct {
+// snapshotProgress is how far taking a snapshot is.
+type snapshotProgress struct {
 	after   string
 	started bool
-	// wholeAt is the position from which on the view is as the leader's was: until then
+	// completeAt is the position from which on the view is as the leader's was: until then
 	// entries may be older than what the pages show. 0: more pages are to come.
-	wholeAt uint64
+	completeAt uint64
 }
 
 // NewFollower is a follower that has not heard of any leader.
 func NewFollower(member string) *Follower {
-	return &Follower{member: member, refused: map[string]int{}}
+	return &Follower{member: member, rejected: map[string]int{}}
 }
 
 // Query is what to ask the leader with a token next.
@@ -45,7 +45,7 @@
 		f.restart(token)
 	}
 	q := &Query{Version: Version, Member: f.member, Token: f.view.Token, Position: f.view.Position}
-	if f.snapshot != nil && f.snapshot.wholeAt == 0 {
+	if f.snapshot != nil && f.snapshot.completeAt == 0 {
 		q.Snapshot, q.After = true, f.snapshot.after
 	}
 	return q
@@ -54,7 +54,7 @@
 // restart forgets the view, and has a snapshot taken of a term.
 func (f *Follower) restart(token uint64) {
 	f.view = NewView(token)
-	f.snapshot = &snapshot{}
+	f.snapshot = &snapshotProgress{}
 	f.latest, f.caughtUp = 0, 0
 }
 
@@ -63,17 +63,17 @@
 func (f *Follower) Apply(page *Page, sent micros.Micros) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	err := f.take(page, sent)
+	err := f.apply(page, sent)
 	if err != nil {
-		f.refuse(err)
+		f.reject(err)
 		return err
 	}
-	f.heard = micros.Now()
+	f.lastPageAt = micros.Now()
 	return nil
 }
 
-// take is Apply with the lock held.
-func (f *Follower) take(page *Page, sent micros.Micros) error {
+// apply is Apply with the lock held.
+func (f *Follower) apply(page *Page, sent micros.Micros) error {
 	if err := f.check(page); err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 			f.view.apply(&page.Entries[i])
 		}
 	}
-	if f.snapshot != nil && f.view.Position >= f.snapshot.wholeAt && f.snapshot.wholeAt > 0 {
+	if f.snapshot != nil && f.view.Position >= f.snapshot.completeAt && f.snapshot.completeAt > 0 {
 		f.snapshot = nil
 	}
 	f.latest = max(f.latest, page.Latest)
@@ -128,7 +128,7 @@
 // entries go on; what they repeat, the later pages have already.
 func (f *Follower) takeSnapshot(page *Page) {
 	s := f.snapshot
-	if s == nil || s.wholeAt > 0 {
+	if s == nil || s.completeAt > 0 {
 		return // a late copy
 	}
 	if !s.started {
@@ -142,24 +142,24 @@
 	if page.Snapshot.More {
 		return
 	}
-	if s.wholeAt = page.Latest; f.view.Position >= s.wholeAt {
+	if s.completeAt = page.Latest; f.view.Position >= s.completeAt {
 		f.snapshot = nil
 	}
 }
 
-// refusalKinds are the errors that are counted apart.
-var refusalKinds = []error{ErrMalformed, ErrVersion, ErrTerm, ErrGap}
+// rejectionKinds are the errors that are counted apart.
+var rejectionKinds = []error{ErrMalformed, ErrVersion, ErrTerm, ErrGap}
 
-// refuse counts a refused page, and logs the first of a kind.
-func (f *Follower) refuse(err error) {
+// reject counts a refused page, and logs the first of a kind.
+func (f *Follower) reject(err error) {
 	kind := "other"
-	for _, k := range refusalKinds {
+	for _, k := range rejectionKinds {
 		if errors.Is(err, k) {
 			kind = k.Error()
 		}
 	}
-	f.refused[kind]++
-	if f.refused[kind] == 1 {
+	f.rejected[kind]++
+	if f.rejected[kind] == 1 {
 		slog.Warn("standby: a page is refused", "kind", kind, "error", err)
 	}
 }
@@ -177,9 +177,9 @@
 	return v
 }
 
-// HandedTo is whom the leader of the followed term has named to lead next, if it has handed
+// HandedOverTo is whom the leader of the followed term has named to lead next, if it has handed
 // over.
-func (f *Follower) HandedTo() (member string, handed bool) {
+func (f *Follower) HandedOverTo() (member string, handed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view == nil || f.view.Handover == nil {
@@ -188,8 +188,8 @@
 	return f.view.Handover.To, true
 }
 
-// HandedIn tells whether the leader with a token has handed over, as far as it is known here.
-func (f *Follower) HandedIn(token uint64) bool {
+// HandedOverIn tells whether the leader with a token has handed over, as far as it is known here.
+func (f *Follower) HandedOverIn(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view != nil && f.view.Token == token && f.view.Handover != nil
@@ -199,26 +199,26 @@
 type Progress struct {
 	Token      uint64         `json:"token"`
 	Position   uint64         `json:"position"`
-	Whole      bool           `json:"whole"`
+	Complete   bool           `json:"whole"`
 	LagEntries uint64         `json:"lag_entries"`
 	LagS       float64        `json:"lag_s"` // since the view was known to lack nothing; -1: never
 	Machines   int            `json:"machines"`
 	Tasks      int            `json:"tasks"`
-	Refused    map[string]int `json:"refused,omitempty"` // pages, by kind
+	Rejected   map[string]int `json:"refused,omitempty"` // pages, by kind
 }
 
 // Progress tells how far the follower is.
 func (f *Follower) Progress() Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := Progress{LagS: -1, Refused: map[string]int{}}
-	for kind, n := range f.refused {
-		p.Refused[kind] = n
+	p := Progress{LagS: -1, Rejected: map[string]int{}}
+	for kind, n := range f.rejected {
+		p.Rejected[kind] = n
 	}
 	if f.view == nil {
 		return p
 	}
-	p.Token, p.Position, p.Whole = f.view.Token, f.view.Position, f.snapshot == nil
+	p.Token, p.Position, p.Complete = f.view.Token, f.view.Position, f.snapshot == nil
 	p.Machines, p.Tasks = len(f.view.Machines), f.view.Tasks()
 	if f.latest > f.view.Position {
 		p.LagEntries = f.latest - f.view.Position
@@ -229,9 +229,9 @@
 	return p
 }
 
-// HeardAt is when the leader was last heard; 0 if it never was.
-func (f *Follower) HeardAt() micros.Micros {
+// LastPageAt is when the leader was last heard; 0 if it never was.
+func (f *Follower) LastPageAt() micros.Micros {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard
+	return f.lastPageAt
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -13,20 +13,20 @@
 // waits for a follower: publishing appends to a log of bounded length, and a follower that is
 // behind it takes a snapshot.
 type Publisher struct {
-	keep int // entries
+	maxEntries int // entries
 
-	mu        sync.Mutex
-	view      *View   // as of all entries
-	entries   []Entry // the newest; the last has the view's position
-	followers map[string]FollowerState
-	asked     chan struct{} // closed at the next query
+	mu          sync.Mutex
+	view        *View   // as of all entries
+	entries     []Entry // the newest; the last has the view's position
+	followers   map[string]FollowerState
+	queryCounts chan struct{} // closed at the next query
 }
 
 // FollowerState is how far a follower is, as its last query says.
 type FollowerState struct {
 	Member   string        `json:"member"`
 	Position uint64        `json:"position"`
-	Whole    bool          `json:"whole"` // it is not taking a snapshot
+	Complete bool          `json:"whole"` // it is not taking a snapshot
 	At       micros.Micros `json:"-"`     // when it last asked
 	AgeS     float64       `json:"age_s"` // how long ago that is
 }
@@ -34,10 +34,10 @@
 // NewPublisher is the publisher of a term, which keeps so many entries.
 func NewPublisher(token uint64, keep int) *Publisher {
 	return &Publisher{
-		keep:      max(1, keep),
-		view:      NewView(token),
-		followers: map[string]FollowerState{},
-		asked:     make(chan struct{}),
+		maxEntries:  max(1, keep),
+		view:        NewView(token),
+		followers:   map[string]FollowerState{},
+		queryCounts: make(chan struct{}),
 	}
 }
 
@@ -47,8 +47,8 @@
 	defer p.mu.Unlock()
 	p.view.apply(&e)
 	p.entries = append(p.entries, e)
-	if len(p.entries) > p.keep+p.keep/4 {
-		p.entries = slices.Clone(p.entries[len(p.entries)-p.keep:])
+	if len(p.entries) > p.maxEntries+p.maxEntries/4 {
+		p.entries = slices.Clone(p.entries[len(p.entries)-p.maxEntries:])
 	}
 }
 
@@ -59,8 +59,8 @@
 	return p.view.Position
 }
 
-// Answer answers a follower.
-func (p *Publisher) Answer(q *Query) *Page {
+// HandleQuery answers a follower.
+func (p *Publisher) HandleQuery(q *Query) *Page {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	page := &Page{Version: Version, Token: p.view.Token, Latest: p.view.Position, From: q.Position}
@@ -85,18 +85,18 @@
 func (p *Publisher) noteFollower(q *Query) {
 	state := FollowerState{Member: q.Member, At: micros.Now()}
 	if q.Token == p.view.Token && !q.Snapshot {
-		state.Position, state.Whole = q.Position, true
+		state.Position, state.Complete = q.Position, true
 	}
 	p.followers[q.Member] = state
-	close(p.asked)
-	p.asked = make(chan struct{})
+	close(p.queryCounts)
+	p.queryCounts = make(chan struct{})
 }
 
-// Asked is closed at the next query.
-func (p *Publisher) Asked() <-chan struct{} {
+// QueryCount is closed at the next query.
+func (p *Publisher) QueryCount() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.asked
+	return p.queryCounts
 }
 
 // Followers lists how far the followers are, by name.
@@ -115,7 +115,7 @@
 // a whole view.
 func (p *Publisher) Furthest(within micros.Micros) (furthest FollowerState) {
 	for _, f := range p.Followers() {
-		if f.Whole && micros.Now()-f.At <= within && (furthest.Member == "" || f.Position > furthest.Position) {
+		if f.Complete && micros.Now()-f.At <= within && (furthest.Member == "" || f.Position > furthest.Position) {
 			furthest = f
 		}
 	}
@@ -127,5 +127,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.followers[member]
-	return f.Whole && f.Position >= position
+	return f.Complete && f.Position >= position
 }
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -15,13 +15,15 @@
 const testToken = 7
 
 func placed(machine, task string, attempt uint64) Entry {
-	return Entry{Placed: &Placed{Machine: machine, Task: task, TaskState: TaskState{Attempt: attempt}}}
+	return Entry{TaskAssigned: &TaskAssigned{Machine: machine, Task: task, TaskState: TaskState{Attempt: attempt}}}
 }
 
-func left(machine, task string) Entry { return Entry{Left: &Left{Machine: machine, Task: task}} }
+func left(machine, task string) Entry {
+	return Entry{TaskRemoved: &TaskRemoved{Machine: machine, Task: task}}
+}
 
 func observed(machine string, session uint64) Entry {
-	return Entry{Observed: &Observed{Machine: machine, MachineState: MachineState{Session: session, Resolved: true}}}
+	return Entry{MachineObserved: &MachineObserved{Machine: machine, MachineState: MachineState{Incarnation: session, TasksKnown: true}}}
 }
 
 // randomEntry is some decision about few machines, so that decisions meet.
@@ -31,11 +33,11 @@
 	case 0:
 		return observed(machine, 1+r.Uint64N(3))
 	case 1:
-		return Entry{Returning: &Returning{Machine: machine, Why: "test"}}
+		return Entry{MachineTerminating: &MachineTerminating{Machine: machine, Reason: "test"}}
 	case 2:
-		return Entry{Gone: &Gone{Machine: machine}}
+		return Entry{MachineTerminated: &MachineTerminated{Machine: machine}}
 	case 3:
-		return Entry{Estimated: &Estimated{Class: fmt.Sprintf("c%d", r.IntN(3)), Moments: []float64{r.Float64()}}}
+		return Entry{EstimateUpdated: &EstimateUpdated{Class: fmt.Sprintf("c%d", r.IntN(3)), Moments: []float64{r.Float64()}}}
 	case 4, 5, 6, 7:
 		return left(machine, task)
 	}
@@ -60,7 +62,7 @@
 func pull(t *testing.T, f *Follower, p *Publisher) error {
 	t.Helper()
 	q := f.Query(testToken)
-	return f.Apply(carry(t, p.Answer(carry(t, q))), micros.Now())
+	return f.Apply(carry(t, p.HandleQuery(carry(t, q))), micros.Now())
 }
 
 // catchUp has a follower ask until nothing is missing.
@@ -70,7 +72,7 @@
 		if err := pull(t, f, p); err != nil {
 			t.Fatal(err)
 		}
-		if progress := f.Progress(); progress.Whole && progress.Position == p.Position() {
+		if progress := f.Progress(); progress.Complete && progress.Position == p.Position() {
 			return
 		}
 	}
@@ -101,7 +103,7 @@
 			for range r.IntN(12) {
 				p.Publish(randomEntry(r))
 			}
-			page := carry(t, p.Answer(f.Query(testToken)))
+			page := carry(t, p.HandleQuery(f.Query(testToken)))
 			late = append(late, page)
 			switch r.IntN(6) {
 			case 0: // lost
@@ -114,7 +116,7 @@
 			default:
 				_ = f.Apply(page, micros.Now())
 			}
-			if progress := f.Progress(); progress.Whole && progress.Position == p.Position() {
+			if progress := f.Progress(); progress.Complete && progress.Position == p.Position() {
 				checked++
 				sameView(t, f, p)
 			}
@@ -139,11 +141,11 @@
 		p.Publish(placed(fmt.Sprintf("i-%06d", i%machines), fmt.Sprintf("j-%06d/%d", i/100, i%100), uint64(testToken<<32+i)))
 	}
 	pages := 0
-	for !f.Progress().Whole || f.Progress().Position < p.Position() {
+	for !f.Progress().Complete || f.Progress().Position < p.Position() {
 		if pages++; pages > 200 {
 			t.Fatal("the snapshot does not end")
 		}
-		page := p.Answer(f.Query(testToken))
+		page := p.HandleQuery(f.Query(testToken))
 		if b, err := wire.Marshal(page); err != nil || len(b) > messageBytes {
 			t.Fatalf("a page of %d bytes: %v", len(b), err)
 		}
@@ -165,7 +167,7 @@
 // them shows, each is counted by its kind, and after a snapshot the follower is whole again.
 func TestRefused(t *testing.T) {
 	both := placed("i-1", "j-1/1", 1)
-	both.Gone = &Gone{Machine: "i-1"}
+	both.MachineTerminated = &MachineTerminated{Machine: "i-1"}
 	cases := []struct {
 		name   string
 		spoil  func(page *Page)
@@ -188,16 +190,16 @@
 			p.Publish(placed("i-0", "j-1/0", 1))
 			catchUp(t, f, p)
 			p.Publish(placed("i-1", "j-1/1", 2))
-			page := carry(t, p.Answer(f.Query(testToken)))
+			page := carry(t, p.HandleQuery(f.Query(testToken)))
 			tc.spoil(page)
 			if err := f.Apply(page, micros.Now()); !errors.Is(err, tc.want) {
 				t.Fatalf("error %v, want %v", err, tc.want)
 			}
 			progress := f.Progress()
-			if progress.Refused[tc.want.Error()] != 1 {
-				t.Errorf("counted %v", progress.Refused)
+			if progress.Rejected[tc.want.Error()] != 1 {
+				t.Errorf("counted %v", progress.Rejected)
 			}
-			if progress.Whole == tc.rebase || f.view.Machines["i-1"] != nil {
+			if progress.Complete == tc.rebase || f.view.Machines["i-1"] != nil {
 				t.Errorf("after the page: %+v, %v", progress, f.view.Machines)
 			}
 			catchUp(t, f, p)
@@ -269,11 +271,11 @@
 			if v == nil {
 				return
 			}
-			if v.Proves(testToken+1) != tc.proof {
-				t.Errorf("it proves: %v", v.Proves(testToken+1))
+			if v.ProvesAssignments(testToken+1) != tc.proof {
+				t.Errorf("it proves: %v", v.ProvesAssignments(testToken+1))
 			}
 			// Somebody led in between, or the token is the old one.
-			if v.Proves(testToken+2) || v.Proves(testToken) {
+			if v.ProvesAssignments(testToken+2) || v.ProvesAssignments(testToken) {
 				t.Error("it proves to another term")
 			}
 			if f.View() != nil {
@@ -289,7 +291,7 @@
 	for i := range 10 {
 		p.Publish(placed("i-0", fmt.Sprintf("j-1/%d", i), 1))
 	}
-	ask := func(q Query) { q.Version, q.Token = Version, testToken; p.Answer(&q) }
+	ask := func(q Query) { q.Version, q.Token = Version, testToken; p.HandleQuery(&q) }
 	if f := p.Furthest(micros.Second); f.Member != "" {
 		t.Errorf("%q, and nobody follows", f.Member)
 	}
