--- a/internal/standby/takeover.go
+++ b/internal/standby/takeover.go
@@ -37,13 +37,13 @@
 	Revision uint64 `json:"revision"`
 	// ReadThrough is the revision of the read barrier that began after the transaction.
 	ReadThrough uint64 `json:"read_through"`
-	// HandedOver: the leader before said that it had stopped, and its view proves what
+	// HandoverResponse: the leader before said that it had stopped, and its view proves what
 	// machines may hold.
 	HandedOver bool `json:"handed_over"`
 }
 
-// proves tells whether the evidence allows to decide.
-func (e Evidence) proves() bool {
+// provesTermOver tells whether the evidence allows to decide.
+func (e Evidence) provesTermOver() bool {
 	return e.Token != 0 && e.Revision != 0 && e.ReadThrough >= e.Revision
 }
 
@@ -61,8 +61,8 @@
 	Phases   []PhaseTime `json:"phases"`
 }
 
-// Takeover follows a node through the phases of its take-overs.
-type Takeover struct {
+// Failover follows a node through the phases of its take-overs.
+type Failover struct {
 	mu      sync.Mutex
 	phase   Phase
 	since   micros.Micros
@@ -70,28 +70,28 @@
 	last    *Record // that reached Active, or was given up after Confirming
 }
 
-// NewTakeover is that of a node that follows.
-func NewTakeover() *Takeover { return &Takeover{since: micros.Now()} }
+// NewFailover is that of a node that follows.
+func NewFailover() *Failover { return &Failover{since: micros.Now()} }
 
 // Phase is the present phase.
-func (t *Takeover) Phase() Phase {
+func (t *Failover) Phase() Phase {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.phase
 }
 
 // Last is the last take-over of this node, nil if it never led.
-func (t *Takeover) Last() *Record {
+func (t *Failover) Last() *Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.last
 }
 
-// Suspect notes that the leader has not answered for a while.
-func (t *Takeover) Suspect() { t.enterFrom(Following, Suspecting) }
+// LeaderSuspected notes that the leader has not answered for a while.
+func (t *Failover) LeaderSuspected() { t.enterFrom(Following, Suspecting) }
 
-// Trust notes that the leader answers, or that another one leads.
-func (t *Takeover) Trust() {
+// LeaderTrusted notes that the leader answers, or that another one leads.
+func (t *Failover) LeaderTrusted() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.phase == Suspecting || t.phase == Campaigning {
@@ -99,8 +99,8 @@
 	}
 }
 
-// Campaign notes that the node tries to lead.
-func (t *Takeover) Campaign() {
+// CampaignStarted notes that the node tries to lead.
+func (t *Failover) CampaignStarted() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.phase < Campaigning {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Won notes that the leader key was taken with a token in a transaction.
-func (t *Takeover) Won(token, revision uint64, warm bool) {
+// TermWon notes that the leader key was taken with a token in a transaction.
+func (t *Failover) TermWon(token, revision uint64, warm bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.current.Evidence = Evidence{Token: token, Revision: revision}
@@ -117,24 +117,24 @@
 	t.enter(Confirming)
 }
 
-// Confirmed notes that all that earlier terms have stored is known through a revision. It
+// StateRead notes that all that earlier terms have stored is known through a revision. It
 // tells whether the evidence is complete; if not, the phase stays.
-func (t *Takeover) Confirmed(readThrough uint64, handedOver bool) bool {
+func (t *Failover) StateRead(readThrough uint64, handedOver bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.current.Evidence.ReadThrough, t.current.Evidence.HandedOver = readThrough, handedOver
-	if t.phase != Confirming || !t.current.Evidence.proves() {
+	if t.phase != Confirming || !t.current.Evidence.provesTermOver() {
 		return false
 	}
 	t.enter(Adopting)
 	return true
 }
 
-// Adopted notes that the tasks of all machines are known.
-func (t *Takeover) Adopted() { t.enterFrom(Adopting, Active) }
+// TasksKnown notes that the tasks of all machines are known.
+func (t *Failover) TasksKnown() { t.enterFrom(Adopting, Active) }
 
-// Ended notes that the node no longer leads.
-func (t *Takeover) Ended() {
+// TermEnded notes that the node no longer leads.
+func (t *Failover) TermEnded() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.phase >= Campaigning {
@@ -143,7 +143,7 @@
 }
 
 // enterFrom enters a phase if the present one is the one before.
-func (t *Takeover) enterFrom(from, to Phase) {
+func (t *Failover) enterFrom(from, to Phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.phase == from {
@@ -152,7 +152,7 @@
 }
 
 // enter begins a phase; mu must be held.
-func (t *Takeover) enter(p Phase) {
+func (t *Failover) enter(p Phase) {
 	now := micros.Now()
 	took := now - t.since
 	slog.Info("standby", "phase", p.String(), "after", t.phase.String(), "took", took.Duration(), "token", t.current.Evidence.Token)
--- a/internal/standby/takeover_test.go
+++ b/internal/standby/takeover_test.go
@@ -9,32 +9,32 @@
 func TestPhases(t *testing.T) {
 	type step struct {
 		name string
-		do   func(t *Takeover)
+		do   func(t *Failover)
 		want Phase
 	}
-	suspect := step{"suspect", (*Takeover).Suspect, Suspecting}
-	campaign := step{"campaign", (*Takeover).Campaign, Campaigning}
-	won := step{"win", func(t *Takeover) { t.Won(8, 100, true) }, Confirming}
-	confirmed := step{"confirm", func(t *Takeover) { t.Confirmed(100, false) }, Adopting}
-	adopted := step{"adopt", (*Takeover).Adopted, Active}
-	ended := step{"end", (*Takeover).Ended, Following}
+	suspect := step{"suspect", (*Failover).LeaderSuspected, Suspecting}
+	campaign := step{"campaign", (*Failover).CampaignStarted, Campaigning}
+	won := step{"win", func(t *Failover) { t.TermWon(8, 100, true) }, Confirming}
+	confirmed := step{"confirm", func(t *Failover) { t.StateRead(100, false) }, Adopting}
+	adopted := step{"adopt", (*Failover).TasksKnown, Active}
+	ended := step{"end", (*Failover).TermEnded, Following}
 	cases := []struct {
 		name  string
 		steps []step
 	}{
 		{"all phases", []step{suspect, campaign, won, confirmed, adopted, ended}},
 		{"handed over, unsuspected", []step{campaign, won, confirmed, adopted}},
-		{"the leader answers again", []step{suspect, {"trust", (*Takeover).Trust, Following}, suspect}},
-		{"another one wins", []step{suspect, campaign, {"trust", (*Takeover).Trust, Following}}},
+		{"the leader answers again", []step{suspect, {"trust", (*Failover).LeaderTrusted, Following}, suspect}},
+		{"another one wins", []step{suspect, campaign, {"trust", (*Failover).LeaderTrusted, Following}}},
 		{"ended while confirming", []step{campaign, won, ended, campaign, won, confirmed}},
-		{"read before the key was taken", []step{campaign, won, {"confirm", func(t *Takeover) { t.Confirmed(99, true) }, Confirming}, confirmed}},
-		{"confirmed without a key", []step{campaign, {"confirm", func(t *Takeover) { t.Confirmed(500, false) }, Campaigning}}},
-		{"a doubt in an active leader", []step{campaign, won, confirmed, adopted, {"suspect", (*Takeover).Suspect, Active}, {"trust", (*Takeover).Trust, Active}}},
-		{"adopted out of turn", []step{campaign, {"adopt", (*Takeover).Adopted, Campaigning}}},
+		{"read before the key was taken", []step{campaign, won, {"confirm", func(t *Failover) { t.StateRead(99, true) }, Confirming}, confirmed}},
+		{"confirmed without a key", []step{campaign, {"confirm", func(t *Failover) { t.StateRead(500, false) }, Campaigning}}},
+		{"a doubt in an active leader", []step{campaign, won, confirmed, adopted, {"suspect", (*Failover).LeaderSuspected, Active}, {"trust", (*Failover).LeaderTrusted, Active}}},
+		{"adopted out of turn", []step{campaign, {"adopt", (*Failover).TasksKnown, Campaigning}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			takeover := NewTakeover()
+			takeover := NewFailover()
 			for _, s := range tc.steps {
 				s.do(takeover)
 				if got := takeover.Phase(); got != s.want {
@@ -50,17 +50,17 @@
 
 // TestRecord asks for the last take-over, with its evidence and phases.
 func TestRecord(t *testing.T) {
-	takeover := NewTakeover()
+	takeover := NewFailover()
 	if takeover.Last() != nil {
 		t.Error("a take-over before the first")
 	}
-	takeover.Suspect()
-	takeover.Campaign()
-	takeover.Won(8, 100, true)
-	takeover.Confirmed(104, true)
-	takeover.Adopted()
-	takeover.Ended()
-	takeover.Suspect()
+	takeover.LeaderSuspected()
+	takeover.CampaignStarted()
+	takeover.TermWon(8, 100, true)
+	takeover.StateRead(104, true)
+	takeover.TasksKnown()
+	takeover.TermEnded()
+	takeover.LeaderSuspected()
 	last := takeover.Last()
 	if last == nil || last.Evidence != (Evidence{Token: 8, Revision: 100, ReadThrough: 104, HandedOver: true}) || !last.Warm {
 		t.Fatalf("%+v", last)
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -18,8 +18,8 @@
 // Machine is a machine of a view.
 type Machine struct {
 	MachineState
-	Returning bool
-	Tasks     map[string]TaskState
+	Terminating bool
+	Tasks       map[string]TaskState
 }
 
 // NewView is a view of a term that knows nothing yet.
@@ -41,20 +41,20 @@
 func (v *View) apply(e *Entry) {
 	v.Position++
 	switch {
-	case e.Placed != nil:
-		v.machine(e.Placed.Machine).Tasks[e.Placed.Task] = e.Placed.TaskState
-	case e.Left != nil:
-		if m := v.Machines[e.Left.Machine]; m != nil {
-			delete(m.Tasks, e.Left.Task)
+	case e.TaskAssigned != nil:
+		v.machine(e.TaskAssigned.Machine).Tasks[e.TaskAssigned.Task] = e.TaskAssigned.TaskState
+	case e.TaskRemoved != nil:
+		if m := v.Machines[e.TaskRemoved.Machine]; m != nil {
+			delete(m.Tasks, e.TaskRemoved.Task)
 		}
-	case e.Observed != nil:
-		v.machine(e.Observed.Machine).MachineState = e.Observed.MachineState
-	case e.Returning != nil:
-		v.machine(e.Returning.Machine).Returning = true
-	case e.Gone != nil:
-		delete(v.Machines, e.Gone.Machine)
-	case e.Estimated != nil:
-		v.Estimates[e.Estimated.Class] = e.Estimated.Moments
+	case e.MachineObserved != nil:
+		v.machine(e.MachineObserved.Machine).MachineState = e.MachineObserved.MachineState
+	case e.MachineTerminating != nil:
+		v.machine(e.MachineTerminating.Machine).Terminating = true
+	case e.MachineTerminated != nil:
+		delete(v.Machines, e.MachineTerminated.Machine)
+	case e.EstimateUpdated != nil:
+		v.Estimates[e.EstimateUpdated.Class] = e.EstimateUpdated.Moments
 	case e.Handover != nil:
 		v.Handover = e.Handover
 	}
@@ -75,7 +75,7 @@
 			return page
 		}
 		m := v.Machines[name]
-		record := MachineRecord{Name: name, MachineState: m.MachineState, Returning: m.Returning}
+		record := MachineRecord{Name: name, MachineState: m.MachineState, Terminating: m.Terminating}
 		for _, task := range slices.Sorted(maps.Keys(m.Tasks)) {
 			record.Tasks = append(record.Tasks, TaskRecord{task, m.Tasks[task]})
 		}
@@ -84,7 +84,7 @@
 	}
 	page.Handover = v.Handover
 	for _, class := range slices.Sorted(maps.Keys(v.Estimates)) {
-		page.Estimates = append(page.Estimates, Estimated{class, v.Estimates[class]})
+		page.Estimates = append(page.Estimates, EstimateUpdated{class, v.Estimates[class]})
 	}
 	return page
 }
@@ -92,7 +92,7 @@
 // add takes over a page of a snapshot.
 func (v *View) add(page *SnapshotPage) {
 	for _, record := range page.Machines {
-		m := &Machine{MachineState: record.MachineState, Returning: record.Returning, Tasks: make(map[string]TaskState, len(record.Tasks))}
+		m := &Machine{MachineState: record.MachineState, Terminating: record.Terminating, Tasks: make(map[string]TaskState, len(record.Tasks))}
 		for _, task := range record.Tasks {
 			m.Tasks[task.Task] = task.TaskState
 		}
@@ -114,8 +114,8 @@
 	return n
 }
 
-// Proves tells whether the view says for sure, to the leader with a token, which tasks may be
+// ProvesAssignments tells whether the view says for sure, to the leader with a token, which tasks may be
 // on machines: the leader of the term before handed over complete, and nobody led since.
-func (v *View) Proves(token uint64) bool {
+func (v *View) ProvesAssignments(token uint64) bool {
 	return v.Handover != nil && v.Handover.Complete && v.Token+1 == token
 }
--- a/internal/statestore/batch.go
+++ b/internal/statestore/batch.go
@@ -19,18 +19,18 @@
 	client *Client
 
 	mu      sync.Mutex
-	waiting []*put
+	pending []*pendingPut
 	running bool
-	most    int // writes in a transaction
+	maxOps  int // writes in a transaction
 }
 
-// put is a write that waits for its result.
-type put struct {
-	key   string
-	stamp uint64
-	value any
-	size  int
-	done  chan struct{}
+// pendingPut is a write that waits for its result.
+type pendingPut struct {
+	key         string
+	modRevision uint64
+	value       any
+	size        int
+	done        chan struct{}
 
 	// The result, once done is closed.
 	revision uint64
@@ -38,21 +38,21 @@
 }
 
 // NewBatcher makes a batcher over client.
-func NewBatcher(client *Client) *Batcher { return &Batcher{client: client, most: client.MaxOps()} }
+func NewBatcher(client *Client) *Batcher { return &Batcher{client: client, maxOps: client.MaxOps()} }
 
 // Put writes value under key if the key has the given version (0: if there is
 // no such key). It returns the write's revision.
 func (b *Batcher) Put(ctx context.Context, key string, stamp uint64, value any) (uint64, error) {
-	p := &put{
-		key:   key,
-		stamp: stamp,
-		value: value,
+	p := &pendingPut{
+		key:         key,
+		modRevision: stamp,
+		value:       value,
 		// The key stands in the condition and in the change.
 		size: wire.JSONSize(value) + 2*len(key) + putOverhead,
 		done: make(chan struct{}),
 	}
 	b.mu.Lock()
-	b.waiting = append(b.waiting, p)
+	b.pending = append(b.pending, p)
 	if !b.running {
 		b.running = true
 		go b.run()
@@ -66,8 +66,8 @@
 	}
 }
 
-// refusedPause lets the service's limit recover after a refusal.
-const refusedPause = 100 * micros.Millisecond
+// rateLimitPause lets the service's limit recover after a refusal.
+const rateLimitPause = 100 * micros.Millisecond
 
 // Sizes of a transaction as JSON, in bytes: at most what a write takes beside its key and
 // value, and what is kept free for the rest.
@@ -83,28 +83,28 @@
 func (b *Batcher) run() {
 	for {
 		b.mu.Lock()
-		if len(b.waiting) == 0 {
+		if len(b.pending) == 0 {
 			b.running = false
 			b.mu.Unlock()
 			return
 		}
 		batch := b.takeBatch()
 		b.mu.Unlock()
-		if errors.Is(b.send(batch), ErrTooMany) {
+		if errors.Is(b.send(batch), ErrRateLimited) {
 			// Refused requests count as well: without a pause a burst kept the
 			// service refusing everybody for seconds.
-			time.Sleep(refusedPause.Duration())
+			time.Sleep(rateLimitPause.Duration())
 		}
 	}
 }
 
 // takeBatch takes the first writes that fit one transaction, each of another key; mu must
 // be held.
-func (b *Batcher) takeBatch() []*put {
+func (b *Batcher) takeBatch() []*pendingPut {
 	n, size := 0, txnOverhead
 	keys := map[string]bool{}
-	for n < len(b.waiting) && n < b.most {
-		p := b.waiting[n]
+	for n < len(b.pending) && n < b.maxOps {
+		p := b.pending[n]
 		size += p.size
 		if n > 0 && size > wire.MaxBody || keys[p.key] {
 			break
@@ -112,20 +112,20 @@
 		keys[p.key] = true
 		n++
 	}
-	batch := slices.Clone(b.waiting[:n])
-	b.waiting = slices.Delete(b.waiting, 0, n)
+	batch := slices.Clone(b.pending[:n])
+	b.pending = slices.Delete(b.pending, 0, n)
 	return batch
 }
 
 // send commits a batch; writes whose condition fails leave it, and the others
 // go on without them. A batch that is refused as it is goes in halves, so that one
 // value that is too large takes no other with it, and is itself not tried again.
-func (b *Batcher) send(batch []*put) error {
+func (b *Batcher) send(batch []*pendingPut) error {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout.Duration())
 	defer cancel()
 	for len(batch) > 0 {
 		revision, err := b.client.Commit(ctx, transaction(batch))
-		if errors.Is(err, ErrRefused) && len(batch) > 1 {
+		if errors.Is(err, ErrRejected) && len(batch) > 1 {
 			return b.sendHalves(batch)
 		}
 		var conflict *Conflict
@@ -145,27 +145,27 @@
 }
 
 // sendHalves sends a batch that was refused as it is in two.
-func (b *Batcher) sendHalves(batch []*put) error {
+func (b *Batcher) sendHalves(batch []*pendingPut) error {
 	half := len(batch) / 2
 	first, second := b.send(batch[:half]), b.send(batch[half:])
 	if first == nil && second == nil {
-		b.shrink(half) // no value was at fault, but their number
+		b.lowerMaxOps(half) // no value was at fault, but their number
 	}
 	return errors.Join(first, second)
 }
 
 // transaction is the one that carries out all writes of a batch.
-func transaction(batch []*put) wire.Txn {
+func transaction(batch []*pendingPut) wire.Txn {
 	var t wire.Txn
 	for _, p := range batch {
-		t.If = append(t.If, wire.Compare{Key: p.key, ModRevision: p.stamp})
+		t.If = append(t.If, wire.Compare{Key: p.key, ModRevision: p.modRevision})
 		t.Then = append(t.Then, wire.Op{Put: p.key, Value: p.value})
 	}
 	return t
 }
 
 // split tells which writes of a batch have a condition that failed.
-func (c *Conflict) split(batch []*put) (failed, rest []*put) {
+func (c *Conflict) split(batch []*pendingPut) (failed, rest []*pendingPut) {
 	for _, p := range batch {
 		if slices.Contains(c.Keys, p.key) {
 			failed = append(failed, p)
@@ -176,25 +176,25 @@
 	return failed, rest
 }
 
-// shrink lowers how many writes share a transaction, when the service takes fewer than
+// lowerMaxOps lowers how many writes share a transaction, when the service takes fewer than
 // the settings say.
-func (b *Batcher) shrink(most int) {
+func (b *Batcher) lowerMaxOps(most int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if most = max(1, most); most < b.most {
-		b.most = most
+	if most = max(1, most); most < b.maxOps {
+		b.maxOps = most
 		slog.Warn("the state service refuses transactions of a size that the settings allow", "changes_now", most)
 	}
 }
 
 // finish tells who waits for the write how it ended.
-func (p *put) finish(revision uint64, err error) {
+func (p *pendingPut) finish(revision uint64, err error) {
 	p.revision, p.err = revision, err
 	close(p.done)
 }
 
 // finishAll tells the same to all who wait for writes.
-func finishAll(batch []*put, revision uint64, err error) {
+func finishAll(batch []*pendingPut, revision uint64, err error) {
 	for _, p := range batch {
 		p.finish(revision, err)
 	}
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -25,14 +25,14 @@
 // Errors that callers tell apart. Any other error means that nobody knows
 // whether the request was or will be executed.
 var (
-	ErrConflict    = errors.New("a condition failed")
-	ErrNoSession   = errors.New("no such session")
-	ErrNotExecuted = errors.New("not executed") // refused, or never sent
-	ErrUnavailable = fmt.Errorf("%w: unavailable", ErrNotExecuted)
-	ErrTooMany     = fmt.Errorf("%w: too many requests", ErrNotExecuted)
-	ErrCompacted   = errors.New("revision too old")
-	// ErrRefused: as it is, the request will never be executed, for its size.
-	ErrRefused = fmt.Errorf("%w: refused as it is", ErrNotExecuted)
+	ErrConflict        = errors.New("a condition failed")
+	ErrSessionNotFound = errors.New("no such session")
+	ErrNotExecuted     = errors.New("not executed") // refused, or never sent
+	ErrUnavailable     = fmt.Errorf("%w: unavailable", ErrNotExecuted)
+	ErrRateLimited     = fmt.Errorf("%w: too many requests", ErrNotExecuted)
+	ErrCompacted       = errors.New("revision too old")
+	// ErrRejected: as it is, the request will never be executed, for its size.
+	ErrRejected = fmt.Errorf("%w: refused as it is", ErrNotExecuted)
 )
 
 // Conflict carries the keys whose conditions failed.
@@ -50,16 +50,16 @@
 
 // Client talks to the state service within a share of its rate limits.
 type Client struct {
-	base    string
-	http    *http.Client
-	reads   *rate.Limiter
-	writes  *rate.Limiter // of the leader
-	maxOps  int
-	flush   int // most changes of the leader in a transaction
-	valueKB float64
-	present float64      // of valueKB, before the limits change
-	heard   atomic.Int64 // when the service last answered
-	failed  atomic.Int64 // when it last did not
+	base           string
+	http           *http.Client
+	reads          *rate.Limiter
+	writes         *rate.Limiter // of the leader
+	maxOps         int
+	maxLeaderOps   int // most changes of the leader in a transaction
+	valueKB        float64
+	currentValueKB float64      // of valueKB, before the limits change
+	lastResponseAt atomic.Int64 // when the service last answered
+	lastFailureAt  atomic.Int64 // when it last did not
 }
 
 // Shares of the service's limits; see New.
@@ -78,21 +78,21 @@
 // leader's node queued behind its progress for a second and more.
 //
 // All writes keep to the limits that hold before and after a change of them: see
-// settings.State.Always. Only a new job's description may be larger, see AcceptsValue.
+// settings.State.Always. Only a new job's description may be larger, see ValueFitsNow.
 func New(addr string, limits settings.State, transport http.RoundTripper) *Client {
 	present := limits.ValueKB
 	limits = limits.Strictest()
 	requests := limits.RPS * requestShare
 	burst := max(minWriteBurst, int(limits.WriteRPS/writeBurstPart))
 	return &Client{
-		base:    "http://" + addr,
-		http:    &http.Client{Transport: transport},
-		reads:   rate.NewLimiter(rate.Limit(requests), max(1, int(requests))),
-		writes:  rate.NewLimiter(rate.Limit(limits.WriteRPS*leaderWriteShare), burst),
-		maxOps:  limits.TxnOps,
-		flush:   min(limits.TxnOps, burst),
-		valueKB: limits.ValueKB,
-		present: present,
+		base:           "http://" + addr,
+		http:           &http.Client{Transport: transport},
+		reads:          rate.NewLimiter(rate.Limit(requests), max(1, int(requests))),
+		writes:         rate.NewLimiter(rate.Limit(limits.WriteRPS*leaderWriteShare), burst),
+		maxOps:         limits.TxnOps,
+		maxLeaderOps:   min(limits.TxnOps, burst),
+		valueKB:        limits.ValueKB,
+		currentValueKB: present,
 	}
 }
 
@@ -101,26 +101,30 @@
 // MaxOps is the most changes in a transaction.
 func (c *Client) MaxOps() int { return c.maxOps }
 
-// FlushOps is the most changes of the leader in a transaction.
-func (c *Client) FlushOps() int { return c.flush }
+// MaxLeaderOps is the most changes of the leader in a transaction.
+func (c *Client) MaxLeaderOps() int { return c.maxLeaderOps }
 
-// FitsValue tells whether v may be stored under one key at any time.
-func (c *Client) FitsValue(v any) bool { return float64(wire.JSONSize(v)) <= c.valueKB*bytesPerKB }
+// ValueAlwaysFits tells whether v may be stored under one key at any time.
+func (c *Client) ValueAlwaysFits(v any) bool {
+	return float64(wire.JSONSize(v)) <= c.valueKB*bytesPerKB
+}
 
-// AcceptsValue tells whether v may be stored under one key as long as the present
+// ValueFitsNow tells whether v may be stored under one key as long as the present
 // limits hold. A job that could be accepted before the change is not refused for a
-// limit that may not hold yet: the write is tried, and ErrRefused tells.
-func (c *Client) AcceptsValue(v any) bool { return float64(wire.JSONSize(v)) <= c.present*bytesPerKB }
+// limit that may not hold yet: the write is tried, and ErrRejected tells.
+func (c *Client) ValueFitsNow(v any) bool {
+	return float64(wire.JSONSize(v)) <= c.currentValueKB*bytesPerKB
+}
 
-// SinceHeard is how long ago the service last answered anything but that it
+// SinceLastResponse is how long ago the service last answered anything but that it
 // is unavailable.
-func (c *Client) SinceHeard() micros.Micros {
-	return micros.Now() - micros.Micros(c.heard.Load())
+func (c *Client) SinceLastResponse() micros.Micros {
+	return micros.Now() - micros.Micros(c.lastResponseAt.Load())
 }
 
-// Unreachable tells whether the last request that ended got no answer or was
+// IsUnreachable tells whether the last request that ended got no answer or was
 // told that the service is unavailable.
-func (c *Client) Unreachable() bool { return c.failed.Load() > c.heard.Load() }
+func (c *Client) IsUnreachable() bool { return c.lastFailureAt.Load() > c.lastResponseAt.Load() }
 
 // call sends one request and decodes a 200 into out.
 func (c *Client) call(ctx context.Context, method, path string, in, out any, timeout micros.Micros) (int, error) {
@@ -131,13 +135,13 @@
 	defer cancel()
 	status, b, err := wire.Call(ctx, c.http, method, c.base+path, in)
 	if err != nil {
-		c.failed.Store(int64(micros.Now()))
+		c.lastFailureAt.Store(int64(micros.Now()))
 		return 0, fmt.Errorf("state service: %w", err)
 	}
 	if status != http.StatusServiceUnavailable {
-		c.heard.Store(int64(micros.Now()))
+		c.lastResponseAt.Store(int64(micros.Now()))
 	} else {
-		c.failed.Store(int64(micros.Now()))
+		c.lastFailureAt.Store(int64(micros.Now()))
 	}
 	if err := statusError(status, b); err != nil {
 		return status, err
@@ -150,8 +154,8 @@
 	return status, nil
 }
 
-// noSuchLease is what the service says when a write names a session that has ended.
-const noSuchLease = "no such lease"
+// errorNoSuchLease is what the service says when a write names a session that has ended.
+const errorNoSuchLease = "no such lease"
 
 // statusError is the error that a status stands for at every request.
 func statusError(status int, answer []byte) error {
@@ -159,13 +163,13 @@
 	case http.StatusServiceUnavailable:
 		return fmt.Errorf("state service: %w", ErrUnavailable)
 	case http.StatusTooManyRequests:
-		return fmt.Errorf("state service: %w", ErrTooMany)
+		return fmt.Errorf("state service: %w", ErrRateLimited)
 	case http.StatusBadRequest:
 		var e wire.ErrorResponse
-		if wire.Unmarshal(answer, &e) == nil && e.Error == noSuchLease {
-			return ErrNoSession
+		if wire.Unmarshal(answer, &e) == nil && e.Error == errorNoSuchLease {
+			return ErrSessionNotFound
 		}
-		return fmt.Errorf("state service: %w: %s", ErrRefused, e.Error)
+		return fmt.Errorf("state service: %w: %s", ErrRejected, e.Error)
 	}
 	return nil
 }
@@ -187,9 +191,9 @@
 	return page, err
 }
 
-// CommitPaced carries out a transaction of the leader within its part of the
+// CommitRateLimited carries out a transaction of the leader within its part of the
 // limit on changes.
-func (c *Client) CommitPaced(ctx context.Context, t wire.Txn) (uint64, error) {
+func (c *Client) CommitRateLimited(ctx context.Context, t wire.Txn) (uint64, error) {
 	if err := c.writes.WaitN(ctx, min(max(1, len(t.Then)), c.writes.Burst())); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
@@ -246,22 +250,22 @@
 // RenewSession has a session live for its whole life again.
 func (c *Client) RenewSession(ctx context.Context, session uint64) error {
 	code, err := c.call(ctx, http.MethodPost, fmt.Sprintf("/holds/%d/extend", session), struct{}{}, nil, Timeout)
-	return sessionResult(code, err)
+	return sessionError(code, err)
 }
 
 // EndSession ends a session at once.
 func (c *Client) EndSession(ctx context.Context, session uint64) error {
 	code, err := c.call(ctx, http.MethodDelete, fmt.Sprintf("/holds/%d", session), nil, nil, Timeout)
-	return sessionResult(code, err)
+	return sessionError(code, err)
 }
 
-// sessionResult is the outcome of a request about a session.
-func sessionResult(code int, err error) error {
+// sessionError is the outcome of a request about a session.
+func sessionError(code int, err error) error {
 	switch {
 	case err != nil:
 		return err
 	case code == http.StatusNotFound:
-		return ErrNoSession
+		return ErrSessionNotFound
 	case code != http.StatusOK && code != http.StatusNoContent:
 		return fmt.Errorf("state service: session answered %d", code)
 	}
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -87,9 +87,9 @@
 	}{
 		{"a transaction", commit, answer{200, wire.TxnResponse{Revision: 9}}, nil, true, true},
 		{"conditions that failed", commit, answer{409, wire.TxnResponse{Failed: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
-		{"a transaction that is too large", commit, answer{400, wire.ErrorResponse{Error: "value too large"}}, ErrRefused, true, true},
-		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Error: noSuchLease}}, ErrNoSession, true, true},
-		{"too many changes", commit, answer{429, nil}, ErrTooMany, true, true},
+		{"a transaction that is too large", commit, answer{400, wire.ErrorResponse{Error: "value too large"}}, ErrRejected, true, true},
+		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Error: errorNoSuchLease}}, ErrSessionNotFound, true, true},
+		{"too many changes", commit, answer{429, nil}, ErrRateLimited, true, true},
 		{"an outage", commit, answer{503, nil}, ErrUnavailable, true, false},
 		{"no answer", commit, answer{}, errCut, false, false},
 		{"an answer that nobody knows", commit, answer{500, nil}, nil, false, true},
@@ -100,9 +100,9 @@
 		{"a watch in an outage", watch, answer{503, nil}, ErrUnavailable, true, false},
 		{"a session", open, answer{200, wire.SessionResponse{SessionID: 7}}, nil, true, true},
 		{"a renewal", renew, answer{200, nil}, nil, true, true},
-		{"a renewal of an ended session", renew, answer{404, nil}, ErrNoSession, true, true},
+		{"a renewal of an ended session", renew, answer{404, nil}, ErrSessionNotFound, true, true},
 		{"an end", end, answer{204, nil}, nil, true, true},
-		{"an end of an ended session", end, answer{404, nil}, ErrNoSession, true, true},
+		{"an end of an ended session", end, answer{404, nil}, ErrSessionNotFound, true, true},
 		{"an end without an answer", end, answer{}, errCut, false, false},
 	}
 	for _, c := range cases {
@@ -115,14 +115,14 @@
 			case !c.known && (err == nil || errors.Is(err, ErrNotExecuted) || c.want != nil && !errors.Is(err, c.want)):
 				t.Errorf("error %v, which must leave open whether it was executed", err)
 			}
-			if want := slices.Contains([]error{ErrRefused, ErrTooMany, ErrUnavailable}, c.want); errors.Is(err, ErrNotExecuted) != want {
+			if want := slices.Contains([]error{ErrRejected, ErrRateLimited, ErrUnavailable}, c.want); errors.Is(err, ErrNotExecuted) != want {
 				t.Errorf("error %v: not executed is %v, want %v", err, !want, want)
 			}
 			if conflict := new(Conflict); errors.As(err, &conflict) && !strings.Contains(err.Error(), "c/x c/y") {
 				t.Errorf("error %v does not name the keys", err)
 			}
-			if client.Unreachable() == c.heard || (client.SinceHeard() < micros.Second) != c.heard {
-				t.Errorf("unreachable %v, heard %v ago; want heard %v", client.Unreachable(), client.SinceHeard(), c.heard)
+			if client.IsUnreachable() == c.heard || (client.SinceLastResponse() < micros.Second) != c.heard {
+				t.Errorf("unreachable %v, heard %v ago; want heard %v", client.IsUnreachable(), client.SinceLastResponse(), c.heard)
 			}
 		})
 	}
@@ -160,13 +160,13 @@
 				near := func(got, want int) bool { return got >= want-2 && got <= want+2 }
 				requests := count(func(ctx context.Context) error { _, err := client.List(ctx, "", ""); return err })
 				one := wire.Txn{Then: []wire.Op{{Put: "c/x"}}}
-				changes := count(func(ctx context.Context) error { _, err := client.CommitPaced(ctx, one); return err })
+				changes := count(func(ctx context.Context) error { _, err := client.CommitRateLimited(ctx, one); return err })
 				if !near(requests, c.requests) || !near(changes, c.changes) {
 					t.Errorf("%d requests and %d changes, want %d and %d", requests, changes, c.requests, c.changes)
 				}
 				fits := strings.Repeat("x", c.kb*bytesPerKB-2)
-				if client.MaxOps() != c.ops || client.FlushOps() != c.flush || !client.FitsValue(fits) || client.FitsValue(fits+"x") || !client.AcceptsValue(fits) {
-					t.Errorf("%d changes, %d of the leader, want %d and %d; or values are taken for other than %d KB", client.MaxOps(), client.FlushOps(), c.ops, c.flush, c.kb)
+				if client.MaxOps() != c.ops || client.MaxLeaderOps() != c.flush || !client.ValueAlwaysFits(fits) || client.ValueAlwaysFits(fits+"x") || !client.ValueFitsNow(fits) {
+					t.Errorf("%d changes, %d of the leader, want %d and %d; or values are taken for other than %d KB", client.MaxOps(), client.MaxLeaderOps(), c.ops, c.flush, c.kb)
 				}
 			})
 		})
@@ -190,10 +190,10 @@
 		{"all taken", second, answer{200, wire.TxnResponse{Revision: 9}}, nil, "[1 4 3]"},
 		{"a condition fails, the others go on without it", withKey, answer{409, wire.TxnResponse{Failed: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
 		{"a conflict that names none of them", withKey, answer{409, wire.TxnResponse{Failed: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
-		{"a value is refused, halves find it", withKey, answer{400, wire.ErrorResponse{Error: "value too large"}}, map[int]error{2: ErrRefused}, "[1 4 2 1 1 2 3]"},
+		{"a value is refused, halves find it", withKey, answer{400, wire.ErrorResponse{Error: "value too large"}}, map[int]error{2: ErrRejected}, "[1 4 2 1 1 2 3]"},
 		{"their number is refused, fewer go from then on", many, answer{400, wire.ErrorResponse{Error: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
 		{"no answer", second, answer{}, all(errCut), "[1 4 3]"},
-		{"too many at once", second, answer{429, nil}, all(ErrTooMany), "[1 4 3]"},
+		{"too many at once", second, answer{429, nil}, all(ErrRateLimited), "[1 4 3]"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/limits_test.go
+++ b/limits_test.go
@@ -258,7 +258,7 @@
 func (c *cluster) upLists() map[string]storedUps {
 	out := map[string]storedUps{}
 	for n := range 50 {
-		key := fmt.Sprintf("%s%d", replica.UpPrefix, n)
+		key := fmt.Sprintf("%s%d", replica.MachineListPrefix, n)
 		if e, ok := c.state.Get(key); ok {
 			var l storedUps
 			if err := wire.Unmarshal(e.Value, &l); err != nil {
@@ -299,7 +299,7 @@
 			c.kill(i)
 		}
 		var catalog wire.InstanceTypeList
-		e, _ := c.state.Get(replica.CatalogKey)
+		e, _ := c.state.Get(replica.InstanceTypesKey)
 		if err := wire.Unmarshal(e.Value, &catalog); err != nil {
 			t.Fatal(err)
 		}
@@ -308,7 +308,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.state.Put(replica.CatalogKey, b)
+		c.state.Put(replica.InstanceTypesKey, b)
 		job := testJob("j-000002", 40)
 		b, err = wire.Marshal(job)
 		if err != nil {
--- a/membership.go
+++ b/membership.go
@@ -41,7 +41,7 @@
 	var others []string
 	for _, p := range n.settings.Peers {
 		others = append(others, p.Member)
-		m.clients[p.Member] = peer.NewClient(p.Addr, n.outside.dial)
+		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.dialPeer)
 	}
 	m.detector = membership.New(n.settings.Member, others, config, uint64(micros.Wall()), micros.Now())
 	return m
@@ -51,14 +51,14 @@
 func (m *membershipNode) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for member, client := range m.clients {
-		wg.Go(func() { m.beat(ctx, member, client) })
+		wg.Go(func() { m.sendHeartbeats(ctx, member, client) })
 	}
 	micros.Every(ctx, m.config.Interval, m.tick)
 	wg.Wait()
 }
 
-// beat sends heartbeats to a peer until ctx ends. They don't wait for each other's answers.
-func (m *membershipNode) beat(ctx context.Context, member string, client *peer.Client) {
+// sendHeartbeats sends heartbeats to a peer until ctx ends. They don't wait for each other's answers.
+func (m *membershipNode) sendHeartbeats(ctx context.Context, member string, client *peer.Client) {
 	defer client.Close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -111,8 +111,8 @@
 // surroundings is what the state service tells of the members.
 func (m *membershipNode) surroundings() membership.Surroundings {
 	n := m.node
-	around := membership.Surroundings{StoreHeard: n.store.SinceHeard() < peer.HeardWithin}
-	if micros.Now()-n.replica.Seen() < peer.HeardWithin {
+	around := membership.Surroundings{StoreHeard: n.store.SinceLastResponse() < peer.FreshWithin}
+	if micros.Now()-n.replica.CurrentAsOf() < peer.FreshWithin {
 		if l, stamp := n.election.Leader(); stamp != 0 {
 			around.Leader = l.Member
 		}
@@ -151,8 +151,8 @@
 	wg.Wait()
 }
 
-// Heartbeat takes over a peer's heartbeat and answers with this node's.
-func (n *Node) Heartbeat(h *membership.Heartbeat) *membership.Heartbeat {
+// HandleMembershipHeartbeat takes over a peer's heartbeat and answers with this node's.
+func (n *Node) HandleMembershipHeartbeat(h *membership.Heartbeat) *membership.Heartbeat {
 	if n.membership == nil {
 		return nil
 	}
--- a/node.go
+++ b/node.go
@@ -38,26 +38,26 @@
 	replica  *replica.Replica
 	election *election.Election
 	peers    *peer.Peers
-	outside  outside
-	times    *api.Times
+	network  network
+	times    *api.RequestTimes
 	features settings.Features
 
 	standby    *standbyNode    // nil: off
 	membership *membershipNode // nil: off
 
-	mu       sync.Mutex
-	leading  *leader.Leader
-	suspects bool              // that the leader is about to change
-	counts   map[string][2]int // as the leader last told
-	countsAt micros.Micros
+	mu                  sync.Mutex
+	localLeader         *leader.Leader
+	expectsLeaderChange bool              // that the leader is about to change
+	taskCounts          map[string][2]int // as the leader last told
+	taskCountsAt        micros.Micros
 }
 
-// outside is how a node reaches what is around it.
-type outside struct {
-	services http.RoundTripper
-	workers  http.RoundTripper
-	dial     peer.Dial
-	listen   func() (net.Listener, error) // for peers
+// network is how a node reaches what is around it.
+type network struct {
+	serviceTransport http.RoundTripper
+	workerTransport  http.RoundTripper
+	dialPeer         peer.Dial
+	listenForPeers   func() (net.Listener, error) // for peers
 }
 
 var (
@@ -75,37 +75,37 @@
 // NewNode makes a node from checked settings; what has none in features is off.
 func NewNode(s *settings.Settings, t settings.Tuning, features settings.Features) *Node {
 	var dialer net.Dialer
-	return newNode(s, t, features, outside{
-		services: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true},
-		workers:  &http.Transport{DisableKeepAlives: true, DisableCompression: true},
-		dial:     func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
-		listen:   func() (net.Listener, error) { return net.Listen("tcp", s.PeerListen) },
+	return newNode(s, t, features, network{
+		serviceTransport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true},
+		workerTransport:  &http.Transport{DisableKeepAlives: true, DisableCompression: true},
+		dialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
+		listenForPeers:   func() (net.Listener, error) { return net.Listen("tcp", s.PeerListen) },
 	})
 }
 
 // newNode makes a node that reaches everything around it through o.
-func newNode(s *settings.Settings, t settings.Tuning, features settings.Features, o outside) *Node {
-	n := &Node{settings: s, tuning: t, features: features, outside: o, times: api.NewTimes()}
-	n.store = statestore.New(s.External.State, s.Params.State, o.services)
-	n.cloud = cloud.New(s.External.Cloud, s.Params.Cloud, o.services)
+func newNode(s *settings.Settings, t settings.Tuning, features settings.Features, o network) *Node {
+	n := &Node{settings: s, tuning: t, features: features, network: o, times: api.NewRequestTimes()}
+	n.store = statestore.New(s.External.State, s.Params.State, o.serviceTransport)
+	n.cloud = cloud.New(s.External.Cloud, s.Params.Cloud, o.serviceTransport)
 	n.replica = replica.New(n.store)
 	clients := map[string]*peer.Client{}
 	for _, p := range s.Peers {
-		clients[p.Member] = peer.NewClient(p.Addr, o.dial)
+		clients[p.Member] = peer.NewClient(p.Addr, o.dialPeer)
 	}
-	n.peers = peer.NewPeers(clients, n.probe, n.heard)
+	n.peers = peer.NewPeers(clients, n.makeProbe, n.handlePeerState)
 	config := election.Config{
-		Member:     s.Member,
-		Store:      n.store,
-		Replica:    n.replica,
-		Peers:      n.peers,
-		Abstention: peer.PromiseLife,
-		Lead:       n.lead,
+		Member:        s.Member,
+		Store:         n.store,
+		Replica:       n.replica,
+		Peers:         n.peers,
+		MaxAbstention: peer.AbstentionTTL,
+		OnElected:     n.serveTerm,
 	}
 	if features.Standby != nil {
 		n.standby = newStandbyNode(n, features.Standby)
-		config.Campaigning = n.standby.takeover.Campaign
-		config.Yield = n.standby.yield
+		config.OnCampaign = n.standby.failover.CampaignStarted
+		config.YieldFor = n.standby.yieldFor
 	}
 	n.election = election.New(config)
 	if features.Membership != nil {
@@ -141,11 +141,11 @@
 		Handler:           n.handler(),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		ConnState:         api.NewConns(limits.MaxSockets).State,
+		ConnState:         api.NewConnLimiter(limits.MaxSockets).State,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { n.work(ctx) })
+	wg.Go(func() { n.runBackground(ctx) })
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	slog.Info("node started", "member", n.settings.Member, "listen", ln.Addr().String())
@@ -160,18 +160,18 @@
 // handler answers users, workers and health checks.
 func (n *Node) handler() http.Handler {
 	return api.New(&api.Handler{
-		Node:     n,
-		Settings: n.settings,
-		Store:    n.store,
-		Batch:    statestore.NewBatcher(n.store),
-		Replica:  n.replica,
-		Times:    n.times,
-		Keep:     n.keepReports(),
+		Node:          n,
+		Settings:      n.settings,
+		Store:         n.store,
+		Batcher:       statestore.NewBatcher(n.store),
+		Replica:       n.replica,
+		RequestTimes:  n.times,
+		HeartbeatHold: n.heartbeatHoldTime(),
 	})
 }
 
-// work does all that is not an answer to a request, until ctx ends.
-func (n *Node) work(ctx context.Context) {
+// runBackground does all that is not an answer to a request, until ctx ends.
+func (n *Node) runBackground(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { n.replica.Run(ctx) })
 	wg.Go(func() { n.election.Run(ctx) })
@@ -197,27 +197,27 @@
 	return c.Ask(ctx, q)
 }
 
-// Relay asks the leader for its answer to a report.
-func (n *Node) Relay(ctx context.Context, report wire.Raw) (wire.Raw, error) {
+// ForwardHeartbeat asks the leader for its answer to a report.
+func (n *Node) ForwardHeartbeat(ctx context.Context, report wire.Raw) (wire.Raw, error) {
 	if n.standby != nil {
-		return n.standby.relay(ctx, report)
+		return n.standby.forwardHeartbeat(ctx, report)
 	}
 	c := n.peers.Client(n.LeaderMember())
 	if c == nil {
 		return nil, errNoLeader
 	}
-	return c.Relay(ctx, report)
+	return c.ForwardHeartbeat(ctx, report)
 }
 
-// Relays tells whether the leader answers this node.
-func (n *Node) Relays() bool { return n.peers.Reachable(n.LeaderMember()) }
+// CanForward tells whether the leader answers this node.
+func (n *Node) CanForward() bool { return n.peers.IsReachable(n.LeaderMember()) }
 
-// Front names the node that is to take a machine's reports for this one, which
+// ForwarderFor names the node that is to take a machine's reports for this one, which
 // leads; none if this node must do it itself. All nodes share the work of the
 // connections by rendezvous hashing, and the leader's part is its own work.
-func (n *Node) Front(machine string) string {
+func (n *Node) ForwarderFor(machine string) string {
 	best, bestWeight := "", uint32(0)
-	for _, member := range n.peers.Fronts(n.election.Highest().Token) {
+	for _, member := range n.peers.Forwarders(n.election.HighestKnown().FencingToken) {
 		hash := fnv.New32a()
 		hash.Write([]byte(machine + " " + member))
 		if weight := hash.Sum32(); best == "" || weight > bestWeight {
@@ -227,93 +227,93 @@
 	return best
 }
 
-// lead is called by the election for each term.
-func (n *Node) lead(ctx context.Context, t *election.Term) {
+// serveTerm is called by the election for each term.
+func (n *Node) serveTerm(ctx context.Context, t *election.Term) {
 	config := leader.Config{
-		Settings: n.settings,
-		Tuning:   n.tuning,
-		Store:    n.store,
-		Cloud:    n.cloud,
-		Replica:  n.replica,
-		Term:     t,
-		Token:    t.Token,
-		Stamp:    t.Stamp,
-		Workers:  &http.Client{Transport: n.outside.workers},
-		Zones:    n.newZonePolicy(),
-		Isolated: n.isolated,
+		Settings:          n.settings,
+		Tuning:            n.tuning,
+		Store:             n.store,
+		Cloud:             n.cloud,
+		Replica:           n.replica,
+		Term:              t,
+		FencingToken:      t.FencingToken,
+		LeaderKeyRevision: t.LeaderKeyRevision,
+		WorkerClient:      &http.Client{Transport: n.network.workerTransport},
+		Zones:             n.newZonePolicy(),
+		IsIsolated:        n.isIsolated,
 	}
 	if n.standby != nil {
 		n.standby.beginTerm(t, &config)
 		defer n.standby.endTerm()
 	}
 	l := leader.New(config)
-	n.setLeading(l)
-	defer n.setLeading(nil)
+	n.setLocalLeader(l)
+	defer n.setLocalLeader(nil)
 	l.Run(ctx)
 }
 
-// setLeading notes that this node leads, or with nil that it no longer does.
-func (n *Node) setLeading(l *leader.Leader) {
+// setLocalLeader notes that this node leads, or with nil that it no longer does.
+func (n *Node) setLocalLeader(l *leader.Leader) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.leading = l
-	n.replica.SetEager(l != nil || n.suspects)
+	n.localLeader = l
+	n.replica.SetLowLatency(l != nil || n.expectsLeaderChange)
 }
 
-// setSuspects notes whether this node expects the leader to change. It then follows the
+// setExpectsLeaderChange notes whether this node expects the leader to change. It then follows the
 // state service as closely as a leader does.
-func (n *Node) setSuspects(suspects bool) {
+func (n *Node) setExpectsLeaderChange(suspects bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.suspects = suspects
-	n.replica.SetEager(n.leading != nil || suspects)
+	n.expectsLeaderChange = suspects
+	n.replica.SetLowLatency(n.localLeader != nil || suspects)
 }
 
-// Leading is this node's leader if it leads, else nil.
-func (n *Node) Leading() *leader.Leader {
+// LocalLeader is this node's leader if it leads, else nil.
+func (n *Node) LocalLeader() *leader.Leader {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.leading
+	return n.localLeader
 }
 
 // LeaderMember names the leader as known here: by the state service or, when
 // that cannot be reached, by a peer that knows of a higher token.
 func (n *Node) LeaderMember() string {
-	return n.election.Highest().Member
+	return n.election.HighestKnown().Member
 }
 
-// Ready tells whether the node can take requests. Without the state service it
+// IsReady tells whether the node can take requests. Without the state service it
 // cannot, but when no peer can either, being skipped would not help anyone. A node that
 // hears of nobody, neither the state service nor a peer, is cut off: the others serve
 // its users better, who would only be told to come back later.
-func (n *Node) Ready() bool {
-	return n.replica.Loaded() && (n.store.SinceHeard() < peer.HeardWithin || n.peers.Heard() && !n.peers.InContact())
+func (n *Node) IsReady() bool {
+	return n.replica.IsLoaded() && (n.store.SinceLastResponse() < peer.FreshWithin || n.peers.AnyResponds() && !n.peers.AnyReachesStateService())
 }
 
 // Versions tells which versions serve.
 func (n *Node) Versions() peer.Versions { return n.peers.Versions(n.settings.Member) }
 
-// countsLife is how long the counts that the leader told last are shown.
-const countsLife = 5 * micros.Second
+// taskCountsTTL is how long the counts that the leader told last are shown.
+const taskCountsTTL = 5 * micros.Second
 
-// Counts shows how far a job is.
-func (n *Node) Counts(id string) (done, running int) {
-	if l := n.Leading(); l != nil {
-		done, running, _ = l.Counts(id)
+// TaskCounts shows how far a job is.
+func (n *Node) TaskCounts(id string) (done, running int) {
+	if l := n.LocalLeader(); l != nil {
+		done, running, _ = l.TaskCounts(id)
 		return done, running
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if micros.Now()-n.countsAt > countsLife {
+	if micros.Now()-n.taskCountsAt > taskCountsTTL {
 		return 0, 0
 	}
-	c := n.counts[id]
+	c := n.taskCounts[id]
 	return c[0], c[1]
 }
 
 // Explain asks the leader about a job.
 func (n *Node) Explain(ctx context.Context, id string) (leader.Explanation, error) {
-	if l := n.Leading(); l != nil {
+	if l := n.LocalLeader(); l != nil {
 		e, _ := l.Explain(id)
 		return e, nil
 	}
--- a/peers.go
+++ b/peers.go
@@ -14,7 +14,7 @@
 // listenToPeers serves the other nodes. A node whose peers cannot reach it
 // still works, so a failure is only told.
 func (n *Node) listenToPeers(ctx context.Context) {
-	l, err := n.outside.listen()
+	l, err := n.network.listenForPeers()
 	if err != nil {
 		slog.Error("peer_bind", "error", err)
 		return
@@ -22,79 +22,79 @@
 	peer.Serve(ctx, l, n)
 }
 
-// probe is what this node tells a peer when it asks it. Counts are sent once,
+// makeProbe is what this node tells a peer when it asks it. Counts are sent once,
 // as encoding them for every probe took the leader a tenth of its processor.
-func (n *Node) probe(told *micros.Micros) *peer.Probe {
-	p := &peer.Probe{Member: n.settings.Member, Since: n.replica.CancelledThrough()}
-	highest := n.election.Highest()
-	p.Token, p.Leader = highest.Token, highest.Member
-	if l := n.Leading(); l != nil {
-		p.Doubt = !l.Term.Held()
-		if counts, at := l.AllCounts(); at != *told {
-			p.Counts, *told = counts, at
+func (n *Node) makeProbe(told *micros.Micros) *peer.Probe {
+	p := &peer.Probe{Member: n.settings.Member, CancellationsSince: n.replica.CancelledThrough()}
+	highest := n.election.HighestKnown()
+	p.HighestToken, p.Leader = highest.FencingToken, highest.Member
+	if l := n.LocalLeader(); l != nil {
+		p.LeadershipInDoubt = !l.Term.HoldsSession()
+		if counts, at := l.AllTaskCounts(); at != *told {
+			p.TaskCounts, *told = counts, at
 		}
 	}
 	return p
 }
 
-// heard takes over what a peer tells.
-func (n *Node) heard(s *peer.State) {
-	n.election.Told(s.Token, s.Leader)
-	n.replica.Adopt(s.Cancelled, s.Through)
-	if l := n.Leading(); l != nil {
-		l.Supersede(s.Token)
+// handlePeerState takes over what a peer tells.
+func (n *Node) handlePeerState(s *peer.NodeState) {
+	n.election.ObserveToken(s.HighestToken, s.Leader)
+	n.replica.AdoptCancellations(s.Cancellations, s.CancelledThrough)
+	if l := n.LocalLeader(); l != nil {
+		l.Supersede(s.HighestToken)
 	}
 }
 
-// Probed answers a peer. Once it has told a token, this node answers no worker
+// HandleProbe answers a peer. Once it has told a token, this node answers no worker
 // with a lower one. A node that hears from the state service does not abstain:
 // it would see the leader's session end.
-func (n *Node) Probed(p *peer.Probe) *peer.State {
-	n.election.Told(p.Token, p.Leader)
-	if p.Counts != nil {
+func (n *Node) HandleProbe(p *peer.Probe) *peer.NodeState {
+	n.election.ObserveToken(p.HighestToken, p.Leader)
+	if p.TaskCounts != nil {
 		n.mu.Lock()
-		n.counts, n.countsAt = p.Counts, micros.Now()
+		n.taskCounts, n.taskCountsAt = p.TaskCounts, micros.Now()
 		n.mu.Unlock()
 	}
-	s := &peer.State{
-		Version:    peer.Version,
-		Loaded:     n.replica.Loaded(),
-		SinceHeard: n.store.SinceHeard(),
-		Fronts:     n.peers.Reachable(p.Member),
+	s := &peer.NodeState{
+		Version:            peer.Version,
+		Loaded:             n.replica.IsLoaded(),
+		SinceStateService:  n.store.SinceLastResponse(),
+		ForwardsHeartbeats: n.peers.IsReachable(p.Member),
 	}
-	highest := n.election.Highest()
-	s.Token, s.Leader = highest.Token, highest.Member
-	if l := n.Leading(); l != nil {
-		l.Supersede(s.Token)
+	highest := n.election.HighestKnown()
+	s.HighestToken, s.Leader = highest.FencingToken, highest.Member
+	if l := n.LocalLeader(); l != nil {
+		l.Supersede(s.HighestToken)
 	}
-	if p.Doubt && n.store.Unreachable() && n.election.Abstain(peer.PromiseLife) {
-		s.Promise = peer.PromiseLife
+	if p.LeadershipInDoubt && n.store.IsUnreachable() && n.election.Abstain(peer.AbstentionTTL) {
+		s.AbstainFor = peer.AbstentionTTL
 	}
-	cancelled := n.replica.CancelledSince(p.Since)
-	s.Cancelled, s.Through, s.Whole = cancelled.List, cancelled.Through, cancelled.Whole
+	cancelled := n.replica.CancelledSince(p.CancellationsSince)
+	s.Cancellations, s.CancelledThrough, s.CancellationsComplete = cancelled.List, cancelled.KnownThrough, cancelled.Complete
 	return s
 }
 
-// Relayed answers a report that a peer passes on.
-func (n *Node) Relayed(report wire.Raw) (wire.Raw, error) {
-	l := n.Leading()
+// HandleForwardedHeartbeat answers a report that a peer passes on.
+func (n *Node) HandleForwardedHeartbeat(report wire.Raw) (wire.Raw, error) {
+	l := n.LocalLeader()
 	if l == nil {
-		return nil, leader.ErrNotEntitled
+		return nil, leader.ErrCannotRespond
 	}
 	var r wire.Heartbeat
 	if err := wire.Unmarshal(report, &r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	answer, err := l.Report(&r)
+	answer, err := l.HandleHeartbeat(&r)
 	if err != nil {
 		return nil, err
 	}
 	return wire.Marshal(answer)
 }
 
-// Explained tells a peer what the leader here knows of a job.
-func (n *Node) Explained(job string) (leader.Explanation, error) {
-	l := n.Leading()
+// HandleExplain tells a peer what the leader here knows of a job.
+func (n *Node) HandleExplain(job string) (leader.Explanation, error) {
+	l := n.LocalLeader()
 	if l == nil {
 		return leader.Explanation{}, errNotLeading
 	}
--- a/standby.go
+++ b/standby.go
@@ -23,12 +23,12 @@
 	node     *Node
 	settings *settings.Standby
 	follower *standby.Follower
-	takeover *standby.Takeover
+	failover *standby.Failover
 
-	mu        sync.Mutex
-	publisher *standby.Publisher // of the present term, nil while this node does not lead
-	others    []standby.FollowerState
-	handedAt  micros.Micros // when this node last handed over, 0 if it never did
+	mu             sync.Mutex
+	publisher      *standby.Publisher // of the present term, nil while this node does not lead
+	otherFollowers []standby.FollowerState
+	handedOverAt   micros.Micros // when this node last handed over, 0 if it never did
 }
 
 // Times of letting others lead first.
@@ -53,14 +53,14 @@
 		node:     n,
 		settings: s,
 		follower: standby.NewFollower(n.settings.Member),
-		takeover: standby.NewTakeover(),
+		failover: standby.NewFailover(),
 	}
 }
 
 // follow keeps the view of whoever leads until ctx ends.
 func (s *standbyNode) follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s.node.Leading() != nil || !s.query(ctx) {
+		if s.node.LocalLeader() != nil || !s.query(ctx) {
 			micros.Pause(ctx, s.settings.QueryInterval)
 		}
 	}
@@ -68,14 +68,14 @@
 
 // query asks the leader once, and tells whether it has more to tell at once.
 func (s *standbyNode) query(ctx context.Context) (more bool) {
-	highest := s.node.election.Highest()
+	highest := s.node.election.HighestKnown()
 	client := s.node.peers.Client(highest.Member)
 	if client == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout.Duration())
 	defer cancel()
-	q, sent := s.follower.Query(highest.Token), micros.Now()
+	q, sent := s.follower.Query(highest.FencingToken), micros.Now()
 	response, err := client.Ask(ctx, peer.Request{Standby: q})
 	if err != nil {
 		s.suspect()
@@ -90,10 +90,10 @@
 		return false
 	}
 	s.mu.Lock()
-	s.others = page.Followers
+	s.otherFollowers = page.Followers
 	s.mu.Unlock()
-	if _, handed := s.follower.HandedTo(); handed {
-		s.node.setSuspects(true) // its session ends within moments
+	if _, handed := s.follower.HandedOverTo(); handed {
+		s.node.setExpectsLeaderChange(true) // its session ends within moments
 		return false
 	}
 	s.trust()
@@ -103,26 +103,26 @@
 // suspect has this node follow the state service closely once the leader has not answered
 // for a while. It is a hint: leadership hangs on the session alone.
 func (s *standbyNode) suspect() {
-	if heard := s.follower.HeardAt(); heard != 0 && micros.Now()-heard > s.settings.SuspectAfter {
-		s.takeover.Suspect()
-		s.node.setSuspects(true)
+	if heard := s.follower.LastPageAt(); heard != 0 && micros.Now()-heard > s.settings.SuspectAfter {
+		s.failover.LeaderSuspected()
+		s.node.setExpectsLeaderChange(true)
 	}
 }
 
 // trust notes that a leader answers.
 func (s *standbyNode) trust() {
-	s.takeover.Trust()
-	s.node.setSuspects(false)
+	s.failover.LeaderTrusted()
+	s.node.setExpectsLeaderChange(false)
 }
 
-// yield is for how long this node lets others go first when nobody leads.
-func (s *standbyNode) yield() micros.Micros {
+// yieldFor is for how long this node lets others go first when nobody leads.
+func (s *standbyNode) yieldFor() micros.Micros {
 	s.mu.Lock()
-	handedAt, others := s.handedAt, s.others
+	handedAt, others := s.handedOverAt, s.otherFollowers
 	s.mu.Unlock()
 	own := s.node.settings.Member
-	if to, handed := s.follower.HandedTo(); handed && to != "" {
-		if to == own || !s.node.peers.Reachable(to) {
+	if to, handed := s.follower.HandedOverTo(); handed && to != "" {
+		if to == own || !s.node.peers.IsReachable(to) {
 			return 0
 		}
 		return yieldToNamed
@@ -132,7 +132,7 @@
 	}
 	progress, wait := s.follower.Progress(), micros.Micros(0)
 	for _, f := range others {
-		if f.Member != own && f.Whole && s.node.peers.Reachable(f.Member) && (!progress.Whole || f.Position > progress.Position+muchFurther) {
+		if f.Member != own && f.Complete && s.node.peers.IsReachable(f.Member) && (!progress.Complete || f.Position > progress.Position+muchFurther) {
 			wait += yieldToFurther
 		}
 	}
@@ -141,41 +141,41 @@
 
 // beginTerm has a term's leader publish, and go on from the view of the term before.
 func (s *standbyNode) beginTerm(t *election.Term, config *leader.Config) {
-	publisher := standby.NewPublisher(t.Token, s.settings.MaxLogEntries)
-	config.Expected = s.follower.View()
+	publisher := standby.NewPublisher(t.FencingToken, s.settings.MaxLogEntries)
+	config.PreviousTerm = s.follower.View()
 	config.Followers = publisher
-	config.Progress = s.takeover
-	s.takeover.Won(t.Token, t.Stamp, config.Expected != nil)
+	config.FailoverProgress = s.failover
+	s.failover.TermWon(t.FencingToken, t.LeaderKeyRevision, config.PreviousTerm != nil)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.publisher, s.others = publisher, nil
+	s.publisher, s.otherFollowers = publisher, nil
 }
 
 // endTerm notes that this node no longer leads.
 func (s *standbyNode) endTerm() {
-	s.takeover.Ended()
+	s.failover.TermEnded()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.publisher = nil
 }
 
-// present is the publisher of the present term, nil while this node does not lead.
-func (s *standbyNode) present() *standby.Publisher {
+// currentPublisher is the publisher of the present term, nil while this node does not lead.
+func (s *standbyNode) currentPublisher() *standby.Publisher {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.publisher
 }
 
-// Followed tells a follower what the leader here has decided.
-func (n *Node) Followed(q *standby.Query) *standby.Page {
+// HandleStandbyQuery tells a follower what the leader here has decided.
+func (n *Node) HandleStandbyQuery(q *standby.Query) *standby.Page {
 	if n.standby == nil {
 		return nil
 	}
-	p := n.standby.present()
+	p := n.standby.currentPublisher()
 	if p == nil {
 		return nil
 	}
-	page := p.Answer(q)
+	page := p.HandleQuery(q)
 	page.Followers = p.Followers()
 	return page
 }
@@ -186,17 +186,17 @@
 	if n.standby == nil {
 		return "", api.ErrStandbyOff
 	}
-	l := n.Leading()
+	l := n.LocalLeader()
 	if l == nil {
 		return "", errNotLeading
 	}
 	n.standby.mu.Lock()
-	n.standby.handedAt = micros.Now()
+	n.standby.handedOverAt = micros.Now()
 	n.standby.mu.Unlock()
 	to, err = l.HandOver(n.standby.settings.HandoverTimeout)
 	if err != nil {
 		n.standby.mu.Lock()
-		n.standby.handedAt = 0
+		n.standby.handedOverAt = 0
 		n.standby.mu.Unlock()
 	}
 	return to, err
@@ -205,7 +205,7 @@
 // awaitHandover waits while leadership is being handed over, so that a worker's report meets
 // the next leader: refused, the worker would come back a second later.
 func (s *standbyNode) awaitHandover(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handoverWait.Duration())
+	ctx, cancel := context.WithTimeout(ctx, maxHandoverWait.Duration())
 	defer cancel()
 	for changed := s.node.replica.Changed(); s.between() && ctx.Err() == nil; changed = s.node.replica.Changed() {
 		select {
@@ -217,14 +217,14 @@
 
 // between tells whether the known leader has handed over and nobody is known to lead yet.
 func (s *standbyNode) between() bool {
-	highest := s.node.election.Highest()
+	highest := s.node.election.HighestKnown()
 	s.mu.Lock()
-	handedAt := s.handedAt
+	handedAt := s.handedOverAt
 	s.mu.Unlock()
 	if highest.Member == s.node.settings.Member {
 		return handedAt != 0 && micros.Now()-handedAt < yieldAfterHandover
 	}
-	return s.follower.HandedIn(highest.Token)
+	return s.follower.HandedOverIn(highest.FencingToken)
 }
 
 // AwaitHandover waits, for a moment at most, while leadership is being handed over.
@@ -236,22 +236,22 @@
 
 // Times of passing reports on, of the 4 s that a worker waits for its answer.
 const (
-	// keepReport is for how long a report is kept for its answer.
-	keepReport = 2500 * micros.Millisecond
-	// keepForNext is for how long with a standby, where it may wait for the next leader.
-	keepForNext = 3500 * micros.Millisecond
-	// expectWithin is for how long after a leader was last heard a next one is expected.
-	expectWithin = 5 * micros.Second
-	// relayAgain is between two tries to have a report answered.
-	relayAgain = 50 * micros.Millisecond
+	// heartbeatHold is for how long a report is kept for its answer.
+	heartbeatHold = 2500 * micros.Millisecond
+	// heartbeatHoldForSuccessor is for how long with a standby, where it may wait for the next leader.
+	heartbeatHoldForSuccessor = 3500 * micros.Millisecond
+	// expectLeaderWithin is for how long after a leader was last heard a next one is expected.
+	expectLeaderWithin = 5 * micros.Second
+	// forwardRetryInterval is between two tries to have a report answered.
+	forwardRetryInterval = 50 * micros.Millisecond
 )
 
-// keepReports is for how long reports that are passed on are kept for their answers.
-func (n *Node) keepReports() micros.Micros {
+// heartbeatHoldTime is for how long reports that are passed on are kept for their answers.
+func (n *Node) heartbeatHoldTime() micros.Micros {
 	if n.standby == nil {
-		return keepReport
+		return heartbeatHold
 	}
-	return keepForNext
+	return heartbeatHoldForSuccessor
 }
 
 // ExpectsLeader tells whether a leader that does not answer now should have a successor soon.
@@ -260,35 +260,35 @@
 }
 
 func (s *standbyNode) expectsLeader() bool {
-	heard := s.follower.HeardAt()
-	return heard != 0 && micros.Now()-heard < expectWithin
+	heard := s.follower.LastPageAt()
+	return heard != 0 && micros.Now()-heard < expectLeaderWithin
 }
 
-// relay has the leader answer a report, and if that one ends or stands still, the next one.
+// forwardHeartbeat has the leader answer a report, and if that one ends or stands still, the next one.
 // The worker waits for one answer to its one report, and gets the one that is given here: what
 // the leader before may still answer goes nowhere. A worker that was refused instead came
 // back a second later, and one whose report was with a leader that stood still after 2.5 s.
-func (s *standbyNode) relay(ctx context.Context, report wire.Raw) (wire.Raw, error) {
-	first := s.node.election.Highest().Token
+func (s *standbyNode) forwardHeartbeat(ctx context.Context, report wire.Raw) (wire.Raw, error) {
+	first := s.node.election.HighestKnown().FencingToken
 	for {
-		now := s.node.election.Highest()
-		answer, err := s.relayTo(ctx, now, report)
+		now := s.node.election.HighestKnown()
+		answer, err := s.forwardTo(ctx, now, report)
 		if err == nil || ctx.Err() != nil {
 			return answer, err
 		}
 		// A leader that has just begun refuses until it has read what is stored.
-		refused := errors.Is(err, peer.ErrRefused) || errors.Is(err, leader.ErrNotEntitled)
-		if now.Token == first && (refused || !s.expectsLeader()) {
+		refused := errors.Is(err, peer.ErrRejected) || errors.Is(err, leader.ErrCannotRespond)
+		if now.FencingToken == first && (refused || !s.expectsLeader()) {
 			return nil, err
 		}
-		micros.Pause(ctx, relayAgain)
+		micros.Pause(ctx, forwardRetryInterval)
 	}
 }
 
-// relayTo has one leader answer a report, and gives up once a later one is known.
-func (s *standbyNode) relayTo(ctx context.Context, leader replica.Leader, report wire.Raw) (wire.Raw, error) {
+// forwardTo has one leader answer a report, and gives up once a later one is known.
+func (s *standbyNode) forwardTo(ctx context.Context, leader replica.Leader, report wire.Raw) (wire.Raw, error) {
 	if leader.Member == s.node.settings.Member {
-		return s.node.Relayed(report)
+		return s.node.HandleForwardedHeartbeat(report)
 	}
 	client := s.node.peers.Client(leader.Member)
 	if client == nil {
@@ -297,7 +297,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		for ctx.Err() == nil && s.node.election.Highest().Token <= leader.Token {
+		for ctx.Err() == nil && s.node.election.HighestKnown().FencingToken <= leader.FencingToken {
 			select {
 			case <-ctx.Done():
 			case <-s.node.replica.Changed():
@@ -305,15 +305,15 @@
 		}
 		cancel()
 	}()
-	return client.Relay(ctx, report)
+	return client.ForwardHeartbeat(ctx, report)
 }
 
-// handoverWait is for how long a worker's report is kept for the next leader at most. Its
+// maxHandoverWait is for how long a worker's report is kept for the next leader at most. Its
 // worker waits for 4 s, of which passing the report on may take 2.5 s.
-const handoverWait = 1200 * micros.Millisecond
+const maxHandoverWait = 1200 * micros.Millisecond
 
-// endPoll is how often a node that hands over as it ends looks whether it still leads.
-const endPoll = 20 * micros.Millisecond
+// releasePollInterval is how often a node that hands over as it ends looks whether it still leads.
+const releasePollInterval = 20 * micros.Millisecond
 
 // HandOverAtEnd hands over, if this node leads, and waits until its session is let go of.
 func (n *Node) HandOverAtEnd() {
@@ -323,13 +323,13 @@
 		return
 	}
 	slog.Info("ending", "handed_to", to)
-	for until := micros.Now() + yieldAfterHandover; micros.Now() < until && !n.released(); {
-		endPoll.Sleep()
+	for until := micros.Now() + yieldAfterHandover; micros.Now() < until && !n.hasReleasedLeadership(); {
+		releasePollInterval.Sleep()
 	}
 }
 
-// released tells whether the leader key no longer names this node.
-func (n *Node) released() bool {
+// hasReleasedLeadership tells whether the leader key no longer names this node.
+func (n *Node) hasReleasedLeadership() bool {
 	l, stamp := n.election.Leader()
 	return stamp == 0 || l.Member != n.settings.Member
 }
@@ -340,15 +340,15 @@
 		return api.StandbyStatus{}, api.ErrStandbyOff
 	}
 	s := n.standby
-	highest := n.election.Highest()
+	highest := n.election.HighestKnown()
 	status := api.StandbyStatus{
 		Member: n.settings.Member,
 		Leader: highest.Member,
-		Token:  highest.Token,
-		Phase:  s.takeover.Phase().String(),
-		Last:   s.takeover.Last(),
+		Token:  highest.FencingToken,
+		Phase:  s.failover.Phase().String(),
+		Last:   s.failover.Last(),
 	}
-	if p := s.present(); p != nil {
+	if p := s.currentPublisher(); p != nil {
 		status.Leading, status.Position, status.Followers = true, p.Position(), p.Followers()
 		return status, nil
 	}
--- a/upgrade_test.go
+++ b/upgrade_test.go
@@ -106,7 +106,7 @@
 			c.t.Fatal(err)
 		}
 		ends[id] = wire.JobDone
-		if !j.Final() {
+		if !j.IsFinal() {
 			c.rules.Submits(*j.Spec)
 			continue
 		}
--- a/zones.go
+++ b/zones.go
@@ -16,15 +16,15 @@
 	return zone.NewManager(*n.features.Zones)
 }
 
-// isolated tells whether this node hears neither the state service nor most of its peers. What
+// isIsolated tells whether this node hears neither the state service nor most of its peers. What
 // it sees of zones then says more of itself.
-func (n *Node) isolated() bool {
-	if n.store.SinceHeard() < peer.HeardWithin {
+func (n *Node) isIsolated() bool {
+	if n.store.SinceLastResponse() < peer.FreshWithin {
 		return false
 	}
 	reachable := 0
 	for _, p := range n.settings.Peers {
-		if n.peers.Reachable(p.Member) {
+		if n.peers.IsReachable(p.Member) {
 			reachable++
 		}
 	}
@@ -33,8 +33,8 @@
 
 // Zones tells what the leader thinks of the zones.
 func (n *Node) Zones(ctx context.Context) ([]zone.Status, error) {
-	if n.Leading() != nil {
-		return n.ZonesTold()
+	if n.LocalLeader() != nil {
+		return n.HandleZones()
 	}
 	answer, err := n.askLeader(ctx, peer.Request{Zones: true})
 	switch {
@@ -46,9 +46,9 @@
 	return answer.Zones, nil
 }
 
-// ZonesTold tells a peer what the leader here thinks of the zones.
-func (n *Node) ZonesTold() ([]zone.Status, error) {
-	l := n.Leading()
+// HandleZones tells a peer what the leader here thinks of the zones.
+func (n *Node) HandleZones() ([]zone.Status, error) {
+	l := n.LocalLeader()
 	if l == nil {
 		return nil, errNotLeading
 	}
