--- a/internal/leader/backlog.go
+++ b/internal/leader/backlog.go
@@ -18,17 +18,17 @@
 
 // demandCount gathers what decides how many machines the waiting tasks need.
 type demandCount struct {
-	waiting   []staffing.Demand
-	impatient []staffing.Demand // of waiting, what is worth ordinary machines
-	running   []staffing.Running
-	staying   []staffing.Running // of running, what gives its room to nobody
-	work      map[string]float64 // CPU seconds that wait, by the type that is best for them
-	total     float64            // CPU seconds
-	supply    float64            // GuaranteedCPUs
-	unknown   float64            // GuaranteedCPUs of machines whose tasks are not known
-	boot      float64            // seconds, of the type that boots soonest
-	planned   map[*job]int       // tasks that have a place
-	displaced map[*job]int       // tasks on machines that are to be replaced in other zones
+	waiting   []staffing.WaitingWork
+	impatient []staffing.WaitingWork // of waiting, what is worth ordinary machines
+	running   []staffing.RunningWork
+	staying   []staffing.RunningWork // of running, what gives its room to nobody
+	work      map[string]float64     // CPU seconds that wait, by the type that is best for them
+	total     float64                // CPU seconds
+	supply    float64                // GuaranteedCPUs
+	unknown   float64                // GuaranteedCPUs of machines whose tasks are not known
+	boot      float64                // seconds, of the type that boots soonest
+	planned   map[*job]int           // tasks that have a place
+	displaced map[*job]int           // tasks on machines that are to be replaced in other zones
 }
 
 // waitingNeed is how many machines beyond the fleet the waiting tasks need to be in time,
@@ -50,8 +50,8 @@
 		mean += t.m * t.CPUs
 		ordinaryMean += (t.m - t.mBestEffort) * t.CPUs
 	}
-	short := staffing.Backlog(d.waiting, d.running, mean, d.supply, d.boot)
-	ordinaryShort := staffing.Backlog(d.impatient, d.staying, ordinaryMean, d.supply, d.boot)
+	short := staffing.BacklogShortage(d.waiting, d.running, mean, d.supply, d.boot)
+	ordinaryShort := staffing.BacklogShortage(d.impatient, d.staying, ordinaryMean, d.supply, d.boot)
 	for name, work := range d.work {
 		part := work / d.total / math.Max(l.types[name].CPUs, 0.001)
 		need[name] = typeNeed{any: short * part, ordinary: math.Min(short, ordinaryShort) * part}
@@ -80,7 +80,7 @@
 			d.planned[j]++
 		}
 		for _, a := range m.tasks {
-			r := staffing.Running{CPUs: a.job.spec.CPUs, Left: l.left(a, now)}
+			r := staffing.RunningWork{CPUs: a.job.spec.CPUs, RemainingS: l.left(a, now)}
 			d.running = append(d.running, r)
 			if a.job.priority > 0 {
 				d.staying = append(d.staying, r)
@@ -113,7 +113,7 @@
 		// Machines are no help to what its team's limit keeps waiting.
 		if team := teams[j.spec.Team]; team != nil {
 			n = team.Room(j.need, n)
-			team.Used = team.Used.Plus(j.need, int64(n))
+			team.Used = team.Used.Add(j.need, int64(n))
 		}
 		if j.old && d.unknown > 0 {
 			if n -= l.mayRunUnknown(d, j, n); n == 0 {
@@ -130,7 +130,7 @@
 func (l *Leader) mayRunUnknown(d *demandCount, j *job, n int) int {
 	held := min(n, int(math.Ceil(d.unknown/math.Max(j.spec.CPUs, 0.001))))
 	d.unknown -= float64(held) * j.spec.CPUs
-	r := staffing.Running{CPUs: float64(held) * j.spec.CPUs, Left: l.expected(j.spec) / 2}
+	r := staffing.RunningWork{CPUs: float64(held) * j.spec.CPUs, RemainingS: l.expected(j.spec) / 2}
 	d.running = append(d.running, r)
 	d.staying = append(d.staying, r)
 	return held
@@ -140,7 +140,7 @@
 func (l *Leader) countJob(d *demandCount, j *job, t *machineType, n int, wall micros.Micros) {
 	d.boot = math.Min(d.boot, t.BootTimeS)
 	work := float64(n) * j.spec.CPUs * l.expected(j.spec)
-	if per := t.capacity.Times(j.need, n+1); j.isGang() && per > 0 && per <= n {
+	if per := t.capacity.CountFitting(j.need, n+1); j.isGang() && per > 0 && per <= n {
 		// It fills whole machines at once, with what its tasks leave unused there.
 		work += float64(n/per) * (t.CPUs - float64(per)*j.spec.CPUs) * l.expected(j.spec)
 	}
@@ -149,7 +149,7 @@
 	if late { // it is to be done soon all the same
 		in = 2 * t.BootTimeS
 	}
-	demand := staffing.Demand{Work: work, Due: in}
+	demand := staffing.WaitingWork{Work: work, DueInS: in}
 	d.waiting = append(d.waiting, demand)
 	if !l.patient(j) {
 		d.impatient = append(d.impatient, demand)
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -53,14 +53,14 @@
 			for ; k > i; k-- {
 				o := ms[k]
 				if o.draining == "" && !o.closedToPatient && into[k].Fits(a.job.need) &&
-					placement.Allowed(&placement.Job{Types: a.job.spec.InstanceTypes, Zone: a.job.spec.Zone, Spot: a.job.spec.AllowSpot}, o.kind.Type, o.kind.Zone, o.kind.Spot) {
+					placement.ConstraintsAdmit(&placement.Job{InstanceTypes: a.job.spec.InstanceTypes, Zone: a.job.spec.Zone, AllowSpot: a.job.spec.AllowSpot}, o.kind.Type, o.kind.Zone, o.kind.Spot) {
 					break
 				}
 			}
 			if fits = k > i; !fits {
 				break
 			}
-			into[k] = into[k].Plus(a.job.need, -1)
+			into[k] = into[k].Add(a.job.need, -1)
 		}
 		if !fits {
 			continue
--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -141,8 +141,8 @@
 		if len(ms) != 1 || len(ms[0].Victims) != 4 {
 			t.Fatalf("%s: %+v", c.name, ms)
 		}
-		if v := ms[0].Victims[0]; v.BestEffort != c.bestEffort || v.Lost < c.lost[0] || v.Lost > c.lost[1] {
-			t.Errorf("%s: best-effort %v, loses %v", c.name, v.BestEffort, v.Lost.Duration())
+		if v := ms[0].Victims[0]; v.BestEffort != c.bestEffort || v.LostWork < c.lost[0] || v.LostWork > c.lost[1] {
+			t.Errorf("%s: best-effort %v, loses %v", c.name, v.BestEffort, v.LostWork.Duration())
 		}
 	}
 }
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -181,7 +181,7 @@
 	}
 	machines, _ := l.placeable(now, placement.Resources{})
 	for i := range machines {
-		if machines[i].Free.Fits(j.need) && !machines[i].Closed {
+		if machines[i].Free.Fits(j.need) && !machines[i].ZoneBoundOnly {
 			if j.isGang() {
 				return append(why, "there is room for single tasks, not for the whole gang where it may run")
 			}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -261,7 +261,7 @@
 	return true
 }
 
-// stopAll ends a gang's attempt: places whose start was not sent are released, and the
+// carryOut ends a gang's attempt: places whose start was not sent are released, and the
 // others' machines are told at once. The next attempt begins when all are gone.
 func (l *Leader) stopAll(j *job, grace micros.Micros, why string) {
 	j.gang.ending = true
@@ -410,8 +410,8 @@
 		if machines == nil {
 			machines, ms = l.withEndings(now)
 		}
-		for _, n := range placement.Gather(machines, w, q.teams[w.Team], gatherWithin) {
-			machines[n].GatheredFor = w
+		for _, n := range placement.PickReservation(machines, w, q.teams[w.Team], gatherWithin) {
+			machines[n].ReservedFor = w
 			l.gatherFor(q.jobs[i].spec.ID, ms[n], now)
 			gathered++
 		}
@@ -432,7 +432,7 @@
 // mayGather tells whether room may be gathered for a waiting job: a gang that has none
 // gathered, and none let go of lately.
 func (l *Leader) mayGather(w *placement.Job, now micros.Micros) bool {
-	if !w.Whole || w.Waiting == 0 {
+	if !w.Gang || w.Waiting == 0 {
 		return false
 	}
 	g := l.gatherings[w.ID]
@@ -445,14 +445,14 @@
 	for n, m := range ms {
 		p := &machines[n]
 		for _, j := range m.planned {
-			p.Free = p.Free.Plus(j.need, -1)
+			p.Free = p.Free.Add(j.need, -1)
 		}
 		for _, a := range m.tasks {
-			e := placement.Ending{Left: micros.FromSeconds(l.left(a, now)), Need: a.job.need}
+			e := placement.Completion{Remaining: micros.FromSeconds(l.left(a, now)), Need: a.job.need}
 			if a.stopped != 0 {
-				e.Left = a.grace
+				e.Remaining = a.grace
 			}
-			p.Ending = append(p.Ending, e)
+			p.Completions = append(p.Completions, e)
 		}
 	}
 	return machines, ms
@@ -550,7 +550,7 @@
 			if j.spec.SingleZone {
 				missing = want - inZone[best.Zone]
 			}
-			per := t.capacity.Times(j.need, missing)
+			per := t.capacity.CountFitting(j.need, missing)
 			slog.Debug("room for a gang", "job", j.spec.ID, "tasks", want, "room", sum, "type", best.Type, "zone", best.Zone)
 			l.book(best, (missing+per-1)/max(1, per))
 		}
@@ -574,14 +574,14 @@
 		}
 		return want
 	}
-	probe := placement.Job{Types: s.InstanceTypes, Zone: s.Zone, Spot: s.AllowSpot}
+	probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
 	inZone = map[string]int{}
 	for _, m := range l.order {
 		t := l.types[m.kind.Type]
-		if t == nil || m.leaving || m.draining != "" || !placement.Allowed(&probe, m.kind.Type, m.kind.Zone, m.kind.Spot) {
+		if t == nil || m.leaving || m.draining != "" || !placement.ConstraintsAdmit(&probe, m.kind.Type, m.kind.Zone, m.kind.Spot) {
 			continue
 		}
-		n := room(m, t).Times(j.need, most(m.kind.Zone)-inZone[m.kind.Zone])
+		n := room(m, t).CountFitting(j.need, most(m.kind.Zone)-inZone[m.kind.Zone])
 		inZone[m.kind.Zone] += n
 		sum += n
 	}
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -21,9 +21,9 @@
 // gangReserve is the room that is held free for gangs on machines of one type.
 type gangReserve struct {
 	kind     reserveKind
-	window   *staffing.Window // machines' worth of gangs that came in
-	service  staffing.Service
-	batches  staffing.Batches
+	window   *staffing.DemandWindow // machines' worth of gangs that came in
+	service  staffing.ServiceTime
+	batches  staffing.BatchSizes
 	mean     float64 // machines that gangs hold, by the equation
 	standing int     // machines that must have room, for one to report in time
 	target   int     // machines
@@ -56,13 +56,13 @@
 		return nil
 	}
 	for _, o := range l.offersFor(j) {
-		if l.types[o.Type].capacity.Times(j.need, s.Tasks) < s.Tasks {
+		if l.types[o.Type].capacity.CountFitting(j.need, s.Tasks) < s.Tasks {
 			continue
 		}
 		kind := reserveKind{Type: o.Type, Ordinary: !s.AllowSpot}
 		r := l.reserves[kind]
 		if r == nil {
-			r = &gangReserve{kind: kind, window: staffing.NewWindow(l.Tuning.Window)}
+			r = &gangReserve{kind: kind, window: staffing.NewDemandWindow(l.Tuning.Window)}
 			l.reserves[kind] = r
 		}
 		return r
@@ -78,7 +78,7 @@
 		return
 	}
 	t := l.types[r.kind.Type]
-	perMachine := t.capacity.Times(j.need, 1<<20) / j.spec.Tasks
+	perMachine := t.capacity.CountFitting(j.need, 1<<20) / j.spec.Tasks
 	size := 1 / float64(max(1, perMachine))
 	fetch := j.spec.ImageSizeGB / math.Max(t.ImagePullGBPerS, 0.01)
 	r.service.Estimate(size, l.expected(j.spec)+fetch)
@@ -87,7 +87,7 @@
 	if j.old {
 		// It may hold its machine already. The rate is what keeps the mean as it is.
 		r.mean += size
-		r.window.Seed(now, r.mean*r.service.Mu(0))
+		r.window.Seed(now, r.mean*r.service.Rate(0))
 		return
 	}
 	r.window.Add(now, size)
@@ -105,7 +105,7 @@
 		if wait > fetch {
 			wait -= fetch
 		}
-		standing = max(standing, staffing.Standing(wait, l.report.Seconds(), 1-o.Share))
+		standing = max(standing, staffing.IdleMachines(wait, l.report.Seconds(), 1-o.Share))
 	}
 	return standing
 }
@@ -114,8 +114,8 @@
 // interval unless they rise.
 func (l *Leader) stepReserves(now micros.Micros) {
 	for _, r := range l.reserves {
-		lambda, mu := r.window.EarlyRate(now, l.Tuning.Z), r.service.Mu(0)
-		r.mean = staffing.Step(r.mean, lambda, mu, 1)
+		lambda, mu := r.window.EarlyRate(now, l.Tuning.Z), r.service.Rate(0)
+		r.mean = staffing.StepMean(r.mean, lambda, mu, 1)
 		// What is rented now is up after a boot and should then do for an interval.
 		horizon := l.types[r.kind.Type].BootTimeS + l.Tuning.ReviewInterval.Seconds()
 		peak := staffing.PeakMean(r.mean, lambda, mu, horizon)
@@ -262,7 +262,7 @@
 	var late []*placement.Job
 	for _, w := range l.queue.waiting {
 		k := l.gatherings[w.ID]
-		if w.Whole && w.Pressing && !w.Late && (k == nil || len(k.machines) == 0) && (w.Soonest == 0 || wall+w.Soonest > w.Due) {
+		if w.Gang && w.AtRisk && !w.Late && (k == nil || len(k.machines) == 0) && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartBy) {
 			late = append(late, w)
 		}
 	}
@@ -272,18 +272,18 @@
 	l.preemptedForGangs = now
 	machines, ms := l.withVictims(now)
 	for _, w := range late[:min(len(late), gatherJobs)] {
-		stops, at := placement.PreemptOnOne(machines, w, l.queue.teams[w.Team])
+		stops, at := placement.PreemptOnSingleMachine(machines, w, l.queue.teams[w.Team])
 		if len(stops) == 0 {
 			continue
 		}
 		l.gatherFor(w.ID, ms[at], now)
 		for _, s := range stops {
-			a := ms[at].tasks[taskName(s.Victim.Job, s.Victim.Task)]
+			a := ms[at].tasks[taskName(s.Victim.JobID, s.Victim.Task)]
 			if a == nil {
 				continue
 			}
 			grace := micros.FromSeconds(a.job.spec.CheckpointDurationS)
-			if wall+grace > w.Due || a.running == 0 || now-a.running < grace {
+			if wall+grace > w.StartBy || a.running == 0 || now-a.running < grace {
 				grace = 0
 			}
 			l.stop(a, grace, "stopped to make room for "+w.ID)
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -225,7 +225,7 @@
 		{"it has a place there", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(*Leader) {}, "i-2", nil, []string{"start"}},
 		{"it has a place there, and its team is at its limit by now", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(l *Leader) {
 			l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 9.5}
-			l.used["blue"] = l.used["blue"].Plus(placement.Resources{CPU: 1000}, 1)
+			l.used["blue"] = l.used["blue"].Add(placement.Resources{CPU: 1000}, 1)
 		}, "i-2", nil, nil},
 		{"one of its tasks is done", 1, nil, func(*Leader) {}, "i-1", []string{"0@5 ended done"}, nil},
 		{"its attempt ends while another task of it waits for a place", 3, func(t *testing.T, l *Leader) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -104,7 +104,7 @@
 	images    map[string]int                 // the numbers that stand for images
 	teams     map[string]settings.Team
 	attempts  uint64
-	estimates map[string]*staffing.Estimate // by class
+	estimates map[string]*staffing.RuntimeEstimator // by class
 }
 
 // fleetState is what is known of machines and rentals.
@@ -171,10 +171,10 @@
 	capacity     placement.Resources
 	m            float64
 	mBestEffort  float64 // of m, by patient jobs
-	window       *staffing.Window
-	bestEffort   *staffing.Window // of these
-	service      staffing.Service
-	batches      staffing.Batches
+	window       *staffing.DemandWindow
+	bestEffort   *staffing.DemandWindow // of these
+	service      staffing.ServiceTime
+	batches      staffing.BatchSizes
 	finished     int
 	want         float64 // the formula's, held for an interval
 	wantOrdinary float64 // the same with the z of ordinary machines
@@ -199,7 +199,7 @@
 			used:      map[string]placement.Resources{},
 			images:    map[string]int{},
 			teams:     map[string]settings.Team{},
-			estimates: map[string]*staffing.Estimate{},
+			estimates: map[string]*staffing.RuntimeEstimator{},
 		},
 		fleetState: fleetState{
 			machines: map[string]*machine{},
@@ -358,7 +358,7 @@
 		l.typeOrder = append(l.typeOrder, t.Name)
 		mt := l.types[t.Name]
 		if mt == nil {
-			mt = &machineType{window: staffing.NewWindow(l.Tuning.Window), bestEffort: staffing.NewWindow(l.Tuning.Window)}
+			mt = &machineType{window: staffing.NewDemandWindow(l.Tuning.Window), bestEffort: staffing.NewDemandWindow(l.Tuning.Window)}
 			l.types[t.Name] = mt
 		}
 		mt.InstanceType = t
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -550,11 +550,11 @@
 		{"no spot machine", func(_ *Leader, j *job, m *machine) { j.spec.AllowSpot, m.kind.Spot = false, true }, false},
 		{"at the team's limit", func(l *Leader, j *job, _ *machine) {
 			l.teams["blue"] = settings.Team{MaxCPUs: 2}
-			l.used["blue"] = l.used["blue"].Plus(j.need, 2)
+			l.used["blue"] = l.used["blue"].Add(j.need, 2)
 		}, false},
 		{"machines with unknown tasks may be at it", func(l *Leader, j *job, _ *machine) {
 			l.teams["blue"] = settings.Team{MaxCPUs: 2}
-			l.hidden = l.hidden.Plus(j.need, 2)
+			l.hidden = l.hidden.Add(j.need, 2)
 		}, false},
 		{"its other tasks are in another zone", func(_ *Leader, j *job, m *machine) {
 			j.spec.SingleZone = true
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -233,9 +233,9 @@
 	l.noteMoved(a)
 	a.job.on[a.task] = a
 	a.job.zones[a.machine.kind.Zone]++
-	a.machine.free = a.machine.free.Plus(a.job.need, -1)
+	a.machine.free = a.machine.free.Add(a.job.need, -1)
 	a.machine.have = a.machine.have.With(a.job.image)
-	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Plus(a.job.need, 1)
+	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Add(a.job.need, 1)
 	l.publishPlaced(a)
 }
 
@@ -260,8 +260,8 @@
 	if a.protected {
 		a.job.protectedTasks--
 	}
-	a.machine.free = a.machine.free.Plus(a.job.need, 1)
-	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Plus(a.job.need, -1)
+	a.machine.free = a.machine.free.Add(a.job.need, 1)
+	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Add(a.job.need, -1)
 	if len(a.machine.tasks) == 0 {
 		a.machine.busyTill = micros.Now()
 	}
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -52,8 +52,8 @@
 	}
 	q.drop()
 	for _, w := range q.waiting {
-		if w.Whole {
-			w.Soonest = placement.SoonestWhole(machines, w, l.report)
+		if w.Gang {
+			w.EarliestStart = placement.EarliestGangStart(machines, w, l.report)
 		}
 	}
 	l.preemptForGangs(now)
@@ -83,7 +83,7 @@
 	q := &l.queue
 	pressing := 0
 	for _, w := range q.waiting {
-		if w.Pressing || w.Claims {
+		if w.AtRisk || w.PreemptsBestEffort {
 			pressing += w.Waiting
 		}
 	}
@@ -100,7 +100,7 @@
 		l.gatherFor(g.For, ms[g.Machine], now)
 	}
 	for _, s := range stops {
-		if a := ms[s.Machine].tasks[taskName(s.Victim.Job, s.Victim.Task)]; a != nil {
+		if a := ms[s.Machine].tasks[taskName(s.Victim.JobID, s.Victim.Task)]; a != nil {
 			l.stopVictim(a, s.For, now)
 		}
 	}
@@ -155,7 +155,7 @@
 		}
 	}
 	q.waiting, q.jobs = q.waiting[:n], q.jobs[:n]
-	q.least = placement.Least(q.waiting)
+	q.least = placement.MinNeed(q.waiting)
 }
 
 // spareTimes is how much more room than what waits the wanted machines must have,
@@ -172,7 +172,7 @@
 	}
 	p := l.placementMachine(m, now)
 	for _, j := range m.planned {
-		p.Free = p.Free.Plus(j.need, -1)
+		p.Free = p.Free.Add(j.need, -1)
 	}
 	if !p.Free.Fits(q.least) {
 		return
@@ -241,13 +241,13 @@
 	for i, e := range entries {
 		waiting[i] = e.waiting
 	}
-	placement.SetAside(waiting, l.openCPUs(now), wall)
-	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.Less(a.waiting, b.waiting) })
+	placement.DeferLateJobs(waiting, l.openCPUs(now), wall)
+	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.Compare(a.waiting, b.waiting) })
 	q := queue{teams: teams, waiting: waiting, jobs: make([]*job, len(entries))}
 	for i, e := range entries {
 		q.waiting[i], q.jobs[i] = e.waiting, e.job
 	}
-	q.least = placement.Least(q.waiting)
+	q.least = placement.MinNeed(q.waiting)
 	return q
 }
 
@@ -255,38 +255,38 @@
 func (l *Leader) waitingJob(j *job, n int, covered bool, wall micros.Micros) *placement.Job {
 	s := j.spec
 	w := &placement.Job{
-		ID:       s.ID,
-		Team:     s.Team,
-		Image:    j.image,
-		Priority: j.priority,
-		Band:     l.band(j),
-		Bound:    l.boundTo(j),
-		Covered:  covered,
-		Need:     j.need,
-		Waiting:  n,
-		Total:    s.Tasks,
-		Types:    s.InstanceTypes,
-		Zone:     s.Zone,
-		OneZone:  s.SingleZone,
-		Spread:   s.SpreadZones,
-		Whole:    j.isGang(),
-		Spot:     s.AllowSpot,
-		ImageGB:  s.ImageSizeGB,
-	}
-	w.Due, w.Later, w.Late = l.dues(j, covered, wall)
-	w.Pressing = w.Due-wall < 4*l.report && !j.probing()
-	w.Claims = j.priority > 0 && !j.probing()
-	w.Patient = l.patient(j)
+		ID:              s.ID,
+		Team:            s.Team,
+		Image:           j.image,
+		Priority:        j.priority,
+		EvacuationRank:  l.band(j),
+		OnlyZone:        l.boundTo(j),
+		WithinGuarantee: covered,
+		Need:            j.need,
+		Waiting:         n,
+		Total:           s.Tasks,
+		InstanceTypes:   s.InstanceTypes,
+		Zone:            s.Zone,
+		SingleZone:      s.SingleZone,
+		SpreadZones:     s.SpreadZones,
+		Gang:            j.isGang(),
+		AllowSpot:       s.AllowSpot,
+		ImageSizeGB:     s.ImageSizeGB,
+	}
+	w.StartBy, w.LaterStartBys, w.Late = l.dues(j, covered, wall)
+	w.AtRisk = w.StartBy-wall < 4*l.report && !j.probing()
+	w.PreemptsBestEffort = j.priority > 0 && !j.probing()
+	w.DelayTolerant = l.patient(j)
 	if j.isGang() && len(j.on) > 0 {
-		w.Due, w.Late, w.Pressing = wall, false, !j.probing() // the others of its tasks wait for these
+		w.StartBy, w.Late, w.AtRisk = wall, false, !j.probing() // the others of its tasks wait for these
 	}
 	if j.isGang() {
-		w.Failed = j.errors
-		w.Accept = max(acceptAtOnce, wall-j.submitted)
+		w.FailedOn = j.errors
+		w.MaxStartDelay = max(acceptAtOnce, wall-j.submitted)
 	}
 	w.Work = float64(n) * s.CPUs * l.expected(s)
 	if s.SingleZone || s.SpreadZones {
-		w.PerZone = maps.Clone(j.zones)
+		w.TasksPerZone = maps.Clone(j.zones)
 	}
 	return w
 }
@@ -302,13 +302,13 @@
 
 // age has a part of a job go before all others; the rest, if any, waits as before.
 func (l *Leader) age(w *placement.Job, j *job) (rest *placement.Job) {
-	w.Aged, w.Late, w.Patient = true, false, false
+	w.Aged, w.Late, w.DelayTolerant = true, false, false
 	part := 1 + w.Waiting/agedPart
-	if w.OneZone || w.Spread || w.Whole || part >= w.Waiting {
+	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.Waiting {
 		return nil
 	}
 	other := *w
-	other.Aged, other.Patient = false, l.patient(j)
+	other.Aged, other.DelayTolerant = false, l.patient(j)
 	w.Waiting, other.Waiting = part, w.Waiting-part
 	return &other
 }
@@ -402,7 +402,7 @@
 			if !left.Fits(j.need) {
 				break
 			}
-			left = left.Plus(j.need, -int64(j.spec.Tasks-j.ndone))
+			left = left.Add(j.need, -int64(j.spec.Tasks-j.ndone))
 			if left.CPU < 0 || left.GPU < 0 {
 				break
 			}
@@ -427,14 +427,14 @@
 	for _, m := range l.order {
 		if !m.resolved {
 			if t := l.types[m.kind.Type]; t != nil {
-				l.hidden = l.hidden.Plus(t.capacity, 1)
+				l.hidden = l.hidden.Add(t.capacity, 1)
 			}
 		}
 	}
 	for _, t := range teams {
 		// Not even a job that is over can be ruled out there, so all that
 		// these machines could hold counts for every team.
-		t.Used = t.Used.Plus(l.hidden, 1)
+		t.Used = t.Used.Add(l.hidden, 1)
 	}
 	return teams
 }
@@ -443,32 +443,32 @@
 func (l *Leader) placementMachine(m *machine, now micros.Micros) placement.Machine {
 	t := l.types[m.kind.Type]
 	p := placement.Machine{
-		ID:              m.id,
-		Type:            m.kind.Type,
-		Zone:            m.kind.Zone,
-		Spot:            m.kind.Spot,
-		Free:            m.free,
-		Delay:           max(0, m.reported+l.report-now),
-		Idle:            len(m.tasks) == 0,
-		ClosedToPatient: m.closedToPatient,
-		Images:          m.have,
-		GBPerS:          t.ImagePullGBPerS,
-		Penalty:         micros.FromSeconds(l.priceRatio(t, m.kind.Spot) - 1),
+		ID:                   m.id,
+		InstanceType:         m.kind.Type,
+		Zone:                 m.kind.Zone,
+		Spot:                 m.kind.Spot,
+		Free:                 m.free,
+		CommandDelay:         max(0, m.reported+l.report-now),
+		Idle:                 len(m.tasks) == 0,
+		RejectsDelayTolerant: m.closedToPatient,
+		Images:               m.have,
+		ImagePullGBPerS:      t.ImagePullGBPerS,
+		Penalty:              micros.FromSeconds(l.priceRatio(t, m.kind.Spot) - 1),
 	}
 	if late := now - m.reported - l.report - l.report/4; late > 0 {
-		p.Delay = l.report + late // it has missed a report, and may be gone
+		p.CommandDelay = l.report + late // it has missed a report, and may be gone
 	}
 	if m == l.answering {
-		p.Delay = 0
+		p.CommandDelay = 0
 	}
 	if m.surplus {
 		p.Penalty += 30 * micros.Second
 	}
 	if k := m.gathering; k != nil {
-		p.GatheredFor = k.view
+		p.ReservedFor = k.view
 	}
-	p.WholeOnly = m.reserve != nil
-	p.Closed = m.inZone.closed
+	p.GangsOnly = m.reserve != nil
+	p.ZoneBoundOnly = m.inZone.closed
 	return p
 }
 
@@ -492,17 +492,17 @@
 	for i, m := range ms {
 		p := &out[i]
 		for _, j := range m.planned {
-			p.Free = p.Free.Plus(j.need, -1)
+			p.Free = p.Free.Add(j.need, -1)
 		}
 		for _, a := range m.tasks {
 			if a.stopped != 0 {
-				p.Soon = p.Soon.Plus(a.job.need, 1)
+				p.Releasing = p.Releasing.Add(a.job.need, 1)
 			} else if !a.job.over && !spared[a.job] {
 				p.Victims = append(p.Victims, l.victim(a, covered[a.job], now))
 			}
 		}
 		slices.SortFunc(p.Victims, func(a, b placement.Victim) int {
-			return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
+			return cmp.Or(cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Task, b.Task))
 		})
 	}
 	return out, ms
@@ -511,23 +511,23 @@
 // victim is a running task as placement sees it.
 func (l *Leader) victim(a *attempt, covered bool, now micros.Micros) placement.Victim {
 	v := placement.Victim{
-		Job:        a.job.spec.ID,
-		Task:       a.task,
-		Team:       a.job.spec.Team,
-		Priority:   a.job.priority,
-		Need:       a.job.need,
-		Covered:    covered,
-		BestEffort: a.job.priority == 0 && !covered,
-		Lost:       lostWork(a, now),
+		JobID:           a.job.spec.ID,
+		Task:            a.task,
+		Team:            a.job.spec.Team,
+		Priority:        a.job.priority,
+		Need:            a.job.need,
+		WithinGuarantee: covered,
+		BestEffort:      a.job.priority == 0 && !covered,
+		LostWork:        lostWork(a, now),
 	}
 	if v.BestEffort {
-		v.Lost += l.setBack(a, now)
+		v.LostWork += l.setBack(a, now)
 	}
 	if a.job.isGang() {
-		v.Gang, v.Lost = true, v.Lost*micros.Micros(len(a.job.on))
+		v.Gang, v.LostWork = true, v.LostWork*micros.Micros(len(a.job.on))
 	}
 	if a.protected && (a.running == 0 || now-a.running < counted) {
-		v.BestEffort, v.Lost = false, v.Lost+counted
+		v.BestEffort, v.LostWork = false, v.LostWork+counted
 	}
 	return v
 }
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -485,7 +485,7 @@
 		return false
 	}
 	if t := l.teams[s.Team]; t.MaxCPUs > 0 || t.MaxGPUs > 0 {
-		used := l.used[s.Team].Plus(l.hidden, 1).Plus(j.need, int64(more))
+		used := l.used[s.Team].Add(l.hidden, 1).Add(j.need, int64(more))
 		if t.MaxCPUs > 0 && used.CPU > floor(t.MaxCPUs) || t.MaxGPUs > 0 && used.GPU > floor(t.MaxGPUs) {
 			return false
 		}
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -19,7 +19,7 @@
 // what the class has taken so far.
 func (l *Leader) expected(s *wire.Job) float64 {
 	if e := l.estimates[s.Class]; e != nil {
-		return e.Corrected(s.EstimatedRuntimeS)
+		return e.Predict(s.EstimatedRuntimeS)
 	}
 	return s.EstimatedRuntimeS
 }
@@ -46,7 +46,7 @@
 }
 
 // newEstimate is a class's estimate that has learned nothing yet.
-func newEstimate() *staffing.Estimate { return &staffing.Estimate{} }
+func newEstimate() *staffing.RuntimeEstimator { return &staffing.RuntimeEstimator{} }
 
 // fraction is the part of a machine that a task holds.
 func fraction(t *machineType, need placement.Resources) float64 {
@@ -76,7 +76,7 @@
 	var out []priced
 	for _, name := range l.typeOrder {
 		t := l.types[name]
-		per := t.capacity.Times(need, 1<<20)
+		per := t.capacity.CountFitting(need, 1<<20)
 		if per == 0 {
 			continue
 		}
@@ -86,8 +86,8 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				probe := placement.Job{Types: s.InstanceTypes, Zone: s.Zone, Spot: s.AllowSpot}
-				if placement.Allowed(&probe, name, zone, spot) {
+				probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
+				if placement.ConstraintsAdmit(&probe, name, zone, spot) {
 					out = append(out, priced{offer{name, zone, spot}, price * fraction(t, need)})
 				}
 			}
@@ -360,11 +360,11 @@
 // holds for an interval unless it rises.
 func (l *Leader) stepModel(types []*machineType, now micros.Micros) {
 	for _, t := range types {
-		lambda, mu := t.window.Rate(now), t.service.Mu(t.finished)
-		t.m = staffing.Step(t.m, lambda, mu, 1)
+		lambda, mu := t.window.Rate(now), t.service.Rate(t.finished)
+		t.m = staffing.StepMean(t.m, lambda, mu, 1)
 		// The same equation for the part that is not worth ordinary machines.
 		bestEffort := t.bestEffort.Rate(now)
-		t.mBestEffort = math.Min(t.m, staffing.Step(t.mBestEffort, bestEffort, mu, 1))
+		t.mBestEffort = math.Min(t.m, staffing.StepMean(t.mBestEffort, bestEffort, mu, 1))
 		all := staffing.PeakMean(t.m, lambda, mu, l.Tuning.ReviewInterval.Seconds())
 		servers := func(spot bool) float64 {
 			mean := all
@@ -374,7 +374,7 @@
 			if mean < 0.05 {
 				return 0 // formula (4) would keep a machine for nothing
 			}
-			z := staffing.PricedZ(l.Tuning.Z, l.priceRatio(t, spot))
+			z := staffing.ZForPrice(l.Tuning.Z, l.priceRatio(t, spot))
 			return float64(staffing.Servers(mean, t.batches.Peakedness()*mean, z))
 		}
 		if want := servers(true); l.raised && now >= t.heldTill || want > t.want {
@@ -474,11 +474,11 @@
 		if j.ready(now) <= 0 || now-j.seen < specialWait || wall-j.lastStart < specialWait {
 			continue
 		}
-		probe := placement.Job{Types: j.spec.InstanceTypes, Zone: j.spec.Zone, Spot: j.spec.AllowSpot,
-			OneZone: j.spec.SingleZone, Spread: j.spec.SpreadZones, Total: j.spec.Tasks, PerZone: j.zones}
+		probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot,
+			SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones, Total: j.spec.Tasks, TasksPerZone: j.zones}
 		closed, coming := 0, 0
 		for o, n := range kinds {
-			if placement.Open(&probe, o.Type, o.Zone, o.Spot) {
+			if placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
 				coming += n.coming
 			} else {
 				closed += n.all
@@ -488,7 +488,7 @@
 			continue // the targets serve it
 		}
 		for _, o := range l.offersFor(j) {
-			if !placement.Open(&probe, o.Type, o.Zone, o.Spot) {
+			if !placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
 				continue // its other tasks bind it to another zone
 			}
 			if l.pending(o) {
@@ -547,7 +547,7 @@
 func (l *Leader) idleLimit(t *machineType, spot bool) micros.Micros {
 	tight, types := 0.0, 0.0
 	for _, x := range l.types {
-		tight += x.batches.Tight()
+		tight += x.batches.TightShare()
 		types++
 	}
 	keep := micros.FromSeconds(t.BootTimeS / l.priceRatio(t, spot) * tight / types)
@@ -581,7 +581,7 @@
 	now := micros.Now()
 	r := staffingRecord{Types: map[string]typeRecord{}, AtFault: l.atFaultRecord()}
 	for _, t := range l.types {
-		r.Types[t.Name] = typeRecord{Lambda: t.window.Rate(now), M: t.m, Mu: t.service.Mu(t.finished), Finished: t.finished, Want: t.want, Target: t.target}
+		r.Types[t.Name] = typeRecord{Lambda: t.window.Rate(now), M: t.m, Mu: t.service.Rate(t.finished), Finished: t.finished, Want: t.want, Target: t.target}
 	}
 	for _, b := range l.bookings {
 		if x := r.Types[b.Type]; !b.Answered {
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -233,9 +233,9 @@
 	case l.Followers == nil:
 		return u.machines > 0
 	}
-	probe := placement.Job{Types: j.spec.InstanceTypes, Zone: j.spec.Zone, Spot: j.spec.AllowSpot}
+	probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot}
 	return slices.ContainsFunc(u.kinds, func(kind offer) bool {
-		return placement.Allowed(&probe, kind.Type, kind.Zone, kind.Spot)
+		return placement.ConstraintsAdmit(&probe, kind.Type, kind.Zone, kind.Spot)
 	})
 }
 
--- a/placement/gang_test.go
+++ b/placement/gang_test.go
@@ -17,7 +17,7 @@
 // whole is a job whose tasks start all or not at all.
 func whole(tasks int, edit func(*Job)) *Job {
 	return job("g", tasks, func(j *Job) {
-		j.Whole = true
+		j.Gang = true
 		if edit != nil {
 			edit(j)
 		}
@@ -33,7 +33,7 @@
 		return at(cold(id, free), func(m *Machine) { m.Images = m.Images.With(70) })
 	}
 	late := func(id string, free int64, delay micros.Micros) Machine {
-		return at(cold(id, free), func(m *Machine) { m.Delay = delay })
+		return at(cold(id, free), func(m *Machine) { m.CommandDelay = delay })
 	}
 	other := job("k", 2, func(j *Job) { j.Priority = 2 })
 	for _, c := range []struct {
@@ -50,31 +50,31 @@
 		{"the fewest of those that report soon", []Machine{cold("a", 1), cold("b", 1), cold("c", 2), cold("d", 3)},
 			[]*Job{whole(5, nil)}, nil, []string{"g@d*3", "g@c*2"}},
 		{"warm ones together", []Machine{cold("a", 2), warm("b", 2), cold("c", 2), warm("d", 2)},
-			[]*Job{whole(4, func(j *Job) { j.ImageGB = 5 })}, nil, []string{"g@b*2", "g@d*2"}},
+			[]*Job{whole(4, func(j *Job) { j.ImageSizeGB = 5 })}, nil, []string{"g@b*2", "g@d*2"}},
 		{"one cold machine, as one warm and one cold begin no sooner", []Machine{warm("a", 2), cold("b", 4)},
-			[]*Job{whole(4, func(j *Job) { j.ImageGB = 5 })}, nil, []string{"g@b*4"}},
-		{"places that start it late, when it can wait for others", []Machine{late("a", 4, 3*s)}, []*Job{whole(4, func(j *Job) { j.Accept = 2 * s })}, nil, nil},
-		{"and when it has waited", []Machine{late("a", 4, 3*s)}, []*Job{whole(4, func(j *Job) { j.Accept = 3 * s })}, nil, []string{"g@a*4"}},
+			[]*Job{whole(4, func(j *Job) { j.ImageSizeGB = 5 })}, nil, []string{"g@b*4"}},
+		{"places that start it late, when it can wait for others", []Machine{late("a", 4, 3*s)}, []*Job{whole(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, nil},
+		{"and when it has waited", []Machine{late("a", 4, 3*s)}, []*Job{whole(4, func(j *Job) { j.MaxStartDelay = 3 * s })}, nil, []string{"g@a*4"}},
 		{"no room for one of its tasks", []Machine{cold("a", 2), cold("b", 1)}, []*Job{whole(4, nil)}, nil, nil},
 		{"what it can't use is for others", []Machine{cold("a", 2), cold("b", 1)}, []*Job{whole(4, nil), other}, nil, []string{"k@b*1", "k@a*1"}},
 		{"together, in the zone that has room", []Machine{machine("a", "y", 3), machine("b", "z", 2), machine("c", "z", 2)},
-			[]*Job{whole(4, func(j *Job) { j.OneZone = true })}, nil, []string{"g@b*2", "g@c*2"}},
+			[]*Job{whole(4, func(j *Job) { j.SingleZone = true })}, nil, []string{"g@b*2", "g@c*2"}},
 		{"together, and no zone has room", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
-			[]*Job{whole(4, func(j *Job) { j.OneZone = true })}, nil, nil},
+			[]*Job{whole(4, func(j *Job) { j.SingleZone = true })}, nil, nil},
 		{"a replacement where the others are", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
-			[]*Job{whole(1, func(j *Job) { j.OneZone, j.Total, j.PerZone = true, 4, map[string]int{"z": 3} })}, nil, []string{"g@b*1"}},
+			[]*Job{whole(1, func(j *Job) { j.SingleZone, j.Total, j.TasksPerZone = true, 4, map[string]int{"z": 3} })}, nil, []string{"g@b*1"}},
 		{"scattered: at most 2 of 4 in a zone", []Machine{machine("a", "y", 4), machine("b", "z", 2)},
-			[]*Job{whole(4, func(j *Job) { j.Spread = true })}, nil, []string{"g@a*2", "g@b*2"}},
-		{"scattered, with one zone", []Machine{machine("a", "y", 4)}, []*Job{whole(4, func(j *Job) { j.Spread = true })}, nil, nil},
+			[]*Job{whole(4, func(j *Job) { j.SpreadZones = true })}, nil, []string{"g@a*2", "g@b*2"}},
+		{"scattered, with one zone", []Machine{machine("a", "y", 4)}, []*Job{whole(4, func(j *Job) { j.SpreadZones = true })}, nil, nil},
 		{"its team has room for a part", []Machine{cold("a", 9)}, []*Job{whole(4, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, nil},
-		{"room that is gathered for it", []Machine{at(cold("a", 4), func(m *Machine) { m.GatheredFor = whole(4, nil) })}, []*Job{whole(4, nil)}, nil, []string{"g@a*4"}},
-		{"room that is gathered for another", []Machine{at(cold("a", 4), func(m *Machine) { m.GatheredFor = job("x", 4, nil) })}, []*Job{whole(4, nil)}, nil, nil},
-		{"a machine for whole jobs only", []Machine{at(cold("a", 4), func(m *Machine) { m.WholeOnly = true })}, []*Job{whole(3, nil), other}, nil, []string{"g@a*3"}},
-		{"several for whole jobs: the first that reports will do", []Machine{at(late("a", 4, s/2), func(m *Machine) { m.WholeOnly = true })},
-			[]*Job{whole(4, func(j *Job) { j.Accept = 2 * s })}, nil, nil},
-		{"one of them has reported", []Machine{at(cold("a", 4), func(m *Machine) { m.WholeOnly = true })},
-			[]*Job{whole(4, func(j *Job) { j.Accept = 2 * s })}, nil, []string{"g@a*4"}},
-		{"room that is gathered, for work that goes before", []Machine{at(cold("a", 2), func(m *Machine) { m.GatheredFor = whole(4, nil) })}, []*Job{job("k", 2, func(j *Job) { j.Priority = 2 })}, nil, []string{"k@a*2"}},
+		{"room that is gathered for it", []Machine{at(cold("a", 4), func(m *Machine) { m.ReservedFor = whole(4, nil) })}, []*Job{whole(4, nil)}, nil, []string{"g@a*4"}},
+		{"room that is gathered for another", []Machine{at(cold("a", 4), func(m *Machine) { m.ReservedFor = job("x", 4, nil) })}, []*Job{whole(4, nil)}, nil, nil},
+		{"a machine for whole jobs only", []Machine{at(cold("a", 4), func(m *Machine) { m.GangsOnly = true })}, []*Job{whole(3, nil), other}, nil, []string{"g@a*3"}},
+		{"several for whole jobs: the first that reports will do", []Machine{at(late("a", 4, s/2), func(m *Machine) { m.GangsOnly = true })},
+			[]*Job{whole(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, nil},
+		{"one of them has reported", []Machine{at(cold("a", 4), func(m *Machine) { m.GangsOnly = true })},
+			[]*Job{whole(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, []string{"g@a*4"}},
+		{"room that is gathered, for work that goes before", []Machine{at(cold("a", 2), func(m *Machine) { m.ReservedFor = whole(4, nil) })}, []*Job{job("k", 2, func(j *Job) { j.Priority = 2 })}, nil, []string{"k@a*2"}},
 	} {
 		var got []string
 		for _, x := range Plan(c.machines, c.jobs, map[string]*Team{"t": c.team}) {
@@ -99,10 +99,10 @@
 		{"room for a part", 3, nil, 0},
 		{"room for all", 4, nil, 4},
 		{"room for more", 9, nil, 4},
-		{"another starts it sooner", 4, func(_ *Machine, j *Job) { j.ImageGB, j.Soonest = 5, 4*s }, 0},
-		{"none does", 4, func(_ *Machine, j *Job) { j.ImageGB, j.Soonest = 5, 6*s }, 4},
-		{"it has the image", 4, func(m *Machine, j *Job) { j.ImageGB, j.Soonest, m.Images = 5, s, m.Images.With(70) }, 4},
-		{"a task of it failed there", 4, func(m *Machine, j *Job) { j.Failed = map[string]micros.Micros{m.ID: s} }, 0},
+		{"another starts it sooner", 4, func(_ *Machine, j *Job) { j.ImageSizeGB, j.EarliestStart = 5, 4*s }, 0},
+		{"none does", 4, func(_ *Machine, j *Job) { j.ImageSizeGB, j.EarliestStart = 5, 6*s }, 4},
+		{"it has the image", 4, func(m *Machine, j *Job) { j.ImageSizeGB, j.EarliestStart, m.Images = 5, s, m.Images.With(70) }, 4},
+		{"a task of it failed there", 4, func(m *Machine, j *Job) { j.FailedOn = map[string]micros.Micros{m.ID: s} }, 0},
 	} {
 		m, j := machine("a", "z", c.free), whole(4, nil)
 		if c.edit != nil {
@@ -137,7 +137,7 @@
 		{"a warm one before a cold one", []Machine{warm("a"), cold("b")}, 4 * s},
 		{"cold ones, of which one reports so much sooner", []Machine{warm("a"), cold("b"), cold("c"), cold("d"), cold("e"), cold("f"), cold("g")}, 3 * s},
 	} {
-		if got := SoonestWhole(c.machines, whole(4, func(j *Job) { j.ImageGB = 2 }), 8*s); got != c.want {
+		if got := EarliestGangStart(c.machines, whole(4, func(j *Job) { j.ImageSizeGB = 2 }), 8*s); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -149,7 +149,7 @@
 	full := func(id string, lost ...micros.Micros) Machine {
 		return at(machine(id, "z", 1), func(m *Machine) {
 			for i, l := range lost {
-				m.Victims = append(m.Victims, Victim{Job: id, Task: i, Need: cpus(1), Lost: l})
+				m.Victims = append(m.Victims, Victim{JobID: id, Task: i, Need: cpus(1), LostWork: l})
 			}
 		})
 	}
@@ -163,28 +163,28 @@
 		{"where least is lost", []Machine{full("x", 3*s, 3*s), full("y", s, 2*s, s)}, nil, []string{"y/0", "y/2"}, 1},
 		{"not on two", []Machine{full("x", s), full("y", s)}, nil, nil, -1},
 		{"a fetch counts as lost work", []Machine{full("x", s, s), at(full("y", 3*s, 3*s), func(m *Machine) { m.Images = m.Images.With(70) })},
-			func(j *Job) { j.ImageGB = 9 }, []string{"y/0", "y/1"}, 1},
-		{"not beside a gang", []Machine{at(full("x", s, s), func(m *Machine) { m.Victims = append(m.Victims, Victim{Job: "v", Gang: true}) })}, nil, nil, -1},
-		{"not where a task of it failed", []Machine{full("x", s, s)}, func(j *Job) { j.Failed = map[string]micros.Micros{"x": s} }, nil, -1},
+			func(j *Job) { j.ImageSizeGB = 9 }, []string{"y/0", "y/1"}, 1},
+		{"not beside a gang", []Machine{at(full("x", s, s), func(m *Machine) { m.Victims = append(m.Victims, Victim{JobID: "v", Gang: true}) })}, nil, nil, -1},
+		{"not where a task of it failed", []Machine{full("x", s, s)}, func(j *Job) { j.FailedOn = map[string]micros.Micros{"x": s} }, nil, -1},
 		{"nothing of its own priority", []Machine{full("x", s, s)}, func(j *Job) { j.Priority = 0 }, nil, -1},
 		{"not where its other tasks keep it out", []Machine{full("x", s, s)},
-			func(j *Job) { j.OneZone, j.PerZone = true, map[string]int{"y": 1} }, nil, -1},
+			func(j *Job) { j.SingleZone, j.TasksPerZone = true, map[string]int{"y": 1} }, nil, -1},
 	} {
 		j := whole(3, func(j *Job) { j.Priority = 2 })
 		if c.edit != nil {
 			c.edit(j)
 		}
 		var stops []string
-		got, machine := PreemptOnOne(c.machines, j, nil)
+		got, machine := PreemptOnSingleMachine(c.machines, j, nil)
 		for _, x := range got {
-			stops = append(stops, fmt.Sprintf("%s/%d", x.Victim.Job, x.Victim.Task))
+			stops = append(stops, fmt.Sprintf("%s/%d", x.Victim.JobID, x.Victim.Task))
 		}
 		slices.Sort(stops)
 		if !slices.Equal(stops, c.stops) || machine != c.machine {
 			t.Errorf("%s: stops %v on %d, want %v on %d", c.name, stops, machine, c.stops, c.machine)
 		}
 	}
-	if _, machine := PreemptOnOne([]Machine{full("x", s, s)}, whole(3, func(j *Job) { j.Priority = 2 }), &Team{Limit: cpus(2)}); machine != -1 {
+	if _, machine := PreemptOnSingleMachine([]Machine{full("x", s, s)}, whole(3, func(j *Job) { j.Priority = 2 }), &Team{Limit: cpus(2)}); machine != -1 {
 		t.Error("it is over its team's limit")
 	}
 }
@@ -195,7 +195,7 @@
 	busy := func(id, zone string, free int64, left ...micros.Micros) Machine {
 		return at(machine(id, zone, free), func(m *Machine) {
 			for _, l := range left {
-				m.Ending = append(m.Ending, Ending{l, cpus(1)})
+				m.Completions = append(m.Completions, Completion{l, cpus(1)})
 			}
 		})
 	}
@@ -208,10 +208,10 @@
 		{"where it comes free soonest", []Machine{busy("a", "z", 0, 9*s, 9*s, 9*s, 9*s), busy("b", "z", 2, s, s)}, whole(4, nil), []int{1}},
 		{"on the fewest", []Machine{busy("a", "z", 1, s), busy("b", "z", 1, s), busy("c", "z", 0, s, s, s, s)}, whole(4, nil), []int{2}},
 		{"on several", []Machine{busy("a", "z", 1, s), busy("b", "z", 1, s)}, whole(4, nil), []int{0, 1}},
-		{"in one zone", []Machine{busy("a", "y", 1, s), busy("b", "z", 1, s), busy("c", "z", 0, 5*s, 5*s)}, whole(4, func(j *Job) { j.OneZone = true }), []int{1, 2}},
+		{"in one zone", []Machine{busy("a", "y", 1, s), busy("b", "z", 1, s), busy("c", "z", 0, 5*s, 5*s)}, whole(4, func(j *Job) { j.SingleZone = true }), []int{1, 2}},
 		{"nowhere in time", []Machine{busy("a", "z", 3, 100*s)}, whole(4, nil), nil},
 	} {
-		if got := Gather(c.machines, c.job, nil, 16*s); !slices.Equal(got, c.want) {
+		if got := PickReservation(c.machines, c.job, nil, 16*s); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -222,7 +222,7 @@
 func TestPreemptWhole(t *testing.T) {
 	s := micros.Second
 	victim := func(job string, task int, lost micros.Micros) Victim {
-		return Victim{Job: job, Task: task, Need: cpus(1), Lost: lost}
+		return Victim{JobID: job, Task: task, Need: cpus(1), LostWork: lost}
 	}
 	gangOf := func(job string, task int, lost micros.Micros) Victim {
 		v := victim(job, task, lost)
@@ -243,7 +243,7 @@
 			[]string{"x/0", "x/1", "y/0"}, []int{0, 1}},
 		{"not enough to stop: nothing is", []Machine{full("a", "z", victim("x", 0, s), victim("x", 1, s))}, whole(3, nil), nil, nil},
 		{"in the zone where less is lost", []Machine{full("a", "y", victim("x", 0, 3*s), victim("x", 1, 3*s)), full("b", "z", victim("y", 0, s), victim("y", 1, s))},
-			whole(2, func(j *Job) { j.OneZone = true }), []string{"y/0", "y/1"}, []int{1}},
+			whole(2, func(j *Job) { j.SingleZone = true }), []string{"y/0", "y/1"}, []int{1}},
 		{"with room that is there", []Machine{machine("a", "z", 1), full("b", "z", victim("y", 0, s), victim("y", 1, 2*s))}, whole(2, nil), []string{"y/0"}, []int{0, 1}},
 		{"a gang is stopped whole", []Machine{full("a", "z", gangOf("x", 0, 4*s)), full("b", "z", gangOf("x", 1, 4*s))}, job("k", 1, nil), []string{"x/0", "x/1"}, nil},
 		{"a single task loses less than a gang", []Machine{full("a", "z", gangOf("x", 0, 4*s), victim("y", 0, 3*s)), full("b", "z", gangOf("x", 1, 4*s))}, job("k", 1, nil), []string{"y/0"}, nil},
@@ -256,7 +256,7 @@
 		var machines []int
 		got, gatherings := Preempt(c.machines, []*Job{c.job}, nil, 8)
 		for _, x := range got {
-			stops = append(stops, fmt.Sprintf("%s/%d", x.Victim.Job, x.Victim.Task))
+			stops = append(stops, fmt.Sprintf("%s/%d", x.Victim.JobID, x.Victim.Task))
 		}
 		for _, k := range gatherings {
 			machines = append(machines, k.Machine)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -12,13 +12,13 @@
 // Resources are in thousandths, so that sums are exact.
 type Resources struct{ CPU, GPU, Mem int64 }
 
-// Plus adds n times o.
-func (r Resources) Plus(o Resources, n int64) Resources {
+// Add adds n times o.
+func (r Resources) Add(o Resources, n int64) Resources {
 	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Mem + n*o.Mem}
 }
 
-// Times tells how often need fits into r, at most limit times.
-func (r Resources) Times(need Resources, limit int) int {
+// CountFitting tells how often need fits into r, at most limit times.
+func (r Resources) CountFitting(need Resources, limit int) int {
 	n := int64(limit)
 	for _, p := range [...][2]int64{{r.CPU, need.CPU}, {r.GPU, need.GPU}, {r.Mem, need.Mem}} {
 		if p[1] > 0 {
@@ -29,7 +29,7 @@
 }
 
 // Fits tells whether o fits into r.
-func (r Resources) Fits(o Resources) bool { return r.Times(o, 1) == 1 }
+func (r Resources) Fits(o Resources) bool { return r.CountFitting(o, 1) == 1 }
 
 // ImageSet is a set of images, which stand here as small numbers: asking whether
 // a machine has an image is what planning does most.
@@ -53,65 +53,65 @@
 
 // Machine is a machine that may take tasks.
 type Machine struct {
-	ID, Type, Zone  string
-	Spot            bool
-	Free            Resources     // nothing holds it
-	Soon            Resources     // held by tasks that are being stopped
-	Delay           micros.Micros // until orders reach it
-	Idle            bool          // no task is on it
-	Images          ImageSet      // cached or being fetched
-	GBPerS          float64       // image fetch
-	Penalty         micros.Micros // wait that is put up with to leave it idle
-	ClosedToPatient bool          // to patient work: costly, and wanted by no other
-	Victims         []Victim      // running tasks that could be stopped
-	Ending          []Ending      // when what is on it should end by itself
-	GatheredFor     *Job          // its room is gathered for this one; nil: for nobody
-	WholeOnly       bool          // only whole jobs may start on it
-	Closed          bool          // to work that is not bound to its zone
+	ID, InstanceType, Zone string
+	Spot                   bool
+	Free                   Resources     // nothing holds it
+	Releasing              Resources     // held by tasks that are being stopped
+	CommandDelay           micros.Micros // until orders reach it
+	Idle                   bool          // no task is on it
+	Images                 ImageSet      // cached or being fetched
+	ImagePullGBPerS        float64       // image fetch
+	Penalty                micros.Micros // wait that is put up with to leave it idle
+	RejectsDelayTolerant   bool          // to patient work: costly, and wanted by no other
+	Victims                []Victim      // running tasks that could be stopped
+	Completions            []Completion  // when what is on it should end by itself
+	ReservedFor            *Job          // its room is gathered for this one; nil: for nobody
+	GangsOnly              bool          // only whole jobs may start on it
+	ZoneBoundOnly          bool          // to work that is not bound to its zone
 }
 
 // Victim is a running task.
 type Victim struct {
-	Job        string
-	Task       int
-	Team       string
-	Priority   int
-	Need       Resources
-	Covered    bool          // within its team's guarantee
-	BestEffort bool          // of the lowest priority, and guaranteed to nobody
-	Lost       micros.Micros // work that a stop would lose
-	Gang       bool          // all tasks of its job stop with it, and Lost is of all
+	JobID           string
+	Task            int
+	Team            string
+	Priority        int
+	Need            Resources
+	WithinGuarantee bool          // within its team's guarantee
+	BestEffort      bool          // of the lowest priority, and guaranteed to nobody
+	LostWork        micros.Micros // work that a stop would lose
+	Gang            bool          // all tasks of its job stop with it, and Lost is of all
 }
 
 // Job is a job with waiting tasks.
 type Job struct {
-	ID, Team        string
-	Image           int
-	Priority        int
-	Band            int             // in the order in which work leaves a lost zone; 0 for all without one
-	Bound           string          // the only zone that it can run in now, empty if there are others
-	Aged            bool            // has waited for its first start so long that it goes before all others
-	Covered         bool            // within its team's guarantee
-	Due             micros.Micros   // latest good start of its last task
-	Later           []micros.Micros // the same by what else is expected of it, rising
-	Work            float64         // CPU seconds that wait, as estimated
-	Late            bool            // cannot be in time any more, or set aside
-	Pressing        bool            // would be late if it waited for others to end
-	Claims          bool            // need not wait for best-effort tasks to end
-	Patient         bool            // not worth costly machines
-	Need            Resources
-	Waiting         int
-	Total           int
-	Types           []string
-	Zone            string
-	OneZone, Spread bool
-	Whole           bool          // all waiting tasks start or none does
-	Accept          micros.Micros // a whole job waits for better places than ones that start it later; 0: any will do
-	Soonest         micros.Micros // when a whole job should start that takes the best machine that reports next; 0: unknown
-	Spot            bool
-	ImageGB         float64
-	PerZone         map[string]int           // tasks on machines, by zone
-	Failed          map[string]micros.Micros // machines on which tasks of a whole job failed, and when
+	ID, Team                string
+	Image                   int
+	Priority                int
+	EvacuationRank          int             // in the order in which work leaves a lost zone; 0 for all without one
+	OnlyZone                string          // the only zone that it can run in now, empty if there are others
+	Aged                    bool            // has waited for its first start so long that it goes before all others
+	WithinGuarantee         bool            // within its team's guarantee
+	StartBy                 micros.Micros   // latest good start of its last task
+	LaterStartBys           []micros.Micros // the same by what else is expected of it, rising
+	Work                    float64         // CPU seconds that wait, as estimated
+	Late                    bool            // cannot be in time any more, or set aside
+	AtRisk                  bool            // would be late if it waited for others to end
+	PreemptsBestEffort      bool            // need not wait for best-effort tasks to end
+	DelayTolerant           bool            // not worth costly machines
+	Need                    Resources
+	Waiting                 int
+	Total                   int
+	InstanceTypes           []string
+	Zone                    string
+	SingleZone, SpreadZones bool
+	Gang                    bool          // all waiting tasks start or none does
+	MaxStartDelay           micros.Micros // a whole job waits for better places than ones that start it later; 0: any will do
+	EarliestStart           micros.Micros // when a whole job should start that takes the best machine that reports next; 0: unknown
+	AllowSpot               bool
+	ImageSizeGB             float64
+	TasksPerZone            map[string]int           // tasks on machines, by zone
+	FailedOn                map[string]micros.Micros // machines on which tasks of a whole job failed, and when
 }
 
 // Team is what a team uses and may use; 0 in Limit means no limit.
@@ -121,48 +121,48 @@
 // into the input.
 type Start struct{ Job, Machine, Count int }
 
-// Stop tells to stop a victim.
-type Stop struct {
+// Preemption tells to stop a victim.
+type Preemption struct {
 	Machine int
 	Victim  Victim
 	For     string // job that needs the room
 }
 
-// Less is the queue's order: what has waited too long to begin, the bands while a zone is
+// Compare is the queue's order: what has waited too long to begin, the bands while a zone is
 // lost, guarantees, then priorities, then what can still be in time, and of that what is due first.
-func Less(a, b *Job) int {
-	if c := claim(a, b); c != 0 {
+func Compare(a, b *Job) int {
+	if c := compareClaim(a, b); c != 0 {
 		return c
 	}
-	if a.Due != b.Due {
-		return cmp.Compare(a.Due, b.Due)
+	if a.StartBy != b.StartBy {
+		return cmp.Compare(a.StartBy, b.StartBy)
 	}
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// claim compares what comes before due times. Plans sort thousands of jobs by it.
-func claim(a, b *Job) int {
+// compareClaim compares what comes before due times. Plans sort thousands of jobs by it.
+func compareClaim(a, b *Job) int {
 	if a.Aged != b.Aged {
-		return rank(a.Aged) - rank(b.Aged)
+		return boolRank(a.Aged) - boolRank(b.Aged)
 	}
-	if c := standing(a, b); c != 0 {
+	if c := compareEntitlement(a, b); c != 0 {
 		return c
 	}
-	return rank(!a.Late) - rank(!b.Late)
+	return boolRank(!a.Late) - boolRank(!b.Late)
 }
 
-// standing compares what a job is entitled to, however long it waits and whatever is due.
-func standing(a, b *Job) int {
-	if a.Band != b.Band {
-		return cmp.Compare(a.Band, b.Band)
+// compareEntitlement compares what a job is entitled to, however long it waits and whatever is due.
+func compareEntitlement(a, b *Job) int {
+	if a.EvacuationRank != b.EvacuationRank {
+		return cmp.Compare(a.EvacuationRank, b.EvacuationRank)
 	}
-	if a.Covered != b.Covered {
-		return rank(a.Covered) - rank(b.Covered)
+	if a.WithinGuarantee != b.WithinGuarantee {
+		return boolRank(a.WithinGuarantee) - boolRank(b.WithinGuarantee)
 	}
 	return cmp.Compare(b.Priority, a.Priority)
 }
 
-// SetAside marks as late the jobs that too much work keeps from being in time,
+// DeferLateJobs marks as late the jobs that too much work keeps from being in time,
 // as few as possible: going through the queue, whenever the work so far would
 // take a job past its due time, the job with the most work of the same claim is
 // put off (Moore's algorithm). Without it, serving by due time makes every job
@@ -171,9 +171,9 @@
 // off jobs that were in time after all. A job that is put off may still meet the
 // next thing expected of it, and is late only when there is none: else all that an
 // overload puts off once waits until the end.
-func SetAside(jobs []*Job, cpus float64, now micros.Micros) {
+func DeferLateJobs(jobs []*Job, cpus float64, now micros.Micros) {
 	order := slices.Clone(jobs)
-	slices.SortFunc(order, func(a, b *Job) int { return Less(a, b) })
+	slices.SortFunc(order, func(a, b *Job) int { return Compare(a, b) })
 	if cpus <= 0 {
 		return
 	}
@@ -184,9 +184,9 @@
 		if j.Aged {
 			continue
 		}
-		if i > 0 && standing(j, order[i-1]) != 0 {
+		if i > 0 && compareEntitlement(j, order[i-1]) != 0 {
 			if strained {
-				shortestFirst(order[:i], order[i-1], cpus, now)
+				orderByWork(order[:i], order[i-1], cpus, now)
 			}
 			onTime, strained = onTime[:0], false
 		}
@@ -198,98 +198,98 @@
 			return cmp.Or(cmp.Compare(a.Work, b.Work), cmp.Compare(a.ID, b.ID))
 		})
 		onTime = slices.Insert(onTime, at, j)
-		if now+micros.FromSeconds(ahead/cpus) > j.Due {
+		if now+micros.FromSeconds(ahead/cpus) > j.StartBy {
 			strained = true
 			most := onTime[len(onTime)-1]
 			ahead -= most.Work
 			onTime = onTime[:len(onTime)-1]
-			for len(most.Later) > 0 && most.Due <= j.Due {
-				most.Due, most.Later = most.Later[0], most.Later[1:]
+			for len(most.LaterStartBys) > 0 && most.StartBy <= j.StartBy {
+				most.StartBy, most.LaterStartBys = most.LaterStartBys[0], most.LaterStartBys[1:]
 			}
-			if most.Due <= j.Due {
+			if most.StartBy <= j.StartBy {
 				most.Late = true
 				continue
 			}
-			at, _ := slices.BinarySearchFunc(order[i+1:], most, Less)
+			at, _ := slices.BinarySearchFunc(order[i+1:], most, Compare)
 			order = slices.Insert(order, i+1+at, most)
 		}
 	}
 	if strained {
-		shortestFirst(order, order[len(order)-1], cpus, now)
+		orderByWork(order, order[len(order)-1], cpus, now)
 	}
 }
 
-// shortestFirst gives the jobs of like's standing due times in the order
+// orderByWork gives the jobs of like's standing due times in the order
 // of their work, as there is too much of it. By their own due times each would start
 // just before it is due, and the first surprise, a longer run or a lost machine, would
 // make all of them late; done in this order the most are out of the way by then.
-func shortestFirst(jobs []*Job, like *Job, cpus float64, now micros.Micros) {
+func orderByWork(jobs []*Job, like *Job, cpus float64, now micros.Micros) {
 	var same []*Job
 	for _, j := range jobs {
-		if !j.Aged && standing(j, like) == 0 {
+		if !j.Aged && compareEntitlement(j, like) == 0 {
 			same = append(same, j)
 		}
 	}
 	slices.SortFunc(same, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(rank(!a.Late), rank(!b.Late)), cmp.Compare(a.Work, b.Work), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(boolRank(!a.Late), boolRank(!b.Late)), cmp.Compare(a.Work, b.Work), cmp.Compare(a.ID, b.ID))
 	})
 	same = slices.Compact(same)
 	ahead := 0.0
 	for _, j := range same {
 		ahead += j.Work
-		j.Due = now + micros.FromSeconds(ahead/cpus)
+		j.StartBy = now + micros.FromSeconds(ahead/cpus)
 	}
 }
 
-func rank(first bool) int {
+func boolRank(first bool) int {
 	if first {
 		return 0
 	}
 	return 1
 }
 
-// Allowed tells whether a job's constraints that do not depend on its other
+// ConstraintsAdmit tells whether a job's constraints that do not depend on its other
 // tasks admit a machine.
-func Allowed(j *Job, typ, zone string, spot bool) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, typ)) &&
-		(j.Zone == "" || j.Zone == zone) && (j.Spot || !spot)
+func ConstraintsAdmit(j *Job, typ, zone string, spot bool) bool {
+	return (len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, typ)) &&
+		(j.Zone == "" || j.Zone == zone) && (j.AllowSpot || !spot)
 }
 
 // admits tells the same of a machine, and whether the job is worth it.
 func admits(m *Machine, j *Job) bool {
-	if m.GatheredFor != nil && m.GatheredFor.ID != j.ID && claim(j, m.GatheredFor) >= 0 {
+	if m.ReservedFor != nil && m.ReservedFor.ID != j.ID && compareClaim(j, m.ReservedFor) >= 0 {
 		return false
 	}
-	if m.WholeOnly && !j.Whole || m.Closed && j.Bound != m.Zone {
+	if m.GangsOnly && !j.Gang || m.ZoneBoundOnly && j.OnlyZone != m.Zone {
 		return false
 	}
-	return Allowed(j, m.Type, m.Zone, m.Spot) && !(j.Patient && m.ClosedToPatient)
+	return ConstraintsAdmit(j, m.InstanceType, m.Zone, m.Spot) && !(j.DelayTolerant && m.RejectsDelayTolerant)
 }
 
-// Open tells the same as things are now: where a job's other tasks are may bind the next
+// ConstraintsAdmitNow tells the same as things are now: where a job's other tasks are may bind the next
 // one to their zone, or keep it out.
-func Open(j *Job, typ, zone string, spot bool) bool {
-	return Allowed(j, typ, zone, spot) && zoneRoom(j, zone) > 0
+func ConstraintsAdmitNow(j *Job, typ, zone string, spot bool) bool {
+	return ConstraintsAdmit(j, typ, zone, spot) && remainingInZone(j, zone) > 0
 }
 
-// zoneRoom tells how many more tasks of j may be in zone.
-func zoneRoom(j *Job, zone string) int {
-	if j.OneZone {
-		for z, n := range j.PerZone {
+// remainingInZone tells how many more tasks of j may be in zone.
+func remainingInZone(j *Job, zone string) int {
+	if j.SingleZone {
+		for z, n := range j.TasksPerZone {
 			if n > 0 && z != zone {
 				return 0
 			}
 		}
 	}
-	if j.Spread {
-		return max(0, (j.Total+1)/2-j.PerZone[zone])
+	if j.SpreadZones {
+		return max(0, (j.Total+1)/2-j.TasksPerZone[zone])
 	}
 	return j.Total
 }
 
-// Least is what any of the jobs needs at least, of each resource. A machine with
+// MinNeed is what any of the jobs needs at least, of each resource. A machine with
 // less room cannot take a task.
-func Least(jobs []*Job) Resources {
+func MinNeed(jobs []*Job) Resources {
 	least := Resources{1 << 60, 1 << 60, 1 << 60}
 	for _, j := range jobs {
 		least = Resources{min(least.CPU, j.Need.CPU), min(least.GPU, j.Need.GPU), min(least.Mem, j.Need.Mem)}
@@ -302,7 +302,7 @@
 // it goes. Waiting tasks cost nothing here: the work grows with the jobs, and
 // with the machines that have room.
 func Plan(machines []Machine, jobs []*Job, teams map[string]*Team) (starts []Start) {
-	least := Least(jobs)
+	least := MinNeed(jobs)
 	open := make([]int, 0, len(machines))
 	for k := range machines {
 		if machines[k].Free.Fits(least) {
@@ -323,8 +323,8 @@
 			continue
 		}
 		choose := place
-		if j.Whole {
-			choose = placeWhole
+		if j.Gang {
+			choose = placeGang
 		}
 		placed := choose(machines, open, i, j, teams[j.Team])
 		starts = append(starts, placed...)
@@ -339,15 +339,15 @@
 // Preempt looks for running work of less claim to stop for pressing jobs that
 // found no room, and for best-effort tasks to stop for any other job; at most limit jobs. What it
 // frees for a whole job, and the room that was there, is to be gathered for it.
-func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (stops []Stop, gatherings []Gathering) {
+func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (stops []Preemption, gatherings []Reservation) {
 	for _, j := range jobs {
 		if limit == 0 {
 			break
 		}
-		if j.Waiting > 0 && (j.Pressing || j.Claims) {
+		if j.Waiting > 0 && (j.AtRisk || j.PreemptsBestEffort) {
 			limit--
-			if j.Whole {
-				s, k := preemptWhole(machines, j, teams[j.Team])
+			if j.Gang {
+				s, k := preemptForGang(machines, j, teams[j.Team])
 				stops, gatherings = append(stops, s...), append(gatherings, k...)
 				continue
 			}
@@ -374,76 +374,76 @@
 			if j.Waiting == 0 {
 				continue
 			}
-			if best >= 0 && (seen == lookahead || claim(jobs[best], j) != 0) {
+			if best >= 0 && (seen == lookahead || compareClaim(jobs[best], j) != 0) {
 				break
 			}
 			if !m.Free.Fits(j.Need) || !admits(m, j) {
 				continue
 			}
-			n := m.Free.Times(j.Need, teams[j.Team].Room(j.Need, min(j.Waiting, zoneRoom(j, m.Zone))))
-			if n == 0 || j.Whole && !takesWhole(m, j, n) {
+			n := m.Free.CountFitting(j.Need, teams[j.Team].Room(j.Need, min(j.Waiting, remainingInZone(j, m.Zone))))
+			if n == 0 || j.Gang && !takesGang(m, j, n) {
 				continue
 			}
 			seen++
-			if due := j.Due + 2*fetch(m, j); best < 0 || due < bestDue {
+			if due := j.StartBy + 2*imagePullTime(m, j); best < 0 || due < bestDue {
 				best, bestCount, bestDue = i, n, due
 			}
 		}
 		if best < 0 {
 			return starts
 		}
-		take(m, jobs[best], teams[jobs[best].Team], bestCount)
+		assign(m, jobs[best], teams[jobs[best].Team], bestCount)
 		starts = append(starts, Start{Job: best, Count: bestCount})
 	}
 }
 
-// take counts n tasks of j as being on m.
-func take(m *Machine, j *Job, team *Team, n int) {
-	m.Free = m.Free.Plus(j.Need, -int64(n))
+// assign counts n tasks of j as being on m.
+func assign(m *Machine, j *Job, team *Team, n int) {
+	m.Free = m.Free.Add(j.Need, -int64(n))
 	m.Idle = false
 	m.Images = m.Images.With(j.Image)
 	if team != nil {
-		team.Used = team.Used.Plus(j.Need, int64(n))
+		team.Used = team.Used.Add(j.Need, int64(n))
 	}
-	if j.PerZone == nil {
-		j.PerZone = map[string]int{}
+	if j.TasksPerZone == nil {
+		j.TasksPerZone = map[string]int{}
 	}
-	j.PerZone[m.Zone] += n
+	j.TasksPerZone[m.Zone] += n
 	j.Waiting -= n
 }
 
-// fetch is how long m would fetch the image of j.
-func fetch(m *Machine, j *Job) micros.Micros {
-	if m.GBPerS <= 0 || m.Images.Has(j.Image) {
+// imagePullTime is how long m would fetch the image of j.
+func imagePullTime(m *Machine, j *Job) micros.Micros {
+	if m.ImagePullGBPerS <= 0 || m.Images.Has(j.Image) {
 		return 0
 	}
-	return micros.FromSeconds(j.ImageGB / m.GBPerS)
+	return micros.FromSeconds(j.ImageSizeGB / m.ImagePullGBPerS)
 }
 
-// failedBefore is what wait is put up with rather than start a whole job again where a task
+// failedMachinePenalty is what wait is put up with rather than start a whole job again where a task
 // of it failed: one that fails keeps all waiting.
-const failedBefore = 10 * micros.Second
+const failedMachinePenalty = 10 * micros.Second
 
-// cost is how long a task would wait for its start on m, with a little for
+// startCost is how long a task would wait for its start on m, with a little for
 // leaving costly and empty machines as they are, and large holes.
-func cost(m *Machine, j *Job) micros.Micros {
-	c := m.Delay + fetch(m, j)
+func startCost(m *Machine, j *Job) micros.Micros {
+	c := m.CommandDelay + imagePullTime(m, j)
 	if m.Idle {
 		c += micros.Second / 2
 	}
-	if _, ok := j.Failed[m.ID]; ok {
-		c += failedBefore
+	if _, ok := j.FailedOn[m.ID]; ok {
+		c += failedMachinePenalty
 	}
 	left := m.Free.CPU - j.Need.CPU
 	return c + m.Penalty + micros.Micros(left)*micros.Millisecond/1000*10
 }
 
-// worthWaiting tells whether a start on m may be planned ahead. What presses is
+// isWorthWaitingFor tells whether a start on m may be planned ahead. What presses is
 // not kept for a machine whose next report is far off, unless that saves a longer
 // fetch: any machine that reports sooner takes it, see Fill.
-func worthWaiting(m *Machine, j *Job) bool {
-	return !j.Pressing || m.Delay <= micros.Second/2 ||
-		m.Images.Has(j.Image) && m.GBPerS > 0 && m.Delay < micros.FromSeconds(j.ImageGB/m.GBPerS)
+func isWorthWaitingFor(m *Machine, j *Job) bool {
+	return !j.AtRisk || m.CommandDelay <= micros.Second/2 ||
+		m.Images.Has(j.Image) && m.ImagePullGBPerS > 0 && m.CommandDelay < micros.FromSeconds(j.ImageSizeGB/m.ImagePullGBPerS)
 }
 
 // Room is how many tasks of a need, at most limit, the team may still start.
@@ -458,7 +458,7 @@
 	if t.Limit.GPU > 0 {
 		left.GPU = t.Limit.GPU - t.Used.GPU
 	}
-	return left.Times(need, limit)
+	return left.CountFitting(need, limit)
 }
 
 func place(machines []Machine, open []int, index int, j *Job, team *Team) (starts []Start) {
@@ -469,8 +469,8 @@
 	var candidates []candidate
 	for _, k := range open {
 		m := &machines[k]
-		if m.Free.Fits(j.Need) && admits(m, j) && zoneRoom(j, m.Zone) > 0 && worthWaiting(m, j) {
-			candidates = append(candidates, candidate{k, cost(m, j)})
+		if m.Free.Fits(j.Need) && admits(m, j) && remainingInZone(j, m.Zone) > 0 && isWorthWaitingFor(m, j) {
+			candidates = append(candidates, candidate{k, startCost(m, j)})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
@@ -478,12 +478,12 @@
 	})
 	for _, c := range candidates {
 		m := &machines[c.machine]
-		n := team.Room(j.Need, min(j.Waiting, zoneRoom(j, m.Zone)))
-		n = m.Free.Times(j.Need, n)
+		n := team.Room(j.Need, min(j.Waiting, remainingInZone(j, m.Zone)))
+		n = m.Free.CountFitting(j.Need, n)
 		if n == 0 {
 			continue
 		}
-		take(m, j, team, n)
+		assign(m, j, team, n)
 		starts = append(starts, Start{Job: index, Machine: c.machine, Count: n})
 		if j.Waiting == 0 {
 			break
@@ -492,29 +492,29 @@
 	return starts
 }
 
-// yields tells whether v may be stopped for j: for a higher priority, or to
+// isPreemptibleFor tells whether v may be stopped for j: for a higher priority, or to
 // give j's team its guarantee from another team's borrowed room.
-func yields(v *Victim, j *Job) bool {
-	if v.Job == j.ID || !j.Pressing && !v.BestEffort {
+func isPreemptibleFor(v *Victim, j *Job) bool {
+	if v.JobID == j.ID || !j.AtRisk && !v.BestEffort {
 		return false
 	}
-	if j.Covered && !v.Covered && v.Team != j.Team {
+	if j.WithinGuarantee && !v.WithinGuarantee && v.Team != j.Team {
 		return true
 	}
-	return v.Priority < j.Priority && (j.Covered || !v.Covered)
+	return v.Priority < j.Priority && (j.WithinGuarantee || !v.WithinGuarantee)
 }
 
 // preempt also tells on which machines there is room, or will be, and how many tasks
 // found none.
-func preempt(machines []Machine, j *Job, team *Team) (stops []Stop, room []int, want int) {
+func preempt(machines []Machine, j *Job, team *Team) (stops []Preemption, room []int, want int) {
 	p := preemption{machines: machines, job: j, want: team.Room(j.Need, j.Waiting)}
 	// What is being freed already will serve the first in the queue.
-	p.useRoom()
+	p.useFreeRoom()
 	if p.want > 0 {
 		p.findCandidates()
 	}
 	for p.want > 0 && len(p.candidates) > 0 {
-		p.stopFirst()
+		p.preemptFirstCandidate()
 	}
 	return p.stops, p.room, p.want
 }
@@ -524,7 +524,7 @@
 	machines   []Machine
 	job        *Job
 	want       int // tasks that have no room yet
-	stops      []Stop
+	stops      []Preemption
 	room       []int              // machines with room for tasks of a whole job
 	candidates []preemptCandidate // the least loss first
 }
@@ -540,14 +540,14 @@
 	return cmp.Or(cmp.Compare(a.lost, b.lost), cmp.Compare(a.machine, b.machine))
 }
 
-// useRoom takes the room that is there or is being freed.
-func (p *preemption) useRoom() {
+// useFreeRoom takes the room that is there or is being freed.
+func (p *preemption) useFreeRoom() {
 	for k := range p.machines {
 		m := &p.machines[k]
 		if p.want == 0 || !admits(m, p.job) {
 			continue
 		}
-		n := m.Free.Plus(m.Soon, 1).Times(p.job.Need, min(p.want, zoneRoom(p.job, m.Zone)))
+		n := m.Free.Add(m.Releasing, 1).CountFitting(p.job.Need, min(p.want, remainingInZone(p.job, m.Zone)))
 		if n > 0 {
 			p.place(k, n)
 		}
@@ -557,10 +557,10 @@
 // place counts n tasks as having room on machine k.
 func (p *preemption) place(k, n int) {
 	m := &p.machines[k]
-	m.Soon = m.Soon.Plus(p.job.Need, -int64(n))
+	m.Releasing = m.Releasing.Add(p.job.Need, -int64(n))
 	p.want -= n
-	if p.job.Whole {
-		p.job.PerZone[m.Zone] += n
+	if p.job.Gang {
+		p.job.TasksPerZone[m.Zone] += n
 		p.room = append(p.room, k)
 	}
 }
@@ -580,24 +580,24 @@
 // candidate tells what must stop on machine k for one task, if that is possible.
 func (p *preemption) candidate(k int) (preemptCandidate, bool) {
 	m := &p.machines[k]
-	if !admits(m, p.job) || zoneRoom(p.job, m.Zone) == 0 {
+	if !admits(m, p.job) || remainingInZone(p.job, m.Zone) == 0 {
 		return preemptCandidate{}, false
 	}
-	take, lost := victims(m, p.job)
+	take, lost := pickVictims(m, p.job)
 	// The image must be fetched there as well before the task starts.
-	return preemptCandidate{k, take, lost + fetch(m, p.job)}, take != nil
+	return preemptCandidate{k, take, lost + imagePullTime(m, p.job)}, take != nil
 }
 
-// stopFirst stops what the first candidate names.
-func (p *preemption) stopFirst() {
+// preemptFirstCandidate stops what the first candidate names.
+func (p *preemption) preemptFirstCandidate() {
 	c := p.candidates[0]
 	p.candidates = p.candidates[1:]
-	gangs := p.stopVictims(c)
+	gangs := p.preemptVictims(c)
 	p.place(c.machine, 1)
-	if freed := stopWith(p.machines, gangs, p.job.ID); len(freed) > 0 {
+	if freed := preemptGangMates(p.machines, gangs, p.job.ID); len(freed) > 0 {
 		// Their room serves as well, before anything more is stopped.
 		p.stops = append(p.stops, freed...)
-		p.useRoom()
+		p.useFreeRoom()
 		p.findCandidates()
 		return
 	}
@@ -607,44 +607,44 @@
 	}
 }
 
-// stopVictims stops a candidate's victims, and tells of their jobs which are gangs.
-func (p *preemption) stopVictims(c preemptCandidate) map[string]bool {
+// preemptVictims stops a candidate's victims, and tells of their jobs which are gangs.
+func (p *preemption) preemptVictims(c preemptCandidate) map[string]bool {
 	m := &p.machines[c.machine]
 	gangs := map[string]bool{}
 	for _, v := range slices.Backward(c.take) {
 		victim := m.Victims[v]
-		gangs[victim.Job] = victim.Gang
-		p.stops = append(p.stops, Stop{Machine: c.machine, Victim: victim, For: p.job.ID})
-		m.Soon = m.Soon.Plus(victim.Need, 1)
+		gangs[victim.JobID] = victim.Gang
+		p.stops = append(p.stops, Preemption{Machine: c.machine, Victim: victim, For: p.job.ID})
+		m.Releasing = m.Releasing.Add(victim.Need, 1)
 		m.Victims = slices.Delete(m.Victims, v, v+1)
 	}
 	return gangs
 }
 
-// victims picks, in order of their indexes, the tasks to stop on m for one
+// pickVictims picks, in order of their indexes, the tasks to stop on m for one
 // task of j, the least claim and the least lost work first.
-func victims(m *Machine, j *Job) (take []int, lost micros.Micros) {
+func pickVictims(m *Machine, j *Job) (take []int, lost micros.Micros) {
 	order := make([]int, 0, len(m.Victims))
 	for i := range m.Victims {
-		if yields(&m.Victims[i], j) {
+		if isPreemptibleFor(&m.Victims[i], j) {
 			order = append(order, i)
 		}
 	}
 	slices.SortFunc(order, func(a, b int) int {
 		x, y := &m.Victims[a], &m.Victims[b]
-		return cmp.Or(cmp.Compare(rank(y.Covered), rank(x.Covered)), cmp.Compare(x.Priority, y.Priority),
-			cmp.Compare(x.Lost, y.Lost), cmp.Compare(x.Job, y.Job), cmp.Compare(x.Task, y.Task))
+		return cmp.Or(cmp.Compare(boolRank(y.WithinGuarantee), boolRank(x.WithinGuarantee)), cmp.Compare(x.Priority, y.Priority),
+			cmp.Compare(x.LostWork, y.LostWork), cmp.Compare(x.JobID, y.JobID), cmp.Compare(x.Task, y.Task))
 	})
-	free := m.Free.Plus(m.Soon, 1)
+	free := m.Free.Add(m.Releasing, 1)
 	counted := map[string]bool{} // gangs whose loss is in lost
 	for _, i := range order {
 		if free.Fits(j.Need) {
 			break
 		}
-		free = free.Plus(m.Victims[i].Need, 1)
-		if v := &m.Victims[i]; !v.Gang || !counted[v.Job] {
-			lost += v.Lost
-			counted[v.Job] = true
+		free = free.Add(m.Victims[i].Need, 1)
+		if v := &m.Victims[i]; !v.Gang || !counted[v.JobID] {
+			lost += v.LostWork
+			counted[v.JobID] = true
 		}
 		take = append(take, i)
 	}
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -8,15 +8,15 @@
 // TestBandOrder has bands come after what has waited too long and before all else.
 func TestBandOrder(t *testing.T) {
 	jobs := []*Job{
-		{ID: "late", Band: 1, Late: true, Priority: 2},
-		{ID: "aged", Band: 3, Aged: true},
-		{ID: "guaranteed", Band: 3, Covered: true, Priority: 1},
-		{ID: "urgent", Band: 1, Priority: 2, Due: 9},
-		{ID: "due sooner", Band: 2, Priority: 1, Due: 1},
-		{ID: "first class", Band: 2, Priority: 1, Covered: true, Due: 5},
-		{ID: "another", Band: 3, Priority: 1},
+		{ID: "late", EvacuationRank: 1, Late: true, Priority: 2},
+		{ID: "aged", EvacuationRank: 3, Aged: true},
+		{ID: "guaranteed", EvacuationRank: 3, WithinGuarantee: true, Priority: 1},
+		{ID: "urgent", EvacuationRank: 1, Priority: 2, StartBy: 9},
+		{ID: "due sooner", EvacuationRank: 2, Priority: 1, StartBy: 1},
+		{ID: "first class", EvacuationRank: 2, Priority: 1, WithinGuarantee: true, StartBy: 5},
+		{ID: "another", EvacuationRank: 3, Priority: 1},
 	}
-	slices.SortFunc(jobs, Less)
+	slices.SortFunc(jobs, Compare)
 	for i, want := range []string{"aged", "urgent", "late", "first class", "due sooner", "guaranteed", "another"} {
 		if jobs[i].ID != want {
 			t.Errorf("number %d is %s, want %s", i, jobs[i].ID, want)
@@ -34,8 +34,8 @@
 	}{{"", false, 2}, {"", true, 0}, {"b", true, 0}, {"a", true, 2}, {"a", false, 2}}
 	for _, c := range cases {
 		for _, whole := range []bool{false, true} {
-			machine := []Machine{{ID: "i-1", Zone: "a", Free: Resources{CPU: 4000, Mem: 4000}, Closed: c.closed}}
-			job := Job{ID: "j", Bound: c.bound, Need: Resources{CPU: 1000, Mem: 1000}, Waiting: 2, Total: 2, Whole: whole}
+			machine := []Machine{{ID: "i-1", Zone: "a", Free: Resources{CPU: 4000, Mem: 4000}, ZoneBoundOnly: c.closed}}
+			job := Job{ID: "j", OnlyZone: c.bound, Need: Resources{CPU: 1000, Mem: 1000}, Waiting: 2, Total: 2, Gang: whole}
 			planned, filled := job, job
 			Plan(slices.Clone(machine), []*Job{&planned}, nil)
 			Fill(&slices.Clone(machine)[0], []*Job{&filled}, nil)
--- a/staffing/estimate.go
+++ b/staffing/estimate.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// Estimate corrects a class's estimated run times by what ran. Owners are wrong
+// RuntimeEstimator corrects a class's estimated run times by what ran. Owners are wrong
 // by a factor, so it is a line through logarithms: a slope below one draws
 // extreme estimates toward the class's middle, and the line's height removes a
 // bias that a day's estimates have in common.
-type Estimate struct {
+type RuntimeEstimator struct {
 	n, x, y, xx, xy float64 // decayed sums
 }
 
 // Observe counts a task that ran in one go, of a job of tasks tasks. They have one
 // estimate, so all of them tell about as much as one: counted one by one, two arrays
 // of 50 were all that the line went through.
-func (e *Estimate) Observe(estimated, ran float64, tasks int) {
+func (e *RuntimeEstimator) Observe(estimated, ran float64, tasks int) {
 	if estimated <= 0 || ran <= 0 {
 		return
 	}
@@ -27,9 +27,9 @@
 	e.xy = e.xy*keep + x*y*part
 }
 
-// Corrected is the run time to be expected for an estimate. With few jobs
+// Predict is the run time to be expected for an estimate. With few jobs
 // seen the owner is trusted nearly in full.
-func (e *Estimate) Corrected(estimated float64) float64 {
+func (e *RuntimeEstimator) Predict(estimated float64) float64 {
 	if estimated <= 0 || e.n == 0 {
 		return estimated
 	}
@@ -42,10 +42,10 @@
 }
 
 // Moments is what the estimate has learned, for Restore.
-func (e *Estimate) Moments() []float64 { return []float64{e.n, e.x, e.y, e.xx, e.xy} }
+func (e *RuntimeEstimator) Moments() []float64 { return []float64{e.n, e.x, e.y, e.xx, e.xy} }
 
 // Restore goes on from another estimate's moments, and tells whether they are any.
-func (e *Estimate) Restore(moments []float64) bool {
+func (e *RuntimeEstimator) Restore(moments []float64) bool {
 	if len(moments) != len(e.Moments()) || moments[0] < 0 {
 		return false
 	}
--- a/staffing/staffing.go
+++ b/staffing/staffing.go
@@ -10,10 +10,10 @@
 	"caperlatch/internal/micros"
 )
 
-// Step carries the infinite-server mean m over dt seconds of the paper's
+// StepMean carries the infinite-server mean m over dt seconds of the paper's
 // equation (12), m' = λ - μm, with λ and μ constant. The closed form is exact
 // for any dt, so a late timer does not distort m.
-func Step(m, lambda, mu, dt float64) float64 {
+func StepMean(m, lambda, mu, dt float64) float64 {
 	if mu <= 0 {
 		return m + lambda*dt
 	}
@@ -30,7 +30,7 @@
 // PeakMean is the largest m over the next interval seconds when λ stays as it
 // is: m moves monotonically toward λ/μ, so it is at one of the interval's ends.
 func PeakMean(m, lambda, mu, interval float64) float64 {
-	return math.Max(m, Step(m, lambda, mu, interval))
+	return math.Max(m, StepMean(m, lambda, mu, interval))
 }
 
 // Peakedness is the paper's z(t), formulas (17) to (19), for work that comes in
@@ -40,19 +40,19 @@
 // adds the other half.
 func Peakedness(batches, taskSize float64) float64 { return (batches + taskSize) / 2 }
 
-// PricedZ is z for machines that cost k times as much as the cheapest. The
+// ZForPrice is z for machines that cost k times as much as the cheapest. The
 // paper leaves α to the user; spare machines are worth their price as long as
 // the chance that they are needed is in proportion to it, so α grows with k,
 // up to an even chance (z = 0, no spare machines).
-func PricedZ(z, k float64) float64 {
+func ZForPrice(z, k float64) float64 {
 	alpha := math.Min(0.5, math.Max(1, k)*math.Erfc(z/math.Sqrt2)/2)
 	return math.Sqrt2 * math.Erfinv(1-2*alpha)
 }
 
-// Window measures a rate: the weight that came in over the last length, or over as
+// DemandWindow measures a rate: the weight that came in over the last length, or over as
 // much of it as enough entries came in: a busy deployment's rate is known sooner,
 // and one that lags behind rents for a wave that has passed.
-type Window struct {
+type DemandWindow struct {
 	length  micros.Micros
 	began   micros.Micros // first entry
 	entries []entry
@@ -61,8 +61,8 @@
 
 // Entries that make a rate, and the part of the length that is looked at at least.
 const (
-	enoughEntries = 20
-	leastPart     = 3
+	minRateEntries = 20
+	minWindowShare = 3
 )
 
 type entry struct {
@@ -70,12 +70,12 @@
 	weight float64
 }
 
-// NewWindow measures over a length.
-func NewWindow(length micros.Micros) *Window { return &Window{length: length} }
+// NewDemandWindow measures over a length.
+func NewDemandWindow(length micros.Micros) *DemandWindow { return &DemandWindow{length: length} }
 
 // Add counts weight at an instant not before the last one; less than nothing takes back
 // what turned out to be no demand.
-func (w *Window) Add(at micros.Micros, weight float64) {
+func (w *DemandWindow) Add(at micros.Micros, weight float64) {
 	if w.began == 0 {
 		w.began = at
 	}
@@ -85,7 +85,7 @@
 
 // Rate is the weight a second over the window. In the beginning, what waits at
 // the start is no sign of a high rate, so it is spread over the whole window.
-func (w *Window) Rate(now micros.Micros) float64 {
+func (w *DemandWindow) Rate(now micros.Micros) float64 {
 	n := 0
 	for n < len(w.entries) && w.entries[n].at <= now-w.length {
 		w.sum -= w.entries[n].weight
@@ -95,10 +95,10 @@
 	if len(w.entries) == 0 {
 		w.sum = 0
 	}
-	if len(w.entries) < enoughEntries || now-w.began < w.length {
+	if len(w.entries) < minRateEntries || now-w.began < w.length {
 		return math.Max(0, w.sum) / w.length.Seconds()
 	}
-	span := max(now-w.entries[len(w.entries)-enoughEntries].at, w.length/leastPart)
+	span := max(now-w.entries[len(w.entries)-minRateEntries].at, w.length/minWindowShare)
 	sum := 0.0
 	for _, e := range slices.Backward(w.entries) {
 		if e.at < now-span {
@@ -112,9 +112,9 @@
 // EarlyRate is Rate for a stream that begins in the midst of a day: nothing waited for it, so
 // what came in tells its rate as soon as a part of the window has passed. Until all of it
 // has, few entries tell the rate badly, and z standard deviations of their number are added.
-func (w *Window) EarlyRate(now micros.Micros, z float64) float64 {
+func (w *DemandWindow) EarlyRate(now micros.Micros, z float64) float64 {
 	rate := w.Rate(now)
-	span := max(now-w.began, w.length/leastPart)
+	span := max(now-w.began, w.length/minWindowShare)
 	if span >= w.length || len(w.entries) == 0 {
 		return rate
 	}
@@ -122,12 +122,12 @@
 	return rate * (1 + margin) * w.length.Seconds() / span.Seconds()
 }
 
-// MinTasks is how many tasks must have finished before their run times are
+// MinFinishedTasks is how many tasks must have finished before their run times are
 // used instead of the owners' estimates.
-const MinTasks = 20
+const MinFinishedTasks = 20
 
-// Service keeps the mean time that work holds its share of a machine.
-type Service struct {
+// ServiceTime keeps the mean time that work holds its share of a machine.
+type ServiceTime struct {
 	estimate, measured mean
 }
 
@@ -144,15 +144,15 @@
 }
 
 // Estimate counts what owners say of work that came in.
-func (s *Service) Estimate(weight, seconds float64) { s.estimate.add(weight, seconds, 1) }
+func (s *ServiceTime) Estimate(weight, seconds float64) { s.estimate.add(weight, seconds, 1) }
 
-// Batches counts what jobs bring at once, for the peakedness.
-type Batches struct{ sum, squares, tasks, tight float64 }
+// BatchSizes counts what jobs bring at once, for the peakedness.
+type BatchSizes struct{ sum, squares, tasks, tight float64 }
 
 // Add counts a job that brings weight machines' worth of work in tasks tasks.
 // Spare machines are for those who cannot wait until one has booted; a job that
 // can counts in the mean alone.
-func (l *Batches) Add(weight float64, tasks int, canWait bool) {
+func (l *BatchSizes) Add(weight float64, tasks int, canWait bool) {
 	if tasks <= 0 {
 		return
 	}
@@ -166,16 +166,16 @@
 }
 
 // Peakedness of what came in; 1, the paper's default, while nothing has.
-func (l *Batches) Peakedness() float64 {
+func (l *BatchSizes) Peakedness() float64 {
 	if l.sum <= 0 {
 		return 1
 	}
 	return Peakedness(l.squares/l.sum, l.tasks/l.sum)
 }
 
-// Tight is the share of the work whose jobs cannot wait; all of it while
+// TightShare is the share of the work whose jobs cannot wait; all of it while
 // nothing has come in.
-func (l *Batches) Tight() float64 {
+func (l *BatchSizes) TightShare() float64 {
 	if l.sum <= 0 {
 		return 1
 	}
@@ -183,14 +183,14 @@
 }
 
 // Finished counts a finished task of a job of tasks tasks.
-func (s *Service) Finished(weight, seconds float64, tasks int) {
+func (s *ServiceTime) Finished(weight, seconds float64, tasks int) {
 	s.measured.add(weight, seconds, 1/math.Max(1, float64(tasks)))
 }
 
-// Mu is one over the mean time; finished says how many tasks have finished.
-func (s *Service) Mu(finished int) float64 {
+// Rate is one over the mean time; finished says how many tasks have finished.
+func (s *ServiceTime) Rate(finished int) float64 {
 	m := s.estimate
-	if finished >= MinTasks && s.measured.weight > 0 || m.weight == 0 {
+	if finished >= MinFinishedTasks && s.measured.weight > 0 || m.weight == 0 {
 		m = s.measured
 	}
 	if m.weight <= 0 || m.sum <= 0 {
@@ -201,7 +201,7 @@
 
 // Seed starts a new window with a rate that was measured before, as if it had
 // come in evenly.
-func (w *Window) Seed(now micros.Micros, rate float64) {
+func (w *DemandWindow) Seed(now micros.Micros, rate float64) {
 	const parts = 10
 	w.entries, w.sum, w.began = nil, 0, now
 	for i := range parts {
--- a/staffing/staffing_test.go
+++ b/staffing/staffing_test.go
@@ -12,7 +12,7 @@
 func TestServers(t *testing.T) {
 	m := 0.0
 	for k, want := range []int{77, 103, 112, 115, 117, 117, 117} {
-		m = Step(m, 100, 1, 1)
+		m = StepMean(m, 100, 1, 1)
 		if got := Servers(m, m, 1.645); got != want {
 			t.Errorf("interval %d: %d servers, the paper has %d", k+1, got, want)
 		}
@@ -43,11 +43,11 @@
 	}{
 		{"toward the offered load", 0, 2, 0.1, 1e4, 20},
 		{"decay", 10, 0, 0.1, 10, 10 / math.E},
-		{"many small steps are one large", Step(Step(3, 1, 0.5, 1), 1, 0.5, 1), 1, 0.5, 0, Step(3, 1, 0.5, 2)},
+		{"many small steps are one large", StepMean(StepMean(3, 1, 0.5, 1), 1, 0.5, 1), 1, 0.5, 0, StepMean(3, 1, 0.5, 2)},
 		{"nothing ever ends", 1, 2, 0, 3, 7},
 	}
 	for _, c := range cases {
-		if got := Step(c.m, c.lambda, c.mu, c.dt); !near(got, c.w) {
+		if got := StepMean(c.m, c.lambda, c.mu, c.dt); !near(got, c.w) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.w)
 		}
 	}
@@ -61,20 +61,20 @@
 
 func TestMargin(t *testing.T) {
 	// Poisson arrivals of whole machines: the paper's default v = m.
-	var single Batches
+	var single BatchSizes
 	single.Add(1, 1, false)
 	single.Add(1, 1, false)
 	if got := single.Peakedness(); !near(got, 1) {
 		t.Errorf("single arrivals: peakedness %v, want 1", got)
 	}
 	// Batches of four whole machines: (4+1)/2.
-	var batches Batches
+	var batches BatchSizes
 	batches.Add(4, 4, false)
 	if got := batches.Peakedness(); !near(got, 2.5) {
 		t.Errorf("batches of four: peakedness %v, want 2.5", got)
 	}
 	for _, c := range []struct{ z, k, want float64 }{{1.282, 1, 1.282}, {1.282, 3, 0.524}, {1.282, 5, 0}, {1.282, 50, 0}} {
-		if got := PricedZ(c.z, c.k); math.Abs(got-c.want) > 2e-3 {
+		if got := ZForPrice(c.z, c.k); math.Abs(got-c.want) > 2e-3 {
 			t.Errorf("z %v at %v times the price: %v, want %v", c.z, c.k, got, c.want)
 		}
 	}
@@ -82,7 +82,7 @@
 
 func TestWindow(t *testing.T) {
 	s := micros.Second
-	w := NewWindow(60 * s)
+	w := NewDemandWindow(60 * s)
 	for i := range 60 {
 		w.Add(100*s+micros.Micros(i)*s, 2)
 	}
@@ -95,7 +95,7 @@
 		}
 	}
 	// Five a second, then none for 10 s: a third of the length tells enough.
-	w = NewWindow(60 * s)
+	w = NewDemandWindow(60 * s)
 	for i := range 600 {
 		w.Add(s+micros.Micros(i)*s/5, 1)
 	}
@@ -107,7 +107,7 @@
 			t.Errorf("busy, rate at %v: %v, want %v", c.at, got, c.want)
 		}
 	}
-	w = NewWindow(60 * s)
+	w = NewDemandWindow(60 * s)
 	w.Add(s, 30)
 	if got := w.Rate(s); got != 0.5 {
 		t.Errorf("right after the start: %v, want 30 over the whole window", got)
@@ -119,14 +119,14 @@
 }
 
 func TestService(t *testing.T) {
-	var s Service
+	var s ServiceTime
 	s.Estimate(1, 50)
 	s.Finished(1, 20, 1)
 	for _, c := range []struct {
 		finished int
 		want     float64
-	}{{MinTasks - 1, 1.0 / 50}, {MinTasks, 1.0 / 20}} {
-		if got := s.Mu(c.finished); !near(got, c.want) {
+	}{{MinFinishedTasks - 1, 1.0 / 50}, {MinFinishedTasks, 1.0 / 20}} {
+		if got := s.Rate(c.finished); !near(got, c.want) {
 			t.Errorf("after %d tasks: μ %v, want %v", c.finished, got, c.want)
 		}
 	}
@@ -135,8 +135,8 @@
 // TestEstimate has owners who are wrong by a factor two either way, on a day
 // when all estimates are three times too high.
 func TestEstimate(t *testing.T) {
-	var e Estimate
-	if got := e.Corrected(40); got != 40 {
+	var e RuntimeEstimator
+	if got := e.Predict(40); got != 40 {
 		t.Errorf("nothing seen: %v, want the owner's 40", got)
 	}
 	for range 100 {
@@ -144,13 +144,13 @@
 			e.Observe(x.est, x.ran, 1)
 		}
 	}
-	if got := e.Corrected(120); got < 25 || got > 45 {
+	if got := e.Predict(120); got < 25 || got > 45 {
 		t.Errorf("120 corrected to %v, want about 35", got)
 	}
-	if got := e.Corrected(2000); got > 200 {
+	if got := e.Predict(2000); got > 200 {
 		t.Errorf("an absurd estimate stays at %v", got)
 	}
-	if lo, hi := e.Corrected(30), e.Corrected(240); lo >= hi {
+	if lo, hi := e.Predict(30), e.Predict(240); lo >= hi {
 		t.Errorf("a longer estimate is not longer: %v, %v", lo, hi)
 	}
 }
@@ -158,21 +158,21 @@
 func TestBacklog(t *testing.T) {
 	cases := []struct {
 		name    string
-		waiting []Demand
-		running []Running
+		waiting []WaitingWork
+		running []RunningWork
 		mean    float64
 		supply  float64
 		want    float64
 	}{
-		{"nothing waits", nil, []Running{{100, 100}}, 0, 1, 0},
-		{"no machines yet", []Demand{{Work: 400, Due: 10}}, nil, 0, 0, 20}, // within a boot of 20 s
-		{"what ends soon makes room", []Demand{{Work: 100, Due: 20}}, []Running{{10, 5}}, 0, 10, 0},
-		{"what runs long does not", []Demand{{Work: 100, Due: 20}}, []Running{{10, 500}}, 0, 10, 5},
-		{"nor where more comes in", []Demand{{Work: 100, Due: 20}}, []Running{{10, 5}}, 8, 10, 3},
-		{"time enough", []Demand{{Work: 400, Due: 600}}, nil, 0, 10, 0},
+		{"nothing waits", nil, []RunningWork{{100, 100}}, 0, 1, 0},
+		{"no machines yet", []WaitingWork{{Work: 400, DueInS: 10}}, nil, 0, 0, 20}, // within a boot of 20 s
+		{"what ends soon makes room", []WaitingWork{{Work: 100, DueInS: 20}}, []RunningWork{{10, 5}}, 0, 10, 0},
+		{"what runs long does not", []WaitingWork{{Work: 100, DueInS: 20}}, []RunningWork{{10, 500}}, 0, 10, 5},
+		{"nor where more comes in", []WaitingWork{{Work: 100, DueInS: 20}}, []RunningWork{{10, 5}}, 8, 10, 3},
+		{"time enough", []WaitingWork{{Work: 400, DueInS: 600}}, nil, 0, 10, 0},
 	}
 	for _, c := range cases {
-		if got := Backlog(c.waiting, c.running, c.mean, c.supply, 20); !near(got, c.want) {
+		if got := BacklogShortage(c.waiting, c.running, c.mean, c.supply, 20); !near(got, c.want) {
 			t.Errorf("%s: %v CPUs, want %v", c.name, got, c.want)
 		}
 	}
@@ -192,7 +192,7 @@
 		{"none can be", 0, 8, 0.1, math.MaxInt32},
 	}
 	for _, c := range cases {
-		if got := Standing(c.wait, c.interval, c.alpha); got != c.want {
+		if got := IdleMachines(c.wait, c.interval, c.alpha); got != c.want {
 			t.Errorf("%s: %d servers, want %d", c.name, got, c.want)
 		}
 	}
@@ -213,7 +213,7 @@
 		{"with a standard deviation", 40, 1, 0.6},
 		{"after all of it it is the rate", 100, 1, 0.4},
 	} {
-		w := NewWindow(60 * micros.Second)
+		w := NewDemandWindow(60 * micros.Second)
 		began := 1000 * micros.Second
 		for at := int64(0); at <= c.after; at += 5 {
 			w.Add(began+micros.Micros(at)*micros.Second, 2)
--- a/staffing/standing.go
+++ b/staffing/standing.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Standing is how many servers must have room so that, with a chance of 1-alpha, one of
+// IdleMachines is how many servers must have room so that, with a chance of 1-alpha, one of
 // them can be reached within wait. A server is reached once in every interval, and the
 // servers at times that are independent of each other; so each is reached within wait with
 // the chance wait/interval.
-func Standing(wait, interval, alpha float64) int {
+func IdleMachines(wait, interval, alpha float64) int {
 	if wait >= interval || alpha >= 1 {
 		return 1
 	}
