--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -82,7 +82,7 @@
 	for _, c := range cases {
 		l, _ := newTest(t)
 		m := l.machines["i-1"]
-		m.address, m.current = "i-1:9000", false
+		m.instance.address, m.heartbeat.ofThisTerm = "i-1:9000", false
 		l.WorkerClient = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if d.FencingToken != token || len(d.Commands) != 0 {
 				t.Errorf("%s: asked with token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
@@ -94,13 +94,13 @@
 			}
 			return c.worker(d)
 		})}
-		if done := l.ask(t.Context(), m); done != c.done || m.resolved != c.done {
-			t.Errorf("%s: done %v, resolved %v", c.name, done, m.resolved)
+		if done := l.queryTasks(t.Context(), m); done != c.done || m.tasksKnown() != c.done {
+			t.Errorf("%s: done %v, resolved %v", c.name, done, m.tasksKnown())
 		}
-		if c.done && m.tasks["j-000001/0"] == nil {
+		if c.done && m.attempts["j-000001/0"] == nil {
 			t.Errorf("%s: the running task is not known", c.name)
 		}
-		if now := micros.Now(); c.done && now > l.leaseOver(m) {
+		if now := micros.Now(); c.done && now > l.leaseExpiry(m) {
 			t.Errorf("%s: its lease counts as over", c.name)
 		}
 		l.plannedAt = 0
@@ -125,20 +125,22 @@
 		{"many are", 20, 12, 8, false},
 	} {
 		l, _ := newTest(t)
-		b := l.bookings["r-1"]
+		b := l.intents["r-1"]
 		for i := range 19 {
-			l.addMachine(string(rune('a'+i)), b, l.began).up = true
+			l.addMachine(string(rune('a'+i)), b, l.startedAt).instance.running = true
 		}
-		now := l.began + askedLimit + 100*micros.Millisecond
-		for i, m := range l.order {
-			m.reported, m.answered, m.resolved = now, now, true
+		now := l.startedAt + unresponsiveLimit + 100*micros.Millisecond
+		for i, m := range l.sorted {
+			m.heartbeat.receivedAt, m.lease.renewedAt = now, now
+			m.reconciliation.knowledge = tasksConfirmed
 			if i < c.unresolved {
-				m.reported, m.answered, m.resolved, m.asks = 0, 0, false, 2
+				m.heartbeat.receivedAt, m.lease.renewedAt, m.reconciliation.failedQueries = 0, 0, 2
+				m.reconciliation.knowledge = tasksUnknown
 			}
 		}
-		l.zoneAnswers["a"] = answers{c.asked, c.answers}
-		l.watchMachines(now)
-		if got := l.order[0].leaving; got != c.leaves {
+		l.zoneQueries["a"] = queryCounts{c.asked, c.answers}
+		l.checkMachines(now)
+		if got := l.sorted[0].instance.terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
@@ -161,25 +163,25 @@
 		{"all returned", 0, true, false},
 	}
 	l, _ := newTest(t)
-	b := l.bookings["r-1"]
+	b := l.intents["r-1"]
 	now := micros.Now() + micros.Second
 	for _, s := range steps {
-		l.order, l.machines = nil, map[string]*machine{}
+		l.sorted, l.machines = nil, map[string]*machine{}
 		now += 100 * micros.Second
 		for i := range s.machines {
 			m := l.addMachine(fmt.Sprintf("i-%d", i), b, now)
-			m.up = true
-			if m.reported = now; s.silent {
-				m.reported = now - 50*micros.Second
+			m.instance.running = true
+			if m.heartbeat.receivedAt = now; s.silent {
+				m.heartbeat.receivedAt = now - 50*micros.Second
 			}
 		}
-		l.watchZones(now)
+		l.observeZones(now)
 		// All of the only zone is most of the network, too.
 		want := zone.Decision{Rent: zone.AnyNumber, Reachable: true, Open: 1}
 		if s.cut {
 			want = zone.Decision{KeepSilent: true, Open: 1}
 		}
-		if got := l.zones.Decide("a"); got != want {
+		if got := l.policy.Decide("a"); got != want {
 			t.Errorf("%s: %+v, want %+v", s.name, got, want)
 		}
 	}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -51,12 +51,12 @@
 		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
 	}
 	for i := range machines / 50 {
-		b := booking{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
+		b := launchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
 		for k := range 50 {
 			b.Machines = append(b.Machines, benchMachine(i*50+k))
 		}
 		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), b, uint64(i+5000))
-		r.ApplyPut(runningListKey(i), runningList{Machines: b.Machines}, uint64(i+6000))
+		r.ApplyPut(machineListKey(i), machineList{Machines: b.Machines}, uint64(i+6000))
 	}
 	return r
 }
@@ -71,8 +71,8 @@
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: r,
 		Store: statestore.New("unused", s.Params.State, nil), FencingToken: token,
 		Term: &fakeTerm{held: true, sure: true, confirmed: now + 3600*micros.Second, alone: now}})
-	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 60, ImagePullGBPerS: 1, OnDemandPrice: 0.97, SpotPrice: 0.35, BootTimeS: 50, Zones: []string{"a", "b"}}}})
-	if err := l.rebuild(); err != nil {
+	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 60, ImagePullGBPerS: 1, OnDemandPrice: 0.97, SpotPrice: 0.35, BootTimeS: 50, Zones: []string{"a", "b"}}}})
+	if err := l.rebuildState(); err != nil {
 		b.Fatal(err)
 	}
 	return l
@@ -145,9 +145,9 @@
 		l := newBench(b, benchReplica(machines))
 		full(b, l, machines)
 		n := 0
-		for _, m := range l.order {
+		for _, m := range l.sorted {
 			if n++; n%20 == 0 {
-				l.lose(m, "benchmark")
+				l.releaseAll(m, "benchmark")
 			}
 		}
 		b.ResetTimer()
@@ -165,7 +165,7 @@
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.watchMachines(micros.Now())
+			l.checkMachines(micros.Now())
 		}
 	})
 }
@@ -179,7 +179,7 @@
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.staff(micros.Now())
+			l.autoscale(micros.Now())
 		}
 	})
 }
--- a/internal/leader/boot_test.go
+++ b/internal/leader/boot_test.go
@@ -32,14 +32,14 @@
 	for _, c := range cases {
 		l, _ := newTest(t)
 		l.types["m4"].BootTimeS = 20
-		l.returned(l.machines["i-1"])
-		now := l.began + 1000*s
-		l.lateBoots = boots{c.came, c.never}
+		l.removeMachine(l.machines["i-1"])
+		now := l.startedAt + 1000*s
+		l.bootOutcomes = bootOutcomes{c.came, c.never}
 		add := func(i int, age micros.Micros, up bool) *machine {
-			m := l.addMachine(fmt.Sprintf("i-1%02d", i), &booking{id: "r-5", Type: "m4", Zone: "a", Answered: true}, now)
-			m.rentedAt, m.up, m.reported, m.answered = now-age, up, now, now
+			m := l.addMachine(fmt.Sprintf("i-1%02d", i), &launchIntent{id: "r-5", Type: "m4", Zone: "a", Answered: true}, now)
+			m.instance.launchedAt, m.instance.running, m.heartbeat.receivedAt, m.lease.renewedAt = now-age, up, now, now
 			if up {
-				m.runningList = 0
+				m.instance.list = 0
 			}
 			return m
 		}
@@ -49,22 +49,22 @@
 		for i := range max(c.newer, -c.newer) {
 			add(10+i, c.age-20*s, c.newer > 0)
 		}
-		l.watchMachines(now)
+		l.checkMachines(now)
 		m := l.machines["i-109"]
 		probes := 0
-		for _, o := range l.order {
-			if o.leaving && o.withMost && o != m {
+		for _, o := range l.sorted {
+			if o.instance.terminating && o.instance.lateWithCohort && o != m {
 				probes++
 			}
 		}
-		if want := c.age > 50*s && m.withMost && !c.left; (probes == 1) != want {
+		if want := c.age > 50*s && m.instance.lateWithCohort && !c.left; (probes == 1) != want {
 			t.Errorf("%s: %d replaced to see whether others boot sooner", c.name, probes)
 		}
-		if got := l.overdue(m, now); got != c.overdue {
+		if got := l.isOverdue(m, now); got != c.overdue {
 			t.Errorf("%s: overdue %v, want %v", c.name, got, c.overdue)
 		}
-		if m.leaving != c.left {
-			t.Errorf("%s: returned %v, want %v", c.name, m.leaving, c.left)
+		if m.instance.terminating != c.left {
+			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.left)
 		}
 	}
 }
@@ -75,16 +75,16 @@
 	for _, waited := range []micros.Micros{0, 45 * micros.Second, 300 * micros.Second} {
 		l, _ := newTest(t)
 		l.types["m4"].BootTimeS = 20
-		b := &booking{id: "r-5", Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - waited}
-		l.bookings[b.id] = b
-		l.rented(b, []string{"i-7", "i-8"})
+		b := &launchIntent{id: "r-5", Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - waited}
+		l.intents[b.id] = b
+		l.recordLaunch(b, []string{"i-7", "i-8"})
 		now := micros.Now() + micros.Second
 		for _, id := range []string{"i-7", "i-8"} {
 			m := l.machines[id]
-			if age := now - m.rentedAt; age > 2*micros.Second {
+			if age := now - m.instance.launchedAt; age > 2*micros.Second {
 				t.Errorf("answered after %v: %s counts as rented for %v", waited.Duration(), id, age.Duration())
 			}
-			if l.overdue(m, now) {
+			if l.isOverdue(m, now) {
 				t.Errorf("answered after %v: %s is taken for late", waited.Duration(), id)
 			}
 		}
--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -44,29 +44,30 @@
 		term.held = c.held
 		now := micros.Now() + 1000*s
 		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Tasks: 20, CPUs: 1, EstimatedRuntimeS: 300, AllowSpot: true, CheckpointIntervalS: c.saves, CheckpointDurationS: 3}}, false)
-		if j.submitted = micros.Wall(); c.due > 0 {
+		if j.submittedAt = micros.Wall(); c.due > 0 {
 			j.spec.DeadlineS = &c.due
 		}
 		l.jobs = map[string]*job{j.spec.ID: j}
-		l.addMachine("i-2", l.bookings["r-1"], now)
-		for i, m := range l.order {
-			m.up, m.stored, m.upStored, m.resolved, m.current, m.reported = true, true, true, true, true, now
+		l.addMachine("i-2", l.intents["r-1"], now)
+		for i, m := range l.sorted {
+			m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm, m.heartbeat.receivedAt = true, true, true, true, now
+			m.reconciliation.knowledge = tasksConfirmed
 			for range c.tasks[i] {
-				task, _ := j.take()
-				l.hold(&attempt{job: j, task: task, n: 1, machine: m, sentAt: 1, began: now - c.ran, running: now - c.ran, state: wire.TaskRunning})
+				task, _ := j.takeWaitingTask()
+				l.assign(&attempt{job: j, index: task, number: 1, machine: m, startSequence: 1, startedAt: now - c.ran, runningSince: now - c.ran, reportedState: wire.TaskRunning})
 			}
 		}
-		l.order[0].surplus, l.order[1].closedToPatient = c.surplus, c.closedToPatient
-		l.order[0].surplusAt = now - c.since
+		l.sorted[0].surplus, l.sorted[1].rejectsDelayTolerant = c.surplus, c.closedToPatient
+		l.sorted[0].surplusSince = now - c.since
 		if c.waiting {
 			l.queue.jobs = []*job{j}
 		}
 		l.consolidate(now)
-		if got := l.order[0].draining == spread; got != c.emptied || l.order[1].draining != "" {
-			t.Errorf("%s: emptied %v (the other: %q), want %v", c.name, got, l.order[1].draining, c.emptied)
+		if got := l.sorted[0].drainReason == drainForConsolidation; got != c.emptied || l.sorted[1].drainReason != "" {
+			t.Errorf("%s: emptied %v (the other: %q), want %v", c.name, got, l.sorted[1].drainReason, c.emptied)
 		}
-		for _, a := range l.order[0].tasks {
-			if stopped := a.stopped != 0 && a.grace == 3*s; stopped != c.emptied {
+		for _, a := range l.sorted[0].attempts {
+			if stopped := a.stopRequestedAt != 0 && a.gracePeriod == 3*s; stopped != c.emptied {
 				t.Errorf("%s: a task is stopped with time to save: %v", c.name, stopped)
 			}
 		}
@@ -90,16 +91,16 @@
 		l, _ := newTest(t)
 		for i, p := range c.priorities {
 			if i > 0 {
-				l.addMachine(fmt.Sprintf("i-%d", i+1), l.bookings["r-1"], l.began)
+				l.addMachine(fmt.Sprintf("i-%d", i+1), l.intents["r-1"], l.startedAt)
 			}
 			j := newJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00030%d", i), Team: "blue", Tasks: 1, CPUs: 1, AllowSpot: true}}, false)
 			j.priority = p
-			l.hold(&attempt{job: j, machine: l.order[i]})
+			l.assign(&attempt{job: j, machine: l.sorted[i]})
 		}
-		l.closeToPatient(l.types["m4"], c.want, c.need)
+		l.closeToDelayTolerant(l.types["m4"], c.want, c.need)
 		n := 0
-		for _, m := range l.order {
-			if m.closedToPatient {
+		for _, m := range l.sorted {
+			if m.rejectsDelayTolerant {
 				n++
 			}
 		}
@@ -130,14 +131,15 @@
 	} {
 		l, _ := newTest(t)
 		m, now := l.machines["i-1"], micros.Now()+1000*s
-		m.resolved, m.reported = true, now
+		m.heartbeat.receivedAt = now
+		m.reconciliation.knowledge = tasksConfirmed
 		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimatedRuntimeS: 300, CheckpointIntervalS: 30, CheckpointDurationS: 3, AllowSpot: true}}, false)
 		l.jobs = map[string]*job{j.spec.ID: j}
 		for range 4 {
-			task, _ := j.take()
-			l.hold(&attempt{job: j, task: task, machine: m, began: now - c.ran, running: now - c.ran, protected: c.protected})
+			task, _ := j.takeWaitingTask()
+			l.assign(&attempt{job: j, index: task, machine: m, startedAt: now - c.ran, runningSince: now - c.ran, protected: c.protected})
 		}
-		ms, _ := l.withVictims(now)
+		ms, _ := l.machinesWithVictims(now)
 		if len(ms) != 1 || len(ms[0].Victims) != 4 {
 			t.Fatalf("%s: %+v", c.name, ms)
 		}
--- a/internal/leader/counts_test.go
+++ b/internal/leader/counts_test.go
@@ -17,7 +17,7 @@
 	for i := range jobs {
 		id := fmt.Sprintf("j-1%05d", i)
 		j := newJob(replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{ID: id, Tasks: 1}}, false)
-		j.running = 1
+		j.runningCount = 1
 		l.jobs[id] = j
 	}
 	counts, _ := l.AllTaskCounts()
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -33,17 +33,17 @@
 // Bounds of the memory for notes, and of what is shown of one job. A zone with half of 4,000
 // machines loses some 16,000 tasks at once, and each has its note; they take 4 MB at most.
 const (
-	maxNotes   = 20000
-	shownNotes = 50
+	maxRecordedStops = 20000
+	maxShownEntries  = 50
 )
 
-func (l *Leader) note(a *attempt, why string) {
-	n := StopNote{Task: taskName(a.job.spec.ID, a.task), Attempt: a.n, Machine: a.machine.id, At: micros.Wall(), Why: why}
+func (l *Leader) recordStop(a *attempt, why string) {
+	n := StopNote{Task: taskID(a.job.spec.ID, a.index), Attempt: a.number, Machine: a.machine.id, At: micros.Wall(), Why: why}
 	slog.Debug("task stopped", "task", n.Task, "machine", n.Machine, "why", why)
-	if len(l.lastStops) >= maxNotes {
-		l.lastStops = slices.Delete(l.lastStops, 0, maxNotes/4)
+	if len(l.recentStops) >= maxRecordedStops {
+		l.recentStops = slices.Delete(l.recentStops, 0, maxRecordedStops/4)
 	}
-	l.lastStops = append(l.lastStops, n)
+	l.recentStops = append(l.recentStops, n)
 }
 
 // Explanation tells the duty team about a job: what is known of it, by which node and
@@ -81,15 +81,15 @@
 	if j == nil {
 		return e, len(e.Stops) > 0
 	}
-	e.Tasks, e.Done, e.Running, e.Waiting = j.spec.Tasks, j.ndone, j.running, j.waiting()
+	e.Tasks, e.Done, e.Running, e.Waiting = j.spec.Tasks, j.doneCount, j.runningCount, j.waiting()
 	explainTasks(&e, j)
 	if e.Waiting > 0 {
-		e.Why = l.whyWaiting(j)
-	} else if f := j.failing(micros.Now()); f != "" {
+		e.Why = l.waitReasons(j)
+	} else if f := j.describeFailures(micros.Now()); f != "" {
 		e.Why = append(e.Why, f)
 	}
-	e.Why = append(e.Why, l.whyZones(j)...)
-	if _, finishing := l.finals[id]; finishing {
+	e.Why = append(e.Why, l.zoneReasons(j)...)
+	if _, finishing := l.finalJobs[id]; finishing {
 		e.Why = append(e.Why, "all its tasks are done, which is not stored yet")
 	}
 	return e, true
@@ -97,12 +97,12 @@
 
 // explainStops adds the latest stops of a job's tasks.
 func (l *Leader) explainStops(e *Explanation) {
-	for _, s := range l.lastStops {
-		if job, _, err := parseTask(s.Task); err == nil && job == e.Job {
+	for _, s := range l.recentStops {
+		if job, _, err := parseTaskID(s.Task); err == nil && job == e.Job {
 			e.Stops = append(e.Stops, s)
 		}
 	}
-	if more := len(e.Stops) - shownNotes; more > 0 {
+	if more := len(e.Stops) - maxShownEntries; more > 0 {
 		e.Notes = append(e.Notes, fmt.Sprintf("%d earlier stops are not shown", more))
 		e.Stops = e.Stops[more:]
 	}
@@ -110,49 +110,49 @@
 
 // explainTasks adds where a job's tasks are.
 func explainTasks(e *Explanation, j *job) {
-	for _, t := range slices.Sorted(maps.Keys(j.on)) {
-		if len(e.On) == shownNotes {
-			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.on)-shownNotes))
+	for _, t := range slices.Sorted(maps.Keys(j.attempts)) {
+		if len(e.On) == maxShownEntries {
+			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.attempts)-maxShownEntries))
 			return
 		}
-		a := j.on[t]
+		a := j.attempts[t]
 		e.On = append(e.On, TaskNote{
-			Task:    taskName(j.spec.ID, t),
-			Attempt: a.n,
+			Task:    taskID(j.spec.ID, t),
+			Attempt: a.number,
 			Machine: a.machine.id,
-			State:   explainState(a),
-			Since:   micros.Wall() - (micros.Now() - max(a.began, a.running)),
+			State:   describeAttempt(a),
+			Since:   micros.Wall() - (micros.Now() - max(a.startedAt, a.runningSince)),
 		})
 	}
 }
 
-// explainState says what an attempt does.
-func explainState(a *attempt) string {
+// describeAttempt says what an attempt does.
+func describeAttempt(a *attempt) string {
 	switch {
-	case a.stopped != 0:
-		return "being stopped: " + a.why
+	case a.stopRequestedAt != 0:
+		return "being stopped: " + a.stopReason
 	case a.reserved:
 		return "its place is reserved, the start goes with its machine's next report"
-	case a.machine.unconfirmed:
+	case a.machine.reconciliation.knowledge == tasksHandedOver:
 		return "on its machine as the leader before said, which the machine has not confirmed yet"
-	case a.state == wire.TaskWaitingForGang:
+	case a.reportedState == wire.TaskWaitingForGang:
 		return "waiting for the other tasks of its gang"
-	case a.state == "":
+	case a.reportedState == "":
 		return "start sent"
 	}
-	return a.state
+	return a.reportedState
 }
 
-func (l *Leader) whyWaiting(j *job) (why []string) {
+func (l *Leader) waitReasons(j *job) (why []string) {
 	now := micros.Now()
-	teams := l.teamUse()
-	if u := l.unknownTasks(); l.mustWait(j, u) {
-		why = append(why, fmt.Sprintf("%d machines' tasks are not known yet after the take-over", u.machines+l.unconfirmed()))
+	teams := l.worstCaseTeamUse()
+	if u := l.unknownMachinesNow(); l.mustAwaitReconciliation(j, u) {
+		why = append(why, fmt.Sprintf("%d machines' tasks are not known yet after the take-over", u.count+l.countUnconfirmed()))
 	}
-	if f := j.failing(now); f != "" && !j.good() {
+	if f := j.describeFailures(now); f != "" && !j.hasSucceeded() {
 		why = append(why, f)
-	} else if now < j.notBefore {
-		why = append(why, j.waitsFor)
+	} else if now < j.backoffUntil {
+		why = append(why, j.backoffReason)
 	}
 	if t := teams[j.spec.Team]; t != nil && t.Limit.CPU > 0 && t.Used.CPU+j.need.CPU > t.Limit.CPU {
 		why = append(why, "its team uses as many CPUs as it may")
@@ -166,11 +166,11 @@
 		}
 		switch {
 		case j.gang.ending:
-			why = append(why, fmt.Sprintf("its gang was ended, and %d tasks are not gone yet", len(j.on)))
-		case len(j.on) > 0:
-			why = append(why, fmt.Sprintf("%d of its gang's tasks have their places; it is completed under the same attempt", len(j.on)))
-		case l.gatherings[j.spec.ID] != nil && len(l.gatherings[j.spec.ID].machines) > 0:
-			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", len(l.gatherings[j.spec.ID].machines)))
+			why = append(why, fmt.Sprintf("its gang was ended, and %d tasks are not gone yet", len(j.attempts)))
+		case len(j.attempts) > 0:
+			why = append(why, fmt.Sprintf("%d of its gang's tasks have their places; it is completed under the same attempt", len(j.attempts)))
+		case l.reservations[j.spec.ID] != nil && len(l.reservations[j.spec.ID].machines) > 0:
+			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", len(l.reservations[j.spec.ID].machines)))
 		}
 	}
 	if !l.Term.IsExclusive() {
@@ -179,7 +179,7 @@
 	if len(why) > 0 {
 		return why
 	}
-	machines, _ := l.placeable(now, placement.Resources{})
+	machines, _ := l.schedulableMachines(now, placement.Resources{})
 	for i := range machines {
 		if machines[i].Free.Fits(j.need) && !machines[i].ZoneBoundOnly {
 			if j.isGang() {
@@ -190,7 +190,7 @@
 	}
 	coming := 0
 	for _, m := range l.machines {
-		if !m.up {
+		if !m.instance.running {
 			coming++
 		}
 	}
@@ -205,7 +205,7 @@
 	if j == nil {
 		return 0, 0, false
 	}
-	return j.ndone, j.running, true
+	return j.doneCount, j.runningCount, true
 }
 
 // logSnapshot shows now and then what the leader sees.
@@ -217,23 +217,23 @@
 	waiting, held, cpus, open := 0, int64(0), int64(0), 0
 	for _, j := range l.jobs {
 		waiting += j.waiting()
-		if j.ready(now) > 0 {
+		if j.startableTasks(now) > 0 {
 			open++
 		}
 	}
 	for _, m := range l.machines {
-		for _, a := range m.tasks {
-			states[a.state]++
+		for _, a := range m.attempts {
+			states[a.reportedState]++
 			held += a.job.need.CPU
 		}
-		if t := l.types[m.kind.Type]; t != nil && l.mayStart(m, now) {
+		if t := l.types[m.offering.Type]; t != nil && l.canStart(m, now) {
 			cpus += t.capacity.CPU
 		}
 	}
 	targets := map[string]string{}
 	for _, t := range l.types {
-		targets[t.Name] = fmt.Sprintf("m=%.1f want=%.1f target=%d", t.m, t.want, t.target)
+		targets[t.Name] = fmt.Sprintf("m=%.1f want=%.1f target=%d", t.mean, t.wanted, t.target)
 	}
 	slog.Debug("snapshot", "jobs", len(l.jobs), "waiting", waiting, "open", open, "states", states,
-		"held_cpus", held/1000, "usable_cpus", cpus/1000, "machines", len(l.machines), "unresolved", l.unresolved(), "targets", targets)
+		"held_cpus", held/1000, "usable_cpus", cpus/1000, "machines", len(l.machines), "unresolved", l.countUnknownMachines(), "targets", targets)
 }
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
-		b := l.bookings["r-1"]
+		b := l.intents["r-1"]
 		var jobs []*job
 		for i := range 10 {
 			j := newJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00010%d", i), Tasks: 20}}, false)
@@ -49,22 +49,22 @@
 			jobs = append(jobs, j)
 		}
 		for i := 2; i <= 4; i++ {
-			l.addMachine(fmt.Sprintf("i-%d", i), b, l.began)
+			l.addMachine(fmt.Sprintf("i-%d", i), b, l.startedAt)
 		}
-		now := l.began
+		now := l.startedAt
 		for _, step := range c.steps {
 			now += 200 * micros.Millisecond
 			if step == "wait" {
-				now += 2 * probePause
+				now += 2 * maxProbeBackoff
 				continue
 			}
 			j, m := jobs[step[0]-'0'], l.machines["i-"+step[2:]]
 			if step[1] == 'x' {
-				j.failures++
-				l.attributeFault(m, j, now)
+				j.failures.count++
+				l.attributeFailure(m, j, now)
 			} else {
-				j.ndone++
-				l.succeeded(m, j, &attempt{job: j, machine: m, sentAt: 1, began: now}, now)
+				j.doneCount++
+				l.recordSuccess(m, j, &attempt{job: j, machine: m, startSequence: 1, startedAt: now}, now)
 			}
 		}
 		for i := 1; i <= 4; i++ {
@@ -72,7 +72,7 @@
 			for _, d := range c.drained {
 				want = want || d == i
 			}
-			if got := l.machines[fmt.Sprintf("i-%d", i)].draining != ""; got != want {
+			if got := l.machines[fmt.Sprintf("i-%d", i)].drainReason != ""; got != want {
 				t.Errorf("%s: machine %d emptied: %v, want %v", c.name, i, got, want)
 			}
 		}
@@ -81,8 +81,8 @@
 			for _, f := range c.atFault {
 				want = want || f == i
 			}
-			if j.atFault != want {
-				t.Errorf("%s: job %d at fault: %v, want %v", c.name, i, j.atFault, want)
+			if j.failures.quarantined != want {
+				t.Errorf("%s: job %d at fault: %v, want %v", c.name, i, j.failures.quarantined, want)
 			}
 		}
 	}
@@ -92,51 +92,51 @@
 // also by the next leader; it brings no demand; and a success ends all that.
 func TestProbe(t *testing.T) {
 	l, _ := newTest(t)
-	b := l.bookings["r-1"]
+	b := l.intents["r-1"]
 	for i := 2; i <= 3; i++ {
-		l.addMachine(fmt.Sprintf("i-%d", i), b, l.began)
+		l.addMachine(fmt.Sprintf("i-%d", i), b, l.startedAt)
 	}
 	j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
 	l.jobs[j.spec.ID] = j
-	l.demand(j)
+	l.addDemand(j)
 	now := micros.Now()
-	window := l.types["m4"].window
+	window := l.types["m4"].demand
 	before := window.Rate(now)
 	for i := 1; i <= 3; i++ {
-		l.attributeFault(l.machines[fmt.Sprintf("i-%d", i)], j, now)
+		l.attributeFailure(l.machines[fmt.Sprintf("i-%d", i)], j, now)
 	}
 	if after := window.Rate(now); before <= 0 || after >= before/2 {
 		t.Errorf("demand %v before and %v after it was put off", before, after)
 	}
 	var pauses []micros.Micros
 	for range 6 {
-		pauses = append(pauses, j.notBefore-now)
-		if n := j.ready(j.notBefore - 1); n != 0 {
+		pauses = append(pauses, j.backoffUntil-now)
+		if n := j.startableTasks(j.backoffUntil - 1); n != 0 {
 			t.Errorf("%d tasks are tried in the pause", n)
 		}
-		now = j.notBefore
-		if n := j.ready(now); n != probeTasks {
+		now = j.backoffUntil
+		if n := j.startableTasks(now); n != probeTasks {
 			t.Errorf("%d tasks are tried, want %d", n, probeTasks)
 		}
 		for range probeTasks { // one try
-			l.attributeFault(l.machines["i-1"], j, now)
+			l.attributeFailure(l.machines["i-1"], j, now)
 		}
 	}
 	for i := 1; i < len(pauses); i++ {
-		if pauses[i] < min(probePause, 2*pauses[i-1]) || pauses[i] > probePause {
+		if pauses[i] < min(maxProbeBackoff, 2*pauses[i-1]) || pauses[i] > maxProbeBackoff {
 			t.Errorf("pauses %v", pauses)
 		}
 	}
 	next, _ := newTest(t)
 	heir := newJob(replica.Job{Spec: j.spec}, true)
 	next.jobs[j.spec.ID] = heir
-	next.restoreAtFault(l.atFaultRecord(), now)
-	if !heir.atFault || heir.ready(now) != 0 || heir.ready(heir.notBefore) != probeTasks {
-		t.Errorf("the next leader tries %d tasks at once", heir.ready(now))
+	next.restoreQuarantinedJobs(l.quarantinedJobs(), now)
+	if !heir.failures.quarantined || heir.startableTasks(now) != 0 || heir.startableTasks(heir.backoffUntil) != probeTasks {
+		t.Errorf("the next leader tries %d tasks at once", heir.startableTasks(now))
 	}
-	j.ndone++
-	l.succeeded(l.machines["i-2"], j, nil, now)
-	if n := j.ready(now); n != 499 {
+	j.doneCount++
+	l.recordSuccess(l.machines["i-2"], j, nil, now)
+	if n := j.startableTasks(now); n != 499 {
 		t.Errorf("%d tasks may start after a success", n)
 	}
 }
@@ -158,18 +158,18 @@
 		now := micros.Now()
 		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}}, false)
 		l.jobs[j.spec.ID] = j
-		j.failTook = c.failTook
-		l.hold(&attempt{job: j, machine: l.machines["i-1"], running: now})
+		j.failures.longestRun = c.failTook
+		l.assign(&attempt{job: j, machine: l.machines["i-1"], runningSince: now})
 		for i := 2; i <= 4; i++ {
-			l.attributeFault(l.addMachine(fmt.Sprintf("i-%d", i), l.bookings["r-1"], now), j, now)
+			l.attributeFailure(l.addMachine(fmt.Sprintf("i-%d", i), l.intents["r-1"], now), j, now)
 		}
-		if !j.atFault {
+		if !j.failures.quarantined {
 			t.Fatalf("%s: not put aside", c.name)
 		}
-		l.machines["i-1"].reported = now + c.report
+		l.machines["i-1"].heartbeat.receivedAt = now + c.report
 		l.newQueue(now + c.report)
-		if j.atFault != c.atFault {
-			t.Errorf("%s: at fault %v, want %v", c.name, j.atFault, c.atFault)
+		if j.failures.quarantined != c.atFault {
+			t.Errorf("%s: at fault %v, want %v", c.name, j.failures.quarantined, c.atFault)
 		}
 	}
 }
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -16,14 +16,15 @@
 	t.Helper()
 	l, _ := newTest(t)
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
-	l.report = 8 * micros.Second
+	l.heartbeatInterval = 8 * micros.Second
 	clear(l.jobs)
 	for i := range 31 {
-		l.addMachine(fmt.Sprintf("i-%d", 10+i), l.bookings["r-1"], l.began)
+		l.addMachine(fmt.Sprintf("i-%d", 10+i), l.intents["r-1"], l.startedAt)
 	}
-	for _, m := range l.order {
-		m.up, m.stored, m.upStored, m.resolved, m.current = true, true, true, true, true
-		m.address, m.session, m.reported, m.answered = m.id+":9000", 1, l.began, l.began
+	for _, m := range l.sorted {
+		m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm = true, true, true, true
+		m.reconciliation.knowledge = tasksConfirmed
+		m.instance.address, m.heartbeat.incarnation, m.heartbeat.receivedAt, m.lease.renewedAt = m.id+":9000", 1, l.startedAt, l.startedAt
 	}
 	return l
 }
@@ -36,14 +37,14 @@
 	}
 	j := newJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, old)
 	l.jobs[id] = j
-	l.demand(j)
+	l.addDemand(j)
 	return j
 }
 
 // reserved counts the machines on which only gangs start.
 func reserved(l *Leader) (n int) {
-	for _, m := range l.order {
-		if m.reserve != nil {
+	for _, m := range l.sorted {
+		if m.pool != nil {
 			n++
 		}
 	}
@@ -72,8 +73,9 @@
 		{"gangs", gang(nil), 4},
 		{"gangs in a larger fleet", func(l *Leader) {
 			for i := range 200 {
-				m := l.addMachine(fmt.Sprintf("i-%d", 100+i), l.bookings["r-1"], l.began)
-				m.up, m.stored, m.upStored, m.resolved, m.current, m.reported = true, true, true, true, true, l.began
+				m := l.addMachine(fmt.Sprintf("i-%d", 100+i), l.intents["r-1"], l.startedAt)
+				m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm, m.heartbeat.receivedAt = true, true, true, true, l.startedAt
+				m.reconciliation.knowledge = tasksConfirmed
 			}
 			gang(nil)(l)
 		}, 11},
@@ -89,7 +91,7 @@
 	} {
 		l := newReserveTest(t)
 		c.play(l)
-		l.staff(micros.Now())
+		l.autoscale(micros.Now())
 		if got := reserved(l); got != c.want {
 			t.Errorf("%s: %d machines are reserved, want %d", c.name, got, c.want)
 		}
@@ -101,24 +103,24 @@
 func TestGangReserveUse(t *testing.T) {
 	l := newReserveTest(t)
 	addJob(l, "j-000100", wire.KindGang, 2, false, nil)
-	l.staff(micros.Now())
+	l.autoscale(micros.Now())
 	if reserved(l) == 0 {
 		t.Fatal("nothing is reserved")
 	}
 	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.plannedAt = 0
-	for _, m := range l.order {
-		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token}); err != nil {
+	for _, m := range l.sorted {
+		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	gangs := 0
-	for _, m := range l.order {
-		for _, a := range m.tasks {
+	for _, m := range l.sorted {
+		for _, a := range m.attempts {
 			switch {
-			case a.job.isGang() && m.reserve != nil:
+			case a.job.isGang() && m.pool != nil:
 				gangs++
-			case !a.job.isGang() && m.reserve != nil:
+			case !a.job.isGang() && m.pool != nil:
 				t.Errorf("a task of an array starts on %s, which is reserved", m.id)
 			}
 		}
@@ -127,23 +129,23 @@
 		t.Errorf("%d tasks of the gang start on reserved machines, want 2", gangs)
 	}
 	before := reserved(l)
-	for _, m := range l.order {
-		m.rentedAt, m.busyTill = m.rentedAt-1000*micros.Second, m.busyTill-1000*micros.Second
+	for _, m := range l.sorted {
+		m.instance.launchedAt, m.instance.idleSince = m.instance.launchedAt-1000*micros.Second, m.instance.idleSince-1000*micros.Second
 	}
-	l.staff(micros.Now())
-	for _, m := range l.order {
-		if m.leaving && m.reserve != nil {
+	l.autoscale(micros.Now())
+	for _, m := range l.sorted {
+		if m.instance.terminating && m.pool != nil {
 			t.Errorf("%s is returned, and is reserved", m.id)
 		}
 	}
 	if reserved(l) != before {
 		t.Errorf("%d machines are reserved, were %d", reserved(l), before)
 	}
-	for _, r := range l.reserves {
-		r.mean, r.heldTill = 0, 0
+	for _, r := range l.pools {
+		r.mean, r.heldUntil = 0, 0
 		r.window.Seed(micros.Now(), 0)
 	}
-	l.staff(micros.Now())
+	l.autoscale(micros.Now())
 	if n := reserved(l); n != 0 {
 		t.Errorf("%d machines stay reserved for gangs that do not come", n)
 	}
@@ -156,10 +158,10 @@
 	gang := addJob(l, "j-000100", wire.KindGang, 2, true, nil)
 	addJob(l, "j-000101", wire.KindGang, 2, true, nil)
 	array := addJob(l, "j-000200", wire.KindArray, 1000, true, nil)
-	l.stepReserves(micros.Now())
+	l.stepPools(micros.Now())
 	running := func(j *job, tasks ...int) (out []wire.TaskStatus) {
 		for _, n := range tasks {
-			out = append(out, wire.TaskStatus{TaskID: taskName(j.spec.ID, n), Attempt: 5, State: wire.TaskRunning})
+			out = append(out, wire.TaskStatus{TaskID: taskID(j.spec.ID, n), Attempt: 5, State: wire.TaskRunning})
 		}
 		return out
 	}
@@ -177,9 +179,9 @@
 		{"beyond an eighth of the fleet", "i-15", nil, false},
 	} {
 		m := l.machines[c.machine]
-		m.resolved = false
+		m.reconciliation.knowledge = tasksUnknown
 		l.reconcile(m, &wire.Heartbeat{MachineID: m.id, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
-		if got := m.reserve != nil; got != c.reserved {
+		if got := m.pool != nil; got != c.reserved {
 			t.Errorf("%s: reserved: %t, want %t", c.name, got, c.reserved)
 		}
 	}
@@ -201,16 +203,16 @@
 		{"and does not explain all", 2, 1, 20, 3, 1},
 	} {
 		l := newReserveTest(t)
-		l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{
+		l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{
 			{Name: "m4", CPUs: 4, MemoryGB: 16, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}},
 			{Name: "m8", CPUs: 8, MemoryGB: 32, ImagePullGBPerS: 1, OnDemandPrice: 3, SpotPrice: 3, Zones: []string{"a"}}}})
 		array := addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 		for n := range c.held {
-			l.hold(&attempt{job: array, task: n, n: 1, machine: l.order[n/4]})
+			l.assign(&attempt{job: array, index: n, number: 1, machine: l.sorted[n/4]})
 		}
-		l.types["m4"].m, l.types["m8"].m = c.small, c.wide
+		l.types["m4"].mean, l.types["m8"].mean = c.small, c.wide
 		l.raiseMeans()
-		if got, other := l.types["m4"].m, l.types["m8"].m; got != c.want || other != c.other {
+		if got, other := l.types["m4"].mean, l.types["m8"].mean; got != c.want || other != c.other {
 			t.Errorf("%s: means of %v and %v, want %v and %v", c.name, got, other, c.want, c.other)
 		}
 	}
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -20,11 +20,14 @@
 		stops int
 	}{
 		{"all can be told", func(*Leader, *machine) {}, 3},
-		{"one is silent", func(l *Leader, m *machine) { m.reported = micros.Now() - 10*micros.Second; l.began = m.reported }, 0},
-		{"one hears nothing", func(_ *Leader, m *machine) { m.notReceiving = 1 }, 0},
-		{"one is being returned", func(_ *Leader, m *machine) { m.leaving = true }, 0},
+		{"one is silent", func(l *Leader, m *machine) {
+			m.heartbeat.receivedAt = micros.Now() - 10*micros.Second
+			l.startedAt = m.heartbeat.receivedAt
+		}, 0},
+		{"one hears nothing", func(_ *Leader, m *machine) { m.delivery.lostResponses = 1 }, 0},
+		{"one is being returned", func(_ *Leader, m *machine) { m.instance.terminating = true }, 0},
 		{"one is in a zone that is cut off", func(l *Leader, _ *machine) {
-			l.zones.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Up: 4, Silent: 3}}})
+			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Up: 4, Silent: 3}}})
 		}, 0},
 		{"its leader is in doubt", func(l *Leader, _ *machine) { l.Term.(*fakeTerm).sure = false }, 0},
 	} {
@@ -37,10 +40,10 @@
 			tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". running")
 		}
 		c.edit(l, l.machines["i-2"])
-		stopped := l.stopGang(j, saveGrace(j), "test", micros.Now())
+		stopped := l.stopGangIfReachable(j, checkpointGrace(j), "test", micros.Now())
 		n := 0
-		for _, a := range j.on {
-			if a.stopped != 0 && a.grace >= 3*micros.Second {
+		for _, a := range j.attempts {
+			if a.stopRequestedAt != 0 && a.gracePeriod >= 3*micros.Second {
 				n++
 			}
 		}
@@ -83,15 +86,15 @@
 				tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". "+state)
 			}
 		}
-		l.machines["i-2"].recallAt = micros.Now() + micros.Second
-		l.drainOnNotice(l.machines["i-2"], micros.Now())
+		l.machines["i-2"].heartbeat.interruptionAt = micros.Now() + micros.Second
+		l.drainOnInterruption(l.machines["i-2"], micros.Now())
 		stops := 0
-		for _, a := range j.on {
-			if a.stopped != 0 {
+		for _, a := range j.attempts {
+			if a.stopRequestedAt != 0 {
 				stops++
 			}
-			if a.stopped != 0 && a.grace < 3*micros.Second {
-				t.Errorf("%s: task %d has %v to save", c.name, a.task, a.grace.Duration())
+			if a.stopRequestedAt != 0 && a.gracePeriod < 3*micros.Second {
+				t.Errorf("%s: task %d has %v to save", c.name, a.index, a.gracePeriod.Duration())
 			}
 		}
 		if stops != c.stops {
@@ -109,46 +112,46 @@
 	}{
 		{"nothing", func(*testing.T, *Leader) {}, 3 * micros.Second},
 		{"it is stopped again for other work", func(_ *testing.T, l *Leader) {
-			l.stopGang(l.jobs["j-000002"], saveGrace(l.jobs["j-000002"]), "test", micros.Now())
+			l.stopGangIfReachable(l.jobs["j-000002"], checkpointGrace(l.jobs["j-000002"]), "test", micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is taken after a short notice", func(_ *testing.T, l *Leader) {
-			l.machines["i-2"].recallAt = micros.Now() + micros.Second
-			l.drainOnNotice(l.machines["i-2"], micros.Now())
+			l.machines["i-2"].heartbeat.interruptionAt = micros.Now() + micros.Second
+			l.drainOnInterruption(l.machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is found faulty", func(_ *testing.T, l *Leader) {
-			l.machines["i-2"].strikes = faultyStrikes
-			l.judgeMachine(l.machines["i-2"], micros.Now())
+			l.machines["i-2"].quarantine.failures = quarantineFailures
+			l.evaluateMachine(l.machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
 		{"one has saved", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended stopped") }, 3 * micros.Second},
 		{"one has saved, and another's machine is gone", func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-2", ". ended stopped")
-			l.returned(l.machines["i-1"])
+			l.removeMachine(l.machines["i-1"])
 		}, 3 * micros.Second},
 		{"one was not told in time", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended peers") }, 3 * micros.Second},
 		{"one was not told in time, and is listed again", func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-2", ". ended peers")
 			tellTasks(t, l, "i-2", "1 ended peers")
 		}, 3 * micros.Second},
-		{"a machine is gone", func(_ *testing.T, l *Leader) { l.returned(l.machines["i-2"]) }, 3 * micros.Second},
+		{"a machine is gone", func(_ *testing.T, l *Leader) { l.removeMachine(l.machines["i-2"]) }, 3 * micros.Second},
 		{"one still shows to run", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". running") }, 3 * micros.Second},
-		{"it is cancelled", func(_ *testing.T, l *Leader) { l.forget(l.jobs["j-000002"], wire.JobCancelled) }, 0},
+		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs["j-000002"], wire.JobCancelled) }, 0},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskRunning)
 		j := l.jobs["j-000002"]
-		if !l.stopGang(j, saveGrace(j), "test", micros.Now()) {
+		if !l.stopGangIfReachable(j, checkpointGrace(j), "test", micros.Now()) {
 			t.Fatalf("%s: it can't be stopped", c.name)
 		}
 		c.event(t, l)
-		l.watchGangs(micros.Now())
-		for _, a := range j.on {
-			if a.stopped == 0 || a.grace < c.least || c.least == 0 && a.grace != 0 {
-				t.Errorf("%s: task %d has %v to save, want %v", c.name, a.task, a.grace.Duration(), c.least.Duration())
+		l.checkGangs(micros.Now())
+		for _, a := range j.attempts {
+			if a.stopRequestedAt == 0 || a.gracePeriod < c.least || c.least == 0 && a.gracePeriod != 0 {
+				t.Errorf("%s: task %d has %v to save, want %v", c.name, a.index, a.gracePeriod.Duration(), c.least.Duration())
 			}
 		}
-		if c.least > 0 && (j.gang.n == 0 || !j.gang.ending) {
-			t.Errorf("%s: attempt %d is not ending", c.name, j.gang.n)
+		if c.least > 0 && (j.gang.number == 0 || !j.gang.ending) {
+			t.Errorf("%s: attempt %d is not ending", c.name, j.gang.number)
 		}
 	}
 }
@@ -183,16 +186,16 @@
 		}, 2},
 		{"it saves", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.stopAll(l.jobs["j-000002"], saveGrace(l.jobs["j-000002"]), "test")
+			l.endGangAttempt(l.jobs["j-000002"], checkpointGrace(l.jobs["j-000002"]), "test")
 			tellTasks(t, l, "i-1", ". flushing")
 		}, 3},
 		{"one of it is gone, and it ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.returned(l.machines["i-2"])
+			l.removeMachine(l.machines["i-2"])
 		}, 2},
 		{"one of it hangs, and its machine is to be returned", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.giveUp(l.machines["i-2"], "test")
+			l.terminate(l.machines["i-2"], "test")
 		}, 3},
 		{"it is done, which is not stored", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
@@ -208,9 +211,9 @@
 		c.before(t, l)
 		j := l.jobs["j-000002"]
 		l.Replica.ApplyPut(replica.JobPrefix+j.spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.spec}, 9)
-		l.takeChanges()
+		l.applyJobChanges()
 		told := 0
-		for _, m := range slices.Clone(l.order) {
+		for _, m := range slices.Clone(l.sorted) {
 			a := taskOn(l, m.id)
 			if a == nil {
 				if got := tellPlain(t, l, m.id); len(got) > 0 {
@@ -219,10 +222,10 @@
 				continue
 			}
 			told++
-			if a.stopped == 0 || a.grace != 0 || a.reserved {
-				t.Errorf("%s: task %d is told nothing, or has %v", c.name, a.task, a.grace.Duration())
+			if a.stopRequestedAt == 0 || a.gracePeriod != 0 || a.reserved {
+				t.Errorf("%s: task %d is told nothing, or has %v", c.name, a.index, a.gracePeriod.Duration())
 			}
-			task := wire.TaskStatus{TaskID: taskName(j.spec.ID, a.task), Attempt: a.n}
+			task := wire.TaskStatus{TaskID: taskID(j.spec.ID, a.index), Attempt: a.number}
 			for _, task.State = range []string{wire.TaskPullingImage, wire.TaskWaitingForGang, wire.TaskRunning, wire.TaskCheckpointing} {
 				if got := tellPlain(t, l, m.id, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
 					t.Errorf("%s: %s is told %v while its task is %s", c.name, m.id, got, task.State)
@@ -233,8 +236,8 @@
 				t.Errorf("%s: %s is told %v when its task has ended", c.name, m.id, got)
 			}
 		}
-		if told != c.stops || len(j.on) > 0 || l.used["blue"].CPU != 0 {
-			t.Errorf("%s: %d are told, want %d; %d are left, %+v used", c.name, told, c.stops, len(j.on), l.used["blue"])
+		if told != c.stops || len(j.attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
+			t.Errorf("%s: %d are told, want %d; %d are left, %+v used", c.name, told, c.stops, len(j.attempts), l.teamUsage["blue"])
 		}
 	}
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -105,16 +105,16 @@
 				t.Fatalf("%s: step %d: told %v, want %v", c.name, i, got, s.want)
 			}
 		}
-		n := j.gang.n
+		n := j.gang.number
 		if n > token<<32 {
 			n -= token << 32
 		}
-		if _, final := l.finals[j.spec.ID]; n != c.n || (j.ndone == 3) != c.done || final != c.done {
-			t.Errorf("%s: attempt %d, %d done", c.name, n, j.ndone)
+		if _, final := l.finalJobs[j.spec.ID]; n != c.n || (j.doneCount == 3) != c.done || final != c.done {
+			t.Errorf("%s: attempt %d, %d done", c.name, n, j.doneCount)
 		}
 		for name, m := range l.machines {
-			if m.strikes > 0 || len(m.failed) > 0 && !strings.Contains(c.name, "failed") {
-				t.Errorf("%s: %s is at fault: %d, %v", c.name, name, m.strikes, m.failed)
+			if m.quarantine.failures > 0 || len(m.quarantine.suspectJobs) > 0 && !strings.Contains(c.name, "failed") {
+				t.Errorf("%s: %s is at fault: %d, %v", c.name, name, m.quarantine.failures, m.quarantine.suspectJobs)
 			}
 		}
 	}
@@ -126,35 +126,35 @@
 	l := newGangTest(t, false)
 	tellTasks(t, l, "i-1")
 	j := l.jobs["j-000002"]
-	if len(j.on) != 3 || l.used["blue"].CPU != 9000 {
-		t.Fatalf("%d places, %+v used", len(j.on), l.used["blue"])
+	if len(j.attempts) != 3 || l.teamUsage["blue"].CPU != 9000 {
+		t.Fatalf("%d places, %+v used", len(j.attempts), l.teamUsage["blue"])
 	}
-	for _, m := range l.order {
+	for _, m := range l.sorted {
 		if m.free.CPU != 1000 {
 			t.Errorf("%s has %d free", m.id, m.free.CPU)
 		}
 	}
 	// A machine that does not come for its start in time is passed over.
-	late := l.began - 10*micros.Second
-	l.began, l.machines["i-3"].reported = late, late
-	for _, a := range j.on {
-		a.began = late
+	late := l.startedAt - 10*micros.Second
+	l.startedAt, l.machines["i-3"].heartbeat.receivedAt = late, late
+	for _, a := range j.attempts {
+		a.startedAt = late
 	}
-	l.watchGangs(micros.Now())
-	if j.waiting() != 1 || j.gang.n != token<<32|1 {
-		t.Errorf("%d wait for another place, attempt %d", j.waiting(), j.gang.n)
+	l.checkGangs(micros.Now())
+	if j.waiting() != 1 || j.gang.number != token<<32|1 {
+		t.Errorf("%d wait for another place, attempt %d", j.waiting(), j.gang.number)
 	}
 	// It waits too long: all is given back.
-	j.gang.waits = micros.Now() - 15*micros.Second
-	l.watchGangs(micros.Now())
+	j.gang.waitingSince = micros.Now() - 15*micros.Second
+	l.checkGangs(micros.Now())
 	n := 0
-	for _, a := range j.on {
-		if a.stopped != 0 && !a.reserved && a.grace >= saveGrace(j) { // it may run unseen
+	for _, a := range j.attempts {
+		if a.stopRequestedAt != 0 && !a.reserved && a.gracePeriod >= checkpointGrace(j) { // it may run unseen
 			n++
 		}
 	}
-	if n != len(j.on) || n != 1 || l.used["blue"].CPU != 3000 {
-		t.Errorf("%d of %d tasks are stopped, %+v used", n, len(j.on), l.used["blue"])
+	if n != len(j.attempts) || n != 1 || l.teamUsage["blue"].CPU != 3000 {
+		t.Errorf("%d of %d tasks are stopped, %+v used", n, len(j.attempts), l.teamUsage["blue"])
 	}
 }
 
@@ -163,18 +163,18 @@
 func TestGangGathering(t *testing.T) {
 	const s = micros.Second
 	l := newGangTest(t, false)
-	l.began -= 100 * s
+	l.startedAt -= 100 * s
 	now := micros.Now()
 	small := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
-	for _, m := range l.order {
+	for _, m := range l.sorted {
 		for range 4 {
-			task, _ := small.take()
-			l.hold(&attempt{job: small, task: task, n: 1, machine: m, sentAt: 1, began: now, running: now, state: wire.TaskRunning})
+			task, _ := small.takeWaitingTask()
+			l.assign(&attempt{job: small, index: task, number: 1, machine: m, startSequence: 1, startedAt: now, runningSince: now, reportedState: wire.TaskRunning})
 		}
 	}
 	gathered := func() (n int) {
-		for _, m := range l.order {
-			if m.gathering != nil {
+		for _, m := range l.sorted {
+			if m.reservation != nil {
 				n++
 			}
 		}
@@ -185,17 +185,17 @@
 		t.Fatalf("%d machines are gathered", gathered())
 	}
 	m := l.machines["i-1"]
-	for _, a := range m.tasks {
-		l.ended(a, "")
+	for _, a := range m.attempts {
+		l.release(a, "")
 		break
 	}
 	l.jobs[small.spec.ID] = small
 	if small.spec.Priority = "normal"; len(tellTasks(t, l, "i-1")) != 0 {
 		t.Error("the room that is gathered went to another")
 	}
-	g := l.gatherings["j-000002"]
-	g.until = micros.Now()
-	l.watchGangs(micros.Now())
+	g := l.reservations["j-000002"]
+	g.expiresAt = micros.Now()
+	l.checkGangs(micros.Now())
 	if gathered() != 0 {
 		t.Error("it is gathered for ever")
 	}
@@ -225,7 +225,7 @@
 		{"it has a place there", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(*Leader) {}, "i-2", nil, []string{"start"}},
 		{"it has a place there, and its team is at its limit by now", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(l *Leader) {
 			l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 9.5}
-			l.used["blue"] = l.used["blue"].Add(placement.Resources{CPU: 1000}, 1)
+			l.teamUsage["blue"] = l.teamUsage["blue"].Add(placement.Resources{CPU: 1000}, 1)
 		}, "i-2", nil, nil},
 		{"one of its tasks is done", 1, nil, func(*Leader) {}, "i-1", []string{"0@5 ended done"}, nil},
 		{"its attempt ends while another task of it waits for a place", 3, func(t *testing.T, l *Leader) {
@@ -239,10 +239,10 @@
 		{"all of its attempt are gone, of which one waited for a place", 1, func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-1")
 			for _, id := range []string{"i-2", "i-3"} {
-				l.machines[id].notUntil = micros.Now() + micros.Second
+				l.machines[id].startBackoffUntil = micros.Now() + micros.Second
 			}
 			tellTasks(t, l, "i-1", "0 waiting", "1 waiting", "2 ended no_room")
-		}, func(l *Leader) { l.lose(l.machines["i-1"], "test") }, "i-2", nil, nil},
+		}, func(l *Leader) { l.releaseAll(l.machines["i-1"], "test") }, "i-2", nil, nil},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
@@ -252,15 +252,15 @@
 			c.before(t, l)
 		}
 		later := micros.Now() + micros.Second
-		for _, m := range l.order {
-			m.notUntil = later
+		for _, m := range l.sorted {
+			m.startBackoffUntil = later
 		}
 		l.plan(micros.Now())
-		for _, m := range l.order {
-			m.notUntil = 0
+		for _, m := range l.sorted {
+			m.startBackoffUntil = 0
 		}
 		c.between(l)
-		l.planTook = micros.Now() // no other plan for long
+		l.planDuration = micros.Now() // no other plan for long
 		got := tellTasks(t, l, c.machine, c.tasks...)
 		for i := range got {
 			got[i], _, _ = strings.Cut(got[i], " ")
@@ -323,7 +323,7 @@
 			{nil, "i-3", []string{". ended peers"}, []string{"clear"}},
 			{nil, "i-1", []string{". waiting"}, []string{"stop"}}}},
 		{"a task that runs without the others exits", wire.TaskRunning, []step{
-			{func(l *Leader) { l.returned(l.machines["i-2"]) }, "i-1", []string{". running"}, []string{"stop"}},
+			{func(l *Leader) { l.removeMachine(l.machines["i-2"]) }, "i-1", []string{". running"}, []string{"stop"}},
 			{nil, "i-3", []string{". ended peers"}, []string{"clear"}},
 			{nil, "i-1", []string{". running"}, []string{"stop"}},
 			{nil, "i-3", nil, nil}}},
@@ -337,9 +337,9 @@
 		{"one of it is nowhere, which is known when all machines are", "old", []step{
 			{nil, "i-1", []string{"0@5 running"}, nil},
 			{nil, "i-2", []string{"1@5 running"}, nil},
-			{func(l *Leader) { l.watchGangs(micros.Now()) }, "i-1", []string{"0@5 running"}, nil},
+			{func(l *Leader) { l.checkGangs(micros.Now()) }, "i-1", []string{"0@5 running"}, nil},
 			{nil, "i-3", nil, nil},
-			{func(l *Leader) { l.watchGangs(micros.Now()) }, "i-1", []string{"0@5 running"}, []string{"stop"}}}},
+			{func(l *Leader) { l.checkGangs(micros.Now()) }, "i-1", []string{"0@5 running"}, []string{"stop"}}}},
 		{"one gave an earlier attempt up", "old", []step{
 			{nil, "i-2", []string{"1@5 ended peers"}, []string{"clear"}},
 			{nil, "i-1", []string{"0@6 running"}, nil},
@@ -368,9 +368,9 @@
 func TestGangSurelyGone(t *testing.T) {
 	say := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *machine) {
 		return func(_ *testing.T, l *Leader, m *machine) {
-			r := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token}
+			r := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token}
 			edit(r)
-			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.seq {
+			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.heartbeat.sequence {
 				t.Error(err)
 			}
 		}
@@ -380,9 +380,9 @@
 	}
 	silent := func(seconds micros.Micros) func(t *testing.T, l *Leader, m *machine) {
 		return func(_ *testing.T, l *Leader, m *machine) {
-			m.answered = micros.Now() - seconds*micros.Second
-			m.reported = m.answered
-			l.watchMachines(micros.Now())
+			m.lease.renewedAt = micros.Now() - seconds*micros.Second
+			m.heartbeat.receivedAt = m.lease.renewedAt
+			l.checkMachines(micros.Now())
 		}
 	}
 	cases := []struct {
@@ -393,14 +393,14 @@
 		{"it is silent for a while", silent(10), false},
 		{"it is silent for its lease", silent(16), false},
 		{"its lease is surely over", silent(18), true},
-		{"it is to be returned", func(_ *testing.T, l *Leader, m *machine) { l.giveUp(m, "test") }, false},
-		{"the cloud has answered that it is returned", func(_ *testing.T, l *Leader, m *machine) { l.returned(m) }, true},
+		{"it is to be returned", func(_ *testing.T, l *Leader, m *machine) { l.terminate(m, "test") }, false},
+		{"the cloud has answered that it is returned", func(_ *testing.T, l *Leader, m *machine) { l.removeMachine(m) }, true},
 		{"the cloud's list calls it failed", func(_ *testing.T, l *Leader, m *machine) {
-			l.listedMachines([]wire.InstanceStatus{{ID: m.id, State: wire.InstanceFailed}}, micros.Second)
+			l.reconcileInstances([]wire.InstanceStatus{{ID: m.id, State: wire.InstanceFailed}}, micros.Second)
 		}, false},
 		{"the cloud's lists lack it", func(_ *testing.T, l *Leader, _ *machine) {
 			for range 3 {
-				l.listedMachines(nil, micros.Second)
+				l.reconcileInstances(nil, micros.Second)
 			}
 		}, false},
 		{"it reports in a new session", say(func(r *wire.Heartbeat) { r.Incarnation = 2 }), true},
@@ -419,18 +419,18 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskWaitingForGang)
 		j, m := l.jobs["j-000002"], l.machines["i-2"]
-		n, a := j.gang.n, taskOn(l, "i-2")
+		n, a := j.gang.number, taskOn(l, "i-2")
 		c.event(t, l, m)
-		if held := m.tasks[taskName(j.spec.ID, a.task)] == a; held == c.gone {
+		if held := m.attempts[taskID(j.spec.ID, a.index)] == a; held == c.gone {
 			t.Errorf("%s: its task counts as being there: %t", c.name, held)
 		}
-		m.notUntil, l.replan, l.plannedAt = micros.Now()+100*micros.Second, true, 0
-		if b := j.on[a.task]; b != a && b != nil && b.machine == m {
+		m.startBackoffUntil, l.replan, l.plannedAt = micros.Now()+100*micros.Second, true, 0
+		if b := j.attempts[a.index]; b != a && b != nil && b.machine == m {
 			continue // it is started on the same machine again
 		}
 		addUp(l, "i-4", "a")
-		if got := verbsOf(tellTasks(t, l, "i-4")); slices.Contains(got, "start") != c.gone || j.gang.n != n {
-			t.Errorf("%s: another machine is told %v, attempt %d after %d", c.name, got, j.gang.n, n)
+		if got := verbsOf(tellTasks(t, l, "i-4")); slices.Contains(got, "start") != c.gone || j.gang.number != n {
+			t.Errorf("%s: another machine is told %v, attempt %d after %d", c.name, got, j.gang.number, n)
 		}
 	}
 }
@@ -438,7 +438,7 @@
 // TestGangTogether has a gang that must be in one zone lose a task. As long as one of the
 // old attempt is left anywhere, nothing is started in another zone, and no new attempt.
 func TestGangTogether(t *testing.T) {
-	ends := func(l *Leader) { l.returned(l.machines["i-2"]) }
+	ends := func(l *Leader) { l.removeMachine(l.machines["i-2"]) }
 	cases := []struct {
 		name   string
 		state  string
@@ -451,11 +451,11 @@
 		{"one is left", wire.TaskRunning, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1", ". ended stopped") }, 0, true},
 		{"one is left on a machine that is to be returned", wire.TaskRunning, func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-1", ". ended peers")
-			l.giveUp(l.machines["i-3"], "test")
+			l.terminate(l.machines["i-3"], "test")
 		}, 0, true},
 		{"all are gone", wire.TaskRunning, func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-1", ". ended peers")
-			l.returned(l.machines["i-3"])
+			l.removeMachine(l.machines["i-3"])
 		}, 3, false},
 	}
 	for _, c := range cases {
@@ -463,7 +463,7 @@
 		j := l.jobs["j-000002"]
 		j.spec.SingleZone = true
 		launchGang(t, l, c.state)
-		n := j.gang.n
+		n := j.gang.number
 		ends(l)
 		for i, zone := range []string{"b", "b", "b", "a"} {
 			addUp(l, fmt.Sprintf("i-%d", i+4), zone)
@@ -471,18 +471,18 @@
 		c.event(t, l)
 		for _, id := range []string{"i-1", "i-3"} {
 			if m := l.machines[id]; m != nil {
-				m.notUntil = micros.Now() + 100*micros.Second // the others alone may take tasks
+				m.startBackoffUntil = micros.Now() + 100*micros.Second // the others alone may take tasks
 			}
 		}
 		starts, zones := 0, map[string]bool{}
 		for _, id := range []string{"i-4", "i-5", "i-6", "i-7"} {
 			if slices.Contains(verbsOf(tellTasks(t, l, id)), "start") {
 				starts++
-				zones[l.machines[id].kind.Zone] = true
+				zones[l.machines[id].offering.Zone] = true
 			}
 		}
-		if starts != c.starts || len(zones) > 1 || (j.gang.n == n) != c.same || zones["b"] && c.same {
-			t.Errorf("%s: %d starts in zones %v, attempt %d after %d", c.name, starts, zones, j.gang.n, n)
+		if starts != c.starts || len(zones) > 1 || (j.gang.number == n) != c.same || zones["b"] && c.same {
+			t.Errorf("%s: %d starts in zones %v, attempt %d after %d", c.name, starts, zones, j.gang.number, n)
 		}
 	}
 }
@@ -502,17 +502,17 @@
 		{"it runs", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskRunning) }, false},
 		{"it is stopped", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.stopAll(l.jobs["j-000002"], 0, "test")
+			l.endGangAttempt(l.jobs["j-000002"], 0, "test")
 		}, false},
 		{"it is cancelled, and not gone", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
-			l.forget(l.jobs["j-000002"], wire.JobCancelled)
+			l.dropJob(l.jobs["j-000002"], wire.JobCancelled)
 		}, false},
 		{"it is cancelled, and one is gone", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			j := l.jobs["j-000002"]
-			l.forget(j, wire.JobCancelled)
-			l.returned(l.machines["i-3"])
+			l.dropJob(j, wire.JobCancelled)
+			l.removeMachine(l.machines["i-3"])
 		}, true},
 	}
 	for _, c := range cases {
@@ -523,8 +523,8 @@
 		l.jobs[small.ID] = newJob(replica.Job{Spec: small, SubmittedAt: micros.Wall()}, false)
 		addUp(l, "i-4", "a")
 		got := tellPlain(t, l, "i-4")
-		if (len(got) > 0) != c.room || l.used["blue"].CPU > 9000 {
-			t.Errorf("%s: another of its team is told %v; %d used", c.name, got, l.used["blue"].CPU)
+		if (len(got) > 0) != c.room || l.teamUsage["blue"].CPU > 9000 {
+			t.Errorf("%s: another of its team is told %v; %d used", c.name, got, l.teamUsage["blue"].CPU)
 		}
 	}
 }
@@ -548,17 +548,17 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskPullingImage)
 		a := taskOn(l, "i-2")
-		l.machines["i-2"].notUntil = micros.Now() + 100*micros.Second
+		l.machines["i-2"].startBackoffUntil = micros.Now() + 100*micros.Second
 		for range 3 {
 			tellTasks(t, l, "i-2", c.tasks...)
 		}
 		lines := 0
-		for what, x := range l.tallies {
+		for what, x := range l.aggregatedLog {
 			if strings.Contains(what, "unknown") {
 				lines += x.count
 			}
 		}
-		if there := l.machines["i-2"].tasks[taskName("j-000002", a.task)] == a; lines != c.lines || there != c.there {
+		if there := l.machines["i-2"].attempts[taskID("j-000002", a.index)] == a; lines != c.lines || there != c.there {
 			t.Errorf("%s: %d lines, its task counts as being there: %t", c.name, lines, there)
 		}
 	}
@@ -573,8 +573,8 @@
 		j.spec.Kind = shape
 		launchGang(t, l, "")
 		seen := map[uint64]bool{}
-		for _, a := range j.on {
-			seen[a.n] = true
+		for _, a := range j.attempts {
+			seen[a.number] = true
 		}
 		if len(seen) != numbers {
 			t.Errorf("%s: numbers %v", shape, seen)
@@ -594,14 +594,14 @@
 	}
 	j := l.jobs["j-000002"]
 	var a *attempt
-	for _, x := range j.on {
+	for _, x := range j.attempts {
 		if x.machine.id == "i-2" {
 			a = x
 		}
 	}
-	m, n := l.machines["i-2"], j.gang.n
-	name := taskName(j.spec.ID, a.task)
-	ended := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.seq + 1, FencingToken: token,
+	m, n := l.machines["i-2"], j.gang.number
+	name := taskID(j.spec.ID, a.index)
+	ended := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token,
 		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.plannedAt = 0
 	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
@@ -609,20 +609,20 @@
 	}
 	waiting := *ended
 	waiting.Sequence, waiting.Tasks = ended.Sequence+1, []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskWaitingForGang}}
-	if _, err := l.HandleHeartbeat(&waiting); err != nil || j.gang.n != n {
-		t.Fatalf("attempt %d (%v), want %d", j.gang.n, err, n)
+	if _, err := l.HandleHeartbeat(&waiting); err != nil || j.gang.number != n {
+		t.Fatalf("attempt %d (%v), want %d", j.gang.number, err, n)
 	}
 	if _, err := l.HandleHeartbeat(ended); err == nil {
 		t.Error("a late copy was answered")
 	}
-	l.addMachine("i-4", l.bookings["r-1"], l.began)
+	l.addMachine("i-4", l.intents["r-1"], l.startedAt)
 	free := l.machines["i-4"]
-	free.up, free.stored, free.upStored, free.current, free.session = true, true, true, true, 1
-	free.reported, free.answered = micros.Now(), micros.Now()
+	free.instance.running, free.instance.intentStored, free.instance.listStored, free.heartbeat.ofThisTerm, free.heartbeat.incarnation = true, true, true, true, 1
+	free.heartbeat.receivedAt, free.lease.renewedAt = micros.Now(), micros.Now()
 	if told := tellTasks(t, l, "i-4"); len(told) > 0 {
 		t.Errorf("another machine is told %v", told)
 	}
-	if x := j.on[a.task]; x == nil || x.machine != m {
+	if x := j.attempts[a.index]; x == nil || x.machine != m {
 		t.Errorf("the task is not counted on %s any more", m.id)
 	}
 }
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -9,10 +9,10 @@
 
 // encodedTypes are those whose values are stored by the leader, or explain a job.
 var encodedTypes = []golden.Type{
-	golden.Of[booking]("a booking"),
-	golden.Of[runningList]("a list of machines that are up"),
-	golden.Of[progress]("the progress of a job"),
-	golden.Of[staffingRecord]("the staffing"),
+	golden.Of[launchIntent]("a booking"),
+	golden.Of[machineList]("a list of machines that are up"),
+	golden.Of[taskProgress]("the progress of a job"),
+	golden.Of[autoscalerRecord]("the staffing"),
 	golden.Of[typeRecord]("the staffing of a type"),
 	golden.Of[StopNote]("a stop in an explanation"),
 	golden.Of[TaskNote]("a task in an explanation"),
@@ -30,7 +30,7 @@
 // TestKeys has the keys that the leader makes be what they were.
 func TestKeys(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
-		{Name: "a task", Text: taskName("j-000412", 3)},
+		{Name: "a task", Text: taskID("j-000412", 3)},
 		{Name: "progress of a job", Text: progressKey("j-000412", 2)},
 	})
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -12,64 +12,87 @@
 	"caperlatch/placement"
 )
 
-// job is an accepted job that is not over.
+// job is the leader's record of an accepted job that has not ended, or of a cancelled one
+// that still has tasks on machines.
 type job struct {
-	spec           *wire.Job
-	submitted      micros.Micros // time of day
-	seen           micros.Micros // when this term saw it
-	need           placement.Resources
-	image          int     // see Leader.image
-	offers         []offer // see offersFor
-	offersOf       int     // the catalog that they are of
-	priority       int
-	old            bool // an earlier term may have started tasks of it
-	over           bool
-	done           bitset
-	stored         bitset // what of done is in the state service
-	ndone          int
-	on             map[int]*attempt // tasks that may be on a machine
-	zones          map[string]int   // of these
-	displaced      map[int]*machine // tasks that were lost with a zone, and where; see noteMoved
-	protectedTasks int              // of these, see attempt.protected
-	running        int              // of these, seen running
-	returned       []int            // tasks to start again
-	cursor         int              // tasks from here on have not been started
-	resumed        map[int]bool     // tasks that ran before, whose next run is shorter
-	gang           gang             // its present attempt, if it is one
-	// The highest number of a gang's attempt that its tasks' exits show to be over. A new
-	// leader may hear of these before it hears of what is left of the attempt.
-	attemptOver uint64
-	notBefore   micros.Micros
-	waitsFor    string
-	// How its tasks failed, see faults.go.
-	errors     map[string]micros.Micros // machines where one did, when last, while none has been done
-	failures   int                      // in this term
-	lastFailed string                   // machine
-	failTook   micros.Micros            // longest run that failed
-	tries      int                      // on the only machine
-	rounds     int                      // times put off
-	atFault    bool                     // rather than its machines
-	demandOf   *machineType             // that it was counted for, and how much
-	demandWork float64
+	spec        *wire.Job
+	submittedAt micros.Micros // time of day
+	seenAt      micros.Micros // when this term saw it
+	need        placement.Resources
+	priority    int
+	image       int // index of its image; see Leader.imageIndex
+	// offerings that its tasks may run on, of the instance types with that version; see offeringsFor.
+	offerings        []offering
+	offeringsVersion int
+	// mayHaveEarlierTasks says that an earlier term may have started tasks of it.
+	mayHaveEarlierTasks bool
+	ended               bool // done or cancelled
+
+	// Completed tasks. storedDone is what of done is stored, and a subset of it.
+	done       bitset
+	storedDone bitset
+	doneCount  int
+
+	// Tasks on machines. An attempt is here and in its machine's attempts, or in neither.
+	attempts        map[int]*attempt // by task index
+	attemptsPerZone map[string]int
+	runningCount    int // attempts that were seen running
+	protectedTasks  int // see attempt.protected
+	// displaced are tasks that were lost with a zone, and where they were; see recordMoved.
+	displaced map[int]*machine
+
+	// Tasks that wait: those requeued, and all from nextUnstarted on.
+	requeued      []int
+	nextUnstarted int
+	ranBefore     map[int]bool // tasks that ran before, whose next run is shorter
+
+	gang gangAttempt // its present attempt, if the job is a gang
+	// lastEndedAttempt is the highest number of a gang's attempt that its tasks' exits show to
+	// have ended. A new leader may hear of these before it hears of what is left of the attempt.
+	lastEndedAttempt uint64
+
+	failures      failureRecord
+	backoffUntil  micros.Micros // no starts before
+	backoffReason string
+	demand        demandRecord
+
 	// When a task was first and last seen running in this term, as time of day.
 	firstStart, lastStart micros.Micros
-	longest               micros.Micros // run of a task
+	longestRun            micros.Micros // of a task
+}
+
+// failureRecord is how a job's tasks failed; see faults.go. byMachine is empty once a task
+// of the job has succeeded.
+type failureRecord struct {
+	byMachine        map[string]micros.Micros // when a task last failed on a machine
+	count            int                      // in this term
+	lastMachine      string
+	longestRun       micros.Micros // of a task that failed
+	soleMachineTries int           // on the only machine that was tried
+	backoffRounds    int
+	quarantined      bool // the job is taken to be at fault, and not its machines
+}
+
+// demandRecord is what a job added to the autoscaler's demand.
+type demandRecord struct {
+	instanceType *scaledType
+	machines     float64 // 0 if an earlier term counted it
 }
 
 // attempt is a task that may be on a machine, or has its place there.
 type attempt struct {
-	job       *job
-	task      int
-	n         uint64
-	machine   *machine
-	state     string // as last reported; empty: start sent, not yet reported
-	sentAt    uint64 // seq of the report whose answer carried the start
-	began     micros.Micros
-	running   micros.Micros // since when it is seen running
-	stopped   micros.Micros // when first told to stop, 0 if not
-	grace     micros.Micros
-	why       string
-	protected bool // of the part of a job that is left alone until it has begun
+	job             *job
+	index           int
+	number          uint64
+	machine         *machine
+	reportedState   string // as last reported; empty: start sent, not yet reported
+	startSequence   uint64 // seq of the report whose answer carried the start
+	startedAt       micros.Micros
+	runningSince    micros.Micros // since when it is seen running
+	stopRequestedAt micros.Micros // when first told to stop, 0 if not
+	gracePeriod     micros.Micros
+	stopReason      string
+	protected       bool // of the part of a job that is left alone until it has begun
 	// A gang's task that has its place, and whose start its machine's next answer carries.
 	reserved bool
 }
@@ -77,53 +100,53 @@
 func newJob(r replica.Job, old bool) *job {
 	s := r.Spec
 	return &job{
-		spec:      s,
-		submitted: r.SubmittedAt,
-		seen:      micros.Now(),
-		old:       old,
-		need:      placement.Resources{CPU: ceil(s.CPUs), GPU: ceil(s.GPUs), Mem: ceil(s.MemoryGB)},
-		priority:  wire.PriorityRank(s.Priority),
-		done:      newBitset(s.Tasks),
-		stored:    newBitset(s.Tasks),
-		on:        map[int]*attempt{},
-		zones:     map[string]int{},
-		errors:    map[string]micros.Micros{},
-		resumed:   map[int]bool{},
+		spec:                s,
+		submittedAt:         r.SubmittedAt,
+		seenAt:              micros.Now(),
+		mayHaveEarlierTasks: old,
+		need:                placement.Resources{CPU: ceil(s.CPUs), GPU: ceil(s.GPUs), Mem: ceil(s.MemoryGB)},
+		priority:            wire.PriorityRank(s.Priority),
+		done:                newBitset(s.Tasks),
+		storedDone:          newBitset(s.Tasks),
+		attempts:            map[int]*attempt{},
+		attemptsPerZone:     map[string]int{},
+		failures:            failureRecord{byMachine: map[string]micros.Micros{}},
+		ranBefore:           map[int]bool{},
 	}
 }
 
 // waiting counts the tasks that are neither done nor on a machine. A gang's are all done
 // when one is, while the others are still there.
-func (j *job) waiting() int { return max(0, j.spec.Tasks-j.ndone-len(j.on)) }
-
-// take picks a waiting task.
-func (j *job) take() (int, bool) {
-	for n := len(j.returned); n > 0; n = len(j.returned) {
-		t := j.returned[n-1]
-		j.returned = j.returned[:n-1]
-		if !j.done.has(t) && j.on[t] == nil {
+func (j *job) waiting() int { return max(0, j.spec.Tasks-j.doneCount-len(j.attempts)) }
+
+// takeWaitingTask picks a waiting task.
+func (j *job) takeWaitingTask() (int, bool) {
+	for n := len(j.requeued); n > 0; n = len(j.requeued) {
+		t := j.requeued[n-1]
+		j.requeued = j.requeued[:n-1]
+		if !j.done.has(t) && j.attempts[t] == nil {
 			return t, true
 		}
 	}
-	for ; j.cursor < j.spec.Tasks; j.cursor++ {
-		if t := j.cursor; !j.done.has(t) && j.on[t] == nil {
-			j.cursor++
+	for ; j.nextUnstarted < j.spec.Tasks; j.nextUnstarted++ {
+		if t := j.nextUnstarted; !j.done.has(t) && j.attempts[t] == nil {
+			j.nextUnstarted++
 			return t, true
 		}
 	}
 	return 0, false
 }
 
-// giveBack makes a task wait again.
-func (j *job) giveBack(t int) {
-	if t < j.cursor {
-		j.returned = append(j.returned, t)
+// requeue makes a task wait again.
+func (j *job) requeue(t int) {
+	if t < j.nextUnstarted {
+		j.requeued = append(j.requeued, t)
 	}
 }
 
-func taskName(id string, t int) string { return id + "/" + strconv.Itoa(t) }
+func taskID(id string, t int) string { return id + "/" + strconv.Itoa(t) }
 
-func parseTask(name string) (id string, t int, err error) {
+func parseTaskID(name string) (id string, t int, err error) {
 	id, n, ok := strings.Cut(name, "/")
 	if !ok {
 		return "", 0, fmt.Errorf("task %q has no number", name)
@@ -137,37 +160,37 @@
 
 type bitset []byte
 
-func newBitset(n int) bitset       { return make(bitset, (n+7)/8) }
-func (b bitset) has(i int) bool    { return b[i/8]&(1<<(i%8)) != 0 }
-func (b bitset) set(i int)         { b[i/8] |= 1 << (i % 8) }
-func (b bitset) part(c int) []byte { return b[c*chunkTasks/8 : min(len(b), (c+1)*chunkTasks/8)] }
+func newBitset(n int) bitset        { return make(bitset, (n+7)/8) }
+func (b bitset) has(i int) bool     { return b[i/8]&(1<<(i%8)) != 0 }
+func (b bitset) set(i int)          { b[i/8] |= 1 << (i % 8) }
+func (b bitset) chunk(c int) []byte { return b[c*chunkTasks/8 : min(len(b), (c+1)*chunkTasks/8)] }
 
 // chunkTasks is how many tasks' progress is kept under one key: 8192 bits are
 // 1368 characters, within the least value_kb that the settings admit.
 const chunkTasks = 8192
 
-// progress is the stored content of a progress key: which tasks are done.
-type progress struct {
+// taskProgress is the stored content of a progress key: which tasks are done.
+type taskProgress struct {
 	Done string `json:"done"`
 }
 
 func (j *job) chunks() int { return (j.spec.Tasks + chunkTasks - 1) / chunkTasks }
 
-func (j *job) progress(chunk int) progress {
-	return progress{base64.RawStdEncoding.EncodeToString(j.done.part(chunk))}
+func (j *job) progress(chunk int) taskProgress {
+	return taskProgress{base64.RawStdEncoding.EncodeToString(j.done.chunk(chunk))}
 }
 
-func (j *job) restore(chunk int, p progress) error {
+func (j *job) restore(chunk int, p taskProgress) error {
 	b, err := base64.RawStdEncoding.DecodeString(p.Done)
-	if err != nil || chunk >= j.chunks() || len(b) != len(j.done.part(chunk)) {
+	if err != nil || chunk >= j.chunks() || len(b) != len(j.done.chunk(chunk)) {
 		return fmt.Errorf("progress of %s does not fit the job", j.spec.ID)
 	}
-	copy(j.done.part(chunk), b)
-	copy(j.stored.part(chunk), b)
-	j.ndone = 0
+	copy(j.done.chunk(chunk), b)
+	copy(j.storedDone.chunk(chunk), b)
+	j.doneCount = 0
 	for t := range j.spec.Tasks {
 		if j.done.has(t) {
-			j.ndone++
+			j.doneCount++
 		}
 	}
 	return nil
@@ -178,5 +201,5 @@
 }
 
 func parseProgressKey(key string) (id string, chunk int, err error) {
-	return parseTask(strings.TrimPrefix(key, replica.ProgressPrefix))
+	return parseTaskID(strings.TrimPrefix(key, replica.ProgressPrefix))
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -59,172 +59,172 @@
 }
 
 // Leader acts for one term. Its mu guards all that changes after New, except
-// catalogRefused, which only those who refresh the catalog use, one after the other.
+// rejectedTypes, which only those who refresh the catalog use, one after the other.
 type Leader struct {
 	Config
 
 	// The term and its times, as of New.
-	began     micros.Micros
-	beganWall micros.Micros // time of day
-	report    micros.Micros // workers' usual time between reports
-	lease     micros.Micros // of workers
+	startedAt         micros.Micros
+	startedAtWall     micros.Micros // time of day
+	heartbeatInterval micros.Micros // workers' usual time between reports
+	leaseDuration     micros.Micros // of workers
 
 	mu sync.Mutex
 
 	// How far the take-over is, and whether the term is over.
-	ready      bool          // the snapshot has been rebuilt
-	raised     bool          // the means have been raised to it
-	superseded bool          // a higher token is known
-	lost       chan struct{} // closed when a write proved that the term is over
-	lostOnce   sync.Once
+	ready        bool          // the snapshot has been rebuilt
+	meansRaised  bool          // the means have been raised to it
+	superseded   bool          // a higher token is known
+	termLost     chan struct{} // closed when a write proved that the term is over
+	termLostOnce sync.Once
 
 	jobState
 	fleetState
-	catalogState
+	instanceTypeState
 	planState
 	gangState
-	flushState
+	persistState
 	workerCalls
 	standbyState
 	zoneState
 
 	// What is shown to users and written to the log.
-	counts    map[string][2]int // see AllTaskCounts
-	countsAt  micros.Micros
-	lastStops []StopNote
-	tallies   tallies
+	taskCounts    map[string][2]int // see AllTaskCounts
+	taskCountsAt  micros.Micros
+	recentStops   []StopNote
+	aggregatedLog aggregatedLog
 }
 
 // jobState is what is known of jobs and their tasks.
 type jobState struct {
-	jobs      map[string]*job
-	orphans   map[string]*job                // cancelled before this term, with tasks still on machines
-	used      map[string]placement.Resources // by what is on machines, a team
-	hidden    placement.Resources            // what machines with unknown tasks may hold, as of the last plan
-	images    map[string]int                 // the numbers that stand for images
-	teams     map[string]settings.Team
-	attempts  uint64
-	estimates map[string]*staffing.RuntimeEstimator // by class
+	jobs          map[string]*job
+	cancelledJobs map[string]*job                // cancelled before this term, with tasks still on machines
+	teamUsage     map[string]placement.Resources // by what is on machines, a team
+	unknownUsage  placement.Resources            // what machines with unknown tasks may hold, as of the last plan
+	images        map[string]int                 // the numbers that stand for images
+	teams         map[string]settings.Team
+	attempts      uint64
+	estimates     map[string]*staffing.RuntimeEstimator // by class
 }
 
 // fleetState is what is known of machines and rentals.
 type fleetState struct {
-	machines           map[string]*machine
-	order              []*machine // by name
-	bookings           map[string]*booking
-	bookingSeq         uint64
-	runningLists       []*runningList
-	unbooked           map[string]micros.Micros // listed machines that no booking explains, since when
-	gone               map[string]bool          // machines that the cloud took back from us
-	toReturn           []string                 // machines to be returned
-	offers             map[offer]*offerState
-	unresolvedMachines int // machines whose tasks are not known, as of the last look
-	lateBoots          boots
+	machines         map[string]*machine
+	sorted           []*machine // by name
+	intents          map[string]*launchIntent
+	intentSequence   uint64
+	machineLists     []*machineList
+	unexplained      map[string]micros.Micros // listed machines that no booking explains, since when
+	terminated       map[string]bool          // machines that the cloud took back from us
+	terminationQueue []string                 // machines to be returned
+	capacityBackoffs map[offering]*capacityBackoff
+	unknownMachines  int // machines whose tasks are not known, as of the last look
+	bootOutcomes     bootOutcomes
 }
 
-// catalogState is the catalog, with the staffing of its types.
-type catalogState struct {
-	types     map[string]*machineType
-	typeOrder []string
-	catalog   int // raised with each new one
+// instanceTypeState is the catalog, with the staffing of its types.
+type instanceTypeState struct {
+	types        map[string]*scaledType
+	typeOrder    []string
+	typesVersion int // raised with each new one
 	// A catalog that was refused is not sent again. Not guarded by mu.
-	catalogRefused *wire.InstanceTypeList
+	rejectedTypes *wire.InstanceTypeList
 }
 
 // planState is what waits, and when it was planned.
 type planState struct {
-	queue     queue // as of the last plan
-	replan    bool  // something changed since then
-	planTook  micros.Micros
-	plannedAt micros.Micros
-	preempted micros.Micros
-	taskEnds  endRate
-	answering *machine // whose report is being answered
+	queue        queue // as of the last plan
+	replan       bool  // something changed since then
+	planDuration micros.Micros
+	plannedAt    micros.Micros
+	preemptedAt  micros.Micros
+	completions  completionRate
+	responding   *machine // whose report is being answered
 }
 
 // gangState is what is held and done for gangs beside plans.
 type gangState struct {
-	gatherings        map[string]*gathering // room being gathered for gangs, by job
-	reserves          map[reserveKind]*gangReserve
-	preemptedForGangs micros.Micros
+	reservations        map[string]*gangReservation // room being gathered for gangs, by job
+	pools               map[poolKind]*gangPool
+	preemptedForGangsAt micros.Micros
 }
 
-// flushState is what is to be written to the state service.
-type flushState struct {
-	dirty    map[string]bool // keys to be written; false: see markLazily
-	finals   map[string]replica.Job
-	flushNow chan struct{}
-	flushOps int            // most changes in a transaction
-	tooLarge map[string]int // sizes of values that the state service refused, by key
-	writing  bool           // a transaction is under way
+// persistState is what is to be written to the state service.
+type persistState struct {
+	dirty         map[string]bool // keys to be written; false: see markDirtyLazily
+	finalJobs     map[string]replica.Job
+	wake          chan struct{}
+	maxOps        int            // most changes in a transaction
+	rejectedSizes map[string]int // sizes of values that the state service refused, by key
+	inFlight      bool           // a transaction is under way
 }
 
 // workerCalls is what is known of this node's own calls to workers.
 type workerCalls struct {
-	calls       chan struct{}      // in progress
-	zoneAnswers map[string]answers // how the machines of a zone took to being asked for their tasks
+	slots       chan struct{}          // in progress
+	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
 }
 
-// machineType is a type of the catalog with its staffing.
-type machineType struct {
+// scaledType is a type of the catalog with its staffing.
+type scaledType struct {
 	wire.InstanceType
-	capacity     placement.Resources
-	m            float64
-	mBestEffort  float64 // of m, by patient jobs
-	window       *staffing.DemandWindow
-	bestEffort   *staffing.DemandWindow // of these
-	service      staffing.ServiceTime
-	batches      staffing.BatchSizes
-	finished     int
-	want         float64 // the formula's, held for an interval
-	wantOrdinary float64 // the same with the z of ordinary machines
-	target       int     // what the fleet is steered toward
-	heldTill     micros.Micros
+	capacity         placement.Resources
+	mean             float64
+	meanBestEffort   float64 // of m, by patient jobs
+	demand           *staffing.DemandWindow
+	bestEffortDemand *staffing.DemandWindow // of these
+	service          staffing.ServiceTime
+	batches          staffing.BatchSizes
+	finishedTasks    int
+	wanted           float64 // the formula's, held for an interval
+	wantedOnDemand   float64 // the same with the z of ordinary machines
+	target           int     // what the fleet is steered toward
+	heldUntil        micros.Micros
 }
 
 // New makes a leader for a term.
 func New(c Config) *Leader {
 	workers := c.Settings.Params.Workers
 	l := &Leader{
-		Config:    c,
-		began:     micros.Now(),
-		beganWall: micros.Wall(),
-		report:    workers.HeartbeatInterval(),
-		lease:     workers.LeaseDuration(),
-		lost:      make(chan struct{}),
-		tallies:   tallies{},
+		Config:            c,
+		startedAt:         micros.Now(),
+		startedAtWall:     micros.Wall(),
+		heartbeatInterval: workers.HeartbeatInterval(),
+		leaseDuration:     workers.LeaseDuration(),
+		termLost:          make(chan struct{}),
+		aggregatedLog:     aggregatedLog{},
 		jobState: jobState{
-			jobs:      map[string]*job{},
-			orphans:   map[string]*job{},
-			used:      map[string]placement.Resources{},
-			images:    map[string]int{},
-			teams:     map[string]settings.Team{},
-			estimates: map[string]*staffing.RuntimeEstimator{},
+			jobs:          map[string]*job{},
+			cancelledJobs: map[string]*job{},
+			teamUsage:     map[string]placement.Resources{},
+			images:        map[string]int{},
+			teams:         map[string]settings.Team{},
+			estimates:     map[string]*staffing.RuntimeEstimator{},
 		},
 		fleetState: fleetState{
-			machines: map[string]*machine{},
-			bookings: map[string]*booking{},
-			unbooked: map[string]micros.Micros{},
-			gone:     map[string]bool{},
-			offers:   map[offer]*offerState{},
+			machines:         map[string]*machine{},
+			intents:          map[string]*launchIntent{},
+			unexplained:      map[string]micros.Micros{},
+			terminated:       map[string]bool{},
+			capacityBackoffs: map[offering]*capacityBackoff{},
 		},
-		catalogState: catalogState{
-			types: map[string]*machineType{},
+		instanceTypeState: instanceTypeState{
+			types: map[string]*scaledType{},
 		},
 		gangState: gangState{
-			gatherings: map[string]*gathering{},
-			reserves:   map[reserveKind]*gangReserve{},
+			reservations: map[string]*gangReservation{},
+			pools:        map[poolKind]*gangPool{},
 		},
-		flushState: flushState{
-			dirty:    map[string]bool{},
-			finals:   map[string]replica.Job{},
-			flushNow: make(chan struct{}, 1),
-			flushOps: c.Store.MaxLeaderOps(),
-			tooLarge: map[string]int{},
+		persistState: persistState{
+			dirty:         map[string]bool{},
+			finalJobs:     map[string]replica.Job{},
+			wake:          make(chan struct{}, 1),
+			maxOps:        c.Store.MaxLeaderOps(),
+			rejectedSizes: map[string]int{},
 		},
 		workerCalls: workerCalls{
-			calls:       make(chan struct{}, max(8, c.Settings.Params.Limits.MaxSockets/callShare)),
-			zoneAnswers: map[string]answers{},
+			slots:       make(chan struct{}, max(8, c.Settings.Params.Limits.MaxSockets/workerCallShare)),
+			zoneQueries: map[string]queryCounts{},
 		},
 	}
 	l.zoneState = newZoneState(c.Zones)
@@ -243,7 +243,7 @@
 		// built: their writes fail from this term's leader key on.
 		err := l.Replica.Barrier(ctx)
 		if err == nil {
-			err = l.loadCatalog(ctx)
+			err = l.loadInstanceTypes(ctx)
 		}
 		if err == nil {
 			break
@@ -258,7 +258,7 @@
 		slog.Error("take-over", "error", "there is no proof that the term before has ended")
 		return
 	}
-	if err := l.rebuild(); err != nil {
+	if err := l.rebuildState(); err != nil {
 		slog.Error("take-over", "error", err)
 		return
 	}
@@ -266,40 +266,40 @@
 	loops := []func(context.Context){
 		l.flushLoop,
 		l.tickLoop,
-		l.rentLoop,
-		l.returnLoop,
-		l.listLoop,
-		l.catalogLoop,
-		l.askLoop,
+		l.launchLoop,
+		l.terminateLoop,
+		l.listInstancesLoop,
+		l.instanceTypesLoop,
+		l.queryTasksLoop,
 	}
 	for _, f := range loops {
 		wg.Go(func() { f(ctx) })
 	}
 	select {
 	case <-ctx.Done():
-	case <-l.lost:
+	case <-l.termLost:
 		cancel()
 	}
 	wg.Wait()
 }
 
-// loadCatalog uses the stored catalog or else asks the cloud.
-func (l *Leader) loadCatalog(ctx context.Context) error {
+// loadInstanceTypes uses the stored catalog or else asks the cloud.
+func (l *Leader) loadInstanceTypes(ctx context.Context) error {
 	var c wire.InstanceTypeList
 	stamp, err := l.Replica.Get(replica.InstanceTypesKey, &c)
 	if err != nil {
 		return err
 	}
 	if stamp != 0 {
-		l.setCatalog(c)
+		l.setInstanceTypes(c)
 		return nil
 	}
-	return l.refreshCatalog(ctx)
+	return l.refreshInstanceTypes(ctx)
 }
 
-// refreshCatalog asks the cloud for the present prices and stores a catalog
+// refreshInstanceTypes asks the cloud for the present prices and stores a catalog
 // that is new.
-func (l *Leader) refreshCatalog(ctx context.Context) error {
+func (l *Leader) refreshInstanceTypes(ctx context.Context) error {
 	c, err := l.Cloud.InstanceTypes(ctx)
 	if err != nil {
 		return err
@@ -309,11 +309,11 @@
 	if err != nil {
 		return err
 	}
-	l.setCatalog(c)
+	l.setInstanceTypes(c)
 	if stamp != 0 && sameTypes(stored, c) {
 		return nil
 	}
-	if l.catalogRefused != nil && sameTypes(*l.catalogRefused, c) {
+	if l.rejectedTypes != nil && sameTypes(*l.rejectedTypes, c) {
 		return nil
 	}
 	rev, err := l.Store.Commit(ctx, wire.Txn{
@@ -323,7 +323,7 @@
 	if errors.Is(err, statestore.ErrRejected) {
 		// The leader goes on with what it was told. Submissions are judged by the
 		// catalog stored before; a take-over must not wait for what cannot be.
-		l.catalogRefused = &c
+		l.rejectedTypes = &c
 		slog.Error("the state service refuses the catalog, which is not stored", "types", len(c.Types), "bytes", wire.JSONSize(c), "error", err)
 		return nil
 	}
@@ -349,16 +349,16 @@
 	return true
 }
 
-func (l *Leader) setCatalog(c wire.InstanceTypeList) {
+func (l *Leader) setInstanceTypes(c wire.InstanceTypeList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.typeOrder = l.typeOrder[:0]
-	l.catalog++
+	l.typesVersion++
 	for _, t := range c.Types {
 		l.typeOrder = append(l.typeOrder, t.Name)
 		mt := l.types[t.Name]
 		if mt == nil {
-			mt = &machineType{window: staffing.NewDemandWindow(l.Tuning.Window), bestEffort: staffing.NewDemandWindow(l.Tuning.Window)}
+			mt = &scaledType{demand: staffing.NewDemandWindow(l.Tuning.Window), bestEffortDemand: staffing.NewDemandWindow(l.Tuning.Window)}
 			l.types[t.Name] = mt
 		}
 		mt.InstanceType = t
@@ -366,38 +366,38 @@
 	}
 }
 
-func (l *Leader) catalogLoop(ctx context.Context) {
+func (l *Leader) instanceTypesLoop(ctx context.Context) {
 	micros.Every(ctx, 60*micros.Second, func() {
-		if err := l.refreshCatalog(ctx); err != nil {
+		if err := l.refreshInstanceTypes(ctx); err != nil {
 			slog.Debug("catalog", "error", err)
 		}
 	})
 }
 
-// rebuild makes the snapshot from what is stored. What machines hold is not
+// rebuildState makes the snapshot from what is stored. What machines hold is not
 // known until each has answered with this term's token.
-func (l *Leader) rebuild() error {
+func (l *Leader) rebuildState() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := micros.Now()
 	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
-		var b booking
+		var b launchIntent
 		if _, err := l.Replica.Get(key, &b); err != nil {
 			return err
 		}
 		b.id = strings.TrimPrefix(key, replica.LaunchIntentPrefix)
-		l.bookings[b.id] = &b
+		l.intents[b.id] = &b
 		b.stored = true
 		for _, id := range b.Machines {
 			// What is read here is stored: it may get tasks at once.
-			l.addMachine(id, &b, now).stored = true
+			l.addMachine(id, &b, now).instance.intentStored = true
 		}
 	}
-	if err := l.restoreRunningLists(); err != nil {
+	if err := l.restoreMachineLists(); err != nil {
 		return err
 	}
 	for _, id := range l.Replica.TakeChangedJobs(true) {
-		l.jobChanged(id, true)
+		l.applyJobChange(id, true)
 	}
 	for _, key := range l.Replica.Keys(replica.ProgressPrefix) {
 		id, chunk, err := parseProgressKey(key)
@@ -409,27 +409,27 @@
 			l.dirty[key] = true // of a job that is over
 			continue
 		}
-		var p progress
+		var p taskProgress
 		if _, err := l.Replica.Get(key, &p); err != nil {
 			return err
 		}
 		if err := j.restore(chunk, p); err != nil {
 			return fmt.Errorf("stored %s: %w", key, err)
 		}
-		if j.ndone > 0 {
-			l.gangDone(j)
+		if j.doneCount > 0 {
+			l.completeGang(j)
 		}
 		l.finishIfDone(j)
 	}
-	if err := l.restoreStaffing(now); err != nil {
+	if err := l.restoreAutoscaler(now); err != nil {
 		return err
 	}
 	l.restoreZones(now)
-	l.useExpected()
-	l.stepReserves(now)
+	l.usePreviousTerm()
+	l.stepPools(now)
 	l.ready = true
 	l.replan = true
-	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.machines), "unresolved", l.unresolved())
+	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.machines), "unresolved", l.countUnknownMachines())
 	return nil
 }
 
@@ -449,22 +449,22 @@
 		}
 		now := micros.Now()
 		l.mu.Lock()
-		l.takeChanges()
-		if l.handing {
+		l.applyJobChanges()
+		if l.handingOver {
 			l.mu.Unlock()
 			continue
 		}
-		l.noteAdopted()
+		l.reportTasksKnown()
 		if now-watched >= 200*micros.Millisecond {
 			watched = now
-			l.watchMachines(now)
+			l.checkMachines(now)
 		}
-		l.watchGangs(now)
+		l.checkGangs(now)
 		l.planIfNeeded(now)
 		if now-staffed >= micros.Second {
 			staffed = now
-			l.staff(now)
-			l.tallies.tell()
+			l.autoscale(now)
+			l.aggregatedLog.flush()
 		}
 		if now-shown >= 5*micros.Second {
 			shown = now
@@ -474,16 +474,16 @@
 	}
 }
 
-// takeChanges takes over what the replica has seen since the last time.
-func (l *Leader) takeChanges() {
+// applyJobChanges takes over what the replica has seen since the last time.
+func (l *Leader) applyJobChanges() {
 	for _, id := range l.Replica.TakeChangedJobs(false) {
-		l.jobChanged(id, false)
+		l.applyJobChange(id, false)
 	}
 }
 
-// jobChanged takes over a change that the replica saw. Old jobs are those
+// applyJobChange takes over a change that the replica saw. Old jobs are those
 // that an earlier term may have started tasks of.
-func (l *Leader) jobChanged(id string, old bool) {
+func (l *Leader) applyJobChange(id string, old bool) {
 	r, _, ok := l.Replica.Job(id)
 	if !ok {
 		return
@@ -491,15 +491,15 @@
 	j := l.jobs[id]
 	switch {
 	case r.IsFinal() && j != nil:
-		l.forget(j, r.State)
+		l.dropJob(j, r.State)
 	case !r.IsFinal() && j == nil:
-		if _, finishing := l.finals[id]; finishing {
+		if _, finishing := l.finalJobs[id]; finishing {
 			return
 		}
 		j = newJob(r, old)
-		j.image = l.image(j.spec.Image)
+		j.image = l.imageIndex(j.spec.Image)
 		l.jobs[id] = j
-		l.demand(j)
+		l.addDemand(j)
 		l.replan = true
 	}
 }
@@ -512,51 +512,51 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.superseded = true
-	l.lostOnce.Do(func() { close(l.lost) })
+	l.termLostOnce.Do(func() { close(l.termLost) })
 }
 
-// countsEvery is how often the counts are taken anew; they are for display only.
-const countsEvery = 2 * micros.Second
+// taskCountsInterval is how often the counts are taken anew; they are for display only.
+const taskCountsInterval = 2 * micros.Second
 
 // AllTaskCounts is how far the jobs are that are not over: done and running tasks, as
-// of at most countsEvery ago, and since when. The map must not be changed.
+// of at most taskCountsInterval ago, and since when. The map must not be changed.
 func (l *Leader) AllTaskCounts() (map[string][2]int, micros.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := micros.Now(); l.counts == nil || now-l.countsAt >= countsEvery {
-		l.counts, l.countsAt = l.takeCounts(), now
+	if now := micros.Now(); l.taskCounts == nil || now-l.taskCountsAt >= taskCountsInterval {
+		l.taskCounts, l.taskCountsAt = l.countTasks(), now
 	}
-	return l.counts, l.countsAt
+	return l.taskCounts, l.taskCountsAt
 }
 
 // Bounds of the counts, which go into one message between nodes: all that are within
-// maxCountBytes, where each takes its job's name and countBytes at most. A fleet of 4,000
+// maxTaskCountBytes, where each takes its job's name and taskCountBytes at most. A fleet of 4,000
 // machines that run single tasks has 16,000 jobs to count, which take 400 KB.
 const (
-	maxCountBytes = 1 << 19
-	countBytes    = 16
+	maxTaskCountBytes = 1 << 19
+	taskCountBytes    = 16
 )
 
-// takeCounts counts the tasks of the jobs that have begun.
-func (l *Leader) takeCounts() map[string][2]int {
+// countTasks counts the tasks of the jobs that have begun.
+func (l *Leader) countTasks() map[string][2]int {
 	counts, size := make(map[string][2]int, len(l.jobs)), 0
 	for id, j := range l.jobs {
-		if j.ndone+j.running == 0 {
+		if j.doneCount+j.runningCount == 0 {
 			continue
 		}
-		if size += len(id) + countBytes; size > maxCountBytes {
+		if size += len(id) + taskCountBytes; size > maxTaskCountBytes {
 			break
 		}
-		counts[id] = [2]int{j.ndone, j.running}
+		counts[id] = [2]int{j.doneCount, j.runningCount}
 	}
 	return counts
 }
 
-// forget drops a job that is over; its tasks are stopped.
-func (l *Leader) forget(j *job, state string) {
-	j.over = true
+// dropJob drops a job that is over; its tasks are stopped.
+func (l *Leader) dropJob(j *job, state string) {
+	j.ended = true
 	delete(l.jobs, j.spec.ID)
-	delete(l.finals, j.spec.ID)
+	delete(l.finalJobs, j.spec.ID)
 	delete(l.dirty, replica.JobPrefix+j.spec.ID)
 	for chunk := range j.chunks() {
 		key := progressKey(j.spec.ID, chunk)
@@ -566,17 +566,17 @@
 		}
 	}
 	if j.isGang() {
-		l.dropGathering(j)
-		l.stopAll(j, 0, "job is "+state)
+		l.dropReservation(j)
+		l.endGangAttempt(j, 0, "job is "+state)
 	}
-	for _, a := range j.on {
-		l.stop(a, 0, "job is "+state)
+	for _, a := range j.attempts {
+		l.stopTask(a, 0, "job is "+state)
 	}
 	l.replan = true
 }
 
-// image is the number that stands for an image.
-func (l *Leader) image(name string) int {
+// imageIndex is the number that stands for an image.
+func (l *Leader) imageIndex(name string) int {
 	n, ok := l.images[name]
 	if !ok {
 		n = len(l.images)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -38,17 +38,18 @@
 	}}
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
 		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: token})
-	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
-	b := &booking{id: "r-1", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}}
-	l.bookings[b.id] = b
+	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
+	b := &launchIntent{id: "r-1", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}}
+	l.intents[b.id] = b
 	m := l.addMachine("i-1", b, now)
-	m.up, m.stored, m.upStored, m.resolved = true, true, true, false
-	m.current = true
-	l.runningLists = []*runningList{{Machines: []string{"i-1"}}}
+	m.instance.running, m.instance.intentStored, m.instance.listStored = true, true, true
+	m.reconciliation.knowledge = tasksUnknown
+	m.heartbeat.ofThisTerm = true
+	l.machineLists = []*machineList{{Machines: []string{"i-1"}}}
 	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
 		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
-	l.jobChanged("j-000001", true)
+	l.applyJobChange("j-000001", true)
 	l.ready = true
 	l.replan = true
 	return l, term
@@ -106,8 +107,8 @@
 		}
 	}
 	var numbers []uint64
-	for _, a := range l.machines["i-1"].tasks {
-		numbers = append(numbers, a.n)
+	for _, a := range l.machines["i-1"].attempts {
+		numbers = append(numbers, a.number)
 	}
 	slices.Sort(numbers)
 	if len(numbers) != len(slices.Compact(numbers)) {
@@ -126,27 +127,27 @@
 func TestUrgency(t *testing.T) {
 	l, _ := newTest(t)
 	for i := range 40 {
-		b := &booking{id: fmt.Sprintf("r-0-%d", i), Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}}
-		l.bookings[b.id] = b
-		m := l.addMachine(fmt.Sprintf("i-9%02d", i), b, l.began)
-		l.returned(m)
+		b := &launchIntent{id: fmt.Sprintf("r-0-%d", i), Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}}
+		l.intents[b.id] = b
+		m := l.addMachine(fmt.Sprintf("i-9%02d", i), b, l.startedAt)
+		l.removeMachine(m)
 	}
 	l.dirty[replica.AutoscalerKey] = true
-	l.markUp(l.addMachine("i-2", l.bookings["r-1"], l.began))
+	l.registerRunning(l.addMachine("i-2", l.intents["r-1"], l.startedAt))
 	j := l.jobs["j-000001"]
 	for i := range j.spec.Tasks {
 		j.done.set(i)
-		j.ndone++
+		j.doneCount++
 	}
 	l.dirty[progressKey("j-000002", 0)] = true
 	l.finishIfDone(j)
-	ws, more := l.gather()
+	ws, more := l.collectWrites()
 	// The record goes before progress: behind it, a busy leader's was never written, and
 	// the next one knew nothing of the jobs at fault.
-	if len(ws) < 3 || !more || ws[0].key != replica.JobPrefix+"j-000001" || ws[1].key != runningListKey(0) || ws[2].key != replica.AutoscalerKey {
+	if len(ws) < 3 || !more || ws[0].key != replica.JobPrefix+"j-000001" || ws[1].key != machineListKey(0) || ws[2].key != replica.AutoscalerKey {
 		t.Fatalf("written first: %+v", ws)
 	}
-	if ws, _ = l.gather(); len(ws) == 0 {
+	if ws, _ = l.collectWrites(); len(ws) == 0 {
 		t.Error("nothing is written after them")
 	}
 	for _, w := range ws {
@@ -164,11 +165,11 @@
 	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", progressKey("j-000001", 0)) {
 		l.Replica.ApplyPut(key, map[string]any{}, 5)
 	}
-	l.sweep()
-	ws, _ := l.gather()
+	l.deleteLeftovers()
+	ws, _ := l.collectWrites()
 	var removed []string
 	for _, w := range ws {
-		if w.value != nil || w.stamp != 5 {
+		if w.value != nil || w.modRevision != 5 {
 			t.Errorf("written: %+v", w)
 		}
 		removed = append(removed, w.key)
@@ -196,15 +197,15 @@
 	} {
 		l, _ := newTest(t)
 		wall := micros.Wall()
-		l.beganWall = wall - 500*micros.Second
+		l.startedAtWall = wall - 500*micros.Second
 		big := l.jobs["j-000001"]
-		big.old, big.spec.Tasks, big.submitted = false, 64, wall-c.waited
+		big.mayHaveEarlierTasks, big.spec.Tasks, big.submittedAt = false, 64, wall-c.waited
 		if c.since != 0 {
 			big.lastStart = wall - c.since
 		}
-		big.ndone = c.done
+		big.doneCount = c.done
 		if c.running {
-			big.on[0] = &attempt{job: big, machine: l.machines["i-1"]}
+			big.attempts[0] = &attempt{job: big, machine: l.machines["i-1"]}
 		}
 		spec := *big.spec
 		spec.ID, spec.Priority, spec.Tasks = "j-000002", "urgent", 10
@@ -240,13 +241,14 @@
 			if there {
 				list = append(list, wire.InstanceStatus{ID: "i-1", State: wire.InstanceRunning})
 			}
-			l.listedMachines(list, micros.Second)
+			l.reconcileInstances(list, micros.Second)
 		}
-		now := l.began + 100*micros.Second
-		m.resolved, m.reported, m.answered = true, now-c.silent, now-c.silent
-		l.watchMachines(now)
-		if m.leaving != c.leaves {
-			t.Errorf("%s: returned %v, want %v", c.name, m.leaving, c.leaves)
+		now := l.startedAt + 100*micros.Second
+		m.heartbeat.receivedAt, m.lease.renewedAt = now-c.silent, now-c.silent
+		m.reconciliation.knowledge = tasksConfirmed
+		l.checkMachines(now)
+		if m.instance.terminating != c.leaves {
+			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.leaves)
 		}
 	}
 }
@@ -269,7 +271,7 @@
 		for i, want := range c.told {
 			l.plannedAt = 0
 			if i == 4 {
-				m.notUntil = 0
+				m.startBackoffUntil = 0
 			}
 			a, err := l.HandleHeartbeat(report(uint64(11+i), token, tasks...))
 			if err != nil || len(a.Commands) != want {
@@ -282,10 +284,10 @@
 			}
 		}
 		now := micros.Now() + 30*micros.Second
-		m.reported = now // its reports go on
-		l.watchMachines(now)
-		if m.leaving != c.leaves {
-			t.Errorf("%s: returned %v, want %v", c.name, m.leaving, c.leaves)
+		m.heartbeat.receivedAt = now // its reports go on
+		l.checkMachines(now)
+		if m.instance.terminating != c.leaves {
+			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.leaves)
 		}
 	}
 }
@@ -295,18 +297,18 @@
 // that an answer of this term was heard.
 func TestNewMachine(t *testing.T) {
 	l, _ := newTest(t)
-	l.machines["i-1"].notUntil = l.began + 3600*micros.Second
-	b := &booking{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
-	l.bookings[b.id] = b
-	m := l.addMachine("i-2", b, l.began)
-	m.stored = true
-	l.jobs["j-000001"].old = false
+	l.machines["i-1"].startBackoffUntil = l.startedAt + 3600*micros.Second
+	b := &launchIntent{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
+	l.intents[b.id] = b
+	m := l.addMachine("i-2", b, l.startedAt)
+	m.instance.intentStored = true
+	l.jobs["j-000001"].mayHaveEarlierTasks = false
 	for i, c := range []struct {
 		seq, token uint64
 		upStored   bool
 		starts     int
 	}{{1, 0, true, 0}, {2, token - 1, true, 0}, {3, token, false, 0}, {4, token, true, 3}} {
-		m.upStored, l.plannedAt = c.upStored, 0
+		m.instance.listStored, l.plannedAt = c.upStored, 0
 		r := report(c.seq, c.token)
 		r.MachineID = "i-2"
 		if a, err := l.HandleHeartbeat(r); err != nil || len(a.Commands) != c.starts {
@@ -330,7 +332,7 @@
 		{"returned in this term", []uint64{token}, true, false},
 	} {
 		l, _ := newTest(t)
-		l.gone["i-7"] = c.gone
+		l.terminated["i-7"] = c.gone
 		for i, n := range c.tokens {
 			r := report(uint64(i+1), n)
 			r.MachineID = "i-7"
@@ -380,13 +382,14 @@
 		after, notAfter micros.Micros // since the term began
 	}{
 		{"an earlier leader may renew it", false, 0, 0, w.LeaseRenewalWindow() + w.LeaseDuration(), w.CancellationTimeout()},
-		{"all peers know of this term", false, l.began + micros.Second, 0, w.LeaseDuration() + micros.Second, w.LeaseDuration() + 3*micros.Second},
-		{"answered by this term", true, 0, l.began + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
-		{"answered and not resolved", false, l.began + micros.Second, l.began + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
+		{"all peers know of this term", false, l.startedAt + micros.Second, 0, w.LeaseDuration() + micros.Second, w.LeaseDuration() + 3*micros.Second},
+		{"answered by this term", true, 0, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
+		{"answered and not resolved", false, l.startedAt + micros.Second, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
 	}
 	for _, c := range cases {
-		m.resolved, m.answered, term.alone = c.resolved, c.answered, c.alone
-		if got := l.leaseOver(m) - l.began; got <= c.after || got > c.notAfter {
+		m.lease.renewedAt, term.alone = c.answered, c.alone
+		m.reconciliation.knowledge = knowledge(c.resolved)
+		if got := l.leaseExpiry(m) - l.startedAt; got <= c.after || got > c.notAfter {
 			t.Errorf("%s: over after %v s, want within (%v, %v]", c.name, got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
 		}
 	}
@@ -400,15 +403,15 @@
 	j := l.jobs["j-000001"]
 	for i := range j.spec.Tasks {
 		j.done.set(i)
-		j.ndone++
+		j.doneCount++
 	}
 	l.finishIfDone(j)
-	if ws, _ := l.gather(); len(ws) != 1 || ws[0].stamp != 1 {
+	if ws, _ := l.collectWrites(); len(ws) != 1 || ws[0].modRevision != 1 {
 		t.Fatalf("the end is written as %+v, want under the version decided on", ws)
 	}
 	l.dirty[replica.JobPrefix+"j-000001"] = true
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
-	if ws, _ := l.gather(); len(ws) != 0 {
+	if ws, _ := l.collectWrites(); len(ws) != 0 {
 		t.Errorf("a cancelled job is written as %+v", ws)
 	}
 }
@@ -416,11 +419,11 @@
 // TestTeamUse counts what machines with unknown tasks could hold.
 func TestTeamUse(t *testing.T) {
 	l, _ := newTest(t)
-	if teams, unresolved := l.teamUse(), l.unknownTasks().machines; unresolved != 1 || teams["blue"].Used.CPU != 4000 {
+	if teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow().count; unresolved != 1 || teams["blue"].Used.CPU != 4000 {
 		t.Errorf("unresolved %d, used %+v, want all 4 CPUs of the one machine", unresolved, teams["blue"].Used)
 	}
-	l.machines["i-1"].resolved = true
-	if teams := l.teamUse(); teams["blue"].Used.CPU != 0 {
+	l.machines["i-1"].reconciliation.knowledge = tasksConfirmed
+	if teams := l.worstCaseTeamUse(); teams["blue"].Used.CPU != 0 {
 		t.Errorf("used %+v with nothing running", teams["blue"].Used)
 	}
 }
@@ -446,21 +449,22 @@
 	for _, c := range cases {
 		l, term := newTest(t)
 		term.held = c.held
-		b := l.bookings["r-1"]
+		b := l.intents["r-1"]
 		for _, id := range []string{"i-2", "i-3", "i-4", "i-5", "i-6"} {
-			l.addMachine(id, b, l.began).up = true
+			l.addMachine(id, b, l.startedAt).instance.running = true
 		}
-		now := l.began + 100*micros.Second
-		for i, m := range l.order {
-			m.resolved, m.reported, m.answered = true, now, now
+		now := l.startedAt + 100*micros.Second
+		for i, m := range l.sorted {
+			m.heartbeat.receivedAt, m.lease.renewedAt = now, now
+			m.reconciliation.knowledge = tasksConfirmed
 			if i < c.silent {
-				m.reported, m.answered = now-c.after, now-c.after
+				m.heartbeat.receivedAt, m.lease.renewedAt = now-c.after, now-c.after
 			}
 		}
 		// An expired machine is noted first, and given up when that lasts.
-		l.watchMachines(now - 20*micros.Second)
-		l.watchMachines(now)
-		if got := l.machines["i-1"].leaving; got != c.leaves {
+		l.checkMachines(now - 20*micros.Second)
+		l.checkMachines(now)
+		if got := l.machines["i-1"].instance.terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
@@ -499,14 +503,14 @@
 		ID: "j-000002", Team: "blue", Kind: wire.KindArray, Tasks: 8, CPUs: 1, MemoryGB: 1, CheckpointDurationS: 5, CheckpointIntervalS: 1, AllowSpot: true}}, 2)
 	l.machines["i-1"].free.CPU = 8000 // the limit alone is in the way
 	task := func(n int, state string) wire.TaskStatus {
-		w := wire.TaskStatus{TaskID: taskName("j-000002", n), Attempt: 3<<32 | 1, State: state}
+		w := wire.TaskStatus{TaskID: taskID("j-000002", n), Attempt: 3<<32 | 1, State: state}
 		if state == wire.TaskExited {
 			w.ExitReason = wire.ExitStopped
 		}
 		return w
 	}
 	started := func(n int) wire.TaskStatus {
-		return wire.TaskStatus{TaskID: taskName("j-000001", n), Attempt: token<<32 | uint64(n+1), State: wire.TaskRunning}
+		return wire.TaskStatus{TaskID: taskID("j-000001", n), Attempt: token<<32 | uint64(n+1), State: wire.TaskRunning}
 	}
 	stranger := report(1, 0, task(0, wire.TaskRunning))
 	stranger.MachineID = "i-2"
@@ -532,8 +536,8 @@
 			t.Errorf("%s: %v, %v, want %v", s.name, got, err, s.want)
 		}
 	}
-	if len(l.orphans) > 0 || l.used["blue"].CPU != 3000 {
-		t.Errorf("%d orphans are left, the team uses %v", len(l.orphans), l.used["blue"])
+	if len(l.cancelledJobs) > 0 || l.teamUsage["blue"].CPU != 3000 {
+		t.Errorf("%d orphans are left, the team uses %v", len(l.cancelledJobs), l.teamUsage["blue"])
 	}
 }
 
@@ -547,31 +551,31 @@
 		{"nothing in the way", func(*Leader, *job, *machine) {}, true},
 		{"another type", func(_ *Leader, j *job, _ *machine) { j.spec.InstanceTypes = []string{"m8"} }, false},
 		{"another zone", func(_ *Leader, j *job, _ *machine) { j.spec.Zone = "b" }, false},
-		{"no spot machine", func(_ *Leader, j *job, m *machine) { j.spec.AllowSpot, m.kind.Spot = false, true }, false},
+		{"no spot machine", func(_ *Leader, j *job, m *machine) { j.spec.AllowSpot, m.offering.Spot = false, true }, false},
 		{"at the team's limit", func(l *Leader, j *job, _ *machine) {
 			l.teams["blue"] = settings.Team{MaxCPUs: 2}
-			l.used["blue"] = l.used["blue"].Add(j.need, 2)
+			l.teamUsage["blue"] = l.teamUsage["blue"].Add(j.need, 2)
 		}, false},
 		{"machines with unknown tasks may be at it", func(l *Leader, j *job, _ *machine) {
 			l.teams["blue"] = settings.Team{MaxCPUs: 2}
-			l.hidden = l.hidden.Add(j.need, 2)
+			l.unknownUsage = l.unknownUsage.Add(j.need, 2)
 		}, false},
 		{"its other tasks are in another zone", func(_ *Leader, j *job, m *machine) {
 			j.spec.SingleZone = true
-			j.on[0], j.zones["b"] = &attempt{}, 1
+			j.attempts[0], j.attemptsPerZone["b"] = &attempt{}, 1
 		}, false},
 		{"its other tasks are here", func(_ *Leader, j *job, m *machine) {
 			j.spec.SingleZone = true
-			j.on[0], j.zones["a"] = &attempt{}, 1
+			j.attempts[0], j.attemptsPerZone["a"] = &attempt{}, 1
 		}, true},
-		{"two of three are here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.zones["a"] = true, 2 }, false},
-		{"one of three is here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.zones["a"] = true, 1 }, true},
+		{"two of three are here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.attemptsPerZone["a"] = true, 2 }, false},
+		{"one of three is here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.attemptsPerZone["a"] = true, 1 }, true},
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
 		j, m := l.jobs["j-000001"], l.machines["i-1"]
 		c.set(l, j, m)
-		if got := l.allowed(j, m); got != c.want {
+		if got := l.startAllowed(j, m); got != c.want {
 			t.Errorf("%s: %t, want %t", c.name, got, c.want)
 		}
 	}
@@ -607,8 +611,8 @@
 			}
 		}
 		m, j := l.machines["i-1"], l.jobs["j-000001"]
-		if used, held := l.used["blue"].CPU, int64(1000*len(m.tasks)); used != held || m.free.CPU != 4000-held || len(j.on) != len(m.tasks) || j.ndone != 0 {
-			t.Errorf("%s: %d tasks held and %d counted, %d used, %d free, %d done", c.name, len(m.tasks), len(j.on), used, m.free.CPU, j.ndone)
+		if used, held := l.teamUsage["blue"].CPU, int64(1000*len(m.attempts)); used != held || m.free.CPU != 4000-held || len(j.attempts) != len(m.attempts) || j.doneCount != 0 {
+			t.Errorf("%s: %d tasks held and %d counted, %d used, %d free, %d done", c.name, len(m.attempts), len(j.attempts), used, m.free.CPU, j.doneCount)
 		}
 	}
 }
@@ -635,3 +639,11 @@
 		}
 	}
 }
+
+// knowledge is that of a machine that has confirmed its tasks in this term, or has not.
+func knowledge(confirmed bool) taskKnowledge {
+	if confirmed {
+		return tasksConfirmed
+	}
+	return tasksUnknown
+}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -34,32 +34,32 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 2, TxnOps: 3}, nil)
-			l.runningLists = nil
+			l.machineLists = nil
 			var entries []string
 			for i := range 300 {
 				id := fmt.Sprintf("i-%06d", i)
-				l.addMachine(id, l.bookings["r-1"], 0)
+				l.addMachine(id, l.intents["r-1"], 0)
 				entries = append(entries, id+" 10.0.0.1:9000")
 			}
 			stored := map[string][]string{}
 			revision := uint64(100)
-			put := func(key string, u runningList) {
+			put := func(key string, u machineList) {
 				revision++
 				stored[key] = slices.Clone(u.Machines)
 				l.Replica.ApplyPut(key, u, revision)
 			}
-			put(runningListKey(0), runningList{Machines: entries})
+			put(machineListKey(0), machineList{Machines: entries})
 			if c.twice {
-				put(runningListKey(1), runningList{Machines: entries[60:100]})
+				put(machineListKey(1), machineList{Machines: entries[60:100]})
 			}
-			if err := l.restoreRunningLists(); err != nil {
+			if err := l.restoreMachineLists(); err != nil {
 				t.Fatal(err)
 			}
 			for n := 0; len(l.dirty) > 0; n++ {
 				if n == 100 {
 					t.Fatalf("still to be written: %v", l.dirty)
 				}
-				ws, _ := l.gather()
+				ws, _ := l.collectWrites()
 				for _, w := range ws {
 					switch {
 					case !c.answered(n) && !c.carried:
@@ -71,10 +71,10 @@
 					case !l.Store.ValueAlwaysFits(w.value):
 						t.Fatalf("%s is written too large", w.key)
 					default:
-						put(w.key, w.value.(runningList))
+						put(w.key, w.value.(machineList))
 					}
 					if c.answered(n) {
-						w.stored()
+						w.onStored()
 					} else {
 						l.dirty[w.key] = true
 					}
@@ -92,7 +92,7 @@
 			total := 0
 			for key, list := range stored {
 				total += len(list)
-				if !l.Store.ValueAlwaysFits(runningList{Machines: list}) {
+				if !l.Store.ValueAlwaysFits(machineList{Machines: list}) {
 					t.Errorf("%s stays too large", key)
 				}
 			}
@@ -108,31 +108,31 @@
 func TestFlushRefused(t *testing.T) {
 	cases := []struct {
 		name    string
-		refuses func(ws []write) bool
+		refuses func(ws []pendingWrite) bool
 		lost    string // the key that cannot be stored
 		most    int    // changes in a transaction afterwards
 	}{
-		{"nothing", func([]write) bool { return false }, "", 6},
-		{"more than two changes", func(ws []write) bool { return len(ws) > 2 }, "", 2},
-		{"one value", func(ws []write) bool {
-			return slices.ContainsFunc(ws, func(w write) bool { return w.key == "c/j/j-000104" })
+		{"nothing", func([]pendingWrite) bool { return false }, "", 6},
+		{"more than two changes", func(ws []pendingWrite) bool { return len(ws) > 2 }, "", 2},
+		{"one value", func(ws []pendingWrite) bool {
+			return slices.ContainsFunc(ws, func(w pendingWrite) bool { return w.key == "c/j/j-000104" })
 		}, "c/j/j-000104", 6},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, nil)
-			l.flushOps = l.Store.MaxLeaderOps()
+			l.maxOps = l.Store.MaxLeaderOps()
 			clear(l.dirty)
 			for i := range 8 {
 				id := fmt.Sprintf("j-%06d", 101+i)
 				l.Replica.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending}, uint64(10+i))
-				l.finals[id] = replica.Job{State: wire.JobDone}
+				l.finalJobs[id] = replica.Job{State: wire.JobDone}
 				l.dirty[replica.JobPrefix+id] = true
 			}
 			sent, stored := map[string]bool{}, 0
 			for n := 0; len(l.dirty) > 0; n++ {
-				ws, _ := l.gather()
+				ws, _ := l.collectWrites()
 				var keys []string
 				for _, w := range ws {
 					keys = append(keys, w.key)
@@ -146,18 +146,18 @@
 					t.Fatalf("sent again as it was refused: %s", all)
 				}
 				sent[all] = true
-				l.flushRefused(ws, errors.New("refused"))
+				l.shrinkRejected(ws, errors.New("refused"))
 			}
 			want := 8
 			if c.lost != "" {
 				want--
 				l.dirty[c.lost] = true
-				if ws, _ := l.gather(); len(ws) != 0 {
+				if ws, _ := l.collectWrites(); len(ws) != 0 {
 					t.Errorf("a value as large as the one refused is sent")
 				}
 			}
-			if stored != want || l.flushOps != c.most {
-				t.Errorf("%d stored, then %d changes at a time; want %d, %d", stored, l.flushOps, want, c.most)
+			if stored != want || l.maxOps != c.most {
+				t.Errorf("%d stored, then %d changes at a time; want %d, %d", stored, l.maxOps, want, c.most)
 			}
 		})
 	}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -11,315 +11,371 @@
 	"caperlatch/placement"
 )
 
-// machine is a rented machine.
+// machine is the leader's record of one rented machine.
+//
+// Its parts are grouped by what changes them. A task may start on the machine only while
+// isSchedulable says so.
 type machine struct {
-	id                string
-	booking           *booking
-	kind              offer
-	address           string
-	session           uint64
-	seq               uint64
-	up                bool           // it has reported, or is stored as up
-	stored            bool           // with its booking
-	upStored          bool           // as up: only with both may it get tasks
-	runningList       int            // where
-	first             micros.Micros  // first report in this term, 0 if none
-	current           bool           // its last report carried this term's token
-	told              bool           // it was answered in this term
-	listed            bool           // it has been in the cloud\'s list
-	missing           int            // lists in a row since then without it
-	sent              []wire.Command // starts and clears of the last answer
-	notReceiving      int            // answers in a row that did not reach it
-	notReceivingSince micros.Micros
-	resolved          bool          // its tasks are known: it reported with this term's token
-	asked             uint64        // seq of its answer when asked for its tasks, see askLoop
-	asks              int           // that it gave no answer to
-	expired           micros.Micros // since when its lease is over
-	rentedAt          micros.Micros
-	reported          micros.Micros // last newer report
-	answered          micros.Micros // last answer that may have renewed its lease
-	bounced           micros.Micros // when last sent away in doubt
-	tasks             map[string]*attempt
-	stopping          int                 // tasks that were told to stop
-	free              placement.Resources // what no task holds
-	clears            []wire.Command
-	planned           []*job       // one entry a start
-	gathering         *gathering   // its room is gathered for a gang
-	reserve           *gangReserve // only gangs start on it
-	images            imageCache
-	have              placement.ImageSet // these, and what is being fetched
-	surplus           bool               // not wanted by the formula
-	surplusAt         micros.Micros      // since when, 0 if it is not
-	closedToPatient   bool               // an ordinary one that only patient work would use
-	draining          string             // why it gets no more tasks
-	leaving           bool               // a return has been asked for
-	recallAt          micros.Micros
-	faultyAt          micros.Micros        // when found faulty
-	strikes           int                  // failures of good jobs since its last success
-	failed            map[string]bool      // other jobs that failed on it since then, see faults.go
-	proven            micros.Micros        // when the latest task began that was done
-	notUntil          micros.Micros        // no starts before
-	busyTill          micros.Micros        // idle since, for returns
-	withMost          bool                 // it is late as most that were rented with it
-	expected          *standby.Machine     // what the term before was seen to know of it
-	unconfirmed       bool                 // its tasks are known by a handover, and not by itself
-	published         standby.MachineState // to the followers
-	inZone            zoneMembership
+	id       string
+	intent   *launchIntent // that it was rented for
+	offering offering
+
+	instance       instanceState
+	heartbeat      heartbeatState
+	lease          leaseState
+	delivery       deliveryState
+	reconciliation reconciliationState
+	quarantine     quarantineState
+	zoneReturn     zoneReturn
+
+	// Assignments. free is the capacity less the needs of all attempts, so it changes only in
+	// assign and release.
+	attempts      map[string]*attempt // by task ID
+	stoppingCount int                 // attempts that were told to stop
+	free          placement.Resources
+	planned       []*job // one entry a start that the next response carries
+
+	images   imageCache
+	imageSet placement.ImageSet // cached images, and those that are being pulled
+
+	// Who may use its room.
+	reservation          *gangReservation // its room is reserved for one gang
+	pool                 *gangPool        // only gangs start on it
+	surplus              bool             // not wanted by the staffing formula
+	surplusSince         micros.Micros    // 0 if it is not
+	rejectsDelayTolerant bool             // an on-demand machine that only delay-tolerant jobs would use
+	drainReason          string           // why it gets no more tasks, empty if it does
+	startBackoffUntil    micros.Micros    // no starts before
+	published            standby.MachineState
+}
+
+// instanceState is what is known of a machine as the cloud's instance.
+//
+// intentStored and listStored are both needed before a task may be placed: a leader that
+// takes over must find every machine that may hold tasks.
+type instanceState struct {
+	address          string
+	launchedAt       micros.Micros
+	running          bool          // it has reported, or is stored as running
+	intentStored     bool          // its launch intent is stored with its name
+	listStored       bool          // the machine list that names it is stored
+	list             int           // index of that list
+	firstHeartbeatAt micros.Micros // in this term, 0 if there was none
+	listed           bool          // it has been in the cloud's list
+	missingLists     int           // consecutive lists without it since
+	lateWithCohort   bool          // it boots late, as most that were launched with it
+	terminating      bool          // its termination was requested; that is never taken back
+	idleSince        micros.Micros // when its last task ended
 }
 
-func (l *Leader) addMachine(id string, b *booking, now micros.Micros) *machine {
+// heartbeatState is what a machine's latest heartbeat said of the worker itself. incarnation
+// and sequence only grow.
+type heartbeatState struct {
+	incarnation    uint64
+	sequence       uint64        // within the incarnation
+	receivedAt     micros.Micros // of the latest heartbeat that was newer than the one before
+	ofThisTerm     bool          // the worker made it after it had seen this term's fencing token
+	interruptionAt micros.Micros // when the cloud takes the machine back, 0 without a notice
+}
+
+// leaseState is what decides when a silent worker has ended its tasks; see leaseExpiry.
+type leaseState struct {
+	renewedAt    micros.Micros // of the latest response that may have renewed it
+	expiredSince micros.Micros // 0 while it has not expired
+	deferredAt   micros.Micros // when a heartbeat was last refused while leadership was in doubt
+}
+
+// deliveryState tells whether responses reach the worker.
+type deliveryState struct {
+	respondedThisTerm bool
+	sent              []wire.Command // starts and clears of the latest response
+	lostResponses     int            // in a row
+	losingSince       micros.Micros  // of the first of these
+	followUps         []wire.Command // clears and stops that the latest heartbeat calls for
+}
+
+// taskKnowledge says how the leader knows which tasks are on a machine.
+type taskKnowledge int
+
+const (
+	// tasksUnknown: it may hold tasks of earlier terms that this one has not seen.
+	tasksUnknown taskKnowledge = iota
+	// tasksHandedOver: the leader before named them in a complete handover.
+	tasksHandedOver
+	// tasksConfirmed: the worker has reported them in this term, or can hold none of an earlier one.
+	tasksConfirmed
+)
+
+// reconciliationState is how far a machine's tasks are known after a failover.
+type reconciliationState struct {
+	knowledge       taskKnowledge
+	queriedSequence uint64 // of the worker's answer to a task query; see queryTasksLoop
+	failedQueries   int
+	previousTerm    *standby.Machine // what the term before was seen to know of it, nil if nothing
+}
+
+// quarantineState is the evidence for a machine being at fault when tasks fail; see faults.go.
+type quarantineState struct {
+	since       micros.Micros   // when it was found faulty, 0 if it was not
+	failures    int             // of jobs that succeed elsewhere, since its last success
+	suspectJobs map[string]bool // other jobs that failed on it since then
+	provenAt    micros.Micros   // start of the latest task that succeeded on it
+}
+
+func (l *Leader) addMachine(id string, intent *launchIntent, now micros.Micros) *machine {
 	m := &machine{
 		id:       id,
-		booking:  b,
-		kind:     offer{b.Type, b.Zone, b.Spot},
-		tasks:    map[string]*attempt{},
-		rentedAt: now - max(0, micros.Wall()-b.At),
-		failed:   map[string]bool{},
-		busyTill: now,
+		intent:   intent,
+		offering: offering{intent.Type, intent.Zone, intent.Spot},
+		attempts: map[string]*attempt{},
 	}
-	m.resolved = true // unless it is stored as up, it cannot have got tasks from an earlier term
-	if t := l.types[b.Type]; t != nil {
+	m.instance.launchedAt = now - max(0, micros.Wall()-intent.At)
+	m.instance.idleSince = now
+	m.quarantine.suspectJobs = map[string]bool{}
+	// Unless it is stored as running, it cannot have got tasks from an earlier term.
+	m.reconciliation.knowledge = tasksConfirmed
+	if t := l.types[intent.Type]; t != nil {
 		m.free = t.capacity
 	}
 	l.machines[id] = m
-	at, _ := slices.BinarySearchFunc(l.order, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
-	l.order = slices.Insert(l.order, at, m)
+	at, _ := slices.BinarySearchFunc(l.sorted, id, func(m *machine, id string) int { return cmp.Compare(m.id, id) })
+	l.sorted = slices.Insert(l.sorted, at, m)
 	return m
 }
 
-// unresolved counts the machines that may hold tasks of earlier terms.
-func (l *Leader) unresolved() int {
+// countUnknownMachines counts the machines that may hold tasks of earlier terms.
+func (l *Leader) countUnknownMachines() int {
 	n := 0
 	for _, m := range l.machines {
-		if !m.resolved {
+		if !m.tasksKnown() {
 			n++
 		}
 	}
 	return n
 }
 
-// leaseOver tells when a silent machine has surely ended its tasks.
-func (l *Leader) leaseOver(m *machine) micros.Micros {
-	if !m.resolved {
+// leaseExpiry tells when a silent machine has surely ended its tasks.
+func (l *Leader) leaseExpiry(m *machine) micros.Micros {
+	if !m.tasksKnown() {
 		w := l.Settings.Params.Workers
 		// Another node may have renewed the lease until LeaseRenewalWindow after it
 		// last saw itself entitled, which was before this term began, unless
 		// all are known to have heard of this term sooner.
-		last := l.began + w.LeaseRenewalWindow()
+		last := l.startedAt + w.LeaseRenewalWindow()
 		if alone := l.Term.EarlierTermsFencedSince(); alone != 0 {
 			last = min(last, alone)
 		}
-		return max(last, m.answered) + w.LeaseDuration() + micros.Drift(w.CancellationTimeout()) + micros.Second
+		return max(last, m.lease.renewedAt) + w.LeaseDuration() + micros.Drift(w.CancellationTimeout()) + micros.Second
 	}
-	return m.answered + l.lease + micros.Drift(l.lease) + micros.Second
+	return m.lease.renewedAt + l.leaseDuration + micros.Drift(l.leaseDuration) + micros.Second
 }
 
-// silentLimit is how long a machine may be silent before it is returned to
+// silenceLimit is how long a machine may be silent before it is returned to
 // the cloud, which proves its tasks gone and stops its cost.
-func (l *Leader) silentLimit(m *machine) micros.Micros {
-	if !m.resolved {
+func (l *Leader) silenceLimit(m *machine) micros.Micros {
+	if !m.tasksKnown() {
 		// Old jobs wait for these, so a machine or two is the smaller loss. A live
 		// worker reports within five quarters of the usual time; it may have to
 		// give a node up before (4 s, and a pause of 1 s).
-		late := l.report + l.report/4 + 2*micros.Second
-		if m.asks >= 2 && l.zoneAnswers[m.kind.Zone].most() && 10*l.unresolvedMachines <= len(l.order) {
-			return min(late, askedLimit)
+		late := l.heartbeatInterval + l.heartbeatInterval/4 + 2*micros.Second
+		if m.reconciliation.failedQueries >= 2 && l.zoneQueries[m.offering.Zone].mostResponded() && 10*l.unknownMachines <= len(l.sorted) {
+			return min(late, unresponsiveLimit)
 		}
-		if 50*l.unresolvedMachines <= len(l.order) || m.asks >= 2 && l.mostAnswered() {
+		if 50*l.unknownMachines <= len(l.sorted) || m.reconciliation.failedQueries >= 2 && l.mostMachinesRespond() {
 			return late
 		}
 		return late + 5*micros.Second
 	}
-	return max(3*l.report+4*micros.Second, min(l.lease, 20*micros.Second))
+	return max(3*l.heartbeatInterval+4*micros.Second, min(l.leaseDuration, 20*micros.Second))
 }
 
-// notReceivingAfter is how many answers in a row must have been lost before a machine is
+// maxLostResponses is how many answers in a row must have been lost before a machine is
 // taken for one that receives none.
-const notReceivingAfter = 3
+const maxLostResponses = 3
 
-// taken tells whether the cloud seems to have taken a machine without a notice: it is
+// seemsReclaimed tells whether the cloud seems to have taken a machine without a notice: it is
 // silent, and was listed before and is so no longer. That proves nothing, as lists
 // lag; but it is a reason to return it now, which does.
-func (l *Leader) taken(m *machine, now micros.Micros) bool {
-	return m.listed && m.missing >= 2 && l.lateReport(m, now)
+func (l *Leader) seemsReclaimed(m *machine, now micros.Micros) bool {
+	return m.instance.listed && m.instance.missingLists >= 2 && l.isHeartbeatLate(m, now)
 }
 
-// silentFor is how long a machine has not been heard of in this term.
-func (l *Leader) silentFor(m *machine, now micros.Micros) micros.Micros {
-	return now - max(m.reported, l.began)
+// silence is how long a machine has not been heard of in this term.
+func (l *Leader) silence(m *machine, now micros.Micros) micros.Micros {
+	return now - max(m.heartbeat.receivedAt, l.startedAt)
 }
 
-// watchMachines acts on silence, notices and stops that take too long.
-func (l *Leader) watchMachines(now micros.Micros) {
-	l.watchZones(now)
-	l.watchBoots(now)
-	l.probeBoots(now)
-	l.unresolvedMachines = l.unresolved()
-	for _, m := range slices.Clone(l.order) {
-		over := l.watchLease(m, now)
-		if why := l.whyReturn(m, over, now); why != "" {
-			l.giveUp(m, why)
+// checkMachines acts on silence, notices and stops that take too long.
+func (l *Leader) checkMachines(now micros.Micros) {
+	l.observeZones(now)
+	l.markLateCohorts(now)
+	l.replaceLateSample(now)
+	l.unknownMachines = l.countUnknownMachines()
+	for _, m := range slices.Clone(l.sorted) {
+		over := l.checkLease(m, now)
+		if why := l.terminationReason(m, over, now); why != "" {
+			l.terminate(m, why)
 		}
-		if !m.leaving && l.disobeys(m, now) {
-			l.giveUp(m, "a cancelled task does not stop")
+		if !m.instance.terminating && l.ignoresStop(m, now) {
+			l.terminate(m, "a cancelled task does not stop")
 		}
 	}
 }
 
-// watchLease takes the tasks off a machine whose lease is over, and tells whether it is.
-func (l *Leader) watchLease(m *machine, now micros.Micros) (over bool) {
-	over = now > l.leaseOver(m)
-	if over && (len(m.tasks) > 0 || !m.resolved) {
-		l.tallies.add(fmt.Sprintf("lease ended, tasks lost: %t", len(m.tasks) > 0), m.id)
-		l.lose(m, "its lease ended")
+// checkLease takes the tasks off a machine whose lease is over, and tells whether it is.
+func (l *Leader) checkLease(m *machine, now micros.Micros) (over bool) {
+	over = now > l.leaseExpiry(m)
+	if over && (len(m.attempts) > 0 || !m.tasksKnown()) {
+		l.aggregatedLog.add(fmt.Sprintf("lease ended, tasks lost: %t", len(m.attempts) > 0), m.id)
+		l.releaseAll(m, "its lease ended")
 	}
-	if !over || !m.up {
-		m.expired = 0
-	} else if m.expired == 0 {
-		m.expired = now
+	if !over || !m.instance.running {
+		m.lease.expiredSince = 0
+	} else if m.lease.expiredSince == 0 {
+		m.lease.expiredSince = now
 	}
 	return over
 }
 
-// whyReturn is why a machine should be returned to the cloud, empty if it should not; over
+// terminationReason is why a machine should be returned to the cloud, empty if it should not; over
 // says that its lease is. Where many are silent at once the network is more likely at fault
 // than they are: they are kept as long as their leases last, and as long again.
-func (l *Leader) whyReturn(m *machine, over bool, now micros.Micros) string {
+func (l *Leader) terminationReason(m *machine, over bool, now micros.Micros) string {
 	report := l.Settings.Params.Workers.HeartbeatInterval()
-	kept := func() bool { return l.zones.Decide(m.kind.Zone).KeepSilent }
+	kept := func() bool { return l.policy.Decide(m.offering.Zone).KeepSilent }
 	switch {
-	case m.leaving:
-	case m.up && l.silentFor(m, now) > l.silentLimit(m) && (!kept() || m.expired != 0 && now-m.expired > l.lease):
+	case m.instance.terminating:
+	case m.instance.running && l.silence(m, now) > l.silenceLimit(m) && (!kept() || m.lease.expiredSince != 0 && now-m.lease.expiredSince > l.leaseDuration):
 		return "silent"
-	case m.up && l.taken(m, now):
+	case m.instance.running && l.seemsReclaimed(m, now):
 		return "silent and no longer listed"
-	case m.notReceiving >= notReceivingAfter && now-m.notReceivingSince > l.silentLimit(m) && (!kept() || over):
+	case m.delivery.lostResponses >= maxLostResponses && now-m.delivery.losingSince > l.silenceLimit(m) && (!kept() || over):
 		return "it hears nothing"
-	case !m.up && m.first == 0 && now-m.rentedAt > l.bootLimit(m) && now-l.began > 2*report:
-		l.lateBoots.add(false)
+	case !m.instance.running && m.instance.firstHeartbeatAt == 0 && now-m.instance.launchedAt > l.bootTimeout(m) && now-l.startedAt > 2*report:
+		l.bootOutcomes.add(false)
 		return "did not boot"
-	case m.draining != "" && len(m.tasks) == 0 && m.resolved:
-		return m.draining
-	case m.draining == faulty && now-m.faultyAt > 3*report:
+	case m.drainReason != "" && len(m.attempts) == 0 && m.tasksKnown():
+		return m.drainReason
+	case m.drainReason == drainFaulty && now-m.quarantine.since > 3*report:
 		// What still runs there had time to save and would fail as well. A next leader
 		// would have to find the fault anew.
-		return m.draining
+		return m.drainReason
 	}
 	return ""
 }
 
-// disobeys tells whether a machine has not stopped a task of a job that is over. It is
+// ignoresStop tells whether a machine has not stopped a task of a job that is over. It is
 // returned well before cancel_s.
-func (l *Leader) disobeys(m *machine, now micros.Micros) bool {
-	if m.stopping == 0 {
+func (l *Leader) ignoresStop(m *machine, now micros.Micros) bool {
+	if m.stoppingCount == 0 {
 		return false
 	}
 	w := l.Settings.Params.Workers
 	limit := (w.CancellationTimeout() - w.LeaseDuration()) / 2
-	for _, a := range m.tasks {
-		if a.stopped != 0 && a.job.over && now-a.stopped > limit {
+	for _, a := range m.attempts {
+		if a.stopRequestedAt != 0 && a.job.ended && now-a.stopRequestedAt > limit {
 			return true
 		}
 	}
 	return false
 }
 
-// hold counts a task as being on its machine.
-func (l *Leader) hold(a *attempt) {
-	a.machine.tasks[taskName(a.job.spec.ID, a.task)] = a
-	if other := a.job.on[a.task]; other != nil {
-		a.job.zones[other.machine.kind.Zone]--
+// assign counts a task as being on its machine.
+func (l *Leader) assign(a *attempt) {
+	a.machine.attempts[taskID(a.job.spec.ID, a.index)] = a
+	if other := a.job.attempts[a.index]; other != nil {
+		a.job.attemptsPerZone[other.machine.offering.Zone]--
 	}
-	l.noteMoved(a)
-	a.job.on[a.task] = a
-	a.job.zones[a.machine.kind.Zone]++
+	l.recordMoved(a)
+	a.job.attempts[a.index] = a
+	a.job.attemptsPerZone[a.machine.offering.Zone]++
 	a.machine.free = a.machine.free.Add(a.job.need, -1)
-	a.machine.have = a.machine.have.With(a.job.image)
-	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Add(a.job.need, 1)
-	l.publishPlaced(a)
+	a.machine.imageSet = a.machine.imageSet.With(a.job.image)
+	l.teamUsage[a.job.spec.Team] = l.teamUsage[a.job.spec.Team].Add(a.job.need, 1)
+	l.publishAssigned(a)
 }
 
-// lose frees all tasks of a machine that are surely gone.
-func (l *Leader) lose(m *machine, why string) {
-	for _, a := range m.tasks {
-		l.ended(a, why)
+// releaseAll frees all tasks of a machine that are surely gone.
+func (l *Leader) releaseAll(m *machine, why string) {
+	for _, a := range m.attempts {
+		l.release(a, why)
 	}
-	m.resolved, m.unconfirmed = true, false
+	m.reconciliation.knowledge = tasksConfirmed
 	m.planned = nil
 	l.replan = true
 	l.publishMachine(m)
 }
 
-// ended frees a task that is no longer on its machine.
-func (l *Leader) ended(a *attempt, why string) {
-	delete(a.machine.tasks, taskName(a.job.spec.ID, a.task))
-	l.publishLeft(a)
-	if a.stopped != 0 {
-		a.machine.stopping--
+// release frees a task that is no longer on its machine.
+func (l *Leader) release(a *attempt, why string) {
+	delete(a.machine.attempts, taskID(a.job.spec.ID, a.index))
+	l.publishRemoved(a)
+	if a.stopRequestedAt != 0 {
+		a.machine.stoppingCount--
 	}
 	if a.protected {
 		a.job.protectedTasks--
 	}
 	a.machine.free = a.machine.free.Add(a.job.need, 1)
-	l.used[a.job.spec.Team] = l.used[a.job.spec.Team].Add(a.job.need, -1)
-	if len(a.machine.tasks) == 0 {
-		a.machine.busyTill = micros.Now()
+	l.teamUsage[a.job.spec.Team] = l.teamUsage[a.job.spec.Team].Add(a.job.need, -1)
+	if len(a.machine.attempts) == 0 {
+		a.machine.instance.idleSince = micros.Now()
 	}
-	if a.job.on[a.task] == a {
-		delete(a.job.on, a.task)
-		a.job.zones[a.machine.kind.Zone]--
-		if a.running != 0 {
-			a.job.running--
+	if a.job.attempts[a.index] == a {
+		delete(a.job.attempts, a.index)
+		a.job.attemptsPerZone[a.machine.offering.Zone]--
+		if a.runningSince != 0 {
+			a.job.runningCount--
 		}
-		a.job.giveBack(a.task)
-		if len(a.job.on) == 0 {
-			delete(l.orphans, a.job.spec.ID)
+		a.job.requeue(a.index)
+		if len(a.job.attempts) == 0 {
+			delete(l.cancelledJobs, a.job.spec.ID)
 		}
-		if a.running != 0 && !a.job.done.has(a.task) {
-			a.job.resumed[a.task] = true
+		if a.runningSince != 0 && !a.job.done.has(a.index) {
+			a.job.ranBefore[a.index] = true
 		}
-		l.gangLost(a)
+		l.observeGangTaskLost(a)
 	}
-	if a.why != "" {
-		why = a.why
+	if a.stopReason != "" {
+		why = a.stopReason
 	}
-	if !a.job.over && !a.job.done.has(a.task) {
-		l.noteDisplaced(a)
-		l.note(a, why)
+	if !a.job.ended && !a.job.done.has(a.index) {
+		l.recordDisplaced(a)
+		l.recordStop(a, why)
 		l.replan = true // it waits again
 	}
 }
 
-// stop tells a task to stop.
-func (l *Leader) stop(a *attempt, grace micros.Micros, why string) {
-	if l.mustStop(a, grace, why) {
-		l.direct(a.machine, stopCommand(a))
+// stopTask tells a task to stop.
+func (l *Leader) stopTask(a *attempt, grace micros.Micros, why string) {
+	if l.markStopping(a, grace, why) {
+		l.sendDirect(a.machine, stopCommand(a))
 	}
 }
 
-// mustStop notes that a task is to stop, and tells whether its machine must be told.
-func (l *Leader) mustStop(a *attempt, grace micros.Micros, why string) bool {
+// markStopping notes that a task is to stop, and tells whether its machine must be told.
+func (l *Leader) markStopping(a *attempt, grace micros.Micros, why string) bool {
 	if a.reserved {
-		l.release(a, why)
+		l.releaseReservation(a, why)
 		return false
 	}
-	if a.stopped != 0 && grace >= a.grace {
+	if a.stopRequestedAt != 0 && grace >= a.gracePeriod {
 		return false
 	}
-	if a.stopped == 0 {
-		a.machine.stopping++
-		a.stopped = micros.Now()
+	if a.stopRequestedAt == 0 {
+		a.machine.stoppingCount++
+		a.stopRequestedAt = micros.Now()
 	}
-	a.grace, a.why = grace, why
-	l.publishPlaced(a)
+	a.gracePeriod, a.stopReason = grace, why
+	l.publishAssigned(a)
 	return true
 }
 
 func stopCommand(a *attempt) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, TaskID: taskName(a.job.spec.ID, a.task), Attempt: a.n, GracePeriodS: seconds(a.grace)}
+	return wire.Command{Verb: wire.VerbStop, TaskID: taskID(a.job.spec.ID, a.index), Attempt: a.number, GracePeriodS: secondsPtr(a.gracePeriod)}
 }
 
-func seconds(m micros.Micros) *float64 {
+func secondsPtr(m micros.Micros) *float64 {
 	s := m.Seconds()
 	return &s
 }
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -127,10 +127,10 @@
 // v3a714abLayouts are those of 3a714ab.
 var v3a714abLayouts = []layout{
 	{replica.JobPrefix, reflect.TypeFor[replica.Job](), reflect.TypeFor[v3a714abJob]()},
-	{replica.ProgressPrefix, reflect.TypeFor[progress](), reflect.TypeFor[v3a714abProgress]()},
-	{replica.LaunchIntentPrefix, reflect.TypeFor[booking](), reflect.TypeFor[v3a714abBooking]()},
-	{replica.MachineListPrefix, reflect.TypeFor[runningList](), reflect.TypeFor[v3a714abUpList]()},
-	{replica.AutoscalerKey, reflect.TypeFor[staffingRecord](), reflect.TypeFor[v3a714abStaffing]()},
+	{replica.ProgressPrefix, reflect.TypeFor[taskProgress](), reflect.TypeFor[v3a714abProgress]()},
+	{replica.LaunchIntentPrefix, reflect.TypeFor[launchIntent](), reflect.TypeFor[v3a714abBooking]()},
+	{replica.MachineListPrefix, reflect.TypeFor[machineList](), reflect.TypeFor[v3a714abUpList]()},
+	{replica.AutoscalerKey, reflect.TypeFor[autoscalerRecord](), reflect.TypeFor[v3a714abStaffing]()},
 	{replica.InstanceTypesKey, reflect.TypeFor[wire.InstanceTypeList](), reflect.TypeFor[v3a714abCatalog]()},
 	{replica.TokenKey, reflect.TypeFor[replica.TokenRecord](), reflect.TypeFor[v3a714abToken]()},
 	{replica.LeaderKey, reflect.TypeFor[replica.Leader](), reflect.TypeFor[v3a714abLeader]()},
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -16,29 +16,29 @@
 // whenever the last plan was; plans are for new jobs, for choosing among machines
 // with room, and for the queue's order.
 const (
-	planPause    = 100 * micros.Millisecond
-	planEvery    = micros.Second
-	preemptEvery = micros.Second
-	preemptJobs  = 8 // that a plan stops others for
+	minPlanInterval = 100 * micros.Millisecond
+	maxPlanInterval = micros.Second
+	preemptInterval = micros.Second
+	maxPreemptJobs  = 8 // that a plan stops others for
 )
 
 // planIfNeeded plans anew when something changed or the queue grows old, though
 // it never takes more than a small part of the processor's time.
 func (l *Leader) planIfNeeded(now micros.Micros) {
 	since := now - l.plannedAt
-	if !l.ready || since < 10*l.planTook || !(l.replan && since >= planPause || len(l.queue.jobs) > 0 && since >= planEvery) {
+	if !l.ready || since < 10*l.planDuration || !(l.replan && since >= minPlanInterval || len(l.queue.jobs) > 0 && since >= maxPlanInterval) {
 		return
 	}
 	l.replan = false
 	l.plan(now)
 	l.plannedAt = micros.Now()
-	l.planTook = l.plannedAt - now
+	l.planDuration = l.plannedAt - now
 }
 
 // plan decides anew what every machine's next answer starts. Plans that were
 // not sent yet are made again: only sent starts bind.
 func (l *Leader) plan(now micros.Micros) {
-	for _, m := range l.order {
+	for _, m := range l.sorted {
 		m.planned = m.planned[:0]
 	}
 	l.queue = l.newQueue(now)
@@ -46,36 +46,36 @@
 	if len(q.jobs) == 0 || !l.Term.IsExclusive() {
 		return
 	}
-	machines, ms := l.placeable(now, q.least)
+	machines, ms := l.schedulableMachines(now, q.minNeed)
 	for _, s := range placement.Plan(machines, q.waiting, q.teams) {
 		l.planStarts(ms[s.Machine], q.jobs[s.Job], s.Count, now)
 	}
 	q.drop()
 	for _, w := range q.waiting {
 		if w.Gang {
-			w.EarliestStart = placement.EarliestGangStart(machines, w, l.report)
+			w.EarliestStart = placement.EarliestGangStart(machines, w, l.heartbeatInterval)
 		}
 	}
 	l.preemptForGangs(now)
-	l.gatherRoom(now)
-	q.spare = hasSpareRoom(machines, ms, q.waiting)
-	if now-l.preempted >= preemptEvery {
+	l.reserveRoom(now)
+	q.hasSpareRoom = roomExceedsQueue(machines, ms, q.waiting)
+	if now-l.preemptedAt >= preemptInterval {
 		l.preempt(now)
 	}
 }
 
-// hasSpareRoom tells whether the machines that are wanted have room enough for what waits.
-func hasSpareRoom(machines []placement.Machine, ms []*machine, waiting []*placement.Job) bool {
+// roomExceedsQueue tells whether the machines that are wanted have room enough for what waits.
+func roomExceedsQueue(machines []placement.Machine, ms []*machine, waiting []*placement.Job) bool {
 	room, need := int64(0), int64(0)
 	for i, m := range ms {
-		if !m.surplus && !m.inZone.closed {
+		if !m.surplus && !m.zoneReturn.closed {
 			room += machines[i].Free.CPU
 		}
 	}
 	for _, w := range waiting {
 		need += int64(w.Waiting) * w.Need.CPU
 	}
-	return room >= spareTimes*need
+	return room >= spareRoomFactor*need
 }
 
 // preempt stops running tasks for what presses and found no room.
@@ -89,60 +89,60 @@
 	}
 	// Where so many tasks end by themselves that their room serves what presses
 	// within moments, stopping others would only waste their saving and fetching.
-	soon := l.taskEnds.perSecond(now) * preemptEvery.Seconds()
-	l.preempted = now
+	soon := l.completions.perSecond(now) * preemptInterval.Seconds()
+	l.preemptedAt = now
 	if pressing == 0 || float64(pressing) <= soon {
 		return
 	}
-	machines, ms := l.withVictims(now)
-	stops, gatherings := placement.Preempt(machines, q.waiting, q.teams, preemptJobs)
+	machines, ms := l.machinesWithVictims(now)
+	stops, gatherings := placement.Preempt(machines, q.waiting, q.teams, maxPreemptJobs)
 	for _, g := range gatherings {
-		l.gatherFor(g.For, ms[g.Machine], now)
+		l.reserveMachineFor(g.For, ms[g.Machine], now)
 	}
 	for _, s := range stops {
-		if a := ms[s.Machine].tasks[taskName(s.Victim.JobID, s.Victim.Task)]; a != nil {
-			l.stopVictim(a, s.For, now)
+		if a := ms[s.Machine].attempts[taskID(s.Victim.JobID, s.Victim.Task)]; a != nil {
+			l.preemptVictim(a, s.For, now)
 		}
 	}
 }
 
-// stopVictim stops a task, or the gang that it is of, to make room for a job.
-func (l *Leader) stopVictim(a *attempt, by string, now micros.Micros) {
+// preemptVictim stops a task, or the gang that it is of, to make room for a job.
+func (l *Leader) preemptVictim(a *attempt, by string, now micros.Micros) {
 	why := "stopped to make room for " + by
 	if a.job.isGang() {
-		l.stopGang(a.job, saveGrace(a.job), why, now)
+		l.stopGangIfReachable(a.job, checkpointGrace(a.job), why, now)
 		return
 	}
 	grace := micros.FromSeconds(a.job.spec.CheckpointDurationS)
-	if a.running == 0 || now-a.running < grace {
+	if a.runningSince == 0 || now-a.runningSince < grace {
 		grace = 0 // saving takes longer than doing it again
 	}
-	l.stop(a, grace, why)
+	l.stopTask(a, grace, why)
 }
 
-// endRate measures how many tasks end in a second, lately.
-type endRate struct {
+// completionRate measures how many tasks end in a second, lately.
+type completionRate struct {
 	count int // tasks that were done since at
-	at    micros.Micros
+	since micros.Micros
 	rate  float64
 }
 
 // perSecond is the rate, which halves its weight with each measurement.
-func (r *endRate) perSecond(now micros.Micros) float64 {
-	if since := (now - r.at).Seconds(); since >= 1 {
+func (r *completionRate) perSecond(now micros.Micros) float64 {
+	if since := (now - r.since).Seconds(); since >= 1 {
 		r.rate = r.rate/2 + float64(r.count)/since/2
-		r.count, r.at = 0, now
+		r.count, r.since = 0, now
 	}
 	return r.rate
 }
 
 // queue is what waits, in order, with what is not planned on any machine.
 type queue struct {
-	waiting []*placement.Job
-	jobs    []*job // of these
-	teams   map[string]*placement.Team
-	least   placement.Resources // that any of them needs
-	spare   bool                // the machines that are wanted have room enough for it
+	waiting      []*placement.Job
+	jobs         []*job // of these
+	teams        map[string]*placement.Team
+	minNeed      placement.Resources // that any of them needs
+	hasSpareRoom bool                // the machines that are wanted have room enough for it
 }
 
 // drop removes what no longer waits.
@@ -155,18 +155,18 @@
 		}
 	}
 	q.waiting, q.jobs = q.waiting[:n], q.jobs[:n]
-	q.least = placement.MinNeed(q.waiting)
+	q.minNeed = placement.MinNeed(q.waiting)
 }
 
-// spareTimes is how much more room than what waits the wanted machines must have,
+// spareRoomFactor is how much more room than what waits the wanted machines must have,
 // so that it finds some soon: not all of it is where it fits, or reports at once.
-const spareTimes = 2
+const spareRoomFactor = 2
 
-// fill adds to what is planned for a machine that has just reported, from what
+// fillMachine adds to what is planned for a machine that has just reported, from what
 // found no room in the last plan.
-func (l *Leader) fill(m *machine, now micros.Micros) {
+func (l *Leader) fillMachine(m *machine, now micros.Micros) {
 	q := &l.queue
-	if len(q.jobs) == 0 || m.surplus && q.spare {
+	if len(q.jobs) == 0 || m.surplus && q.hasSpareRoom {
 		// A few tasks on each machine would keep all of them busy for ever.
 		return
 	}
@@ -174,14 +174,14 @@
 	for _, j := range m.planned {
 		p.Free = p.Free.Add(j.need, -1)
 	}
-	if !p.Free.Fits(q.least) {
+	if !p.Free.Fits(q.minNeed) {
 		return
 	}
 	starts := placement.Fill(&p, q.waiting, q.teams)
 	gone := false
 	for _, s := range starts {
 		gone = gone || q.waiting[s.Job].Waiting == 0
-		if j := q.jobs[s.Job]; !j.isGang() || !j.over && s.Count == j.ready(now) {
+		if j := q.jobs[s.Job]; !j.isGang() || !j.ended && s.Count == j.startableTasks(now) {
 			l.planStarts(m, j, s.Count, now)
 		}
 		// Else the gang was cancelled, or its attempt has ended, since the queue was made.
@@ -191,20 +191,20 @@
 	}
 }
 
-// aged is how long a job waits at most for a start, while none of its tasks is on a
+// agingLimit is how long a job waits at most for a start, while none of its tasks is on a
 // machine, before it goes before all others: put off by the set-aside rule or by a
 // lasting overload of others, the largest would never begin, and one that is late
 // already never end. A part of it, so that it stays an exception.
 const (
-	aged     = 120 * micros.Second
-	agedPart = 16
+	agingLimit   = 120 * micros.Second
+	agingDivisor = 16
 )
 
-// counted is how long a task must run before its start is worth anything. The part of a
+// minCountedRun is how long a task must run before its start is worth anything. The part of a
 // best-effort job that starts first is left alone for so long: what begins loses least when it
 // is stopped, so a job let in after two minutes was stopped again within seconds, and had
 // not begun for six.
-const counted = 35 * micros.Second
+const minCountedRun = 35 * micros.Second
 
 // queueEntry is a job of the queue, as placement sees it and as it is.
 type queueEntry struct {
@@ -215,25 +215,25 @@
 // newQueue lists the jobs that may start tasks now. A job that an earlier term
 // may have started waits until no machine's tasks are unknown.
 func (l *Leader) newQueue(now micros.Micros) queue {
-	teams := l.teamUse()
-	unresolved := l.unknownTasks()
-	covered := l.covered()
+	teams := l.worstCaseTeamUse()
+	unresolved := l.unknownMachinesNow()
+	covered := l.jobsWithinGuarantee()
 	wall := micros.Wall()
 	var entries []queueEntry
 	for _, j := range l.jobs {
-		l.pardon(j, now)
-		n := j.ready(now)
-		if n <= 0 || l.mustWait(j, unresolved) {
+		l.liftQuarantine(j, now)
+		n := j.startableTasks(now)
+		if n <= 0 || l.mustAwaitReconciliation(j, unresolved) {
 			continue
 		}
-		w := l.waitingJob(j, n, covered[j], wall)
+		w := l.placementJob(j, n, covered[j], wall)
 		if l.hasAged(j, wall) {
-			if rest := l.age(w, j); rest != nil {
+			if rest := l.splitAged(w, j); rest != nil {
 				entries = append(entries, queueEntry{rest, j})
 			}
 		}
-		if g := l.gatherings[j.spec.ID]; g != nil {
-			g.view = w
+		if g := l.reservations[j.spec.ID]; g != nil {
+			g.waiting = w
 		}
 		entries = append(entries, queueEntry{w, j})
 	}
@@ -241,26 +241,26 @@
 	for i, e := range entries {
 		waiting[i] = e.waiting
 	}
-	placement.DeferLateJobs(waiting, l.openCPUs(now), wall)
+	placement.DeferLateJobs(waiting, l.schedulableCPUs(now), wall)
 	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.Compare(a.waiting, b.waiting) })
 	q := queue{teams: teams, waiting: waiting, jobs: make([]*job, len(entries))}
 	for i, e := range entries {
 		q.waiting[i], q.jobs[i] = e.waiting, e.job
 	}
-	q.least = placement.MinNeed(q.waiting)
+	q.minNeed = placement.MinNeed(q.waiting)
 	return q
 }
 
-// waitingJob is a job with n tasks to start as placement sees it.
-func (l *Leader) waitingJob(j *job, n int, covered bool, wall micros.Micros) *placement.Job {
+// placementJob is a job with n tasks to start as placement sees it.
+func (l *Leader) placementJob(j *job, n int, covered bool, wall micros.Micros) *placement.Job {
 	s := j.spec
 	w := &placement.Job{
 		ID:              s.ID,
 		Team:            s.Team,
 		Image:           j.image,
 		Priority:        j.priority,
-		EvacuationRank:  l.band(j),
-		OnlyZone:        l.boundTo(j),
+		EvacuationRank:  l.evacuationRank(j),
+		OnlyZone:        l.onlyZone(j),
 		WithinGuarantee: covered,
 		Need:            j.need,
 		Waiting:         n,
@@ -273,73 +273,73 @@
 		AllowSpot:       s.AllowSpot,
 		ImageSizeGB:     s.ImageSizeGB,
 	}
-	w.StartBy, w.LaterStartBys, w.Late = l.dues(j, covered, wall)
-	w.AtRisk = w.StartBy-wall < 4*l.report && !j.probing()
-	w.PreemptsBestEffort = j.priority > 0 && !j.probing()
-	w.DelayTolerant = l.patient(j)
-	if j.isGang() && len(j.on) > 0 {
-		w.StartBy, w.Late, w.AtRisk = wall, false, !j.probing() // the others of its tasks wait for these
+	w.StartBy, w.LaterStartBys, w.Late = l.startDeadlines(j, covered, wall)
+	w.AtRisk = w.StartBy-wall < 4*l.heartbeatInterval && !j.isProbing()
+	w.PreemptsBestEffort = j.priority > 0 && !j.isProbing()
+	w.DelayTolerant = l.isDelayTolerant(j)
+	if j.isGang() && len(j.attempts) > 0 {
+		w.StartBy, w.Late, w.AtRisk = wall, false, !j.isProbing() // the others of its tasks wait for these
 	}
 	if j.isGang() {
-		w.FailedOn = j.errors
-		w.MaxStartDelay = max(acceptAtOnce, wall-j.submitted)
+		w.FailedOn = j.failures.byMachine
+		w.MaxStartDelay = max(immediateStartLimit, wall-j.submittedAt)
 	}
-	w.Work = float64(n) * s.CPUs * l.expected(s)
+	w.Work = float64(n) * s.CPUs * l.expectedRuntime(s)
 	if s.SingleZone || s.SpreadZones {
-		w.TasksPerZone = maps.Clone(j.zones)
+		w.TasksPerZone = maps.Clone(j.attemptsPerZone)
 	}
 	return w
 }
 
 // hasAged tells whether a job has waited for a start for so long that it goes before others.
 func (l *Leader) hasAged(j *job, wall micros.Micros) bool {
-	since := max(j.submitted, j.lastStart)
-	if j.ndone > 0 {
-		since = max(since, l.beganWall) // no earlier term's starts are known
+	since := max(j.submittedAt, j.lastStart)
+	if j.doneCount > 0 {
+		since = max(since, l.startedAtWall) // no earlier term's starts are known
 	}
-	return len(j.on) == 0 && wall-since > aged && !j.probing()
+	return len(j.attempts) == 0 && wall-since > agingLimit && !j.isProbing()
 }
 
-// age has a part of a job go before all others; the rest, if any, waits as before.
-func (l *Leader) age(w *placement.Job, j *job) (rest *placement.Job) {
+// splitAged has a part of a job go before all others; the rest, if any, waits as before.
+func (l *Leader) splitAged(w *placement.Job, j *job) (rest *placement.Job) {
 	w.Aged, w.Late, w.DelayTolerant = true, false, false
-	part := 1 + w.Waiting/agedPart
+	part := 1 + w.Waiting/agingDivisor
 	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.Waiting {
 		return nil
 	}
 	other := *w
-	other.Aged, other.DelayTolerant = false, l.patient(j)
+	other.Aged, other.DelayTolerant = false, l.isDelayTolerant(j)
 	w.Waiting, other.Waiting = part, w.Waiting-part
 	return &other
 }
 
-// openCPUs counts the GuaranteedCPUs of the machines that may get tasks.
-func (l *Leader) openCPUs(now micros.Micros) float64 {
+// schedulableCPUs counts the GuaranteedCPUs of the machines that may get tasks.
+func (l *Leader) schedulableCPUs(now micros.Micros) float64 {
 	cpus := 0.0
-	for _, m := range l.order {
-		if m.openToAll(now) {
-			cpus += l.types[m.kind.Type].CPUs
+	for _, m := range l.sorted {
+		if m.isOpenToAllZones(now) {
+			cpus += l.types[m.offering.Type].CPUs
 		}
 	}
 	return cpus
 }
 
-// due is when the last of a job's tasks should have started, by the next thing
+// startDeadline is when the last of a job's tasks should have started, by the next thing
 // expected of it that can still be met; late if there is none.
-func (l *Leader) due(j *job, covered bool, wall micros.Micros) (due micros.Micros, late bool) {
-	due, _, late = l.dues(j, covered, wall)
+func (l *Leader) startDeadline(j *job, covered bool, wall micros.Micros) (due micros.Micros, late bool) {
+	due, _, late = l.startDeadlines(j, covered, wall)
 	return due, late
 }
 
-// dues is due with what else is expected later.
-func (l *Leader) dues(j *job, covered bool, wall micros.Micros) (due micros.Micros, later []micros.Micros, late bool) {
+// startDeadlines is due with what else is expected later.
+func (l *Leader) startDeadlines(j *job, covered bool, wall micros.Micros) (due micros.Micros, later []micros.Micros, late bool) {
 	s := j.spec
-	run := micros.FromSeconds(l.expected(s))
+	run := micros.FromSeconds(l.expectedRuntime(s))
 	expected := false
 	var all []micros.Micros
 	consider := func(limit micros.Micros) {
 		expected = true
-		if at := j.submitted + limit; at >= wall {
+		if at := j.submittedAt + limit; at >= wall {
 			all = append(all, at)
 		}
 	}
@@ -356,11 +356,11 @@
 				consider(micros.FromSeconds(*s.DeadlineS*o.Times) - run)
 			}
 		case "guarantee":
-			if covered && len(j.on)+j.ndone == 0 {
+			if covered && len(j.attempts)+j.doneCount == 0 {
 				consider(micros.FromSeconds(o.WithinS))
 			}
 		case "wait":
-			if len(j.on)+j.ndone == 0 {
+			if len(j.attempts)+j.doneCount == 0 {
 				consider(micros.FromSeconds(o.WithinS))
 			}
 		case "finished":
@@ -373,18 +373,18 @@
 		return all[0], all[1:], false
 	case expected:
 		const never = 365 * 24 * 3600 * micros.Second
-		return j.submitted + never, nil, true
+		return j.submittedAt + never, nil, true
 	}
 	// Nobody said when; a minute of waiting is taken for bearable.
-	return j.submitted + 60*micros.Second, nil, false
+	return j.submittedAt + 60*micros.Second, nil, false
 }
 
-// covered tells which jobs fit into their team's guarantee together with the
+// jobsWithinGuarantee tells which jobs fit into their team's guarantee together with the
 // team's earlier unfinished jobs.
-func (l *Leader) covered() map[*job]bool {
+func (l *Leader) jobsWithinGuarantee() map[*job]bool {
 	byTeam := map[string][]*job{}
 	for _, j := range l.jobs {
-		if !j.atFault { // else it would keep the guarantee from the others
+		if !j.failures.quarantined { // else it would keep the guarantee from the others
 			byTeam[j.spec.Team] = append(byTeam[j.spec.Team], j)
 		}
 	}
@@ -395,14 +395,14 @@
 			continue
 		}
 		slices.SortFunc(jobs, func(a, b *job) int {
-			return cmp.Or(cmp.Compare(a.submitted, b.submitted), cmp.Compare(a.spec.ID, b.spec.ID))
+			return cmp.Or(cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.spec.ID, b.spec.ID))
 		})
 		left := guarantee(t)
 		for _, j := range jobs {
 			if !left.Fits(j.need) {
 				break
 			}
-			left = left.Add(j.need, -int64(j.spec.Tasks-j.ndone))
+			left = left.Add(j.need, -int64(j.spec.Tasks-j.doneCount))
 			if left.CPU < 0 || left.GPU < 0 {
 				break
 			}
@@ -416,68 +416,68 @@
 	return placement.Resources{CPU: floor(t.GuaranteedCPUs), GPU: floor(t.GuaranteedGPUs), Mem: 1 << 60}
 }
 
-// teamUse counts what each team's tasks may be using at worst: what is known
+// worstCaseTeamUse counts what each team's tasks may be using at worst: what is known
 // to be on machines and all that machines with unknown tasks could hold.
-func (l *Leader) teamUse() map[string]*placement.Team {
+func (l *Leader) worstCaseTeamUse() map[string]*placement.Team {
 	teams := make(map[string]*placement.Team, len(l.teams))
 	for name, t := range l.teams {
-		teams[name] = &placement.Team{Used: l.used[name], Limit: placement.Resources{CPU: floor(t.MaxCPUs), GPU: floor(t.MaxGPUs)}}
+		teams[name] = &placement.Team{Used: l.teamUsage[name], Limit: placement.Resources{CPU: floor(t.MaxCPUs), GPU: floor(t.MaxGPUs)}}
 	}
-	l.hidden = placement.Resources{}
-	for _, m := range l.order {
-		if !m.resolved {
-			if t := l.types[m.kind.Type]; t != nil {
-				l.hidden = l.hidden.Add(t.capacity, 1)
+	l.unknownUsage = placement.Resources{}
+	for _, m := range l.sorted {
+		if !m.tasksKnown() {
+			if t := l.types[m.offering.Type]; t != nil {
+				l.unknownUsage = l.unknownUsage.Add(t.capacity, 1)
 			}
 		}
 	}
 	for _, t := range teams {
 		// Not even a job that is over can be ruled out there, so all that
 		// these machines could hold counts for every team.
-		t.Used = t.Used.Add(l.hidden, 1)
+		t.Used = t.Used.Add(l.unknownUsage, 1)
 	}
 	return teams
 }
 
 // placementMachine is a machine as placement sees it.
 func (l *Leader) placementMachine(m *machine, now micros.Micros) placement.Machine {
-	t := l.types[m.kind.Type]
+	t := l.types[m.offering.Type]
 	p := placement.Machine{
 		ID:                   m.id,
-		InstanceType:         m.kind.Type,
-		Zone:                 m.kind.Zone,
-		Spot:                 m.kind.Spot,
+		InstanceType:         m.offering.Type,
+		Zone:                 m.offering.Zone,
+		Spot:                 m.offering.Spot,
 		Free:                 m.free,
-		CommandDelay:         max(0, m.reported+l.report-now),
-		Idle:                 len(m.tasks) == 0,
-		RejectsDelayTolerant: m.closedToPatient,
-		Images:               m.have,
+		CommandDelay:         max(0, m.heartbeat.receivedAt+l.heartbeatInterval-now),
+		Idle:                 len(m.attempts) == 0,
+		RejectsDelayTolerant: m.rejectsDelayTolerant,
+		Images:               m.imageSet,
 		ImagePullGBPerS:      t.ImagePullGBPerS,
-		Penalty:              micros.FromSeconds(l.priceRatio(t, m.kind.Spot) - 1),
+		Penalty:              micros.FromSeconds(l.priceRatio(t, m.offering.Spot) - 1),
 	}
-	if late := now - m.reported - l.report - l.report/4; late > 0 {
-		p.CommandDelay = l.report + late // it has missed a report, and may be gone
+	if late := now - m.heartbeat.receivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
+		p.CommandDelay = l.heartbeatInterval + late // it has missed a report, and may be gone
 	}
-	if m == l.answering {
+	if m == l.responding {
 		p.CommandDelay = 0
 	}
 	if m.surplus {
 		p.Penalty += 30 * micros.Second
 	}
-	if k := m.gathering; k != nil {
-		p.ReservedFor = k.view
+	if k := m.reservation; k != nil {
+		p.ReservedFor = k.waiting
 	}
-	p.GangsOnly = m.reserve != nil
-	p.ZoneBoundOnly = m.inZone.closed
+	p.GangsOnly = m.pool != nil
+	p.ZoneBoundOnly = m.zoneReturn.closed
 	return p
 }
 
-// placeable lists the machines that may get tasks and have room.
-func (l *Leader) placeable(now micros.Micros, least placement.Resources) ([]placement.Machine, []*machine) {
+// schedulableMachines lists the machines that may get tasks and have room.
+func (l *Leader) schedulableMachines(now micros.Micros, least placement.Resources) ([]placement.Machine, []*machine) {
 	var out []placement.Machine
 	var ms []*machine
-	for _, m := range l.order {
-		if l.types[m.kind.Type] != nil && m.free.Fits(least) && m.open(now) && now-m.reported <= 3*l.report {
+	for _, m := range l.sorted {
+		if l.types[m.offering.Type] != nil && m.free.Fits(least) && m.isSchedulable(now) && now-m.heartbeat.receivedAt <= 3*l.heartbeatInterval {
 			out = append(out, l.placementMachine(m, now))
 			ms = append(ms, m)
 		}
@@ -485,20 +485,20 @@
 	return out, ms
 }
 
-// withVictims lists the machines that may get tasks, with what runs there.
-func (l *Leader) withVictims(now micros.Micros) ([]placement.Machine, []*machine) {
-	covered, spared := l.covered(), l.spared(now)
-	out, ms := l.placeable(now, placement.Resources{})
+// machinesWithVictims lists the machines that may get tasks, with what runs there.
+func (l *Leader) machinesWithVictims(now micros.Micros) ([]placement.Machine, []*machine) {
+	covered, spared := l.jobsWithinGuarantee(), l.nonPreemptibleGangs(now)
+	out, ms := l.schedulableMachines(now, placement.Resources{})
 	for i, m := range ms {
 		p := &out[i]
 		for _, j := range m.planned {
 			p.Free = p.Free.Add(j.need, -1)
 		}
-		for _, a := range m.tasks {
-			if a.stopped != 0 {
+		for _, a := range m.attempts {
+			if a.stopRequestedAt != 0 {
 				p.Releasing = p.Releasing.Add(a.job.need, 1)
-			} else if !a.job.over && !spared[a.job] {
-				p.Victims = append(p.Victims, l.victim(a, covered[a.job], now))
+			} else if !a.job.ended && !spared[a.job] {
+				p.Victims = append(p.Victims, l.placementVictim(a, covered[a.job], now))
 			}
 		}
 		slices.SortFunc(p.Victims, func(a, b placement.Victim) int {
@@ -508,11 +508,11 @@
 	return out, ms
 }
 
-// victim is a running task as placement sees it.
-func (l *Leader) victim(a *attempt, covered bool, now micros.Micros) placement.Victim {
+// placementVictim is a running task as placement sees it.
+func (l *Leader) placementVictim(a *attempt, covered bool, now micros.Micros) placement.Victim {
 	v := placement.Victim{
 		JobID:           a.job.spec.ID,
-		Task:            a.task,
+		Task:            a.index,
 		Team:            a.job.spec.Team,
 		Priority:        a.job.priority,
 		Need:            a.job.need,
@@ -521,47 +521,47 @@
 		LostWork:        lostWork(a, now),
 	}
 	if v.BestEffort {
-		v.LostWork += l.setBack(a, now)
+		v.LostWork += l.preemptionSetback(a, now)
 	}
 	if a.job.isGang() {
-		v.Gang, v.LostWork = true, v.LostWork*micros.Micros(len(a.job.on))
+		v.Gang, v.LostWork = true, v.LostWork*micros.Micros(len(a.job.attempts))
 	}
-	if a.protected && (a.running == 0 || now-a.running < counted) {
-		v.BestEffort, v.LostWork = false, v.LostWork+counted
+	if a.protected && (a.runningSince == 0 || now-a.runningSince < minCountedRun) {
+		v.BestEffort, v.LostWork = false, v.LostWork+minCountedRun
 	}
 	return v
 }
 
-// left is how many seconds a task should still take. The longer one has
+// remainingRuntime is how many seconds a task should still take. The longer one has
 // outlasted its estimate, the longer it may go on; a service never ends.
-func (l *Leader) left(a *attempt, now micros.Micros) float64 {
+func (l *Leader) remainingRuntime(a *attempt, now micros.Micros) float64 {
 	if a.job.spec.Kind == wire.KindService {
 		return 3600
 	}
-	run, ran := l.expected(a.job.spec), (now - a.began).Seconds()
+	run, ran := l.expectedRuntime(a.job.spec), (now - a.startedAt).Seconds()
 	return math.Max(run-ran, math.Max(run/4, (ran-run)/2))
 }
 
-// nearlyOver is how long before its end a task is spared.
-const nearlyOver = 30
+// nearlyDoneS is how long before its end a task is spared.
+const nearlyDoneS = 30
 
-// setBack is what stopping a best-effort task costs its job besides the work lost: it is
+// preemptionSetback is what stopping a best-effort task costs its job besides the work lost: it is
 // least for the job that has most yet to start, so that the others end and are out of the
 // way; taken from all alike, none of six was over when the day was. And what is nearly
 // over frees its room by itself.
-func (l *Leader) setBack(a *attempt, now micros.Micros) micros.Micros {
+func (l *Leader) preemptionSetback(a *attempt, now micros.Micros) micros.Micros {
 	begun := 1 - float64(a.job.waiting())/float64(a.job.spec.Tasks)
-	left := l.expected(a.job.spec) - (now - a.began).Seconds()
-	return micros.FromSeconds(10*begun + max(0, nearlyOver-max(0, left)))
+	left := l.expectedRuntime(a.job.spec) - (now - a.startedAt).Seconds()
+	return micros.FromSeconds(10*begun + max(0, nearlyDoneS-max(0, left)))
 }
 
 // lostWork is what stopping a task would waste.
 func lostWork(a *attempt, now micros.Micros) micros.Micros {
-	if a.running == 0 {
+	if a.runningSince == 0 {
 		return 0
 	}
 	if a.job.spec.CheckpointIntervalS > 0 {
-		return min(now-a.running, micros.FromSeconds(a.job.spec.CheckpointDurationS))
+		return min(now-a.runningSince, micros.FromSeconds(a.job.spec.CheckpointDurationS))
 	}
-	return now - a.running
+	return now - a.runningSince
 }
