--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -15,41 +15,41 @@
 	"caperlatch/staffing"
 )
 
-// expected is how long a job's tasks should run, by the owner's estimate and
+// expectedRuntime is how long a job's tasks should run, by the owner's estimate and
 // what the class has taken so far.
-func (l *Leader) expected(s *wire.Job) float64 {
+func (l *Leader) expectedRuntime(s *wire.Job) float64 {
 	if e := l.estimates[s.Class]; e != nil {
 		return e.Predict(s.EstimatedRuntimeS)
 	}
 	return s.EstimatedRuntimeS
 }
 
-// finishedTask learns from a task that completed in one go here.
-func (l *Leader) finishedTask(j *job, m *machine, a *attempt, now micros.Micros) {
-	if a.running != 0 {
-		j.longest = max(j.longest, now-a.running)
+// learnFromCompletion learns from a task that completed in one go here.
+func (l *Leader) learnFromCompletion(j *job, m *machine, a *attempt, now micros.Micros) {
+	if a.runningSince != 0 {
+		j.longestRun = max(j.longestRun, now-a.runningSince)
 	}
-	t := l.types[m.kind.Type]
-	if t == nil || a.sentAt == 0 {
+	t := l.types[m.offering.Type]
+	if t == nil || a.startSequence == 0 {
 		return // adopted: nobody here saw it start
 	}
-	t.finished++
-	t.service.Finished(fraction(t, j.need), (now - a.began).Seconds(), j.spec.Tasks)
-	if a.running != 0 && (j.spec.CheckpointIntervalS == 0 || !j.resumed[a.task]) {
+	t.finishedTasks++
+	t.service.Finished(machineFraction(t, j.need), (now - a.startedAt).Seconds(), j.spec.Tasks)
+	if a.runningSince != 0 && (j.spec.CheckpointIntervalS == 0 || !j.ranBefore[a.index]) {
 		e := l.estimates[j.spec.Class]
 		if e == nil {
 			e = newEstimate()
 			l.estimates[j.spec.Class] = e
 		}
-		e.Observe(j.spec.EstimatedRuntimeS, (now - a.running).Seconds(), j.spec.Tasks)
+		e.Observe(j.spec.EstimatedRuntimeS, (now - a.runningSince).Seconds(), j.spec.Tasks)
 	}
 }
 
 // newEstimate is a class's estimate that has learned nothing yet.
 func newEstimate() *staffing.RuntimeEstimator { return &staffing.RuntimeEstimator{} }
 
-// fraction is the part of a machine that a task holds.
-func fraction(t *machineType, need placement.Resources) float64 {
+// machineFraction is the part of a machine that a task holds.
+func machineFraction(t *scaledType, need placement.Resources) float64 {
 	f := 0.0
 	for _, p := range [...][2]int64{{need.CPU, t.capacity.CPU}, {need.GPU, t.capacity.GPU}, {need.Mem, t.capacity.Mem}} {
 		if p[1] > 0 {
@@ -59,18 +59,18 @@
 	return f
 }
 
-// offersFor lists what could be rented for a job, the cheapest work first. It is
+// offeringsFor lists what could be rented for a job, the cheapest work first. It is
 // kept with the job for as long as the catalog stays as it is.
-func (l *Leader) offersFor(j *job) []offer {
-	if j.offersOf != l.catalog {
-		j.offers, j.offersOf = l.findOffers(j.spec, j.need), l.catalog
+func (l *Leader) offeringsFor(j *job) []offering {
+	if j.offeringsVersion != l.typesVersion {
+		j.offerings, j.offeringsVersion = l.findOfferings(j.spec, j.need), l.typesVersion
 	}
-	return j.offers
+	return j.offerings
 }
 
-func (l *Leader) findOffers(s *wire.Job, need placement.Resources) []offer {
+func (l *Leader) findOfferings(s *wire.Job, need placement.Resources) []offering {
 	type priced struct {
-		offer
+		offering
 		price float64
 	}
 	var out []priced
@@ -88,25 +88,25 @@
 				}
 				probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
 				if placement.ConstraintsAdmit(&probe, name, zone, spot) {
-					out = append(out, priced{offer{name, zone, spot}, price * fraction(t, need)})
+					out = append(out, priced{offering{name, zone, spot}, price * machineFraction(t, need)})
 				}
 			}
 		}
 	}
 	slices.SortStableFunc(out, func(a, b priced) int { return cmp.Compare(a.price, b.price) })
-	offers := make([]offer, len(out))
+	offers := make([]offering, len(out))
 	for i, p := range out {
-		offers[i] = p.offer
+		offers[i] = p.offering
 	}
 	return offers
 }
 
-// typeFor is the machine type that a job's demand is counted for: the
+// preferredType is the machine type that a job's demand is counted for: the
 // cheapest that has not refused lately, else the cheapest.
-func (l *Leader) typeFor(j *job, now micros.Micros) *machineType {
-	offers := l.offersFor(j)
+func (l *Leader) preferredType(j *job, now micros.Micros) *scaledType {
+	offers := l.offeringsFor(j)
 	for _, o := range offers {
-		if s := l.offers[o]; s == nil || now >= s.until {
+		if s := l.capacityBackoffs[o]; s == nil || now >= s.until {
 			return l.types[o.Type]
 		}
 	}
@@ -116,63 +116,63 @@
 	return l.types[offers[0].Type]
 }
 
-// demand counts a job that came in.
-func (l *Leader) demand(j *job) {
+// addDemand counts a job that came in.
+func (l *Leader) addDemand(j *job) {
 	now := micros.Now()
-	t := l.typeFor(j, now)
+	t := l.preferredType(j, now)
 	if t == nil {
 		return
 	}
-	l.reserveDemand(j, now)
-	work := float64(j.waiting()) * fraction(t, j.need)
-	j.demandOf, j.demandWork = t, work
-	due, _ := l.due(j, false, j.submitted)
-	t.batches.Add(float64(j.spec.Tasks)*fraction(t, j.need), j.spec.Tasks, (due-j.submitted).Seconds() > t.BootTimeS)
-	if j.old {
-		j.demandWork = 0 // the record's rate has it
+	l.addPoolDemand(j, now)
+	work := float64(j.waiting()) * machineFraction(t, j.need)
+	j.demand.instanceType, j.demand.machines = t, work
+	due, _ := l.startDeadline(j, false, j.submittedAt)
+	t.batches.Add(float64(j.spec.Tasks)*machineFraction(t, j.need), j.spec.Tasks, (due-j.submittedAt).Seconds() > t.BootTimeS)
+	if j.mayHaveEarlierTasks {
+		j.demand.machines = 0 // the record's rate has it
 	} else {
-		t.window.Add(now, work)
-		if l.patient(j) {
-			t.bestEffort.Add(now, work)
+		t.demand.Add(now, work)
+		if l.isDelayTolerant(j) {
+			t.bestEffortDemand.Add(now, work)
 		}
 	}
-	t.service.Estimate(work, l.expected(j.spec)+j.spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
+	t.service.Estimate(work, l.expectedRuntime(j.spec)+j.spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
 }
 
-// patient tells whether a job can do without ordinary machines: it is of the lowest
+// isDelayTolerant tells whether a job can do without ordinary machines: it is of the lowest
 // priority and nobody says when it should be done. At about three times the price its
 // work would cost more than it is worth.
-func (l *Leader) patient(j *job) bool {
+func (l *Leader) isDelayTolerant(j *job) bool {
 	return j.priority == 0 && j.spec.AllowSpot && j.spec.DeadlineS == nil &&
 		!slices.ContainsFunc(l.Settings.Params.Objectives, func(o settings.Objective) bool { return o.Class == j.spec.Class })
 }
 
-// staff steps the model and rents or returns toward the target.
-func (l *Leader) staff(now micros.Micros) {
+// autoscale steps the model and rents or returns toward the target.
+func (l *Leader) autoscale(now micros.Micros) {
 	if !l.ready {
 		return
 	}
 	replaced := l.replacedMachines(now)
 	supply := l.countSupply(replaced, now)
-	demand := l.waitingNeed(replaced, now)
-	types := l.byPrice()
+	demand := l.backlogNeed(replaced, now)
+	types := l.typesByPrice()
 	l.raiseMeans()
 	l.stepModel(types, now)
-	l.stepReserves(now)
-	l.staffReserves(now)
+	l.stepPools(now)
+	l.resizePools(now)
 	// What a type cannot give as spot machines passes on to the next dearer one.
 	short := shortage{}
 	for _, t := range types {
-		short = l.staffType(t, supply[t.Name], demand[t.Name], short, now)
+		short = l.scaleType(t, supply[t.Name], demand[t.Name], short, now)
 	}
-	l.rentOrdinary(types, short.ordinary, now)
-	l.rentSpecial(now)
-	l.rentForGangs(now)
+	l.launchOnDemand(types, short.onDemand, now)
+	l.launchForConstrainedJobs(now)
+	l.launchForGangs(now)
 	l.consolidate(now)
 	if record := int64(l.Tuning.RecordInterval / micros.Second); record < 1 || int64(now/micros.Second)%record == 0 {
 		l.dirty[replica.AutoscalerKey] = true
 		l.publishEstimates()
-		l.sweep()
+		l.deleteLeftovers()
 		l.wakeFlush()
 	}
 }
@@ -188,17 +188,17 @@
 func (l *Leader) countSupply(replaced map[*machine]bool, now micros.Micros) map[string]typeSupply {
 	supply := map[string]typeSupply{}
 	for _, m := range l.machines {
-		if m.leaving || m.draining != "" || l.overdue(m, now) || replaced[m] {
+		if m.instance.terminating || m.drainReason != "" || l.isOverdue(m, now) || replaced[m] {
 			continue
 		}
-		s := supply[m.kind.Type]
+		s := supply[m.offering.Type]
 		s.have++
-		if len(m.tasks) > 0 || len(m.planned) > 0 || m.reserve != nil {
+		if len(m.attempts) > 0 || len(m.planned) > 0 || m.pool != nil {
 			s.busy++
 		}
-		supply[m.kind.Type] = s
+		supply[m.offering.Type] = s
 	}
-	for _, b := range l.bookings {
+	for _, b := range l.intents {
 		if !b.Answered {
 			s := supply[b.Type]
 			s.have += b.Count
@@ -211,53 +211,53 @@
 // shortage is what the types so far could not give, in GuaranteedCPUs.
 type shortage struct {
 	any      float64
-	ordinary float64 // the part that may be ordinary machines
+	onDemand float64 // the part that may be ordinary machines
 }
 
-// staffType rents or returns spot machines of one type toward its target, and tells what is
+// scaleType rents or returns spot machines of one type toward its target, and tells what is
 // short with it.
-func (l *Leader) staffType(t *machineType, supply typeSupply, need typeNeed, short shortage, now micros.Micros) shortage {
+func (l *Leader) scaleType(t *scaledType, supply typeSupply, need machineNeed, short shortage, now micros.Micros) shortage {
 	size := math.Max(t.CPUs, 0.001)
 	floor, ordinaryFloor := float64(supply.busy), float64(supply.busy)
 	if need.any > 0.01 {
-		floor = float64(supply.have) + ceiling(need.any)
+		floor = float64(supply.have) + ceilMachines(need.any)
 	}
-	if need.ordinary > 0.01 {
-		ordinaryFloor = float64(supply.have) + ceiling(need.ordinary)
+	if need.onDemand > 0.01 {
+		ordinaryFloor = float64(supply.have) + ceilMachines(need.onDemand)
 	}
-	reserved := l.reservedBeyondMean(t.Name)
-	want := t.want + reserved + short.any/size
-	ordinaryWant := t.wantOrdinary + reserved + short.ordinary/size
-	t.target = int(math.Max(ceiling(want), floor))
-	slog.Debug("staff", "type", t.Name, "m", t.m, "want", t.want, "want_ordinary", t.wantOrdinary,
-		"busy", supply.busy, "need", need.any, "short", short.any, "short_ordinary", short.ordinary, "have", supply.have)
+	reserved := l.pooledBeyondMean(t.Name)
+	want := t.wanted + reserved + short.any/size
+	ordinaryWant := t.wantedOnDemand + reserved + short.onDemand/size
+	t.target = int(math.Max(ceilMachines(want), floor))
+	slog.Debug("staff", "type", t.Name, "m", t.mean, "want", t.wanted, "want_ordinary", t.wantedOnDemand,
+		"busy", supply.busy, "need", need.any, "short", short.any, "short_ordinary", short.onDemand, "have", supply.have)
 	booked := 0
 	if missing := t.target - supply.have; missing > 0 {
-		booked = l.rentMore(t, true, missing, now)
+		booked = l.launchMore(t, true, missing, now)
 	} else {
-		l.returnIdle(t, -missing, now)
+		l.terminateIdle(t, -missing, now)
 	}
-	lean := int(ceiling(want))
+	lean := int(ceilMachines(want))
 	if need.any > 0 {
 		lean = supply.have
 	}
 	l.markSurplus(t, supply.have-lean, now)
-	l.closeToPatient(t, ordinaryWant, need.ordinary)
+	l.closeToDelayTolerant(t, ordinaryWant, need.onDemand)
 	given := float64(supply.have + booked)
 	return shortage{
 		any:      math.Max(0, math.Max(want, floor)-given) * size,
-		ordinary: math.Max(0, math.Max(ordinaryWant, ordinaryFloor)-given) * size,
+		onDemand: math.Max(0, math.Max(ordinaryWant, ordinaryFloor)-given) * size,
 	}
 }
 
-// rentOrdinary rents ordinary machines for so many GuaranteedCPUs, the cheapest first. They cost about
+// launchOnDemand rents ordinary machines for so many GuaranteedCPUs, the cheapest first. They cost about
 // three times as much: it is what no type had as spot machines.
-func (l *Leader) rentOrdinary(types []*machineType, cpus float64, now micros.Micros) {
-	slices.SortStableFunc(types, func(a, b *machineType) int { return cmp.Compare(a.OnDemandPrice/a.CPUs, b.OnDemandPrice/b.CPUs) })
+func (l *Leader) launchOnDemand(types []*scaledType, cpus float64, now micros.Micros) {
+	slices.SortStableFunc(types, func(a, b *scaledType) int { return cmp.Compare(a.OnDemandPrice/a.CPUs, b.OnDemandPrice/b.CPUs) })
 	for _, t := range types {
 		size := math.Max(t.CPUs, 0.001)
-		if n := int(ceiling(cpus / size)); n > 0 {
-			cpus -= float64(l.rentMore(t, false, n, now)) * size
+		if n := int(ceilMachines(cpus / size)); n > 0 {
+			cpus -= float64(l.launchMore(t, false, n, now)) * size
 		}
 	}
 }
@@ -265,47 +265,47 @@
 // markSurplus picks the n machines of a type that the formula does not want,
 // the dearest and emptiest. They get tasks only when no other has room: spread
 // over all machines, a few tasks would keep every one of them busy for ever.
-func (l *Leader) markSurplus(t *machineType, n int, now micros.Micros) {
+func (l *Leader) markSurplus(t *scaledType, n int, now micros.Micros) {
 	var ms []*machine
-	for _, m := range l.order {
-		if m.kind.Type == t.Name {
+	for _, m := range l.sorted {
+		if m.offering.Type == t.Name {
 			m.surplus = false
-			if m.up && !m.leaving && m.draining == "" && m.reserve == nil {
+			if m.instance.running && !m.instance.terminating && m.drainReason == "" && m.pool == nil {
 				ms = append(ms, m)
 			}
 		}
 	}
 	slices.SortStableFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(price(t, b.kind.Spot), price(t, a.kind.Spot)), cmp.Compare(len(a.tasks), len(b.tasks)))
+		return cmp.Or(cmp.Compare(price(t, b.offering.Spot), price(t, a.offering.Spot)), cmp.Compare(len(a.attempts), len(b.attempts)))
 	})
 	for i, m := range ms {
 		switch m.surplus = i < n; {
 		case !m.surplus:
-			m.surplusAt = 0
-		case m.surplusAt == 0:
-			m.surplusAt = now
+			m.surplusSince = 0
+		case m.surplusSince == 0:
+			m.surplusSince = now
 		}
 	}
 }
 
-// closeToPatient picks the ordinary machines of a type that only patient work would use.
+// closeToDelayTolerant picks the ordinary machines of a type that only patient work would use.
 // They get none of it, and so are returned when they are idle: once rented for others,
 // best-effort work kept them for the rest of the day.
-func (l *Leader) closeToPatient(t *machineType, want, need float64) {
-	wanted := ceiling(want)
+func (l *Leader) closeToDelayTolerant(t *scaledType, want, need float64) {
+	wanted := ceilMachines(want)
 	var ms []*machine
-	for _, m := range l.order {
-		if m.kind.Type != t.Name || m.leaving || m.draining != "" {
+	for _, m := range l.sorted {
+		if m.offering.Type != t.Name || m.instance.terminating || m.drainReason != "" {
 			continue
 		}
-		m.closedToPatient = false
-		if m.kind.Spot {
+		m.rejectsDelayTolerant = false
+		if m.offering.Spot {
 			wanted--
 			continue
 		}
-		only := m.reserve == nil
-		for _, a := range m.tasks {
-			only = only && l.patient(a.job)
+		only := m.pool == nil
+		for _, a := range m.attempts {
+			only = only && l.isDelayTolerant(a.job)
 		}
 		if only {
 			ms = append(ms, m)
@@ -316,27 +316,27 @@
 	if need > 0.01 {
 		return
 	}
-	slices.SortStableFunc(ms, func(a, b *machine) int { return cmp.Compare(len(a.tasks), len(b.tasks)) })
+	slices.SortStableFunc(ms, func(a, b *machine) int { return cmp.Compare(len(a.attempts), len(b.attempts)) })
 	for _, m := range ms[:max(0, min(len(ms), len(ms)-int(math.Max(0, wanted))))] {
-		m.closedToPatient = true
+		m.rejectsDelayTolerant = true
 	}
 }
 
-// ceiling rounds machines up, but not for a trace of one.
-func ceiling(machines float64) float64 { return math.Ceil(machines - 0.01) }
+// ceilMachines rounds machines up, but not for a trace of one.
+func ceilMachines(machines float64) float64 { return math.Ceil(machines - 0.01) }
 
 // raiseMeans raises each type's m once to what is really held, when after a
 // take-over the tasks of all machines are known.
 func (l *Leader) raiseMeans() {
-	if l.raised || l.unresolved() > 0 {
+	if l.meansRaised || l.countUnknownMachines() > 0 {
 		return
 	}
-	l.raised = true
+	l.meansRaised = true
 	held := map[string]float64{}
 	for _, m := range l.machines {
-		for _, a := range m.tasks {
-			if t := l.types[m.kind.Type]; t != nil {
-				held[t.Name] += fraction(t, a.job.need)
+		for _, a := range m.attempts {
+			if t := l.types[m.offering.Type]; t != nil {
+				held[t.Name] += machineFraction(t, a.job.need)
 			}
 		}
 	}
@@ -345,31 +345,31 @@
 	// means doubled at a take-over, and the fleet with them.
 	missing, beyond := 0.0, 0.0 // GuaranteedCPUs
 	for name, t := range l.types {
-		missing += (held[name] - t.m) * t.CPUs
-		beyond += math.Max(0, held[name]-t.m) * t.CPUs
+		missing += (held[name] - t.mean) * t.CPUs
+		beyond += math.Max(0, held[name]-t.mean) * t.CPUs
 	}
 	if missing <= 0 {
 		return
 	}
 	for name, t := range l.types {
-		t.m += math.Max(0, held[name]-t.m) * missing / beyond
+		t.mean += math.Max(0, held[name]-t.mean) * missing / beyond
 	}
 }
 
 // stepModel steps each type's mean and sets what the formula wants, which
 // holds for an interval unless it rises.
-func (l *Leader) stepModel(types []*machineType, now micros.Micros) {
+func (l *Leader) stepModel(types []*scaledType, now micros.Micros) {
 	for _, t := range types {
-		lambda, mu := t.window.Rate(now), t.service.Rate(t.finished)
-		t.m = staffing.StepMean(t.m, lambda, mu, 1)
+		lambda, mu := t.demand.Rate(now), t.service.Rate(t.finishedTasks)
+		t.mean = staffing.StepMean(t.mean, lambda, mu, 1)
 		// The same equation for the part that is not worth ordinary machines.
-		bestEffort := t.bestEffort.Rate(now)
-		t.mBestEffort = math.Min(t.m, staffing.StepMean(t.mBestEffort, bestEffort, mu, 1))
-		all := staffing.PeakMean(t.m, lambda, mu, l.Tuning.ReviewInterval.Seconds())
+		bestEffort := t.bestEffortDemand.Rate(now)
+		t.meanBestEffort = math.Min(t.mean, staffing.StepMean(t.meanBestEffort, bestEffort, mu, 1))
+		all := staffing.PeakMean(t.mean, lambda, mu, l.Tuning.ReviewInterval.Seconds())
 		servers := func(spot bool) float64 {
 			mean := all
 			if !spot {
-				mean = staffing.PeakMean(t.m-t.mBestEffort, math.Max(0, lambda-bestEffort), mu, l.Tuning.ReviewInterval.Seconds())
+				mean = staffing.PeakMean(t.mean-t.meanBestEffort, math.Max(0, lambda-bestEffort), mu, l.Tuning.ReviewInterval.Seconds())
 			}
 			if mean < 0.05 {
 				return 0 // formula (4) would keep a machine for nothing
@@ -377,15 +377,15 @@
 			z := staffing.ZForPrice(l.Tuning.Z, l.priceRatio(t, spot))
 			return float64(staffing.Servers(mean, t.batches.Peakedness()*mean, z))
 		}
-		if want := servers(true); l.raised && now >= t.heldTill || want > t.want {
-			t.want, t.wantOrdinary = want, servers(false)
-			t.heldTill = now + l.Tuning.ReviewInterval
+		if want := servers(true); l.meansRaised && now >= t.heldUntil || want > t.wanted {
+			t.wanted, t.wantedOnDemand = want, servers(false)
+			t.heldUntil = now + l.Tuning.ReviewInterval
 		}
 	}
 }
 
 // priceRatio is a kind's price a CPU over the cheapest there is.
-func (l *Leader) priceRatio(t *machineType, spot bool) float64 {
+func (l *Leader) priceRatio(t *scaledType, spot bool) float64 {
 	least := math.Inf(1)
 	for _, x := range l.types {
 		least = math.Min(least, math.Min(x.OnDemandPrice, x.SpotPrice)/x.CPUs)
@@ -393,49 +393,49 @@
 	return math.Max(1, price(t, spot)/t.CPUs/least)
 }
 
-// byPrice orders the types by what a CPU costs.
-func (l *Leader) byPrice() []*machineType {
-	ts := make([]*machineType, 0, len(l.typeOrder))
+// typesByPrice orders the types by what a CPU costs.
+func (l *Leader) typesByPrice() []*scaledType {
+	ts := make([]*scaledType, 0, len(l.typeOrder))
 	for _, name := range l.typeOrder {
 		ts = append(ts, l.types[name])
 	}
-	slices.SortStableFunc(ts, func(a, b *machineType) int {
+	slices.SortStableFunc(ts, func(a, b *scaledType) int {
 		return cmp.Compare(a.SpotPrice/a.CPUs, b.SpotPrice/b.CPUs)
 	})
 	return ts
 }
 
-// rentMore books up to n machines of a type and kind spread over the zones, and
+// launchMore books up to n machines of a type and kind spread over the zones, and
 // tells how many.
-func (l *Leader) rentMore(t *machineType, spot bool, n int, now micros.Micros) int {
+func (l *Leader) launchMore(t *scaledType, spot bool, n int, now micros.Micros) int {
 	if !l.Term.IsExclusive() {
 		return n
 	}
-	var open []offer
+	var open []offering
 	for _, zone := range t.Zones {
-		o := offer{t.Name, zone, spot}
-		s := l.offers[o]
+		o := offering{t.Name, zone, spot}
+		s := l.capacityBackoffs[o]
 		switch {
-		case l.pending(o):
+		case l.hasOpenIntent(o):
 			return n // its answer comes first
-		case l.zones.Decide(zone).Rent == 0:
+		case l.policy.Decide(zone).Rent == 0:
 		case s == nil || now >= s.until:
 			open = append(open, o)
 		}
 	}
 	inZone := map[string]int{}
-	for _, m := range l.order {
-		if m.kind.Type == t.Name {
-			inZone[m.kind.Zone]++
+	for _, m := range l.sorted {
+		if m.offering.Type == t.Name {
+			inZone[m.offering.Zone]++
 		}
 	}
-	slices.SortStableFunc(open, func(a, b offer) int { return cmp.Compare(inZone[a.Zone], inZone[b.Zone]) })
+	slices.SortStableFunc(open, func(a, b offering) int { return cmp.Compare(inZone[a.Zone], inZone[b.Zone]) })
 	booked := 0
 	for i, o := range open {
 		left := n - booked
-		count := min((left+len(open)-i-1)/(len(open)-i), l.mayRent(o.Zone))
-		for k := 0; count > 0 && k < maxBookings; k++ {
-			l.book(o, count)
+		count := min((left+len(open)-i-1)/(len(open)-i), l.launchAllowance(o.Zone))
+		for k := 0; count > 0 && k < maxIntentsPerOffering; k++ {
+			l.createIntent(o, count)
 			part := min(count, cloud.MaxLaunch)
 			booked, count = booked+part, count-part
 		}
@@ -443,39 +443,39 @@
 	return booked
 }
 
-// maxBookings is how many bookings of an offer are made at once: a fleet of a
+// maxIntentsPerOffering is how many bookings of an offer are made at once: a fleet of a
 // thousand machines is to be on its way within seconds, a few cloud calls a second.
-const maxBookings = 3
+const maxIntentsPerOffering = 3
 
-// specialWait is how long a job may make no start before a machine is rented for
+// constrainedLaunchDelay is how long a job may make no start before a machine is rented for
 // it alone.
-const specialWait = 10 * micros.Second
+const constrainedLaunchDelay = 10 * micros.Second
 
-// rentSpecial books machines for jobs that some of the fleet is closed to, by
+// launchForConstrainedJobs books machines for jobs that some of the fleet is closed to, by
 // type, zone or kind, and that get nowhere: the types' targets count machines,
 // not whom they serve, and such a job would starve beside idle ones.
-func (l *Leader) rentSpecial(now micros.Micros) {
+func (l *Leader) launchForConstrainedJobs(now micros.Micros) {
 	wall := micros.Wall()
-	teams, unresolved := l.teamUse(), l.unknownTasks()
+	teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow()
 	type count struct{ all, coming int }
-	kinds := map[offer]count{}
-	for _, m := range l.order {
-		n := kinds[m.kind]
+	kinds := map[offering]count{}
+	for _, m := range l.sorted {
+		n := kinds[m.offering]
 		n.all++
-		if !m.up && !m.leaving {
+		if !m.instance.running && !m.instance.terminating {
 			n.coming++
 		}
-		kinds[m.kind] = n
+		kinds[m.offering] = n
 	}
 	for _, j := range l.jobs {
-		if l.mustWait(j, unresolved) || teams[j.spec.Team].Room(j.need, 1) == 0 {
+		if l.mustAwaitReconciliation(j, unresolved) || teams[j.spec.Team].Room(j.need, 1) == 0 {
 			continue // not for want of machines
 		}
-		if j.ready(now) <= 0 || now-j.seen < specialWait || wall-j.lastStart < specialWait {
+		if j.startableTasks(now) <= 0 || now-j.seenAt < constrainedLaunchDelay || wall-j.lastStart < constrainedLaunchDelay {
 			continue
 		}
 		probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot,
-			SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones, Total: j.spec.Tasks, TasksPerZone: j.zones}
+			SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones, Total: j.spec.Tasks, TasksPerZone: j.attemptsPerZone}
 		closed, coming := 0, 0
 		for o, n := range kinds {
 			if placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
@@ -487,84 +487,84 @@
 		if closed == 0 {
 			continue // the targets serve it
 		}
-		for _, o := range l.offersFor(j) {
+		for _, o := range l.offeringsFor(j) {
 			if !placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
 				continue // its other tasks bind it to another zone
 			}
-			if l.pending(o) {
+			if l.hasOpenIntent(o) {
 				break // its answer comes first
 			}
-			s := l.offers[o]
-			count := int(ceiling(float64(j.ready(now))*fraction(l.types[o.Type], j.need))) - coming
+			s := l.capacityBackoffs[o]
+			count := int(ceilMachines(float64(j.startableTasks(now))*machineFraction(l.types[o.Type], j.need))) - coming
 			if count > 0 && (s == nil || now >= s.until) && l.Term.IsExclusive() {
-				l.book(o, min(count, 4))
+				l.createIntent(o, min(count, 4))
 				break
 			}
 		}
 	}
 }
 
-// pending tells whether a booking of an offer waits for its answer.
-func (l *Leader) pending(o offer) bool {
-	for _, b := range l.bookings {
-		if !b.Answered && (offer{b.Type, b.Zone, b.Spot}) == o {
+// hasOpenIntent tells whether a booking of an offer waits for its answer.
+func (l *Leader) hasOpenIntent(o offering) bool {
+	for _, b := range l.intents {
+		if !b.Answered && (offering{b.Type, b.Zone, b.Spot}) == o {
 			return true
 		}
 	}
 	return false
 }
 
-// minPaid is how long a machine is paid for at least.
-const minPaid = 60 * micros.Second
+// minBilledTime is how long a machine is paid for at least.
+const minBilledTime = 60 * micros.Second
 
-// returnIdle returns up to n idle machines, the dearest first, but none
+// terminateIdle returns up to n idle machines, the dearest first, but none
 // before its paid time is used.
-func (l *Leader) returnIdle(t *machineType, n int, now micros.Micros) {
+func (l *Leader) terminateIdle(t *scaledType, n int, now micros.Micros) {
 	if !l.Term.HoldsSession() {
 		// That a machine is gone could not be stored, and a next leader would
 		// have to wait for its lease.
 		return
 	}
 	var idle []*machine
-	for _, m := range l.order {
-		if m.kind.Type == t.Name && len(m.tasks) == 0 && len(m.planned) == 0 && m.reserve == nil && m.resolved && !m.leaving && m.draining == "" &&
-			now-m.rentedAt > minPaid-3*micros.Second && now-m.busyTill > l.idleLimit(t, m.kind.Spot) {
+	for _, m := range l.sorted {
+		if m.offering.Type == t.Name && len(m.attempts) == 0 && len(m.planned) == 0 && m.pool == nil && m.tasksKnown() && !m.instance.terminating && m.drainReason == "" &&
+			now-m.instance.launchedAt > minBilledTime-3*micros.Second && now-m.instance.idleSince > l.idleTimeout(t, m.offering.Spot) {
 			idle = append(idle, m)
 		}
 	}
 	slices.SortStableFunc(idle, func(a, b *machine) int {
-		return cmp.Compare(price(t, b.kind.Spot), price(t, a.kind.Spot))
+		return cmp.Compare(price(t, b.offering.Spot), price(t, a.offering.Spot))
 	})
 	for _, m := range idle[:min(n, len(idle))] {
-		l.giveUp(m, "not needed")
+		l.terminate(m, "not needed")
 	}
 }
 
-// idleLimit is how long an idle machine is kept in case it is needed again. As
+// idleTimeout is how long an idle machine is kept in case it is needed again. As
 // much time as a new one takes to boot costs about what returning it in error
 // would, to jobs that cannot wait; an expensive one is not worth that while spot
 // machines can be had.
-func (l *Leader) idleLimit(t *machineType, spot bool) micros.Micros {
+func (l *Leader) idleTimeout(t *scaledType, spot bool) micros.Micros {
 	tight, types := 0.0, 0.0
 	for _, x := range l.types {
 		tight += x.batches.TightShare()
 		types++
 	}
 	keep := micros.FromSeconds(t.BootTimeS / l.priceRatio(t, spot) * tight / types)
-	return max(2*l.report, keep)
+	return max(2*l.heartbeatInterval, keep)
 }
 
-func price(t *machineType, spot bool) float64 {
+func price(t *scaledType, spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
 	return t.OnDemandPrice
 }
 
-// staffingRecord is what a new leader goes on from.
-type staffingRecord struct {
+// autoscalerRecord is what a new leader goes on from.
+type autoscalerRecord struct {
 	Types   map[string]typeRecord `json:"types"`
-	AtFault map[string]int        `json:"at_fault,omitempty"` // see atFaultRecord
+	AtFault map[string]int        `json:"at_fault,omitempty"` // see quarantinedJobs
 }
 
 type typeRecord struct {
@@ -577,13 +577,13 @@
 	InFlight int     `json:"in_flight"`
 }
 
-func (l *Leader) staffingRecord() staffingRecord {
+func (l *Leader) autoscalerRecord() autoscalerRecord {
 	now := micros.Now()
-	r := staffingRecord{Types: map[string]typeRecord{}, AtFault: l.atFaultRecord()}
+	r := autoscalerRecord{Types: map[string]typeRecord{}, AtFault: l.quarantinedJobs()}
 	for _, t := range l.types {
-		r.Types[t.Name] = typeRecord{Lambda: t.window.Rate(now), M: t.m, Mu: t.service.Rate(t.finished), Finished: t.finished, Want: t.want, Target: t.target}
+		r.Types[t.Name] = typeRecord{Lambda: t.demand.Rate(now), M: t.mean, Mu: t.service.Rate(t.finishedTasks), Finished: t.finishedTasks, Want: t.wanted, Target: t.target}
 	}
-	for _, b := range l.bookings {
+	for _, b := range l.intents {
 		if x := r.Types[b.Type]; !b.Answered {
 			x.InFlight += b.Count
 			r.Types[b.Type] = x
@@ -595,27 +595,27 @@
 	return r
 }
 
-// restoreStaffing goes on from the record.
-func (l *Leader) restoreStaffing(now micros.Micros) error {
-	var r staffingRecord
+// restoreAutoscaler goes on from the record.
+func (l *Leader) restoreAutoscaler(now micros.Micros) error {
+	var r autoscalerRecord
 	if _, err := l.Replica.Get(replica.AutoscalerKey, &r); err != nil {
 		return err
 	}
-	l.restoreAtFault(r.AtFault, now)
+	l.restoreQuarantinedJobs(r.AtFault, now)
 	for name, t := range l.types {
 		x, ok := r.Types[name]
 		if !ok {
 			continue
 		}
-		t.m = x.M
-		t.window.Seed(now, x.Lambda)
+		t.mean = x.M
+		t.demand.Seed(now, x.Lambda)
 		// The target is taken anew as soon as the means are known: how long it was to hold is
 		// not stored, and held anew by each of several leaders it outlasted its peak by minutes.
-		t.want, t.wantOrdinary = x.Want, x.Want
+		t.wanted, t.wantedOnDemand = x.Want, x.Want
 		if x.Mu > 0 {
 			// As if what is held had just ended: what ends first now are short tasks.
 			t.service.Finished(math.Max(1, x.M), 1/x.Mu, 1)
-			t.finished = x.Finished
+			t.finishedTasks = x.Finished
 		}
 	}
 	slog.Info("staffing restored", "types", len(r.Types), "jobs_at_fault", len(r.AtFault))
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -36,9 +36,9 @@
 
 // standbyState is what the leader keeps for followers, and for a handover.
 type standbyState struct {
-	adopted    bool // Progress was told so
-	handedOver bool // some machines' tasks are known by the handover of the term before
-	handing    bool // this term hands over: nothing more is decided
+	reportedTasksKnown bool // Progress was told so
+	handedOver         bool // some machines' tasks are known by the handover of the term before
+	handingOver        bool // this term hands over: nothing more is decided
 }
 
 // ErrNotReady says that a leader cannot hand over now.
@@ -51,33 +51,33 @@
 	}
 }
 
-// publishPlaced tells that a task holds its place on a machine.
-func (l *Leader) publishPlaced(a *attempt) {
+// publishAssigned tells that a task holds its place on a machine.
+func (l *Leader) publishAssigned(a *attempt) {
 	if l.Followers == nil {
 		return
 	}
 	l.publish(standby.Entry{TaskAssigned: &standby.TaskAssigned{
 		Machine: a.machine.id,
-		Task:    taskName(a.job.spec.ID, a.task),
+		Task:    taskID(a.job.spec.ID, a.index),
 		TaskState: standby.TaskState{
-			Attempt:  a.n,
-			Stopping: a.stopped != 0,
+			Attempt:  a.number,
+			Stopping: a.stopRequestedAt != 0,
 			Urgent:   a.job.priority >= wire.PriorityRank(wire.PriorityUrgent),
 			Reserved: a.reserved,
 		},
 	}})
 }
 
-// publishLeft tells that a task is surely no longer on a machine.
-func (l *Leader) publishLeft(a *attempt) {
+// publishRemoved tells that a task is surely no longer on a machine.
+func (l *Leader) publishRemoved(a *attempt) {
 	if l.Followers != nil {
-		l.publish(standby.Entry{TaskRemoved: &standby.TaskRemoved{Machine: a.machine.id, Task: taskName(a.job.spec.ID, a.task)}})
+		l.publish(standby.Entry{TaskRemoved: &standby.TaskRemoved{Machine: a.machine.id, Task: taskID(a.job.spec.ID, a.index)}})
 	}
 }
 
 // publishMachine tells what has changed of a machine besides its tasks.
 func (l *Leader) publishMachine(m *machine) {
-	state := standby.MachineState{Incarnation: m.session, TasksKnown: m.confirmed()}
+	state := standby.MachineState{Incarnation: m.heartbeat.incarnation, TasksKnown: m.tasksConfirmed()}
 	if l.Followers == nil || m.published == state {
 		return
 	}
@@ -95,10 +95,10 @@
 	}
 }
 
-// useExpected goes on from the view of the term before. It is a hint: it tells whom to ask
+// usePreviousTerm goes on from the view of the term before. It is a hint: it tells whom to ask
 // first and in which session, which returns to repeat and how classes' run times turned
 // out. Only a complete handover proves more.
-func (l *Leader) useExpected() {
+func (l *Leader) usePreviousTerm() {
 	v := l.PreviousTerm
 	if v == nil {
 		return
@@ -112,29 +112,29 @@
 		if m == nil {
 			continue
 		}
-		m.expected = known
-		if l.handedOver && known.TasksKnown && !m.resolved {
+		m.reconciliation.previousTerm = known
+		if l.handedOver && known.TasksKnown && !m.tasksKnown() {
 			l.adoptHandedOver(m, known)
 		}
 		if known.Terminating && v.Token+1 == l.FencingToken && l.Term.HoldsSession() {
 			// A return is never taken back; the term before may not have had its answer. A
 			// leader in between may have used the machine, not knowing of it.
-			l.giveUp(m, "an earlier leader was returning it")
+			l.terminate(m, "an earlier leader was returning it")
 		}
 	}
 	if l.handedOver {
-		l.returnDropped()
+		l.terminateDropped()
 	}
 	slog.Info("standby: the term before", "token", v.Token, "handed_over", l.handedOver, "machines", len(v.Machines), "tasks", v.Tasks())
 }
 
-// returnDropped returns the machines that the term before had dropped, which it does only
+// terminateDropped returns the machines that the term before had dropped, which it does only
 // once their return was answered: that they are gone was not stored yet. What the cloud
 // answers proves it anew.
-func (l *Leader) returnDropped() {
-	for _, m := range l.order {
-		if !m.resolved && m.expected == nil && l.Term.HoldsSession() {
-			l.giveUp(m, "an earlier leader had returned it")
+func (l *Leader) terminateDropped() {
+	for _, m := range l.sorted {
+		if !m.tasksKnown() && m.reconciliation.previousTerm == nil && l.Term.HoldsSession() {
+			l.terminate(m, "an earlier leader had returned it")
 		}
 	}
 }
@@ -161,37 +161,37 @@
 		if task.Reserved {
 			continue // its start was never sent
 		}
-		j, n := l.jobOf(name)
+		j, n := l.findTask(name)
 		if j == nil {
 			return
 		}
-		attempts = append(attempts, &attempt{job: j, task: n, n: task.Attempt, machine: m, began: l.began})
+		attempts = append(attempts, &attempt{job: j, index: n, number: task.Attempt, machine: m, startedAt: l.startedAt})
 	}
 	for _, a := range attempts {
-		l.hold(a)
-		if a.job.isGang() && a.n > a.job.gang.n {
-			a.job.gang = gang{n: a.n}
+		l.assign(a)
+		if a.job.isGang() && a.number > a.job.gang.number {
+			a.job.gang = gangAttempt{number: a.number}
 		}
 	}
-	m.resolved, m.unconfirmed = true, true
-	m.answered = l.began
+	m.reconciliation.knowledge = tasksHandedOver
+	m.lease.renewedAt = l.startedAt
 	for _, a := range attempts {
-		if a.job.over {
+		if a.job.ended {
 			// The term before may not have told it, and no report will show it as news: known to
 			// be there, it went on for ever.
-			l.stop(a, 0, "job is over")
+			l.stopTask(a, 0, "job is over")
 		}
 	}
 }
 
-// jobOf is the job that a task is of, and the task's number; nil if it cannot be counted.
-func (l *Leader) jobOf(name string) (j *job, n int) {
-	id, n, err := parseTask(name)
+// findTask is the job that a task is of, and the task's number; nil if it cannot be counted.
+func (l *Leader) findTask(name string) (j *job, n int) {
+	id, n, err := parseTaskID(name)
 	if err != nil {
 		return nil, 0
 	}
 	if j = l.jobs[id]; j == nil {
-		j = l.orphan(id)
+		j = l.cancelledJob(id)
 	}
 	if j == nil || n >= j.spec.Tasks {
 		return nil, 0
@@ -199,79 +199,79 @@
 	return j, n
 }
 
-// unknown tells of which machines the tasks are not known.
-type unknown struct {
-	machines int
-	kinds    []offer // of these, each once
+// unknownMachines tells of which machines the tasks are not known.
+type unknownMachines struct {
+	count     int
+	offerings []offering // of these, each once
 }
 
-// unknownTasks tells of which machines the tasks are not known now.
-func (l *Leader) unknownTasks() (u unknown) {
-	for _, m := range l.order {
-		if m.resolved {
+// unknownMachinesNow tells of which machines the tasks are not known now.
+func (l *Leader) unknownMachinesNow() (u unknownMachines) {
+	for _, m := range l.sorted {
+		if m.tasksKnown() {
 			continue
 		}
-		u.machines++
-		if !slices.Contains(u.kinds, m.kind) {
-			u.kinds = append(u.kinds, m.kind)
+		u.count++
+		if !slices.Contains(u.offerings, m.offering) {
+			u.offerings = append(u.offerings, m.offering)
 		}
 	}
 	return u
 }
 
-// mustWait tells whether a job must start nothing yet: it may have tasks on machines whose
+// mustAwaitReconciliation tells whether a job must start nothing yet: it may have tasks on machines whose
 // tasks are not known. Every leader of any version starts a task only on a machine whose type,
 // zone and kind its job allows, so machines of other kinds have none of it; that is made use of
 // with the standby on. A gang also waits until all machines have confirmed what a handover
 // told of them, since only their reports tell whether its attempt runs or ends.
-func (l *Leader) mustWait(j *job, u unknown) bool {
+func (l *Leader) mustAwaitReconciliation(j *job, u unknownMachines) bool {
 	switch {
-	case !j.old:
+	case !j.mayHaveEarlierTasks:
 		return false
-	case j.isGang() && l.unconfirmed() > 0:
+	case j.isGang() && l.countUnconfirmed() > 0:
 		return true
 	case l.Followers == nil:
-		return u.machines > 0
+		return u.count > 0
 	}
 	probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot}
-	return slices.ContainsFunc(u.kinds, func(kind offer) bool {
+	return slices.ContainsFunc(u.offerings, func(kind offering) bool {
 		return placement.ConstraintsAdmit(&probe, kind.Type, kind.Zone, kind.Spot)
 	})
 }
 
-// unconfirmed counts the machines whose tasks are known by a handover alone.
-func (l *Leader) unconfirmed() (n int) {
+// countUnconfirmed counts the machines whose tasks are known by a handover alone.
+func (l *Leader) countUnconfirmed() (n int) {
 	if !l.handedOver {
 		return 0
 	}
 	for _, m := range l.machines {
-		if m.unconfirmed {
+		if m.reconciliation.knowledge == tasksHandedOver {
 			n++
 		}
 	}
 	return n
 }
 
-// noteAdopted tells once that the tasks of all machines are known.
-func (l *Leader) noteAdopted() {
-	if l.FailoverProgress == nil || l.adopted || !l.ready || l.unresolved()+l.unconfirmed() > 0 {
+// reportTasksKnown tells once that the tasks of all machines are known.
+func (l *Leader) reportTasksKnown() {
+	if l.FailoverProgress == nil || l.reportedTasksKnown || !l.ready || l.countUnknownMachines()+l.countUnconfirmed() > 0 {
 		return
 	}
-	l.adopted = true
+	l.reportedTasksKnown = true
 	l.FailoverProgress.TasksKnown()
 }
 
-// askOrder has machines asked in the order in which their answers matter: while urgent work
+// sortByQueryPriority has machines asked in the order in which their answers matter: while urgent work
 // waits, those that should have room for it, and then the busiest, which most jobs wait for.
-func (l *Leader) askOrder(ms []*machine) {
+func (l *Leader) sortByQueryPriority(ms []*machine) {
 	urgent := false
 	for _, j := range l.jobs {
 		urgent = urgent || j.waiting() > 0 && j.priority >= wire.PriorityRank(wire.PriorityUrgent)
 	}
 	rank := func(m *machine) int {
 		tasks := 0
-		if m.expected != nil {
-			tasks = len(m.expected.Tasks)
+		if m.reconciliation.previousTerm != nil {
+			tasks = len(m.reconciliation.previousTerm.Tasks)
 		}
 		if urgent && tasks == 0 {
 			return -1 << 20
@@ -283,11 +283,11 @@
 
 // Times of a handover.
 const (
-	handoverPoll = 20 * micros.Millisecond
-	// followerWithin is how fresh a follower's last query must be for it to be handed to.
-	followerWithin = micros.Second
-	// flushPart is the part of a handover's time that what is to be stored may take.
-	flushPart = 3
+	handoverPollInterval = 20 * micros.Millisecond
+	// followerFreshWithin is how fresh a follower's last query must be for it to be handed to.
+	followerFreshWithin = micros.Second
+	// handoverFlushDivisor is the part of a handover's time that what is to be stored may take.
+	handoverFlushDivisor = 3
 )
 
 // HandOver ends the term as planned, within a limit: nothing more is decided, what can be
@@ -299,22 +299,22 @@
 	}
 	began := micros.Now()
 	l.mu.Lock()
-	if !l.ready || l.handing || l.superseded {
+	if !l.ready || l.handingOver || l.superseded {
 		l.mu.Unlock()
 		return "", ErrNotReady
 	}
-	l.handing = true
+	l.handingOver = true
 	l.mu.Unlock()
-	for micros.Now() < began+limit/flushPart && !l.allStored() {
+	for micros.Now() < began+limit/handoverFlushDivisor && !l.allStored() {
 		l.wakeFlush()
-		handoverPoll.Sleep()
+		handoverPollInterval.Sleep()
 	}
 	position, to := l.publishHandover()
 	for to != "" && micros.Now() < began+limit && !l.Followers.Applied(to, position) {
-		handoverPoll.Sleep()
+		handoverPollInterval.Sleep()
 	}
 	slog.Info("handing over", "token", l.FencingToken, "to", to, "applied", to != "" && l.Followers.Applied(to, position), "took", (micros.Now() - began).Duration())
-	l.lostOnce.Do(func() { close(l.lost) })
+	l.termLostOnce.Do(func() { close(l.termLost) })
 	return to, nil
 }
 
@@ -327,7 +327,7 @@
 			return false
 		}
 	}
-	return !l.writing
+	return !l.inFlight
 }
 
 // publishHandover publishes the term's last entry. All starts were published before it,
@@ -335,7 +335,7 @@
 func (l *Leader) publishHandover() (position uint64, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	to = l.Followers.Furthest(followerWithin).Member
-	l.publish(standby.Entry{Handover: &standby.Handover{To: to, Complete: l.unresolved()+l.unconfirmed() == 0}})
+	to = l.Followers.Furthest(followerFreshWithin).Member
+	l.publish(standby.Entry{Handover: &standby.Handover{To: to, Complete: l.countUnknownMachines()+l.countUnconfirmed() == 0}})
 	return l.Followers.Position(), to
 }
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -27,10 +27,10 @@
 
 // withSecond adds a machine that this term knows to be empty and that may get tasks.
 func withSecond(l *Leader) *machine {
-	b := &booking{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
-	l.bookings[b.id] = b
-	m := l.addMachine("i-2", b, l.began)
-	m.up, m.stored, m.upStored = true, true, true
+	b := &launchIntent{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
+	l.intents[b.id] = b
+	m := l.addMachine("i-2", b, l.startedAt)
+	m.instance.running, m.instance.intentStored, m.instance.listStored = true, true, true
 	return m
 }
 
@@ -75,7 +75,7 @@
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
-			l.useExpected()
+			l.usePreviousTerm()
 			a, err := l.HandleHeartbeat(reportOf("i-2", 1))
 			if err != nil {
 				t.Fatal(err)
@@ -109,9 +109,9 @@
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
-			l.useExpected()
-			if !slices.Equal(l.toReturn, tc.want) {
-				t.Errorf("to be returned: %v, want %v", l.toReturn, tc.want)
+			l.usePreviousTerm()
+			if !slices.Equal(l.terminationQueue, tc.want) {
+				t.Errorf("to be returned: %v, want %v", l.terminationQueue, tc.want)
 			}
 		})
 	}
@@ -124,18 +124,18 @@
 	l, term := newTest(t)
 	withSecond(l)
 	l.PreviousTerm = handedView()
-	l.useExpected()
+	l.usePreviousTerm()
 	m := l.machines["i-1"]
-	if over := l.leaseOver(m); over < l.began+l.lease {
-		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.began).Duration(), l.lease.Duration())
+	if over := l.leaseExpiry(m); over < l.startedAt+l.leaseDuration {
+		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.startedAt).Duration(), l.leaseDuration.Duration())
 	}
-	l.watchMachines(l.began + l.lease)
-	if l.jobs["j-000001"].on[0] == nil {
+	l.checkMachines(l.startedAt + l.leaseDuration)
+	if l.jobs["j-000001"].attempts[0] == nil {
 		t.Error("the task is given up within the lease")
 	}
-	term.confirmed = l.leaseOver(m)
-	l.watchMachines(l.leaseOver(m) + 1)
-	if l.jobs["j-000001"].on[0] != nil || m.unconfirmed {
+	term.confirmed = l.leaseExpiry(m)
+	l.checkMachines(l.leaseExpiry(m) + 1)
+	if l.jobs["j-000001"].attempts[0] != nil || m.reconciliation.knowledge == tasksHandedOver {
 		t.Error("the task is kept after the lease")
 	}
 }
@@ -159,22 +159,22 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			l.PreviousTerm = handedView()
-			l.useExpected()
+			l.usePreviousTerm()
 			m := l.machines["i-1"]
-			if m.probableSession() != 4 {
-				t.Errorf("it is asked in session %d", m.probableSession())
+			if m.likelyIncarnation() != 4 {
+				t.Errorf("it is asked in session %d", m.likelyIncarnation())
 			}
-			m.notUntil = l.began + 100*micros.Second // no starts here
+			m.startBackoffUntil = l.startedAt + 100*micros.Second // no starts here
 			if _, err := l.HandleHeartbeat(reportOf("i-1", 3, tc.tasks...)); err != nil {
 				t.Fatal(err)
 			}
 			var on []int
-			for task := range l.jobs["j-000001"].on {
+			for task := range l.jobs["j-000001"].attempts {
 				on = append(on, task)
 			}
 			slices.Sort(on)
-			if !slices.Equal(on, tc.on) || m.unconfirmed || l.unresolved() > 0 {
-				t.Errorf("on machines %v, want %v; unconfirmed %v", on, tc.on, m.unconfirmed)
+			if !slices.Equal(on, tc.on) || m.reconciliation.knowledge == tasksHandedOver || l.countUnknownMachines() > 0 {
+				t.Errorf("on machines %v, want %v; unconfirmed %v", on, tc.on, m.reconciliation.knowledge == tasksHandedOver)
 			}
 		})
 	}
@@ -188,20 +188,20 @@
 	m := withSecond(l)
 	l.jobs["j-000001"].spec.Kind = wire.KindGang
 	l.PreviousTerm = handedView()
-	l.useExpected()
+	l.usePreviousTerm()
 	a, err := l.HandleHeartbeat(reportOf("i-2", 1))
 	if err != nil || len(a.Commands) > 0 {
 		t.Errorf("told %v (%v) before the gang's machine has confirmed", verbs(a), err)
 	}
-	if l.jobs["j-000001"].gang.n != 5 {
-		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].gang.n)
+	if l.jobs["j-000001"].gang.number != 5 {
+		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].gang.number)
 	}
 	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
-	l.machines["i-1"].notUntil = l.began + 100*micros.Second
+	l.machines["i-1"].startBackoffUntil = l.startedAt + 100*micros.Second
 	if _, err := l.HandleHeartbeat(reportOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
 	}
-	l.plannedAt, m.notUntil = 0, 0
+	l.plannedAt, m.startBackoffUntil = 0, 0
 	if a, err = l.HandleHeartbeat(reportOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
 		t.Errorf("told %v (%v), want the other two under attempt 5", a.Commands, err)
 	}
@@ -217,7 +217,7 @@
 		allResolved bool
 	}{
 		{"any machine will do", func(*job) {}, true, true, false},
-		{"it is new", func(j *job) { j.old = false }, false, false, false},
+		{"it is new", func(j *job) { j.mayHaveEarlierTasks = false }, false, false, false},
 		{"no machine is unknown", func(*job) {}, false, false, true},
 		{"it may be there", func(j *job) { j.spec.Zone, j.spec.InstanceTypes = "a", []string{"m4", "m8"} }, true, true, false},
 		{"only in another zone", func(j *job) { j.spec.Zone = "b" }, true, false, false},
@@ -228,14 +228,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			m := l.machines["i-1"]
-			m.kind.Spot, m.resolved = true, tc.allResolved
+			m.offering.Spot = true
+			m.reconciliation.knowledge = knowledge(tc.allResolved)
 			j := l.jobs["j-000001"]
 			tc.edit(j)
-			if got := l.mustWait(j, l.unknownTasks()); got != tc.cold {
+			if got := l.mustAwaitReconciliation(j, l.unknownMachinesNow()); got != tc.cold {
 				t.Errorf("without the standby it waits: %v", got)
 			}
 			l.Followers = &fakeFollowers{}
-			if got := l.mustWait(j, l.unknownTasks()); got != tc.warm {
+			if got := l.mustAwaitReconciliation(j, l.unknownMachinesNow()); got != tc.warm {
 				t.Errorf("with the standby it waits: %v", got)
 			}
 		})
@@ -296,12 +297,12 @@
 			}
 		}
 		known := f.View().Machines["i-1"]
-		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].tasks) {
-			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].tasks))
+		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].attempts) {
+			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].attempts))
 		}
-		for name, a := range l.machines["i-1"].tasks {
-			if known.Tasks[name].Attempt != a.n {
-				t.Errorf("%s: %s: attempt %d, want %d", s.name, name, known.Tasks[name].Attempt, a.n)
+		for name, a := range l.machines["i-1"].attempts {
+			if known.Tasks[name].Attempt != a.number {
+				t.Errorf("%s: %s: attempt %d, want %d", s.name, name, known.Tasks[name].Attempt, a.number)
 			}
 		}
 	}
@@ -316,7 +317,7 @@
 	l.Followers = p
 	l.jobs["j-000001"].spec.Kind = wire.KindGang
 	m := l.machines["i-1"]
-	m.resolved = true
+	m.reconciliation.knowledge = tasksConfirmed
 	view := func() map[string]standby.TaskState {
 		f := standby.NewFollower("host-1")
 		if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
@@ -361,7 +362,7 @@
 			l, _ := newTest(t)
 			f := &fakeFollowers{follower: tc.follower, applies: tc.applies}
 			l.Followers = f
-			l.machines["i-1"].resolved = tc.resolved
+			l.machines["i-1"].reconciliation.knowledge = knowledge(tc.resolved)
 			const limit = 300 * micros.Millisecond
 			begun := time.Now()
 			to, err := l.HandOver(limit)
@@ -372,7 +373,7 @@
 				t.Errorf("it took %v", took)
 			}
 			select {
-			case <-l.lost:
+			case <-l.termLost:
 			default:
 				t.Error("the term goes on")
 			}
@@ -405,14 +406,14 @@
 			}
 			return m
 		}
-		ms[1].expected, ms[2].expected, ms[3].expected = tasks(), tasks("a"), tasks("a", "b")
+		ms[1].reconciliation.previousTerm, ms[2].reconciliation.previousTerm, ms[3].reconciliation.previousTerm = tasks(), tasks("a"), tasks("a", "b")
 		want := []string{"busiest", "busy", "unknown", "idle"}
 		if urgent {
 			spec := &wire.Job{ID: "j-000002", Tasks: 1, Priority: wire.PriorityUrgent}
 			l.jobs["j-000002"] = newJob(replica.Job{Spec: spec}, true)
 			want = []string{"unknown", "idle", "busiest", "busy"}
 		}
-		l.askOrder(ms)
+		l.sortByQueryPriority(ms)
 		var got []string
 		for _, m := range ms {
 			got = append(got, m.id)
@@ -431,7 +432,7 @@
 	l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
 	l.PreviousTerm = handedView()
 	l.PreviousTerm.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
-	l.useExpected()
+	l.usePreviousTerm()
 	r := report(1, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
 	r.Incarnation = 4
 	a, err := l.HandleHeartbeat(r)
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -18,28 +18,28 @@
 func newZonesTest(t *testing.T) (l *Leader, now micros.Micros) {
 	t.Helper()
 	l, term := newTest(t)
-	c := zone.DefaultConfig(l.report)
+	c := zone.DefaultConfig(l.heartbeatInterval)
 	c.Confirm = 0
 	l.zoneState = newZoneState(zone.NewManager(c))
-	l.setCatalog(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
-	l.order, l.machines = nil, map[string]*machine{}
+	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
+	l.sorted, l.machines = nil, map[string]*machine{}
 	now = micros.Now() + 1000*micros.Second
 	term.confirmed = now
 	for i := range 20 {
-		m := l.addMachine(fmt.Sprintf("i-%02d", i), &booking{Type: "m4", Zone: string("ab"[i/10]), Spot: true, At: micros.Wall()}, now)
-		m.up, m.stored, m.upStored, m.current, m.told = true, true, true, true, true
-		m.reported, m.answered, m.session, m.seq, m.address = now, now, 1, 100, m.id+":9000"
+		m := l.addMachine(fmt.Sprintf("i-%02d", i), &launchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, At: micros.Wall()}, now)
+		m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm, m.delivery.respondedThisTerm = true, true, true, true, true
+		m.heartbeat.receivedAt, m.lease.renewedAt, m.heartbeat.incarnation, m.heartbeat.sequence, m.instance.address = now, now, 1, 100, m.id+":9000"
 	}
 	return l, now
 }
 
 // silence has the machines of zone b last report so long ago, and the policy look at that.
 func silence(l *Leader, now, ago micros.Micros) {
-	for _, m := range l.order[10:] {
-		m.reported, m.answered = now-ago, now-ago
+	for _, m := range l.sorted[10:] {
+		m.heartbeat.receivedAt, m.lease.renewedAt = now-ago, now-ago
 	}
 	for range 3 {
-		l.watchZones(now)
+		l.observeZones(now)
 	}
 }
 
@@ -54,17 +54,23 @@
 		want zone.Evidence
 	}{
 		{"heard", func(*machine, micros.Micros) {}, zone.Evidence{Up: 10}},
-		{"late", func(m *machine, now micros.Micros) { m.reported = now - overdueFor }, zone.Evidence{Up: 10, Late: 1}},
-		{"silent", func(m *machine, now micros.Micros) { m.reported = now - silentEnough }, zone.Evidence{Up: 10, Silent: 1}},
-		{"late and gone from the list", func(m *machine, now micros.Micros) { m.reported, m.listed, m.missing = now-overdueFor, true, 2 }, zone.Evidence{Up: 10, Vanished: 1}},
-		{"gone from the list and heard", func(m *machine, _ micros.Micros) { m.listed, m.missing = true, 9 }, zone.Evidence{Up: 10}},
-		{"deaf", func(m *machine, _ micros.Micros) { m.notReceiving = notReceivingAfter }, zone.Evidence{Up: 10, Deaf: 1}},
-		{"silent and deaf", func(m *machine, now micros.Micros) { m.reported, m.notReceiving = now-silentEnough, notReceivingAfter }, zone.Evidence{Up: 10, Silent: 1}},
-		{"faulty", func(m *machine, _ micros.Micros) { m.draining = faulty }, zone.Evidence{Up: 10, Failing: 1}},
-		{"being returned", func(m *machine, _ micros.Micros) { m.leaving = true }, zone.Evidence{Up: 9}},
-		{"booting", func(m *machine, _ micros.Micros) { m.up = false }, zone.Evidence{Up: 9}},
-		{"back", func(m *machine, _ micros.Micros) { m.inZone.back = true }, zone.Evidence{Up: 10, Back: 1}},
-		{"back and silent anew", func(m *machine, now micros.Micros) { m.inZone.back, m.reported = true, now-silentEnough }, zone.Evidence{Up: 10, Silent: 1, Relapses: 1}},
+		{"late", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - overdueFor }, zone.Evidence{Up: 10, Late: 1}},
+		{"silent", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - silentEnough }, zone.Evidence{Up: 10, Silent: 1}},
+		{"late and gone from the list", func(m *machine, now micros.Micros) {
+			m.heartbeat.receivedAt, m.instance.listed, m.instance.missingLists = now-overdueFor, true, 2
+		}, zone.Evidence{Up: 10, Vanished: 1}},
+		{"gone from the list and heard", func(m *machine, _ micros.Micros) { m.instance.listed, m.instance.missingLists = true, 9 }, zone.Evidence{Up: 10}},
+		{"deaf", func(m *machine, _ micros.Micros) { m.delivery.lostResponses = maxLostResponses }, zone.Evidence{Up: 10, Deaf: 1}},
+		{"silent and deaf", func(m *machine, now micros.Micros) {
+			m.heartbeat.receivedAt, m.delivery.lostResponses = now-silentEnough, maxLostResponses
+		}, zone.Evidence{Up: 10, Silent: 1}},
+		{"faulty", func(m *machine, _ micros.Micros) { m.drainReason = drainFaulty }, zone.Evidence{Up: 10, Failing: 1}},
+		{"being returned", func(m *machine, _ micros.Micros) { m.instance.terminating = true }, zone.Evidence{Up: 9}},
+		{"booting", func(m *machine, _ micros.Micros) { m.instance.running = false }, zone.Evidence{Up: 9}},
+		{"back", func(m *machine, _ micros.Micros) { m.zoneReturn.returned = true }, zone.Evidence{Up: 10, Back: 1}},
+		{"back and silent anew", func(m *machine, now micros.Micros) {
+			m.zoneReturn.returned, m.heartbeat.receivedAt = true, now-silentEnough
+		}, zone.Evidence{Up: 10, Silent: 1, Relapses: 1}},
 	}
 	for _, c := range cases {
 		l, now := newZonesTest(t)
@@ -105,14 +111,14 @@
 		m := l.machines["i-15"]
 		for _, a := range c.arrivals {
 			now += micros.FromSeconds(a.afterS)
-			r := &wire.Heartbeat{MachineID: m.id, Address: m.address, InstanceType: "m4", Zone: "b", Incarnation: a.session, Sequence: a.seq, FencingToken: a.token}
-			if l.accepts(m, r, now) {
-				l.recordReport(m, r, now)
-				l.takeTasks(m, r, now)
+			r := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "b", Incarnation: a.session, Sequence: a.seq, FencingToken: a.token}
+			if l.acceptsHeartbeat(m, r, now) {
+				l.recordHeartbeat(m, r, now)
+				l.reconcileIfCurrent(m, r, now)
 			}
 		}
-		if m.inZone.back != c.back {
-			t.Errorf("%s: back is %v", c.name, m.inZone.back)
+		if m.zoneReturn.returned != c.back {
+			t.Errorf("%s: back is %v", c.name, m.zoneReturn.returned)
 		}
 	}
 }
@@ -123,20 +129,20 @@
 	l, now := newZonesTest(t)
 	bound := newJob(replica.Job{Spec: &wire.Job{ID: "j-000002", Team: "blue", Zone: "b", Tasks: 1, AllowSpot: true}}, false)
 	together := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", SingleZone: true, Tasks: 2, AllowSpot: true}}, false)
-	together.zones["b"] = 1
+	together.attemptsPerZone["b"] = 1
 	expect := func(state string, wantClosed, wantReplaced, wantRent int, wantBound string) {
 		t.Helper()
 		closed := 0
-		for _, m := range l.order {
-			if m.inZone.closed {
+		for _, m := range l.sorted {
+			if m.zoneReturn.closed {
 				closed++
 			}
 		}
 		replaced := l.replacedMachines(now)
-		supply, ofBound, ofTogether := l.countSupply(replaced, now)["m4"].have, l.boundTo(bound), l.boundTo(together)
-		if closed != wantClosed || len(replaced) != wantReplaced || supply != 20-wantReplaced || l.mayRent("b") != wantRent ||
-			ofBound != wantBound || ofTogether != wantBound || l.boundTo(l.jobs["j-000001"]) != "" {
-			t.Errorf("%s: %d closed, %d replaced, supply %d, %d to rent, bound to %q and %q", state, closed, len(replaced), supply, l.mayRent("b"), ofBound, ofTogether)
+		supply, ofBound, ofTogether := l.countSupply(replaced, now)["m4"].have, l.onlyZone(bound), l.onlyZone(together)
+		if closed != wantClosed || len(replaced) != wantReplaced || supply != 20-wantReplaced || l.launchAllowance("b") != wantRent ||
+			ofBound != wantBound || ofTogether != wantBound || l.onlyZone(l.jobs["j-000001"]) != "" {
+			t.Errorf("%s: %d closed, %d replaced, supply %d, %d to rent, bound to %q and %q", state, closed, len(replaced), supply, l.launchAllowance("b"), ofBound, ofTogether)
 		}
 	}
 	expect("well", 0, 0, zone.AnyNumber, "")
@@ -144,20 +150,20 @@
 	expect("suspected", 0, 5, 0, "")
 	silence(l, now, silentEnough)
 	expect("lost", 10, 5, 0, "b")
-	if w, ok := l.buildZones(write{key: replica.ZonesKey}); !ok || w.value.(*zone.Record).Zones["b"].State != zone.Lost || !l.dirty[replica.ZonesKey] {
+	if w, ok := l.encodeZones(pendingWrite{key: replica.ZonesKey}); !ok || w.value.(*zone.Record).Zones["b"].State != zone.Lost || !l.dirty[replica.ZonesKey] {
 		t.Errorf("stored is %+v (%v)", w.value, ok)
 	}
-	l.order[10].up = false // half of the nine others, rounded
-	if expect("one boots", 10, 5, 0, "b"); l.replacedMachines(now)[l.order[10]] {
+	l.sorted[10].instance.running = false // half of the nine others, rounded
+	if expect("one boots", 10, 5, 0, "b"); l.replacedMachines(now)[l.sorted[10]] {
 		t.Error("a machine that boots is replaced")
 	}
-	l.order[10].up = true
+	l.sorted[10].instance.running = true
 	for range 4 { // held down, and then the first step
 		now += 2 * micros.Second
-		for _, m := range l.order {
-			m.reported, m.inZone.back = now, true
+		for _, m := range l.sorted {
+			m.heartbeat.receivedAt, m.zoneReturn.returned = now, true
 		}
-		if l.watchZones(now); l.zones.Status(now)[1].Step == 1 {
+		if l.observeZones(now); l.policy.Status(now)[1].Step == 1 {
 			break
 		}
 	}
@@ -169,16 +175,16 @@
 	l, now := newZonesTest(t)
 	j := l.jobs["j-000001"]
 	for task := range 3 {
-		j.take()
-		l.hold(&attempt{job: j, task: task, n: 1, machine: l.order[10+task], sentAt: 90, began: now, running: now, state: wire.TaskRunning})
+		j.takeWaitingTask()
+		l.assign(&attempt{job: j, index: task, number: 1, machine: l.sorted[10+task], startSequence: 90, startedAt: now, runningSince: now, reportedState: wire.TaskRunning})
 	}
 	silence(l, now, silentEnough)
 	if e, _ := l.Explain("j-000001"); len(e.Why) != 1 || !strings.Contains(e.Why[0], "3 of its tasks are in zone b, which is lost") {
 		t.Errorf("why: %q", e.Why)
 	}
-	for task, to := range []*machine{l.order[0], l.order[19]} {
-		l.lose(l.order[10+task], "its lease ended")
-		l.hold(&attempt{job: j, task: task, n: 2, machine: to, sentAt: 100})
+	for task, to := range []*machine{l.sorted[0], l.sorted[19]} {
+		l.releaseAll(l.sorted[10+task], "its lease ended")
+		l.assign(&attempt{job: j, index: task, number: 2, machine: to, startSequence: 100})
 	}
 	s, class := l.ZoneStatus()[1], j.spec.Class
 	if w := s.Work; s.Zone != "b" || w.Displaced[class] != 2 || w.Moved[class] != 1 || w.Restarted[class] != 1 || w.Tasks != 2 || w.Machines != 2 || w.Closed != 10 || w.Replaced != 5 {
@@ -190,14 +196,14 @@
 // tells of it.
 func TestZoneReported(t *testing.T) {
 	l, now := newZonesTest(t)
-	m := l.order[0]
-	m.first = 0
+	m := l.sorted[0]
+	m.instance.firstHeartbeatAt = 0
 	for seq := uint64(101); seq < 104; seq++ {
-		l.recordReport(m, &wire.Heartbeat{MachineID: m.id, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
+		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.id, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
 	}
-	told := slices.DeleteFunc(slices.Collect(maps.Keys(l.tallies)), func(line string) bool { return !strings.Contains(line, "booked in zone a, which counts") })
-	if len(told) != 1 || l.tallies[told[0]].count != 1 || m.kind.Zone != "a" {
-		t.Errorf("told %q, the machine is in zone %s", told, m.kind.Zone)
+	told := slices.DeleteFunc(slices.Collect(maps.Keys(l.aggregatedLog)), func(line string) bool { return !strings.Contains(line, "booked in zone a, which counts") })
+	if len(told) != 1 || l.aggregatedLog[told[0]].count != 1 || m.offering.Zone != "a" {
+		t.Errorf("told %q, the machine is in zone %s", told, m.offering.Zone)
 	}
 }
 
@@ -210,9 +216,9 @@
 		l.Replica.ApplyPut(replica.ZonesKey, stored, 3)
 		l.restoreZones(now)
 		for range 3 {
-			l.watchZones(now)
+			l.observeZones(now)
 		}
-		if s := l.zones.Status(now)[1]; s.Zone != "b" || s.State != want || l.order[15].inZone.closed != (want == "lost") || l.order[5].inZone.closed {
+		if s := l.policy.Status(now)[1]; s.Zone != "b" || s.State != want || l.sorted[15].zoneReturn.closed != (want == "lost") || l.sorted[5].zoneReturn.closed {
 			t.Errorf("from %v: %+v, want %s", stored, s, want)
 		}
 	}
--- a/rolling_test.go
+++ b/rolling_test.go
@@ -230,7 +230,7 @@
 	r.t.Errorf("%s could not be cancelled", id)
 }
 
-// stopGang has the cloud take a machine from a gang that runs, with enough time to stop it
+// stopGangIfReachable has the cloud take a machine from a gang that runs, with enough time to stop it
 // and save. It must run again.
 func (r *rollout) stopGang() {
 	r.t.Helper()
