--- a/cmd/caperlatch/explain.go
+++ b/cmd/caperlatch/explain.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"caperlatch/internal/leader"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 )
@@ -28,7 +28,7 @@
 }
 
 // askExplanation asks a node about a job; any answer but an explanation is an error.
-func askExplanation(ctx context.Context, node, job string) (e leader.Explanation, err error) {
+func askExplanation(ctx context.Context, node, job string) (e explain.Explanation, err error) {
 	status, body, err := get(ctx, node, "/v1/jobs/"+job+"/why")
 	if err != nil {
 		return e, err
@@ -44,30 +44,30 @@
 }
 
 // printExplanation writes an explanation for people.
-func printExplanation(w io.Writer, e leader.Explanation) {
+func printExplanation(w io.Writer, e explain.Explanation) {
 	at := func(t micros.Micros) string { return time.UnixMicro(int64(t)).UTC().Format(time.RFC3339) }
-	fmt.Fprintf(w, "%s: %s, submitted %s", e.Job, e.State, at(e.Submitted))
-	if e.Ended != 0 {
-		fmt.Fprintf(w, ", ended %s", at(e.Ended))
+	fmt.Fprintf(w, "%s: %s, submitted %s", e.Job, e.State, at(e.SubmittedAt))
+	if e.EndedAt != 0 {
+		fmt.Fprintf(w, ", ended %s", at(e.EndedAt))
 	}
 	fmt.Fprintln(w)
 	if e.Tasks > 0 {
 		fmt.Fprintf(w, "  class %s, team %s, priority %s: %d tasks, %d done, %d running, %d waiting\n",
 			e.Class, e.Team, e.Priority, e.Tasks, e.Done, e.Running, e.Waiting)
 	}
-	for _, why := range e.Why {
+	for _, why := range e.Reasons {
 		fmt.Fprintln(w, "  "+why)
 	}
-	for _, t := range e.On {
+	for _, t := range e.Placements {
 		fmt.Fprintf(w, "  %s attempt %d on %s since %s: %s\n", t.Task, t.Attempt, t.Machine, at(t.Since), t.State)
 	}
 	for _, s := range e.Stops {
-		fmt.Fprintf(w, "  %s attempt %d stopped on %s at %s: %s\n", s.Task, s.Attempt, s.Machine, at(s.At), s.Why)
+		fmt.Fprintf(w, "  %s attempt %d stopped on %s at %s: %s\n", s.Task, s.Attempt, s.Machine, at(s.At), s.Reason)
 	}
 	for _, n := range e.Notes {
 		fmt.Fprintln(w, "  note: "+n)
 	}
-	fmt.Fprintf(w, "  as %s knew it", e.By)
+	fmt.Fprintf(w, "  as %s knew it", e.Member)
 	if e.AgeS >= 1 {
 		fmt.Fprintf(w, " %.0f s ago", e.AgeS)
 	}
--- a/cmd/caperlatch/golden_test.go
+++ b/cmd/caperlatch/golden_test.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 
 	"caperlatch/internal/api"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/golden"
-	"caperlatch/internal/leader"
 	"caperlatch/internal/membership"
 	"caperlatch/internal/peer"
 	"caperlatch/internal/wire"
@@ -82,7 +82,7 @@
 		whole   any
 		empty   any
 	}{
-		{[]string{"explain", "j-000412"}, filled[leader.Explanation](), leader.Explanation{}},
+		{[]string{"explain", "j-000412"}, filled[explain.Explanation](), explain.Explanation{}},
 		{[]string{"versions"}, filled[peer.Versions](), peer.Versions{}},
 		{[]string{"standby"}, filled[api.StandbyStatus](), api.StandbyStatus{}},
 		{[]string{"handover"}, filled[api.HandoverResponse](), api.HandoverResponse{}},
--- a/explain_test.go
+++ b/explain_test.go
@@ -9,17 +9,17 @@
 	"testing/synctest"
 	"time"
 
-	"caperlatch/internal/leader"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/sim/fake"
 	"caperlatch/internal/wire"
 )
 
 // why asks a node about a job.
-func (c *cluster) why(node int, id string) (int, leader.Explanation, string) {
+func (c *cluster) why(node int, id string) (int, explain.Explanation, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	status, b, err := wire.Call(ctx, c.user, http.MethodGet, fmt.Sprintf("http://%s/v1/jobs/%s/why", fmt.Sprintf("host-%d:8080", node), id), nil)
-	var e leader.Explanation
+	var e explain.Explanation
 	var body wire.ErrorResponse
 	if err == nil && status == http.StatusOK {
 		err = wire.Unmarshal(b, &e)
@@ -62,14 +62,14 @@
 		check := func(when string, node int, id, state string, parts ...string) {
 			t.Helper()
 			status, e, _ := c.why(node, id)
-			text := strings.Join(append(append([]string{}, e.Why...), e.Notes...), "\n")
-			for _, n := range e.On {
+			text := strings.Join(append(append([]string{}, e.Reasons...), e.Notes...), "\n")
+			for _, n := range e.Placements {
 				text += fmt.Sprintf("\n%s on %s: %s", n.Task, n.Machine, n.State)
 			}
 			for _, n := range e.Stops {
-				text += fmt.Sprintf("\n%s on %s: %s", n.Task, n.Machine, n.Why)
+				text += fmt.Sprintf("\n%s on %s: %s", n.Task, n.Machine, n.Reason)
 			}
-			if status != http.StatusOK || e.State != state || e.By == "" || e.Submitted == 0 {
+			if status != http.StatusOK || e.State != state || e.Member == "" || e.SubmittedAt == 0 {
 				t.Errorf("%s, node %d: %d %+v", when, node, status, e)
 			}
 			for _, part := range parts {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -17,6 +17,7 @@
 	"github.com/failsafe-go/failsafe-go/adaptivelimiter"
 	"github.com/labstack/echo/v4"
 
+	"caperlatch/internal/explain"
 	"caperlatch/internal/leader"
 	"caperlatch/internal/membership"
 	"caperlatch/internal/micros"
@@ -47,7 +48,7 @@
 	// ForwarderFor names the node that takes a machine's reports for the leader.
 	ForwarderFor(machine string) string
 	// Explain asks the leader about a job.
-	Explain(ctx context.Context, id string) (leader.Explanation, error)
+	Explain(ctx context.Context, id string) (explain.Explanation, error)
 	// AwaitHandover waits, for a moment at most, while leadership is being handed over.
 	AwaitHandover(ctx context.Context)
 	// ExpectsLeader tells whether a leader that does not answer now should have a successor
--- a/internal/api/explain.go
+++ b/internal/api/explain.go
@@ -8,7 +8,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"caperlatch/internal/leader"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -52,13 +52,13 @@
 
 // explanation is what the leader tells of a job or, if it does not answer, what is known
 // here and is ageS old, completed by the job's description and end.
-func (h *Handler) explanation(ctx context.Context, id string, job replica.Job, ageS float64) leader.Explanation {
+func (h *Handler) explanation(ctx context.Context, id string, job replica.Job, ageS float64) explain.Explanation {
 	e, err := h.Node.Explain(ctx, id)
 	if err != nil {
-		e = leader.Explanation{By: h.Settings.Member, AgeS: ageS}
+		e = explain.Explanation{Member: h.Settings.Member, AgeS: ageS}
 		e.Notes = append(e.Notes, "the leader does not say more: "+err.Error())
 	}
-	e.Job, e.State, e.Submitted, e.Ended = id, job.State, job.SubmittedAt, job.EndedAt
+	e.Job, e.State, e.SubmittedAt, e.EndedAt = id, job.State, job.SubmittedAt, job.EndedAt
 	if spec := job.Spec; spec != nil {
 		e.Team, e.Class, e.Priority, e.Tasks = spec.Team, spec.Class, spec.Priority, spec.Tasks
 		if err != nil {
@@ -66,7 +66,7 @@
 		}
 	}
 	if job.IsFinal() {
-		e.Why = append(e.Why, "it is "+job.State+": "+job.Reason)
+		e.Reasons = append(e.Reasons, "it is "+job.State+": "+job.Reason)
 	}
 	return e
 }
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -7,29 +7,12 @@
 	"maps"
 	"slices"
 
+	"caperlatch/internal/explain"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 	"caperlatch/placement"
 )
 
-// StopNote says why a task stopped before it was done.
-type StopNote struct {
-	Task    string        `json:"task"`
-	Attempt uint64        `json:"attempt"`
-	Machine string        `json:"machine"`
-	At      micros.Micros `json:"at"` // time of day
-	Why     string        `json:"why"`
-}
-
-// TaskNote is a task that is on a machine.
-type TaskNote struct {
-	Task    string        `json:"task"`
-	Attempt uint64        `json:"attempt"`
-	Machine string        `json:"machine"`
-	State   string        `json:"state"`
-	Since   micros.Micros `json:"since"` // time of day
-}
-
 // Bounds of the memory for notes, and of what is shown of one job. A zone with half of 4,000
 // machines loses some 16,000 tasks at once, and each has its note; they take 4 MB at most.
 const (
@@ -38,7 +21,7 @@
 )
 
 func (l *Leader) recordStop(a *attempt, why string) {
-	n := StopNote{Task: taskID(a.job.spec.ID, a.index), Attempt: a.number, Machine: a.machine.id, At: micros.Wall(), Why: why}
+	n := explain.TaskStop{Task: taskID(a.job.spec.ID, a.index), Attempt: a.number, Machine: a.machine.id, At: micros.Wall(), Reason: why}
 	slog.Debug("task stopped", "task", n.Task, "machine", n.Machine, "why", why)
 	if len(l.recentStops) >= maxRecordedStops {
 		l.recentStops = slices.Delete(l.recentStops, 0, maxRecordedStops/4)
@@ -46,33 +29,11 @@
 	l.recentStops = append(l.recentStops, n)
 }
 
-// Explanation tells the duty team about a job: what is known of it, by which node and
-// as of when.
-type Explanation struct {
-	Job       string        `json:"job"`
-	By        string        `json:"by"`    // node that knew it
-	AgeS      float64       `json:"age_s"` // how long ago that was so
-	Notes     []string      `json:"notes"` // what is missing, and why
-	State     string        `json:"state"`
-	Team      string        `json:"team"`
-	Class     string        `json:"class"`
-	Priority  string        `json:"priority"`
-	Submitted micros.Micros `json:"submitted"` // time of day, as are the next
-	Ended     micros.Micros `json:"ended"`
-	Tasks     int           `json:"tasks"`
-	Done      int           `json:"done"`
-	Running   int           `json:"running"`
-	Waiting   int           `json:"waiting"`
-	Why       []string      `json:"why"`
-	On        []TaskNote    `json:"on"`
-	Stops     []StopNote    `json:"stops"` // the latest
-}
-
 // Explain says why a job waits, where its tasks are and why they were stopped.
-func (l *Leader) Explain(id string) (Explanation, bool) {
+func (l *Leader) Explain(id string) (explain.Explanation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := Explanation{Job: id, By: l.Settings.Member}
+	e := explain.Explanation{Job: id, Member: l.Settings.Member}
 	l.explainStops(&e)
 	if !l.ready {
 		e.Notes = append(e.Notes, l.Settings.Member+" is taking over and has not read what is stored yet")
@@ -84,19 +45,19 @@
 	e.Tasks, e.Done, e.Running, e.Waiting = j.spec.Tasks, j.doneCount, j.runningCount, j.waiting()
 	explainTasks(&e, j)
 	if e.Waiting > 0 {
-		e.Why = l.waitReasons(j)
+		e.Reasons = l.waitReasons(j)
 	} else if f := j.describeFailures(micros.Now()); f != "" {
-		e.Why = append(e.Why, f)
+		e.Reasons = append(e.Reasons, f)
 	}
-	e.Why = append(e.Why, l.zoneReasons(j)...)
+	e.Reasons = append(e.Reasons, l.zoneReasons(j)...)
 	if _, finishing := l.finalJobs[id]; finishing {
-		e.Why = append(e.Why, "all its tasks are done, which is not stored yet")
+		e.Reasons = append(e.Reasons, "all its tasks are done, which is not stored yet")
 	}
 	return e, true
 }
 
 // explainStops adds the latest stops of a job's tasks.
-func (l *Leader) explainStops(e *Explanation) {
+func (l *Leader) explainStops(e *explain.Explanation) {
 	for _, s := range l.recentStops {
 		if job, _, err := parseTaskID(s.Task); err == nil && job == e.Job {
 			e.Stops = append(e.Stops, s)
@@ -109,14 +70,14 @@
 }
 
 // explainTasks adds where a job's tasks are.
-func explainTasks(e *Explanation, j *job) {
+func explainTasks(e *explain.Explanation, j *job) {
 	for _, t := range slices.Sorted(maps.Keys(j.attempts)) {
-		if len(e.On) == maxShownEntries {
+		if len(e.Placements) == maxShownEntries {
 			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.attempts)-maxShownEntries))
 			return
 		}
 		a := j.attempts[t]
-		e.On = append(e.On, TaskNote{
+		e.Placements = append(e.Placements, explain.TaskPlacement{
 			Task:    taskID(j.spec.ID, t),
 			Attempt: a.number,
 			Machine: a.machine.id,
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"caperlatch/internal/explain"
 	"caperlatch/internal/golden"
 	"caperlatch/internal/wire"
 )
@@ -14,9 +15,9 @@
 	golden.Of[taskProgress]("the progress of a job"),
 	golden.Of[autoscalerRecord]("the staffing"),
 	golden.Of[typeRecord]("the staffing of a type"),
-	golden.Of[StopNote]("a stop in an explanation"),
-	golden.Of[TaskNote]("a task in an explanation"),
-	golden.Of[Explanation]("an explanation"),
+	golden.Of[explain.TaskStop]("a stop in an explanation"),
+	golden.Of[explain.TaskPlacement]("a task in an explanation"),
+	golden.Of[explain.Explanation]("an explanation"),
 }
 
 // TestEncoded has them be encoded as they were.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -15,6 +15,7 @@
 
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/election"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -91,7 +92,7 @@
 	// What is shown to users and written to the log.
 	taskCounts    map[string][2]int // see AllTaskCounts
 	taskCountsAt  micros.Micros
-	recentStops   []StopNote
+	recentStops   []explain.TaskStop
 	aggregatedLog aggregatedLog
 }
 
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -179,8 +179,8 @@
 		l.assign(&attempt{job: j, index: task, number: 1, machine: l.sorted[10+task], startSequence: 90, startedAt: now, runningSince: now, reportedState: wire.TaskRunning})
 	}
 	silence(l, now, silentEnough)
-	if e, _ := l.Explain("j-000001"); len(e.Why) != 1 || !strings.Contains(e.Why[0], "3 of its tasks are in zone b, which is lost") {
-		t.Errorf("why: %q", e.Why)
+	if e, _ := l.Explain("j-000001"); len(e.Reasons) != 1 || !strings.Contains(e.Reasons[0], "3 of its tasks are in zone b, which is lost") {
+		t.Errorf("why: %q", e.Reasons)
 	}
 	for task, to := range []*machine{l.sorted[0], l.sorted[19]} {
 		l.releaseAll(l.sorted[10+task], "its lease ended")
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -10,7 +10,7 @@
 	"errors"
 	"io"
 
-	"caperlatch/internal/leader"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/membership"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -66,7 +66,7 @@
 	ID        uint64                `json:"id"`
 	State     *NodeState            `json:"state,omitempty"`
 	Forwarded []ForwardedResponse   `json:"relay,omitempty"`
-	Explain   *leader.Explanation   `json:"explain,omitempty"`
+	Explain   *explain.Explanation  `json:"explain,omitempty"`
 	Standby   *standby.Page         `json:"standby,omitempty"`
 	Zones     []zone.Status         `json:"zones,omitempty"`
 	Heartbeat *membership.Heartbeat `json:"heartbeat,omitempty"`
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -6,7 +6,7 @@
 	"reflect"
 	"testing"
 
-	"caperlatch/internal/leader"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/membership"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -450,11 +450,11 @@
 			Machines: 2, Tasks: 8, NextEndS: 1.25, LastEndS: 9.5, Closed: 30, Replaced: 15}}}
 }
 
-func capturedExplanation() *leader.Explanation {
-	return &leader.Explanation{Job: "j-000412", By: "host-1", AgeS: 1.5, Notes: []string{"no report yet"}, State: "pending",
-		Team: "blue", Class: "batch", Priority: "normal", Submitted: 4, Ended: 6, Tasks: 16, Done: 2, Running: 13, Waiting: 1, Why: []string{"no room"},
-		On:    []leader.TaskNote{{Task: "j-000412/3", Attempt: 2, Machine: "i-000231", State: "running", Since: 5}},
-		Stops: []leader.StopNote{{Task: "j-000412/4", Attempt: 1, Machine: "i-000230", At: 4, Why: "spot notice"}}}
+func capturedExplanation() *explain.Explanation {
+	return &explain.Explanation{Job: "j-000412", Member: "host-1", AgeS: 1.5, Notes: []string{"no report yet"}, State: "pending",
+		Team: "blue", Class: "batch", Priority: "normal", SubmittedAt: 4, EndedAt: 6, Tasks: 16, Done: 2, Running: 13, Waiting: 1, Reasons: []string{"no room"},
+		Placements: []explain.TaskPlacement{{Task: "j-000412/3", Attempt: 2, Machine: "i-000231", State: "running", Since: 5}},
+		Stops:      []explain.TaskStop{{Task: "j-000412/4", Attempt: 1, Machine: "i-000230", At: 4, Reason: "spot notice"}}}
 }
 
 // TestOldVersionsSay reads the messages that were captured from earlier versions. Their
@@ -474,7 +474,7 @@
 				{"one that was not answered", read[Response](t, said["relayed"]).Forwarded[1].Error, "not entitled"},
 				{"a question", read[Request](t, said["explain"]).Explain, "j-000412"},
 				{"its answer's job", read[Response](t, said["explained"]).Explain.Job, "j-000412"},
-				{"its answer's reasons", read[Response](t, said["explained"]).Explain.Why, []string{"no room"}},
+				{"its answer's reasons", read[Response](t, said["explained"]).Explain.Reasons, []string{"no room"}},
 				{"a failure", read[Response](t, said["failed"]).Error, "not leading"},
 			}
 			for _, c := range cases {
@@ -606,7 +606,7 @@
 				want.Zones, want.Heartbeat = nil, nil
 				// Of what is only shown to the duty team their frozen layouts have a part.
 				e := response.Explain
-				want.Explain = &leader.Explanation{Job: e.Job, By: e.By, Tasks: e.Tasks, Why: e.Why}
+				want.Explain = &explain.Explanation{Job: e.Job, Member: e.Member, Tasks: e.Tasks, Reasons: e.Reasons}
 			}
 			if !v.standby {
 				want.Standby = nil
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -6,7 +6,7 @@
 	"net"
 	"testing"
 
-	"caperlatch/internal/leader"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/membership"
 	"caperlatch/internal/standby"
 	"caperlatch/internal/wire"
@@ -23,8 +23,8 @@
 	return wire.Marshal(make([]byte, 20<<10))
 }
 
-func (*fullAnswers) HandleExplain(string) (leader.Explanation, error) {
-	return leader.Explanation{}, errors.New("none")
+func (*fullAnswers) HandleExplain(string) (explain.Explanation, error) {
+	return explain.Explanation{}, errors.New("none")
 }
 
 func (*fullAnswers) HandleStandbyQuery(*standby.Query) *standby.Page { return nil }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"caperlatch/internal/leader"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/membership"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/standby"
@@ -29,7 +29,7 @@
 	// HandleForwardedHeartbeat answers a worker's report that a peer passes on.
 	HandleForwardedHeartbeat(report wire.Raw) (wire.Raw, error)
 	// HandleExplain tells what the leader here knows of a job.
-	HandleExplain(job string) (leader.Explanation, error)
+	HandleExplain(job string) (explain.Explanation, error)
 	// HandleStandbyQuery tells a follower what the leader here has decided; nil if none publishes.
 	HandleStandbyQuery(q *standby.Query) *standby.Page
 	// HandleZones tells a peer what the leader here thinks of the zones.
--- a/node.go
+++ b/node.go
@@ -20,6 +20,7 @@
 	"caperlatch/internal/api"
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/election"
+	"caperlatch/internal/explain"
 	"caperlatch/internal/leader"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/peer"
@@ -312,7 +313,7 @@
 }
 
 // Explain asks the leader about a job.
-func (n *Node) Explain(ctx context.Context, id string) (leader.Explanation, error) {
+func (n *Node) Explain(ctx context.Context, id string) (explain.Explanation, error) {
 	if l := n.LocalLeader(); l != nil {
 		e, _ := l.Explain(id)
 		return e, nil
@@ -322,7 +323,7 @@
 		err = errNoExplanation
 	}
 	if err != nil {
-		return leader.Explanation{}, err
+		return explain.Explanation{}, err
 	}
 	return *a.Explain, nil
 }
--- a/peers.go
+++ b/peers.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 
+	"caperlatch/internal/explain"
 	"caperlatch/internal/leader"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/peer"
@@ -93,10 +94,10 @@
 }
 
 // HandleExplain tells a peer what the leader here knows of a job.
-func (n *Node) HandleExplain(job string) (leader.Explanation, error) {
+func (n *Node) HandleExplain(job string) (explain.Explanation, error) {
 	l := n.LocalLeader()
 	if l == nil {
-		return leader.Explanation{}, errNotLeading
+		return explain.Explanation{}, errNotLeading
 	}
 	e, _ := l.Explain(job)
 	return e, nil
