--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"caperlatch/internal/cloud"
+	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/standby"
@@ -47,20 +48,20 @@
 }
 
 func (l *Leader) markIntent(b *launchIntent) {
-	l.dirty[replica.LaunchIntentPrefix+b.id] = true
-	l.wakeFlush()
+	l.writes.Mark(replica.LaunchIntentPrefix + b.id)
+	l.writes.Wake()
 }
 
-func (l *Leader) encodeIntent(w pendingWrite, id string) (pendingWrite, bool) {
+func (l *Leader) encodeIntent(w persist.Write, id string) (persist.Write, bool) {
 	b := l.intents[id]
 	if b == nil || b.abandoned {
-		w.onStored = func() { delete(l.intents, id) }
-		return w, l.Replica.ModRevision(w.key) != 0
+		w.OnStored = func() { delete(l.intents, id) }
+		return w, l.Replica.ModRevision(w.Key) != 0
 	}
 	snapshot := *b
 	snapshot.Machines = slices.Clone(b.Machines)
-	w.value = snapshot
-	w.onStored = func() {
+	w.Value = snapshot
+	w.OnStored = func() {
 		for _, id := range snapshot.Machines {
 			if m := l.machines[id]; m != nil {
 				m.instance.intentStored = true
@@ -115,7 +116,7 @@
 	for n, up := range l.machineLists {
 		// A leader that ended while it split a list left machines in two.
 		if before := len(up.Machines); l.dropForeignEntries(n) < before {
-			l.markDirtyLazily(machineListKey(n))
+			l.writes.MarkLazily(machineListKey(n))
 		}
 	}
 	for n := range l.machineLists {
@@ -163,7 +164,7 @@
 				m.instance.list = len(l.machineLists) - 1
 			}
 		}
-		l.dirty[machineListKey(len(l.machineLists)-1)] = true
+		l.writes.Mark(machineListKey(len(l.machineLists) - 1))
 	}
 }
 
@@ -173,7 +174,7 @@
 	if of := l.machineLists[n].splitFrom; of != nil {
 		l.machineLists[n].splitFrom = nil
 		l.dropForeignEntries(*of)
-		l.markDirtyLazily(machineListKey(*of))
+		l.writes.MarkLazily(machineListKey(*of))
 	}
 }
 
@@ -187,25 +188,25 @@
 	}
 	m.instance.list = n
 	l.machineLists[n].Machines = append(l.machineLists[n].Machines, machineListEntry(m))
-	l.dirty[machineListKey(n)] = true
-	l.wakeFlush()
+	l.writes.Mark(machineListKey(n))
+	l.writes.Wake()
 }
 
-func (l *Leader) encodeMachineList(w pendingWrite) (pendingWrite, bool) {
-	n, err := strconv.Atoi(strings.TrimPrefix(w.key, replica.MachineListPrefix))
+func (l *Leader) encodeMachineList(w persist.Write) (persist.Write, bool) {
+	n, err := strconv.Atoi(strings.TrimPrefix(w.Key, replica.MachineListPrefix))
 	if err != nil || n >= len(l.machineLists) {
 		return w, false
 	}
 	snapshot := slices.Clone(l.machineLists[n].Machines)
 	if len(snapshot) == 0 {
 		l.finishSplit(n)
-		return w, w.modRevision != 0
+		return w, w.ModRevision != 0
 	}
-	w.value = machineList{Machines: snapshot}
-	if w.modRevision != 0 && len(snapshot) > 1 && !l.Store.ValueAlwaysFits(w.value) {
+	w.Value = machineList{Machines: snapshot}
+	if w.ModRevision != 0 && len(snapshot) > 1 && !l.Store.ValueAlwaysFits(w.Value) {
 		return w, false // it is being split
 	}
-	w.onStored = func() {
+	w.OnStored = func() {
 		l.finishSplit(n)
 		for _, entry := range snapshot {
 			id, _, _ := strings.Cut(entry, " ")
@@ -420,10 +421,10 @@
 			id, _, _ := strings.Cut(entry, " ")
 			return id == m.id
 		})
-		l.markDirtyLazily(machineListKey(m.instance.list))
+		l.writes.MarkLazily(machineListKey(m.instance.list))
 	}
 	b.abandoned = b.Answered && len(b.Machines) == 0
-	l.markDirtyLazily(replica.LaunchIntentPrefix + b.id)
+	l.writes.MarkLazily(replica.LaunchIntentPrefix + b.id)
 }
 
 // listInstancesLoop compares the cloud's list with the known machines.
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -178,7 +178,7 @@
 		if !j.done.has(t) {
 			j.done.set(t)
 			j.doneCount++
-			l.dirty[progressKey(j.spec.ID, t/chunkTasks)] = true
+			l.writes.Mark(progressKey(j.spec.ID, t/chunkTasks))
 		}
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -16,6 +16,7 @@
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/election"
 	"caperlatch/internal/explain"
+	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -84,7 +85,7 @@
 	instanceTypeState
 	planState
 	gangState
-	persistState
+	writes *persist.Queue // what is to be stored
 	workerCalls
 	standbyState
 	zoneState
@@ -106,6 +107,7 @@
 	teams         map[string]settings.Team
 	attempts      uint64
 	estimates     map[string]*staffing.RuntimeEstimator // by class
+	finalJobs     map[string]replica.Job                // ends that are not stored yet
 }
 
 // fleetState is what is known of machines and rentals.
@@ -150,16 +152,6 @@
 	preemptedForGangsAt micros.Micros
 }
 
-// persistState is what is to be written to the state service.
-type persistState struct {
-	dirty         map[string]bool // keys to be written; false: see markDirtyLazily
-	finalJobs     map[string]replica.Job
-	wake          chan struct{}
-	maxOps        int            // most changes in a transaction
-	rejectedSizes map[string]int // sizes of values that the state service refused, by key
-	inFlight      bool           // a transaction is under way
-}
-
 // workerCalls is what is known of this node's own calls to workers.
 type workerCalls struct {
 	slots       chan struct{}          // in progress
@@ -201,6 +193,7 @@
 			images:        map[string]int{},
 			teams:         map[string]settings.Team{},
 			estimates:     map[string]*staffing.RuntimeEstimator{},
+			finalJobs:     map[string]replica.Job{},
 		},
 		fleetState: fleetState{
 			machines:         map[string]*machine{},
@@ -216,18 +209,12 @@
 			reservations: map[string]*gangReservation{},
 			pools:        map[poolKind]*gangPool{},
 		},
-		persistState: persistState{
-			dirty:         map[string]bool{},
-			finalJobs:     map[string]replica.Job{},
-			wake:          make(chan struct{}, 1),
-			maxOps:        c.Store.MaxLeaderOps(),
-			rejectedSizes: map[string]int{},
-		},
 		workerCalls: workerCalls{
 			slots:       make(chan struct{}, max(8, c.Settings.Params.Limits.MaxSockets/workerCallShare)),
 			zoneQueries: map[string]queryCounts{},
 		},
 	}
+	l.writes = l.newWriteQueue()
 	l.zoneState = newZoneState(c.Zones)
 	for _, t := range c.Settings.Params.Teams {
 		l.teams[t.Name] = t
@@ -265,7 +252,7 @@
 	}
 	var wg sync.WaitGroup
 	loops := []func(context.Context){
-		l.flushLoop,
+		l.writes.Run,
 		l.tickLoop,
 		l.launchLoop,
 		l.terminateLoop,
@@ -407,7 +394,7 @@
 		}
 		j := l.jobs[id]
 		if j == nil {
-			l.dirty[key] = true // of a job that is over
+			l.writes.Mark(key) // of a job that is over
 			continue
 		}
 		var p taskProgress
@@ -513,7 +500,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.superseded = true
-	l.termLostOnce.Do(func() { close(l.termLost) })
+	l.loseTerm()
 }
 
 // taskCountsInterval is how often the counts are taken anew; they are for display only.
@@ -558,12 +545,12 @@
 	j.ended = true
 	delete(l.jobs, j.spec.ID)
 	delete(l.finalJobs, j.spec.ID)
-	delete(l.dirty, replica.JobPrefix+j.spec.ID)
+	l.writes.Unmark(replica.JobPrefix + j.spec.ID)
 	for chunk := range j.chunks() {
 		key := progressKey(j.spec.ID, chunk)
-		delete(l.dirty, key)
+		l.writes.Unmark(key)
 		if l.Replica.ModRevision(key) != 0 {
-			l.dirty[key] = true
+			l.writes.Mark(key)
 		}
 	}
 	if j.isGang() {
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -132,27 +132,27 @@
 		m := l.addMachine(fmt.Sprintf("i-9%02d", i), b, l.startedAt)
 		l.removeMachine(m)
 	}
-	l.dirty[replica.AutoscalerKey] = true
+	l.writes.Mark(replica.AutoscalerKey)
 	l.registerRunning(l.addMachine("i-2", l.intents["r-1"], l.startedAt))
 	j := l.jobs["j-000001"]
 	for i := range j.spec.Tasks {
 		j.done.set(i)
 		j.doneCount++
 	}
-	l.dirty[progressKey("j-000002", 0)] = true
+	l.writes.Mark(progressKey("j-000002", 0))
 	l.finishIfDone(j)
-	ws, more := l.collectWrites()
+	ws, more := l.writes.Collect()
 	// The record goes before progress: behind it, a busy leader's was never written, and
 	// the next one knew nothing of the jobs at fault.
-	if len(ws) < 3 || !more || ws[0].key != replica.JobPrefix+"j-000001" || ws[1].key != machineListKey(0) || ws[2].key != replica.AutoscalerKey {
+	if len(ws) < 3 || !more || ws[0].Key != replica.JobPrefix+"j-000001" || ws[1].Key != machineListKey(0) || ws[2].Key != replica.AutoscalerKey {
 		t.Fatalf("written first: %+v", ws)
 	}
-	if ws, _ = l.collectWrites(); len(ws) == 0 {
+	if ws, _ = l.writes.Collect(); len(ws) == 0 {
 		t.Error("nothing is written after them")
 	}
 	for _, w := range ws {
-		if !strings.HasPrefix(w.key, replica.LaunchIntentPrefix) {
-			t.Errorf("%s is written before machines that are gone", w.key)
+		if !strings.HasPrefix(w.Key, replica.LaunchIntentPrefix) {
+			t.Errorf("%s is written before machines that are gone", w.Key)
 		}
 	}
 }
@@ -166,13 +166,13 @@
 		l.Replica.ApplyPut(key, map[string]any{}, 5)
 	}
 	l.deleteLeftovers()
-	ws, _ := l.collectWrites()
+	ws, _ := l.writes.Collect()
 	var removed []string
 	for _, w := range ws {
-		if w.value != nil || w.modRevision != 5 {
+		if w.Value != nil || w.ModRevision != 5 {
 			t.Errorf("written: %+v", w)
 		}
-		removed = append(removed, w.key)
+		removed = append(removed, w.Key)
 	}
 	if !slices.Equal(removed, leftovers) {
 		t.Errorf("removed %v, want %v", removed, leftovers)
@@ -406,12 +406,12 @@
 		j.doneCount++
 	}
 	l.finishIfDone(j)
-	if ws, _ := l.collectWrites(); len(ws) != 1 || ws[0].modRevision != 1 {
+	if ws, _ := l.writes.Collect(); len(ws) != 1 || ws[0].ModRevision != 1 {
 		t.Fatalf("the end is written as %+v, want under the version decided on", ws)
 	}
-	l.dirty[replica.JobPrefix+"j-000001"] = true
+	l.writes.Mark(replica.JobPrefix + "j-000001")
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
-	if ws, _ := l.collectWrites(); len(ws) != 0 {
+	if ws, _ := l.writes.Collect(); len(ws) != 0 {
 		t.Errorf("a cancelled job is written as %+v", ws)
 	}
 }
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
 	"caperlatch/internal/statestore"
@@ -55,28 +56,28 @@
 			if err := l.restoreMachineLists(); err != nil {
 				t.Fatal(err)
 			}
-			for n := 0; len(l.dirty) > 0; n++ {
+			for n := 0; l.writes.Len() > 0; n++ {
 				if n == 100 {
-					t.Fatalf("still to be written: %v", l.dirty)
+					t.Fatalf("%d keys are still to be written", l.writes.Len())
 				}
-				ws, _ := l.collectWrites()
+				ws, _ := l.writes.Collect()
 				for _, w := range ws {
 					switch {
 					case !c.answered(n) && !c.carried:
-						l.dirty[w.key] = true
+						l.writes.Mark(w.Key)
 						continue
-					case w.value == nil:
-						delete(stored, w.key)
-						l.Replica.ApplyDelete(w.key, revision+1)
-					case !l.Store.ValueAlwaysFits(w.value):
-						t.Fatalf("%s is written too large", w.key)
+					case w.Value == nil:
+						delete(stored, w.Key)
+						l.Replica.ApplyDelete(w.Key, revision+1)
+					case !l.Store.ValueAlwaysFits(w.Value):
+						t.Fatalf("%s is written too large", w.Key)
 					default:
-						put(w.key, w.value.(machineList))
+						put(w.Key, w.Value.(machineList))
 					}
 					if c.answered(n) {
-						w.onStored()
+						w.OnStored()
 					} else {
-						l.dirty[w.key] = true
+						l.writes.Mark(w.Key)
 					}
 				}
 				in := map[string]int{}
@@ -108,34 +109,33 @@
 func TestFlushRefused(t *testing.T) {
 	cases := []struct {
 		name    string
-		refuses func(ws []pendingWrite) bool
+		refuses func(ws []persist.Write) bool
 		lost    string // the key that cannot be stored
 		most    int    // changes in a transaction afterwards
 	}{
-		{"nothing", func([]pendingWrite) bool { return false }, "", 6},
-		{"more than two changes", func(ws []pendingWrite) bool { return len(ws) > 2 }, "", 2},
-		{"one value", func(ws []pendingWrite) bool {
-			return slices.ContainsFunc(ws, func(w pendingWrite) bool { return w.key == "c/j/j-000104" })
+		{"nothing", func([]persist.Write) bool { return false }, "", 6},
+		{"more than two changes", func(ws []persist.Write) bool { return len(ws) > 2 }, "", 2},
+		{"one value", func(ws []persist.Write) bool {
+			return slices.ContainsFunc(ws, func(w persist.Write) bool { return w.Key == "c/j/j-000104" })
 		}, "c/j/j-000104", 6},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, nil)
-			l.maxOps = l.Store.MaxLeaderOps()
-			clear(l.dirty)
+			l.writes = l.newWriteQueue()
 			for i := range 8 {
 				id := fmt.Sprintf("j-%06d", 101+i)
 				l.Replica.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending}, uint64(10+i))
 				l.finalJobs[id] = replica.Job{State: wire.JobDone}
-				l.dirty[replica.JobPrefix+id] = true
+				l.writes.Mark(replica.JobPrefix + id)
 			}
 			sent, stored := map[string]bool{}, 0
-			for n := 0; len(l.dirty) > 0; n++ {
-				ws, _ := l.collectWrites()
+			for n := 0; l.writes.Len() > 0; n++ {
+				ws, _ := l.writes.Collect()
 				var keys []string
 				for _, w := range ws {
-					keys = append(keys, w.key)
+					keys = append(keys, w.Key)
 				}
 				if !c.refuses(ws) {
 					stored += len(ws)
@@ -146,18 +146,18 @@
 					t.Fatalf("sent again as it was refused: %s", all)
 				}
 				sent[all] = true
-				l.shrinkRejected(ws, errors.New("refused"))
+				l.writes.Reject(ws, errors.New("refused"))
 			}
 			want := 8
 			if c.lost != "" {
 				want--
-				l.dirty[c.lost] = true
-				if ws, _ := l.collectWrites(); len(ws) != 0 {
+				l.writes.Mark(c.lost)
+				if ws, _ := l.writes.Collect(); len(ws) != 0 {
 					t.Errorf("a value as large as the one refused is sent")
 				}
 			}
-			if stored != want || l.maxOps != c.most {
-				t.Errorf("%d stored, then %d changes at a time; want %d, %d", stored, l.maxOps, want, c.most)
+			if stored != want || l.writes.MaxOps() != c.most {
+				t.Errorf("%d stored, then %d changes at a time; want %d, %d", stored, l.writes.MaxOps(), want, c.most)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/leader/records.go
@@ -0,0 +1,128 @@
+package leader
+
+import (
+	"log/slog"
+	"slices"
+	"strings"
+
+	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/wire"
+)
+
+// newWriteQueue makes the queue of what this term stores.
+func (l *Leader) newWriteQueue() *persist.Queue {
+	return persist.NewQueue(persist.Config{
+		Lock:              &l.mu,
+		Store:             l.Store,
+		Replica:           l.Replica,
+		LeaderKeyRevision: l.LeaderKeyRevision,
+		MayWrite:          l.Term.IsExclusive,
+		Encode:            l.encode,
+		OnTermLost:        l.loseTerm,
+	})
+}
+
+// loseTerm ends the term, as it is proved that a newer one has begun or may begin.
+func (l *Leader) loseTerm() { l.termLostOnce.Do(func() { close(l.termLost) }) }
+
+// deleteLeftovers has keys removed that belong to nothing any more: a booking or a job's progress
+// whose first write got no answer, was repeated, removed when over, and then carried out
+// after all. The next leader would rent once more for such a booking.
+func (l *Leader) deleteLeftovers() {
+	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
+		if l.intents[strings.TrimPrefix(key, replica.LaunchIntentPrefix)] == nil {
+			l.writes.MarkLazily(key)
+		}
+	}
+	for _, key := range l.Replica.Keys(replica.ProgressPrefix) {
+		if id, _, err := parseProgressKey(key); err == nil && l.jobs[id] == nil {
+			l.writes.MarkLazily(key)
+		}
+	}
+}
+
+// encode makes a dirty key's present value.
+func (l *Leader) encode(key string) (persist.Write, bool) {
+	w := persist.Write{Key: key, ModRevision: l.Replica.ModRevision(key)}
+	if strings.HasPrefix(key, replica.MachineListPrefix) {
+		return l.encodeMachineList(w)
+	}
+	if id, ok := strings.CutPrefix(key, replica.LaunchIntentPrefix); ok {
+		return l.encodeIntent(w, id)
+	}
+	if id, ok := strings.CutPrefix(key, replica.JobPrefix); ok {
+		return l.encodeFinalJob(w, id)
+	}
+	if strings.HasPrefix(key, replica.ProgressPrefix) {
+		return l.encodeProgress(w)
+	}
+	if key == replica.ZonesKey {
+		return l.encodeZones(w)
+	}
+	if key == replica.AutoscalerKey {
+		w.Value = l.autoscalerRecord()
+		return w, true
+	}
+	return w, false
+}
+
+// encodeFinalJob makes the record of a job that has ended.
+func (l *Leader) encodeFinalJob(w persist.Write, id string) (persist.Write, bool) {
+	final, ok := l.finalJobs[id]
+	// The version and the state go together: were the version read later,
+	// a cancellation that came in between would be overwritten.
+	known, stamp, _ := l.Replica.Job(id)
+	if known.IsFinal() {
+		return w, false
+	}
+	w.Value, w.ModRevision = final, stamp
+	w.OnStored = func() { l.onFinalStored(id) }
+	return w, ok
+}
+
+// encodeProgress makes the record of which tasks of a job are done.
+func (l *Leader) encodeProgress(w persist.Write) (persist.Write, bool) {
+	id, chunk, err := parseProgressKey(w.Key)
+	j := l.jobs[id]
+	if err != nil || j == nil {
+		return w, l.Replica.ModRevision(w.Key) != 0 // the job is over
+	}
+	if _, finishing := l.finalJobs[id]; finishing {
+		return w, false // the final state says it all
+	}
+	w.Value = j.progress(chunk)
+	snapshot := slices.Clone(j.done.chunk(chunk))
+	w.OnStored = func() { copy(j.storedDone.chunk(chunk), snapshot) }
+	return w, true
+}
+
+// finishIfDone has a job's end stored once all its tasks are done.
+func (l *Leader) finishIfDone(j *job) {
+	if j.ended || j.doneCount < j.spec.Tasks {
+		return
+	}
+	id := j.spec.ID
+	if _, ok := l.finalJobs[id]; ok {
+		return
+	}
+	l.finalJobs[id] = replica.Job{SubmittedAt: j.submittedAt, State: wire.JobDone, Reason: "all tasks done", EndedAt: micros.Wall()}
+	l.writes.Mark(replica.JobPrefix + id)
+	l.writes.Wake()
+}
+
+func (l *Leader) onFinalStored(id string) {
+	if j := l.jobs[id]; j != nil {
+		slog.Debug("job done",
+			"job", id,
+			"class", j.spec.Class,
+			"tasks", j.spec.Tasks,
+			"estimate_s", j.spec.EstimatedRuntimeS,
+			"took", (micros.Wall() - j.submittedAt).Duration(),
+			"first_start", (j.firstStart - j.submittedAt).Duration(),
+			"last_start", (j.lastStart - j.submittedAt).Duration(),
+			"longest_run", j.longestRun.Duration())
+		l.dropJob(j, wire.JobDone)
+	}
+}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -58,7 +58,7 @@
 func (l *Leader) canRespond(r *wire.Heartbeat, now micros.Micros) bool {
 	if l.superseded || r.FencingToken > l.FencingToken {
 		l.superseded = true
-		l.termLostOnce.Do(func() { close(l.termLost) })
+		l.loseTerm()
 		return false
 	}
 	return l.ready && !l.handingOver && now < l.Term.LastConfirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
@@ -401,7 +401,7 @@
 		if a != nil {
 			l.learnFromCompletion(j, m, a, now)
 		}
-		l.dirty[progressKey(j.spec.ID, task/chunkTasks)] = true
+		l.writes.Mark(progressKey(j.spec.ID, task/chunkTasks))
 		l.completions.count++
 		l.completeGang(j)
 	} else if a != nil && j.isGang() && !j.ended {
@@ -418,7 +418,7 @@
 	if j.ended || j.storedDone.has(task) {
 		m.delivery.followUps = append(m.delivery.followUps, clearCommand(t))
 	}
-	l.wakeFlush()
+	l.writes.Wake()
 }
 
 func clearCommand(t *wire.TaskStatus) wire.Command {
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -170,10 +170,10 @@
 	l.launchForGangs(now)
 	l.consolidate(now)
 	if record := int64(l.Tuning.RecordInterval / micros.Second); record < 1 || int64(now/micros.Second)%record == 0 {
-		l.dirty[replica.AutoscalerKey] = true
+		l.writes.Mark(replica.AutoscalerKey)
 		l.publishEstimates()
 		l.deleteLeftovers()
-		l.wakeFlush()
+		l.writes.Wake()
 	}
 }
 
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -305,8 +305,8 @@
 	}
 	l.handingOver = true
 	l.mu.Unlock()
-	for micros.Now() < began+limit/handoverFlushDivisor && !l.allStored() {
-		l.wakeFlush()
+	for micros.Now() < began+limit/handoverFlushDivisor && !l.writes.IsDrained() {
+		l.writes.Wake()
 		handoverPollInterval.Sleep()
 	}
 	position, to := l.publishHandover()
@@ -314,22 +314,10 @@
 		handoverPollInterval.Sleep()
 	}
 	slog.Info("handing over", "token", l.FencingToken, "to", to, "applied", to != "" && l.Followers.Applied(to, position), "took", (micros.Now() - began).Duration())
-	l.termLostOnce.Do(func() { close(l.termLost) })
+	l.loseTerm()
 	return to, nil
 }
 
-// allStored tells whether nothing waits to be written, but for what can wait for long.
-func (l *Leader) allStored() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, soon := range l.dirty {
-		if soon {
-			return false
-		}
-	}
-	return !l.inFlight
-}
-
 // publishHandover publishes the term's last entry. All starts were published before it,
 // since they are under the same lock and none follows.
 func (l *Leader) publishHandover() (position uint64, to string) {
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -6,6 +6,7 @@
 	"maps"
 	"math"
 
+	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -71,12 +72,12 @@
 }
 
 // encodeZones makes the record of zones for a next leader.
-func (l *Leader) encodeZones(w pendingWrite) (pendingWrite, bool) {
+func (l *Leader) encodeZones(w persist.Write) (persist.Write, bool) {
 	r := l.policy.Record(micros.Now(), micros.Wall())
 	if r == nil || len(r.Zones) == 0 {
-		return w, w.modRevision != 0
+		return w, w.ModRevision != 0
 	}
-	w.value = r
+	w.Value = r
 	if !l.Store.ValueAlwaysFits(r) {
 		slog.Error("zones", "not_stored", "the record is larger than a value may be", "zones", len(r.Zones))
 		return w, false
@@ -93,8 +94,8 @@
 	}
 	l.applyZoneDecisions(evidence)
 	if len(changes) > 0 && l.policy.Record(now, micros.Wall()) != nil {
-		l.dirty[replica.ZonesKey] = true
-		l.wakeFlush()
+		l.writes.Mark(replica.ZonesKey)
+		l.writes.Wake()
 	}
 }
 
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -150,8 +151,8 @@
 	expect("suspected", 0, 5, 0, "")
 	silence(l, now, silentEnough)
 	expect("lost", 10, 5, 0, "b")
-	if w, ok := l.encodeZones(pendingWrite{key: replica.ZonesKey}); !ok || w.value.(*zone.Record).Zones["b"].State != zone.Lost || !l.dirty[replica.ZonesKey] {
-		t.Errorf("stored is %+v (%v)", w.value, ok)
+	if w, ok := l.encodeZones(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.Lost || !l.writes.IsUrgent(replica.ZonesKey) {
+		t.Errorf("stored is %+v (%v)", w.Value, ok)
 	}
 	l.sorted[10].instance.running = false // half of the nine others, rounded
 	if expect("one boots", 10, 5, 0, "b"); l.replacedMachines(now)[l.sorted[10]] {
