--- a/internal/leader/ask.go
+++ b/internal/leader/ask.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"sync"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 )
@@ -60,17 +61,17 @@
 
 // machinesToQuery lists the machines whose tasks they have not told this term, in the order in
 // which they are to be asked, and counts them by zone.
-func (l *Leader) machinesToQuery() (machines []*machine) {
+func (l *Leader) machinesToQuery() (machines []*state.Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.sorted {
-		if m.tasksConfirmed() || m.instance.address == "" {
+		if m.TasksConfirmed() || m.Instance.Address == "" {
 			continue
 		}
 		machines = append(machines, m)
-		zone := l.zoneQueries[m.offering.Zone]
+		zone := l.zoneQueries[m.Offering.Zone]
 		zone.queried++
-		l.zoneQueries[m.offering.Zone] = zone
+		l.zoneQueries[m.Offering.Zone] = zone
 	}
 	if l.PreviousTerm != nil {
 		l.sortByQueryPriority(machines)
@@ -80,12 +81,12 @@
 
 // scheduledQuery is a machine that is to be asked, not before an instant.
 type scheduledQuery struct {
-	machine   *machine
+	machine   *state.Machine
 	notBefore micros.Micros
 }
 
 // queryAll asks machines, some at a time, each again and again until that is no longer needed.
-func (l *Leader) queryAll(ctx context.Context, machines []*machine) {
+func (l *Leader) queryAll(ctx context.Context, machines []*state.Machine) {
 	var open sync.WaitGroup
 	open.Add(len(machines))
 	queue := make(chan scheduledQuery, len(machines))
@@ -111,7 +112,7 @@
 }
 
 // queryTasks asks a machine for its tasks, and tells whether that is no longer needed.
-func (l *Leader) queryTasks(ctx context.Context, m *machine) bool {
+func (l *Leader) queryTasks(ctx context.Context, m *state.Machine) bool {
 	// A worker that lost its lease is in a session that only its answer tells.
 	for range 2 {
 		to, needed := l.queryTargetOf(m)
@@ -124,9 +125,9 @@
 		report, err := l.sendQuery(ctx, to)
 		l.mu.Lock()
 		if err != nil {
-			m.reconciliation.failedQueries++
+			m.Reconciliation.FailedQueries++
 			l.mu.Unlock()
-			slog.Debug("asking for tasks", "machine", m.id, "error", err)
+			slog.Debug("asking for tasks", "machine", m.ID, "error", err)
 			return false
 		}
 		l.applyQueryResponse(m, report, micros.Now())
@@ -134,7 +135,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return m.tasksConfirmed()
+	return m.TasksConfirmed()
 }
 
 // queryTarget is where a machine is asked, as it was known when the call began.
@@ -144,11 +145,11 @@
 }
 
 // queryTargetOf is where a machine is to be asked, if it still needs to be.
-func (l *Leader) queryTargetOf(m *machine) (to queryTarget, needed bool) {
+func (l *Leader) queryTargetOf(m *state.Machine) (to queryTarget, needed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	needed = !m.tasksConfirmed() && !m.instance.terminating && l.machines[m.id] == m && !l.superseded && !l.handingOver
-	return queryTarget{m.id, m.instance.address, m.likelyIncarnation()}, needed
+	needed = !m.TasksConfirmed() && !m.Instance.Terminating && l.machines[m.ID] == m && !l.superseded && !l.handingOver
+	return queryTarget{m.ID, m.Instance.Address, m.LikelyIncarnation()}, needed
 }
 
 // errWrongMachine says that another machine answers at a machine's address.
@@ -175,36 +176,21 @@
 	return &report, nil
 }
 
-// tasksConfirmed tells whether the machine itself has told this term its tasks, or cannot have
-// any of an earlier one.
-func (m *machine) tasksConfirmed() bool { return m.reconciliation.knowledge == tasksConfirmed }
-
-// tasksKnown tells whether the tasks on the machine are known, if only by a handover.
-func (m *machine) tasksKnown() bool { return m.reconciliation.knowledge != tasksUnknown }
-
 // applyQueryResponse takes a machine's tasks from its answer, unless a report came first.
-func (l *Leader) applyQueryResponse(m *machine, r *wire.Heartbeat, now micros.Micros) {
-	if m.tasksConfirmed() || l.machines[m.id] != m || l.superseded || r.Incarnation < m.heartbeat.incarnation {
+func (l *Leader) applyQueryResponse(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
+	if m.TasksConfirmed() || l.machines[m.ID] != m || l.superseded || r.Incarnation < m.Heartbeat.Incarnation {
 		return
 	}
-	m.heartbeat.incarnation = r.Incarnation
+	m.Heartbeat.Incarnation = r.Incarnation
 	if r.FencingToken != l.FencingToken {
 		return
 	}
-	a := l.zoneQueries[m.offering.Zone]
+	a := l.zoneQueries[m.Offering.Zone]
 	a.responded++
-	l.zoneQueries[m.offering.Zone] = a
-	m.reconciliation.queriedSequence = r.Sequence
+	l.zoneQueries[m.Offering.Zone] = a
+	m.Reconciliation.QueriedSequence = r.Sequence
 	// It is alive; and no answer of an earlier term renews its lease from now on.
-	m.heartbeat.receivedAt, m.lease.renewedAt = now, now
+	m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
 	l.reconcile(m, r, now)
 	l.publishMachine(m)
 }
-
-// likelyIncarnation is the session that a machine is probably in.
-func (m *machine) likelyIncarnation() uint64 {
-	if m.heartbeat.incarnation == 0 && m.reconciliation.previousTerm != nil {
-		return max(1, m.reconciliation.previousTerm.Incarnation)
-	}
-	return max(1, m.heartbeat.incarnation)
-}
--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -9,6 +9,7 @@
 	"slices"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 	"caperlatch/internal/zone"
@@ -82,7 +83,7 @@
 	for _, c := range cases {
 		l, _ := newTest(t)
 		m := l.machines["i-1"]
-		m.instance.address, m.heartbeat.ofThisTerm = "i-1:9000", false
+		m.Instance.Address, m.Heartbeat.OfThisTerm = "i-1:9000", false
 		l.WorkerClient = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if d.FencingToken != token || len(d.Commands) != 0 {
 				t.Errorf("%s: asked with token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
@@ -94,10 +95,10 @@
 			}
 			return c.worker(d)
 		})}
-		if done := l.queryTasks(t.Context(), m); done != c.done || m.tasksKnown() != c.done {
-			t.Errorf("%s: done %v, resolved %v", c.name, done, m.tasksKnown())
+		if done := l.queryTasks(t.Context(), m); done != c.done || m.TasksKnown() != c.done {
+			t.Errorf("%s: done %v, resolved %v", c.name, done, m.TasksKnown())
 		}
-		if c.done && m.attempts["j-000001/0"] == nil {
+		if c.done && m.Attempts["j-000001/0"] == nil {
 			t.Errorf("%s: the running task is not known", c.name)
 		}
 		if now := micros.Now(); c.done && now > l.leaseExpiry(m) {
@@ -127,20 +128,20 @@
 		l, _ := newTest(t)
 		b := l.intents["r-1"]
 		for i := range 19 {
-			l.addMachine(string(rune('a'+i)), b, l.startedAt).instance.running = true
+			l.addMachine(string(rune('a'+i)), b, l.startedAt).Instance.Running = true
 		}
 		now := l.startedAt + unresponsiveLimit + 100*micros.Millisecond
 		for i, m := range l.sorted {
-			m.heartbeat.receivedAt, m.lease.renewedAt = now, now
-			m.reconciliation.knowledge = tasksConfirmed
+			m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
+			m.Reconciliation.Knowledge = state.TasksConfirmed
 			if i < c.unresolved {
-				m.heartbeat.receivedAt, m.lease.renewedAt, m.reconciliation.failedQueries = 0, 0, 2
-				m.reconciliation.knowledge = tasksUnknown
+				m.Heartbeat.ReceivedAt, m.Lease.RenewedAt, m.Reconciliation.FailedQueries = 0, 0, 2
+				m.Reconciliation.Knowledge = state.TasksUnknown
 			}
 		}
 		l.zoneQueries["a"] = queryCounts{c.asked, c.answers}
 		l.checkMachines(now)
-		if got := l.sorted[0].instance.terminating; got != c.leaves {
+		if got := l.sorted[0].Instance.Terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
@@ -166,13 +167,13 @@
 	b := l.intents["r-1"]
 	now := micros.Now() + micros.Second
 	for _, s := range steps {
-		l.sorted, l.machines = nil, map[string]*machine{}
+		l.sorted, l.machines = nil, map[string]*state.Machine{}
 		now += 100 * micros.Second
 		for i := range s.machines {
 			m := l.addMachine(fmt.Sprintf("i-%d", i), b, now)
-			m.instance.running = true
-			if m.heartbeat.receivedAt = now; s.silent {
-				m.heartbeat.receivedAt = now - 50*micros.Second
+			m.Instance.Running = true
+			if m.Heartbeat.ReceivedAt = now; s.silent {
+				m.Heartbeat.ReceivedAt = now - 50*micros.Second
 			}
 		}
 		l.observeZones(now)
--- a/internal/leader/backlog.go
+++ b/internal/leader/backlog.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/staffing"
 )
@@ -27,8 +28,8 @@
 	supplyCPUs       float64                // GuaranteedCPUs
 	unknownCPUs      float64                // GuaranteedCPUs of machines whose tasks are not known
 	minBootS         float64                // seconds, of the type that boots soonest
-	planned          map[*job]int           // tasks that have a place
-	displaced        map[*job]int           // tasks on machines that are to be replaced in other zones
+	planned          map[*state.Job]int     // tasks that have a place
+	displaced        map[*state.Job]int     // tasks on machines that are to be replaced in other zones
 }
 
 // backlogNeed is how many machines beyond the fleet the waiting tasks need to be in time,
@@ -37,8 +38,8 @@
 //
 // Work on machines that are to be replaced in other zones is offered to these: it counts as
 // waiting, and what held it not as supply.
-func (l *Leader) backlogNeed(replaced map[*machine]bool, now micros.Micros) map[string]machineNeed {
-	d := &backlog{workByType: map[string]float64{}, minBootS: math.Inf(1), planned: map[*job]int{}, displaced: map[*job]int{}}
+func (l *Leader) backlogNeed(replaced map[*state.Machine]bool, now micros.Micros) map[string]machineNeed {
+	d := &backlog{workByType: map[string]float64{}, minBootS: math.Inf(1), planned: map[*state.Job]int{}, displaced: map[*state.Job]int{}}
 	l.addMachinesTo(d, replaced, now)
 	l.addWaitingTo(d, now)
 	need := map[string]machineNeed{}
@@ -60,29 +61,29 @@
 }
 
 // addMachinesTo counts what there is, and what runs on it.
-func (l *Leader) addMachinesTo(d *backlog, replaced map[*machine]bool, now micros.Micros) {
+func (l *Leader) addMachinesTo(d *backlog, replaced map[*state.Machine]bool, now micros.Micros) {
 	for _, m := range l.machines {
-		t := l.types[m.offering.Type]
-		if t == nil || m.instance.terminating || m.drainReason != "" || l.isOverdue(m, now) {
+		t := l.types[m.Offering.Type]
+		if t == nil || m.Instance.Terminating || m.DrainReason != "" || l.isOverdue(m, now) {
 			continue
 		}
 		if replaced[m] {
-			for _, a := range m.attempts {
-				d.displaced[a.job]++
+			for _, a := range m.Attempts {
+				d.displaced[a.Job]++
 			}
 			continue
 		}
 		d.supplyCPUs += t.CPUs
-		if !m.tasksKnown() {
+		if !m.TasksKnown() {
 			d.unknownCPUs += t.CPUs
 		}
-		for _, j := range m.planned {
+		for _, j := range m.Planned {
 			d.planned[j]++
 		}
-		for _, a := range m.attempts {
-			r := staffing.RunningWork{CPUs: a.job.spec.CPUs, RemainingS: l.remainingRuntime(a, now)}
+		for _, a := range m.Attempts {
+			r := staffing.RunningWork{CPUs: a.Job.Spec.CPUs, RemainingS: l.remainingRuntime(a, now)}
 			d.running = append(d.running, r)
-			if a.job.priority > 0 {
+			if a.Job.Priority > 0 {
 				d.nonPreemptible = append(d.nonPreemptible, r)
 			}
 		}
@@ -98,24 +99,24 @@
 func (l *Leader) addWaitingTo(d *backlog, now micros.Micros) {
 	wall := micros.Wall()
 	teams := l.worstCaseTeamUse()
-	jobs := slices.SortedFunc(maps.Values(l.jobs), func(a, b *job) int {
-		return cmp.Or(cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.spec.ID, b.spec.ID))
+	jobs := slices.SortedFunc(maps.Values(l.jobs), func(a, b *state.Job) int {
+		return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	for _, j := range jobs {
 		t := l.preferredType(j, now)
 		if n := d.displaced[j]; n > 0 && t != nil {
 			l.addJobTo(d, j, t, n, wall) // its team's limit has them already
 		}
-		n := j.startableTasks(now) - d.planned[j]
+		n := j.StartableTasks(now) - d.planned[j]
 		if n <= 0 || t == nil {
 			continue
 		}
 		// Machines are no help to what its team's limit keeps waiting.
-		if team := teams[j.spec.Team]; team != nil {
-			n = team.Room(j.need, n)
-			team.Used = team.Used.Add(j.need, int64(n))
+		if team := teams[j.Spec.Team]; team != nil {
+			n = team.Room(j.Need, n)
+			team.Used = team.Used.Add(j.Need, int64(n))
 		}
-		if j.mayHaveEarlierTasks && d.unknownCPUs > 0 {
+		if j.MayHaveEarlierTasks && d.unknownCPUs > 0 {
 			if n -= l.countPossiblyRunning(d, j, n); n == 0 {
 				continue
 			}
@@ -127,22 +128,22 @@
 // countPossiblyRunning counts how many of n tasks may run on machines whose tasks are not known:
 // most likely they do. Counted as waiting, a fleet that was full had hundreds of machines
 // rented at each take-over.
-func (l *Leader) countPossiblyRunning(d *backlog, j *job, n int) int {
-	held := min(n, int(math.Ceil(d.unknownCPUs/math.Max(j.spec.CPUs, 0.001))))
-	d.unknownCPUs -= float64(held) * j.spec.CPUs
-	r := staffing.RunningWork{CPUs: float64(held) * j.spec.CPUs, RemainingS: l.expectedRuntime(j.spec) / 2}
+func (l *Leader) countPossiblyRunning(d *backlog, j *state.Job, n int) int {
+	held := min(n, int(math.Ceil(d.unknownCPUs/math.Max(j.Spec.CPUs, 0.001))))
+	d.unknownCPUs -= float64(held) * j.Spec.CPUs
+	r := staffing.RunningWork{CPUs: float64(held) * j.Spec.CPUs, RemainingS: l.expectedRuntime(j.Spec) / 2}
 	d.running = append(d.running, r)
 	d.nonPreemptible = append(d.nonPreemptible, r)
 	return held
 }
 
 // addJobTo counts n waiting tasks of a job, for a type.
-func (l *Leader) addJobTo(d *backlog, j *job, t *scaledType, n int, wall micros.Micros) {
+func (l *Leader) addJobTo(d *backlog, j *state.Job, t *scaledType, n int, wall micros.Micros) {
 	d.minBootS = math.Min(d.minBootS, t.BootTimeS)
-	work := float64(n) * j.spec.CPUs * l.expectedRuntime(j.spec)
-	if per := t.capacity.CountFitting(j.need, n+1); j.isGang() && per > 0 && per <= n {
+	work := float64(n) * j.Spec.CPUs * l.expectedRuntime(j.Spec)
+	if per := t.capacity.CountFitting(j.Need, n+1); j.IsGang() && per > 0 && per <= n {
 		// It fills whole machines at once, with what its tasks leave unused there.
-		work += float64(n/per) * (t.CPUs - float64(per)*j.spec.CPUs) * l.expectedRuntime(j.spec)
+		work += float64(n/per) * (t.CPUs - float64(per)*j.Spec.CPUs) * l.expectedRuntime(j.Spec)
 	}
 	due, late := l.startDeadline(j, false, wall)
 	in := (due - wall).Seconds()
--- a/internal/leader/boot.go
+++ b/internal/leader/boot.go
@@ -1,6 +1,9 @@
 package leader
 
-import "caperlatch/internal/micros"
+import (
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+)
 
 // Machines that come up late. Most are up within one and a half times the catalog's
 // time. One that is not costs as long as it is waited for; one that is given up costs
@@ -28,8 +31,8 @@
 // expectArrival tells whether a late machine is as likely to come as not.
 func (b *bootOutcomes) expectArrival() bool { return b.arrived >= b.failed }
 
-func (l *Leader) bootTime(m *machine) micros.Micros {
-	if t := l.types[m.offering.Type]; t != nil {
+func (l *Leader) bootTime(m *state.Machine) micros.Micros {
+	if t := l.types[m.Offering.Type]; t != nil {
 		return micros.FromSeconds(t.BootTimeS)
 	}
 	return 30 * micros.Second
@@ -40,22 +43,22 @@
 }
 
 // isBootLate tells whether a machine takes longer to come up than most do.
-func (l *Leader) isBootLate(m *machine, now micros.Micros) bool {
-	return !m.instance.running && now-m.instance.launchedAt > scaled(l.bootTime(m), lateBootFactor)+2*micros.Second
+func (l *Leader) isBootLate(m *state.Machine, now micros.Micros) bool {
+	return !m.Instance.Running && now-m.Instance.LaunchedAt > scaled(l.bootTime(m), lateBootFactor)+2*micros.Second
 }
 
 // isOverdue tells whether a machine is late, or is silent beyond its lease. It is no
 // longer counted on, though it may still come: another is rented for it. Not so when
 // most that were rented with it or after are late as well: the cloud is slow then, and
 // a second fleet would be as late, and paid for beside the first.
-func (l *Leader) isOverdue(m *machine, now micros.Micros) bool {
-	return m.lease.expiredSince != 0 || l.isBootLate(m, now) && !m.instance.lateWithCohort
+func (l *Leader) isOverdue(m *state.Machine, now micros.Micros) bool {
+	return m.Lease.ExpiredSince != 0 || l.isBootLate(m, now) && !m.Instance.LateWithCohort
 }
 
 // bootTimeout is when a machine that has not come up counts as stuck.
-func (l *Leader) bootTimeout(m *machine) micros.Micros {
+func (l *Leader) bootTimeout(m *state.Machine) micros.Micros {
 	n := float64(stuckBootFactor)
-	if m.instance.lateWithCohort || l.bootOutcomes.expectArrival() {
+	if m.Instance.LateWithCohort || l.bootOutcomes.expectArrival() {
 		n = slowCloudStuckFactor
 	}
 	return scaled(l.bootTime(m), n) + 10*micros.Second
@@ -69,20 +72,20 @@
 	next, later := len(l.sorted)-1, len(l.sorted)-1 // names are in the order of creation
 	for i := len(l.sorted) - 1; i >= 0; i-- {
 		m := l.sorted[i]
-		m.instance.lateWithCohort = false
-		if m.instance.running || m.instance.terminating {
+		m.Instance.LateWithCohort = false
+		if m.Instance.Running || m.Instance.Terminating {
 			continue
 		}
-		for ; next >= 0 && l.sorted[next].instance.launchedAt >= m.instance.launchedAt-cohortWindow; next-- {
+		for ; next >= 0 && l.sorted[next].Instance.LaunchedAt >= m.Instance.LaunchedAt-cohortWindow; next-- {
 			with.add(l.sorted[next], l.isBootLate(l.sorted[next], now))
 		}
-		for ; later >= 0 && l.sorted[later].instance.launchedAt > m.instance.launchedAt+cohortWindow; later-- {
+		for ; later >= 0 && l.sorted[later].Instance.LaunchedAt > m.Instance.LaunchedAt+cohortWindow; later-- {
 			after.add(l.sorted[later], l.isBootLate(l.sorted[later], now))
 		}
 		if after.running+after.late >= 3 {
-			m.instance.lateWithCohort = after.late > after.running
+			m.Instance.LateWithCohort = after.late > after.running
 		} else {
-			m.instance.lateWithCohort = with.late >= 3 && with.late > with.running
+			m.Instance.LateWithCohort = with.late >= 3 && with.late > with.running
 		}
 	}
 }
@@ -90,10 +93,10 @@
 // cohortCount is how many machines are up and how many late.
 type cohortCount struct{ running, late int }
 
-func (c *cohortCount) add(m *machine, late bool) {
+func (c *cohortCount) add(m *state.Machine, late bool) {
 	switch {
-	case m.instance.terminating:
-	case m.instance.running:
+	case m.Instance.Terminating:
+	case m.Instance.Running:
 		c.running++
 	case late:
 		c.late++
@@ -104,13 +107,13 @@
 // their place show whether the cloud is still slow. Nothing else would, where the fleet is
 // at its limit: all would be waited for long after a new one came up at once.
 func (l *Leader) replaceLateSample(now micros.Micros) {
-	var late []*machine
+	var late []*state.Machine
 	for _, m := range l.sorted {
 		boot := l.bootTime(m)
-		if !m.instance.running && !m.instance.terminating && now-m.instance.launchedAt < boot/2 {
+		if !m.Instance.Running && !m.Instance.Terminating && now-m.Instance.LaunchedAt < boot/2 {
 			return // the last ones are still on their way
 		}
-		if m.instance.lateWithCohort && now-m.instance.launchedAt > scaled(boot, stuckBootFactor)+10*micros.Second {
+		if m.Instance.LateWithCohort && now-m.Instance.LaunchedAt > scaled(boot, stuckBootFactor)+10*micros.Second {
 			late = append(late, m)
 		}
 	}
@@ -123,7 +126,7 @@
 const lateSampleDivisor = 10
 
 // recordBoot notes that a machine came up.
-func (l *Leader) recordBoot(m *machine, now micros.Micros) {
+func (l *Leader) recordBoot(m *state.Machine, now micros.Micros) {
 	if l.isBootLate(m, now) {
 		l.bootOutcomes.add(true)
 	}
--- a/internal/leader/boot_test.go
+++ b/internal/leader/boot_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 )
 
@@ -35,11 +36,11 @@
 		l.removeMachine(l.machines["i-1"])
 		now := l.startedAt + 1000*s
 		l.bootOutcomes = bootOutcomes{c.came, c.never}
-		add := func(i int, age micros.Micros, up bool) *machine {
+		add := func(i int, age micros.Micros, up bool) *state.Machine {
 			m := l.addMachine(fmt.Sprintf("i-1%02d", i), &launchIntent{id: "r-5", Type: "m4", Zone: "a", Answered: true}, now)
-			m.instance.launchedAt, m.instance.running, m.heartbeat.receivedAt, m.lease.renewedAt = now-age, up, now, now
+			m.Instance.LaunchedAt, m.Instance.Running, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-age, up, now, now
 			if up {
-				m.instance.list = 0
+				m.Instance.List = 0
 			}
 			return m
 		}
@@ -53,18 +54,18 @@
 		m := l.machines["i-109"]
 		probes := 0
 		for _, o := range l.sorted {
-			if o.instance.terminating && o.instance.lateWithCohort && o != m {
+			if o.Instance.Terminating && o.Instance.LateWithCohort && o != m {
 				probes++
 			}
 		}
-		if want := c.age > 50*s && m.instance.lateWithCohort && !c.left; (probes == 1) != want {
+		if want := c.age > 50*s && m.Instance.LateWithCohort && !c.left; (probes == 1) != want {
 			t.Errorf("%s: %d replaced to see whether others boot sooner", c.name, probes)
 		}
 		if got := l.isOverdue(m, now); got != c.overdue {
 			t.Errorf("%s: overdue %v, want %v", c.name, got, c.overdue)
 		}
-		if m.instance.terminating != c.left {
-			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.left)
+		if m.Instance.Terminating != c.left {
+			t.Errorf("%s: returned %v, want %v", c.name, m.Instance.Terminating, c.left)
 		}
 	}
 }
@@ -81,7 +82,7 @@
 		now := micros.Now() + micros.Second
 		for _, id := range []string{"i-7", "i-8"} {
 			m := l.machines[id]
-			if age := now - m.instance.launchedAt; age > 2*micros.Second {
+			if age := now - m.Instance.LaunchedAt; age > 2*micros.Second {
 				t.Errorf("answered after %v: %s counts as rented for %v", waited.Duration(), id, age.Duration())
 			}
 			if l.isOverdue(m, now) {
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/placement"
 )
@@ -24,76 +25,76 @@
 	if len(l.queue.jobs) > 0 || !l.Term.HoldsSession() || !l.Term.IsExclusive() || l.countUnknownMachines() > 0 {
 		return
 	}
-	var ms []*machine
+	var ms []*state.Machine
 	for _, m := range l.sorted {
-		if l.types[m.offering.Type] != nil && m.isOpenToAllZones(now) && len(m.attempts) > 0 && now-m.heartbeat.receivedAt <= 2*l.heartbeatInterval {
+		if l.types[m.Offering.Type] != nil && m.IsOpenToAllZones(now) && len(m.Attempts) > 0 && now-m.Heartbeat.ReceivedAt <= 2*l.heartbeatInterval {
 			ms = append(ms, m)
 		}
 	}
 	// The dearest a held CPU first: these are emptied, into the others from the end.
-	perHeld := func(m *machine) float64 {
-		t := l.types[m.offering.Type]
-		return price(t, m.offering.Spot) / float64(max(1, t.capacity.CPU-m.free.CPU))
+	perHeld := func(m *state.Machine) float64 {
+		t := l.types[m.Offering.Type]
+		return price(t, m.Offering.Spot) / float64(max(1, t.capacity.CPU-m.Free.CPU))
 	}
-	slices.SortStableFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(perHeld(b), perHeld(a)), cmp.Compare(a.id, b.id))
+	slices.SortStableFunc(ms, func(a, b *state.Machine) int {
+		return cmp.Or(cmp.Compare(perHeld(b), perHeld(a)), cmp.Compare(a.ID, b.ID))
 	})
 	room := make([]placement.Resources, len(ms))
 	for i, m := range ms {
-		room[i] = m.free
+		room[i] = m.Free
 	}
 	for i, m := range ms {
-		if !m.surplus && !m.rejectsDelayTolerant || !l.canConsolidate(m, now) {
+		if !m.Surplus && !m.RejectsDelayTolerant || !l.canConsolidate(m, now) {
 			continue
 		}
 		into := slices.Clone(room)
 		fits := true
-		for _, a := range m.attempts {
+		for _, a := range m.Attempts {
 			k := len(ms) - 1
 			for ; k > i; k-- {
 				o := ms[k]
-				if o.drainReason == "" && !o.rejectsDelayTolerant && into[k].Fits(a.job.need) &&
-					placement.ConstraintsAdmit(&placement.Job{InstanceTypes: a.job.spec.InstanceTypes, Zone: a.job.spec.Zone, AllowSpot: a.job.spec.AllowSpot}, o.offering.Type, o.offering.Zone, o.offering.Spot) {
+				if o.DrainReason == "" && !o.RejectsDelayTolerant && into[k].Fits(a.Job.Need) &&
+					placement.ConstraintsAdmit(&placement.Job{InstanceTypes: a.Job.Spec.InstanceTypes, Zone: a.Job.Spec.Zone, AllowSpot: a.Job.Spec.AllowSpot}, o.Offering.Type, o.Offering.Zone, o.Offering.Spot) {
 					break
 				}
 			}
 			if fits = k > i; !fits {
 				break
 			}
-			into[k] = into[k].Add(a.job.need, -1)
+			into[k] = into[k].Add(a.Job.Need, -1)
 		}
 		if !fits {
 			continue
 		}
 		room = into
-		m.drainReason = drainForConsolidation
-		slog.Debug("consolidating", "machine", m.id, "type", m.offering.Type, "spot", m.offering.Spot, "tasks", len(m.attempts))
-		for _, a := range m.attempts {
-			l.stopTask(a, micros.FromSeconds(a.job.spec.CheckpointDurationS), drainForConsolidation)
+		m.DrainReason = drainForConsolidation
+		slog.Debug("consolidating", "machine", m.ID, "type", m.Offering.Type, "spot", m.Offering.Spot, "tasks", len(m.Attempts))
+		for _, a := range m.Attempts {
+			l.stopTask(a, micros.FromSeconds(a.Job.Spec.CheckpointDurationS), drainForConsolidation)
 		}
 	}
 }
 
 // canConsolidate tells whether all tasks of a machine can save and are worth moving.
-func (l *Leader) canConsolidate(m *machine, now micros.Micros) bool {
+func (l *Leader) canConsolidate(m *state.Machine, now micros.Micros) bool {
 	// Its free room is worth as much as that of an idle machine, which is kept for a
 	// while: moved at once, what came next found less room (hoalan-grown, bagtag-reprint
 	// in 8 s 0.87 -> 0.78). Best-effort jobs never come so pressingly.
-	longSurplus := m.surplusSince != 0 && now-m.surplusSince > l.idleTimeout(l.types[m.offering.Type], m.offering.Spot)
-	for _, a := range m.attempts {
+	longSurplus := m.SurplusSince != 0 && now-m.SurplusSince > l.idleTimeout(l.types[m.Offering.Type], m.Offering.Spot)
+	for _, a := range m.Attempts {
 		// A gang would be stopped whole, wherever else its tasks are.
-		s := a.job.spec
-		if a.job.isGang() || s.CheckpointIntervalS <= 0 || s.SingleZone || s.SpreadZones || a.job.ended || a.stopRequestedAt != 0 ||
-			a.runningSince == 0 || now-a.runningSince < minRunBeforeMove {
+		s := a.Job.Spec
+		if a.Job.IsGang() || s.CheckpointIntervalS <= 0 || s.SingleZone || s.SpreadZones || a.Job.Ended || a.StopRequestedAt != 0 ||
+			a.RunningSince == 0 || now-a.RunningSince < minRunBeforeMove {
 			return false
 		}
 		// One that has outlasted its estimate may last for long.
 		run := l.expectedRuntime(s)
-		left := run - (now - a.startedAt).Seconds()
+		left := run - (now - a.StartedAt).Seconds()
 		if left >= 0 && left < minRunBeforeMove.Seconds() {
 			return false
 		}
-		if l.isDelayTolerant(a.job) {
+		if l.isDelayTolerant(a.Job) {
 			continue
 		}
 		if !longSurplus {
@@ -102,8 +103,8 @@
 		// It must not be late for being moved: on fleets whose images take 25 s to
 		// fetch, a fifth of the jobs with a deadline were.
 		wall := micros.Wall()
-		due, late := l.startDeadline(a.job, false, wall)
-		over := s.CheckpointDurationS + s.ImageSizeGB/math.Max(0.01, l.types[m.offering.Type].ImagePullGBPerS) + 2*l.heartbeatInterval.Seconds()
+		due, late := l.startDeadline(a.Job, false, wall)
+		over := s.CheckpointDurationS + s.ImageSizeGB/math.Max(0.01, l.types[m.Offering.Type].ImagePullGBPerS) + 2*l.heartbeatInterval.Seconds()
 		if late || (due-wall).Seconds()+run-l.remainingRuntime(a, now) < 3*over {
 			return false
 		}
--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -43,31 +44,31 @@
 		l, term := newTest(t)
 		term.held = c.held
 		now := micros.Now() + 1000*s
-		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Tasks: 20, CPUs: 1, EstimatedRuntimeS: 300, AllowSpot: true, CheckpointIntervalS: c.saves, CheckpointDurationS: 3}}, false)
-		if j.submittedAt = micros.Wall(); c.due > 0 {
-			j.spec.DeadlineS = &c.due
+		j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Tasks: 20, CPUs: 1, EstimatedRuntimeS: 300, AllowSpot: true, CheckpointIntervalS: c.saves, CheckpointDurationS: 3}}, false)
+		if j.SubmittedAt = micros.Wall(); c.due > 0 {
+			j.Spec.DeadlineS = &c.due
 		}
-		l.jobs = map[string]*job{j.spec.ID: j}
+		l.jobs = map[string]*state.Job{j.Spec.ID: j}
 		l.addMachine("i-2", l.intents["r-1"], now)
 		for i, m := range l.sorted {
-			m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm, m.heartbeat.receivedAt = true, true, true, true, now
-			m.reconciliation.knowledge = tasksConfirmed
+			m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, true, true, true, now
+			m.Reconciliation.Knowledge = state.TasksConfirmed
 			for range c.tasks[i] {
-				task, _ := j.takeWaitingTask()
-				l.assign(&attempt{job: j, index: task, number: 1, machine: m, startSequence: 1, startedAt: now - c.ran, runningSince: now - c.ran, reportedState: wire.TaskRunning})
+				task, _ := j.TakeWaitingTask()
+				l.assign(&state.Attempt{Job: j, Index: task, Number: 1, Machine: m, StartSequence: 1, StartedAt: now - c.ran, RunningSince: now - c.ran, ReportedState: wire.TaskRunning})
 			}
 		}
-		l.sorted[0].surplus, l.sorted[1].rejectsDelayTolerant = c.surplus, c.closedToPatient
-		l.sorted[0].surplusSince = now - c.since
+		l.sorted[0].Surplus, l.sorted[1].RejectsDelayTolerant = c.surplus, c.closedToPatient
+		l.sorted[0].SurplusSince = now - c.since
 		if c.waiting {
-			l.queue.jobs = []*job{j}
+			l.queue.jobs = []*state.Job{j}
 		}
 		l.consolidate(now)
-		if got := l.sorted[0].drainReason == drainForConsolidation; got != c.emptied || l.sorted[1].drainReason != "" {
-			t.Errorf("%s: emptied %v (the other: %q), want %v", c.name, got, l.sorted[1].drainReason, c.emptied)
+		if got := l.sorted[0].DrainReason == drainForConsolidation; got != c.emptied || l.sorted[1].DrainReason != "" {
+			t.Errorf("%s: emptied %v (the other: %q), want %v", c.name, got, l.sorted[1].DrainReason, c.emptied)
 		}
-		for _, a := range l.sorted[0].attempts {
-			if stopped := a.stopRequestedAt != 0 && a.gracePeriod == 3*s; stopped != c.emptied {
+		for _, a := range l.sorted[0].Attempts {
+			if stopped := a.StopRequestedAt != 0 && a.GracePeriod == 3*s; stopped != c.emptied {
 				t.Errorf("%s: a task is stopped with time to save: %v", c.name, stopped)
 			}
 		}
@@ -93,14 +94,14 @@
 			if i > 0 {
 				l.addMachine(fmt.Sprintf("i-%d", i+1), l.intents["r-1"], l.startedAt)
 			}
-			j := newJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00030%d", i), Team: "blue", Tasks: 1, CPUs: 1, AllowSpot: true}}, false)
-			j.priority = p
-			l.assign(&attempt{job: j, machine: l.sorted[i]})
+			j := state.NewJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00030%d", i), Team: "blue", Tasks: 1, CPUs: 1, AllowSpot: true}}, false)
+			j.Priority = p
+			l.assign(&state.Attempt{Job: j, Machine: l.sorted[i]})
 		}
 		l.closeToDelayTolerant(l.types["m4"], c.want, c.need)
 		n := 0
 		for _, m := range l.sorted {
-			if m.rejectsDelayTolerant {
+			if m.RejectsDelayTolerant {
 				n++
 			}
 		}
@@ -131,13 +132,13 @@
 	} {
 		l, _ := newTest(t)
 		m, now := l.machines["i-1"], micros.Now()+1000*s
-		m.heartbeat.receivedAt = now
-		m.reconciliation.knowledge = tasksConfirmed
-		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimatedRuntimeS: 300, CheckpointIntervalS: 30, CheckpointDurationS: 3, AllowSpot: true}}, false)
-		l.jobs = map[string]*job{j.spec.ID: j}
+		m.Heartbeat.ReceivedAt = now
+		m.Reconciliation.Knowledge = state.TasksConfirmed
+		j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimatedRuntimeS: 300, CheckpointIntervalS: 30, CheckpointDurationS: 3, AllowSpot: true}}, false)
+		l.jobs = map[string]*state.Job{j.Spec.ID: j}
 		for range 4 {
-			task, _ := j.takeWaitingTask()
-			l.assign(&attempt{job: j, index: task, machine: m, startedAt: now - c.ran, runningSince: now - c.ran, protected: c.protected})
+			task, _ := j.TakeWaitingTask()
+			l.assign(&state.Attempt{Job: j, Index: task, Machine: m, StartedAt: now - c.ran, RunningSince: now - c.ran, Protected: c.protected})
 		}
 		ms, _ := l.machinesWithVictims(now)
 		if len(ms) != 1 || len(ms[0].Victims) != 4 {
--- a/internal/leader/counts_test.go
+++ b/internal/leader/counts_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -16,8 +17,8 @@
 	l, _ := newTest(t)
 	for i := range jobs {
 		id := fmt.Sprintf("j-1%05d", i)
-		j := newJob(replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{ID: id, Tasks: 1}}, false)
-		j.runningCount = 1
+		j := state.NewJob(replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{ID: id, Tasks: 1}}, false)
+		j.RunningCount = 1
 		l.jobs[id] = j
 	}
 	counts, _ := l.AllTaskCounts()
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -8,6 +8,7 @@
 	"slices"
 
 	"caperlatch/internal/explain"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 	"caperlatch/placement"
@@ -20,8 +21,8 @@
 	maxShownEntries  = 50
 )
 
-func (l *Leader) recordStop(a *attempt, why string) {
-	n := explain.TaskStop{Task: taskID(a.job.spec.ID, a.index), Attempt: a.number, Machine: a.machine.id, At: micros.Wall(), Reason: why}
+func (l *Leader) recordStop(a *state.Attempt, why string) {
+	n := explain.TaskStop{Task: a.TaskID(), Attempt: a.Number, Machine: a.Machine.ID, At: micros.Wall(), Reason: why}
 	slog.Debug("task stopped", "task", n.Task, "machine", n.Machine, "why", why)
 	if len(l.recentStops) >= maxRecordedStops {
 		l.recentStops = slices.Delete(l.recentStops, 0, maxRecordedStops/4)
@@ -42,11 +43,11 @@
 	if j == nil {
 		return e, len(e.Stops) > 0
 	}
-	e.Tasks, e.Done, e.Running, e.Waiting = j.spec.Tasks, j.doneCount, j.runningCount, j.waiting()
+	e.Tasks, e.Done, e.Running, e.Waiting = j.Spec.Tasks, j.DoneCount, j.RunningCount, j.WaitingTasks()
 	explainTasks(&e, j)
 	if e.Waiting > 0 {
 		e.Reasons = l.waitReasons(j)
-	} else if f := j.describeFailures(micros.Now()); f != "" {
+	} else if f := j.DescribeFailures(micros.Now()); f != "" {
 		e.Reasons = append(e.Reasons, f)
 	}
 	e.Reasons = append(e.Reasons, l.zoneReasons(j)...)
@@ -59,7 +60,7 @@
 // explainStops adds the latest stops of a job's tasks.
 func (l *Leader) explainStops(e *explain.Explanation) {
 	for _, s := range l.recentStops {
-		if job, _, err := parseTaskID(s.Task); err == nil && job == e.Job {
+		if job, _, err := state.ParseTaskID(s.Task); err == nil && job == e.Job {
 			e.Stops = append(e.Stops, s)
 		}
 	}
@@ -70,68 +71,68 @@
 }
 
 // explainTasks adds where a job's tasks are.
-func explainTasks(e *explain.Explanation, j *job) {
-	for _, t := range slices.Sorted(maps.Keys(j.attempts)) {
+func explainTasks(e *explain.Explanation, j *state.Job) {
+	for _, t := range slices.Sorted(maps.Keys(j.Attempts)) {
 		if len(e.Placements) == maxShownEntries {
-			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.attempts)-maxShownEntries))
+			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.Attempts)-maxShownEntries))
 			return
 		}
-		a := j.attempts[t]
+		a := j.Attempts[t]
 		e.Placements = append(e.Placements, explain.TaskPlacement{
-			Task:    taskID(j.spec.ID, t),
-			Attempt: a.number,
-			Machine: a.machine.id,
+			Task:    state.TaskID(j.Spec.ID, t),
+			Attempt: a.Number,
+			Machine: a.Machine.ID,
 			State:   describeAttempt(a),
-			Since:   micros.Wall() - (micros.Now() - max(a.startedAt, a.runningSince)),
+			Since:   micros.Wall() - (micros.Now() - max(a.StartedAt, a.RunningSince)),
 		})
 	}
 }
 
 // describeAttempt says what an attempt does.
-func describeAttempt(a *attempt) string {
+func describeAttempt(a *state.Attempt) string {
 	switch {
-	case a.stopRequestedAt != 0:
-		return "being stopped: " + a.stopReason
-	case a.reserved:
+	case a.StopRequestedAt != 0:
+		return "being stopped: " + a.StopReason
+	case a.Reserved:
 		return "its place is reserved, the start goes with its machine's next report"
-	case a.machine.reconciliation.knowledge == tasksHandedOver:
+	case a.Machine.Reconciliation.Knowledge == state.TasksHandedOver:
 		return "on its machine as the leader before said, which the machine has not confirmed yet"
-	case a.reportedState == wire.TaskWaitingForGang:
+	case a.ReportedState == wire.TaskWaitingForGang:
 		return "waiting for the other tasks of its gang"
-	case a.reportedState == "":
+	case a.ReportedState == "":
 		return "start sent"
 	}
-	return a.reportedState
+	return a.ReportedState
 }
 
-func (l *Leader) waitReasons(j *job) (why []string) {
+func (l *Leader) waitReasons(j *state.Job) (why []string) {
 	now := micros.Now()
 	teams := l.worstCaseTeamUse()
 	if u := l.unknownMachinesNow(); l.mustAwaitReconciliation(j, u) {
 		why = append(why, fmt.Sprintf("%d machines' tasks are not known yet after the take-over", u.count+l.countUnconfirmed()))
 	}
-	if f := j.describeFailures(now); f != "" && !j.hasSucceeded() {
+	if f := j.DescribeFailures(now); f != "" && !j.HasSucceeded() {
 		why = append(why, f)
-	} else if now < j.backoffUntil {
-		why = append(why, j.backoffReason)
+	} else if now < j.BackoffUntil {
+		why = append(why, j.BackoffReason)
 	}
-	if t := teams[j.spec.Team]; t != nil && t.Limit.CPU > 0 && t.Used.CPU+j.need.CPU > t.Limit.CPU {
+	if t := teams[j.Spec.Team]; t != nil && t.Limit.CPU > 0 && t.Used.CPU+j.Need.CPU > t.Limit.CPU {
 		why = append(why, "its team uses as many CPUs as it may")
 	}
-	if t := teams[j.spec.Team]; t != nil && t.Limit.GPU > 0 && t.Used.GPU+j.need.GPU > t.Limit.GPU {
+	if t := teams[j.Spec.Team]; t != nil && t.Limit.GPU > 0 && t.Used.GPU+j.Need.GPU > t.Limit.GPU {
 		why = append(why, "its team uses as many GPUs as it may")
 	}
-	if j.isGang() {
-		if t := teams[j.spec.Team]; len(why) == 0 && t.Room(j.need, j.waiting()) < j.waiting() {
+	if j.IsGang() {
+		if t := teams[j.Spec.Team]; len(why) == 0 && t.Room(j.Need, j.WaitingTasks()) < j.WaitingTasks() {
 			why = append(why, "its team may not use as much as the whole gang needs")
 		}
 		switch {
-		case j.gang.ending:
-			why = append(why, fmt.Sprintf("its gang was ended, and %d tasks are not gone yet", len(j.attempts)))
-		case len(j.attempts) > 0:
-			why = append(why, fmt.Sprintf("%d of its gang's tasks have their places; it is completed under the same attempt", len(j.attempts)))
-		case l.reservations[j.spec.ID] != nil && len(l.reservations[j.spec.ID].machines) > 0:
-			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", len(l.reservations[j.spec.ID].machines)))
+		case j.Gang.Ending:
+			why = append(why, fmt.Sprintf("its gang was ended, and %d tasks are not gone yet", len(j.Attempts)))
+		case len(j.Attempts) > 0:
+			why = append(why, fmt.Sprintf("%d of its gang's tasks have their places; it is completed under the same attempt", len(j.Attempts)))
+		case l.reservations[j.Spec.ID] != nil && len(l.reservations[j.Spec.ID].Machines) > 0:
+			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", len(l.reservations[j.Spec.ID].Machines)))
 		}
 	}
 	if !l.Term.IsExclusive() {
@@ -142,8 +143,8 @@
 	}
 	machines, _ := l.schedulableMachines(now, placement.Resources{})
 	for i := range machines {
-		if machines[i].Free.Fits(j.need) && !machines[i].ZoneBoundOnly {
-			if j.isGang() {
+		if machines[i].Free.Fits(j.Need) && !machines[i].ZoneBoundOnly {
+			if j.IsGang() {
 				return append(why, "there is room for single tasks, not for the whole gang where it may run")
 			}
 			return append(why, "it starts at a machine's next report, or its zone rules leave no room")
@@ -151,7 +152,7 @@
 	}
 	coming := 0
 	for _, m := range l.machines {
-		if !m.instance.running {
+		if !m.Instance.Running {
 			coming++
 		}
 	}
@@ -166,7 +167,7 @@
 	if j == nil {
 		return 0, 0, false
 	}
-	return j.doneCount, j.runningCount, true
+	return j.DoneCount, j.RunningCount, true
 }
 
 // logSnapshot shows now and then what the leader sees.
@@ -177,17 +178,17 @@
 	states := map[string]int{}
 	waiting, held, cpus, open := 0, int64(0), int64(0), 0
 	for _, j := range l.jobs {
-		waiting += j.waiting()
-		if j.startableTasks(now) > 0 {
+		waiting += j.WaitingTasks()
+		if j.StartableTasks(now) > 0 {
 			open++
 		}
 	}
 	for _, m := range l.machines {
-		for _, a := range m.attempts {
-			states[a.reportedState]++
-			held += a.job.need.CPU
+		for _, a := range m.Attempts {
+			states[a.ReportedState]++
+			held += a.Job.Need.CPU
 		}
-		if t := l.types[m.offering.Type]; t != nil && l.canStart(m, now) {
+		if t := l.types[m.Offering.Type]; t != nil && l.canStart(m, now) {
 			cpus += t.capacity.CPU
 		}
 	}
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -42,10 +43,10 @@
 	for _, c := range cases {
 		l, _ := newTest(t)
 		b := l.intents["r-1"]
-		var jobs []*job
+		var jobs []*state.Job
 		for i := range 10 {
-			j := newJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00010%d", i), Tasks: 20}}, false)
-			l.jobs[j.spec.ID] = j
+			j := state.NewJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00010%d", i), Tasks: 20}}, false)
+			l.jobs[j.Spec.ID] = j
 			jobs = append(jobs, j)
 		}
 		for i := 2; i <= 4; i++ {
@@ -60,11 +61,11 @@
 			}
 			j, m := jobs[step[0]-'0'], l.machines["i-"+step[2:]]
 			if step[1] == 'x' {
-				j.failures.count++
+				j.Failures.Count++
 				l.attributeFailure(m, j, now)
 			} else {
-				j.doneCount++
-				l.recordSuccess(m, j, &attempt{job: j, machine: m, startSequence: 1, startedAt: now}, now)
+				j.DoneCount++
+				l.recordSuccess(m, j, &state.Attempt{Job: j, Machine: m, StartSequence: 1, StartedAt: now}, now)
 			}
 		}
 		for i := 1; i <= 4; i++ {
@@ -72,7 +73,7 @@
 			for _, d := range c.drained {
 				want = want || d == i
 			}
-			if got := l.machines[fmt.Sprintf("i-%d", i)].drainReason != ""; got != want {
+			if got := l.machines[fmt.Sprintf("i-%d", i)].DrainReason != ""; got != want {
 				t.Errorf("%s: machine %d emptied: %v, want %v", c.name, i, got, want)
 			}
 		}
@@ -81,8 +82,8 @@
 			for _, f := range c.atFault {
 				want = want || f == i
 			}
-			if j.failures.quarantined != want {
-				t.Errorf("%s: job %d at fault: %v, want %v", c.name, i, j.failures.quarantined, want)
+			if j.Failures.Quarantined != want {
+				t.Errorf("%s: job %d at fault: %v, want %v", c.name, i, j.Failures.Quarantined, want)
 			}
 		}
 	}
@@ -96,8 +97,8 @@
 	for i := 2; i <= 3; i++ {
 		l.addMachine(fmt.Sprintf("i-%d", i), b, l.startedAt)
 	}
-	j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
-	l.jobs[j.spec.ID] = j
+	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
+	l.jobs[j.Spec.ID] = j
 	l.addDemand(j)
 	now := micros.Now()
 	window := l.types["m4"].demand
@@ -110,15 +111,15 @@
 	}
 	var pauses []micros.Micros
 	for range 6 {
-		pauses = append(pauses, j.backoffUntil-now)
-		if n := j.startableTasks(j.backoffUntil - 1); n != 0 {
+		pauses = append(pauses, j.BackoffUntil-now)
+		if n := j.StartableTasks(j.BackoffUntil - 1); n != 0 {
 			t.Errorf("%d tasks are tried in the pause", n)
 		}
-		now = j.backoffUntil
-		if n := j.startableTasks(now); n != probeTasks {
-			t.Errorf("%d tasks are tried, want %d", n, probeTasks)
+		now = j.BackoffUntil
+		if n := j.StartableTasks(now); n != state.ProbeTasks {
+			t.Errorf("%d tasks are tried, want %d", n, state.ProbeTasks)
 		}
-		for range probeTasks { // one try
+		for range state.ProbeTasks { // one try
 			l.attributeFailure(l.machines["i-1"], j, now)
 		}
 	}
@@ -128,15 +129,15 @@
 		}
 	}
 	next, _ := newTest(t)
-	heir := newJob(replica.Job{Spec: j.spec}, true)
-	next.jobs[j.spec.ID] = heir
+	heir := state.NewJob(replica.Job{Spec: j.Spec}, true)
+	next.jobs[j.Spec.ID] = heir
 	next.restoreQuarantinedJobs(l.quarantinedJobs(), now)
-	if !heir.failures.quarantined || heir.startableTasks(now) != 0 || heir.startableTasks(heir.backoffUntil) != probeTasks {
-		t.Errorf("the next leader tries %d tasks at once", heir.startableTasks(now))
+	if !heir.Failures.Quarantined || heir.StartableTasks(now) != 0 || heir.StartableTasks(heir.BackoffUntil) != state.ProbeTasks {
+		t.Errorf("the next leader tries %d tasks at once", heir.StartableTasks(now))
 	}
-	j.doneCount++
+	j.DoneCount++
 	l.recordSuccess(l.machines["i-2"], j, nil, now)
-	if n := j.startableTasks(now); n != 499 {
+	if n := j.StartableTasks(now); n != 499 {
 		t.Errorf("%d tasks may start after a success", n)
 	}
 }
@@ -156,20 +157,20 @@
 	} {
 		l, _ := newTest(t)
 		now := micros.Now()
-		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}}, false)
-		l.jobs[j.spec.ID] = j
-		j.failures.longestRun = c.failTook
-		l.assign(&attempt{job: j, machine: l.machines["i-1"], runningSince: now})
+		j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}}, false)
+		l.jobs[j.Spec.ID] = j
+		j.Failures.LongestRun = c.failTook
+		l.assign(&state.Attempt{Job: j, Machine: l.machines["i-1"], RunningSince: now})
 		for i := 2; i <= 4; i++ {
 			l.attributeFailure(l.addMachine(fmt.Sprintf("i-%d", i), l.intents["r-1"], now), j, now)
 		}
-		if !j.failures.quarantined {
+		if !j.Failures.Quarantined {
 			t.Fatalf("%s: not put aside", c.name)
 		}
-		l.machines["i-1"].heartbeat.receivedAt = now + c.report
+		l.machines["i-1"].Heartbeat.ReceivedAt = now + c.report
 		l.newQueue(now + c.report)
-		if j.failures.quarantined != c.atFault {
-			t.Errorf("%s: at fault %v, want %v", c.name, j.failures.quarantined, c.atFault)
+		if j.Failures.Quarantined != c.atFault {
+			t.Errorf("%s: at fault %v, want %v", c.name, j.Failures.Quarantined, c.atFault)
 		}
 	}
 }
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -11,18 +11,13 @@
 
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/standby"
 	"caperlatch/internal/wire"
 )
 
-// offering is what can be rented: a type, in a zone, of a kind.
-type offering struct {
-	Type, Zone string
-	Spot       bool
-}
-
 // capacityBackoff remembers refusals.
 type capacityBackoff struct {
 	refusals int
@@ -64,7 +59,7 @@
 	w.OnStored = func() {
 		for _, id := range snapshot.Machines {
 			if m := l.machines[id]; m != nil {
-				m.instance.intentStored = true
+				m.Instance.IntentStored = true
 			}
 		}
 		b.stored = true
@@ -86,7 +81,7 @@
 	splitFrom *int
 }
 
-func machineListEntry(m *machine) string { return m.id + " " + m.instance.address }
+func machineListEntry(m *state.Machine) string { return m.ID + " " + m.Instance.Address }
 
 func machineListKey(n int) string { return replica.MachineListPrefix + strconv.Itoa(n) }
 
@@ -108,8 +103,8 @@
 		for _, entry := range up.Machines {
 			id, address, _ := strings.Cut(entry, " ")
 			if m := l.machines[id]; m != nil {
-				m.instance.running, m.instance.listStored, m.instance.list, m.instance.address = true, true, n, address
-				m.reconciliation.knowledge = tasksUnknown
+				m.Instance.Running, m.Instance.ListStored, m.Instance.List, m.Instance.Address = true, true, n, address
+				m.Reconciliation.Knowledge = state.TasksUnknown
 			}
 		}
 	}
@@ -132,7 +127,7 @@
 	up.Machines = slices.DeleteFunc(up.Machines, func(entry string) bool {
 		id, _, _ := strings.Cut(entry, " ")
 		m := l.machines[id]
-		return m != nil && m.instance.list != n || l.terminated[id]
+		return m != nil && m.Instance.List != n || l.terminated[id]
 	})
 	return len(up.Machines)
 }
@@ -161,7 +156,7 @@
 		for _, entry := range part {
 			id, _, _ := strings.Cut(entry, " ")
 			if m := l.machines[id]; m != nil {
-				m.instance.list = len(l.machineLists) - 1
+				m.Instance.List = len(l.machineLists) - 1
 			}
 		}
 		l.writes.Mark(machineListKey(len(l.machineLists) - 1))
@@ -179,14 +174,14 @@
 }
 
 // registerRunning has it stored that a machine may get tasks.
-func (l *Leader) registerRunning(m *machine) {
-	m.instance.running = true
+func (l *Leader) registerRunning(m *state.Machine) {
+	m.Instance.Running = true
 	n := len(l.machineLists) - 1
 	if n < 0 || !l.Store.ValueAlwaysFits(machineList{Machines: append(l.machineLists[n].Machines, machineListEntry(m), machineListEntry(m))}) {
 		l.machineLists = append(l.machineLists, &machineList{})
 		n++
 	}
-	m.instance.list = n
+	m.Instance.List = n
 	l.machineLists[n].Machines = append(l.machineLists[n].Machines, machineListEntry(m))
 	l.writes.Mark(machineListKey(n))
 	l.writes.Wake()
@@ -211,7 +206,7 @@
 		for _, entry := range snapshot {
 			id, _, _ := strings.Cut(entry, " ")
 			if m := l.machines[id]; m != nil {
-				m.instance.listStored = true
+				m.Instance.ListStored = true
 			}
 		}
 		l.replan = true
@@ -254,7 +249,7 @@
 }
 
 // createIntent begins a rental: it is asked of the cloud once it is stored.
-func (l *Leader) createIntent(o offering, count int) {
+func (l *Leader) createIntent(o state.Offering, count int) {
 	l.intentSequence++
 	b := &launchIntent{
 		id:   fmt.Sprintf("r-%d-%d", l.FencingToken, l.intentSequence),
@@ -289,7 +284,7 @@
 		case err == nil:
 			l.recordLaunch(b, ids)
 		case errors.Is(err, cloud.ErrNoCapacity):
-			l.backOffOffering(offering{b.Type, b.Zone, b.Spot})
+			l.backOffOffering(state.Offering{Type: b.Type, Zone: b.Zone, Spot: b.Spot})
 			b.abandoned = true
 			b.Answered = true
 			l.markIntent(b)
@@ -307,7 +302,7 @@
 
 func (l *Leader) recordLaunch(b *launchIntent, ids []string) {
 	now := micros.Now()
-	o := offering{b.Type, b.Zone, b.Spot}
+	o := state.Offering{Type: b.Type, Zone: b.Zone, Spot: b.Spot}
 	if len(ids) < b.Count {
 		l.backOffOffering(o)
 	} else {
@@ -332,7 +327,7 @@
 }
 
 // backOffOffering backs off from an offer.
-func (l *Leader) backOffOffering(o offering) {
+func (l *Leader) backOffOffering(o state.Offering) {
 	s := l.capacityBackoffs[o]
 	if s == nil {
 		s = &capacityBackoff{}
@@ -348,18 +343,18 @@
 // A leader in doubt returns nothing: its requests may be held back and carried
 // out minutes later, on machines that the next leader uses. An isolated leader
 // to which all machines were silent once lost a whole fleet that way.
-func (l *Leader) terminate(m *machine, why string) {
+func (l *Leader) terminate(m *state.Machine, why string) {
 	if !l.Term.HoldsSession() {
 		return
 	}
-	l.aggregatedLog.add("returning: "+why, m.id)
-	m.instance.terminating = true
-	m.planned = nil
-	for _, a := range m.attempts {
-		a.stopReason = "its machine is returned: " + why
+	l.aggregatedLog.add("returning: "+why, m.ID)
+	m.Instance.Terminating = true
+	m.Planned = nil
+	for _, a := range m.Attempts {
+		a.StopReason = "its machine is returned: " + why
 	}
-	l.terminationQueue = append(l.terminationQueue, m.id)
-	l.publish(standby.Entry{MachineTerminating: &standby.MachineTerminating{Machine: m.id, Reason: why}})
+	l.terminationQueue = append(l.terminationQueue, m.ID)
+	l.publish(standby.Entry{MachineTerminating: &standby.MachineTerminating{Machine: m.ID, Reason: why}})
 }
 
 // terminateLoop has the cloud take machines back, many in a call: calls are few,
@@ -405,23 +400,23 @@
 }
 
 // removeMachine forgets a machine that is gone.
-func (l *Leader) removeMachine(m *machine) {
+func (l *Leader) removeMachine(m *state.Machine) {
 	l.releaseAll(m, "its machine was returned")
-	delete(l.machines, m.id)
+	delete(l.machines, m.ID)
 	if i := slices.Index(l.sorted, m); i >= 0 {
 		l.sorted = slices.Delete(l.sorted, i, i+1)
 	}
-	l.terminated[m.id] = true
-	l.publish(standby.Entry{MachineTerminated: &standby.MachineTerminated{Machine: m.id}})
-	b := m.intent
-	b.Machines = slices.DeleteFunc(b.Machines, func(id string) bool { return id == m.id })
-	if m.instance.running {
-		up := l.machineLists[m.instance.list]
+	l.terminated[m.ID] = true
+	l.publish(standby.Entry{MachineTerminated: &standby.MachineTerminated{Machine: m.ID}})
+	b := l.intents[m.IntentID]
+	b.Machines = slices.DeleteFunc(b.Machines, func(id string) bool { return id == m.ID })
+	if m.Instance.Running {
+		up := l.machineLists[m.Instance.List]
 		up.Machines = slices.DeleteFunc(up.Machines, func(entry string) bool {
 			id, _, _ := strings.Cut(entry, " ")
-			return id == m.id
+			return id == m.ID
 		})
-		l.writes.MarkLazily(machineListKey(m.instance.list))
+		l.writes.MarkLazily(machineListKey(m.Instance.List))
 	}
 	b.abandoned = b.Answered && len(b.Machines) == 0
 	l.writes.MarkLazily(replica.LaunchIntentPrefix + b.id)
@@ -452,15 +447,15 @@
 	}
 	seen := map[string]bool{}
 	for _, m := range l.machines {
-		m.instance.missingLists++
+		m.Instance.MissingLists++
 	}
 	for _, x := range list {
 		m := l.machines[x.ID]
 		if m != nil {
-			m.instance.listed, m.instance.missingLists = true, 0
+			m.Instance.Listed, m.Instance.MissingLists = true, 0
 		}
 		switch {
-		case m != nil && x.State == wire.InstanceFailed && !m.instance.terminating:
+		case m != nil && x.State == wire.InstanceFailed && !m.Instance.Terminating:
 			l.terminate(m, "failed")
 		case m != nil || open:
 		default:
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -9,6 +9,7 @@
 	"slices"
 	"time"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 	"caperlatch/internal/zone"
@@ -26,32 +27,6 @@
 // Until all run, a task that disappears is replaced under the same number. From then on
 // one that disappears ends the attempt, and all are told to stop.
 
-// gangAttempt is an attempt of a gang's tasks.
-type gangAttempt struct {
-	number       uint64        // its number, 0 if there is none
-	waitingSince micros.Micros // since when a report shows a task to wait for the others, 0 if none did
-	started      bool          // all have been running at once
-	ending       bool          // all are to stop
-	shortSince   micros.Micros // since when machines lack for those that are missing, 0 if they don't
-}
-
-func (j *job) isGang() bool { return j.spec.Kind == wire.KindGang }
-
-// startableGangTasks is how many tasks may be started: all of a new attempt, or those that are
-// missing in one that has not started.
-func (j *job) startableGangTasks() int {
-	if j.gang.started || j.gang.ending {
-		return 0
-	}
-	return j.waiting()
-}
-
-// checkpointGrace is enough time for a gang to save.
-func checkpointGrace(j *job) micros.Micros {
-	// The wire's amount may be a trace more than whole microseconds.
-	return micros.FromSeconds(j.spec.CheckpointDurationS) + micros.Millisecond
-}
-
 // immediateStartLimit is how late places may start a gang that are taken as soon as they are found.
 // Later ones are taken only when it has waited for as long: of many machines some report
 // soon, so it starts at most twice as late as it could, and mostly sooner. Places
@@ -60,139 +35,139 @@
 
 // planStarts has tasks of a job start with a machine's next answer. A gang's have their
 // places from now on; others' plans bind nobody.
-func (l *Leader) planStarts(m *machine, j *job, count int, now micros.Micros) {
-	if !j.isGang() {
+func (l *Leader) planStarts(m *state.Machine, j *state.Job, count int, now micros.Micros) {
+	if !j.IsGang() {
 		for range count {
-			m.planned = append(m.planned, j)
+			m.Planned = append(m.Planned, j)
 		}
 		return
 	}
 	l.dropReservation(j)
-	if len(j.attempts) == 0 {
-		j.gang = gangAttempt{number: l.nextAttemptNumber()}
-		slog.Debug("gang", "job", j.spec.ID, "attempt", j.gang.number, "tasks", j.spec.Tasks)
+	if len(j.Attempts) == 0 {
+		j.Gang = state.GangAttempt{Number: l.nextAttemptNumber()}
+		slog.Debug("gang", "job", j.Spec.ID, "attempt", j.Gang.Number, "tasks", j.Spec.Tasks)
 	}
 	for range count {
-		task, ok := j.takeWaitingTask()
+		task, ok := j.TakeWaitingTask()
 		if !ok {
 			return
 		}
-		a := &attempt{job: j, index: task, number: j.gang.number, machine: m, startedAt: now, reserved: true, protected: true}
-		j.protectedTasks++
+		a := &state.Attempt{Job: j, Index: task, Number: j.Gang.Number, Machine: m, StartedAt: now, Reserved: true, Protected: true}
+		j.ProtectedTasks++
 		l.assign(a)
 	}
 }
 
 // commandReservedStarts adds the starts of reserved tasks to a machine's orders.
-func (l *Leader) commandReservedStarts(m *machine, orders []wire.Command) []wire.Command {
-	var starts []*attempt
-	for _, a := range m.attempts {
-		if a.reserved {
+func (l *Leader) commandReservedStarts(m *state.Machine, orders []wire.Command) []wire.Command {
+	var starts []*state.Attempt
+	for _, a := range m.Attempts {
+		if a.Reserved {
 			starts = append(starts, a)
 		}
 	}
-	slices.SortFunc(starts, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(a.job.spec.ID, b.job.spec.ID), cmp.Compare(a.index, b.index))
+	slices.SortFunc(starts, func(a, b *state.Attempt) int {
+		return cmp.Or(cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID), cmp.Compare(a.Index, b.Index))
 	})
 	for _, a := range starts[:min(len(starts), max(0, maxCommands-len(orders)))] {
-		if !l.startAllowedWith(a.job, m, 0) {
+		if !l.startAllowedWith(a.Job, m, 0) {
 			// A task that nobody knew of has shown itself since the places were reserved.
 			l.releaseReservation(a, "it may not start there any more")
 			continue
 		}
-		a.reserved, a.startSequence = false, m.heartbeat.sequence
+		a.Reserved, a.StartSequence = false, m.Heartbeat.Sequence
 		l.publishAssigned(a)
-		orders = append(orders, wire.Command{Verb: wire.VerbStart, TaskID: taskID(a.job.spec.ID, a.index), Attempt: a.number})
+		orders = append(orders, wire.Command{Verb: wire.VerbStart, TaskID: a.TaskID(), Attempt: a.Number})
 	}
 	return orders
 }
 
 // releaseReservation gives a reserved place back: its start was never sent.
-func (l *Leader) releaseReservation(a *attempt, why string) {
-	a.reserved = false
+func (l *Leader) releaseReservation(a *state.Attempt, why string) {
+	a.Reserved = false
 	l.release(a, why)
 }
 
 // observeGangTask takes over what a report says of a gang's task that is on its machine.
-func (l *Leader) observeGangTask(a *attempt, now micros.Micros) {
-	j := a.job
-	if !j.isGang() || j.ended {
+func (l *Leader) observeGangTask(a *state.Attempt, now micros.Micros) {
+	j := a.Job
+	if !j.IsGang() || j.Ended {
 		return
 	}
-	g := &j.gang
-	if a.number > g.number {
+	g := &j.Gang
+	if a.Number > g.Number {
 		// Adopted from an earlier term, whose latest attempt has the highest number.
-		*g = gangAttempt{number: a.number}
-		for _, other := range j.attempts {
-			if other.number < a.number {
+		*g = state.GangAttempt{Number: a.Number}
+		for _, other := range j.Attempts {
+			if other.Number < a.Number {
 				l.stopTask(other, 0, "a later attempt of its gang is there")
 			}
 		}
 	}
 	switch {
-	case a.number < g.number:
+	case a.Number < g.Number:
 		l.stopTask(a, 0, "a later attempt of its gang is there")
-	case a.reportedState == wire.TaskWaitingForGang && g.waitingSince == 0:
-		g.waitingSince = now
-	case a.reportedState == wire.TaskRunning:
-		g.started = true
-	case a.reportedState == wire.TaskCheckpointing:
-		g.started = true
-		if !g.ending {
+	case a.ReportedState == wire.TaskWaitingForGang && g.WaitingSince == 0:
+		g.WaitingSince = now
+	case a.ReportedState == wire.TaskRunning:
+		g.Started = true
+	case a.ReportedState == wire.TaskCheckpointing:
+		g.Started = true
+		if !g.Ending {
 			// An earlier leader was stopping the gang: all must be told in time.
-			l.endGangAttempt(j, checkpointGrace(j), "an earlier leader stopped its gang")
+			l.endGangAttempt(j, state.CheckpointGrace(j), "an earlier leader stopped its gang")
 		}
 	}
-	if g.ending && a.stopRequestedAt == 0 {
-		l.endGangAttempt(j, checkpointGrace(j), "its gang is being stopped")
+	if g.Ending && a.StopRequestedAt == 0 {
+		l.endGangAttempt(j, state.CheckpointGrace(j), "its gang is being stopped")
 	}
 	l.endInconsistentGang(j)
 }
 
 // endInconsistentGang ends an attempt of which a report shows that it can't be complete, or is being
 // stopped.
-func (l *Leader) endInconsistentGang(j *job) {
-	g := &j.gang
+func (l *Leader) endInconsistentGang(j *state.Job) {
+	g := &j.Gang
 	reserved, leaving := false, false
-	for _, a := range j.attempts {
-		reserved = reserved || a.reserved
-		leaving = leaving || a.number == g.number && a.stopRequestedAt != 0
+	for _, a := range j.Attempts {
+		reserved = reserved || a.Reserved
+		leaving = leaving || a.Number == g.Number && a.StopRequestedAt != 0
 	}
 	switch {
-	case g.ending:
-	case g.number <= j.lastEndedAttempt || g.started && reserved:
+	case g.Ending:
+	case g.Number <= j.LastEndedAttempt || g.Started && reserved:
 		// Its exits say so, or one of its starts was never sent.
 		l.endGangAttempt(j, 0, "another task of its gang is gone")
-	case g.started && leaving:
+	case g.Started && leaving:
 		// One that was to leave while it waited runs by now: all must be told in time.
-		l.endGangAttempt(j, checkpointGrace(j), "one of its gang's machines is given up")
+		l.endGangAttempt(j, state.CheckpointGrace(j), "one of its gang's machines is given up")
 	}
 }
 
 // completeGang notes that all tasks of a gang are done, as one is: they complete together.
-func (l *Leader) completeGang(j *job) {
-	if !j.isGang() {
+func (l *Leader) completeGang(j *state.Job) {
+	if !j.IsGang() {
 		return
 	}
-	for t := range j.spec.Tasks {
-		if !j.done.has(t) {
-			j.done.set(t)
-			j.doneCount++
-			l.writes.Mark(progressKey(j.spec.ID, t/chunkTasks))
+	for t := range j.Spec.Tasks {
+		if !j.Done.Has(t) {
+			j.Done.Set(t)
+			j.DoneCount++
+			l.writes.Mark(state.ProgressKey(j.Spec.ID, t/state.ChunkTasks))
 		}
 	}
 }
 
 // observeGangExit has the other tasks stopped when one ended in a way that tells of the whole
 // attempt, whether or not it was known here.
-func (l *Leader) observeGangExit(j *job, task int, a *attempt, t *wire.TaskStatus) {
-	if !j.isGang() || j.ended || j.doneCount > 0 {
+func (l *Leader) observeGangExit(j *state.Job, task int, a *state.Attempt, t *wire.TaskStatus) {
+	if !j.IsGang() || j.Ended || j.DoneCount > 0 {
 		return
 	}
 	if t.ExitReason == wire.ExitGangTaskLost || t.ExitReason == wire.ExitGangTimeout {
-		j.lastEndedAttempt = max(j.lastEndedAttempt, t.Attempt)
+		j.LastEndedAttempt = max(j.LastEndedAttempt, t.Attempt)
 	}
-	if j.gang.ending || t.Attempt != j.gang.number || a != nil && a.stopRequestedAt != 0 {
+	if j.Gang.Ending || t.Attempt != j.Gang.Number || a != nil && a.StopRequestedAt != 0 {
 		return
 	}
 	switch t.ExitReason {
@@ -203,31 +178,31 @@
 	case wire.ExitStopped:
 		// An earlier leader's stop. Once one has saved, so have all. One that waited is
 		// replaced, and its exit may be listed again beside its replacement.
-		if j.gang.started && (a != nil || j.attempts[task] == nil) {
-			l.endGangAttempt(j, checkpointGrace(j), "an earlier leader stopped its gang")
+		if j.Gang.Started && (a != nil || j.Attempts[task] == nil) {
+			l.endGangAttempt(j, state.CheckpointGrace(j), "an earlier leader stopped its gang")
 		}
 	}
 }
 
 // observeGangTaskLost takes note that a task is no longer on its machine.
-func (l *Leader) observeGangTaskLost(a *attempt) {
-	j := a.job
-	if !j.isGang() {
+func (l *Leader) observeGangTaskLost(a *state.Attempt) {
+	j := a.Job
+	if !j.IsGang() {
 		return
 	}
-	if !j.ended && j.doneCount == 0 && a.number == j.gang.number && j.gang.started && !j.gang.ending {
+	if !j.Ended && j.DoneCount == 0 && a.Number == j.Gang.Number && j.Gang.Started && !j.Gang.Ending {
 		l.endGangAttempt(j, 0, "another task of its gang is gone")
 	}
-	if len(j.attempts) == 0 {
-		j.gang = gangAttempt{}
+	if len(j.Attempts) == 0 {
+		j.Gang = state.GangAttempt{}
 	}
 }
 
 // stopGangIfReachable has all tasks of a gang stop, with time to save. It is done only when all
 // of them can be told in time: a gang of which a part is stopped falls back to its last
 // checkpoint, so one that can't be told whole is left alone, and loses no more.
-func (l *Leader) stopGangIfReachable(j *job, grace micros.Micros, why string, now micros.Micros) bool {
-	if !j.gang.ending && !l.allTasksReachable(j, now) {
+func (l *Leader) stopGangIfReachable(j *state.Job, grace micros.Micros, why string, now micros.Micros) bool {
+	if !j.Gang.Ending && !l.allTasksReachable(j, now) {
 		return false
 	}
 	l.endGangAttempt(j, grace, why)
@@ -237,23 +212,23 @@
 // evictGangTask has a gang's task leave a machine that is given up. One that waits for the
 // others is replaced; once they run, all stop, if that saves their work. It may run unseen
 // already: then it saves, and shows that. One that waits exits at once all the same.
-func (l *Leader) evictGangTask(a *attempt, grace micros.Micros, why string, now micros.Micros) {
+func (l *Leader) evictGangTask(a *state.Attempt, grace micros.Micros, why string, now micros.Micros) {
 	switch {
-	case !a.job.gang.started && a.stopRequestedAt == 0:
+	case !a.Job.Gang.Started && a.StopRequestedAt == 0:
 		l.stopTask(a, grace, why)
-	case a.job.spec.CheckpointIntervalS > 0 && a.stopRequestedAt == 0:
-		l.stopGangIfReachable(a.job, grace, why, now)
+	case a.Job.Spec.CheckpointIntervalS > 0 && a.StopRequestedAt == 0:
+		l.stopGangIfReachable(a.Job, grace, why, now)
 	}
 }
 
 // allTasksReachable tells whether all tasks of a gang should hear a stop in time.
-func (l *Leader) allTasksReachable(j *job, now micros.Micros) bool {
+func (l *Leader) allTasksReachable(j *state.Job, now micros.Micros) bool {
 	if !l.Term.IsExclusive() {
 		return false
 	}
-	for _, a := range j.attempts {
-		m := a.machine
-		if m.instance.terminating || m.delivery.lostResponses > 0 || m.instance.address == "" || !l.policy.Decide(m.offering.Zone).Reachable ||
+	for _, a := range j.Attempts {
+		m := a.Machine
+		if m.Instance.Terminating || m.Delivery.LostResponses > 0 || m.Instance.Address == "" || !l.policy.Decide(m.Offering.Zone).Reachable ||
 			l.isHeartbeatLate(m, now) {
 			return false
 		}
@@ -263,19 +238,19 @@
 
 // carryOut ends a gang's attempt: places whose start was not sent are released, and the
 // others' machines are told at once. The next attempt begins when all are gone.
-func (l *Leader) endGangAttempt(j *job, grace micros.Micros, why string) {
-	j.gang.ending = true
-	byMachine := map[*machine][]wire.Command{}
-	for _, task := range slices.Sorted(maps.Keys(j.attempts)) {
-		if a := j.attempts[task]; a != nil && l.markStopping(a, grace, why) {
-			byMachine[a.machine] = append(byMachine[a.machine], stopCommand(a))
+func (l *Leader) endGangAttempt(j *state.Job, grace micros.Micros, why string) {
+	j.Gang.Ending = true
+	byMachine := map[*state.Machine][]wire.Command{}
+	for _, task := range slices.Sorted(maps.Keys(j.Attempts)) {
+		if a := j.Attempts[task]; a != nil && l.markStopping(a, grace, why) {
+			byMachine[a.Machine] = append(byMachine[a.Machine], stopCommand(a))
 		}
 	}
 	for m, commands := range byMachine {
 		l.sendUntilDelivered(m, commands)
 	}
-	if len(j.attempts) == 0 {
-		j.gang = gangAttempt{}
+	if len(j.Attempts) == 0 {
+		j.Gang = state.GangAttempt{}
 	}
 }
 
@@ -287,11 +262,11 @@
 
 // sendUntilDelivered sends stops straight to a worker until it answers, as long as that can be in time
 // for its gang. They also stand in the answers to its reports.
-func (l *Leader) sendUntilDelivered(m *machine, commands []wire.Command) {
-	if m.instance.address == "" {
+func (l *Leader) sendUntilDelivered(m *state.Machine, commands []wire.Command) {
+	if m.Instance.Address == "" {
 		return
 	}
-	address, body := m.instance.address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.heartbeat.incarnation, Commands: commands}
+	address, body := m.Instance.Address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.Heartbeat.Incarnation, Commands: commands}
 	until := micros.Now() + l.Settings.Params.Workers.GangLossTimeout()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), (until - micros.Now()).Duration())
@@ -316,13 +291,13 @@
 }
 
 // gangs lists the gangs that are not over, by name.
-func (l *Leader) gangs() (out []*job) {
+func (l *Leader) gangs() (out []*state.Job) {
 	for _, j := range l.jobs {
-		if j.isGang() {
+		if j.IsGang() {
 			out = append(out, j)
 		}
 	}
-	slices.SortFunc(out, func(a, b *job) int { return cmp.Compare(a.spec.ID, b.spec.ID) })
+	slices.SortFunc(out, func(a, b *state.Job) int { return cmp.Compare(a.Spec.ID, b.Spec.ID) })
 	return out
 }
 
@@ -334,30 +309,30 @@
 	}
 	unresolved := l.unknownMachinesNow()
 	for _, j := range l.gangs() {
-		if j.doneCount > 0 {
+		if j.DoneCount > 0 {
 			continue
 		}
-		if g := l.reservations[j.spec.ID]; g != nil && now >= g.expiresAt && (len(g.machines) > 0 || now >= g.retryAt) {
+		if g := l.reservations[j.Spec.ID]; g != nil && now >= g.ExpiresAt && (len(g.Machines) > 0 || now >= g.RetryAt) {
 			l.dropReservation(j)
 		}
-		if len(j.attempts) == 0 {
+		if len(j.Attempts) == 0 {
 			continue
 		}
-		for _, a := range j.attempts {
-			late := now-a.startedAt > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second && l.silence(a.machine, now) > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second
-			if a.reserved && (late || !a.machine.isSchedulable(now)) {
+		for _, a := range j.Attempts {
+			late := now-a.StartedAt > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second && l.silence(a.Machine, now) > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second
+			if a.Reserved && (late || !a.Machine.IsSchedulable(now)) {
 				l.releaseReservation(a, "its machine did not come for it")
 			}
 		}
 		switch {
-		case j.gang.ending:
+		case j.Gang.Ending:
 			// What an adopted or repeated start brought is stopped as well.
-			l.endGangAttempt(j, checkpointGrace(j), "its gang is being stopped")
-		case j.gang.started && j.waiting() > 0 && !l.mustAwaitReconciliation(j, unresolved):
+			l.endGangAttempt(j, state.CheckpointGrace(j), "its gang is being stopped")
+		case j.Gang.Started && j.WaitingTasks() > 0 && !l.mustAwaitReconciliation(j, unresolved):
 			// Its task was lost in an earlier term, or between two.
 			l.endGangAttempt(j, 0, "another task of its gang is gone")
-		case !j.gang.started && j.gang.waitingSince != 0 && now-j.gang.waitingSince > gangAssemblyLimit(l.Settings.Params.Workers.GangAssemblyTimeout()):
-			l.endGangAttempt(j, checkpointGrace(j), "its gang was not complete in time") // it may run unseen already
+		case !j.Gang.Started && j.Gang.WaitingSince != 0 && now-j.Gang.WaitingSince > gangAssemblyLimit(l.Settings.Params.Workers.GangAssemblyTimeout()):
+			l.endGangAttempt(j, state.CheckpointGrace(j), "its gang was not complete in time") // it may run unseen already
 		}
 	}
 }
@@ -368,24 +343,14 @@
 
 // nonPreemptibleGangs lists the gangs that must not be stopped for other work: until all tasks run, and
 // while not all can be told.
-func (l *Leader) nonPreemptibleGangs(now micros.Micros) map[*job]bool {
-	out := map[*job]bool{}
+func (l *Leader) nonPreemptibleGangs(now micros.Micros) map[*state.Job]bool {
+	out := map[*state.Job]bool{}
 	for _, j := range l.gangs() {
-		out[j] = !j.gang.started || j.doneCount > 0 || !l.allTasksReachable(j, now)
+		out[j] = !j.Gang.Started || j.DoneCount > 0 || !l.allTasksReachable(j, now)
 	}
 	return out
 }
 
-// gangReservation is room that is gathered for a gang that found none: on its machines only work
-// that goes before the gang may start. It ends after a time, and the gang then waits as
-// long for the next: no room is held for ever.
-type gangReservation struct {
-	waiting   *placement.Job // the gang, as of the latest queue
-	machines  []*machine
-	expiresAt micros.Micros
-	retryAt   micros.Micros // not before
-}
-
 // Bounds of what is gathered for gangs.
 const (
 	reservationHorizon = 16 * micros.Second // in what time its room must come free
@@ -398,7 +363,7 @@
 func (l *Leader) reserveRoom(now micros.Micros) {
 	q := &l.queue
 	var machines []placement.Machine
-	var ms []*machine
+	var ms []*state.Machine
 	gathered, tries := l.countReserved(), 0
 	for i, w := range q.waiting {
 		if !l.canReserve(w, now) || gathered > 0 && reservationDivisor*gathered >= len(l.sorted) {
@@ -412,7 +377,7 @@
 		}
 		for _, n := range placement.PickReservation(machines, w, q.teams[w.Team], reservationHorizon) {
 			machines[n].ReservedFor = w
-			l.reserveMachineFor(q.jobs[i].spec.ID, ms[n], now)
+			l.reserveMachineFor(q.jobs[i].Spec.ID, ms[n], now)
 			gathered++
 		}
 	}
@@ -422,7 +387,7 @@
 func (l *Leader) countReserved() int {
 	n := 0
 	for _, m := range l.sorted {
-		if m.reservation != nil {
+		if m.Reservation != nil {
 			n++
 		}
 	}
@@ -436,21 +401,21 @@
 		return false
 	}
 	g := l.reservations[w.ID]
-	return g == nil || len(g.machines) == 0 && now >= g.retryAt
+	return g == nil || len(g.Machines) == 0 && now >= g.RetryAt
 }
 
 // machinesWithCompletions lists the machines that may get tasks, with when what runs there should end.
-func (l *Leader) machinesWithCompletions(now micros.Micros) ([]placement.Machine, []*machine) {
+func (l *Leader) machinesWithCompletions(now micros.Micros) ([]placement.Machine, []*state.Machine) {
 	machines, ms := l.schedulableMachines(now, placement.Resources{})
 	for n, m := range ms {
 		p := &machines[n]
-		for _, j := range m.planned {
-			p.Free = p.Free.Add(j.need, -1)
+		for _, j := range m.Planned {
+			p.Free = p.Free.Add(j.Need, -1)
 		}
-		for _, a := range m.attempts {
-			e := placement.Completion{Remaining: micros.FromSeconds(l.remainingRuntime(a, now)), Need: a.job.need}
-			if a.stopRequestedAt != 0 {
-				e.Remaining = a.gracePeriod
+		for _, a := range m.Attempts {
+			e := placement.Completion{Remaining: micros.FromSeconds(l.remainingRuntime(a, now)), Need: a.Job.Need}
+			if a.StopRequestedAt != 0 {
+				e.Remaining = a.GracePeriod
 			}
 			p.Completions = append(p.Completions, e)
 		}
@@ -459,40 +424,40 @@
 }
 
 // reserveMachineFor adds a machine to a gang's gathering.
-func (l *Leader) reserveMachineFor(id string, m *machine, now micros.Micros) {
+func (l *Leader) reserveMachineFor(id string, m *state.Machine, now micros.Micros) {
 	j := l.jobs[id]
-	if j == nil || m.reservation != nil {
+	if j == nil || m.Reservation != nil {
 		return
 	}
 	g := l.reservations[id]
-	if g == nil || len(g.machines) == 0 {
-		g = &gangReservation{expiresAt: now + reservationHorizon + l.heartbeatInterval, retryAt: now + 2*(reservationHorizon+l.heartbeatInterval)}
+	if g == nil || len(g.Machines) == 0 {
+		g = &state.GangReservation{ExpiresAt: now + reservationHorizon + l.heartbeatInterval, RetryAt: now + 2*(reservationHorizon+l.heartbeatInterval)}
 		l.reservations[id] = g
 		for _, w := range l.queue.waiting {
 			if w.ID == id {
-				g.waiting = w
+				g.Waiting = w
 			}
 		}
 	}
-	m.reservation = g
-	g.machines = append(g.machines, m)
+	m.Reservation = g
+	g.Machines = append(g.Machines, m)
 }
 
 // dropReservation opens to all what is gathered for a gang.
-func (l *Leader) dropReservation(j *job) {
-	g := l.reservations[j.spec.ID]
+func (l *Leader) dropReservation(j *state.Job) {
+	g := l.reservations[j.Spec.ID]
 	if g == nil {
 		return
 	}
-	for _, m := range g.machines {
-		if m.reservation == g {
-			m.reservation = nil
+	for _, m := range g.Machines {
+		if m.Reservation == g {
+			m.Reservation = nil
 			l.replan = true
 		}
 	}
-	g.machines = nil
-	if j.ended || micros.Now() >= g.retryAt {
-		delete(l.reservations, j.spec.ID)
+	g.Machines = nil
+	if j.Ended || micros.Now() >= g.RetryAt {
+		delete(l.reservations, j.Spec.ID)
 	}
 }
 
@@ -510,48 +475,48 @@
 		if l.mustAwaitReconciliation(j, unresolved) || !l.Term.IsExclusive() {
 			continue
 		}
-		want := j.startableTasks(now)
-		if want == 0 || teams[j.spec.Team].Room(j.need, want) < want {
-			j.gang.shortSince = 0
+		want := j.StartableTasks(now)
+		if want == 0 || teams[j.Spec.Team].Room(j.Need, want) < want {
+			j.Gang.ShortSince = 0
 			continue
 		}
-		room := func(m *machine, t *scaledType) placement.Resources {
-			if len(j.attempts) > 0 {
-				return m.free
+		room := func(m *state.Machine, t *scaledType) placement.Resources {
+			if len(j.Attempts) > 0 {
+				return m.Free
 			}
 			return t.capacity
 		}
 		inZone, sum, most := l.gangRoom(j, want, room)
 		if sum >= want {
-			j.gang.shortSince = 0
+			j.Gang.ShortSince = 0
 			continue
 		}
-		if j.gang.shortSince == 0 {
-			j.gang.shortSince = now
+		if j.Gang.ShortSince == 0 {
+			j.Gang.ShortSince = now
 		}
-		if len(j.attempts) > 0 && now-j.gang.shortSince < launchDelayWhenShort {
+		if len(j.Attempts) > 0 && now-j.Gang.ShortSince < launchDelayWhenShort {
 			continue
 		}
-		var best offering
+		var best state.Offering
 		for _, o := range l.offeringsFor(j) {
 			if l.hasOpenIntent(o) {
-				best = offering{}
+				best = state.Offering{}
 				break // its answer comes first
 			}
 			if st := l.capacityBackoffs[o]; st != nil && now < st.until || l.policy.Decide(o.Zone).Rent < zone.AnyNumber || most(o.Zone) <= inZone[o.Zone] {
 				continue
 			}
-			if best.Type == "" || j.spec.SingleZone && inZone[o.Zone] > inZone[best.Zone] {
+			if best.Type == "" || j.Spec.SingleZone && inZone[o.Zone] > inZone[best.Zone] {
 				best = o
 			}
 		}
 		if t := l.types[best.Type]; t != nil {
 			missing := min(want-sum, most(best.Zone)-inZone[best.Zone])
-			if j.spec.SingleZone {
+			if j.Spec.SingleZone {
 				missing = want - inZone[best.Zone]
 			}
-			per := t.capacity.CountFitting(j.need, missing)
-			slog.Debug("room for a gang", "job", j.spec.ID, "tasks", want, "room", sum, "type", best.Type, "zone", best.Zone)
+			per := t.capacity.CountFitting(j.Need, missing)
+			slog.Debug("room for a gang", "job", j.Spec.ID, "tasks", want, "room", sum, "type", best.Type, "zone", best.Zone)
 			l.createIntent(best, (missing+per-1)/max(1, per))
 		}
 	}
@@ -559,11 +524,11 @@
 
 // gangRoom counts the tasks of a gang, at most want, for which its machines would have
 // room: by zone, and where they may all be; most is how many may be in a zone.
-func (l *Leader) gangRoom(j *job, want int, room func(*machine, *scaledType) placement.Resources) (inZone map[string]int, sum int, most func(string) int) {
-	s := j.spec
+func (l *Leader) gangRoom(j *state.Job, want int, room func(*state.Machine, *scaledType) placement.Resources) (inZone map[string]int, sum int, most func(string) int) {
+	s := j.Spec
 	held := map[string]int{}
-	for _, a := range j.attempts {
-		held[a.machine.offering.Zone]++
+	for _, a := range j.Attempts {
+		held[a.Machine.Offering.Zone]++
 	}
 	most = func(zone string) int {
 		switch {
@@ -577,12 +542,12 @@
 	probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
 	inZone = map[string]int{}
 	for _, m := range l.sorted {
-		t := l.types[m.offering.Type]
-		if t == nil || m.instance.terminating || m.drainReason != "" || !placement.ConstraintsAdmit(&probe, m.offering.Type, m.offering.Zone, m.offering.Spot) {
+		t := l.types[m.Offering.Type]
+		if t == nil || m.Instance.Terminating || m.DrainReason != "" || !placement.ConstraintsAdmit(&probe, m.Offering.Type, m.Offering.Zone, m.Offering.Spot) {
 			continue
 		}
-		n := room(m, t).CountFitting(j.need, most(m.offering.Zone)-inZone[m.offering.Zone])
-		inZone[m.offering.Zone] += n
+		n := room(m, t).CountFitting(j.Need, most(m.Offering.Zone)-inZone[m.Offering.Zone])
+		inZone[m.Offering.Zone] += n
 		sum += n
 	}
 	if s.SingleZone {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -29,15 +30,15 @@
 	l.applyJobChanges()
 	spec := &wire.Job{ID: "j-000002", Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
 		EstimatedRuntimeS: 60, CheckpointIntervalS: 20, CheckpointDurationS: 3, AllowSpot: true}
-	l.jobs[spec.ID] = newJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, old)
+	l.jobs[spec.ID] = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, old)
 	b := l.intents["r-1"]
 	for _, id := range []string{"i-2", "i-3"} {
 		l.addMachine(id, b, l.startedAt)
 	}
 	for _, m := range l.sorted {
-		m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm = true, true, true, true
-		m.reconciliation.knowledge = knowledge(!old)
-		m.instance.address, m.heartbeat.incarnation, m.heartbeat.receivedAt, m.lease.renewedAt = m.id+":9000", 1, l.startedAt, l.startedAt
+		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
+		m.Reconciliation.Knowledge = knowledge(!old)
+		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
 	}
 	return l
 }
@@ -48,17 +49,17 @@
 func tellTasks(t *testing.T, l *Leader, machine string, tasks ...string) []string {
 	t.Helper()
 	m := l.machines[machine]
-	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token, Tasks: nil}
+	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: nil}
 	for _, s := range tasks {
 		f := strings.Fields(s)
 		number, at, _ := strings.Cut(f[0], "@")
-		for task, a := range l.jobs["j-000002"].attempts {
-			if number == "." && a.machine == m {
+		for task, a := range l.jobs["j-000002"].Attempts {
+			if number == "." && a.Machine == m {
 				number = strconv.Itoa(task)
 				break
 			}
 		}
-		x := wire.TaskStatus{TaskID: "j-000002/" + number, State: f[1], Attempt: l.jobs["j-000002"].gang.number}
+		x := wire.TaskStatus{TaskID: "j-000002/" + number, State: f[1], Attempt: l.jobs["j-000002"].Gang.Number}
 		if at != "" {
 			if _, err := fmt.Sscan(at, &x.Attempt); err != nil {
 				t.Fatal(err)
@@ -80,15 +81,15 @@
 // addUp adds a machine that is up and may get tasks.
 func addUp(l *Leader, id, zone string) {
 	m := l.addMachine(id, l.intents["r-1"], micros.Now())
-	m.offering.Zone = zone
-	m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm = true, true, true, true
-	m.instance.address, m.heartbeat.incarnation, m.heartbeat.receivedAt, m.lease.renewedAt = id+":9000", 1, micros.Now(), micros.Now()
+	m.Offering.Zone = zone
+	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
+	m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = id+":9000", 1, micros.Now(), micros.Now()
 }
 
 // taskOn is the gang's task that the leader has on a machine.
-func taskOn(l *Leader, machine string) *attempt {
-	for _, a := range l.machines[machine].attempts {
-		if a.job.spec.ID == "j-000002" {
+func taskOn(l *Leader, machine string) *state.Attempt {
+	for _, a := range l.machines[machine].Attempts {
+		if a.Job.Spec.ID == "j-000002" {
 			return a
 		}
 	}
@@ -100,7 +101,7 @@
 	t.Helper()
 	m := l.machines[machine]
 	l.replan, l.plannedAt = true, 0
-	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: m.heartbeat.incarnation, Sequence: m.heartbeat.sequence + 1, FencingToken: token, Tasks: tasks})
+	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,8 +111,8 @@
 // leave has the gang's task leave a machine, which gets no others.
 func leave(l *Leader, machine string) {
 	a := taskOn(l, machine)
-	a.machine.drainReason = "test"
-	l.evictGangTask(a, checkpointGrace(a.job), "test", micros.Now())
+	a.Machine.DrainReason = "test"
+	l.evictGangTask(a, state.CheckpointGrace(a.Job), "test", micros.Now())
 }
 
 // launchGang has the gang's tasks started on three machines, and reported with a state
@@ -127,8 +128,8 @@
 			tellTasks(t, l, id, ". "+state)
 		}
 	}
-	if len(l.jobs["j-000002"].attempts) != len(machines) {
-		t.Fatalf("%d tasks of the gang are on machines", len(l.jobs["j-000002"].attempts))
+	if len(l.jobs["j-000002"].Attempts) != len(machines) {
+		t.Fatalf("%d tasks of the gang are on machines", len(l.jobs["j-000002"].Attempts))
 	}
 }
 
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -8,6 +8,7 @@
 	"slices"
 	"strconv"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/placement"
 	"caperlatch/staffing"
@@ -20,7 +21,7 @@
 
 // gangPool is the room that is held free for gangs on machines of one type.
 type gangPool struct {
-	kind          poolKind
+	kind          state.PoolKind
 	window        *staffing.DemandWindow // machines' worth of gangs that came in
 	service       staffing.ServiceTime
 	batches       staffing.BatchSizes
@@ -30,16 +31,6 @@
 	heldUntil     micros.Micros
 }
 
-// poolKind tells which machines a reserve consists of.
-type poolKind struct {
-	Type     string
-	OnDemand bool // no spot machines
-}
-
-func (k poolKind) admits(o offering) bool {
-	return o.Type == k.Type && !(k.OnDemand && o.Spot)
-}
-
 // poolDivisor is the part of the fleet that reserves may take at most.
 const poolDivisor = 8
 
@@ -50,16 +41,16 @@
 // poolFor is the reserve that serves a gang: machines of the cheapest type that takes
 // it whole. It is nil for a gang that no single machine may take, and for one that is
 // bound to types or a zone, which most of a reserve could not serve.
-func (l *Leader) poolFor(j *job) *gangPool {
-	s := j.spec
-	if !j.isGang() || s.SpreadZones || s.Zone != "" || len(s.InstanceTypes) > 0 {
+func (l *Leader) poolFor(j *state.Job) *gangPool {
+	s := j.Spec
+	if !j.IsGang() || s.SpreadZones || s.Zone != "" || len(s.InstanceTypes) > 0 {
 		return nil
 	}
 	for _, o := range l.offeringsFor(j) {
-		if l.types[o.Type].capacity.CountFitting(j.need, s.Tasks) < s.Tasks {
+		if l.types[o.Type].capacity.CountFitting(j.Need, s.Tasks) < s.Tasks {
 			continue
 		}
-		kind := poolKind{Type: o.Type, OnDemand: !s.AllowSpot}
+		kind := state.PoolKind{Type: o.Type, OnDemand: !s.AllowSpot}
 		r := l.pools[kind]
 		if r == nil {
 			r = &gangPool{kind: kind, window: staffing.NewDemandWindow(l.Tuning.Window)}
@@ -72,19 +63,19 @@
 
 // addPoolDemand counts a gang that came in. Its size is the part of a machine that it
 // keeps from other gangs of its size: 12 of 16 GuaranteedCPUs are a whole one, 6 are half of one.
-func (l *Leader) addPoolDemand(j *job, now micros.Micros) {
+func (l *Leader) addPoolDemand(j *state.Job, now micros.Micros) {
 	r := l.poolFor(j)
 	if r == nil {
 		return
 	}
 	t := l.types[r.kind.Type]
-	perMachine := t.capacity.CountFitting(j.need, 1<<20) / j.spec.Tasks
+	perMachine := t.capacity.CountFitting(j.Need, 1<<20) / j.Spec.Tasks
 	size := 1 / float64(max(1, perMachine))
-	fetch := j.spec.ImageSizeGB / math.Max(t.ImagePullGBPerS, 0.01)
-	r.service.Estimate(size, l.expectedRuntime(j.spec)+fetch)
+	fetch := j.Spec.ImageSizeGB / math.Max(t.ImagePullGBPerS, 0.01)
+	r.service.Estimate(size, l.expectedRuntime(j.Spec)+fetch)
 	r.batches.Add(size, 1, false)
 	r.readyMachines = max(r.readyMachines, l.readyMachinesFor(j, fetch))
-	if j.mayHaveEarlierTasks {
+	if j.MayHaveEarlierTasks {
 		// It may hold its machine already. The rate is what keeps the mean as it is.
 		r.mean += size
 		r.window.Seed(now, r.mean*r.service.Rate(0))
@@ -95,10 +86,10 @@
 
 // readyMachinesFor is how many machines must have room for a gang, so that one of them reports
 // in time for what is expected of its class, its image fetched.
-func (l *Leader) readyMachinesFor(j *job, fetch float64) int {
+func (l *Leader) readyMachinesFor(j *state.Job, fetch float64) int {
 	standing := 1
 	for _, o := range l.Settings.Params.Objectives {
-		if o.Kind != "wait" || o.Class != j.spec.Class || o.WithinS <= 0 {
+		if o.Kind != "wait" || o.Class != j.Spec.Class || o.WithinS <= 0 {
 			continue
 		}
 		wait := o.WithinS
@@ -135,8 +126,8 @@
 // resizePools picks the reserves' machines, and books what the fleet lacks.
 func (l *Leader) resizePools(now micros.Micros) {
 	for _, m := range l.sorted {
-		if m.pool != nil && (m.instance.terminating || m.drainReason != "" || !m.instance.running) {
-			m.pool = nil
+		if m.Pool.IsSet() && (m.Instance.Terminating || m.DrainReason != "" || !m.Instance.Running) {
+			m.Pool = state.PoolKind{}
 		}
 	}
 	for _, r := range l.sortedPools() {
@@ -151,16 +142,16 @@
 }
 
 func (l *Leader) resizePool(r *gangPool, now micros.Micros) {
-	var members, others []*machine
+	var members, others []*state.Machine
 	coming := 0
 	for _, m := range l.sorted {
 		switch {
-		case !r.kind.admits(m.offering) || m.instance.terminating || m.drainReason != "":
-		case m.pool == r:
+		case !r.kind.Admits(m.Offering) || m.Instance.Terminating || m.DrainReason != "":
+		case m.Pool == r.kind:
 			members = append(members, m)
-		case !m.instance.running:
+		case !m.Instance.Running:
 			coming++
-		case m.pool == nil && m.isSchedulable(now):
+		case !m.Pool.IsSet() && m.IsSchedulable(now):
 			others = append(others, m)
 		}
 	}
@@ -185,21 +176,21 @@
 
 // addToPool takes up to count machines into a reserve, those first whose other work ends
 // soonest, if it does within some seconds. It tells how many.
-func (l *Leader) addToPool(r *gangPool, machines []*machine, count int, within float64, now micros.Micros) (joined int) {
-	clearIn := make(map[*machine]float64, len(machines))
+func (l *Leader) addToPool(r *gangPool, machines []*state.Machine, count int, within float64, now micros.Micros) (joined int) {
+	clearIn := make(map[*state.Machine]float64, len(machines))
 	for _, m := range machines {
-		for _, a := range m.attempts {
-			if !a.job.isGang() {
+		for _, a := range m.Attempts {
+			if !a.Job.IsGang() {
 				clearIn[m] = math.Max(clearIn[m], l.remainingRuntime(a, now))
 			}
 		}
 	}
-	slices.SortStableFunc(machines, func(a, b *machine) int { return cmp.Compare(clearIn[a], clearIn[b]) })
+	slices.SortStableFunc(machines, func(a, b *state.Machine) int { return cmp.Compare(clearIn[a], clearIn[b]) })
 	for _, m := range machines[:min(count, len(machines))] {
 		if clearIn[m] > within {
 			break
 		}
-		m.pool = r
+		m.Pool = r.kind
 		l.replan = true
 		joined++
 	}
@@ -210,15 +201,15 @@
 // shows nothing but gangs on it. Which machines were reserved is not stored; in a fleet that
 // arrays fill, those with room for gangs are the ones. Without it the room that an earlier
 // leader held was filled up with arrays within a report's time.
-func (l *Leader) restorePoolMembership(m *machine) {
-	for _, a := range m.attempts {
-		if !a.job.isGang() {
+func (l *Leader) restorePoolMembership(m *state.Machine) {
+	for _, a := range m.Attempts {
+		if !a.Job.IsGang() {
 			return
 		}
 	}
 	for _, r := range l.sortedPools() {
-		if m.pool == nil && r.kind.admits(m.offering) && l.poolMembers(r) < r.target {
-			m.pool = r
+		if !m.Pool.IsSet() && r.kind.Admits(m.Offering) && l.poolMembers(r) < r.target {
+			m.Pool = r.kind
 		}
 	}
 }
@@ -226,7 +217,7 @@
 // poolMembers counts the machines of a reserve.
 func (l *Leader) poolMembers(r *gangPool) (n int) {
 	for _, m := range l.sorted {
-		if m.pool == r {
+		if m.Pool == r.kind {
 			n++
 		}
 	}
@@ -234,10 +225,10 @@
 }
 
 // removeFromPool opens machines of a reserve to all work, the emptiest first.
-func (l *Leader) removeFromPool(members []*machine, count int) {
-	slices.SortStableFunc(members, func(a, b *machine) int { return cmp.Compare(len(a.attempts), len(b.attempts)) })
+func (l *Leader) removeFromPool(members []*state.Machine, count int) {
+	slices.SortStableFunc(members, func(a, b *state.Machine) int { return cmp.Compare(len(a.Attempts), len(b.Attempts)) })
 	for _, m := range members[:count] {
-		m.pool = nil
+		m.Pool = state.PoolKind{}
 		l.replan = true
 	}
 }
@@ -262,7 +253,7 @@
 	var late []*placement.Job
 	for _, w := range l.queue.waiting {
 		k := l.reservations[w.ID]
-		if w.Gang && w.AtRisk && !w.Late && (k == nil || len(k.machines) == 0) && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartBy) {
+		if w.Gang && w.AtRisk && !w.Late && (k == nil || len(k.Machines) == 0) && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartBy) {
 			late = append(late, w)
 		}
 	}
@@ -278,12 +269,12 @@
 		}
 		l.reserveMachineFor(w.ID, ms[at], now)
 		for _, s := range stops {
-			a := ms[at].attempts[taskID(s.Victim.JobID, s.Victim.Task)]
+			a := ms[at].Attempts[state.TaskID(s.Victim.JobID, s.Victim.Task)]
 			if a == nil {
 				continue
 			}
-			grace := micros.FromSeconds(a.job.spec.CheckpointDurationS)
-			if wall+grace > w.StartBy || a.runningSince == 0 || now-a.runningSince < grace {
+			grace := micros.FromSeconds(a.Job.Spec.CheckpointDurationS)
+			if wall+grace > w.StartBy || a.RunningSince == 0 || now-a.RunningSince < grace {
 				grace = 0
 			}
 			l.stopTask(a, grace, "stopped to make room for "+w.ID)
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -22,20 +23,20 @@
 		l.addMachine(fmt.Sprintf("i-%d", 10+i), l.intents["r-1"], l.startedAt)
 	}
 	for _, m := range l.sorted {
-		m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm = true, true, true, true
-		m.reconciliation.knowledge = tasksConfirmed
-		m.instance.address, m.heartbeat.incarnation, m.heartbeat.receivedAt, m.lease.renewedAt = m.id+":9000", 1, l.startedAt, l.startedAt
+		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
+		m.Reconciliation.Knowledge = state.TasksConfirmed
+		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
 	}
 	return l
 }
 
 // addJob has a job come in, or be known at a take-over.
-func addJob(l *Leader, id string, shape string, tasks int, old bool, edit func(*wire.Job)) *job {
+func addJob(l *Leader, id string, shape string, tasks int, old bool, edit func(*wire.Job)) *state.Job {
 	spec := &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: shape, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}
 	if edit != nil {
 		edit(spec)
 	}
-	j := newJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, old)
+	j := state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, old)
 	l.jobs[id] = j
 	l.addDemand(j)
 	return j
@@ -44,7 +45,7 @@
 // reserved counts the machines on which only gangs start.
 func reserved(l *Leader) (n int) {
 	for _, m := range l.sorted {
-		if m.pool != nil {
+		if m.Pool.IsSet() {
 			n++
 		}
 	}
@@ -74,8 +75,8 @@
 		{"gangs in a larger fleet", func(l *Leader) {
 			for i := range 200 {
 				m := l.addMachine(fmt.Sprintf("i-%d", 100+i), l.intents["r-1"], l.startedAt)
-				m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm, m.heartbeat.receivedAt = true, true, true, true, l.startedAt
-				m.reconciliation.knowledge = tasksConfirmed
+				m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, true, true, true, l.startedAt
+				m.Reconciliation.Knowledge = state.TasksConfirmed
 			}
 			gang(nil)(l)
 		}, 11},
@@ -110,18 +111,18 @@
 	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.plannedAt = 0
 	for _, m := range l.sorted {
-		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token}); err != nil {
+		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	gangs := 0
 	for _, m := range l.sorted {
-		for _, a := range m.attempts {
+		for _, a := range m.Attempts {
 			switch {
-			case a.job.isGang() && m.pool != nil:
+			case a.Job.IsGang() && m.Pool.IsSet():
 				gangs++
-			case !a.job.isGang() && m.pool != nil:
-				t.Errorf("a task of an array starts on %s, which is reserved", m.id)
+			case !a.Job.IsGang() && m.Pool.IsSet():
+				t.Errorf("a task of an array starts on %s, which is reserved", m.ID)
 			}
 		}
 	}
@@ -130,12 +131,12 @@
 	}
 	before := reserved(l)
 	for _, m := range l.sorted {
-		m.instance.launchedAt, m.instance.idleSince = m.instance.launchedAt-1000*micros.Second, m.instance.idleSince-1000*micros.Second
+		m.Instance.LaunchedAt, m.Instance.IdleSince = m.Instance.LaunchedAt-1000*micros.Second, m.Instance.IdleSince-1000*micros.Second
 	}
 	l.autoscale(micros.Now())
 	for _, m := range l.sorted {
-		if m.instance.terminating && m.pool != nil {
-			t.Errorf("%s is returned, and is reserved", m.id)
+		if m.Instance.Terminating && m.Pool.IsSet() {
+			t.Errorf("%s is returned, and is reserved", m.ID)
 		}
 	}
 	if reserved(l) != before {
@@ -159,9 +160,9 @@
 	addJob(l, "j-000101", wire.KindGang, 2, true, nil)
 	array := addJob(l, "j-000200", wire.KindArray, 1000, true, nil)
 	l.stepPools(micros.Now())
-	running := func(j *job, tasks ...int) (out []wire.TaskStatus) {
+	running := func(j *state.Job, tasks ...int) (out []wire.TaskStatus) {
 		for _, n := range tasks {
-			out = append(out, wire.TaskStatus{TaskID: taskID(j.spec.ID, n), Attempt: 5, State: wire.TaskRunning})
+			out = append(out, wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, n), Attempt: 5, State: wire.TaskRunning})
 		}
 		return out
 	}
@@ -179,9 +180,9 @@
 		{"beyond an eighth of the fleet", "i-15", nil, false},
 	} {
 		m := l.machines[c.machine]
-		m.reconciliation.knowledge = tasksUnknown
-		l.reconcile(m, &wire.Heartbeat{MachineID: m.id, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
-		if got := m.pool != nil; got != c.reserved {
+		m.Reconciliation.Knowledge = state.TasksUnknown
+		l.reconcile(m, &wire.Heartbeat{MachineID: m.ID, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
+		if got := m.Pool.IsSet(); got != c.reserved {
 			t.Errorf("%s: reserved: %t, want %t", c.name, got, c.reserved)
 		}
 	}
@@ -208,7 +209,7 @@
 			{Name: "m8", CPUs: 8, MemoryGB: 32, ImagePullGBPerS: 1, OnDemandPrice: 3, SpotPrice: 3, Zones: []string{"a"}}}})
 		array := addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 		for n := range c.held {
-			l.assign(&attempt{job: array, index: n, number: 1, machine: l.sorted[n/4]})
+			l.assign(&state.Attempt{Job: array, Index: n, Number: 1, Machine: l.sorted[n/4]})
 		}
 		l.types["m4"].mean, l.types["m8"].mean = c.small, c.wide
 		l.raiseMeans()
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -16,20 +17,20 @@
 func TestGangStop(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		edit  func(l *Leader, m *machine)
+		edit  func(l *Leader, m *state.Machine)
 		stops int
 	}{
-		{"all can be told", func(*Leader, *machine) {}, 3},
-		{"one is silent", func(l *Leader, m *machine) {
-			m.heartbeat.receivedAt = micros.Now() - 10*micros.Second
-			l.startedAt = m.heartbeat.receivedAt
+		{"all can be told", func(*Leader, *state.Machine) {}, 3},
+		{"one is silent", func(l *Leader, m *state.Machine) {
+			m.Heartbeat.ReceivedAt = micros.Now() - 10*micros.Second
+			l.startedAt = m.Heartbeat.ReceivedAt
 		}, 0},
-		{"one hears nothing", func(_ *Leader, m *machine) { m.delivery.lostResponses = 1 }, 0},
-		{"one is being returned", func(_ *Leader, m *machine) { m.instance.terminating = true }, 0},
-		{"one is in a zone that is cut off", func(l *Leader, _ *machine) {
+		{"one hears nothing", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
+		{"one is being returned", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
+		{"one is in a zone that is cut off", func(l *Leader, _ *state.Machine) {
 			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Up: 4, Silent: 3}}})
 		}, 0},
-		{"its leader is in doubt", func(l *Leader, _ *machine) { l.Term.(*fakeTerm).sure = false }, 0},
+		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).sure = false }, 0},
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
@@ -40,10 +41,10 @@
 			tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". running")
 		}
 		c.edit(l, l.machines["i-2"])
-		stopped := l.stopGangIfReachable(j, checkpointGrace(j), "test", micros.Now())
+		stopped := l.stopGangIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
 		n := 0
-		for _, a := range j.attempts {
-			if a.stopRequestedAt != 0 && a.gracePeriod >= 3*micros.Second {
+		for _, a := range j.Attempts {
+			if a.StopRequestedAt != 0 && a.GracePeriod >= 3*micros.Second {
 				n++
 			}
 		}
@@ -76,7 +77,7 @@
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
-		j.spec.CheckpointIntervalS = c.saveEvery
+		j.Spec.CheckpointIntervalS = c.saveEvery
 		tellTasks(t, l, "i-1")
 		for i := 1; i < len(c.states); i++ {
 			tellTasks(t, l, fmt.Sprintf("i-%d", i+1))
@@ -86,15 +87,15 @@
 				tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". "+state)
 			}
 		}
-		l.machines["i-2"].heartbeat.interruptionAt = micros.Now() + micros.Second
+		l.machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
 		l.drainOnInterruption(l.machines["i-2"], micros.Now())
 		stops := 0
-		for _, a := range j.attempts {
-			if a.stopRequestedAt != 0 {
+		for _, a := range j.Attempts {
+			if a.StopRequestedAt != 0 {
 				stops++
 			}
-			if a.stopRequestedAt != 0 && a.gracePeriod < 3*micros.Second {
-				t.Errorf("%s: task %d has %v to save", c.name, a.index, a.gracePeriod.Duration())
+			if a.StopRequestedAt != 0 && a.GracePeriod < 3*micros.Second {
+				t.Errorf("%s: task %d has %v to save", c.name, a.Index, a.GracePeriod.Duration())
 			}
 		}
 		if stops != c.stops {
@@ -112,14 +113,14 @@
 	}{
 		{"nothing", func(*testing.T, *Leader) {}, 3 * micros.Second},
 		{"it is stopped again for other work", func(_ *testing.T, l *Leader) {
-			l.stopGangIfReachable(l.jobs["j-000002"], checkpointGrace(l.jobs["j-000002"]), "test", micros.Now())
+			l.stopGangIfReachable(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test", micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is taken after a short notice", func(_ *testing.T, l *Leader) {
-			l.machines["i-2"].heartbeat.interruptionAt = micros.Now() + micros.Second
+			l.machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
 			l.drainOnInterruption(l.machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is found faulty", func(_ *testing.T, l *Leader) {
-			l.machines["i-2"].quarantine.failures = quarantineFailures
+			l.machines["i-2"].Quarantine.Failures = quarantineFailures
 			l.evaluateMachine(l.machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
 		{"one has saved", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended stopped") }, 3 * micros.Second},
@@ -140,18 +141,18 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskRunning)
 		j := l.jobs["j-000002"]
-		if !l.stopGangIfReachable(j, checkpointGrace(j), "test", micros.Now()) {
+		if !l.stopGangIfReachable(j, state.CheckpointGrace(j), "test", micros.Now()) {
 			t.Fatalf("%s: it can't be stopped", c.name)
 		}
 		c.event(t, l)
 		l.checkGangs(micros.Now())
-		for _, a := range j.attempts {
-			if a.stopRequestedAt == 0 || a.gracePeriod < c.least || c.least == 0 && a.gracePeriod != 0 {
-				t.Errorf("%s: task %d has %v to save, want %v", c.name, a.index, a.gracePeriod.Duration(), c.least.Duration())
+		for _, a := range j.Attempts {
+			if a.StopRequestedAt == 0 || a.GracePeriod < c.least || c.least == 0 && a.GracePeriod != 0 {
+				t.Errorf("%s: task %d has %v to save, want %v", c.name, a.Index, a.GracePeriod.Duration(), c.least.Duration())
 			}
 		}
-		if c.least > 0 && (j.gang.number == 0 || !j.gang.ending) {
-			t.Errorf("%s: attempt %d is not ending", c.name, j.gang.number)
+		if c.least > 0 && (j.Gang.Number == 0 || !j.Gang.Ending) {
+			t.Errorf("%s: attempt %d is not ending", c.name, j.Gang.Number)
 		}
 	}
 }
@@ -186,7 +187,7 @@
 		}, 2},
 		{"it saves", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.endGangAttempt(l.jobs["j-000002"], checkpointGrace(l.jobs["j-000002"]), "test")
+			l.endGangAttempt(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test")
 			tellTasks(t, l, "i-1", ". flushing")
 		}, 3},
 		{"one of it is gone, and it ends", func(t *testing.T, l *Leader) {
@@ -210,34 +211,34 @@
 		l := newGangTest(t, false)
 		c.before(t, l)
 		j := l.jobs["j-000002"]
-		l.Replica.ApplyPut(replica.JobPrefix+j.spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.spec}, 9)
+		l.Replica.ApplyPut(replica.JobPrefix+j.Spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.Spec}, 9)
 		l.applyJobChanges()
 		told := 0
 		for _, m := range slices.Clone(l.sorted) {
-			a := taskOn(l, m.id)
+			a := taskOn(l, m.ID)
 			if a == nil {
-				if got := tellPlain(t, l, m.id); len(got) > 0 {
-					t.Errorf("%s: %s is told %v", c.name, m.id, got)
+				if got := tellPlain(t, l, m.ID); len(got) > 0 {
+					t.Errorf("%s: %s is told %v", c.name, m.ID, got)
 				}
 				continue
 			}
 			told++
-			if a.stopRequestedAt == 0 || a.gracePeriod != 0 || a.reserved {
-				t.Errorf("%s: task %d is told nothing, or has %v", c.name, a.index, a.gracePeriod.Duration())
+			if a.StopRequestedAt == 0 || a.GracePeriod != 0 || a.Reserved {
+				t.Errorf("%s: task %d is told nothing, or has %v", c.name, a.Index, a.GracePeriod.Duration())
 			}
-			task := wire.TaskStatus{TaskID: taskID(j.spec.ID, a.index), Attempt: a.number}
+			task := wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, a.Index), Attempt: a.Number}
 			for _, task.State = range []string{wire.TaskPullingImage, wire.TaskWaitingForGang, wire.TaskRunning, wire.TaskCheckpointing} {
-				if got := tellPlain(t, l, m.id, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
-					t.Errorf("%s: %s is told %v while its task is %s", c.name, m.id, got, task.State)
+				if got := tellPlain(t, l, m.ID, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
+					t.Errorf("%s: %s is told %v while its task is %s", c.name, m.ID, got, task.State)
 				}
 			}
 			task.State, task.ExitReason = wire.TaskExited, wire.ExitStopped
-			if got := tellPlain(t, l, m.id, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
-				t.Errorf("%s: %s is told %v when its task has ended", c.name, m.id, got)
+			if got := tellPlain(t, l, m.ID, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
+				t.Errorf("%s: %s is told %v when its task has ended", c.name, m.ID, got)
 			}
 		}
-		if told != c.stops || len(j.attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
-			t.Errorf("%s: %d are told, want %d; %d are left, %+v used", c.name, told, c.stops, len(j.attempts), l.teamUsage["blue"])
+		if told != c.stops || len(j.Attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
+			t.Errorf("%s: %d are told, want %d; %d are left, %+v used", c.name, told, c.stops, len(j.Attempts), l.teamUsage["blue"])
 		}
 	}
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -105,16 +106,16 @@
 				t.Fatalf("%s: step %d: told %v, want %v", c.name, i, got, s.want)
 			}
 		}
-		n := j.gang.number
+		n := j.Gang.Number
 		if n > token<<32 {
 			n -= token << 32
 		}
-		if _, final := l.finalJobs[j.spec.ID]; n != c.n || (j.doneCount == 3) != c.done || final != c.done {
-			t.Errorf("%s: attempt %d, %d done", c.name, n, j.doneCount)
+		if _, final := l.finalJobs[j.Spec.ID]; n != c.n || (j.DoneCount == 3) != c.done || final != c.done {
+			t.Errorf("%s: attempt %d, %d done", c.name, n, j.DoneCount)
 		}
 		for name, m := range l.machines {
-			if m.quarantine.failures > 0 || len(m.quarantine.suspectJobs) > 0 && !strings.Contains(c.name, "failed") {
-				t.Errorf("%s: %s is at fault: %d, %v", c.name, name, m.quarantine.failures, m.quarantine.suspectJobs)
+			if m.Quarantine.Failures > 0 || len(m.Quarantine.SuspectJobs) > 0 && !strings.Contains(c.name, "failed") {
+				t.Errorf("%s: %s is at fault: %d, %v", c.name, name, m.Quarantine.Failures, m.Quarantine.SuspectJobs)
 			}
 		}
 	}
@@ -126,35 +127,35 @@
 	l := newGangTest(t, false)
 	tellTasks(t, l, "i-1")
 	j := l.jobs["j-000002"]
-	if len(j.attempts) != 3 || l.teamUsage["blue"].CPU != 9000 {
-		t.Fatalf("%d places, %+v used", len(j.attempts), l.teamUsage["blue"])
+	if len(j.Attempts) != 3 || l.teamUsage["blue"].CPU != 9000 {
+		t.Fatalf("%d places, %+v used", len(j.Attempts), l.teamUsage["blue"])
 	}
 	for _, m := range l.sorted {
-		if m.free.CPU != 1000 {
-			t.Errorf("%s has %d free", m.id, m.free.CPU)
+		if m.Free.CPU != 1000 {
+			t.Errorf("%s has %d free", m.ID, m.Free.CPU)
 		}
 	}
 	// A machine that does not come for its start in time is passed over.
 	late := l.startedAt - 10*micros.Second
-	l.startedAt, l.machines["i-3"].heartbeat.receivedAt = late, late
-	for _, a := range j.attempts {
-		a.startedAt = late
+	l.startedAt, l.machines["i-3"].Heartbeat.ReceivedAt = late, late
+	for _, a := range j.Attempts {
+		a.StartedAt = late
 	}
 	l.checkGangs(micros.Now())
-	if j.waiting() != 1 || j.gang.number != token<<32|1 {
-		t.Errorf("%d wait for another place, attempt %d", j.waiting(), j.gang.number)
+	if j.WaitingTasks() != 1 || j.Gang.Number != token<<32|1 {
+		t.Errorf("%d wait for another place, attempt %d", j.WaitingTasks(), j.Gang.Number)
 	}
 	// It waits too long: all is given back.
-	j.gang.waitingSince = micros.Now() - 15*micros.Second
+	j.Gang.WaitingSince = micros.Now() - 15*micros.Second
 	l.checkGangs(micros.Now())
 	n := 0
-	for _, a := range j.attempts {
-		if a.stopRequestedAt != 0 && !a.reserved && a.gracePeriod >= checkpointGrace(j) { // it may run unseen
+	for _, a := range j.Attempts {
+		if a.StopRequestedAt != 0 && !a.Reserved && a.GracePeriod >= state.CheckpointGrace(j) { // it may run unseen
 			n++
 		}
 	}
-	if n != len(j.attempts) || n != 1 || l.teamUsage["blue"].CPU != 3000 {
-		t.Errorf("%d of %d tasks are stopped, %+v used", n, len(j.attempts), l.teamUsage["blue"])
+	if n != len(j.Attempts) || n != 1 || l.teamUsage["blue"].CPU != 3000 {
+		t.Errorf("%d of %d tasks are stopped, %+v used", n, len(j.Attempts), l.teamUsage["blue"])
 	}
 }
 
@@ -165,16 +166,16 @@
 	l := newGangTest(t, false)
 	l.startedAt -= 100 * s
 	now := micros.Now()
-	small := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
+	small := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
 	for _, m := range l.sorted {
 		for range 4 {
-			task, _ := small.takeWaitingTask()
-			l.assign(&attempt{job: small, index: task, number: 1, machine: m, startSequence: 1, startedAt: now, runningSince: now, reportedState: wire.TaskRunning})
+			task, _ := small.TakeWaitingTask()
+			l.assign(&state.Attempt{Job: small, Index: task, Number: 1, Machine: m, StartSequence: 1, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
 		}
 	}
 	gathered := func() (n int) {
 		for _, m := range l.sorted {
-			if m.reservation != nil {
+			if m.Reservation != nil {
 				n++
 			}
 		}
@@ -185,16 +186,16 @@
 		t.Fatalf("%d machines are gathered", gathered())
 	}
 	m := l.machines["i-1"]
-	for _, a := range m.attempts {
+	for _, a := range m.Attempts {
 		l.release(a, "")
 		break
 	}
-	l.jobs[small.spec.ID] = small
-	if small.spec.Priority = "normal"; len(tellTasks(t, l, "i-1")) != 0 {
+	l.jobs[small.Spec.ID] = small
+	if small.Spec.Priority = "normal"; len(tellTasks(t, l, "i-1")) != 0 {
 		t.Error("the room that is gathered went to another")
 	}
 	g := l.reservations["j-000002"]
-	g.expiresAt = micros.Now()
+	g.ExpiresAt = micros.Now()
 	l.checkGangs(micros.Now())
 	if gathered() != 0 {
 		t.Error("it is gathered for ever")
@@ -208,7 +209,7 @@
 // from the queue of the last plan, which must not start what has been ended meanwhile.
 func TestGangOldQueue(t *testing.T) {
 	cancel := func(l *Leader) {
-		spec := l.jobs["j-000002"].spec
+		spec := l.jobs["j-000002"].Spec
 		l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 3)
 	}
 	cases := []struct {
@@ -239,7 +240,7 @@
 		{"all of its attempt are gone, of which one waited for a place", 1, func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-1")
 			for _, id := range []string{"i-2", "i-3"} {
-				l.machines[id].startBackoffUntil = micros.Now() + micros.Second
+				l.machines[id].StartBackoffUntil = micros.Now() + micros.Second
 			}
 			tellTasks(t, l, "i-1", "0 waiting", "1 waiting", "2 ended no_room")
 		}, func(l *Leader) { l.releaseAll(l.machines["i-1"], "test") }, "i-2", nil, nil},
@@ -247,17 +248,17 @@
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
-		j.spec.CPUs, j.need.CPU = c.cpus, int64(1000*c.cpus)
+		j.Spec.CPUs, j.Need.CPU = c.cpus, int64(1000*c.cpus)
 		if c.before != nil {
 			c.before(t, l)
 		}
 		later := micros.Now() + micros.Second
 		for _, m := range l.sorted {
-			m.startBackoffUntil = later
+			m.StartBackoffUntil = later
 		}
 		l.plan(micros.Now())
 		for _, m := range l.sorted {
-			m.startBackoffUntil = 0
+			m.StartBackoffUntil = 0
 		}
 		c.between(l)
 		l.planDuration = micros.Now() // no other plan for long
@@ -366,39 +367,39 @@
 // TestGangSurelyGone has the machine of a task that is about to run fall silent and more.
 // The task may be started elsewhere, under the same number, only when it is surely gone.
 func TestGangSurelyGone(t *testing.T) {
-	say := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *machine) {
-		return func(_ *testing.T, l *Leader, m *machine) {
-			r := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token}
+	say := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *state.Machine) {
+		return func(_ *testing.T, l *Leader, m *state.Machine) {
+			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}
 			edit(r)
-			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.heartbeat.sequence {
+			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.Heartbeat.Sequence {
 				t.Error(err)
 			}
 		}
 	}
-	shows := func(tasks ...string) func(t *testing.T, l *Leader, m *machine) {
-		return func(t *testing.T, l *Leader, m *machine) { tellTasks(t, l, m.id, tasks...) }
+	shows := func(tasks ...string) func(t *testing.T, l *Leader, m *state.Machine) {
+		return func(t *testing.T, l *Leader, m *state.Machine) { tellTasks(t, l, m.ID, tasks...) }
 	}
-	silent := func(seconds micros.Micros) func(t *testing.T, l *Leader, m *machine) {
-		return func(_ *testing.T, l *Leader, m *machine) {
-			m.lease.renewedAt = micros.Now() - seconds*micros.Second
-			m.heartbeat.receivedAt = m.lease.renewedAt
+	silent := func(seconds micros.Micros) func(t *testing.T, l *Leader, m *state.Machine) {
+		return func(_ *testing.T, l *Leader, m *state.Machine) {
+			m.Lease.RenewedAt = micros.Now() - seconds*micros.Second
+			m.Heartbeat.ReceivedAt = m.Lease.RenewedAt
 			l.checkMachines(micros.Now())
 		}
 	}
 	cases := []struct {
 		name  string
-		event func(t *testing.T, l *Leader, m *machine)
+		event func(t *testing.T, l *Leader, m *state.Machine)
 		gone  bool
 	}{
 		{"it is silent for a while", silent(10), false},
 		{"it is silent for its lease", silent(16), false},
 		{"its lease is surely over", silent(18), true},
-		{"it is to be returned", func(_ *testing.T, l *Leader, m *machine) { l.terminate(m, "test") }, false},
-		{"the cloud has answered that it is returned", func(_ *testing.T, l *Leader, m *machine) { l.removeMachine(m) }, true},
-		{"the cloud's list calls it failed", func(_ *testing.T, l *Leader, m *machine) {
-			l.reconcileInstances([]wire.InstanceStatus{{ID: m.id, State: wire.InstanceFailed}}, micros.Second)
+		{"it is to be returned", func(_ *testing.T, l *Leader, m *state.Machine) { l.terminate(m, "test") }, false},
+		{"the cloud has answered that it is returned", func(_ *testing.T, l *Leader, m *state.Machine) { l.removeMachine(m) }, true},
+		{"the cloud's list calls it failed", func(_ *testing.T, l *Leader, m *state.Machine) {
+			l.reconcileInstances([]wire.InstanceStatus{{ID: m.ID, State: wire.InstanceFailed}}, micros.Second)
 		}, false},
-		{"the cloud's lists lack it", func(_ *testing.T, l *Leader, _ *machine) {
+		{"the cloud's lists lack it", func(_ *testing.T, l *Leader, _ *state.Machine) {
 			for range 3 {
 				l.reconcileInstances(nil, micros.Second)
 			}
@@ -419,18 +420,18 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskWaitingForGang)
 		j, m := l.jobs["j-000002"], l.machines["i-2"]
-		n, a := j.gang.number, taskOn(l, "i-2")
+		n, a := j.Gang.Number, taskOn(l, "i-2")
 		c.event(t, l, m)
-		if held := m.attempts[taskID(j.spec.ID, a.index)] == a; held == c.gone {
+		if held := m.Attempts[state.TaskID(j.Spec.ID, a.Index)] == a; held == c.gone {
 			t.Errorf("%s: its task counts as being there: %t", c.name, held)
 		}
-		m.startBackoffUntil, l.replan, l.plannedAt = micros.Now()+100*micros.Second, true, 0
-		if b := j.attempts[a.index]; b != a && b != nil && b.machine == m {
+		m.StartBackoffUntil, l.replan, l.plannedAt = micros.Now()+100*micros.Second, true, 0
+		if b := j.Attempts[a.Index]; b != a && b != nil && b.Machine == m {
 			continue // it is started on the same machine again
 		}
 		addUp(l, "i-4", "a")
-		if got := verbsOf(tellTasks(t, l, "i-4")); slices.Contains(got, "start") != c.gone || j.gang.number != n {
-			t.Errorf("%s: another machine is told %v, attempt %d after %d", c.name, got, j.gang.number, n)
+		if got := verbsOf(tellTasks(t, l, "i-4")); slices.Contains(got, "start") != c.gone || j.Gang.Number != n {
+			t.Errorf("%s: another machine is told %v, attempt %d after %d", c.name, got, j.Gang.Number, n)
 		}
 	}
 }
@@ -461,9 +462,9 @@
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
-		j.spec.SingleZone = true
+		j.Spec.SingleZone = true
 		launchGang(t, l, c.state)
-		n := j.gang.number
+		n := j.Gang.Number
 		ends(l)
 		for i, zone := range []string{"b", "b", "b", "a"} {
 			addUp(l, fmt.Sprintf("i-%d", i+4), zone)
@@ -471,18 +472,18 @@
 		c.event(t, l)
 		for _, id := range []string{"i-1", "i-3"} {
 			if m := l.machines[id]; m != nil {
-				m.startBackoffUntil = micros.Now() + 100*micros.Second // the others alone may take tasks
+				m.StartBackoffUntil = micros.Now() + 100*micros.Second // the others alone may take tasks
 			}
 		}
 		starts, zones := 0, map[string]bool{}
 		for _, id := range []string{"i-4", "i-5", "i-6", "i-7"} {
 			if slices.Contains(verbsOf(tellTasks(t, l, id)), "start") {
 				starts++
-				zones[l.machines[id].offering.Zone] = true
+				zones[l.machines[id].Offering.Zone] = true
 			}
 		}
-		if starts != c.starts || len(zones) > 1 || (j.gang.number == n) != c.same || zones["b"] && c.same {
-			t.Errorf("%s: %d starts in zones %v, attempt %d after %d", c.name, starts, zones, j.gang.number, n)
+		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == n) != c.same || zones["b"] && c.same {
+			t.Errorf("%s: %d starts in zones %v, attempt %d after %d", c.name, starts, zones, j.Gang.Number, n)
 		}
 	}
 }
@@ -520,7 +521,7 @@
 		l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 9}
 		c.before(t, l)
 		small := &wire.Job{ID: "j-000003", Team: "blue", Kind: wire.KindArray, Priority: "prod", Tasks: 4, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true}
-		l.jobs[small.ID] = newJob(replica.Job{Spec: small, SubmittedAt: micros.Wall()}, false)
+		l.jobs[small.ID] = state.NewJob(replica.Job{Spec: small, SubmittedAt: micros.Wall()}, false)
 		addUp(l, "i-4", "a")
 		got := tellPlain(t, l, "i-4")
 		if (len(got) > 0) != c.room || l.teamUsage["blue"].CPU > 9000 {
@@ -548,7 +549,7 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskPullingImage)
 		a := taskOn(l, "i-2")
-		l.machines["i-2"].startBackoffUntil = micros.Now() + 100*micros.Second
+		l.machines["i-2"].StartBackoffUntil = micros.Now() + 100*micros.Second
 		for range 3 {
 			tellTasks(t, l, "i-2", c.tasks...)
 		}
@@ -558,7 +559,7 @@
 				lines += x.count
 			}
 		}
-		if there := l.machines["i-2"].attempts[taskID("j-000002", a.index)] == a; lines != c.lines || there != c.there {
+		if there := l.machines["i-2"].Attempts[state.TaskID("j-000002", a.Index)] == a; lines != c.lines || there != c.there {
 			t.Errorf("%s: %d lines, its task counts as being there: %t", c.name, lines, there)
 		}
 	}
@@ -570,11 +571,11 @@
 	for shape, numbers := range map[string]int{wire.KindGang: 1, wire.KindArray: 3, wire.KindService: 3} {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
-		j.spec.Kind = shape
+		j.Spec.Kind = shape
 		launchGang(t, l, "")
 		seen := map[uint64]bool{}
-		for _, a := range j.attempts {
-			seen[a.number] = true
+		for _, a := range j.Attempts {
+			seen[a.Number] = true
 		}
 		if len(seen) != numbers {
 			t.Errorf("%s: numbers %v", shape, seen)
@@ -593,15 +594,15 @@
 		tellTasks(t, l, machine)
 	}
 	j := l.jobs["j-000002"]
-	var a *attempt
-	for _, x := range j.attempts {
-		if x.machine.id == "i-2" {
+	var a *state.Attempt
+	for _, x := range j.Attempts {
+		if x.Machine.ID == "i-2" {
 			a = x
 		}
 	}
-	m, n := l.machines["i-2"], j.gang.number
-	name := taskID(j.spec.ID, a.index)
-	ended := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token,
+	m, n := l.machines["i-2"], j.Gang.Number
+	name := state.TaskID(j.Spec.ID, a.Index)
+	ended := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token,
 		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.plannedAt = 0
 	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
@@ -609,20 +610,20 @@
 	}
 	waiting := *ended
 	waiting.Sequence, waiting.Tasks = ended.Sequence+1, []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskWaitingForGang}}
-	if _, err := l.HandleHeartbeat(&waiting); err != nil || j.gang.number != n {
-		t.Fatalf("attempt %d (%v), want %d", j.gang.number, err, n)
+	if _, err := l.HandleHeartbeat(&waiting); err != nil || j.Gang.Number != n {
+		t.Fatalf("attempt %d (%v), want %d", j.Gang.Number, err, n)
 	}
 	if _, err := l.HandleHeartbeat(ended); err == nil {
 		t.Error("a late copy was answered")
 	}
 	l.addMachine("i-4", l.intents["r-1"], l.startedAt)
 	free := l.machines["i-4"]
-	free.instance.running, free.instance.intentStored, free.instance.listStored, free.heartbeat.ofThisTerm, free.heartbeat.incarnation = true, true, true, true, 1
-	free.heartbeat.receivedAt, free.lease.renewedAt = micros.Now(), micros.Now()
+	free.Instance.Running, free.Instance.IntentStored, free.Instance.ListStored, free.Heartbeat.OfThisTerm, free.Heartbeat.Incarnation = true, true, true, true, 1
+	free.Heartbeat.ReceivedAt, free.Lease.RenewedAt = micros.Now(), micros.Now()
 	if told := tellTasks(t, l, "i-4"); len(told) > 0 {
 		t.Errorf("another machine is told %v", told)
 	}
-	if x := j.attempts[a.index]; x == nil || x.machine != m {
-		t.Errorf("the task is not counted on %s any more", m.id)
+	if x := j.Attempts[a.Index]; x == nil || x.Machine != m {
+		t.Errorf("the task is not counted on %s any more", m.ID)
 	}
 }
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -5,6 +5,7 @@
 
 	"caperlatch/internal/explain"
 	"caperlatch/internal/golden"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/wire"
 )
 
@@ -12,7 +13,7 @@
 var encodedTypes = []golden.Type{
 	golden.Of[launchIntent]("a booking"),
 	golden.Of[machineList]("a list of machines that are up"),
-	golden.Of[taskProgress]("the progress of a job"),
+	golden.Of[state.TaskProgress]("the progress of a job"),
 	golden.Of[autoscalerRecord]("the staffing"),
 	golden.Of[typeRecord]("the staffing of a type"),
 	golden.Of[explain.TaskStop]("a stop in an explanation"),
@@ -31,7 +32,7 @@
 // TestKeys has the keys that the leader makes be what they were.
 func TestKeys(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
-		{Name: "a task", Text: taskID("j-000412", 3)},
-		{Name: "progress of a job", Text: progressKey("j-000412", 2)},
+		{Name: "a task", Text: state.TaskID("j-000412", 3)},
+		{Name: "progress of a job", Text: state.ProgressKey("j-000412", 2)},
 	})
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -17,6 +17,7 @@
 	"caperlatch/internal/election"
 	"caperlatch/internal/explain"
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -99,8 +100,8 @@
 
 // jobState is what is known of jobs and their tasks.
 type jobState struct {
-	jobs          map[string]*job
-	cancelledJobs map[string]*job                // cancelled before this term, with tasks still on machines
+	jobs          map[string]*state.Job
+	cancelledJobs map[string]*state.Job          // cancelled before this term, with tasks still on machines
 	teamUsage     map[string]placement.Resources // by what is on machines, a team
 	unknownUsage  placement.Resources            // what machines with unknown tasks may hold, as of the last plan
 	images        map[string]int                 // the numbers that stand for images
@@ -112,15 +113,15 @@
 
 // fleetState is what is known of machines and rentals.
 type fleetState struct {
-	machines         map[string]*machine
-	sorted           []*machine // by name
+	machines         map[string]*state.Machine
+	sorted           []*state.Machine // by name
 	intents          map[string]*launchIntent
 	intentSequence   uint64
 	machineLists     []*machineList
 	unexplained      map[string]micros.Micros // listed machines that no booking explains, since when
 	terminated       map[string]bool          // machines that the cloud took back from us
 	terminationQueue []string                 // machines to be returned
-	capacityBackoffs map[offering]*capacityBackoff
+	capacityBackoffs map[state.Offering]*capacityBackoff
 	unknownMachines  int // machines whose tasks are not known, as of the last look
 	bootOutcomes     bootOutcomes
 }
@@ -142,13 +143,13 @@
 	plannedAt    micros.Micros
 	preemptedAt  micros.Micros
 	completions  completionRate
-	responding   *machine // whose report is being answered
+	responding   *state.Machine // whose report is being answered
 }
 
 // gangState is what is held and done for gangs beside plans.
 type gangState struct {
-	reservations        map[string]*gangReservation // room being gathered for gangs, by job
-	pools               map[poolKind]*gangPool
+	reservations        map[string]*state.GangReservation // room being gathered for gangs, by job
+	pools               map[state.PoolKind]*gangPool
 	preemptedForGangsAt micros.Micros
 }
 
@@ -187,8 +188,8 @@
 		termLost:          make(chan struct{}),
 		aggregatedLog:     aggregatedLog{},
 		jobState: jobState{
-			jobs:          map[string]*job{},
-			cancelledJobs: map[string]*job{},
+			jobs:          map[string]*state.Job{},
+			cancelledJobs: map[string]*state.Job{},
 			teamUsage:     map[string]placement.Resources{},
 			images:        map[string]int{},
 			teams:         map[string]settings.Team{},
@@ -196,18 +197,18 @@
 			finalJobs:     map[string]replica.Job{},
 		},
 		fleetState: fleetState{
-			machines:         map[string]*machine{},
+			machines:         map[string]*state.Machine{},
 			intents:          map[string]*launchIntent{},
 			unexplained:      map[string]micros.Micros{},
 			terminated:       map[string]bool{},
-			capacityBackoffs: map[offering]*capacityBackoff{},
+			capacityBackoffs: map[state.Offering]*capacityBackoff{},
 		},
 		instanceTypeState: instanceTypeState{
 			types: map[string]*scaledType{},
 		},
 		gangState: gangState{
-			reservations: map[string]*gangReservation{},
-			pools:        map[poolKind]*gangPool{},
+			reservations: map[string]*state.GangReservation{},
+			pools:        map[state.PoolKind]*gangPool{},
 		},
 		workerCalls: workerCalls{
 			slots:       make(chan struct{}, max(8, c.Settings.Params.Limits.MaxSockets/workerCallShare)),
@@ -350,7 +351,7 @@
 			l.types[t.Name] = mt
 		}
 		mt.InstanceType = t
-		mt.capacity = placement.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: floor(t.MemoryGB)}
+		mt.capacity = placement.Resources{CPU: state.FloorMilli(t.CPUs), GPU: state.FloorMilli(t.GPUs), Mem: state.FloorMilli(t.MemoryGB)}
 	}
 }
 
@@ -378,7 +379,7 @@
 		b.stored = true
 		for _, id := range b.Machines {
 			// What is read here is stored: it may get tasks at once.
-			l.addMachine(id, &b, now).instance.intentStored = true
+			l.addMachine(id, &b, now).Instance.IntentStored = true
 		}
 	}
 	if err := l.restoreMachineLists(); err != nil {
@@ -388,7 +389,7 @@
 		l.applyJobChange(id, true)
 	}
 	for _, key := range l.Replica.Keys(replica.ProgressPrefix) {
-		id, chunk, err := parseProgressKey(key)
+		id, chunk, err := state.ParseProgressKey(key)
 		if err != nil {
 			return err
 		}
@@ -397,14 +398,14 @@
 			l.writes.Mark(key) // of a job that is over
 			continue
 		}
-		var p taskProgress
+		var p state.TaskProgress
 		if _, err := l.Replica.Get(key, &p); err != nil {
 			return err
 		}
-		if err := j.restore(chunk, p); err != nil {
+		if err := j.Restore(chunk, p); err != nil {
 			return fmt.Errorf("stored %s: %w", key, err)
 		}
-		if j.doneCount > 0 {
+		if j.DoneCount > 0 {
 			l.completeGang(j)
 		}
 		l.finishIfDone(j)
@@ -484,8 +485,8 @@
 		if _, finishing := l.finalJobs[id]; finishing {
 			return
 		}
-		j = newJob(r, old)
-		j.image = l.imageIndex(j.spec.Image)
+		j = state.NewJob(r, old)
+		j.Image = l.imageIndex(j.Spec.Image)
 		l.jobs[id] = j
 		l.addDemand(j)
 		l.replan = true
@@ -529,36 +530,36 @@
 func (l *Leader) countTasks() map[string][2]int {
 	counts, size := make(map[string][2]int, len(l.jobs)), 0
 	for id, j := range l.jobs {
-		if j.doneCount+j.runningCount == 0 {
+		if j.DoneCount+j.RunningCount == 0 {
 			continue
 		}
 		if size += len(id) + taskCountBytes; size > maxTaskCountBytes {
 			break
 		}
-		counts[id] = [2]int{j.doneCount, j.runningCount}
+		counts[id] = [2]int{j.DoneCount, j.RunningCount}
 	}
 	return counts
 }
 
 // dropJob drops a job that is over; its tasks are stopped.
-func (l *Leader) dropJob(j *job, state string) {
-	j.ended = true
-	delete(l.jobs, j.spec.ID)
-	delete(l.finalJobs, j.spec.ID)
-	l.writes.Unmark(replica.JobPrefix + j.spec.ID)
-	for chunk := range j.chunks() {
-		key := progressKey(j.spec.ID, chunk)
+func (l *Leader) dropJob(j *state.Job, endState string) {
+	j.Ended = true
+	delete(l.jobs, j.Spec.ID)
+	delete(l.finalJobs, j.Spec.ID)
+	l.writes.Unmark(replica.JobPrefix + j.Spec.ID)
+	for chunk := range j.Chunks() {
+		key := state.ProgressKey(j.Spec.ID, chunk)
 		l.writes.Unmark(key)
 		if l.Replica.ModRevision(key) != 0 {
 			l.writes.Mark(key)
 		}
 	}
-	if j.isGang() {
+	if j.IsGang() {
 		l.dropReservation(j)
-		l.endGangAttempt(j, 0, "job is "+state)
+		l.endGangAttempt(j, 0, "job is "+endState)
 	}
-	for _, a := range j.attempts {
-		l.stopTask(a, 0, "job is "+state)
+	for _, a := range j.Attempts {
+		l.stopTask(a, 0, "job is "+endState)
 	}
 	l.replan = true
 }
@@ -572,13 +573,3 @@
 	}
 	return n
 }
-
-func floor(v float64) int64 { return int64(v*1000 + 1e-6) }
-
-func ceil(v float64) int64 {
-	n := int64(v * 1000)
-	if float64(n) < v*1000-1e-6 {
-		n++
-	}
-	return n
-}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -42,9 +43,9 @@
 	b := &launchIntent{id: "r-1", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}}
 	l.intents[b.id] = b
 	m := l.addMachine("i-1", b, now)
-	m.instance.running, m.instance.intentStored, m.instance.listStored = true, true, true
-	m.reconciliation.knowledge = tasksUnknown
-	m.heartbeat.ofThisTerm = true
+	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
+	m.Reconciliation.Knowledge = state.TasksUnknown
+	m.Heartbeat.OfThisTerm = true
 	l.machineLists = []*machineList{{Machines: []string{"i-1"}}}
 	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
 		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
@@ -107,8 +108,8 @@
 		}
 	}
 	var numbers []uint64
-	for _, a := range l.machines["i-1"].attempts {
-		numbers = append(numbers, a.number)
+	for _, a := range l.machines["i-1"].Attempts {
+		numbers = append(numbers, a.Number)
 	}
 	slices.Sort(numbers)
 	if len(numbers) != len(slices.Compact(numbers)) {
@@ -135,11 +136,11 @@
 	l.writes.Mark(replica.AutoscalerKey)
 	l.registerRunning(l.addMachine("i-2", l.intents["r-1"], l.startedAt))
 	j := l.jobs["j-000001"]
-	for i := range j.spec.Tasks {
-		j.done.set(i)
-		j.doneCount++
+	for i := range j.Spec.Tasks {
+		j.Done.Set(i)
+		j.DoneCount++
 	}
-	l.writes.Mark(progressKey("j-000002", 0))
+	l.writes.Mark(state.ProgressKey("j-000002", 0))
 	l.finishIfDone(j)
 	ws, more := l.writes.Collect()
 	// The record goes before progress: behind it, a busy leader's was never written, and
@@ -161,8 +162,8 @@
 // removed, and what is in use is not.
 func TestSweep(t *testing.T) {
 	l, _ := newTest(t)
-	leftovers := []string{replica.LaunchIntentPrefix + "r-9", progressKey("j-000009", 0)}
-	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", progressKey("j-000001", 0)) {
+	leftovers := []string{replica.LaunchIntentPrefix + "r-9", state.ProgressKey("j-000009", 0)}
+	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", state.ProgressKey("j-000001", 0)) {
 		l.Replica.ApplyPut(key, map[string]any{}, 5)
 	}
 	l.deleteLeftovers()
@@ -199,19 +200,19 @@
 		wall := micros.Wall()
 		l.startedAtWall = wall - 500*micros.Second
 		big := l.jobs["j-000001"]
-		big.mayHaveEarlierTasks, big.spec.Tasks, big.submittedAt = false, 64, wall-c.waited
+		big.MayHaveEarlierTasks, big.Spec.Tasks, big.SubmittedAt = false, 64, wall-c.waited
 		if c.since != 0 {
-			big.lastStart = wall - c.since
+			big.LastStart = wall - c.since
 		}
-		big.doneCount = c.done
+		big.DoneCount = c.done
 		if c.running {
-			big.attempts[0] = &attempt{job: big, machine: l.machines["i-1"]}
+			big.Attempts[0] = &state.Attempt{Job: big, Machine: l.machines["i-1"]}
 		}
-		spec := *big.spec
+		spec := *big.Spec
 		spec.ID, spec.Priority, spec.Tasks = "j-000002", "urgent", 10
-		l.jobs["j-000002"] = newJob(replica.Job{Spec: &spec, SubmittedAt: wall}, false)
+		l.jobs["j-000002"] = state.NewJob(replica.Job{Spec: &spec, SubmittedAt: wall}, false)
 		q := l.newQueue(micros.Now())
-		if got := q.jobs[0].spec.ID; got != c.first {
+		if got := q.jobs[0].Spec.ID; got != c.first {
 			t.Errorf("%s: %s goes first, want %s", c.name, got, c.first)
 		}
 		if n := q.waiting[0].Waiting; c.first == "j-000001" && n > 8 {
@@ -244,11 +245,11 @@
 			l.reconcileInstances(list, micros.Second)
 		}
 		now := l.startedAt + 100*micros.Second
-		m.heartbeat.receivedAt, m.lease.renewedAt = now-c.silent, now-c.silent
-		m.reconciliation.knowledge = tasksConfirmed
+		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.silent, now-c.silent
+		m.Reconciliation.Knowledge = state.TasksConfirmed
 		l.checkMachines(now)
-		if m.instance.terminating != c.leaves {
-			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.leaves)
+		if m.Instance.Terminating != c.leaves {
+			t.Errorf("%s: returned %v, want %v", c.name, m.Instance.Terminating, c.leaves)
 		}
 	}
 }
@@ -271,7 +272,7 @@
 		for i, want := range c.told {
 			l.plannedAt = 0
 			if i == 4 {
-				m.startBackoffUntil = 0
+				m.StartBackoffUntil = 0
 			}
 			a, err := l.HandleHeartbeat(report(uint64(11+i), token, tasks...))
 			if err != nil || len(a.Commands) != want {
@@ -284,10 +285,10 @@
 			}
 		}
 		now := micros.Now() + 30*micros.Second
-		m.heartbeat.receivedAt = now // its reports go on
+		m.Heartbeat.ReceivedAt = now // its reports go on
 		l.checkMachines(now)
-		if m.instance.terminating != c.leaves {
-			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.leaves)
+		if m.Instance.Terminating != c.leaves {
+			t.Errorf("%s: returned %v, want %v", c.name, m.Instance.Terminating, c.leaves)
 		}
 	}
 }
@@ -297,18 +298,18 @@
 // that an answer of this term was heard.
 func TestNewMachine(t *testing.T) {
 	l, _ := newTest(t)
-	l.machines["i-1"].startBackoffUntil = l.startedAt + 3600*micros.Second
+	l.machines["i-1"].StartBackoffUntil = l.startedAt + 3600*micros.Second
 	b := &launchIntent{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
 	l.intents[b.id] = b
 	m := l.addMachine("i-2", b, l.startedAt)
-	m.instance.intentStored = true
-	l.jobs["j-000001"].mayHaveEarlierTasks = false
+	m.Instance.IntentStored = true
+	l.jobs["j-000001"].MayHaveEarlierTasks = false
 	for i, c := range []struct {
 		seq, token uint64
 		upStored   bool
 		starts     int
 	}{{1, 0, true, 0}, {2, token - 1, true, 0}, {3, token, false, 0}, {4, token, true, 3}} {
-		m.instance.listStored, l.plannedAt = c.upStored, 0
+		m.Instance.ListStored, l.plannedAt = c.upStored, 0
 		r := report(c.seq, c.token)
 		r.MachineID = "i-2"
 		if a, err := l.HandleHeartbeat(r); err != nil || len(a.Commands) != c.starts {
@@ -387,8 +388,8 @@
 		{"answered and not resolved", false, l.startedAt + micros.Second, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
 	}
 	for _, c := range cases {
-		m.lease.renewedAt, term.alone = c.answered, c.alone
-		m.reconciliation.knowledge = knowledge(c.resolved)
+		m.Lease.RenewedAt, term.alone = c.answered, c.alone
+		m.Reconciliation.Knowledge = knowledge(c.resolved)
 		if got := l.leaseExpiry(m) - l.startedAt; got <= c.after || got > c.notAfter {
 			t.Errorf("%s: over after %v s, want within (%v, %v]", c.name, got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
 		}
@@ -401,9 +402,9 @@
 func TestFinalState(t *testing.T) {
 	l, _ := newTest(t)
 	j := l.jobs["j-000001"]
-	for i := range j.spec.Tasks {
-		j.done.set(i)
-		j.doneCount++
+	for i := range j.Spec.Tasks {
+		j.Done.Set(i)
+		j.DoneCount++
 	}
 	l.finishIfDone(j)
 	if ws, _ := l.writes.Collect(); len(ws) != 1 || ws[0].ModRevision != 1 {
@@ -422,7 +423,7 @@
 	if teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow().count; unresolved != 1 || teams["blue"].Used.CPU != 4000 {
 		t.Errorf("unresolved %d, used %+v, want all 4 CPUs of the one machine", unresolved, teams["blue"].Used)
 	}
-	l.machines["i-1"].reconciliation.knowledge = tasksConfirmed
+	l.machines["i-1"].Reconciliation.Knowledge = state.TasksConfirmed
 	if teams := l.worstCaseTeamUse(); teams["blue"].Used.CPU != 0 {
 		t.Errorf("used %+v with nothing running", teams["blue"].Used)
 	}
@@ -451,20 +452,20 @@
 		term.held = c.held
 		b := l.intents["r-1"]
 		for _, id := range []string{"i-2", "i-3", "i-4", "i-5", "i-6"} {
-			l.addMachine(id, b, l.startedAt).instance.running = true
+			l.addMachine(id, b, l.startedAt).Instance.Running = true
 		}
 		now := l.startedAt + 100*micros.Second
 		for i, m := range l.sorted {
-			m.heartbeat.receivedAt, m.lease.renewedAt = now, now
-			m.reconciliation.knowledge = tasksConfirmed
+			m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
+			m.Reconciliation.Knowledge = state.TasksConfirmed
 			if i < c.silent {
-				m.heartbeat.receivedAt, m.lease.renewedAt = now-c.after, now-c.after
+				m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.after, now-c.after
 			}
 		}
 		// An expired machine is noted first, and given up when that lasts.
 		l.checkMachines(now - 20*micros.Second)
 		l.checkMachines(now)
-		if got := l.machines["i-1"].instance.terminating; got != c.leaves {
+		if got := l.machines["i-1"].Instance.Terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
@@ -482,7 +483,7 @@
 		{"tasks that do not", 0, []string{}},
 	} {
 		l, _ := newTest(t)
-		l.jobs["j-000001"].spec.CheckpointIntervalS = c.checkpoint
+		l.jobs["j-000001"].Spec.CheckpointIntervalS = c.checkpoint
 		r := report(11, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
 		notice := 15.0
 		r.InterruptionNoticeS = &notice
@@ -501,16 +502,16 @@
 	l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 3}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000002", replica.Job{State: wire.JobCancelled, Spec: &wire.Job{
 		ID: "j-000002", Team: "blue", Kind: wire.KindArray, Tasks: 8, CPUs: 1, MemoryGB: 1, CheckpointDurationS: 5, CheckpointIntervalS: 1, AllowSpot: true}}, 2)
-	l.machines["i-1"].free.CPU = 8000 // the limit alone is in the way
-	task := func(n int, state string) wire.TaskStatus {
-		w := wire.TaskStatus{TaskID: taskID("j-000002", n), Attempt: 3<<32 | 1, State: state}
-		if state == wire.TaskExited {
+	l.machines["i-1"].Free.CPU = 8000 // the limit alone is in the way
+	task := func(n int, taskState string) wire.TaskStatus {
+		w := wire.TaskStatus{TaskID: state.TaskID("j-000002", n), Attempt: 3<<32 | 1, State: taskState}
+		if taskState == wire.TaskExited {
 			w.ExitReason = wire.ExitStopped
 		}
 		return w
 	}
 	started := func(n int) wire.TaskStatus {
-		return wire.TaskStatus{TaskID: taskID("j-000001", n), Attempt: token<<32 | uint64(n+1), State: wire.TaskRunning}
+		return wire.TaskStatus{TaskID: state.TaskID("j-000001", n), Attempt: token<<32 | uint64(n+1), State: wire.TaskRunning}
 	}
 	stranger := report(1, 0, task(0, wire.TaskRunning))
 	stranger.MachineID = "i-2"
@@ -545,31 +546,31 @@
 func TestAllowed(t *testing.T) {
 	cases := []struct {
 		name string
-		set  func(l *Leader, j *job, m *machine)
+		set  func(l *Leader, j *state.Job, m *state.Machine)
 		want bool
 	}{
-		{"nothing in the way", func(*Leader, *job, *machine) {}, true},
-		{"another type", func(_ *Leader, j *job, _ *machine) { j.spec.InstanceTypes = []string{"m8"} }, false},
-		{"another zone", func(_ *Leader, j *job, _ *machine) { j.spec.Zone = "b" }, false},
-		{"no spot machine", func(_ *Leader, j *job, m *machine) { j.spec.AllowSpot, m.offering.Spot = false, true }, false},
-		{"at the team's limit", func(l *Leader, j *job, _ *machine) {
+		{"nothing in the way", func(*Leader, *state.Job, *state.Machine) {}, true},
+		{"another type", func(_ *Leader, j *state.Job, _ *state.Machine) { j.Spec.InstanceTypes = []string{"m8"} }, false},
+		{"another zone", func(_ *Leader, j *state.Job, _ *state.Machine) { j.Spec.Zone = "b" }, false},
+		{"no spot machine", func(_ *Leader, j *state.Job, m *state.Machine) { j.Spec.AllowSpot, m.Offering.Spot = false, true }, false},
+		{"at the team's limit", func(l *Leader, j *state.Job, _ *state.Machine) {
 			l.teams["blue"] = settings.Team{MaxCPUs: 2}
-			l.teamUsage["blue"] = l.teamUsage["blue"].Add(j.need, 2)
+			l.teamUsage["blue"] = l.teamUsage["blue"].Add(j.Need, 2)
 		}, false},
-		{"machines with unknown tasks may be at it", func(l *Leader, j *job, _ *machine) {
+		{"machines with unknown tasks may be at it", func(l *Leader, j *state.Job, _ *state.Machine) {
 			l.teams["blue"] = settings.Team{MaxCPUs: 2}
-			l.unknownUsage = l.unknownUsage.Add(j.need, 2)
+			l.unknownUsage = l.unknownUsage.Add(j.Need, 2)
 		}, false},
-		{"its other tasks are in another zone", func(_ *Leader, j *job, m *machine) {
-			j.spec.SingleZone = true
-			j.attempts[0], j.attemptsPerZone["b"] = &attempt{}, 1
+		{"its other tasks are in another zone", func(_ *Leader, j *state.Job, m *state.Machine) {
+			j.Spec.SingleZone = true
+			j.Attempts[0], j.AttemptsPerZone["b"] = &state.Attempt{}, 1
 		}, false},
-		{"its other tasks are here", func(_ *Leader, j *job, m *machine) {
-			j.spec.SingleZone = true
-			j.attempts[0], j.attemptsPerZone["a"] = &attempt{}, 1
+		{"its other tasks are here", func(_ *Leader, j *state.Job, m *state.Machine) {
+			j.Spec.SingleZone = true
+			j.Attempts[0], j.AttemptsPerZone["a"] = &state.Attempt{}, 1
 		}, true},
-		{"two of three are here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.attemptsPerZone["a"] = true, 2 }, false},
-		{"one of three is here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.attemptsPerZone["a"] = true, 1 }, true},
+		{"two of three are here", func(_ *Leader, j *state.Job, m *state.Machine) { j.Spec.SpreadZones, j.AttemptsPerZone["a"] = true, 2 }, false},
+		{"one of three is here", func(_ *Leader, j *state.Job, m *state.Machine) { j.Spec.SpreadZones, j.AttemptsPerZone["a"] = true, 1 }, true},
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
@@ -611,8 +612,8 @@
 			}
 		}
 		m, j := l.machines["i-1"], l.jobs["j-000001"]
-		if used, held := l.teamUsage["blue"].CPU, int64(1000*len(m.attempts)); used != held || m.free.CPU != 4000-held || len(j.attempts) != len(m.attempts) || j.doneCount != 0 {
-			t.Errorf("%s: %d tasks held and %d counted, %d used, %d free, %d done", c.name, len(m.attempts), len(j.attempts), used, m.free.CPU, j.doneCount)
+		if used, held := l.teamUsage["blue"].CPU, int64(1000*len(m.Attempts)); used != held || m.Free.CPU != 4000-held || len(j.Attempts) != len(m.Attempts) || j.DoneCount != 0 {
+			t.Errorf("%s: %d tasks held and %d counted, %d used, %d free, %d done", c.name, len(m.Attempts), len(j.Attempts), used, m.Free.CPU, j.DoneCount)
 		}
 	}
 }
@@ -641,9 +642,9 @@
 }
 
 // knowledge is that of a machine that has confirmed its tasks in this term, or has not.
-func knowledge(confirmed bool) taskKnowledge {
+func knowledge(confirmed bool) state.TaskKnowledge {
 	if confirmed {
-		return tasksConfirmed
+		return state.TasksConfirmed
 	}
-	return tasksUnknown
+	return state.TasksUnknown
 }
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -9,6 +9,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
 	"caperlatch/internal/zone"
@@ -127,7 +128,7 @@
 // v3a714abLayouts are those of 3a714ab.
 var v3a714abLayouts = []layout{
 	{replica.JobPrefix, reflect.TypeFor[replica.Job](), reflect.TypeFor[v3a714abJob]()},
-	{replica.ProgressPrefix, reflect.TypeFor[taskProgress](), reflect.TypeFor[v3a714abProgress]()},
+	{replica.ProgressPrefix, reflect.TypeFor[state.TaskProgress](), reflect.TypeFor[v3a714abProgress]()},
 	{replica.LaunchIntentPrefix, reflect.TypeFor[launchIntent](), reflect.TypeFor[v3a714abBooking]()},
 	{replica.MachineListPrefix, reflect.TypeFor[machineList](), reflect.TypeFor[v3a714abUpList]()},
 	{replica.AutoscalerKey, reflect.TypeFor[autoscalerRecord](), reflect.TypeFor[v3a714abStaffing]()},
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/settings"
 	"caperlatch/internal/wire"
@@ -39,7 +40,7 @@
 // not sent yet are made again: only sent starts bind.
 func (l *Leader) plan(now micros.Micros) {
 	for _, m := range l.sorted {
-		m.planned = m.planned[:0]
+		m.Planned = m.Planned[:0]
 	}
 	l.queue = l.newQueue(now)
 	q := &l.queue
@@ -65,10 +66,10 @@
 }
 
 // roomExceedsQueue tells whether the machines that are wanted have room enough for what waits.
-func roomExceedsQueue(machines []placement.Machine, ms []*machine, waiting []*placement.Job) bool {
+func roomExceedsQueue(machines []placement.Machine, ms []*state.Machine, waiting []*placement.Job) bool {
 	room, need := int64(0), int64(0)
 	for i, m := range ms {
-		if !m.surplus && !m.zoneReturn.closed {
+		if !m.Surplus && !m.ZoneReturn.Closed {
 			room += machines[i].Free.CPU
 		}
 	}
@@ -100,21 +101,21 @@
 		l.reserveMachineFor(g.For, ms[g.Machine], now)
 	}
 	for _, s := range stops {
-		if a := ms[s.Machine].attempts[taskID(s.Victim.JobID, s.Victim.Task)]; a != nil {
+		if a := ms[s.Machine].Attempts[state.TaskID(s.Victim.JobID, s.Victim.Task)]; a != nil {
 			l.preemptVictim(a, s.For, now)
 		}
 	}
 }
 
 // preemptVictim stops a task, or the gang that it is of, to make room for a job.
-func (l *Leader) preemptVictim(a *attempt, by string, now micros.Micros) {
+func (l *Leader) preemptVictim(a *state.Attempt, by string, now micros.Micros) {
 	why := "stopped to make room for " + by
-	if a.job.isGang() {
-		l.stopGangIfReachable(a.job, checkpointGrace(a.job), why, now)
+	if a.Job.IsGang() {
+		l.stopGangIfReachable(a.Job, state.CheckpointGrace(a.Job), why, now)
 		return
 	}
-	grace := micros.FromSeconds(a.job.spec.CheckpointDurationS)
-	if a.runningSince == 0 || now-a.runningSince < grace {
+	grace := micros.FromSeconds(a.Job.Spec.CheckpointDurationS)
+	if a.RunningSince == 0 || now-a.RunningSince < grace {
 		grace = 0 // saving takes longer than doing it again
 	}
 	l.stopTask(a, grace, why)
@@ -139,7 +140,7 @@
 // queue is what waits, in order, with what is not planned on any machine.
 type queue struct {
 	waiting      []*placement.Job
-	jobs         []*job // of these
+	jobs         []*state.Job // of these
 	teams        map[string]*placement.Team
 	minNeed      placement.Resources // that any of them needs
 	hasSpareRoom bool                // the machines that are wanted have room enough for it
@@ -164,15 +165,15 @@
 
 // fillMachine adds to what is planned for a machine that has just reported, from what
 // found no room in the last plan.
-func (l *Leader) fillMachine(m *machine, now micros.Micros) {
+func (l *Leader) fillMachine(m *state.Machine, now micros.Micros) {
 	q := &l.queue
-	if len(q.jobs) == 0 || m.surplus && q.hasSpareRoom {
+	if len(q.jobs) == 0 || m.Surplus && q.hasSpareRoom {
 		// A few tasks on each machine would keep all of them busy for ever.
 		return
 	}
 	p := l.placementMachine(m, now)
-	for _, j := range m.planned {
-		p.Free = p.Free.Add(j.need, -1)
+	for _, j := range m.Planned {
+		p.Free = p.Free.Add(j.Need, -1)
 	}
 	if !p.Free.Fits(q.minNeed) {
 		return
@@ -181,7 +182,7 @@
 	gone := false
 	for _, s := range starts {
 		gone = gone || q.waiting[s.Job].Waiting == 0
-		if j := q.jobs[s.Job]; !j.isGang() || !j.ended && s.Count == j.startableTasks(now) {
+		if j := q.jobs[s.Job]; !j.IsGang() || !j.Ended && s.Count == j.StartableTasks(now) {
 			l.planStarts(m, j, s.Count, now)
 		}
 		// Else the gang was cancelled, or its attempt has ended, since the queue was made.
@@ -209,7 +210,7 @@
 // queueEntry is a job of the queue, as placement sees it and as it is.
 type queueEntry struct {
 	waiting *placement.Job
-	job     *job
+	job     *state.Job
 }
 
 // newQueue lists the jobs that may start tasks now. A job that an earlier term
@@ -222,7 +223,7 @@
 	var entries []queueEntry
 	for _, j := range l.jobs {
 		l.liftQuarantine(j, now)
-		n := j.startableTasks(now)
+		n := j.StartableTasks(now)
 		if n <= 0 || l.mustAwaitReconciliation(j, unresolved) {
 			continue
 		}
@@ -232,8 +233,8 @@
 				entries = append(entries, queueEntry{rest, j})
 			}
 		}
-		if g := l.reservations[j.spec.ID]; g != nil {
-			g.waiting = w
+		if g := l.reservations[j.Spec.ID]; g != nil {
+			g.Waiting = w
 		}
 		entries = append(entries, queueEntry{w, j})
 	}
@@ -243,7 +244,7 @@
 	}
 	placement.DeferLateJobs(waiting, l.schedulableCPUs(now), wall)
 	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.Compare(a.waiting, b.waiting) })
-	q := queue{teams: teams, waiting: waiting, jobs: make([]*job, len(entries))}
+	q := queue{teams: teams, waiting: waiting, jobs: make([]*state.Job, len(entries))}
 	for i, e := range entries {
 		q.waiting[i], q.jobs[i] = e.waiting, e.job
 	}
@@ -252,56 +253,56 @@
 }
 
 // placementJob is a job with n tasks to start as placement sees it.
-func (l *Leader) placementJob(j *job, n int, covered bool, wall micros.Micros) *placement.Job {
-	s := j.spec
+func (l *Leader) placementJob(j *state.Job, n int, covered bool, wall micros.Micros) *placement.Job {
+	s := j.Spec
 	w := &placement.Job{
 		ID:              s.ID,
 		Team:            s.Team,
-		Image:           j.image,
-		Priority:        j.priority,
+		Image:           j.Image,
+		Priority:        j.Priority,
 		EvacuationRank:  l.evacuationRank(j),
 		OnlyZone:        l.onlyZone(j),
 		WithinGuarantee: covered,
-		Need:            j.need,
+		Need:            j.Need,
 		Waiting:         n,
 		Total:           s.Tasks,
 		InstanceTypes:   s.InstanceTypes,
 		Zone:            s.Zone,
 		SingleZone:      s.SingleZone,
 		SpreadZones:     s.SpreadZones,
-		Gang:            j.isGang(),
+		Gang:            j.IsGang(),
 		AllowSpot:       s.AllowSpot,
 		ImageSizeGB:     s.ImageSizeGB,
 	}
 	w.StartBy, w.LaterStartBys, w.Late = l.startDeadlines(j, covered, wall)
-	w.AtRisk = w.StartBy-wall < 4*l.heartbeatInterval && !j.isProbing()
-	w.PreemptsBestEffort = j.priority > 0 && !j.isProbing()
+	w.AtRisk = w.StartBy-wall < 4*l.heartbeatInterval && !j.IsProbing()
+	w.PreemptsBestEffort = j.Priority > 0 && !j.IsProbing()
 	w.DelayTolerant = l.isDelayTolerant(j)
-	if j.isGang() && len(j.attempts) > 0 {
-		w.StartBy, w.Late, w.AtRisk = wall, false, !j.isProbing() // the others of its tasks wait for these
+	if j.IsGang() && len(j.Attempts) > 0 {
+		w.StartBy, w.Late, w.AtRisk = wall, false, !j.IsProbing() // the others of its tasks wait for these
 	}
-	if j.isGang() {
-		w.FailedOn = j.failures.byMachine
-		w.MaxStartDelay = max(immediateStartLimit, wall-j.submittedAt)
+	if j.IsGang() {
+		w.FailedOn = j.Failures.ByMachine
+		w.MaxStartDelay = max(immediateStartLimit, wall-j.SubmittedAt)
 	}
 	w.Work = float64(n) * s.CPUs * l.expectedRuntime(s)
 	if s.SingleZone || s.SpreadZones {
-		w.TasksPerZone = maps.Clone(j.attemptsPerZone)
+		w.TasksPerZone = maps.Clone(j.AttemptsPerZone)
 	}
 	return w
 }
 
 // hasAged tells whether a job has waited for a start for so long that it goes before others.
-func (l *Leader) hasAged(j *job, wall micros.Micros) bool {
-	since := max(j.submittedAt, j.lastStart)
-	if j.doneCount > 0 {
+func (l *Leader) hasAged(j *state.Job, wall micros.Micros) bool {
+	since := max(j.SubmittedAt, j.LastStart)
+	if j.DoneCount > 0 {
 		since = max(since, l.startedAtWall) // no earlier term's starts are known
 	}
-	return len(j.attempts) == 0 && wall-since > agingLimit && !j.isProbing()
+	return len(j.Attempts) == 0 && wall-since > agingLimit && !j.IsProbing()
 }
 
 // splitAged has a part of a job go before all others; the rest, if any, waits as before.
-func (l *Leader) splitAged(w *placement.Job, j *job) (rest *placement.Job) {
+func (l *Leader) splitAged(w *placement.Job, j *state.Job) (rest *placement.Job) {
 	w.Aged, w.Late, w.DelayTolerant = true, false, false
 	part := 1 + w.Waiting/agingDivisor
 	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.Waiting {
@@ -317,8 +318,8 @@
 func (l *Leader) schedulableCPUs(now micros.Micros) float64 {
 	cpus := 0.0
 	for _, m := range l.sorted {
-		if m.isOpenToAllZones(now) {
-			cpus += l.types[m.offering.Type].CPUs
+		if m.IsOpenToAllZones(now) {
+			cpus += l.types[m.Offering.Type].CPUs
 		}
 	}
 	return cpus
@@ -326,20 +327,20 @@
 
 // startDeadline is when the last of a job's tasks should have started, by the next thing
 // expected of it that can still be met; late if there is none.
-func (l *Leader) startDeadline(j *job, covered bool, wall micros.Micros) (due micros.Micros, late bool) {
+func (l *Leader) startDeadline(j *state.Job, covered bool, wall micros.Micros) (due micros.Micros, late bool) {
 	due, _, late = l.startDeadlines(j, covered, wall)
 	return due, late
 }
 
 // startDeadlines is due with what else is expected later.
-func (l *Leader) startDeadlines(j *job, covered bool, wall micros.Micros) (due micros.Micros, later []micros.Micros, late bool) {
-	s := j.spec
+func (l *Leader) startDeadlines(j *state.Job, covered bool, wall micros.Micros) (due micros.Micros, later []micros.Micros, late bool) {
+	s := j.Spec
 	run := micros.FromSeconds(l.expectedRuntime(s))
 	expected := false
 	var all []micros.Micros
 	consider := func(limit micros.Micros) {
 		expected = true
-		if at := j.submittedAt + limit; at >= wall {
+		if at := j.SubmittedAt + limit; at >= wall {
 			all = append(all, at)
 		}
 	}
@@ -356,11 +357,11 @@
 				consider(micros.FromSeconds(*s.DeadlineS*o.Times) - run)
 			}
 		case "guarantee":
-			if covered && len(j.attempts)+j.doneCount == 0 {
+			if covered && len(j.Attempts)+j.DoneCount == 0 {
 				consider(micros.FromSeconds(o.WithinS))
 			}
 		case "wait":
-			if len(j.attempts)+j.doneCount == 0 {
+			if len(j.Attempts)+j.DoneCount == 0 {
 				consider(micros.FromSeconds(o.WithinS))
 			}
 		case "finished":
@@ -373,36 +374,36 @@
 		return all[0], all[1:], false
 	case expected:
 		const never = 365 * 24 * 3600 * micros.Second
-		return j.submittedAt + never, nil, true
+		return j.SubmittedAt + never, nil, true
 	}
 	// Nobody said when; a minute of waiting is taken for bearable.
-	return j.submittedAt + 60*micros.Second, nil, false
+	return j.SubmittedAt + 60*micros.Second, nil, false
 }
 
 // jobsWithinGuarantee tells which jobs fit into their team's guarantee together with the
 // team's earlier unfinished jobs.
-func (l *Leader) jobsWithinGuarantee() map[*job]bool {
-	byTeam := map[string][]*job{}
+func (l *Leader) jobsWithinGuarantee() map[*state.Job]bool {
+	byTeam := map[string][]*state.Job{}
 	for _, j := range l.jobs {
-		if !j.failures.quarantined { // else it would keep the guarantee from the others
-			byTeam[j.spec.Team] = append(byTeam[j.spec.Team], j)
+		if !j.Failures.Quarantined { // else it would keep the guarantee from the others
+			byTeam[j.Spec.Team] = append(byTeam[j.Spec.Team], j)
 		}
 	}
-	out := make(map[*job]bool, len(l.jobs))
+	out := make(map[*state.Job]bool, len(l.jobs))
 	for name, jobs := range byTeam {
 		t := l.teams[name]
 		if t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
 			continue
 		}
-		slices.SortFunc(jobs, func(a, b *job) int {
-			return cmp.Or(cmp.Compare(a.submittedAt, b.submittedAt), cmp.Compare(a.spec.ID, b.spec.ID))
+		slices.SortFunc(jobs, func(a, b *state.Job) int {
+			return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
 		})
 		left := guarantee(t)
 		for _, j := range jobs {
-			if !left.Fits(j.need) {
+			if !left.Fits(j.Need) {
 				break
 			}
-			left = left.Add(j.need, -int64(j.spec.Tasks-j.doneCount))
+			left = left.Add(j.Need, -int64(j.Spec.Tasks-j.DoneCount))
 			if left.CPU < 0 || left.GPU < 0 {
 				break
 			}
@@ -413,7 +414,7 @@
 }
 
 func guarantee(t settings.Team) placement.Resources {
-	return placement.Resources{CPU: floor(t.GuaranteedCPUs), GPU: floor(t.GuaranteedGPUs), Mem: 1 << 60}
+	return placement.Resources{CPU: state.FloorMilli(t.GuaranteedCPUs), GPU: state.FloorMilli(t.GuaranteedGPUs), Mem: 1 << 60}
 }
 
 // worstCaseTeamUse counts what each team's tasks may be using at worst: what is known
@@ -421,12 +422,12 @@
 func (l *Leader) worstCaseTeamUse() map[string]*placement.Team {
 	teams := make(map[string]*placement.Team, len(l.teams))
 	for name, t := range l.teams {
-		teams[name] = &placement.Team{Used: l.teamUsage[name], Limit: placement.Resources{CPU: floor(t.MaxCPUs), GPU: floor(t.MaxGPUs)}}
+		teams[name] = &placement.Team{Used: l.teamUsage[name], Limit: placement.Resources{CPU: state.FloorMilli(t.MaxCPUs), GPU: state.FloorMilli(t.MaxGPUs)}}
 	}
 	l.unknownUsage = placement.Resources{}
 	for _, m := range l.sorted {
-		if !m.tasksKnown() {
-			if t := l.types[m.offering.Type]; t != nil {
+		if !m.TasksKnown() {
+			if t := l.types[m.Offering.Type]; t != nil {
 				l.unknownUsage = l.unknownUsage.Add(t.capacity, 1)
 			}
 		}
@@ -440,44 +441,44 @@
 }
 
 // placementMachine is a machine as placement sees it.
-func (l *Leader) placementMachine(m *machine, now micros.Micros) placement.Machine {
-	t := l.types[m.offering.Type]
+func (l *Leader) placementMachine(m *state.Machine, now micros.Micros) placement.Machine {
+	t := l.types[m.Offering.Type]
 	p := placement.Machine{
-		ID:                   m.id,
-		InstanceType:         m.offering.Type,
-		Zone:                 m.offering.Zone,
-		Spot:                 m.offering.Spot,
-		Free:                 m.free,
-		CommandDelay:         max(0, m.heartbeat.receivedAt+l.heartbeatInterval-now),
-		Idle:                 len(m.attempts) == 0,
-		RejectsDelayTolerant: m.rejectsDelayTolerant,
-		Images:               m.imageSet,
+		ID:                   m.ID,
+		InstanceType:         m.Offering.Type,
+		Zone:                 m.Offering.Zone,
+		Spot:                 m.Offering.Spot,
+		Free:                 m.Free,
+		CommandDelay:         max(0, m.Heartbeat.ReceivedAt+l.heartbeatInterval-now),
+		Idle:                 len(m.Attempts) == 0,
+		RejectsDelayTolerant: m.RejectsDelayTolerant,
+		Images:               m.ImageSet,
 		ImagePullGBPerS:      t.ImagePullGBPerS,
-		Penalty:              micros.FromSeconds(l.priceRatio(t, m.offering.Spot) - 1),
+		Penalty:              micros.FromSeconds(l.priceRatio(t, m.Offering.Spot) - 1),
 	}
-	if late := now - m.heartbeat.receivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
+	if late := now - m.Heartbeat.ReceivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
 		p.CommandDelay = l.heartbeatInterval + late // it has missed a report, and may be gone
 	}
 	if m == l.responding {
 		p.CommandDelay = 0
 	}
-	if m.surplus {
+	if m.Surplus {
 		p.Penalty += 30 * micros.Second
 	}
-	if k := m.reservation; k != nil {
-		p.ReservedFor = k.waiting
+	if k := m.Reservation; k != nil {
+		p.ReservedFor = k.Waiting
 	}
-	p.GangsOnly = m.pool != nil
-	p.ZoneBoundOnly = m.zoneReturn.closed
+	p.GangsOnly = m.Pool.IsSet()
+	p.ZoneBoundOnly = m.ZoneReturn.Closed
 	return p
 }
 
 // schedulableMachines lists the machines that may get tasks and have room.
-func (l *Leader) schedulableMachines(now micros.Micros, least placement.Resources) ([]placement.Machine, []*machine) {
+func (l *Leader) schedulableMachines(now micros.Micros, least placement.Resources) ([]placement.Machine, []*state.Machine) {
 	var out []placement.Machine
-	var ms []*machine
+	var ms []*state.Machine
 	for _, m := range l.sorted {
-		if l.types[m.offering.Type] != nil && m.free.Fits(least) && m.isSchedulable(now) && now-m.heartbeat.receivedAt <= 3*l.heartbeatInterval {
+		if l.types[m.Offering.Type] != nil && m.Free.Fits(least) && m.IsSchedulable(now) && now-m.Heartbeat.ReceivedAt <= 3*l.heartbeatInterval {
 			out = append(out, l.placementMachine(m, now))
 			ms = append(ms, m)
 		}
@@ -486,19 +487,19 @@
 }
 
 // machinesWithVictims lists the machines that may get tasks, with what runs there.
-func (l *Leader) machinesWithVictims(now micros.Micros) ([]placement.Machine, []*machine) {
+func (l *Leader) machinesWithVictims(now micros.Micros) ([]placement.Machine, []*state.Machine) {
 	covered, spared := l.jobsWithinGuarantee(), l.nonPreemptibleGangs(now)
 	out, ms := l.schedulableMachines(now, placement.Resources{})
 	for i, m := range ms {
 		p := &out[i]
-		for _, j := range m.planned {
-			p.Free = p.Free.Add(j.need, -1)
+		for _, j := range m.Planned {
+			p.Free = p.Free.Add(j.Need, -1)
 		}
-		for _, a := range m.attempts {
-			if a.stopRequestedAt != 0 {
-				p.Releasing = p.Releasing.Add(a.job.need, 1)
-			} else if !a.job.ended && !spared[a.job] {
-				p.Victims = append(p.Victims, l.placementVictim(a, covered[a.job], now))
+		for _, a := range m.Attempts {
+			if a.StopRequestedAt != 0 {
+				p.Releasing = p.Releasing.Add(a.Job.Need, 1)
+			} else if !a.Job.Ended && !spared[a.Job] {
+				p.Victims = append(p.Victims, l.placementVictim(a, covered[a.Job], now))
 			}
 		}
 		slices.SortFunc(p.Victims, func(a, b placement.Victim) int {
@@ -509,24 +510,24 @@
 }
 
 // placementVictim is a running task as placement sees it.
-func (l *Leader) placementVictim(a *attempt, covered bool, now micros.Micros) placement.Victim {
+func (l *Leader) placementVictim(a *state.Attempt, covered bool, now micros.Micros) placement.Victim {
 	v := placement.Victim{
-		JobID:           a.job.spec.ID,
-		Task:            a.index,
-		Team:            a.job.spec.Team,
-		Priority:        a.job.priority,
-		Need:            a.job.need,
+		JobID:           a.Job.Spec.ID,
+		Task:            a.Index,
+		Team:            a.Job.Spec.Team,
+		Priority:        a.Job.Priority,
+		Need:            a.Job.Need,
 		WithinGuarantee: covered,
-		BestEffort:      a.job.priority == 0 && !covered,
+		BestEffort:      a.Job.Priority == 0 && !covered,
 		LostWork:        lostWork(a, now),
 	}
 	if v.BestEffort {
 		v.LostWork += l.preemptionSetback(a, now)
 	}
-	if a.job.isGang() {
-		v.Gang, v.LostWork = true, v.LostWork*micros.Micros(len(a.job.attempts))
+	if a.Job.IsGang() {
+		v.Gang, v.LostWork = true, v.LostWork*micros.Micros(len(a.Job.Attempts))
 	}
-	if a.protected && (a.runningSince == 0 || now-a.runningSince < minCountedRun) {
+	if a.Protected && (a.RunningSince == 0 || now-a.RunningSince < minCountedRun) {
 		v.BestEffort, v.LostWork = false, v.LostWork+minCountedRun
 	}
 	return v
@@ -534,11 +535,11 @@
 
 // remainingRuntime is how many seconds a task should still take. The longer one has
 // outlasted its estimate, the longer it may go on; a service never ends.
-func (l *Leader) remainingRuntime(a *attempt, now micros.Micros) float64 {
-	if a.job.spec.Kind == wire.KindService {
+func (l *Leader) remainingRuntime(a *state.Attempt, now micros.Micros) float64 {
+	if a.Job.Spec.Kind == wire.KindService {
 		return 3600
 	}
-	run, ran := l.expectedRuntime(a.job.spec), (now - a.startedAt).Seconds()
+	run, ran := l.expectedRuntime(a.Job.Spec), (now - a.StartedAt).Seconds()
 	return math.Max(run-ran, math.Max(run/4, (ran-run)/2))
 }
 
@@ -549,19 +550,19 @@
 // least for the job that has most yet to start, so that the others end and are out of the
 // way; taken from all alike, none of six was over when the day was. And what is nearly
 // over frees its room by itself.
-func (l *Leader) preemptionSetback(a *attempt, now micros.Micros) micros.Micros {
-	begun := 1 - float64(a.job.waiting())/float64(a.job.spec.Tasks)
-	left := l.expectedRuntime(a.job.spec) - (now - a.startedAt).Seconds()
+func (l *Leader) preemptionSetback(a *state.Attempt, now micros.Micros) micros.Micros {
+	begun := 1 - float64(a.Job.WaitingTasks())/float64(a.Job.Spec.Tasks)
+	left := l.expectedRuntime(a.Job.Spec) - (now - a.StartedAt).Seconds()
 	return micros.FromSeconds(10*begun + max(0, nearlyDoneS-max(0, left)))
 }
 
 // lostWork is what stopping a task would waste.
-func lostWork(a *attempt, now micros.Micros) micros.Micros {
-	if a.runningSince == 0 {
+func lostWork(a *state.Attempt, now micros.Micros) micros.Micros {
+	if a.RunningSince == 0 {
 		return 0
 	}
-	if a.job.spec.CheckpointIntervalS > 0 {
-		return min(now-a.runningSince, micros.FromSeconds(a.job.spec.CheckpointDurationS))
+	if a.Job.Spec.CheckpointIntervalS > 0 {
+		return min(now-a.RunningSince, micros.FromSeconds(a.Job.Spec.CheckpointDurationS))
 	}
-	return now - a.runningSince
+	return now - a.RunningSince
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -37,7 +38,7 @@
 		}
 	}
 	for _, key := range l.Replica.Keys(replica.ProgressPrefix) {
-		if id, _, err := parseProgressKey(key); err == nil && l.jobs[id] == nil {
+		if id, _, err := state.ParseProgressKey(key); err == nil && l.jobs[id] == nil {
 			l.writes.MarkLazily(key)
 		}
 	}
@@ -84,7 +85,7 @@
 
 // encodeProgress makes the record of which tasks of a job are done.
 func (l *Leader) encodeProgress(w persist.Write) (persist.Write, bool) {
-	id, chunk, err := parseProgressKey(w.Key)
+	id, chunk, err := state.ParseProgressKey(w.Key)
 	j := l.jobs[id]
 	if err != nil || j == nil {
 		return w, l.Replica.ModRevision(w.Key) != 0 // the job is over
@@ -92,22 +93,22 @@
 	if _, finishing := l.finalJobs[id]; finishing {
 		return w, false // the final state says it all
 	}
-	w.Value = j.progress(chunk)
-	snapshot := slices.Clone(j.done.chunk(chunk))
-	w.OnStored = func() { copy(j.storedDone.chunk(chunk), snapshot) }
+	w.Value = j.Progress(chunk)
+	snapshot := slices.Clone(j.Done.Chunk(chunk))
+	w.OnStored = func() { copy(j.StoredDone.Chunk(chunk), snapshot) }
 	return w, true
 }
 
 // finishIfDone has a job's end stored once all its tasks are done.
-func (l *Leader) finishIfDone(j *job) {
-	if j.ended || j.doneCount < j.spec.Tasks {
+func (l *Leader) finishIfDone(j *state.Job) {
+	if j.Ended || j.DoneCount < j.Spec.Tasks {
 		return
 	}
-	id := j.spec.ID
+	id := j.Spec.ID
 	if _, ok := l.finalJobs[id]; ok {
 		return
 	}
-	l.finalJobs[id] = replica.Job{SubmittedAt: j.submittedAt, State: wire.JobDone, Reason: "all tasks done", EndedAt: micros.Wall()}
+	l.finalJobs[id] = replica.Job{SubmittedAt: j.SubmittedAt, State: wire.JobDone, Reason: "all tasks done", EndedAt: micros.Wall()}
 	l.writes.Mark(replica.JobPrefix + id)
 	l.writes.Wake()
 }
@@ -116,13 +117,13 @@
 	if j := l.jobs[id]; j != nil {
 		slog.Debug("job done",
 			"job", id,
-			"class", j.spec.Class,
-			"tasks", j.spec.Tasks,
-			"estimate_s", j.spec.EstimatedRuntimeS,
-			"took", (micros.Wall() - j.submittedAt).Duration(),
-			"first_start", (j.firstStart - j.submittedAt).Duration(),
-			"last_start", (j.lastStart - j.submittedAt).Duration(),
-			"longest_run", j.longestRun.Duration())
+			"class", j.Spec.Class,
+			"tasks", j.Spec.Tasks,
+			"estimate_s", j.Spec.EstimatedRuntimeS,
+			"took", (micros.Wall() - j.SubmittedAt).Duration(),
+			"first_start", (j.FirstStart - j.SubmittedAt).Duration(),
+			"last_start", (j.LastStart - j.SubmittedAt).Duration(),
+			"longest_run", j.LongestRun.Duration())
 		l.dropJob(j, wire.JobDone)
 	}
 }
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -9,6 +9,7 @@
 	"slices"
 	"time"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 	"caperlatch/placement"
@@ -65,72 +66,72 @@
 }
 
 // acceptsHeartbeat tells whether a known machine's report is to be answered.
-func (l *Leader) acceptsHeartbeat(m *machine, r *wire.Heartbeat, now micros.Micros) bool {
-	if !l.Term.IsExclusive() && now-m.lease.deferredAt > deferralWindow {
+func (l *Leader) acceptsHeartbeat(m *state.Machine, r *wire.Heartbeat, now micros.Micros) bool {
+	if !l.Term.IsExclusive() && now-m.Lease.DeferredAt > deferralWindow {
 		// Another node may lead by now. A worker that finds no other answer
 		// comes back and has its lease renewed.
-		m.lease.deferredAt = now
+		m.Lease.DeferredAt = now
 		return false
 	}
 	// A late copy is refused. Its worker gave up waiting for the answer.
-	late := r.Incarnation < m.heartbeat.incarnation || r.Incarnation == m.heartbeat.incarnation && r.Sequence <= m.heartbeat.sequence
+	late := r.Incarnation < m.Heartbeat.Incarnation || r.Incarnation == m.Heartbeat.Incarnation && r.Sequence <= m.Heartbeat.Sequence
 	return !late
 }
 
 // endEarlierIncarnation frees the tasks of a worker's session when a later one reports.
-func (l *Leader) endEarlierIncarnation(m *machine, r *wire.Heartbeat) {
-	if m.heartbeat.incarnation == 0 || r.Incarnation <= m.heartbeat.incarnation {
+func (l *Leader) endEarlierIncarnation(m *state.Machine, r *wire.Heartbeat) {
+	if m.Heartbeat.Incarnation == 0 || r.Incarnation <= m.Heartbeat.Incarnation {
 		return
 	}
 	// That an earlier session ended says nothing of what earlier terms started in this
 	// one: a report held back from before a take-over may be all that is known of it.
-	knowledge := m.reconciliation.knowledge
+	knowledge := m.Reconciliation.Knowledge
 	l.releaseAll(m, "the worker's session ended")
-	m.reconciliation.knowledge = knowledge
-	m.reconciliation.queriedSequence = 0
-	m.delivery.sent = m.delivery.sent[:0]
+	m.Reconciliation.Knowledge = knowledge
+	m.Reconciliation.QueriedSequence = 0
+	m.Delivery.Sent = m.Delivery.Sent[:0]
 }
 
 // recordHeartbeat notes what a report tells besides the tasks.
-func (l *Leader) recordHeartbeat(m *machine, r *wire.Heartbeat, now micros.Micros) {
-	m.heartbeat.incarnation, m.heartbeat.sequence, m.instance.address = r.Incarnation, r.Sequence, r.Address
+func (l *Leader) recordHeartbeat(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
+	m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = r.Incarnation, r.Sequence, r.Address
 	l.checkZone(m, r)
-	m.heartbeat.receivedAt = now
-	m.lease.renewedAt = now
-	m.heartbeat.interruptionAt = 0
+	m.Heartbeat.ReceivedAt = now
+	m.Lease.RenewedAt = now
+	m.Heartbeat.InterruptionAt = 0
 	if r.InterruptionNoticeS != nil {
-		m.heartbeat.interruptionAt = now + micros.FromSeconds(*r.InterruptionNoticeS)
+		m.Heartbeat.InterruptionAt = now + micros.FromSeconds(*r.InterruptionNoticeS)
 	}
-	if m.instance.firstHeartbeatAt == 0 {
-		m.instance.firstHeartbeatAt = now
-		if !m.instance.running {
+	if m.Instance.FirstHeartbeatAt == 0 {
+		m.Instance.FirstHeartbeatAt = now
+		if !m.Instance.Running {
 			l.recordBoot(m, now)
 		}
 	}
-	if !m.instance.running {
+	if !m.Instance.Running {
 		l.registerRunning(m)
 	}
 }
 
 // reconcileIfCurrent takes over the tasks of a report that is a snapshot of its machine.
-func (l *Leader) reconcileIfCurrent(m *machine, r *wire.Heartbeat, now micros.Micros) {
+func (l *Leader) reconcileIfCurrent(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
 	// One that is older than what the machine answered when asked tells nothing new.
-	m.heartbeat.ofThisTerm = r.FencingToken == l.FencingToken && r.Sequence > m.reconciliation.queriedSequence
-	if !m.heartbeat.ofThisTerm && m.delivery.respondedThisTerm {
+	m.Heartbeat.OfThisTerm = r.FencingToken == l.FencingToken && r.Sequence > m.Reconciliation.QueriedSequence
+	if !m.Heartbeat.OfThisTerm && m.Delivery.RespondedThisTerm {
 		l.recordLostResponse(m, now)
 	}
-	m.delivery.respondedThisTerm = true
-	if m.heartbeat.ofThisTerm {
+	m.Delivery.RespondedThisTerm = true
+	if m.Heartbeat.OfThisTerm {
 		l.observeZoneReturn(m, now)
 		l.reconcile(m, r, now)
 	} else {
 		// The answer may renew the machine's lease, whatever is thought of the report.
-		m.delivery.followUps = l.stopsForEndedJobs(r)
+		m.Delivery.FollowUps = l.stopsForEndedJobs(r)
 	}
 }
 
 // planCommands plans anew if that is due, and gives the orders for the machine that reports.
-func (l *Leader) planCommands(m *machine, now micros.Micros) []wire.Command {
+func (l *Leader) planCommands(m *state.Machine, now micros.Micros) []wire.Command {
 	l.responding = m
 	defer func() { l.responding = nil }()
 	l.planIfNeeded(now)
@@ -140,10 +141,10 @@
 // reconcile compares a report with what should be on the machine. The report
 // carries this term's token, so the worker made it after it had accepted an
 // answer of this term: starts of earlier terms can no longer be executed.
-func (l *Leader) reconcile(m *machine, r *wire.Heartbeat, now micros.Micros) {
-	confirmed := m.tasksConfirmed()
+func (l *Leader) reconcile(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
+	confirmed := m.TasksConfirmed()
 	if !confirmed {
-		m.reconciliation.knowledge = tasksConfirmed
+		m.Reconciliation.Knowledge = state.TasksConfirmed
 		l.replan = true
 	}
 	listed := make(map[string]bool, len(r.Tasks))
@@ -151,15 +152,15 @@
 		listed[r.Tasks[i].TaskID] = true
 	}
 	l.checkDelivery(m, listed, now)
-	m.delivery.followUps = m.delivery.followUps[:0]
+	m.Delivery.FollowUps = m.Delivery.FollowUps[:0]
 	for i := range r.Tasks {
 		l.observeTask(m, &r.Tasks[i], now)
 	}
-	for name, a := range m.attempts {
+	for name, a := range m.Attempts {
 		// A worker has one report in flight, and drops late answers: if the
 		// start that went with an earlier report's answer does not show in a
 		// newer report, it never will.
-		if !listed[name] && a.startSequence < r.Sequence && !a.reserved {
+		if !listed[name] && a.StartSequence < r.Sequence && !a.Reserved {
 			l.release(a, "the start was lost")
 		}
 	}
@@ -171,19 +172,19 @@
 // checkDelivery compares a report with what the answer before it told. A machine
 // whose reports arrive while answers don't reach it looks healthy: fed with work, it
 // would lose every start until its lease ends.
-func (l *Leader) checkDelivery(m *machine, listed map[string]bool, now micros.Micros) {
+func (l *Leader) checkDelivery(m *state.Machine, listed map[string]bool, now micros.Micros) {
 	obeyed, missed := false, false
-	for _, c := range m.delivery.sent {
+	for _, c := range m.Delivery.Sent {
 		if listed[c.TaskID] == (c.Verb == wire.VerbStart) {
 			obeyed = true
 		} else {
 			missed = true
 		}
 	}
-	m.delivery.sent = m.delivery.sent[:0]
+	m.Delivery.Sent = m.Delivery.Sent[:0]
 	switch {
 	case obeyed:
-		m.delivery.lostResponses = 0
+		m.Delivery.LostResponses = 0
 	case missed:
 		l.recordLostResponse(m, now)
 	}
@@ -192,125 +193,125 @@
 // recordLostResponse counts an answer that did not reach a machine. One may get lost; from the
 // second in a row on, starts wait longer each time. See checkMachines for what
 // becomes of a machine that hears nothing at all.
-func (l *Leader) recordLostResponse(m *machine, now micros.Micros) {
-	if m.delivery.lostResponses == 0 {
-		m.delivery.losingSince = now
+func (l *Leader) recordLostResponse(m *state.Machine, now micros.Micros) {
+	if m.Delivery.LostResponses == 0 {
+		m.Delivery.LosingSince = now
 	}
-	m.delivery.lostResponses++
-	if m.delivery.lostResponses >= 2 {
-		m.startBackoffUntil = max(m.startBackoffUntil, now+min(l.leaseDuration, micros.Second<<min(m.delivery.lostResponses, 10)))
+	m.Delivery.LostResponses++
+	if m.Delivery.LostResponses >= 2 {
+		m.StartBackoffUntil = max(m.StartBackoffUntil, now+min(l.leaseDuration, micros.Second<<min(m.Delivery.LostResponses, 10)))
 	}
 }
 
 // refreshImageSet takes anew what images a machine has or is fetching.
-func (l *Leader) refreshImageSet(m *machine) {
+func (l *Leader) refreshImageSet(m *state.Machine) {
 	var s placement.ImageSet
-	for _, name := range m.images.names {
+	for _, name := range m.Images.Names {
 		s = s.With(l.imageIndex(name))
 	}
-	for _, a := range m.attempts {
-		s = s.With(a.job.image)
+	for _, a := range m.Attempts {
+		s = s.With(a.Job.Image)
 	}
-	m.imageSet = s
+	m.ImageSet = s
 }
 
 // observeTask takes over one task of a report.
-func (l *Leader) observeTask(m *machine, t *wire.TaskStatus, now micros.Micros) {
-	a := m.attempts[t.TaskID]
-	if a != nil && t.State == wire.TaskExited && a.number != t.Attempt && t.ExitReason != wire.ExitDone {
+func (l *Leader) observeTask(m *state.Machine, t *wire.TaskStatus, now micros.Micros) {
+	a := m.Attempts[t.TaskID]
+	if a != nil && t.State == wire.TaskExited && a.Number != t.Attempt && t.ExitReason != wire.ExitDone {
 		// An older attempt that was not cleared yet, or a refusal of a newer
 		// one that never ran; what should be on the machine is not it.
-		if t.Attempt > a.number && t.ExitReason != wire.ExitOtherAttemptPresent {
+		if t.Attempt > a.Number && t.ExitReason != wire.ExitOtherAttemptPresent {
 			l.release(a, "the worker shows another attempt")
 		}
-		m.delivery.followUps = append(m.delivery.followUps, clearCommand(t))
+		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
 		return
 	}
-	if a != nil && a.number == t.Attempt && a.reportedState == "" && a.startSequence != 0 {
+	if a != nil && a.Number == t.Attempt && a.ReportedState == "" && a.StartSequence != 0 {
 		l.zoneCounters(m).startsSeen++
 	}
-	id, task, err := parseTaskID(t.TaskID)
+	id, task, err := state.ParseTaskID(t.TaskID)
 	j := l.jobs[id]
 	if a != nil {
-		j = a.job
+		j = a.Job
 	} else if j == nil {
 		j = l.cancelledJob(id)
 	}
 	switch {
-	case err != nil || j == nil || task >= j.spec.Tasks:
+	case err != nil || j == nil || task >= j.Spec.Tasks:
 		l.rejectTask(m, t)
 	case t.State != wire.TaskExited:
 		l.observePresentTask(m, j, task, a, t, now)
-	case a != nil && a.reserved && t.ExitReason != wire.ExitDone:
+	case a != nil && a.Reserved && t.ExitReason != wire.ExitDone:
 		// An earlier start of the same attempt, for whose place this one is held.
-		m.delivery.followUps = append(m.delivery.followUps, clearCommand(t))
+		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
 	default:
 		l.observeExit(m, j, task, a, t, now)
 	}
 }
 
 // rejectTask has a task that belongs to no job stopped, or cleared if it has ended.
-func (l *Leader) rejectTask(m *machine, t *wire.TaskStatus) {
+func (l *Leader) rejectTask(m *state.Machine, t *wire.TaskStatus) {
 	if t.State == wire.TaskExited {
-		m.delivery.followUps = append(m.delivery.followUps, clearCommand(t))
+		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
 		return
 	}
 	l.sendDirect(m, stopAtOnce(t))
-	m.delivery.followUps = append(m.delivery.followUps, stopAtOnce(t))
+	m.Delivery.FollowUps = append(m.Delivery.FollowUps, stopAtOnce(t))
 }
 
 // observePresentTask takes over a task that is on its machine. a is nil if it was not known there.
-func (l *Leader) observePresentTask(m *machine, j *job, task int, a *attempt, t *wire.TaskStatus, now micros.Micros) {
+func (l *Leader) observePresentTask(m *state.Machine, j *state.Job, task int, a *state.Attempt, t *wire.TaskStatus, now micros.Micros) {
 	if a == nil {
 		if a = l.adoptTask(m, j, task, t, now); a == nil {
 			return
 		}
 	}
-	if a.number != t.Attempt || a.reserved {
-		a.number, a.reserved = t.Attempt, false
+	if a.Number != t.Attempt || a.Reserved {
+		a.Number, a.Reserved = t.Attempt, false
 		l.publishAssigned(a)
 	}
-	if t.State == wire.TaskRunning && a.runningSince == 0 {
+	if t.State == wire.TaskRunning && a.RunningSince == 0 {
 		l.recordRunning(m, a, now)
 	}
-	if t.State != a.reportedState && !wire.IsKnownTaskState(t.State) {
-		l.aggregatedLog.add(fmt.Sprintf("a task's state is unknown, it is taken to be there: %.40q", t.State), m.id)
+	if t.State != a.ReportedState && !wire.IsKnownTaskState(t.State) {
+		l.aggregatedLog.add(fmt.Sprintf("a task's state is unknown, it is taken to be there: %.40q", t.State), m.ID)
 	}
-	a.reportedState = t.State
+	a.ReportedState = t.State
 	l.observeGangTask(a, now)
 }
 
 // adoptTask counts a task as being on a machine that was not known to have it. It has the
 // task stopped instead, and gives nil, if that is done or on another machine.
-func (l *Leader) adoptTask(m *machine, j *job, task int, t *wire.TaskStatus, now micros.Micros) *attempt {
-	if other := j.attempts[task]; other != nil && other.reserved {
-		l.releaseReservation(other, "an earlier start of it is on "+m.id)
+func (l *Leader) adoptTask(m *state.Machine, j *state.Job, task int, t *wire.TaskStatus, now micros.Micros) *state.Attempt {
+	if other := j.Attempts[task]; other != nil && other.Reserved {
+		l.releaseReservation(other, "an earlier start of it is on "+m.ID)
 	}
-	if other := j.attempts[task]; !j.ended && (other != nil && other.machine != m || j.done.has(task)) {
-		m.delivery.followUps = append(m.delivery.followUps, stopAtOnce(t))
+	if other := j.Attempts[task]; !j.Ended && (other != nil && other.Machine != m || j.Done.Has(task)) {
+		m.Delivery.FollowUps = append(m.Delivery.FollowUps, stopAtOnce(t))
 		return nil
 	}
-	a := &attempt{job: j, index: task, number: t.Attempt, machine: m, startedAt: now}
+	a := &state.Attempt{Job: j, Index: task, Number: t.Attempt, Machine: m, StartedAt: now}
 	l.assign(a)
-	if j.ended {
+	if j.Ended {
 		l.stopTask(a, 0, "job is over")
 	}
 	return a
 }
 
 // recordRunning notes that a task was seen running for the first time.
-func (l *Leader) recordRunning(m *machine, a *attempt, now micros.Micros) {
-	j := a.job
-	a.runningSince = now
-	if j.attempts[a.index] == a {
-		j.runningCount++
-	}
-	j.lastStart = micros.Wall()
-	if j.firstStart == 0 {
-		j.firstStart = j.lastStart
-	}
-	if mt := l.types[m.offering.Type]; mt != nil {
-		m.images.use(j.spec.Image, j.spec.ImageSizeGB, mt.ImageCacheGB)
+func (l *Leader) recordRunning(m *state.Machine, a *state.Attempt, now micros.Micros) {
+	j := a.Job
+	a.RunningSince = now
+	if j.Attempts[a.Index] == a {
+		j.RunningCount++
+	}
+	j.LastStart = micros.Wall()
+	if j.FirstStart == 0 {
+		j.FirstStart = j.LastStart
+	}
+	if mt := l.types[m.Offering.Type]; mt != nil {
+		m.Images.Use(j.Spec.Image, j.Spec.ImageSizeGB, mt.ImageCacheGB)
 		l.refreshImageSet(m)
 	}
 }
@@ -327,7 +328,7 @@
 func (l *Leader) stopsForEndedJobs(r *wire.Heartbeat) (stops []wire.Command) {
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		id, _, err := parseTaskID(t.TaskID)
+		id, _, err := state.ParseTaskID(t.TaskID)
 		if err != nil || t.State == wire.TaskExited {
 			continue
 		}
@@ -342,7 +343,7 @@
 // has tasks of: they were not told to stop, or the machine hung. Until they are gone they
 // take their places, and count against their team's limit; when they did not, a leader that
 // took over from one which had been cut off filled the team up beside them.
-func (l *Leader) cancelledJob(id string) *job {
+func (l *Leader) cancelledJob(id string) *state.Job {
 	if j := l.cancelledJobs[id]; j != nil {
 		return j
 	}
@@ -350,42 +351,42 @@
 	if !ok || !r.IsFinal() || r.Spec == nil {
 		return nil
 	}
-	j := newJob(r, true)
-	j.ended = true
-	j.image = l.imageIndex(j.spec.Image)
+	j := state.NewJob(r, true)
+	j.Ended = true
+	j.Image = l.imageIndex(j.Spec.Image)
 	l.cancelledJobs[id] = j
 	return j
 }
 
 // observeExit takes over a task that has ended on its machine.
-func (l *Leader) observeExit(m *machine, j *job, task int, a *attempt, t *wire.TaskStatus, now micros.Micros) {
-	if t.ExitReason == wire.ExitDone && j.spec.Kind != wire.KindService {
+func (l *Leader) observeExit(m *state.Machine, j *state.Job, task int, a *state.Attempt, t *wire.TaskStatus, now micros.Micros) {
+	if t.ExitReason == wire.ExitDone && j.Spec.Kind != wire.KindService {
 		l.observeCompletion(m, j, task, a, t, now)
 		return
 	}
 	if !wire.IsKnownExitReason(t.ExitReason) {
-		l.aggregatedLog.add(fmt.Sprintf("a task ended for an unknown cause: %.40q", t.ExitReason), m.id)
+		l.aggregatedLog.add(fmt.Sprintf("a task ended for an unknown cause: %.40q", t.ExitReason), m.ID)
 	}
-	m.delivery.followUps = append(m.delivery.followUps, clearCommand(t))
+	m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
 	l.observeGangExit(j, task, a, t)
 	if a == nil {
 		return
 	}
 	switch t.ExitReason {
 	case wire.ExitError:
-		j.failures.count++
-		j.failures.lastMachine = m.id
-		if a.runningSince != 0 {
-			j.failures.longestRun = max(j.failures.longestRun, now-a.runningSince)
+		j.Failures.Count++
+		j.Failures.LastMachine = m.ID
+		if a.RunningSince != 0 {
+			j.Failures.LongestRun = max(j.Failures.LongestRun, now-a.RunningSince)
 		}
 		l.attributeFailure(m, j, now)
 	case wire.ExitInsufficientResources:
 		// Our count of what is free was wrong: wait for the next reports.
-		m.startBackoffUntil = now + 2*l.heartbeatInterval
+		m.StartBackoffUntil = now + 2*l.heartbeatInterval
 	case wire.ExitJobNotFound:
 		// The worker cannot find the job yet.
-		j.backoffUntil = now + 5*micros.Second
-		j.backoffReason = "the workers do not find its description"
+		j.BackoffUntil = now + 5*micros.Second
+		j.BackoffReason = "the workers do not find its description"
 	case wire.ExitOtherAttemptPresent:
 		// Another attempt of the task is there; the report lists it too.
 	}
@@ -393,30 +394,30 @@
 }
 
 // observeCompletion takes over a task that is done.
-func (l *Leader) observeCompletion(m *machine, j *job, task int, a *attempt, t *wire.TaskStatus, now micros.Micros) {
-	if !j.done.has(task) && !j.ended {
-		j.done.set(task)
-		j.doneCount++
+func (l *Leader) observeCompletion(m *state.Machine, j *state.Job, task int, a *state.Attempt, t *wire.TaskStatus, now micros.Micros) {
+	if !j.Done.Has(task) && !j.Ended {
+		j.Done.Set(task)
+		j.DoneCount++
 		l.recordSuccess(m, j, a, now)
 		if a != nil {
 			l.learnFromCompletion(j, m, a, now)
 		}
-		l.writes.Mark(progressKey(j.spec.ID, task/chunkTasks))
+		l.writes.Mark(state.ProgressKey(j.Spec.ID, task/state.ChunkTasks))
 		l.completions.count++
 		l.completeGang(j)
-	} else if a != nil && j.isGang() && !j.ended {
+	} else if a != nil && j.IsGang() && !j.Ended {
 		l.learnFromCompletion(j, m, a, now)
 	}
 	if a != nil {
 		l.release(a, "")
 	}
-	if other := j.attempts[task]; other != nil {
+	if other := j.Attempts[task]; other != nil {
 		l.stopTask(other, 0, "done elsewhere")
 	}
 	l.finishIfDone(j)
 	// The worker keeps the result until it is surely stored.
-	if j.ended || j.storedDone.has(task) {
-		m.delivery.followUps = append(m.delivery.followUps, clearCommand(t))
+	if j.Ended || j.StoredDone.Has(task) {
+		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
 	}
 	l.writes.Wake()
 }
@@ -426,25 +427,25 @@
 }
 
 // commandsFor are the commands for a machine that has just reported.
-func (l *Leader) commandsFor(m *machine, now micros.Micros) (orders []wire.Command) {
+func (l *Leader) commandsFor(m *state.Machine, now micros.Micros) (orders []wire.Command) {
 	// Stops first, and all of them: an answer that renews the lease must not leave one out.
 	// There are no more than tasks on the machine.
-	orders = make([]wire.Command, 0, len(m.delivery.followUps)+m.stoppingCount+len(m.planned))
-	for name, a := range m.attempts {
-		if a.stopRequestedAt != 0 && a.number != 0 {
-			orders = append(orders, wire.Command{Verb: wire.VerbStop, TaskID: name, Attempt: a.number, GracePeriodS: secondsPtr(a.gracePeriod)})
+	orders = make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.Planned))
+	for name, a := range m.Attempts {
+		if a.StopRequestedAt != 0 && a.Number != 0 {
+			orders = append(orders, wire.Command{Verb: wire.VerbStop, TaskID: name, Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)})
 		}
 	}
-	for _, c := range m.delivery.followUps {
+	for _, c := range m.Delivery.FollowUps {
 		if c.Verb == wire.VerbStop || len(orders) < maxCommands {
 			orders = append(orders, c)
 		}
 	}
 	defer func() {
-		m.delivery.sent = m.delivery.sent[:0]
+		m.Delivery.Sent = m.Delivery.Sent[:0]
 		for _, c := range orders {
 			if c.Verb != wire.VerbStop {
-				m.delivery.sent = append(m.delivery.sent, c)
+				m.Delivery.Sent = append(m.Delivery.Sent, c)
 			}
 		}
 	}()
@@ -453,48 +454,50 @@
 	}
 	l.fillMachine(m, now)
 	orders = l.commandReservedStarts(m, orders)
-	for _, j := range m.planned {
-		if len(orders) >= maxCommands || j.ended || j.startableTasks(now) == 0 || !m.free.Fits(j.need) || !l.startAllowed(j, m) {
+	for _, j := range m.Planned {
+		if len(orders) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.startAllowed(j, m) {
 			continue
 		}
-		task, ok := j.takeWaitingTask()
+		task, ok := j.TakeWaitingTask()
 		if !ok {
 			continue
 		}
 		n := l.nextAttemptNumber()
-		a := &attempt{job: j, index: task, number: n, machine: m, startSequence: m.heartbeat.sequence, startedAt: now, protected: j.protectedTasks < 1+j.spec.Tasks/agingDivisor}
-		if a.protected {
-			j.protectedTasks++
+		a := &state.Attempt{Job: j, Index: task, Number: n, Machine: m, StartSequence: m.Heartbeat.Sequence, StartedAt: now, Protected: j.ProtectedTasks < 1+j.Spec.Tasks/agingDivisor}
+		if a.Protected {
+			j.ProtectedTasks++
 		}
 		l.assign(a)
-		orders = append(orders, wire.Command{Verb: wire.VerbStart, TaskID: taskID(j.spec.ID, task), Attempt: n})
+		orders = append(orders, wire.Command{Verb: wire.VerbStart, TaskID: state.TaskID(j.Spec.ID, task), Attempt: n})
 	}
-	m.planned = m.planned[:0]
+	m.Planned = m.Planned[:0]
 	return orders
 }
 
 // startAllowed tells whether a task of a job may begin on a machine as things are at this
 // moment. Plans see to all this, but are older: since then a machine may have shown tasks
 // that nobody knew of, or jobs may have lost the tasks that bound them to a zone.
-func (l *Leader) startAllowed(j *job, m *machine) bool { return l.startAllowedWith(j, m, 1) }
+func (l *Leader) startAllowed(j *state.Job, m *state.Machine) bool {
+	return l.startAllowedWith(j, m, 1)
+}
 
 // startAllowedWith tells it of so many more tasks; none more: of one that has its place there.
-func (l *Leader) startAllowedWith(j *job, m *machine, more int) bool {
-	s := j.spec
-	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.offering.Type) || s.Zone != "" && s.Zone != m.offering.Zone || m.offering.Spot && !s.AllowSpot {
+func (l *Leader) startAllowedWith(j *state.Job, m *state.Machine, more int) bool {
+	s := j.Spec
+	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.Offering.Type) || s.Zone != "" && s.Zone != m.Offering.Zone || m.Offering.Spot && !s.AllowSpot {
 		return false
 	}
 	if t := l.teams[s.Team]; t.MaxCPUs > 0 || t.MaxGPUs > 0 {
-		used := l.teamUsage[s.Team].Add(l.unknownUsage, 1).Add(j.need, int64(more))
-		if t.MaxCPUs > 0 && used.CPU > floor(t.MaxCPUs) || t.MaxGPUs > 0 && used.GPU > floor(t.MaxGPUs) {
+		used := l.teamUsage[s.Team].Add(l.unknownUsage, 1).Add(j.Need, int64(more))
+		if t.MaxCPUs > 0 && used.CPU > state.FloorMilli(t.MaxCPUs) || t.MaxGPUs > 0 && used.GPU > state.FloorMilli(t.MaxGPUs) {
 			return false
 		}
 	}
 	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
-	here := j.attemptsPerZone[m.offering.Zone]
-	return (!s.SingleZone || here == len(j.attempts)) && (!s.SpreadZones || 2*(here+more) <= s.Tasks+1)
+	here := j.AttemptsPerZone[m.Offering.Zone]
+	return (!s.SingleZone || here == len(j.Attempts)) && (!s.SpreadZones || 2*(here+more) <= s.Tasks+1)
 }
 
 // nextAttemptNumber is a new number for a start: rising across terms without a write, as the
@@ -505,32 +508,25 @@
 }
 
 // canStart tells whether tasks may be started on a machine now.
-func (l *Leader) canStart(m *machine, now micros.Micros) bool {
-	return m.isSchedulable(now) && l.Term.IsExclusive()
-}
-
-// isSchedulable tells what of that is the machine's part. Its last report must have been
-// made in this term: a late copy of an older one, perhaps of a machine that is long
-// gone, must not draw tasks.
-func (m *machine) isSchedulable(now micros.Micros) bool {
-	return m.instance.running && m.tasksKnown() && m.heartbeat.ofThisTerm && !m.instance.terminating && m.drainReason == "" && m.heartbeat.interruptionAt == 0 && now >= m.startBackoffUntil && m.instance.intentStored && m.instance.listStored
+func (l *Leader) canStart(m *state.Machine, now micros.Micros) bool {
+	return m.IsSchedulable(now) && l.Term.IsExclusive()
 }
 
 // drainOnInterruption empties a machine that the cloud will take.
-func (l *Leader) drainOnInterruption(m *machine, now micros.Micros) {
-	if m.heartbeat.interruptionAt == 0 {
+func (l *Leader) drainOnInterruption(m *state.Machine, now micros.Micros) {
+	if m.Heartbeat.InterruptionAt == 0 {
 		return
 	}
-	if m.drainReason == "" {
-		m.drainReason = "spot notice"
+	if m.DrainReason == "" {
+		m.DrainReason = "spot notice"
 		l.replan = true
 	}
-	for _, a := range m.attempts {
-		s := a.job.spec
-		if a.job.isGang() {
-			l.evictGangTask(a, max(checkpointGrace(a.job), m.heartbeat.interruptionAt-now), "its spot machine is being taken", now)
-		} else if s.CheckpointIntervalS > 0 && a.stopRequestedAt == 0 {
-			l.stopTask(a, max(micros.FromSeconds(s.CheckpointDurationS), m.heartbeat.interruptionAt-now), "its spot machine is being taken")
+	for _, a := range m.Attempts {
+		s := a.Job.Spec
+		if a.Job.IsGang() {
+			l.evictGangTask(a, max(state.CheckpointGrace(a.Job), m.Heartbeat.InterruptionAt-now), "its spot machine is being taken", now)
+		} else if s.CheckpointIntervalS > 0 && a.StopRequestedAt == 0 {
+			l.stopTask(a, max(micros.FromSeconds(s.CheckpointDurationS), m.Heartbeat.InterruptionAt-now), "its spot machine is being taken")
 		}
 	}
 }
@@ -567,8 +563,8 @@
 // the worker's reports until it is obeyed, so a failure here needs no care.
 // The answer is not used: a report made there may be newer than the last and
 // still lack a start that is on its way.
-func (l *Leader) sendDirect(m *machine, c wire.Command) {
-	if m.instance.address == "" || !l.Term.IsExclusive() {
+func (l *Leader) sendDirect(m *state.Machine, c wire.Command) {
+	if m.Instance.Address == "" || !l.Term.IsExclusive() {
 		return
 	}
 	select {
@@ -576,7 +572,7 @@
 	default:
 		return
 	}
-	address, body := m.instance.address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.heartbeat.incarnation, Commands: []wire.Command{c}}
+	address, body := m.Instance.Address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.Heartbeat.Incarnation, Commands: []wire.Command{c}}
 	go func() {
 		defer func() { <-l.slots }()
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
