--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"caperlatch/internal/cloud"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -25,23 +26,23 @@
 }
 
 // learnFromCompletion learns from a task that completed in one go here.
-func (l *Leader) learnFromCompletion(j *job, m *machine, a *attempt, now micros.Micros) {
-	if a.runningSince != 0 {
-		j.longestRun = max(j.longestRun, now-a.runningSince)
+func (l *Leader) learnFromCompletion(j *state.Job, m *state.Machine, a *state.Attempt, now micros.Micros) {
+	if a.RunningSince != 0 {
+		j.LongestRun = max(j.LongestRun, now-a.RunningSince)
 	}
-	t := l.types[m.offering.Type]
-	if t == nil || a.startSequence == 0 {
+	t := l.types[m.Offering.Type]
+	if t == nil || a.StartSequence == 0 {
 		return // adopted: nobody here saw it start
 	}
 	t.finishedTasks++
-	t.service.Finished(machineFraction(t, j.need), (now - a.startedAt).Seconds(), j.spec.Tasks)
-	if a.runningSince != 0 && (j.spec.CheckpointIntervalS == 0 || !j.ranBefore[a.index]) {
-		e := l.estimates[j.spec.Class]
+	t.service.Finished(machineFraction(t, j.Need), (now - a.StartedAt).Seconds(), j.Spec.Tasks)
+	if a.RunningSince != 0 && (j.Spec.CheckpointIntervalS == 0 || !j.RanBefore[a.Index]) {
+		e := l.estimates[j.Spec.Class]
 		if e == nil {
 			e = newEstimate()
-			l.estimates[j.spec.Class] = e
+			l.estimates[j.Spec.Class] = e
 		}
-		e.Observe(j.spec.EstimatedRuntimeS, (now - a.runningSince).Seconds(), j.spec.Tasks)
+		e.Observe(j.Spec.EstimatedRuntimeS, (now - a.RunningSince).Seconds(), j.Spec.Tasks)
 	}
 }
 
@@ -61,16 +62,16 @@
 
 // offeringsFor lists what could be rented for a job, the cheapest work first. It is
 // kept with the job for as long as the catalog stays as it is.
-func (l *Leader) offeringsFor(j *job) []offering {
-	if j.offeringsVersion != l.typesVersion {
-		j.offerings, j.offeringsVersion = l.findOfferings(j.spec, j.need), l.typesVersion
+func (l *Leader) offeringsFor(j *state.Job) []state.Offering {
+	if j.OfferingsVersion != l.typesVersion {
+		j.Offerings, j.OfferingsVersion = l.findOfferings(j.Spec, j.Need), l.typesVersion
 	}
-	return j.offerings
+	return j.Offerings
 }
 
-func (l *Leader) findOfferings(s *wire.Job, need placement.Resources) []offering {
+func (l *Leader) findOfferings(s *wire.Job, need placement.Resources) []state.Offering {
 	type priced struct {
-		offering
+		state.Offering
 		price float64
 	}
 	var out []priced
@@ -88,22 +89,22 @@
 				}
 				probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
 				if placement.ConstraintsAdmit(&probe, name, zone, spot) {
-					out = append(out, priced{offering{name, zone, spot}, price * machineFraction(t, need)})
+					out = append(out, priced{state.Offering{Type: name, Zone: zone, Spot: spot}, price * machineFraction(t, need)})
 				}
 			}
 		}
 	}
 	slices.SortStableFunc(out, func(a, b priced) int { return cmp.Compare(a.price, b.price) })
-	offers := make([]offering, len(out))
+	offers := make([]state.Offering, len(out))
 	for i, p := range out {
-		offers[i] = p.offering
+		offers[i] = p.Offering
 	}
 	return offers
 }
 
 // preferredType is the machine type that a job's demand is counted for: the
 // cheapest that has not refused lately, else the cheapest.
-func (l *Leader) preferredType(j *job, now micros.Micros) *scaledType {
+func (l *Leader) preferredType(j *state.Job, now micros.Micros) *scaledType {
 	offers := l.offeringsFor(j)
 	for _, o := range offers {
 		if s := l.capacityBackoffs[o]; s == nil || now >= s.until {
@@ -117,34 +118,34 @@
 }
 
 // addDemand counts a job that came in.
-func (l *Leader) addDemand(j *job) {
+func (l *Leader) addDemand(j *state.Job) {
 	now := micros.Now()
 	t := l.preferredType(j, now)
 	if t == nil {
 		return
 	}
 	l.addPoolDemand(j, now)
-	work := float64(j.waiting()) * machineFraction(t, j.need)
-	j.demand.instanceType, j.demand.machines = t, work
-	due, _ := l.startDeadline(j, false, j.submittedAt)
-	t.batches.Add(float64(j.spec.Tasks)*machineFraction(t, j.need), j.spec.Tasks, (due-j.submittedAt).Seconds() > t.BootTimeS)
-	if j.mayHaveEarlierTasks {
-		j.demand.machines = 0 // the record's rate has it
+	work := float64(j.WaitingTasks()) * machineFraction(t, j.Need)
+	j.Demand.InstanceType, j.Demand.Machines = t.Name, work
+	due, _ := l.startDeadline(j, false, j.SubmittedAt)
+	t.batches.Add(float64(j.Spec.Tasks)*machineFraction(t, j.Need), j.Spec.Tasks, (due-j.SubmittedAt).Seconds() > t.BootTimeS)
+	if j.MayHaveEarlierTasks {
+		j.Demand.Machines = 0 // the record's rate has it
 	} else {
 		t.demand.Add(now, work)
 		if l.isDelayTolerant(j) {
 			t.bestEffortDemand.Add(now, work)
 		}
 	}
-	t.service.Estimate(work, l.expectedRuntime(j.spec)+j.spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
+	t.service.Estimate(work, l.expectedRuntime(j.Spec)+j.Spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
 }
 
 // isDelayTolerant tells whether a job can do without ordinary machines: it is of the lowest
 // priority and nobody says when it should be done. At about three times the price its
 // work would cost more than it is worth.
-func (l *Leader) isDelayTolerant(j *job) bool {
-	return j.priority == 0 && j.spec.AllowSpot && j.spec.DeadlineS == nil &&
-		!slices.ContainsFunc(l.Settings.Params.Objectives, func(o settings.Objective) bool { return o.Class == j.spec.Class })
+func (l *Leader) isDelayTolerant(j *state.Job) bool {
+	return j.Priority == 0 && j.Spec.AllowSpot && j.Spec.DeadlineS == nil &&
+		!slices.ContainsFunc(l.Settings.Params.Objectives, func(o settings.Objective) bool { return o.Class == j.Spec.Class })
 }
 
 // autoscale steps the model and rents or returns toward the target.
@@ -185,18 +186,18 @@
 
 // countSupply counts the machines that can be counted on, by type; not those that are to be
 // replaced in other zones.
-func (l *Leader) countSupply(replaced map[*machine]bool, now micros.Micros) map[string]typeSupply {
+func (l *Leader) countSupply(replaced map[*state.Machine]bool, now micros.Micros) map[string]typeSupply {
 	supply := map[string]typeSupply{}
 	for _, m := range l.machines {
-		if m.instance.terminating || m.drainReason != "" || l.isOverdue(m, now) || replaced[m] {
+		if m.Instance.Terminating || m.DrainReason != "" || l.isOverdue(m, now) || replaced[m] {
 			continue
 		}
-		s := supply[m.offering.Type]
+		s := supply[m.Offering.Type]
 		s.have++
-		if len(m.attempts) > 0 || len(m.planned) > 0 || m.pool != nil {
+		if len(m.Attempts) > 0 || len(m.Planned) > 0 || m.Pool.IsSet() {
 			s.busy++
 		}
-		supply[m.offering.Type] = s
+		supply[m.Offering.Type] = s
 	}
 	for _, b := range l.intents {
 		if !b.Answered {
@@ -266,24 +267,24 @@
 // the dearest and emptiest. They get tasks only when no other has room: spread
 // over all machines, a few tasks would keep every one of them busy for ever.
 func (l *Leader) markSurplus(t *scaledType, n int, now micros.Micros) {
-	var ms []*machine
+	var ms []*state.Machine
 	for _, m := range l.sorted {
-		if m.offering.Type == t.Name {
-			m.surplus = false
-			if m.instance.running && !m.instance.terminating && m.drainReason == "" && m.pool == nil {
+		if m.Offering.Type == t.Name {
+			m.Surplus = false
+			if m.Instance.Running && !m.Instance.Terminating && m.DrainReason == "" && !m.Pool.IsSet() {
 				ms = append(ms, m)
 			}
 		}
 	}
-	slices.SortStableFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(price(t, b.offering.Spot), price(t, a.offering.Spot)), cmp.Compare(len(a.attempts), len(b.attempts)))
+	slices.SortStableFunc(ms, func(a, b *state.Machine) int {
+		return cmp.Or(cmp.Compare(price(t, b.Offering.Spot), price(t, a.Offering.Spot)), cmp.Compare(len(a.Attempts), len(b.Attempts)))
 	})
 	for i, m := range ms {
-		switch m.surplus = i < n; {
-		case !m.surplus:
-			m.surplusSince = 0
-		case m.surplusSince == 0:
-			m.surplusSince = now
+		switch m.Surplus = i < n; {
+		case !m.Surplus:
+			m.SurplusSince = 0
+		case m.SurplusSince == 0:
+			m.SurplusSince = now
 		}
 	}
 }
@@ -293,19 +294,19 @@
 // best-effort work kept them for the rest of the day.
 func (l *Leader) closeToDelayTolerant(t *scaledType, want, need float64) {
 	wanted := ceilMachines(want)
-	var ms []*machine
+	var ms []*state.Machine
 	for _, m := range l.sorted {
-		if m.offering.Type != t.Name || m.instance.terminating || m.drainReason != "" {
+		if m.Offering.Type != t.Name || m.Instance.Terminating || m.DrainReason != "" {
 			continue
 		}
-		m.rejectsDelayTolerant = false
-		if m.offering.Spot {
+		m.RejectsDelayTolerant = false
+		if m.Offering.Spot {
 			wanted--
 			continue
 		}
-		only := m.pool == nil
-		for _, a := range m.attempts {
-			only = only && l.isDelayTolerant(a.job)
+		only := !m.Pool.IsSet()
+		for _, a := range m.Attempts {
+			only = only && l.isDelayTolerant(a.Job)
 		}
 		if only {
 			ms = append(ms, m)
@@ -316,9 +317,9 @@
 	if need > 0.01 {
 		return
 	}
-	slices.SortStableFunc(ms, func(a, b *machine) int { return cmp.Compare(len(a.attempts), len(b.attempts)) })
+	slices.SortStableFunc(ms, func(a, b *state.Machine) int { return cmp.Compare(len(a.Attempts), len(b.Attempts)) })
 	for _, m := range ms[:max(0, min(len(ms), len(ms)-int(math.Max(0, wanted))))] {
-		m.rejectsDelayTolerant = true
+		m.RejectsDelayTolerant = true
 	}
 }
 
@@ -334,9 +335,9 @@
 	l.meansRaised = true
 	held := map[string]float64{}
 	for _, m := range l.machines {
-		for _, a := range m.attempts {
-			if t := l.types[m.offering.Type]; t != nil {
-				held[t.Name] += machineFraction(t, a.job.need)
+		for _, a := range m.Attempts {
+			if t := l.types[m.Offering.Type]; t != nil {
+				held[t.Name] += machineFraction(t, a.Job.Need)
 			}
 		}
 	}
@@ -411,9 +412,9 @@
 	if !l.Term.IsExclusive() {
 		return n
 	}
-	var open []offering
+	var open []state.Offering
 	for _, zone := range t.Zones {
-		o := offering{t.Name, zone, spot}
+		o := state.Offering{Type: t.Name, Zone: zone, Spot: spot}
 		s := l.capacityBackoffs[o]
 		switch {
 		case l.hasOpenIntent(o):
@@ -425,11 +426,11 @@
 	}
 	inZone := map[string]int{}
 	for _, m := range l.sorted {
-		if m.offering.Type == t.Name {
-			inZone[m.offering.Zone]++
+		if m.Offering.Type == t.Name {
+			inZone[m.Offering.Zone]++
 		}
 	}
-	slices.SortStableFunc(open, func(a, b offering) int { return cmp.Compare(inZone[a.Zone], inZone[b.Zone]) })
+	slices.SortStableFunc(open, func(a, b state.Offering) int { return cmp.Compare(inZone[a.Zone], inZone[b.Zone]) })
 	booked := 0
 	for i, o := range open {
 		left := n - booked
@@ -458,24 +459,24 @@
 	wall := micros.Wall()
 	teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow()
 	type count struct{ all, coming int }
-	kinds := map[offering]count{}
+	kinds := map[state.Offering]count{}
 	for _, m := range l.sorted {
-		n := kinds[m.offering]
+		n := kinds[m.Offering]
 		n.all++
-		if !m.instance.running && !m.instance.terminating {
+		if !m.Instance.Running && !m.Instance.Terminating {
 			n.coming++
 		}
-		kinds[m.offering] = n
+		kinds[m.Offering] = n
 	}
 	for _, j := range l.jobs {
-		if l.mustAwaitReconciliation(j, unresolved) || teams[j.spec.Team].Room(j.need, 1) == 0 {
+		if l.mustAwaitReconciliation(j, unresolved) || teams[j.Spec.Team].Room(j.Need, 1) == 0 {
 			continue // not for want of machines
 		}
-		if j.startableTasks(now) <= 0 || now-j.seenAt < constrainedLaunchDelay || wall-j.lastStart < constrainedLaunchDelay {
+		if j.StartableTasks(now) <= 0 || now-j.SeenAt < constrainedLaunchDelay || wall-j.LastStart < constrainedLaunchDelay {
 			continue
 		}
-		probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot,
-			SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones, Total: j.spec.Tasks, TasksPerZone: j.attemptsPerZone}
+		probe := placement.Job{InstanceTypes: j.Spec.InstanceTypes, Zone: j.Spec.Zone, AllowSpot: j.Spec.AllowSpot,
+			SingleZone: j.Spec.SingleZone, SpreadZones: j.Spec.SpreadZones, Total: j.Spec.Tasks, TasksPerZone: j.AttemptsPerZone}
 		closed, coming := 0, 0
 		for o, n := range kinds {
 			if placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
@@ -495,7 +496,7 @@
 				break // its answer comes first
 			}
 			s := l.capacityBackoffs[o]
-			count := int(ceilMachines(float64(j.startableTasks(now))*machineFraction(l.types[o.Type], j.need))) - coming
+			count := int(ceilMachines(float64(j.StartableTasks(now))*machineFraction(l.types[o.Type], j.Need))) - coming
 			if count > 0 && (s == nil || now >= s.until) && l.Term.IsExclusive() {
 				l.createIntent(o, min(count, 4))
 				break
@@ -505,9 +506,9 @@
 }
 
 // hasOpenIntent tells whether a booking of an offer waits for its answer.
-func (l *Leader) hasOpenIntent(o offering) bool {
+func (l *Leader) hasOpenIntent(o state.Offering) bool {
 	for _, b := range l.intents {
-		if !b.Answered && (offering{b.Type, b.Zone, b.Spot}) == o {
+		if !b.Answered && (state.Offering{Type: b.Type, Zone: b.Zone, Spot: b.Spot}) == o {
 			return true
 		}
 	}
@@ -525,15 +526,15 @@
 		// have to wait for its lease.
 		return
 	}
-	var idle []*machine
+	var idle []*state.Machine
 	for _, m := range l.sorted {
-		if m.offering.Type == t.Name && len(m.attempts) == 0 && len(m.planned) == 0 && m.pool == nil && m.tasksKnown() && !m.instance.terminating && m.drainReason == "" &&
-			now-m.instance.launchedAt > minBilledTime-3*micros.Second && now-m.instance.idleSince > l.idleTimeout(t, m.offering.Spot) {
+		if m.Offering.Type == t.Name && len(m.Attempts) == 0 && len(m.Planned) == 0 && !m.Pool.IsSet() && m.TasksKnown() && !m.Instance.Terminating && m.DrainReason == "" &&
+			now-m.Instance.LaunchedAt > minBilledTime-3*micros.Second && now-m.Instance.IdleSince > l.idleTimeout(t, m.Offering.Spot) {
 			idle = append(idle, m)
 		}
 	}
-	slices.SortStableFunc(idle, func(a, b *machine) int {
-		return cmp.Compare(price(t, b.offering.Spot), price(t, a.offering.Spot))
+	slices.SortStableFunc(idle, func(a, b *state.Machine) int {
+		return cmp.Compare(price(t, b.Offering.Spot), price(t, a.Offering.Spot))
 	})
 	for _, m := range idle[:min(n, len(idle))] {
 		l.terminate(m, "not needed")
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"slices"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/standby"
 	"caperlatch/internal/wire"
@@ -52,37 +53,37 @@
 }
 
 // publishAssigned tells that a task holds its place on a machine.
-func (l *Leader) publishAssigned(a *attempt) {
+func (l *Leader) publishAssigned(a *state.Attempt) {
 	if l.Followers == nil {
 		return
 	}
 	l.publish(standby.Entry{TaskAssigned: &standby.TaskAssigned{
-		Machine: a.machine.id,
-		Task:    taskID(a.job.spec.ID, a.index),
+		Machine: a.Machine.ID,
+		Task:    a.TaskID(),
 		TaskState: standby.TaskState{
-			Attempt:  a.number,
-			Stopping: a.stopRequestedAt != 0,
-			Urgent:   a.job.priority >= wire.PriorityRank(wire.PriorityUrgent),
-			Reserved: a.reserved,
+			Attempt:  a.Number,
+			Stopping: a.StopRequestedAt != 0,
+			Urgent:   a.Job.Priority >= wire.PriorityRank(wire.PriorityUrgent),
+			Reserved: a.Reserved,
 		},
 	}})
 }
 
 // publishRemoved tells that a task is surely no longer on a machine.
-func (l *Leader) publishRemoved(a *attempt) {
+func (l *Leader) publishRemoved(a *state.Attempt) {
 	if l.Followers != nil {
-		l.publish(standby.Entry{TaskRemoved: &standby.TaskRemoved{Machine: a.machine.id, Task: taskID(a.job.spec.ID, a.index)}})
+		l.publish(standby.Entry{TaskRemoved: &standby.TaskRemoved{Machine: a.Machine.ID, Task: a.TaskID()}})
 	}
 }
 
 // publishMachine tells what has changed of a machine besides its tasks.
-func (l *Leader) publishMachine(m *machine) {
-	state := standby.MachineState{Incarnation: m.heartbeat.incarnation, TasksKnown: m.tasksConfirmed()}
-	if l.Followers == nil || m.published == state {
+func (l *Leader) publishMachine(m *state.Machine) {
+	state := standby.MachineState{Incarnation: m.Heartbeat.Incarnation, TasksKnown: m.TasksConfirmed()}
+	if l.Followers == nil || m.Published == state {
 		return
 	}
-	m.published = state
-	l.publish(standby.Entry{MachineObserved: &standby.MachineObserved{Machine: m.id, MachineState: state}})
+	m.Published = state
+	l.publish(standby.Entry{MachineObserved: &standby.MachineObserved{Machine: m.ID, MachineState: state}})
 }
 
 // publishEstimates tells what the classes' run times have been, which is not stored.
@@ -112,8 +113,8 @@
 		if m == nil {
 			continue
 		}
-		m.reconciliation.previousTerm = known
-		if l.handedOver && known.TasksKnown && !m.tasksKnown() {
+		m.Reconciliation.PreviousTerm = known
+		if l.handedOver && known.TasksKnown && !m.TasksKnown() {
 			l.adoptHandedOver(m, known)
 		}
 		if known.Terminating && v.Token+1 == l.FencingToken && l.Term.HoldsSession() {
@@ -133,7 +134,7 @@
 // answers proves it anew.
 func (l *Leader) terminateDropped() {
 	for _, m := range l.sorted {
-		if !m.tasksKnown() && m.reconciliation.previousTerm == nil && l.Term.HoldsSession() {
+		if !m.TasksKnown() && m.Reconciliation.PreviousTerm == nil && l.Term.HoldsSession() {
 			l.terminate(m, "an earlier leader had returned it")
 		}
 	}
@@ -155,8 +156,8 @@
 //
 // A machine with a task that cannot be counted, as its job is over and kept no description, is
 // left unresolved: the task may still take its team's GuaranteedCPUs.
-func (l *Leader) adoptHandedOver(m *machine, known *standby.Machine) {
-	var attempts []*attempt
+func (l *Leader) adoptHandedOver(m *state.Machine, known *standby.Machine) {
+	var attempts []*state.Attempt
 	for name, task := range known.Tasks {
 		if task.Reserved {
 			continue // its start was never sent
@@ -165,18 +166,18 @@
 		if j == nil {
 			return
 		}
-		attempts = append(attempts, &attempt{job: j, index: n, number: task.Attempt, machine: m, startedAt: l.startedAt})
+		attempts = append(attempts, &state.Attempt{Job: j, Index: n, Number: task.Attempt, Machine: m, StartedAt: l.startedAt})
 	}
 	for _, a := range attempts {
 		l.assign(a)
-		if a.job.isGang() && a.number > a.job.gang.number {
-			a.job.gang = gangAttempt{number: a.number}
+		if a.Job.IsGang() && a.Number > a.Job.Gang.Number {
+			a.Job.Gang = state.GangAttempt{Number: a.Number}
 		}
 	}
-	m.reconciliation.knowledge = tasksHandedOver
-	m.lease.renewedAt = l.startedAt
+	m.Reconciliation.Knowledge = state.TasksHandedOver
+	m.Lease.RenewedAt = l.startedAt
 	for _, a := range attempts {
-		if a.job.ended {
+		if a.Job.Ended {
 			// The term before may not have told it, and no report will show it as news: known to
 			// be there, it went on for ever.
 			l.stopTask(a, 0, "job is over")
@@ -185,15 +186,15 @@
 }
 
 // findTask is the job that a task is of, and the task's number; nil if it cannot be counted.
-func (l *Leader) findTask(name string) (j *job, n int) {
-	id, n, err := parseTaskID(name)
+func (l *Leader) findTask(name string) (j *state.Job, n int) {
+	id, n, err := state.ParseTaskID(name)
 	if err != nil {
 		return nil, 0
 	}
 	if j = l.jobs[id]; j == nil {
 		j = l.cancelledJob(id)
 	}
-	if j == nil || n >= j.spec.Tasks {
+	if j == nil || n >= j.Spec.Tasks {
 		return nil, 0
 	}
 	return j, n
@@ -202,18 +203,18 @@
 // unknownMachines tells of which machines the tasks are not known.
 type unknownMachines struct {
 	count     int
-	offerings []offering // of these, each once
+	offerings []state.Offering // of these, each once
 }
 
 // unknownMachinesNow tells of which machines the tasks are not known now.
 func (l *Leader) unknownMachinesNow() (u unknownMachines) {
 	for _, m := range l.sorted {
-		if m.tasksKnown() {
+		if m.TasksKnown() {
 			continue
 		}
 		u.count++
-		if !slices.Contains(u.offerings, m.offering) {
-			u.offerings = append(u.offerings, m.offering)
+		if !slices.Contains(u.offerings, m.Offering) {
+			u.offerings = append(u.offerings, m.Offering)
 		}
 	}
 	return u
@@ -224,17 +225,17 @@
 // zone and kind its job allows, so machines of other kinds have none of it; that is made use of
 // with the standby on. A gang also waits until all machines have confirmed what a handover
 // told of them, since only their reports tell whether its attempt runs or ends.
-func (l *Leader) mustAwaitReconciliation(j *job, u unknownMachines) bool {
+func (l *Leader) mustAwaitReconciliation(j *state.Job, u unknownMachines) bool {
 	switch {
-	case !j.mayHaveEarlierTasks:
+	case !j.MayHaveEarlierTasks:
 		return false
-	case j.isGang() && l.countUnconfirmed() > 0:
+	case j.IsGang() && l.countUnconfirmed() > 0:
 		return true
 	case l.Followers == nil:
 		return u.count > 0
 	}
-	probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot}
-	return slices.ContainsFunc(u.offerings, func(kind offering) bool {
+	probe := placement.Job{InstanceTypes: j.Spec.InstanceTypes, Zone: j.Spec.Zone, AllowSpot: j.Spec.AllowSpot}
+	return slices.ContainsFunc(u.offerings, func(kind state.Offering) bool {
 		return placement.ConstraintsAdmit(&probe, kind.Type, kind.Zone, kind.Spot)
 	})
 }
@@ -245,7 +246,7 @@
 		return 0
 	}
 	for _, m := range l.machines {
-		if m.reconciliation.knowledge == tasksHandedOver {
+		if m.Reconciliation.Knowledge == state.TasksHandedOver {
 			n++
 		}
 	}
@@ -263,22 +264,22 @@
 
 // sortByQueryPriority has machines asked in the order in which their answers matter: while urgent work
 // waits, those that should have room for it, and then the busiest, which most jobs wait for.
-func (l *Leader) sortByQueryPriority(ms []*machine) {
+func (l *Leader) sortByQueryPriority(ms []*state.Machine) {
 	urgent := false
 	for _, j := range l.jobs {
-		urgent = urgent || j.waiting() > 0 && j.priority >= wire.PriorityRank(wire.PriorityUrgent)
+		urgent = urgent || j.WaitingTasks() > 0 && j.Priority >= wire.PriorityRank(wire.PriorityUrgent)
 	}
-	rank := func(m *machine) int {
+	rank := func(m *state.Machine) int {
 		tasks := 0
-		if m.reconciliation.previousTerm != nil {
-			tasks = len(m.reconciliation.previousTerm.Tasks)
+		if m.Reconciliation.PreviousTerm != nil {
+			tasks = len(m.Reconciliation.PreviousTerm.Tasks)
 		}
 		if urgent && tasks == 0 {
 			return -1 << 20
 		}
 		return -tasks
 	}
-	slices.SortStableFunc(ms, func(a, b *machine) int { return cmp.Compare(rank(a), rank(b)) })
+	slices.SortStableFunc(ms, func(a, b *state.Machine) int { return cmp.Compare(rank(a), rank(b)) })
 }
 
 // Times of a handover.
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/standby"
@@ -26,11 +27,11 @@
 }
 
 // withSecond adds a machine that this term knows to be empty and that may get tasks.
-func withSecond(l *Leader) *machine {
+func withSecond(l *Leader) *state.Machine {
 	b := &launchIntent{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
 	l.intents[b.id] = b
 	m := l.addMachine("i-2", b, l.startedAt)
-	m.instance.running, m.instance.intentStored, m.instance.listStored = true, true, true
+	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
 	return m
 }
 
@@ -130,12 +131,12 @@
 		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.startedAt).Duration(), l.leaseDuration.Duration())
 	}
 	l.checkMachines(l.startedAt + l.leaseDuration)
-	if l.jobs["j-000001"].attempts[0] == nil {
+	if l.jobs["j-000001"].Attempts[0] == nil {
 		t.Error("the task is given up within the lease")
 	}
 	term.confirmed = l.leaseExpiry(m)
 	l.checkMachines(l.leaseExpiry(m) + 1)
-	if l.jobs["j-000001"].attempts[0] != nil || m.reconciliation.knowledge == tasksHandedOver {
+	if l.jobs["j-000001"].Attempts[0] != nil || m.Reconciliation.Knowledge == state.TasksHandedOver {
 		t.Error("the task is kept after the lease")
 	}
 }
@@ -161,20 +162,20 @@
 			l.PreviousTerm = handedView()
 			l.usePreviousTerm()
 			m := l.machines["i-1"]
-			if m.likelyIncarnation() != 4 {
-				t.Errorf("it is asked in session %d", m.likelyIncarnation())
+			if m.LikelyIncarnation() != 4 {
+				t.Errorf("it is asked in session %d", m.LikelyIncarnation())
 			}
-			m.startBackoffUntil = l.startedAt + 100*micros.Second // no starts here
+			m.StartBackoffUntil = l.startedAt + 100*micros.Second // no starts here
 			if _, err := l.HandleHeartbeat(reportOf("i-1", 3, tc.tasks...)); err != nil {
 				t.Fatal(err)
 			}
 			var on []int
-			for task := range l.jobs["j-000001"].attempts {
+			for task := range l.jobs["j-000001"].Attempts {
 				on = append(on, task)
 			}
 			slices.Sort(on)
-			if !slices.Equal(on, tc.on) || m.reconciliation.knowledge == tasksHandedOver || l.countUnknownMachines() > 0 {
-				t.Errorf("on machines %v, want %v; unconfirmed %v", on, tc.on, m.reconciliation.knowledge == tasksHandedOver)
+			if !slices.Equal(on, tc.on) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.countUnknownMachines() > 0 {
+				t.Errorf("on machines %v, want %v; unconfirmed %v", on, tc.on, m.Reconciliation.Knowledge == state.TasksHandedOver)
 			}
 		})
 	}
@@ -186,22 +187,22 @@
 func TestHandedOverGang(t *testing.T) {
 	l, _ := newTest(t)
 	m := withSecond(l)
-	l.jobs["j-000001"].spec.Kind = wire.KindGang
+	l.jobs["j-000001"].Spec.Kind = wire.KindGang
 	l.PreviousTerm = handedView()
 	l.usePreviousTerm()
 	a, err := l.HandleHeartbeat(reportOf("i-2", 1))
 	if err != nil || len(a.Commands) > 0 {
 		t.Errorf("told %v (%v) before the gang's machine has confirmed", verbs(a), err)
 	}
-	if l.jobs["j-000001"].gang.number != 5 {
-		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].gang.number)
+	if l.jobs["j-000001"].Gang.Number != 5 {
+		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].Gang.Number)
 	}
 	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
-	l.machines["i-1"].startBackoffUntil = l.startedAt + 100*micros.Second
+	l.machines["i-1"].StartBackoffUntil = l.startedAt + 100*micros.Second
 	if _, err := l.HandleHeartbeat(reportOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
 	}
-	l.plannedAt, m.startBackoffUntil = 0, 0
+	l.plannedAt, m.StartBackoffUntil = 0, 0
 	if a, err = l.HandleHeartbeat(reportOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
 		t.Errorf("told %v (%v), want the other two under attempt 5", a.Commands, err)
 	}
@@ -212,24 +213,24 @@
 func TestMustWait(t *testing.T) {
 	cases := []struct {
 		name        string
-		edit        func(j *job)
+		edit        func(j *state.Job)
 		cold, warm  bool // it waits
 		allResolved bool
 	}{
-		{"any machine will do", func(*job) {}, true, true, false},
-		{"it is new", func(j *job) { j.mayHaveEarlierTasks = false }, false, false, false},
-		{"no machine is unknown", func(*job) {}, false, false, true},
-		{"it may be there", func(j *job) { j.spec.Zone, j.spec.InstanceTypes = "a", []string{"m4", "m8"} }, true, true, false},
-		{"only in another zone", func(j *job) { j.spec.Zone = "b" }, true, false, false},
-		{"only on another type", func(j *job) { j.spec.InstanceTypes = []string{"m8"} }, true, false, false},
-		{"only on ordinary machines", func(j *job) { j.spec.AllowSpot = false }, true, false, false},
+		{"any machine will do", func(*state.Job) {}, true, true, false},
+		{"it is new", func(j *state.Job) { j.MayHaveEarlierTasks = false }, false, false, false},
+		{"no machine is unknown", func(*state.Job) {}, false, false, true},
+		{"it may be there", func(j *state.Job) { j.Spec.Zone, j.Spec.InstanceTypes = "a", []string{"m4", "m8"} }, true, true, false},
+		{"only in another zone", func(j *state.Job) { j.Spec.Zone = "b" }, true, false, false},
+		{"only on another type", func(j *state.Job) { j.Spec.InstanceTypes = []string{"m8"} }, true, false, false},
+		{"only on ordinary machines", func(j *state.Job) { j.Spec.AllowSpot = false }, true, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			m := l.machines["i-1"]
-			m.offering.Spot = true
-			m.reconciliation.knowledge = knowledge(tc.allResolved)
+			m.Offering.Spot = true
+			m.Reconciliation.Knowledge = knowledge(tc.allResolved)
 			j := l.jobs["j-000001"]
 			tc.edit(j)
 			if got := l.mustAwaitReconciliation(j, l.unknownMachinesNow()); got != tc.cold {
@@ -297,12 +298,12 @@
 			}
 		}
 		known := f.View().Machines["i-1"]
-		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].attempts) {
-			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].attempts))
+		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].Attempts) {
+			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].Attempts))
 		}
-		for name, a := range l.machines["i-1"].attempts {
-			if known.Tasks[name].Attempt != a.number {
-				t.Errorf("%s: %s: attempt %d, want %d", s.name, name, known.Tasks[name].Attempt, a.number)
+		for name, a := range l.machines["i-1"].Attempts {
+			if known.Tasks[name].Attempt != a.Number {
+				t.Errorf("%s: %s: attempt %d, want %d", s.name, name, known.Tasks[name].Attempt, a.Number)
 			}
 		}
 	}
@@ -315,9 +316,9 @@
 	l, _ := newTest(t)
 	p := standby.NewPublisher(token, 1000)
 	l.Followers = p
-	l.jobs["j-000001"].spec.Kind = wire.KindGang
+	l.jobs["j-000001"].Spec.Kind = wire.KindGang
 	m := l.machines["i-1"]
-	m.reconciliation.knowledge = tasksConfirmed
+	m.Reconciliation.Knowledge = state.TasksConfirmed
 	view := func() map[string]standby.TaskState {
 		f := standby.NewFollower("host-1")
 		if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
@@ -362,7 +363,7 @@
 			l, _ := newTest(t)
 			f := &fakeFollowers{follower: tc.follower, applies: tc.applies}
 			l.Followers = f
-			l.machines["i-1"].reconciliation.knowledge = knowledge(tc.resolved)
+			l.machines["i-1"].Reconciliation.Knowledge = knowledge(tc.resolved)
 			const limit = 300 * micros.Millisecond
 			begun := time.Now()
 			to, err := l.HandOver(limit)
@@ -398,7 +399,7 @@
 func TestAskOrder(t *testing.T) {
 	for _, urgent := range []bool{false, true} {
 		l, _ := newTest(t)
-		ms := []*machine{{id: "unknown"}, {id: "idle"}, {id: "busy"}, {id: "busiest"}}
+		ms := []*state.Machine{{ID: "unknown"}, {ID: "idle"}, {ID: "busy"}, {ID: "busiest"}}
 		tasks := func(names ...string) *standby.Machine {
 			m := &standby.Machine{Tasks: map[string]standby.TaskState{}}
 			for _, name := range names {
@@ -406,17 +407,17 @@
 			}
 			return m
 		}
-		ms[1].reconciliation.previousTerm, ms[2].reconciliation.previousTerm, ms[3].reconciliation.previousTerm = tasks(), tasks("a"), tasks("a", "b")
+		ms[1].Reconciliation.PreviousTerm, ms[2].Reconciliation.PreviousTerm, ms[3].Reconciliation.PreviousTerm = tasks(), tasks("a"), tasks("a", "b")
 		want := []string{"busiest", "busy", "unknown", "idle"}
 		if urgent {
 			spec := &wire.Job{ID: "j-000002", Tasks: 1, Priority: wire.PriorityUrgent}
-			l.jobs["j-000002"] = newJob(replica.Job{Spec: spec}, true)
+			l.jobs["j-000002"] = state.NewJob(replica.Job{Spec: spec}, true)
 			want = []string{"unknown", "idle", "busiest", "busy"}
 		}
 		l.sortByQueryPriority(ms)
 		var got []string
 		for _, m := range ms {
-			got = append(got, m.id)
+			got = append(got, m.ID)
 		}
 		if !slices.Equal(got, want) {
 			t.Errorf("urgent work waits: %v: asked %v, want %v", urgent, got, want)
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -7,6 +7,7 @@
 	"math"
 
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -28,15 +29,6 @@
 	displaced, moved, restarted      map[string]int // tasks by class
 }
 
-// zoneReturn is a machine's part in the return of its zone.
-type zoneReturn struct {
-	heardAt           micros.Micros // first report since the zone was lost, or the machine fell silent
-	incarnationBefore uint64        // and what the last report before that was
-	sequenceBefore    uint64
-	returned          bool // it is heard anew for certain
-	closed            bool // to work that is not bound to the zone
-}
-
 // newZoneState begins a term with a policy, the default one if there is none.
 func newZoneState(p zone.Policy) zoneState {
 	if p == nil {
@@ -46,8 +38,8 @@
 }
 
 // zoneCounters are those of a machine's zone.
-func (l *Leader) zoneCounters(m *machine) *zoneCounters {
-	name := m.offering.Zone
+func (l *Leader) zoneCounters(m *state.Machine) *zoneCounters {
+	name := m.Offering.Zone
 	c := l.counters[name]
 	if c == nil {
 		c = &zoneCounters{displaced: map[string]int{}, moved: map[string]int{}, restarted: map[string]int{}}
@@ -109,8 +101,8 @@
 		return
 	}
 	for _, m := range l.sorted {
-		if m.offering.Zone == t.Zone {
-			m.resetZoneReturn()
+		if m.Offering.Zone == t.Zone {
+			m.ResetZoneReturn()
 		}
 	}
 }
@@ -125,8 +117,8 @@
 		return counted[name]
 	}
 	for _, m := range l.sorted {
-		if m.instance.running && !m.instance.terminating {
-			e := of(m.offering.Zone)
+		if m.Instance.Running && !m.Instance.Terminating {
+			e := of(m.Offering.Zone)
 			e.Up++
 			l.addEvidence(m, e, now)
 		}
@@ -143,35 +135,35 @@
 }
 
 // addEvidence adds a machine to its group.
-func (l *Leader) addEvidence(m *machine, e *zone.Evidence, now micros.Micros) {
+func (l *Leader) addEvidence(m *state.Machine, e *zone.Evidence, now micros.Micros) {
 	silent := l.silence(m, now)
 	late := l.isHeartbeatLate(m, now)
 	switch {
 	case silent > 2*l.heartbeatInterval+micros.Second:
 		e.Silent++
-	case m.delivery.lostResponses >= maxLostResponses:
+	case m.Delivery.LostResponses >= maxLostResponses:
 		e.Deaf++
-	case late && m.instance.listed && m.instance.missingLists >= 2:
+	case late && m.Instance.Listed && m.Instance.MissingLists >= 2:
 		e.Vanished++
 	default:
 		if late {
 			e.Late++
-		} else if m.drainReason == drainFaulty {
+		} else if m.DrainReason == drainFaulty {
 			e.Failing++
 		}
-		if m.zoneReturn.returned {
+		if m.ZoneReturn.Returned {
 			e.Back++
 		}
 		return
 	}
-	if m.zoneReturn.returned {
+	if m.ZoneReturn.Returned {
 		l.zoneCounters(m).relapses++
 	}
-	m.resetZoneReturn()
+	m.ResetZoneReturn()
 }
 
 // isHeartbeatLate tells whether a machine's report is overdue.
-func (l *Leader) isHeartbeatLate(m *machine, now micros.Micros) bool {
+func (l *Leader) isHeartbeatLate(m *state.Machine, now micros.Micros) bool {
 	return l.silence(m, now) > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second
 }
 
@@ -181,24 +173,19 @@
 // or after, and what is held back arrives when the cut ends. So is a second report half a report
 // time later, and the first of a machine that was not heard in this term: its worker has had an
 // answer of this term.
-func (l *Leader) observeZoneReturn(m *machine, now micros.Micros) {
-	z := &m.zoneReturn
+func (l *Leader) observeZoneReturn(m *state.Machine, now micros.Micros) {
+	z := &m.ZoneReturn
 	switch {
-	case z.returned || m.delivery.lostResponses >= maxLostResponses:
-	case z.incarnationBefore == 0 || m.heartbeat.incarnation > z.incarnationBefore || m.heartbeat.sequence > z.sequenceBefore+1:
-		z.returned = true
-	case z.heardAt == 0:
-		z.heardAt = now
-	case now-z.heardAt >= l.heartbeatInterval/2:
-		z.returned = true
+	case z.Returned || m.Delivery.LostResponses >= maxLostResponses:
+	case z.IncarnationBefore == 0 || m.Heartbeat.Incarnation > z.IncarnationBefore || m.Heartbeat.Sequence > z.SequenceBefore+1:
+		z.Returned = true
+	case z.HeardAt == 0:
+		z.HeardAt = now
+	case now-z.HeardAt >= l.heartbeatInterval/2:
+		z.Returned = true
 	}
 }
 
-// resetZoneReturn forgets that a machine was heard. What it reported last is no news later.
-func (m *machine) resetZoneReturn() {
-	m.zoneReturn = zoneReturn{incarnationBefore: m.heartbeat.incarnation, sequenceBefore: m.heartbeat.sequence, closed: m.zoneReturn.closed}
-}
-
 // applyZoneDecisions closes and opens machines as the policy decides. Of a returning zone the first
 // that are heard again open; what runs on a closed one runs on.
 func (l *Leader) applyZoneDecisions(evidence map[string]zone.Evidence) {
@@ -215,8 +202,8 @@
 	}
 	for _, m := range l.sorted {
 		closed := false
-		if name := m.offering.Zone; l.policy.Decide(name).Open < 1 {
-			closed = !m.zoneReturn.returned || quota[name] == 0
+		if name := m.Offering.Zone; l.policy.Decide(name).Open < 1 {
+			closed = !m.ZoneReturn.Returned || quota[name] == 0
 			if !closed {
 				quota[name]--
 			}
@@ -226,47 +213,42 @@
 }
 
 // setClosed closes a machine to work that is not bound to its zone, or opens it.
-func (l *Leader) setClosed(m *machine, closed bool) {
-	if m.zoneReturn.closed == closed {
+func (l *Leader) setClosed(m *state.Machine, closed bool) {
+	if m.ZoneReturn.Closed == closed {
 		return
 	}
-	m.zoneReturn.closed = closed
-	m.planned = m.planned[:0]
+	m.ZoneReturn.Closed = closed
+	m.Planned = m.Planned[:0]
 	l.replan = true
 }
 
-// isOpenToAllZones tells whether a machine may get tasks of any job that its kind allows.
-func (m *machine) isOpenToAllZones(now micros.Micros) bool {
-	return m.isSchedulable(now) && !m.zoneReturn.closed
-}
-
 // isUnusable tells whether the room of a machine that is up is not to be had now. One that boots
 // counts as supply: it is open once it is heard, and was rented for that.
-func (l *Leader) isUnusable(m *machine, now micros.Micros) bool {
-	return m.instance.running && (m.zoneReturn.closed || l.isHeartbeatLate(m, now) || m.delivery.lostResponses >= maxLostResponses)
+func (l *Leader) isUnusable(m *state.Machine, now micros.Micros) bool {
+	return m.Instance.Running && (m.ZoneReturn.Closed || l.isHeartbeatLate(m, now) || m.Delivery.LostResponses >= maxLostResponses)
 }
 
 // replacedMachines picks the machines that do not count as supply, since their zone is
 // suspected or not all there: a share of those that cannot be used.
-func (l *Leader) replacedMachines(now micros.Micros) map[*machine]bool {
+func (l *Leader) replacedMachines(now micros.Micros) map[*state.Machine]bool {
 	if !l.anyReplaced {
 		return nil
 	}
 	unusable := map[string]int{}
 	for _, m := range l.sorted {
-		if !m.instance.terminating && l.isUnusable(m, now) {
-			unusable[m.offering.Zone]++
+		if !m.Instance.Terminating && l.isUnusable(m, now) {
+			unusable[m.Offering.Zone]++
 		}
 	}
 	quota := map[string]int{}
 	for name, n := range unusable {
 		quota[name] = int(math.Round(l.policy.Decide(name).Replace * float64(n)))
 	}
-	picked := map[*machine]bool{}
+	picked := map[*state.Machine]bool{}
 	for _, m := range l.sorted {
-		if quota[m.offering.Zone] > 0 && !m.instance.terminating && l.isUnusable(m, now) {
+		if quota[m.Offering.Zone] > 0 && !m.Instance.Terminating && l.isUnusable(m, now) {
 			picked[m] = true
-			quota[m.offering.Zone]--
+			quota[m.Offering.Zone]--
 		}
 	}
 	return picked
@@ -279,7 +261,7 @@
 		return most
 	}
 	for _, m := range l.sorted {
-		if m.offering.Zone == name && !m.instance.terminating {
+		if m.Offering.Zone == name && !m.Instance.Terminating {
 			most--
 		}
 	}
@@ -292,21 +274,21 @@
 }
 
 // evacuationRank is a job's place in the order in which work leaves a lost zone.
-func (l *Leader) evacuationRank(j *job) int {
-	return l.policy.Band(j.spec.Class, j.priority >= wire.PriorityRank(wire.PriorityUrgent))
+func (l *Leader) evacuationRank(j *state.Job) int {
+	return l.policy.Band(j.Spec.Class, j.Priority >= wire.PriorityRank(wire.PriorityUrgent))
 }
 
 // onlyZone is the only zone in which a job may start tasks now, empty if there are others. It
 // matters only while machines are closed.
-func (l *Leader) onlyZone(j *job) string {
+func (l *Leader) onlyZone(j *state.Job) string {
 	if !l.anyClosed {
 		return ""
 	}
-	if j.spec.Zone != "" {
-		return j.spec.Zone
+	if j.Spec.Zone != "" {
+		return j.Spec.Zone
 	}
-	if j.spec.SingleZone {
-		for name, n := range j.attemptsPerZone {
+	if j.Spec.SingleZone {
+		for name, n := range j.AttemptsPerZone {
 			if n > 0 {
 				return name
 			}
@@ -323,38 +305,38 @@
 }
 
 // checkZone tells of a worker that names another zone than its booking. The booking counts.
-func (l *Leader) checkZone(m *machine, r *wire.Heartbeat) {
-	if r.Zone != m.offering.Zone && m.instance.firstHeartbeatAt == 0 {
-		l.aggregatedLog.add(fmt.Sprintf("a worker reports zone %.40q, it was booked in zone %s, which counts", r.Zone, m.offering.Zone), m.id)
+func (l *Leader) checkZone(m *state.Machine, r *wire.Heartbeat) {
+	if r.Zone != m.Offering.Zone && m.Instance.FirstHeartbeatAt == 0 {
+		l.aggregatedLog.add(fmt.Sprintf("a worker reports zone %.40q, it was booked in zone %s, which counts", r.Zone, m.Offering.Zone), m.ID)
 	}
 }
 
 // recordDisplaced counts a task that was lost on a machine of a zone that is not all there.
-func (l *Leader) recordDisplaced(a *attempt) {
-	if !a.machine.zoneReturn.closed {
+func (l *Leader) recordDisplaced(a *state.Attempt) {
+	if !a.Machine.ZoneReturn.Closed {
 		return
 	}
-	l.zoneCounters(a.machine).displaced[a.job.spec.Class]++
-	if a.job.displaced == nil {
-		a.job.displaced = map[int]*machine{}
+	l.zoneCounters(a.Machine).displaced[a.Job.Spec.Class]++
+	if a.Job.Displaced == nil {
+		a.Job.Displaced = map[int]*state.Machine{}
 	}
-	a.job.displaced[a.index] = a.machine
+	a.Job.Displaced[a.Index] = a.Machine
 }
 
 // recordMoved counts a start, and where a task begins anew that was lost with a zone.
-func (l *Leader) recordMoved(a *attempt) {
-	if a.startSequence != 0 || a.reserved {
-		l.zoneCounters(a.machine).startsSent++
+func (l *Leader) recordMoved(a *state.Attempt) {
+	if a.StartSequence != 0 || a.Reserved {
+		l.zoneCounters(a.Machine).startsSent++
 	}
-	from := a.job.displaced[a.index]
+	from := a.Job.Displaced[a.Index]
 	if from == nil {
 		return
 	}
-	delete(a.job.displaced, a.index)
-	if from.offering.Zone == a.machine.offering.Zone {
-		l.zoneCounters(from).restarted[a.job.spec.Class]++
+	delete(a.Job.Displaced, a.Index)
+	if from.Offering.Zone == a.Machine.Offering.Zone {
+		l.zoneCounters(from).restarted[a.Job.Spec.Class]++
 	} else {
-		l.zoneCounters(from).moved[a.job.spec.Class]++
+		l.zoneCounters(from).moved[a.Job.Spec.Class]++
 	}
 }
 
@@ -372,28 +354,28 @@
 }
 
 // addWork adds to a zone's status what is known of its machines' work.
-func (l *Leader) addWork(s *zone.Status, replaced map[*machine]bool, now micros.Micros) {
+func (l *Leader) addWork(s *zone.Status, replaced map[*state.Machine]bool, now micros.Micros) {
 	if c := l.counters[s.Zone]; c != nil {
 		s.Work.Displaced, s.Work.Moved, s.Work.Restarted = maps.Clone(c.displaced), maps.Clone(c.moved), maps.Clone(c.restarted)
 	}
 	for _, m := range l.sorted {
-		if m.offering.Zone != s.Zone || m.instance.terminating {
+		if m.Offering.Zone != s.Zone || m.Instance.Terminating {
 			continue
 		}
-		if m.zoneReturn.closed {
+		if m.ZoneReturn.Closed {
 			s.Work.Closed++
 		}
 		if replaced[m] {
 			s.Work.Replaced++
 		}
-		if ends := (l.leaseExpiry(m) - now).Seconds(); l.isUnusable(m, now) && len(m.attempts) > 0 && ends > 0 {
-			s.Work.AddLease(len(m.attempts), ends)
+		if ends := (l.leaseExpiry(m) - now).Seconds(); l.isUnusable(m, now) && len(m.Attempts) > 0 && ends > 0 {
+			s.Work.AddLease(len(m.Attempts), ends)
 		}
 	}
 }
 
 // zoneReasons says what a job's tasks have to do with zones that are not all there.
-func (l *Leader) zoneReasons(j *job) (why []string) {
+func (l *Leader) zoneReasons(j *state.Job) (why []string) {
 	if !l.anyClosed {
 		return nil
 	}
@@ -403,7 +385,7 @@
 		if s.OpenPart == 1 {
 			continue
 		}
-		if bound == s.Zone && j.waiting() > 0 {
+		if bound == s.Zone && j.WaitingTasks() > 0 {
 			why = append(why, fmt.Sprintf("it can run in zone %s only, which is %s", s.Zone, s.State))
 		}
 		if line := l.zoneLeaseReason(j, s, now); line != "" {
@@ -414,17 +396,17 @@
 }
 
 // zoneLeaseReason says why tasks in a zone that is not all there do not move, empty if none does.
-func (l *Leader) zoneLeaseReason(j *job, s zone.Status, now micros.Micros) string {
+func (l *Leader) zoneLeaseReason(j *state.Job, s zone.Status, now micros.Micros) string {
 	var held zone.Work
-	for _, a := range j.attempts {
-		if a.machine.offering.Zone == s.Zone && l.isUnusable(a.machine, now) {
-			held.AddLease(1, max(0, (l.leaseExpiry(a.machine)-now).Seconds()))
+	for _, a := range j.Attempts {
+		if a.Machine.Offering.Zone == s.Zone && l.isUnusable(a.Machine, now) {
+			held.AddLease(1, max(0, (l.leaseExpiry(a.Machine)-now).Seconds()))
 		}
 	}
 	switch {
 	case held.Tasks == 0:
 		return ""
-	case j.isGang():
+	case j.IsGang():
 		return fmt.Sprintf("%d of its gang's tasks are in zone %s, which is %s: the gang starts elsewhere only as a whole, once all are gone (leases end in %.0f s at the latest)",
 			held.Tasks, s.Zone, s.State, held.LastEndS)
 	}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -23,13 +24,13 @@
 	c.Confirm = 0
 	l.zoneState = newZoneState(zone.NewManager(c))
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
-	l.sorted, l.machines = nil, map[string]*machine{}
+	l.sorted, l.machines = nil, map[string]*state.Machine{}
 	now = micros.Now() + 1000*micros.Second
 	term.confirmed = now
 	for i := range 20 {
 		m := l.addMachine(fmt.Sprintf("i-%02d", i), &launchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, At: micros.Wall()}, now)
-		m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm, m.delivery.respondedThisTerm = true, true, true, true, true
-		m.heartbeat.receivedAt, m.lease.renewedAt, m.heartbeat.incarnation, m.heartbeat.sequence, m.instance.address = now, now, 1, 100, m.id+":9000"
+		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Delivery.RespondedThisTerm = true, true, true, true, true
+		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt, m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = now, now, 1, 100, m.ID+":9000"
 	}
 	return l, now
 }
@@ -37,7 +38,7 @@
 // silence has the machines of zone b last report so long ago, and the policy look at that.
 func silence(l *Leader, now, ago micros.Micros) {
 	for _, m := range l.sorted[10:] {
-		m.heartbeat.receivedAt, m.lease.renewedAt = now-ago, now-ago
+		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-ago, now-ago
 	}
 	for range 3 {
 		l.observeZones(now)
@@ -51,26 +52,26 @@
 func TestZoneEvidence(t *testing.T) {
 	cases := []struct {
 		name string
-		edit func(m *machine, now micros.Micros)
+		edit func(m *state.Machine, now micros.Micros)
 		want zone.Evidence
 	}{
-		{"heard", func(*machine, micros.Micros) {}, zone.Evidence{Up: 10}},
-		{"late", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - overdueFor }, zone.Evidence{Up: 10, Late: 1}},
-		{"silent", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - silentEnough }, zone.Evidence{Up: 10, Silent: 1}},
-		{"late and gone from the list", func(m *machine, now micros.Micros) {
-			m.heartbeat.receivedAt, m.instance.listed, m.instance.missingLists = now-overdueFor, true, 2
+		{"heard", func(*state.Machine, micros.Micros) {}, zone.Evidence{Up: 10}},
+		{"late", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - overdueFor }, zone.Evidence{Up: 10, Late: 1}},
+		{"silent", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - silentEnough }, zone.Evidence{Up: 10, Silent: 1}},
+		{"late and gone from the list", func(m *state.Machine, now micros.Micros) {
+			m.Heartbeat.ReceivedAt, m.Instance.Listed, m.Instance.MissingLists = now-overdueFor, true, 2
 		}, zone.Evidence{Up: 10, Vanished: 1}},
-		{"gone from the list and heard", func(m *machine, _ micros.Micros) { m.instance.listed, m.instance.missingLists = true, 9 }, zone.Evidence{Up: 10}},
-		{"deaf", func(m *machine, _ micros.Micros) { m.delivery.lostResponses = maxLostResponses }, zone.Evidence{Up: 10, Deaf: 1}},
-		{"silent and deaf", func(m *machine, now micros.Micros) {
-			m.heartbeat.receivedAt, m.delivery.lostResponses = now-silentEnough, maxLostResponses
+		{"gone from the list and heard", func(m *state.Machine, _ micros.Micros) { m.Instance.Listed, m.Instance.MissingLists = true, 9 }, zone.Evidence{Up: 10}},
+		{"deaf", func(m *state.Machine, _ micros.Micros) { m.Delivery.LostResponses = maxLostResponses }, zone.Evidence{Up: 10, Deaf: 1}},
+		{"silent and deaf", func(m *state.Machine, now micros.Micros) {
+			m.Heartbeat.ReceivedAt, m.Delivery.LostResponses = now-silentEnough, maxLostResponses
 		}, zone.Evidence{Up: 10, Silent: 1}},
-		{"faulty", func(m *machine, _ micros.Micros) { m.drainReason = drainFaulty }, zone.Evidence{Up: 10, Failing: 1}},
-		{"being returned", func(m *machine, _ micros.Micros) { m.instance.terminating = true }, zone.Evidence{Up: 9}},
-		{"booting", func(m *machine, _ micros.Micros) { m.instance.running = false }, zone.Evidence{Up: 9}},
-		{"back", func(m *machine, _ micros.Micros) { m.zoneReturn.returned = true }, zone.Evidence{Up: 10, Back: 1}},
-		{"back and silent anew", func(m *machine, now micros.Micros) {
-			m.zoneReturn.returned, m.heartbeat.receivedAt = true, now-silentEnough
+		{"faulty", func(m *state.Machine, _ micros.Micros) { m.DrainReason = drainFaulty }, zone.Evidence{Up: 10, Failing: 1}},
+		{"being returned", func(m *state.Machine, _ micros.Micros) { m.Instance.Terminating = true }, zone.Evidence{Up: 9}},
+		{"booting", func(m *state.Machine, _ micros.Micros) { m.Instance.Running = false }, zone.Evidence{Up: 9}},
+		{"back", func(m *state.Machine, _ micros.Micros) { m.ZoneReturn.Returned = true }, zone.Evidence{Up: 10, Back: 1}},
+		{"back and silent anew", func(m *state.Machine, now micros.Micros) {
+			m.ZoneReturn.Returned, m.Heartbeat.ReceivedAt = true, now-silentEnough
 		}, zone.Evidence{Up: 10, Silent: 1, Relapses: 1}},
 	}
 	for _, c := range cases {
@@ -112,14 +113,14 @@
 		m := l.machines["i-15"]
 		for _, a := range c.arrivals {
 			now += micros.FromSeconds(a.afterS)
-			r := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "b", Incarnation: a.session, Sequence: a.seq, FencingToken: a.token}
+			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "b", Incarnation: a.session, Sequence: a.seq, FencingToken: a.token}
 			if l.acceptsHeartbeat(m, r, now) {
 				l.recordHeartbeat(m, r, now)
 				l.reconcileIfCurrent(m, r, now)
 			}
 		}
-		if m.zoneReturn.returned != c.back {
-			t.Errorf("%s: back is %v", c.name, m.zoneReturn.returned)
+		if m.ZoneReturn.Returned != c.back {
+			t.Errorf("%s: back is %v", c.name, m.ZoneReturn.Returned)
 		}
 	}
 }
@@ -128,14 +129,14 @@
 // whom, which do not count as supply, and what is rented there.
 func TestZoneCarriedOut(t *testing.T) {
 	l, now := newZonesTest(t)
-	bound := newJob(replica.Job{Spec: &wire.Job{ID: "j-000002", Team: "blue", Zone: "b", Tasks: 1, AllowSpot: true}}, false)
-	together := newJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", SingleZone: true, Tasks: 2, AllowSpot: true}}, false)
-	together.attemptsPerZone["b"] = 1
+	bound := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000002", Team: "blue", Zone: "b", Tasks: 1, AllowSpot: true}}, false)
+	together := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", SingleZone: true, Tasks: 2, AllowSpot: true}}, false)
+	together.AttemptsPerZone["b"] = 1
 	expect := func(state string, wantClosed, wantReplaced, wantRent int, wantBound string) {
 		t.Helper()
 		closed := 0
 		for _, m := range l.sorted {
-			if m.zoneReturn.closed {
+			if m.ZoneReturn.Closed {
 				closed++
 			}
 		}
@@ -154,15 +155,15 @@
 	if w, ok := l.encodeZones(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.Lost || !l.writes.IsUrgent(replica.ZonesKey) {
 		t.Errorf("stored is %+v (%v)", w.Value, ok)
 	}
-	l.sorted[10].instance.running = false // half of the nine others, rounded
+	l.sorted[10].Instance.Running = false // half of the nine others, rounded
 	if expect("one boots", 10, 5, 0, "b"); l.replacedMachines(now)[l.sorted[10]] {
 		t.Error("a machine that boots is replaced")
 	}
-	l.sorted[10].instance.running = true
+	l.sorted[10].Instance.Running = true
 	for range 4 { // held down, and then the first step
 		now += 2 * micros.Second
 		for _, m := range l.sorted {
-			m.heartbeat.receivedAt, m.zoneReturn.returned = now, true
+			m.Heartbeat.ReceivedAt, m.ZoneReturn.Returned = now, true
 		}
 		if l.observeZones(now); l.policy.Status(now)[1].Step == 1 {
 			break
@@ -176,18 +177,18 @@
 	l, now := newZonesTest(t)
 	j := l.jobs["j-000001"]
 	for task := range 3 {
-		j.takeWaitingTask()
-		l.assign(&attempt{job: j, index: task, number: 1, machine: l.sorted[10+task], startSequence: 90, startedAt: now, runningSince: now, reportedState: wire.TaskRunning})
+		j.TakeWaitingTask()
+		l.assign(&state.Attempt{Job: j, Index: task, Number: 1, Machine: l.sorted[10+task], StartSequence: 90, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
 	}
 	silence(l, now, silentEnough)
 	if e, _ := l.Explain("j-000001"); len(e.Reasons) != 1 || !strings.Contains(e.Reasons[0], "3 of its tasks are in zone b, which is lost") {
 		t.Errorf("why: %q", e.Reasons)
 	}
-	for task, to := range []*machine{l.sorted[0], l.sorted[19]} {
+	for task, to := range []*state.Machine{l.sorted[0], l.sorted[19]} {
 		l.releaseAll(l.sorted[10+task], "its lease ended")
-		l.assign(&attempt{job: j, index: task, number: 2, machine: to, startSequence: 100})
+		l.assign(&state.Attempt{Job: j, Index: task, Number: 2, Machine: to, StartSequence: 100})
 	}
-	s, class := l.ZoneStatus()[1], j.spec.Class
+	s, class := l.ZoneStatus()[1], j.Spec.Class
 	if w := s.Work; s.Zone != "b" || w.Displaced[class] != 2 || w.Moved[class] != 1 || w.Restarted[class] != 1 || w.Tasks != 2 || w.Machines != 2 || w.Closed != 10 || w.Replaced != 5 {
 		t.Errorf("%+v", s)
 	}
@@ -198,13 +199,13 @@
 func TestZoneReported(t *testing.T) {
 	l, now := newZonesTest(t)
 	m := l.sorted[0]
-	m.instance.firstHeartbeatAt = 0
+	m.Instance.FirstHeartbeatAt = 0
 	for seq := uint64(101); seq < 104; seq++ {
-		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.id, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
+		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.ID, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
 	}
 	told := slices.DeleteFunc(slices.Collect(maps.Keys(l.aggregatedLog)), func(line string) bool { return !strings.Contains(line, "booked in zone a, which counts") })
-	if len(told) != 1 || l.aggregatedLog[told[0]].count != 1 || m.offering.Zone != "a" {
-		t.Errorf("told %q, the machine is in zone %s", told, m.offering.Zone)
+	if len(told) != 1 || l.aggregatedLog[told[0]].count != 1 || m.Offering.Zone != "a" {
+		t.Errorf("told %q, the machine is in zone %s", told, m.Offering.Zone)
 	}
 }
 
@@ -219,7 +220,7 @@
 		for range 3 {
 			l.observeZones(now)
 		}
-		if s := l.policy.Status(now)[1]; s.Zone != "b" || s.State != want || l.sorted[15].zoneReturn.closed != (want == "lost") || l.sorted[5].zoneReturn.closed {
+		if s := l.policy.Status(now)[1]; s.Zone != "b" || s.State != want || l.sorted[15].ZoneReturn.Closed != (want == "lost") || l.sorted[5].ZoneReturn.Closed {
 			t.Errorf("from %v: %+v, want %s", stored, s, want)
 		}
 	}
--- a/internal/sim/fake/gang.go
+++ b/internal/sim/fake/gang.go
@@ -19,7 +19,7 @@
 	runs     map[string]int           // attempts of which all tasks ran, by job
 }
 
-// gangAttempt is the tasks of one attempt.
+// GangAttempt is the tasks of one attempt.
 type gangAttempt struct {
 	members   map[string]*gangMember // by task
 	started   time.Time              // all run since then; zero: some wait
