--- a/cancel_test.go
+++ b/cancel_test.go
@@ -27,12 +27,12 @@
 		if c.cloud.Starts() == 0 {
 			t.Fatal("nothing was started")
 		}
-		if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.Status != wire.JobCancelled {
-			t.Fatalf("abort answered %d %q", code, s.Status)
+		if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.State != wire.JobCancelled {
+			t.Fatalf("abort answered %d %q", code, s.State)
 		}
 		for i := range 3 {
-			if _, s := c.request(http.MethodGet, i, "/v1/jobs/j-000001", nil); s.Status != wire.JobCancelled {
-				t.Errorf("node %d says %q right after the abort", i, s.Status)
+			if _, s := c.request(http.MethodGet, i, "/v1/jobs/j-000001", nil); s.State != wire.JobCancelled {
+				t.Errorf("node %d says %q right after the abort", i, s.State)
 			}
 		}
 		time.Sleep(time.Duration(cancelS) * time.Second)
@@ -111,7 +111,7 @@
 				}
 				wg.Wait()
 				_, s := c.request(http.MethodGet, n%nodes, "/v1/jobs/"+id, nil)
-				results[s.Status]++
+				results[s.State]++
 			}
 			if results[wire.JobDone] < 3 || results[wire.JobCancelled] < 3 {
 				t.Errorf("%d nodes: ended as %v, want some of both", nodes, results)
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -57,10 +57,10 @@
 		return wire.Unmarshal(body, out)
 	}
 	var why wire.ErrorResponse
-	if err := wire.Unmarshal(body, &why); err != nil || why.Error == "" {
-		why.Error = fmt.Sprintf("%d %s (a version without it?)", status, http.StatusText(status))
+	if err := wire.Unmarshal(body, &why); err != nil || why.Message == "" {
+		why.Message = fmt.Sprintf("%d %s (a version without it?)", status, http.StatusText(status))
 	}
-	return fmt.Errorf("%s answers: %s", node, why.Error)
+	return fmt.Errorf("%s answers: %s", node, why.Message)
 }
 
 // printStandby writes a status for people.
--- a/explain_test.go
+++ b/explain_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		c.t.Errorf("why %s at node %d: %v", id, node, err)
 	}
-	return status, e, body.Error
+	return status, e, body.Message
 }
 
 // TestExplain asks every node about jobs in every state, also while the state service or
@@ -137,8 +137,8 @@
 		c.submit("j-000003", 8)
 		c.await("j-000003", wire.JobDone, time.Minute)
 		c.await("j-000001", wire.JobDone, time.Second)
-		if code, s := c.request(http.MethodGet, 1, "/v1/jobs/j-000002", nil); code != http.StatusOK || s.Status == wire.JobDone {
-			t.Errorf("the failing job is %d %q", code, s.Status)
+		if code, s := c.request(http.MethodGet, 1, "/v1/jobs/j-000002", nil); code != http.StatusOK || s.State == wire.JobDone {
+			t.Errorf("the failing job is %d %q", code, s.State)
 		}
 		if code, _ := c.request(http.MethodPost, 1, "/v1/jobs/j-000002/abort", nil); code != http.StatusOK {
 			t.Errorf("abort answered %d", code)
--- a/gangs_test.go
+++ b/gangs_test.go
@@ -196,8 +196,8 @@
 			leader := c.leader()
 			c.kill(leader)
 			c.setFault(nil)
-			if code, s := c.request(http.MethodGet, (leader+1)%3, "/v1/jobs/"+id, nil); code != http.StatusOK || s.Status == wire.JobDone {
-				c.t.Errorf("%d, it is %s: its end was stored", code, s.Status)
+			if code, s := c.request(http.MethodGet, (leader+1)%3, "/v1/jobs/"+id, nil); code != http.StatusOK || s.State == wire.JobDone {
+				c.t.Errorf("%d, it is %s: its end was stored", code, s.State)
 			}
 			c.start(leader)
 		}, 1, 100 * time.Second},
--- a/gap_test.go
+++ b/gap_test.go
@@ -58,7 +58,7 @@
 func (g *gap) cancel(node int) {
 	g.t.Helper()
 	for range 20 {
-		if code, s := g.request(http.MethodPost, node, "/v1/jobs/j-000001/abort", nil); code == http.StatusOK && s.Status == wire.JobCancelled {
+		if code, s := g.request(http.MethodPost, node, "/v1/jobs/j-000001/abort", nil); code == http.StatusOK && s.State == wire.JobCancelled {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -143,8 +143,8 @@
 			g.rules.Asks("/v1/jobs/j-000001/abort")
 			w := httptest.NewRecorder()
 			g.state.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/txn", bytes.NewReader(b)))
-			if _, s := g.request(http.MethodGet, g.confirming, "/v1/jobs/j-000001", nil); w.Code != http.StatusOK || s.Status != wire.JobCancelled {
-				g.t.Fatalf("carried out with %d, and then %s", w.Code, s.Status)
+			if _, s := g.request(http.MethodGet, g.confirming, "/v1/jobs/j-000001", nil); w.Code != http.StatusOK || s.State != wire.JobCancelled {
+				g.t.Fatalf("carried out with %d, and then %s", w.Code, s.State)
 			}
 		}, after: (*gap).heal},
 		{name: "the first answer is lost, and the user asks another node", confirm: func(g *gap) {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -169,12 +169,12 @@
 // respondRetryLater tells a user when to come back.
 func respondRetryLater(c echo.Context, code int) error {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(int(statestore.RetryAfter/micros.Second)))
-	return respond(c, code, wire.ErrorResponse{Error: "come back later"})
+	return respond(c, code, wire.ErrorResponse{Message: "come back later"})
 }
 
 // respondError answers with what is wrong.
 func respondError(c echo.Context, code int, err error) error {
-	return respond(c, code, wire.ErrorResponse{Error: err.Error()})
+	return respond(c, code, wire.ErrorResponse{Message: err.Error()})
 }
 
 // ready tells whether this node can take requests, and which versions serve.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -327,7 +327,7 @@
 	cancel()
 	<-done
 	slog.Info("no longer leading", "token", t.FencingToken)
-	ending, stop := context.WithTimeout(context.Background(), statestore.Timeout.Duration())
+	ending, stop := context.WithTimeout(context.Background(), statestore.RequestTimeout.Duration())
 	defer stop()
 	e.endSession(ending, t.sessionID)
 }
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -53,9 +53,9 @@
 		if alone := l.Term.EarlierTermsFencedSince(); alone != 0 {
 			last = min(last, alone)
 		}
-		return max(last, m.Lease.RenewedAt) + w.LeaseDuration() + micros.Drift(w.CancellationTimeout()) + micros.Second
+		return max(last, m.Lease.RenewedAt) + w.LeaseDuration() + micros.MaxClockDrift(w.CancellationTimeout()) + micros.Second
 	}
-	return m.Lease.RenewedAt + l.leaseDuration + micros.Drift(l.leaseDuration) + micros.Second
+	return m.Lease.RenewedAt + l.leaseDuration + micros.MaxClockDrift(l.leaseDuration) + micros.Second
 }
 
 // silenceLimit is how long a machine may be silent before it is returned to
--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -154,7 +154,7 @@
 	}
 	defer q.endFlush()
 	revision, err := q.Store.CommitRateLimited(ctx, q.transaction(writes))
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		q.applyStored(writes, revision)
@@ -264,7 +264,7 @@
 			continue
 		}
 		opSize := wire.JSONSize(w.Value) + keysPerOp*len(key) + opOverhead
-		if len(writes) == q.maxOps || len(writes) > 0 && size+opSize > wire.MaxBody {
+		if len(writes) == q.maxOps || len(writes) > 0 && size+opSize > wire.MaxBodyBytes {
 			return writes, true
 		}
 		size += opSize
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -41,13 +41,13 @@
 	ImageSet placement.ImageSet // cached images, and those that are being pulled
 
 	// Who may use its room.
-	Reservation          *GangReservation // its room is reserved for one gang
-	Pool                 PoolKind         // only gangs start on it; the zero value: all jobs may
-	Surplus              bool             // not wanted by the staffing formula
-	SurplusSince         micros.Micros    // 0 if it is not
-	RejectsDelayTolerant bool             // an on-demand machine that only delay-tolerant jobs would use
-	DrainReason          string           // why it gets no more tasks, empty if it does
-	StartBackoffUntil    micros.Micros    // no starts before
+	Reservation          *GangReservation     // its room is reserved for one gang
+	Pool                 PoolKind             // only gangs start on it; the zero value: all jobs may
+	Surplus              bool                 // not wanted by the staffing formula
+	SurplusSince         micros.Micros        // 0 if it is not
+	RejectsDelayTolerant bool                 // an on-demand machine that only delay-tolerant jobs would use
+	DrainReason          string               // why it gets no more tasks, empty if it does
+	StartBackoffUntil    micros.Micros        // no starts before
 	Published            standby.MachineState // what followers were told last
 }
 
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -133,7 +133,7 @@
 		if a.sentAt == 0 || !a.state.Loaded || a.state.HighestToken > token || life == 0 {
 			until = 0
 		}
-		until = min(until, a.sentAt+life-micros.Drift(life))
+		until = min(until, a.sentAt+life-micros.MaxClockDrift(life))
 	})
 	return until
 }
--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -88,7 +88,7 @@
 		}
 		ids, known := c.bookings[q.RequestID]
 		if !known && c.full(q.Zone) {
-			send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
+			send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "no capacity"})
 			return
 		}
 		for i := 0; i < q.Count && !known && !c.full(q.Zone); i++ {
--- a/internal/sim/fake/rules.go
+++ b/internal/sim/fake/rules.go
@@ -280,10 +280,10 @@
 		}
 		w.accepted = time.Now()
 	}
-	if w.final != "" && w.told.Before(sent) && s.Status != w.final {
-		r.breaks("went_back", "%s was %s and is %s", id, w.final, s.Status)
+	if w.final != "" && w.told.Before(sent) && s.State != w.final {
+		r.breaks("went_back", "%s was %s and is %s", id, w.final, s.State)
 	}
-	switch s.Status {
+	switch s.State {
 	case wire.JobDone:
 		if len(w.done) < w.spec.Tasks {
 			r.breaks("not_done", "%s: %d of %d tasks", id, len(w.done), w.spec.Tasks)
@@ -296,8 +296,8 @@
 		return
 	}
 	if w.final == "" {
-		w.final, w.told = s.Status, time.Now()
-		if s.Status == wire.JobCancelled {
+		w.final, w.told = s.State, time.Now()
+		if s.State == wire.JobCancelled {
 			r.cancelled = append(r.cancelled, w)
 		}
 	}
--- a/internal/sim/fake/rules_test.go
+++ b/internal/sim/fake/rules_test.go
@@ -19,7 +19,7 @@
 		r.Asks(path)
 		sent := time.Now()
 		time.Sleep(time.Millisecond)
-		r.Told(method, path, strings.Split(path+"/j-000001", "/")[3], sent, code, wire.JobStatus{ID: "j-000001", Status: status})
+		r.Told(method, path, strings.Split(path+"/j-000001", "/")[3], sent, code, wire.JobStatus{ID: "j-000001", State: status})
 	}
 	// apart starts the tasks of a job on these machines.
 	apart := func(r *Rules, job wire.Job, machines ...string) {
@@ -32,7 +32,7 @@
 	accepted := func(r *Rules, job wire.Job) {
 		job.ID, job.Tasks = "j-000002", max(1, job.Tasks)
 		r.Submits(job)
-		r.Told("POST", "/v1/jobs", job.ID, time.Now(), 201, wire.JobStatus{ID: job.ID, Status: wire.JobPending})
+		r.Told("POST", "/v1/jobs", job.ID, time.Now(), 201, wire.JobStatus{ID: job.ID, State: wire.JobPending})
 	}
 	cases := []struct {
 		rule string
@@ -89,7 +89,7 @@
 		// A question may be answered before the submission is.
 		{"forgotten", func(r *Rules) {
 			r.Submits(wire.Job{ID: "j-000003", Team: "small", Tasks: 1, CPUs: 1})
-			r.Told("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 200, wire.JobStatus{ID: "j-000003", Status: wire.JobPending})
+			r.Told("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 200, wire.JobStatus{ID: "j-000003", State: wire.JobPending})
 			time.Sleep(time.Millisecond)
 			r.Told("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 404, wire.JobStatus{})
 		}},
@@ -119,7 +119,7 @@
 		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "nobody's", CPUs: 1}) }},
 		{"accepted_wrong", func(r *Rules) {
 			r.SubmitsMalformed("j-000002")
-			r.Told("POST", "/v1/jobs", "j-000002", time.Now(), 201, wire.JobStatus{ID: "j-000002", Status: wire.JobPending})
+			r.Told("POST", "/v1/jobs", "j-000002", time.Now(), 201, wire.JobStatus{ID: "j-000002", State: wire.JobPending})
 		}},
 		// The repeat of a job that was accepted may say anything.
 		{"", func(r *Rules) {
@@ -157,7 +157,7 @@
 			if got := r.StartsAfterCancel(); got != want {
 				t.Errorf("start %d: %d counted, want %d", i, got, want)
 			}
-			r.Told("POST", "/v1/jobs/j-000001/abort", "j-000001", time.Now(), 200, wire.JobStatus{ID: "j-000001", Status: wire.JobCancelled})
+			r.Told("POST", "/v1/jobs/j-000001/abort", "j-000001", time.Now(), 200, wire.JobStatus{ID: "j-000001", State: wire.JobCancelled})
 			time.Sleep(time.Second)
 		}
 	})
--- a/internal/sim/fake/state.go
+++ b/internal/sim/fake/state.go
@@ -225,7 +225,7 @@
 	}
 	for _, op := range t.Then {
 		if op.Hold != 0 && s.holds[op.Hold] == nil {
-			send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"})
+			send(w, http.StatusBadRequest, wire.ErrorResponse{Message: "no such lease"})
 			return
 		}
 	}
@@ -236,7 +236,7 @@
 		}
 	}
 	if failed != nil {
-		send(w, http.StatusConflict, wire.TxnResponse{Revision: s.revision, Failed: failed})
+		send(w, http.StatusConflict, wire.TxnResponse{Revision: s.revision, FailedKeys: failed})
 		return
 	}
 	s.revision++
--- a/internal/sim/harness/users.go
+++ b/internal/sim/harness/users.go
@@ -113,10 +113,10 @@
 		if code == http.StatusNotFound {
 			return fmt.Errorf("%s: %w", id, ErrForgotten)
 		}
-		if last.Status == status {
+		if last.State == status {
 			return nil
 		}
 		time.Sleep(pollEvery)
 	}
-	return fmt.Errorf("%s is %q (%d) after %v, want %s: %w", id, last.Status, code, within, status, ErrTooLate)
+	return fmt.Errorf("%s is %q (%d) after %v, want %s: %w", id, last.State, code, within, status, ErrTooLate)
 }
--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -278,7 +278,7 @@
 			continue
 		}
 		_, status := l.processes.Request(http.MethodGet, n%l.options.Nodes, "/v1/jobs/"+id, nil)
-		if status.Status == wire.JobDone {
+		if status.State == wire.JobDone {
 			l.mu.Lock()
 			l.open = slices.DeleteFunc(l.open, func(open string) bool { return open == id })
 			l.done++
--- a/limits_test.go
+++ b/limits_test.go
@@ -236,7 +236,7 @@
 					}
 				}
 				if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000002/abort", nil); code != http.StatusOK {
-					t.Errorf("the large job's cancellation: %d %s", code, s.Status)
+					t.Errorf("the large job's cancellation: %d %s", code, s.State)
 				}
 				c.await("j-000001", wire.JobDone, 4*time.Minute)
 				if n := c.state.Refused(); n != 0 {
@@ -344,7 +344,7 @@
 			t.Errorf("%d transactions were refused in three minutes", n)
 		}
 		if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000002/abort", nil); code != http.StatusOK {
-			t.Errorf("cancellation: %d %s", code, s.Status)
+			t.Errorf("cancellation: %d %s", code, s.State)
 		}
 	})
 }
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -94,7 +94,7 @@
 					done := false
 					for try := 0; try < 90 && !done; try++ {
 						code, s := c.request(http.MethodPost, try%nodes, "/v1/jobs/"+id+"/abort", nil)
-						done = code == http.StatusOK && s.Status == wire.JobCancelled
+						done = code == http.StatusOK && s.State == wire.JobCancelled
 						time.Sleep(time.Second)
 					}
 					if !done {
--- a/node_test.go
+++ b/node_test.go
@@ -331,13 +331,13 @@
 					t.Fatalf("submission answered %d", code)
 				}
 				for i := 0; i < 90; i++ {
-					if _, s := c.request(http.MethodGet, (cut+1)%size, "/v1/jobs/j-000002", nil); s.Status == wire.JobDone {
+					if _, s := c.request(http.MethodGet, (cut+1)%size, "/v1/jobs/j-000002", nil); s.State == wire.JobDone {
 						break
 					}
 					time.Sleep(time.Second)
 				}
-				if _, s := c.request(http.MethodGet, (cut+1)%size, "/v1/jobs/j-000002", nil); s.Status != wire.JobDone {
-					t.Errorf("a job submitted during the cut is %q", s.Status)
+				if _, s := c.request(http.MethodGet, (cut+1)%size, "/v1/jobs/j-000002", nil); s.State != wire.JobDone {
+					t.Errorf("a job submitted during the cut is %q", s.State)
 				}
 				if broken := c.cloud.Broken(); broken != nil {
 					t.Error(broken)
--- a/requests_test.go
+++ b/requests_test.go
@@ -38,8 +38,8 @@
 			t.Errorf("%d starts for 5 tasks", n)
 		}
 		// A repeat gets 200 whatever else it says, also after the end.
-		if code, s := c.request(http.MethodPost, 2, "/v1/jobs", map[string]any{"id": "j-000001"}); code != http.StatusOK || s.Status != wire.JobDone {
-			t.Errorf("repeat answered %d %q", code, s.Status)
+		if code, s := c.request(http.MethodPost, 2, "/v1/jobs", map[string]any{"id": "j-000001"}); code != http.StatusOK || s.State != wire.JobDone {
+			t.Errorf("repeat answered %d %q", code, s.State)
 		}
 		if code, _ := c.request(http.MethodGet, 1, "/v1/jobs/j-777777", nil); code != http.StatusNotFound {
 			t.Errorf("unknown job answered %d", code)
@@ -143,11 +143,11 @@
 						}
 						// The repeat of an accepted job is answered whatever it says.
 						job["id"] = "j-000001"
-						if code, s := c.request(http.MethodPost, node, "/v1/jobs", job); code != http.StatusOK || s.Status != wire.JobDone {
-							t.Errorf("%s: node %d answers %d %q to the repeat of a job that is done", o.name, node, code, s.Status)
+						if code, s := c.request(http.MethodPost, node, "/v1/jobs", job); code != http.StatusOK || s.State != wire.JobDone {
+							t.Errorf("%s: node %d answers %d %q to the repeat of a job that is done", o.name, node, code, s.State)
 						}
-						if code, s := c.request(http.MethodPost, node, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.Status != wire.JobDone {
-							t.Errorf("node %d answers %d %q to cancelling a job that is done", node, code, s.Status)
+						if code, s := c.request(http.MethodPost, node, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.State != wire.JobDone {
+							t.Errorf("node %d answers %d %q to cancelling a job that is done", node, code, s.State)
 						}
 					}
 				}
@@ -244,7 +244,7 @@
 					// Until it ends, and well after; half of them are called off then.
 					c.lookClosely(ends, false, 3*time.Second, &seen)
 					c.lookClosely(ends, n%2 == 0, 4*time.Second, &seen)
-					for code, s := 0, (wire.JobStatus{}); s.Status != wire.JobDone && s.Status != wire.JobCancelled; time.Sleep(200 * time.Millisecond) {
+					for code, s := 0, (wire.JobStatus{}); s.State != wire.JobDone && s.State != wire.JobCancelled; time.Sleep(200 * time.Millisecond) {
 						if code, s = c.request(http.MethodGet, 0, "/v1/jobs/"+ends["id"].(string), nil); code == http.StatusNotFound {
 							break
 						}
@@ -368,7 +368,7 @@
 				}
 				begun = time.Now()
 				for try := range 120 {
-					if _, s := c.request(http.MethodGet, (n+try)%5, "/v1/jobs/"+id, nil); s.Status == wire.JobDone {
+					if _, s := c.request(http.MethodGet, (n+try)%5, "/v1/jobs/"+id, nil); s.State == wire.JobDone {
 						break
 					}
 					time.Sleep(500 * time.Millisecond)
--- a/rolling_test.go
+++ b/rolling_test.go
@@ -209,10 +209,10 @@
 			}
 			code, status = r.request(http.MethodPost, node, "/v1/jobs", job)
 		}
-		if code != http.StatusOK || status.Status == "" {
-			r.t.Errorf("%s submitted again at node %d: %d, %q", job["id"], node, code, status.Status)
+		if code != http.StatusOK || status.State == "" {
+			r.t.Errorf("%s submitted again at node %d: %d, %q", job["id"], node, code, status.State)
 		}
-		told = append(told, status.Status)
+		told = append(told, status.State)
 	}
 	return told
 }
--- a/standby_kills_test.go
+++ b/standby_kills_test.go
@@ -170,7 +170,7 @@
 		code, status := r.request(http.MethodPost, (first+try)%r.size, "/v1/jobs/"+id+"/abort", nil)
 		if code == http.StatusOK {
 			r.mu.Lock()
-			r.cancelled[id] = status.Status == wire.JobCancelled
+			r.cancelled[id] = status.State == wire.JobCancelled
 			r.mu.Unlock()
 			return
 		}
