--- a/internal/leader/backlog.go
+++ b/internal/leader/backlog.go
@@ -113,7 +113,7 @@
 		}
 		// Machines are no help to what its team's limit keeps waiting.
 		if team := teams[j.Spec.Team]; team != nil {
-			n = team.Room(j.Need, n)
+			n = team.CountAllowed(j.Need, n)
 			team.Used = team.Used.Add(j.Need, int64(n))
 		}
 		if j.MayHaveEarlierTasks && d.unknownCPUs > 0 {
@@ -150,7 +150,7 @@
 	if late { // it is to be done soon all the same
 		in = 2 * t.BootTimeS
 	}
-	demand := staffing.WaitingWork{Work: work, DueInS: in}
+	demand := staffing.WaitingWork{CPUSeconds: work, DueInS: in}
 	d.waiting = append(d.waiting, demand)
 	if !l.isDelayTolerant(j) {
 		d.notDelayTolerant = append(d.notDelayTolerant, demand)
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -123,7 +123,7 @@
 		why = append(why, "its team uses as many GPUs as it may")
 	}
 	if j.IsGang() {
-		if t := teams[j.Spec.Team]; len(why) == 0 && t.Room(j.Need, j.WaitingTasks()) < j.WaitingTasks() {
+		if t := teams[j.Spec.Team]; len(why) == 0 && t.CountAllowed(j.Need, j.WaitingTasks()) < j.WaitingTasks() {
 			why = append(why, "its team may not use as much as the whole gang needs")
 		}
 		switch {
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -72,7 +72,7 @@
 	perMachine := t.capacity.CountFitting(j.Need, 1<<20) / j.Spec.Tasks
 	size := 1 / float64(max(1, perMachine))
 	fetch := j.Spec.ImageSizeGB / math.Max(t.ImagePullGBPerS, 0.01)
-	r.service.Estimate(size, l.expectedRuntime(j.Spec)+fetch)
+	r.service.ObserveEstimate(size, l.expectedRuntime(j.Spec)+fetch)
 	r.batches.Add(size, 1, false)
 	r.readyMachines = max(r.readyMachines, l.readyMachinesFor(j, fetch))
 	if j.MayHaveEarlierTasks {
@@ -112,7 +112,7 @@
 		peak := staffing.PeakMean(r.mean, lambda, mu, horizon)
 		target := 0
 		if peak >= minPoolMean {
-			formula := staffing.Servers(peak, r.batches.Peakedness()*peak, l.Tuning.Z)
+			formula := staffing.RequiredServers(peak, r.batches.Peakedness()*peak, l.Tuning.Z)
 			target = max(formula, int(math.Ceil(peak))+r.readyMachines)
 		}
 		target = min(target, len(l.sorted)/poolDivisor)
@@ -253,7 +253,7 @@
 	var late []*placement.Job
 	for _, w := range l.queue.waiting {
 		k := l.reservations[w.ID]
-		if w.Gang && w.AtRisk && !w.Late && (k == nil || len(k.Machines) == 0) && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartBy) {
+		if w.Gang && w.AtRisk && !w.Late && (k == nil || len(k.Machines) == 0) && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartDeadline) {
 			late = append(late, w)
 		}
 	}
@@ -274,7 +274,7 @@
 				continue
 			}
 			grace := micros.FromSeconds(a.Job.Spec.CheckpointDurationS)
-			if wall+grace > w.StartBy || a.RunningSince == 0 || now-a.RunningSince < grace {
+			if wall+grace > w.StartDeadline || a.RunningSince == 0 || now-a.RunningSince < grace {
 				grace = 0
 			}
 			l.stopTask(a, grace, "stopped to make room for "+w.ID)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -351,7 +351,7 @@
 			l.types[t.Name] = mt
 		}
 		mt.InstanceType = t
-		mt.capacity = placement.Resources{CPU: state.FloorMilli(t.CPUs), GPU: state.FloorMilli(t.GPUs), Mem: state.FloorMilli(t.MemoryGB)}
+		mt.capacity = placement.Resources{CPU: state.FloorMilli(t.CPUs), GPU: state.FloorMilli(t.GPUs), Memory: state.FloorMilli(t.MemoryGB)}
 	}
 }
 
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, w := range waiting {
-		need += int64(w.Waiting) * w.Need.CPU
+		need += int64(w.WaitingTasks) * w.Need.CPU
 	}
 	return room >= spareRoomFactor*need
 }
@@ -85,7 +85,7 @@
 	pressing := 0
 	for _, w := range q.waiting {
 		if w.AtRisk || w.PreemptsBestEffort {
-			pressing += w.Waiting
+			pressing += w.WaitingTasks
 		}
 	}
 	// Where so many tasks end by themselves that their room serves what presses
@@ -98,11 +98,11 @@
 	machines, ms := l.machinesWithVictims(now)
 	stops, gatherings := placement.Preempt(machines, q.waiting, q.teams, maxPreemptJobs)
 	for _, g := range gatherings {
-		l.reserveMachineFor(g.For, ms[g.Machine], now)
+		l.reserveMachineFor(g.ForJobID, ms[g.Machine], now)
 	}
 	for _, s := range stops {
 		if a := ms[s.Machine].Attempts[state.TaskID(s.Victim.JobID, s.Victim.Task)]; a != nil {
-			l.preemptVictim(a, s.For, now)
+			l.preemptVictim(a, s.ForJobID, now)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 func (q *queue) drop() {
 	n := 0
 	for i, w := range q.waiting {
-		if w.Waiting > 0 {
+		if w.WaitingTasks > 0 {
 			q.waiting[n], q.jobs[n] = w, q.jobs[i]
 			n++
 		}
@@ -181,7 +181,7 @@
 	starts := placement.Fill(&p, q.waiting, q.teams)
 	gone := false
 	for _, s := range starts {
-		gone = gone || q.waiting[s.Job].Waiting == 0
+		gone = gone || q.waiting[s.Job].WaitingTasks == 0
 		if j := q.jobs[s.Job]; !j.IsGang() || !j.Ended && s.Count == j.StartableTasks(now) {
 			l.planStarts(m, j, s.Count, now)
 		}
@@ -243,7 +243,7 @@
 		waiting[i] = e.waiting
 	}
 	placement.DeferLateJobs(waiting, l.schedulableCPUs(now), wall)
-	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.Compare(a.waiting, b.waiting) })
+	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.CompareJobs(a.waiting, b.waiting) })
 	q := queue{teams: teams, waiting: waiting, jobs: make([]*state.Job, len(entries))}
 	for i, e := range entries {
 		q.waiting[i], q.jobs[i] = e.waiting, e.job
@@ -258,14 +258,14 @@
 	w := &placement.Job{
 		ID:              s.ID,
 		Team:            s.Team,
-		Image:           j.Image,
+		ImageIndex:      j.Image,
 		Priority:        j.Priority,
 		EvacuationRank:  l.evacuationRank(j),
 		OnlyZone:        l.onlyZone(j),
 		WithinGuarantee: covered,
 		Need:            j.Need,
-		Waiting:         n,
-		Total:           s.Tasks,
+		WaitingTasks:    n,
+		TotalTasks:      s.Tasks,
 		InstanceTypes:   s.InstanceTypes,
 		Zone:            s.Zone,
 		SingleZone:      s.SingleZone,
@@ -274,18 +274,18 @@
 		AllowSpot:       s.AllowSpot,
 		ImageSizeGB:     s.ImageSizeGB,
 	}
-	w.StartBy, w.LaterStartBys, w.Late = l.startDeadlines(j, covered, wall)
-	w.AtRisk = w.StartBy-wall < 4*l.heartbeatInterval && !j.IsProbing()
+	w.StartDeadline, w.LaterStartDeadlines, w.Late = l.startDeadlines(j, covered, wall)
+	w.AtRisk = w.StartDeadline-wall < 4*l.heartbeatInterval && !j.IsProbing()
 	w.PreemptsBestEffort = j.Priority > 0 && !j.IsProbing()
 	w.DelayTolerant = l.isDelayTolerant(j)
 	if j.IsGang() && len(j.Attempts) > 0 {
-		w.StartBy, w.Late, w.AtRisk = wall, false, !j.IsProbing() // the others of its tasks wait for these
+		w.StartDeadline, w.Late, w.AtRisk = wall, false, !j.IsProbing() // the others of its tasks wait for these
 	}
 	if j.IsGang() {
 		w.FailedOn = j.Failures.ByMachine
 		w.MaxStartDelay = max(immediateStartLimit, wall-j.SubmittedAt)
 	}
-	w.Work = float64(n) * s.CPUs * l.expectedRuntime(s)
+	w.WaitingCPUSeconds = float64(n) * s.CPUs * l.expectedRuntime(s)
 	if s.SingleZone || s.SpreadZones {
 		w.TasksPerZone = maps.Clone(j.AttemptsPerZone)
 	}
@@ -304,13 +304,13 @@
 // splitAged has a part of a job go before all others; the rest, if any, waits as before.
 func (l *Leader) splitAged(w *placement.Job, j *state.Job) (rest *placement.Job) {
 	w.Aged, w.Late, w.DelayTolerant = true, false, false
-	part := 1 + w.Waiting/agingDivisor
-	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.Waiting {
+	part := 1 + w.WaitingTasks/agingDivisor
+	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.WaitingTasks {
 		return nil
 	}
 	other := *w
 	other.Aged, other.DelayTolerant = false, l.isDelayTolerant(j)
-	w.Waiting, other.Waiting = part, w.Waiting-part
+	w.WaitingTasks, other.WaitingTasks = part, w.WaitingTasks-part
 	return &other
 }
 
@@ -414,7 +414,7 @@
 }
 
 func guarantee(t settings.Team) placement.Resources {
-	return placement.Resources{CPU: state.FloorMilli(t.GuaranteedCPUs), GPU: state.FloorMilli(t.GuaranteedGPUs), Mem: 1 << 60}
+	return placement.Resources{CPU: state.FloorMilli(t.GuaranteedCPUs), GPU: state.FloorMilli(t.GuaranteedGPUs), Memory: 1 << 60}
 }
 
 // worstCaseTeamUse counts what each team's tasks may be using at worst: what is known
@@ -454,7 +454,7 @@
 		RejectsDelayTolerant: m.RejectsDelayTolerant,
 		Images:               m.ImageSet,
 		ImagePullGBPerS:      t.ImagePullGBPerS,
-		Penalty:              micros.FromSeconds(l.priceRatio(t, m.Offering.Spot) - 1),
+		StartPenalty:         micros.FromSeconds(l.priceRatio(t, m.Offering.Spot) - 1),
 	}
 	if late := now - m.Heartbeat.ReceivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
 		p.CommandDelay = l.heartbeatInterval + late // it has missed a report, and may be gone
@@ -463,7 +463,7 @@
 		p.CommandDelay = 0
 	}
 	if m.Surplus {
-		p.Penalty += 30 * micros.Second
+		p.StartPenalty += 30 * micros.Second
 	}
 	if k := m.Reservation; k != nil {
 		p.ReservedFor = k.Waiting
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -35,7 +35,7 @@
 		return // adopted: nobody here saw it start
 	}
 	t.finishedTasks++
-	t.service.Finished(machineFraction(t, j.Need), (now - a.StartedAt).Seconds(), j.Spec.Tasks)
+	t.service.ObserveFinished(machineFraction(t, j.Need), (now - a.StartedAt).Seconds(), j.Spec.Tasks)
 	if a.RunningSince != 0 && (j.Spec.CheckpointIntervalS == 0 || !j.RanBefore[a.Index]) {
 		e := l.estimates[j.Spec.Class]
 		if e == nil {
@@ -52,7 +52,7 @@
 // machineFraction is the part of a machine that a task holds.
 func machineFraction(t *scaledType, need placement.Resources) float64 {
 	f := 0.0
-	for _, p := range [...][2]int64{{need.CPU, t.capacity.CPU}, {need.GPU, t.capacity.GPU}, {need.Mem, t.capacity.Mem}} {
+	for _, p := range [...][2]int64{{need.CPU, t.capacity.CPU}, {need.GPU, t.capacity.GPU}, {need.Memory, t.capacity.Memory}} {
 		if p[1] > 0 {
 			f = math.Max(f, float64(p[0])/float64(p[1]))
 		}
@@ -137,7 +137,7 @@
 			t.bestEffortDemand.Add(now, work)
 		}
 	}
-	t.service.Estimate(work, l.expectedRuntime(j.Spec)+j.Spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
+	t.service.ObserveEstimate(work, l.expectedRuntime(j.Spec)+j.Spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
 }
 
 // isDelayTolerant tells whether a job can do without ordinary machines: it is of the lowest
@@ -376,7 +376,7 @@
 				return 0 // formula (4) would keep a machine for nothing
 			}
 			z := staffing.ZForPrice(l.Tuning.Z, l.priceRatio(t, spot))
-			return float64(staffing.Servers(mean, t.batches.Peakedness()*mean, z))
+			return float64(staffing.RequiredServers(mean, t.batches.Peakedness()*mean, z))
 		}
 		if want := servers(true); l.meansRaised && now >= t.heldUntil || want > t.wanted {
 			t.wanted, t.wantedOnDemand = want, servers(false)
@@ -419,7 +419,7 @@
 		switch {
 		case l.hasOpenIntent(o):
 			return n // its answer comes first
-		case l.policy.Decide(zone).Rent == 0:
+		case l.policy.Decide(zone).MaxMachines == 0:
 		case s == nil || now >= s.until:
 			open = append(open, o)
 		}
@@ -469,14 +469,14 @@
 		kinds[m.Offering] = n
 	}
 	for _, j := range l.jobs {
-		if l.mustAwaitReconciliation(j, unresolved) || teams[j.Spec.Team].Room(j.Need, 1) == 0 {
+		if l.mustAwaitReconciliation(j, unresolved) || teams[j.Spec.Team].CountAllowed(j.Need, 1) == 0 {
 			continue // not for want of machines
 		}
 		if j.StartableTasks(now) <= 0 || now-j.SeenAt < constrainedLaunchDelay || wall-j.LastStart < constrainedLaunchDelay {
 			continue
 		}
 		probe := placement.Job{InstanceTypes: j.Spec.InstanceTypes, Zone: j.Spec.Zone, AllowSpot: j.Spec.AllowSpot,
-			SingleZone: j.Spec.SingleZone, SpreadZones: j.Spec.SpreadZones, Total: j.Spec.Tasks, TasksPerZone: j.AttemptsPerZone}
+			SingleZone: j.Spec.SingleZone, SpreadZones: j.Spec.SpreadZones, TotalTasks: j.Spec.Tasks, TasksPerZone: j.AttemptsPerZone}
 		closed, coming := 0, 0
 		for o, n := range kinds {
 			if placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
@@ -548,7 +548,7 @@
 func (l *Leader) idleTimeout(t *scaledType, spot bool) micros.Micros {
 	tight, types := 0.0, 0.0
 	for _, x := range l.types {
-		tight += x.batches.TightShare()
+		tight += x.batches.ImmediateShare()
 		types++
 	}
 	keep := micros.FromSeconds(t.BootTimeS / l.priceRatio(t, spot) * tight / types)
@@ -615,7 +615,7 @@
 		t.wanted, t.wantedOnDemand = x.Want, x.Want
 		if x.Mu > 0 {
 			// As if what is held had just ended: what ends first now are short tasks.
-			t.service.Finished(math.Max(1, x.M), 1/x.Mu, 1)
+			t.service.ObserveFinished(math.Max(1, x.M), 1/x.Mu, 1)
 			t.finishedTasks = x.Finished
 		}
 	}
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -88,7 +88,7 @@
 		SubmittedAt:         r.SubmittedAt,
 		SeenAt:              micros.Now(),
 		MayHaveEarlierTasks: mayHaveEarlierTasks,
-		Need:                placement.Resources{CPU: CeilMilli(s.CPUs), GPU: CeilMilli(s.GPUs), Mem: CeilMilli(s.MemoryGB)},
+		Need:                placement.Resources{CPU: CeilMilli(s.CPUs), GPU: CeilMilli(s.GPUs), Memory: CeilMilli(s.MemoryGB)},
 		Priority:            wire.PriorityRank(s.Priority),
 		Done:                newBitset(s.Tasks),
 		StoredDone:          newBitset(s.Tasks),
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -21,8 +21,8 @@
 	t.Helper()
 	l, term := newTest(t)
 	c := zone.DefaultConfig(l.heartbeatInterval)
-	c.Confirm = 0
-	l.zoneState = newZoneState(zone.NewManager(c))
+	c.ConfirmationTime = 0
+	l.zoneState = newZoneState(zone.NewLifecyclePolicy(c))
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.sorted, l.machines = nil, map[string]*state.Machine{}
 	now = micros.Now() + 1000*micros.Second
@@ -55,30 +55,30 @@
 		edit func(m *state.Machine, now micros.Micros)
 		want zone.Evidence
 	}{
-		{"heard", func(*state.Machine, micros.Micros) {}, zone.Evidence{Up: 10}},
-		{"late", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - overdueFor }, zone.Evidence{Up: 10, Late: 1}},
-		{"silent", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - silentEnough }, zone.Evidence{Up: 10, Silent: 1}},
+		{"heard", func(*state.Machine, micros.Micros) {}, zone.Evidence{Running: 10}},
+		{"late", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - overdueFor }, zone.Evidence{Running: 10, Late: 1}},
+		{"silent", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - silentEnough }, zone.Evidence{Running: 10, Silent: 1}},
 		{"late and gone from the list", func(m *state.Machine, now micros.Micros) {
 			m.Heartbeat.ReceivedAt, m.Instance.Listed, m.Instance.MissingLists = now-overdueFor, true, 2
-		}, zone.Evidence{Up: 10, Vanished: 1}},
-		{"gone from the list and heard", func(m *state.Machine, _ micros.Micros) { m.Instance.Listed, m.Instance.MissingLists = true, 9 }, zone.Evidence{Up: 10}},
-		{"deaf", func(m *state.Machine, _ micros.Micros) { m.Delivery.LostResponses = maxLostResponses }, zone.Evidence{Up: 10, Deaf: 1}},
+		}, zone.Evidence{Running: 10, Unlisted: 1}},
+		{"gone from the list and heard", func(m *state.Machine, _ micros.Micros) { m.Instance.Listed, m.Instance.MissingLists = true, 9 }, zone.Evidence{Running: 10}},
+		{"deaf", func(m *state.Machine, _ micros.Micros) { m.Delivery.LostResponses = maxLostResponses }, zone.Evidence{Running: 10, LostResponses: 1}},
 		{"silent and deaf", func(m *state.Machine, now micros.Micros) {
 			m.Heartbeat.ReceivedAt, m.Delivery.LostResponses = now-silentEnough, maxLostResponses
-		}, zone.Evidence{Up: 10, Silent: 1}},
-		{"faulty", func(m *state.Machine, _ micros.Micros) { m.DrainReason = drainFaulty }, zone.Evidence{Up: 10, Failing: 1}},
-		{"being returned", func(m *state.Machine, _ micros.Micros) { m.Instance.Terminating = true }, zone.Evidence{Up: 9}},
-		{"booting", func(m *state.Machine, _ micros.Micros) { m.Instance.Running = false }, zone.Evidence{Up: 9}},
-		{"back", func(m *state.Machine, _ micros.Micros) { m.ZoneReturn.Returned = true }, zone.Evidence{Up: 10, Back: 1}},
+		}, zone.Evidence{Running: 10, Silent: 1}},
+		{"faulty", func(m *state.Machine, _ micros.Micros) { m.DrainReason = drainFaulty }, zone.Evidence{Running: 10, Quarantined: 1}},
+		{"being returned", func(m *state.Machine, _ micros.Micros) { m.Instance.Terminating = true }, zone.Evidence{Running: 9}},
+		{"booting", func(m *state.Machine, _ micros.Micros) { m.Instance.Running = false }, zone.Evidence{Running: 9}},
+		{"back", func(m *state.Machine, _ micros.Micros) { m.ZoneReturn.Returned = true }, zone.Evidence{Running: 10, Recovered: 1}},
 		{"back and silent anew", func(m *state.Machine, now micros.Micros) {
 			m.ZoneReturn.Returned, m.Heartbeat.ReceivedAt = true, now-silentEnough
-		}, zone.Evidence{Up: 10, Silent: 1, Relapses: 1}},
+		}, zone.Evidence{Running: 10, Silent: 1, Relapses: 1}},
 	}
 	for _, c := range cases {
 		l, now := newZonesTest(t)
 		c.edit(l.machines["i-15"], now)
 		l.zoneEvidence(now)
-		if got := l.zoneEvidence(now); got["b"] != c.want || got["a"] != (zone.Evidence{Up: 10}) {
+		if got := l.zoneEvidence(now); got["b"] != c.want || got["a"] != (zone.Evidence{Running: 10}) {
 			t.Errorf("%s: %+v, want %+v, and the other zone well", c.name, got, c.want)
 		}
 	}
@@ -147,12 +147,12 @@
 			t.Errorf("%s: %d closed, %d replaced, supply %d, %d to rent, bound to %q and %q", state, closed, len(replaced), supply, l.launchAllowance("b"), ofBound, ofTogether)
 		}
 	}
-	expect("well", 0, 0, zone.AnyNumber, "")
+	expect("well", 0, 0, zone.Unlimited, "")
 	silence(l, now, overdueFor)
 	expect("suspected", 0, 5, 0, "")
 	silence(l, now, silentEnough)
 	expect("lost", 10, 5, 0, "b")
-	if w, ok := l.encodeZones(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.Lost || !l.writes.IsUrgent(replica.ZonesKey) {
+	if w, ok := l.encodeZones(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.FullDisruption || !l.writes.IsUrgent(replica.ZonesKey) {
 		t.Errorf("stored is %+v (%v)", w.Value, ok)
 	}
 	l.sorted[10].Instance.Running = false // half of the nine others, rounded
@@ -189,7 +189,7 @@
 		l.assign(&state.Attempt{Job: j, Index: task, Number: 2, Machine: to, StartSequence: 100})
 	}
 	s, class := l.ZoneStatus()[1], j.Spec.Class
-	if w := s.Work; s.Zone != "b" || w.Displaced[class] != 2 || w.Moved[class] != 1 || w.Restarted[class] != 1 || w.Tasks != 2 || w.Machines != 2 || w.Closed != 10 || w.Replaced != 5 {
+	if w := s.Work; s.Zone != "b" || w.Displaced[class] != 2 || w.Moved[class] != 1 || w.Restarted[class] != 1 || w.LeasedTasks != 2 || w.LeasedMachines != 2 || w.ClosedMachines != 10 || w.ReplacedMachines != 5 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -212,7 +212,7 @@
 // TestZonesRestored has a term go on from what the one before stored, though its machines have
 // not been heard and are not silent for long; and begin anew where that cannot be read.
 func TestZonesRestored(t *testing.T) {
-	lost := zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.Stored{"b": {State: zone.Lost, Since: micros.Wall(), Flaps: 2}}}
+	lost := zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.RecordedZone{"b": {State: zone.FullDisruption, Since: micros.Wall(), Flaps: 2}}}
 	for want, stored := range map[string]any{"lost": lost, "healthy": "nonsense"} {
 		l, now := newZonesTest(t)
 		l.Replica.ApplyPut(replica.ZonesKey, stored, 3)
