--- a/internal/leader/ask.go
+++ b/internal/leader/ask.go
@@ -56,7 +56,7 @@
 	l.queryAll(ctx, machines)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	slog.Info("asked for tasks", "machines", len(machines), "unresolved", l.countUnknownMachines(), "took", (micros.Now() - l.startedAt).Duration())
+	slog.Info("asked for tasks", "machines", len(machines), "unresolved", l.fleet.CountUnknown(), "took", (micros.Now() - l.startedAt).Duration())
 }
 
 // machinesToQuery lists the machines whose tasks they have not told this term, in the order in
@@ -64,7 +64,7 @@
 func (l *Leader) machinesToQuery() (machines []*state.Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.TasksConfirmed() || m.Instance.Address == "" {
 			continue
 		}
@@ -148,7 +148,7 @@
 func (l *Leader) queryTargetOf(m *state.Machine) (to queryTarget, needed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	needed = !m.TasksConfirmed() && !m.Instance.Terminating && l.machines[m.ID] == m && !l.superseded && !l.handingOver
+	needed = !m.TasksConfirmed() && !m.Instance.Terminating && l.fleet.Machines[m.ID] == m && !l.superseded && !l.handingOver
 	return queryTarget{m.ID, m.Instance.Address, m.LikelyIncarnation()}, needed
 }
 
@@ -178,7 +178,7 @@
 
 // applyQueryResponse takes a machine's tasks from its answer, unless a report came first.
 func (l *Leader) applyQueryResponse(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
-	if m.TasksConfirmed() || l.machines[m.ID] != m || l.superseded || r.Incarnation < m.Heartbeat.Incarnation {
+	if m.TasksConfirmed() || l.fleet.Machines[m.ID] != m || l.superseded || r.Incarnation < m.Heartbeat.Incarnation {
 		return
 	}
 	m.Heartbeat.Incarnation = r.Incarnation
--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -82,7 +82,7 @@
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
-		m := l.machines["i-1"]
+		m := l.fleet.Machines["i-1"]
 		m.Instance.Address, m.Heartbeat.OfThisTerm = "i-1:9000", false
 		l.WorkerClient = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if d.FencingToken != token || len(d.Commands) != 0 {
@@ -126,12 +126,12 @@
 		{"many are", 20, 12, 8, false},
 	} {
 		l, _ := newTest(t)
-		b := l.intents["r-1"]
+		b := l.fleet.Intent("r-1")
 		for i := range 19 {
-			l.addMachine(string(rune('a'+i)), b, l.startedAt).Instance.Running = true
+			l.fleet.Add(string(rune('a'+i)), b, l.startedAt).Instance.Running = true
 		}
 		now := l.startedAt + unresponsiveLimit + 100*micros.Millisecond
-		for i, m := range l.sorted {
+		for i, m := range l.fleet.Sorted {
 			m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
 			m.Reconciliation.Knowledge = state.TasksConfirmed
 			if i < c.unresolved {
@@ -141,7 +141,7 @@
 		}
 		l.zoneQueries["a"] = queryCounts{c.asked, c.answers}
 		l.checkMachines(now)
-		if got := l.sorted[0].Instance.Terminating; got != c.leaves {
+		if got := l.fleet.Sorted[0].Instance.Terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
@@ -164,13 +164,13 @@
 		{"all returned", 0, true, false},
 	}
 	l, _ := newTest(t)
-	b := l.intents["r-1"]
+	b := l.fleet.Intent("r-1")
 	now := micros.Now() + micros.Second
 	for _, s := range steps {
-		l.sorted, l.machines = nil, map[string]*state.Machine{}
+		l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
 		now += 100 * micros.Second
 		for i := range s.machines {
-			m := l.addMachine(fmt.Sprintf("i-%d", i), b, now)
+			m := l.fleet.Add(fmt.Sprintf("i-%d", i), b, now)
 			m.Instance.Running = true
 			if m.Heartbeat.ReceivedAt = now; s.silent {
 				m.Heartbeat.ReceivedAt = now - 50*micros.Second
--- a/internal/leader/backlog.go
+++ b/internal/leader/backlog.go
@@ -62,9 +62,9 @@
 
 // addMachinesTo counts what there is, and what runs on it.
 func (l *Leader) addMachinesTo(d *backlog, replaced map[*state.Machine]bool, now micros.Micros) {
-	for _, m := range l.machines {
+	for _, m := range l.fleet.Machines {
 		t := l.types[m.Offering.Type]
-		if t == nil || m.Instance.Terminating || m.DrainReason != "" || l.isOverdue(m, now) {
+		if t == nil || m.Instance.Terminating || m.DrainReason != "" || l.fleet.IsOverdue(m, now) {
 			continue
 		}
 		if replaced[m] {
@@ -88,9 +88,9 @@
 			}
 		}
 	}
-	for _, b := range l.intents {
-		if t := l.types[b.Type]; t != nil && !b.Answered {
-			d.supplyCPUs += t.CPUs * float64(b.Count)
+	for intent := range l.fleet.OpenIntents() {
+		if t := l.types[intent.Type]; t != nil {
+			d.supplyCPUs += t.CPUs * float64(intent.Count)
 		}
 	}
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -51,12 +52,12 @@
 		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
 	}
 	for i := range machines / 50 {
-		b := launchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
+		b := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
 		for k := range 50 {
 			b.Machines = append(b.Machines, benchMachine(i*50+k))
 		}
 		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), b, uint64(i+5000))
-		r.ApplyPut(machineListKey(i), machineList{Machines: b.Machines}, uint64(i+6000))
+		r.ApplyPut(fleet.ListKey(i), fleet.MachineList{Entries: b.Machines}, uint64(i+6000))
 	}
 	return r
 }
@@ -145,7 +146,7 @@
 		l := newBench(b, benchReplica(machines))
 		full(b, l, machines)
 		n := 0
-		for _, m := range l.sorted {
+		for _, m := range l.fleet.Sorted {
 			if n++; n%20 == 0 {
 				l.releaseAll(m, "benchmark")
 			}
--- a/internal/leader/boot_test.go
+++ b/internal/leader/boot_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 )
@@ -16,8 +17,8 @@
 		name          string
 		up            int // of ten rented together
 		age           micros.Micros
-		came, never   float64 // late ones before
-		newer         int     // rented 20 s later, and up; less than 0: and late
+		came, never   int // late ones before
+		newer         int // rented 20 s later, and up; less than 0: and late
 		overdue, left bool
 	}{
 		{"in time", 0, 30 * s, 0, 0, 0, false, false},
@@ -33,11 +34,20 @@
 	for _, c := range cases {
 		l, _ := newTest(t)
 		l.types["m4"].BootTimeS = 20
-		l.removeMachine(l.machines["i-1"])
+		l.fleet.Remove(l.fleet.Machines["i-1"])
 		now := l.startedAt + 1000*s
-		l.bootOutcomes = bootOutcomes{c.came, c.never}
+		l.fleet.AddIntent("r-5", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true})
+		for range c.came {
+			late := l.fleet.Add("i-099", l.fleet.Intent("r-5"), now)
+			late.Instance.LaunchedAt = now - 100*s
+			l.fleet.RecordBoot(late, now)
+			l.fleet.Remove(late)
+		}
+		for range c.never {
+			l.fleet.RecordStuckBoot()
+		}
 		add := func(i int, age micros.Micros, up bool) *state.Machine {
-			m := l.addMachine(fmt.Sprintf("i-1%02d", i), &launchIntent{id: "r-5", Type: "m4", Zone: "a", Answered: true}, now)
+			m := l.fleet.Add(fmt.Sprintf("i-1%02d", i), l.fleet.Intent("r-5"), now)
 			m.Instance.LaunchedAt, m.Instance.Running, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-age, up, now, now
 			if up {
 				m.Instance.List = 0
@@ -51,9 +61,9 @@
 			add(10+i, c.age-20*s, c.newer > 0)
 		}
 		l.checkMachines(now)
-		m := l.machines["i-109"]
+		m := l.fleet.Machines["i-109"]
 		probes := 0
-		for _, o := range l.sorted {
+		for _, o := range l.fleet.Sorted {
 			if o.Instance.Terminating && o.Instance.LateWithCohort && o != m {
 				probes++
 			}
@@ -61,7 +71,7 @@
 		if want := c.age > 50*s && m.Instance.LateWithCohort && !c.left; (probes == 1) != want {
 			t.Errorf("%s: %d replaced to see whether others boot sooner", c.name, probes)
 		}
-		if got := l.isOverdue(m, now); got != c.overdue {
+		if got := l.fleet.IsOverdue(m, now); got != c.overdue {
 			t.Errorf("%s: overdue %v, want %v", c.name, got, c.overdue)
 		}
 		if m.Instance.Terminating != c.left {
@@ -76,16 +86,15 @@
 	for _, waited := range []micros.Micros{0, 45 * micros.Second, 300 * micros.Second} {
 		l, _ := newTest(t)
 		l.types["m4"].BootTimeS = 20
-		b := &launchIntent{id: "r-5", Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - waited}
-		l.intents[b.id] = b
-		l.recordLaunch(b, []string{"i-7", "i-8"})
+		b := l.fleet.AddIntent("r-5", fleet.LaunchIntent{Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - waited})
+		l.fleet.RecordLaunch(b, []string{"i-7", "i-8"})
 		now := micros.Now() + micros.Second
 		for _, id := range []string{"i-7", "i-8"} {
-			m := l.machines[id]
+			m := l.fleet.Machines[id]
 			if age := now - m.Instance.LaunchedAt; age > 2*micros.Second {
 				t.Errorf("answered after %v: %s counts as rented for %v", waited.Duration(), id, age.Duration())
 			}
-			if l.isOverdue(m, now) {
+			if l.fleet.IsOverdue(m, now) {
 				t.Errorf("answered after %v: %s is taken for late", waited.Duration(), id)
 			}
 		}
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -22,11 +22,11 @@
 // of a fleet up for minutes after everybody else had gone. It acts only while nothing
 // waits, so that a moved task finds its room at once.
 func (l *Leader) consolidate(now micros.Micros) {
-	if len(l.queue.jobs) > 0 || !l.Term.HoldsSession() || !l.Term.IsExclusive() || l.countUnknownMachines() > 0 {
+	if len(l.queue.jobs) > 0 || !l.Term.HoldsSession() || !l.Term.IsExclusive() || l.fleet.CountUnknown() > 0 {
 		return
 	}
 	var ms []*state.Machine
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if l.types[m.Offering.Type] != nil && m.IsOpenToAllZones(now) && len(m.Attempts) > 0 && now-m.Heartbeat.ReceivedAt <= 2*l.heartbeatInterval {
 			ms = append(ms, m)
 		}
--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -49,8 +49,8 @@
 			j.Spec.DeadlineS = &c.due
 		}
 		l.jobs = map[string]*state.Job{j.Spec.ID: j}
-		l.addMachine("i-2", l.intents["r-1"], now)
-		for i, m := range l.sorted {
+		l.fleet.Add("i-2", l.fleet.Intent("r-1"), now)
+		for i, m := range l.fleet.Sorted {
 			m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, true, true, true, now
 			m.Reconciliation.Knowledge = state.TasksConfirmed
 			for range c.tasks[i] {
@@ -58,16 +58,16 @@
 				l.assign(&state.Attempt{Job: j, Index: task, Number: 1, Machine: m, StartSequence: 1, StartedAt: now - c.ran, RunningSince: now - c.ran, ReportedState: wire.TaskRunning})
 			}
 		}
-		l.sorted[0].Surplus, l.sorted[1].RejectsDelayTolerant = c.surplus, c.closedToPatient
-		l.sorted[0].SurplusSince = now - c.since
+		l.fleet.Sorted[0].Surplus, l.fleet.Sorted[1].RejectsDelayTolerant = c.surplus, c.closedToPatient
+		l.fleet.Sorted[0].SurplusSince = now - c.since
 		if c.waiting {
 			l.queue.jobs = []*state.Job{j}
 		}
 		l.consolidate(now)
-		if got := l.sorted[0].DrainReason == drainForConsolidation; got != c.emptied || l.sorted[1].DrainReason != "" {
-			t.Errorf("%s: emptied %v (the other: %q), want %v", c.name, got, l.sorted[1].DrainReason, c.emptied)
+		if got := l.fleet.Sorted[0].DrainReason == drainForConsolidation; got != c.emptied || l.fleet.Sorted[1].DrainReason != "" {
+			t.Errorf("%s: emptied %v (the other: %q), want %v", c.name, got, l.fleet.Sorted[1].DrainReason, c.emptied)
 		}
-		for _, a := range l.sorted[0].Attempts {
+		for _, a := range l.fleet.Sorted[0].Attempts {
 			if stopped := a.StopRequestedAt != 0 && a.GracePeriod == 3*s; stopped != c.emptied {
 				t.Errorf("%s: a task is stopped with time to save: %v", c.name, stopped)
 			}
@@ -92,15 +92,15 @@
 		l, _ := newTest(t)
 		for i, p := range c.priorities {
 			if i > 0 {
-				l.addMachine(fmt.Sprintf("i-%d", i+1), l.intents["r-1"], l.startedAt)
+				l.fleet.Add(fmt.Sprintf("i-%d", i+1), l.fleet.Intent("r-1"), l.startedAt)
 			}
 			j := state.NewJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00030%d", i), Team: "blue", Tasks: 1, CPUs: 1, AllowSpot: true}}, false)
 			j.Priority = p
-			l.assign(&state.Attempt{Job: j, Machine: l.sorted[i]})
+			l.assign(&state.Attempt{Job: j, Machine: l.fleet.Sorted[i]})
 		}
 		l.closeToDelayTolerant(l.types["m4"], c.want, c.need)
 		n := 0
-		for _, m := range l.sorted {
+		for _, m := range l.fleet.Sorted {
 			if m.RejectsDelayTolerant {
 				n++
 			}
@@ -131,7 +131,7 @@
 		{"nearly over", 400, false, 290 * s, true, [2]micros.Micros{23 * s, 24 * s}},
 	} {
 		l, _ := newTest(t)
-		m, now := l.machines["i-1"], micros.Now()+1000*s
+		m, now := l.fleet.Machines["i-1"], micros.Now()+1000*s
 		m.Heartbeat.ReceivedAt = now
 		m.Reconciliation.Knowledge = state.TasksConfirmed
 		j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimatedRuntimeS: 300, CheckpointIntervalS: 30, CheckpointDurationS: 3, AllowSpot: true}}, false)
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -151,7 +151,7 @@
 		}
 	}
 	coming := 0
-	for _, m := range l.machines {
+	for _, m := range l.fleet.Machines {
 		if !m.Instance.Running {
 			coming++
 		}
@@ -183,7 +183,7 @@
 			open++
 		}
 	}
-	for _, m := range l.machines {
+	for _, m := range l.fleet.Machines {
 		for _, a := range m.Attempts {
 			states[a.ReportedState]++
 			held += a.Job.Need.CPU
@@ -197,5 +197,5 @@
 		targets[t.Name] = fmt.Sprintf("m=%.1f want=%.1f target=%d", t.mean, t.wanted, t.target)
 	}
 	slog.Debug("snapshot", "jobs", len(l.jobs), "waiting", waiting, "open", open, "states", states,
-		"held_cpus", held/1000, "usable_cpus", cpus/1000, "machines", len(l.machines), "unresolved", l.countUnknownMachines(), "targets", targets)
+		"held_cpus", held/1000, "usable_cpus", cpus/1000, "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown(), "targets", targets)
 }
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -52,7 +52,7 @@
 	errors := j.Failures.ByMachine
 	j.Failures.ByMachine, j.Failures.Quarantined, j.Failures.BackoffRounds, j.BackoffUntil = map[string]micros.Micros{}, false, 0, 0
 	for id, at := range errors {
-		if other := l.machines[id]; other != nil && other.Quarantine.ProvenAt <= at {
+		if other := l.fleet.Machines[id]; other != nil && other.Quarantine.ProvenAt <= at {
 			delete(other.Quarantine.SuspectJobs, j.Spec.ID)
 			other.Quarantine.Failures++
 			l.evaluateMachine(other, now)
@@ -106,7 +106,7 @@
 		machines++
 	}
 	for id, at := range j.Failures.ByMachine {
-		if m := l.machines[id]; m != nil && m.Quarantine.ProvenAt > at {
+		if m := l.fleet.Machines[id]; m != nil && m.Quarantine.ProvenAt > at {
 			proof = true
 		}
 	}
@@ -119,7 +119,7 @@
 	j.Failures.Quarantined = true
 	delete(failedOn.Quarantine.SuspectJobs, j.Spec.ID)
 	for id := range j.Failures.ByMachine {
-		if m := l.machines[id]; m != nil {
+		if m := l.fleet.Machines[id]; m != nil {
 			delete(m.Quarantine.SuspectJobs, j.Spec.ID)
 		}
 	}
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -42,7 +42,7 @@
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
-		b := l.intents["r-1"]
+		b := l.fleet.Intent("r-1")
 		var jobs []*state.Job
 		for i := range 10 {
 			j := state.NewJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00010%d", i), Tasks: 20}}, false)
@@ -50,7 +50,7 @@
 			jobs = append(jobs, j)
 		}
 		for i := 2; i <= 4; i++ {
-			l.addMachine(fmt.Sprintf("i-%d", i), b, l.startedAt)
+			l.fleet.Add(fmt.Sprintf("i-%d", i), b, l.startedAt)
 		}
 		now := l.startedAt
 		for _, step := range c.steps {
@@ -59,7 +59,7 @@
 				now += 2 * maxProbeBackoff
 				continue
 			}
-			j, m := jobs[step[0]-'0'], l.machines["i-"+step[2:]]
+			j, m := jobs[step[0]-'0'], l.fleet.Machines["i-"+step[2:]]
 			if step[1] == 'x' {
 				j.Failures.Count++
 				l.attributeFailure(m, j, now)
@@ -73,7 +73,7 @@
 			for _, d := range c.drained {
 				want = want || d == i
 			}
-			if got := l.machines[fmt.Sprintf("i-%d", i)].DrainReason != ""; got != want {
+			if got := l.fleet.Machines[fmt.Sprintf("i-%d", i)].DrainReason != ""; got != want {
 				t.Errorf("%s: machine %d emptied: %v, want %v", c.name, i, got, want)
 			}
 		}
@@ -93,9 +93,9 @@
 // also by the next leader; it brings no demand; and a success ends all that.
 func TestProbe(t *testing.T) {
 	l, _ := newTest(t)
-	b := l.intents["r-1"]
+	b := l.fleet.Intent("r-1")
 	for i := 2; i <= 3; i++ {
-		l.addMachine(fmt.Sprintf("i-%d", i), b, l.startedAt)
+		l.fleet.Add(fmt.Sprintf("i-%d", i), b, l.startedAt)
 	}
 	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
 	l.jobs[j.Spec.ID] = j
@@ -104,7 +104,7 @@
 	window := l.types["m4"].demand
 	before := window.Rate(now)
 	for i := 1; i <= 3; i++ {
-		l.attributeFailure(l.machines[fmt.Sprintf("i-%d", i)], j, now)
+		l.attributeFailure(l.fleet.Machines[fmt.Sprintf("i-%d", i)], j, now)
 	}
 	if after := window.Rate(now); before <= 0 || after >= before/2 {
 		t.Errorf("demand %v before and %v after it was put off", before, after)
@@ -120,7 +120,7 @@
 			t.Errorf("%d tasks are tried, want %d", n, state.ProbeTasks)
 		}
 		for range state.ProbeTasks { // one try
-			l.attributeFailure(l.machines["i-1"], j, now)
+			l.attributeFailure(l.fleet.Machines["i-1"], j, now)
 		}
 	}
 	for i := 1; i < len(pauses); i++ {
@@ -136,7 +136,7 @@
 		t.Errorf("the next leader tries %d tasks at once", heir.StartableTasks(now))
 	}
 	j.DoneCount++
-	l.recordSuccess(l.machines["i-2"], j, nil, now)
+	l.recordSuccess(l.fleet.Machines["i-2"], j, nil, now)
 	if n := j.StartableTasks(now); n != 499 {
 		t.Errorf("%d tasks may start after a success", n)
 	}
@@ -160,14 +160,14 @@
 		j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}}, false)
 		l.jobs[j.Spec.ID] = j
 		j.Failures.LongestRun = c.failTook
-		l.assign(&state.Attempt{Job: j, Machine: l.machines["i-1"], RunningSince: now})
+		l.assign(&state.Attempt{Job: j, Machine: l.fleet.Machines["i-1"], RunningSince: now})
 		for i := 2; i <= 4; i++ {
-			l.attributeFailure(l.addMachine(fmt.Sprintf("i-%d", i), l.intents["r-1"], now), j, now)
+			l.attributeFailure(l.fleet.Add(fmt.Sprintf("i-%d", i), l.fleet.Intent("r-1"), now), j, now)
 		}
 		if !j.Failures.Quarantined {
 			t.Fatalf("%s: not put aside", c.name)
 		}
-		l.machines["i-1"].Heartbeat.ReceivedAt = now + c.report
+		l.fleet.Machines["i-1"].Heartbeat.ReceivedAt = now + c.report
 		l.newQueue(now + c.report)
 		if j.Failures.Quarantined != c.atFault {
 			t.Errorf("%s: at fault %v, want %v", c.name, j.Failures.Quarantined, c.atFault)
--- /dev/null
+++ b/internal/leader/fleet/intents.go
@@ -0,0 +1,310 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"iter"
+	"log/slog"
+	"slices"
+	"strings"
+	"sync"
+
+	"caperlatch/internal/cloud"
+	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/wire"
+)
+
+// LaunchIntent is a launch of instances: stored before the cloud is asked, and with its machines
+// afterwards. It is kept until all its machines are terminated, so that every later leader knows which
+// machines may hold tasks. The exported fields are what is stored.
+type LaunchIntent struct {
+	Type     string        `json:"type"`
+	Zone     string        `json:"zone"`
+	Spot     bool          `json:"spot"`
+	Count    int           `json:"count"`
+	At       micros.Micros `json:"at"` // time of day
+	Answered bool          `json:"answered"`
+	Machines []string      `json:"machines"` // IDs
+
+	id         string // also the request ID of the launch
+	stored     bool   // the cloud may be asked
+	requesting bool   // a goroutine is asking it
+	abandoned  bool   // none of its machines is left
+}
+
+// ID is the intent's ID, which no other intent of any term has.
+func (i *LaunchIntent) ID() string { return i.id }
+
+// offering is what the intent launches.
+func (i *LaunchIntent) offering() state.Offering {
+	return state.Offering{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
+}
+
+// capacityBackoff is how long an offering is not asked for, as the cloud had no capacity.
+type capacityBackoff struct {
+	refusals int
+	until    micros.Micros
+}
+
+// Times of the backoff, which doubles with each refusal.
+const (
+	firstCapacityBackoff = 5 * micros.Second
+	maxCapacityBackoff   = 40 * micros.Second
+	maxBackoffDoublings  = 4
+)
+
+// Times between two attempts of a request to the cloud, which double.
+const (
+	firstCloudRetry = 500 * micros.Millisecond
+	maxCloudRetry   = 8 * micros.Second
+)
+
+// launchInterval is how often intents are looked for that the cloud is to be asked for.
+const launchInterval = 100 * micros.Millisecond
+
+// Launch has up to cloud.MaxInstancesPerLaunch instances launched. The cloud is asked once the intent is stored.
+func (f *Fleet) Launch(o state.Offering, count int) {
+	f.intentSequence++
+	i := f.AddIntent(fmt.Sprintf("r-%d-%d", f.FencingToken, f.intentSequence), LaunchIntent{
+		Type:  o.Type,
+		Zone:  o.Zone,
+		Spot:  o.Spot,
+		Count: min(count, cloud.MaxInstancesPerLaunch),
+		At:    micros.Wall(),
+	})
+	slog.Debug("launching instances", "intent", i.id, "instance_type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", i.Count)
+	f.storeIntent(i)
+}
+
+// AddIntent registers an intent that is not stored yet.
+func (f *Fleet) AddIntent(id string, content LaunchIntent) *LaunchIntent {
+	i := &content
+	i.id = id
+	f.intents[id] = i
+	return i
+}
+
+// Adopt takes a machine into the fleet that no intent explains: a launch that was carried out late.
+func (f *Fleet) Adopt(machineID string, o state.Offering, now micros.Micros) {
+	i := f.AddIntent("x-"+machineID, LaunchIntent{
+		Type:     o.Type,
+		Zone:     o.Zone,
+		Spot:     o.Spot,
+		Count:    1,
+		At:       micros.Wall(),
+		Answered: true,
+		Machines: []string{machineID},
+	})
+	slog.Info("adopting a machine of no launch intent", "machine", machineID)
+	f.Add(machineID, i, now)
+	f.storeIntent(i)
+}
+
+// Intent is the launch intent with an ID, nil if there is none.
+func (f *Fleet) Intent(id string) *LaunchIntent { return f.intents[id] }
+
+// OpenIntents lists the intents that the cloud has not answered.
+func (f *Fleet) OpenIntents() iter.Seq[*LaunchIntent] {
+	return func(yield func(*LaunchIntent) bool) {
+		for _, i := range f.intents {
+			if !i.Answered && !yield(i) {
+				return
+			}
+		}
+	}
+}
+
+// HasOpenIntent reports whether an intent for an offering waits for its answer.
+func (f *Fleet) HasOpenIntent(o state.Offering) bool {
+	for i := range f.OpenIntents() {
+		if i.offering() == o {
+			return true
+		}
+	}
+	return false
+}
+
+// HasCapacity reports whether an offering may be asked for, as the cloud has not refused it lately.
+func (f *Fleet) HasCapacity(o state.Offering, now micros.Micros) bool {
+	backoff := f.backoffs[o]
+	return backoff == nil || now >= backoff.until
+}
+
+// storeIntent has an intent stored as it is now.
+func (f *Fleet) storeIntent(i *LaunchIntent) {
+	f.Writes.Mark(replica.LaunchIntentPrefix + i.id)
+	f.Writes.Wake()
+}
+
+// EncodeIntent makes the write of a launch intent's key.
+func (f *Fleet) EncodeIntent(w persist.Write) (persist.Write, bool) {
+	id := strings.TrimPrefix(w.Key, replica.LaunchIntentPrefix)
+	i := f.intents[id]
+	if i == nil || i.abandoned {
+		w.OnStored = func() { delete(f.intents, id) }
+		return w, f.Replica.ModRevision(w.Key) != 0
+	}
+	snapshot := *i
+	snapshot.Machines = slices.Clone(i.Machines)
+	w.Value = snapshot
+	w.OnStored = func() {
+		for _, id := range snapshot.Machines {
+			if m := f.Machines[id]; m != nil {
+				m.Instance.IntentStored = true
+			}
+		}
+		i.stored = true
+		f.OnChange()
+	}
+	return w, true
+}
+
+// RestoreIntents reads the launch intents of earlier terms, and adds their machines.
+func (f *Fleet) RestoreIntents(now micros.Micros) error {
+	for _, key := range f.Replica.Keys(replica.LaunchIntentPrefix) {
+		var content LaunchIntent
+		if _, err := f.Replica.Get(key, &content); err != nil {
+			return err
+		}
+		i := f.AddIntent(strings.TrimPrefix(key, replica.LaunchIntentPrefix), content)
+		i.stored = true
+		for _, id := range i.Machines {
+			// What is read here is stored: it may get tasks at once.
+			f.Add(id, i, now).Instance.IntentStored = true
+		}
+	}
+	return nil
+}
+
+// removeFromIntent takes a machine off its intent, which is abandoned with its last one.
+func (f *Fleet) removeFromIntent(m *state.Machine) {
+	i := f.intents[m.IntentID]
+	i.Machines = slices.DeleteFunc(i.Machines, func(id string) bool { return id == m.ID })
+	i.abandoned = i.Answered && len(i.Machines) == 0
+	f.Writes.MarkLazily(replica.LaunchIntentPrefix + i.id)
+}
+
+// mayAct reports whether this term may still launch instances. It takes the lock.
+func (f *Fleet) mayAct() bool {
+	f.Lock.Lock()
+	handingOver := f.IsHandingOver()
+	f.Lock.Unlock()
+	return !handingOver && f.Term.IsExclusive()
+}
+
+// launchLoop asks the cloud for what the stored intents name.
+func (f *Fleet) launchLoop(ctx context.Context) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	micros.Every(ctx, launchInterval, func() {
+		if !f.mayAct() {
+			return
+		}
+		for _, id := range f.claimIntents() {
+			wg.Go(func() { f.requestLaunch(ctx, id) })
+		}
+	})
+}
+
+// claimIntents takes the stored intents without an answer that no goroutine asks for: new
+// ones, those of an earlier term, and those that were left while leadership was in doubt.
+func (f *Fleet) claimIntents() (ids []string) {
+	f.Lock.Lock()
+	defer f.Lock.Unlock()
+	for id, i := range f.intents {
+		if i.stored && !i.Answered && !i.requesting {
+			i.requesting = true
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// requestLaunch asks the cloud for a stored intent until it answers. The same request launches
+// once, however often it is sent.
+func (f *Fleet) requestLaunch(ctx context.Context, id string) {
+	for wait := firstCloudRetry; ; wait = min(2*wait, maxCloudRetry) {
+		request, ok := f.launchRequest(ctx, id)
+		if !ok {
+			return
+		}
+		machines, err := f.Cloud.Launch(ctx, request, f.mayAct)
+		if f.applyLaunchResponse(id, machines, err) {
+			return
+		}
+		micros.Pause(ctx, wait)
+	}
+}
+
+// launchRequest is what to ask the cloud for an intent, if this term may still ask.
+func (f *Fleet) launchRequest(ctx context.Context, id string) (r wire.LaunchRequest, ok bool) {
+	f.Lock.Lock()
+	defer f.Lock.Unlock()
+	i := f.intents[id]
+	if i == nil {
+		return r, false
+	}
+	if ctx.Err() != nil || f.IsHandingOver() || !f.Term.IsExclusive() {
+		i.requesting = false
+		return r, false
+	}
+	return wire.LaunchRequest{RequestID: id, InstanceType: i.Type, Zone: i.Zone, Spot: i.Spot, Count: i.Count}, true
+}
+
+// applyLaunchResponse takes over the outcome of a request, and reports whether the cloud has answered.
+func (f *Fleet) applyLaunchResponse(id string, machines []string, err error) (answered bool) {
+	f.Lock.Lock()
+	defer f.Lock.Unlock()
+	i := f.intents[id]
+	switch {
+	case err == nil:
+		f.RecordLaunch(i, machines)
+	case errors.Is(err, cloud.ErrNoCapacity):
+		f.backOff(i.offering())
+		i.abandoned, i.Answered = true, true
+		f.storeIntent(i)
+	default:
+		slog.Debug("launch request failed", "intent", id, "error", err)
+	}
+	return i.Answered
+}
+
+// RecordLaunch adds the machines that the cloud has launched for an intent.
+func (f *Fleet) RecordLaunch(i *LaunchIntent, machines []string) {
+	now := micros.Now()
+	if len(machines) < i.Count {
+		f.backOff(i.offering())
+	} else {
+		delete(f.backoffs, i.offering())
+	}
+	i.Answered, i.requesting = true, false
+	// What was to be launched in an outage of the cloud was launched when it answered. Counted from
+	// the intent, machines were taken for late as soon as they were launched, and terminated before
+	// the time was over that is paid for at least.
+	i.At = micros.Wall()
+	for _, id := range machines {
+		if f.Machines[id] != nil || f.terminated[id] {
+			continue
+		}
+		i.Machines = append(i.Machines, id)
+		f.Add(id, i, now)
+		f.Events.Add("launched", fmt.Sprintf("instance type %s, zone %s, spot %t", i.Type, i.Zone, i.Spot), id)
+	}
+	f.storeIntent(i)
+	i.abandoned = len(i.Machines) == 0
+}
+
+// backOff has an offering not asked for for a while.
+func (f *Fleet) backOff(o state.Offering) {
+	b := f.backoffs[o]
+	if b == nil {
+		b = &capacityBackoff{}
+		f.backoffs[o] = b
+	}
+	b.refusals++
+	b.until = micros.Now() + min(maxCapacityBackoff, firstCapacityBackoff<<min(b.refusals-1, maxBackoffDoublings))
+}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -366,7 +366,7 @@
 	var ms []*state.Machine
 	gathered, tries := l.countReserved(), 0
 	for i, w := range q.waiting {
-		if !l.canReserve(w, now) || gathered > 0 && reservationDivisor*gathered >= len(l.sorted) {
+		if !l.canReserve(w, now) || gathered > 0 && reservationDivisor*gathered >= len(l.fleet.Sorted) {
 			continue
 		}
 		if tries++; tries > maxReservationJobs {
@@ -386,7 +386,7 @@
 // countReserved counts the machines that are gathered for gangs.
 func (l *Leader) countReserved() int {
 	n := 0
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Reservation != nil {
 			n++
 		}
@@ -499,11 +499,11 @@
 		}
 		var best state.Offering
 		for _, o := range l.offeringsFor(j) {
-			if l.hasOpenIntent(o) {
+			if l.fleet.HasOpenIntent(o) {
 				best = state.Offering{}
 				break // its answer comes first
 			}
-			if st := l.capacityBackoffs[o]; st != nil && now < st.until || l.policy.Decide(o.Zone).MaxMachines < zone.Unlimited || most(o.Zone) <= inZone[o.Zone] {
+			if !l.fleet.HasCapacity(o, now) || l.policy.Decide(o.Zone).MaxMachines < zone.Unlimited || most(o.Zone) <= inZone[o.Zone] {
 				continue
 			}
 			if best.Type == "" || j.Spec.SingleZone && inZone[o.Zone] > inZone[best.Zone] {
@@ -517,7 +517,7 @@
 			}
 			per := t.capacity.CountFitting(j.Need, missing)
 			slog.Debug("room for a gang", "job", j.Spec.ID, "tasks", want, "room", sum, "type", best.Type, "zone", best.Zone)
-			l.createIntent(best, (missing+per-1)/max(1, per))
+			l.fleet.Launch(best, (missing+per-1)/max(1, per))
 		}
 	}
 }
@@ -541,7 +541,7 @@
 	}
 	probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
 	inZone = map[string]int{}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		t := l.types[m.Offering.Type]
 		if t == nil || m.Instance.Terminating || m.DrainReason != "" || !placement.ConstraintsAdmit(&probe, m.Offering.Type, m.Offering.Zone, m.Offering.Spot) {
 			continue
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -31,11 +31,11 @@
 	spec := &wire.Job{ID: "j-000002", Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
 		EstimatedRuntimeS: 60, CheckpointIntervalS: 20, CheckpointDurationS: 3, AllowSpot: true}
 	l.jobs[spec.ID] = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, old)
-	b := l.intents["r-1"]
+	b := l.fleet.Intent("r-1")
 	for _, id := range []string{"i-2", "i-3"} {
-		l.addMachine(id, b, l.startedAt)
+		l.fleet.Add(id, b, l.startedAt)
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
 		m.Reconciliation.Knowledge = knowledge(!old)
 		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
@@ -48,7 +48,7 @@
 // there. It returns what it is told.
 func tellTasks(t *testing.T, l *Leader, machine string, tasks ...string) []string {
 	t.Helper()
-	m := l.machines[machine]
+	m := l.fleet.Machines[machine]
 	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: nil}
 	for _, s := range tasks {
 		f := strings.Fields(s)
@@ -80,7 +80,7 @@
 
 // addUp adds a machine that is up and may get tasks.
 func addUp(l *Leader, id, zone string) {
-	m := l.addMachine(id, l.intents["r-1"], micros.Now())
+	m := l.fleet.Add(id, l.fleet.Intent("r-1"), micros.Now())
 	m.Offering.Zone = zone
 	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
 	m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = id+":9000", 1, micros.Now(), micros.Now()
@@ -88,7 +88,7 @@
 
 // taskOn is the gang's task that the leader has on a machine.
 func taskOn(l *Leader, machine string) *state.Attempt {
-	for _, a := range l.machines[machine].Attempts {
+	for _, a := range l.fleet.Machines[machine].Attempts {
 		if a.Job.Spec.ID == "j-000002" {
 			return a
 		}
@@ -99,7 +99,7 @@
 // tellPlain has a machine report tasks as they are given, and returns what it is told.
 func tellPlain(t *testing.T, l *Leader, machine string, tasks ...wire.TaskStatus) []string {
 	t.Helper()
-	m := l.machines[machine]
+	m := l.fleet.Machines[machine]
 	l.replan, l.plannedAt = true, 0
 	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: tasks})
 	if err != nil {
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -115,7 +115,7 @@
 			formula := staffing.RequiredServers(peak, r.batches.Peakedness()*peak, l.Tuning.Z)
 			target = max(formula, int(math.Ceil(peak))+r.readyMachines)
 		}
-		target = min(target, len(l.sorted)/poolDivisor)
+		target = min(target, len(l.fleet.Sorted)/poolDivisor)
 		if target > r.target || now >= r.heldUntil {
 			r.target = target
 			r.heldUntil = now + l.Tuning.ReviewInterval
@@ -125,7 +125,7 @@
 
 // resizePools picks the reserves' machines, and books what the fleet lacks.
 func (l *Leader) resizePools(now micros.Micros) {
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Pool.IsSet() && (m.Instance.Terminating || m.DrainReason != "" || !m.Instance.Running) {
 			m.Pool = state.PoolKind{}
 		}
@@ -144,7 +144,7 @@
 func (l *Leader) resizePool(r *gangPool, now micros.Micros) {
 	var members, others []*state.Machine
 	coming := 0
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		switch {
 		case !r.kind.Admits(m.Offering) || m.Instance.Terminating || m.DrainReason != "":
 		case m.Pool == r.kind:
@@ -216,7 +216,7 @@
 
 // poolMembers counts the machines of a reserve.
 func (l *Leader) poolMembers(r *gangPool) (n int) {
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Pool == r.kind {
 			n++
 		}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -20,9 +20,9 @@
 	l.heartbeatInterval = 8 * micros.Second
 	clear(l.jobs)
 	for i := range 31 {
-		l.addMachine(fmt.Sprintf("i-%d", 10+i), l.intents["r-1"], l.startedAt)
+		l.fleet.Add(fmt.Sprintf("i-%d", 10+i), l.fleet.Intent("r-1"), l.startedAt)
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
 		m.Reconciliation.Knowledge = state.TasksConfirmed
 		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
@@ -44,7 +44,7 @@
 
 // reserved counts the machines on which only gangs start.
 func reserved(l *Leader) (n int) {
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Pool.IsSet() {
 			n++
 		}
@@ -74,7 +74,7 @@
 		{"gangs", gang(nil), 4},
 		{"gangs in a larger fleet", func(l *Leader) {
 			for i := range 200 {
-				m := l.addMachine(fmt.Sprintf("i-%d", 100+i), l.intents["r-1"], l.startedAt)
+				m := l.fleet.Add(fmt.Sprintf("i-%d", 100+i), l.fleet.Intent("r-1"), l.startedAt)
 				m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, true, true, true, l.startedAt
 				m.Reconciliation.Knowledge = state.TasksConfirmed
 			}
@@ -110,13 +110,13 @@
 	}
 	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.plannedAt = 0
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	gangs := 0
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		for _, a := range m.Attempts {
 			switch {
 			case a.Job.IsGang() && m.Pool.IsSet():
@@ -130,11 +130,11 @@
 		t.Errorf("%d tasks of the gang start on reserved machines, want 2", gangs)
 	}
 	before := reserved(l)
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		m.Instance.LaunchedAt, m.Instance.IdleSince = m.Instance.LaunchedAt-1000*micros.Second, m.Instance.IdleSince-1000*micros.Second
 	}
 	l.autoscale(micros.Now())
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Instance.Terminating && m.Pool.IsSet() {
 			t.Errorf("%s is returned, and is reserved", m.ID)
 		}
@@ -179,7 +179,7 @@
 		{"a fourth", "i-14", nil, true},
 		{"beyond an eighth of the fleet", "i-15", nil, false},
 	} {
-		m := l.machines[c.machine]
+		m := l.fleet.Machines[c.machine]
 		m.Reconciliation.Knowledge = state.TasksUnknown
 		l.reconcile(m, &wire.Heartbeat{MachineID: m.ID, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
 		if got := m.Pool.IsSet(); got != c.reserved {
@@ -209,7 +209,7 @@
 			{Name: "m8", CPUs: 8, MemoryGB: 32, ImagePullGBPerS: 1, OnDemandPrice: 3, SpotPrice: 3, Zones: []string{"a"}}}})
 		array := addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 		for n := range c.held {
-			l.assign(&state.Attempt{Job: array, Index: n, Number: 1, Machine: l.sorted[n/4]})
+			l.assign(&state.Attempt{Job: array, Index: n, Number: 1, Machine: l.fleet.Sorted[n/4]})
 		}
 		l.types["m4"].mean, l.types["m8"].mean = c.small, c.wide
 		l.raiseMeans()
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -40,7 +40,7 @@
 		for i := range 3 {
 			tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". running")
 		}
-		c.edit(l, l.machines["i-2"])
+		c.edit(l, l.fleet.Machines["i-2"])
 		stopped := l.stopGangIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
 		n := 0
 		for _, a := range j.Attempts {
@@ -87,8 +87,8 @@
 				tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". "+state)
 			}
 		}
-		l.machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
-		l.drainOnInterruption(l.machines["i-2"], micros.Now())
+		l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
+		l.drainOnInterruption(l.fleet.Machines["i-2"], micros.Now())
 		stops := 0
 		for _, a := range j.Attempts {
 			if a.StopRequestedAt != 0 {
@@ -116,24 +116,24 @@
 			l.stopGangIfReachable(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test", micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is taken after a short notice", func(_ *testing.T, l *Leader) {
-			l.machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
-			l.drainOnInterruption(l.machines["i-2"], micros.Now())
+			l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
+			l.drainOnInterruption(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is found faulty", func(_ *testing.T, l *Leader) {
-			l.machines["i-2"].Quarantine.Failures = quarantineFailures
-			l.evaluateMachine(l.machines["i-2"], micros.Now())
+			l.fleet.Machines["i-2"].Quarantine.Failures = quarantineFailures
+			l.evaluateMachine(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
 		{"one has saved", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended stopped") }, 3 * micros.Second},
 		{"one has saved, and another's machine is gone", func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-2", ". ended stopped")
-			l.removeMachine(l.machines["i-1"])
+			l.fleet.Remove(l.fleet.Machines["i-1"])
 		}, 3 * micros.Second},
 		{"one was not told in time", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended peers") }, 3 * micros.Second},
 		{"one was not told in time, and is listed again", func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-2", ". ended peers")
 			tellTasks(t, l, "i-2", "1 ended peers")
 		}, 3 * micros.Second},
-		{"a machine is gone", func(_ *testing.T, l *Leader) { l.removeMachine(l.machines["i-2"]) }, 3 * micros.Second},
+		{"a machine is gone", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
 		{"one still shows to run", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". running") }, 3 * micros.Second},
 		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs["j-000002"], wire.JobCancelled) }, 0},
 	}
@@ -192,11 +192,11 @@
 		}, 3},
 		{"one of it is gone, and it ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.removeMachine(l.machines["i-2"])
+			l.fleet.Remove(l.fleet.Machines["i-2"])
 		}, 2},
 		{"one of it hangs, and its machine is to be returned", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.terminate(l.machines["i-2"], "test")
+			l.fleet.Terminate(l.fleet.Machines["i-2"], "test")
 		}, 3},
 		{"it is done, which is not stored", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
@@ -214,7 +214,7 @@
 		l.Replica.ApplyPut(replica.JobPrefix+j.Spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.Spec}, 9)
 		l.applyJobChanges()
 		told := 0
-		for _, m := range slices.Clone(l.sorted) {
+		for _, m := range slices.Clone(l.fleet.Sorted) {
 			a := taskOn(l, m.ID)
 			if a == nil {
 				if got := tellPlain(t, l, m.ID); len(got) > 0 {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -113,7 +113,7 @@
 		if _, final := l.finalJobs[j.Spec.ID]; n != c.n || (j.DoneCount == 3) != c.done || final != c.done {
 			t.Errorf("%s: attempt %d, %d done", c.name, n, j.DoneCount)
 		}
-		for name, m := range l.machines {
+		for name, m := range l.fleet.Machines {
 			if m.Quarantine.Failures > 0 || len(m.Quarantine.SuspectJobs) > 0 && !strings.Contains(c.name, "failed") {
 				t.Errorf("%s: %s is at fault: %d, %v", c.name, name, m.Quarantine.Failures, m.Quarantine.SuspectJobs)
 			}
@@ -130,14 +130,14 @@
 	if len(j.Attempts) != 3 || l.teamUsage["blue"].CPU != 9000 {
 		t.Fatalf("%d places, %+v used", len(j.Attempts), l.teamUsage["blue"])
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Free.CPU != 1000 {
 			t.Errorf("%s has %d free", m.ID, m.Free.CPU)
 		}
 	}
 	// A machine that does not come for its start in time is passed over.
 	late := l.startedAt - 10*micros.Second
-	l.startedAt, l.machines["i-3"].Heartbeat.ReceivedAt = late, late
+	l.startedAt, l.fleet.Machines["i-3"].Heartbeat.ReceivedAt = late, late
 	for _, a := range j.Attempts {
 		a.StartedAt = late
 	}
@@ -167,14 +167,14 @@
 	l.startedAt -= 100 * s
 	now := micros.Now()
 	small := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		for range 4 {
 			task, _ := small.TakeWaitingTask()
 			l.assign(&state.Attempt{Job: small, Index: task, Number: 1, Machine: m, StartSequence: 1, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
 		}
 	}
 	gathered := func() (n int) {
-		for _, m := range l.sorted {
+		for _, m := range l.fleet.Sorted {
 			if m.Reservation != nil {
 				n++
 			}
@@ -185,7 +185,7 @@
 	if gathered() != 3 {
 		t.Fatalf("%d machines are gathered", gathered())
 	}
-	m := l.machines["i-1"]
+	m := l.fleet.Machines["i-1"]
 	for _, a := range m.Attempts {
 		l.release(a, "")
 		break
@@ -240,10 +240,10 @@
 		{"all of its attempt are gone, of which one waited for a place", 1, func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-1")
 			for _, id := range []string{"i-2", "i-3"} {
-				l.machines[id].StartBackoffUntil = micros.Now() + micros.Second
+				l.fleet.Machines[id].StartBackoffUntil = micros.Now() + micros.Second
 			}
 			tellTasks(t, l, "i-1", "0 waiting", "1 waiting", "2 ended no_room")
-		}, func(l *Leader) { l.releaseAll(l.machines["i-1"], "test") }, "i-2", nil, nil},
+		}, func(l *Leader) { l.releaseAll(l.fleet.Machines["i-1"], "test") }, "i-2", nil, nil},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
@@ -253,11 +253,11 @@
 			c.before(t, l)
 		}
 		later := micros.Now() + micros.Second
-		for _, m := range l.sorted {
+		for _, m := range l.fleet.Sorted {
 			m.StartBackoffUntil = later
 		}
 		l.plan(micros.Now())
-		for _, m := range l.sorted {
+		for _, m := range l.fleet.Sorted {
 			m.StartBackoffUntil = 0
 		}
 		c.between(l)
@@ -324,7 +324,7 @@
 			{nil, "i-3", []string{". ended peers"}, []string{"clear"}},
 			{nil, "i-1", []string{". waiting"}, []string{"stop"}}}},
 		{"a task that runs without the others exits", wire.TaskRunning, []step{
-			{func(l *Leader) { l.removeMachine(l.machines["i-2"]) }, "i-1", []string{". running"}, []string{"stop"}},
+			{func(l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, "i-1", []string{". running"}, []string{"stop"}},
 			{nil, "i-3", []string{". ended peers"}, []string{"clear"}},
 			{nil, "i-1", []string{". running"}, []string{"stop"}},
 			{nil, "i-3", nil, nil}}},
@@ -394,14 +394,14 @@
 		{"it is silent for a while", silent(10), false},
 		{"it is silent for its lease", silent(16), false},
 		{"its lease is surely over", silent(18), true},
-		{"it is to be returned", func(_ *testing.T, l *Leader, m *state.Machine) { l.terminate(m, "test") }, false},
-		{"the cloud has answered that it is returned", func(_ *testing.T, l *Leader, m *state.Machine) { l.removeMachine(m) }, true},
+		{"it is to be returned", func(_ *testing.T, l *Leader, m *state.Machine) { l.fleet.Terminate(m, "test") }, false},
+		{"the cloud has answered that it is returned", func(_ *testing.T, l *Leader, m *state.Machine) { l.fleet.Remove(m) }, true},
 		{"the cloud's list calls it failed", func(_ *testing.T, l *Leader, m *state.Machine) {
-			l.reconcileInstances([]wire.InstanceStatus{{ID: m.ID, State: wire.InstanceFailed}}, micros.Second)
+			l.fleet.ReconcileInstances([]wire.InstanceStatus{{ID: m.ID, State: wire.InstanceFailed}})
 		}, false},
 		{"the cloud's lists lack it", func(_ *testing.T, l *Leader, _ *state.Machine) {
 			for range 3 {
-				l.reconcileInstances(nil, micros.Second)
+				l.fleet.ReconcileInstances(nil)
 			}
 		}, false},
 		{"it reports in a new session", say(func(r *wire.Heartbeat) { r.Incarnation = 2 }), true},
@@ -419,7 +419,7 @@
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskWaitingForGang)
-		j, m := l.jobs["j-000002"], l.machines["i-2"]
+		j, m := l.jobs["j-000002"], l.fleet.Machines["i-2"]
 		n, a := j.Gang.Number, taskOn(l, "i-2")
 		c.event(t, l, m)
 		if held := m.Attempts[state.TaskID(j.Spec.ID, a.Index)] == a; held == c.gone {
@@ -439,7 +439,7 @@
 // TestGangTogether has a gang that must be in one zone lose a task. As long as one of the
 // old attempt is left anywhere, nothing is started in another zone, and no new attempt.
 func TestGangTogether(t *testing.T) {
-	ends := func(l *Leader) { l.removeMachine(l.machines["i-2"]) }
+	ends := func(l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }
 	cases := []struct {
 		name   string
 		state  string
@@ -452,11 +452,11 @@
 		{"one is left", wire.TaskRunning, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1", ". ended stopped") }, 0, true},
 		{"one is left on a machine that is to be returned", wire.TaskRunning, func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-1", ". ended peers")
-			l.terminate(l.machines["i-3"], "test")
+			l.fleet.Terminate(l.fleet.Machines["i-3"], "test")
 		}, 0, true},
 		{"all are gone", wire.TaskRunning, func(t *testing.T, l *Leader) {
 			tellTasks(t, l, "i-1", ". ended peers")
-			l.removeMachine(l.machines["i-3"])
+			l.fleet.Remove(l.fleet.Machines["i-3"])
 		}, 3, false},
 	}
 	for _, c := range cases {
@@ -471,7 +471,7 @@
 		}
 		c.event(t, l)
 		for _, id := range []string{"i-1", "i-3"} {
-			if m := l.machines[id]; m != nil {
+			if m := l.fleet.Machines[id]; m != nil {
 				m.StartBackoffUntil = micros.Now() + 100*micros.Second // the others alone may take tasks
 			}
 		}
@@ -479,7 +479,7 @@
 		for _, id := range []string{"i-4", "i-5", "i-6", "i-7"} {
 			if slices.Contains(verbsOf(tellTasks(t, l, id)), "start") {
 				starts++
-				zones[l.machines[id].Offering.Zone] = true
+				zones[l.fleet.Machines[id].Offering.Zone] = true
 			}
 		}
 		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == n) != c.same || zones["b"] && c.same {
@@ -513,7 +513,7 @@
 			launchGang(t, l, wire.TaskWaitingForGang)
 			j := l.jobs["j-000002"]
 			l.dropJob(j, wire.JobCancelled)
-			l.removeMachine(l.machines["i-3"])
+			l.fleet.Remove(l.fleet.Machines["i-3"])
 		}, true},
 	}
 	for _, c := range cases {
@@ -549,17 +549,17 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskPullingImage)
 		a := taskOn(l, "i-2")
-		l.machines["i-2"].StartBackoffUntil = micros.Now() + 100*micros.Second
+		l.fleet.Machines["i-2"].StartBackoffUntil = micros.Now() + 100*micros.Second
 		for range 3 {
 			tellTasks(t, l, "i-2", c.tasks...)
 		}
 		lines := 0
-		for what, x := range l.aggregatedLog {
+		for what, count := range l.events.Counts() {
 			if strings.Contains(what, "unknown") {
-				lines += x.count
+				lines += count
 			}
 		}
-		if there := l.machines["i-2"].Attempts[state.TaskID("j-000002", a.Index)] == a; lines != c.lines || there != c.there {
+		if there := l.fleet.Machines["i-2"].Attempts[state.TaskID("j-000002", a.Index)] == a; lines != c.lines || there != c.there {
 			t.Errorf("%s: %d lines, its task counts as being there: %t", c.name, lines, there)
 		}
 	}
@@ -600,7 +600,7 @@
 			a = x
 		}
 	}
-	m, n := l.machines["i-2"], j.Gang.Number
+	m, n := l.fleet.Machines["i-2"], j.Gang.Number
 	name := state.TaskID(j.Spec.ID, a.Index)
 	ended := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token,
 		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
@@ -616,8 +616,8 @@
 	if _, err := l.HandleHeartbeat(ended); err == nil {
 		t.Error("a late copy was answered")
 	}
-	l.addMachine("i-4", l.intents["r-1"], l.startedAt)
-	free := l.machines["i-4"]
+	l.fleet.Add("i-4", l.fleet.Intent("r-1"), l.startedAt)
+	free := l.fleet.Machines["i-4"]
 	free.Instance.Running, free.Instance.IntentStored, free.Instance.ListStored, free.Heartbeat.OfThisTerm, free.Heartbeat.Incarnation = true, true, true, true, 1
 	free.Heartbeat.ReceivedAt, free.Lease.RenewedAt = micros.Now(), micros.Now()
 	if told := tellTasks(t, l, "i-4"); len(told) > 0 {
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -5,14 +5,15 @@
 
 	"caperlatch/internal/explain"
 	"caperlatch/internal/golden"
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/wire"
 )
 
 // encodedTypes are those whose values are stored by the leader, or explain a job.
 var encodedTypes = []golden.Type{
-	golden.Of[launchIntent]("a booking"),
-	golden.Of[machineList]("a list of machines that are up"),
+	golden.Of[fleet.LaunchIntent]("a booking"),
+	golden.Of[fleet.MachineList]("a list of machines that are up"),
 	golden.Of[state.TaskProgress]("the progress of a job"),
 	golden.Of[autoscalerRecord]("the staffing"),
 	golden.Of[typeRecord]("the staffing of a type"),
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -16,6 +16,8 @@
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/election"
 	"caperlatch/internal/explain"
+	"caperlatch/internal/leader/eventlog"
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
@@ -82,7 +84,8 @@
 	termLostOnce sync.Once
 
 	jobState
-	fleetState
+	fleet        *fleet.Fleet // machines, and launches and terminations
+	unknownCount int          // machines whose tasks are not known, as of the last check
 	instanceTypeState
 	planState
 	gangState
@@ -92,10 +95,10 @@
 	zoneState
 
 	// What is shown to users and written to the log.
-	taskCounts    map[string][2]int // see AllTaskCounts
-	taskCountsAt  micros.Micros
-	recentStops   []explain.TaskStop
-	aggregatedLog aggregatedLog
+	taskCounts   map[string][2]int // see AllTaskCounts
+	taskCountsAt micros.Micros
+	recentStops  []explain.TaskStop
+	events       *eventlog.Log
 }
 
 // jobState is what is known of jobs and their tasks.
@@ -111,21 +114,6 @@
 	finalJobs     map[string]replica.Job                // ends that are not stored yet
 }
 
-// fleetState is what is known of machines and rentals.
-type fleetState struct {
-	machines         map[string]*state.Machine
-	sorted           []*state.Machine // by name
-	intents          map[string]*launchIntent
-	intentSequence   uint64
-	machineLists     []*machineList
-	unexplained      map[string]micros.Micros // listed machines that no booking explains, since when
-	terminated       map[string]bool          // machines that the cloud took back from us
-	terminationQueue []string                 // machines to be returned
-	capacityBackoffs map[state.Offering]*capacityBackoff
-	unknownMachines  int // machines whose tasks are not known, as of the last look
-	bootOutcomes     bootOutcomes
-}
-
 // instanceTypeState is the catalog, with the staffing of its types.
 type instanceTypeState struct {
 	types        map[string]*scaledType
@@ -186,7 +174,7 @@
 		heartbeatInterval: workers.HeartbeatInterval(),
 		leaseDuration:     workers.LeaseDuration(),
 		termLost:          make(chan struct{}),
-		aggregatedLog:     aggregatedLog{},
+		events:            eventlog.New(),
 		jobState: jobState{
 			jobs:          map[string]*state.Job{},
 			cancelledJobs: map[string]*state.Job{},
@@ -196,13 +184,6 @@
 			estimates:     map[string]*staffing.RuntimeEstimator{},
 			finalJobs:     map[string]replica.Job{},
 		},
-		fleetState: fleetState{
-			machines:         map[string]*state.Machine{},
-			intents:          map[string]*launchIntent{},
-			unexplained:      map[string]micros.Micros{},
-			terminated:       map[string]bool{},
-			capacityBackoffs: map[state.Offering]*capacityBackoff{},
-		},
 		instanceTypeState: instanceTypeState{
 			types: map[string]*scaledType{},
 		},
@@ -216,6 +197,7 @@
 		},
 	}
 	l.writes = l.newWriteQueue()
+	l.fleet = l.newFleet()
 	l.zoneState = newZoneState(c.Zones)
 	for _, t := range c.Settings.Params.Teams {
 		l.teams[t.Name] = t
@@ -255,9 +237,7 @@
 	loops := []func(context.Context){
 		l.writes.Run,
 		l.tickLoop,
-		l.launchLoop,
-		l.terminateLoop,
-		l.listInstancesLoop,
+		l.fleet.Run,
 		l.instanceTypesLoop,
 		l.queryTasksLoop,
 	}
@@ -369,20 +349,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := micros.Now()
-	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
-		var b launchIntent
-		if _, err := l.Replica.Get(key, &b); err != nil {
-			return err
-		}
-		b.id = strings.TrimPrefix(key, replica.LaunchIntentPrefix)
-		l.intents[b.id] = &b
-		b.stored = true
-		for _, id := range b.Machines {
-			// What is read here is stored: it may get tasks at once.
-			l.addMachine(id, &b, now).Instance.IntentStored = true
-		}
+	if err := l.fleet.RestoreIntents(now); err != nil {
+		return err
 	}
-	if err := l.restoreMachineLists(); err != nil {
+	if err := l.fleet.RestoreLists(); err != nil {
 		return err
 	}
 	for _, id := range l.Replica.TakeChangedJobs(true) {
@@ -418,7 +388,7 @@
 	l.stepPools(now)
 	l.ready = true
 	l.replan = true
-	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.machines), "unresolved", l.countUnknownMachines())
+	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown())
 	return nil
 }
 
@@ -453,7 +423,7 @@
 		if now-staffed >= micros.Second {
 			staffed = now
 			l.autoscale(now)
-			l.aggregatedLog.flush()
+			l.events.Flush()
 		}
 		if now-shown >= 5*micros.Second {
 			shown = now
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -40,13 +41,13 @@
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
 		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: token})
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
-	b := &launchIntent{id: "r-1", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}}
-	l.intents[b.id] = b
-	m := l.addMachine("i-1", b, now)
-	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
+	b := l.fleet.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}})
+	m := l.fleet.Add("i-1", b, now)
+	l.fleet.RegisterRunning(m)
+	l.writes.Unmark(fleet.ListKey(0))
+	m.Instance.IntentStored, m.Instance.ListStored = true, true
 	m.Reconciliation.Knowledge = state.TasksUnknown
 	m.Heartbeat.OfThisTerm = true
-	l.machineLists = []*machineList{{Machines: []string{"i-1"}}}
 	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
 		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
@@ -108,7 +109,7 @@
 		}
 	}
 	var numbers []uint64
-	for _, a := range l.machines["i-1"].Attempts {
+	for _, a := range l.fleet.Machines["i-1"].Attempts {
 		numbers = append(numbers, a.Number)
 	}
 	slices.Sort(numbers)
@@ -128,13 +129,12 @@
 func TestUrgency(t *testing.T) {
 	l, _ := newTest(t)
 	for i := range 40 {
-		b := &launchIntent{id: fmt.Sprintf("r-0-%d", i), Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}}
-		l.intents[b.id] = b
-		m := l.addMachine(fmt.Sprintf("i-9%02d", i), b, l.startedAt)
-		l.removeMachine(m)
+		b := l.fleet.AddIntent(fmt.Sprintf("r-0-%d", i), fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}})
+		m := l.fleet.Add(fmt.Sprintf("i-9%02d", i), b, l.startedAt)
+		l.fleet.Remove(m)
 	}
 	l.writes.Mark(replica.AutoscalerKey)
-	l.registerRunning(l.addMachine("i-2", l.intents["r-1"], l.startedAt))
+	l.fleet.RegisterRunning(l.fleet.Add("i-2", l.fleet.Intent("r-1"), l.startedAt))
 	j := l.jobs["j-000001"]
 	for i := range j.Spec.Tasks {
 		j.Done.Set(i)
@@ -145,7 +145,7 @@
 	ws, more := l.writes.Collect()
 	// The record goes before progress: behind it, a busy leader's was never written, and
 	// the next one knew nothing of the jobs at fault.
-	if len(ws) < 3 || !more || ws[0].Key != replica.JobPrefix+"j-000001" || ws[1].Key != machineListKey(0) || ws[2].Key != replica.AutoscalerKey {
+	if len(ws) < 3 || !more || ws[0].Key != replica.JobPrefix+"j-000001" || ws[1].Key != fleet.ListKey(0) || ws[2].Key != replica.AutoscalerKey {
 		t.Fatalf("written first: %+v", ws)
 	}
 	if ws, _ = l.writes.Collect(); len(ws) == 0 {
@@ -206,7 +206,7 @@
 		}
 		big.DoneCount = c.done
 		if c.running {
-			big.Attempts[0] = &state.Attempt{Job: big, Machine: l.machines["i-1"]}
+			big.Attempts[0] = &state.Attempt{Job: big, Machine: l.fleet.Machines["i-1"]}
 		}
 		spec := *big.Spec
 		spec.ID, spec.Priority, spec.Tasks = "j-000002", "urgent", 10
@@ -236,13 +236,13 @@
 		{"gone from the list and reporting", []bool{true, false, false}, micros.Second, false},
 	} {
 		l, _ := newTest(t)
-		m := l.machines["i-1"]
+		m := l.fleet.Machines["i-1"]
 		for _, there := range c.lists {
 			var list []wire.InstanceStatus
 			if there {
 				list = append(list, wire.InstanceStatus{ID: "i-1", State: wire.InstanceRunning})
 			}
-			l.reconcileInstances(list, micros.Second)
+			l.fleet.ReconcileInstances(list)
 		}
 		now := l.startedAt + 100*micros.Second
 		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.silent, now-c.silent
@@ -267,7 +267,7 @@
 		{"it does as it is told", true, []int{3, 0, 0, 0, 0, 0}, false},
 	} {
 		l, _ := newTest(t)
-		m := l.machines["i-1"]
+		m := l.fleet.Machines["i-1"]
 		var tasks []wire.TaskStatus
 		for i, want := range c.told {
 			l.plannedAt = 0
@@ -298,10 +298,9 @@
 // that an answer of this term was heard.
 func TestNewMachine(t *testing.T) {
 	l, _ := newTest(t)
-	l.machines["i-1"].StartBackoffUntil = l.startedAt + 3600*micros.Second
-	b := &launchIntent{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
-	l.intents[b.id] = b
-	m := l.addMachine("i-2", b, l.startedAt)
+	l.fleet.Machines["i-1"].StartBackoffUntil = l.startedAt + 3600*micros.Second
+	b := l.fleet.AddIntent("r-2", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}})
+	m := l.fleet.Add("i-2", b, l.startedAt)
 	m.Instance.IntentStored = true
 	l.jobs["j-000001"].MayHaveEarlierTasks = false
 	for i, c := range []struct {
@@ -333,7 +332,9 @@
 		{"returned in this term", []uint64{token}, true, false},
 	} {
 		l, _ := newTest(t)
-		l.terminated["i-7"] = c.gone
+		if c.gone {
+			l.fleet.Remove(l.fleet.Add("i-7", l.fleet.Intent("r-1"), l.startedAt))
+		}
 		for i, n := range c.tokens {
 			r := report(uint64(i+1), n)
 			r.MachineID = "i-7"
@@ -341,7 +342,7 @@
 				t.Errorf("%s: answered %+v, %v", c.name, a, err)
 			}
 		}
-		if got := l.machines["i-7"] != nil; got != c.adopted {
+		if got := l.fleet.Machines["i-7"] != nil; got != c.adopted {
 			t.Errorf("%s: adopted %v, want %v", c.name, got, c.adopted)
 		}
 	}
@@ -375,7 +376,7 @@
 // TestLeaseOver checks when a silent machine's tasks are surely gone.
 func TestLeaseOver(t *testing.T) {
 	l, term := newTest(t)
-	m, w := l.machines["i-1"], l.Settings.Params.Workers
+	m, w := l.fleet.Machines["i-1"], l.Settings.Params.Workers
 	cases := []struct {
 		name            string
 		resolved        bool
@@ -423,7 +424,7 @@
 	if teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow().count; unresolved != 1 || teams["blue"].Used.CPU != 4000 {
 		t.Errorf("unresolved %d, used %+v, want all 4 CPUs of the one machine", unresolved, teams["blue"].Used)
 	}
-	l.machines["i-1"].Reconciliation.Knowledge = state.TasksConfirmed
+	l.fleet.Machines["i-1"].Reconciliation.Knowledge = state.TasksConfirmed
 	if teams := l.worstCaseTeamUse(); teams["blue"].Used.CPU != 0 {
 		t.Errorf("used %+v with nothing running", teams["blue"].Used)
 	}
@@ -450,12 +451,12 @@
 	for _, c := range cases {
 		l, term := newTest(t)
 		term.held = c.held
-		b := l.intents["r-1"]
+		b := l.fleet.Intent("r-1")
 		for _, id := range []string{"i-2", "i-3", "i-4", "i-5", "i-6"} {
-			l.addMachine(id, b, l.startedAt).Instance.Running = true
+			l.fleet.Add(id, b, l.startedAt).Instance.Running = true
 		}
 		now := l.startedAt + 100*micros.Second
-		for i, m := range l.sorted {
+		for i, m := range l.fleet.Sorted {
 			m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
 			m.Reconciliation.Knowledge = state.TasksConfirmed
 			if i < c.silent {
@@ -465,7 +466,7 @@
 		// An expired machine is noted first, and given up when that lasts.
 		l.checkMachines(now - 20*micros.Second)
 		l.checkMachines(now)
-		if got := l.machines["i-1"].Instance.Terminating; got != c.leaves {
+		if got := l.fleet.Machines["i-1"].Instance.Terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
@@ -502,7 +503,7 @@
 	l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 3}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000002", replica.Job{State: wire.JobCancelled, Spec: &wire.Job{
 		ID: "j-000002", Team: "blue", Kind: wire.KindArray, Tasks: 8, CPUs: 1, MemoryGB: 1, CheckpointDurationS: 5, CheckpointIntervalS: 1, AllowSpot: true}}, 2)
-	l.machines["i-1"].Free.CPU = 8000 // the limit alone is in the way
+	l.fleet.Machines["i-1"].Free.CPU = 8000 // the limit alone is in the way
 	task := func(n int, taskState string) wire.TaskStatus {
 		w := wire.TaskStatus{TaskID: state.TaskID("j-000002", n), Attempt: 3<<32 | 1, State: taskState}
 		if taskState == wire.TaskExited {
@@ -574,7 +575,7 @@
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
-		j, m := l.jobs["j-000001"], l.machines["i-1"]
+		j, m := l.jobs["j-000001"], l.fleet.Machines["i-1"]
 		c.set(l, j, m)
 		if got := l.startAllowed(j, m); got != c.want {
 			t.Errorf("%s: %t, want %t", c.name, got, c.want)
@@ -611,7 +612,7 @@
 				t.Errorf("%s: report %d: %v", c.name, i, err)
 			}
 		}
-		m, j := l.machines["i-1"], l.jobs["j-000001"]
+		m, j := l.fleet.Machines["i-1"], l.jobs["j-000001"]
 		if used, held := l.teamUsage["blue"].CPU, int64(1000*len(m.Attempts)); used != held || m.Free.CPU != 4000-held || len(j.Attempts) != len(m.Attempts) || j.DoneCount != 0 {
 			t.Errorf("%s: %d tasks held and %d counted, %d used, %d free, %d done", c.name, len(m.Attempts), len(j.Attempts), used, m.Free.CPU, j.DoneCount)
 		}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -35,25 +36,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTest(t)
 			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 2, TxnOps: 3}, nil)
-			l.machineLists = nil
+			l.writes = l.newWriteQueue()
+			l.fleet = l.newFleet()
+			l.fleet.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true})
 			var entries []string
 			for i := range 300 {
 				id := fmt.Sprintf("i-%06d", i)
-				l.addMachine(id, l.intents["r-1"], 0)
+				l.fleet.Add(id, l.fleet.Intent("r-1"), 0)
 				entries = append(entries, id+" 10.0.0.1:9000")
 			}
 			stored := map[string][]string{}
 			revision := uint64(100)
-			put := func(key string, u machineList) {
+			put := func(key string, u fleet.MachineList) {
 				revision++
-				stored[key] = slices.Clone(u.Machines)
+				stored[key] = slices.Clone(u.Entries)
 				l.Replica.ApplyPut(key, u, revision)
 			}
-			put(machineListKey(0), machineList{Machines: entries})
+			put(fleet.ListKey(0), fleet.MachineList{Entries: entries})
 			if c.twice {
-				put(machineListKey(1), machineList{Machines: entries[60:100]})
+				put(fleet.ListKey(1), fleet.MachineList{Entries: entries[60:100]})
 			}
-			if err := l.restoreMachineLists(); err != nil {
+			if err := l.fleet.RestoreLists(); err != nil {
 				t.Fatal(err)
 			}
 			for n := 0; l.writes.Len() > 0; n++ {
@@ -72,7 +75,7 @@
 					case !l.Store.ValueAlwaysFits(w.Value):
 						t.Fatalf("%s is written too large", w.Key)
 					default:
-						put(w.Key, w.Value.(machineList))
+						put(w.Key, w.Value.(fleet.MachineList))
 					}
 					if c.answered(n) {
 						w.OnStored()
@@ -93,7 +96,7 @@
 			total := 0
 			for key, list := range stored {
 				total += len(list)
-				if !l.Store.ValueAlwaysFits(machineList{Machines: list}) {
+				if !l.Store.ValueAlwaysFits(fleet.MachineList{Entries: list}) {
 					t.Errorf("%s stays too large", key)
 				}
 			}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -1,8 +1,6 @@
 package leader
 
 import (
-	"cmp"
-	"fmt"
 	"slices"
 
 	"caperlatch/internal/leader/state"
@@ -10,38 +8,6 @@
 	"caperlatch/internal/wire"
 )
 
-func (l *Leader) addMachine(id string, intent *launchIntent, now micros.Micros) *state.Machine {
-	m := &state.Machine{
-		ID:       id,
-		IntentID: intent.id,
-		Offering: state.Offering{Type: intent.Type, Zone: intent.Zone, Spot: intent.Spot},
-		Attempts: map[string]*state.Attempt{},
-	}
-	m.Instance.LaunchedAt = now - max(0, micros.Wall()-intent.At)
-	m.Instance.IdleSince = now
-	m.Quarantine.SuspectJobs = map[string]bool{}
-	// Unless it is stored as running, it cannot have got tasks from an earlier term.
-	m.Reconciliation.Knowledge = state.TasksConfirmed
-	if t := l.types[intent.Type]; t != nil {
-		m.Free = t.capacity
-	}
-	l.machines[id] = m
-	at, _ := slices.BinarySearchFunc(l.sorted, id, func(m *state.Machine, id string) int { return cmp.Compare(m.ID, id) })
-	l.sorted = slices.Insert(l.sorted, at, m)
-	return m
-}
-
-// countUnknownMachines counts the machines that may hold tasks of earlier terms.
-func (l *Leader) countUnknownMachines() int {
-	n := 0
-	for _, m := range l.machines {
-		if !m.TasksKnown() {
-			n++
-		}
-	}
-	return n
-}
-
 // leaseExpiry tells when a silent machine has surely ended its tasks.
 func (l *Leader) leaseExpiry(m *state.Machine) micros.Micros {
 	if !m.TasksKnown() {
@@ -66,10 +32,10 @@
 		// worker reports within five quarters of the usual time; it may have to
 		// give a node up before (4 s, and a pause of 1 s).
 		late := l.heartbeatInterval + l.heartbeatInterval/4 + 2*micros.Second
-		if m.Reconciliation.FailedQueries >= 2 && l.zoneQueries[m.Offering.Zone].mostResponded() && 10*l.unknownMachines <= len(l.sorted) {
+		if m.Reconciliation.FailedQueries >= 2 && l.zoneQueries[m.Offering.Zone].mostResponded() && 10*l.unknownCount <= len(l.fleet.Sorted) {
 			return min(late, unresponsiveLimit)
 		}
-		if 50*l.unknownMachines <= len(l.sorted) || m.Reconciliation.FailedQueries >= 2 && l.mostMachinesRespond() {
+		if 50*l.unknownCount <= len(l.fleet.Sorted) || m.Reconciliation.FailedQueries >= 2 && l.mostMachinesRespond() {
 			return late
 		}
 		return late + 5*micros.Second
@@ -96,16 +62,15 @@
 // checkMachines acts on silence, notices and stops that take too long.
 func (l *Leader) checkMachines(now micros.Micros) {
 	l.observeZones(now)
-	l.markLateCohorts(now)
-	l.replaceLateSample(now)
-	l.unknownMachines = l.countUnknownMachines()
-	for _, m := range slices.Clone(l.sorted) {
+	l.fleet.CheckBoots(now)
+	l.unknownCount = l.fleet.CountUnknown()
+	for _, m := range slices.Clone(l.fleet.Sorted) {
 		over := l.checkLease(m, now)
 		if why := l.terminationReason(m, over, now); why != "" {
-			l.terminate(m, why)
+			l.fleet.Terminate(m, why)
 		}
 		if !m.Instance.Terminating && l.ignoresStop(m, now) {
-			l.terminate(m, "a cancelled task does not stop")
+			l.fleet.Terminate(m, "a cancelled task does not stop")
 		}
 	}
 }
@@ -114,7 +79,11 @@
 func (l *Leader) checkLease(m *state.Machine, now micros.Micros) (over bool) {
 	over = now > l.leaseExpiry(m)
 	if over && (len(m.Attempts) > 0 || !m.TasksKnown()) {
-		l.aggregatedLog.add(fmt.Sprintf("lease ended, tasks lost: %t", len(m.Attempts) > 0), m.ID)
+		if len(m.Attempts) > 0 {
+			l.events.Add("lease expired, tasks lost", "", m.ID)
+		} else {
+			l.events.Add("lease expired", "", m.ID)
+		}
 		l.releaseAll(m, "its lease ended")
 	}
 	if !over || !m.Instance.Running {
@@ -139,8 +108,8 @@
 		return "silent and no longer listed"
 	case m.Delivery.LostResponses >= maxLostResponses && now-m.Delivery.LosingSince > l.silenceLimit(m) && (!kept() || over):
 		return "it hears nothing"
-	case !m.Instance.Running && m.Instance.FirstHeartbeatAt == 0 && now-m.Instance.LaunchedAt > l.bootTimeout(m) && now-l.startedAt > 2*report:
-		l.bootOutcomes.add(false)
+	case !m.Instance.Running && m.Instance.FirstHeartbeatAt == 0 && now-m.Instance.LaunchedAt > l.fleet.BootTimeout(m) && now-l.startedAt > 2*report:
+		l.fleet.RecordStuckBoot()
 		return "did not boot"
 	case m.DrainReason != "" && len(m.Attempts) == 0 && m.TasksKnown():
 		return m.DrainReason
--- /dev/null
+++ b/internal/leader/machines.go
@@ -0,0 +1,42 @@
+package leader
+
+import (
+	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/standby"
+)
+
+// newFleet makes the fleet of this term, without machines yet.
+func (l *Leader) newFleet() *fleet.Fleet {
+	return fleet.New(fleet.Config{
+		Lock:          &l.mu,
+		Cloud:         l.Cloud,
+		Replica:       l.Replica,
+		Writes:        l.writes,
+		Term:          l.Term,
+		Events:        l.events,
+		FencingToken:  l.FencingToken,
+		ValueFits:     l.Store.ValueAlwaysFits,
+		ListLag:       micros.FromSeconds(l.Settings.Params.Cloud.ListLagS),
+		InstanceType:  l.fleetInstanceType,
+		IsHandingOver: func() bool { return l.handingOver },
+		OnChange:      func() { l.replan = true },
+		OnTerminating: func(m *state.Machine, reason string) {
+			l.publish(standby.Entry{MachineTerminating: &standby.MachineTerminating{Machine: m.ID, Reason: reason}})
+		},
+		OnTerminated: func(m *state.Machine) {
+			l.releaseAll(m, "its machine was returned")
+			l.publish(standby.Entry{MachineTerminated: &standby.MachineTerminated{Machine: m.ID}})
+		},
+	})
+}
+
+// fleetInstanceType is what the fleet knows of an instance type.
+func (l *Leader) fleetInstanceType(name string) (fleet.InstanceType, bool) {
+	t := l.types[name]
+	if t == nil {
+		return fleet.InstanceType{}, false
+	}
+	return fleet.InstanceType{Capacity: t.capacity, BootTime: micros.FromSeconds(t.BootTimeS)}, true
+}
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -9,6 +9,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -129,8 +130,8 @@
 var v3a714abLayouts = []layout{
 	{replica.JobPrefix, reflect.TypeFor[replica.Job](), reflect.TypeFor[v3a714abJob]()},
 	{replica.ProgressPrefix, reflect.TypeFor[state.TaskProgress](), reflect.TypeFor[v3a714abProgress]()},
-	{replica.LaunchIntentPrefix, reflect.TypeFor[launchIntent](), reflect.TypeFor[v3a714abBooking]()},
-	{replica.MachineListPrefix, reflect.TypeFor[machineList](), reflect.TypeFor[v3a714abUpList]()},
+	{replica.LaunchIntentPrefix, reflect.TypeFor[fleet.LaunchIntent](), reflect.TypeFor[v3a714abBooking]()},
+	{replica.MachineListPrefix, reflect.TypeFor[fleet.MachineList](), reflect.TypeFor[v3a714abUpList]()},
 	{replica.AutoscalerKey, reflect.TypeFor[autoscalerRecord](), reflect.TypeFor[v3a714abStaffing]()},
 	{replica.InstanceTypesKey, reflect.TypeFor[wire.InstanceTypeList](), reflect.TypeFor[v3a714abCatalog]()},
 	{replica.TokenKey, reflect.TypeFor[replica.TokenRecord](), reflect.TypeFor[v3a714abToken]()},
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -39,7 +39,7 @@
 // plan decides anew what every machine's next answer starts. Plans that were
 // not sent yet are made again: only sent starts bind.
 func (l *Leader) plan(now micros.Micros) {
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		m.Planned = m.Planned[:0]
 	}
 	l.queue = l.newQueue(now)
@@ -317,7 +317,7 @@
 // schedulableCPUs counts the GuaranteedCPUs of the machines that may get tasks.
 func (l *Leader) schedulableCPUs(now micros.Micros) float64 {
 	cpus := 0.0
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.IsOpenToAllZones(now) {
 			cpus += l.types[m.Offering.Type].CPUs
 		}
@@ -425,7 +425,7 @@
 		teams[name] = &placement.Team{Used: l.teamUsage[name], Limit: placement.Resources{CPU: state.FloorMilli(t.MaxCPUs), GPU: state.FloorMilli(t.MaxGPUs)}}
 	}
 	l.unknownUsage = placement.Resources{}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if !m.TasksKnown() {
 			if t := l.types[m.Offering.Type]; t != nil {
 				l.unknownUsage = l.unknownUsage.Add(t.capacity, 1)
@@ -477,7 +477,7 @@
 func (l *Leader) schedulableMachines(now micros.Micros, least placement.Resources) ([]placement.Machine, []*state.Machine) {
 	var out []placement.Machine
 	var ms []*state.Machine
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if l.types[m.Offering.Type] != nil && m.Free.Fits(least) && m.IsSchedulable(now) && now-m.Heartbeat.ReceivedAt <= 3*l.heartbeatInterval {
 			out = append(out, l.placementMachine(m, now))
 			ms = append(ms, m)
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -33,7 +33,7 @@
 // after all. The next leader would rent once more for such a booking.
 func (l *Leader) deleteLeftovers() {
 	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
-		if l.intents[strings.TrimPrefix(key, replica.LaunchIntentPrefix)] == nil {
+		if l.fleet.Intent(strings.TrimPrefix(key, replica.LaunchIntentPrefix)) == nil {
 			l.writes.MarkLazily(key)
 		}
 	}
@@ -48,10 +48,10 @@
 func (l *Leader) encode(key string) (persist.Write, bool) {
 	w := persist.Write{Key: key, ModRevision: l.Replica.ModRevision(key)}
 	if strings.HasPrefix(key, replica.MachineListPrefix) {
-		return l.encodeMachineList(w)
+		return l.fleet.EncodeList(w)
 	}
-	if id, ok := strings.CutPrefix(key, replica.LaunchIntentPrefix); ok {
-		return l.encodeIntent(w, id)
+	if strings.HasPrefix(key, replica.LaunchIntentPrefix) {
+		return l.fleet.EncodeIntent(w)
 	}
 	if id, ok := strings.CutPrefix(key, replica.JobPrefix); ok {
 		return l.encodeFinalJob(w, id)
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -37,7 +37,7 @@
 	// What this node has told a user, or was told by a peer, holds for the answer: no
 	// task of a job that is known here as cancelled may start.
 	l.applyJobChanges()
-	m := l.machines[r.MachineID]
+	m := l.fleet.Machines[r.MachineID]
 	if m == nil {
 		answer.Commands = append(answer.Commands, l.stopsForEndedJobs(r)...)
 		return answer, l.adoptUnknownMachine(r, now)
@@ -105,11 +105,11 @@
 	if m.Instance.FirstHeartbeatAt == 0 {
 		m.Instance.FirstHeartbeatAt = now
 		if !m.Instance.Running {
-			l.recordBoot(m, now)
+			l.fleet.RecordBoot(m, now)
 		}
 	}
 	if !m.Instance.Running {
-		l.registerRunning(m)
+		l.fleet.RegisterRunning(m)
 	}
 }
 
@@ -275,7 +275,7 @@
 		l.recordRunning(m, a, now)
 	}
 	if t.State != a.ReportedState && !wire.IsKnownTaskState(t.State) {
-		l.aggregatedLog.add(fmt.Sprintf("a task's state is unknown, it is taken to be there: %.40q", t.State), m.ID)
+		l.events.Add("a task's state is unknown, it is taken to be there", fmt.Sprintf("%.40q", t.State), m.ID)
 	}
 	a.ReportedState = t.State
 	l.observeGangTask(a, now)
@@ -365,7 +365,7 @@
 		return
 	}
 	if !wire.IsKnownExitReason(t.ExitReason) {
-		l.aggregatedLog.add(fmt.Sprintf("a task ended for an unknown cause: %.40q", t.ExitReason), m.ID)
+		l.events.Add("a task's exit reason is unknown", fmt.Sprintf("%.40q", t.ExitReason), m.ID)
 	}
 	m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
 	l.observeGangExit(j, task, a, t)
@@ -534,13 +534,12 @@
 // adoptUnknownMachine handles a machine that no answered booking explains: a rental
 // carried out late.
 func (l *Leader) adoptUnknownMachine(r *wire.Heartbeat, now micros.Micros) error {
-	if l.terminated[r.MachineID] {
+	if l.fleet.WasTerminated(r.MachineID) {
 		return ErrCannotRespond
 	}
-	for _, b := range l.intents {
-		if !b.Answered && b.Type == r.InstanceType && b.Zone == r.Zone && b.Spot == r.Spot {
-			return nil // the booking's answer will name it
-		}
+	offering := state.Offering{Type: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
+	if l.fleet.HasOpenIntent(offering) {
+		return nil // the answer to its launch will name it
 	}
 	if r.FencingToken != l.FencingToken {
 		// It may be a late copy, and its machine long gone: taken for a machine it would
@@ -548,14 +547,7 @@
 		// tells a live one this term's token, and it reports again at once.
 		return nil
 	}
-	b := &launchIntent{
-		id: "x-" + r.MachineID, Type: r.InstanceType, Zone: r.Zone, Spot: r.Spot, Count: 1, Answered: true,
-		Machines: []string{r.MachineID}, At: micros.Wall(),
-	}
-	slog.Info("adopting a machine", "machine", r.MachineID)
-	l.intents[b.id] = b
-	l.addMachine(r.MachineID, b, now)
-	l.markIntent(b)
+	l.fleet.Adopt(r.MachineID, offering, now)
 	return nil
 }
 
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -107,7 +107,7 @@
 func (l *Leader) preferredType(j *state.Job, now micros.Micros) *scaledType {
 	offers := l.offeringsFor(j)
 	for _, o := range offers {
-		if s := l.capacityBackoffs[o]; s == nil || now >= s.until {
+		if l.fleet.HasCapacity(o, now) {
 			return l.types[o.Type]
 		}
 	}
@@ -188,8 +188,8 @@
 // replaced in other zones.
 func (l *Leader) countSupply(replaced map[*state.Machine]bool, now micros.Micros) map[string]typeSupply {
 	supply := map[string]typeSupply{}
-	for _, m := range l.machines {
-		if m.Instance.Terminating || m.DrainReason != "" || l.isOverdue(m, now) || replaced[m] {
+	for _, m := range l.fleet.Machines {
+		if m.Instance.Terminating || m.DrainReason != "" || l.fleet.IsOverdue(m, now) || replaced[m] {
 			continue
 		}
 		s := supply[m.Offering.Type]
@@ -199,12 +199,10 @@
 		}
 		supply[m.Offering.Type] = s
 	}
-	for _, b := range l.intents {
-		if !b.Answered {
-			s := supply[b.Type]
-			s.have += b.Count
-			supply[b.Type] = s
-		}
+	for intent := range l.fleet.OpenIntents() {
+		s := supply[intent.Type]
+		s.have += intent.Count
+		supply[intent.Type] = s
 	}
 	return supply
 }
@@ -268,7 +266,7 @@
 // over all machines, a few tasks would keep every one of them busy for ever.
 func (l *Leader) markSurplus(t *scaledType, n int, now micros.Micros) {
 	var ms []*state.Machine
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Offering.Type == t.Name {
 			m.Surplus = false
 			if m.Instance.Running && !m.Instance.Terminating && m.DrainReason == "" && !m.Pool.IsSet() {
@@ -295,7 +293,7 @@
 func (l *Leader) closeToDelayTolerant(t *scaledType, want, need float64) {
 	wanted := ceilMachines(want)
 	var ms []*state.Machine
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Offering.Type != t.Name || m.Instance.Terminating || m.DrainReason != "" {
 			continue
 		}
@@ -329,12 +327,12 @@
 // raiseMeans raises each type's m once to what is really held, when after a
 // take-over the tasks of all machines are known.
 func (l *Leader) raiseMeans() {
-	if l.meansRaised || l.countUnknownMachines() > 0 {
+	if l.meansRaised || l.fleet.CountUnknown() > 0 {
 		return
 	}
 	l.meansRaised = true
 	held := map[string]float64{}
-	for _, m := range l.machines {
+	for _, m := range l.fleet.Machines {
 		for _, a := range m.Attempts {
 			if t := l.types[m.Offering.Type]; t != nil {
 				held[t.Name] += machineFraction(t, a.Job.Need)
@@ -415,17 +413,16 @@
 	var open []state.Offering
 	for _, zone := range t.Zones {
 		o := state.Offering{Type: t.Name, Zone: zone, Spot: spot}
-		s := l.capacityBackoffs[o]
 		switch {
-		case l.hasOpenIntent(o):
+		case l.fleet.HasOpenIntent(o):
 			return n // its answer comes first
 		case l.policy.Decide(zone).MaxMachines == 0:
-		case s == nil || now >= s.until:
+		case l.fleet.HasCapacity(o, now):
 			open = append(open, o)
 		}
 	}
 	inZone := map[string]int{}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Offering.Type == t.Name {
 			inZone[m.Offering.Zone]++
 		}
@@ -436,7 +433,7 @@
 		left := n - booked
 		count := min((left+len(open)-i-1)/(len(open)-i), l.launchAllowance(o.Zone))
 		for k := 0; count > 0 && k < maxIntentsPerOffering; k++ {
-			l.createIntent(o, count)
+			l.fleet.Launch(o, count)
 			part := min(count, cloud.MaxInstancesPerLaunch)
 			booked, count = booked+part, count-part
 		}
@@ -460,7 +457,7 @@
 	teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow()
 	type count struct{ all, coming int }
 	kinds := map[state.Offering]count{}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		n := kinds[m.Offering]
 		n.all++
 		if !m.Instance.Running && !m.Instance.Terminating {
@@ -492,29 +489,18 @@
 			if !placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
 				continue // its other tasks bind it to another zone
 			}
-			if l.hasOpenIntent(o) {
+			if l.fleet.HasOpenIntent(o) {
 				break // its answer comes first
 			}
-			s := l.capacityBackoffs[o]
 			count := int(ceilMachines(float64(j.StartableTasks(now))*machineFraction(l.types[o.Type], j.Need))) - coming
-			if count > 0 && (s == nil || now >= s.until) && l.Term.IsExclusive() {
-				l.createIntent(o, min(count, 4))
+			if count > 0 && l.fleet.HasCapacity(o, now) && l.Term.IsExclusive() {
+				l.fleet.Launch(o, min(count, 4))
 				break
 			}
 		}
 	}
 }
 
-// hasOpenIntent tells whether a booking of an offer waits for its answer.
-func (l *Leader) hasOpenIntent(o state.Offering) bool {
-	for _, b := range l.intents {
-		if !b.Answered && (state.Offering{Type: b.Type, Zone: b.Zone, Spot: b.Spot}) == o {
-			return true
-		}
-	}
-	return false
-}
-
 // minBilledTime is how long a machine is paid for at least.
 const minBilledTime = 60 * micros.Second
 
@@ -527,7 +513,7 @@
 		return
 	}
 	var idle []*state.Machine
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Offering.Type == t.Name && len(m.Attempts) == 0 && len(m.Planned) == 0 && !m.Pool.IsSet() && m.TasksKnown() && !m.Instance.Terminating && m.DrainReason == "" &&
 			now-m.Instance.LaunchedAt > minBilledTime-3*micros.Second && now-m.Instance.IdleSince > l.idleTimeout(t, m.Offering.Spot) {
 			idle = append(idle, m)
@@ -537,7 +523,7 @@
 		return cmp.Compare(price(t, b.Offering.Spot), price(t, a.Offering.Spot))
 	})
 	for _, m := range idle[:min(n, len(idle))] {
-		l.terminate(m, "not needed")
+		l.fleet.Terminate(m, "not needed")
 	}
 }
 
@@ -584,11 +570,10 @@
 	for _, t := range l.types {
 		r.Types[t.Name] = typeRecord{Lambda: t.demand.Rate(now), M: t.mean, Mu: t.service.Rate(t.finishedTasks), Finished: t.finishedTasks, Want: t.wanted, Target: t.target}
 	}
-	for _, b := range l.intents {
-		if x := r.Types[b.Type]; !b.Answered {
-			x.InFlight += b.Count
-			r.Types[b.Type] = x
-		}
+	for intent := range l.fleet.OpenIntents() {
+		t := r.Types[intent.Type]
+		t.InFlight += intent.Count
+		r.Types[intent.Type] = t
 	}
 	if !l.Store.ValueAlwaysFits(r) {
 		r.AtFault = nil // a next leader finds that again
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -109,7 +109,7 @@
 	}
 	l.handedOver = v.ProvesAssignments(l.FencingToken)
 	for id, known := range v.Machines {
-		m := l.machines[id]
+		m := l.fleet.Machines[id]
 		if m == nil {
 			continue
 		}
@@ -120,7 +120,7 @@
 		if known.Terminating && v.FencingToken+1 == l.FencingToken && l.Term.HoldsSession() {
 			// A return is never taken back; the term before may not have had its answer. A
 			// leader in between may have used the machine, not knowing of it.
-			l.terminate(m, "an earlier leader was returning it")
+			l.fleet.Terminate(m, "an earlier leader was returning it")
 		}
 	}
 	if l.handedOver {
@@ -133,9 +133,9 @@
 // once their return was answered: that they are gone was not stored yet. What the cloud
 // answers proves it anew.
 func (l *Leader) terminateDropped() {
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if !m.TasksKnown() && m.Reconciliation.PreviousTerm == nil && l.Term.HoldsSession() {
-			l.terminate(m, "an earlier leader had returned it")
+			l.fleet.Terminate(m, "an earlier leader had returned it")
 		}
 	}
 }
@@ -208,7 +208,7 @@
 
 // unknownMachinesNow tells of which machines the tasks are not known now.
 func (l *Leader) unknownMachinesNow() (u unknownMachines) {
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.TasksKnown() {
 			continue
 		}
@@ -245,7 +245,7 @@
 	if !l.handedOver {
 		return 0
 	}
-	for _, m := range l.machines {
+	for _, m := range l.fleet.Machines {
 		if m.Reconciliation.Knowledge == state.TasksHandedOver {
 			n++
 		}
@@ -255,7 +255,7 @@
 
 // reportTasksKnown tells once that the tasks of all machines are known.
 func (l *Leader) reportTasksKnown() {
-	if l.FailoverProgress == nil || l.reportedTasksKnown || !l.ready || l.countUnknownMachines()+l.countUnconfirmed() > 0 {
+	if l.FailoverProgress == nil || l.reportedTasksKnown || !l.ready || l.fleet.CountUnknown()+l.countUnconfirmed() > 0 {
 		return
 	}
 	l.reportedTasksKnown = true
@@ -325,6 +325,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	to = l.Followers.FurthestFollower(followerFreshWithin).Member
-	l.publish(standby.Entry{Handover: &standby.Handover{To: to, Complete: l.countUnknownMachines()+l.countUnconfirmed() == 0}})
+	l.publish(standby.Entry{Handover: &standby.Handover{To: to, Complete: l.fleet.CountUnknown()+l.countUnconfirmed() == 0}})
 	return l.Followers.Position(), to
 }
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -28,9 +29,8 @@
 
 // withSecond adds a machine that this term knows to be empty and that may get tasks.
 func withSecond(l *Leader) *state.Machine {
-	b := &launchIntent{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
-	l.intents[b.id] = b
-	m := l.addMachine("i-2", b, l.startedAt)
+	b := l.fleet.AddIntent("r-2", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}})
+	m := l.fleet.Add("i-2", b, l.startedAt)
 	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
 	return m
 }
@@ -111,8 +111,8 @@
 			tc.edit(v)
 			l.PreviousTerm = v
 			l.usePreviousTerm()
-			if !slices.Equal(l.terminationQueue, tc.want) {
-				t.Errorf("to be returned: %v, want %v", l.terminationQueue, tc.want)
+			if !slices.Equal(l.fleet.TerminationQueue(), tc.want) {
+				t.Errorf("to be returned: %v, want %v", l.fleet.TerminationQueue(), tc.want)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	withSecond(l)
 	l.PreviousTerm = handedView()
 	l.usePreviousTerm()
-	m := l.machines["i-1"]
+	m := l.fleet.Machines["i-1"]
 	if over := l.leaseExpiry(m); over < l.startedAt+l.leaseDuration {
 		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.startedAt).Duration(), l.leaseDuration.Duration())
 	}
@@ -161,7 +161,7 @@
 			l, _ := newTest(t)
 			l.PreviousTerm = handedView()
 			l.usePreviousTerm()
-			m := l.machines["i-1"]
+			m := l.fleet.Machines["i-1"]
 			if m.LikelyIncarnation() != 4 {
 				t.Errorf("it is asked in session %d", m.LikelyIncarnation())
 			}
@@ -174,7 +174,7 @@
 				on = append(on, task)
 			}
 			slices.Sort(on)
-			if !slices.Equal(on, tc.on) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.countUnknownMachines() > 0 {
+			if !slices.Equal(on, tc.on) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.fleet.CountUnknown() > 0 {
 				t.Errorf("on machines %v, want %v; unconfirmed %v", on, tc.on, m.Reconciliation.Knowledge == state.TasksHandedOver)
 			}
 		})
@@ -198,7 +198,7 @@
 		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].Gang.Number)
 	}
 	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
-	l.machines["i-1"].StartBackoffUntil = l.startedAt + 100*micros.Second
+	l.fleet.Machines["i-1"].StartBackoffUntil = l.startedAt + 100*micros.Second
 	if _, err := l.HandleHeartbeat(reportOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			l, _ := newTest(t)
-			m := l.machines["i-1"]
+			m := l.fleet.Machines["i-1"]
 			m.Offering.Spot = true
 			m.Reconciliation.Knowledge = knowledge(tc.allResolved)
 			j := l.jobs["j-000001"]
@@ -298,10 +298,10 @@
 			}
 		}
 		known := f.TakeView().Machines["i-1"]
-		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].Attempts) {
-			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].Attempts))
+		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.fleet.Machines["i-1"].Attempts) {
+			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.fleet.Machines["i-1"].Attempts))
 		}
-		for name, a := range l.machines["i-1"].Attempts {
+		for name, a := range l.fleet.Machines["i-1"].Attempts {
 			if known.Tasks[name].Attempt != a.Number {
 				t.Errorf("%s: %s: attempt %d, want %d", s.name, name, known.Tasks[name].Attempt, a.Number)
 			}
@@ -317,7 +317,7 @@
 	p := standby.NewPublisher(token, 1000)
 	l.Followers = p
 	l.jobs["j-000001"].Spec.Kind = wire.KindGang
-	m := l.machines["i-1"]
+	m := l.fleet.Machines["i-1"]
 	m.Reconciliation.Knowledge = state.TasksConfirmed
 	view := func() map[string]standby.TaskState {
 		f := standby.NewFollower("host-1")
@@ -363,7 +363,7 @@
 			l, _ := newTest(t)
 			f := &fakeFollowers{follower: tc.follower, applies: tc.applies}
 			l.Followers = f
-			l.machines["i-1"].Reconciliation.Knowledge = knowledge(tc.resolved)
+			l.fleet.Machines["i-1"].Reconciliation.Knowledge = knowledge(tc.resolved)
 			const limit = 300 * micros.Millisecond
 			begun := time.Now()
 			to, err := l.HandOver(limit)
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -100,7 +100,7 @@
 	if t.To != zone.FullDisruption || t.From == zone.FullDisruption {
 		return
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Offering.Zone == t.Zone {
 			m.ResetZoneReturn()
 		}
@@ -116,7 +116,7 @@
 		}
 		return counted[name]
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Instance.Running && !m.Instance.Terminating {
 			e := of(m.Offering.Zone)
 			e.Running++
@@ -200,7 +200,7 @@
 	if !l.anyClosed && !before {
 		return
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		closed := false
 		if name := m.Offering.Zone; l.policy.Decide(name).OpenShare < 1 {
 			closed = !m.ZoneReturn.Returned || quota[name] == 0
@@ -235,7 +235,7 @@
 		return nil
 	}
 	unusable := map[string]int{}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if !m.Instance.Terminating && l.isUnusable(m, now) {
 			unusable[m.Offering.Zone]++
 		}
@@ -245,7 +245,7 @@
 		quota[name] = int(math.Round(l.policy.Decide(name).ReplacementShare * float64(n)))
 	}
 	picked := map[*state.Machine]bool{}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if quota[m.Offering.Zone] > 0 && !m.Instance.Terminating && l.isUnusable(m, now) {
 			picked[m] = true
 			quota[m.Offering.Zone]--
@@ -260,14 +260,14 @@
 	if most == zone.Unlimited {
 		return most
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Offering.Zone == name && !m.Instance.Terminating {
 			most--
 		}
 	}
-	for _, b := range l.intents {
-		if b.Zone == name && !b.Answered {
-			most -= b.Count
+	for intent := range l.fleet.OpenIntents() {
+		if intent.Zone == name {
+			most -= intent.Count
 		}
 	}
 	return max(0, most)
@@ -307,7 +307,7 @@
 // checkZone tells of a worker that names another zone than its booking. The booking counts.
 func (l *Leader) checkZone(m *state.Machine, r *wire.Heartbeat) {
 	if r.Zone != m.Offering.Zone && m.Instance.FirstHeartbeatAt == 0 {
-		l.aggregatedLog.add(fmt.Sprintf("a worker reports zone %.40q, it was booked in zone %s, which counts", r.Zone, m.Offering.Zone), m.ID)
+		l.events.Add("a worker reports another zone than its launch had, which counts", fmt.Sprintf("%.40q, launched in %s", r.Zone, m.Offering.Zone), m.ID)
 	}
 }
 
@@ -358,7 +358,7 @@
 	if c := l.counters[s.Zone]; c != nil {
 		s.Work.Displaced, s.Work.Moved, s.Work.Restarted = maps.Clone(c.displaced), maps.Clone(c.moved), maps.Clone(c.restarted)
 	}
-	for _, m := range l.sorted {
+	for _, m := range l.fleet.Sorted {
 		if m.Offering.Zone != s.Zone || m.Instance.Terminating {
 			continue
 		}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
@@ -24,11 +25,11 @@
 	c.ConfirmationTime = 0
 	l.zoneState = newZoneState(zone.NewLifecyclePolicy(c))
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
-	l.sorted, l.machines = nil, map[string]*state.Machine{}
+	l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
 	now = micros.Now() + 1000*micros.Second
 	term.confirmed = now
 	for i := range 20 {
-		m := l.addMachine(fmt.Sprintf("i-%02d", i), &launchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, At: micros.Wall()}, now)
+		m := l.fleet.Add(fmt.Sprintf("i-%02d", i), l.fleet.AddIntent(fmt.Sprintf("r-1%02d", i), fleet.LaunchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, Answered: true, At: micros.Wall()}), now)
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Delivery.RespondedThisTerm = true, true, true, true, true
 		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt, m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = now, now, 1, 100, m.ID+":9000"
 	}
@@ -37,7 +38,7 @@
 
 // silence has the machines of zone b last report so long ago, and the policy look at that.
 func silence(l *Leader, now, ago micros.Micros) {
-	for _, m := range l.sorted[10:] {
+	for _, m := range l.fleet.Sorted[10:] {
 		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-ago, now-ago
 	}
 	for range 3 {
@@ -76,7 +77,7 @@
 	}
 	for _, c := range cases {
 		l, now := newZonesTest(t)
-		c.edit(l.machines["i-15"], now)
+		c.edit(l.fleet.Machines["i-15"], now)
 		l.zoneEvidence(now)
 		if got := l.zoneEvidence(now); got["b"] != c.want || got["a"] != (zone.Evidence{Running: 10}) {
 			t.Errorf("%s: %+v, want %+v, and the other zone well", c.name, got, c.want)
@@ -110,7 +111,7 @@
 	for _, c := range cases {
 		l, now := newZonesTest(t)
 		silence(l, now, silentEnough)
-		m := l.machines["i-15"]
+		m := l.fleet.Machines["i-15"]
 		for _, a := range c.arrivals {
 			now += micros.FromSeconds(a.afterS)
 			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "b", Incarnation: a.session, Sequence: a.seq, FencingToken: a.token}
@@ -135,7 +136,7 @@
 	expect := func(state string, wantClosed, wantReplaced, wantRent int, wantBound string) {
 		t.Helper()
 		closed := 0
-		for _, m := range l.sorted {
+		for _, m := range l.fleet.Sorted {
 			if m.ZoneReturn.Closed {
 				closed++
 			}
@@ -155,14 +156,14 @@
 	if w, ok := l.encodeZones(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.FullDisruption || !l.writes.IsUrgent(replica.ZonesKey) {
 		t.Errorf("stored is %+v (%v)", w.Value, ok)
 	}
-	l.sorted[10].Instance.Running = false // half of the nine others, rounded
-	if expect("one boots", 10, 5, 0, "b"); l.replacedMachines(now)[l.sorted[10]] {
+	l.fleet.Sorted[10].Instance.Running = false // half of the nine others, rounded
+	if expect("one boots", 10, 5, 0, "b"); l.replacedMachines(now)[l.fleet.Sorted[10]] {
 		t.Error("a machine that boots is replaced")
 	}
-	l.sorted[10].Instance.Running = true
+	l.fleet.Sorted[10].Instance.Running = true
 	for range 4 { // held down, and then the first step
 		now += 2 * micros.Second
-		for _, m := range l.sorted {
+		for _, m := range l.fleet.Sorted {
 			m.Heartbeat.ReceivedAt, m.ZoneReturn.Returned = now, true
 		}
 		if l.observeZones(now); l.policy.Status(now)[1].Step == 1 {
@@ -178,14 +179,14 @@
 	j := l.jobs["j-000001"]
 	for task := range 3 {
 		j.TakeWaitingTask()
-		l.assign(&state.Attempt{Job: j, Index: task, Number: 1, Machine: l.sorted[10+task], StartSequence: 90, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
+		l.assign(&state.Attempt{Job: j, Index: task, Number: 1, Machine: l.fleet.Sorted[10+task], StartSequence: 90, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
 	}
 	silence(l, now, silentEnough)
 	if e, _ := l.Explain("j-000001"); len(e.Reasons) != 1 || !strings.Contains(e.Reasons[0], "3 of its tasks are in zone b, which is lost") {
 		t.Errorf("why: %q", e.Reasons)
 	}
-	for task, to := range []*state.Machine{l.sorted[0], l.sorted[19]} {
-		l.releaseAll(l.sorted[10+task], "its lease ended")
+	for task, to := range []*state.Machine{l.fleet.Sorted[0], l.fleet.Sorted[19]} {
+		l.releaseAll(l.fleet.Sorted[10+task], "its lease ended")
 		l.assign(&state.Attempt{Job: j, Index: task, Number: 2, Machine: to, StartSequence: 100})
 	}
 	s, class := l.ZoneStatus()[1], j.Spec.Class
@@ -198,13 +199,14 @@
 // tells of it.
 func TestZoneReported(t *testing.T) {
 	l, now := newZonesTest(t)
-	m := l.sorted[0]
+	m := l.fleet.Sorted[0]
 	m.Instance.FirstHeartbeatAt = 0
 	for seq := uint64(101); seq < 104; seq++ {
 		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.ID, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
 	}
-	told := slices.DeleteFunc(slices.Collect(maps.Keys(l.aggregatedLog)), func(line string) bool { return !strings.Contains(line, "booked in zone a, which counts") })
-	if len(told) != 1 || l.aggregatedLog[told[0]].count != 1 || m.Offering.Zone != "a" {
+	events := l.events.Counts()
+	told := slices.DeleteFunc(slices.Collect(maps.Keys(events)), func(line string) bool { return !strings.Contains(line, "launched in a") })
+	if len(told) != 1 || events[told[0]] != 1 || m.Offering.Zone != "a" {
 		t.Errorf("told %q, the machine is in zone %s", told, m.Offering.Zone)
 	}
 }
@@ -220,7 +222,7 @@
 		for range 3 {
 			l.observeZones(now)
 		}
-		if s := l.policy.Status(now)[1]; s.Zone != "b" || s.State != want || l.sorted[15].ZoneReturn.Closed != (want == "lost") || l.sorted[5].ZoneReturn.Closed {
+		if s := l.policy.Status(now)[1]; s.Zone != "b" || s.State != want || l.fleet.Sorted[15].ZoneReturn.Closed != (want == "lost") || l.fleet.Sorted[5].ZoneReturn.Closed {
 			t.Errorf("from %v: %+v, want %s", stored, s, want)
 		}
 	}
