--- a/internal/leader/ask.go
+++ b/internal/leader/ask.go
@@ -2,23 +2,17 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
-	"net/http"
 	"sync"
 
+	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 )
 
-// workerCallShare is what part of a node's sockets calls to workers may take: after a
-// whole zone was cut off, each of them holds one until it times out.
-const workerCallShare = 16
-
 // Asking machines for their tasks.
 const (
-	queryTimeout       = 1500 * micros.Millisecond
 	queryRetryInterval = 500 * micros.Millisecond
 	unresponsiveLimit  = 4 * micros.Second // for a machine that gave no answer twice
 )
@@ -93,7 +87,7 @@
 	for _, m := range machines {
 		queue <- scheduledQuery{m, 0}
 	}
-	for range min(len(machines), cap(l.slots)) {
+	for range min(len(machines), l.dispatcher.MaxCalls()) {
 		go func() {
 			for due := range queue {
 				if now := micros.Now(); now < due.notBefore {
@@ -115,14 +109,14 @@
 func (l *Leader) queryTasks(ctx context.Context, m *state.Machine) bool {
 	// A worker that lost its lease is in a session that only its answer tells.
 	for range 2 {
-		to, needed := l.queryTargetOf(m)
+		to, needed := l.queryTarget(m)
 		if !needed {
 			return true
 		}
 		if !l.Term.IsExclusive() {
 			return false
 		}
-		report, err := l.sendQuery(ctx, to)
+		report, err := l.dispatcher.Query(ctx, to)
 		l.mu.Lock()
 		if err != nil {
 			m.Reconciliation.FailedQueries++
@@ -138,42 +132,12 @@
 	return m.TasksConfirmed()
 }
 
-// queryTarget is where a machine is asked, as it was known when the call began.
-type queryTarget struct {
-	machine, address string
-	incarnation      uint64
-}
-
-// queryTargetOf is where a machine is to be asked, if it still needs to be.
-func (l *Leader) queryTargetOf(m *state.Machine) (to queryTarget, needed bool) {
+// queryTarget is where a machine is to be asked, if it still needs to be.
+func (l *Leader) queryTarget(m *state.Machine) (to dispatch.Target, needed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	needed = !m.TasksConfirmed() && !m.Instance.Terminating && l.fleet.Machines[m.ID] == m && !l.superseded && !l.handingOver
-	return queryTarget{m.ID, m.Instance.Address, m.LikelyIncarnation()}, needed
-}
-
-// errWrongMachine says that another machine answers at a machine's address.
-var errWrongMachine = errors.New("another machine answers")
-
-// sendQuery sends a machine this term's token without commands, and takes its report.
-func (l *Leader) sendQuery(ctx context.Context, to queryTarget) (*wire.Heartbeat, error) {
-	l.slots <- struct{}{}
-	defer func() { <-l.slots }()
-	ctx, cancel := context.WithTimeout(ctx, queryTimeout.Duration())
-	defer cancel()
-	body := wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: to.incarnation, Commands: []wire.Command{}}
-	_, answer, err := wire.Call(ctx, l.WorkerClient, http.MethodPost, "http://"+to.address+"/commands", body)
-	if err != nil {
-		return nil, err
-	}
-	var report wire.Heartbeat
-	if err := wire.Unmarshal(answer, &report); err != nil {
-		return nil, err
-	}
-	if report.MachineID != to.machine {
-		return nil, errWrongMachine
-	}
-	return &report, nil
+	return dispatch.Target{MachineID: m.ID, Address: m.Instance.Address, Incarnation: m.LikelyIncarnation()}, needed
 }
 
 // applyQueryResponse takes a machine's tasks from its answer, unless a report came first.
--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -84,7 +84,7 @@
 		l, _ := newTest(t)
 		m := l.fleet.Machines["i-1"]
 		m.Instance.Address, m.Heartbeat.OfThisTerm = "i-1:9000", false
-		l.WorkerClient = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
+		useWorkers(l, workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if d.FencingToken != token || len(d.Commands) != 0 {
 				t.Errorf("%s: asked with token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
 			}
@@ -94,7 +94,7 @@
 				}
 			}
 			return c.worker(d)
-		})}
+		}))
 		if done := l.queryTasks(t.Context(), m); done != c.done || m.TasksKnown() != c.done {
 			t.Errorf("%s: done %v, resolved %v", c.name, done, m.TasksKnown())
 		}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -2,12 +2,9 @@
 
 import (
 	"cmp"
-	"context"
 	"log/slog"
 	"maps"
-	"net/http"
 	"slices"
-	"time"
 
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
@@ -247,49 +244,13 @@
 		}
 	}
 	for m, commands := range byMachine {
-		l.sendUntilDelivered(m, commands)
+		l.dispatcher.SendUntilDelivered(commandTarget(m), commands, l.Settings.Params.Workers.GangLossTimeout())
 	}
 	if len(j.Attempts) == 0 {
 		j.Gang = state.GangAttempt{}
 	}
 }
 
-// Sending stops of gangs.
-const (
-	gangStopTimeout       = micros.Second
-	gangStopRetryInterval = 200 * micros.Millisecond
-)
-
-// sendUntilDelivered sends stops straight to a worker until it answers, as long as that can be in time
-// for its gang. They also stand in the answers to its reports.
-func (l *Leader) sendUntilDelivered(m *state.Machine, commands []wire.Command) {
-	if m.Instance.Address == "" {
-		return
-	}
-	address, body := m.Instance.Address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.Heartbeat.Incarnation, Commands: commands}
-	until := micros.Now() + l.Settings.Params.Workers.GangLossTimeout()
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), (until - micros.Now()).Duration())
-		defer cancel()
-		for ctx.Err() == nil && l.Term.IsExclusive() {
-			select {
-			case l.slots <- struct{}{}:
-			case <-ctx.Done():
-				return
-			}
-			callCtx, done := context.WithTimeout(ctx, gangStopTimeout.Duration())
-			_, _, err := wire.Call(callCtx, l.WorkerClient, http.MethodPost, "http://"+address+"/commands", body)
-			done()
-			<-l.slots
-			if err == nil {
-				return
-			}
-			slog.Debug("stop of a gang", "machine", address, "error", err)
-			time.Sleep(gangStopRetryInterval.Duration())
-		}
-	}()
-}
-
 // gangs lists the gangs that are not over, by name.
 func (l *Leader) gangs() (out []*state.Job) {
 	for _, j := range l.jobs {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -25,7 +26,7 @@
 func newGangTest(t *testing.T, old bool) *Leader {
 	t.Helper()
 	l, _ := newTest(t)
-	l.WorkerClient = &http.Client{Transport: heard{}}
+	useWorkers(l, heard{})
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
 	l.applyJobChanges()
 	spec := &wire.Job{ID: "j-000002", Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
@@ -142,3 +143,8 @@
 	}
 	return out
 }
+
+// useWorkers has a leader's direct calls reach workers by a transport.
+func useWorkers(l *Leader, transport http.RoundTripper) {
+	l.dispatcher = dispatch.New(&http.Client{Transport: transport}, l.FencingToken, l.Term.IsExclusive, 0)
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -16,6 +16,7 @@
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/election"
 	"caperlatch/internal/explain"
+	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/eventlog"
 	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/persist"
@@ -89,7 +90,8 @@
 	instanceTypeState
 	planState
 	gangState
-	writes *persist.Queue // what is to be stored
+	dispatcher *dispatch.Dispatcher // direct calls to workers
+	writes     *persist.Queue       // what is to be stored
 	workerCalls
 	standbyState
 	zoneState
@@ -143,7 +145,6 @@
 
 // workerCalls is what is known of this node's own calls to workers.
 type workerCalls struct {
-	slots       chan struct{}          // in progress
 	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
 }
 
@@ -192,10 +193,10 @@
 			pools:        map[state.PoolKind]*gangPool{},
 		},
 		workerCalls: workerCalls{
-			slots:       make(chan struct{}, max(8, c.Settings.Params.Limits.MaxSockets/workerCallShare)),
 			zoneQueries: map[string]queryCounts{},
 		},
 	}
+	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
 	l.zoneState = newZoneState(c.Zones)
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -181,7 +181,7 @@
 // stopTask tells a task to stop.
 func (l *Leader) stopTask(a *state.Attempt, grace micros.Micros, why string) {
 	if l.markStopping(a, grace, why) {
-		l.sendDirect(a.Machine, stopCommand(a))
+		l.dispatcher.Send(commandTarget(a.Machine), stopCommand(a))
 	}
 }
 
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -1,14 +1,11 @@
 package leader
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"log/slog"
-	"net/http"
 	"slices"
-	"time"
 
+	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
@@ -256,7 +253,7 @@
 		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
 		return
 	}
-	l.sendDirect(m, stopAtOnce(t))
+	l.dispatcher.Send(commandTarget(m), stopAtOnce(t))
 	m.Delivery.FollowUps = append(m.Delivery.FollowUps, stopAtOnce(t))
 }
 
@@ -551,26 +548,8 @@
 	return nil
 }
 
-// sendDirect sends a stop straight to a worker. It is also part of the answers to
-// the worker's reports until it is obeyed, so a failure here needs no care.
-// The answer is not used: a report made there may be newer than the last and
-// still lack a start that is on its way.
-func (l *Leader) sendDirect(m *state.Machine, c wire.Command) {
-	if m.Instance.Address == "" || !l.Term.IsExclusive() {
-		return
-	}
-	select {
-	case l.slots <- struct{}{}:
-	default:
-		return
-	}
-	address, body := m.Instance.Address, wire.CommandRequest{FencingToken: l.FencingToken, Incarnation: m.Heartbeat.Incarnation, Commands: []wire.Command{c}}
-	go func() {
-		defer func() { <-l.slots }()
-		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		defer cancel()
-		if _, _, err := wire.Call(ctx, l.WorkerClient, http.MethodPost, "http://"+address+"/commands", body); err != nil {
-			slog.Debug("direct command", "machine", address, "error", err)
-		}
-	}()
+// commandTarget is where a machine takes direct commands. These are also part of the responses to
+// its heartbeats until they are obeyed, so a failure of a direct call needs no care.
+func commandTarget(m *state.Machine) dispatch.Target {
+	return dispatch.Target{MachineID: m.ID, Address: m.Instance.Address, Incarnation: m.Heartbeat.Incarnation}
 }
