--- a/internal/leader/backlog.go
+++ b/internal/leader/backlog.go
@@ -81,7 +81,7 @@
 			d.planned[j]++
 		}
 		for _, a := range m.Attempts {
-			r := staffing.RunningWork{CPUs: a.Job.Spec.CPUs, RemainingS: l.remainingRuntime(a, now)}
+			r := staffing.RunningWork{CPUs: a.Job.Spec.CPUs, RemainingS: l.workload.RemainingRuntime(a, now)}
 			d.running = append(d.running, r)
 			if a.Job.Priority > 0 {
 				d.nonPreemptible = append(d.nonPreemptible, r)
@@ -131,7 +131,7 @@
 func (l *Leader) countPossiblyRunning(d *backlog, j *state.Job, n int) int {
 	held := min(n, int(math.Ceil(d.unknownCPUs/math.Max(j.Spec.CPUs, 0.001))))
 	d.unknownCPUs -= float64(held) * j.Spec.CPUs
-	r := staffing.RunningWork{CPUs: float64(held) * j.Spec.CPUs, RemainingS: l.expectedRuntime(j.Spec) / 2}
+	r := staffing.RunningWork{CPUs: float64(held) * j.Spec.CPUs, RemainingS: l.workload.ExpectedRuntime(j.Spec) / 2}
 	d.running = append(d.running, r)
 	d.nonPreemptible = append(d.nonPreemptible, r)
 	return held
@@ -140,19 +140,19 @@
 // addJobTo counts n waiting tasks of a job, for a type.
 func (l *Leader) addJobTo(d *backlog, j *state.Job, t *scaledType, n int, wall micros.Micros) {
 	d.minBootS = math.Min(d.minBootS, t.BootTimeS)
-	work := float64(n) * j.Spec.CPUs * l.expectedRuntime(j.Spec)
+	work := float64(n) * j.Spec.CPUs * l.workload.ExpectedRuntime(j.Spec)
 	if per := t.capacity.CountFitting(j.Need, n+1); j.IsGang() && per > 0 && per <= n {
 		// It fills whole machines at once, with what its tasks leave unused there.
-		work += float64(n/per) * (t.CPUs - float64(per)*j.Spec.CPUs) * l.expectedRuntime(j.Spec)
+		work += float64(n/per) * (t.CPUs - float64(per)*j.Spec.CPUs) * l.workload.ExpectedRuntime(j.Spec)
 	}
-	due, late := l.startDeadline(j, false, wall)
-	in := (due - wall).Seconds()
-	if late { // it is to be done soon all the same
+	deadlines := l.workload.StartDeadlines(j, false, wall)
+	in := (deadlines.Next - wall).Seconds()
+	if deadlines.Late { // it is to be done soon all the same
 		in = 2 * t.BootTimeS
 	}
 	demand := staffing.WaitingWork{CPUSeconds: work, DueInS: in}
 	d.waiting = append(d.waiting, demand)
-	if !l.isDelayTolerant(j) {
+	if !l.workload.IsDelayTolerant(j) {
 		d.notDelayTolerant = append(d.notDelayTolerant, demand)
 	}
 	d.workByType[t.Name] += work
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -89,12 +89,12 @@
 			return false
 		}
 		// One that has outlasted its estimate may last for long.
-		run := l.expectedRuntime(s)
+		run := l.workload.ExpectedRuntime(s)
 		left := run - (now - a.StartedAt).Seconds()
 		if left >= 0 && left < minRunBeforeMove.Seconds() {
 			return false
 		}
-		if l.isDelayTolerant(a.Job) {
+		if l.workload.IsDelayTolerant(a.Job) {
 			continue
 		}
 		if !longSurplus {
@@ -103,9 +103,9 @@
 		// It must not be late for being moved: on fleets whose images take 25 s to
 		// fetch, a fifth of the jobs with a deadline were.
 		wall := micros.Wall()
-		due, late := l.startDeadline(a.Job, false, wall)
+		deadlines := l.workload.StartDeadlines(a.Job, false, wall)
 		over := s.CheckpointDurationS + s.ImageSizeGB/math.Max(0.01, l.types[m.Offering.Type].ImagePullGBPerS) + 2*l.heartbeatInterval.Seconds()
-		if late || (due-wall).Seconds()+run-l.remainingRuntime(a, now) < 3*over {
+		if deadlines.Late || (deadlines.Next-wall).Seconds()+run-l.workload.RemainingRuntime(a, now) < 3*over {
 			return false
 		}
 	}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -374,7 +374,7 @@
 			p.Free = p.Free.Add(j.Need, -1)
 		}
 		for _, a := range m.Attempts {
-			e := placement.Completion{Remaining: micros.FromSeconds(l.remainingRuntime(a, now)), Need: a.Job.Need}
+			e := placement.Completion{Remaining: micros.FromSeconds(l.workload.RemainingRuntime(a, now)), Need: a.Job.Need}
 			if a.StopRequestedAt != 0 {
 				e.Remaining = a.GracePeriod
 			}
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -72,7 +72,7 @@
 	perMachine := t.capacity.CountFitting(j.Need, 1<<20) / j.Spec.Tasks
 	size := 1 / float64(max(1, perMachine))
 	fetch := j.Spec.ImageSizeGB / math.Max(t.ImagePullGBPerS, 0.01)
-	r.service.ObserveEstimate(size, l.expectedRuntime(j.Spec)+fetch)
+	r.service.ObserveEstimate(size, l.workload.ExpectedRuntime(j.Spec)+fetch)
 	r.batches.Add(size, 1, false)
 	r.readyMachines = max(r.readyMachines, l.readyMachinesFor(j, fetch))
 	if j.MayHaveEarlierTasks {
@@ -88,10 +88,7 @@
 // in time for what is expected of its class, its image fetched.
 func (l *Leader) readyMachinesFor(j *state.Job, fetch float64) int {
 	standing := 1
-	for _, o := range l.Settings.Params.Objectives {
-		if o.Kind != "wait" || o.Class != j.Spec.Class || o.WithinS <= 0 {
-			continue
-		}
+	for _, o := range l.workload.WaitObjectives(j.Spec.Class) {
 		wait := o.WithinS
 		if wait > fetch {
 			wait -= fetch
@@ -181,7 +178,7 @@
 	for _, m := range machines {
 		for _, a := range m.Attempts {
 			if !a.Job.IsGang() {
-				clearIn[m] = math.Max(clearIn[m], l.remainingRuntime(a, now))
+				clearIn[m] = math.Max(clearIn[m], l.workload.RemainingRuntime(a, now))
 			}
 		}
 	}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"caperlatch/internal/leader/state"
+	"caperlatch/internal/leader/workload"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -17,6 +18,7 @@
 	t.Helper()
 	l, _ := newTest(t)
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
+	l.workload = workload.New(l.Settings.Params)
 	l.heartbeatInterval = 8 * micros.Second
 	clear(l.jobs)
 	for i := range 31 {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -225,7 +225,7 @@
 		{"it is cancelled", 1, nil, cancel, "i-1", nil, nil},
 		{"it has a place there", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(*Leader) {}, "i-2", nil, []string{"start"}},
 		{"it has a place there, and its team is at its limit by now", 3, func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, func(l *Leader) {
-			l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 9.5}
+			l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 9.5})
 			l.teamUsage["blue"] = l.teamUsage["blue"].Add(placement.Resources{CPU: 1000}, 1)
 		}, "i-2", nil, nil},
 		{"one of its tasks is done", 1, nil, func(*Leader) {}, "i-1", []string{"0@5 ended done"}, nil},
@@ -518,7 +518,7 @@
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
-		l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 9}
+		l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 9})
 		c.before(t, l)
 		small := &wire.Job{ID: "j-000003", Team: "blue", Kind: wire.KindArray, Priority: "prod", Tasks: 4, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true}
 		l.jobs[small.ID] = state.NewJob(replica.Job{Spec: small, SubmittedAt: micros.Wall()}, false)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -21,6 +21,7 @@
 	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/leader/state"
+	"caperlatch/internal/leader/workload"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -90,6 +91,7 @@
 	instanceTypeState
 	planState
 	gangState
+	workload   *workload.Workload   // what is expected of jobs, and what teams may use
 	dispatcher *dispatch.Dispatcher // direct calls to workers
 	writes     *persist.Queue       // what is to be stored
 	workerCalls
@@ -110,10 +112,8 @@
 	teamUsage     map[string]placement.Resources // by what is on machines, a team
 	unknownUsage  placement.Resources            // what machines with unknown tasks may hold, as of the last plan
 	images        map[string]int                 // the numbers that stand for images
-	teams         map[string]settings.Team
 	attempts      uint64
-	estimates     map[string]*staffing.RuntimeEstimator // by class
-	finalJobs     map[string]replica.Job                // ends that are not stored yet
+	finalJobs     map[string]replica.Job // ends that are not stored yet
 }
 
 // instanceTypeState is the catalog, with the staffing of its types.
@@ -181,8 +181,6 @@
 			cancelledJobs: map[string]*state.Job{},
 			teamUsage:     map[string]placement.Resources{},
 			images:        map[string]int{},
-			teams:         map[string]settings.Team{},
-			estimates:     map[string]*staffing.RuntimeEstimator{},
 			finalJobs:     map[string]replica.Job{},
 		},
 		instanceTypeState: instanceTypeState{
@@ -196,13 +194,11 @@
 			zoneQueries: map[string]queryCounts{},
 		},
 	}
+	l.workload = workload.New(c.Settings.Params)
 	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
 	l.zoneState = newZoneState(c.Zones)
-	for _, t := range c.Settings.Params.Teams {
-		l.teams[t.Name] = t
-	}
 	return l
 }
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -500,7 +500,7 @@
 // them stopped; and they count against their team's limit until they are gone.
 func TestCancelledBefore(t *testing.T) {
 	l, _ := newTest(t)
-	l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 3}
+	l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 3})
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000002", replica.Job{State: wire.JobCancelled, Spec: &wire.Job{
 		ID: "j-000002", Team: "blue", Kind: wire.KindArray, Tasks: 8, CPUs: 1, MemoryGB: 1, CheckpointDurationS: 5, CheckpointIntervalS: 1, AllowSpot: true}}, 2)
 	l.fleet.Machines["i-1"].Free.CPU = 8000 // the limit alone is in the way
@@ -555,11 +555,11 @@
 		{"another zone", func(_ *Leader, j *state.Job, _ *state.Machine) { j.Spec.Zone = "b" }, false},
 		{"no spot machine", func(_ *Leader, j *state.Job, m *state.Machine) { j.Spec.AllowSpot, m.Offering.Spot = false, true }, false},
 		{"at the team's limit", func(l *Leader, j *state.Job, _ *state.Machine) {
-			l.teams["blue"] = settings.Team{MaxCPUs: 2}
+			l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 2})
 			l.teamUsage["blue"] = l.teamUsage["blue"].Add(j.Need, 2)
 		}, false},
 		{"machines with unknown tasks may be at it", func(l *Leader, j *state.Job, _ *state.Machine) {
-			l.teams["blue"] = settings.Team{MaxCPUs: 2}
+			l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 2})
 			l.unknownUsage = l.unknownUsage.Add(j.Need, 2)
 		}, false},
 		{"its other tasks are in another zone", func(_ *Leader, j *state.Job, m *state.Machine) {
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -3,13 +3,11 @@
 import (
 	"cmp"
 	"maps"
-	"math"
 	"slices"
 
 	"caperlatch/internal/leader/state"
+	"caperlatch/internal/leader/workload"
 	"caperlatch/internal/micros"
-	"caperlatch/internal/settings"
-	"caperlatch/internal/wire"
 	"caperlatch/placement"
 )
 
@@ -218,7 +216,7 @@
 func (l *Leader) newQueue(now micros.Micros) queue {
 	teams := l.worstCaseTeamUse()
 	unresolved := l.unknownMachinesNow()
-	covered := l.jobsWithinGuarantee()
+	covered := l.workload.JobsWithinGuarantee(l.jobs)
 	wall := micros.Wall()
 	var entries []queueEntry
 	for _, j := range l.jobs {
@@ -274,10 +272,11 @@
 		AllowSpot:       s.AllowSpot,
 		ImageSizeGB:     s.ImageSizeGB,
 	}
-	w.StartDeadline, w.LaterStartDeadlines, w.Late = l.startDeadlines(j, covered, wall)
+	deadlines := l.workload.StartDeadlines(j, covered, wall)
+	w.StartDeadline, w.LaterStartDeadlines, w.Late = deadlines.Next, deadlines.Later, deadlines.Late
 	w.AtRisk = w.StartDeadline-wall < 4*l.heartbeatInterval && !j.IsProbing()
 	w.PreemptsBestEffort = j.Priority > 0 && !j.IsProbing()
-	w.DelayTolerant = l.isDelayTolerant(j)
+	w.DelayTolerant = l.workload.IsDelayTolerant(j)
 	if j.IsGang() && len(j.Attempts) > 0 {
 		w.StartDeadline, w.Late, w.AtRisk = wall, false, !j.IsProbing() // the others of its tasks wait for these
 	}
@@ -285,7 +284,7 @@
 		w.FailedOn = j.Failures.ByMachine
 		w.MaxStartDelay = max(immediateStartLimit, wall-j.SubmittedAt)
 	}
-	w.WaitingCPUSeconds = float64(n) * s.CPUs * l.expectedRuntime(s)
+	w.WaitingCPUSeconds = float64(n) * s.CPUs * l.workload.ExpectedRuntime(s)
 	if s.SingleZone || s.SpreadZones {
 		w.TasksPerZone = maps.Clone(j.AttemptsPerZone)
 	}
@@ -309,7 +308,7 @@
 		return nil
 	}
 	other := *w
-	other.Aged, other.DelayTolerant = false, l.isDelayTolerant(j)
+	other.Aged, other.DelayTolerant = false, l.workload.IsDelayTolerant(j)
 	w.WaitingTasks, other.WaitingTasks = part, w.WaitingTasks-part
 	return &other
 }
@@ -325,104 +324,12 @@
 	return cpus
 }
 
-// startDeadline is when the last of a job's tasks should have started, by the next thing
-// expected of it that can still be met; late if there is none.
-func (l *Leader) startDeadline(j *state.Job, covered bool, wall micros.Micros) (due micros.Micros, late bool) {
-	due, _, late = l.startDeadlines(j, covered, wall)
-	return due, late
-}
-
-// startDeadlines is due with what else is expected later.
-func (l *Leader) startDeadlines(j *state.Job, covered bool, wall micros.Micros) (due micros.Micros, later []micros.Micros, late bool) {
-	s := j.Spec
-	run := micros.FromSeconds(l.expectedRuntime(s))
-	expected := false
-	var all []micros.Micros
-	consider := func(limit micros.Micros) {
-		expected = true
-		if at := j.SubmittedAt + limit; at >= wall {
-			all = append(all, at)
-		}
-	}
-	if s.DeadlineS != nil {
-		consider(micros.FromSeconds(*s.DeadlineS) - run)
-	}
-	for _, o := range l.Settings.Params.Objectives {
-		if o.Class != s.Class && o.Kind != "guarantee" {
-			continue
-		}
-		switch o.Kind {
-		case "deadline":
-			if s.DeadlineS != nil && o.Times > 1 {
-				consider(micros.FromSeconds(*s.DeadlineS*o.Times) - run)
-			}
-		case "guarantee":
-			if covered && len(j.Attempts)+j.DoneCount == 0 {
-				consider(micros.FromSeconds(o.WithinS))
-			}
-		case "wait":
-			if len(j.Attempts)+j.DoneCount == 0 {
-				consider(micros.FromSeconds(o.WithinS))
-			}
-		case "finished":
-			consider(micros.FromSeconds(o.WithinS) - run)
-		}
-	}
-	switch {
-	case len(all) > 0:
-		slices.Sort(all)
-		return all[0], all[1:], false
-	case expected:
-		const never = 365 * 24 * 3600 * micros.Second
-		return j.SubmittedAt + never, nil, true
-	}
-	// Nobody said when; a minute of waiting is taken for bearable.
-	return j.SubmittedAt + 60*micros.Second, nil, false
-}
-
-// jobsWithinGuarantee tells which jobs fit into their team's guarantee together with the
-// team's earlier unfinished jobs.
-func (l *Leader) jobsWithinGuarantee() map[*state.Job]bool {
-	byTeam := map[string][]*state.Job{}
-	for _, j := range l.jobs {
-		if !j.Failures.Quarantined { // else it would keep the guarantee from the others
-			byTeam[j.Spec.Team] = append(byTeam[j.Spec.Team], j)
-		}
-	}
-	out := make(map[*state.Job]bool, len(l.jobs))
-	for name, jobs := range byTeam {
-		t := l.teams[name]
-		if t.GuaranteedCPUs == 0 && t.GuaranteedGPUs == 0 {
-			continue
-		}
-		slices.SortFunc(jobs, func(a, b *state.Job) int {
-			return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.Spec.ID, b.Spec.ID))
-		})
-		left := guarantee(t)
-		for _, j := range jobs {
-			if !left.Fits(j.Need) {
-				break
-			}
-			left = left.Add(j.Need, -int64(j.Spec.Tasks-j.DoneCount))
-			if left.CPU < 0 || left.GPU < 0 {
-				break
-			}
-			out[j] = true
-		}
-	}
-	return out
-}
-
-func guarantee(t settings.Team) placement.Resources {
-	return placement.Resources{CPU: state.FloorMilli(t.GuaranteedCPUs), GPU: state.FloorMilli(t.GuaranteedGPUs), Memory: 1 << 60}
-}
-
 // worstCaseTeamUse counts what each team's tasks may be using at worst: what is known
 // to be on machines and all that machines with unknown tasks could hold.
 func (l *Leader) worstCaseTeamUse() map[string]*placement.Team {
-	teams := make(map[string]*placement.Team, len(l.teams))
-	for name, t := range l.teams {
-		teams[name] = &placement.Team{Used: l.teamUsage[name], Limit: placement.Resources{CPU: state.FloorMilli(t.MaxCPUs), GPU: state.FloorMilli(t.MaxGPUs)}}
+	teams := map[string]*placement.Team{}
+	for name, t := range l.workload.Teams() {
+		teams[name] = &placement.Team{Used: l.teamUsage[name], Limit: t.Limit}
 	}
 	l.unknownUsage = placement.Resources{}
 	for _, m := range l.fleet.Sorted {
@@ -488,7 +395,7 @@
 
 // machinesWithVictims lists the machines that may get tasks, with what runs there.
 func (l *Leader) machinesWithVictims(now micros.Micros) ([]placement.Machine, []*state.Machine) {
-	covered, spared := l.jobsWithinGuarantee(), l.nonPreemptibleGangs(now)
+	covered, spared := l.workload.JobsWithinGuarantee(l.jobs), l.nonPreemptibleGangs(now)
 	out, ms := l.schedulableMachines(now, placement.Resources{})
 	for i, m := range ms {
 		p := &out[i]
@@ -519,10 +426,10 @@
 		Need:            a.Job.Need,
 		WithinGuarantee: covered,
 		BestEffort:      a.Job.Priority == 0 && !covered,
-		LostWork:        lostWork(a, now),
+		LostWork:        workload.LostWork(a, now),
 	}
 	if v.BestEffort {
-		v.LostWork += l.preemptionSetback(a, now)
+		v.LostWork += l.workload.PreemptionSetback(a, now)
 	}
 	if a.Job.IsGang() {
 		v.Gang, v.LostWork = true, v.LostWork*micros.Micros(len(a.Job.Attempts))
@@ -532,37 +439,3 @@
 	}
 	return v
 }
-
-// remainingRuntime is how many seconds a task should still take. The longer one has
-// outlasted its estimate, the longer it may go on; a service never ends.
-func (l *Leader) remainingRuntime(a *state.Attempt, now micros.Micros) float64 {
-	if a.Job.Spec.Kind == wire.KindService {
-		return 3600
-	}
-	run, ran := l.expectedRuntime(a.Job.Spec), (now - a.StartedAt).Seconds()
-	return math.Max(run-ran, math.Max(run/4, (ran-run)/2))
-}
-
-// nearlyDoneS is how long before its end a task is spared.
-const nearlyDoneS = 30
-
-// preemptionSetback is what stopping a best-effort task costs its job besides the work lost: it is
-// least for the job that has most yet to start, so that the others end and are out of the
-// way; taken from all alike, none of six was over when the day was. And what is nearly
-// over frees its room by itself.
-func (l *Leader) preemptionSetback(a *state.Attempt, now micros.Micros) micros.Micros {
-	begun := 1 - float64(a.Job.WaitingTasks())/float64(a.Job.Spec.Tasks)
-	left := l.expectedRuntime(a.Job.Spec) - (now - a.StartedAt).Seconds()
-	return micros.FromSeconds(10*begun + max(0, nearlyDoneS-max(0, left)))
-}
-
-// lostWork is what stopping a task would waste.
-func lostWork(a *state.Attempt, now micros.Micros) micros.Micros {
-	if a.RunningSince == 0 {
-		return 0
-	}
-	if a.Job.Spec.CheckpointIntervalS > 0 {
-		return min(now-a.RunningSince, micros.FromSeconds(a.Job.Spec.CheckpointDurationS))
-	}
-	return now - a.RunningSince
-}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -484,11 +484,8 @@
 	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.Offering.Type) || s.Zone != "" && s.Zone != m.Offering.Zone || m.Offering.Spot && !s.AllowSpot {
 		return false
 	}
-	if t := l.teams[s.Team]; t.MaxCPUs > 0 || t.MaxGPUs > 0 {
-		used := l.teamUsage[s.Team].Add(l.unknownUsage, 1).Add(j.Need, int64(more))
-		if t.MaxCPUs > 0 && used.CPU > state.FloorMilli(t.MaxCPUs) || t.MaxGPUs > 0 && used.GPU > state.FloorMilli(t.MaxGPUs) {
-			return false
-		}
+	if !l.workload.WithinLimit(s.Team, l.teamUsage[s.Team].Add(l.unknownUsage, 1).Add(j.Need, int64(more))) {
+		return false
 	}
 	if !s.SingleZone && !s.SpreadZones {
 		return true
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -10,21 +10,11 @@
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
-	"caperlatch/internal/settings"
 	"caperlatch/internal/wire"
 	"caperlatch/placement"
 	"caperlatch/staffing"
 )
 
-// expectedRuntime is how long a job's tasks should run, by the owner's estimate and
-// what the class has taken so far.
-func (l *Leader) expectedRuntime(s *wire.Job) float64 {
-	if e := l.estimates[s.Class]; e != nil {
-		return e.Predict(s.EstimatedRuntimeS)
-	}
-	return s.EstimatedRuntimeS
-}
-
 // learnFromCompletion learns from a task that completed in one go here.
 func (l *Leader) learnFromCompletion(j *state.Job, m *state.Machine, a *state.Attempt, now micros.Micros) {
 	if a.RunningSince != 0 {
@@ -37,18 +27,10 @@
 	t.finishedTasks++
 	t.service.ObserveFinished(machineFraction(t, j.Need), (now - a.StartedAt).Seconds(), j.Spec.Tasks)
 	if a.RunningSince != 0 && (j.Spec.CheckpointIntervalS == 0 || !j.RanBefore[a.Index]) {
-		e := l.estimates[j.Spec.Class]
-		if e == nil {
-			e = newEstimate()
-			l.estimates[j.Spec.Class] = e
-		}
-		e.Observe(j.Spec.EstimatedRuntimeS, (now - a.RunningSince).Seconds(), j.Spec.Tasks)
+		l.workload.ObserveRuntime(j.Spec, now-a.RunningSince)
 	}
 }
 
-// newEstimate is a class's estimate that has learned nothing yet.
-func newEstimate() *staffing.RuntimeEstimator { return &staffing.RuntimeEstimator{} }
-
 // machineFraction is the part of a machine that a task holds.
 func machineFraction(t *scaledType, need placement.Resources) float64 {
 	f := 0.0
@@ -127,25 +109,17 @@
 	l.addPoolDemand(j, now)
 	work := float64(j.WaitingTasks()) * machineFraction(t, j.Need)
 	j.Demand.InstanceType, j.Demand.Machines = t.Name, work
-	due, _ := l.startDeadline(j, false, j.SubmittedAt)
+	due := l.workload.StartDeadlines(j, false, j.SubmittedAt).Next
 	t.batches.Add(float64(j.Spec.Tasks)*machineFraction(t, j.Need), j.Spec.Tasks, (due-j.SubmittedAt).Seconds() > t.BootTimeS)
 	if j.MayHaveEarlierTasks {
 		j.Demand.Machines = 0 // the record's rate has it
 	} else {
 		t.demand.Add(now, work)
-		if l.isDelayTolerant(j) {
+		if l.workload.IsDelayTolerant(j) {
 			t.bestEffortDemand.Add(now, work)
 		}
 	}
-	t.service.ObserveEstimate(work, l.expectedRuntime(j.Spec)+j.Spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
-}
-
-// isDelayTolerant tells whether a job can do without ordinary machines: it is of the lowest
-// priority and nobody says when it should be done. At about three times the price its
-// work would cost more than it is worth.
-func (l *Leader) isDelayTolerant(j *state.Job) bool {
-	return j.Priority == 0 && j.Spec.AllowSpot && j.Spec.DeadlineS == nil &&
-		!slices.ContainsFunc(l.Settings.Params.Objectives, func(o settings.Objective) bool { return o.Class == j.Spec.Class })
+	t.service.ObserveEstimate(work, l.workload.ExpectedRuntime(j.Spec)+j.Spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
 }
 
 // autoscale steps the model and rents or returns toward the target.
@@ -304,7 +278,7 @@
 		}
 		only := !m.Pool.IsSet()
 		for _, a := range m.Attempts {
-			only = only && l.isDelayTolerant(a.Job)
+			only = only && l.workload.IsDelayTolerant(a.Job)
 		}
 		if only {
 			ms = append(ms, m)
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -91,8 +91,8 @@
 	if l.Followers == nil {
 		return
 	}
-	for class, e := range l.estimates {
-		l.publish(standby.Entry{EstimateUpdated: &standby.EstimateUpdated{Class: class, Moments: e.Moments()}})
+	for class, moments := range l.workload.Moments() {
+		l.publish(standby.Entry{EstimateUpdated: &standby.EstimateUpdated{Class: class, Moments: moments}})
 	}
 }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	for class, moments := range v.Estimates {
-		l.restoreEstimate(class, moments)
+		l.workload.RestoreMoments(class, moments)
 	}
 	l.handedOver = v.ProvesAssignments(l.FencingToken)
 	for id, known := range v.Machines {
@@ -140,14 +140,6 @@
 	}
 }
 
-// restoreEstimate goes on from a class's estimate.
-func (l *Leader) restoreEstimate(class string, moments []float64) {
-	e := newEstimate()
-	if e.Restore(moments) {
-		l.estimates[class] = e
-	}
-}
-
 // adoptHandedOver takes a machine's tasks from the view of a leader that has handed over:
 // the machine holds none but these. Which of them are gone by now, its next snapshot tells.
 //
--- /dev/null
+++ b/internal/leader/workload/objectives.go
@@ -0,0 +1,96 @@
+package workload
+
+import (
+	"slices"
+
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/settings"
+)
+
+// Kinds of service-level objectives, as the settings name them.
+const (
+	objectiveDeadline  = "deadline"  // done by Times times its deadline
+	objectiveGuarantee = "guarantee" // within its team's guarantee: started within a time
+	objectiveWait      = "wait"      // started within a time
+	objectiveFinished  = "finished"  // done within a time
+)
+
+const (
+	// defaultWait is for how long a job may wait of which nothing is expected.
+	defaultWait = 60 * micros.Second
+	// never stands for the deadline of a job that can't meet any objective any more.
+	never = 365 * 24 * 3600 * micros.Second
+)
+
+// IsDelayTolerant reports whether a job can do without on-demand machines: it is of the lowest
+// priority and nobody says when it should be done. At about three times the price its work would cost more
+// than it is worth.
+func (w *Workload) IsDelayTolerant(j *state.Job) bool {
+	return j.Priority == 0 && j.Spec.AllowSpot && j.Spec.DeadlineS == nil &&
+		!slices.ContainsFunc(w.objectives, func(o settings.Objective) bool { return o.Class == j.Spec.Class })
+}
+
+// WaitObjectives lists the objectives on the start of a class's tasks.
+func (w *Workload) WaitObjectives(class string) (objectives []settings.Objective) {
+	for _, o := range w.objectives {
+		if o.Kind == objectiveWait && o.Class == class && o.WithinS > 0 {
+			objectives = append(objectives, o)
+		}
+	}
+	return objectives
+}
+
+// Deadlines are instants, as time of day, by which the last of a job's tasks should have started.
+type Deadlines struct {
+	Next  micros.Micros   // by the next objective that can still be met
+	Later []micros.Micros // by all others that can be met, rising
+	// Late says that no objective can be met any more. Next is then beyond all others'.
+	Late bool
+}
+
+// StartDeadlines finds when a job's tasks should have started. withinGuarantee says that the job is
+// within its team's guarantee; wall is the time of day.
+func (w *Workload) StartDeadlines(j *state.Job, withinGuarantee bool, wall micros.Micros) Deadlines {
+	limits := w.startLimits(j, withinGuarantee)
+	open := limits[:0] // in place: plans ask for every waiting job
+	for _, limit := range limits {
+		if at := j.SubmittedAt + limit; at >= wall {
+			open = append(open, at)
+		}
+	}
+	switch {
+	case len(open) > 0:
+		slices.Sort(open)
+		return Deadlines{Next: open[0], Later: open[1:]}
+	case len(limits) > 0:
+		return Deadlines{Next: j.SubmittedAt + never, Late: true}
+	}
+	return Deadlines{Next: j.SubmittedAt + defaultWait}
+}
+
+// startLimits lists within what times since its submission a job's tasks should start, one for each objective.
+func (w *Workload) startLimits(j *state.Job, withinGuarantee bool) (limits []micros.Micros) {
+	s := j.Spec
+	runtime := micros.FromSeconds(w.ExpectedRuntime(s))
+	hasNotStarted := len(j.Attempts)+j.DoneCount == 0
+	if s.DeadlineS != nil {
+		limits = append(limits, micros.FromSeconds(*s.DeadlineS)-runtime)
+	}
+	for _, o := range w.objectives {
+		if o.Class != s.Class && o.Kind != objectiveGuarantee {
+			continue
+		}
+		within := micros.FromSeconds(o.WithinS)
+		switch {
+		case o.Kind == objectiveDeadline && s.DeadlineS != nil && o.Times > 1:
+			limits = append(limits, micros.FromSeconds(*s.DeadlineS*o.Times)-runtime)
+		case o.Kind == objectiveGuarantee && withinGuarantee && hasNotStarted,
+			o.Kind == objectiveWait && hasNotStarted:
+			limits = append(limits, within)
+		case o.Kind == objectiveFinished:
+			limits = append(limits, within-runtime)
+		}
+	}
+	return limits
+}
