--- a/internal/leader/boot_test.go
+++ b/internal/leader/boot_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, c := range cases {
 		l, _ := newTest(t)
-		l.types["m4"].BootTimeS = 20
+		l.scaler.Type("m4").BootTimeS = 20
 		l.fleet.Remove(l.fleet.Machines["i-1"])
 		now := l.startedAt + 1000*s
 		l.fleet.AddIntent("r-5", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true})
@@ -85,7 +85,7 @@
 func TestRentedLate(t *testing.T) {
 	for _, waited := range []micros.Micros{0, 45 * micros.Second, 300 * micros.Second} {
 		l, _ := newTest(t)
-		l.types["m4"].BootTimeS = 20
+		l.scaler.Type("m4").BootTimeS = 20
 		b := l.fleet.AddIntent("r-5", fleet.LaunchIntent{Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - waited})
 		l.fleet.RecordLaunch(b, []string{"i-7", "i-8"})
 		now := micros.Now() + micros.Second
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"log/slog"
-	"math"
 	"slices"
 
 	"caperlatch/internal/leader/state"
@@ -27,14 +26,14 @@
 	}
 	var ms []*state.Machine
 	for _, m := range l.fleet.Sorted {
-		if l.types[m.Offering.Type] != nil && m.IsOpenToAllZones(now) && len(m.Attempts) > 0 && now-m.Heartbeat.ReceivedAt <= 2*l.heartbeatInterval {
+		if l.scaler.Type(m.Offering.Type) != nil && m.IsOpenToAllZones(now) && len(m.Attempts) > 0 && now-m.Heartbeat.ReceivedAt <= 2*l.heartbeatInterval {
 			ms = append(ms, m)
 		}
 	}
 	// The dearest a held CPU first: these are emptied, into the others from the end.
 	perHeld := func(m *state.Machine) float64 {
-		t := l.types[m.Offering.Type]
-		return price(t, m.Offering.Spot) / float64(max(1, t.capacity.CPU-m.Free.CPU))
+		t := l.scaler.Type(m.Offering.Type)
+		return t.Price(m.Offering.Spot) / float64(max(1, t.Capacity.CPU-m.Free.CPU))
 	}
 	slices.SortStableFunc(ms, func(a, b *state.Machine) int {
 		return cmp.Or(cmp.Compare(perHeld(b), perHeld(a)), cmp.Compare(a.ID, b.ID))
@@ -80,7 +79,7 @@
 	// Its free room is worth as much as that of an idle machine, which is kept for a
 	// while: moved at once, what came next found less room (hoalan-grown, bagtag-reprint
 	// in 8 s 0.87 -> 0.78). Best-effort jobs never come so pressingly.
-	longSurplus := m.SurplusSince != 0 && now-m.SurplusSince > l.idleTimeout(l.types[m.Offering.Type], m.Offering.Spot)
+	longSurplus := m.SurplusSince != 0 && now-m.SurplusSince > l.scaler.IdleTimeout(l.scaler.Type(m.Offering.Type), m.Offering.Spot)
 	for _, a := range m.Attempts {
 		// A gang would be stopped whole, wherever else its tasks are.
 		s := a.Job.Spec
@@ -104,7 +103,7 @@
 		// fetch, a fifth of the jobs with a deadline were.
 		wall := micros.Wall()
 		deadlines := l.workload.StartDeadlines(a.Job, false, wall)
-		over := s.CheckpointDurationS + s.ImageSizeGB/math.Max(0.01, l.types[m.Offering.Type].ImagePullGBPerS) + 2*l.heartbeatInterval.Seconds()
+		over := s.CheckpointDurationS + l.scaler.Type(m.Offering.Type).PullTimeS(s.ImageSizeGB) + 2*l.heartbeatInterval.Seconds()
 		if deadlines.Late || (deadlines.Next-wall).Seconds()+run-l.workload.RemainingRuntime(a, now) < 3*over {
 			return false
 		}
--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -48,7 +48,8 @@
 		if j.SubmittedAt = micros.Wall(); c.due > 0 {
 			j.Spec.DeadlineS = &c.due
 		}
-		l.jobs = map[string]*state.Job{j.Spec.ID: j}
+		clear(l.jobs)
+		l.jobs[j.Spec.ID] = j
 		l.fleet.Add("i-2", l.fleet.Intent("r-1"), now)
 		for i, m := range l.fleet.Sorted {
 			m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, true, true, true, now
@@ -98,7 +99,7 @@
 			j.Priority = p
 			l.assign(&state.Attempt{Job: j, Machine: l.fleet.Sorted[i]})
 		}
-		l.closeToDelayTolerant(l.types["m4"], c.want, c.need)
+		l.scaler.RejectDelayTolerant(l.scaler.Type("m4"), c.want, c.need)
 		n := 0
 		for _, m := range l.fleet.Sorted {
 			if m.RejectsDelayTolerant {
@@ -135,7 +136,8 @@
 		m.Heartbeat.ReceivedAt = now
 		m.Reconciliation.Knowledge = state.TasksConfirmed
 		j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimatedRuntimeS: 300, CheckpointIntervalS: 30, CheckpointDurationS: 3, AllowSpot: true}}, false)
-		l.jobs = map[string]*state.Job{j.Spec.ID: j}
+		clear(l.jobs)
+		l.jobs[j.Spec.ID] = j
 		for range 4 {
 			task, _ := j.TakeWaitingTask()
 			l.assign(&state.Attempt{Job: j, Index: task, Machine: m, StartedAt: now - c.ran, RunningSince: now - c.ran, Protected: c.protected})
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -188,13 +188,13 @@
 			states[a.ReportedState]++
 			held += a.Job.Need.CPU
 		}
-		if t := l.types[m.Offering.Type]; t != nil && l.canStart(m, now) {
-			cpus += t.capacity.CPU
+		if t := l.scaler.Type(m.Offering.Type); t != nil && l.canStart(m, now) {
+			cpus += t.Capacity.CPU
 		}
 	}
 	targets := map[string]string{}
-	for _, t := range l.types {
-		targets[t.Name] = fmt.Sprintf("m=%.1f want=%.1f target=%d", t.mean, t.wanted, t.target)
+	for _, t := range l.scaler.Types() {
+		targets[t.Name] = fmt.Sprintf("m=%.1f want=%.1f target=%d", t.Mean, t.Wanted, t.Target)
 	}
 	slog.Debug("snapshot", "jobs", len(l.jobs), "waiting", waiting, "open", open, "states", states,
 		"held_cpus", held/1000, "usable_cpus", cpus/1000, "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown(), "targets", targets)
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -47,7 +47,7 @@
 	// The job is good, then: its failures speak against the machines.
 	if j.Failures.Quarantined {
 		slog.Info("job is not at fault", "job", j.Spec.ID)
-		l.restoreDemand(j, now)
+		l.scaler.RestoreDemand(j, now)
 	}
 	errors := j.Failures.ByMachine
 	j.Failures.ByMachine, j.Failures.Quarantined, j.Failures.BackoffRounds, j.BackoffUntil = map[string]micros.Micros{}, false, 0, 0
@@ -123,7 +123,7 @@
 			delete(m.Quarantine.SuspectJobs, j.Spec.ID)
 		}
 	}
-	l.removeDemand(j, now)
+	l.scaler.RemoveDemand(j, now)
 	slog.Info("job is at fault", "job", j.Spec.ID, "class", j.Spec.Class, "machines", machines)
 }
 
@@ -133,7 +133,7 @@
 	if j.Failures.Quarantined && j.OutlivesFailures() {
 		slog.Info("job is not at fault", "job", j.Spec.ID)
 		j.Failures.Quarantined, j.Failures.BackoffRounds, j.Failures.SoleMachineTries, j.BackoffUntil = false, 0, 0, 0
-		l.restoreDemand(j, now)
+		l.scaler.RestoreDemand(j, now)
 	}
 }
 
@@ -176,26 +176,12 @@
 		if j.Failures.Quarantined && len(j.Failures.ByMachine) < jobFailureMachines {
 			// It may have met bad machines only: it is judged anew, at once.
 			j.Failures.Quarantined, j.Failures.BackoffRounds, j.Failures.SoleMachineTries, j.BackoffUntil = false, 0, 0, 0
-			l.restoreDemand(j, now)
+			l.scaler.RestoreDemand(j, now)
 			l.replan = true
 		}
 	}
 }
 
-// removeDemand takes what a job at fault brought out of the demand, and restoreDemand puts it
-// back: machines are no help to it.
-func (l *Leader) removeDemand(j *state.Job, now micros.Micros) {
-	if j.Demand.Machines > 0 {
-		l.types[j.Demand.InstanceType].demand.Add(now, -j.Demand.Machines)
-	}
-}
-
-func (l *Leader) restoreDemand(j *state.Job, now micros.Micros) {
-	if j.Demand.Machines > 0 {
-		l.types[j.Demand.InstanceType].demand.Add(now, j.Demand.Machines)
-	}
-}
-
 // quarantinedJobs names the jobs put off and how often they were tried, for the next
 // leader: to begin from nothing would have all of them fail at once again.
 func (l *Leader) quarantinedJobs() map[string]int {
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -99,9 +99,9 @@
 	}
 	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
 	l.jobs[j.Spec.ID] = j
-	l.addDemand(j)
+	l.scaler.AddDemand(j)
 	now := micros.Now()
-	window := l.types["m4"].demand
+	window := l.scaler.Type("m4").Demand
 	before := window.Rate(now)
 	for i := 1; i <= 3; i++ {
 		l.attributeFailure(l.fleet.Machines[fmt.Sprintf("i-%d", i)], j, now)
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -9,7 +9,6 @@
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
-	"caperlatch/internal/zone"
 	"caperlatch/placement"
 )
 
@@ -251,17 +250,6 @@
 	}
 }
 
-// gangs lists the gangs that are not over, by name.
-func (l *Leader) gangs() (out []*state.Job) {
-	for _, j := range l.jobs {
-		if j.IsGang() {
-			out = append(out, j)
-		}
-	}
-	slices.SortFunc(out, func(a, b *state.Job) int { return cmp.Compare(a.Spec.ID, b.Spec.ID) })
-	return out
-}
-
 // checkGangs moves reservations whose machines do not come for them, and ends attempts
 // that will not be complete in time.
 func (l *Leader) checkGangs(now micros.Micros) {
@@ -269,7 +257,7 @@
 		return
 	}
 	unresolved := l.unknownMachinesNow()
-	for _, j := range l.gangs() {
+	for _, j := range state.Gangs(l.jobs) {
 		if j.DoneCount > 0 {
 			continue
 		}
@@ -306,7 +294,7 @@
 // while not all can be told.
 func (l *Leader) nonPreemptibleGangs(now micros.Micros) map[*state.Job]bool {
 	out := map[*state.Job]bool{}
-	for _, j := range l.gangs() {
+	for _, j := range state.Gangs(l.jobs) {
 		out[j] = !j.Gang.Started || j.DoneCount > 0 || !l.allTasksReachable(j, now)
 	}
 	return out
@@ -421,101 +409,3 @@
 		delete(l.reservations, j.Spec.ID)
 	}
 }
-
-// launchDelayWhenShort is how long a gang that lost a task before its start waits for another place to
-// come free, until a machine is booked for it.
-const launchDelayWhenShort = 2 * micros.Second
-
-// launchForGangs books machines for gangs that not even an empty fleet could take: the types'
-// targets count machines, and a gang may need more of them at once, or more in one zone,
-// than the work alone would. One that has begun to start needs room now: its other tasks
-// hold theirs in vain until it comes.
-func (l *Leader) launchForGangs(now micros.Micros) {
-	teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow()
-	for _, j := range l.gangs() {
-		if l.mustAwaitReconciliation(j, unresolved) || !l.Term.IsExclusive() {
-			continue
-		}
-		want := j.StartableTasks(now)
-		if want == 0 || teams[j.Spec.Team].CountAllowed(j.Need, want) < want {
-			j.Gang.ShortSince = 0
-			continue
-		}
-		room := func(m *state.Machine, t *scaledType) placement.Resources {
-			if len(j.Attempts) > 0 {
-				return m.Free
-			}
-			return t.capacity
-		}
-		inZone, sum, most := l.gangRoom(j, want, room)
-		if sum >= want {
-			j.Gang.ShortSince = 0
-			continue
-		}
-		if j.Gang.ShortSince == 0 {
-			j.Gang.ShortSince = now
-		}
-		if len(j.Attempts) > 0 && now-j.Gang.ShortSince < launchDelayWhenShort {
-			continue
-		}
-		var best state.Offering
-		for _, o := range l.offeringsFor(j) {
-			if l.fleet.HasOpenIntent(o) {
-				best = state.Offering{}
-				break // its answer comes first
-			}
-			if !l.fleet.HasCapacity(o, now) || l.policy.Decide(o.Zone).MaxMachines < zone.Unlimited || most(o.Zone) <= inZone[o.Zone] {
-				continue
-			}
-			if best.Type == "" || j.Spec.SingleZone && inZone[o.Zone] > inZone[best.Zone] {
-				best = o
-			}
-		}
-		if t := l.types[best.Type]; t != nil {
-			missing := min(want-sum, most(best.Zone)-inZone[best.Zone])
-			if j.Spec.SingleZone {
-				missing = want - inZone[best.Zone]
-			}
-			per := t.capacity.CountFitting(j.Need, missing)
-			slog.Debug("room for a gang", "job", j.Spec.ID, "tasks", want, "room", sum, "type", best.Type, "zone", best.Zone)
-			l.fleet.Launch(best, (missing+per-1)/max(1, per))
-		}
-	}
-}
-
-// gangRoom counts the tasks of a gang, at most want, for which its machines would have
-// room: by zone, and where they may all be; most is how many may be in a zone.
-func (l *Leader) gangRoom(j *state.Job, want int, room func(*state.Machine, *scaledType) placement.Resources) (inZone map[string]int, sum int, most func(string) int) {
-	s := j.Spec
-	held := map[string]int{}
-	for _, a := range j.Attempts {
-		held[a.Machine.Offering.Zone]++
-	}
-	most = func(zone string) int {
-		switch {
-		case s.SpreadZones:
-			return max(0, min(want, (s.Tasks+1)/2-held[zone]))
-		case s.SingleZone && len(held) > 0 && held[zone] == 0:
-			return 0
-		}
-		return want
-	}
-	probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
-	inZone = map[string]int{}
-	for _, m := range l.fleet.Sorted {
-		t := l.types[m.Offering.Type]
-		if t == nil || m.Instance.Terminating || m.DrainReason != "" || !placement.ConstraintsAdmit(&probe, m.Offering.Type, m.Offering.Zone, m.Offering.Spot) {
-			continue
-		}
-		n := room(m, t).CountFitting(j.Need, most(m.Offering.Zone)-inZone[m.Offering.Zone])
-		inZone[m.Offering.Zone] += n
-		sum += n
-	}
-	if s.SingleZone {
-		sum = 0
-		for _, n := range inZone {
-			sum = max(sum, n)
-		}
-	}
-	return inZone, sum, most
-}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -20,6 +20,7 @@
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
 	l.workload = workload.New(l.Settings.Params)
 	l.heartbeatInterval = 8 * micros.Second
+	l.scaler.HeartbeatInterval, l.scaler.Workload = l.heartbeatInterval, l.workload
 	clear(l.jobs)
 	for i := range 31 {
 		l.fleet.Add(fmt.Sprintf("i-%d", 10+i), l.fleet.Intent("r-1"), l.startedAt)
@@ -40,7 +41,7 @@
 	}
 	j := state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, old)
 	l.jobs[id] = j
-	l.addDemand(j)
+	l.scaler.AddDemand(j)
 	return j
 }
 
@@ -144,11 +145,11 @@
 	if reserved(l) != before {
 		t.Errorf("%d machines are reserved, were %d", reserved(l), before)
 	}
-	for _, r := range l.pools {
-		r.mean, r.heldUntil = 0, 0
-		r.window.Seed(micros.Now(), 0)
+	for _, p := range l.scaler.Pools() {
+		p.Mean = 0
+		p.Demand.Seed(micros.Now(), 0)
 	}
-	l.autoscale(micros.Now())
+	l.autoscale(micros.Now() + l.Tuning.ReviewInterval)
 	if n := reserved(l); n != 0 {
 		t.Errorf("%d machines stay reserved for gangs that do not come", n)
 	}
@@ -161,7 +162,7 @@
 	gang := addJob(l, "j-000100", wire.KindGang, 2, true, nil)
 	addJob(l, "j-000101", wire.KindGang, 2, true, nil)
 	array := addJob(l, "j-000200", wire.KindArray, 1000, true, nil)
-	l.stepPools(micros.Now())
+	l.scaler.StepPools(micros.Now())
 	running := func(j *state.Job, tasks ...int) (out []wire.TaskStatus) {
 		for _, n := range tasks {
 			out = append(out, wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, n), Attempt: 5, State: wire.TaskRunning})
@@ -213,9 +214,9 @@
 		for n := range c.held {
 			l.assign(&state.Attempt{Job: array, Index: n, Number: 1, Machine: l.fleet.Sorted[n/4]})
 		}
-		l.types["m4"].mean, l.types["m8"].mean = c.small, c.wide
-		l.raiseMeans()
-		if got, other := l.types["m4"].mean, l.types["m8"].mean; got != c.want || other != c.other {
+		l.scaler.Type("m4").Mean, l.scaler.Type("m8").Mean = c.small, c.wide
+		l.scaler.RaiseMeans()
+		if got, other := l.scaler.Type("m4").Mean, l.scaler.Type("m8").Mean; got != c.want || other != c.other {
 			t.Errorf("%s: means of %v and %v, want %v and %v", c.name, got, other, c.want, c.other)
 		}
 	}
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -5,6 +5,7 @@
 
 	"caperlatch/internal/explain"
 	"caperlatch/internal/golden"
+	"caperlatch/internal/leader/autoscaler"
 	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/wire"
@@ -15,8 +16,8 @@
 	golden.Of[fleet.LaunchIntent]("a booking"),
 	golden.Of[fleet.MachineList]("a list of machines that are up"),
 	golden.Of[state.TaskProgress]("the progress of a job"),
-	golden.Of[autoscalerRecord]("the staffing"),
-	golden.Of[typeRecord]("the staffing of a type"),
+	golden.Of[autoscaler.Record]("the staffing"),
+	golden.Of[autoscaler.TypeRecord]("the staffing of a type"),
 	golden.Of[explain.TaskStop]("a stop in an explanation"),
 	golden.Of[explain.TaskPlacement]("a task in an explanation"),
 	golden.Of[explain.Explanation]("an explanation"),
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -16,6 +16,7 @@
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/election"
 	"caperlatch/internal/explain"
+	"caperlatch/internal/leader/autoscaler"
 	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/eventlog"
 	"caperlatch/internal/leader/fleet"
@@ -30,7 +31,6 @@
 	"caperlatch/internal/wire"
 	"caperlatch/internal/zone"
 	"caperlatch/placement"
-	"caperlatch/staffing"
 )
 
 // Term is the part of an election's term that the leader needs.
@@ -80,15 +80,16 @@
 
 	// How far the take-over is, and whether the term is over.
 	ready        bool          // the snapshot has been rebuilt
-	meansRaised  bool          // the means have been raised to it
 	superseded   bool          // a higher token is known
 	termLost     chan struct{} // closed when a write proved that the term is over
 	termLostOnce sync.Once
 
 	jobState
-	fleet        *fleet.Fleet // machines, and launches and terminations
-	unknownCount int          // machines whose tasks are not known, as of the last check
-	instanceTypeState
+	fleet        *fleet.Fleet       // machines, and launches and terminations
+	unknownCount int                // machines whose tasks are not known, as of the last check
+	scaler       *autoscaler.Scaler // how many machines there are to be
+	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
+	rejectedTypes *wire.InstanceTypeList
 	planState
 	gangState
 	workload   *workload.Workload   // what is expected of jobs, and what teams may use
@@ -116,15 +117,6 @@
 	finalJobs     map[string]replica.Job // ends that are not stored yet
 }
 
-// instanceTypeState is the catalog, with the staffing of its types.
-type instanceTypeState struct {
-	types        map[string]*scaledType
-	typeOrder    []string
-	typesVersion int // raised with each new one
-	// A catalog that was refused is not sent again. Not guarded by mu.
-	rejectedTypes *wire.InstanceTypeList
-}
-
 // planState is what waits, and when it was planned.
 type planState struct {
 	queue        queue // as of the last plan
@@ -139,7 +131,6 @@
 // gangState is what is held and done for gangs beside plans.
 type gangState struct {
 	reservations        map[string]*state.GangReservation // room being gathered for gangs, by job
-	pools               map[state.PoolKind]*gangPool
 	preemptedForGangsAt micros.Micros
 }
 
@@ -148,23 +139,6 @@
 	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
 }
 
-// scaledType is a type of the catalog with its staffing.
-type scaledType struct {
-	wire.InstanceType
-	capacity         placement.Resources
-	mean             float64
-	meanBestEffort   float64 // of m, by patient jobs
-	demand           *staffing.DemandWindow
-	bestEffortDemand *staffing.DemandWindow // of these
-	service          staffing.ServiceTime
-	batches          staffing.BatchSizes
-	finishedTasks    int
-	wanted           float64 // the formula's, held for an interval
-	wantedOnDemand   float64 // the same with the z of ordinary machines
-	target           int     // what the fleet is steered toward
-	heldUntil        micros.Micros
-}
-
 // New makes a leader for a term.
 func New(c Config) *Leader {
 	workers := c.Settings.Params.Workers
@@ -183,12 +157,8 @@
 			images:        map[string]int{},
 			finalJobs:     map[string]replica.Job{},
 		},
-		instanceTypeState: instanceTypeState{
-			types: map[string]*scaledType{},
-		},
 		gangState: gangState{
 			reservations: map[string]*state.GangReservation{},
-			pools:        map[state.PoolKind]*gangPool{},
 		},
 		workerCalls: workerCalls{
 			zoneQueries: map[string]queryCounts{},
@@ -199,6 +169,7 @@
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
 	l.zoneState = newZoneState(c.Zones)
+	l.scaler = l.newScaler()
 	return l
 }
 
@@ -315,23 +286,6 @@
 	return true
 }
 
-func (l *Leader) setInstanceTypes(c wire.InstanceTypeList) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.typeOrder = l.typeOrder[:0]
-	l.typesVersion++
-	for _, t := range c.Types {
-		l.typeOrder = append(l.typeOrder, t.Name)
-		mt := l.types[t.Name]
-		if mt == nil {
-			mt = &scaledType{demand: staffing.NewDemandWindow(l.Tuning.Window), bestEffortDemand: staffing.NewDemandWindow(l.Tuning.Window)}
-			l.types[t.Name] = mt
-		}
-		mt.InstanceType = t
-		mt.capacity = placement.Resources{CPU: state.FloorMilli(t.CPUs), GPU: state.FloorMilli(t.GPUs), Memory: state.FloorMilli(t.MemoryGB)}
-	}
-}
-
 func (l *Leader) instanceTypesLoop(ctx context.Context) {
 	micros.Every(ctx, 60*micros.Second, func() {
 		if err := l.refreshInstanceTypes(ctx); err != nil {
@@ -382,7 +336,7 @@
 	}
 	l.restoreZones(now)
 	l.usePreviousTerm()
-	l.stepPools(now)
+	l.scaler.StepPools(now)
 	l.ready = true
 	l.replan = true
 	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown())
@@ -455,7 +409,7 @@
 		j = state.NewJob(r, old)
 		j.Image = l.imageIndex(j.Spec.Image)
 		l.jobs[id] = j
-		l.addDemand(j)
+		l.scaler.AddDemand(j)
 		l.replan = true
 	}
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -34,9 +34,9 @@
 
 // fleetInstanceType is what the fleet knows of an instance type.
 func (l *Leader) fleetInstanceType(name string) (fleet.InstanceType, bool) {
-	t := l.types[name]
+	t := l.scaler.Type(name)
 	if t == nil {
 		return fleet.InstanceType{}, false
 	}
-	return fleet.InstanceType{Capacity: t.capacity, BootTime: micros.FromSeconds(t.BootTimeS)}, true
+	return fleet.InstanceType{Capacity: t.Capacity, BootTime: micros.FromSeconds(t.BootTimeS)}, true
 }
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -9,6 +9,7 @@
 	"strings"
 	"testing"
 
+	"caperlatch/internal/leader/autoscaler"
 	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/replica"
@@ -132,7 +133,7 @@
 	{replica.ProgressPrefix, reflect.TypeFor[state.TaskProgress](), reflect.TypeFor[v3a714abProgress]()},
 	{replica.LaunchIntentPrefix, reflect.TypeFor[fleet.LaunchIntent](), reflect.TypeFor[v3a714abBooking]()},
 	{replica.MachineListPrefix, reflect.TypeFor[fleet.MachineList](), reflect.TypeFor[v3a714abUpList]()},
-	{replica.AutoscalerKey, reflect.TypeFor[autoscalerRecord](), reflect.TypeFor[v3a714abStaffing]()},
+	{replica.AutoscalerKey, reflect.TypeFor[autoscaler.Record](), reflect.TypeFor[v3a714abStaffing]()},
 	{replica.InstanceTypesKey, reflect.TypeFor[wire.InstanceTypeList](), reflect.TypeFor[v3a714abCatalog]()},
 	{replica.TokenKey, reflect.TypeFor[replica.TokenRecord](), reflect.TypeFor[v3a714abToken]()},
 	{replica.LeaderKey, reflect.TypeFor[replica.Leader](), reflect.TypeFor[v3a714abLeader]()},
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -318,7 +318,7 @@
 	cpus := 0.0
 	for _, m := range l.fleet.Sorted {
 		if m.IsOpenToAllZones(now) {
-			cpus += l.types[m.Offering.Type].CPUs
+			cpus += l.scaler.Type(m.Offering.Type).CPUs
 		}
 	}
 	return cpus
@@ -334,8 +334,8 @@
 	l.unknownUsage = placement.Resources{}
 	for _, m := range l.fleet.Sorted {
 		if !m.TasksKnown() {
-			if t := l.types[m.Offering.Type]; t != nil {
-				l.unknownUsage = l.unknownUsage.Add(t.capacity, 1)
+			if t := l.scaler.Type(m.Offering.Type); t != nil {
+				l.unknownUsage = l.unknownUsage.Add(t.Capacity, 1)
 			}
 		}
 	}
@@ -349,7 +349,7 @@
 
 // placementMachine is a machine as placement sees it.
 func (l *Leader) placementMachine(m *state.Machine, now micros.Micros) placement.Machine {
-	t := l.types[m.Offering.Type]
+	t := l.scaler.Type(m.Offering.Type)
 	p := placement.Machine{
 		ID:                   m.ID,
 		InstanceType:         m.Offering.Type,
@@ -361,7 +361,7 @@
 		RejectsDelayTolerant: m.RejectsDelayTolerant,
 		Images:               m.ImageSet,
 		ImagePullGBPerS:      t.ImagePullGBPerS,
-		StartPenalty:         micros.FromSeconds(l.priceRatio(t, m.Offering.Spot) - 1),
+		StartPenalty:         micros.FromSeconds(l.scaler.PriceRatio(t, m.Offering.Spot) - 1),
 	}
 	if late := now - m.Heartbeat.ReceivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
 		p.CommandDelay = l.heartbeatInterval + late // it has missed a report, and may be gone
@@ -385,7 +385,7 @@
 	var out []placement.Machine
 	var ms []*state.Machine
 	for _, m := range l.fleet.Sorted {
-		if l.types[m.Offering.Type] != nil && m.Free.Fits(least) && m.IsSchedulable(now) && now-m.Heartbeat.ReceivedAt <= 3*l.heartbeatInterval {
+		if l.scaler.Type(m.Offering.Type) != nil && m.Free.Fits(least) && m.IsSchedulable(now) && now-m.Heartbeat.ReceivedAt <= 3*l.heartbeatInterval {
 			out = append(out, l.placementMachine(m, now))
 			ms = append(ms, m)
 		}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -63,7 +63,7 @@
 		return l.encodeZones(w)
 	}
 	if key == replica.AutoscalerKey {
-		w.Value = l.autoscalerRecord()
+		w.Value = l.autoscalerRecord(micros.Now())
 		return w, true
 	}
 	return w, false
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -162,7 +162,7 @@
 		}
 	}
 	if !confirmed {
-		l.restorePoolMembership(m)
+		l.scaler.RestorePoolMembership(m)
 	}
 }
 
@@ -307,7 +307,7 @@
 	if j.FirstStart == 0 {
 		j.FirstStart = j.LastStart
 	}
-	if mt := l.types[m.Offering.Type]; mt != nil {
+	if mt := l.scaler.Type(m.Offering.Type); mt != nil {
 		m.Images.Use(j.Spec.Image, j.Spec.ImageSizeGB, mt.ImageCacheGB)
 		l.refreshImageSet(m)
 	}
@@ -397,13 +397,13 @@
 		j.DoneCount++
 		l.recordSuccess(m, j, a, now)
 		if a != nil {
-			l.learnFromCompletion(j, m, a, now)
+			l.scaler.ObserveCompletion(a, now)
 		}
 		l.writes.Mark(state.ProgressKey(j.Spec.ID, task/state.ChunkTasks))
 		l.completions.count++
 		l.completeGang(j)
 	} else if a != nil && j.IsGang() && !j.Ended {
-		l.learnFromCompletion(j, m, a, now)
+		l.scaler.ObserveCompletion(a, now)
 	}
 	if a != nil {
 		l.release(a, "")
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -1,7 +1,9 @@
 package state
 
 import (
+	"cmp"
 	"fmt"
+	"slices"
 
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -188,3 +190,14 @@
 	}
 	return s
 }
+
+// Gangs lists the gangs among jobs, by ID.
+func Gangs(jobs map[string]*Job) (gangs []*Job) {
+	for _, j := range jobs {
+		if j.IsGang() {
+			gangs = append(gangs, j)
+		}
+	}
+	slices.SortFunc(gangs, func(a, b *Job) int { return cmp.Compare(a.Spec.ID, b.Spec.ID) })
+	return gangs
+}
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -295,7 +295,7 @@
 		}
 	}
 	only := ""
-	for _, o := range l.offeringsFor(j) {
+	for _, o := range l.scaler.OfferingsFor(j) {
 		if only != "" && o.Zone != only {
 			return ""
 		}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -24,6 +24,7 @@
 	c := zone.DefaultConfig(l.heartbeatInterval)
 	c.ConfirmationTime = 0
 	l.zoneState = newZoneState(zone.NewLifecyclePolicy(c))
+	l.scaler.Zones = l.policy
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
 	now = micros.Now() + 1000*micros.Second
@@ -142,7 +143,7 @@
 			}
 		}
 		replaced := l.replacedMachines(now)
-		supply, ofBound, ofTogether := l.countSupply(replaced, now)["m4"].have, l.onlyZone(bound), l.onlyZone(together)
+		supply, ofBound, ofTogether := l.scaler.CountSupply(replaced, now)["m4"].Total, l.onlyZone(bound), l.onlyZone(together)
 		if closed != wantClosed || len(replaced) != wantReplaced || supply != 20-wantReplaced || l.launchAllowance("b") != wantRent ||
 			ofBound != wantBound || ofTogether != wantBound || l.onlyZone(l.jobs["j-000001"]) != "" {
 			t.Errorf("%s: %d closed, %d replaced, supply %d, %d to rent, bound to %q and %q", state, closed, len(replaced), supply, l.launchAllowance("b"), ofBound, ofTogether)
