--- a/internal/api/explain.go
+++ b/internal/api/explain.go
@@ -60,7 +60,7 @@
 	}
 	e.Job, e.State, e.SubmittedAt, e.EndedAt = id, job.State, job.SubmittedAt, job.EndedAt
 	if spec := job.Spec; spec != nil {
-		e.Team, e.Class, e.Priority, e.Tasks = spec.Team, spec.Class, spec.Priority, spec.Tasks
+		e.Team, e.Class, e.Priority, e.Tasks = spec.Team, spec.Class, string(spec.Priority), spec.Tasks
 		if err != nil {
 			e.Done, e.Running = h.Node.TaskCounts(id)
 		}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -47,7 +47,7 @@
 	for i := range benchJobs {
 		id := fmt.Sprintf("j-%06d", i+1)
 		s := &wire.Job{ID: id, Class: fmt.Sprintf("c%d", i%3), Team: []string{"blue", "red"}[i%2], Kind: wire.KindArray,
-			Priority: []string{"normal", "urgent"}[i%2], Tasks: benchTasks, CPUs: 4, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%20),
+			Priority: []wire.Priority{"normal", "urgent"}[i%2], Tasks: benchTasks, CPUs: 4, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%20),
 			ImageSizeGB: 2, EstimatedRuntimeS: float64(20 + i%50), AllowSpot: true}
 		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
 	}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -34,7 +34,7 @@
 }
 
 // addJob has a job come in, or be known at a take-over.
-func addJob(l *Leader, id string, shape string, tasks int, old bool, edit func(*wire.Job)) *state.Job {
+func addJob(l *Leader, id string, shape wire.JobKind, tasks int, old bool, edit func(*wire.Job)) *state.Job {
 	spec := &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: shape, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}
 	if edit != nil {
 		edit(spec)
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -568,7 +568,7 @@
 // TestAttemptNumbers has jobs of each shape start: a gang's tasks share a number, for
 // others it only tells one start from another.
 func TestAttemptNumbers(t *testing.T) {
-	for shape, numbers := range map[string]int{wire.KindGang: 1, wire.KindArray: 3, wire.KindService: 3} {
+	for shape, numbers := range map[wire.JobKind]int{wire.KindGang: 1, wire.KindArray: 3, wire.KindService: 3} {
 		l := newGangTest(t, false)
 		j := l.jobs["j-000002"]
 		j.Spec.Kind = shape
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -63,7 +63,7 @@
 
 func verbs(a wire.HeartbeatResponse) (out []string) {
 	for _, c := range a.Commands {
-		out = append(out, c.Verb+" "+c.TaskID)
+		out = append(out, string(c.Verb)+" "+c.TaskID)
 	}
 	slices.Sort(out)
 	return out
--- a/internal/sim/fake/gang_test.go
+++ b/internal/sim/fake/gang_test.go
@@ -19,7 +19,7 @@
 type event struct {
 	at       time.Duration
 	machine  int
-	verb     string
+	verb     wire.Verb
 	task     int
 	attempt  uint64
 	leewayS  float64
--- a/internal/sim/lab/sample.go
+++ b/internal/sim/lab/sample.go
@@ -15,8 +15,8 @@
 // class is a kind of the sample's jobs, which come all the time.
 type class struct {
 	name     string
-	shape    string
-	priority string
+	shape    wire.JobKind
+	priority wire.Priority
 	every    time.Duration // between two jobs, on average
 	tasks    int
 	runS     float64
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -54,12 +54,12 @@
 	}{
 		{"priorities", priorities},
 		{"the priority of urgent work", PriorityUrgent},
-		{"shapes of jobs", []string{KindArray, KindGang, KindService}},
+		{"shapes of jobs", []JobKind{KindArray, KindGang, KindService}},
 		{"states of jobs", []string{JobPending, JobRunning, JobDone, JobCancelled}},
 		{"states of tasks", []string{TaskPullingImage, TaskWaitingForGang, TaskRunning, TaskCheckpointing, TaskExited}},
 		{"causes of exits", []string{ExitDone, ExitStopped, ExitError, ExitInsufficientResources, ExitOtherAttemptPresent, ExitJobNotFound, ExitGangTaskLost, ExitGangTimeout}},
-		{"orders", []string{VerbStart, VerbStop, VerbClear}},
-		{"states of machines", []string{InstanceBooting, InstanceRunning, InstanceFailed}},
+		{"orders", []Verb{VerbStart, VerbStop, VerbClear}},
+		{"states of machines", []InstanceState{InstanceBooting, InstanceRunning, InstanceFailed}},
 		{"type of bodies", ContentType},
 		{"limits", []int{MaxBodyBytes, MaxTasks}},
 	}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -15,8 +15,8 @@
 	ID                  string   `json:"id"`
 	Class               string   `json:"lane"`
 	Team                string   `json:"desk"`
-	Kind                string   `json:"shape"`
-	Priority            string   `json:"rank"`
+	Kind                JobKind  `json:"shape"`
+	Priority            Priority `json:"rank"`
 	Tasks               int      `json:"pieces"`
 	CPUs                float64  `json:"vcpus"`
 	GPUs                float64  `json:"cards"`
@@ -109,8 +109,8 @@
 		ID:                  r.text("id", s.ID),
 		Class:               r.text("lane", s.Class),
 		Team:                r.text("desk", s.Team),
-		Kind:                r.text("shape", s.Kind),
-		Priority:            r.text("rank", s.Priority),
+		Kind:                JobKind(r.text("shape", s.Kind)),
+		Priority:            Priority(r.text("rank", s.Priority)),
 		CPUs:                r.amount("vcpus", s.CPUs),
 		GPUs:                r.amount("cards", s.GPUs),
 		MemoryGB:            r.amount("memory_gb", s.MemoryGB),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -102,14 +102,17 @@
 	return buf.Bytes(), nil
 }
 
+// Priority is the importance that a job's submission asks for.
+type Priority string
+
 // Priorities on the wire, lowest first.
-var priorities = []string{"idle", "normal", PriorityUrgent, "prod"}
+var priorities = []Priority{"idle", "normal", PriorityUrgent, "prod"}
 
 // PriorityUrgent is the lowest priority of urgent work.
-const PriorityUrgent = "urgent"
+const PriorityUrgent Priority = "urgent"
 
 // PriorityRank orders priorities; it is -1 for an unknown name.
-func PriorityRank(name string) int {
+func PriorityRank(name Priority) int {
 	for i, p := range priorities {
 		if p == name {
 			return i
@@ -118,13 +121,16 @@
 	return -1
 }
 
-// Shapes of jobs: independent tasks; tasks that run at the same time or not at all;
+// JobKind is how the tasks of a job belong together.
+type JobKind string
+
+// Kinds of jobs: independent tasks; tasks that run at the same time or not at all;
 // tasks that run until the job is cancelled. The protocol tells of the first two
 // alone; see docs/questions.md.
 const (
-	KindArray   = "sweep"
-	KindGang    = "gang"
-	KindService = "service"
+	KindArray   JobKind = "sweep"
+	KindGang    JobKind = "gang"
+	KindService JobKind = "service"
 )
 
 // Job states as users see them.
@@ -200,16 +206,19 @@
 	Checkpointed bool   `json:"stored,omitempty"`
 }
 
+// Verb is what a command has a worker do with a task.
+type Verb string
+
 // Verbs of commands.
 const (
-	VerbStart = "start"
-	VerbStop  = "stop"
-	VerbClear = "clear"
+	VerbStart Verb = "start"
+	VerbStop  Verb = "stop"
+	VerbClear Verb = "clear"
 )
 
 // Command is one order to a worker.
 type Command struct {
-	Verb         string   `json:"verb"`
+	Verb         Verb     `json:"verb"`
 	TaskID       string   `json:"piece"`
 	Attempt      uint64   `json:"try"`
 	GracePeriodS *float64 `json:"leeway_s,omitempty"`
@@ -266,22 +275,25 @@
 	IDs []string `json:"hosts"`
 }
 
-// Machine states in the cloud's list.
+// InstanceState is the state of an instance in the cloud's list.
+type InstanceState string
+
+// States of instances.
 const (
-	InstanceBooting = "booting"
-	InstanceRunning = "running"
-	InstanceFailed  = "failed"
+	InstanceBooting InstanceState = "booting"
+	InstanceRunning InstanceState = "running"
+	InstanceFailed  InstanceState = "failed"
 )
 
 // InstanceStatus is an entry of the cloud's list.
 type InstanceStatus struct {
-	ID           string  `json:"id"`
-	Address      string  `json:"address"`
-	InstanceType string  `json:"build"`
-	Zone         string  `json:"hall"`
-	Spot         bool    `json:"standby"`
-	State        string  `json:"status"`
-	AgeS         float64 `json:"age_s"`
+	ID           string        `json:"id"`
+	Address      string        `json:"address"`
+	InstanceType string        `json:"build"`
+	Zone         string        `json:"hall"`
+	Spot         bool          `json:"standby"`
+	State        InstanceState `json:"status"`
+	AgeS         float64       `json:"age_s"`
 }
 
 // InstancePage is a page of the cloud's list.
