--- a/internal/wire/exchange.go
+++ b/internal/wire/call.go
@@ -34,3 +34,8 @@
 	answer, err = io.ReadAll(resp.Body)
 	return resp.StatusCode, answer, err
 }
+
+// ErrorResponse says what was wrong.
+type ErrorResponse struct {
+	Message string `json:"error"`
+}
--- /dev/null
+++ b/internal/wire/encoding_test.go
@@ -0,0 +1,52 @@
+package wire
+
+import (
+	"math"
+	"strings"
+	"testing"
+)
+
+func TestReadBody(t *testing.T) {
+	text := func(n int) string {
+		b, err := Marshal(map[string]string{"x": strings.Repeat("a", n)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(b)
+	}
+	floats := make([]float64, 5000) // 45 KB as CBOR, over 64 KiB as JSON
+	for i := range floats {
+		floats[i] = math.Pi * float64(i+1)
+	}
+	b, err := Marshal(map[string]any{"x": floats})
+	if err != nil {
+		t.Fatal(err)
+	}
+	report := func(tasks int) string {
+		r := Heartbeat{MachineID: "i-000001", Tasks: make([]TaskStatus, tasks)}
+		for i := range r.Tasks {
+			r.Tasks[i] = TaskStatus{TaskID: "j-000412/123", Attempt: 7, State: TaskRunning}
+		}
+		b, err := Marshal(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(b)
+	}
+	cases := []struct {
+		name, body string
+		ok         bool
+	}{
+		{"small", text(100), true},
+		{"a machine with many tasks", report(1000), true},
+		{"a machine with too many", report(2000), false},
+		{"just under", text(MaxBodyBytes - 100), true},
+		{"over", text(MaxBodyBytes), false},
+		{"over as JSON only", string(b), false},
+	}
+	for _, c := range cases {
+		if _, err := ReadBody(strings.NewReader(c.body)); (err == nil) != c.ok {
+			t.Errorf("%s: error %v, want ok %v", c.name, err, c.ok)
+		}
+	}
+}
