--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -3,10 +3,12 @@
 import (
 	"errors"
 	"fmt"
-	"math"
+	"slices"
 )
 
-// submission has a pointer for every field that must be there.
+// submission is a job description as it comes from a user. Fields that must be there are
+// pointers, so that one that is missing can be told from a zero. Fields are plain strings and
+// numbers, and the type keeps its name: both are in the errors of decoding, which users read.
 type submission struct {
 	ID                  *string  `json:"id"`
 	Class               *string  `json:"lane"`
@@ -30,8 +32,9 @@
 	DeadlineS           *float64 `json:"due_s"`
 }
 
-// ParseSubmissionID reads only the id of a submission: a known job is answered
-// whatever else its repeat says. It is empty if there is none in good form.
+// ParseSubmissionID returns the job ID of a submission without a check of the rest, since a
+// known job is answered whatever else a repeated submission says. It is empty if there is no
+// valid one.
 func ParseSubmissionID(body []byte) string {
 	var s struct {
 		ID string `json:"id"`
@@ -48,7 +51,8 @@
 	majorTypeShift = 5
 )
 
-// ParseJob decodes and checks a submission. Its errors are the user's (400).
+// ParseJob decodes and checks a submission. Its errors are for the user, who gets them with a
+// status 400.
 func ParseJob(body []byte) (Job, error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
@@ -68,8 +72,8 @@
 	return job, nil
 }
 
-// job copies the fields, all but the number of tasks, or tells which one is missing or no
-// usable value.
+// job returns the described job without its number of tasks, or an error that names the first
+// field that is missing or out of range.
 func (s *submission) job() (Job, error) {
 	var r fieldReader
 	job := Job{
@@ -101,12 +105,12 @@
 	return job, r.err
 }
 
-// check tells what the protocol does not allow in a job that has all its fields.
+// check returns what the protocol does not allow in a job that has all its fields.
 func (s *submission) check(job *Job) error {
 	switch {
 	case !IsValidJobID(job.ID):
 		return errors.New("id is not in the form j-000000")
-	case job.Kind != KindArray && job.Kind != KindGang && job.Kind != KindService:
+	case !slices.Contains(jobKinds, job.Kind):
 		return errors.New("shape is unknown")
 	case PriorityRank(job.Priority) < 0:
 		return errors.New("rank is unknown")
@@ -124,38 +128,39 @@
 // amounts stay in range.
 const maxAmount = 1e12
 
-// fieldReader reads fields that must be there and keeps the first error.
+// fieldReader reads fields that must be there, and keeps the first error. Once it has one, what
+// it returns is of no use.
 type fieldReader struct{ err error }
 
-// text reads a text that is not empty.
-func (r *fieldReader) text(name string, p *string) string {
-	if r.err == nil && (p == nil || *p == "") {
-		r.err = fmt.Errorf("%s is missing", name)
+// require records an error that names a field unless ok.
+func (r *fieldReader) require(ok bool, name, problem string) {
+	if r.err == nil && !ok {
+		r.err = fmt.Errorf("%s %s", name, problem)
 	}
-	if r.err != nil {
-		return ""
-	}
-	return *p
 }
 
-// amount reads a number that is finite and not negative.
-func (r *fieldReader) amount(name string, p *float64) float64 {
-	switch {
-	case r.err != nil:
-	case p == nil:
-		r.err = fmt.Errorf("%s is missing", name)
-	case math.IsNaN(*p) || math.IsInf(*p, 0) || *p < 0 || *p > maxAmount:
-		r.err = fmt.Errorf("%s is out of range", name)
-	default:
-		return *p
+// required returns the value of a field that must be there, or the zero value without it.
+func required[T any](r *fieldReader, name string, value *T) T {
+	r.require(value != nil, name, "is missing")
+	if value == nil {
+		return *new(T)
 	}
-	return 0
+	return *value
 }
 
-// flag reads a truth value.
-func (r *fieldReader) flag(name string, p *bool) bool {
-	if r.err == nil && p == nil {
-		r.err = fmt.Errorf("%s is missing", name)
-	}
-	return p != nil && *p
+// text returns a text that must not be empty.
+func (r *fieldReader) text(name string, value *string) string {
+	text := required(r, name, value)
+	r.require(text != "", name, "is missing")
+	return text
 }
+
+// amount returns a number that must be finite, not negative and at most maxAmount.
+func (r *fieldReader) amount(name string, value *float64) float64 {
+	amount := required(r, name, value)
+	r.require(amount >= 0 && amount <= maxAmount, name, "is out of range")
+	return amount
+}
+
+// flag returns a boolean.
+func (r *fieldReader) flag(name string, value *bool) bool { return required(r, name, value) }
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -1,11 +1,14 @@
 package wire
 
 import (
+	"fmt"
+	"maps"
 	"math"
 	"testing"
 )
 
-func good() map[string]any {
+// validSubmission returns a submission with every field.
+func validSubmission() map[string]any {
 	return map[string]any{
 		"id": "j-000412", "lane": "train", "desk": "vision", "shape": "sweep", "rank": "urgent", "pieces": 16, "vcpus": 8.0,
 		"cards": 1.0, "memory_gb": 64.0, "bundle": "img-07", "pull_gb": 6.2, "builds": []string{"g8"}, "hall": nil,
@@ -13,6 +16,7 @@
 	}
 }
 
+// TestParseJob checks which submissions are well formed.
 func TestParseJob(t *testing.T) {
 	set := func(key string, v any) func(map[string]any) { return func(m map[string]any) { m[key] = v } }
 	drop := func(key string) func(map[string]any) { return func(m map[string]any) { delete(m, key) } }
@@ -21,7 +25,7 @@
 		edit func(map[string]any)
 		ok   bool
 	}{
-		{"as it should be", func(map[string]any) {}, true},
+		{"every field", func(map[string]any) {}, true},
 		{"an unknown field", set("colour", "red"), true},
 		{"whole numbers for amounts", set("vcpus", 8), true},
 		{"nulls left out", func(m map[string]any) { delete(m, "hall"); delete(m, "builds"); delete(m, "due_s") }, true},
@@ -45,7 +49,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			m := good()
+			m := validSubmission()
 			c.edit(m)
 			b, err := Marshal(m)
 			if err != nil {
@@ -62,10 +66,55 @@
 			t.Fatal(err)
 		}
 		if _, err := ParseJob(b); err == nil {
-			t.Errorf("%v was taken for a job", raw)
+			t.Errorf("%v was parsed as a job", raw)
 		}
 	}
 	if _, err := ParseJob([]byte(`{"id":"j-000001"}`)); err == nil {
-		t.Error("JSON was taken for CBOR")
+		t.Error("JSON was parsed as CBOR")
+	}
+}
+
+// TestSubmissionErrors checks the texts that users get, and which one they get if several fields
+// are wrong: the first in the order of job, then of check.
+func TestSubmissionErrors(t *testing.T) {
+	cases := []struct {
+		name   string
+		fields map[string]any // instead of the valid ones; nil: missing
+		want   string
+	}{
+		{"a missing text", map[string]any{"lane": nil}, "lane is missing"},
+		{"an empty text", map[string]any{"bundle": ""}, "bundle is missing"},
+		{"an empty zone", map[string]any{"hall": ""}, "hall is missing"},
+		{"a missing number", map[string]any{"cards": nil}, "cards is missing"},
+		{"a negative number", map[string]any{"cards": -1.0}, "cards is out of range"},
+		{"the largest number", map[string]any{"expect_s": 1e12}, "<nil>"},
+		{"a number that is too large", map[string]any{"expect_s": 1.1e12}, "expect_s is out of range"},
+		{"NaN", map[string]any{"due_s": math.NaN()}, "due_s is out of range"},
+		{"a missing flag", map[string]any{"scatter": nil}, "scatter is missing"},
+		{"a wrong ID", map[string]any{"id": "j-1"}, "id is not in the form j-000000"},
+		{"an unknown kind", map[string]any{"shape": "blob"}, "shape is unknown"},
+		{"an unknown priority", map[string]any{"rank": "vip"}, "rank is unknown"},
+		{"no number of tasks", map[string]any{"pieces": nil}, "pieces is missing"},
+		{"no tasks", map[string]any{"pieces": 0}, "pieces is out of range"},
+		{"no instance types", map[string]any{"builds": []string{}}, "builds is empty"},
+		{"two missing texts", map[string]any{"rank": nil, "desk": nil}, "desk is missing"},
+		{"a missing flag and a wrong number before it", map[string]any{"together": nil, "pull_gb": -1.0}, "pull_gb is out of range"},
+		{"a wrong zone and a wrong number after it", map[string]any{"hall": "", "store_s": -1.0}, "store_s is out of range"},
+		{"a wrong ID and a missing field", map[string]any{"id": "j-1", "standby": nil}, "standby is missing"},
+		{"a wrong deadline and no number of tasks", map[string]any{"pieces": nil, "due_s": -1.0}, "due_s is out of range"},
+		{"an unknown kind and an unknown priority", map[string]any{"shape": "blob", "rank": "vip"}, "shape is unknown"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			submission := validSubmission()
+			maps.Copy(submission, c.fields)
+			body, err := Marshal(submission)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if _, err := ParseJob(body); fmt.Sprint(err) != c.want {
+				t.Errorf("error %v, want %s", err, c.want)
+			}
+		})
 	}
 }
