--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -8,34 +8,35 @@
 	"net/http"
 )
 
-// Call sends a request, with in as its body unless that is nil, and reads
-// the whole answer. After an error nobody knows whether it was carried out.
-func Call(ctx context.Context, c *http.Client, method, url string, in any) (status int, answer []byte, err error) {
+// Call sends a request by client, with the encoded message as its body unless that is nil, and
+// returns the status and the whole body of the response. After an error it is unknown whether
+// the request was or will be carried out.
+func Call(ctx context.Context, client *http.Client, method, url string, message any) (status int, response []byte, err error) {
 	var body io.Reader
-	if in != nil {
-		b, err := Marshal(in)
+	if message != nil {
+		encoded, err := Marshal(message)
 		if err != nil {
 			return 0, nil, fmt.Errorf("encode request: %w", err)
 		}
-		body = bytes.NewReader(b)
+		body = bytes.NewReader(encoded)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return 0, nil, err
 	}
-	if in != nil {
+	if message != nil {
 		req.Header.Set("Content-Type", ContentType)
 	}
-	resp, err := c.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err = io.ReadAll(resp.Body)
-	return resp.StatusCode, answer, err
+	response, err = io.ReadAll(resp.Body)
+	return resp.StatusCode, response, err
 }
 
-// ErrorResponse says what was wrong.
+// ErrorResponse is the body of a response whose status says that the request failed.
 type ErrorResponse struct {
 	Message string `json:"error"`
 }
--- a/internal/wire/encoding_test.go
+++ b/internal/wire/encoding_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestReadBody checks which bodies are within the limit, as they are and as JSON.
 func TestReadBody(t *testing.T) {
 	text := func(n int) string {
 		b, err := Marshal(map[string]string{"x": strings.Repeat("a", n)})
@@ -22,12 +23,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report := func(tasks int) string {
-		r := Heartbeat{MachineID: "i-000001", Tasks: make([]TaskStatus, tasks)}
-		for i := range r.Tasks {
-			r.Tasks[i] = TaskStatus{TaskID: "j-000412/123", Attempt: 7, State: TaskRunning}
+	heartbeat := func(tasks int) string {
+		message := Heartbeat{MachineID: "i-000001", Tasks: make([]TaskStatus, tasks)}
+		for i := range message.Tasks {
+			message.Tasks[i] = TaskStatus{TaskID: "j-000412/123", Attempt: 7, State: TaskRunning}
 		}
-		b, err := Marshal(r)
+		b, err := Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,8 +39,8 @@
 		ok         bool
 	}{
 		{"small", text(100), true},
-		{"a machine with many tasks", report(1000), true},
-		{"a machine with too many", report(2000), false},
+		{"a heartbeat with many tasks", heartbeat(1000), true},
+		{"a heartbeat with too many", heartbeat(2000), false},
 		{"just under", text(MaxBodyBytes - 100), true},
 		{"over", text(MaxBodyBytes), false},
 		{"over as JSON only", string(b), false},
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -7,7 +7,8 @@
 	"caperlatch/internal/golden"
 )
 
-// encodedTypes are those whose values go to and come from users, workers, the cloud and the state service.
+// encodedTypes are the types whose values are sent to and received from users, workers, the cloud
+// and the state service. Their names are those of sections in the golden files, and so stay.
 var encodedTypes = []golden.Type{
 	golden.Of[Job]("a job"),
 	golden.Of[submission]("a submission"),
@@ -38,19 +39,19 @@
 	golden.Of[struct{}]("nothing"),
 }
 
-// TestEncoded has them be encoded as they were.
-func TestEncoded(t *testing.T) {
+// TestEncoding checks that all messages are encoded as the golden file says.
+func TestEncoding(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: Marshal, Decode: Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
-func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
+// TestEncodingTags checks that tags name all encoded fields.
+func TestEncodingTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestWords has the words of the protocol be what they were, and its limits.
-func TestWords(t *testing.T) {
-	words := []struct {
-		what string
-		list any
+// TestConstants checks the words and the limits of the protocol.
+func TestConstants(t *testing.T) {
+	constants := []struct {
+		section string
+		values  any
 	}{
 		{"priorities", priorities},
 		{"the priority of urgent work", PriorityUrgent},
@@ -64,15 +65,15 @@
 		{"limits", []int{MaxBodyBytes, MaxTasks}},
 	}
 	var sections []golden.Section
-	for _, w := range words {
-		sections = append(sections, golden.Section{Name: w.what, Text: golden.Values(w.list)})
+	for _, c := range constants {
+		sections = append(sections, golden.Section{Name: c.section, Text: golden.Values(c.values)})
 	}
 	golden.Check(t, "words.golden", sections)
 }
 
-// TestErrorTexts has what a user is told of a body that is no job be what it was. Errors of
-// decoding name the type and fields here, so that these are seen outside.
-func TestErrorTexts(t *testing.T) {
+// TestDecodingErrors checks the errors for bodies that are no submission or no heartbeat. They
+// name Go types and fields, which are so seen outside.
+func TestDecodingErrors(t *testing.T) {
 	var sections []golden.Section
 	for _, c := range []struct {
 		name string
@@ -91,8 +92,8 @@
 		}
 		_, err = ParseJob(b)
 		sections = append(sections, golden.Section{Name: c.name, Text: fmt.Sprint(err)})
-		var report Heartbeat
-		sections = append(sections, golden.Section{Name: c.name + ", for a report", Text: fmt.Sprint(Unmarshal(b, &report))})
+		var heartbeat Heartbeat
+		sections = append(sections, golden.Section{Name: c.name + ", for a report", Text: fmt.Sprint(Unmarshal(b, &heartbeat))})
 	}
 	golden.Check(t, "errors.golden", sections)
 }
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -4,11 +4,12 @@
 	"testing"
 )
 
-// TestKnownWords has the protocol's words for states and causes be known, and no others.
-func TestKnownWords(t *testing.T) {
+// TestKnownStatesAndExitReasons checks that the protocol's states of tasks and exit reasons are
+// known, and no other texts.
+func TestKnownStatesAndExitReasons(t *testing.T) {
 	cases := []struct {
-		word         string
-		state, cause bool
+		word          string
+		state, reason bool
 	}{
 		{"pulling", true, false}, {"waiting", true, false}, {"running", true, false}, {"flushing", true, false}, {"ended", true, false},
 		{"done", false, true}, {"stopped", false, true}, {"error", false, true}, {"no_room", false, true}, {"busy", false, true},
@@ -16,8 +17,8 @@
 		{"", false, false}, {"Waiting", false, false}, {"boredom", false, false},
 	}
 	for _, c := range cases {
-		if state, cause := IsKnownTaskState(c.word), IsKnownExitReason(c.word); state != c.state || cause != c.cause {
-			t.Errorf("%q: a state %t, a cause %t", c.word, state, cause)
+		if state, reason := IsKnownTaskState(c.word), IsKnownExitReason(c.word); state != c.state || reason != c.reason {
+			t.Errorf("%q: known as a state %t, as an exit reason %t", c.word, state, reason)
 		}
 	}
 }
