--- a/internal/statestore/batch.go
+++ b/internal/statestore/batcher.go
@@ -199,7 +199,3 @@
 		p.finish(revision, err)
 	}
 }
-
-// RetryAfter is when a user whose request found the service unable may come
-// again.
-const RetryAfter = micros.Second
