--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -9,44 +9,51 @@
 	"caperlatch/internal/wire"
 )
 
-// Errors that callers tell apart. Any other error means that nobody knows
-// whether the request was or will be executed.
+// Errors that callers tell apart by errors.Is. After any other error it is unknown whether the
+// request was or will be executed.
 var (
-	ErrConflict        = errors.New("a condition failed")
+	// ErrConflict: a condition of the transaction does not hold. See ConflictError.
+	ErrConflict = errors.New("conditions failed")
+	// ErrSessionNotFound: the session has ended or never was.
 	ErrSessionNotFound = errors.New("no such session")
-	ErrNotExecuted     = errors.New("not executed") // refused, or never sent
-	ErrUnavailable     = fmt.Errorf("%w: unavailable", ErrNotExecuted)
-	ErrRateLimited     = fmt.Errorf("%w: too many requests", ErrNotExecuted)
-	ErrCompacted       = errors.New("revision too old")
+	// ErrCompacted: the service no longer knows the changes since the watch's revision.
+	ErrCompacted = errors.New("revision too old")
+	// ErrNotExecuted: the request was refused or never sent, and will not be executed.
+	ErrNotExecuted = errors.New("not executed")
+	// ErrUnavailable: the service, or this node's way to it, is in an outage.
+	ErrUnavailable = fmt.Errorf("%w: unavailable", ErrNotExecuted)
+	// ErrRateLimited: the service got too many requests or operations.
+	ErrRateLimited = fmt.Errorf("%w: too many requests", ErrNotExecuted)
 	// ErrRejected: as it is, the request will never be executed, for its size.
-	ErrRejected = fmt.Errorf("%w: refused as it is", ErrNotExecuted)
+	ErrRejected = fmt.Errorf("%w: rejected as it is", ErrNotExecuted)
 )
 
-// ConflictError carries the keys whose conditions failed.
+// ConflictError is an ErrConflict with the keys whose conditions do not hold.
 type ConflictError struct{ Keys []string }
 
 // Error names the keys.
-func (c *ConflictError) Error() string { return "conditions failed: " + strings.Join(c.Keys, " ") }
+func (e *ConflictError) Error() string { return "conditions failed: " + strings.Join(e.Keys, " ") }
 
 // Unwrap makes errors.Is(err, ErrConflict) true.
-func (c *ConflictError) Unwrap() error { return ErrConflict }
+func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// errorNoSuchLease is what the service says when a write names a session that has ended.
-const errorNoSuchLease = "no such lease"
-
-// statusError is the error that a status stands for at every request.
-func statusError(status int, answer []byte) error {
+// statusError returns the error that a status stands for whatever the request was, or nil.
+func statusError(status int, response []byte) error {
 	switch status {
 	case http.StatusServiceUnavailable:
-		return fmt.Errorf("state service: %w", ErrUnavailable)
+		return ErrUnavailable
 	case http.StatusTooManyRequests:
-		return fmt.Errorf("state service: %w", ErrRateLimited)
+		return ErrRateLimited
 	case http.StatusBadRequest:
-		var e wire.ErrorResponse
-		if wire.Unmarshal(answer, &e) == nil && e.Message == errorNoSuchLease {
+		var reason wire.ErrorResponse
+		if wire.Unmarshal(response, &reason) == nil && reason.Message == wire.MessageSessionNotFound {
 			return ErrSessionNotFound
 		}
-		return fmt.Errorf("state service: %w: %s", ErrRejected, e.Message)
+		return fmt.Errorf("%w: %s", ErrRejected, reason.Message)
 	}
 	return nil
 }
+
+// unexpectedStatus returns the error for a status that the request should not get. It leaves
+// open whether the request was executed.
+func unexpectedStatus(status int) error { return fmt.Errorf("answered %d", status) }
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -35,7 +35,7 @@
 		{"a transaction", commit, answer{200, wire.TxnResponse{Revision: 9}}, nil, true, true},
 		{"conditions that failed", commit, answer{409, wire.TxnResponse{FailedKeys: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
 		{"a transaction that is too large", commit, answer{400, wire.ErrorResponse{Message: "value too large"}}, ErrRejected, true, true},
-		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Message: errorNoSuchLease}}, ErrSessionNotFound, true, true},
+		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Message: wire.MessageSessionNotFound}}, ErrSessionNotFound, true, true},
 		{"too many changes", commit, answer{429, nil}, ErrRateLimited, true, true},
 		{"an outage", commit, answer{503, nil}, ErrUnavailable, true, false},
 		{"no answer", commit, answer{}, errCut, false, false},
--- a/internal/statestore/requests.go
+++ b/internal/statestore/requests.go
@@ -11,64 +11,86 @@
 	"caperlatch/internal/wire"
 )
 
-// maxPage is the most keys that the service lists in a page.
-const maxPage = "500"
+// pageSize is the most keys in a page of a list.
+const pageSize = "500"
 
-// ListPage reads a page of keys.
+// listTimeout bounds the request for a page, which takes longer than others.
+const listTimeout = 2 * RequestTimeout
+
+// ListPage returns the first page of the keys that have the prefix and come after the given
+// key, which is empty for the first page of all.
 func (c *Client) ListPage(ctx context.Context, prefix, after string) (wire.KeyPage, error) {
-	q := url.Values{"starts": {prefix}, "most": {maxPage}}
+	query := url.Values{wire.QueryPrefix: {prefix}, wire.QueryLimit: {pageSize}}
 	if after != "" {
-		q.Set("after", after)
+		query.Set(wire.QueryAfter, after)
 	}
 	var page wire.KeyPage
-	code, err := c.call(ctx, http.MethodGet, "/store?"+q.Encode(), nil, &page, 2*RequestTimeout)
-	if err == nil && code != http.StatusOK {
-		err = fmt.Errorf("state service: list answered %d", code)
+	status, err := c.call(ctx, request{method: http.MethodGet, path: wire.PathKeys + "?" + query.Encode(), timeout: listTimeout}, &page)
+	if err == nil && status != http.StatusOK {
+		err = unexpectedStatus(status)
+	}
+	if err != nil {
+		return page, fmt.Errorf("state service: list keys %s after %q: %w", prefix, after, err)
 	}
-	return page, err
+	return page, nil
 }
 
-// CommitRateLimited carries out a transaction of the leader within its part of the
-// limit on changes.
-func (c *Client) CommitRateLimited(ctx context.Context, t wire.Txn) (uint64, error) {
-	if err := c.writes.WaitN(ctx, min(max(1, len(t.Then)), c.writes.Burst())); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
+// CommitRateLimited commits a transaction of the leader once its share of the limit on
+// operations allows it. Its results are Commit's.
+func (c *Client) CommitRateLimited(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
+	operations := min(max(1, len(txn.Then)), c.limits.leaderWrites.Burst())
+	if err := c.limits.leaderWrites.WaitN(ctx, operations); err != nil {
+		return 0, commitError(txn, fmt.Errorf("%w: %w", ErrNotExecuted, err))
 	}
-	return c.Commit(ctx, t)
+	return c.Commit(ctx, txn)
 }
 
-// Commit carries out a transaction at once and returns its revision.
-func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	var a wire.TxnResponse
-	code, err := c.call(ctx, http.MethodPost, "/txn", t, &a, RequestTimeout)
+// Commit carries out a transaction at once and returns its revision. If a condition does not
+// hold, the error is a *ConflictError.
+func (c *Client) Commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
+	var response wire.TxnResponse
+	status, err := c.call(ctx, request{method: http.MethodPost, path: wire.PathTransactions, body: txn, timeout: RequestTimeout}, &response)
 	switch {
 	case err != nil:
-		return 0, err
-	case code == http.StatusConflict:
-		return a.Revision, &ConflictError{Keys: a.FailedKeys}
-	case code != http.StatusOK:
-		return 0, fmt.Errorf("state service: transaction answered %d", code)
+		return 0, commitError(txn, err)
+	case status == http.StatusConflict:
+		return response.Revision, commitError(txn, &ConflictError{Keys: response.FailedKeys})
+	case status != http.StatusOK:
+		return 0, commitError(txn, unexpectedStatus(status))
+	}
+	return response.Revision, nil
+}
+
+// commitError returns the error of a transaction that failed for the given cause.
+func commitError(txn wire.Txn, cause error) error {
+	first := ""
+	if len(txn.Then) > 0 {
+		first = txn.Then[0].Put + txn.Then[0].Delete // one of them is empty
 	}
-	return a.Revision, nil
+	return fmt.Errorf("state service: commit %d operations, first on %q: %w", len(txn.Then), first, cause)
 }
 
-// Watch returns the changes of keys with the prefix after a revision, waiting
-// at most wait for one. With no wait it is a read barrier.
+// Watch returns the changes of keys that have the prefix since the revision after. It waits up
+// to wait for a first one. Without a wait it is a read barrier: the response's revision is at
+// least that of all that was committed before the call. The error is ErrCompacted if the service
+// has forgotten some of the changes.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait micros.Micros) (wire.WatchResponse, error) {
-	q := url.Values{
-		"starts":  {prefix},
-		"after":   {strconv.FormatUint(after, 10)},
-		"wait_ms": {strconv.FormatInt(int64(wait/micros.Millisecond), 10)},
+	query := url.Values{
+		wire.QueryPrefix:  {prefix},
+		wire.QueryAfter:   {strconv.FormatUint(after, 10)},
+		wire.QueryTimeout: {strconv.FormatInt(int64(wait/micros.Millisecond), 10)},
 	}
-	var e wire.WatchResponse
-	code, err := c.call(ctx, http.MethodGet, "/watch?"+q.Encode(), nil, &e, wait+RequestTimeout)
+	var response wire.WatchResponse
+	status, err := c.call(ctx, request{method: http.MethodGet, path: wire.PathWatches + "?" + query.Encode(), timeout: wait + RequestTimeout}, &response)
 	switch {
 	case err != nil:
-		return e, err
-	case code == http.StatusGone:
-		return e, ErrCompacted
-	case code != http.StatusOK:
-		return e, fmt.Errorf("state service: watch answered %d", code)
+	case status == http.StatusGone:
+		err = ErrCompacted
+	case status != http.StatusOK:
+		err = unexpectedStatus(status)
+	}
+	if err != nil {
+		return response, fmt.Errorf("state service: watch keys %s after revision %d: %w", prefix, after, err)
 	}
-	return e, nil
+	return response, nil
 }
--- a/internal/statestore/sessions.go
+++ b/internal/statestore/sessions.go
@@ -9,38 +9,44 @@
 	"caperlatch/internal/wire"
 )
 
-// NewSession begins a session, which the service calls a hold: it ends unless it is renewed
-// within life, and the keys written with it are removed then.
-func (c *Client) NewSession(ctx context.Context, life micros.Micros) (uint64, error) {
-	var a wire.SessionResponse
-	code, err := c.call(ctx, http.MethodPost, "/holds", wire.SessionRequest{TTLMS: int64(life / micros.Millisecond)}, &a, RequestTimeout)
-	if err == nil && code != http.StatusOK {
-		err = fmt.Errorf("state service: session answered %d", code)
+// NewSession opens a session and returns its ID. It ends unless it is renewed within ttl; the
+// keys written with it are deleted then.
+func (c *Client) NewSession(ctx context.Context, ttl micros.Micros) (id uint64, err error) {
+	body := wire.SessionRequest{TTLMS: int64(ttl / micros.Millisecond)}
+	var response wire.SessionResponse
+	status, err := c.call(ctx, request{method: http.MethodPost, path: wire.PathSessions, body: body, timeout: RequestTimeout}, &response)
+	if err == nil && status != http.StatusOK {
+		err = unexpectedStatus(status)
 	}
-	return a.SessionID, err
+	if err != nil {
+		return response.SessionID, fmt.Errorf("state service: open session: %w", err)
+	}
+	return response.SessionID, nil
 }
 
-// RenewSession has a session live for its whole life again.
-func (c *Client) RenewSession(ctx context.Context, session uint64) error {
-	code, err := c.call(ctx, http.MethodPost, fmt.Sprintf("/holds/%d/extend", session), struct{}{}, nil, RequestTimeout)
-	return sessionError(code, err)
+// RenewSession has a session last for its whole TTL again. The error is ErrSessionNotFound if it
+// has ended.
+func (c *Client) RenewSession(ctx context.Context, id uint64) error {
+	return c.callSession(ctx, "renew", id, request{method: http.MethodPost, path: wire.PathSessionRenewal(id), body: struct{}{}, timeout: RequestTimeout})
 }
 
-// EndSession ends a session at once.
-func (c *Client) EndSession(ctx context.Context, session uint64) error {
-	code, err := c.call(ctx, http.MethodDelete, fmt.Sprintf("/holds/%d", session), nil, nil, RequestTimeout)
-	return sessionError(code, err)
+// EndSession ends a session at once. The error is ErrSessionNotFound if it has ended already.
+func (c *Client) EndSession(ctx context.Context, id uint64) error {
+	return c.callSession(ctx, "end", id, request{method: http.MethodDelete, path: wire.PathSession(id), timeout: RequestTimeout})
 }
 
-// sessionError is the outcome of a request about a session.
-func sessionError(code int, err error) error {
+// callSession sends a request about a session; action names it in the error.
+func (c *Client) callSession(ctx context.Context, action string, id uint64, r request) error {
+	status, err := c.call(ctx, r, nil)
 	switch {
 	case err != nil:
-		return err
-	case code == http.StatusNotFound:
-		return ErrSessionNotFound
-	case code != http.StatusOK && code != http.StatusNoContent:
-		return fmt.Errorf("state service: session answered %d", code)
+	case status == http.StatusNotFound:
+		err = ErrSessionNotFound
+	case status != http.StatusOK && status != http.StatusNoContent:
+		err = unexpectedStatus(status)
+	}
+	if err != nil {
+		return fmt.Errorf("state service: %s session %d: %w", action, id, err)
 	}
 	return nil
 }
