--- a/internal/statestore/batcher_test.go
+++ b/internal/statestore/batcher_test.go
@@ -12,8 +12,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestBatcher has writes share transactions that the service takes, refuses or does not
-// answer. Each write is told its own outcome, and none is repeated whose outcome is unknown.
+// TestBatcher has puts share transactions that the service carries out, rejects or does not
+// respond to. Each put gets its own outcome, and none is repeated whose outcome is unknown.
 func TestBatcher(t *testing.T) {
 	withKey := func(_ int, keys []string) bool { return slices.Contains(keys, "c/2") }
 	second := func(n int, _ []string) bool { return n == 2 }
@@ -21,30 +21,30 @@
 	all := func(err error) map[int]error { return map[int]error{1: err, 2: err, 3: err, 4: err} }
 	cases := []struct {
 		name  string
-		where func(n int, keys []string) bool // the answer is this one
-		answer
-		want  map[int]error // of other than nil, by write
-		sizes string        // of the transactions
+		where func(n int, keys []string) bool // requests that get this response
+		response
+		want  map[int]error // other than nil, by put
+		sizes string        // operations of the transactions
 	}{
-		{"all taken", second, answer{200, wire.TxnResponse{Revision: 9}}, nil, "[1 4 3]"},
-		{"a condition fails, the others go on without it", withKey, answer{409, wire.TxnResponse{FailedKeys: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
-		{"a conflict that names none of them", withKey, answer{409, wire.TxnResponse{FailedKeys: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
-		{"a value is refused, halves find it", withKey, answer{400, wire.ErrorResponse{Message: "value too large"}}, map[int]error{2: ErrRejected}, "[1 4 2 1 1 2 3]"},
-		{"their number is refused, fewer go from then on", many, answer{400, wire.ErrorResponse{Message: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
-		{"no answer", second, answer{}, all(errCut), "[1 4 3]"},
-		{"too many at once", second, answer{429, nil}, all(ErrRateLimited), "[1 4 3]"},
+		{"all are carried out", second, response{200, wire.TxnResponse{Revision: 9}}, nil, "[1 4 3]"},
+		{"a condition fails, the others are carried out without it", withKey, response{409, wire.TxnResponse{FailedKeys: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
+		{"a conflict that names none of them", withKey, response{409, wire.TxnResponse{FailedKeys: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
+		{"a value is rejected, halves find it", withKey, response{400, wire.ErrorResponse{Message: "value too large"}}, map[int]error{2: ErrRejected}, "[1 4 2 1 1 2 3]"},
+		{"their number is rejected, transactions are smaller from then on", many, response{400, wire.ErrorResponse{Message: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
+		{"no response", second, response{}, all(errNoResponse), "[1 4 3]"},
+		{"rate limited", second, response{429, nil}, all(ErrRateLimited), "[1 4 3]"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				client, sizes := service(func(n int, keys []string) answer {
+				client, sizes := fakeService(func(n int, keys []string) response {
 					if n == 1 {
-						time.Sleep(time.Second) // the others gather meanwhile
+						time.Sleep(time.Second) // the other puts gather meanwhile
 					}
 					if c.where(n, keys) {
-						return c.answer
+						return c.response
 					}
-					return answer{200, wire.TxnResponse{Revision: 9}}
+					return response{200, wire.TxnResponse{Revision: 9}}
 				}).client(testLimits)
 				b := NewBatcher(client)
 				var errs [8]error
@@ -53,13 +53,14 @@
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(5 * time.Second)
+				synctest.Wait() // orders what the puts wrote before what is read below
 				for i, err := range errs {
 					if !errors.Is(err, c.want[i]) {
-						t.Errorf("write %d: %v, want %v", i, err, c.want[i])
+						t.Errorf("put %d: %v, want %v", i, err, c.want[i])
 					}
 				}
 				if got := fmt.Sprint(*sizes); got != c.sizes {
-					t.Errorf("transactions of %s changes, want %s", got, c.sizes)
+					t.Errorf("transactions of %s operations, want %s", got, c.sizes)
 				}
 			})
 		})
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -11,50 +11,59 @@
 	"caperlatch/internal/wire"
 )
 
-// TestErrors has each answer of the service be taken for what it means: whether the request
-// was, or may yet be, executed, and whether the service was heard.
+// TestErrors checks what each response of the service means: whether the request was, or may yet
+// be, executed, and whether the service counts as reachable. Each error names the request.
 func TestErrors(t *testing.T) {
 	ctx := context.Background()
 	commit := func(c *Client) error {
 		_, err := c.Commit(ctx, wire.Txn{Then: []wire.Op{{Put: "c/x", Value: 1}}})
 		return err
 	}
+	// The beginning of each error, by request.
+	const (
+		commitFailed = `state service: commit 1 operations, first on "c/x": `
+		listFailed   = `state service: list keys c/ after "": `
+		watchFailed  = "state service: watch keys c/ after revision 7: "
+		renewFailed  = "state service: renew session 7: "
+		endFailed    = "state service: end session 7: "
+	)
 	list := func(c *Client) error { _, err := c.ListPage(ctx, "c/", ""); return err }
 	watch := func(c *Client) error { _, err := c.Watch(ctx, "c/", 7, 0); return err }
 	open := func(c *Client) error { _, err := c.NewSession(ctx, micros.Second); return err }
 	renew := func(c *Client) error { return c.RenewSession(ctx, 7) }
 	end := func(c *Client) error { return c.EndSession(ctx, 7) }
 	cases := []struct {
-		name string
-		call func(c *Client) error
-		answer
-		want  error // nil with known: none; else one that says nothing of the execution
-		known bool  // it surely was not executed, or was
-		heard bool
+		name   string
+		call   func(c *Client) error
+		failed string // the beginning of the error
+		response
+		want      error // nil if known: none; nil if not known: any that leaves open whether it was executed
+		known     bool  // whether it is known if the request was executed
+		responded bool  // whether the service is reachable
 	}{
-		{"a transaction", commit, answer{200, wire.TxnResponse{Revision: 9}}, nil, true, true},
-		{"conditions that failed", commit, answer{409, wire.TxnResponse{FailedKeys: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
-		{"a transaction that is too large", commit, answer{400, wire.ErrorResponse{Message: "value too large"}}, ErrRejected, true, true},
-		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Message: wire.MessageSessionNotFound}}, ErrSessionNotFound, true, true},
-		{"too many changes", commit, answer{429, nil}, ErrRateLimited, true, true},
-		{"an outage", commit, answer{503, nil}, ErrUnavailable, true, false},
-		{"no answer", commit, answer{}, errCut, false, false},
-		{"an answer that nobody knows", commit, answer{500, nil}, nil, false, true},
-		{"a list", list, answer{200, wire.KeyPage{}}, nil, true, true},
-		{"no list", list, answer{404, nil}, nil, false, true},
-		{"a watch", watch, answer{200, wire.WatchResponse{}}, nil, true, true},
-		{"a watch from a revision that is gone", watch, answer{410, nil}, ErrCompacted, true, true},
-		{"a watch in an outage", watch, answer{503, nil}, ErrUnavailable, true, false},
-		{"a session", open, answer{200, wire.SessionResponse{SessionID: 7}}, nil, true, true},
-		{"a renewal", renew, answer{200, nil}, nil, true, true},
-		{"a renewal of an ended session", renew, answer{404, nil}, ErrSessionNotFound, true, true},
-		{"an end", end, answer{204, nil}, nil, true, true},
-		{"an end of an ended session", end, answer{404, nil}, ErrSessionNotFound, true, true},
-		{"an end without an answer", end, answer{}, errCut, false, false},
+		{"a transaction", commit, "", response{200, wire.TxnResponse{Revision: 9}}, nil, true, true},
+		{"failed conditions", commit, commitFailed, response{409, wire.TxnResponse{FailedKeys: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
+		{"a transaction that is too large", commit, commitFailed, response{400, wire.ErrorResponse{Message: "value too large"}}, ErrRejected, true, true},
+		{"a put of an ended session", commit, commitFailed, response{400, wire.ErrorResponse{Message: wire.MessageSessionNotFound}}, ErrSessionNotFound, true, true},
+		{"a transaction over the rate limit", commit, commitFailed, response{429, nil}, ErrRateLimited, true, true},
+		{"an outage", commit, commitFailed, response{503, nil}, ErrUnavailable, true, false},
+		{"a transaction without a response", commit, commitFailed, response{}, errNoResponse, false, false},
+		{"an unexpected status", commit, commitFailed, response{500, nil}, nil, false, true},
+		{"a list", list, "", response{200, wire.KeyPage{}}, nil, true, true},
+		{"an unexpected status of a list", list, listFailed, response{404, nil}, nil, false, true},
+		{"a watch", watch, "", response{200, wire.WatchResponse{}}, nil, true, true},
+		{"a watch of a compacted revision", watch, watchFailed, response{410, nil}, ErrCompacted, true, true},
+		{"a watch in an outage", watch, watchFailed, response{503, nil}, ErrUnavailable, true, false},
+		{"a session", open, "", response{200, wire.SessionResponse{SessionID: 7}}, nil, true, true},
+		{"a renewal", renew, "", response{200, nil}, nil, true, true},
+		{"a renewal of an ended session", renew, renewFailed, response{404, nil}, ErrSessionNotFound, true, true},
+		{"an end of a session", end, "", response{204, nil}, nil, true, true},
+		{"an end of an ended session", end, endFailed, response{404, nil}, ErrSessionNotFound, true, true},
+		{"an end without a response", end, endFailed, response{}, errNoResponse, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			client, _ := service(func(int, []string) answer { return c.answer }).client(testLimits)
+			client, _ := fakeService(func(int, []string) response { return c.response }).client(testLimits)
 			err := c.call(client)
 			switch {
 			case c.known && !errors.Is(err, c.want):
@@ -62,14 +71,17 @@
 			case !c.known && (err == nil || errors.Is(err, ErrNotExecuted) || c.want != nil && !errors.Is(err, c.want)):
 				t.Errorf("error %v, which must leave open whether it was executed", err)
 			}
+			if err != nil && (c.failed == "" || !strings.HasPrefix(err.Error(), c.failed)) {
+				t.Errorf("error %q does not begin with %q", err, c.failed)
+			}
 			if want := slices.Contains([]error{ErrRejected, ErrRateLimited, ErrUnavailable}, c.want); errors.Is(err, ErrNotExecuted) != want {
 				t.Errorf("error %v: not executed is %v, want %v", err, !want, want)
 			}
 			if conflict := new(ConflictError); errors.As(err, &conflict) && !strings.Contains(err.Error(), "c/x c/y") {
 				t.Errorf("error %v does not name the keys", err)
 			}
-			if client.IsUnreachable() == c.heard || (client.SinceLastResponse() < micros.Second) != c.heard {
-				t.Errorf("unreachable %v, heard %v ago; want heard %v", client.IsUnreachable(), client.SinceLastResponse(), c.heard)
+			if client.IsUnreachable() == c.responded || (client.SinceLastResponse() < micros.Second) != c.responded {
+				t.Errorf("unreachable %v, last response %v ago; want a response %v", client.IsUnreachable(), client.SinceLastResponse(), c.responded)
 			}
 		})
 	}
--- a/internal/statestore/limits_test.go
+++ b/internal/statestore/limits_test.go
@@ -12,25 +12,25 @@
 )
 
 // TestLimits counts what a client sends in ten seconds when it always has more to send, and
-// what it takes for storable: the smaller of the limits before and after a change.
+// checks which values it takes for storable: by the smaller of the limits before and after a change.
 func TestLimits(t *testing.T) {
 	half, ops, kb := 50.0, 2, 2.0
-	later := settings.UpcomingLimits{RPS: &half, WriteRPS: &half, TxnOps: &ops, ValueKB: &kb}
+	upcoming := settings.UpcomingLimits{RPS: &half, WriteRPS: &half, TxnOps: &ops, ValueKB: &kb}
 	cases := []struct {
-		name           string
-		limits         settings.State
-		requests       int // in ten seconds, with the burst
-		changes        int // of the leader, the same
-		ops, flush, kb int
+		name                          string
+		limits                        settings.State
+		requests                      int // in ten seconds, with the burst
+		leaderOps                     int // operations of the leader, the same
+		maxOps, maxLeaderOps, valueKB int
 	}{
-		{"wide", settings.State{RPS: 200, WriteRPS: 100, ValueKB: 4, TxnOps: 8}, 1100, 633, 8, 8, 4},
-		{"few changes", settings.State{RPS: 100, WriteRPS: 6, ValueKB: 4, TxnOps: 8}, 550, 39, 8, 3, 4},
-		{"lower later", settings.State{RPS: 100, WriteRPS: 100, ValueKB: 4, TxnOps: 8, Upcoming: later}, 275, 275, 2, 2, 2},
+		{"high", settings.State{RPS: 200, WriteRPS: 100, ValueKB: 4, TxnOps: 8}, 1100, 633, 8, 8, 4},
+		{"few operations", settings.State{RPS: 100, WriteRPS: 6, ValueKB: 4, TxnOps: 8}, 550, 39, 8, 3, 4},
+		{"lower after a change", settings.State{RPS: 100, WriteRPS: 100, ValueKB: 4, TxnOps: 8, Upcoming: upcoming}, 275, 275, 2, 2, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				client, _ := service(func(int, []string) answer { return answer{200, wire.TxnResponse{}} }).client(c.limits)
+				client, _ := fakeService(func(int, []string) response { return response{200, wire.TxnResponse{}} }).client(c.limits)
 				count := func(send func(ctx context.Context) error) (n int) {
 					ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 					defer cancel()
@@ -43,13 +43,13 @@
 				near := func(got, want int) bool { return got >= want-2 && got <= want+2 }
 				requests := count(func(ctx context.Context) error { _, err := client.ListPage(ctx, "", ""); return err })
 				one := wire.Txn{Then: []wire.Op{{Put: "c/x"}}}
-				changes := count(func(ctx context.Context) error { _, err := client.CommitRateLimited(ctx, one); return err })
-				if !near(requests, c.requests) || !near(changes, c.changes) {
-					t.Errorf("%d requests and %d changes, want %d and %d", requests, changes, c.requests, c.changes)
+				leaderOps := count(func(ctx context.Context) error { _, err := client.CommitRateLimited(ctx, one); return err })
+				if !near(requests, c.requests) || !near(leaderOps, c.leaderOps) {
+					t.Errorf("%d requests and %d operations, want %d and %d", requests, leaderOps, c.requests, c.leaderOps)
 				}
-				fits := strings.Repeat("x", c.kb*bytesPerKB-2)
-				if client.MaxOps() != c.ops || client.MaxLeaderOps() != c.flush || !client.ValueAlwaysFits(fits) || client.ValueAlwaysFits(fits+"x") || !client.ValueFitsNow(fits) {
-					t.Errorf("%d changes, %d of the leader, want %d and %d; or values are taken for other than %d KB", client.MaxOps(), client.MaxLeaderOps(), c.ops, c.flush, c.kb)
+				fits := strings.Repeat("x", c.valueKB*bytesPerKB-2)
+				if client.MaxOps() != c.maxOps || client.MaxLeaderOps() != c.maxLeaderOps || !client.ValueAlwaysFits(fits) || client.ValueAlwaysFits(fits+"x") || !client.ValueFitsNow(fits) {
+					t.Errorf("%d operations, %d of the leader, want %d and %d; or the most that fits is not %d KB", client.MaxOps(), client.MaxLeaderOps(), c.maxOps, c.maxLeaderOps, c.valueKB)
 				}
 			})
 		})
