--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,7 +1,8 @@
-// Package cloud is the client of the cloud's interface.
+// Package cloud is the client of the cloud's interface for instances.
 //
-// It owns the requests, their timeouts and this node's share of the cloud's rate limit.
-// It does not decide what is rented or returned, and repeats nothing by itself.
+// It owns the requests, their timeouts and this node's share of the cloud's rate limit. It must
+// not decide what is launched or terminated, and repeats nothing by itself: a request without a
+// response may yet be carried out.
 package cloud
 
 import (
@@ -19,117 +20,142 @@
 	"caperlatch/internal/wire"
 )
 
-// ErrNoCapacity says that the cloud has no machine of the asked type, zone and
-// kind.
-var ErrNoCapacity = errors.New(noCapacity)
+// ErrNoCapacity reports that the cloud has no instance of the requested type and zone, spot or
+// on demand as requested. The launch was not carried out.
+var ErrNoCapacity = errors.New(wire.MessageNoCapacity)
 
-// ErrNotSent says that a request was not sent, as its leader may no longer act.
-var ErrNotSent = errors.New("cloud: not sent, the term may be over")
+// ErrNotSent reports that a request was not sent, as its leader may no longer act.
+var ErrNotSent = errors.New("not sent, the term may be over")
 
-// Limits of the interface.
+// The most instances in a request.
 const (
 	MaxInstancesPerLaunch      = 50
 	MaxInstancesPerTermination = 100
-	maxList                    = 500
-	timeout                    = 5 * micros.Second
+	maxInstancesPerPage        = 500
 )
 
-// requestShare is which part of the rate limit a node may use: only the leader calls often.
-const requestShare = 0.75
+// requestTimeout bounds a request once it is sent.
+const requestTimeout = 5 * micros.Second
 
-// noCapacity is what the cloud says when it has no such machine.
-const noCapacity = "no capacity"
+// requestShare is the share of the cloud's rate limit that a node may use: only the leader sends
+// many requests, so it takes most of it.
+const requestShare = 0.75
 
-// Client talks to the cloud. Any error but ErrNoCapacity leaves open whether
-// the request was or will be carried out.
+// Client sends requests to the cloud, within this node's share of its rate limit. It is safe for
+// concurrent use. After any error but ErrNoCapacity and ErrNotSent it is unknown whether the
+// request was or will be carried out.
 type Client struct {
-	base  string
-	http  *http.Client
-	calls *rate.Limiter
+	base     string
+	http     *http.Client
+	requests *rate.Limiter
 }
 
-// New makes a client for the cloud at addr. Only the leader calls it often, so
-// it takes most of the limit.
+// New returns a client of the cloud at addr, a host and port, which goes by transport.
 func New(addr string, limits settings.Cloud, transport http.RoundTripper) *Client {
 	return &Client{
-		base:  "http://" + addr,
-		http:  &http.Client{Transport: transport},
-		calls: rate.NewLimiter(rate.Limit(limits.RPS*requestShare), max(1, int(limits.RPS))),
+		base:     "http://" + addr,
+		http:     &http.Client{Transport: transport},
+		requests: rate.NewLimiter(rate.Limit(limits.RPS*requestShare), max(1, int(limits.RPS))),
 	}
 }
 
 // request is a request to the cloud.
 type request struct {
-	method, path string
-	body         any
-	// mayGo, if set, is asked at the moment of sending, after the wait for the rate limit.
-	mayGo func() bool
+	name   string // of the request, in errors
+	method string
+	path   string
+	body   any // nil: none
+	// canSend, if set, is asked right before the request is sent, after the wait for the rate
+	// limit.
+	canSend func() bool
+}
+
+// call sends a request once the rate limit allows it, and decodes the body of a 200 into out
+// unless that is nil. Its errors name the request.
+func (c *Client) call(ctx context.Context, r request, out any) error {
+	if err := c.send(ctx, r, out); err != nil {
+		return fmt.Errorf("cloud: %s: %w", r.name, err)
+	}
+	return nil
 }
 
-// call sends a request and decodes a 200 into out.
-func (c *Client) call(ctx context.Context, q request, out any) error {
-	if err := c.calls.Wait(ctx); err != nil {
-		return fmt.Errorf("cloud: %w", err)
+// send is call, but for the name of the request in errors.
+func (c *Client) send(ctx context.Context, r request, out any) error {
+	if err := c.requests.Wait(ctx); err != nil {
+		return err
 	}
-	if q.mayGo != nil && !q.mayGo() {
+	if r.canSend != nil && !r.canSend() {
 		return ErrNotSent
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout.Duration())
 	defer cancel()
-	status, body, err := wire.Call(ctx, c.http, q.method, c.base+q.path, q.body)
+	status, response, err := wire.Call(ctx, c.http, r.method, c.base+r.path, r.body)
 	if err != nil {
-		return fmt.Errorf("cloud: %w", err)
+		return err
 	}
 	if status != http.StatusOK {
-		var e wire.ErrorResponse
-		if wire.Unmarshal(body, &e) == nil && status == http.StatusServiceUnavailable && e.Message == noCapacity {
-			return ErrNoCapacity
-		}
-		return fmt.Errorf("cloud: %s answered %d %s", q.path, status, e.Message)
+		return statusError(status, response)
 	}
 	if out == nil {
 		return nil
 	}
-	if err := wire.Unmarshal(body, out); err != nil {
-		return fmt.Errorf("cloud: %w", err)
+	if err := wire.Unmarshal(response, out); err != nil {
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
 
-// InstanceTypes reads the machine types.
+// statusError returns the error that a status other than 200 stands for.
+func statusError(status int, response []byte) error {
+	var reason wire.ErrorResponse
+	err := wire.Unmarshal(response, &reason)
+	if err == nil && status == http.StatusServiceUnavailable && reason.Message == wire.MessageNoCapacity {
+		return ErrNoCapacity
+	}
+	return fmt.Errorf("answered %d %s", status, reason.Message)
+}
+
+// InstanceTypes returns the cloud's instance types with their present prices.
 func (c *Client) InstanceTypes(ctx context.Context) (wire.InstanceTypeList, error) {
-	var out wire.InstanceTypeList
-	err := c.call(ctx, request{method: http.MethodGet, path: "/catalog"}, &out)
-	return out, err
+	var types wire.InstanceTypeList
+	err := c.call(ctx, request{name: "list instance types", method: http.MethodGet, path: wire.PathInstanceTypes}, &types)
+	return types, err
 }
 
-// Launch asks for machines; the same request name gets the same answer. It is sent only if
-// mayGo says so at that moment.
-func (c *Client) Launch(ctx context.Context, r wire.LaunchRequest, mayGo func() bool) ([]string, error) {
-	var out wire.InstanceIDs
-	err := c.call(ctx, request{method: http.MethodPost, path: "/hosts", body: r, mayGo: mayGo}, &out)
-	return out.IDs, err
+// Launch launches instances and returns their IDs, which may be fewer than requested. The same
+// request ID gets the same answer. The request is sent only if canSend returns true right before.
+func (c *Client) Launch(ctx context.Context, launch wire.LaunchRequest, canSend func() bool) (ids []string, err error) {
+	r := request{name: "launch " + launch.RequestID, method: http.MethodPost, path: wire.PathInstances, body: launch, canSend: canSend}
+	var launched wire.InstanceIDs
+	err = c.call(ctx, r, &launched)
+	return launched.IDs, err
 }
 
-// Terminate gives machines back. After a nil error they and all that was on them
-// are gone. It is sent only if mayGo says so at that moment: the cloud knows no token that
-// would refuse a leader whose term has ended while it waited.
-func (c *Client) Terminate(ctx context.Context, ids []string, mayGo func() bool) error {
-	q := request{method: http.MethodPost, path: "/hosts/return", body: wire.InstanceIDs{IDs: ids}, mayGo: mayGo}
-	return c.call(ctx, q, nil)
+// Terminate terminates instances. After a nil error they and all that was on them are gone. The
+// request is sent only if canSend returns true right before: the cloud knows no fencing token
+// that would refuse a leader whose term has ended while it waited.
+func (c *Client) Terminate(ctx context.Context, ids []string, canSend func() bool) error {
+	return c.call(ctx, request{
+		name:    fmt.Sprintf("terminate %d instances", len(ids)),
+		method:  http.MethodPost,
+		path:    wire.PathTerminations,
+		body:    wire.InstanceIDs{IDs: ids},
+		canSend: canSend,
+	}, nil)
 }
 
-// ListInstances reads the whole list of machines, which may be old.
+// ListInstances returns the whole list of instances, which may be old.
 func (c *Client) ListInstances(ctx context.Context) ([]wire.InstanceStatus, error) {
 	var all []wire.InstanceStatus
 	after := ""
 	for {
-		q := url.Values{"most": {strconv.Itoa(maxList)}}
+		query := url.Values{wire.QueryLimit: {strconv.Itoa(maxInstancesPerPage)}}
 		if after != "" {
-			q.Set("after", after)
+			query.Set(wire.QueryAfter, after)
 		}
+		r := request{name: "list instances after " + strconv.Quote(after), method: http.MethodGet, path: wire.PathInstances + "?" + query.Encode()}
 		var page wire.InstancePage
-		if err := c.call(ctx, request{method: http.MethodGet, path: "/hosts?" + q.Encode()}, &page); err != nil {
+		if err := c.call(ctx, r, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Instances...)
