--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"math"
-	"net"
 )
 
 // The least that the checks allow.
@@ -89,16 +87,6 @@
 	c.amount("params.workers.gang_peer_s", w.GangLossTimeoutS, 0)
 }
 
-// checker keeps the first thing found wrong.
-type checker struct{ err error }
-
-// that notes what is wrong with a field unless ok.
-func (c *checker) that(ok bool, field, wrong string) {
-	if c.err == nil && !ok {
-		c.err = fmt.Errorf("%s %s", field, wrong)
-	}
-}
-
 // state checks the limits of the state service.
 func (c *checker) state(at string, s State) {
 	c.amount(at+"rps", s.RPS, little)
@@ -106,19 +94,3 @@
 	c.amount(at+"value_kb", s.ValueKB, leastValueKB)
 	c.that(s.TxnOps >= leastTxnOps, at+"txn_ops", fmt.Sprintf("must be at least %d", leastTxnOps))
 }
-
-// text checks that a field is there.
-func (c *checker) text(field, v string) { c.that(v != "", field, "is missing") }
-
-// addr checks that a field is a host with a port.
-func (c *checker) addr(field, v string) {
-	c.text(field, v)
-	_, _, err := net.SplitHostPort(v)
-	c.that(err == nil, field, "is no address with a port")
-}
-
-// amount checks that a field is a finite number of at least the given one.
-func (c *checker) amount(field string, v, least float64) {
-	c.that(!math.IsNaN(v) && !math.IsInf(v, 0) && v >= least, field,
-		fmt.Sprintf("must be a number of at least %v", least))
-}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -3,8 +3,6 @@
 import (
 	"strings"
 	"testing"
-
-	"caperlatch/internal/micros"
 )
 
 const file = `
@@ -104,72 +102,3 @@
 }
 
 func next(fields string) string { return "[params.state.next]\n" + fields + "\n[params.cloud]" }
-
-// TestLimits asks which limits hold before and after a change of them.
-func TestLimits(t *testing.T) {
-	present := State{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 12}
-	cases := []struct {
-		name, next    string
-		later, always State
-	}{
-		{name: "no change", later: present, always: present},
-		{name: "all lower", next: "write_rps = 9.0\nvalue_kb = 2.0\ntxn_ops = 4",
-			later: State{RPS: 60, WriteRPS: 9, ValueKB: 2, TxnOps: 4}, always: State{RPS: 60, WriteRPS: 9, ValueKB: 2, TxnOps: 4}},
-		// What is missing stays; a limit that is raised may not be used before.
-		{name: "one lower, one higher", next: "value_kb = 16.0\ntxn_ops = 4",
-			later: State{RPS: 60, WriteRPS: 15, ValueKB: 16, TxnOps: 4}, always: State{RPS: 60, WriteRPS: 15, ValueKB: 8, TxnOps: 4}},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			s, err := Parse([]byte(strings.Replace(file, "[params.cloud]", next(c.next), 1)))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if got := s.Params.State.AfterChange(); got != c.later {
-				t.Errorf("later %+v, want %+v", got, c.later)
-			}
-			if got := s.Params.State.Strictest(); got != c.always {
-				t.Errorf("at any time %+v, want %+v", got, c.always)
-			}
-		})
-	}
-}
-
-func TestRenewFor(t *testing.T) {
-	// A lease renewed at the very end must run out before cancel_s.
-	for _, w := range []Workers{{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41}, {HeartbeatIntervalS: 3, LeaseDurationS: 45, CancellationTimeoutS: 75}, {HeartbeatIntervalS: 1, LeaseDurationS: 10, CancellationTimeoutS: 11}} {
-		if end := w.LeaseRenewalWindow() + w.LeaseDuration() + micros.MaxClockDrift(w.LeaseDuration()); end > w.CancellationTimeout() {
-			t.Errorf("%+v: leases may last until %v s", w, end.Seconds())
-		}
-	}
-}
-
-func TestParseTuning(t *testing.T) {
-	wrap := func(s string) string { return "<caperlatch><staffing>" + s + "</staffing></caperlatch>" }
-	cases := []struct {
-		name, text string
-		ok         bool
-	}{
-		{"all", wrap("<z>2</z><review_s>10</review_s><window_s>90</window_s><record_s>5</record_s>"), true},
-		{"some", wrap("<z>2</z>"), true},
-		{"none", "<caperlatch/>", true},
-		{"an unknown element", wrap("<zz>2</zz>"), false},
-		{"an element in the wrong place", "<caperlatch><z>2</z></caperlatch>", false},
-		{"an element twice", wrap("<z>2</z><z>3</z>"), false},
-		{"no number", wrap("<z>two</z>"), false},
-		{"out of range", wrap("<review_s>0</review_s>"), false},
-		{"another root", "<other/>", false},
-		{"broken off", "<caperlatch><staffing>", false},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			got, err := ParseTuning(strings.NewReader(c.text))
-			if (err == nil) != c.ok {
-				t.Fatalf("error %v, want ok %v", err, c.ok)
-			}
-			if strings.Contains(c.text, "<z>2</z>") && c.ok && (got.Z != 2 || got.RecordInterval != 5*micros.Second) {
-				t.Errorf("read %+v", got)
-			}
-		})
-	}
-}
