--- a/internal/settings/limits_test.go
+++ b/internal/settings/limits_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s, err := Parse([]byte(strings.Replace(file, "[params.cloud]", next(c.next), 1)))
+			s, err := Parse([]byte(strings.Replace(file, "[params.cloud]", upcoming(c.next), 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -75,14 +75,14 @@
 		{"text for a gang's time", "lease_s = 16.0", "lease_s = 16.0\ngang_peer_s = \"4\"", "gang_peer_s"},
 		{"a cancellation within the lease", "cancel_s = 41.0", "cancel_s = 10.0", "params.workers.cancel_s"},
 		{"not a number", "rps = 60.0", "rps = nan", "params.state.rps"},
-		{"limits of a later time", "[params.cloud]", next("write_rps = 9.0\nvalue_kb = 2.0\ntxn_ops = 4"), ""},
-		{"one limit of a later time", "[params.cloud]", next("txn_ops = 3"), ""},
-		{"a later time without a limit", "[params.cloud]", next("colour = 2"), ""},
-		{"a later value too small", "[params.cloud]", next("value_kb = 1.5"), "params.state.next.value_kb"},
-		{"a later transaction too small", "[params.cloud]", next("txn_ops = 2"), "params.state.next.txn_ops"},
-		{"no changes at a later time", "[params.cloud]", next("write_rps = 0.0"), "params.state.next.write_rps"},
-		{"text for a later limit", "[params.cloud]", next(`value_kb = "2"`), "value_kb"},
-		{"a later limit of no number", "[params.cloud]", next("value_kb = nan"), "params.state.next.value_kb"},
+		{"limits of a later time", "[params.cloud]", upcoming("write_rps = 9.0\nvalue_kb = 2.0\ntxn_ops = 4"), ""},
+		{"one limit of a later time", "[params.cloud]", upcoming("txn_ops = 3"), ""},
+		{"a later time without a limit", "[params.cloud]", upcoming("colour = 2"), ""},
+		{"a later value too small", "[params.cloud]", upcoming("value_kb = 1.5"), "params.state.next.value_kb"},
+		{"a later transaction too small", "[params.cloud]", upcoming("txn_ops = 2"), "params.state.next.txn_ops"},
+		{"no changes at a later time", "[params.cloud]", upcoming("write_rps = 0.0"), "params.state.next.write_rps"},
+		{"text for a later limit", "[params.cloud]", upcoming(`value_kb = "2"`), "value_kb"},
+		{"a later limit of no number", "[params.cloud]", upcoming("value_kb = nan"), "params.state.next.value_kb"},
 		{"a present transaction too small, the later one well", "txn_ops = 12", "txn_ops = 2\n[params.state.next]\ntxn_ops = 4", "params.state.txn_ops"},
 	}
 	for _, c := range cases {
@@ -101,4 +101,4 @@
 	}
 }
 
-func next(fields string) string { return "[params.state.next]\n" + fields + "\n[params.cloud]" }
+func upcoming(fields string) string { return "[params.state.next]\n" + fields + "\n[params.cloud]" }
