--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -1,96 +1,90 @@
 package settings
 
-import (
-	"fmt"
-)
+import "fmt"
 
 // The least that the checks allow.
 const (
-	little       = 1e-3 // of rates and times, which must not be 0
-	leastMemMB   = 16
-	leastSockets = 16
-	leastTxnOps  = 3
-	// leastValueKB is what the largest value needs that cannot be split: the progress of
+	minPositive = 1e-3 // of rates and times, which must not be 0
+	minMemoryMB = 16
+	minSockets  = 16
+	minTxnOps   = 3
+	// minValueKB is what the largest value needs that cannot be split: the progress of
 	// 8192 tasks.
-	leastValueKB = 2
+	minValueKB = 2
 )
 
-// check tells the first field found wrong.
+// check returns an error that names the first field that is wrong.
 func (s *Settings) check() error {
 	c := &checker{}
-	c.text("member", s.Member)
-	c.addr("client_listen", s.ClientListen)
-	c.addr("peer_bind", s.PeerListen)
-	c.addr("external.cloud", s.External.Cloud)
-	c.addr("external.state", s.External.State)
-	c.peers(s)
-	c.params(&s.Params)
+	c.notEmpty("member", s.Member)
+	c.hostPort("client_listen", s.ClientListen)
+	c.hostPort("peer_bind", s.PeerListen)
+	c.hostPort("external.cloud", s.External.Cloud)
+	c.hostPort("external.state", s.External.State)
+	c.checkPeers(s)
+	c.checkParams(&s.Params)
 	return c.err
 }
 
-// peers checks the other nodes.
-func (c *checker) peers(s *Settings) {
-	seen, addrs := map[string]bool{s.Member: true}, map[string]bool{s.PeerListen: true}
-	for i, p := range s.Peers {
-		name := fmt.Sprintf("seeds[%d].member", i)
-		c.text(name, p.Member)
-		c.that(!seen[p.Member], name, "stands there twice")
-		seen[p.Member] = true
+// checkPeers checks the other nodes.
+func (c *checker) checkPeers(s *Settings) {
+	members, addrs := map[string]bool{s.Member: true}, map[string]bool{s.PeerListen: true}
+	for i, peer := range s.Peers {
+		field := fmt.Sprintf("seeds[%d].", i)
+		c.notEmpty(field+"member", peer.Member)
+		c.unique(members, field+"member", peer.Member)
 		// One peer under two names would pass for two that agree.
-		at := fmt.Sprintf("seeds[%d].addr", i)
-		c.addr(at, p.Addr)
-		c.that(!addrs[p.Addr], at, "stands there twice")
-		addrs[p.Addr] = true
+		c.hostPort(field+"addr", peer.Addr)
+		c.unique(addrs, field+"addr", peer.Addr)
 	}
 }
 
-// params checks the description of the deployment.
-func (c *checker) params(p *Params) {
-	c.that(len(p.Zones) > 0, "params.zones", "is missing")
-	c.amount("params.clock_error_ms", p.ClockErrorMS, 0)
-	c.that(len(p.Teams) > 0, "params.teams", "is missing")
-	c.teams(p.Teams)
-	c.workers(p.Workers)
-	c.state("params.state.", p.State)
-	c.state("params.state.next.", p.State.AfterChange())
-	c.amount("params.cloud.rps", p.Cloud.RPS, little)
-	c.amount("params.cloud.list_lag_s", p.Cloud.ListLagS, 0)
-	c.amount("params.limits.cpu", p.Limits.CPU, little)
-	c.amount("params.limits.mem_mb", p.Limits.MemoryMB, leastMemMB)
-	c.that(p.Limits.MaxSockets >= leastSockets, "params.limits.max_sockets", fmt.Sprintf("must be at least %d", leastSockets))
+// checkParams checks the description of the deployment.
+func (c *checker) checkParams(p *Params) {
+	c.require(len(p.Zones) > 0, "params.zones", "is missing")
+	c.atLeast("params.clock_error_ms", p.ClockErrorMS, 0)
+	c.require(len(p.Teams) > 0, "params.teams", "is missing")
+	c.checkTeams(p.Teams)
+	c.checkWorkers(p.Workers)
+	c.checkState("params.state.", p.State)
+	c.checkState("params.state.next.", p.State.AfterChange())
+	c.atLeast("params.cloud.rps", p.Cloud.RPS, minPositive)
+	c.atLeast("params.cloud.list_lag_s", p.Cloud.ListLagS, 0)
+	c.atLeast("params.limits.cpu", p.Limits.CPU, minPositive)
+	c.atLeast("params.limits.mem_mb", p.Limits.MemoryMB, minMemoryMB)
+	c.atLeastInt("params.limits.max_sockets", p.Limits.MaxSockets, minSockets)
 }
 
-// teams checks the guarantees and limits of the teams.
-func (c *checker) teams(all []Team) {
+// checkTeams checks the guarantees and limits of the teams.
+func (c *checker) checkTeams(teams []Team) {
 	names := map[string]bool{}
-	for i, t := range all {
-		at := fmt.Sprintf("params.teams[%d].", i)
-		c.text(at+"name", t.Name)
-		c.that(!names[t.Name], at+"name", "stands there twice")
-		names[t.Name] = true
-		c.amount(at+"cpus", t.GuaranteedCPUs, 0)
-		c.amount(at+"cpus_max", t.MaxCPUs, 0)
-		c.amount(at+"gpus", t.GuaranteedGPUs, 0)
-		c.amount(at+"gpus_max", t.MaxGPUs, 0)
-		c.that(t.MaxCPUs == 0 || t.GuaranteedCPUs <= t.MaxCPUs, at+"cpus", "is over cpus_max")
-		c.that(t.MaxGPUs == 0 || t.GuaranteedGPUs <= t.MaxGPUs, at+"gpus", "is over gpus_max")
+	for i, team := range teams {
+		field := fmt.Sprintf("params.teams[%d].", i)
+		c.notEmpty(field+"name", team.Name)
+		c.unique(names, field+"name", team.Name)
+		c.atLeast(field+"cpus", team.GuaranteedCPUs, 0)
+		c.atLeast(field+"cpus_max", team.MaxCPUs, 0)
+		c.atLeast(field+"gpus", team.GuaranteedGPUs, 0)
+		c.atLeast(field+"gpus_max", team.MaxGPUs, 0)
+		c.require(team.MaxCPUs == 0 || team.GuaranteedCPUs <= team.MaxCPUs, field+"cpus", "is over cpus_max")
+		c.require(team.MaxGPUs == 0 || team.GuaranteedGPUs <= team.MaxGPUs, field+"gpus", "is over gpus_max")
 	}
 }
 
-// workers checks the times that workers keep.
-func (c *checker) workers(w Workers) {
-	c.amount("params.workers.report_s", w.HeartbeatIntervalS, little)
-	c.amount("params.workers.lease_s", w.LeaseDurationS, little)
-	c.amount("params.workers.cancel_s", w.CancellationTimeoutS, little)
-	c.that(w.CancellationTimeoutS > w.LeaseDurationS, "params.workers.cancel_s", "must be over lease_s")
-	c.amount("params.workers.gang_wait_s", w.GangAssemblyTimeoutS, 0)
-	c.amount("params.workers.gang_peer_s", w.GangLossTimeoutS, 0)
+// checkWorkers checks the times that workers keep.
+func (c *checker) checkWorkers(w Workers) {
+	c.atLeast("params.workers.report_s", w.HeartbeatIntervalS, minPositive)
+	c.atLeast("params.workers.lease_s", w.LeaseDurationS, minPositive)
+	c.atLeast("params.workers.cancel_s", w.CancellationTimeoutS, minPositive)
+	c.require(w.CancellationTimeoutS > w.LeaseDurationS, "params.workers.cancel_s", "must be over lease_s")
+	c.atLeast("params.workers.gang_wait_s", w.GangAssemblyTimeoutS, 0)
+	c.atLeast("params.workers.gang_peer_s", w.GangLossTimeoutS, 0)
 }
 
-// state checks the limits of the state service.
-func (c *checker) state(at string, s State) {
-	c.amount(at+"rps", s.RPS, little)
-	c.amount(at+"write_rps", s.WriteRPS, little)
-	c.amount(at+"value_kb", s.ValueKB, leastValueKB)
-	c.that(s.TxnOps >= leastTxnOps, at+"txn_ops", fmt.Sprintf("must be at least %d", leastTxnOps))
+// checkState checks limits of the state service; table is the TOML table that they are in.
+func (c *checker) checkState(table string, s State) {
+	c.atLeast(table+"rps", s.RPS, minPositive)
+	c.atLeast(table+"write_rps", s.WriteRPS, minPositive)
+	c.atLeast(table+"value_kb", s.ValueKB, minValueKB)
+	c.atLeastInt(table+"txn_ops", s.TxnOps, minTxnOps)
 }
--- a/internal/settings/elements.go
+++ b/internal/settings/elements.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"maps"
+	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,186 +14,186 @@
 	"caperlatch/internal/micros"
 )
 
-// rootElement is the outermost element of the operators' files.
+// rootElement is the outermost element of the operators' XML files.
 const rootElement = "caperlatch"
 
-// field checks the content of an element and keeps it. many says that the element may stand
-// any number of times.
-type field struct {
-	keep func(name, text string) error
-	many bool
-}
-
-// section is an element that holds others.
+// section is an element within the root element that holds fields.
 type section struct {
 	fields map[string]field // by the element's name
 	check  func() error     // of the values against each other, once the file is read; nil: none
 }
 
-// elementParser reads an operators' file: sections within the root element.
-type elementParser struct {
-	decoder  *xml.Decoder
-	checker  checker
-	sections map[string]section
-	present  string          // section that is open
-	read     map[string]bool // elements that have been read, by section
-	open     int             // how many elements are open
-	entered  map[string]bool // sections that have been seen
+// field is an element that holds a value.
+type field struct {
+	// store parses the element's text and stores the value. Its error is of a text that cannot
+	// be parsed; of a value out of bounds it tells the checker.
+	store      func(c *checker, name, text string) error
+	repeatable bool // whether it may stand any number of times
 }
 
-// newElementParser is a parser of r whose sections are still to be set.
-func newElementParser(r io.Reader) *elementParser {
-	return &elementParser{
-		decoder:  xml.NewDecoder(r),
-		sections: map[string]section{},
-		read:     map[string]bool{},
-		entered:  map[string]bool{},
+// readFile reads the file at path; subject is what its errors begin with.
+func readFile[T any](subject, path string, parse func(io.Reader) (T, error)) (T, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return *new(T), fmt.Errorf("%s: %w", subject, err)
 	}
+	defer f.Close()
+	return parse(f)
 }
 
-// numeric is a field that holds a number.
-func numeric(keep func(name string, v float64)) field {
-	return field{keep: func(name, text string) error {
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+// parseElements reads a whole file of these sections, by their elements' names, and returns
+// which of them it has. Of several things that are wrong its error is of the first one that
+// cannot be read, else of the first value out of bounds, else of values that contradict each
+// other, by the sections' names.
+func parseElements(r io.Reader, sections map[string]section) (present map[string]bool, err error) {
+	p := &elementParser{
+		decoder:  xml.NewDecoder(r),
+		sections: sections,
+		present:  map[string]bool{},
+		seen:     map[string]bool{},
+	}
+	if err := p.parse(); err != nil {
+		return nil, err
+	}
+	if p.checker.err != nil {
+		return nil, p.checker.err
+	}
+	for _, name := range slices.Sorted(maps.Keys(p.present)) {
+		if check := sections[name].check; check != nil {
+			if err := check(); err != nil {
+				return nil, err
+			}
 		}
-		keep(name, v)
-		return nil
-	}}
-}
-
-// many is a field whose element may stand any number of times.
-func many(f field) field {
-	f.many = true
-	return f
-}
-
-// names keeps the names that elements hold.
-func (p *elementParser) names(to *[]string) field {
-	return many(field{keep: func(name, text string) error {
-		p.checker.text(name, text)
-		*to = append(*to, text)
-		return nil
-	}})
-}
-
-// number keeps a value without a unit, which may be at most so much.
-func (p *elementParser) number(to *float64, most float64) field {
-	return numeric(func(name string, v float64) {
-		p.within(name, v, 0, most)
-		*to = v
-	})
-}
-
-// count keeps a whole number within bounds.
-func (p *elementParser) count(to *int, least, most int) field {
-	return numeric(func(name string, v float64) {
-		p.within(name, v, float64(least), float64(most))
-		p.checker.that(v == float64(int(v)), name, "must be a whole number")
-		*to = int(v)
-	})
-}
-
-// seconds keeps a time of at least a second.
-func (p *elementParser) seconds(to *micros.Micros, most float64) field {
-	return numeric(func(name string, v float64) {
-		p.within(name, v, 1, most)
-		*to = micros.FromSeconds(v)
-	})
-}
-
-// percent keeps a share that is given in percent.
-func (p *elementParser) percent(to *float64) field {
-	return numeric(func(name string, v float64) {
-		p.within(name, v, 0, 100)
-		*to = v / 100
-	})
-}
-
-// milliseconds keeps a time within bounds.
-func (p *elementParser) milliseconds(to *micros.Micros, least, most float64) field {
-	return numeric(func(name string, v float64) {
-		p.within(name, v, least, most)
-		*to = micros.Micros(v * float64(micros.Millisecond))
-	})
+	}
+	return p.present, nil
 }
 
-// within checks that a value is a number within bounds.
-func (p *elementParser) within(name string, v, least, most float64) {
-	p.checker.amount(name, v, least)
-	p.checker.that(v <= most, name, fmt.Sprintf("must be at most %v", most))
+// elementParser reads a file of sections.
+type elementParser struct {
+	decoder  *xml.Decoder
+	checker  checker
+	sections map[string]section
+	depth    int             // how many elements are open
+	section  string          // that is open, or was last
+	present  map[string]bool // sections that the file has
+	seen     map[string]bool // fields that were read, by section/field
 }
 
-// parse reads the whole file, and checks the sections that it has.
+// parse reads the whole file.
 func (p *elementParser) parse() error {
 	for {
 		token, err := p.decoder.Token()
 		if errors.Is(err, io.EOF) {
-			return p.check()
+			return nil
 		}
 		if err != nil {
 			return err
 		}
 		switch element := token.(type) {
 		case xml.StartElement:
-			if err := p.begin(&element); err != nil {
+			if err := p.startElement(&element); err != nil {
 				return err
 			}
 		case xml.EndElement:
-			p.open--
+			p.depth--
 		}
 	}
 }
 
-// check tells the first thing found wrong, of values by themselves and then against each other.
-func (p *elementParser) check() error {
-	if p.checker.err != nil {
-		return p.checker.err
-	}
-	for _, name := range slices.Sorted(maps.Keys(p.entered)) {
-		if check := p.sections[name].check; check != nil {
-			if err := check(); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// begin reads an element that holds a value, or enters one that holds others.
-func (p *elementParser) begin(element *xml.StartElement) error {
+// startElement enters the root element or a section, or reads a field.
+func (p *elementParser) startElement(element *xml.StartElement) error {
 	name := element.Name.Local
 	_, known := p.sections[name]
 	switch {
-	case p.open == 0 && name == rootElement:
-		p.open++
+	case p.depth == 0 && name == rootElement:
+		p.depth++
 		return nil
-	case p.open == 1 && known && !p.entered[name]:
-		p.open++
-		p.present, p.entered[name] = name, true
+	case p.depth == 1 && known && !p.present[name]:
+		p.depth++
+		p.section, p.present[name] = name, true
 		return nil
-	case p.open == 2:
-		return p.value(element)
+	case p.depth == 2:
+		return p.readField(element)
 	}
 	return unknownElement(name)
 }
 
-// value reads an element of the present section.
-func (p *elementParser) value(element *xml.StartElement) error {
+// readField reads a field of the open section, up to its end.
+func (p *elementParser) readField(element *xml.StartElement) error {
 	name := element.Name.Local
-	key := p.present + "/" + name
-	f, known := p.sections[p.present].fields[name]
-	if !known || p.read[key] && !f.many {
+	key := p.section + "/" + name
+	f, known := p.sections[p.section].fields[name]
+	if !known || p.seen[key] && !f.repeatable {
 		return unknownElement(name)
 	}
-	p.read[key] = true
+	p.seen[key] = true
 	var text string
 	if err := p.decoder.DecodeElement(&text, element); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	return f.keep(name, strings.TrimSpace(text))
+	return f.store(&p.checker, name, strings.TrimSpace(text))
 }
 
-// unknownElement says that an element must not stand where it does.
+// unknownElement returns the error of an element that must not stand where it does.
 func unknownElement(name string) error { return fmt.Errorf("element %s is unknown here", name) }
+
+// numeric is a field that holds a number within bounds, as the element has it.
+func numeric(least, most float64, store func(c *checker, name string, value float64)) field {
+	return field{store: func(c *checker, name, text string) error {
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		c.within(name, value, least, most)
+		store(c, name, value)
+		return nil
+	}}
+}
+
+// repeatable makes a field one whose element may stand any number of times.
+func repeatable(f field) field {
+	f.repeatable = true
+	return f
+}
+
+// names is a repeatable field that adds its text, which must not be empty, to a list.
+func names(to *[]string) field {
+	return repeatable(field{store: func(c *checker, name, text string) error {
+		c.notEmpty(name, text)
+		*to = append(*to, text)
+		return nil
+	}})
+}
+
+// number is a field that holds a number without a unit, from 0 to most.
+func number(to *float64, most float64) field {
+	return numeric(0, most, func(_ *checker, _ string, value float64) { *to = value })
+}
+
+// wholeNumber is a field that holds a whole number within bounds.
+func wholeNumber(to *int, least, most int) field {
+	return numeric(float64(least), float64(most), func(c *checker, name string, value float64) {
+		c.require(value == float64(int(value)), name, "must be a whole number")
+		*to = int(value)
+	})
+}
+
+// percent is a field that holds a share in percent, from least to 100.
+func percent(least float64, store func(share float64)) field {
+	return numeric(least, 100, func(_ *checker, _ string, value float64) { store(value / 100) })
+}
+
+// share is a field that holds a share in percent, from 0 to 100.
+func share(to *float64) field { return percent(0, func(value float64) { *to = value }) }
+
+// seconds is a field that holds a time in seconds, from 1 to most.
+func seconds(to *micros.Micros, most float64) field {
+	return numeric(1, most, func(_ *checker, _ string, value float64) { *to = micros.FromSeconds(value) })
+}
+
+// milliseconds is a field that holds a time in milliseconds within bounds.
+func milliseconds(to *micros.Micros, least, most float64) field {
+	return numeric(least, most, func(_ *checker, _ string, value float64) {
+		*to = micros.Micros(value * float64(micros.Millisecond))
+	})
+}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -59,22 +59,21 @@
 	var standby Standby
 	var zones zone.Config
 	var members membership.Config
-	p := newElementParser(strings.NewReader(""))
 	return map[string]section{
-		standbySection:    standbyElements(p, &standby),
-		zonesSection:      zonesElements(p, &zones, &Params{}),
-		membershipSection: membershipElements(p, &members),
+		standbyElement:    standbySection(&standby),
+		zonesElement:      zonesSection(&zones, &Params{}),
+		membershipElement: membershipSection(&members),
 	}
 }
 
 // TestElementNames has the elements of the operators' files be called as they were.
 func TestElementNames(t *testing.T) {
 	sections := operatorsSections()
-	out := []golden.Section{{Name: "root", Text: rootElement}, {Name: "variable with the tuning", Text: TuningVariable}, {Name: "section of the tuning", Text: tuningSection}}
+	out := []golden.Section{{Name: "root", Text: rootElement}, {Name: "variable with the tuning", Text: TuningVariable}, {Name: "section of the tuning", Text: staffingElement}}
 	for _, name := range slices.Sorted(maps.Keys(sections)) {
 		var fields []string
 		for _, f := range slices.Sorted(maps.Keys(sections[name].fields)) {
-			if sections[name].fields[f].many {
+			if sections[name].fields[f].repeatable {
 				f += ", any number"
 			}
 			fields = append(fields, f)
@@ -152,7 +151,7 @@
 			t.Errorf("%s: %v", name, err)
 			return
 		}
-		for part, values := range map[string]any{standbySection: features.Standby, zonesSection: features.Zones, membershipSection: features.Membership} {
+		for part, values := range map[string]any{standbyElement: features.Standby, zonesElement: features.Zones, membershipElement: features.Membership} {
 			sections = append(sections, golden.Section{Name: fmt.Sprintf("%s: %s", name, part), Text: golden.Values(values)})
 		}
 		slices.SortStableFunc(sections[2:], func(a, b golden.Section) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -2,15 +2,15 @@
 
 import "caperlatch/internal/membership"
 
-// membershipSection is the element that turns membership on and holds its settings.
-const membershipSection = "membership"
+// membershipElement turns membership on and holds its settings.
+const membershipElement = "membership"
 
-// membershipElements are the elements of the section.
-func membershipElements(p *elementParser, c *membership.Config) section {
+// membershipSection returns the section that sets c.
+func membershipSection(c *membership.Config) section {
 	return section{check: c.Check, fields: map[string]field{
-		"heartbeat_ms":     p.milliseconds(&c.HeartbeatInterval, 50, 5_000),
-		"suspect_ms":       p.milliseconds(&c.SuspectAfter, 200, 60_000),
-		"confirm_least_ms": p.milliseconds(&c.MinSuspicionTimeout, 100, 60_000),
-		"confirm_most_ms":  p.milliseconds(&c.MaxSuspicionTimeout, 100, 60_000),
+		"heartbeat_ms":     milliseconds(&c.HeartbeatInterval, 50, 5_000),
+		"suspect_ms":       milliseconds(&c.SuspectAfter, 200, 60_000),
+		"confirm_least_ms": milliseconds(&c.MinSuspicionTimeout, 100, 60_000),
+		"confirm_most_ms":  milliseconds(&c.MaxSuspicionTimeout, 100, 60_000),
 	}}
 }
--- a/internal/settings/standby.go
+++ b/internal/settings/standby.go
@@ -4,20 +4,22 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
 
 	"caperlatch/internal/micros"
 )
 
-// Standby holds the settings of the warm standby; nil where it is off.
+// standbyElement turns the warm standby on and holds its settings.
+const standbyElement = "standby"
+
+// Standby holds the settings of the warm standby.
 type Standby struct {
-	QueryInterval   micros.Micros // between a follower's queries
-	SuspectAfter    micros.Micros // without an answer, the leader is suspected
+	QueryInterval   micros.Micros // between a follower's queries to the leader
+	SuspectAfter    micros.Micros // without a response, after which the leader is suspected
 	MaxLogEntries   int           // that a leader keeps for followers which are behind
-	HandoverTimeout micros.Micros // what a planned handover may take
+	HandoverTimeout micros.Micros // of a planned transfer of leadership
 }
 
-// defaultStandby is what holds for the elements that are left out.
+// defaultStandby returns the values of elements that are left out.
 func defaultStandby() Standby {
 	return Standby{
 		QueryInterval:   100 * micros.Millisecond,
@@ -27,18 +29,8 @@
 	}
 }
 
-// standbySection is the element that turns the standby on and holds its settings.
-const standbySection = "standby"
-
 // ReadStandby reads the file at path.
-func ReadStandby(path string) (*Standby, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, fmt.Errorf("standby: %w", err)
-	}
-	defer f.Close()
-	return ParseStandby(f)
-}
+func ReadStandby(path string) (*Standby, error) { return readFile("standby", path, ParseStandby) }
 
 // ParseStandby reads
 //
@@ -47,26 +39,24 @@
 //
 // where every element within standby may be left out and no other may stand.
 func ParseStandby(r io.Reader) (*Standby, error) {
-	s := defaultStandby()
-	p := newElementParser(r)
-	p.sections[standbySection] = standbyElements(p, &s)
-	err := p.parse()
-	if err == nil && !p.entered[standbySection] {
+	standby := defaultStandby()
+	present, err := parseElements(r, map[string]section{standbyElement: standbySection(&standby)})
+	if err == nil && !present[standbyElement] {
 		err = errors.New("element standby is missing")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("standby: %w", err)
 	}
-	return &s, nil
+	return &standby, nil
 }
 
-// standbyElements are the elements of the section.
-func standbyElements(p *elementParser, s *Standby) section {
+// standbySection returns the section that sets s.
+func standbySection(s *Standby) section {
 	return section{check: s.check, fields: map[string]field{
-		"pull_ms":     p.milliseconds(&s.QueryInterval, 20, 5_000),
-		"suspect_ms":  p.milliseconds(&s.SuspectAfter, 100, 60_000),
-		"log_entries": p.count(&s.MaxLogEntries, 1_000, 1_000_000),
-		"handover_ms": p.milliseconds(&s.HandoverTimeout, 200, 10_000),
+		"pull_ms":     milliseconds(&s.QueryInterval, 20, 5_000),
+		"suspect_ms":  milliseconds(&s.SuspectAfter, 100, 60_000),
+		"log_entries": wholeNumber(&s.MaxLogEntries, 1_000, 1_000_000),
+		"handover_ms": milliseconds(&s.HandoverTimeout, 200, 10_000),
 	}}
 }
 
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -8,19 +8,28 @@
 	"caperlatch/internal/micros"
 )
 
-// TuningVariable names the environment variable that holds the path of the
-// operators' XML file.
+// TuningVariable names the environment variable that holds the path of the operators' file of
+// tuned values.
 const TuningVariable = "CAPERLATCH_TUNING"
 
-// Tuning holds what operators may tune; the zero file leaves the defaults.
+// staffingElement holds the tuned values.
+const staffingElement = "staffing"
+
+// The most that may be tuned.
+const (
+	maxZ       = 10
+	maxSeconds = 3600
+)
+
+// Tuning holds what operators may tune of the autoscaler.
 type Tuning struct {
-	Z              float64       // of the paper's formula (4)
-	ReviewInterval micros.Micros // how long a target holds
+	Z              float64       // of the paper's formula (4): how many deviations of demand spare machines cover
+	ReviewInterval micros.Micros // for which a target holds
 	Window         micros.Micros // over which the demand rate is measured
-	RecordInterval micros.Micros // between two staffing records
+	RecordInterval micros.Micros // between two stored staffing records
 }
 
-// DefaultTuning is what DESIGN starts with.
+// DefaultTuning returns the values of docs/design.md, which hold for elements that are left out.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Z:              1.282,
@@ -30,29 +39,16 @@
 	}
 }
 
-// ReadTuning reads the file named by the environment, if there is one.
+// ReadTuning reads the file whose path is in the environment; without one it returns the
+// defaults.
 func ReadTuning() (Tuning, error) {
 	path := os.Getenv(TuningVariable)
 	if path == "" {
 		return DefaultTuning(), nil
 	}
-	f, err := os.Open(path)
-	if err != nil {
-		return Tuning{}, fmt.Errorf("tuning: %w", err)
-	}
-	defer f.Close()
-	return ParseTuning(f)
+	return readFile("tuning", path, ParseTuning)
 }
 
-// tuningSection is the element that holds the tuned values.
-const tuningSection = "staffing"
-
-// The most that may be tuned.
-const (
-	maxZ       = 10
-	maxSeconds = 3600
-)
-
 // ParseTuning reads
 //
 //	<caperlatch><staffing><z>1.282</z><review_s>30</review_s>
@@ -61,15 +57,18 @@
 // where every element may be left out and no other may stand.
 func ParseTuning(r io.Reader) (Tuning, error) {
 	tuning := DefaultTuning()
-	p := newElementParser(r)
-	p.sections[tuningSection] = section{fields: map[string]field{
-		"z":        p.number(&tuning.Z, maxZ),
-		"review_s": p.seconds(&tuning.ReviewInterval, maxSeconds),
-		"window_s": p.seconds(&tuning.Window, maxSeconds),
-		"record_s": p.seconds(&tuning.RecordInterval, maxSeconds),
-	}}
-	if err := p.parse(); err != nil {
+	if _, err := parseElements(r, map[string]section{staffingElement: staffingSection(&tuning)}); err != nil {
 		return Tuning{}, fmt.Errorf("tuning: %w", err)
 	}
 	return tuning, nil
 }
+
+// staffingSection returns the section that sets t.
+func staffingSection(t *Tuning) section {
+	return section{fields: map[string]field{
+		"z":        number(&t.Z, maxZ),
+		"review_s": seconds(&t.ReviewInterval, maxSeconds),
+		"window_s": seconds(&t.Window, maxSeconds),
+		"record_s": seconds(&t.RecordInterval, maxSeconds),
+	}}
+}
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -7,8 +7,8 @@
 	"caperlatch/internal/zone"
 )
 
-// zonesSection is the element that turns the policy on zones on and holds its settings.
-const zonesSection = "zones"
+// zonesElement turns the policy on zones on and holds its settings.
+const zonesElement = "zones"
 
 // Bounds of the settings of zones.
 const (
@@ -16,51 +16,52 @@
 	maxConfirmS      = 60
 	maxHoldDownS     = 600
 	maxCalmS         = 86_400
+	minStepPercent   = 1
 )
 
-// zonesElements are the elements of the section. Steps that are given replace all the default
-// ones.
-func zonesElements(p *elementParser, c *zone.Config, params *Params) section {
-	steps := false
+// zonesSection returns the section that sets c for a deployment. Steps that are given replace
+// all the default ones.
+func zonesSection(c *zone.Config, params *Params) section {
+	hasSteps := false
+	addStep := func(share float64) {
+		if !hasSteps {
+			c.OpenShares, hasSteps = nil, true
+		}
+		c.OpenShares = append(c.OpenShares, share)
+	}
 	return section{
 		check: func() error { return checkZones(c, params) },
 		fields: map[string]field{
-			"class":            p.names(&c.EvacuationOrder),
-			"exempt":           p.names(&c.ExemptZones),
-			"suspect_percent":  p.percent(&c.PartialDisruptionShare),
-			"lost_percent":     p.percent(&c.FullDisruptionShare),
-			"clear_percent":    p.percent(&c.NormalShare),
-			"relapse_percent":  p.percent(&c.MaxRelapseShare),
-			"replace_percent":  p.percent(&c.ReplacementShare),
-			"least_machines":   p.count(&c.MinMachines, 1, maxLeastMachines),
-			"confirm_s":        p.seconds(&c.ConfirmationTime, maxConfirmS),
-			"step_s":           p.seconds(&c.MinStepTime, maxHoldDownS),
-			"hold_down_s":      p.seconds(&c.InitialHoldDown, maxHoldDownS),
-			"hold_down_most_s": p.seconds(&c.MaxHoldDown, maxHoldDownS),
-			"calm_s":           p.seconds(&c.FlapExpiry, maxCalmS),
-			"step_percent": many(numeric(func(name string, v float64) {
-				if !steps {
-					c.OpenShares, steps = nil, true
-				}
-				p.within(name, v, 1, 100)
-				c.OpenShares = append(c.OpenShares, v/100)
-			})),
+			"class":            names(&c.EvacuationOrder),
+			"exempt":           names(&c.ExemptZones),
+			"suspect_percent":  share(&c.PartialDisruptionShare),
+			"lost_percent":     share(&c.FullDisruptionShare),
+			"clear_percent":    share(&c.NormalShare),
+			"relapse_percent":  share(&c.MaxRelapseShare),
+			"replace_percent":  share(&c.ReplacementShare),
+			"least_machines":   wholeNumber(&c.MinMachines, 1, maxLeastMachines),
+			"confirm_s":        seconds(&c.ConfirmationTime, maxConfirmS),
+			"step_s":           seconds(&c.MinStepTime, maxHoldDownS),
+			"hold_down_s":      seconds(&c.InitialHoldDown, maxHoldDownS),
+			"hold_down_most_s": seconds(&c.MaxHoldDown, maxHoldDownS),
+			"calm_s":           seconds(&c.FlapExpiry, maxCalmS),
+			"step_percent":     repeatable(percent(minStepPercent, addStep)),
 		},
 	}
 }
 
 // checkZones checks the settings of zones against each other and the deployment.
-func checkZones(c *zone.Config, p *Params) error {
+func checkZones(c *zone.Config, params *Params) error {
 	if err := c.Check(); err != nil {
 		return err
 	}
 	for _, name := range c.ExemptZones {
-		if !slices.Contains(p.Zones, name) {
+		if !slices.Contains(params.Zones, name) {
 			return fmt.Errorf("exempt: there is no zone %s", name)
 		}
 	}
 	for _, name := range c.EvacuationOrder {
-		if !slices.ContainsFunc(p.Objectives, func(o Objective) bool { return o.Class == name }) {
+		if !slices.ContainsFunc(params.Objectives, func(o Objective) bool { return o.Class == name }) {
 			return fmt.Errorf("class: no objective names a class %s", name)
 		}
 	}
