--- a/internal/settings/features_test.go
+++ b/internal/settings/features_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// TestParseFeatures reads files that turn optional parts on.
+// TestParseFeatures reads files that turn optional parts on. What is wrong is an error of one line
+// that names the element.
 func TestParseFeatures(t *testing.T) {
 	wrap := func(s string) string { return "<caperlatch><zones>" + s + "</zones></caperlatch>" }
 	standby := defaultStandby()
@@ -34,16 +35,16 @@
 		want       Features
 		wrong      string // what the error names
 	}{
-		{"zones, all left out", wrap(""), Features{Zones: &plain}, ""},
+		{"zones, all elements left out", wrap(""), Features{Zones: &plain}, ""},
 		{"the standby alone", "<caperlatch><standby/></caperlatch>", Features{Standby: &standby}, ""},
-		{"both", "<caperlatch><standby/><zones/></caperlatch>", Features{Standby: &standby, Zones: &plain}, ""},
-		{"much", wrap("<class>scan</class><class> update </class><exempt>b</exempt><step_percent>50</step_percent>" +
+		{"the standby and zones", "<caperlatch><standby/><zones/></caperlatch>", Features{Standby: &standby, Zones: &plain}, ""},
+		{"zones, some elements", wrap("<class>scan</class><class> update </class><exempt>b</exempt><step_percent>50</step_percent>" +
 			"<step_percent>100</step_percent><hold_down_s>10</hold_down_s><lost_percent>60</lost_percent>"), Features{Zones: &changed}, ""},
 		{"membership", "<caperlatch><membership><suspect_ms>4000</suspect_ms><confirm_most_ms>6500</confirm_most_ms></membership></caperlatch>", Features{Membership: &members}, ""},
 		{"a node suspected too soon", "<caperlatch><membership><heartbeat_ms>1100</heartbeat_ms></membership></caperlatch>", Features{}, "suspect_ms"},
 		{"a verdict that others delay", "<caperlatch><membership><confirm_least_ms>5001</confirm_least_ms></membership></caperlatch>", Features{}, "confirm_least_ms"},
-		{"no heartbeats", "<caperlatch><membership><heartbeat_ms>0</heartbeat_ms></membership></caperlatch>", Features{}, "heartbeat_ms"},
-		{"neither", "<caperlatch/>", Features{}, "standby, zones or membership"},
+		{"a heartbeat interval of nothing", "<caperlatch><membership><heartbeat_ms>0</heartbeat_ms></membership></caperlatch>", Features{}, "heartbeat_ms"},
+		{"no section", "<caperlatch/>", Features{}, "standby, zones or membership"},
 		{"an empty file", "", Features{}, "standby, zones or membership"},
 		{"a section twice", "<caperlatch><zones/><zones/></caperlatch>", Features{}, "zones"},
 		{"an unknown section", "<caperlatch><zone/></caperlatch>", Features{}, "zone"},
@@ -75,8 +76,8 @@
 	}
 }
 
-// checkParsed checks what a file was read as, or that what is wrong ends the start with one line
-// that names the element.
+// checkParsed checks what a file was read as, or, if wrong is set, that the error is one line that
+// names the element.
 func checkParsed(t *testing.T, got any, err error, want any, wrong string) {
 	t.Helper()
 	if wrong == "" && (err != nil || !reflect.DeepEqual(got, want)) {
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestDeployed reads the files under deploy, which show the defaults.
-func TestDeployed(t *testing.T) {
+// TestDeployedFeatures reads the files under deploy, which show the defaults.
+func TestDeployedFeatures(t *testing.T) {
 	zones, members, standby := zone.DefaultConfig(8*micros.Second), membership.DefaultConfig(), defaultStandby()
 	for file, want := range map[string]Features{
 		"zones.xml":      {Zones: &zones},
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -19,7 +19,7 @@
 	"caperlatch/internal/zone"
 )
 
-// asTOML is a value as TOML, in which nothing but its tags names its fields.
+// asTOML returns a value as TOML, in which nothing but its tags names its fields.
 func asTOML(t *testing.T, v any) string {
 	t.Helper()
 	b, err := toml.Marshal(v)
@@ -29,9 +29,9 @@
 	return strings.TrimSuffix(string(b), "\n")
 }
 
-// TestSettingsNames has settings with every field set be written as they were, and be read from
-// that as they are; and the example be read as it was.
-func TestSettingsNames(t *testing.T) {
+// TestSettingsFields checks that settings with every field set are written as the golden file says
+// and read again as they were, and that the example is read as it says.
+func TestSettingsFields(t *testing.T) {
 	all := golden.Filled(reflect.TypeFor[Settings]()).Interface().(Settings)
 	text := asTOML(t, all)
 	var read Settings
@@ -49,12 +49,12 @@
 	})
 }
 
-// TestSettingsTags has all fields of settings be named by tags.
+// TestSettingsTags checks that tags name all fields of settings.
 func TestSettingsTags(t *testing.T) {
 	golden.CheckTags(t, "toml", golden.Of[Settings]("settings"))
 }
 
-// operatorsSections are the sections of the operators' files.
+// operatorsSections returns the sections of the operators' files, but for the tuning's.
 func operatorsSections() map[string]section {
 	var standby Standby
 	var zones zone.Config
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestElementNames has the elements of the operators' files be called as they were.
+// TestElementNames checks the names of the elements of the operators' files.
 func TestElementNames(t *testing.T) {
 	sections := operatorsSections()
 	out := []golden.Section{{Name: "root", Text: rootElement}, {Name: "variable with the tuning", Text: TuningVariable}, {Name: "section of the tuning", Text: staffingElement}}
@@ -121,18 +121,18 @@
 	}
 }
 
-// TestOperatorsFiles has the operators' files be read as they were: those in deploy, and some
-// with every element set.
+// TestOperatorsFiles checks what the operators' files are read as: those in deploy, and some with
+// every element set.
 func TestOperatorsFiles(t *testing.T) {
 	example, err := Read(filepath.Join("..", "..", "deploy", "settings.example.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	all := "<caperlatch>" + allStandby + allMembership + allZones + "</caperlatch>"
-	stand := elementsOf(t, all)
+	present := elementsOf(t, all)
 	for name, s := range operatorsSections() {
 		for f := range s.fields {
-			if !stand["caperlatch/"+name+"/"+f] {
+			if !present["caperlatch/"+name+"/"+f] {
 				t.Errorf("%s/%s is not set here", name, f)
 			}
 		}
@@ -173,9 +173,9 @@
 	golden.Check(t, "files.golden", sections)
 }
 
-// TestErrorTexts has what the user is told of a wrong file be what it was. Errors of decoding
-// name the types and fields here, so that these are seen outside.
-func TestErrorTexts(t *testing.T) {
+// TestDecodingErrors checks the errors for files that cannot be decoded. They name Go types and
+// fields, which are so seen outside.
+func TestDecodingErrors(t *testing.T) {
 	var sections []golden.Section
 	for _, c := range []struct{ name, content string }{
 		{"no text", "member = 3"},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// file is a complete file, with an unknown field.
 const file = `
 member = "host-0"
 zone = "north"
@@ -55,9 +56,10 @@
 addr = "127.0.0.6:8081"
 `
 
+// TestParse checks which files are read; an error is one line that names the field.
 func TestParse(t *testing.T) {
 	cases := []struct{ name, old, new, field string }{
-		{"as it should be, with an unknown field", "", "", ""},
+		{"all fields, and an unknown one", "", "", ""},
 		{"no member", `member = "host-0"`, "", "member"},
 		{"a listen address without a port", "127.0.0.1:8080", "127.0.0.1", "client_listen"},
 		{"no state service", `state = "127.0.0.3:2"`, "", "external.state"},
@@ -71,19 +73,19 @@
 		{"a guarantee over the limit", "cpus = 4.0", "cpus = 9.0", "params.teams[0].cpus"},
 		{"text for a number", "lease_s = 16.0", `lease_s = "16"`, "lease_s"},
 		{"no lease", "lease_s = 16.0", "", "params.workers.lease_s"},
-		{"a negative wait of gangs", "lease_s = 16.0", "lease_s = 16.0\ngang_wait_s = -1.0", "params.workers.gang_wait_s"},
+		{"a negative time of gangs", "lease_s = 16.0", "lease_s = 16.0\ngang_wait_s = -1.0", "params.workers.gang_wait_s"},
 		{"text for a gang's time", "lease_s = 16.0", "lease_s = 16.0\ngang_peer_s = \"4\"", "gang_peer_s"},
 		{"a cancellation within the lease", "cancel_s = 41.0", "cancel_s = 10.0", "params.workers.cancel_s"},
 		{"not a number", "rps = 60.0", "rps = nan", "params.state.rps"},
-		{"limits of a later time", "[params.cloud]", upcoming("write_rps = 9.0\nvalue_kb = 2.0\ntxn_ops = 4"), ""},
-		{"one limit of a later time", "[params.cloud]", upcoming("txn_ops = 3"), ""},
-		{"a later time without a limit", "[params.cloud]", upcoming("colour = 2"), ""},
-		{"a later value too small", "[params.cloud]", upcoming("value_kb = 1.5"), "params.state.next.value_kb"},
-		{"a later transaction too small", "[params.cloud]", upcoming("txn_ops = 2"), "params.state.next.txn_ops"},
-		{"no changes at a later time", "[params.cloud]", upcoming("write_rps = 0.0"), "params.state.next.write_rps"},
-		{"text for a later limit", "[params.cloud]", upcoming(`value_kb = "2"`), "value_kb"},
-		{"a later limit of no number", "[params.cloud]", upcoming("value_kb = nan"), "params.state.next.value_kb"},
-		{"a present transaction too small, the later one well", "txn_ops = 12", "txn_ops = 2\n[params.state.next]\ntxn_ops = 4", "params.state.txn_ops"},
+		{"upcoming limits", "[params.cloud]", upcoming("write_rps = 9.0\nvalue_kb = 2.0\ntxn_ops = 4"), ""},
+		{"one upcoming limit", "[params.cloud]", upcoming("txn_ops = 3"), ""},
+		{"a change of no limit", "[params.cloud]", upcoming("colour = 2"), ""},
+		{"an upcoming limit on values that is too small", "[params.cloud]", upcoming("value_kb = 1.5"), "params.state.next.value_kb"},
+		{"an upcoming limit on transactions that is too small", "[params.cloud]", upcoming("txn_ops = 2"), "params.state.next.txn_ops"},
+		{"an upcoming limit of no operations", "[params.cloud]", upcoming("write_rps = 0.0"), "params.state.next.write_rps"},
+		{"text for an upcoming limit", "[params.cloud]", upcoming(`value_kb = "2"`), "value_kb"},
+		{"an upcoming limit that is no number", "[params.cloud]", upcoming("value_kb = nan"), "params.state.next.value_kb"},
+		{"a present limit on transactions that is too small, before one that is not", "txn_ops = 12", "txn_ops = 2\n[params.state.next]\ntxn_ops = 4", "params.state.txn_ops"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -101,4 +103,5 @@
 	}
 }
 
+// upcoming returns a table of upcoming limits, to stand before the table of the cloud.
 func upcoming(fields string) string { return "[params.state.next]\n" + fields + "\n[params.cloud]" }
--- a/internal/settings/standby_test.go
+++ b/internal/settings/standby_test.go
@@ -7,8 +7,8 @@
 	"caperlatch/internal/micros"
 )
 
-// TestParseStandby reads settings of the warm standby. What is wrong ends the start with one
-// line that names the element.
+// TestParseStandby reads settings of the warm standby. What is wrong is an error of one line that
+// names the element.
 func TestParseStandby(t *testing.T) {
 	wrap := func(s string) string { return "<caperlatch><standby>" + s + "</standby></caperlatch>" }
 	changed := defaultStandby()
@@ -26,8 +26,8 @@
 		{"another section", "<caperlatch><zones/></caperlatch>", Standby{}, "zones"},
 		{"an element twice", wrap("<pull_ms>50</pull_ms><pull_ms>60</pull_ms>"), Standby{}, "pull_ms"},
 		{"no number", wrap("<pull_ms>often</pull_ms>"), Standby{}, "pull_ms"},
-		{"too often", wrap("<pull_ms>1</pull_ms>"), Standby{}, "pull_ms"},
-		{"too seldom", wrap("<suspect_ms>900000</suspect_ms>"), Standby{}, "suspect_ms"},
+		{"an interval that is too short", wrap("<pull_ms>1</pull_ms>"), Standby{}, "pull_ms"},
+		{"a time that is too long", wrap("<suspect_ms>900000</suspect_ms>"), Standby{}, "suspect_ms"},
 		{"suspected between two queries", wrap("<pull_ms>1000</pull_ms>"), Standby{}, "suspect_ms"},
 		{"part of an entry", wrap("<log_entries>2000.5</log_entries>"), Standby{}, "log_entries"},
 		{"no entries", wrap("<log_entries>0</log_entries>"), Standby{}, "log_entries"},
--- a/internal/settings/tuning_test.go
+++ b/internal/settings/tuning_test.go
@@ -7,6 +7,7 @@
 	"caperlatch/internal/micros"
 )
 
+// TestParseTuning checks which files are read, and a value with and one without an element.
 func TestParseTuning(t *testing.T) {
 	wrap := func(s string) string { return "<caperlatch><staffing>" + s + "</staffing></caperlatch>" }
 	cases := []struct {
--- a/internal/settings/workers_test.go
+++ b/internal/settings/workers_test.go
@@ -6,8 +6,9 @@
 	"caperlatch/internal/micros"
 )
 
-func TestRenewFor(t *testing.T) {
-	// A lease renewed at the very end must run out before cancel_s.
+// TestLeaseRenewalWindow checks that a lease which is renewed at the very end of the window
+// expires before a cancellation is due.
+func TestLeaseRenewalWindow(t *testing.T) {
 	for _, w := range []Workers{{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41}, {HeartbeatIntervalS: 3, LeaseDurationS: 45, CancellationTimeoutS: 75}, {HeartbeatIntervalS: 1, LeaseDurationS: 10, CancellationTimeoutS: 11}} {
 		if end := w.LeaseRenewalWindow() + w.LeaseDuration() + micros.MaxClockDrift(w.LeaseDuration()); end > w.CancellationTimeout() {
 			t.Errorf("%+v: leases may last until %v s", w, end.Seconds())
