--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -1,7 +1,7 @@
-// Package micros holds the time type of the code: whole microseconds.
+// Package micros holds the type of all times in the code: whole microseconds.
 //
-// It owns the two clocks, how far two machines' clocks may run apart, and the waits that
-// end with a context. It knows no deadline or interval of the scheduler.
+// It owns the two clocks, how far the clocks of two machines may run apart, and the waits that
+// end with a context. It must know no deadline or interval of the scheduler.
 package micros
 
 import (
@@ -10,8 +10,7 @@
 	"time"
 )
 
-// Micros is a duration, or an instant on one of the two clocks below, in whole
-// microseconds.
+// Micros is a duration, or an instant on one of the two clocks below, in whole microseconds.
 type Micros int64
 
 // Common durations.
@@ -20,55 +19,58 @@
 	Second      Micros = 1000 * Millisecond
 )
 
-var epoch = time.Now()
+// processStart is the instant that the steady clock counts from.
+var processStart = time.Now()
 
-// base keeps readings far above zero, which stands for "never" in many places,
-// also under the test clock, which is decades behind epoch.
-const base Micros = 1 << 50
+// clockBase is the reading of the steady clock at processStart. It keeps readings far above
+// zero, which stands for "never" in many places, also under the tests' clock, which is decades
+// behind processStart.
+const clockBase Micros = 1 << 50
 
-// Now reads the steady clock. Only differences of two readings in one process
-// mean anything.
-func Now() Micros { return base + Micros(time.Since(epoch)/time.Microsecond) }
+// Now reads the steady clock. Only differences of two readings in one process mean anything.
+func Now() Micros { return clockBase + Micros(time.Since(processStart)/time.Microsecond) }
 
-// Wall reads the time of day, counted from 1970.
+// Wall reads the time of day, counted from 1970. It may jump, and differs between machines.
 func Wall() Micros { return Micros(time.Now().UnixMicro()) }
 
 const (
 	perSecond = float64(Second)
-	// longest is about 31 years, so that sums of durations stay in range.
-	longest = 1e15
+	// maxMagnitude is about 31 years, so that sums of durations stay in range.
+	maxMagnitude = 1e15
 )
 
-// FromSeconds converts a wire amount; what is longer than about 31 years is cut to that.
-func FromSeconds(s float64) Micros {
-	return Micros(math.Max(-longest, math.Min(longest, math.Round(s*perSecond))))
+// FromSeconds converts an amount of a message or a setting, rounded to the nearest microsecond;
+// what is longer than about 31 years is cut to that.
+func FromSeconds(seconds float64) Micros {
+	return Micros(math.Max(-maxMagnitude, math.Min(maxMagnitude, math.Round(seconds*perSecond))))
 }
 
-// Seconds is the duration as the wire and the equations want it.
+// Seconds returns the duration in seconds, as messages and formulas want it.
 func (m Micros) Seconds() float64 { return float64(m) / perSecond }
 
-// Duration converts for the standard library's timers and contexts.
+// Duration returns the duration for timers and contexts of the standard library.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// How far clocks may be off: the protocol's 0.05%, doubled because each of two clocks may
-// be off, and a step of the timers.
+// How far clocks may be off: the protocol's 0.05%, doubled because each of two clocks may be
+// off, and a step of the timers.
 const (
 	driftPart = 1000 // one part in so many
 	timerStep = 20 * Millisecond
 )
 
-// MaxClockDrift is how far two machines' steady clocks may run apart over m.
-func MaxClockDrift(m Micros) Micros { return m/driftPart + timerStep }
+// MaxClockDrift returns how far the steady clocks of two machines may run apart over elapsed.
+func MaxClockDrift(elapsed Micros) Micros { return elapsed/driftPart + timerStep }
 
-// Every calls f again and again, d apart, until ctx ends.
-func Every(ctx context.Context, d Micros, f func()) {
-	t := time.NewTicker(d.Duration())
-	defer t.Stop()
+// Every calls f again and again, interval apart and first after one, until ctx ends. Of the calls
+// that come due while f runs, one follows at once and the others are dropped.
+func Every(ctx context.Context, interval Micros, f func()) {
+	ticker := time.NewTicker(interval.Duration())
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 			f()
 		}
 	}
@@ -77,10 +79,10 @@
 // Sleep waits for m.
 func (m Micros) Sleep() { time.Sleep(m.Duration()) }
 
-// Pause waits for d, or less if ctx ends.
-func Pause(ctx context.Context, d Micros) {
+// Pause waits for duration, or until ctx ends if that is sooner.
+func Pause(ctx context.Context, duration Micros) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d.Duration()):
+	case <-time.After(duration.Duration()):
 	}
 }
