--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,10 +1,10 @@
-// Package golden is for tests alone: it compares what is written, on the wire, in the state
-// service, in files and by commands, with golden files under testdata, byte for byte.
+// Package golden is test support: it compares what is encoded, stored and printed with golden
+// files under testdata, byte for byte.
 //
-// It owns the form of the golden files, and how a value is filled so that every field shows.
-// The files hold no names of Go's, but where these are seen outside, as in errors of decoding: a
-// type or field may be called otherwise without a change in what is said. It knows no package of
-// caperlatch, so that each of them may use it.
+// It owns the form of the golden files, and how a value is filled so that every field shows. The
+// files hold no Go names, but where these are seen outside, as in errors of decoding, so that a
+// type or field may be renamed without a change of its encoding. It must import no other package
+// of caperlatch, so that each of them may use it.
 package golden
 
 import (
@@ -20,42 +20,43 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// UpdateVariable names the environment variable that has Check write the golden files anew. A
-// test that does so fails, so that no run with it passes.
+// UpdateVariable names the environment variable that has Check write the golden files. A test
+// that does so fails, so that no run with it passes.
 const UpdateVariable = "CAPERLATCH_GOLDEN_UPDATE"
 
 // Section is a part of a golden file.
 type Section struct {
-	Name string // by which it stands in the file, and none of Go's
+	Name string // in the file; not a Go name
 	Text string
 }
 
-// heading begins a section.
-const heading = "== "
+// sectionMark begins the line with the name of a section.
+const sectionMark = "== "
 
-// Check compares sections with those of a file in the test's testdata.
+// Check compares sections with those of a file in the test's directory testdata, and reports each
+// one that differs as an error of the test.
 func Check(t *testing.T, file string, sections []Section) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
 	if os.Getenv(UpdateVariable) != "" {
-		write(t, path, sections)
+		writeGolden(t, path, sections)
 		return
 	}
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(b) == text(sections) {
+	if string(content) == fileContent(sections) {
 		return
 	}
 	want := map[string]string{}
-	for part := range strings.SplitSeq("\n"+string(b), "\n"+heading) {
-		name, said, _ := strings.Cut(part, "\n")
-		want[name] = strings.TrimSuffix(said, "\n")
+	for part := range strings.SplitSeq("\n"+string(content), "\n"+sectionMark) {
+		name, wantText, _ := strings.Cut(part, "\n")
+		want[name] = strings.TrimSuffix(wantText, "\n")
 	}
 	for _, s := range sections {
-		if said, known := want[s.Name]; !known || said != s.Text {
-			t.Errorf("%s, %s: it says\n%s\nwant\n%s", path, s.Name, s.Text, said)
+		if wantText, known := want[s.Name]; !known || wantText != s.Text {
+			t.Errorf("%s, %s: got\n%s\nwant\n%s", path, s.Name, s.Text, wantText)
 		}
 	}
 	if !t.Failed() {
@@ -63,181 +64,182 @@
 	}
 }
 
-// write writes a golden file anew.
-func write(t *testing.T, path string, sections []Section) {
+// writeGolden writes a golden file, and has the test fail.
+func writeGolden(t *testing.T, path string, sections []Section) {
 	t.Helper()
 	err := os.MkdirAll(filepath.Dir(path), 0o755)
 	if err == nil {
-		err = os.WriteFile(path, []byte(text(sections)), 0o644)
+		err = os.WriteFile(path, []byte(fileContent(sections)), 0o644)
 	}
-	t.Errorf("%s is written anew as %s is set: run the test without (%v)", path, UpdateVariable, err)
+	t.Errorf("%s was written, as %s is set: run the test without it (%v)", path, UpdateVariable, err)
 }
 
-// text is the content of a golden file.
-func text(sections []Section) string {
+// fileContent returns the content of a golden file.
+func fileContent(sections []Section) string {
 	var b strings.Builder
 	for _, s := range sections {
-		fmt.Fprintf(&b, "%s%s\n%s\n", heading, s.Name, s.Text)
+		fmt.Fprintf(&b, "%s%s\n%s\n", sectionMark, s.Name, s.Text)
 	}
 	return b.String()
 }
 
 // Type is a type whose values are encoded.
 type Type struct {
-	name string
-	as   reflect.Type
+	name   string // in golden files
+	goType reflect.Type
 }
 
-// Of is a type by the name that it has in golden files.
+// Of returns the type T with its name in golden files.
 func Of[T any](name string) Type { return Type{name, reflect.TypeFor[T]()} }
 
-// Codec encodes and decodes values.
+// Codec is an encoding of values.
 type Codec struct {
 	Encode func(v any) ([]byte, error)
 	Decode func(b []byte, v any) error
 }
 
-// CheckEncoded compares how values of some types are encoded as CBOR and as JSON, with nothing
-// set and with every field set to a value of its own, and has the latter be decoded to the same.
-func CheckEncoded(t *testing.T, file string, c Codec, types ...Type) {
+// CheckEncoded compares the encodings of values of these types, by codec, which is of CBOR, and as
+// JSON, with those of a golden file: of a value with nothing set, and of one with every field set
+// to a value of its own. It checks that both are decoded to the same again.
+func CheckEncoded(t *testing.T, file string, codec Codec, types ...Type) {
 	t.Helper()
 	var sections []Section
-	for _, as := range types {
-		sections = append(sections, Section{as.name, as.encoded(t, c)})
+	for _, typ := range types {
+		sections = append(sections, Section{typ.name, typ.encoded(t, codec)})
 	}
 	Check(t, file, sections)
 }
 
-// encoded is what a golden file says of a type.
-func (as Type) encoded(t *testing.T, c Codec) string {
+// encoded returns the text of a type's section.
+func (typ Type) encoded(t *testing.T, codec Codec) string {
 	t.Helper()
 	var b strings.Builder
-	for _, v := range []reflect.Value{reflect.New(as.as).Elem(), Filled(as.as)} {
-		encoded, err := c.Encode(v.Interface())
+	for _, v := range []reflect.Value{reflect.New(typ.goType).Elem(), Filled(typ.goType)} {
+		encoded, err := codec.Encode(v.Interface())
 		if err != nil {
-			t.Fatalf("%s: %v", as.name, err)
+			t.Fatalf("%s: %v", typ.name, err)
 		}
-		said, err := cbor.Diagnose(encoded)
+		diagnosis, err := cbor.Diagnose(encoded)
 		if err != nil {
-			t.Fatalf("%s: %v", as.name, err)
+			t.Fatalf("%s: %v", typ.name, err)
 		}
 		asJSON, err := json.Marshal(v.Interface())
 		if err != nil {
-			t.Fatalf("%s: %v", as.name, err)
+			t.Fatalf("%s: %v", typ.name, err)
 		}
-		fmt.Fprintf(&b, "cbor %x\nsays %s\njson %s\n", encoded, said, asJSON)
-		as.checkDecoded(t, c, encoded, v)
+		fmt.Fprintf(&b, "cbor %x\nsays %s\njson %s\n", encoded, diagnosis, asJSON)
+		typ.checkDecoded(t, codec, encoded, v)
 	}
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// checkDecoded has an encoded value be decoded and encoded anew, which must give the same bytes.
-// What is set comes back as it was.
-func (as Type) checkDecoded(t *testing.T, c Codec, encoded []byte, was reflect.Value) {
+// checkDecoded checks that an encoded value, decoded and encoded again, gives the same bytes, and
+// that the decoded value equals the original one if anything is set in that.
+func (typ Type) checkDecoded(t *testing.T, codec Codec, encoded []byte, original reflect.Value) {
 	t.Helper()
-	v := reflect.New(as.as)
-	if err := c.Decode(encoded, v.Interface()); err != nil {
-		t.Errorf("%s: %v", as.name, err)
+	decoded := reflect.New(typ.goType)
+	if err := codec.Decode(encoded, decoded.Interface()); err != nil {
+		t.Errorf("%s: %v", typ.name, err)
 		return
 	}
-	again, err := c.Encode(v.Elem().Interface())
-	if err != nil || !bytes.Equal(again, encoded) || !was.IsZero() && !reflect.DeepEqual(v.Elem().Interface(), was.Interface()) {
-		t.Errorf("%s: decoded it is %+v, was %+v (%v)", as.name, v.Elem(), was, err)
+	again, err := codec.Encode(decoded.Elem().Interface())
+	if err != nil || !bytes.Equal(again, encoded) || !original.IsZero() && !reflect.DeepEqual(decoded.Elem().Interface(), original.Interface()) {
+		t.Errorf("%s: decoded %+v, want %+v (%v)", typ.name, decoded.Elem(), original, err)
 	}
 }
 
-// Filled is a value of a type with each exported field set to a value of its own, in the order in
-// which the fields stand; truth values are all true. Slices get two elements and maps one. What
-// is in a field that is not encoded by the tag json:"-" stays unset.
-func Filled(as reflect.Type) reflect.Value {
-	v, n := reflect.New(as).Elem(), 0
-	fill(v, &n)
+// Filled returns a value of a type with each exported field set to a value of its own, in the
+// order of the fields; booleans are all true. Slices get two elements and maps one. A field that
+// is not encoded, by the tag json:"-", stays unset.
+func Filled(goType reflect.Type) reflect.Value {
+	v, count := reflect.New(goType).Elem(), 0
+	fill(v, &count)
 	return v
 }
 
-// fill fills a value; n counts the values set, so that moving fields to an embedded struct
-// changes none of them.
-func fill(v reflect.Value, n *int) {
+// fill sets all within a value. It counts the values that it sets and makes each from the count,
+// so that moving fields to an embedded struct changes none of them.
+func fill(v reflect.Value, count *int) {
 	if v.Type() == reflect.TypeFor[cbor.RawMessage]() {
-		*n++
-		v.SetBytes([]byte{0x62, 'r', 'a' + byte(*n%26)}) // a text of two letters
+		*count++
+		v.SetBytes([]byte{0x62, 'r', 'a' + byte(*count%26)}) // CBOR of a text of two letters
 		return
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		fill(v.Elem(), count)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() && f.Tag.Get("json") != "-" {
-				fill(v.Field(i), n)
+				fill(v.Field(i), count)
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0), n)
-		fill(v.Index(1), n)
+		fill(v.Index(0), count)
+		fill(v.Index(1), count)
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(v.Index(i), n)
+			fill(v.Index(i), count)
 		}
 	case reflect.Map:
 		key, element := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(element, n)
+		fill(key, count)
+		fill(element, count)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, element)
 	default:
-		*n++
-		fillLeaf(v, *n)
+		*count++
+		fillLeaf(v, *count)
 	}
 }
 
-// fillLeaf sets a value that holds no others.
-func fillLeaf(v reflect.Value, n int) {
+// fillLeaf sets a value that holds no others to one made from a number.
+func fillLeaf(v reflect.Value, number int) {
 	switch v.Kind() {
 	case reflect.String:
-		v.SetString(fmt.Sprint("s", n))
+		v.SetString(fmt.Sprint("s", number))
 	case reflect.Interface:
-		v.Set(reflect.ValueOf(fmt.Sprint("v", n)))
+		v.Set(reflect.ValueOf(fmt.Sprint("v", number)))
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(n) + 0.5)
+		v.SetFloat(float64(number) + 0.5)
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(n))
+		v.SetUint(uint64(number))
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(n))
+		v.SetInt(int64(number))
 	default:
 		panic(fmt.Sprintf("no value for a %v", v.Type()))
 	}
 }
 
-// Values lists all values within v, one in a line, in the order in which the fields stand. It is
-// for what has no names of its own; those of Go's fields are not told.
+// Values lists all values within v, one a line, in the order of the fields. It is for what is
+// encoded without names; Go names are left out.
 func Values(v any) string {
 	var b strings.Builder
-	list(&b, reflect.ValueOf(v))
+	listValues(&b, reflect.ValueOf(v))
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// list writes the values within v.
-func list(b *strings.Builder, v reflect.Value) {
+// listValues writes the values within v.
+func listValues(b *strings.Builder, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if v.IsNil() {
 			fmt.Fprintln(b, "none")
 			return
 		}
-		list(b, v.Elem())
+		listValues(b, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			list(b, v.Field(i))
+			listValues(b, v.Field(i))
 		}
 	case reflect.Slice, reflect.Array:
 		fmt.Fprintf(b, "%d elements\n", v.Len())
 		for i := range v.Len() {
-			list(b, v.Index(i))
+			listValues(b, v.Index(i))
 		}
 	case reflect.String:
 		fmt.Fprintf(b, "%q\n", v.String())
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -39,8 +39,8 @@
 	}
 )
 
-// TestUntagged has fields without a tag be found in embedded structs, in structs by their own
-// names and in lists and maps of structs, each once.
+// TestUntagged checks that fields without a tag are found in embedded structs, in structs by their
+// own names, and in slices and maps of structs, each once.
 func TestUntagged(t *testing.T) {
 	got := untagged(reflect.TypeFor[outer](), "json", map[reflect.Type]bool{})
 	want := []string{"golden.inner.Bare", "golden.outer.Options"}
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestFilled sets all that is encoded, each to a value of its own.
+// TestFilled checks that all that is encoded is set, each to a value of its own.
 func TestFilled(t *testing.T) {
 	fifth := uint64(7)
 	want := flat{First: "s1", Second: 2.5, Third: []int{3, 4}, Fourth: map[string]bool{"s5": true}, Fifth: &fifth, Sixth: [2]int8{8, 9}}
@@ -62,7 +62,7 @@
 	_ = outer{}.private
 }
 
-// TestValues tells no name of Go's.
+// TestValues checks that values are listed without Go names, those of embedded structs in place.
 func TestValues(t *testing.T) {
 	if got, want := Values(split{"x", within{2.5, []int{3, 4}}}), "\"x\"\n2.5\n2 elements\n3\n4"; got != want {
 		t.Errorf("%q, want %q", got, want)
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -7,34 +7,35 @@
 	"testing"
 )
 
-// CheckTags looks for exported fields that have no name of their own in a tag of this key, in
-// some types and all that stand within them: such a field would be encoded by its name in Go.
+// CheckTags reports exported fields that are not named by a tag of this key, in these types and
+// all types within them, as errors of the test: such a field would be encoded by its Go name.
 func CheckTags(t *testing.T, key string, types ...Type) {
 	t.Helper()
-	for _, as := range types {
-		for _, field := range untagged(as.as, key, map[reflect.Type]bool{}) {
-			t.Errorf("%s: %s has no name in a tag %s", as.name, field, key)
+	for _, typ := range types {
+		for _, field := range untagged(typ.goType, key, map[reflect.Type]bool{}) {
+			t.Errorf("%s: %s has no name in a tag %s", typ.name, field, key)
 		}
 	}
 }
 
-// untagged lists the fields without a name in a type's structs; seen are those looked at.
-func untagged(as reflect.Type, key string, seen map[reflect.Type]bool) (fields []string) {
-	switch as.Kind() {
+// untagged returns the fields without a name in the structs within a type; seen holds the structs
+// that were looked at.
+func untagged(goType reflect.Type, key string, seen map[reflect.Type]bool) (fields []string) {
+	switch goType.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		return untagged(as.Elem(), key, seen)
+		return untagged(goType.Elem(), key, seen)
 	case reflect.Map:
-		return append(untagged(as.Key(), key, seen), untagged(as.Elem(), key, seen)...)
+		return append(untagged(goType.Key(), key, seen), untagged(goType.Elem(), key, seen)...)
 	case reflect.Struct:
 	default:
 		return nil
 	}
-	if seen[as] {
+	if seen[goType] {
 		return nil
 	}
-	seen[as] = true
-	for i := range as.NumField() {
-		f := as.Field(i)
+	seen[goType] = true
+	for i := range goType.NumField() {
+		f := goType.Field(i)
 		name, _, _ := strings.Cut(f.Tag.Get(key), ",")
 		switch {
 		case name == "-":
@@ -43,10 +44,10 @@
 			if !f.IsExported() {
 				continue
 			}
-		case f.Anonymous && embedded(f.Type):
-			// Its fields are encoded as if they stood here.
+		case f.Anonymous && isEmbedded(f.Type):
+			// Its fields are encoded as if they were the outer struct's.
 		case f.IsExported():
-			fields = append(fields, fmt.Sprintf("%v.%s", as, f.Name))
+			fields = append(fields, fmt.Sprintf("%v.%s", goType, f.Name))
 		default:
 			continue
 		}
@@ -55,10 +56,10 @@
 	return fields
 }
 
-// embedded tells whether an embedded field of a type has its fields encoded in its place.
-func embedded(as reflect.Type) bool {
-	if as.Kind() == reflect.Pointer {
-		as = as.Elem()
+// isEmbedded reports whether the fields of an embedded field of a type are encoded in its place.
+func isEmbedded(goType reflect.Type) bool {
+	if goType.Kind() == reflect.Pointer {
+		goType = goType.Elem()
 	}
-	return as.Kind() == reflect.Struct
+	return goType.Kind() == reflect.Struct
 }
