--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -2,6 +2,12 @@
 
 import "strconv"
 
+// Paths between workers and nodes.
+const (
+	PathHeartbeats = "/hello"    // of nodes, for heartbeats
+	PathCommands   = "/commands" // of workers, for commands that wait for no heartbeat
+)
+
 // Paths of the state service.
 const (
 	PathKeys         = "/store"
