--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -20,7 +20,7 @@
 		ran             micros.Micros
 		surplus         bool
 		waiting         bool
-		tasks           [2]int // on each machine of four GuaranteedCPUs
+		tasks           [2]int // on each machine of four CPUs
 		held            bool
 		closedToPatient bool // the other machine
 		due             float64
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -31,9 +31,6 @@
 	attemptPause   = 200 * micros.Millisecond
 )
 
-// commandsPath is where workers take commands.
-const commandsPath = "/commands"
-
 // ErrWrongMachine says that another machine responds at a machine's address.
 var ErrWrongMachine = errors.New("another machine answers")
 
@@ -148,6 +145,6 @@
 // call sends commands and returns the body of the response.
 func (d *Dispatcher) call(ctx context.Context, to Target, commands []wire.Command) ([]byte, error) {
 	request := wire.CommandRequest{FencingToken: d.fencingToken, Incarnation: to.Incarnation, Commands: commands}
-	_, body, err := wire.Call(ctx, d.client, http.MethodPost, "http://"+to.Address+commandsPath, request)
+	_, body, err := wire.Call(ctx, d.client, http.MethodPost, "http://"+to.Address+wire.PathCommands, request)
 	return body, err
 }
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// newReserveTest makes a leader of 32 machines of four GuaranteedCPUs that are up and idle, and of no
+// newReserveTest makes a leader of 32 machines of four CPUs that are up and idle, and of no
 // jobs. A gang is to start within 2 s with a chance of 0.85.
 func newReserveTest(t *testing.T) *Leader {
 	t.Helper()
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	// Two GuaranteedCPUs of four: a gang is half of a machine. Four that came in now, over a third
+	// Two CPUs of four: a gang is half of a machine. Four that came in now, over a third
 	// of a window at least and with 1.3 deviations of their number, are 3.9 machines in the mean
 	// by the end of an interval, rounded up. Seven machines that report every 8 s
 	// must have room: 0.75^7 = 0.13. The fleet's share bounds both.
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -313,7 +313,7 @@
 	return &other
 }
 
-// schedulableCPUs counts the GuaranteedCPUs of the machines that may get tasks.
+// schedulableCPUs counts the CPUs of the machines that may get tasks.
 func (l *Leader) schedulableCPUs(now micros.Micros) float64 {
 	cpus := 0.0
 	for _, m := range l.fleet.Sorted {
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -147,7 +147,7 @@
 // term began: the machine's lease counts from then on, as if this term had answered it.
 //
 // A machine with a task that cannot be counted, as its job is over and kept no description, is
-// left unresolved: the task may still take its team's GuaranteedCPUs.
+// left unresolved: the task may still take its team's CPUs.
 func (l *Leader) adoptHandedOver(m *state.Machine, known *standby.Machine) {
 	var attempts []*state.Attempt
 	for name, task := range known.Tasks {
--- a/internal/leader/workload/objectives.go
+++ b/internal/leader/workload/objectives.go
@@ -8,14 +8,6 @@
 	"caperlatch/internal/settings"
 )
 
-// Kinds of service-level objectives, as the settings name them.
-const (
-	objectiveDeadline  = "deadline"  // done by Times times its deadline
-	objectiveGuarantee = "guarantee" // within its team's guarantee: started within a time
-	objectiveWait      = "wait"      // started within a time
-	objectiveFinished  = "finished"  // done within a time
-)
-
 const (
 	// defaultWait is for how long a job may wait of which nothing is expected.
 	defaultWait = 60 * micros.Second
@@ -34,7 +26,7 @@
 // WaitObjectives lists the objectives on the start of a class's tasks.
 func (w *Workload) WaitObjectives(class string) (objectives []settings.Objective) {
 	for _, o := range w.objectives {
-		if o.Kind == objectiveWait && o.Class == class && o.WithinS > 0 {
+		if o.Kind == settings.ObjectiveWait && o.Class == class && o.WithinS > 0 {
 			objectives = append(objectives, o)
 		}
 	}
@@ -78,17 +70,17 @@
 		limits = append(limits, micros.FromSeconds(*s.DeadlineS)-runtime)
 	}
 	for _, o := range w.objectives {
-		if o.Class != s.Class && o.Kind != objectiveGuarantee {
+		if o.Class != s.Class && o.Kind != settings.ObjectiveGuarantee {
 			continue
 		}
 		within := micros.FromSeconds(o.WithinS)
 		switch {
-		case o.Kind == objectiveDeadline && s.DeadlineS != nil && o.Times > 1:
+		case o.Kind == settings.ObjectiveDeadline && s.DeadlineS != nil && o.Times > 1:
 			limits = append(limits, micros.FromSeconds(*s.DeadlineS*o.Times)-runtime)
-		case o.Kind == objectiveGuarantee && withinGuarantee && hasNotStarted,
-			o.Kind == objectiveWait && hasNotStarted:
+		case o.Kind == settings.ObjectiveGuarantee && withinGuarantee && hasNotStarted,
+			o.Kind == settings.ObjectiveWait && hasNotStarted:
 			limits = append(limits, within)
-		case o.Kind == objectiveFinished:
+		case o.Kind == settings.ObjectiveFinished:
 			limits = append(limits, within-runtime)
 		}
 	}
--- a/zones_test.go
+++ b/zones_test.go
@@ -32,7 +32,7 @@
 	runS, saveS float64 // saveS is between checkpoints, 0: its tasks never save
 }
 
-// zoneClasses need some 410 GuaranteedCPUs in all, which is more than one of two zones has.
+// zoneClasses need some 410 CPUs in all, which is more than one of two zones has.
 var zoneClasses = []zoneClass{
 	{"urgent", "urgent", 100_000, time.Second, 10, 8, 0},
 	{"scan", "normal", 200_000, 2 * time.Second, 24, 20, 5},
