--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -29,7 +29,7 @@
 	// Of a follower.
 	Progress *standby.Progress `json:"progress,omitempty"`
 	// Last is the node's last take-over, nil if it never led.
-	Last *standby.Record `json:"last,omitempty"`
+	Last *standby.FailoverRecord `json:"last,omitempty"`
 }
 
 // HandoverResponse answers a request to hand over.
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -21,9 +21,9 @@
 // PeerVersion is what a node knows of a peer. One that has not been heard lately may
 // have come back with any version, and counts as 0.
 type PeerVersion struct {
-	Member  string `json:"member"`
-	Heard   bool   `json:"heard"`
-	Version int    `json:"version"`
+	Member     string `json:"member"`
+	Responding bool   `json:"heard"`
+	Version    int    `json:"version"`
 }
 
 // Versions is what the nodes speak as far as it is known to member, which is this one. A
@@ -35,7 +35,7 @@
 	for _, m := range slices.Sorted(maps.Keys(p.clients)) {
 		one := PeerVersion{Member: m}
 		if last := p.last[m]; last.isFreshWithin(FreshWithin) {
-			one.Heard, one.Version = true, max(0, last.state.Version)
+			one.Responding, one.Version = true, max(0, last.state.Version)
 		}
 		all.Common = min(all.Common, one.Version)
 		all.Peers = append(all.Peers, one)
--- a/membership.go
+++ b/membership.go
@@ -82,15 +82,15 @@
 	defer cancel()
 	sent := micros.Now()
 	heartbeat := m.heartbeat()
-	response, err := client.Ask(ctx, peer.Request{Heartbeat: &heartbeat})
+	response, err := client.Call(ctx, peer.Request{MembershipHeartbeat: &heartbeat})
 	if err != nil {
 		slog.Debug("heartbeat", "peer", member, "error", err)
 		return
 	}
 	m.update(func(d *membership.Detector, now micros.Micros) {
 		d.Answered(now, member, now-sent)
-		if response.Heartbeat != nil {
-			d.Receive(now, response.Heartbeat)
+		if response.MembershipHeartbeat != nil {
+			d.Receive(now, response.MembershipHeartbeat)
 		}
 	})
 }
--- a/node.go
+++ b/node.go
@@ -195,7 +195,7 @@
 	if c == nil {
 		return peer.Response{}, errNoLeader
 	}
-	return c.Ask(ctx, q)
+	return c.Call(ctx, q)
 }
 
 // ForwardHeartbeat asks the leader for its answer to a report.
@@ -218,7 +218,7 @@
 // connections by rendezvous hashing, and the leader's part is its own work.
 func (n *Node) ForwarderFor(machine string) string {
 	best, bestWeight := "", uint32(0)
-	for _, member := range n.peers.Forwarders(n.election.HighestKnown().FencingToken) {
+	for _, member := range n.peers.Forwarders(n.election.HighestKnownLeader().FencingToken) {
 		hash := fnv.New32a()
 		hash.Write([]byte(machine + " " + member))
 		if weight := hash.Sum32(); best == "" || weight > bestWeight {
@@ -280,7 +280,7 @@
 // LeaderMember names the leader as known here: by the state service or, when
 // that cannot be reached, by a peer that knows of a higher token.
 func (n *Node) LeaderMember() string {
-	return n.election.HighestKnown().Member
+	return n.election.HighestKnownLeader().Member
 }
 
 // IsReady tells whether the node can take requests. Without the state service it
@@ -318,12 +318,12 @@
 		e, _ := l.Explain(id)
 		return e, nil
 	}
-	a, err := n.askLeader(ctx, peer.Request{Explain: id})
-	if err == nil && a.Explain == nil {
+	a, err := n.askLeader(ctx, peer.Request{ExplainJob: id})
+	if err == nil && a.Explanation == nil {
 		err = errNoExplanation
 	}
 	if err != nil {
 		return explain.Explanation{}, err
 	}
-	return *a.Explain, nil
+	return *a.Explanation, nil
 }
--- a/standby_test.go
+++ b/standby_test.go
@@ -33,7 +33,7 @@
 	for range 200 {
 		whole := 0
 		for _, n := range c.nodes {
-			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.Token == c.token() {
+			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.FencingToken == c.token() {
 				whole++
 			}
 		}
@@ -224,7 +224,7 @@
 		spoil func(c *cluster, leader int) // before or as the handover begins
 	}{
 		{"the named node ends", func(c *cluster, leader int) {
-			named := c.nodes[leader].standby.currentPublisher().Furthest(micros.Second).Member
+			named := c.nodes[leader].standby.currentPublisher().FurthestFollower(micros.Second).Member
 			for i, n := range c.nodes {
 				if n.settings.Member == named {
 					c.kill(i)
