--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -13,122 +13,127 @@
 	"caperlatch/internal/statestore"
 )
 
-// noPeers are peers that say nothing.
-type noPeers struct{}
+// silentPeers are peers that never answered.
+type silentPeers struct{}
 
-func (noPeers) LastConfirmed(uint64) micros.Micros   { return 0 }
-func (noPeers) AbstainingUntil(uint64) micros.Micros { return 0 }
-func (noPeers) TokenKnownSince(uint64) micros.Micros { return 0 }
+func (silentPeers) LastConfirmed(uint64) micros.Micros   { return 0 }
+func (silentPeers) AbstainingUntil(uint64) micros.Micros { return 0 }
+func (silentPeers) TokenKnownSince(uint64) micros.Micros { return 0 }
 
-// abstention is how long a node abstains from leading in these tests.
-const abstention = 1500 * micros.Millisecond
+// abstentionTTL is for how long a node abstains from campaigning in these tests.
+const abstentionTTL = 1500 * micros.Millisecond
 
-// TestAbstentions has a node that may lead at once abstain, or come back within a moment of
-// an abstention of its earlier life: it must not lead before that is over. A leader whose
-// session has ended still acts for as long (see Term.Sure), and would start
-// what its successor starts elsewhere (TestNewsBeforeTheEnd).
-func TestAbstentions(t *testing.T) {
+// testNode is a node that campaigns at a simulated state service.
+type testNode struct {
+	state    *fake.State
+	store    *statestore.Client
+	replica  *replica.Replica
+	election *Election
+}
+
+// newTestNode makes a node whose election has the rest of a configuration.
+func newTestNode(config Config) *testNode {
+	net, state := fake.NewNet(), fake.NewState()
+	net.Handle("state", state)
+	store := statestore.New("state", settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, net.From("host-0/1"))
+	config.Member, config.Store, config.Replica, config.Peers = "host-0", store, replica.New(store), silentPeers{}
+	return &testNode{state, store, config.Replica, New(config)}
+}
+
+// start has the node take part. stop ends it, and returns a minute of simulated time later.
+func (n *testNode) start() (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
+	go n.replica.Run(ctx)
+	go n.election.Run(ctx)
+	return func() {
+		cancel()
+		time.Sleep(time.Minute)
+		n.state.Close()
+	}
+}
+
+// TestAbstention has a node that may campaign at once abstain, or restart shortly after its earlier process agreed
+// to abstain: it must not lead before that is over. A leader whose session has ended still acts for as long (see
+// Term.IsExclusive), and would start what its successor starts elsewhere (TestNewsBeforeTheEnd).
+func TestAbstention(t *testing.T) {
 	cases := []struct {
-		name     string
-		abstains []time.Duration // after the node's start
-		leads    time.Duration   // not before; at most half a second later
+		name       string
+		abstainAt  []time.Duration // after the node's start
+		leadsAfter time.Duration   // not before; at most half a second later
 	}{
-		{"none, a first life: one before it may have abstained", nil, abstention.Duration()},
-		{"one at its start", []time.Duration{0}, abstention.Duration()},
-		{"one a second later", []time.Duration{time.Second}, time.Second + abstention.Duration()},
-		{"again and again", []time.Duration{time.Second, 2 * time.Second, 3 * time.Second}, 3*time.Second + abstention.Duration()},
+		{"none, a first process: an earlier one may have abstained", nil, abstentionTTL.Duration()},
+		{"at the start", []time.Duration{0}, abstentionTTL.Duration()},
+		{"a second later", []time.Duration{time.Second}, time.Second + abstentionTTL.Duration()},
+		{"again and again", []time.Duration{time.Second, 2 * time.Second, 3 * time.Second}, 3*time.Second + abstentionTTL.Duration()},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithCancel(context.Background())
-				net, state := fake.NewNet(), fake.NewState()
-				net.Handle("state", state)
-				store := statestore.New("state", settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, net.From("host-0/1"))
-				copied := replica.New(store)
-				began := time.Now()
-				led := make(chan time.Duration, 1)
-				e := New(Config{
-					Member:        "host-0",
-					Store:         store,
-					Replica:       copied,
-					Peers:         noPeers{},
-					MaxAbstention: abstention,
+				startedAt := time.Now()
+				elected := make(chan time.Duration, 1)
+				node := newTestNode(Config{
+					MaxAbstention: abstentionTTL,
 					OnElected: func(ctx context.Context, _ *Term) {
-						led <- time.Since(began)
+						elected <- time.Since(startedAt)
 						<-ctx.Done()
 					},
 				})
-				go copied.Run(ctx)
-				go e.Run(ctx)
-				for _, at := range tc.abstains {
+				stop := node.start()
+				for _, at := range tc.abstainAt {
 					time.AfterFunc(at, func() {
-						if !e.Abstain(abstention) {
+						if !node.election.Abstain(abstentionTTL) {
 							t.Errorf("it does not abstain after %v", at)
 						}
 					})
 				}
-				if after := <-led; after < tc.leads || after > tc.leads+500*time.Millisecond {
-					t.Errorf("it leads after %v, want %v", after, tc.leads)
+				if after := <-elected; after < tc.leadsAfter || after > tc.leadsAfter+500*time.Millisecond {
+					t.Errorf("it leads after %v, want %v", after, tc.leadsAfter)
 				}
-				if e.Abstain(abstention) {
-					t.Error("a leader abstains from leading")
+				if node.election.Abstain(abstentionTTL) {
+					t.Error("a leader abstains from campaigning")
 				}
-				cancel()
-				time.Sleep(time.Minute)
-				state.Close()
+				stop()
 			})
 		})
 	}
 }
 
-// TestYieldsAfterItsTerm has a leader hand over where nobody else leads: it lets others go first
-// for the whole time, counted from the end of its own term, and then leads again.
+// TestYieldsAfterItsTerm has a leader hand over where nobody else leads: it lets others campaign first for the whole
+// time, counted from the end of its own term, and then leads again.
 func TestYieldsAfterItsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		net, state := fake.NewNet(), fake.NewState()
-		net.Handle("state", state)
-		store := statestore.New("state", settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, net.From("host-0/1"))
-		copied := replica.New(store)
-		const yields = 2 * time.Second
-		terms, ended := make(chan time.Time, 2), time.Time{}
-		e := New(Config{
-			Member:   "host-0",
-			Store:    store,
-			Replica:  copied,
-			Peers:    noPeers{},
-			YieldFor: func() micros.Micros { return micros.Micros(yields / time.Microsecond) },
+		const yieldFor = 2 * time.Second
+		termStarts, termEnd := make(chan time.Time, 2), time.Time{}
+		var node *testNode
+		node = newTestNode(Config{
+			YieldFor: func() micros.Micros { return micros.Micros(yieldFor / time.Microsecond) },
 			OnElected: func(ctx context.Context, _ *Term) {
-				terms <- time.Now()
-				if len(terms) == 1 {
+				termStarts <- time.Now()
+				if len(termStarts) == 1 {
 					time.Sleep(5 * time.Second)
-					var l replica.Leader
-					if _, err := copied.Get(replica.LeaderKey, &l); err != nil {
+					var leader replica.Leader
+					if _, err := node.replica.Get(replica.LeaderKey, &leader); err != nil {
 						t.Error(err)
 					}
-					if err := store.EndSession(ctx, l.SessionID); err != nil {
+					if err := node.store.EndSession(ctx, leader.SessionID); err != nil {
 						t.Error(err)
 					}
-					time.Sleep(time.Second) // it sees that nobody leads before the term ends here
-					ended = time.Now()
+					time.Sleep(time.Second) // it sees that the leader key is absent before the term ends here
+					termEnd = time.Now()
 					return
 				}
 				<-ctx.Done()
 			},
 		})
-		go copied.Run(ctx)
-		go e.Run(ctx)
+		stop := node.start()
 		time.Sleep(20 * time.Second)
-		if len(terms) != 2 {
-			t.Fatalf("%d terms", len(terms))
+		if len(termStarts) != 2 {
+			t.Fatalf("%d terms", len(termStarts))
 		}
-		<-terms
-		if after := (<-terms).Sub(ended); after < yields || after > yields+time.Second {
-			t.Errorf("it leads again %v after its term, want %v", after, yields)
+		<-termStarts
+		if after := (<-termStarts).Sub(termEnd); after < yieldFor || after > yieldFor+time.Second {
+			t.Errorf("it leads again %v after its term, want %v", after, yieldFor)
 		}
-		cancel()
-		time.Sleep(time.Minute)
-		state.Close()
+		stop()
 	})
 }
