--- a/internal/replica/cancellations.go
+++ b/internal/replica/cancellations.go
@@ -2,7 +2,7 @@
 
 import "caperlatch/internal/wire"
 
-// Cancellation is a job's stored cancellation, as nodes tell it each other.
+// Cancellation is a job's stored cancellation, as nodes pass it on to each other.
 type Cancellation struct {
 	ID          string `json:"id"`
 	ModRevision uint64 `json:"stamp"`
@@ -12,45 +12,42 @@
 // Cancellations is a list of cancellations, oldest first.
 type Cancellations struct {
 	List []Cancellation
-	// KnownThrough is the revision up to which these are all there are.
+	// KnownThrough is the revision up to which these, and those before the revision that was asked from, are all
+	// there are.
 	KnownThrough uint64
-	// Complete says that these are all that are known here, which includes all that this node
-	// ever told a user.
+	// Complete reports that these are all that are known here, which includes every one that this node
+	// ever confirmed to a user.
 	Complete bool
 }
 
 // Bounds of the cancellations in one message between nodes: their number, and their size as
-// JSON. One transaction, whose changes share a stamp, takes a small part of either, so each
-// message tells more than the one before it.
+// JSON. One transaction, whose changes share a mod revision, takes a small part of either, so each
+// message gets further than the one before it.
 const (
 	maxCancellations     = 1000
 	maxCancellationBytes = 1 << 19
 )
 
 // CancelledThrough is a revision up to which every cancellation is known here: what the
-// changes have shown, or what another node told that had read further.
+// changes have shown, or what a peer passed on that had read further.
 func (r *Replica) CancelledThrough() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(r.revision, r.adoptedThrough)
 }
 
-// CancelledSince lists the cancellations known here with a stamp above since. It tells them
-// by stamp and not by time, as a transaction may be carried out minutes after it was sent.
+// CancelledSince lists the cancellations known here with a mod revision above since, as many as fit one message. It
+// goes by revision and not by time, as a transaction may be carried out minutes after it was sent.
 func (r *Replica) CancelledSince(since uint64) Cancellations {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	from := len(r.cancelledJobs)
-	for from > 0 && r.jobs[r.cancelledJobs[from-1]].modRevision > since {
-		from--
-	}
 	var list []Cancellation
 	size := 0
-	for _, id := range r.cancelledJobs[from:] {
-		stored := r.jobs[id]
+	for _, id := range r.jobs.cancelledSince(since) {
+		stored := r.jobs.byID[id]
 		size += wire.JSONSize(stored.job)
 		if len(list) == maxCancellations || len(list) > 0 && size > maxCancellationBytes {
-			// A transaction's changes share one stamp, so the last may be told in part.
+			// A transaction's changes share one mod revision, so the last one may be listed in part.
 			complete := list[len(list)-1].ModRevision - 1
 			return Cancellations{List: list, KnownThrough: min(r.revision, complete)}
 		}
@@ -59,7 +56,7 @@
 	return Cancellations{List: list, KnownThrough: r.revision, Complete: true}
 }
 
-// AdoptCancellations takes over what another node told by CancelledSince(since), where since was
+// AdoptCancellations applies what a peer returned from CancelledSince(since), where since was
 // CancelledThrough here or less. A cancellation is final, so it holds here as if it had
 // been read from the state service.
 func (r *Replica) AdoptCancellations(list []Cancellation, through uint64) {
@@ -67,7 +64,7 @@
 	defer r.mu.Unlock()
 	for _, c := range list {
 		if c.Job.State == wire.JobCancelled {
-			r.putJob(c.ID, c.Job, c.ModRevision)
+			r.jobs.put(c.ID, c.Job, c.ModRevision)
 		}
 	}
 	r.adoptedThrough = max(r.adoptedThrough, through)
--- a/internal/replica/cancellations_test.go
+++ b/internal/replica/cancellations_test.go
@@ -8,18 +8,18 @@
 	"caperlatch/internal/wire"
 )
 
-// messageBytes is what a message between nodes may hold (maxMessage in internal/peer).
+// messageBytes is what a message between nodes may hold (maxMessageBytes in internal/peer).
 const messageBytes = 1 << 20
 
-// TestCancelledInParts has more cancellations than one message between nodes holds, by
-// number and by size. The listener gets all of them in messages that each fit: descriptions
-// of 8 KB made messages of several MB, which the listener refused again and again.
-func TestCancelledInParts(t *testing.T) {
+// TestCancellationsInParts has more cancellations than one message between nodes holds, by
+// number and by size. The receiver gets all of them in messages that each fit: descriptions
+// of 8 KB made messages of several MB, which the receiver rejected again and again.
+func TestCancellationsInParts(t *testing.T) {
 	cases := []struct {
-		name      string
-		jobs      int
-		imageName int // its length, in bytes
-		sharing   int // cancellations that share a transaction
+		name           string
+		jobs           int
+		imageNameBytes int
+		perTransaction int
 	}{
 		{"few", 10, 10, 3},
 		{"many", 2*maxCancellations + 5, 10, 12},
@@ -28,31 +28,31 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			teller, listener := New(nil), New(nil)
+			sender, receiver := New(nil), New(nil)
 			for i := range tc.jobs {
 				id := fmt.Sprintf("j-%06d", i)
-				job := Job{State: wire.JobCancelled, Spec: &wire.Job{ID: id, Image: strings.Repeat("x", tc.imageName)}}
-				teller.ApplyPut(JobPrefix+id, job, uint64(10+i/tc.sharing))
+				job := Job{State: wire.JobCancelled, Spec: &wire.Job{ID: id, Image: strings.Repeat("x", tc.imageNameBytes)}}
+				sender.ApplyPut(JobPrefix+id, job, uint64(10+i/tc.perTransaction))
 			}
-			teller.revision = uint64(10 + tc.jobs)
+			sender.revision = uint64(10 + tc.jobs)
 			messages := 0
-			for whole := false; !whole; messages++ {
+			for complete := false; !complete; messages++ {
 				if messages > tc.jobs {
-					t.Fatal("the listener learns nothing new any more")
+					t.Fatal("the receiver gets nothing new any more")
 				}
-				told := teller.CancelledSince(listener.CancelledThrough())
-				message, err := wire.Marshal(told.List)
+				part := sender.CancelledSince(receiver.CancelledThrough())
+				message, err := wire.Marshal(part.List)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if len(message) > messageBytes {
 					t.Fatalf("a message of %d bytes", len(message))
 				}
-				listener.AdoptCancellations(told.List, told.KnownThrough)
-				whole = told.Complete
+				receiver.AdoptCancellations(part.List, part.KnownThrough)
+				complete = part.Complete
 			}
-			if len(listener.cancelledJobs) != tc.jobs {
-				t.Errorf("%d of %d cancellations were told in %d messages", len(listener.cancelledJobs), tc.jobs, messages)
+			if len(receiver.jobs.cancelled) != tc.jobs {
+				t.Errorf("%d of %d cancellations arrived in %d messages", len(receiver.jobs.cancelled), tc.jobs, messages)
 			}
 		})
 	}
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values are stored or told to other nodes.
+// encodedTypes are those whose values are stored or sent to other nodes.
 var encodedTypes = []golden.Type{
 	golden.Of[Job]("a stored job"),
 	golden.Of[Leader]("who leads"),
@@ -15,15 +15,15 @@
 	golden.Of[Cancellation]("a cancellation told to another node"),
 }
 
-// TestEncoded has them be encoded as they were.
+// TestEncoded compares their encodings with the golden file.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
+// TestEncodedTags requires a tag of each of their fields.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestKeys has the keys of the state service be called as they were.
+// TestKeys compares the names of the state service's keys with the golden file.
 func TestKeys(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
 		{Name: "all", Text: Prefix},
