--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestAbstention has a node that may campaign at once abstain, or restart shortly after its earlier process agreed
+// TestAbstentions has a node that may campaign at once abstain, or restart shortly after its earlier process agreed
 // to abstain: it must not lead before that is over. A leader whose session has ended still acts for as long (see
 // Term.IsExclusive), and would start what its successor starts elsewhere (TestNewsBeforeTheEnd).
-func TestAbstention(t *testing.T) {
+func TestAbstentions(t *testing.T) {
 	cases := []struct {
 		name       string
 		abstainAt  []time.Duration // after the node's start
