--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"sync"
@@ -12,78 +13,88 @@
 // Dial opens a connection.
 type Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-// Client asks one peer.
+// errConnectionLost is the error of requests whose connection ended before their response came.
+var errConnectionLost = errors.New("connection lost")
+
+// remoteError is what the peer says went wrong there.
+type remoteError string
+
+// Error is the peer's text.
+func (e remoteError) Error() string { return string(e) }
+
+// Client sends requests to one peer. It is safe for concurrent use: requests share a connection, and responses come
+// in any order.
 type Client struct {
 	addr string
 	dial Dial
 
 	mu      sync.Mutex
-	conn    net.Conn
+	conn    net.Conn // nil: none is open
 	nextID  uint64
-	waiting map[uint64]chan Response
-	sending chan struct{} // holds one while a request is being written
+	waiting map[uint64]chan Response // by request ID; a channel is closed if the connection is lost
+	writing chan struct{}            // holds one while a request is being written
 
-	forwardMu         sync.Mutex
-	pendingHeartbeats []*pendingHeartbeat // to be passed on
-	forwarding        bool
+	forwards forwardQueue
 }
 
-// NewClient makes a client of the peer at addr; it connects when asked.
+// NewClient makes a client of the peer at addr; it connects with the first request.
 func NewClient(addr string, dial Dial) *Client {
-	return &Client{addr: addr, dial: dial, waiting: map[uint64]chan Response{}, sending: make(chan struct{}, 1)}
+	return &Client{addr: addr, dial: dial, waiting: map[uint64]chan Response{}, writing: make(chan struct{}, 1)}
 }
 
-// Call sends a request and waits for its answer.
-func (c *Client) Call(ctx context.Context, q Request) (Response, error) {
+// Call sends a request and waits for its response. Its error says that there is none, or what the peer says went
+// wrong; unless the peer says so, nobody knows whether it got the request. If ctx ends first, the connection
+// is closed, and all requests that wait on it fail.
+func (c *Client) Call(ctx context.Context, request Request) (Response, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return Response{}, fmt.Errorf("peer %s: %w", c.addr, err)
 	}
-	answer := make(chan Response, 1)
+	result := make(chan Response, 1)
 	c.mu.Lock()
 	c.nextID++
-	q.ID = c.nextID
-	c.waiting[q.ID] = answer
+	request.ID = c.nextID
+	c.waiting[request.ID] = result
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.waiting, q.ID)
+		delete(c.waiting, request.ID)
 		c.mu.Unlock()
 	}()
-	if err := c.send(ctx, conn, q); err != nil {
+	if err := c.send(ctx, conn, request); err != nil {
 		c.drop(conn)
 		return Response{}, fmt.Errorf("peer %s: %w", c.addr, err)
 	}
 	select {
-	case a, ok := <-answer:
+	case response, ok := <-result:
 		if !ok {
-			return a, fmt.Errorf("peer %s: connection lost", c.addr)
+			return response, fmt.Errorf("peer %s: %w", c.addr, errConnectionLost)
 		}
-		if a.Error != "" {
-			return a, fmt.Errorf("peer %s: %s", c.addr, a.Error)
+		if response.Error != "" {
+			return response, fmt.Errorf("peer %s: %w", c.addr, remoteError(response.Error))
 		}
-		return a, nil
+		return response, nil
 	case <-ctx.Done():
-		// A stream that does not answer may be cut; a new one tells.
+		// The path of a stream without responses may be cut; a new one shows.
 		c.drop(conn)
 		return Response{}, fmt.Errorf("peer %s: %w", c.addr, ctx.Err())
 	}
 }
 
 // send writes a request; only one is written at a time.
-func (c *Client) send(ctx context.Context, conn net.Conn, q Request) error {
+func (c *Client) send(ctx context.Context, conn net.Conn, request Request) error {
 	select {
-	case c.sending <- struct{}{}:
+	case c.writing <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-c.sending }()
+	defer func() { <-c.writing }()
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetWriteDeadline(deadline); err != nil {
 			return err
 		}
 	}
-	return wire.NewEncoder(conn).Encode(q)
+	return wire.NewEncoder(conn).Encode(request)
 }
 
 // connect returns the open connection, or opens one.
@@ -109,28 +120,28 @@
 	return conn, nil
 }
 
-// receive hands out the answers that come on a connection until it fails.
+// receive hands out the responses that come on a connection until that fails or is closed by drop.
 func (c *Client) receive(conn net.Conn) {
 	defer c.drop(conn)
-	in := &limitedReader{r: conn}
-	dec := wire.NewDecoder(in)
+	limited := &limitedReader{reader: conn}
+	decoder := wire.NewDecoder(limited)
 	for {
-		in.left = maxMessage
-		var a Response
-		if err := dec.Decode(&a); err != nil {
+		limited.left = maxMessageBytes
+		var response Response
+		if err := decoder.Decode(&response); err != nil {
 			return
 		}
 		c.mu.Lock()
-		answer := c.waiting[a.ID]
-		delete(c.waiting, a.ID)
+		result := c.waiting[response.ID]
+		delete(c.waiting, response.ID)
 		c.mu.Unlock()
-		if answer != nil {
-			answer <- a
+		if result != nil {
+			result <- response
 		}
 	}
 }
 
-// drop closes a connection and tells those who wait on it.
+// drop closes a connection and fails the requests that wait on it.
 func (c *Client) drop(conn net.Conn) {
 	conn.Close()
 	c.mu.Lock()
@@ -139,13 +150,13 @@
 		return
 	}
 	c.conn = nil
-	for id, answer := range c.waiting {
-		close(answer)
+	for id, result := range c.waiting {
+		close(result)
 		delete(c.waiting, id)
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection, if one is open; a later request opens another.
 func (c *Client) Close() {
 	c.mu.Lock()
 	conn := c.conn
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -5,90 +5,111 @@
 	"errors"
 	"fmt"
 	"slices"
+	"sync"
 
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 )
 
-// Reports are passed on in batches: a batch costs the leader one message and one
-// wake-up where each report costs an HTTP request. The pause is what a start may
-// wait for that; with a tenth of it nearly every report went alone.
+// Heartbeats are forwarded in batches: a batch costs the leader one message and one
+// wake-up where each heartbeat costs an HTTP request. The delay is what a start may
+// wait for that; with a tenth of it nearly every heartbeat went alone.
 const (
 	forwardBatchDelay    = 60 * micros.Millisecond
-	maxForwardBatchBytes = 256 << 10 // of a batch, well within maxMessage
+	maxForwardBatchBytes = 256 << 10 // of a batch, well within maxMessageBytes
 	forwardTimeout       = 2500 * micros.Millisecond
 )
 
-// ErrRejected says that the peer has got a report and does not answer it.
+// ErrRejected says that the peer has got a heartbeat and does not respond to it.
 var ErrRejected = errors.New("refused")
 
-// pendingHeartbeat is a report that waits for its answer.
+// errNoResponse says that a batch failed or that its response is short.
+var errNoResponse = errors.New("no answer")
+
+// pendingHeartbeat is a heartbeat that waits for its response.
 type pendingHeartbeat struct {
 	heartbeat wire.Raw
-	done      chan ForwardedResponse
+	result    chan ForwardedResponse // gets one; the zero value if nothing came from the peer
+}
+
+// forwardQueue is the heartbeats that are to go into the next batches, oldest first.
+type forwardQueue struct {
+	mu      sync.Mutex
+	pending []*pendingHeartbeat
+	running bool // a goroutine sends batches
+}
+
+// takeBatch removes the heartbeats of the next batch: at least one, and no more than fit. If none waits, it notes that
+// no goroutine sends batches any more.
+func (q *forwardQueue) takeBatch() []*pendingHeartbeat {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	count, size := 0, 0
+	for count < len(q.pending) && (count == 0 || size+len(q.pending[count].heartbeat) <= maxForwardBatchBytes) {
+		size += len(q.pending[count].heartbeat)
+		count++
+	}
+	if count == 0 {
+		q.running = false
+		return nil
+	}
+	batch := slices.Clone(q.pending[:count])
+	q.pending = slices.Delete(q.pending, 0, count)
+	return batch
 }
 
-// ForwardHeartbeat has the peer answer a worker's report. After an error other than
+// ForwardHeartbeat has the peer respond to a worker's heartbeat. After an error other than
 // ErrRejected nobody knows whether the peer has seen it.
-func (c *Client) ForwardHeartbeat(ctx context.Context, report wire.Raw) (wire.Raw, error) {
-	r := &pendingHeartbeat{report, make(chan ForwardedResponse, 1)}
-	c.forwardMu.Lock()
-	c.pendingHeartbeats = append(c.pendingHeartbeats, r)
-	if !c.forwarding {
-		c.forwarding = true
+func (c *Client) ForwardHeartbeat(ctx context.Context, heartbeat wire.Raw) (wire.Raw, error) {
+	pending := &pendingHeartbeat{heartbeat, make(chan ForwardedResponse, 1)}
+	c.forwards.mu.Lock()
+	c.forwards.pending = append(c.forwards.pending, pending)
+	if !c.forwards.running {
+		c.forwards.running = true
 		go c.forwardBatches()
 	}
-	c.forwardMu.Unlock()
+	c.forwards.mu.Unlock()
 	select {
-	case a := <-r.done:
+	case response := <-pending.result:
 		switch {
-		case a.Response != nil:
-			return a.Response, nil
-		case a.Error != "":
-			return nil, fmt.Errorf("%w: %s", ErrRejected, a.Error)
+		case response.Response != nil:
+			return response.Response, nil
+		case response.Error != "":
+			return nil, fmt.Errorf("%w: %s", ErrRejected, response.Error)
 		}
-		return nil, fmt.Errorf("peer %s: no answer", c.addr)
+		return nil, fmt.Errorf("peer %s: %w", c.addr, errNoResponse)
 	case <-ctx.Done():
 		return nil, fmt.Errorf("peer %s: %w", c.addr, ctx.Err())
 	}
 }
 
-// forwardBatches sends batches until no report waits.
+// forwardBatches sends batches until no heartbeat waits. Batches do not wait for each other's responses. Nobody waits
+// for it or for what it starts: each ends by itself, within forwardTimeout after its last batch.
 func (c *Client) forwardBatches() {
 	for {
 		micros.Pause(context.Background(), forwardBatchDelay)
-		c.forwardMu.Lock()
-		n, size := 0, 0
-		for n < len(c.pendingHeartbeats) && (n == 0 || size+len(c.pendingHeartbeats[n].heartbeat) <= maxForwardBatchBytes) {
-			size += len(c.pendingHeartbeats[n].heartbeat)
-			n++
-		}
-		if n == 0 {
-			c.forwarding = false
-			c.forwardMu.Unlock()
+		batch := c.forwards.takeBatch()
+		if batch == nil {
 			return
 		}
-		batch := slices.Clone(c.pendingHeartbeats[:n])
-		c.pendingHeartbeats = slices.Delete(c.pendingHeartbeats, 0, n)
-		c.forwardMu.Unlock()
 		go c.forwardBatch(batch)
 	}
 }
 
-// forwardBatch sends one batch and hands out the answers.
+// forwardBatch sends one batch and hands out the responses.
 func (c *Client) forwardBatch(batch []*pendingHeartbeat) {
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout.Duration())
 	defer cancel()
-	q := Request{ForwardedHeartbeats: make([]wire.Raw, len(batch))}
-	for i, r := range batch {
-		q.ForwardedHeartbeats[i] = r.heartbeat
+	request := Request{ForwardedHeartbeats: make([]wire.Raw, len(batch))}
+	for i, pending := range batch {
+		request.ForwardedHeartbeats[i] = pending.heartbeat
 	}
-	a, err := c.Call(ctx, q)
-	for i, r := range batch {
-		if err == nil && i < len(a.ForwardedResponses) {
-			r.done <- a.ForwardedResponses[i]
+	response, err := c.Call(ctx, request)
+	for i, pending := range batch {
+		if err == nil && i < len(response.ForwardedResponses) {
+			pending.result <- response.ForwardedResponses[i]
 		} else {
-			r.done <- ForwardedResponse{}
+			pending.result <- ForwardedResponse{}
 		}
 	}
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values go between nodes, or tell of versions.
+// encodedTypes are those whose values are sent between nodes, or say which versions serve.
 var encodedTypes = []golden.Type{
 	golden.Of[Request]("a request"),
 	golden.Of[Response]("a response"),
@@ -18,10 +18,10 @@
 	golden.Of[PeerVersion]("the version of a peer"),
 }
 
-// TestEncoded has them be encoded as they were.
+// TestEncoded compares their encodings with the golden file.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
+// TestEncodedTags requires a tag of each of their fields.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -388,7 +388,7 @@
 }
 
 func capturedProbe() *Probe {
-	return &Probe{Member: "host-1", HighestToken: 41, Leader: "host-1", LeadershipInDoubt: true, TaskCounts: map[string][2]int{"j-000412": {3, 13}}, CancellationsSince: 430}
+	return &Probe{Member: "host-1", HighestToken: 41, Leader: "host-1", LeadershipInDoubt: true, TaskCounts: TaskCounts{"j-000412": {3, 13}}, CancellationsSince: 430}
 }
 
 func capturedState(version int) *NodeState {
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// Version is what this node speaks: what it stores and what it says to its peers. It is
-// raised when a version before it would misread either. Nodes of before there were
-// versions tell nothing of theirs, which is read as 0.
+// Version is what this node speaks: what it stores and what it sends to its peers. It is
+// raised when a version before it would misread either. The versions that may serve beside this one (testdata/versions)
+// are 3a714ab, which is from before there were versions, sends none, and is read as 0; and 5fd93d5, 1f14824, d052fb0
+// and 01da0cf, which send 1: their messages differ from this version's in fields that they ignore (see Request).
 const Version = 1
 
-// Versions tells who serves with which version, as one node knows it.
+// Versions is which nodes serve with which version, as one node knows it.
 type Versions struct {
 	Member  string        `json:"member"`
 	Version int           `json:"version"`
@@ -18,27 +19,27 @@
 	Peers   []PeerVersion `json:"peers"`
 }
 
-// PeerVersion is what a node knows of a peer. One that has not been heard lately may
+// PeerVersion is what a node knows of a peer. One that has not answered lately may
 // have come back with any version, and counts as 0.
 type PeerVersion struct {
 	Member     string `json:"member"`
-	Responding bool   `json:"heard"`
+	Responding bool   `json:"heard"` // it has answered lately
 	Version    int    `json:"version"`
 }
 
 // Versions is what the nodes speak as far as it is known to member, which is this one. A
 // peer with a later version than this node's speaks this one as well.
 func (p *Peers) Versions(member string) Versions {
-	all := Versions{Member: member, Version: Version, Common: Version}
+	versions := Versions{Member: member, Version: Version, Common: Version}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range slices.Sorted(maps.Keys(p.clients)) {
-		one := PeerVersion{Member: m}
-		if last := p.last[m]; last.isFreshWithin(FreshWithin) {
-			one.Responding, one.Version = true, max(0, last.state.Version)
+	for _, name := range slices.Sorted(maps.Keys(p.clients)) {
+		peer := PeerVersion{Member: name}
+		if last := p.last[name]; last.isFreshWithin(FreshWithin) {
+			peer.Responding, peer.Version = true, max(0, last.state.Version)
 		}
-		all.Common = min(all.Common, one.Version)
-		all.Peers = append(all.Peers, one)
+		versions.Common = min(versions.Common, peer.Version)
+		versions.Peers = append(versions.Peers, peer)
 	}
-	return all
+	return versions
 }
--- a/internal/peer/version_test.go
+++ b/internal/peer/version_test.go
@@ -10,32 +10,32 @@
 	"caperlatch/internal/wire"
 )
 
-// TestVersions goes through what peers may say of their version.
+// TestVersions goes through what peers may answer of their version.
 func TestVersions(t *testing.T) {
-	heard := func(v int) *lastResponse { return &lastResponse{state: NodeState{Version: v}} }
-	long := &lastResponse{state: NodeState{Version: Version}, sentAt: -2 * FreshWithin}
+	answering := func(version int) *lastResponse { return &lastResponse{state: NodeState{Version: version}} }
+	silent := &lastResponse{state: NodeState{Version: Version}, sentAt: -2 * FreshWithin}
 	cases := []struct {
 		name   string
-		last   map[string]*lastResponse
+		last   map[string]*lastResponse // relative to now
 		peers  []PeerVersion
 		common int
 	}{
-		{"all ours", map[string]*lastResponse{"b": heard(Version), "c": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", true, Version}}, Version},
-		{"one of before there were versions", map[string]*lastResponse{"b": heard(0), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
-		{"one never heard", map[string]*lastResponse{"b": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"all ours", map[string]*lastResponse{"b": answering(Version), "c": answering(Version)}, []PeerVersion{{"b", true, Version}, {"c", true, Version}}, Version},
+		{"one from before there were versions", map[string]*lastResponse{"b": answering(0), "c": answering(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one never answered", map[string]*lastResponse{"b": answering(Version)}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
 		// It may have come back with the old version meanwhile.
-		{"one not heard for long", map[string]*lastResponse{"b": heard(Version), "c": long}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
-		{"one of a later version", map[string]*lastResponse{"b": heard(Version + 7), "c": heard(Version)}, []PeerVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
-		{"nonsense", map[string]*lastResponse{"b": heard(-3), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one silent for long", map[string]*lastResponse{"b": answering(Version), "c": silent}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"one of a later version", map[string]*lastResponse{"b": answering(Version + 7), "c": answering(Version)}, []PeerVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
+		{"one below zero", map[string]*lastResponse{"b": answering(-3), "c": answering(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				time.Sleep(time.Minute)
 				peers := NewPeers(map[string]*Client{"b": nil, "c": nil}, nil, nil)
-				for m, s := range tc.last {
-					s.sentAt += micros.Now()
-					peers.last[m] = *s
+				for member, last := range tc.last {
+					last.sentAt += micros.Now()
+					peers.last[member] = *last
 				}
 				want := Versions{Member: "a", Version: Version, Common: tc.common, Peers: tc.peers}
 				if got := peers.Versions("a"); !reflect.DeepEqual(got, want) {
@@ -46,26 +46,26 @@
 	}
 }
 
-// TestVersionIsOptional has nodes of before and after there were versions read each
-// other's answers.
+// TestVersionIsOptional has nodes from before and after there were versions read each
+// other's states.
 func TestVersionIsOptional(t *testing.T) {
-	type before struct {
+	type unversionedState struct {
 		Loaded bool   `json:"loaded"`
 		Token  uint64 `json:"token"`
 	}
-	b, err := wire.Marshal(NodeState{Loaded: true, HighestToken: 3, Version: Version})
+	encoded, err := wire.Marshal(NodeState{Loaded: true, HighestToken: 3, Version: Version})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var old before
-	if err := wire.Unmarshal(b, &old); err != nil || !old.Loaded || old.Token != 3 {
-		t.Errorf("before: %+v, %v", old, err)
+	var before unversionedState
+	if err := wire.Unmarshal(encoded, &before); err != nil || !before.Loaded || before.Token != 3 {
+		t.Errorf("before: %+v, %v", before, err)
 	}
-	if b, err = wire.Marshal(old); err != nil {
+	if encoded, err = wire.Marshal(before); err != nil {
 		t.Fatal(err)
 	}
-	var s NodeState
-	if err := wire.Unmarshal(b, &s); err != nil || s.Version != 0 || s.HighestToken != 3 {
-		t.Errorf("after: %+v, %v", s, err)
+	var after NodeState
+	if err := wire.Unmarshal(encoded, &after); err != nil || after.Version != 0 || after.HighestToken != 3 {
+		t.Errorf("after: %+v, %v", after, err)
 	}
 }
--- a/node.go
+++ b/node.go
@@ -48,8 +48,8 @@
 
 	mu                  sync.Mutex
 	localLeader         *leader.Leader
-	expectsLeaderChange bool              // that the leader is about to change
-	taskCounts          map[string][2]int // as the leader last told
+	expectsLeaderChange bool            // that the leader is about to change
+	taskCounts          peer.TaskCounts // as the leader last sent them
 	taskCountsAt        micros.Micros
 }
 
@@ -308,8 +308,7 @@
 	if micros.Now()-n.taskCountsAt > taskCountsTTL {
 		return 0, 0
 	}
-	c := n.taskCounts[id]
-	return c[0], c[1]
+	return n.taskCounts.Of(id)
 }
 
 // Explain asks the leader about a job.
