--- a/internal/standby/entry.go
+++ b/internal/standby/entry.go
@@ -1,10 +1,14 @@
-// Package standby keeps the nodes that do not lead ready to lead: the leader publishes
-// what it decides and observes, and each follower keeps a view of it.
+// Package standby keeps the nodes that do not lead ready to lead: the leader publishes what it decides and observes,
+// and each follower keeps a view of it.
 //
-// It owns the stream between the two, the follower's view and its lag, and the phases of
-// a take-over with their evidence. It decides nothing about jobs or machines, sends nothing
-// itself, and knows no transport. What a view says is a hint, except after a complete
-// handover: see docs/standby.md.
+// A Publisher, one for each term, appends entries to a bounded log and never waits for a follower. A Follower
+// queries it for what comes after its own position, and applies pages of entries in order. One that starts, or
+// is further behind than the log reaches, takes a snapshot in pages first. Failover follows a node through the phases
+// on its way to lead.
+//
+// The package owns the stream between the two, the follower's view and its lag, and the phases of a failover with
+// their evidence. It must never decide anything about jobs or machines, and sends nothing itself: it knows no
+// transport. A view is a hint, except after a complete handover: see View.ProvesAssignments and docs/standby.md.
 package standby
 
 import (
@@ -12,17 +16,9 @@
 	"fmt"
 )
 
-// Version is that of the messages below. A node answers and asks only in its own.
-const Version = 1
-
-// Bounds of one message, well within what a stream between nodes carries.
-const (
-	maxPageEntries = 4000
-	maxPageTasks   = 5000 // of a snapshot's machines
-)
-
-// Entry is one decision or observation of a leader. Exactly one field is set. Every entry
-// says what is so from then on, so applying one again, in order, changes nothing.
+// Entry is one decision or observation of a leader: exactly one field is set, and names what became so. Every entry
+// states what holds from then on, so that applying one again, in order, changes nothing. The encoding is fixed:
+// followers of other versions read it.
 type Entry struct {
 	TaskAssigned       *TaskAssigned       `json:"placed,omitempty"`
 	TaskRemoved        *TaskRemoved        `json:"left,omitempty"`
@@ -35,27 +31,27 @@
 
 // TaskAssigned says that a task is on a machine, or that its start or its stop is on the way.
 type TaskAssigned struct {
-	Machine string `json:"machine"`
-	Task    string `json:"task"`
+	Machine string `json:"machine"` // ID, as in all entries
+	Task    string `json:"task"`    // ID
 	TaskState
 }
 
 // TaskState is what is known of a task on a machine.
 type TaskState struct {
 	Attempt  uint64 `json:"attempt"`
-	Stopping bool   `json:"stopping,omitempty"`
-	Urgent   bool   `json:"urgent,omitempty"`
+	Stopping bool   `json:"stopping,omitempty"` // it is to stop
+	Urgent   bool   `json:"urgent,omitempty"`   // without time for a checkpoint
 	// Reserved: its place is kept, and its start has not been sent.
 	Reserved bool `json:"reserved,omitempty"`
 }
 
-// TaskRemoved says that a task is surely no longer on a machine.
+// TaskRemoved says that a task is proved to be no longer on a machine.
 type TaskRemoved struct {
 	Machine string `json:"machine"`
 	Task    string `json:"task"`
 }
 
-// MachineObserved says what a machine's reports tell besides its tasks.
+// MachineObserved says what a machine's heartbeats show besides its tasks.
 type MachineObserved struct {
 	Machine string `json:"machine"`
 	MachineState
@@ -64,38 +60,38 @@
 // MachineState is what is known of a machine besides its tasks.
 type MachineState struct {
 	Incarnation uint64 `json:"session"`
-	// Resolved: all tasks that it may hold are known.
+	// TasksKnown: all tasks that it may hold are known.
 	TasksKnown bool `json:"resolved"`
 }
 
-// MachineTerminating says that the cloud is being asked to take a machine back.
+// MachineTerminating says that the cloud is being asked to terminate a machine, which is never revoked.
 type MachineTerminating struct {
 	Machine string `json:"machine"`
 	Reason  string `json:"why"`
 }
 
-// MachineTerminated says that a machine was returned.
+// MachineTerminated says that a machine is terminated.
 type MachineTerminated struct {
 	Machine string `json:"machine"`
 }
 
-// EstimateUpdated says how a class's run times compare with its owners' estimates: a staffing
-// step that is not stored.
+// EstimateUpdated says how a class's run times compare with its owners' estimates: a step of the autoscaler's model
+// that is not stored.
 type EstimateUpdated struct {
 	Class   string    `json:"class"`
-	Moments []float64 `json:"moments"`
+	Moments []float64 `json:"moments"` // statistical, of the ratio's distribution
 }
 
 // Handover is the last entry of a term: from it on, its leader decides nothing more.
 type Handover struct {
-	// To is the member that is to lead next; the others let it go first.
+	// To is the member that is to lead next; the others let it campaign first.
 	To string `json:"to,omitempty"`
 	// Complete: the tasks of all machines were known, and all starts ever sent are in the
 	// entries before this one.
 	Complete bool `json:"complete"`
 }
 
-// Errors of entries and pages that are refused.
+// Why a follower rejects entries and pages. The texts are shown to operators.
 var (
 	ErrMalformed = errors.New("malformed")
 	ErrVersion   = errors.New("another version")
@@ -103,91 +99,41 @@
 	ErrGap       = errors.New("entries are missing")
 )
 
-// check tells what is wrong with an entry.
+// check returns an ErrMalformed unless exactly one field is set and names what it is about.
 func (e *Entry) check() error {
-	set, named := 0, true
-	count := func(isSet bool, names ...string) {
-		if !isSet {
-			return
-		}
-		set++
+	fieldsSet, namesSet := 0, true
+	field := func(names ...string) {
+		fieldsSet++
 		for _, name := range names {
-			named = named && name != ""
+			namesSet = namesSet && name != ""
 		}
 	}
-	if p := e.TaskAssigned; p != nil {
-		count(true, p.Machine, p.Task)
+	if e.TaskAssigned != nil {
+		field(e.TaskAssigned.Machine, e.TaskAssigned.Task)
+	}
+	if e.TaskRemoved != nil {
+		field(e.TaskRemoved.Machine, e.TaskRemoved.Task)
 	}
-	if p := e.TaskRemoved; p != nil {
-		count(true, p.Machine, p.Task)
+	if e.MachineObserved != nil {
+		field(e.MachineObserved.Machine)
 	}
-	if p := e.MachineObserved; p != nil {
-		count(true, p.Machine)
+	if e.MachineTerminating != nil {
+		field(e.MachineTerminating.Machine)
 	}
-	if p := e.MachineTerminating; p != nil {
-		count(true, p.Machine)
+	if e.MachineTerminated != nil {
+		field(e.MachineTerminated.Machine)
 	}
-	if p := e.MachineTerminated; p != nil {
-		count(true, p.Machine)
+	if e.EstimateUpdated != nil {
+		field(e.EstimateUpdated.Class)
 	}
-	if p := e.EstimateUpdated; p != nil {
-		count(true, p.Class)
+	if e.Handover != nil {
+		field()
 	}
-	count(e.Handover != nil)
 	switch {
-	case set != 1:
-		return fmt.Errorf("%w: an entry says %d things", ErrMalformed, set)
-	case !named:
+	case fieldsSet != 1:
+		return fmt.Errorf("%w: an entry with %d fields set", ErrMalformed, fieldsSet)
+	case !namesSet:
 		return fmt.Errorf("%w: an entry lacks a name", ErrMalformed)
 	}
 	return nil
 }
-
-// Query asks a leader for what comes after a position, or for a page of a snapshot.
-type Query struct {
-	Version      int    `json:"version"`
-	Member       string `json:"member"`
-	FencingToken uint64 `json:"token"`    // of the term whose view the follower keeps
-	Position     uint64 `json:"position"` // that it has applied
-	// Snapshot asks for the machines after a name instead; the first page comes after "".
-	Snapshot     bool   `json:"snapshot,omitempty"`
-	AfterMachine string `json:"after,omitempty"`
-}
-
-// Page answers a query.
-type Page struct {
-	Version        int    `json:"version"`
-	FencingToken   uint64 `json:"token"`
-	LatestPosition uint64 `json:"latest"` // position of the newest entry
-	// Entries follow position From. Too old a position gets none, and Compacted.
-	AfterPosition uint64        `json:"from"`
-	Entries       []Entry       `json:"entries,omitempty"`
-	Compacted     bool          `json:"compacted,omitempty"`
-	Snapshot      *SnapshotPage `json:"snapshot,omitempty"`
-	// Followers is how far all followers are, so that they know whom to let go first.
-	Followers []FollowerState `json:"followers,omitempty"`
-}
-
-// SnapshotPage is a part of a view in the order of machines' names. The pages of a snapshot
-// need not be of one position: the entries since the first page's bring them together.
-type SnapshotPage struct {
-	Machines []MachineRecord `json:"machines"`
-	HasMore  bool            `json:"more"`
-	// With the last page, which has no more.
-	Estimates []EstimateUpdated `json:"estimates,omitempty"`
-	Handover  *Handover         `json:"handover,omitempty"`
-}
-
-// MachineRecord is a machine of a snapshot.
-type MachineRecord struct {
-	Name string `json:"name"`
-	MachineState
-	Terminating bool         `json:"returning,omitempty"`
-	Tasks       []TaskRecord `json:"tasks,omitempty"`
-}
-
-// TaskRecord is a task of a machine of a snapshot.
-type TaskRecord struct {
-	Task string `json:"task"`
-	TaskState
-}
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -10,7 +10,7 @@
 // Phase is where a node is on the way to lead.
 type Phase int
 
-// The phases, in the order in which a take-over passes them.
+// The phases, in the order in which a failover passes them.
 const (
 	Following   Phase = iota // the leader answers
 	Suspecting               // the leader has not answered for a while: a hint, nothing follows but haste
@@ -22,10 +22,10 @@
 
 var phaseNames = [...]string{"following", "suspecting", "campaigning", "confirming", "adopting", "active"}
 
-// String is the phase's name.
+// String is the phase's name, which is shown to operators.
 func (p Phase) String() string { return phaseNames[p] }
 
-// CanDecide tells whether starts, stops, rentals, returns and ends may leave the node.
+// CanDecide reports whether starts, stops, launches, terminations and ends of jobs may leave the node.
 func (p Phase) CanDecide() bool { return p >= Adopting }
 
 // Evidence is what proves that the leader before has stopped deciding.
@@ -33,16 +33,16 @@
 	// FencingToken is the new term's, raised in the transaction that took the key.
 	FencingToken uint64 `json:"token"`
 	// Revision is that transaction's. It succeeds only while there is no leader key, so the
-	// session of the leader before had ended or was released.
+	// session of the leader before had ended.
 	Revision uint64 `json:"revision"`
 	// ReadThrough is the revision of the read barrier that began after the transaction.
 	ReadThrough uint64 `json:"read_through"`
-	// HandoverResponse: the leader before said that it had stopped, and its view proves what
+	// HandedOver: the leader before said that it had stopped, and its view proves what
 	// machines may hold.
 	HandedOver bool `json:"handed_over"`
 }
 
-// provesTermOver tells whether the evidence allows to decide.
+// provesTermOver reports whether the evidence allows to decide.
 func (e Evidence) provesTermOver() bool {
 	return e.FencingToken != 0 && e.Revision != 0 && e.ReadThrough >= e.Revision
 }
@@ -51,120 +51,123 @@
 type PhaseTime struct {
 	Phase string        `json:"phase"`
 	At    micros.Micros `json:"at"`     // time of day
-	TookS float64       `json:"took_s"` // from the phase before
+	TookS float64       `json:"took_s"` // that the phase before lasted
 }
 
-// FailoverRecord is a take-over.
+// FailoverRecord is a failover, as it is shown to operators.
 type FailoverRecord struct {
 	Evidence Evidence    `json:"evidence"`
-	Warm     bool        `json:"warm"` // there was a whole view of the term before
+	Warm     bool        `json:"warm"` // there was a complete view of the term before
 	Phases   []PhaseTime `json:"phases"`
 }
 
-// Failover follows a node through the phases of its take-overs.
+// Failover follows a node through the phases of its failovers. Its methods note what happened, and each enters a phase
+// only from one that may precede it. It is safe for concurrent use.
 type Failover struct {
-	mu      sync.Mutex
-	phase   Phase
-	since   micros.Micros
-	current FailoverRecord
-	last    *FailoverRecord // that reached Active, or was given up after Confirming
+	mu         sync.Mutex
+	phase      Phase
+	phaseSince micros.Micros
+	current    FailoverRecord  // zero in Following
+	last       *FailoverRecord // the last that reached Confirming, never changed once set
 }
 
 // NewFailover is that of a node that follows.
-func NewFailover() *Failover { return &Failover{since: micros.Now()} }
+func NewFailover() *Failover { return &Failover{phaseSince: micros.Now()} }
 
 // Phase is the present phase.
-func (t *Failover) Phase() Phase {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.phase
+func (f *Failover) Phase() Phase {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.phase
 }
 
-// LastRecord is the last take-over of this node, nil if it never led.
-func (t *Failover) LastRecord() *FailoverRecord {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.last
+// LastRecord is the last failover in which this node took the leader key, nil if there was none. It must not be changed.
+func (f *Failover) LastRecord() *FailoverRecord {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.last
 }
 
 // LeaderSuspected notes that the leader has not answered for a while.
-func (t *Failover) LeaderSuspected() { t.enterFrom(Following, Suspecting) }
+func (f *Failover) LeaderSuspected() { f.enterFrom(Following, Suspecting) }
 
 // LeaderTrusted notes that the leader answers, or that another one leads.
-func (t *Failover) LeaderTrusted() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.phase == Suspecting || t.phase == Campaigning {
-		t.enter(Following)
+func (f *Failover) LeaderTrusted() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.phase == Suspecting || f.phase == Campaigning {
+		f.enter(Following)
 	}
 }
 
-// CampaignStarted notes that the node tries to lead.
-func (t *Failover) CampaignStarted() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.phase < Campaigning {
-		t.enter(Campaigning)
+// CampaignStarted notes that the node campaigns.
+func (f *Failover) CampaignStarted() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.phase < Campaigning {
+		f.enter(Campaigning)
 	}
 }
 
-// TermWon notes that the leader key was taken with a token in a transaction.
-func (t *Failover) TermWon(token, revision uint64, warm bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.current.Evidence = Evidence{FencingToken: token, Revision: revision}
-	t.current.Warm = warm
-	t.enter(Confirming)
+// TermWon notes that the leader key was taken with a token, in the transaction of a revision; warm says whether there
+// is a complete view of the term before.
+func (f *Failover) TermWon(token, revision uint64, warm bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.current.Evidence = Evidence{FencingToken: token, Revision: revision}
+	f.current.Warm = warm
+	f.enter(Confirming)
 }
 
-// StateRead notes that all that earlier terms have stored is known through a revision. It
-// tells whether the evidence is complete; if not, the phase stays.
-func (t *Failover) StateRead(readThrough uint64, handedOver bool) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.current.Evidence.ReadThrough, t.current.Evidence.HandedOver = readThrough, handedOver
-	if t.phase != Confirming || !t.current.Evidence.provesTermOver() {
+// StateRead notes that all that earlier terms have stored is known through a revision, and whether the leader before
+// handed over with proof. It reports whether the evidence allows to decide; if not, the phase stays.
+func (f *Failover) StateRead(readThrough uint64, handedOver bool) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.current.Evidence.ReadThrough, f.current.Evidence.HandedOver = readThrough, handedOver
+	if f.phase != Confirming || !f.current.Evidence.provesTermOver() {
 		return false
 	}
-	t.enter(Adopting)
+	f.enter(Adopting)
 	return true
 }
 
 // TasksKnown notes that the tasks of all machines are known.
-func (t *Failover) TasksKnown() { t.enterFrom(Adopting, Active) }
+func (f *Failover) TasksKnown() { f.enterFrom(Adopting, Active) }
 
 // TermEnded notes that the node no longer leads.
-func (t *Failover) TermEnded() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.phase >= Campaigning {
-		t.enter(Following)
+func (f *Failover) TermEnded() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.phase >= Campaigning {
+		f.enter(Following)
 	}
 }
 
 // enterFrom enters a phase if the present one is the one before.
-func (t *Failover) enterFrom(from, to Phase) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.phase == from {
-		t.enter(to)
+func (f *Failover) enterFrom(from, to Phase) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.phase == from {
+		f.enter(to)
 	}
 }
 
-// enter begins a phase; mu must be held.
-func (t *Failover) enter(p Phase) {
+// enter enters a phase; mu must be held.
+func (f *Failover) enter(to Phase) {
 	now := micros.Now()
-	took := now - t.since
-	slog.Info("standby", "phase", p.String(), "after", t.phase.String(), "took", took.Duration(), "token", t.current.Evidence.FencingToken)
-	t.phase, t.since = p, now
-	if p == Following {
-		t.current = FailoverRecord{}
+	took := now - f.phaseSince
+	slog.Info("failover phase entered", "from", f.phase.String(), "to", to.String(), "duration", took.Duration(), "fencing_token", f.current.Evidence.FencingToken)
+	f.phase, f.phaseSince = to, now
+	if to == Following {
+		f.current = FailoverRecord{}
 		return
 	}
-	record := t.current
-	record.Phases = append(record.Phases[:len(record.Phases):len(record.Phases)], PhaseTime{p.String(), micros.Wall(), took.Seconds()})
-	t.current = record
-	if p >= Confirming {
-		t.last = &record
+	record := f.current
+	// The last record may be in a reader's hands: its phases are not appended to in place.
+	record.Phases = append(record.Phases[:len(record.Phases):len(record.Phases)], PhaseTime{to.String(), micros.Wall(), took.Seconds()})
+	f.current = record
+	if to >= Confirming {
+		f.last = &record
 	}
 }
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -4,40 +4,33 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"maps"
 	"sync"
 
 	"caperlatch/internal/micros"
 )
 
 // Follower keeps a view of the present term's leader. It applies entries in order, and
-// refuses gaps, other terms and what is malformed; then it takes a snapshot.
+// rejects gaps, other terms and what is malformed; then it takes a snapshot. It is safe for concurrent use.
 type Follower struct {
 	member string
 
-	mu         sync.Mutex
-	view       *View // nil until a leader was followed
-	snapshot   *snapshotProgress
-	latest     uint64        // position of the leader's newest entry, as last told
-	caughtUp   micros.Micros // when a query was sent whose answer left nothing missing
-	lastPageAt micros.Micros // when the last page came that was not refused
-	rejected   map[string]int
+	mu             sync.Mutex
+	view           *View             // nil until a leader was followed, and once the view is taken
+	snapshot       *snapshotProgress // nil: the view is complete
+	latestPosition uint64            // of the leader's newest entry, as last known
+	caughtUpAt     micros.Micros     // when a query was sent whose page left nothing missing; 0: never
+	lastPageAt     micros.Micros     // when the last page came that was not rejected; 0: never
+	rejected       map[string]int    // pages, by the text of the error
 }
 
-// snapshotProgress is how far taking a snapshot is.
-type snapshotProgress struct {
-	after   string
-	started bool
-	// completeAt is the position from which on the view is as the leader's was: until then
-	// entries may be older than what the pages show. 0: more pages are to come.
-	completeAt uint64
-}
-
-// NewFollower is a follower that has not heard of any leader.
+// NewFollower is a follower that has followed no leader yet.
 func NewFollower(member string) *Follower {
 	return &Follower{member: member, rejected: map[string]int{}}
 }
 
-// NextQuery is what to ask the leader with a token next.
+// NextQuery is what to ask the leader with a token next. If the token is above that of the view, the view is
+// replaced by one of that term.
 func (f *Follower) NextQuery(token uint64) *Query {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,8 +38,8 @@
 		f.restart(token)
 	}
 	q := &Query{Version: Version, Member: f.member, FencingToken: f.view.FencingToken, Position: f.view.Position}
-	if f.snapshot != nil && f.snapshot.completeAt == 0 {
-		q.Snapshot, q.AfterMachine = true, f.snapshot.after
+	if f.snapshot.needsPage() {
+		q.Snapshot, q.AfterMachine = true, f.snapshot.afterMachine
 	}
 	return q
 }
@@ -55,25 +48,25 @@
 func (f *Follower) restart(token uint64) {
 	f.view = NewView(token)
 	f.snapshot = &snapshotProgress{}
-	f.latest, f.caughtUp = 0, 0
+	f.latestPosition, f.caughtUpAt = 0, 0
 }
 
-// ApplyPage takes over the answer to a query that was sent at an instant. A page that is refused
-// changes nothing but that a snapshot may be taken anew.
+// ApplyPage applies the page that answered a query that was sent at an instant. A page that is rejected, with one of
+// the errors above, changes nothing but that a snapshot may be taken anew.
 func (f *Follower) ApplyPage(page *Page, sent micros.Micros) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	err := f.apply(page, sent)
+	err := f.applyPage(page, sent)
 	if err != nil {
-		f.reject(err)
+		f.countRejected(err)
 		return err
 	}
 	f.lastPageAt = micros.Now()
 	return nil
 }
 
-// apply is Apply with the lock held.
-func (f *Follower) apply(page *Page, sent micros.Micros) error {
+// applyPage is ApplyPage with the lock held.
+func (f *Follower) applyPage(page *Page, sent micros.Micros) error {
 	if err := f.check(page); err != nil {
 		return err
 	}
@@ -82,29 +75,30 @@
 		f.restart(page.FencingToken)
 		return nil
 	case page.Snapshot != nil:
-		f.takeSnapshot(page)
+		f.applySnapshotPage(page)
 		return nil
 	case page.AfterPosition > f.view.Position:
 		f.restart(page.FencingToken)
 		return fmt.Errorf("%w: between %d and %d", ErrGap, f.view.Position, page.AfterPosition)
 	}
-	known := f.view.Position - page.AfterPosition // entries of a page that came before, in part or whole
+	known := f.view.Position - page.AfterPosition // entries of a page that came before, in part or in full
 	for i := range page.Entries {
 		if uint64(i) >= known {
 			f.view.apply(&page.Entries[i])
 		}
 	}
-	if f.snapshot != nil && f.view.Position >= f.snapshot.completeAt && f.snapshot.completeAt > 0 {
+	if f.snapshot != nil && f.snapshot.isComplete(f.view.Position) {
 		f.snapshot = nil
 	}
-	f.latest = max(f.latest, page.LatestPosition)
+	f.latestPosition = max(f.latestPosition, page.LatestPosition)
 	if f.view.Position >= page.LatestPosition && f.snapshot == nil {
-		f.caughtUp = max(f.caughtUp, sent)
+		f.caughtUpAt = max(f.caughtUpAt, sent)
 	}
 	return nil
 }
 
-// check tells why a page is to be refused.
+// check returns why a page is to be rejected, nil if it is not. After a page that may hide entries a snapshot is to
+// be taken.
 func (f *Follower) check(page *Page) error {
 	switch {
 	case page.Version != Version:
@@ -124,25 +118,26 @@
 	return nil
 }
 
-// takeSnapshot takes over the next page of a snapshot. The first page's position is where the
-// entries go on; what they repeat, the later pages have already.
-func (f *Follower) takeSnapshot(page *Page) {
+// applySnapshotPage applies the next page of a snapshot. The first page's position is where the
+// entries continue; what they repeat, the later pages have already.
+func (f *Follower) applySnapshotPage(page *Page) {
 	s := f.snapshot
-	if s == nil || s.completeAt > 0 {
+	if !s.needsPage() {
 		return // a late copy
 	}
-	if !s.started {
-		s.started, f.view.Position = true, page.LatestPosition
+	if s.phase == firstPageMissing {
+		s.phase, f.view.Position = laterPagesMissing, page.LatestPosition
 	}
-	f.view.add(page.Snapshot)
-	f.latest = max(f.latest, page.LatestPosition)
+	f.view.addSnapshotPage(page.Snapshot)
+	f.latestPosition = max(f.latestPosition, page.LatestPosition)
 	if n := len(page.Snapshot.Machines); n > 0 {
-		s.after = page.Snapshot.Machines[n-1].Name
+		s.afterMachine = page.Snapshot.Machines[n-1].Name
 	}
 	if page.Snapshot.HasMore {
 		return
 	}
-	if s.completeAt = page.LatestPosition; f.view.Position >= s.completeAt {
+	s.phase, s.completeAt = entriesMissing, page.LatestPosition
+	if s.isComplete(f.view.Position) {
 		f.snapshot = nil
 	}
 }
@@ -150,8 +145,8 @@
 // rejectionKinds are the errors that are counted apart.
 var rejectionKinds = []error{ErrMalformed, ErrVersion, ErrTerm, ErrGap}
 
-// reject counts a refused page, and logs the first of a kind.
-func (f *Follower) reject(err error) {
+// countRejected counts a rejected page, and logs the first of a kind.
+func (f *Follower) countRejected(err error) {
 	kind := "other"
 	for _, k := range rejectionKinds {
 		if errors.Is(err, k) {
@@ -160,12 +155,12 @@
 	}
 	f.rejected[kind]++
 	if f.rejected[kind] == 1 {
-		slog.Warn("standby: a page is refused", "kind", kind, "error", err)
+		slog.Warn("standby page rejected", "error", err)
 	}
 }
 
-// TakeView is the follower's view if it is whole, else nil: the follower must not be asked to
-// apply anything to it any more.
+// TakeView returns the follower's view if it is complete, else nil. The view becomes the caller's: no page is applied
+// to it any more.
 func (f *Follower) TakeView() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,9 +172,9 @@
 	return v
 }
 
-// HandedOverTo is whom the leader of the followed term has named to lead next, if it has handed
-// over.
-func (f *Follower) HandedOverTo() (member string, handed bool) {
+// HandedOverTo is the member that the leader of the followed term has named to lead next, "" if it named none;
+// handedOver reports whether it has handed over.
+func (f *Follower) HandedOverTo() (member string, handedOver bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view == nil || f.view.Handover == nil {
@@ -188,48 +183,33 @@
 	return f.view.Handover.To, true
 }
 
-// HasHandedOver tells whether the leader with a token has handed over, as far as it is known here.
+// HasHandedOver reports whether the leader with a token has handed over, as far as it is known here.
 func (f *Follower) HasHandedOver(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view != nil && f.view.FencingToken == token && f.view.Handover != nil
 }
 
-// Progress is how far a follower is.
-type Progress struct {
-	FencingToken uint64         `json:"token"`
-	Position     uint64         `json:"position"`
-	Complete     bool           `json:"whole"`
-	LagEntries   uint64         `json:"lag_entries"`
-	LagS         float64        `json:"lag_s"` // since the view was known to lack nothing; -1: never
-	Machines     int            `json:"machines"`
-	Tasks        int            `json:"tasks"`
-	Rejected     map[string]int `json:"refused,omitempty"` // pages, by kind
-}
-
-// Progress tells how far the follower is.
+// Progress is how far the follower is.
 func (f *Follower) Progress() Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := Progress{LagS: -1, Rejected: map[string]int{}}
-	for kind, n := range f.rejected {
-		p.Rejected[kind] = n
-	}
+	p := Progress{LagS: -1, Rejected: maps.Clone(f.rejected)}
 	if f.view == nil {
 		return p
 	}
 	p.FencingToken, p.Position, p.Complete = f.view.FencingToken, f.view.Position, f.snapshot == nil
 	p.Machines, p.Tasks = len(f.view.Machines), f.view.CountTasks()
-	if f.latest > f.view.Position {
-		p.LagEntries = f.latest - f.view.Position
+	if f.latestPosition > f.view.Position {
+		p.LagEntries = f.latestPosition - f.view.Position
 	}
-	if f.caughtUp != 0 {
-		p.LagS = (micros.Now() - f.caughtUp).Seconds()
+	if f.caughtUpAt != 0 {
+		p.LagS = (micros.Now() - f.caughtUpAt).Seconds()
 	}
 	return p
 }
 
-// LastPageAt is when the leader was last heard; 0 if it never was.
+// LastPageAt is when the last page came that was not rejected; 0 if none did.
 func (f *Follower) LastPageAt() micros.Micros {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -11,43 +11,32 @@
 
 // Publisher keeps what one term's leader decides for the followers to ask for. No decision
 // waits for a follower: publishing appends to a log of bounded length, and a follower that is
-// behind it takes a snapshot.
+// behind it takes a snapshot. It is safe for concurrent use.
 type Publisher struct {
-	maxEntries int // entries
+	maxEntries int
 
-	mu          sync.Mutex
-	view        *View   // as of all entries
-	entries     []Entry // the newest; the last has the view's position
-	followers   map[string]FollowerState
-	queryCounts chan struct{} // closed at the next query
+	mu        sync.Mutex
+	view      *View   // as of all entries
+	entries   []Entry // the newest; the last has the view's position
+	followers map[string]FollowerState
 }
 
-// FollowerState is how far a follower is, as its last query says.
-type FollowerState struct {
-	Member   string        `json:"member"`
-	Position uint64        `json:"position"`
-	Complete bool          `json:"whole"` // it is not taking a snapshot
-	At       micros.Micros `json:"-"`     // when it last asked
-	AgeS     float64       `json:"age_s"` // how long ago that is
-}
-
-// NewPublisher is the publisher of a term, which keeps so many entries.
-func NewPublisher(token uint64, keep int) *Publisher {
+// NewPublisher is the publisher of the term with a token, whose log keeps at least maxEntries, once there are as many.
+func NewPublisher(token uint64, maxEntries int) *Publisher {
 	return &Publisher{
-		maxEntries:  max(1, keep),
-		view:        NewView(token),
-		followers:   map[string]FollowerState{},
-		queryCounts: make(chan struct{}),
+		maxEntries: max(1, maxEntries),
+		view:       NewView(token),
+		followers:  map[string]FollowerState{},
 	}
 }
 
-// Publish adds an entry. It only takes the publisher's own lock, for a moment.
+// Publish adds an entry. It takes only the publisher's own lock, and does no I/O.
 func (p *Publisher) Publish(e Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.apply(&e)
 	p.entries = append(p.entries, e)
-	if len(p.entries) > p.maxEntries+p.maxEntries/4 {
+	if len(p.entries) > p.maxEntries+p.maxEntries/4 { // cut rarely, as cutting copies
 		p.entries = slices.Clone(p.entries[len(p.entries)-p.maxEntries:])
 	}
 }
@@ -59,7 +48,7 @@
 	return p.view.Position
 }
 
-// HandleQuery answers a follower.
+// HandleQuery answers a follower. One that asks in another version gets a page that only says so.
 func (p *Publisher) HandleQuery(q *Query) *Page {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +60,7 @@
 	first := p.view.Position - uint64(len(p.entries)) // position before the oldest entry
 	switch {
 	case q.Snapshot:
-		page.Snapshot = p.view.page(q.AfterMachine)
+		page.Snapshot = p.view.snapshotPage(q.AfterMachine)
 	case q.FencingToken != p.view.FencingToken, q.Position < first, q.Position > p.view.Position:
 		page.Compacted = true
 	default:
@@ -88,15 +77,6 @@
 		state.Position, state.Complete = q.Position, true
 	}
 	p.followers[q.Member] = state
-	close(p.queryCounts)
-	p.queryCounts = make(chan struct{})
-}
-
-// QueryCount is closed at the next query.
-func (p *Publisher) QueryCount() <-chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.queryCounts
 }
 
 // Followers lists how far the followers are, by name.
@@ -111,8 +91,8 @@
 	return list
 }
 
-// FurthestFollower is the follower that has applied most, of those that asked lately; "" if none has
-// a whole view.
+// FurthestFollower is the follower that has applied most, of those that asked within a duration before now; the zero
+// value if none of these has a complete view.
 func (p *Publisher) FurthestFollower(within micros.Micros) (furthest FollowerState) {
 	for _, f := range p.Followers() {
 		if f.Complete && micros.Now()-f.At <= within && (furthest.Member == "" || f.Position > furthest.Position) {
@@ -122,7 +102,7 @@
 	return furthest
 }
 
-// HasApplied tells whether a follower has applied all entries up to a position.
+// HasApplied reports whether a follower has applied all entries up to a position.
 func (p *Publisher) HasApplied(member string, position uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -1,15 +1,10 @@
 package standby
 
-import (
-	"maps"
-	"slices"
-)
-
-// View is what a term's leader is known to have decided and observed, up to a position.
+// View is what a term's leader is known to have decided and observed, up to a position. It holds no lock.
 type View struct {
-	FencingToken uint64
+	FencingToken uint64 // of the term
 	Position     uint64
-	Machines     map[string]*Machine
+	Machines     map[string]*Machine  // by ID
 	Estimates    map[string][]float64 // moments by class
 	// Handover is the term's last entry, nil unless the leader has handed over.
 	Handover *Handover
@@ -19,7 +14,7 @@
 type Machine struct {
 	MachineState
 	Terminating bool
-	Tasks       map[string]TaskState
+	Tasks       map[string]TaskState // by ID
 }
 
 // NewView is a view of a term that knows nothing yet.
@@ -27,6 +22,21 @@
 	return &View{FencingToken: token, Machines: map[string]*Machine{}, Estimates: map[string][]float64{}}
 }
 
+// ProvesAssignments reports whether the view proves, to the leader with a token, which tasks may be
+// on machines: the leader of the term before handed over with all machines' tasks known, and nobody led since.
+// Otherwise the view is a hint.
+func (v *View) ProvesAssignments(token uint64) bool {
+	return v.Handover != nil && v.Handover.Complete && v.FencingToken+1 == token
+}
+
+// CountTasks counts the tasks on all machines.
+func (v *View) CountTasks() (count int) {
+	for _, m := range v.Machines {
+		count += len(m.Tasks)
+	}
+	return count
+}
+
 // machine is the machine with a name, which is made if it is not known.
 func (v *View) machine(name string) *Machine {
 	m := v.Machines[name]
@@ -37,7 +47,7 @@
 	return m
 }
 
-// apply takes over the entry after the view's position, which must have been checked.
+// apply applies the entry after the view's position, which must have been checked.
 func (v *View) apply(e *Entry) {
 	v.Position++
 	switch {
@@ -59,63 +69,3 @@
 		v.Handover = e.Handover
 	}
 }
-
-// page is the part of the view after a machine's name.
-func (v *View) page(after string) *SnapshotPage {
-	names := slices.Sorted(maps.Keys(v.Machines))
-	first, found := slices.BinarySearch(names, after)
-	if found {
-		first++
-	}
-	page := &SnapshotPage{Machines: []MachineRecord{}}
-	tasks := 0
-	for _, name := range names[first:] {
-		if len(page.Machines) >= maxPageEntries || tasks >= maxPageTasks {
-			page.HasMore = true
-			return page
-		}
-		m := v.Machines[name]
-		record := MachineRecord{Name: name, MachineState: m.MachineState, Terminating: m.Terminating}
-		for _, task := range slices.Sorted(maps.Keys(m.Tasks)) {
-			record.Tasks = append(record.Tasks, TaskRecord{task, m.Tasks[task]})
-		}
-		tasks += len(record.Tasks)
-		page.Machines = append(page.Machines, record)
-	}
-	page.Handover = v.Handover
-	for _, class := range slices.Sorted(maps.Keys(v.Estimates)) {
-		page.Estimates = append(page.Estimates, EstimateUpdated{class, v.Estimates[class]})
-	}
-	return page
-}
-
-// add takes over a page of a snapshot.
-func (v *View) add(page *SnapshotPage) {
-	for _, record := range page.Machines {
-		m := &Machine{MachineState: record.MachineState, Terminating: record.Terminating, Tasks: make(map[string]TaskState, len(record.Tasks))}
-		for _, task := range record.Tasks {
-			m.Tasks[task.Task] = task.TaskState
-		}
-		v.Machines[record.Name] = m
-	}
-	if page.Handover != nil {
-		v.Handover = page.Handover
-	}
-	for _, e := range page.Estimates {
-		v.Estimates[e.Class] = e.Moments
-	}
-}
-
-// CountTasks counts the tasks on all machines.
-func (v *View) CountTasks() (n int) {
-	for _, m := range v.Machines {
-		n += len(m.Tasks)
-	}
-	return n
-}
-
-// ProvesAssignments tells whether the view says for sure, to the leader with a token, which tasks may be
-// on machines: the leader of the term before handed over complete, and nobody led since.
-func (v *View) ProvesAssignments(token uint64) bool {
-	return v.Handover != nil && v.Handover.Complete && v.FencingToken+1 == token
-}
