--- a/internal/standby/bench_test.go
+++ b/internal/standby/bench_test.go
@@ -12,7 +12,7 @@
 func benchFleet() *Publisher {
 	p := NewPublisher(testToken, 50_000)
 	for i := range 100_000 {
-		p.Publish(placed(fmt.Sprintf("i-%06d", i%4100), fmt.Sprintf("j-%06d/%d", i/100, i%100), uint64(i)))
+		p.Publish(taskAssigned(fmt.Sprintf("i-%06d", i%4100), fmt.Sprintf("j-%06d/%d", i/100, i%100), uint64(i)))
 	}
 	return p
 }
@@ -23,11 +23,11 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		i++
-		p.Publish(placed(fmt.Sprintf("i-%06d", i%4100), fmt.Sprintf("j-%06d/%d", i/100%1000, i%100), uint64(i)))
+		p.Publish(taskAssigned(fmt.Sprintf("i-%06d", i%4100), fmt.Sprintf("j-%06d/%d", i/100%1000, i%100), uint64(i)))
 	}
 }
 
-// exchange has a follower ask once, with the encoding both ways, and tells the answer's size.
+// exchange has a follower ask once, with the encoding of the page, and returns the page's size.
 func exchange(b *testing.B, f *Follower, p *Publisher) (size int) {
 	b.Helper()
 	body, err := wire.Marshal(p.HandleQuery(f.NextQuery(testToken)))
@@ -55,24 +55,24 @@
 	for b.Loop() {
 		for range 100 {
 			i++
-			p.Publish(placed(fmt.Sprintf("i-%06d", i%4100), fmt.Sprintf("j-%06d/%d", i/100%1000, i%100), uint64(i)))
+			p.Publish(taskAssigned(fmt.Sprintf("i-%06d", i%4100), fmt.Sprintf("j-%06d/%d", i/100%1000, i%100), uint64(i)))
 		}
 		size += exchange(b, f, p)
 	}
 	b.ReportMetric(float64(size)/float64(i), "bytes/entry")
 }
 
-// BenchmarkSnapshot has a follower take a whole snapshot.
+// BenchmarkSnapshot has a follower take a complete snapshot.
 func BenchmarkSnapshot(b *testing.B) {
 	p := benchFleet()
-	size, n := 0, 0
+	size, snapshots := 0, 0
 	b.ReportAllocs()
 	for b.Loop() {
 		f := NewFollower("host-1")
 		for !f.Progress().Complete {
 			size += exchange(b, f, p)
 		}
-		n++
+		snapshots++
 	}
-	b.ReportMetric(float64(size)/float64(n), "bytes/snapshot")
+	b.ReportMetric(float64(size)/float64(snapshots), "bytes/snapshot")
 }
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -5,63 +5,63 @@
 	"testing"
 )
 
-// TestPhases goes through take-overs: decisions may leave only with all of the evidence.
-func TestPhases(t *testing.T) {
+// TestFailoverPhases goes through failovers: decisions may leave only with all of the evidence.
+func TestFailoverPhases(t *testing.T) {
 	type step struct {
 		name string
-		do   func(t *Failover)
+		do   func(*Failover)
 		want Phase
 	}
 	suspect := step{"suspect", (*Failover).LeaderSuspected, Suspecting}
 	campaign := step{"campaign", (*Failover).CampaignStarted, Campaigning}
-	won := step{"win", func(t *Failover) { t.TermWon(8, 100, true) }, Confirming}
-	confirmed := step{"confirm", func(t *Failover) { t.StateRead(100, false) }, Adopting}
-	adopted := step{"adopt", (*Failover).TasksKnown, Active}
+	won := step{"win", func(f *Failover) { f.TermWon(8, 100, true) }, Confirming}
+	stateRead := step{"read the state", func(f *Failover) { f.StateRead(100, false) }, Adopting}
+	tasksKnown := step{"know the tasks", (*Failover).TasksKnown, Active}
 	ended := step{"end", (*Failover).TermEnded, Following}
 	cases := []struct {
 		name  string
 		steps []step
 	}{
-		{"all phases", []step{suspect, campaign, won, confirmed, adopted, ended}},
-		{"handed over, unsuspected", []step{campaign, won, confirmed, adopted}},
+		{"all phases", []step{suspect, campaign, won, stateRead, tasksKnown, ended}},
+		{"handed over, unsuspected", []step{campaign, won, stateRead, tasksKnown}},
 		{"the leader answers again", []step{suspect, {"trust", (*Failover).LeaderTrusted, Following}, suspect}},
 		{"another one wins", []step{suspect, campaign, {"trust", (*Failover).LeaderTrusted, Following}}},
-		{"ended while confirming", []step{campaign, won, ended, campaign, won, confirmed}},
-		{"read before the key was taken", []step{campaign, won, {"confirm", func(t *Failover) { t.StateRead(99, true) }, Confirming}, confirmed}},
-		{"confirmed without a key", []step{campaign, {"confirm", func(t *Failover) { t.StateRead(500, false) }, Campaigning}}},
-		{"a doubt in an active leader", []step{campaign, won, confirmed, adopted, {"suspect", (*Failover).LeaderSuspected, Active}, {"trust", (*Failover).LeaderTrusted, Active}}},
-		{"adopted out of turn", []step{campaign, {"adopt", (*Failover).TasksKnown, Campaigning}}},
+		{"ended while confirming", []step{campaign, won, ended, campaign, won, stateRead}},
+		{"read before the key was taken", []step{campaign, won, {"read the state", func(f *Failover) { f.StateRead(99, true) }, Confirming}, stateRead}},
+		{"state read without a key", []step{campaign, {"read the state", func(f *Failover) { f.StateRead(500, false) }, Campaigning}}},
+		{"an active leader is suspected", []step{campaign, won, stateRead, tasksKnown, {"suspect", (*Failover).LeaderSuspected, Active}, {"trust", (*Failover).LeaderTrusted, Active}}},
+		{"tasks known out of turn", []step{campaign, {"know the tasks", (*Failover).TasksKnown, Campaigning}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			takeover := NewFailover()
+			failover := NewFailover()
 			for _, s := range tc.steps {
-				s.do(takeover)
-				if got := takeover.Phase(); got != s.want {
+				s.do(failover)
+				if got := failover.Phase(); got != s.want {
 					t.Fatalf("%s: %v, want %v", s.name, got, s.want)
 				}
-				if may := takeover.Phase().CanDecide(); may != (s.want == Adopting || s.want == Active) {
-					t.Errorf("%s: may decide: %v", s.name, may)
+				if can := failover.Phase().CanDecide(); can != (s.want == Adopting || s.want == Active) {
+					t.Errorf("%s: can decide: %v", s.name, can)
 				}
 			}
 		})
 	}
 }
 
-// TestRecord asks for the last take-over, with its evidence and phases.
-func TestRecord(t *testing.T) {
-	takeover := NewFailover()
-	if takeover.LastRecord() != nil {
-		t.Error("a take-over before the first")
+// TestFailoverRecord asks for the last failover, with its evidence and phases.
+func TestFailoverRecord(t *testing.T) {
+	failover := NewFailover()
+	if failover.LastRecord() != nil {
+		t.Error("a record before the first failover")
 	}
-	takeover.LeaderSuspected()
-	takeover.CampaignStarted()
-	takeover.TermWon(8, 100, true)
-	takeover.StateRead(104, true)
-	takeover.TasksKnown()
-	takeover.TermEnded()
-	takeover.LeaderSuspected()
-	last := takeover.LastRecord()
+	failover.LeaderSuspected()
+	failover.CampaignStarted()
+	failover.TermWon(8, 100, true)
+	failover.StateRead(104, true)
+	failover.TasksKnown()
+	failover.TermEnded()
+	failover.LeaderSuspected()
+	last := failover.LastRecord()
 	if last == nil || last.Evidence != (Evidence{FencingToken: 8, Revision: 100, ReadThrough: 104, HandedOver: true}) || !last.Warm {
 		t.Fatalf("%+v", last)
 	}
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values a leader and its followers tell each other, or tell of themselves.
+// encodedTypes are those whose values a leader and its followers send each other, or show of themselves.
 var encodedTypes = []golden.Type{
 	golden.Of[Query]("a query"),
 	golden.Of[Page]("a page"),
@@ -34,15 +34,15 @@
 	golden.Of[FailoverRecord]("a take-over"),
 }
 
-// TestEncoded has them be encoded as they were.
+// TestEncoded compares their encodings with the golden file.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
+// TestEncodedTags requires a tag of each of their fields.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestEntries has an entry of each kind be encoded as it was.
+// TestEntries compares the encoding of an entry of each kind with the golden file, and has each be accepted.
 func TestEntries(t *testing.T) {
 	entries := reflect.TypeFor[Entry]()
 	var sections []golden.Section
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -11,27 +11,27 @@
 	"caperlatch/internal/wire"
 )
 
-// testToken is the term that the tests' leader leads.
+// testToken is the fencing token of the tests' leader.
 const testToken = 7
 
-func placed(machine, task string, attempt uint64) Entry {
+func taskAssigned(machine, task string, attempt uint64) Entry {
 	return Entry{TaskAssigned: &TaskAssigned{Machine: machine, Task: task, TaskState: TaskState{Attempt: attempt}}}
 }
 
-func left(machine, task string) Entry {
+func taskRemoved(machine, task string) Entry {
 	return Entry{TaskRemoved: &TaskRemoved{Machine: machine, Task: task}}
 }
 
-func observed(machine string, session uint64) Entry {
-	return Entry{MachineObserved: &MachineObserved{Machine: machine, MachineState: MachineState{Incarnation: session, TasksKnown: true}}}
+func machineObserved(machine string, incarnation uint64) Entry {
+	return Entry{MachineObserved: &MachineObserved{Machine: machine, MachineState: MachineState{Incarnation: incarnation, TasksKnown: true}}}
 }
 
-// randomEntry is some decision about few machines, so that decisions meet.
+// randomEntry is a random decision about few machines, so that many are about the same one.
 func randomEntry(r *rand.Rand) Entry {
 	machine, task := fmt.Sprintf("i-%03d", r.IntN(40)), fmt.Sprintf("j-1/%d", r.IntN(30))
 	switch r.IntN(12) {
 	case 0:
-		return observed(machine, 1+r.Uint64N(3))
+		return machineObserved(machine, 1+r.Uint64N(3))
 	case 1:
 		return Entry{MachineTerminating: &MachineTerminating{Machine: machine, Reason: "test"}}
 	case 2:
@@ -39,13 +39,13 @@
 	case 3:
 		return Entry{EstimateUpdated: &EstimateUpdated{Class: fmt.Sprintf("c%d", r.IntN(3)), Moments: []float64{r.Float64()}}}
 	case 4, 5, 6, 7:
-		return left(machine, task)
+		return taskRemoved(machine, task)
 	}
-	return placed(machine, task, r.Uint64N(100))
+	return taskAssigned(machine, task, r.Uint64N(100))
 }
 
-// carry sends a message as a stream between nodes does.
-func carry[T any](t *testing.T, message *T) *T {
+// transmit encodes and decodes a message as a stream between nodes does.
+func transmit[T any](t *testing.T, message *T) *T {
 	t.Helper()
 	b, err := wire.Marshal(message)
 	if err != nil {
@@ -58,18 +58,17 @@
 	return out
 }
 
-// pull has a follower ask once.
-func pull(t *testing.T, f *Follower, p *Publisher) error {
+// query has a follower ask once.
+func query(t *testing.T, f *Follower, p *Publisher) error {
 	t.Helper()
-	q := f.NextQuery(testToken)
-	return f.ApplyPage(carry(t, p.HandleQuery(carry(t, q))), micros.Now())
+	return f.ApplyPage(transmit(t, p.HandleQuery(transmit(t, f.NextQuery(testToken)))), micros.Now())
 }
 
 // catchUp has a follower ask until nothing is missing.
 func catchUp(t *testing.T, f *Follower, p *Publisher) {
 	t.Helper()
 	for range 1000 {
-		if err := pull(t, f, p); err != nil {
+		if err := query(t, f, p); err != nil {
 			t.Fatal(err)
 		}
 		if progress := f.Progress(); progress.Complete && progress.Position == p.Position() {
@@ -79,9 +78,8 @@
 	t.Fatalf("the follower does not catch up: %+v", f.Progress())
 }
 
-// sameView compares a follower's view with what the leader published. A machine of which
-// nothing is known is as good as none.
-func sameView(t *testing.T, f *Follower, p *Publisher) {
+// checkView compares a follower's view with what the leader published.
+func checkView(t *testing.T, f *Follower, p *Publisher) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,25 +88,25 @@
 	}
 }
 
-// TestFollow has followers ask while a leader decides: pages get lost, come again, come late
+// TestFollowerView has followers ask while a leader decides: pages get lost, are repeated, come late
 // and out of order, and the log is short, so that snapshots are taken while decisions go on.
 // Whenever a follower says that nothing is missing, its view is the leader's.
-func TestFollow(t *testing.T) {
+func TestFollowerView(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		p, f := NewPublisher(testToken, 20+r.IntN(200)), NewFollower("host-1")
-		var late []*Page
-		checked := 0
+		var earlier []*Page
+		caughtUp := 0
 		for range 400 {
 			for range r.IntN(12) {
 				p.Publish(randomEntry(r))
 			}
-			page := carry(t, p.HandleQuery(f.NextQuery(testToken)))
-			late = append(late, page)
+			page := transmit(t, p.HandleQuery(f.NextQuery(testToken)))
+			earlier = append(earlier, page)
 			switch r.IntN(6) {
 			case 0: // lost
 			case 1: // a late copy, before the present one
-				_ = f.ApplyPage(late[r.IntN(len(late))], micros.Now()) // refused or of no effect
+				_ = f.ApplyPage(earlier[r.IntN(len(earlier))], micros.Now()) // rejected or of no effect
 				_ = f.ApplyPage(page, micros.Now())
 			case 2: // twice
 				_ = f.ApplyPage(page, micros.Now())
@@ -117,14 +115,14 @@
 				_ = f.ApplyPage(page, micros.Now())
 			}
 			if progress := f.Progress(); progress.Complete && progress.Position == p.Position() {
-				checked++
-				sameView(t, f, p)
+				caughtUp++
+				checkView(t, f, p)
 			}
 		}
 		catchUp(t, f, p)
-		sameView(t, f, p)
-		if checked < 20 {
-			t.Errorf("seed %d: the follower was up to date only %d times", seed, checked)
+		checkView(t, f, p)
+		if caughtUp < 20 {
+			t.Errorf("seed %d: the follower was up to date only %d times", seed, caughtUp)
 		}
 	}
 }
@@ -135,10 +133,10 @@
 	const machines, tasks, messageBytes = 4100, 100_000, 1 << 20
 	p, f := NewPublisher(testToken, 1000), NewFollower("host-1")
 	for i := range machines {
-		p.Publish(observed(fmt.Sprintf("i-%06d", i), 1))
+		p.Publish(machineObserved(fmt.Sprintf("i-%06d", i), 1))
 	}
 	for i := range tasks {
-		p.Publish(placed(fmt.Sprintf("i-%06d", i%machines), fmt.Sprintf("j-%06d/%d", i/100, i%100), uint64(testToken<<32+i)))
+		p.Publish(taskAssigned(fmt.Sprintf("i-%06d", i%machines), fmt.Sprintf("j-%06d/%d", i/100, i%100), uint64(testToken<<32+i)))
 	}
 	pages := 0
 	for !f.Progress().Complete || f.Progress().Position < p.Position() {
@@ -149,69 +147,69 @@
 		if b, err := wire.Marshal(page); err != nil || len(b) > messageBytes {
 			t.Fatalf("a page of %d bytes: %v", len(b), err)
 		}
-		if err := f.ApplyPage(carry(t, page), micros.Now()); err != nil {
+		if err := f.ApplyPage(transmit(t, page), micros.Now()); err != nil {
 			t.Fatal(err)
 		}
 		if pages < 10 { // decisions go on
-			p.Publish(placed("i-000001", "j-900000/0", uint64(pages)))
-			p.Publish(left("i-004000", fmt.Sprintf("j-%06d/%d", 40, pages)))
+			p.Publish(taskAssigned("i-000001", "j-900000/0", uint64(pages)))
+			p.Publish(taskRemoved("i-004000", fmt.Sprintf("j-%06d/%d", 40, pages)))
 		}
 	}
-	sameView(t, f, p)
+	checkView(t, f, p)
 	if progress := f.Progress(); progress.Tasks != p.view.CountTasks() || progress.Machines != machines {
 		t.Errorf("%+v", progress)
 	}
 }
 
-// TestRefused has a follower that is up to date get pages that it must not apply: nothing of
-// them shows, each is counted by its kind, and after a snapshot the follower is whole again.
-func TestRefused(t *testing.T) {
-	both := placed("i-1", "j-1/1", 1)
-	both.MachineTerminated = &MachineTerminated{Machine: "i-1"}
+// TestRejectedPages has a follower that is up to date get pages that it must not apply: nothing of
+// them shows, each is counted by its kind, and after a snapshot the follower's view is complete again.
+func TestRejectedPages(t *testing.T) {
+	twoFields := taskAssigned("i-1", "j-1/1", 1)
+	twoFields.MachineTerminated = &MachineTerminated{Machine: "i-1"}
 	cases := []struct {
-		name   string
-		spoil  func(page *Page)
-		want   error
-		rebase bool // a snapshot is taken
+		name          string
+		corrupt       func(page *Page)
+		want          error
+		needsSnapshot bool
 	}{
 		{"a gap of one entry", func(p *Page) { p.AfterPosition++; p.LatestPosition++ }, ErrGap, true},
 		{"a large gap", func(p *Page) { p.AfterPosition += 1000; p.LatestPosition += 1000 }, ErrGap, true},
 		{"a lower token", func(p *Page) { p.FencingToken-- }, ErrTerm, false},
-		{"a higher token that nobody told of", func(p *Page) { p.FencingToken++ }, ErrTerm, false},
+		{"a higher token that is not known here", func(p *Page) { p.FencingToken++ }, ErrTerm, false},
 		{"another version", func(p *Page) { p.Version++ }, ErrVersion, false},
-		{"an entry that says nothing", func(p *Page) { p.Entries[0] = Entry{} }, ErrMalformed, true},
-		{"an entry that says two things", func(p *Page) { p.Entries[0] = both }, ErrMalformed, true},
-		{"an entry without a machine", func(p *Page) { p.Entries[0] = placed("", "j-1/1", 1) }, ErrMalformed, true},
+		{"an entry without a field", func(p *Page) { p.Entries[0] = Entry{} }, ErrMalformed, true},
+		{"an entry with two fields", func(p *Page) { p.Entries[0] = twoFields }, ErrMalformed, true},
+		{"an entry without a machine", func(p *Page) { p.Entries[0] = taskAssigned("", "j-1/1", 1) }, ErrMalformed, true},
 		{"entries beyond the newest", func(p *Page) { p.LatestPosition = p.AfterPosition }, ErrMalformed, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			p, f := NewPublisher(testToken, 100), NewFollower("host-1")
-			p.Publish(placed("i-0", "j-1/0", 1))
+			p.Publish(taskAssigned("i-0", "j-1/0", 1))
 			catchUp(t, f, p)
-			p.Publish(placed("i-1", "j-1/1", 2))
-			page := carry(t, p.HandleQuery(f.NextQuery(testToken)))
-			tc.spoil(page)
+			p.Publish(taskAssigned("i-1", "j-1/1", 2))
+			page := transmit(t, p.HandleQuery(f.NextQuery(testToken)))
+			tc.corrupt(page)
 			if err := f.ApplyPage(page, micros.Now()); !errors.Is(err, tc.want) {
 				t.Fatalf("error %v, want %v", err, tc.want)
 			}
 			progress := f.Progress()
 			if progress.Rejected[tc.want.Error()] != 1 {
-				t.Errorf("counted %v", progress.Rejected)
+				t.Errorf("counted as rejected: %v", progress.Rejected)
 			}
-			if progress.Complete == tc.rebase || f.view.Machines["i-1"] != nil {
+			if progress.Complete == tc.needsSnapshot || f.view.Machines["i-1"] != nil {
 				t.Errorf("after the page: %+v, %v", progress, f.view.Machines)
 			}
 			catchUp(t, f, p)
-			sameView(t, f, p)
+			checkView(t, f, p)
 		})
 	}
 }
 
-// TestBehind has the leader end while a follower lacks the last entry, while it takes a
-// snapshot, and while it was never heard: only a whole view is of use, and a view that lacks
+// TestTakeView has the leader end while a follower lacks the last entry, while it takes a
+// snapshot, and before it asked: only a complete view is of use, and a view that lacks
 // the handover proves nothing.
-func TestBehind(t *testing.T) {
+func TestTakeView(t *testing.T) {
 	handover := Entry{Handover: &Handover{To: "host-1", Complete: true}}
 	cases := []struct {
 		name  string
@@ -227,7 +225,7 @@
 		// A snapshot that began after the handover did not show it.
 		{"all is known by a snapshot", func(p *Publisher, f *Follower) {
 			for i := range 300 {
-				p.Publish(placed("i-1", fmt.Sprintf("j-1/%d", i), 1))
+				p.Publish(taskAssigned("i-1", fmt.Sprintf("j-1/%d", i), 1))
 			}
 			p.Publish(handover)
 			catchUp(t, f, p)
@@ -236,33 +234,33 @@
 			catchUp(t, f, p)
 			p.Publish(handover)
 		}, true, false},
-		{"handed over without knowing all", func(p *Publisher, f *Follower) {
+		{"handed over with tasks unknown", func(p *Publisher, f *Follower) {
 			p.Publish(Entry{Handover: &Handover{To: "host-1"}})
 			catchUp(t, f, p)
 		}, true, false},
-		{"in the midst of a snapshot", func(p *Publisher, f *Follower) {
+		{"within a snapshot", func(p *Publisher, f *Follower) {
 			for i := range maxPageTasks + 10 {
-				p.Publish(placed(fmt.Sprintf("i-%d", i), "j-1/1", 1))
+				p.Publish(taskAssigned(fmt.Sprintf("i-%d", i), "j-1/1", 1))
 			}
 			p.Publish(handover)
-			_ = pull(t, f, p) // the first page
+			_ = query(t, f, p) // the first page
 		}, false, false},
 		// The pages are of two positions, and the last one has the handover.
 		{"the entries since a snapshot began are missing", func(p *Publisher, f *Follower) {
 			for i := range maxPageTasks + 10 {
-				p.Publish(placed(fmt.Sprintf("i-%d", i), "j-1/1", 1))
+				p.Publish(taskAssigned(fmt.Sprintf("i-%d", i), "j-1/1", 1))
 			}
-			_ = pull(t, f, p) // the first page
-			p.Publish(placed("i-1", "j-1/2", 1))
+			_ = query(t, f, p) // the first page
+			p.Publish(taskAssigned("i-1", "j-1/2", 1))
 			p.Publish(handover)
-			_ = pull(t, f, p) // the last page
+			_ = query(t, f, p) // the last page
 		}, false, false},
-		{"never heard", func(p *Publisher, _ *Follower) { p.Publish(handover) }, false, false},
+		{"it never asked", func(p *Publisher, _ *Follower) { p.Publish(handover) }, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			p, f := NewPublisher(testToken, 100), NewFollower("host-1")
-			p.Publish(placed("i-0", "j-1/0", 1))
+			p.Publish(taskAssigned("i-0", "j-1/0", 1))
 			tc.run(p, f)
 			v := f.TakeView()
 			if (v != nil) != tc.view {
@@ -272,24 +270,24 @@
 				return
 			}
 			if v.ProvesAssignments(testToken+1) != tc.proof {
-				t.Errorf("it proves: %v", v.ProvesAssignments(testToken+1))
+				t.Errorf("it proves assignments: %v", v.ProvesAssignments(testToken+1))
 			}
 			// Somebody led in between, or the token is the old one.
 			if v.ProvesAssignments(testToken+2) || v.ProvesAssignments(testToken) {
 				t.Error("it proves to another term")
 			}
 			if f.TakeView() != nil {
-				t.Error("a view was given twice")
+				t.Error("a view was taken twice")
 			}
 		})
 	}
 }
 
-// TestFurthest asks which follower is to lead next.
-func TestFurthest(t *testing.T) {
+// TestFurthestFollower asks which follower is to lead next.
+func TestFurthestFollower(t *testing.T) {
 	p := NewPublisher(testToken, 100)
 	for i := range 10 {
-		p.Publish(placed("i-0", fmt.Sprintf("j-1/%d", i), 1))
+		p.Publish(taskAssigned("i-0", fmt.Sprintf("j-1/%d", i), 1))
 	}
 	ask := func(q Query) { q.Version, q.FencingToken = Version, testToken; p.HandleQuery(&q) }
 	if f := p.FurthestFollower(micros.Second); f.Member != "" {
