--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -19,7 +19,7 @@
 // gets no response does not end the term: what it may still do without the state service follows from the four
 // proofs of Term.
 //
-// What a Term proves, each on its own and each to be asked at the moment of acting:
+// What a Term proves, each on its own and each to be asked again before each action:
 //
 //   - HoldsSession: the session has not ended, so nobody else can have taken the leader key.
 //   - IsExclusive: nobody else leads, by the session or because all other nodes abstain from campaigning.
@@ -101,7 +101,7 @@
 
 	mu           sync.Mutex
 	abstention   abstention
-	highestKnown replica.Leader // of the highest token that a peer told of, or that led as known here
+	highestKnown replica.Leader // of the highest token that a peer knows, or of the leader key
 }
 
 // New makes an election; it takes part once Run is called.
--- a/internal/replica/barrier.go
+++ b/internal/replica/barrier.go
@@ -34,11 +34,14 @@
 // Barrier is a read barrier: it returns once the replica has applied every change that was committed, by any node,
 // before the call.
 //
-// After it returned nil, a reader may conclude for what it then reads here: a value is the one that was stored at the
-// call, or a newer one; a key that is not found did not exist at the call, or was deleted after it, as keys of jobs
-// never are; a job that is not cancelled here had not been cancelled when the call began. It may not conclude that this is still so, nor that two reads are of one
-// revision: a write that depends on them compares the mod revisions that were read. After an error, which says that
-// ctx has ended, that nothing has been loaded yet, or what the state service answered, it may conclude nothing.
+// After it returned nil, a reader may conclude for what it then reads here:
+//   - a value is the one that was stored at the call, or a newer one;
+//   - a key that is not found did not exist at the call, or was deleted after it, as keys of jobs never are;
+//   - a job that is not cancelled here had not been cancelled when the call began.
+//
+// It may not conclude that this is still so, nor that two reads are of one revision: a write that depends on them
+// compares the mod revisions that were read. After an error, which says that ctx has ended, that nothing has been
+// loaded yet, or what the state service answered, it may conclude nothing.
 //
 // Calls share requests: one that comes while a request is under way waits for the next, since that
 // one's response may be older than the call.
