--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -25,7 +25,7 @@
 
 // testNode is a node that campaigns at a simulated state service.
 type testNode struct {
-	state    *fake.State
+	state    *fake.StateService
 	store    *statestore.Client
 	replica  *replica.Replica
 	election *Election
@@ -33,7 +33,7 @@
 
 // newTestNode makes a node whose election has the rest of a configuration.
 func newTestNode(config Config) *testNode {
-	net, state := fake.NewNet(), fake.NewState()
+	net, state := fake.NewNetwork(), fake.NewStateService()
 	net.Handle("state", state)
 	store := statestore.New("state", settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, net.From("host-0/1"))
 	config.Member, config.Store, config.Replica, config.Peers = "host-0", store, replica.New(store), silentPeers{}
--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -31,7 +31,7 @@
 	cancel()
 	<-done
 	slog.Info("term ended", "fencing_token", term.FencingToken)
-	ending, stop := context.WithTimeout(context.Background(), statestore.Timeout.Duration())
+	ending, stop := context.WithTimeout(context.Background(), statestore.RequestTimeout.Duration())
 	defer stop()
 	e.endSession(ending, term.sessionID)
 }
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -49,7 +49,7 @@
 func (t *Term) HoldsSession() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.ended && micros.Now() < t.sessionConfirmedAt+SessionTTL-micros.Drift(SessionTTL)
+	return !t.ended && micros.Now() < t.sessionConfirmedAt+SessionTTL-micros.MaxClockDrift(SessionTTL)
 }
 
 // IsExclusive reports whether nobody else can lead now: the session has not ended, or all other nodes, which cannot
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -135,7 +135,7 @@
 		if last.sentAt == 0 || !last.state.Loaded || last.state.HighestToken > token || abstainFor == 0 {
 			until = 0
 		}
-		until = min(until, last.sentAt+abstainFor-micros.Drift(abstainFor))
+		until = min(until, last.sentAt+abstainFor-micros.MaxClockDrift(abstainFor))
 	})
 	return until
 }
--- a/internal/replica/barrier.go
+++ b/internal/replica/barrier.go
@@ -88,7 +88,7 @@
 	if !r.IsLoaded() {
 		return fmt.Errorf("barrier: %w", errNotLoaded)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), statestore.Timeout.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), statestore.RequestTimeout.Duration())
 	defer cancel()
 	err := r.catchUp(ctx)
 	if errors.Is(err, statestore.ErrRateLimited) {
--- a/zones.go
+++ b/zones.go
@@ -11,9 +11,9 @@
 // newZonePolicy is the policy on zones of a new term.
 func (n *Node) newZonePolicy() zone.Policy {
 	if n.features.Zones == nil {
-		return zone.NewThreshold()
+		return zone.NewThresholdPolicy()
 	}
-	return zone.NewManager(*n.features.Zones)
+	return zone.NewLifecyclePolicy(*n.features.Zones)
 }
 
 // isIsolated tells whether this node hears neither the state service nor most of its peers. What
@@ -31,8 +31,8 @@
 	return 2*reachable < len(n.settings.Peers)
 }
 
-// Zones tells what the leader thinks of the zones.
-func (n *Node) Zones(ctx context.Context) ([]zone.Status, error) {
+// ZoneStatus tells what the leader thinks of the zones.
+func (n *Node) ZoneStatus(ctx context.Context) ([]zone.Status, error) {
 	if n.LocalLeader() != nil {
 		return n.HandleZones()
 	}
