--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -100,11 +100,11 @@
 type TaskKnowledge int
 
 const (
-	// TasksUnknown: it may hold tasks of earlier terms that this one has not seen.
+	// TasksUnknown says that the machine may hold tasks of earlier terms that this one has not seen.
 	TasksUnknown TaskKnowledge = iota
-	// TasksHandedOver: the leader before named them in a complete handover.
+	// TasksHandedOver says that the leader before named the tasks in a complete handover.
 	TasksHandedOver
-	// TasksConfirmed: the worker has reported them in this term, or can hold none of an earlier one.
+	// TasksConfirmed says that the worker has reported its tasks in this term, or can hold none of an earlier one.
 	TasksConfirmed
 )
 
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -16,12 +16,12 @@
 	Member  string        `json:"member"`
 	Version int           `json:"version"`
 	Common  int           `json:"common"` // what all nodes are known to speak at least
-	Peers   []PeerVersion `json:"peers"`
+	Peers   []MemberVersion `json:"peers"`
 }
 
-// PeerVersion is what a node knows of a peer. One that has not answered lately may
+// MemberVersion is what a node knows of a peer. One that has not answered lately may
 // have come back with any version, and counts as 0.
-type PeerVersion struct {
+type MemberVersion struct {
 	Member     string `json:"member"`
 	Responding bool   `json:"heard"` // it has answered lately
 	Version    int    `json:"version"`
@@ -34,7 +34,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(p.clients)) {
-		peer := PeerVersion{Member: name}
+		peer := MemberVersion{Member: name}
 		if last := p.last[name]; last.isFreshWithin(FreshWithin) {
 			peer.Responding, peer.Version = true, max(0, last.state.Version)
 		}
--- a/internal/peer/version_test.go
+++ b/internal/peer/version_test.go
@@ -17,16 +17,16 @@
 	cases := []struct {
 		name   string
 		last   map[string]*lastResponse // relative to now
-		peers  []PeerVersion
+		peers  []MemberVersion
 		common int
 	}{
-		{"all ours", map[string]*lastResponse{"b": answering(Version), "c": answering(Version)}, []PeerVersion{{"b", true, Version}, {"c", true, Version}}, Version},
-		{"one from before there were versions", map[string]*lastResponse{"b": answering(0), "c": answering(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
-		{"one never answered", map[string]*lastResponse{"b": answering(Version)}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"all ours", map[string]*lastResponse{"b": answering(Version), "c": answering(Version)}, []MemberVersion{{"b", true, Version}, {"c", true, Version}}, Version},
+		{"one from before there were versions", map[string]*lastResponse{"b": answering(0), "c": answering(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one never answered", map[string]*lastResponse{"b": answering(Version)}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
 		// It may have come back with the old version meanwhile.
-		{"one silent for long", map[string]*lastResponse{"b": answering(Version), "c": silent}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
-		{"one of a later version", map[string]*lastResponse{"b": answering(Version + 7), "c": answering(Version)}, []PeerVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
-		{"one below zero", map[string]*lastResponse{"b": answering(-3), "c": answering(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one silent for long", map[string]*lastResponse{"b": answering(Version), "c": silent}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"one of a later version", map[string]*lastResponse{"b": answering(Version + 7), "c": answering(Version)}, []MemberVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
+		{"one below zero", map[string]*lastResponse{"b": answering(-3), "c": answering(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/xml"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -105,7 +106,7 @@
 	found := map[string]bool{}
 	for d := xml.NewDecoder(strings.NewReader(file)); ; {
 		token, err := d.Token()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return found
 		}
 		if err != nil {
