--- a/cluster_test.go
+++ b/cluster_test.go
@@ -121,14 +121,14 @@
 func (c *cluster) newLife(life harness.Life) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
-	n := newNode(s, settings.DefaultTuning(), c.featuresOf(life.Node), network{
-		serviceTransport: c.net.From(life.Sender),
-		workerTransport:  c.net.From(life.Sender),
-		dialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
-		listenForPeers:   func() (net.Listener, error) { return c.pipes.Listen(life.Member), nil },
+	n := NewNodeOn(s, settings.DefaultTuning(), c.featuresOf(life.Node), Network{
+		ServiceTransport: c.net.From(life.Sender),
+		WorkerTransport:  c.net.From(life.Sender),
+		DialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
+		ListenForPeers:   func() (net.Listener, error) { return c.pipes.Listen(life.Member), nil },
 	})
 	c.nodes[life.Node] = n
-	return n.handler(), n.runBackground
+	return n.Handler(), n.RunBackground
 }
 
 // start begins a new life of a node.
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -25,7 +25,7 @@
 	defer end()
 	go func() {
 		<-terminated.Done()
-		n.HandOverAtEnd()
+		n.HandOverOnShutdown()
 		n.Leave()
 		end()
 	}()
@@ -65,7 +65,7 @@
 
 // printStandby writes a status for people.
 func printStandby(w io.Writer, s *api.StandbyStatus) {
-	fmt.Fprintf(w, "%s: %s, term %d led by %s\n", s.Member, s.Phase, s.Token, s.Leader)
+	fmt.Fprintf(w, "%s: %s, term %d led by %s\n", s.Member, s.Phase, s.FencingToken, s.Leader)
 	if s.Leading {
 		fmt.Fprintf(w, "  position %d\n", s.Position)
 		for _, f := range s.Followers {
@@ -75,8 +75,8 @@
 	if p := s.Progress; p != nil {
 		printProgress(w, p)
 	}
-	if s.Last != nil {
-		printRecord(w, s.Last)
+	if s.LastFailover != nil {
+		printRecord(w, s.LastFailover)
 	}
 }
 
--- a/membership.go
+++ b/membership.go
@@ -41,7 +41,7 @@
 	var others []string
 	for _, p := range n.settings.Peers {
 		others = append(others, p.Member)
-		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.dialPeer)
+		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.DialPeer)
 	}
 	m.detector = membership.New(n.settings.Member, others, config, uint64(micros.Wall()), micros.Now())
 	return m
@@ -161,8 +161,8 @@
 	return &answer
 }
 
-// Members tells what this node thinks of the other nodes.
-func (n *Node) Members() (membership.Status, error) {
+// MembershipStatus tells what this node thinks of the other nodes.
+func (n *Node) MembershipStatus() (membership.Status, error) {
 	if n.membership == nil {
 		return membership.Status{}, api.ErrMembershipOff
 	}
--- a/membership_test.go
+++ b/membership_test.go
@@ -28,7 +28,7 @@
 // are tells which of the others thinks otherwise of a node.
 func (c *memberCluster) are(of int, want membership.State) error {
 	for i, n := range c.nodes {
-		status, err := n.Members()
+		status, err := n.MembershipStatus()
 		if err != nil && !c.without[i] {
 			return err
 		}
@@ -76,7 +76,7 @@
 	c.t.Helper()
 	time.Sleep(during)
 	for i, n := range c.nodes {
-		if status, err := n.Members(); err != nil || status.Counts.Failures > 0 {
+		if status, err := n.MembershipStatus(); err != nil || status.Counts.Failures > 0 {
 			c.t.Errorf("host-%d: %v, %+v", i, err, status)
 		}
 	}
@@ -130,7 +130,7 @@
 			c.refuses(cut)
 			c.reach(verdictWithin, cut, membership.Failed)
 			c.stay(cut, membership.Failed)
-			if status, err := c.nodes[cut].Members(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
+			if status, err := c.nodes[cut].MembershipStatus(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
 				c.t.Errorf("what is cut off gives a verdict: %v, %+v", err, status)
 			}
 			c.setFault(nil)
@@ -186,7 +186,7 @@
 			c.never(10 * time.Minute)
 			slow := 0
 			for range 60 { // single messages may be fast
-				status, err := c.nodes[0].Members()
+				status, err := c.nodes[0].MembershipStatus()
 				if err == nil && status.Slow {
 					slow++
 				}
--- a/peers.go
+++ b/peers.go
@@ -15,7 +15,7 @@
 // listenToPeers serves the other nodes. A node whose peers cannot reach it
 // still works, so a failure is only told.
 func (n *Node) listenToPeers(ctx context.Context) {
-	l, err := n.network.listenForPeers()
+	l, err := n.network.ListenForPeers()
 	if err != nil {
 		slog.Error("peer_bind", "error", err)
 		return
--- a/standby.go
+++ b/standby.go
@@ -254,8 +254,8 @@
 	return heartbeatHoldForSuccessor
 }
 
-// ExpectsLeader tells whether a leader that does not answer now should have a successor soon.
-func (n *Node) ExpectsLeader() bool {
+// ExpectsSuccessor tells whether a leader that does not answer now should have a successor soon.
+func (n *Node) ExpectsSuccessor() bool {
 	return n.standby != nil && n.standby.expectsLeader()
 }
 
@@ -315,8 +315,8 @@
 // releasePollInterval is how often a node that hands over as it ends looks whether it still leads.
 const releasePollInterval = 20 * micros.Millisecond
 
-// HandOverAtEnd hands over, if this node leads, and waits until its session is let go of.
-func (n *Node) HandOverAtEnd() {
+// HandOverOnShutdown hands over, if this node leads, and waits until its session is let go of.
+func (n *Node) HandOverOnShutdown() {
 	to, err := n.HandOver()
 	if err != nil {
 		slog.Info("ending without a handover", "why", err)
@@ -334,19 +334,19 @@
 	return stamp == 0 || l.Member != n.settings.Member
 }
 
-// Standby tells how far the warm standby is, as this node knows it.
-func (n *Node) Standby() (api.StandbyStatus, error) {
+// StandbyStatus tells how far the warm standby is, as this node knows it.
+func (n *Node) StandbyStatus() (api.StandbyStatus, error) {
 	if n.standby == nil {
 		return api.StandbyStatus{}, api.ErrStandbyOff
 	}
 	s := n.standby
 	highest := n.election.HighestKnown()
 	status := api.StandbyStatus{
-		Member: n.settings.Member,
-		Leader: highest.Member,
-		Token:  highest.FencingToken,
-		Phase:  s.failover.Phase().String(),
-		Last:   s.failover.Last(),
+		Member:       n.settings.Member,
+		Leader:       highest.Member,
+		FencingToken: highest.FencingToken,
+		Phase:        s.failover.Phase().String(),
+		LastFailover: s.failover.Last(),
 	}
 	if p := s.currentPublisher(); p != nil {
 		status.Leading, status.Position, status.Followers = true, p.Position(), p.Followers()
--- a/standby_kills_test.go
+++ b/standby_kills_test.go
@@ -110,7 +110,7 @@
 	}
 	<-done
 	switch {
-	case err != nil && way != 6: // refused: the process ends without, as HandOverAtEnd has it
+	case err != nil && way != 6: // refused: the process ends without, as HandOverOnShutdown has it
 		if !errors.Is(err, errNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
 			r.t.Errorf("handing over: %v", err)
 		}
--- a/zones.go
+++ b/zones.go
@@ -31,8 +31,8 @@
 	return 2*reachable < len(n.settings.Peers)
 }
 
-// Zones tells what the leader thinks of the zones.
-func (n *Node) Zones(ctx context.Context) ([]zone.Status, error) {
+// ZoneStatus tells what the leader thinks of the zones.
+func (n *Node) ZoneStatus(ctx context.Context) ([]zone.Status, error) {
 	if n.LocalLeader() != nil {
 		return n.HandleZones()
 	}
