--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -74,9 +74,9 @@
 	RequestTimes   *RequestTimes
 	ForwardTimeout micros.Micros // how long a report that is passed on is kept for its answer
 
-	mu               sync.Mutex
-	redirected       map[string]micros.Micros // machines sent to another node, when
-	redirectsSweptAt micros.Micros            // when old ones were forgotten
+	mu                sync.Mutex
+	redirected        map[string]micros.Micros // machines sent to another node, when
+	redirectsPrunedAt micros.Micros            // when old ones were forgotten
 }
 
 // New makes the HTTP handler.
@@ -85,12 +85,12 @@
 	e.HideBanner, e.HidePort = true, true
 	e.HTTPErrorHandler = answerError
 	e.Use(h.RequestTimes.middleware)
-	intake, polls := newLimiter(), newLimiter()
-	e.POST("/v1/jobs", h.submit, limited(intake))
-	e.GET("/v1/jobs/:id", h.poll, limited(polls))
-	e.POST("/v1/jobs/:id/abort", h.abort, limited(intake))
+	intake, polls := newRequestLimiter(), newRequestLimiter()
+	e.POST("/v1/jobs", h.submit, limitRequests(intake))
+	e.GET("/v1/jobs/:id", h.poll, limitRequests(polls))
+	e.POST("/v1/jobs/:id/abort", h.cancel, limitRequests(intake))
 	// Users who ask very often must not keep the duty team from asking why.
-	e.GET("/v1/jobs/:id/why", h.explain, limited(newLimiter()))
+	e.GET("/v1/jobs/:id/why", h.explain, limitRequests(newRequestLimiter()))
 	e.GET("/ready", h.ready)
 	e.GET("/standby", h.standby)
 	e.POST("/standby/handover", h.handOver)
@@ -120,20 +120,20 @@
 // Bounds of the limit on requests in progress. It starts above what bursts of users bring
 // and never closes altogether.
 const (
-	minRequestLimit   = 16
-	maxRequestLimit   = 256
-	firstRequestLimit = 64
+	minRequestLimit     = 16
+	maxRequestLimit     = 256
+	initialRequestLimit = 64
 )
 
-// newLimiter makes a limit on requests in progress that adjusts itself to the
+// newRequestLimiter makes a limit on requests in progress that adjusts itself to the
 // times they take.
-func newLimiter() adaptivelimiter.AdaptiveLimiter[any] {
-	return adaptivelimiter.NewBuilder[any]().WithLimits(minRequestLimit, maxRequestLimit, firstRequestLimit).Build()
+func newRequestLimiter() adaptivelimiter.AdaptiveLimiter[any] {
+	return adaptivelimiter.NewBuilder[any]().WithLimits(minRequestLimit, maxRequestLimit, initialRequestLimit).Build()
 }
 
-// limited sheds users' requests over the limit; workers' reports and health
+// limitRequests sheds users' requests over the limit; workers' reports and health
 // checks do not pass here.
-func limited(l adaptivelimiter.AdaptiveLimiter[any]) echo.MiddlewareFunc {
+func limitRequests(l adaptivelimiter.AdaptiveLimiter[any]) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			permit, ok := l.TryAcquirePermit()
--- a/internal/api/conns.go
+++ b/internal/api/conns.go
@@ -21,23 +21,23 @@
 	idle list.List                  // of net.Conn, idle for longest first
 }
 
-// reservedShare is what part of a node's sockets is kept for what it opens itself.
-const reservedShare = 8
+// reservedSocketShare is what part of a node's sockets is kept for what it opens itself.
+const reservedSocketShare = 8
 
 // NewConnLimiter bounds connections for a node that may have so many sockets.
 func NewConnLimiter(sockets int) *ConnLimiter {
-	return &ConnLimiter{limit: sockets - sockets/reservedShare, open: map[net.Conn]*list.Element{}}
+	return &ConnLimiter{limit: sockets - sockets/reservedSocketShare, open: map[net.Conn]*list.Element{}}
 }
 
 // ConnState follows a connection, as http.Server tells of it.
 func (c *ConnLimiter) ConnState(conn net.Conn, s http.ConnState) {
-	if over := c.follow(conn, s); over != nil {
-		over.Close()
+	if evicted := c.track(conn, s); evicted != nil {
+		evicted.Close()
 	}
 }
 
-// follow notes a connection's state and names one that has to go.
-func (c *ConnLimiter) follow(conn net.Conn, s http.ConnState) (over net.Conn) {
+// track notes a connection's state and names one that has to go.
+func (c *ConnLimiter) track(conn net.Conn, s http.ConnState) (evicted net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at := c.open[conn]; at != nil {
@@ -58,10 +58,10 @@
 		return nil
 	}
 	if oldest := c.idle.Front(); oldest != nil {
-		over = oldest.Value.(net.Conn)
+		evicted = oldest.Value.(net.Conn)
 		c.idle.Remove(oldest)
-		c.open[over] = nil
-		return over
+		c.open[evicted] = nil
+		return evicted
 	}
 	if s == http.StateNew {
 		return conn // all are at work
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestConns opens more connections than a node's sockets allow: the one that has been
+// TestConnLimiter opens more connections than a node's sockets allow: the one that has been
 // idle for longest must go, none that is at work, and some are left for the node's own.
-func TestConns(t *testing.T) {
+func TestConnLimiter(t *testing.T) {
 	type event struct {
 		conn  int
 		state http.ConnState
@@ -43,8 +43,8 @@
 		}
 		var got []int
 		for _, e := range c.events {
-			if over := conns.follow(all[e.conn], e.state); over != nil {
-				got = append(got, slices.Index(all, over))
+			if evicted := conns.track(all[e.conn], e.state); evicted != nil {
+				got = append(got, slices.Index(all, evicted))
 			}
 		}
 		if !slices.Equal(got, c.want) {
--- a/internal/api/explain.go
+++ b/internal/api/explain.go
@@ -14,9 +14,9 @@
 	"caperlatch/internal/wire"
 )
 
-// explainBarrier is how long to wait for the state service; it leaves time to ask the
+// explainBarrierTimeout is how long to wait for the state service; it leaves time to ask the
 // leader as well.
-const explainBarrier = 700 * micros.Millisecond
+const explainBarrierTimeout = 700 * micros.Millisecond
 
 // explain tells what is known of a job. It answers in a take-over, in an outage of the
 // state service and beside a silent leader as well, when the duty team needs it most: then
@@ -31,8 +31,8 @@
 	if !h.Replica.IsLoaded() {
 		return respondError(c, http.StatusServiceUnavailable, errors.New("this node has not read the state service yet"))
 	}
-	asking, stop := context.WithTimeout(ctx, explainBarrier.Duration())
-	barrier := h.Replica.Barrier(asking)
+	barrierCtx, stop := context.WithTimeout(ctx, explainBarrierTimeout.Duration())
+	barrier := h.Replica.Barrier(barrierCtx)
 	stop()
 	job, _, ok := h.Replica.Job(id)
 	ageS := (micros.Now() - h.Replica.CurrentAsOf()).Seconds()
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -20,23 +20,23 @@
 
 // What users are told, and callers in this package tell apart.
 var (
-	errNoSuchJob      = errors.New("no such job")
-	errNoJobID        = errors.New("no map with a good id")
-	errTooLong        = errors.New("the description is too long")
-	errCatalogUnknown = errors.New("the catalog is not known yet")
+	errNoSuchJob            = errors.New("no such job")
+	errNoJobID              = errors.New("no map with a good id")
+	errDescriptionTooLong   = errors.New("the description is too long")
+	errInstanceTypesUnknown = errors.New("the catalog is not known yet")
 )
 
-// rejection says that a submission can never be accepted as it is.
-type rejection struct {
-	code   int // HTTP status
+// rejectionError says that a submission can never be accepted as it is.
+type rejectionError struct {
+	status int // HTTP status
 	reason error
 }
 
 // Error is what the user is told.
-func (r *rejection) Error() string { return r.reason.Error() }
+func (r *rejectionError) Error() string { return r.reason.Error() }
 
 // Unwrap is the reason.
-func (r *rejection) Unwrap() error { return r.reason }
+func (r *rejectionError) Unwrap() error { return r.reason }
 
 // storedJob is a job with its key's version.
 type storedJob struct {
@@ -47,23 +47,23 @@
 // currentJob finds a job as it is now: a job that is over stays so, anything else
 // is only known after a read barrier. The error is errNoSuchJob if there is none.
 func (h *Handler) currentJob(ctx context.Context, id string) (storedJob, error) {
-	if job, stamp, ok := h.Replica.Job(id); ok && job.IsFinal() {
-		return storedJob{job, stamp}, nil
+	if job, modRevision, ok := h.Replica.Job(id); ok && job.IsFinal() {
+		return storedJob{job, modRevision}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, userTimeout.Duration())
 	defer cancel()
 	if err := h.Replica.Barrier(ctx); err != nil {
 		return storedJob{}, err
 	}
-	job, stamp, ok := h.Replica.Job(id)
+	job, modRevision, ok := h.Replica.Job(id)
 	if !ok {
 		return storedJob{}, errNoSuchJob
 	}
-	return storedJob{job, stamp}, nil
+	return storedJob{job, modRevision}, nil
 }
 
-// status is what users are shown of a job.
-func (h *Handler) status(id string, job replica.Job) wire.JobStatus {
+// jobStatus is what users are shown of a job.
+func (h *Handler) jobStatus(id string, job replica.Job) wire.JobStatus {
 	s := wire.JobStatus{ID: id, Status: job.State}
 	if !job.IsFinal() {
 		done, running := h.Node.TaskCounts(id)
@@ -90,53 +90,53 @@
 		return respondUnavailable(c)
 	}
 	if _, _, ok := h.Replica.Job(id); ok {
-		return h.respondWithStatus(c, id)
+		return h.respondWithJobStatus(c, id)
 	}
 	job, err := h.checkSubmission(body)
-	var refused *rejection
+	var rejected *rejectionError
 	switch {
-	case errors.Is(err, errCatalogUnknown):
+	case errors.Is(err, errInstanceTypesUnknown):
 		return respondUnavailable(c)
-	case errors.As(err, &refused):
-		return h.refuse(c, id, refused)
+	case errors.As(err, &rejected):
+		return h.reject(c, id, rejected)
 	case err != nil:
 		return err
 	}
 	return h.storeSubmission(c, id, job)
 }
 
-// checkSubmission makes the job to be stored. Its error is a refusal, errCatalogUnknown
+// checkSubmission makes the job to be stored. Its error is a refusal, errInstanceTypesUnknown
 // or a failure of this node.
 func (h *Handler) checkSubmission(body []byte) (replica.Job, error) {
 	spec, err := wire.ParseJob(body)
 	if err != nil {
-		return replica.Job{}, &rejection{http.StatusBadRequest, err}
+		return replica.Job{}, &rejectionError{http.StatusBadRequest, err}
 	}
 	job := replica.Job{Spec: &spec, SubmittedAt: micros.Wall(), State: wire.JobPending}
 	if !h.Store.ValueFitsNow(job) {
-		return replica.Job{}, &rejection{http.StatusBadRequest, errTooLong}
+		return replica.Job{}, &rejectionError{http.StatusBadRequest, errDescriptionTooLong}
 	}
-	var catalog wire.InstanceTypeList
-	stamp, err := h.Replica.Get(replica.InstanceTypesKey, &catalog)
+	var instanceTypes wire.InstanceTypeList
+	modRevision, err := h.Replica.Get(replica.InstanceTypesKey, &instanceTypes)
 	if err != nil {
 		return replica.Job{}, err
 	}
-	if stamp == 0 {
-		return replica.Job{}, errCatalogUnknown
+	if modRevision == 0 {
+		return replica.Job{}, errInstanceTypesUnknown
 	}
-	if err := checkFeasible(&spec, catalog.Types, h.Settings.Params.Teams); err != nil {
-		return replica.Job{}, &rejection{http.StatusUnprocessableEntity, err}
+	if err := checkFeasible(&spec, instanceTypes.Types, h.Settings.Params.Teams); err != nil {
+		return replica.Job{}, &rejectionError{http.StatusUnprocessableEntity, err}
 	}
 	return job, nil
 }
 
-// refuse answers a submission that cannot be accepted, unless its id is known.
-func (h *Handler) refuse(c echo.Context, id string, r *rejection) error {
+// reject answers a submission that cannot be accepted, unless its id is known.
+func (h *Handler) reject(c echo.Context, id string, r *rejectionError) error {
 	if answered, err := h.respondIfKnown(c, id); answered {
 		return err
 	}
-	slog.Debug("submission refused", "job", id, "code", r.code, "error", r.reason)
-	return respondError(c, r.code, r.reason)
+	slog.Debug("submission refused", "job", id, "code", r.status, "error", r.reason)
+	return respondError(c, r.status, r.reason)
 }
 
 // respondIfKnown answers a submission whose id was accepted elsewhere: that keeps its answer
@@ -149,19 +149,19 @@
 	case err != nil:
 		return true, respondUnavailable(c)
 	}
-	return true, h.respondWithStatus(c, id)
+	return true, h.respondWithJobStatus(c, id)
 }
 
 // storeSubmission writes a checked job and answers with how that ended.
 func (h *Handler) storeSubmission(c echo.Context, id string, job replica.Job) error {
 	key := replica.JobPrefix + id
-	revision, err := h.put(c.Request().Context(), key, 0, job)
+	revision, err := h.putWithRetry(c.Request().Context(), key, 0, job)
 	switch {
 	case err == nil:
 		h.Replica.ApplyPut(key, job, revision)
 		return respond(c, http.StatusCreated, wire.JobStatus{ID: id, Status: wire.JobPending})
 	case errors.Is(err, statestore.ErrConflict):
-		return h.respondWithStatus(c, id)
+		return h.respondWithJobStatus(c, id)
 	case errors.Is(err, statestore.ErrRejected):
 		// Its description is over a limit that has come into force. From then on no copy
 		// of it that got no answer is stored either; one may have been before.
@@ -169,53 +169,53 @@
 			return err
 		}
 		slog.Info("submission refused by the state service", "job", id, "error", err)
-		return respondError(c, http.StatusBadRequest, errTooLong)
+		return respondError(c, http.StatusBadRequest, errDescriptionTooLong)
 	}
 	slog.Debug("submission", "job", id, "error", err)
 	return respondUnavailable(c)
 }
 
-// respondWithStatus answers a submission of a job that was accepted before.
-func (h *Handler) respondWithStatus(c echo.Context, id string) error {
+// respondWithJobStatus answers a submission of a job that was accepted before.
+func (h *Handler) respondWithJobStatus(c echo.Context, id string) error {
 	job, err := h.currentJob(c.Request().Context(), id)
 	if err != nil {
 		return respondUnavailable(c)
 	}
-	return respond(c, http.StatusOK, h.status(id, job.Job))
+	return respond(c, http.StatusOK, h.jobStatus(id, job.Job))
 }
 
 // Tries of a write whose user waits: refusals for the rate limit pass soon.
 const (
-	putPause  = 60 * micros.Millisecond
-	putWithin = 1500 * micros.Millisecond
+	putRetryPause  = 60 * micros.Millisecond
+	putRetryWindow = 1500 * micros.Millisecond
 )
 
-// maxLostAnswers is after how many tries without an answer a write is given up.
-const maxLostAnswers = 2
+// maxUnansweredPuts is after how many tries without an answer a write is given up.
+const maxUnansweredPuts = 2
 
-// put writes one key. A refusal for the rate limit passes soon; after a lost
+// putWithRetry writes one key. A refusal for the rate limit passes soon; after a lost
 // answer one more try tells whether the first was carried out, as both have
 // the same condition.
-func (h *Handler) put(ctx context.Context, key string, stamp uint64, value any) (revision uint64, err error) {
-	begun, lost := micros.Now(), 0
+func (h *Handler) putWithRetry(ctx context.Context, key string, modRevision uint64, value any) (revision uint64, err error) {
+	start, unanswered := micros.Now(), 0
 	for {
-		revision, err = h.Batcher.Put(ctx, key, stamp, value)
+		revision, err = h.Batcher.Put(ctx, key, modRevision, value)
 		switch {
-		case err == nil, isDecided(err):
+		case err == nil, isFinalPutError(err):
 			return revision, err
-		case ctx.Err() != nil || micros.Now()-begun > putWithin:
+		case ctx.Err() != nil || micros.Now()-start > putRetryWindow:
 			return revision, err
 		case !errors.Is(err, statestore.ErrRateLimited):
-			if lost++; lost == maxLostAnswers {
+			if unanswered++; unanswered == maxUnansweredPuts {
 				return revision, err
 			}
 		}
-		micros.Pause(ctx, putPause+micros.Micros(rand.Int64N(int64(putPause))))
+		micros.Pause(ctx, putRetryPause+micros.Micros(rand.Int64N(int64(putRetryPause))))
 	}
 }
 
-// isDecided tells whether a failed write would fail again at once.
-func isDecided(err error) bool {
+// isFinalPutError tells whether a failed write would fail again at once.
+func isFinalPutError(err error) bool {
 	return errors.Is(err, statestore.ErrConflict) ||
 		errors.Is(err, statestore.ErrUnavailable) ||
 		errors.Is(err, statestore.ErrRejected)
@@ -235,11 +235,11 @@
 		slog.Debug("poll", "job", id, "error", err)
 		return respondUnavailable(c)
 	}
-	return respond(c, http.StatusOK, h.status(id, job.Job))
+	return respond(c, http.StatusOK, h.jobStatus(id, job.Job))
 }
 
-// abort cancels a job unless it is over, and tells how it ended.
-func (h *Handler) abort(c echo.Context) error {
+// cancel cancels a job unless it is over, and tells how it ended.
+func (h *Handler) cancel(c echo.Context) error {
 	id := c.Param("id")
 	ctx := c.Request().Context()
 	if !wire.IsValidJobID(id) {
@@ -283,11 +283,11 @@
 		cancelled.Spec = nil
 	}
 	key := replica.JobPrefix + id
-	revision, err := h.put(ctx, key, job.modRevision, cancelled)
+	revision, err := h.putWithRetry(ctx, key, job.modRevision, cancelled)
 	if errors.Is(err, statestore.ErrRejected) && cancelled.Spec != nil {
 		// The service takes less than the settings say.
 		cancelled.Spec = nil
-		revision, err = h.put(ctx, key, job.modRevision, cancelled)
+		revision, err = h.putWithRetry(ctx, key, job.modRevision, cancelled)
 	}
 	if err == nil {
 		h.Replica.ApplyPut(key, cancelled, revision)
--- a/internal/api/limit_test.go
+++ b/internal/api/limit_test.go
@@ -17,7 +17,7 @@
 		entered <- struct{}{}
 		<-leave
 		return c.NoContent(http.StatusOK)
-	}, limited(newLimiter()))
+	}, limitRequests(newRequestLimiter()))
 	defer close(leave)
 	for n := range 300 {
 		answered := make(chan *httptest.ResponseRecorder, 1)
--- a/internal/api/report.go
+++ b/internal/api/report.go
@@ -15,10 +15,10 @@
 // Times of redirecting: a worker that comes back so soon after it was redirected cannot stay
 // where it was sent.
 const (
-	redirectMemory = 15 * micros.Second
-	// stillHereWithin is how soon after its redirection a report does not show yet that
+	redirectTTL = 15 * micros.Second
+	// redirectGracePeriod is how soon after its redirection a report does not show yet that
 	// the worker came back.
-	stillHereWithin = micros.Second
+	redirectGracePeriod = micros.Second
 )
 
 var errNoLeader = errors.New("no leader known")
@@ -41,18 +41,18 @@
 
 // respondToHeartbeat answers a report at the node that leads.
 func (h *Handler) respondToHeartbeat(c echo.Context, l *leader.Leader, body []byte) error {
-	var report wire.Heartbeat
-	if err := wire.Unmarshal(body, &report); err != nil {
+	var heartbeat wire.Heartbeat
+	if err := wire.Unmarshal(body, &heartbeat); err != nil {
 		return respondError(c, http.StatusBadRequest, err)
 	}
-	if front := h.Node.ForwarderFor(report.MachineID); front != "" && !h.hasComeBack(report.MachineID) {
-		return redirect(c, front)
+	if forwarder := h.Node.ForwarderFor(heartbeat.MachineID); forwarder != "" && !h.hasReturned(heartbeat.MachineID) {
+		return redirect(c, forwarder)
 	}
-	answer, err := l.HandleHeartbeat(&report)
+	response, err := l.HandleHeartbeat(&heartbeat)
 	if err != nil {
 		return respondError(c, http.StatusServiceUnavailable, err)
 	}
-	return respond(c, http.StatusOK, answer)
+	return respond(c, http.StatusOK, response)
 }
 
 // forwardHeartbeat passes a report on to the leader, or sends the worker there.
@@ -63,21 +63,21 @@
 	}
 	if !h.Node.CanForward() && !h.Node.ExpectsSuccessor() {
 		// A worker that comes back cannot reach the leader either.
-		var report wire.Heartbeat
-		if err := wire.Unmarshal(body, &report); err != nil {
+		var heartbeat wire.Heartbeat
+		if err := wire.Unmarshal(body, &heartbeat); err != nil {
 			return respondError(c, http.StatusBadRequest, err)
 		}
-		if !h.hasComeBack(report.MachineID) {
+		if !h.hasReturned(heartbeat.MachineID) {
 			return redirect(c, member)
 		}
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), h.ForwardTimeout.Duration())
 	defer cancel()
-	answer, err := h.Node.ForwardHeartbeat(ctx, body)
+	response, err := h.Node.ForwardHeartbeat(ctx, body)
 	if err != nil {
 		return respondError(c, http.StatusServiceUnavailable, err)
 	}
-	return c.Blob(http.StatusOK, wire.ContentType, answer)
+	return c.Blob(http.StatusOK, wire.ContentType, response)
 }
 
 // redirect sends a worker to another node.
@@ -85,27 +85,27 @@
 	return respond(c, http.StatusMisdirectedRequest, wire.Redirect{Member: member})
 }
 
-// hasComeBack tells whether a worker was sent to another node a short while ago.
+// hasReturned tells whether a worker was sent to another node a short while ago.
 // One that is answered here then stays; now and then it is sent again.
-func (h *Handler) hasComeBack(machine string) bool {
+func (h *Handler) hasReturned(machine string) bool {
 	now := micros.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.redirected == nil || now-h.redirectsSweptAt > redirectMemory {
+	if h.redirected == nil || now-h.redirectsPrunedAt > redirectTTL {
 		for id, at := range h.redirected {
-			if now-at > redirectMemory {
+			if now-at > redirectTTL {
 				delete(h.redirected, id)
 			}
 		}
-		h.redirectsSweptAt = now
+		h.redirectsPrunedAt = now
 	}
 	if h.redirected == nil {
 		h.redirected = map[string]micros.Micros{}
 	}
-	since, ok := h.redirected[machine]
-	if !ok || now-since > redirectMemory {
+	redirectedAt, ok := h.redirected[machine]
+	if !ok || now-redirectedAt > redirectTTL {
 		h.redirected[machine] = now
 		return false
 	}
-	return now-since > stillHereWithin
+	return now-redirectedAt > redirectGracePeriod
 }
--- a/internal/api/runnable.go
+++ b/internal/api/runnable.go
@@ -13,10 +13,10 @@
 // checkFeasible tells why a job can never run (422), or nil. What is refused is lost, and what
 // is accepted must run: a gang is weighed whole, as it runs whole.
 func checkFeasible(j *wire.Job, types []wire.InstanceType, teams []settings.Team) error {
-	if err := withinTeam(j, teams); err != nil {
+	if err := checkTeamLimits(j, teams); err != nil {
 		return err
 	}
-	zones, fits := zonesThatFit(j, types)
+	zones, fits := feasibleZones(j, types)
 	if !fits {
 		return errors.New("a task fits no allowed machine type")
 	}
@@ -28,25 +28,25 @@
 	return nil
 }
 
-// withinTeam tells why a job's team may never use what the job needs at one time.
-func withinTeam(j *wire.Job, teams []settings.Team) error {
+// checkTeamLimits tells why a job's team may never use what the job needs at one time.
+func checkTeamLimits(j *wire.Job, teams []settings.Team) error {
 	i := slices.IndexFunc(teams, func(t settings.Team) bool { return t.Name == j.Team })
 	if i < 0 {
 		return fmt.Errorf("team %s is unknown", j.Team)
 	}
-	needs, atOnce := "a task needs", 1.0
+	needs, concurrentTasks := "a task needs", 1.0
 	if j.Kind == wire.KindGang {
-		needs, atOnce = "all tasks of the gang need", float64(max(1, j.Tasks))
+		needs, concurrentTasks = "all tasks of the gang need", float64(max(1, j.Tasks))
 	}
-	if t := teams[i]; over(j.CPUs, atOnce, t.MaxCPUs) || over(j.GPUs, atOnce, t.MaxGPUs) {
+	if t := teams[i]; exceedsLimit(j.CPUs, concurrentTasks, t.MaxCPUs) || exceedsLimit(j.GPUs, concurrentTasks, t.MaxGPUs) {
 		return fmt.Errorf("%s more than team %s may use", needs, j.Team)
 	}
 	return nil
 }
 
-// zonesThatFit lists the zones allowed in which some allowed machine type has room for a
+// feasibleZones lists the zones allowed in which some allowed machine type has room for a
 // task, and tells whether any type has.
-func zonesThatFit(j *wire.Job, types []wire.InstanceType) (zones map[string]bool, fits bool) {
+func feasibleZones(j *wire.Job, types []wire.InstanceType) (zones map[string]bool, fits bool) {
 	zones = map[string]bool{}
 	for _, t := range types {
 		allowed := (len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, t.Name)) && (j.Zone == "" || slices.Contains(t.Zones, j.Zone))
@@ -63,9 +63,9 @@
 	return zones, fits
 }
 
-// over tells whether n tasks are over a limit, if there is one. What is let through must
+// exceedsLimit tells whether n tasks are over a limit, if there is one. What is let through must
 // fit as the leader counts, in thousandths: each task's need rounded up, the limit down.
-func over(need, n, limit float64) bool {
+func exceedsLimit(need, n, limit float64) bool {
 	if limit <= 0 {
 		return false
 	}
--- a/internal/api/runnable_test.go
+++ b/internal/api/runnable_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-func TestRunnable(t *testing.T) {
+func TestCheckFeasible(t *testing.T) {
 	types := []wire.InstanceType{
 		{Name: "small", CPUs: 4, MemoryGB: 8, Zones: []string{"a"}},
 		{Name: "large", CPUs: 32, GPUs: 2, MemoryGB: 64, Zones: []string{"a", "b"}},
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -49,7 +49,7 @@
 // handOver hands leadership over. Users reach the same address, so it is asked for on the
 // node's own machine only.
 func (h *Handler) handOver(c echo.Context) error {
-	if !sameMachine(c.Request()) {
+	if !isFromSameMachine(c.Request()) {
 		return respondError(c, http.StatusForbidden, errNotLocal)
 	}
 	to, err := h.Node.HandOver()
@@ -62,9 +62,9 @@
 	return respond(c, http.StatusOK, HandoverResponse{To: to})
 }
 
-// sameMachine tells whether a request comes from the address that it was sent to, or from
+// isFromSameMachine tells whether a request comes from the address that it was sent to, or from
 // a loopback address.
-func sameMachine(r *http.Request) bool {
+func isFromSameMachine(r *http.Request) bool {
 	from, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return false
--- a/internal/api/standby_test.go
+++ b/internal/api/standby_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestSameMachine asks from which addresses a handover may be asked for.
-func TestSameMachine(t *testing.T) {
+// TestIsFromSameMachine asks from which addresses a handover may be asked for.
+func TestIsFromSameMachine(t *testing.T) {
 	cases := []struct {
 		name, from, local string
 		want              bool
@@ -28,7 +28,7 @@
 				t.Fatal(err)
 			}
 			r.RemoteAddr = tc.from
-			if got := sameMachine(r); got != tc.want {
+			if got := isFromSameMachine(r); got != tc.want {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
--- a/internal/api/times.go
+++ b/internal/api/times.go
@@ -23,12 +23,12 @@
 }
 
 const (
-	// slowest is the longest time told apart.
-	slowest = 60 * micros.Second
+	// maxRecordedTime is the longest time told apart.
+	maxRecordedTime = 60 * micros.Second
 	// significantDigits is how exactly times are kept.
 	significantDigits = 2
-	// logEvery is the time between two lines of the log for a route.
-	logEvery = 60 * micros.Second
+	// logInterval is the time between two lines of the log for a route.
+	logInterval = 60 * micros.Second
 )
 
 // record notes how long a request to a route took.
@@ -37,25 +37,25 @@
 	defer t.mu.Unlock()
 	h := t.routes[route]
 	if h == nil {
-		h = hdrhistogram.New(1, int64(slowest), significantDigits)
+		h = hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 		t.routes[route] = h
 	}
 	// A value in range cannot fail.
-	_ = h.RecordValue(int64(min(max(took, 1), slowest)))
+	_ = h.RecordValue(int64(min(max(took, 1), maxRecordedTime)))
 }
 
 // middleware times every request.
 func (t *RequestTimes) middleware(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		begun := micros.Now()
+		start := micros.Now()
 		err := next(c)
-		t.record(c.Request().Method+" "+c.Path(), micros.Now()-begun)
+		t.record(c.Request().Method+" "+c.Path(), micros.Now()-start)
 		return err
 	}
 }
 
 // Run logs the times of each minute until ctx ends.
-func (t *RequestTimes) Run(ctx context.Context) { micros.Every(ctx, logEvery, t.log) }
+func (t *RequestTimes) Run(ctx context.Context) { micros.Every(ctx, logInterval, t.log) }
 
 // log writes the times since the last call and forgets them.
 func (t *RequestTimes) log() {
