--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -8,13 +8,9 @@
 
 import (
 	"context"
-	"errors"
-	"log/slog"
 	"net/http"
-	"strconv"
 	"sync"
 
-	"github.com/failsafe-go/failsafe-go/adaptivelimiter"
 	"github.com/labstack/echo/v4"
 
 	"caperlatch/internal/explain"
@@ -99,89 +95,3 @@
 	e.POST("/hello", h.heartbeat)
 	return e
 }
-
-// answerError answers a request whose handler failed.
-func answerError(err error, c echo.Context) {
-	code := http.StatusInternalServerError
-	var httpError *echo.HTTPError
-	if errors.As(err, &httpError) {
-		code = httpError.Code
-	} else {
-		slog.Error("request", "path", c.Path(), "error", err)
-	}
-	if c.Response().Committed {
-		return
-	}
-	if err := c.NoContent(code); err != nil {
-		slog.Debug("answer", "error", err)
-	}
-}
-
-// Bounds of the limit on requests in progress. It starts above what bursts of users bring
-// and never closes altogether.
-const (
-	minRequestLimit     = 16
-	maxRequestLimit     = 256
-	initialRequestLimit = 64
-)
-
-// newRequestLimiter makes a limit on requests in progress that adjusts itself to the
-// times they take.
-func newRequestLimiter() adaptivelimiter.AdaptiveLimiter[any] {
-	return adaptivelimiter.NewBuilder[any]().WithLimits(minRequestLimit, maxRequestLimit, initialRequestLimit).Build()
-}
-
-// limitRequests sheds users' requests over the limit; workers' reports and health
-// checks do not pass here.
-func limitRequests(l adaptivelimiter.AdaptiveLimiter[any]) echo.MiddlewareFunc {
-	return func(next echo.HandlerFunc) echo.HandlerFunc {
-		return func(c echo.Context) error {
-			permit, ok := l.TryAcquirePermit()
-			if !ok {
-				return respondRetryLater(c, http.StatusTooManyRequests)
-			}
-			err := next(c)
-			// What is refused says nothing of how long work takes.
-			if c.Response().Status >= http.StatusInternalServerError {
-				permit.Drop()
-			} else {
-				permit.Record()
-			}
-			return err
-		}
-	}
-}
-
-// respond answers with a value.
-func respond(c echo.Context, code int, v any) error {
-	b, err := wire.Marshal(v)
-	if err != nil {
-		return err
-	}
-	return c.Blob(code, wire.ContentType, b)
-}
-
-// respondUnavailable tells a user at once to come back.
-func respondUnavailable(c echo.Context) error {
-	return respondRetryLater(c, http.StatusServiceUnavailable)
-}
-
-// respondRetryLater tells a user when to come back.
-func respondRetryLater(c echo.Context, code int) error {
-	c.Response().Header().Set("Retry-After", strconv.Itoa(int(statestore.RetryAfter/micros.Second)))
-	return respond(c, code, wire.ErrorResponse{Error: "come back later"})
-}
-
-// respondError answers with what is wrong.
-func respondError(c echo.Context, code int, err error) error {
-	return respond(c, code, wire.ErrorResponse{Error: err.Error()})
-}
-
-// ready tells whether this node can take requests, and which versions serve.
-func (h *Handler) ready(c echo.Context) error {
-	code := http.StatusOK
-	if !h.Node.IsReady() {
-		code = http.StatusServiceUnavailable
-	}
-	return respond(c, code, h.Node.Versions())
-}
