--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -14,8 +14,8 @@
 	"caperlatch/internal/wire"
 )
 
-// cancel cancels a job unless it is over, and tells how it ended.
-func (h *Handler) cancel(c echo.Context) error {
+// cancel cancels a job unless it has ended, and answers how it ended.
+func (h *jobHandlers) cancel(c echo.Context) error {
 	id := c.Param("id")
 	ctx := c.Request().Context()
 	if !wire.IsValidJobID(id) {
@@ -35,19 +35,18 @@
 	case err == nil:
 		return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: wire.JobCancelled})
 	case errors.Is(err, statestore.ErrConflict):
-		// A job's key changes once after its creation, when it ends: a read tells how.
+		// A job's key changes once after its creation, when the job ends: a read shows how.
 		if job, err = h.currentJob(ctx, id); err == nil && job.IsFinal() {
 			return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
 		}
 	}
-	slog.Debug("abort", "job", id, "error", err)
+	slog.Debug("cancellation not stored", "job", id, "error", err)
 	return respondUnavailable(c)
 }
 
-// storeCancellation writes that a job is cancelled, on the condition that it has not
-// changed. It leaves the description out if it does not fit: a cancellation must always
-// be possible.
-func (h *Handler) storeCancellation(ctx context.Context, id string, job storedJob) error {
+// storeCancellation writes that a job is cancelled, on the condition that it has not changed.
+// It leaves the description out if that does not fit: a cancellation must always be possible.
+func (h *jobHandlers) storeCancellation(ctx context.Context, id string, job storedJob) error {
 	cancelled := replica.Job{
 		Spec:        job.Spec,
 		SubmittedAt: job.SubmittedAt,
@@ -55,18 +54,18 @@
 		Reason:      "cancelled by its user",
 		EndedAt:     micros.Wall(),
 	}
-	if !h.Store.ValueAlwaysFits(cancelled) {
+	if !h.store.ValueAlwaysFits(cancelled) {
 		cancelled.Spec = nil
 	}
 	key := replica.JobPrefix + id
 	revision, err := h.putWithRetry(ctx, key, job.modRevision, cancelled)
 	if errors.Is(err, statestore.ErrRejected) && cancelled.Spec != nil {
-		// The service takes less than the settings say.
+		// The service accepts less than the settings say.
 		cancelled.Spec = nil
 		revision, err = h.putWithRetry(ctx, key, job.modRevision, cancelled)
 	}
 	if err == nil {
-		h.Replica.ApplyPut(key, cancelled, revision)
+		h.replica.ApplyPut(key, cancelled, revision)
 	}
 	return err
 }
--- a/internal/api/connection_limit.go
+++ b/internal/api/connection_limit.go
@@ -8,63 +8,65 @@
 )
 
 // ConnLimiter bounds the connections that users and workers hold open. Over the limit of
-// sockets new ones fail, also those to the state service, and a leader that cannot
-// renew its session leads no more: one node that was left with the connections of two
-// thousand machines and their users came within a hundred of it. So a part is kept
-// free for what the node opens itself, and the connection that has been idle for
-// longest makes room; workers and users open another when they need it.
+// sockets new ones fail, also those to the state service, and a leader that cannot renew its
+// session no longer leads: one node that was left with the connections of two thousand
+// machines and their users came within a hundred of it. So a share of the sockets is reserved
+// for what the node opens itself, and the connection that has been idle for longest is closed
+// for a new one; workers and users open another when they need it.
 type ConnLimiter struct {
 	limit int
 
 	mu   sync.Mutex
-	open map[net.Conn]*list.Element // its place among the idle ones, or nil
+	open map[net.Conn]*list.Element // its element in idle, nil while it is in use
 	idle list.List                  // of net.Conn, idle for longest first
 }
 
-// reservedSocketShare is what part of a node's sockets is kept for what it opens itself.
+// reservedSocketShare is the share of a node's sockets that is reserved for what it opens
+// itself: one in so many.
 const reservedSocketShare = 8
 
-// NewConnLimiter bounds connections for a node that may have so many sockets.
+// NewConnLimiter returns a limiter for a node that may have so many sockets.
 func NewConnLimiter(sockets int) *ConnLimiter {
 	return &ConnLimiter{limit: sockets - sockets/reservedSocketShare, open: map[net.Conn]*list.Element{}}
 }
 
-// ConnState follows a connection, as http.Server tells of it.
-func (c *ConnLimiter) ConnState(conn net.Conn, s http.ConnState) {
-	if evicted := c.track(conn, s); evicted != nil {
+// ConnState tracks a connection and closes one if there are too many. It is the ConnState
+// of an http.Server.
+func (l *ConnLimiter) ConnState(conn net.Conn, state http.ConnState) {
+	if evicted := l.track(conn, state); evicted != nil {
 		evicted.Close()
 	}
 }
 
-// track notes a connection's state and names one that has to go.
-func (c *ConnLimiter) track(conn net.Conn, s http.ConnState) (evicted net.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if at := c.open[conn]; at != nil {
-		c.idle.Remove(at)
-		c.open[conn] = nil
+// track records a connection's state and returns one that is to be closed, or nil.
+func (l *ConnLimiter) track(conn net.Conn, state http.ConnState) (evicted net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if element := l.open[conn]; element != nil {
+		l.idle.Remove(element)
+		l.open[conn] = nil
 	}
-	switch s {
+	switch state {
 	case http.StateClosed, http.StateHijacked:
-		delete(c.open, conn)
+		delete(l.open, conn)
 		return nil
 	case http.StateIdle:
-		c.open[conn] = c.idle.PushBack(conn)
+		l.open[conn] = l.idle.PushBack(conn)
 		return nil
 	case http.StateNew:
-		c.open[conn] = nil
+		l.open[conn] = nil
 	}
-	if len(c.open) <= c.limit {
+	if len(l.open) <= l.limit {
 		return nil
 	}
-	if oldest := c.idle.Front(); oldest != nil {
+	if oldest := l.idle.Front(); oldest != nil {
 		evicted = oldest.Value.(net.Conn)
-		c.idle.Remove(oldest)
-		c.open[evicted] = nil
+		l.idle.Remove(oldest)
+		l.open[evicted] = nil
 		return evicted
 	}
-	if s == http.StateNew {
-		return conn // all are at work
+	if state == http.StateNew {
+		return conn // all others are in use
 	}
 	return nil
 }
--- a/internal/api/connection_limit_test.go
+++ b/internal/api/connection_limit_test.go
@@ -8,7 +8,8 @@
 )
 
 // TestConnLimiter opens more connections than a node's sockets allow: the one that has been
-// idle for longest must go, none that is at work, and some are left for the node's own.
+// idle for longest must be closed, none that is in use, and some sockets are left for what the
+// node opens itself.
 func TestConnLimiter(t *testing.T) {
 	type event struct {
 		conn  int
@@ -27,14 +28,14 @@
 		want   []int // closed
 	}{
 		{"as many as allowed", opened(limit), nil},
-		{"one more, all at work", opened(limit + 1), []int{limit}},
-		{"idle ones go first, the oldest of them", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{limit, http.StateNew}), []int{3}},
-		{"what went to work again stays", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{3, http.StateActive}, event{limit, http.StateNew}), []int{1}},
-		{"what closed by itself counts no more", append(opened(limit), event{2, http.StateClosed}, event{limit, http.StateNew}), nil},
-		{"none goes twice", append(opened(limit), event{3, http.StateIdle}, event{limit, http.StateNew}, event{3, http.StateClosed}, event{limit + 1, http.StateNew}), []int{3, limit + 1}},
+		{"one more, all in use", opened(limit + 1), []int{limit}},
+		{"the one idle for longest is closed first", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{limit, http.StateNew}), []int{3}},
+		{"one in use again stays open", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{3, http.StateActive}, event{limit, http.StateNew}), []int{1}},
+		{"closed ones do not count", append(opened(limit), event{2, http.StateClosed}, event{limit, http.StateNew}), nil},
+		{"none is closed twice", append(opened(limit), event{3, http.StateIdle}, event{limit, http.StateNew}, event{3, http.StateClosed}, event{limit + 1, http.StateNew}), []int{3, limit + 1}},
 	}
 	for _, c := range cases {
-		conns := NewConnLimiter(16)
+		limiter := NewConnLimiter(16)
 		var all []net.Conn
 		for range limit + 2 {
 			conn, other := net.Pipe()
@@ -43,7 +44,7 @@
 		}
 		var got []int
 		for _, e := range c.events {
-			if evicted := conns.track(all[e.conn], e.state); evicted != nil {
+			if evicted := limiter.track(all[e.conn], e.state); evicted != nil {
 				got = append(got, slices.Index(all, evicted))
 			}
 		}
--- a/internal/api/explain.go
+++ b/internal/api/explain.go
@@ -18,51 +18,72 @@
 // leader as well.
 const explainBarrierTimeout = 700 * micros.Millisecond
 
-// explain tells what is known of a job. It answers in a take-over, in an outage of the
-// state service and beside a silent leader as well, when the duty team needs it most: then
-// with what this node holds, and how old that is.
-func (h *Handler) explain(c echo.Context) error {
+// errReplicaNotLoaded means that this node knows no jobs yet.
+var errReplicaNotLoaded = errors.New("this node has not read the state service yet")
+
+// Explainer is the part of a node that explains jobs.
+type Explainer interface {
+	JobProgress
+	// Explain asks the leader about a job.
+	Explain(ctx context.Context, id string) (explain.Explanation, error)
+}
+
+// explainHandler answers operators' questions about jobs.
+type explainHandler struct {
+	explainer Explainer
+	member    string // this node
+	replica   *replica.Replica
+}
+
+func newExplainHandler(config Config) *explainHandler {
+	return &explainHandler{explainer: config.Node, member: config.Settings.Member, replica: config.Replica}
+}
+
+// explain answers what is known of a job. It answers during a failover, an outage of the state
+// service and while the leader is silent as well, when engineers on call need it most: then
+// with what this node has, and how old that is.
+func (h *explainHandler) explain(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), userTimeout.Duration())
 	defer cancel()
 	id := c.Param("id")
 	if !wire.IsValidJobID(id) {
 		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	}
-	if !h.Replica.IsLoaded() {
-		return respondError(c, http.StatusServiceUnavailable, errors.New("this node has not read the state service yet"))
+	if !h.replica.IsLoaded() {
+		return respondError(c, http.StatusServiceUnavailable, errReplicaNotLoaded)
 	}
 	barrierCtx, stop := context.WithTimeout(ctx, explainBarrierTimeout.Duration())
-	barrier := h.Replica.Barrier(barrierCtx)
+	barrierErr := h.replica.Barrier(barrierCtx)
 	stop()
-	job, _, ok := h.Replica.Job(id)
-	ageS := (micros.Now() - h.Replica.CurrentAsOf()).Seconds()
+	job, _, ok := h.replica.Job(id)
+	ageS := (micros.Now() - h.replica.CurrentAsOf()).Seconds()
 	switch {
-	case !ok && barrier != nil:
+	case !ok && barrierErr != nil:
 		return respondError(c, http.StatusServiceUnavailable, fmt.Errorf("not known here, and the state service has not answered for %.0f s", ageS))
 	case !ok:
 		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	}
 	explanation := h.explanation(ctx, id, job, ageS)
-	if barrier != nil {
+	if barrierErr != nil {
 		explanation.Notes = append(explanation.Notes, fmt.Sprintf(
-			"the state service has not answered %s for %.0f s: what was submitted, cancelled or stored since is not known here", h.Settings.Member, ageS))
+			"the state service has not answered %s for %.0f s: what was submitted, cancelled or stored since is not known here", h.member, ageS))
 	}
 	return respond(c, http.StatusOK, explanation)
 }
 
-// explanation is what the leader tells of a job or, if it does not answer, what is known
-// here and is ageS old, completed by the job's description and end.
-func (h *Handler) explanation(ctx context.Context, id string, job replica.Job, ageS float64) explain.Explanation {
-	e, err := h.Node.Explain(ctx, id)
+// explanation returns the leader's explanation of a job or, if it does not answer, what is
+// known here and is ageS seconds old; both completed by the job's description and end.
+func (h *explainHandler) explanation(ctx context.Context, id string, job replica.Job, ageS float64) explain.Explanation {
+	e, err := h.explainer.Explain(ctx, id)
 	if err != nil {
-		e = explain.Explanation{Member: h.Settings.Member, AgeS: ageS}
+		e = explain.Explanation{Member: h.member, AgeS: ageS}
 		e.Notes = append(e.Notes, "the leader does not say more: "+err.Error())
 	}
 	e.Job, e.State, e.SubmittedAt, e.EndedAt = id, job.State, job.SubmittedAt, job.EndedAt
 	if spec := job.Spec; spec != nil {
 		e.Team, e.Class, e.Priority, e.Tasks = spec.Team, spec.Class, spec.Priority, spec.Tasks
 		if err != nil {
-			e.Done, e.Running = h.Node.TaskCounts(id)
+			e.Done, e.Running = h.explainer.TaskCounts(id)
 		}
 	}
 	if job.IsFinal() {
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -10,25 +10,31 @@
 	"caperlatch/internal/wire"
 )
 
-// checkFeasible tells why a job can never run (422), or nil. What is refused is lost, and what
-// is accepted must run: a gang is weighed whole, as it runs whole.
+// Reasons why a job can never run.
+var (
+	errNoInstanceTypeFits = errors.New("a task fits no allowed machine type")
+	errGangZones          = errors.New("the gang's tasks may not all run in the zones allowed")
+)
+
+// checkFeasible returns why a job can never run, or nil. What is rejected is lost, and what is
+// accepted must run: of a gang all tasks are checked together, as they run at the same time.
 func checkFeasible(j *wire.Job, types []wire.InstanceType, teams []settings.Team) error {
 	if err := checkTeamLimits(j, teams); err != nil {
 		return err
 	}
 	zones, fits := feasibleZones(j, types)
 	if !fits {
-		return errors.New("a task fits no allowed machine type")
+		return errNoInstanceTypeFits
 	}
-	// At most half of a spread gang's tasks may be in a zone, and all run at once.
+	// At most half of a spread gang's tasks may be in one zone, and all run at the same time.
 	spreadGang := j.Kind == wire.KindGang && j.SpreadZones && j.Tasks > 1
 	if spreadGang && (j.SingleZone || len(zones) < 2) {
-		return errors.New("the gang's tasks may not all run in the zones allowed")
+		return errGangZones
 	}
 	return nil
 }
 
-// checkTeamLimits tells why a job's team may never use what the job needs at one time.
+// checkTeamLimits returns why a job's team may never use what the job needs at one time, or nil.
 func checkTeamLimits(j *wire.Job, teams []settings.Team) error {
 	i := slices.IndexFunc(teams, func(t settings.Team) bool { return t.Name == j.Team })
 	if i < 0 {
@@ -44,8 +50,8 @@
 	return nil
 }
 
-// feasibleZones lists the zones allowed in which some allowed machine type has room for a
-// task, and tells whether any type has.
+// feasibleZones returns the allowed zones in which some allowed instance type has room for a
+// task, and whether any type has.
 func feasibleZones(j *wire.Job, types []wire.InstanceType) (zones map[string]bool, fits bool) {
 	zones = map[string]bool{}
 	for _, t := range types {
@@ -63,9 +69,10 @@
 	return zones, fits
 }
 
-// exceedsLimit tells whether n tasks are over a limit, if there is one. What is let through must
-// fit as the leader counts, in thousandths: each task's need rounded up, the limit down.
-func exceedsLimit(need, n, limit float64) bool {
+// exceedsLimit reports whether tasks that need so much each are over a limit; 0 is none. What
+// passes must fit as the leader counts, in thousandths: each task's need rounded up, the limit
+// down.
+func exceedsLimit(need, tasks, limit float64) bool {
 	if limit <= 0 {
 		return false
 	}
@@ -73,6 +80,6 @@
 		perUnit  = 1000 // thousandths, in which the leader counts
 		rounding = 1e-6 // what binary fractions may be off
 	)
-	needs := n * math.Ceil(need*perUnit-rounding)
-	return need > limit || n > 1 && needs > math.Floor(limit*perUnit+rounding)
+	needs := tasks * math.Ceil(need*perUnit-rounding)
+	return need > limit || tasks > 1 && needs > math.Floor(limit*perUnit+rounding)
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -8,28 +8,29 @@
 	"github.com/labstack/echo/v4"
 
 	"caperlatch/internal/golden"
+	"caperlatch/internal/settings"
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values answer questions for the state of the cluster.
+// encodedTypes are those whose values answer questions about the state of the cluster.
 var encodedTypes = []golden.Type{
 	golden.Of[StandbyStatus]("the standby"),
 	golden.Of[HandoverResponse]("a handover"),
 	golden.Of[ZonesStatus]("the zones"),
 }
 
-// TestEncoded has them be encoded as they were.
+// TestEncoded checks that they are encoded as they were.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
+// TestEncodedTags checks that tags name all their fields.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestRoutes has a node answer the requests that it answered.
+// TestRoutes checks that a node answers the same requests as before.
 func TestRoutes(t *testing.T) {
 	var routes []string
-	for _, r := range New(&Handler{RequestTimes: NewRequestTimes()}).(*echo.Echo).Routes() {
+	for _, r := range New(Config{Settings: &settings.Settings{}, RequestTimes: NewRequestTimes()}).(*echo.Echo).Routes() {
 		routes = append(routes, r.Method+" "+r.Path)
 	}
 	slices.Sort(routes)
--- a/internal/api/polls.go
+++ b/internal/api/polls.go
@@ -10,8 +10,8 @@
 	"caperlatch/internal/wire"
 )
 
-// poll tells a job's status.
-func (h *Handler) poll(c echo.Context) error {
+// poll answers with a job's status.
+func (h *jobHandlers) poll(c echo.Context) error {
 	id := c.Param("id")
 	if !wire.IsValidJobID(id) {
 		return respondError(c, http.StatusNotFound, errNoSuchJob)
@@ -21,7 +21,7 @@
 	case errors.Is(err, errNoSuchJob):
 		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	case err != nil:
-		slog.Debug("poll", "job", id, "error", err)
+		slog.Debug("poll failed", "job", id, "error", err)
 		return respondUnavailable(c)
 	}
 	return respond(c, http.StatusOK, h.jobStatus(id, job.Job))
--- a/internal/api/redirects.go
+++ b/internal/api/redirects.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"sync"
 
 	"github.com/labstack/echo/v4"
 
@@ -9,41 +10,50 @@
 	"caperlatch/internal/wire"
 )
 
-// Times of redirecting: a worker that comes back so soon after it was redirected cannot stay
-// where it was sent.
 const (
+	// redirectTTL is how long a redirect is remembered: a worker that is back within it cannot
+	// stay with the node that it was sent to.
 	redirectTTL = 15 * micros.Second
-	// redirectGracePeriod is how soon after its redirection a report does not show yet that
-	// the worker came back.
+	// redirectGracePeriod is how soon after its redirect a heartbeat does not show yet that the
+	// worker is back.
 	redirectGracePeriod = micros.Second
 )
 
-// redirect sends a worker to another node.
-func redirect(c echo.Context, member string) error {
-	return respond(c, http.StatusMisdirectedRequest, wire.Redirect{Member: member})
+// redirects remembers for a while which workers were sent to other nodes. The zero value is
+// ready for use.
+type redirects struct {
+	mu       sync.Mutex
+	sentAt   map[string]micros.Micros // by machine
+	prunedAt micros.Micros            // when expired ones were last forgotten
 }
 
-// hasReturned tells whether a worker was sent to another node a short while ago.
-// One that is answered here then stays; now and then it is sent again.
-func (h *Handler) hasReturned(machine string) bool {
+// noteOrReturned reports whether a machine was redirected a short while ago and is back; it is
+// then to be answered here. Otherwise the caller redirects it, which is noted now. A machine
+// that is back is redirected again once the note has expired.
+func (r *redirects) noteOrReturned(machine string) (returned bool) {
 	now := micros.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.redirected == nil || now-h.redirectsPrunedAt > redirectTTL {
-		for id, at := range h.redirected {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.sentAt == nil || now-r.prunedAt > redirectTTL {
+		for id, at := range r.sentAt {
 			if now-at > redirectTTL {
-				delete(h.redirected, id)
+				delete(r.sentAt, id)
 			}
 		}
-		h.redirectsPrunedAt = now
+		r.prunedAt = now
 	}
-	if h.redirected == nil {
-		h.redirected = map[string]micros.Micros{}
+	if r.sentAt == nil {
+		r.sentAt = map[string]micros.Micros{}
 	}
-	redirectedAt, ok := h.redirected[machine]
+	redirectedAt, ok := r.sentAt[machine]
 	if !ok || now-redirectedAt > redirectTTL {
-		h.redirected[machine] = now
+		r.sentAt[machine] = now
 		return false
 	}
 	return now-redirectedAt > redirectGracePeriod
 }
+
+// respondRedirect sends a worker to another node.
+func respondRedirect(c echo.Context, member string) error {
+	return respond(c, http.StatusMisdirectedRequest, wire.Redirect{Member: member})
+}
--- a/internal/api/request_limit.go
+++ b/internal/api/request_limit.go
@@ -15,23 +15,23 @@
 	initialRequestLimit = 64
 )
 
-// newRequestLimiter makes a limit on requests in progress that adjusts itself to the
-// times they take.
+// newRequestLimiter returns a limit on requests in progress that adapts to the times that
+// they take.
 func newRequestLimiter() adaptivelimiter.AdaptiveLimiter[any] {
 	return adaptivelimiter.NewBuilder[any]().WithLimits(minRequestLimit, maxRequestLimit, initialRequestLimit).Build()
 }
 
-// limitRequests sheds users' requests over the limit; workers' reports and health
-// checks do not pass here.
-func limitRequests(l adaptivelimiter.AdaptiveLimiter[any]) echo.MiddlewareFunc {
+// limitRequests sheds users' requests over the limit. Heartbeats and health checks
+// are not limited.
+func limitRequests(limiter adaptivelimiter.AdaptiveLimiter[any]) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
-			permit, ok := l.TryAcquirePermit()
+			permit, ok := limiter.TryAcquirePermit()
 			if !ok {
 				return respondRetryLater(c, http.StatusTooManyRequests)
 			}
 			err := next(c)
-			// What is refused says nothing of how long work takes.
+			// The time of a request that could not be served says nothing of how long work takes.
 			if c.Response().Status >= http.StatusInternalServerError {
 				permit.Drop()
 			} else {
--- a/internal/api/request_limit_test.go
+++ b/internal/api/request_limit_test.go
@@ -8,9 +8,9 @@
 	"github.com/labstack/echo/v4"
 )
 
-// TestShed has more requests in progress than the limit admits: what is over it is
-// told at once when to come back, and never held back until the user gives up.
-func TestShed(t *testing.T) {
+// TestLimitRequests has more requests in progress than the limit admits: what is over it is
+// answered at once when to retry, and never queued until the user gives up.
+func TestLimitRequests(t *testing.T) {
 	e := echo.New()
 	entered, leave := make(chan struct{}), make(chan struct{})
 	e.GET("/", func(c echo.Context) error {
@@ -33,7 +33,7 @@
 				t.Errorf("request %d answered %d, Retry-After %q", n, rec.Code, rec.Header().Get("Retry-After"))
 			}
 			if n < 16 {
-				t.Errorf("request %d was refused already", n)
+				t.Errorf("request %d was shed already", n)
 			}
 			return
 		}
--- a/internal/api/request_times.go
+++ b/internal/api/request_times.go
@@ -11,28 +11,28 @@
 	"caperlatch/internal/micros"
 )
 
-// RequestTimes keeps how long requests take, by route.
+// RequestTimes records how long requests take, by route, and logs it every minute.
 type RequestTimes struct {
 	mu     sync.Mutex
-	routes map[string]*hdrhistogram.Histogram
+	routes map[string]*hdrhistogram.Histogram // of microseconds
 }
 
-// NewRequestTimes makes an empty record.
+// NewRequestTimes returns an empty record.
 func NewRequestTimes() *RequestTimes {
 	return &RequestTimes{routes: map[string]*hdrhistogram.Histogram{}}
 }
 
 const (
-	// maxRecordedTime is the longest time told apart.
+	// maxRecordedTime is the longest time told apart from longer ones.
 	maxRecordedTime = 60 * micros.Second
-	// significantDigits is how exactly times are kept.
+	// significantDigits is the precision of the recorded times.
 	significantDigits = 2
-	// logInterval is the time between two lines of the log for a route.
+	// logInterval is the time between two log lines of a route.
 	logInterval = 60 * micros.Second
 )
 
-// record notes how long a request to a route took.
-func (t *RequestTimes) record(route string, took micros.Micros) {
+// record adds the duration of a request to a route.
+func (t *RequestTimes) record(route string, duration micros.Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := t.routes[route]
@@ -41,10 +41,10 @@
 		t.routes[route] = h
 	}
 	// A value in range cannot fail.
-	_ = h.RecordValue(int64(min(max(took, 1), maxRecordedTime)))
+	_ = h.RecordValue(int64(min(max(duration, 1), maxRecordedTime)))
 }
 
-// middleware times every request.
+// middleware records every request.
 func (t *RequestTimes) middleware(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		start := micros.Now()
@@ -57,7 +57,7 @@
 // Run logs the times of each minute until ctx ends.
 func (t *RequestTimes) Run(ctx context.Context) { micros.Every(ctx, logInterval, t.log) }
 
-// log writes the times since the last call and forgets them.
+// log logs the times since the last call and forgets them.
 func (t *RequestTimes) log() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -13,44 +13,44 @@
 	"caperlatch/internal/wire"
 )
 
-// answerError answers a request whose handler failed.
-func answerError(err error, c echo.Context) {
-	code := http.StatusInternalServerError
+// respondToFailure answers a request whose handler returned an error.
+func respondToFailure(err error, c echo.Context) {
+	status := http.StatusInternalServerError
 	var httpError *echo.HTTPError
 	if errors.As(err, &httpError) {
-		code = httpError.Code
+		status = httpError.Code
 	} else {
-		slog.Error("request", "path", c.Path(), "error", err)
+		slog.Error("request failed", "path", c.Path(), "error", err)
 	}
 	if c.Response().Committed {
 		return
 	}
-	if err := c.NoContent(code); err != nil {
-		slog.Debug("answer", "error", err)
+	if err := c.NoContent(status); err != nil {
+		slog.Debug("response not sent", "path", c.Path(), "error", err)
 	}
 }
 
-// respond answers with a value.
-func respond(c echo.Context, code int, v any) error {
-	b, err := wire.Marshal(v)
+// respond answers with an encoded value.
+func respond(c echo.Context, status int, value any) error {
+	b, err := wire.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return c.Blob(code, wire.ContentType, b)
+	return c.Blob(status, wire.ContentType, b)
 }
 
-// respondUnavailable tells a user at once to come back.
+// respondUnavailable answers a user at once that the request cannot be served now.
 func respondUnavailable(c echo.Context) error {
 	return respondRetryLater(c, http.StatusServiceUnavailable)
 }
 
-// respondRetryLater tells a user when to come back.
-func respondRetryLater(c echo.Context, code int) error {
+// respondRetryLater answers a user when to try again.
+func respondRetryLater(c echo.Context, status int) error {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(int(statestore.RetryAfter/micros.Second)))
-	return respond(c, code, wire.ErrorResponse{Error: "come back later"})
+	return respond(c, status, wire.ErrorResponse{Error: "come back later"})
 }
 
-// respondError answers with what is wrong.
-func respondError(c echo.Context, code int, err error) error {
-	return respond(c, code, wire.ErrorResponse{Error: err.Error()})
+// respondError answers with the text of an error.
+func respondError(c echo.Context, status int, err error) error {
+	return respond(c, status, wire.ErrorResponse{Error: err.Error()})
 }
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -10,13 +10,23 @@
 	"caperlatch/internal/standby"
 )
 
-// ErrStandbyOff says that a node runs without the warm standby.
+// ErrStandbyOff means that the node runs without the warm standby.
 var ErrStandbyOff = errors.New("the warm standby is off")
 
-// errNotLocal says that a request must come from the node's own machine.
+// errNotLocal means that a request must come from the node's own machine.
 var errNotLocal = errors.New("only asked on the node's own machine")
 
-// StandbyStatus is what a node tells the duty team of the warm standby.
+// Standby is the part of a node that questions about the warm standby need.
+type Standby interface {
+	// StandbyStatus returns how far the warm standby is, as this node knows it. The error is
+	// ErrStandbyOff if there is none.
+	StandbyStatus() (StandbyStatus, error)
+	// HandOver has this node, if it leads, hand leadership over, and returns the member that
+	// was named; empty: any may lead next. The error is ErrStandbyOff without a standby.
+	HandOver() (to string, err error)
+}
+
+// StandbyStatus is the answer to a question about the warm standby.
 type StandbyStatus struct {
 	Member       string `json:"member"`
 	Leader       string `json:"leader"`
@@ -28,31 +38,34 @@
 	Followers []standby.FollowerState `json:"followers,omitempty"`
 	// Of a follower.
 	Progress *standby.Progress `json:"progress,omitempty"`
-	// LastFailover is the node's last take-over, nil if it never led.
+	// LastFailover is the last failover to this node, nil if it never led.
 	LastFailover *standby.Record `json:"last,omitempty"`
 }
 
-// HandoverResponse answers a request to hand over.
+// HandoverResponse is the answer to a request to hand over.
 type HandoverResponse struct {
 	To string `json:"to"` // the member that was named; empty: any
 }
 
-// standby tells how far the warm standby is.
-func (h *Handler) standby(c echo.Context) error {
-	status, err := h.Node.StandbyStatus()
+// standbyHandlers answer operators' questions and requests about the warm standby.
+type standbyHandlers struct{ node Standby }
+
+// get answers how far the warm standby is.
+func (h standbyHandlers) get(c echo.Context) error {
+	status, err := h.node.StandbyStatus()
 	if err != nil {
 		return respondError(c, http.StatusNotFound, err)
 	}
 	return respond(c, http.StatusOK, status)
 }
 
-// handOver hands leadership over. Users reach the same address, so it is asked for on the
-// node's own machine only.
-func (h *Handler) handOver(c echo.Context) error {
+// handOver hands leadership over. Users reach the same address, so the request is taken from
+// the node's own machine only.
+func (h standbyHandlers) handOver(c echo.Context) error {
 	if !isFromSameMachine(c.Request()) {
 		return respondError(c, http.StatusForbidden, errNotLocal)
 	}
-	to, err := h.Node.HandOver()
+	to, err := h.node.HandOver()
 	switch {
 	case errors.Is(err, ErrStandbyOff):
 		return respondError(c, http.StatusNotFound, err)
@@ -62,14 +75,14 @@
 	return respond(c, http.StatusOK, HandoverResponse{To: to})
 }
 
-// isFromSameMachine tells whether a request comes from the address that it was sent to, or from
-// a loopback address.
+// isFromSameMachine reports whether a request comes from the address that it was sent to, or
+// from a loopback address.
 func isFromSameMachine(r *http.Request) bool {
-	from, _, err := net.SplitHostPort(r.RemoteAddr)
+	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return false
 	}
-	ip := net.ParseIP(from)
+	ip := net.ParseIP(host)
 	local, ok := r.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	return ip != nil && (ip.IsLoopback() || ok && ip.Equal(local.IP))
 }
--- a/internal/api/standby_test.go
+++ b/internal/api/standby_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// TestIsFromSameMachine asks from which addresses a handover may be asked for.
+// TestIsFromSameMachine checks from which addresses a handover may be requested.
 func TestIsFromSameMachine(t *testing.T) {
 	cases := []struct {
 		name, from, local string
 		want              bool
 	}{
 		{"loopback", "127.0.0.1:50000", "127.0.0.1", true},
-		{"loopback of version 6", "[::1]:50000", "::1", true},
+		{"IPv6 loopback", "[::1]:50000", "::1", true},
 		{"its own address", "10.0.0.1:50000", "10.0.0.1", true},
 		{"another machine", "10.0.0.2:50000", "10.0.0.1", false},
 		{"no address", "nobody", "10.0.0.1", false},
--- a/internal/api/zones.go
+++ b/internal/api/zones.go
@@ -10,25 +10,38 @@
 	"caperlatch/internal/zone"
 )
 
-// ErrZonesOff says that the leader runs without a policy on zones that tells anything.
+// ErrZonesOff means that the leader runs without the policy on zones, or with one that
+// has no states to show.
 var ErrZonesOff = errors.New("the policy on zones is off")
 
-// ZonesStatus is what the leader tells the duty team of the zones.
+// ZoneObserver is the part of a node that questions about zones need.
+type ZoneObserver interface {
+	// LeaderMember returns the member that leads as far as this node knows; empty: none known.
+	LeaderMember() string
+	// ZoneStatus returns the leader's view of the zones, whichever node is asked. The error
+	// is ErrZonesOff if there is none.
+	ZoneStatus(ctx context.Context) ([]zone.Status, error)
+}
+
+// ZonesStatus is the answer to a question about the zones.
 type ZonesStatus struct {
 	Leader string        `json:"leader"`
 	Zones  []zone.Status `json:"zones"`
 }
 
-// zones tells what the leader thinks of the zones, whichever node is asked.
-func (h *Handler) zones(c echo.Context) error {
+// zonesHandler answers questions about the zones.
+type zonesHandler struct{ node ZoneObserver }
+
+// get answers with the leader's view of the zones.
+func (h zonesHandler) get(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), userTimeout.Duration())
 	defer cancel()
-	all, err := h.Node.ZoneStatus(ctx)
+	zones, err := h.node.ZoneStatus(ctx)
 	switch {
 	case errors.Is(err, ErrZonesOff):
 		return respondError(c, http.StatusNotFound, err)
 	case err != nil:
 		return respondError(c, http.StatusServiceUnavailable, err)
 	}
-	return respond(c, http.StatusOK, ZonesStatus{Leader: h.Node.LeaderMember(), Zones: all})
+	return respond(c, http.StatusOK, ZonesStatus{Leader: h.node.LeaderMember(), Zones: zones})
 }
--- a/node.go
+++ b/node.go
@@ -160,7 +160,7 @@
 
 // Handler answers users, workers and health checks.
 func (n *Node) Handler() http.Handler {
-	return api.New(&api.Handler{
+	return api.New(api.Config{
 		Node:           n,
 		Settings:       n.settings,
 		Store:          n.store,
@@ -271,7 +271,15 @@
 }
 
 // LocalLeader is this node's leader if it leads, else nil.
-func (n *Node) LocalLeader() *leader.Leader {
+func (n *Node) LocalLeader() api.Leader {
+	if l := n.leader(); l != nil {
+		return l
+	}
+	return nil // not an interface that holds a nil pointer
+}
+
+// leader is this node's leader if it leads, else nil.
+func (n *Node) leader() *leader.Leader {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.localLeader
@@ -299,7 +307,7 @@
 
 // TaskCounts shows how far a job is.
 func (n *Node) TaskCounts(id string) (done, running int) {
-	if l := n.LocalLeader(); l != nil {
+	if l := n.leader(); l != nil {
 		done, running, _ = l.TaskCounts(id)
 		return done, running
 	}
@@ -314,7 +322,7 @@
 
 // Explain asks the leader about a job.
 func (n *Node) Explain(ctx context.Context, id string) (explain.Explanation, error) {
-	if l := n.LocalLeader(); l != nil {
+	if l := n.leader(); l != nil {
 		e, _ := l.Explain(id)
 		return e, nil
 	}
--- a/peers.go
+++ b/peers.go
@@ -29,7 +29,7 @@
 	p := &peer.Probe{Member: n.settings.Member, CancellationsSince: n.replica.CancelledThrough()}
 	highest := n.election.HighestKnown()
 	p.HighestToken, p.Leader = highest.FencingToken, highest.Member
-	if l := n.LocalLeader(); l != nil {
+	if l := n.leader(); l != nil {
 		p.LeadershipInDoubt = !l.Term.HoldsSession()
 		if counts, at := l.AllTaskCounts(); at != *told {
 			p.TaskCounts, *told = counts, at
@@ -42,7 +42,7 @@
 func (n *Node) handlePeerState(s *peer.NodeState) {
 	n.election.ObserveToken(s.HighestToken, s.Leader)
 	n.replica.AdoptCancellations(s.Cancellations, s.CancelledThrough)
-	if l := n.LocalLeader(); l != nil {
+	if l := n.leader(); l != nil {
 		l.Supersede(s.HighestToken)
 	}
 }
@@ -65,7 +65,7 @@
 	}
 	highest := n.election.HighestKnown()
 	s.HighestToken, s.Leader = highest.FencingToken, highest.Member
-	if l := n.LocalLeader(); l != nil {
+	if l := n.leader(); l != nil {
 		l.Supersede(s.HighestToken)
 	}
 	if p.LeadershipInDoubt && n.store.IsUnreachable() && n.election.Abstain(peer.AbstentionTTL) {
@@ -78,7 +78,7 @@
 
 // HandleForwardedHeartbeat answers a report that a peer passes on.
 func (n *Node) HandleForwardedHeartbeat(report wire.Raw) (wire.Raw, error) {
-	l := n.LocalLeader()
+	l := n.leader()
 	if l == nil {
 		return nil, leader.ErrCannotRespond
 	}
@@ -95,7 +95,7 @@
 
 // HandleExplain tells a peer what the leader here knows of a job.
 func (n *Node) HandleExplain(job string) (explain.Explanation, error) {
-	l := n.LocalLeader()
+	l := n.leader()
 	if l == nil {
 		return explain.Explanation{}, errNotLeading
 	}
--- a/standby.go
+++ b/standby.go
@@ -60,7 +60,7 @@
 // follow keeps the view of whoever leads until ctx ends.
 func (s *standbyNode) follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		if s.node.LocalLeader() != nil || !s.query(ctx) {
+		if s.node.leader() != nil || !s.query(ctx) {
 			micros.Pause(ctx, s.settings.QueryInterval)
 		}
 	}
@@ -186,7 +186,7 @@
 	if n.standby == nil {
 		return "", api.ErrStandbyOff
 	}
-	l := n.LocalLeader()
+	l := n.leader()
 	if l == nil {
 		return "", errNotLeading
 	}
--- a/zones.go
+++ b/zones.go
@@ -33,7 +33,7 @@
 
 // ZoneStatus tells what the leader thinks of the zones.
 func (n *Node) ZoneStatus(ctx context.Context) ([]zone.Status, error) {
-	if n.LocalLeader() != nil {
+	if n.leader() != nil {
 		return n.HandleZones()
 	}
 	answer, err := n.askLeader(ctx, peer.Request{Zones: true})
@@ -48,7 +48,7 @@
 
 // HandleZones tells a peer what the leader here thinks of the zones.
 func (n *Node) HandleZones() ([]zone.Status, error) {
-	l := n.LocalLeader()
+	l := n.leader()
 	if l == nil {
 		return nil, errNotLeading
 	}
