--- a/internal/explain/explanation.go
+++ b/internal/explain/explanation.go
@@ -1,13 +1,13 @@
-// Package explain holds what operators are told of a job: why it waits, where its tasks are and
+// Package explain is what operators are shown of a job: why it waits, where its tasks are and
 // why they were stopped.
 //
-// It owns the form of the answer, which is also sent between nodes. It finds nothing out by
-// itself: the leader and the API fill it in.
+// It owns the form of the explanation, which is also sent between nodes; its encoded form must
+// not change. It finds nothing out by itself: the leader and the API fill it in.
 package explain
 
 import "caperlatch/internal/micros"
 
-// TaskStop says why a task stopped before it was done.
+// TaskStop says why an attempt stopped before its task was done.
 type TaskStop struct {
 	Task    string        `json:"task"`
 	Attempt uint64        `json:"attempt"`
@@ -16,7 +16,7 @@
 	Reason  string        `json:"why"`
 }
 
-// TaskPlacement is a task that is on a machine.
+// TaskPlacement says that a task is on a machine.
 type TaskPlacement struct {
 	Task    string        `json:"task"`
 	Attempt uint64        `json:"attempt"`
@@ -25,24 +25,23 @@
 	Since   micros.Micros `json:"since"` // time of day
 }
 
-// Explanation tells the duty team about a job: what is known of it, by which node and
-// as of when.
+// Explanation is what is known of a job, by which node and as of when. The counts are of tasks.
 type Explanation struct {
 	Job         string          `json:"job"`
-	Member      string          `json:"by"`    // node that knew it
-	AgeS        float64         `json:"age_s"` // how long ago that was so
+	Member      string          `json:"by"`    // the node that knew it
+	AgeS        float64         `json:"age_s"` // seconds since that node knew it
 	Notes       []string        `json:"notes"` // what is missing, and why
 	State       string          `json:"state"`
 	Team        string          `json:"team"`
 	Class       string          `json:"class"`
 	Priority    string          `json:"priority"`
-	SubmittedAt micros.Micros   `json:"submitted"` // time of day, as are the next
-	EndedAt     micros.Micros   `json:"ended"`
+	SubmittedAt micros.Micros   `json:"submitted"` // time of day
+	EndedAt     micros.Micros   `json:"ended"`     // time of day, 0 before the end
 	Tasks       int             `json:"tasks"`
 	Done        int             `json:"done"`
 	Running     int             `json:"running"`
 	Waiting     int             `json:"waiting"`
-	Reasons     []string        `json:"why"`
-	Placements  []TaskPlacement `json:"on"`
+	Reasons     []string        `json:"why"`   // why tasks wait and failed, and how the job ended
+	Placements  []TaskPlacement `json:"on"`    // the tasks on machines; notes say how many are not shown
 	Stops       []TaskStop      `json:"stops"` // the latest
 }
