--- /dev/null
+++ b/handover.go
@@ -0,0 +1,137 @@
+package caperlatch
+
+import (
+	"context"
+	"sync"
+
+	"caperlatch/internal/election"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/peer"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/standby"
+)
+
+// Times of letting others lead first.
+const (
+	// yieldToNamed is how long the nodes that a handover does not name wait.
+	yieldToNamed = 700 * micros.Millisecond
+	// yieldToFurther is how long a node waits for each peer whose view is much further: by more
+	// than what a leader decides between two queries.
+	yieldToFurther = 100 * micros.Millisecond
+	muchFurther    = 1000 // entries
+	// maxYieldToFurther bounds the sum of these.
+	maxYieldToFurther = 300 * micros.Millisecond
+	// yieldAfterHandover is how long a node that handed over does not lead again.
+	yieldAfterHandover = 2 * micros.Second
+)
+
+// maxHandoverWait is how long a worker's heartbeat is kept for the next leader at most. Its
+// worker waits for 4 s, of which forwarding the heartbeat may take 2.5 s.
+const maxHandoverWait = 1200 * micros.Millisecond
+
+// releasePollInterval is the time between two looks whether a node that hands over on shutdown
+// still leads.
+const releasePollInterval = 20 * micros.Millisecond
+
+// handover is a node's part in planned transfers of leadership: it hands over, yields to who
+// should lead next, and keeps heartbeats until somebody leads.
+type handover struct {
+	member     string        // this node
+	timeout    micros.Micros // of handing over
+	election   *election.Election
+	peers      *peer.Peers
+	replica    *replica.Replica
+	leadership *localLeadership
+	follower   *standby.Follower
+	followers  func() []standby.FollowerState // as the leader last listed them
+
+	mu           sync.Mutex
+	handedOverAt micros.Micros // when this node last handed over, 0 if it never did
+}
+
+// lastHandedOverAt returns when this node last handed over, 0 if it never did.
+func (h *handover) lastHandedOverAt() micros.Micros {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.handedOverAt
+}
+
+// setHandedOverAt notes when this node last handed over.
+func (h *handover) setHandedOverAt(at micros.Micros) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.handedOverAt = at
+}
+
+// yieldFor returns how long this node lets others go first when nobody leads.
+func (h *handover) yieldFor() micros.Micros {
+	handedOverAt, followers := h.lastHandedOverAt(), h.followers()
+	if to, handed := h.follower.HandedOverTo(); handed && to != "" {
+		if to == h.member || !h.peers.IsReachable(to) {
+			return 0
+		}
+		return yieldToNamed
+	}
+	if handedOverAt != 0 && micros.Now()-handedOverAt < yieldAfterHandover {
+		return yieldAfterHandover
+	}
+	own, wait := h.follower.Progress(), micros.Micros(0)
+	for _, f := range followers {
+		if f.Member != h.member && f.Complete && h.peers.IsReachable(f.Member) && (!own.Complete || f.Position > own.Position+muchFurther) {
+			wait += yieldToFurther
+		}
+	}
+	return min(wait, maxYieldToFurther)
+}
+
+// handOver has this node, if it leads, hand over to the follower that is furthest. It returns
+// the member that was named; empty: any. The error is errNotLeading without a leader here.
+func (h *handover) handOver() (to string, err error) {
+	local := h.leadership.local()
+	if local == nil {
+		return "", errNotLeading
+	}
+	h.setHandedOverAt(micros.Now())
+	to, err = local.HandOver(h.timeout)
+	if err != nil {
+		h.setHandedOverAt(0)
+	}
+	return to, err
+}
+
+// await waits while leadership is being handed over, so that a worker's heartbeat reaches the
+// next leader: rejected, the worker would come back a second later.
+func (h *handover) await(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxHandoverWait.Duration())
+	defer cancel()
+	for changed := h.replica.Changed(); h.isBetweenLeaders() && ctx.Err() == nil; changed = h.replica.Changed() {
+		select {
+		case <-ctx.Done():
+		case <-changed:
+		}
+	}
+}
+
+// isBetweenLeaders reports whether the known leader has handed over and nobody is known to lead
+// yet.
+func (h *handover) isBetweenLeaders() bool {
+	highest := h.election.HighestKnown()
+	if highest.Member == h.member {
+		handedOverAt := h.lastHandedOverAt()
+		return handedOverAt != 0 && micros.Now()-handedOverAt < yieldAfterHandover
+	}
+	return h.follower.HandedOverIn(highest.FencingToken)
+}
+
+// awaitRelease waits, after a handover, until the session of the leader key has been released.
+func (h *handover) awaitRelease() {
+	for until := micros.Now() + yieldAfterHandover; micros.Now() < until && !h.hasReleasedLeadership(); {
+		releasePollInterval.Sleep()
+	}
+}
+
+// hasReleasedLeadership reports whether the leader key no longer names this node.
+func (h *handover) hasReleasedLeadership() bool {
+	l, modRevision := h.election.Leader()
+	return modRevision == 0 || l.Member != h.member
+}
--- a/membership.go
+++ b/membership.go
@@ -6,172 +6,143 @@
 	"strings"
 	"sync"
 
-	"caperlatch/internal/api"
 	"caperlatch/internal/membership"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/peer"
+	"caperlatch/internal/settings"
 )
 
-// Times of heartbeats.
 const (
-	// heartbeatTimeout is for how long an answer is waited for: longer than a slow path takes
-	// there and back, as giving up ends the stream.
+	// heartbeatTimeout is how long a response is waited for: longer than a slow path takes there
+	// and back, as giving up ends the stream.
 	heartbeatTimeout = 5 * micros.Second
-	// leaveTimeout is how long telling that this node ends may take.
+	// leaveTimeout is how long the heartbeat that says that this node leaves may take.
 	leaveTimeout = 500 * micros.Millisecond
+	// maxPendingHeartbeats bounds the heartbeats to one peer that wait for their responses.
+	maxPendingHeartbeats = 16
 )
 
-// maxHeartbeats bounds the heartbeats to one peer whose answers are waited for.
-const maxHeartbeats = 16
-
-// membershipNode is a node's part in membership: it sends and answers heartbeats.
-type membershipNode struct {
-	node   *Node
+// membershipAgent is a node's part in membership: it sends and answers heartbeats between
+// members, and has a detector judge them. Nothing else on the node acts on the verdicts.
+type membershipAgent struct {
 	config membership.Config
-	// clients are streams of their own: those of probes end after a second without an answer,
+	// clients have streams of their own: those of probes end after a second without an answer,
 	// which a slow path may well take.
-	clients map[string]*peer.Client
+	clients      map[string]*peer.Client        // by member
+	surroundings func() membership.Surroundings // what the state service says of the members
 
 	mu       sync.Mutex
 	detector *membership.Detector
 }
 
-func newMembershipNode(n *Node, config membership.Config) *membershipNode {
-	m := &membershipNode{node: n, config: config, clients: map[string]*peer.Client{}}
+// newMembershipAgent returns the agent of a member that has not sent any heartbeat.
+func newMembershipAgent(member string, peers []settings.Peer, dial peer.Dial, config membership.Config, surroundings func() membership.Surroundings) *membershipAgent {
+	a := &membershipAgent{config: config, clients: map[string]*peer.Client{}, surroundings: surroundings}
 	var others []string
-	for _, p := range n.settings.Peers {
+	for _, p := range peers {
 		others = append(others, p.Member)
-		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.DialPeer)
+		a.clients[p.Member] = peer.NewClient(p.Addr, dial)
 	}
-	m.detector = membership.New(n.settings.Member, others, config, uint64(micros.Wall()), micros.Now())
-	return m
+	a.detector = membership.New(member, others, config, uint64(micros.Wall()), micros.Now())
+	return a
 }
 
 // run sends heartbeats and judges the members until ctx ends.
-func (m *membershipNode) run(ctx context.Context) {
+func (a *membershipAgent) run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for member, client := range m.clients {
-		wg.Go(func() { m.sendHeartbeats(ctx, member, client) })
+	for member, client := range a.clients {
+		wg.Go(func() { a.sendHeartbeats(ctx, member, client) })
 	}
-	micros.Every(ctx, m.config.Interval, m.tick)
+	micros.Every(ctx, a.config.Interval, a.judge)
 	wg.Wait()
 }
 
-// sendHeartbeats sends heartbeats to a peer until ctx ends. They don't wait for each other's answers.
-func (m *membershipNode) sendHeartbeats(ctx context.Context, member string, client *peer.Client) {
+// sendHeartbeats sends heartbeats to a peer until ctx ends. They don't wait for each other's
+// responses.
+func (a *membershipAgent) sendHeartbeats(ctx context.Context, member string, client *peer.Client) {
 	defer client.Close()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	open := make(chan struct{}, maxHeartbeats)
-	micros.Every(ctx, m.config.Interval, func() {
+	pending := make(chan struct{}, maxPendingHeartbeats)
+	micros.Every(ctx, a.config.Interval, func() {
 		select {
-		case open <- struct{}{}:
+		case pending <- struct{}{}:
 		default:
-			return // that many are not answered
+			return // too many wait for their responses
 		}
 		wg.Go(func() {
-			defer func() { <-open }()
-			m.send(ctx, member, client, heartbeatTimeout)
+			defer func() { <-pending }()
+			a.sendHeartbeat(ctx, member, client, heartbeatTimeout)
 		})
 	})
 }
 
-// send sends one heartbeat and takes its answer over.
-func (m *membershipNode) send(ctx context.Context, member string, client *peer.Client, timeout micros.Micros) {
+// sendHeartbeat sends one heartbeat and applies the response.
+func (a *membershipAgent) sendHeartbeat(ctx context.Context, member string, client *peer.Client, timeout micros.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	sent := micros.Now()
-	heartbeat := m.heartbeat()
+	sentAt := micros.Now()
+	heartbeat := a.heartbeat()
 	response, err := client.Ask(ctx, peer.Request{Heartbeat: &heartbeat})
 	if err != nil {
-		slog.Debug("heartbeat", "peer", member, "error", err)
+		slog.Debug("membership heartbeat failed", "peer", member, "error", err)
 		return
 	}
-	m.update(func(d *membership.Detector, now micros.Micros) {
-		d.Answered(now, member, now-sent)
+	a.update(func(d *membership.Detector, now micros.Micros) {
+		d.Answered(now, member, now-sentAt)
 		if response.Heartbeat != nil {
 			d.Receive(now, response.Heartbeat)
 		}
 	})
 }
 
-// heartbeat is what to tell now.
-func (m *membershipNode) heartbeat() membership.Heartbeat {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.detector.Heartbeat(micros.Now())
+// heartbeat returns the heartbeat to send now.
+func (a *membershipAgent) heartbeat() membership.Heartbeat {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.detector.Heartbeat(micros.Now())
 }
 
-// tick judges the members.
-func (m *membershipNode) tick() {
-	around := m.surroundings()
-	m.update(func(d *membership.Detector, now micros.Micros) { d.Tick(now, around) })
+// respond applies a peer's heartbeat and returns this node's.
+func (a *membershipAgent) respond(received *membership.Heartbeat) *membership.Heartbeat {
+	a.update(func(d *membership.Detector, now micros.Micros) { d.Receive(now, received) })
+	heartbeat := a.heartbeat()
+	return &heartbeat
 }
 
-// surroundings is what the state service tells of the members.
-func (m *membershipNode) surroundings() membership.Surroundings {
-	n := m.node
-	around := membership.Surroundings{StoreHeard: n.store.SinceLastResponse() < peer.FreshWithin}
-	if micros.Now()-n.replica.CurrentAsOf() < peer.FreshWithin {
-		if l, stamp := n.election.Leader(); stamp != 0 {
-			around.Leader = l.Member
-		}
-	}
-	return around
+// judge has the detector judge the members.
+func (a *membershipAgent) judge() {
+	around := a.surroundings()
+	a.update(func(d *membership.Detector, now micros.Micros) { d.Tick(now, around) })
 }
 
-// update changes what is known of the members, and logs what that changes of their states.
-func (m *membershipNode) update(f func(*membership.Detector, micros.Micros)) {
-	m.mu.Lock()
-	f(m.detector, micros.Now())
-	transitions := m.detector.Transitions()
-	m.mu.Unlock()
+// update changes what is known of the members, and logs their transitions.
+func (a *membershipAgent) update(change func(*membership.Detector, micros.Micros)) {
+	a.mu.Lock()
+	change(a.detector, micros.Now())
+	transitions := a.detector.Transitions()
+	a.mu.Unlock()
 	for _, t := range transitions {
-		slog.Info("member", "member", t.Member, "from", t.From, "to", t.To, "reason", t.Reason,
+		slog.Info("member state changed", "member", t.Member, "from", t.From, "to", t.To, "reason", t.Reason,
 			"silence", t.Silence.Duration(), "confirmed_by", strings.Join(t.ConfirmedBy, " "))
 	}
 }
 
-// status tells what this node thinks of the members.
-func (m *membershipNode) status() membership.Status {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.detector.Status(micros.Now())
+// status returns this node's view of the members.
+func (a *membershipAgent) status() membership.Status {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.detector.Status(micros.Now())
 }
 
-// leave tells all peers that this node ends.
-func (m *membershipNode) leave() {
-	m.mu.Lock()
-	m.detector.Leave()
-	m.mu.Unlock()
+// leave announces to all peers that this node leaves.
+func (a *membershipAgent) leave() {
+	a.mu.Lock()
+	a.detector.Leave()
+	a.mu.Unlock()
 	var wg sync.WaitGroup
-	for member, client := range m.clients {
-		wg.Go(func() { m.send(context.Background(), member, client, leaveTimeout) })
+	for member, client := range a.clients {
+		wg.Go(func() { a.sendHeartbeat(context.Background(), member, client, leaveTimeout) })
 	}
 	wg.Wait()
 }
-
-// HandleMembershipHeartbeat takes over a peer's heartbeat and answers with this node's.
-func (n *Node) HandleMembershipHeartbeat(h *membership.Heartbeat) *membership.Heartbeat {
-	if n.membership == nil {
-		return nil
-	}
-	n.membership.update(func(d *membership.Detector, now micros.Micros) { d.Receive(now, h) })
-	answer := n.membership.heartbeat()
-	return &answer
-}
-
-// MembershipStatus tells what this node thinks of the other nodes.
-func (n *Node) MembershipStatus() (membership.Status, error) {
-	if n.membership == nil {
-		return membership.Status{}, api.ErrMembershipOff
-	}
-	return n.membership.status(), nil
-}
-
-// Leave tells the other nodes that this one ends, so that it is not suspected.
-func (n *Node) Leave() {
-	if n.membership != nil {
-		n.membership.leave()
-	}
-}
--- a/node.go
+++ b/node.go
@@ -1,15 +1,13 @@
 // Package caperlatch runs a controller node of the cluster scheduler.
 //
-// It owns how the parts of a node are put together: who is told what by whom, and what one
-// node answers another. It decides nothing about jobs or machines, which is the leader's
-// part (internal/leader), and does not handle users' requests (internal/api).
+// It owns how the parts of a node are put together: which part asks which, and what one node
+// answers another. It must decide nothing about jobs or machines, which is the leader's part
+// (internal/leader), and not handle users' requests, which is the API's (internal/api).
 package caperlatch
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"hash/fnv"
 	"log/slog"
 	"net"
 	"net/http"
@@ -20,119 +18,175 @@
 	"caperlatch/internal/api"
 	"caperlatch/internal/cloud"
 	"caperlatch/internal/election"
-	"caperlatch/internal/explain"
 	"caperlatch/internal/leader"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/peer"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
+	"caperlatch/internal/standby"
 	"caperlatch/internal/statestore"
-	"caperlatch/internal/wire"
 )
 
-// Node is one controller.
+// Node is one controller. It creates its parts, runs them and has them answer; none of them
+// knows the node itself. What they own:
+//
+//   - store, cloud: the clients of the state service and of the cloud
+//   - replica: this node's copy of the stored values
+//   - election: terms, and the highest fencing token known here
+//   - peers: what the other nodes last answered; peerHandler: what this node answers them
+//   - leadership: the leader of this node while it leads
+//   - leader: requests to whichever node leads
+//   - contact: whether the state service and the peers answer
+//   - forwarding: which node takes a worker's heartbeats, and how they get to the leader
+//   - jobs, zones: what this node shows of them, from its leader or another
+//   - standby, handover: the warm standby, and planned transfers of leadership; nil: off
+//   - membership: which nodes are alive; nil: off
 type Node struct {
-	settings *settings.Settings
-	tuning   settings.Tuning
-	store    *statestore.Client
-	cloud    *cloud.Client
-	replica  *replica.Replica
-	election *election.Election
-	peers    *peer.Peers
-	network  Network
-	times    *api.RequestTimes
-	features settings.Features
-
-	standby    *standbyNode    // nil: off
-	membership *membershipNode // nil: off
-
-	mu                  sync.Mutex
-	localLeader         *leader.Leader
-	expectsLeaderChange bool              // that the leader is about to change
-	taskCounts          map[string][2]int // as the leader last told
-	taskCountsAt        micros.Micros
-}
+	settings     *settings.Settings
+	tuning       settings.Tuning
+	features     settings.Features
+	network      Network
+	requestTimes *api.RequestTimes
 
-// Network is how a node reaches what is around it.
-type Network struct {
-	ServiceTransport http.RoundTripper
-	WorkerTransport  http.RoundTripper
-	DialPeer         peer.Dial
-	ListenForPeers   func() (net.Listener, error) // for peers
+	store       *statestore.Client
+	cloud       *cloud.Client
+	replica     *replica.Replica
+	election    *election.Election
+	peers       *peer.Peers
+	peerHandler *peerHandler
+	leadership  *localLeadership
+	leader      leaderClient
+	contact     *contact
+	forwarding  *forwarding
+	jobs        *jobView
+	zones       zoneView
+	standby     *standbyAgent
+	handover    *handover
+	membership  *membershipAgent
 }
 
-var (
-	_ api.Node     = (*Node)(nil)
-	_ peer.Handler = (*Node)(nil)
-)
-
-// Errors that the user, or another node, is told.
-var (
-	errNotLeading    = errors.New("not leading")
-	errNoLeader      = errors.New("no leader known")
-	errNoExplanation = errors.New("no explanation in the answer")
-)
-
-// NewNode makes a node from checked settings; what has none in features is off.
+// NewNode returns a node from checked settings; what has no settings in features is off.
 func NewNode(s *settings.Settings, t settings.Tuning, features settings.Features) *Node {
-	var dialer net.Dialer
-	return NewNodeOn(s, t, features, Network{
-		ServiceTransport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true},
-		WorkerTransport:  &http.Transport{DisableKeepAlives: true, DisableCompression: true},
-		DialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
-		ListenForPeers:   func() (net.Listener, error) { return net.Listen("tcp", s.PeerListen) },
-	})
+	return NewNodeOn(s, t, features, newTCPNetwork(s))
 }
 
-// NewNodeOn makes a node that reaches everything around it through o.
-func NewNodeOn(s *settings.Settings, t settings.Tuning, features settings.Features, o Network) *Node {
-	n := &Node{settings: s, tuning: t, features: features, network: o, times: api.NewRequestTimes()}
-	n.store = statestore.New(s.External.State, s.Params.State, o.ServiceTransport)
-	n.cloud = cloud.New(s.External.Cloud, s.Params.Cloud, o.ServiceTransport)
+// NewNodeOn returns a node that reaches everything around it through network. The caller runs
+// RunBackground and serves Handler, or calls Run alone, which does both.
+func NewNodeOn(s *settings.Settings, t settings.Tuning, features settings.Features, network Network) *Node {
+	n := &Node{settings: s, tuning: t, features: features, network: network, requestTimes: api.NewRequestTimes()}
+	n.store = statestore.New(s.External.State, s.Params.State, network.ServiceTransport)
+	n.cloud = cloud.New(s.External.Cloud, s.Params.Cloud, network.ServiceTransport)
 	n.replica = replica.New(n.store)
+	n.leadership = &localLeadership{replica: n.replica}
+	n.peers = n.newPeers()
+	n.election = n.newElection()
+	n.leader = leaderClient{election: n.election, peers: n.peers}
+	n.contact = &contact{member: s.Member, others: s.Peers, store: n.store, replica: n.replica, peers: n.peers, election: n.election}
+	n.forwarding = &forwarding{leader: n.leader}
+	n.jobs = &jobView{leadership: n.leadership, leader: n.leader}
+	n.zones = zoneView{leadership: n.leadership, leader: n.leader}
+	if features.Standby != nil {
+		n.addStandby(features.Standby)
+	}
+	if features.Membership != nil {
+		n.membership = newMembershipAgent(s.Member, s.Peers, network.DialPeer, *features.Membership, n.contact.surroundings)
+	}
+	n.peerHandler = &peerHandler{
+		member:     s.Member,
+		store:      n.store,
+		replica:    n.replica,
+		election:   n.election,
+		peers:      n.peers,
+		leadership: n.leadership,
+		jobs:       n.jobs,
+		zones:      n.zones,
+		standby:    n.standby,
+		membership: n.membership,
+	}
+	return n
+}
+
+// newPeers returns the peers of the settings. The handler is created after them, and they call
+// it only while the node runs.
+func (n *Node) newPeers() *peer.Peers {
 	clients := map[string]*peer.Client{}
-	for _, p := range s.Peers {
-		clients[p.Member] = peer.NewClient(p.Addr, o.DialPeer)
+	for _, p := range n.settings.Peers {
+		clients[p.Member] = peer.NewClient(p.Addr, n.network.DialPeer)
 	}
-	n.peers = peer.NewPeers(clients, n.makeProbe, n.handlePeerState)
+	return peer.NewPeers(clients,
+		func(sentCountsAt *micros.Micros) *peer.Probe { return n.peerHandler.makeProbe(sentCountsAt) },
+		func(state *peer.NodeState) { n.peerHandler.handlePeerState(state) })
+}
+
+// newElection returns the election. The standby is created after it, and it calls that only
+// while the node runs.
+func (n *Node) newElection() *election.Election {
 	config := election.Config{
-		Member:        s.Member,
+		Member:        n.settings.Member,
 		Store:         n.store,
 		Replica:       n.replica,
 		Peers:         n.peers,
 		MaxAbstention: peer.AbstentionTTL,
 		OnElected:     n.serveTerm,
 	}
-	if features.Standby != nil {
-		n.standby = newStandbyNode(n, features.Standby)
-		config.OnCampaign = n.standby.failover.CampaignStarted
-		config.YieldFor = n.standby.yieldFor
+	if n.features.Standby != nil {
+		config.OnCampaign = func() { n.standby.failover.CampaignStarted() }
+		config.YieldFor = func() micros.Micros { return n.handover.yieldFor() }
 	}
-	n.election = election.New(config)
-	if features.Membership != nil {
-		n.membership = newMembershipNode(n, *features.Membership)
+	return election.New(config)
+}
+
+// addStandby turns the warm standby on.
+func (n *Node) addStandby(s *settings.Standby) {
+	member := n.settings.Member
+	n.standby = &standbyAgent{
+		member:     member,
+		settings:   s,
+		election:   n.election,
+		peers:      n.peers,
+		leadership: n.leadership,
+		follower:   standby.NewFollower(member),
+		failover:   standby.NewFailover(),
+	}
+	n.handover = &handover{
+		member:     member,
+		timeout:    s.HandoverTimeout,
+		election:   n.election,
+		peers:      n.peers,
+		replica:    n.replica,
+		leadership: n.leadership,
+		follower:   n.standby.follower,
+		followers:  n.standby.followers,
+	}
+	n.forwarding.successor = &successorForwarding{
+		member:           member,
+		election:         n.election,
+		peers:            n.peers,
+		replica:          n.replica,
+		expectsSuccessor: n.standby.expectsSuccessor,
+		respondLocally:   n.leadership.respondToEncoded,
 	}
-	return n
 }
 
-// How the runtime uses the process's limits: most of the memory limit may be used before
-// the collector works hard; below it, few collections spare the small share of the processor.
+// How the runtime uses the process's limits: most of the memory limit may be used before the
+// collector works hard; below it, few collections spare the small share of the processor.
 const (
 	memoryShare = 0.6
 	gcPercent   = 300
+	mebibyte    = 1 << 20
 )
 
-// Times of the HTTP server's connections. Workers report far more often than a connection
-// may be idle.
+// Times of the HTTP server's connections. Workers send heartbeats far more often than a
+// connection may be idle.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
 
-// Run serves until ctx ends.
+// Run serves until ctx ends, and returns when all that it started has ended.
 func (n *Node) Run(ctx context.Context) error {
 	limits := n.settings.Params.Limits
-	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryShare * mebibyte))
 	debug.SetGCPercent(gcPercent)
 	ln, err := net.Listen("tcp", n.settings.ClientListen)
 	if err != nil {
@@ -149,7 +203,7 @@
 	wg.Go(func() { n.RunBackground(ctx) })
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
-	slog.Info("node started", "member", n.settings.Member, "listen", ln.Addr().String())
+	slog.Info("node started", "member", n.settings.Member, "address", ln.Addr().String())
 	err = server.Serve(ln)
 	if ctx.Err() == nil {
 		return fmt.Errorf("serve: %w", err)
@@ -158,7 +212,7 @@
 	return nil
 }
 
-// Handler answers users, workers and health checks.
+// Handler returns the handler that answers users, workers and health checks.
 func (n *Node) Handler() http.Handler {
 	return api.New(api.Config{
 		Node:           n,
@@ -166,22 +220,22 @@
 		Store:          n.store,
 		Batcher:        statestore.NewBatcher(n.store),
 		Replica:        n.replica,
-		RequestTimes:   n.times,
-		ForwardTimeout: n.heartbeatHoldTime(),
+		RequestTimes:   n.requestTimes,
+		ForwardTimeout: n.forwarding.timeout(),
 	})
 }
 
-// RunBackground does all that is not an answer to a request, until ctx ends.
+// RunBackground does all that is not an answer to a user's or worker's request, until ctx ends.
 func (n *Node) RunBackground(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { n.replica.Run(ctx) })
 	wg.Go(func() { n.election.Run(ctx) })
 	wg.Go(func() { n.peers.Run(ctx) })
-	wg.Go(func() { n.listenToPeers(ctx) })
-	wg.Go(func() { n.stayInContact(ctx) })
-	wg.Go(func() { n.times.Run(ctx) })
+	wg.Go(func() { n.peerHandler.serve(ctx, n.network.ListenForPeers) })
+	wg.Go(func() { n.contact.watch(ctx) })
+	wg.Go(func() { n.requestTimes.Run(ctx) })
 	if n.standby != nil {
-		wg.Go(func() { n.standby.follow(ctx) })
+		wg.Go(func() { n.standby.run(ctx) })
 	}
 	if n.membership != nil {
 		wg.Go(func() { n.membership.run(ctx) })
@@ -189,46 +243,7 @@
 	wg.Wait()
 }
 
-// askLeader sends a request to the leader known here.
-func (n *Node) askLeader(ctx context.Context, q peer.Request) (peer.Response, error) {
-	c := n.peers.Client(n.LeaderMember())
-	if c == nil {
-		return peer.Response{}, errNoLeader
-	}
-	return c.Ask(ctx, q)
-}
-
-// ForwardHeartbeat asks the leader for its answer to a report.
-func (n *Node) ForwardHeartbeat(ctx context.Context, report wire.Raw) (wire.Raw, error) {
-	if n.standby != nil {
-		return n.standby.forwardHeartbeat(ctx, report)
-	}
-	c := n.peers.Client(n.LeaderMember())
-	if c == nil {
-		return nil, errNoLeader
-	}
-	return c.ForwardHeartbeat(ctx, report)
-}
-
-// CanForward tells whether the leader answers this node.
-func (n *Node) CanForward() bool { return n.peers.IsReachable(n.LeaderMember()) }
-
-// ForwarderFor names the node that is to take a machine's reports for this one, which
-// leads; none if this node must do it itself. All nodes share the work of the
-// connections by rendezvous hashing, and the leader's part is its own work.
-func (n *Node) ForwarderFor(machine string) string {
-	best, bestWeight := "", uint32(0)
-	for _, member := range n.peers.Forwarders(n.election.HighestKnown().FencingToken) {
-		hash := fnv.New32a()
-		hash.Write([]byte(machine + " " + member))
-		if weight := hash.Sum32(); best == "" || weight > bestWeight {
-			best, bestWeight = member, weight
-		}
-	}
-	return best
-}
-
-// serveTerm is called by the election for each term.
+// serveTerm runs a leader for a term that this node won, until ctx ends.
 func (n *Node) serveTerm(ctx context.Context, t *election.Term) {
 	config := leader.Config{
 		Settings:          n.settings,
@@ -240,98 +255,34 @@
 		FencingToken:      t.FencingToken,
 		LeaderKeyRevision: t.LeaderKeyRevision,
 		WorkerClient:      &http.Client{Transport: n.network.WorkerTransport},
-		Zones:             n.newZonePolicy(),
-		IsIsolated:        n.isIsolated,
+		Zones:             newZonePolicy(n.features.Zones),
+		IsIsolated:        n.contact.isIsolated,
 	}
 	if n.standby != nil {
 		n.standby.beginTerm(t, &config)
 		defer n.standby.endTerm()
 	}
 	l := leader.New(config)
-	n.setLocalLeader(l)
-	defer n.setLocalLeader(nil)
+	n.leadership.setLocal(l)
+	defer n.leadership.setLocal(nil)
 	l.Run(ctx)
 }
 
-// setLocalLeader notes that this node leads, or with nil that it no longer does.
-func (n *Node) setLocalLeader(l *leader.Leader) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.localLeader = l
-	n.replica.SetLowLatency(l != nil || n.expectsLeaderChange)
-}
-
-// setExpectsLeaderChange notes whether this node expects the leader to change. It then follows the
-// state service as closely as a leader does.
-func (n *Node) setExpectsLeaderChange(suspects bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.expectsLeaderChange = suspects
-	n.replica.SetLowLatency(n.localLeader != nil || suspects)
-}
-
-// LocalLeader is this node's leader if it leads, else nil.
-func (n *Node) LocalLeader() api.Leader {
-	if l := n.leader(); l != nil {
-		return l
-	}
-	return nil // not an interface that holds a nil pointer
-}
-
-// leader is this node's leader if it leads, else nil.
-func (n *Node) leader() *leader.Leader {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.localLeader
-}
-
-// LeaderMember names the leader as known here: by the state service or, when
-// that cannot be reached, by a peer that knows of a higher token.
-func (n *Node) LeaderMember() string {
-	return n.election.HighestKnown().Member
-}
-
-// IsReady tells whether the node can take requests. Without the state service it
-// cannot, but when no peer can either, being skipped would not help anyone. A node that
-// hears of nobody, neither the state service nor a peer, is cut off: the others serve
-// its users better, who would only be told to come back later.
-func (n *Node) IsReady() bool {
-	return n.replica.IsLoaded() && (n.store.SinceLastResponse() < peer.FreshWithin || n.peers.AnyResponds() && !n.peers.AnyReachesStateService())
-}
-
-// Versions tells which versions serve.
-func (n *Node) Versions() peer.Versions { return n.peers.Versions(n.settings.Member) }
-
-// taskCountsTTL is how long the counts that the leader told last are shown.
-const taskCountsTTL = 5 * micros.Second
-
-// TaskCounts shows how far a job is.
-func (n *Node) TaskCounts(id string) (done, running int) {
-	if l := n.leader(); l != nil {
-		done, running, _ = l.TaskCounts(id)
-		return done, running
-	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if micros.Now()-n.taskCountsAt > taskCountsTTL {
-		return 0, 0
+// HandOverOnShutdown hands over, if this node leads, and waits until it has released the leader
+// key.
+func (n *Node) HandOverOnShutdown() {
+	to, err := n.HandOver()
+	if err != nil {
+		slog.Info("shutting down without a handover", "error", err)
+		return
 	}
-	c := n.taskCounts[id]
-	return c[0], c[1]
+	slog.Info("shutting down after a handover", "peer", to)
+	n.handover.awaitRelease()
 }
 
-// Explain asks the leader about a job.
-func (n *Node) Explain(ctx context.Context, id string) (explain.Explanation, error) {
-	if l := n.leader(); l != nil {
-		e, _ := l.Explain(id)
-		return e, nil
-	}
-	a, err := n.askLeader(ctx, peer.Request{Explain: id})
-	if err == nil && a.Explain == nil {
-		err = errNoExplanation
-	}
-	if err != nil {
-		return explain.Explanation{}, err
+// Leave announces to the other nodes that this one leaves, so that it is not suspected.
+func (n *Node) Leave() {
+	if n.membership != nil {
+		n.membership.leave()
 	}
-	return *a.Explain, nil
 }
--- a/peers.go
+++ b/peers.go
@@ -2,103 +2,125 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
+	"net"
 
+	"caperlatch/internal/election"
 	"caperlatch/internal/explain"
-	"caperlatch/internal/leader"
+	"caperlatch/internal/membership"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/peer"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/standby"
+	"caperlatch/internal/statestore"
 	"caperlatch/internal/wire"
+	"caperlatch/internal/zone"
 )
 
-// listenToPeers serves the other nodes. A node whose peers cannot reach it
-// still works, so a failure is only told.
-func (n *Node) listenToPeers(ctx context.Context) {
-	l, err := n.network.ListenForPeers()
+// peerHandler answers peers, and makes the probes that this node sends them.
+type peerHandler struct {
+	member     string // this node
+	store      *statestore.Client
+	replica    *replica.Replica
+	election   *election.Election
+	peers      *peer.Peers
+	leadership *localLeadership
+	jobs       *jobView
+	zones      zoneView
+	standby    *standbyAgent    // nil: off
+	membership *membershipAgent // nil: off
+}
+
+var _ peer.Handler = (*peerHandler)(nil)
+
+// serve answers the other nodes until ctx ends. A node whose peers cannot reach it still works,
+// so a failure to listen is only logged.
+func (h *peerHandler) serve(ctx context.Context, listen func() (net.Listener, error)) {
+	l, err := listen()
 	if err != nil {
-		slog.Error("peer_bind", "error", err)
+		slog.Error("listening for peers failed", "setting", "peer_bind", "error", err)
 		return
 	}
-	peer.Serve(ctx, l, n)
+	peer.Serve(ctx, l, h)
 }
 
-// makeProbe is what this node tells a peer when it asks it. Counts are sent once,
-// as encoding them for every probe took the leader a tenth of its processor.
-func (n *Node) makeProbe(told *micros.Micros) *peer.Probe {
-	p := &peer.Probe{Member: n.settings.Member, CancellationsSince: n.replica.CancelledThrough()}
-	highest := n.election.HighestKnown()
+// makeProbe returns the next probe to a peer; sentCountsAt is when the counts were made that it
+// was sent last. Counts are sent once, as encoding them for every probe took the leader a tenth
+// of its processor.
+func (h *peerHandler) makeProbe(sentCountsAt *micros.Micros) *peer.Probe {
+	p := &peer.Probe{Member: h.member, CancellationsSince: h.replica.CancelledThrough()}
+	highest := h.election.HighestKnown()
 	p.HighestToken, p.Leader = highest.FencingToken, highest.Member
-	if l := n.leader(); l != nil {
-		p.LeadershipInDoubt = !l.Term.HoldsSession()
-		if counts, at := l.AllTaskCounts(); at != *told {
-			p.TaskCounts, *told = counts, at
+	if local := h.leadership.local(); local != nil {
+		p.LeadershipInDoubt = !local.Term.HoldsSession()
+		if counts, at := local.AllTaskCounts(); at != *sentCountsAt {
+			p.TaskCounts, *sentCountsAt = counts, at
 		}
 	}
 	return p
 }
 
-// handlePeerState takes over what a peer tells.
-func (n *Node) handlePeerState(s *peer.NodeState) {
-	n.election.ObserveToken(s.HighestToken, s.Leader)
-	n.replica.AdoptCancellations(s.Cancellations, s.CancelledThrough)
-	if l := n.leader(); l != nil {
-		l.Supersede(s.HighestToken)
+// handlePeerState applies what a peer answered to a probe.
+func (h *peerHandler) handlePeerState(s *peer.NodeState) {
+	h.election.ObserveToken(s.HighestToken, s.Leader)
+	h.replica.AdoptCancellations(s.Cancellations, s.CancelledThrough)
+	if local := h.leadership.local(); local != nil {
+		local.Supersede(s.HighestToken)
 	}
 }
 
-// HandleProbe answers a peer. Once it has told a token, this node answers no worker
-// with a lower one. A node that hears from the state service does not abstain:
-// it would see the leader's session end.
-func (n *Node) HandleProbe(p *peer.Probe) *peer.NodeState {
-	n.election.ObserveToken(p.HighestToken, p.Leader)
+// HandleProbe answers a peer's probe. Once this node has sent a fencing token, it answers no
+// worker with a lower one. A node that the state service answers does not abstain: it would see
+// the leader's session end.
+func (h *peerHandler) HandleProbe(p *peer.Probe) *peer.NodeState {
+	h.election.ObserveToken(p.HighestToken, p.Leader)
 	if p.TaskCounts != nil {
-		n.mu.Lock()
-		n.taskCounts, n.taskCountsAt = p.TaskCounts, micros.Now()
-		n.mu.Unlock()
+		h.jobs.setTaskCounts(p.TaskCounts)
 	}
 	s := &peer.NodeState{
 		Version:            peer.Version,
-		Loaded:             n.replica.IsLoaded(),
-		SinceStateService:  n.store.SinceLastResponse(),
-		ForwardsHeartbeats: n.peers.IsReachable(p.Member),
+		Loaded:             h.replica.IsLoaded(),
+		SinceStateService:  h.store.SinceLastResponse(),
+		ForwardsHeartbeats: h.peers.IsReachable(p.Member),
 	}
-	highest := n.election.HighestKnown()
+	highest := h.election.HighestKnown()
 	s.HighestToken, s.Leader = highest.FencingToken, highest.Member
-	if l := n.leader(); l != nil {
-		l.Supersede(s.HighestToken)
+	if local := h.leadership.local(); local != nil {
+		local.Supersede(s.HighestToken)
 	}
-	if p.LeadershipInDoubt && n.store.IsUnreachable() && n.election.Abstain(peer.AbstentionTTL) {
+	if p.LeadershipInDoubt && h.store.IsUnreachable() && h.election.Abstain(peer.AbstentionTTL) {
 		s.AbstainFor = peer.AbstentionTTL
 	}
-	cancelled := n.replica.CancelledSince(p.CancellationsSince)
+	cancelled := h.replica.CancelledSince(p.CancellationsSince)
 	s.Cancellations, s.CancelledThrough, s.CancellationsComplete = cancelled.List, cancelled.KnownThrough, cancelled.Complete
 	return s
 }
 
-// HandleForwardedHeartbeat answers a report that a peer passes on.
-func (n *Node) HandleForwardedHeartbeat(report wire.Raw) (wire.Raw, error) {
-	l := n.leader()
-	if l == nil {
-		return nil, leader.ErrCannotRespond
-	}
-	var r wire.Heartbeat
-	if err := wire.Unmarshal(report, &r); err != nil {
-		return nil, fmt.Errorf("report: %w", err)
-	}
-	answer, err := l.HandleHeartbeat(&r)
-	if err != nil {
-		return nil, err
+// HandleForwardedHeartbeat has this node's leader answer a worker's heartbeat.
+func (h *peerHandler) HandleForwardedHeartbeat(heartbeat wire.Raw) (wire.Raw, error) {
+	return h.leadership.respondToEncoded(heartbeat)
+}
+
+// HandleExplain answers what this node's leader knows of a job.
+func (h *peerHandler) HandleExplain(job string) (explain.Explanation, error) {
+	return h.jobs.explainAsLeader(job)
+}
+
+// HandleZones answers with the view that this node's leader has of the zones.
+func (h *peerHandler) HandleZones() ([]zone.Status, error) { return h.zones.statusAsLeader() }
+
+// HandleStandbyQuery answers a follower with what this node's leader has decided.
+func (h *peerHandler) HandleStandbyQuery(q *standby.Query) *standby.Page {
+	if h.standby == nil {
+		return nil
 	}
-	return wire.Marshal(answer)
+	return h.standby.respondToQuery(q)
 }
 
-// HandleExplain tells a peer what the leader here knows of a job.
-func (n *Node) HandleExplain(job string) (explain.Explanation, error) {
-	l := n.leader()
-	if l == nil {
-		return explain.Explanation{}, errNotLeading
+// HandleMembershipHeartbeat applies a peer's heartbeat and answers with this node's.
+func (h *peerHandler) HandleMembershipHeartbeat(heartbeat *membership.Heartbeat) *membership.Heartbeat {
+	if h.membership == nil {
+		return nil
 	}
-	e, _ := l.Explain(job)
-	return e, nil
+	return h.membership.respond(heartbeat)
 }
--- a/zones.go
+++ b/zones.go
@@ -8,53 +8,47 @@
 	"caperlatch/internal/zone"
 )
 
-// newZonePolicy is the policy on zones of a new term.
-func (n *Node) newZonePolicy() zone.Policy {
-	if n.features.Zones == nil {
+// newZonePolicy returns the policy on zones of a new term; without a configuration it is the
+// default one.
+func newZonePolicy(config *zone.Config) zone.Policy {
+	if config == nil {
 		return zone.NewThreshold()
 	}
-	return zone.NewManager(*n.features.Zones)
+	return zone.NewManager(*config)
 }
 
-// isIsolated tells whether this node hears neither the state service nor most of its peers. What
-// it sees of zones then says more of itself.
-func (n *Node) isIsolated() bool {
-	if n.store.SinceLastResponse() < peer.FreshWithin {
-		return false
-	}
-	reachable := 0
-	for _, p := range n.settings.Peers {
-		if n.peers.IsReachable(p.Member) {
-			reachable++
-		}
-	}
-	return 2*reachable < len(n.settings.Peers)
+// zoneView is what a node shows of zones: the view of the leader, here or elsewhere.
+type zoneView struct {
+	leadership *localLeadership
+	leader     leaderClient
 }
 
-// ZoneStatus tells what the leader thinks of the zones.
-func (n *Node) ZoneStatus(ctx context.Context) ([]zone.Status, error) {
-	if n.leader() != nil {
-		return n.HandleZones()
+// status returns the leader's view of the zones, whichever node leads. The error is
+// api.ErrZonesOff if there is none.
+func (v zoneView) status(ctx context.Context) ([]zone.Status, error) {
+	if v.leadership.local() != nil {
+		return v.statusAsLeader()
 	}
-	answer, err := n.askLeader(ctx, peer.Request{Zones: true})
+	response, err := v.leader.ask(ctx, peer.Request{Zones: true})
 	switch {
 	case err != nil:
 		return nil, err
-	case answer.Zones == nil:
-		return nil, api.ErrZonesOff // also by a version before this one, which says nothing
+	case response.Zones == nil:
+		return nil, api.ErrZonesOff // also by an earlier version, which does not know the question
 	}
-	return answer.Zones, nil
+	return response.Zones, nil
 }
 
-// HandleZones tells a peer what the leader here thinks of the zones.
-func (n *Node) HandleZones() ([]zone.Status, error) {
-	l := n.leader()
-	if l == nil {
+// statusAsLeader returns the view of this node's leader. The error is errNotLeading without a
+// leader here.
+func (v zoneView) statusAsLeader() ([]zone.Status, error) {
+	local := v.leadership.local()
+	if local == nil {
 		return nil, errNotLeading
 	}
-	all := l.ZoneStatus()
-	if all == nil {
+	zones := local.ZoneStatus()
+	if zones == nil {
 		return nil, api.ErrZonesOff
 	}
-	return all, nil
+	return zones, nil
 }
