--- /dev/null
+++ b/cmd/caperlatch/check.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"fmt"
+
+	"github.com/spf13/cobra"
+
+	"caperlatch/internal/settings"
+)
+
+// checkCommand checks settings without running anything.
+func checkCommand() *cobra.Command {
+	var files featureFiles
+	cmd := &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a settings file, and those of tuning and of optional parts, if they are named",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			s, err := settings.Read(args[0])
+			if err != nil {
+				return err
+			}
+			if _, err := settings.ReadTuning(); err != nil {
+				return err
+			}
+			if _, err := files.read(s); err != nil {
+				return err
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "ok: member %s of %d nodes, %d teams\n", s.Member, len(s.Peers)+1, len(s.Params.Teams))
+			return nil
+		},
+	}
+	files.addFlags(cmd)
+	return cmd
+}
--- a/cmd/caperlatch/get.go
+++ b/cmd/caperlatch/client.go
@@ -3,12 +3,11 @@
 import (
 	"bytes"
 	"context"
+	"fmt"
 	"io"
 	"net/http"
 	"time"
 
-	"github.com/spf13/cobra"
-
 	"caperlatch/internal/wire"
 )
 
@@ -19,31 +18,6 @@
 	maxAnswer = 1 << 20
 )
 
-// nodeCommand is a command that asks a node, which the user may name.
-func nodeCommand(use, short string, args cobra.PositionalArgs, run func(cmd *cobra.Command, node string, args []string) error) *cobra.Command {
-	var node string
-	cmd := &cobra.Command{
-		Use:   use,
-		Short: short,
-		Args:  args,
-		RunE:  func(cmd *cobra.Command, args []string) error { return run(cmd, node, args) },
-	}
-	cmd.Flags().StringVar(&node, "node", "127.0.0.1:8080", "address of any node (its client_listen)")
-	return cmd
-}
-
-// statusCommand is a command that asks a node for a value at a path and prints it.
-func statusCommand[T any](use, short, method, path string, print func(io.Writer, *T)) *cobra.Command {
-	return nodeCommand(use, short, cobra.NoArgs, func(cmd *cobra.Command, node string, _ []string) error {
-		var status T
-		if err := ask(cmd.Context(), method, node, path, &status); err != nil {
-			return err
-		}
-		print(cmd.OutOrStdout(), &status)
-		return nil
-	})
-}
-
 // get asks a running node.
 func get(ctx context.Context, node, path string) (status int, body []byte, err error) {
 	return request(ctx, http.MethodGet, node, path, nil)
@@ -77,3 +51,19 @@
 	_, err = io.Copy(&b, io.LimitReader(resp.Body, maxAnswer))
 	return resp.StatusCode, b.Bytes(), err
 }
+
+// ask sends a request to a node and decodes its answer; any other status is an error.
+func ask(ctx context.Context, method, node, path string, out any) error {
+	status, body, err := request(ctx, method, node, path, nil)
+	if err != nil {
+		return err
+	}
+	if status == http.StatusOK {
+		return wire.Unmarshal(body, out)
+	}
+	var why wire.ErrorResponse
+	if err := wire.Unmarshal(body, &why); err != nil || why.Error == "" {
+		why.Error = fmt.Sprintf("%d %s (a version without it?)", status, http.StatusText(status))
+	}
+	return fmt.Errorf("%s answers: %s", node, why.Error)
+}
--- /dev/null
+++ b/cmd/caperlatch/feature_files_test.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"path/filepath"
+	"testing"
+)
+
+// TestFeatureFiles has the files of optional parts be checked with the settings, before
+// anything starts.
+func TestFeatureFiles(t *testing.T) {
+	config := writeFile(t, "settings.toml", `member = "host-0"
+client_listen = "127.0.0.1:8080"
+peer_bind = "127.0.0.1:8081"
+external = {cloud = "127.0.0.1:8082", state = "127.0.0.1:8083"}
+[params]
+zones = ["a", "b"]
+teams = [{name = "blue"}]
+workers = {report_s = 8.0, lease_s = 45.0, cancel_s = 75.0}
+state = {rps = 100.0, write_rps = 30.0, value_kb = 4.0, txn_ops = 8}
+cloud = {rps = 8.0, list_lag_s = 3.0}
+limits = {cpu = 1.0, mem_mb = 300.0, max_sockets = 1000}`)
+	const zones, standby = "--features=../../deploy/zones.xml", "--standby=../../deploy/standby.xml"
+	cases := []struct {
+		name  string
+		args  []string
+		wrong string
+	}{
+		{"none", nil, ""},
+		{"zones", []string{zones}, ""},
+		{"the standby by either", []string{standby}, ""},
+		{"the standby by its own, zones by the other", []string{zones, standby}, ""},
+		{"the standby by both", []string{"--features", writeFile(t, "both.xml", "<caperlatch><standby/><zones/></caperlatch>"), standby}, "both files"},
+		{"an unknown zone", []string{"--features", writeFile(t, "zone.xml", "<caperlatch><zones><exempt>c</exempt></zones></caperlatch>")}, "there is no zone c"},
+		{"no file", []string{"--features", filepath.Join(t.TempDir(), "none.xml")}, "none.xml"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			says := []string{"ok: member host-0"}
+			if c.wrong != "" {
+				says = nil
+			}
+			execute(t, says, c.wrong, append([]string{"check", config}, c.args...)...)
+		})
+	}
+}
--- a/cmd/caperlatch/main.go
+++ b/cmd/caperlatch/main.go
@@ -5,18 +5,11 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
-	"runtime/debug"
-	"strings"
 
 	"github.com/spf13/cobra"
-
-	"caperlatch"
-	"caperlatch/internal/settings"
 )
 
 func main() {
@@ -78,86 +71,3 @@
 		labCommand(), submitCommand(), jobsCommand(), cancelCommand())
 	return root
 }
-
-// runNode runs a node with the settings in a file until ctx ends, with the optional parts
-// that files turn on.
-func runNode(ctx context.Context, config string, files featureFiles) error {
-	if config == "" {
-		return fmt.Errorf("--config is missing")
-	}
-	setLogLevel()
-	s, err := settings.Read(config)
-	if err != nil {
-		return err
-	}
-	t, err := settings.ReadTuning()
-	if err != nil {
-		return err
-	}
-	if ctx == nil {
-		ctx = context.Background()
-	}
-	features, err := files.read(s)
-	if err != nil {
-		return err
-	}
-	node := caperlatch.NewNode(s, t, features)
-	if features.Standby == nil && features.Membership == nil {
-		return node.Run(ctx)
-	}
-	return runUntilTerminated(ctx, node)
-}
-
-// setLogLevel logs to standard error as much as LOG_LEVEL says.
-func setLogLevel() {
-	level := slog.LevelInfo
-	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
-	case "error":
-		level = slog.LevelError
-	case "debug":
-		level = slog.LevelDebug
-	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-}
-
-// checkCommand checks settings without running anything.
-func checkCommand() *cobra.Command {
-	var files featureFiles
-	cmd := &cobra.Command{
-		Use:   "check FILE",
-		Short: "Check a settings file, and those of tuning and of optional parts, if they are named",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			s, err := settings.Read(args[0])
-			if err != nil {
-				return err
-			}
-			if _, err := settings.ReadTuning(); err != nil {
-				return err
-			}
-			if _, err := files.read(s); err != nil {
-				return err
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "ok: member %s of %d nodes, %d teams\n", s.Member, len(s.Peers)+1, len(s.Params.Teams))
-			return nil
-		},
-	}
-	files.addFlags(cmd)
-	return cmd
-}
-
-// versionCommand prints the version of this program, unlike versionsCommand.
-func versionCommand() *cobra.Command {
-	return &cobra.Command{
-		Use:   "version",
-		Short: "Print the version",
-		Args:  cobra.NoArgs,
-		Run: func(cmd *cobra.Command, _ []string) {
-			version, goVersion := "(devel)", ""
-			if info, ok := debug.ReadBuildInfo(); ok {
-				version, goVersion = info.Main.Version, info.GoVersion
-			}
-			fmt.Fprintln(cmd.OutOrStdout(), "caperlatch", version, goVersion)
-		},
-	}
-}
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -1,68 +1,21 @@
 package main
 
 import (
-	"cmp"
-	"context"
 	"fmt"
 	"io"
 	"net/http"
-	"os/signal"
-	"syscall"
 
 	"github.com/spf13/cobra"
 
-	"caperlatch"
 	"caperlatch/internal/api"
 	"caperlatch/internal/standby"
-	"caperlatch/internal/wire"
 )
 
-// runUntilTerminated runs a node that hands over and leaves when it is told to end by SIGTERM.
-func runUntilTerminated(ctx context.Context, n *caperlatch.Node) error {
-	terminated, stop := signal.NotifyContext(ctx, syscall.SIGTERM)
-	defer stop()
-	running, end := context.WithCancel(ctx)
-	defer end()
-	go func() {
-		<-terminated.Done()
-		n.HandOverOnShutdown()
-		n.Leave()
-		end()
-	}()
-	return n.Run(running)
-}
-
 // standbyCommand asks a node how far the warm standby is.
 func standbyCommand() *cobra.Command {
 	return statusCommand("standby", "Say who leads, how far the others follow, and how the last take-over went", http.MethodGet, "/standby", printStandby)
 }
 
-// handoverCommand has a leader hand over.
-func handoverCommand() *cobra.Command {
-	return statusCommand("handover", "Have the leader on this machine hand over to the standby that is furthest", http.MethodPost, "/standby/handover", printHandover)
-}
-
-// printHandover writes whom a leader handed over to.
-func printHandover(w io.Writer, done *api.HandoverResponse) {
-	fmt.Fprintln(w, "handed over to", cmp.Or(done.To, "any node, as none follows closely"))
-}
-
-// ask sends a request to a node and decodes its answer; any other status is an error.
-func ask(ctx context.Context, method, node, path string, out any) error {
-	status, body, err := request(ctx, method, node, path, nil)
-	if err != nil {
-		return err
-	}
-	if status == http.StatusOK {
-		return wire.Unmarshal(body, out)
-	}
-	var why wire.ErrorResponse
-	if err := wire.Unmarshal(body, &why); err != nil || why.Error == "" {
-		why.Error = fmt.Sprintf("%d %s (a version without it?)", status, http.StatusText(status))
-	}
-	return fmt.Errorf("%s answers: %s", node, why.Error)
-}
-
 // printStandby writes a status for people.
 func printStandby(w io.Writer, s *api.StandbyStatus) {
 	fmt.Fprintf(w, "%s: %s, term %d led by %s\n", s.Member, s.Phase, s.FencingToken, s.Leader)
--- a/cmd/caperlatch/commands_test.go
+++ b/cmd/caperlatch/status_commands_test.go
@@ -1,12 +1,6 @@
 package main
 
 import (
-	"bytes"
-	"net/http"
-	"net/http/httptest"
-	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 
 	"caperlatch/internal/api"
@@ -15,50 +9,6 @@
 	"caperlatch/internal/zone"
 )
 
-// execute runs a command of the program. It must say something, or fail with an error that does.
-func execute(t *testing.T, says []string, wrong string, args ...string) {
-	t.Helper()
-	root := rootCommand()
-	var out bytes.Buffer
-	root.SetOut(&out)
-	root.SetArgs(args)
-	err := root.Execute()
-	if (err != nil) != (wrong != "") || err != nil && !strings.Contains(err.Error(), wrong) {
-		t.Errorf("error %v, want %q", err, wrong)
-	}
-	for _, want := range says {
-		if !strings.Contains(out.String(), want) {
-			t.Errorf("it does not say %q:\n%s", want, out.String())
-		}
-	}
-}
-
-// answering is the address of a node that answers one kind of request.
-func answering(t *testing.T, pattern string, answer func() (code int, body any)) (address string) {
-	mux := http.NewServeMux()
-	mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) {
-		code, body := answer()
-		b, err := wire.Marshal(body)
-		w.WriteHeader(code)
-		if _, wrote := w.Write(b); err != nil || wrote != nil {
-			t.Error(err, wrote)
-		}
-	})
-	server := httptest.NewServer(mux)
-	t.Cleanup(server.Close)
-	return strings.TrimPrefix(server.URL, "http://")
-}
-
-// writeFile writes a file into a folder of the test's.
-func writeFile(t *testing.T, name, text string) (path string) {
-	t.Helper()
-	path = filepath.Join(t.TempDir(), name)
-	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
 // TestStatusCommands has the commands tell what a node answers.
 func TestStatusCommands(t *testing.T) {
 	returning := zone.Status{
@@ -100,42 +50,3 @@
 		})
 	}
 }
-
-// TestFeatureFiles has the files of optional parts be checked with the settings, before
-// anything starts.
-func TestFeatureFiles(t *testing.T) {
-	config := writeFile(t, "settings.toml", `member = "host-0"
-client_listen = "127.0.0.1:8080"
-peer_bind = "127.0.0.1:8081"
-external = {cloud = "127.0.0.1:8082", state = "127.0.0.1:8083"}
-[params]
-zones = ["a", "b"]
-teams = [{name = "blue"}]
-workers = {report_s = 8.0, lease_s = 45.0, cancel_s = 75.0}
-state = {rps = 100.0, write_rps = 30.0, value_kb = 4.0, txn_ops = 8}
-cloud = {rps = 8.0, list_lag_s = 3.0}
-limits = {cpu = 1.0, mem_mb = 300.0, max_sockets = 1000}`)
-	const zones, standby = "--features=../../deploy/zones.xml", "--standby=../../deploy/standby.xml"
-	cases := []struct {
-		name  string
-		args  []string
-		wrong string
-	}{
-		{"none", nil, ""},
-		{"zones", []string{zones}, ""},
-		{"the standby by either", []string{standby}, ""},
-		{"the standby by its own, zones by the other", []string{zones, standby}, ""},
-		{"the standby by both", []string{"--features", writeFile(t, "both.xml", "<caperlatch><standby/><zones/></caperlatch>"), standby}, "both files"},
-		{"an unknown zone", []string{"--features", writeFile(t, "zone.xml", "<caperlatch><zones><exempt>c</exempt></zones></caperlatch>")}, "there is no zone c"},
-		{"no file", []string{"--features", filepath.Join(t.TempDir(), "none.xml")}, "none.xml"},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			says := []string{"ok: member host-0"}
-			if c.wrong != "" {
-				says = nil
-			}
-			execute(t, says, c.wrong, append([]string{"check", config}, c.args...)...)
-		})
-	}
-}
--- /dev/null
+++ b/cmd/caperlatch/version.go
@@ -0,0 +1,24 @@
+package main
+
+import (
+	"fmt"
+	"runtime/debug"
+
+	"github.com/spf13/cobra"
+)
+
+// versionCommand prints the version of this program, unlike versionsCommand.
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		Run: func(cmd *cobra.Command, _ []string) {
+			version, goVersion := "(devel)", ""
+			if info, ok := debug.ReadBuildInfo(); ok {
+				version, goVersion = info.Main.Version, info.GoVersion
+			}
+			fmt.Fprintln(cmd.OutOrStdout(), "caperlatch", version, goVersion)
+		},
+	}
+}
