--- a/cmd/caperlatch/check.go
+++ b/cmd/caperlatch/check.go
@@ -8,7 +8,7 @@
 	"caperlatch/internal/settings"
 )
 
-// checkCommand checks settings without running anything.
+// checkCommand returns the command that checks settings without running anything.
 func checkCommand() *cobra.Command {
 	var files featureFiles
 	cmd := &cobra.Command{
--- a/cmd/caperlatch/client.go
+++ b/cmd/caperlatch/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"fmt"
 	"io"
@@ -11,59 +12,77 @@
 	"caperlatch/internal/wire"
 )
 
+// defaultNode is the address of a node on this machine that listens where the example of settings says.
+const defaultNode = "127.0.0.1:8080"
+
 const (
-	// getTimeout is within what a node answers, also when it cannot reach the leader.
-	getTimeout = 5 * time.Second
-	// maxAnswer is how many bytes of an answer are read.
-	maxAnswer = 1 << 20
+	// requestTimeout is longer than a node takes to answer, also when it cannot reach the leader.
+	requestTimeout = 5 * time.Second
+	// maxResponseBytes is how much of a response's body is read.
+	maxResponseBytes = 1 << 20
 )
 
-// get asks a running node.
-func get(ctx context.Context, node, path string) (status int, body []byte, err error) {
-	return request(ctx, http.MethodGet, node, path, nil)
+// response is what a node answered.
+type response struct {
+	status int // of HTTP
+	body   []byte
 }
 
-// request sends a running node a request, with in as its body unless that is nil.
-func request(ctx context.Context, method, node, path string, in any) (status int, body []byte, err error) {
-	ctx, cancel := context.WithTimeout(ctx, getTimeout)
+// errorText returns the text of an error response, empty if it holds none.
+func (r *response) errorText() string {
+	var decoded wire.ErrorResponse
+	if err := wire.Unmarshal(r.body, &decoded); err != nil {
+		return ""
+	}
+	return decoded.Error
+}
+
+// statusText returns the status for people, as in "404 Not Found".
+func (r *response) statusText() string {
+	return fmt.Sprintf("%d %s", r.status, http.StatusText(r.status))
+}
+
+// request sends a request to a running node, with in as its body unless that is nil. Any status
+// is a response and no error.
+func request(ctx context.Context, method, node, path string, in any) (*response, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var content io.Reader
 	if in != nil {
 		encoded, err := wire.Marshal(in)
 		if err != nil {
-			return 0, nil, err
+			return nil, err
 		}
 		content = bytes.NewReader(encoded)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, content)
 	if err != nil {
-		return 0, nil, err
+		return nil, err
 	}
 	if in != nil {
 		req.Header.Set("Content-Type", wire.ContentType)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, nil, err
+		return nil, err
 	}
 	defer resp.Body.Close()
-	var b bytes.Buffer
-	_, err = io.Copy(&b, io.LimitReader(resp.Body, maxAnswer))
-	return resp.StatusCode, b.Bytes(), err
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	if err != nil {
+		return nil, err
+	}
+	return &response{status: resp.StatusCode, body: body}, nil
 }
 
-// ask sends a request to a node and decodes its answer; any other status is an error.
+// ask sends a request without a body to a node and decodes the response; any status but 200 is
+// an error.
 func ask(ctx context.Context, method, node, path string, out any) error {
-	status, body, err := request(ctx, method, node, path, nil)
+	resp, err := request(ctx, method, node, path, nil)
 	if err != nil {
 		return err
 	}
-	if status == http.StatusOK {
-		return wire.Unmarshal(body, out)
-	}
-	var why wire.ErrorResponse
-	if err := wire.Unmarshal(body, &why); err != nil || why.Error == "" {
-		why.Error = fmt.Sprintf("%d %s (a version without it?)", status, http.StatusText(status))
+	if resp.status == http.StatusOK {
+		return wire.Unmarshal(resp.body, out)
 	}
-	return fmt.Errorf("%s answers: %s", node, why.Error)
+	return fmt.Errorf("%s answers: %s", node, cmp.Or(resp.errorText(), resp.statusText()+" (a version without it?)"))
 }
--- a/cmd/caperlatch/feature_files.go
+++ b/cmd/caperlatch/feature_files.go
@@ -18,17 +18,18 @@
 	cmd.Flags().StringVar(&f.standby, "standby", "", "settings of the warm standby alone (XML)")
 }
 
-// args name the files to another process.
+// args returns the arguments that name the files to another process of this program.
 func (f *featureFiles) args() (args []string) {
-	for flag, file := range map[string]string{"--features": f.features, "--standby": f.standby} {
-		if file != "" {
-			args = append(args, flag, file)
-		}
+	if f.features != "" {
+		args = append(args, "--features", f.features)
+	}
+	if f.standby != "" {
+		args = append(args, "--standby", f.standby)
 	}
 	return args
 }
 
-// read reads the files for a deployment.
+// read returns the settings in the files, checked against those of a node.
 func (f *featureFiles) read(s *settings.Settings) (features settings.Features, err error) {
 	if f.features != "" {
 		if features, err = settings.ReadFeatures(f.features, &s.Params); err != nil {
--- a/cmd/caperlatch/handover.go
+++ b/cmd/caperlatch/handover.go
@@ -11,12 +11,12 @@
 	"caperlatch/internal/api"
 )
 
-// handoverCommand has a leader hand over.
+// handoverCommand returns the command that has a leader hand over.
 func handoverCommand() *cobra.Command {
 	return statusCommand("handover", "Have the leader on this machine hand over to the standby that is furthest", http.MethodPost, "/standby/handover", printHandover)
 }
 
-// printHandover writes whom a leader handed over to.
-func printHandover(w io.Writer, done *api.HandoverResponse) {
-	fmt.Fprintln(w, "handed over to", cmp.Or(done.To, "any node, as none follows closely"))
+// printHandover prints to whom a leader handed over.
+func printHandover(w io.Writer, r *api.HandoverResponse) {
+	fmt.Fprintln(w, "handed over to", cmp.Or(r.To, "any node, as none follows closely"))
 }
--- a/cmd/caperlatch/job_file.go
+++ b/cmd/caperlatch/job_file.go
@@ -8,7 +8,7 @@
 	"os"
 )
 
-// readJob reads a job's description.
+// readJob returns the description of a job in a file, as it is submitted.
 func readJob(in io.Reader, file string) (job map[string]any, err error) {
 	content, err := readFile(in, file)
 	if err != nil {
@@ -20,7 +20,7 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	for key, value := range job {
-		if job[key], err = number(value); err != nil {
+		if job[key], err = decodeNumber(value); err != nil {
 			return nil, fmt.Errorf("%s: %s: %w", file, key, err)
 		}
 	}
@@ -35,14 +35,15 @@
 	return os.ReadFile(file)
 }
 
-// number is a value, or the number that one stands for; counts stay whole.
-func number(value any) (any, error) {
-	text, is := value.(json.Number)
-	if !is {
+// decodeNumber returns a value or, for a number, an integer if it is one: counts must not be sent
+// as fractions.
+func decodeNumber(value any) (any, error) {
+	number, ok := value.(json.Number)
+	if !ok {
 		return value, nil
 	}
-	if n, err := text.Int64(); err == nil {
+	if n, err := number.Int64(); err == nil {
 		return n, nil
 	}
-	return text.Float64()
+	return number.Float64()
 }
--- a/cmd/caperlatch/jobs.go
+++ b/cmd/caperlatch/jobs.go
@@ -1,19 +1,12 @@
 package main
 
 import (
-	"errors"
 	"net/http"
 
 	"github.com/spf13/cobra"
 )
 
-// Errors of users' requests.
-var (
-	errNoAnswer   = errors.New("no node answers for sure; it may have been carried out, ask again")
-	errOutputForm = errors.New("--output must be text or json")
-)
-
-// jobCommand is a command that sends users' requests.
+// jobCommand returns a command that sends users' requests.
 func jobCommand(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, *jobClient, []string) error) *cobra.Command {
 	var c jobClient
 	cmd := &cobra.Command{
@@ -21,18 +14,17 @@
 		Short: short,
 		Args:  args,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if c.output != "text" && c.output != "json" {
-				return usage(errOutputForm)
+			if err := c.check(); err != nil {
+				return err
 			}
 			return run(cmd, &c, args)
 		},
 	}
-	cmd.Flags().StringSliceVar(&c.nodes, "node", []string{"127.0.0.1:8080"}, "addresses of nodes (their client_listen), any number")
-	cmd.Flags().StringVar(&c.output, "output", "text", "text or json")
+	c.addFlags(cmd)
 	return cmd
 }
 
-// submitCommand submits a job.
+// submitCommand returns the command that submits a job.
 func submitCommand() *cobra.Command {
 	return jobCommand("submit FILE", "Submit a job, described as in deploy/job.example.json; - reads standard input", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, c *jobClient, args []string) error {
@@ -44,7 +36,7 @@
 		})
 }
 
-// jobsCommand tells how jobs are.
+// jobsCommand returns the command that prints the status of jobs.
 func jobsCommand() *cobra.Command {
 	return jobCommand("jobs ID...", "Say how jobs are", cobra.MinimumNArgs(1),
 		func(cmd *cobra.Command, c *jobClient, args []string) error {
@@ -57,7 +49,7 @@
 		})
 }
 
-// cancelCommand cancels a job.
+// cancelCommand returns the command that cancels a job.
 func cancelCommand() *cobra.Command {
 	return jobCommand("cancel ID", "Cancel a job", cobra.ExactArgs(1),
 		func(cmd *cobra.Command, c *jobClient, args []string) error {
--- a/cmd/caperlatch/lab.go
+++ b/cmd/caperlatch/lab.go
@@ -14,7 +14,7 @@
 	"caperlatch/internal/sim/lab"
 )
 
-// labOptions are what a user of the lab chooses.
+// labOptions are what the user of the lab chooses.
 type labOptions struct {
 	lab.Options
 	files   featureFiles
@@ -29,11 +29,11 @@
 	labMachines = 40
 	labSeconds  = 25.0
 	labPort     = 8080
-	mostNodes   = 5
-	mostSeconds = 24 * 3600
+	maxNodes    = 5
+	maxSeconds  = 24 * 3600
 )
 
-// labCommand runs a whole cluster on this machine.
+// labCommand returns the commands that run a whole cluster on this machine.
 func labCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "lab",
@@ -43,7 +43,7 @@
 	return cmd
 }
 
-// labRunCommand plays a sample of jobs.
+// labRunCommand returns the command that has a cluster run a sample of jobs.
 func labRunCommand() *cobra.Command {
 	var o labOptions
 	cmd := o.command("run", "Have a cluster do a sample of jobs while its leader is killed, and tell how it went", o.run)
@@ -54,7 +54,7 @@
 	return cmd
 }
 
-// labUpCommand runs a cluster until it is interrupted.
+// labUpCommand returns the command that runs a cluster until it is interrupted.
 func labUpCommand() *cobra.Command {
 	o := labOptions{seconds: labSeconds}
 	cmd := o.command("up", "Run a cluster until Ctrl-C, and say how to use it",
@@ -63,7 +63,7 @@
 	return cmd
 }
 
-// command is a command that checks the options, prepares a lab and uses it.
+// command returns a command that checks the options, prepares a lab and uses it.
 func (o *labOptions) command(name, short string, use func(context.Context, *lab.Lab, io.Writer) error) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   name,
@@ -87,15 +87,15 @@
 	o.files.addFlags(cmd)
 }
 
-// check reads and checks all that was chosen, before anything starts.
+// check reads and checks all that was chosen, before anything is started.
 func (o *labOptions) check() error {
 	switch {
-	case o.Nodes != labNodes && o.Nodes != mostNodes:
-		return usage(fmt.Errorf("--nodes must be %d or %d", labNodes, mostNodes))
+	case o.Nodes != labNodes && o.Nodes != maxNodes:
+		return usage(fmt.Errorf("--nodes must be %d or %d", labNodes, maxNodes))
 	case o.Machines < 1:
 		return usage(fmt.Errorf("--machines must be at least 1"))
-	case !(o.seconds > 0 && o.seconds <= mostSeconds):
-		return usage(fmt.Errorf("--seconds must be over 0 and at most %d", mostSeconds))
+	case !(o.seconds > 0 && o.seconds <= maxSeconds):
+		return usage(fmt.Errorf("--seconds must be over 0 and at most %d", maxSeconds))
 	case o.Port < 0 || o.Port+o.Nodes > 1<<16:
 		return usage(fmt.Errorf("--port must be from 0 to %d", 1<<16-o.Nodes))
 	}
@@ -134,11 +134,7 @@
 	if err != nil {
 		return err
 	}
-	ctx := cmd.Context()
-	if ctx == nil {
-		ctx = context.Background()
-	}
-	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
+	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := use(ctx, l, cmd.OutOrStdout()); err != nil {
 		return fmt.Errorf("%w (settings and logs are in %s)", err, o.Dir)
@@ -146,7 +142,7 @@
 	return os.RemoveAll(o.Dir)
 }
 
-// run plays the sample and tells how it went.
+// run has the lab run the sample, and prints the outcome.
 func (o *labOptions) run(ctx context.Context, l *lab.Lab, out io.Writer) error {
 	summary, err := l.Run(ctx)
 	if err != nil {
--- a/cmd/caperlatch/main.go
+++ b/cmd/caperlatch/main.go
@@ -1,7 +1,7 @@
 // Command caperlatch runs and inspects a controller node.
 //
-// It owns the command line and what it prints. It does no work of a node itself: it runs
-// one of package caperlatch or asks a running one over HTTP.
+// It owns the command line, what the commands print and the exit codes. It must do no work of a
+// node itself: it runs one of package caperlatch or asks a running one over HTTP.
 package main
 
 import (
@@ -13,8 +13,7 @@
 )
 
 func main() {
-	root := rootCommand()
-	if err := root.Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "caperlatch:", err)
 		os.Exit(exitCode(err))
 	}
@@ -26,47 +25,37 @@
 	exitUsage  = 2
 )
 
-// usageError is a request that cannot be carried out as it stands; nothing was begun.
+// usageError is a request that cannot be carried out as it stands; nothing was started.
 type usageError struct{ error }
 
-// Unwrap is what is wrong.
+// Unwrap returns what is wrong.
 func (e usageError) Unwrap() error { return e.error }
 
 // usage marks an error as the user's.
 func usage(err error) error { return usageError{err} }
 
-// exitCode is the program's exit code after an error.
+// exitCode returns the program's exit code after an error.
 func exitCode(err error) int {
-	if errors.As(err, &usageError{}) {
+	var wrongUse usageError
+	if errors.As(err, &wrongUse) {
 		return exitUsage
 	}
 	return exitFailed
 }
 
-// rootCommand is the program with all its commands; without one it runs a node.
+// rootCommand returns the program with all its commands; without one it runs a node.
 func rootCommand() *cobra.Command {
-	var config string
-	var files featureFiles
-	run := func(cmd *cobra.Command, _ []string) error { return runNode(cmd.Context(), config, files) }
+	var files nodeFiles
 	root := &cobra.Command{
 		Use:           "caperlatch",
 		Short:         "A cluster scheduler that rents its machines",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
-		RunE:          run,
+		RunE:          files.run,
 	}
-	runCmd := &cobra.Command{
-		Use:   "run",
-		Short: "Run a node until it is killed",
-		Args:  cobra.NoArgs,
-		RunE:  run,
-	}
-	for _, cmd := range []*cobra.Command{root, runCmd} {
-		cmd.Flags().StringVar(&config, "config", "", "settings file (TOML)")
-		files.addFlags(cmd)
-	}
-	root.AddCommand(runCmd, checkCommand(), explainCommand(), versionsCommand(), versionCommand(),
+	files.addFlags(root)
+	root.AddCommand(runCommand(&files), checkCommand(), explainCommand(), versionsCommand(), versionCommand(),
 		standbyCommand(), handoverCommand(), zonesCommand(), membersCommand(),
 		labCommand(), submitCommand(), jobsCommand(), cancelCommand())
 	return root
--- a/cmd/caperlatch/members.go
+++ b/cmd/caperlatch/members.go
@@ -11,13 +11,13 @@
 	"caperlatch/internal/membership"
 )
 
-// membersCommand asks a node what it thinks of the others.
+// membersCommand returns the command that asks a node for its view of the others.
 func membersCommand() *cobra.Command {
 	return statusCommand("members", "Say which nodes are alive, suspected or failed, as a node sees them, and who else doubts them",
 		http.MethodGet, "/members", printMembers)
 }
 
-// printMembers writes what a node thinks of the others for people.
+// printMembers prints a node's view of the others for people.
 func printMembers(w io.Writer, s *membership.Status) {
 	fmt.Fprintf(w, "as %s sees them:\n", s.Member)
 	for i := range s.Members {
@@ -33,7 +33,7 @@
 		s.Member, s.Counts.Suspicions, s.Counts.Failures, s.Counts.Refuted)
 }
 
-// printMember writes what is thought of one member.
+// printMember prints the view of one member.
 func printMember(w io.Writer, m *membership.MemberStatus) {
 	fmt.Fprintf(w, "%s: %s for %.1f s, heard %.1f s ago", m.Member, m.State, m.SinceS, m.HeardS)
 	if m.RoundTripS > 0 {
--- a/cmd/caperlatch/node_command.go
+++ b/cmd/caperlatch/node_command.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// nodeCommand is a command that asks a node, which the user may name.
+// nodeCommand returns a command that asks a node, which the user may name.
 func nodeCommand(use, short string, args cobra.PositionalArgs, run func(cmd *cobra.Command, node string, args []string) error) *cobra.Command {
 	var node string
 	cmd := &cobra.Command{
@@ -15,18 +15,18 @@
 		Args:  args,
 		RunE:  func(cmd *cobra.Command, args []string) error { return run(cmd, node, args) },
 	}
-	cmd.Flags().StringVar(&node, "node", "127.0.0.1:8080", "address of any node (its client_listen)")
+	cmd.Flags().StringVar(&node, "node", defaultNode, "address of any node (its client_listen)")
 	return cmd
 }
 
-// statusCommand is a command that asks a node for a value at a path and prints it.
-func statusCommand[T any](use, short, method, path string, print func(io.Writer, *T)) *cobra.Command {
+// statusCommand returns a command that asks a node for a value at a path and prints it.
+func statusCommand[T any](use, short, method, path string, write func(io.Writer, *T)) *cobra.Command {
 	return nodeCommand(use, short, cobra.NoArgs, func(cmd *cobra.Command, node string, _ []string) error {
 		var status T
 		if err := ask(cmd.Context(), method, node, path, &status); err != nil {
 			return err
 		}
-		print(cmd.OutOrStdout(), &status)
+		write(cmd.OutOrStdout(), &status)
 		return nil
 	})
 }
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -11,12 +11,12 @@
 	"caperlatch/internal/standby"
 )
 
-// standbyCommand asks a node how far the warm standby is.
+// standbyCommand returns the command that asks a node how far the warm standby is.
 func standbyCommand() *cobra.Command {
 	return statusCommand("standby", "Say who leads, how far the others follow, and how the last take-over went", http.MethodGet, "/standby", printStandby)
 }
 
-// printStandby writes a status for people.
+// printStandby prints a status for people.
 func printStandby(w io.Writer, s *api.StandbyStatus) {
 	fmt.Fprintf(w, "%s: %s, term %d led by %s\n", s.Member, s.Phase, s.FencingToken, s.Leader)
 	if s.Leading {
@@ -29,11 +29,11 @@
 		printProgress(w, p)
 	}
 	if s.LastFailover != nil {
-		printRecord(w, s.LastFailover)
+		printFailover(w, s.LastFailover)
 	}
 }
 
-// printFollower writes how far a follower is behind a position.
+// printFollower prints how far a follower is behind a position.
 func printFollower(w io.Writer, position uint64, f standby.FollowerState) {
 	if !f.Complete {
 		fmt.Fprintf(w, "  %s: takes a snapshot, asked %.1f s ago\n", f.Member, f.AgeS)
@@ -42,7 +42,7 @@
 	fmt.Fprintf(w, "  %s: position %d, %d entries behind, asked %.1f s ago\n", f.Member, f.Position, position-min(position, f.Position), f.AgeS)
 }
 
-// printProgress writes how far the asked follower is.
+// printProgress prints how far the asked node is as a follower.
 func printProgress(w io.Writer, p *standby.Progress) {
 	state := "whole"
 	if !p.Complete {
@@ -57,8 +57,8 @@
 	}
 }
 
-// printRecord writes how a take-over went.
-func printRecord(w io.Writer, r *standby.Record) {
+// printFailover prints how a failover went.
+func printFailover(w io.Writer, r *standby.Record) {
 	kind := "cold"
 	switch {
 	case r.Evidence.HandedOver:
--- a/cmd/caperlatch/version.go
+++ b/cmd/caperlatch/version.go
@@ -7,7 +7,8 @@
 	"github.com/spf13/cobra"
 )
 
-// versionCommand prints the version of this program, unlike versionsCommand.
+// versionCommand returns the command that prints the version of this program, unlike
+// versionsCommand, which asks nodes.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
--- a/cmd/caperlatch/versions.go
+++ b/cmd/caperlatch/versions.go
@@ -12,51 +12,60 @@
 	"caperlatch/internal/wire"
 )
 
-// versionsCommand asks a node which versions serve.
+// nodeVersions is what a node says of itself and of the versions that the nodes speak. A node of
+// version 0 says nothing of versions: then they have no member.
+type nodeVersions struct {
+	isReady  bool
+	versions peer.Versions
+}
+
+// versionsCommand returns the command that asks a node which versions serve.
 func versionsCommand() *cobra.Command {
 	run := func(cmd *cobra.Command, node string, _ []string) error {
-		ready, v, err := askVersions(cmd.Context(), node)
+		v, err := askVersions(cmd.Context(), node)
 		if err != nil {
 			return err
 		}
-		printVersions(cmd.OutOrStdout(), node, ready, v)
+		printVersions(cmd.OutOrStdout(), node, v)
 		return nil
 	}
 	return nodeCommand("versions", "Say which nodes serve with which version", cobra.NoArgs, run)
 }
 
-// askVersions asks a node; one of version 0 does not tell any.
-func askVersions(ctx context.Context, node string) (ready bool, v peer.Versions, err error) {
-	status, body, err := get(ctx, node, "/ready")
+// askVersions asks a node.
+func askVersions(ctx context.Context, node string) (v nodeVersions, err error) {
+	resp, err := request(ctx, http.MethodGet, node, "/ready", nil)
 	if err != nil {
-		return false, v, err
+		return v, err
 	}
-	if status != http.StatusOK && status != http.StatusServiceUnavailable {
-		return false, v, fmt.Errorf("%s answers %d", node, status)
+	if resp.status != http.StatusOK && resp.status != http.StatusServiceUnavailable {
+		return v, fmt.Errorf("%s answers %d", node, resp.status)
 	}
-	if len(body) > 0 {
-		err = wire.Unmarshal(body, &v)
+	v.isReady = resp.status == http.StatusOK
+	if len(resp.body) > 0 {
+		err = wire.Unmarshal(resp.body, &v.versions)
 	}
-	return status == http.StatusOK, v, err
+	return v, err
 }
 
-// printVersions writes a line for each node.
-func printVersions(w io.Writer, node string, ready bool, v peer.Versions) {
+// printVersions prints a line for each node.
+func printVersions(w io.Writer, node string, v nodeVersions) {
 	state := "ready"
-	if !ready {
+	if !v.isReady {
 		state = "not ready"
 	}
-	if v.Member == "" {
+	all := v.versions
+	if all.Member == "" {
 		fmt.Fprintf(w, "%s: version 0 (it does not say), %s; ask a node of a later version for the others\n", node, state)
 		return
 	}
-	fmt.Fprintf(w, "%s: version %d, %s\n", v.Member, v.Version, state)
-	for _, p := range v.Peers {
+	fmt.Fprintf(w, "%s: version %d, %s\n", all.Member, all.Version, state)
+	for _, p := range all.Peers {
 		if p.Heard {
 			fmt.Fprintf(w, "%s: version %d\n", p.Member, p.Version)
 		} else {
-			fmt.Fprintf(w, "%s: not heard by %s, counts as version 0\n", p.Member, v.Member)
+			fmt.Fprintf(w, "%s: not heard by %s, counts as version 0\n", p.Member, all.Member)
 		}
 	}
-	fmt.Fprintf(w, "known to be spoken by all: version %d\n", v.Common)
+	fmt.Fprintf(w, "known to be spoken by all: version %d\n", all.Common)
 }
--- a/cmd/caperlatch/zones.go
+++ b/cmd/caperlatch/zones.go
@@ -14,12 +14,12 @@
 	"caperlatch/internal/zone"
 )
 
-// zonesCommand asks a node what the leader thinks of the zones.
+// zonesCommand returns the command that asks a node for the leader's view of the zones.
 func zonesCommand() *cobra.Command {
 	return statusCommand("zones", "Say which zones are lost or returning, why, and where their work is", http.MethodGet, "/zones", printZones)
 }
 
-// printZones writes the state of all zones for people.
+// printZones prints the state of all zones for people.
 func printZones(w io.Writer, s *api.ZonesStatus) {
 	fmt.Fprintf(w, "as %s sees them:\n", s.Leader)
 	for i := range s.Zones {
@@ -27,7 +27,7 @@
 	}
 }
 
-// printZone writes the state of a zone.
+// printZone prints the state of a zone.
 func printZone(w io.Writer, z *zone.Status) {
 	fmt.Fprintf(w, "%s: %s", z.Zone, z.State)
 	if z.Steps > 0 {
@@ -63,7 +63,7 @@
 	}
 }
 
-// byClass lists counts of tasks.
+// byClass lists counts of tasks, in the order of the classes' names.
 func byClass(tasks map[string]int) string {
 	var parts []string
 	for _, class := range slices.Sorted(maps.Keys(tasks)) {
