--- a/cmd/caperlatch/feature_files_test.go
+++ b/cmd/caperlatch/feature_files_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestFeatureFiles has the files of optional parts be checked with the settings, before
+// TestFeatureFiles checks that the files of optional parts are checked with the settings, before
 // anything starts.
 func TestFeatureFiles(t *testing.T) {
 	config := writeFile(t, "settings.toml", `member = "host-0"
@@ -21,9 +21,9 @@
 limits = {cpu = 1.0, mem_mb = 300.0, max_sockets = 1000}`)
 	const zones, standby = "--features=../../deploy/zones.xml", "--standby=../../deploy/standby.xml"
 	cases := []struct {
-		name  string
-		args  []string
-		wrong string
+		name      string
+		args      []string
+		wantError string
 	}{
 		{"none", nil, ""},
 		{"zones", []string{zones}, ""},
@@ -35,11 +35,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			says := []string{"ok: member host-0"}
-			if c.wrong != "" {
-				says = nil
+			wantOutput := []string{"ok: member host-0"}
+			if c.wantError != "" {
+				wantOutput = nil
 			}
-			execute(t, says, c.wrong, append([]string{"check", config}, c.args...)...)
+			checkCommandOutput(t, wantOutput, c.wantError, append([]string{"check", config}, c.args...)...)
 		})
 	}
 }
--- a/cmd/caperlatch/golden_test.go
+++ b/cmd/caperlatch/golden_test.go
@@ -22,7 +22,7 @@
 	"caperlatch/internal/wire"
 )
 
-// commandsBelow lists a command and all below it, in their order.
+// commandsBelow returns a command and all below it, in their order.
 func commandsBelow(cmd *cobra.Command) []*cobra.Command {
 	all := []*cobra.Command{cmd}
 	for _, below := range cmd.Commands() {
@@ -31,7 +31,7 @@
 	return all
 }
 
-// TestCommandLine has the commands, their flags and what they say of themselves be what they were.
+// TestCommandLine checks that the commands, their flags and their help are as before.
 func TestCommandLine(t *testing.T) {
 	var sections []golden.Section
 	for _, cmd := range commandsBelow(rootCommand()) {
@@ -40,7 +40,7 @@
 	}
 	for _, cmd := range commandsBelow(rootCommand()) {
 		path := strings.Fields(cmd.CommandPath())[1:]
-		said, err := say(append(path, "--help"), "")
+		said, err := runCommandLine(append(path, "--help"), "")
 		if err != nil {
 			t.Errorf("%v: %v", path, err)
 		}
@@ -49,8 +49,8 @@
 	golden.Check(t, "commands.golden", sections)
 }
 
-// say runs a command of the program with a standard input and returns what it says.
-func say(args []string, in string) (said string, err error) {
+// runCommandLine runs a command of the program with a standard input and returns what it prints.
+func runCommandLine(args []string, in string) (output string, err error) {
 	root := rootCommand()
 	var out bytes.Buffer
 	root.SetOut(&out)
@@ -60,12 +60,12 @@
 	return strings.TrimSuffix(out.String(), "\n"), err
 }
 
-// filled is a value with every field set.
+// filled returns a value with every field set.
 func filled[T any]() any { return golden.Filled(reflect.TypeFor[T]()).Interface() }
 
-// answered is a command and what a node answers it. Answers that are not filled are told by the
-// names that their fields have on the wire.
-type answered struct {
+// outputCase is a command and what a node answers it. Answers that are not filled are
+// given by the names that their fields have on the wire.
+type outputCase struct {
 	name   string
 	args   []string
 	status int // 200 if it is 0
@@ -75,11 +75,11 @@
 // fields are the fields of an answer, by their names on the wire.
 type fields = map[string]any
 
-// statusCases ask for the state of the cluster.
-func statusCases() (cases []answered) {
+// statusCases returns questions for the state of the cluster.
+func statusCases() (cases []outputCase) {
 	for _, c := range []struct {
 		command []string
-		whole   any
+		full    any
 		empty   any
 	}{
 		{[]string{"explain", "j-000412"}, filled[explain.Explanation](), explain.Explanation{}},
@@ -91,59 +91,59 @@
 	} {
 		name := c.command[0]
 		cases = append(cases,
-			answered{name + ", with all", c.command, 0, c.whole},
-			answered{name + ", with nothing", c.command, 0, c.empty},
-			answered{name + ", not now", c.command, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no leader known"}},
-			answered{name + ", not known", c.command, http.StatusNotFound, nil})
+			outputCase{name + ", with all", c.command, 0, c.full},
+			outputCase{name + ", with nothing", c.command, 0, c.empty},
+			outputCase{name + ", not now", c.command, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no leader known"}},
+			outputCase{name + ", not known", c.command, http.StatusNotFound, nil})
 	}
 	return append(cases,
-		answered{"explain, ended and long ago", []string{"explain", "j-000412"}, 0, fields{"job": "j-000412", "by": "host-1", "age_s": 3.25, "state": "done", "submitted": 1_000_000, "ended": 90_000_000}},
-		answered{"versions, one not heard", []string{"versions"}, http.StatusServiceUnavailable, fields{"member": "host-0", "version": 1, "common": 0,
+		outputCase{"explain, ended and long ago", []string{"explain", "j-000412"}, 0, fields{"job": "j-000412", "by": "host-1", "age_s": 3.25, "state": "done", "submitted": 1_000_000, "ended": 90_000_000}},
+		outputCase{"versions, one not heard", []string{"versions"}, http.StatusServiceUnavailable, fields{"member": "host-0", "version": 1, "common": 0,
 			"peers": []fields{{"member": "host-1", "heard": true, "version": 1}, {"member": "host-2"}}}},
-		answered{"versions, by one of the first version", []string{"versions"}, 0, nil},
-		answered{"standby, of a follower", []string{"standby"}, 0, fields{"member": "host-1", "leader": "host-0", "token": 3, "phase": "following",
+		outputCase{"versions, by one of the first version", []string{"versions"}, 0, nil},
+		outputCase{"standby, of a follower", []string{"standby"}, 0, fields{"member": "host-1", "leader": "host-0", "token": 3, "phase": "following",
 			"progress": fields{"token": 3, "position": 70, "lag_entries": 2, "lag_s": 0.25, "machines": 4, "tasks": 9}}},
-		answered{"standby, of a leader", []string{"standby"}, 0, fields{"member": "host-0", "leader": "host-0", "token": 3, "phase": "leading", "leading": true, "position": 72,
+		outputCase{"standby, of a leader", []string{"standby"}, 0, fields{"member": "host-0", "leader": "host-0", "token": 3, "phase": "leading", "leading": true, "position": 72,
 			"followers": []fields{{"member": "host-1", "position": 70, "whole": true, "age_s": 0.125}, {"member": "host-2", "age_s": 2.5}},
 			"last":      fields{"evidence": fields{"token": 3, "revision": 20, "read_through": 19}, "warm": true, "phases": []fields{{"phase": "reading", "took_s": 0.0625}}}}},
-		answered{"standby, cold", []string{"standby"}, 0, fields{"last": fields{"evidence": fields{"token": 3}}}},
-		answered{"handover, to one that follows", []string{"handover"}, 0, fields{"to": "host-2"}},
-		answered{"zones, one is well and one is held down", []string{"zones"}, 0, fields{"leader": "host-1", "zones": []fields{
+		outputCase{"standby, cold", []string{"standby"}, 0, fields{"last": fields{"evidence": fields{"token": 3}}}},
+		outputCase{"handover, to one that follows", []string{"handover"}, 0, fields{"to": "host-2"}},
+		outputCase{"zones, one is well and one is held down", []string{"zones"}, 0, fields{"leader": "host-1", "zones": []fields{
 			{"zone": "a", "state": "healthy", "reason": "its machines are heard", "open": 1.0}, {"zone": "b", "state": "held down", "since_s": 2.0, "hold_s": 3.0, "flaps": 1, "open": 0.25}}}},
-		answered{"members, some in doubt", []string{"members"}, 0, fields{"member": "host-0", "members": []fields{
+		outputCase{"members, some in doubt", []string{"members"}, 0, fields{"member": "host-0", "members": []fields{
 			{"member": "host-1", "state": "suspected", "since_s": 1.25, "heard_s": 4.25, "verdict_s": 2.125, "doubted_by": []string{"host-2"}},
 			{"member": "host-2", "state": "alive", "since_s": 60, "round_trip_s": 0.0005}}}},
 	)
 }
 
-// jobCases are users' requests, each with both forms of output.
-func jobCases() (cases []answered) {
+// jobCases returns users' requests, each with both forms of output.
+func jobCases() (cases []outputCase) {
 	for _, command := range [][]string{{"submit", "../../deploy/job.example.json"}, {"jobs", "j-000412", "j-000413"}, {"cancel", "j-000412"}} {
 		for _, output := range []string{"text", "json"} {
 			args := append(command[:len(command):len(command)], "--output", output)
 			name := command[0] + " as " + output
 			cases = append(cases,
-				answered{name + ", with all", args, 0, filled[wire.JobStatus]()},
-				answered{name + ", with the least", args, http.StatusCreated, fields{"id": "j-000412", "status": "pending"}},
-				answered{name + ", with counts of none", args, 0, fields{"id": "j-000412", "status": "running", "done": 0, "running": 0}},
-				answered{name + ", refused", args, http.StatusBadRequest, wire.ErrorResponse{Error: "lane is missing"}},
-				answered{name + ", not known", args, http.StatusNotFound, nil})
+				outputCase{name + ", with all", args, 0, filled[wire.JobStatus]()},
+				outputCase{name + ", with the least", args, http.StatusCreated, fields{"id": "j-000412", "status": "pending"}},
+				outputCase{name + ", with counts of none", args, 0, fields{"id": "j-000412", "status": "running", "done": 0, "running": 0}},
+				outputCase{name + ", refused", args, http.StatusBadRequest, wire.ErrorResponse{Error: "lane is missing"}},
+				outputCase{name + ", not known", args, http.StatusNotFound, nil})
 		}
 	}
 	return cases
 }
 
-// TestOutputs has each command that asks a node ask as it did, and say what it said.
+// TestOutputs checks that each command that asks a node sends and prints the same as before.
 func TestOutputs(t *testing.T) {
 	var sections []golden.Section
 	for _, c := range append(statusCases(), jobCases()...) {
-		sections = append(sections, golden.Section{Name: c.name, Text: c.said(t)})
+		sections = append(sections, golden.Section{Name: c.name, Text: c.record(t)})
 	}
 	golden.Check(t, "outputs.golden", sections)
 }
 
-// said is what a command asks for and says.
-func (c answered) said(t *testing.T) string {
+// record returns what a command sends and prints.
+func (c outputCase) record(t *testing.T) string {
 	t.Helper()
 	var said strings.Builder
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -169,7 +169,7 @@
 	}))
 	defer server.Close()
 	node := strings.TrimPrefix(server.URL, "http://")
-	out, err := say(append(c.args[:len(c.args):len(c.args)], "--node", node), "")
+	out, err := runCommandLine(append(c.args[:len(c.args):len(c.args)], "--node", node), "")
 	if out != "" {
 		fmt.Fprintln(&said, out)
 	}
@@ -179,7 +179,7 @@
 	return strings.TrimSuffix(strings.ReplaceAll(said.String(), node, "NODE"), "\n")
 }
 
-// TestCheckOutputs has check, version and wrong uses say what they said.
+// TestCheckOutputs checks that check, version and wrong uses print the same as before.
 func TestCheckOutputs(t *testing.T) {
 	const example = "../../deploy/settings.example.toml"
 	wrong := writeFile(t, "wrong.xml", "<caperlatch><zones><step>3</step></zones></caperlatch>")
@@ -204,7 +204,7 @@
 		{"nothing"},
 		{"--nothing"},
 	} {
-		said, err := say(args, "")
+		said, err := runCommandLine(args, "")
 		if err != nil {
 			said = strings.TrimPrefix(said+"\n", "\n") + fmt.Sprintf("fails with %d: %v", exitCode(err), err)
 		}
@@ -212,7 +212,7 @@
 		sections = append(sections, golden.Section{Name: line, Text: strings.ReplaceAll(said, wrong, "WRONG")})
 	}
 	golden.Check(t, "check.golden", sections)
-	if said, err := say([]string{"version"}, ""); err != nil || !strings.HasPrefix(said, "caperlatch ") {
+	if said, err := runCommandLine([]string{"version"}, ""); err != nil || !strings.HasPrefix(said, "caperlatch ") {
 		t.Errorf("version says %q, %v", said, err)
 	}
 }
--- a/cmd/caperlatch/helpers_test.go
+++ b/cmd/caperlatch/helpers_test.go
@@ -12,26 +12,27 @@
 	"caperlatch/internal/wire"
 )
 
-// execute runs a command of the program. It must say something, or fail with an error that does.
-func execute(t *testing.T, says []string, wrong string, args ...string) {
+// checkCommandOutput runs a command of the program, which must print all of wantOutput and, unless
+// wantError is empty, fail with an error that holds it.
+func checkCommandOutput(t *testing.T, wantOutput []string, wantError string, args ...string) {
 	t.Helper()
 	root := rootCommand()
 	var out bytes.Buffer
 	root.SetOut(&out)
 	root.SetArgs(args)
 	err := root.Execute()
-	if (err != nil) != (wrong != "") || err != nil && !strings.Contains(err.Error(), wrong) {
-		t.Errorf("error %v, want %q", err, wrong)
+	if (err != nil) != (wantError != "") || err != nil && !strings.Contains(err.Error(), wantError) {
+		t.Errorf("error %v, want %q", err, wantError)
 	}
-	for _, want := range says {
+	for _, want := range wantOutput {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("it does not say %q:\n%s", want, out.String())
+			t.Errorf("the output lacks %q:\n%s", want, out.String())
 		}
 	}
 }
 
-// answering is the address of a node that answers one kind of request.
-func answering(t *testing.T, pattern string, answer func() (code int, body any)) (address string) {
+// serveAnswers returns the address of a node that answers one kind of request.
+func serveAnswers(t *testing.T, pattern string, answer func() (code int, body any)) (address string) {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) {
 		code, body := answer()
@@ -46,7 +47,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// writeFile writes a file into a folder of the test's.
+// writeFile writes a file into a directory of the test's.
 func writeFile(t *testing.T, name, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
--- a/cmd/caperlatch/job_client_test.go
+++ b/cmd/caperlatch/job_client_test.go
@@ -6,14 +6,14 @@
 	"caperlatch/internal/wire"
 )
 
-// TestSubmitRetries has users' requests be repeated at the next node where the protocol says so.
+// TestSubmitRetries checks that users' requests are repeated where the protocol says so.
 func TestSubmitRetries(t *testing.T) {
 	cases := []struct {
-		name  string
-		codes []int // of the answers, the last one for ever
-		asked int
-		says  []string
-		wrong string
+		name       string
+		codes      []int // of the answers; the last one is repeated
+		asked      int
+		wantOutput []string
+		wantError  string
 	}{
 		{"at once", []int{201}, 1, []string{"j-100001: pending"}, ""},
 		{"known already", []int{200}, 1, []string{"j-100001: pending"}, ""},
@@ -23,11 +23,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			asked := 0
-			node := answering(t, "POST /v1/jobs", func() (int, any) {
+			node := serveAnswers(t, "POST /v1/jobs", func() (int, any) {
 				asked++
 				return c.codes[min(asked, len(c.codes))-1], wire.JobStatus{ID: "j-100001", Status: wire.JobPending}
 			})
-			execute(t, c.says, c.wrong, "submit", "--node", node, "../../deploy/job.example.json")
+			checkCommandOutput(t, c.wantOutput, c.wantError, "submit", "--node", node, "../../deploy/job.example.json")
 			if asked != c.asked {
 				t.Errorf("asked %d times, want %d", asked, c.asked)
 			}
--- a/cmd/caperlatch/lab_test.go
+++ b/cmd/caperlatch/lab_test.go
@@ -55,7 +55,7 @@
 	return string(b), cmd.ProcessState.ExitCode()
 }
 
-// TestLabRun has a small cluster do jobs while its leader is killed.
+// TestLabRun has a small cluster run jobs while its leader is killed.
 func TestLabRun(t *testing.T) {
 	t.Parallel()
 	report := filepath.Join(t.TempDir(), "report.html")
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestLabRefuses has the lab refuse what cannot be carried out, before it starts anything.
-func TestLabRefuses(t *testing.T) {
+// TestLabRejectsWrongUse checks that the lab rejects what cannot be carried out, before it starts
+// anything.
+func TestLabRejectsWrongUse(t *testing.T) {
 	t.Parallel()
 	faults := writeFile(t, "faults.toml", "[[fault]]\nkind = \"explode\"\n")
 	for _, c := range []struct {
@@ -119,7 +120,7 @@
 				t.Fatal(err)
 			}
 			defer cmd.Process.Kill()
-			address, children := readUp(t, bufio.NewScanner(out))
+			address, children := readLabAddresses(t, bufio.NewScanner(out))
 			if end == syscall.SIGTERM {
 				useJobs(t, address)
 			}
@@ -130,14 +131,14 @@
 				t.Errorf("ended: %v", err)
 			}
 			for _, pid := range children {
-				awaitGone(t, pid)
+				awaitProcessEnd(t, pid)
 			}
 		})
 	}
 }
 
-// readUp reads where the first node answers, and the nodes' processes.
-func readUp(t *testing.T, lines *bufio.Scanner) (address string, pids []int) {
+// readLabAddresses returns where the first node answers, and the nodes' processes.
+func readLabAddresses(t *testing.T, lines *bufio.Scanner) (address string, pids []int) {
 	t.Helper()
 	for lines.Scan() {
 		var host, at string
@@ -153,7 +154,7 @@
 		}
 	}
 	if len(pids) != labNodes {
-		t.Fatalf("%d processes told", len(pids))
+		t.Fatalf("%d processes announced", len(pids))
 	}
 	return address, pids
 }
@@ -180,8 +181,8 @@
 	}
 }
 
-// awaitGone waits until a process is no more, or has ended and nobody has asked how.
-func awaitGone(t *testing.T, pid int) {
+// awaitProcessEnd waits until a process does not exist, or is a zombie.
+func awaitProcessEnd(t *testing.T, pid int) {
 	t.Helper()
 	for range 100 {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
