--- a/cmd/caperlatch/job_client_test.go
+++ b/cmd/caperlatch/job_client_test.go
@@ -18,7 +18,7 @@
 		{"at once", []int{201}, 1, []string{"j-100001: pending"}, ""},
 		{"known already", []int{200}, 1, []string{"j-100001: pending"}, ""},
 		{"overload, then an outage", []int{429, 503, 201}, 3, []string{"j-100001: pending"}, ""},
-		{"refused", []int{400}, 1, nil, "bad request"},
+		{"rejected", []int{400}, 1, nil, "bad request"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
