--- a/cmd/caperlatch/client.go
+++ b/cmd/caperlatch/client.go
@@ -34,7 +34,7 @@
 	if err := wire.Unmarshal(r.body, &decoded); err != nil {
 		return ""
 	}
-	return decoded.Error
+	return decoded.Message
 }
 
 // statusText returns the status for people, as in "404 Not Found".
--- a/cmd/caperlatch/golden_test.go
+++ b/cmd/caperlatch/golden_test.go
@@ -93,7 +93,7 @@
 		cases = append(cases,
 			outputCase{name + ", with all", c.command, 0, c.full},
 			outputCase{name + ", with nothing", c.command, 0, c.empty},
-			outputCase{name + ", not now", c.command, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no leader known"}},
+			outputCase{name + ", not now", c.command, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "no leader known"}},
 			outputCase{name + ", not known", c.command, http.StatusNotFound, nil})
 	}
 	return append(cases,
@@ -126,7 +126,7 @@
 				outputCase{name + ", with all", args, 0, filled[wire.JobStatus]()},
 				outputCase{name + ", with the least", args, http.StatusCreated, fields{"id": "j-000412", "status": "pending"}},
 				outputCase{name + ", with counts of none", args, 0, fields{"id": "j-000412", "status": "running", "done": 0, "running": 0}},
-				outputCase{name + ", refused", args, http.StatusBadRequest, wire.ErrorResponse{Error: "lane is missing"}},
+				outputCase{name + ", refused", args, http.StatusBadRequest, wire.ErrorResponse{Message: "lane is missing"}},
 				outputCase{name + ", not known", args, http.StatusNotFound, nil})
 		}
 	}
--- a/cmd/caperlatch/job_client.go
+++ b/cmd/caperlatch/job_client.go
@@ -63,7 +63,7 @@
 	if c.output == outputJSON {
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(status)
 	}
-	line := status.ID + ": " + status.Status
+	line := status.ID + ": " + status.State
 	if status.Done != nil && status.Running != nil {
 		line += fmt.Sprintf(", %d tasks done, %d running", *status.Done, *status.Running)
 	}
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -48,7 +48,7 @@
 	if !p.Complete {
 		state = "taking a snapshot"
 	}
-	fmt.Fprintf(w, "  follows term %d: position %d, %s, %d machines, %d tasks\n", p.Token, p.Position, state, p.Machines, p.Tasks)
+	fmt.Fprintf(w, "  follows term %d: position %d, %s, %d machines, %d tasks\n", p.FencingToken, p.Position, state, p.Machines, p.Tasks)
 	if p.LagS >= 0 {
 		fmt.Fprintf(w, "  behind: %d entries, %.1f s\n", p.LagEntries, p.LagS)
 	}
@@ -58,7 +58,7 @@
 }
 
 // printFailover prints how a failover went.
-func printFailover(w io.Writer, r *standby.Record) {
+func printFailover(w io.Writer, r *standby.FailoverRecord) {
 	kind := "cold"
 	switch {
 	case r.Evidence.HandedOver:
@@ -67,7 +67,7 @@
 		kind = "warm"
 	}
 	fmt.Fprintf(w, "  last take-over here: token %d, %s; key taken at revision %d, read through %d\n",
-		r.Evidence.Token, kind, r.Evidence.Revision, r.Evidence.ReadThrough)
+		r.Evidence.FencingToken, kind, r.Evidence.Revision, r.Evidence.ReadThrough)
 	for _, p := range r.Phases {
 		fmt.Fprintf(w, "    %s after %.3f s\n", p.Phase, p.TookS)
 	}
--- a/cmd/caperlatch/versions.go
+++ b/cmd/caperlatch/versions.go
@@ -61,7 +61,7 @@
 	}
 	fmt.Fprintf(w, "%s: version %d, %s\n", all.Member, all.Version, state)
 	for _, p := range all.Peers {
-		if p.Heard {
+		if p.Responding {
 			fmt.Fprintf(w, "%s: version %d\n", p.Member, p.Version)
 		} else {
 			fmt.Fprintf(w, "%s: not heard by %s, counts as version 0\n", p.Member, all.Member)
--- a/contact.go
+++ b/contact.go
@@ -59,8 +59,8 @@
 }
 
 // surroundings returns what the state service says of the members.
-func (c *contact) surroundings() membership.Surroundings {
-	around := membership.Surroundings{StoreHeard: c.hasStateService()}
+func (c *contact) surroundings() membership.Environment {
+	around := membership.Environment{StateServiceReachable: c.hasStateService()}
 	if micros.Now()-c.replica.CurrentAsOf() < peer.FreshWithin {
 		if l, modRevision := c.election.Leader(); modRevision != 0 {
 			around.Leader = l.Member
@@ -105,7 +105,7 @@
 	}
 	for _, p := range c.peers.Versions(c.member).Peers {
 		previous, known := logged.versions[p.Member]
-		if p.Heard && (!known || previous != p.Version) {
+		if p.Responding && (!known || previous != p.Version) {
 			logged.versions[p.Member] = p.Version
 			slog.Info("peer version changed", "peer", p.Member, "version", p.Version, "own_version", peer.Version)
 		}
--- a/forwarding.go
+++ b/forwarding.go
@@ -58,7 +58,7 @@
 // rendezvous hashing, and the leader's share is its own work.
 func (f *forwarding) forwarderFor(machine string) string {
 	best, bestWeight := "", uint32(0)
-	for _, member := range f.leader.peers.Forwarders(f.leader.election.HighestKnown().FencingToken) {
+	for _, member := range f.leader.peers.Forwarders(f.leader.election.HighestKnownLeader().FencingToken) {
 		hash := fnv.New32a()
 		hash.Write([]byte(machine + " " + member))
 		if weight := hash.Sum32(); best == "" || weight > bestWeight {
@@ -86,9 +86,9 @@
 // rejected instead came back a second later, and one whose heartbeat was with a leader that
 // had stopped answering after 2.5 s.
 func (f *successorForwarding) forward(ctx context.Context, heartbeat wire.Raw) (wire.Raw, error) {
-	firstToken := f.election.HighestKnown().FencingToken
+	firstToken := f.election.HighestKnownLeader().FencingToken
 	for {
-		known := f.election.HighestKnown()
+		known := f.election.HighestKnownLeader()
 		response, err := f.forwardTo(ctx, known, heartbeat)
 		if err == nil || ctx.Err() != nil {
 			return response, err
@@ -115,7 +115,7 @@
 	defer cancel()
 	// It ends with ctx at the latest, and nobody waits for it: it only reads and cancels.
 	go func() {
-		for ctx.Err() == nil && f.election.HighestKnown().FencingToken <= to.FencingToken {
+		for ctx.Err() == nil && f.election.HighestKnownLeader().FencingToken <= to.FencingToken {
 			select {
 			case <-ctx.Done():
 			case <-f.replica.Changed():
--- a/handover.go
+++ b/handover.go
@@ -115,12 +115,12 @@
 // isBetweenLeaders reports whether the known leader has handed over and nobody is known to lead
 // yet.
 func (h *handover) isBetweenLeaders() bool {
-	highest := h.election.HighestKnown()
+	highest := h.election.HighestKnownLeader()
 	if highest.Member == h.member {
 		handedOverAt := h.lastHandedOverAt()
 		return handedOverAt != 0 && micros.Now()-handedOverAt < yieldAfterHandover
 	}
-	return h.follower.HandedOverIn(highest.FencingToken)
+	return h.follower.HasHandedOver(highest.FencingToken)
 }
 
 // awaitRelease waits, after a handover, until the session of the leader key has been released.
--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -28,16 +28,16 @@
 	case err != nil:
 		return respondUnavailable(c)
 	case job.IsFinal():
-		return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
+		return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: job.State})
 	}
 	err = h.storeCancellation(ctx, id, job)
 	switch {
 	case err == nil:
-		return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: wire.JobCancelled})
+		return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: wire.JobCancelled})
 	case errors.Is(err, statestore.ErrConflict):
 		// A job's key changes once after its creation, when the job ends: a read shows how.
 		if job, err = h.currentJob(ctx, id); err == nil && job.IsFinal() {
-			return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
+			return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: job.State})
 		}
 	}
 	slog.Debug("cancellation not stored", "job", id, "error", err)
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -70,12 +70,12 @@
 
 // jobStatus returns what users are shown of a job.
 func (h *jobHandlers) jobStatus(id string, job replica.Job) wire.JobStatus {
-	s := wire.JobStatus{ID: id, Status: job.State}
+	s := wire.JobStatus{ID: id, State: job.State}
 	if !job.IsFinal() {
 		done, running := h.progress.TaskCounts(id)
 		s.Done, s.Running = &done, &running
 		if running > 0 {
-			s.Status = wire.JobRunning
+			s.State = wire.JobRunning
 		}
 	}
 	return s
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -47,10 +47,10 @@
 // respondRetryLater answers a user when to try again.
 func respondRetryLater(c echo.Context, status int) error {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(int(statestore.RetryAfter/micros.Second)))
-	return respond(c, status, wire.ErrorResponse{Error: "come back later"})
+	return respond(c, status, wire.ErrorResponse{Message: "come back later"})
 }
 
 // respondError answers with the text of an error.
 func respondError(c echo.Context, status int, err error) error {
-	return respond(c, status, wire.ErrorResponse{Error: err.Error()})
+	return respond(c, status, wire.ErrorResponse{Message: err.Error()})
 }
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -39,7 +39,7 @@
 	// Of a follower.
 	Progress *standby.Progress `json:"progress,omitempty"`
 	// LastFailover is the last failover to this node, nil if it never led.
-	LastFailover *standby.Record `json:"last,omitempty"`
+	LastFailover *standby.FailoverRecord `json:"last,omitempty"`
 }
 
 // HandoverResponse is the answer to a request to hand over.
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -117,7 +117,7 @@
 	switch {
 	case err == nil:
 		h.replica.ApplyPut(key, job, revision)
-		return respond(c, http.StatusCreated, wire.JobStatus{ID: id, Status: wire.JobPending})
+		return respond(c, http.StatusCreated, wire.JobStatus{ID: id, State: wire.JobPending})
 	case errors.Is(err, statestore.ErrConflict):
 		return h.respondWithJobStatus(c, id)
 	case errors.Is(err, statestore.ErrRejected):
--- a/jobs.go
+++ b/jobs.go
@@ -54,14 +54,14 @@
 	if e, err := v.explainAsLeader(id); err == nil {
 		return e, nil
 	}
-	response, err := v.leader.ask(ctx, peer.Request{Explain: id})
-	if err == nil && response.Explain == nil {
+	response, err := v.leader.ask(ctx, peer.Request{ExplainJob: id})
+	if err == nil && response.Explanation == nil {
 		err = errNoExplanation
 	}
 	if err != nil {
 		return explain.Explanation{}, err
 	}
-	return *response.Explain, nil
+	return *response.Explanation, nil
 }
 
 // explainAsLeader returns what this node's leader knows of a job. The error is errNotLeading
--- a/leadership.go
+++ b/leadership.go
@@ -83,7 +83,7 @@
 
 // member returns the member that leads as known here: by the state service or, when that
 // cannot be reached, by a peer that knows of a higher fencing token.
-func (c leaderClient) member() string { return c.election.HighestKnown().Member }
+func (c leaderClient) member() string { return c.election.HighestKnownLeader().Member }
 
 // client returns the client of the leader. The error is errNoLeader if none is known, or if it
 // is this node.
@@ -101,5 +101,5 @@
 	if err != nil {
 		return peer.Response{}, err
 	}
-	return client.Ask(ctx, q)
+	return client.Call(ctx, q)
 }
--- a/membership.go
+++ b/membership.go
@@ -28,22 +28,22 @@
 	config membership.Config
 	// clients have streams of their own: those of probes end after a second without an answer,
 	// which a slow path may well take.
-	clients      map[string]*peer.Client        // by member
-	surroundings func() membership.Surroundings // what the state service says of the members
+	clients      map[string]*peer.Client       // by member
+	surroundings func() membership.Environment // what the state service says of the members
 
 	mu       sync.Mutex
 	detector *membership.Detector
 }
 
 // newMembershipAgent returns the agent of a member that has not sent any heartbeat.
-func newMembershipAgent(member string, peers []settings.Peer, dial peer.Dial, config membership.Config, surroundings func() membership.Surroundings) *membershipAgent {
+func newMembershipAgent(member string, peers []settings.Peer, dial peer.Dial, config membership.Config, surroundings func() membership.Environment) *membershipAgent {
 	a := &membershipAgent{config: config, clients: map[string]*peer.Client{}, surroundings: surroundings}
 	var others []string
 	for _, p := range peers {
 		others = append(others, p.Member)
 		a.clients[p.Member] = peer.NewClient(p.Addr, dial)
 	}
-	a.detector = membership.New(member, others, config, uint64(micros.Wall()), micros.Now())
+	a.detector = membership.NewDetector(member, others, config, uint64(micros.Wall()), micros.Now())
 	return a
 }
 
@@ -53,7 +53,7 @@
 	for member, client := range a.clients {
 		wg.Go(func() { a.sendHeartbeats(ctx, member, client) })
 	}
-	micros.Every(ctx, a.config.Interval, a.judge)
+	micros.Every(ctx, a.config.HeartbeatInterval, a.judge)
 	wg.Wait()
 }
 
@@ -64,7 +64,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	pending := make(chan struct{}, maxPendingHeartbeats)
-	micros.Every(ctx, a.config.Interval, func() {
+	micros.Every(ctx, a.config.HeartbeatInterval, func() {
 		select {
 		case pending <- struct{}{}:
 		default:
@@ -83,15 +83,15 @@
 	defer cancel()
 	sentAt := micros.Now()
 	heartbeat := a.heartbeat()
-	response, err := client.Ask(ctx, peer.Request{Heartbeat: &heartbeat})
+	response, err := client.Call(ctx, peer.Request{MembershipHeartbeat: &heartbeat})
 	if err != nil {
 		slog.Debug("membership heartbeat failed", "peer", member, "error", err)
 		return
 	}
 	a.update(func(d *membership.Detector, now micros.Micros) {
-		d.Answered(now, member, now-sentAt)
-		if response.Heartbeat != nil {
-			d.Receive(now, response.Heartbeat)
+		d.HandleAck(now, member, now-sentAt)
+		if response.MembershipHeartbeat != nil {
+			d.HandleHeartbeat(now, response.MembershipHeartbeat)
 		}
 	})
 }
@@ -105,7 +105,7 @@
 
 // respond applies a peer's heartbeat and returns this node's.
 func (a *membershipAgent) respond(received *membership.Heartbeat) *membership.Heartbeat {
-	a.update(func(d *membership.Detector, now micros.Micros) { d.Receive(now, received) })
+	a.update(func(d *membership.Detector, now micros.Micros) { d.HandleHeartbeat(now, received) })
 	heartbeat := a.heartbeat()
 	return &heartbeat
 }
@@ -120,7 +120,7 @@
 func (a *membershipAgent) update(change func(*membership.Detector, micros.Micros)) {
 	a.mu.Lock()
 	change(a.detector, micros.Now())
-	transitions := a.detector.Transitions()
+	transitions := a.detector.TakeTransitions()
 	a.mu.Unlock()
 	for _, t := range transitions {
 		slog.Info("member state changed", "member", t.Member, "from", t.From, "to", t.To, "reason", t.Reason,
--- a/peers.go
+++ b/peers.go
@@ -49,7 +49,7 @@
 // of its processor.
 func (h *peerHandler) makeProbe(sentCountsAt *micros.Micros) *peer.Probe {
 	p := &peer.Probe{Member: h.member, CancellationsSince: h.replica.CancelledThrough()}
-	highest := h.election.HighestKnown()
+	highest := h.election.HighestKnownLeader()
 	p.HighestToken, p.Leader = highest.FencingToken, highest.Member
 	if local := h.leadership.local(); local != nil {
 		p.LeadershipInDoubt = !local.Term.HoldsSession()
@@ -83,7 +83,7 @@
 		SinceStateService:  h.store.SinceLastResponse(),
 		ForwardsHeartbeats: h.peers.IsReachable(p.Member),
 	}
-	highest := h.election.HighestKnown()
+	highest := h.election.HighestKnownLeader()
 	s.HighestToken, s.Leader = highest.FencingToken, highest.Member
 	if local := h.leadership.local(); local != nil {
 		local.Supersede(s.HighestToken)
--- a/standby.go
+++ b/standby.go
@@ -49,25 +49,25 @@
 
 // query asks the leader once, and reports whether it has more to send at once.
 func (a *standbyAgent) query(ctx context.Context) (more bool) {
-	highest := a.election.HighestKnown()
+	highest := a.election.HighestKnownLeader()
 	client := a.peers.Client(highest.Member)
 	if client == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, standbyQueryTimeout.Duration())
 	defer cancel()
-	query, sentAt := a.follower.Query(highest.FencingToken), micros.Now()
-	response, err := client.Ask(ctx, peer.Request{Standby: query})
+	query, sentAt := a.follower.NextQuery(highest.FencingToken), micros.Now()
+	response, err := client.Call(ctx, peer.Request{StandbyQuery: query})
 	if err != nil {
 		a.suspectLeader()
 		slog.Debug("standby query failed", "leader", highest.Member, "error", err)
 		return false
 	}
-	page := response.Standby
+	page := response.StandbyPage
 	if page == nil {
 		return false // it does not publish, or no longer leads
 	}
-	if err := a.follower.Apply(page, sentAt); err != nil {
+	if err := a.follower.ApplyPage(page, sentAt); err != nil {
 		return false // the follower has logged it
 	}
 	a.mu.Lock()
@@ -78,7 +78,7 @@
 		return false
 	}
 	a.trustLeader()
-	return page.Snapshot != nil || page.From+uint64(len(page.Entries)) < page.Latest
+	return page.Snapshot != nil || page.AfterPosition+uint64(len(page.Entries)) < page.LatestPosition
 }
 
 // suspectLeader has this node follow the state service closely once the leader has not answered
@@ -113,7 +113,7 @@
 // beginTerm has a term's leader publish, and go on from the view of the term before.
 func (a *standbyAgent) beginTerm(t *election.Term, config *leader.Config) {
 	publisher := standby.NewPublisher(t.FencingToken, a.settings.MaxLogEntries)
-	config.PreviousTerm = a.follower.View()
+	config.PreviousTerm = a.follower.TakeView()
 	config.Followers = publisher
 	config.FailoverProgress = a.failover
 	a.failover.TermWon(t.FencingToken, t.LeaderKeyRevision, config.PreviousTerm != nil)
@@ -151,13 +151,13 @@
 
 // status returns how far the warm standby is, as this node knows it.
 func (a *standbyAgent) status() api.StandbyStatus {
-	highest := a.election.HighestKnown()
+	highest := a.election.HighestKnownLeader()
 	status := api.StandbyStatus{
 		Member:       a.member,
 		Leader:       highest.Member,
 		FencingToken: highest.FencingToken,
 		Phase:        a.failover.Phase().String(),
-		LastFailover: a.failover.Last(),
+		LastFailover: a.failover.LastRecord(),
 	}
 	if publisher := a.currentPublisher(); publisher != nil {
 		status.Leading, status.Position, status.Followers = true, publisher.Position(), publisher.Followers()
--- a/zones.go
+++ b/zones.go
@@ -12,9 +12,9 @@
 // default one.
 func newZonePolicy(config *zone.Config) zone.Policy {
 	if config == nil {
-		return zone.NewThreshold()
+		return zone.NewThresholdPolicy()
 	}
-	return zone.NewManager(*config)
+	return zone.NewLifecyclePolicy(*config)
 }
 
 // zoneView is what a node shows of zones: the view of the leader, here or elsewhere.
@@ -29,14 +29,14 @@
 	if v.leadership.local() != nil {
 		return v.statusAsLeader()
 	}
-	response, err := v.leader.ask(ctx, peer.Request{Zones: true})
+	response, err := v.leader.ask(ctx, peer.Request{WantZones: true})
 	switch {
 	case err != nil:
 		return nil, err
-	case response.Zones == nil:
+	case response.ZoneStatus == nil:
 		return nil, api.ErrZonesOff // also by an earlier version, which does not know the question
 	}
-	return response.Zones, nil
+	return response.ZoneStatus, nil
 }
 
 // statusAsLeader returns the view of this node's leader. The error is errNotLeading without a
