--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -177,9 +177,9 @@
 		}
 		l.observeZones(now)
 		// All of the only zone is most of the network, too.
-		want := zone.Decision{Rent: zone.AnyNumber, Reachable: true, Open: 1}
+		want := zone.Decision{MaxMachines: zone.Unlimited, Reachable: true, OpenShare: 1}
 		if s.cut {
-			want = zone.Decision{KeepSilent: true, Open: 1}
+			want = zone.Decision{KeepSilent: true, OpenShare: 1}
 		}
 		if got := l.policy.Decide("a"); got != want {
 			t.Errorf("%s: %+v, want %+v", s.name, got, want)
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -122,7 +122,7 @@
 		why = append(why, "its team uses as many GPUs as it may")
 	}
 	if j.isGang() {
-		if t := teams[j.spec.Team]; len(why) == 0 && t.Room(j.need, j.waiting()) < j.waiting() {
+		if t := teams[j.spec.Team]; len(why) == 0 && t.CountAllowed(j.need, j.waiting()) < j.waiting() {
 			why = append(why, "its team may not use as much as the whole gang needs")
 		}
 		switch {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -363,7 +363,7 @@
 			l.types[t.Name] = mt
 		}
 		mt.InstanceType = t
-		mt.capacity = placement.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: floor(t.MemoryGB)}
+		mt.capacity = placement.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Memory: floor(t.MemoryGB)}
 	}
 }
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -214,7 +214,7 @@
 		if got := q.jobs[0].spec.ID; got != c.first {
 			t.Errorf("%s: %s goes first, want %s", c.name, got, c.first)
 		}
-		if n := q.waiting[0].Waiting; c.first == "j-000001" && n > 8 {
+		if n := q.waiting[0].WaitingTasks; c.first == "j-000001" && n > 8 {
 			t.Errorf("%s: %d of its tasks go first, want a part", c.name, n)
 		}
 	}
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -411,7 +411,7 @@
 }
 
 func capturedHeartbeat() *membership.Heartbeat {
-	return &membership.Heartbeat{Member: "host-2", Incarnation: 3, Leaving: true, Opinions: []membership.Opinion{
+	return &membership.Heartbeat{Member: "host-2", Incarnation: 3, Leaving: true, Views: []membership.MemberView{
 		{Member: "host-1", State: membership.Suspected, Incarnation: 2, Silence: 3500 * micros.Millisecond},
 		{Member: "host-0", State: membership.Alive, Incarnation: 1, Silence: 200}}}
 }
@@ -444,10 +444,10 @@
 }
 
 func capturedZones() []zone.Status {
-	return []zone.Status{{Zone: "b", State: "returning", Reason: zone.ReasonStepHeld, SinceS: 4.5, Step: 2, Steps: 4,
-		OpenPart: 0.25, HoldS: 1.5, Flaps: 1, Evidence: zone.Evidence{Up: 40, Late: 1, Silent: 2, Deaf: 3, Vanished: 4, Failing: 5, Back: 38, Relapses: 6, Sent: 70, Started: 69},
-		Work: zone.Work{Displaced: map[string]int{"scan": 30}, Moved: map[string]int{"scan": 20}, Restarted: map[string]int{"scan": 9},
-			Machines: 2, Tasks: 8, NextEndS: 1.25, LastEndS: 9.5, Closed: 30, Replaced: 15}}}
+	return []zone.Status{{Zone: "b", State: "returning", Reason: zone.ReasonStepSucceeded, SinceS: 4.5, Step: 2, Steps: 4,
+		OpenShare: 0.25, HoldDownS: 1.5, Flaps: 1, Evidence: zone.Evidence{Running: 40, Late: 1, Silent: 2, LostResponses: 3, Unlisted: 4, Quarantined: 5, Recovered: 38, Relapses: 6, StartsSent: 70, StartsSeen: 69},
+		Work: zone.WorkStatus{Displaced: map[string]int{"scan": 30}, Moved: map[string]int{"scan": 20}, Restarted: map[string]int{"scan": 9},
+			LeasedMachines: 2, LeasedTasks: 8, NextLeaseEndS: 1.25, LastLeaseEndS: 9.5, ClosedMachines: 30, ReplacedMachines: 15}}}
 }
 
 func capturedExplanation() *explain.Explanation {
--- a/zones.go
+++ b/zones.go
@@ -11,9 +11,9 @@
 // newZonePolicy is the policy on zones of a new term.
 func (n *Node) newZonePolicy() zone.Policy {
 	if n.features.Zones == nil {
-		return zone.NewThreshold()
+		return zone.NewThresholdPolicy()
 	}
-	return zone.NewManager(*n.features.Zones)
+	return zone.NewLifecyclePolicy(*n.features.Zones)
 }
 
 // isIsolated tells whether this node hears neither the state service nor most of its peers. What
--- a/zones_test.go
+++ b/zones_test.go
@@ -72,8 +72,8 @@
 // some 6 s; steps must show beside that.
 func zoneSettings() *zone.Config {
 	c := zone.DefaultConfig(micros.FromSeconds(zoneReportS))
-	c.Classes = []string{"scan", "update"}
-	c.StepHold, c.HoldDown = 4*micros.Second, 2*micros.Second
+	c.EvacuationOrder = []string{"scan", "update"}
+	c.MinStepTime, c.InitialHoldDown = 4*micros.Second, 2*micros.Second
 	return &c
 }
 
@@ -98,9 +98,9 @@
 	// Shorter than two leases: none of the zone's machines is given up for being silent.
 	cutAndRestored = zoneScenario{name: "cut and restored", machines: fullMachines, load: fullLoad, steps: []zoneStep{loses(14), heals(), inOrder, wait(15), inSteps}}
 	// Most machines are heard between the cuts, or nothing would be left there to be lost again.
-	threeFlaps = zoneScenario{name: "three flaps, as leases end and as a step opens", nodes: 3, steps: []zoneStep{loses(14), heals(zone.Returning), wait(2), loses(zoneLeaseS - 6),
-		heals(zone.HeldDown, zone.Returning), loses(5), flapsCounted, heals(), heldDown}}
-	killedWhenLost = zoneScenario{name: "the leader is killed when the zone is lost", nodes: 3, steps: []zoneStep{loses(0.3), kills(1, zone.Lost), until(zone.Lost), wait(10)}}
+	threeFlaps = zoneScenario{name: "three flaps, as leases end and as a step opens", nodes: 3, steps: []zoneStep{loses(14), heals(zone.Reopening), wait(2), loses(zoneLeaseS - 6),
+		heals(zone.HeldDown, zone.Reopening), loses(5), flapsCounted, heals(), heldDown}}
+	killedWhenLost = zoneScenario{name: "the leader is killed when the zone is lost", nodes: 3, steps: []zoneStep{loses(0.3), kills(1, zone.FullDisruption), until(zone.FullDisruption), wait(10)}}
 )
 
 // zoneScenarios are the troubles. At the end of each the zone comes back.
@@ -114,15 +114,15 @@
 	}}},
 	// Two of three nodes are in zone a.
 	{name: "the leader is inside, and keeps leases alive", nodes: 3, steps: []zoneStep{func(r *zoneRun) { r.leadIn("a"); r.lost = "a" }, loses(20), outlivesLease}},
-	{name: "the leader is killed when the zone is suspected", steps: []zoneStep{cuts, until(zone.Suspected), kills(1), until(zone.Lost), wait(10)}},
-	{name: "the leader is killed when the zone is held down", steps: []zoneStep{loses(15), heals(zone.HeldDown), wait(0.3), kills(1, zone.HeldDown, zone.Returning)}},
-	{name: "the leader is killed when the zone returns", steps: []zoneStep{loses(15), heals(zone.Returning), wait(0.3), kills(1, zone.HeldDown, zone.Returning)}},
-	{name: "two leaders in a row are killed when the zone is lost", steps: []zoneStep{loses(0.3), kills(2, zone.Lost), until(zone.Lost), wait(10)}},
-	{name: "two leaders in a row are killed when the zone returns", steps: []zoneStep{loses(15), heals(zone.Returning), wait(0.3), kills(2, zone.HeldDown, zone.Returning)}},
-	{name: "all nodes restart at once", steps: []zoneStep{loses(10), allRestart, goesOn(zone.Lost)}},
+	{name: "the leader is killed when the zone is suspected", steps: []zoneStep{cuts, until(zone.PartialDisruption), kills(1), until(zone.FullDisruption), wait(10)}},
+	{name: "the leader is killed when the zone is held down", steps: []zoneStep{loses(15), heals(zone.HeldDown), wait(0.3), kills(1, zone.HeldDown, zone.Reopening)}},
+	{name: "the leader is killed when the zone returns", steps: []zoneStep{loses(15), heals(zone.Reopening), wait(0.3), kills(1, zone.HeldDown, zone.Reopening)}},
+	{name: "two leaders in a row are killed when the zone is lost", steps: []zoneStep{loses(0.3), kills(2, zone.FullDisruption), until(zone.FullDisruption), wait(10)}},
+	{name: "two leaders in a row are killed when the zone returns", steps: []zoneStep{loses(15), heals(zone.Reopening), wait(0.3), kills(2, zone.HeldDown, zone.Reopening)}},
+	{name: "all nodes restart at once", steps: []zoneStep{loses(10), allRestart, goesOn(zone.FullDisruption)}},
 	{name: "the state service refuses the leader, then all, in the evacuation", steps: []zoneStep{loses(5), stateRefuses}},
-	{name: "the state service refuses the leader, then all, in the return", steps: []zoneStep{loses(20), heals(zone.Returning), stateRefuses}},
-	{name: "two zones are apart, and both reach the state service", steps: []zoneStep{func(r *zoneRun) { r.lost = r.target(false); r.Apart() }, until(zone.Lost), wait(20)}},
+	{name: "the state service refuses the leader, then all, in the return", steps: []zoneStep{loses(20), heals(zone.Reopening), stateRefuses}},
+	{name: "two zones are apart, and both reach the state service", steps: []zoneStep{func(r *zoneRun) { r.lost = r.target(false); r.Apart() }, until(zone.FullDisruption), wait(20)}},
 	{name: "the cloud is down meanwhile", steps: []zoneStep{func(r *zoneRun) {
 		go r.With(40*time.Second, fake.Refused, func(_ string, q *http.Request) bool { return q.URL.Host == "cloud" })
 	}, loses(25)}},
@@ -149,7 +149,7 @@
 		leads := r.target(true)
 		lost := slices.DeleteFunc(slices.Clone(fourZones), func(name string) bool { return name == leads })[:2]
 		r.Cut(lost...)
-		for _, want := range []zone.State{zone.Lost, zone.Healthy} {
+		for _, want := range []zone.State{zone.FullDisruption, zone.Normal} {
 			r.awaitState(lost[0], want)
 			r.awaitState(lost[1], want)
 			time.Sleep(20 * time.Second)
@@ -163,9 +163,9 @@
 		r.without = nil
 		r.Restore()
 	}, allRestart}},
-	cutAndRestored.without(wrongOrder, func(c *zone.Config) { c.Classes = nil }),
-	cutAndRestored.without(wrongSteps, func(c *zone.Config) { c.Steps = []float64{1} }),
-	threeFlaps.without(wrongHoldDown, func(c *zone.Config) { c.HoldDown, c.MaxHoldDown = 0, 0 }),
+	cutAndRestored.without(wrongOrder, func(c *zone.Config) { c.EvacuationOrder = nil }),
+	cutAndRestored.without(wrongSteps, func(c *zone.Config) { c.OpenShares = []float64{1} }),
+	threeFlaps.without(wrongHoldDown, func(c *zone.Config) { c.InitialHoldDown, c.MaxHoldDown = 0, 0 }),
 	killedWhenLost.without(wrongState, func(*zone.Config) {}),
 }
 
@@ -412,7 +412,7 @@
 func loses(seconds float64) zoneStep {
 	return func(r *zoneRun) {
 		cuts(r)
-		r.awaitState(r.lost, zone.Lost)
+		r.awaitState(r.lost, zone.FullDisruption)
 		r.lostAt = r.Now()
 		wait(seconds)(r)
 		r.rented = cmp.Or(r.rented, r.cloud.Rented())
@@ -424,7 +424,7 @@
 	return func(r *zoneRun) {
 		r.healsAt = r.Now()
 		r.Restore()
-		r.awaitState(r.lost, append(states, zone.Healthy)...)
+		r.awaitState(r.lost, append(states, zone.Normal)...)
 	}
 }
 
@@ -534,16 +534,16 @@
 		r.t.Errorf("%d machines got work again, too few to tell", len(at))
 		return
 	}
-	soon, _ := slices.BinarySearch(at, at[0]+c.StepHold.Duration()/2)
-	most := 1 + int(c.Steps[0]*float64(r.cloud.MostIn[r.lost])) // a part of a machine is one
+	soon, _ := slices.BinarySearch(at, at[0]+c.MinStepTime.Duration()/2)
+	most := 1 + int(c.OpenShares[0]*float64(r.cloud.MostIn[r.lost])) // a part of a machine is one
 	r.judge(soon > most, wrongSteps, "%d machines got work within the first step, want at most %d", soon, most)
 	half := at[len(at)*6/10] - at[0]
-	r.judge(half < 5*c.StepHold.Duration()/2, wrongSteps, "more than half of the machines got work after %v", half)
+	r.judge(half < 5*c.MinStepTime.Duration()/2, wrongSteps, "more than half of the machines got work after %v", half)
 }
 
 // heldDown judges when the zone's first machine got work that could run elsewhere, after a third loss.
 func heldDown(r *zoneRun) {
-	least := r.healsAt + 4*zoneSettings().HoldDown.Duration()
+	least := r.healsAt + 4*zoneSettings().InitialHoldDown.Duration()
 	at := append(r.FirstStarts(r.lost, r.healsAt), least)[0]
 	r.judge(at < least, wrongHoldDown, "a task began %v after the zone was heard again", at-r.healsAt)
 }
