--- a/placement/placement.go
+++ b/placement/placement.go
@@ -131,7 +131,7 @@
 // CompareJobs is the queue's order: what has waited too long to begin, the bands while a zone is
 // lost, guarantees, then priorities, then what can still be in time, and of that what is due first.
 func CompareJobs(a, b *Job) int {
-	if c := compareClaim(a, b); c != 0 {
+	if c := compareStanding(a, b); c != 0 {
 		return c
 	}
 	if a.StartDeadline != b.StartDeadline {
@@ -140,8 +140,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// compareClaim compares what comes before due times. Plans sort thousands of jobs by it.
-func compareClaim(a, b *Job) int {
+// compareStanding compares what comes before due times. Plans sort thousands of jobs by it.
+func compareStanding(a, b *Job) int {
 	if a.Aged != b.Aged {
 		return boolRank(a.Aged) - boolRank(b.Aged)
 	}
@@ -172,72 +172,72 @@
 // next thing expected of it, and is late only when there is none: else all that an
 // overload puts off once waits until the end.
 func DeferLateJobs(jobs []*Job, cpus float64, now micros.Micros) {
-	order := slices.Clone(jobs)
-	slices.SortFunc(order, func(a, b *Job) int { return CompareJobs(a, b) })
+	queue := slices.Clone(jobs)
+	slices.SortFunc(queue, func(a, b *Job) int { return CompareJobs(a, b) })
 	if cpus <= 0 {
 		return
 	}
-	ahead, strained := 0.0, false
-	var onTime []*Job // of the present claim, by work
-	for i := 0; i < len(order); i++ {
-		j := order[i]
+	workAhead, overloaded := 0.0, false
+	var onTimeByWork []*Job // of the present claim, by work
+	for i := 0; i < len(queue); i++ {
+		j := queue[i]
 		if j.Aged {
 			continue
 		}
-		if i > 0 && compareEntitlement(j, order[i-1]) != 0 {
-			if strained {
-				orderByWork(order[:i], order[i-1], cpus, now)
+		if i > 0 && compareEntitlement(j, queue[i-1]) != 0 {
+			if overloaded {
+				setDeadlinesByWork(queue[:i], queue[i-1], cpus, now)
 			}
-			onTime, strained = onTime[:0], false
+			onTimeByWork, overloaded = onTimeByWork[:0], false
 		}
 		if j.Late {
 			continue
 		}
-		ahead += j.WaitingCPUSeconds
-		at, _ := slices.BinarySearchFunc(onTime, j, func(a, b *Job) int {
+		workAhead += j.WaitingCPUSeconds
+		position, _ := slices.BinarySearchFunc(onTimeByWork, j, func(a, b *Job) int {
 			return cmp.Or(cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
 		})
-		onTime = slices.Insert(onTime, at, j)
-		if now+micros.FromSeconds(ahead/cpus) > j.StartDeadline {
-			strained = true
-			most := onTime[len(onTime)-1]
-			ahead -= most.WaitingCPUSeconds
-			onTime = onTime[:len(onTime)-1]
-			for len(most.LaterStartDeadlines) > 0 && most.StartDeadline <= j.StartDeadline {
-				most.StartDeadline, most.LaterStartDeadlines = most.LaterStartDeadlines[0], most.LaterStartDeadlines[1:]
+		onTimeByWork = slices.Insert(onTimeByWork, position, j)
+		if now+micros.FromSeconds(workAhead/cpus) > j.StartDeadline {
+			overloaded = true
+			largest := onTimeByWork[len(onTimeByWork)-1]
+			workAhead -= largest.WaitingCPUSeconds
+			onTimeByWork = onTimeByWork[:len(onTimeByWork)-1]
+			for len(largest.LaterStartDeadlines) > 0 && largest.StartDeadline <= j.StartDeadline {
+				largest.StartDeadline, largest.LaterStartDeadlines = largest.LaterStartDeadlines[0], largest.LaterStartDeadlines[1:]
 			}
-			if most.StartDeadline <= j.StartDeadline {
-				most.Late = true
+			if largest.StartDeadline <= j.StartDeadline {
+				largest.Late = true
 				continue
 			}
-			at, _ := slices.BinarySearchFunc(order[i+1:], most, CompareJobs)
-			order = slices.Insert(order, i+1+at, most)
+			position, _ := slices.BinarySearchFunc(queue[i+1:], largest, CompareJobs)
+			queue = slices.Insert(queue, i+1+position, largest)
 		}
 	}
-	if strained {
-		orderByWork(order, order[len(order)-1], cpus, now)
+	if overloaded {
+		setDeadlinesByWork(queue, queue[len(queue)-1], cpus, now)
 	}
 }
 
-// orderByWork gives the jobs of like's standing due times in the order
+// setDeadlinesByWork gives the jobs of like's standing due times in the order
 // of their work, as there is too much of it. By their own due times each would start
 // just before it is due, and the first surprise, a longer run or a lost machine, would
 // make all of them late; done in this order the most are out of the way by then.
-func orderByWork(jobs []*Job, like *Job, cpus float64, now micros.Micros) {
-	var same []*Job
+func setDeadlinesByWork(jobs []*Job, sample *Job, cpus float64, now micros.Micros) {
+	var peers []*Job
 	for _, j := range jobs {
-		if !j.Aged && compareEntitlement(j, like) == 0 {
-			same = append(same, j)
+		if !j.Aged && compareEntitlement(j, sample) == 0 {
+			peers = append(peers, j)
 		}
 	}
-	slices.SortFunc(same, func(a, b *Job) int {
+	slices.SortFunc(peers, func(a, b *Job) int {
 		return cmp.Or(cmp.Compare(boolRank(!a.Late), boolRank(!b.Late)), cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
 	})
-	same = slices.Compact(same)
-	ahead := 0.0
-	for _, j := range same {
-		ahead += j.WaitingCPUSeconds
-		j.StartDeadline = now + micros.FromSeconds(ahead/cpus)
+	peers = slices.Compact(peers)
+	workAhead := 0.0
+	for _, j := range peers {
+		workAhead += j.WaitingCPUSeconds
+		j.StartDeadline = now + micros.FromSeconds(workAhead/cpus)
 	}
 }
 
@@ -255,9 +255,9 @@
 		(j.Zone == "" || j.Zone == zone) && (j.AllowSpot || !spot)
 }
 
-// admits tells the same of a machine, and whether the job is worth it.
-func admits(m *Machine, j *Job) bool {
-	if m.ReservedFor != nil && m.ReservedFor.ID != j.ID && compareClaim(j, m.ReservedFor) >= 0 {
+// acceptsJob tells the same of a machine, and whether the job is worth it.
+func acceptsJob(m *Machine, j *Job) bool {
+	if m.ReservedFor != nil && m.ReservedFor.ID != j.ID && compareStanding(j, m.ReservedFor) >= 0 {
 		return false
 	}
 	if m.GangsOnly && !j.Gang || m.ZoneBoundOnly && j.OnlyZone != m.Zone {
@@ -302,35 +302,35 @@
 // it goes. Waiting tasks cost nothing here: the work grows with the jobs, and
 // with the machines that have room.
 func Plan(machines []Machine, jobs []*Job, teams map[string]*Team) (starts []Start) {
-	least := MinNeed(jobs)
-	open := make([]int, 0, len(machines))
+	minNeed := MinNeed(jobs)
+	available := make([]int, 0, len(machines))
 	for k := range machines {
-		if machines[k].Free.Fits(least) {
-			open = append(open, k)
+		if machines[k].Free.Fits(minNeed) {
+			available = append(available, k)
 		}
 	}
-	var free Resources // the largest of each, to pass over jobs quickly
-	measure := func() {
-		free = Resources{}
-		for _, k := range open {
-			f := machines[k].Free
-			free = Resources{max(free.CPU, f.CPU), max(free.GPU, f.GPU), max(free.Memory, f.Memory)}
+	var largestFree Resources // the largest of each, to pass over jobs quickly
+	measureLargestFree := func() {
+		largestFree = Resources{}
+		for _, k := range available {
+			free := machines[k].Free
+			largestFree = Resources{max(largestFree.CPU, free.CPU), max(largestFree.GPU, free.GPU), max(largestFree.Memory, free.Memory)}
 		}
 	}
-	measure()
+	measureLargestFree()
 	for i, j := range jobs {
-		if j.WaitingTasks == 0 || !free.Fits(j.Need) || teams[j.Team].CountAllowed(j.Need, 1) == 0 {
+		if j.WaitingTasks == 0 || !largestFree.Fits(j.Need) || teams[j.Team].CountAllowed(j.Need, 1) == 0 {
 			continue
 		}
-		choose := place
+		choose := placeTasks
 		if j.Gang {
 			choose = placeGang
 		}
-		placed := choose(machines, open, i, j, teams[j.Team])
+		placed := choose(machines, available, i, j, teams[j.Team])
 		starts = append(starts, placed...)
 		if len(placed) > 0 {
-			open = slices.DeleteFunc(open, func(k int) bool { return !machines[k].Free.Fits(least) })
-			measure()
+			available = slices.DeleteFunc(available, func(k int) bool { return !machines[k].Free.Fits(minNeed) })
+			measureLargestFree()
 		}
 	}
 	return starts
@@ -339,7 +339,7 @@
 // Preempt looks for running work of less claim to stop for pressing jobs that
 // found no room, and for best-effort tasks to stop for any other job; at most limit jobs. What it
 // frees for a whole job, and the room that was there, is to be gathered for it.
-func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (stops []Preemption, gatherings []Reservation) {
+func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (stops []Preemption, reservations []Reservation) {
 	for _, j := range jobs {
 		if limit == 0 {
 			break
@@ -348,18 +348,18 @@
 			limit--
 			if j.Gang {
 				s, k := preemptForGang(machines, j, teams[j.Team])
-				stops, gatherings = append(stops, s...), append(gatherings, k...)
+				stops, reservations = append(stops, s...), append(reservations, k...)
 				continue
 			}
-			s, _, _ := preempt(machines, j, teams[j.Team])
+			s, _, _ := findPreemptions(machines, j, teams[j.Team])
 			stops = append(stops, s...)
 		}
 	}
-	return stops, gatherings
+	return stops, reservations
 }
 
-// lookahead is how many jobs of one claim Fill compares.
-const lookahead = 24
+// fillLookahead is how many jobs of one claim Fill compares.
+const fillLookahead = 24
 
 // Fill picks tasks for a machine that can start them at once, from jobs in the
 // queue's order that found no room before. Of the first jobs of one claim it
@@ -368,25 +368,25 @@
 func Fill(m *Machine, jobs []*Job, teams map[string]*Team) (starts []Start) {
 	for {
 		best, bestCount := -1, 0
-		var bestDue micros.Micros
-		seen := 0
+		var bestDeadline micros.Micros
+		compared := 0
 		for i, j := range jobs {
 			if j.WaitingTasks == 0 {
 				continue
 			}
-			if best >= 0 && (seen == lookahead || compareClaim(jobs[best], j) != 0) {
+			if best >= 0 && (compared == fillLookahead || compareStanding(jobs[best], j) != 0) {
 				break
 			}
-			if !m.Free.Fits(j.Need) || !admits(m, j) {
+			if !m.Free.Fits(j.Need) || !acceptsJob(m, j) {
 				continue
 			}
-			n := m.Free.CountFitting(j.Need, teams[j.Team].CountAllowed(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone))))
-			if n == 0 || j.Gang && !takesGang(m, j, n) {
+			count := m.Free.CountFitting(j.Need, teams[j.Team].CountAllowed(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone))))
+			if count == 0 || j.Gang && !shouldTakeGang(m, j, count) {
 				continue
 			}
-			seen++
-			if due := j.StartDeadline + 2*imagePullTime(m, j); best < 0 || due < bestDue {
-				best, bestCount, bestDue = i, n, due
+			compared++
+			if deadline := j.StartDeadline + 2*imagePullTime(m, j); best < 0 || deadline < bestDeadline {
+				best, bestCount, bestDeadline = i, count, deadline
 			}
 		}
 		if best < 0 {
@@ -427,15 +427,15 @@
 // startCost is how long a task would wait for its start on m, with a little for
 // leaving costly and empty machines as they are, and large holes.
 func startCost(m *Machine, j *Job) micros.Micros {
-	c := m.CommandDelay + imagePullTime(m, j)
+	cost := m.CommandDelay + imagePullTime(m, j)
 	if m.Idle {
-		c += micros.Second / 2
+		cost += micros.Second / 2
 	}
 	if _, ok := j.FailedOn[m.ID]; ok {
-		c += failedMachinePenalty
+		cost += failedMachinePenalty
 	}
-	left := m.Free.CPU - j.Need.CPU
-	return c + m.StartPenalty + micros.Micros(left)*micros.Millisecond/1000*10
+	leftCPU := m.Free.CPU - j.Need.CPU
+	return cost + m.StartPenalty + micros.Micros(leftCPU)*micros.Millisecond/1000*10
 }
 
 // isWorthWaitingFor tells whether a start on m may be planned ahead. What presses is
@@ -451,17 +451,17 @@
 	if t == nil {
 		return limit
 	}
-	left := Resources{CPU: 1 << 60, GPU: 1 << 60, Memory: 1 << 60}
+	remaining := Resources{CPU: 1 << 60, GPU: 1 << 60, Memory: 1 << 60}
 	if t.Limit.CPU > 0 {
-		left.CPU = t.Limit.CPU - t.Used.CPU
+		remaining.CPU = t.Limit.CPU - t.Used.CPU
 	}
 	if t.Limit.GPU > 0 {
-		left.GPU = t.Limit.GPU - t.Used.GPU
+		remaining.GPU = t.Limit.GPU - t.Used.GPU
 	}
-	return left.CountFitting(need, limit)
+	return remaining.CountFitting(need, limit)
 }
 
-func place(machines []Machine, open []int, index int, j *Job, team *Team) (starts []Start) {
+func placeTasks(machines []Machine, open []int, index int, j *Job, team *Team) (starts []Start) {
 	type candidate struct {
 		machine int
 		cost    micros.Micros
@@ -469,7 +469,7 @@
 	var candidates []candidate
 	for _, k := range open {
 		m := &machines[k]
-		if m.Free.Fits(j.Need) && admits(m, j) && remainingInZone(j, m.Zone) > 0 && isWorthWaitingFor(m, j) {
+		if m.Free.Fits(j.Need) && acceptsJob(m, j) && remainingInZone(j, m.Zone) > 0 && isWorthWaitingFor(m, j) {
 			candidates = append(candidates, candidate{k, startCost(m, j)})
 		}
 	}
@@ -478,13 +478,13 @@
 	})
 	for _, c := range candidates {
 		m := &machines[c.machine]
-		n := team.CountAllowed(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone)))
-		n = m.Free.CountFitting(j.Need, n)
-		if n == 0 {
+		count := team.CountAllowed(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone)))
+		count = m.Free.CountFitting(j.Need, count)
+		if count == 0 {
 			continue
 		}
-		assign(m, j, team, n)
-		starts = append(starts, Start{Job: index, Machine: c.machine, Count: n})
+		assign(m, j, team, count)
+		starts = append(starts, Start{Job: index, Machine: c.machine, Count: count})
 		if j.WaitingTasks == 0 {
 			break
 		}
@@ -504,83 +504,83 @@
 	return v.Priority < j.Priority && (j.WithinGuarantee || !v.WithinGuarantee)
 }
 
-// preempt also tells on which machines there is room, or will be, and how many tasks
+// findPreemptions also tells on which machines there is room, or will be, and how many tasks
 // found none.
-func preempt(machines []Machine, j *Job, team *Team) (stops []Preemption, room []int, want int) {
-	p := preemption{machines: machines, job: j, want: team.CountAllowed(j.Need, j.WaitingTasks)}
+func findPreemptions(machines []Machine, j *Job, team *Team) (stops []Preemption, machinesWithRoom []int, unplaced int) {
+	p := preemptionSearch{machines: machines, job: j, unplaced: team.CountAllowed(j.Need, j.WaitingTasks)}
 	// What is being freed already will serve the first in the queue.
 	p.useFreeRoom()
-	if p.want > 0 {
+	if p.unplaced > 0 {
 		p.findCandidates()
 	}
-	for p.want > 0 && len(p.candidates) > 0 {
+	for p.unplaced > 0 && len(p.candidates) > 0 {
 		p.preemptFirstCandidate()
 	}
-	return p.stops, p.room, p.want
+	return p.stops, p.machinesWithRoom, p.unplaced
 }
 
-// preemption is the state of a search for what to stop for one job.
-type preemption struct {
-	machines   []Machine
-	job        *Job
-	want       int // tasks that have no room yet
-	stops      []Preemption
-	room       []int              // machines with room for tasks of a whole job
-	candidates []preemptCandidate // the least loss first
+// preemptionSearch is the state of a search for what to stop for one job.
+type preemptionSearch struct {
+	machines         []Machine
+	job              *Job
+	unplaced         int // tasks that have no room yet
+	stops            []Preemption
+	machinesWithRoom []int              // machines with room for tasks of a whole job
+	candidates       []preemptCandidate // the least loss first
 }
 
 // preemptCandidate is a machine with what must stop there for one task, and what that loses.
 type preemptCandidate struct {
 	machine int
-	take    []int
-	lost    micros.Micros
+	victims []int
+	cost    micros.Micros
 }
 
 func compareCandidates(a, b preemptCandidate) int {
-	return cmp.Or(cmp.Compare(a.lost, b.lost), cmp.Compare(a.machine, b.machine))
+	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.machine, b.machine))
 }
 
 // useFreeRoom takes the room that is there or is being freed.
-func (p *preemption) useFreeRoom() {
+func (p *preemptionSearch) useFreeRoom() {
 	for k := range p.machines {
 		m := &p.machines[k]
-		if p.want == 0 || !admits(m, p.job) {
+		if p.unplaced == 0 || !acceptsJob(m, p.job) {
 			continue
 		}
-		n := m.Free.Add(m.Releasing, 1).CountFitting(p.job.Need, min(p.want, remainingInZone(p.job, m.Zone)))
+		n := m.Free.Add(m.Releasing, 1).CountFitting(p.job.Need, min(p.unplaced, remainingInZone(p.job, m.Zone)))
 		if n > 0 {
-			p.place(k, n)
+			p.reserveRoom(k, n)
 		}
 	}
 }
 
-// place counts n tasks as having room on machine k.
-func (p *preemption) place(k, n int) {
+// reserveRoom counts n tasks as having room on machine k.
+func (p *preemptionSearch) reserveRoom(k, n int) {
 	m := &p.machines[k]
 	m.Releasing = m.Releasing.Add(p.job.Need, -int64(n))
-	p.want -= n
+	p.unplaced -= n
 	if p.job.Gang {
 		p.job.TasksPerZone[m.Zone] += n
-		p.room = append(p.room, k)
+		p.machinesWithRoom = append(p.machinesWithRoom, k)
 	}
 }
 
 // findCandidates looks at each machine once. It is looked at again only after something
 // on it is to be stopped.
-func (p *preemption) findCandidates() {
+func (p *preemptionSearch) findCandidates() {
 	p.candidates = p.candidates[:0]
 	for k := range p.machines {
-		if c, ok := p.candidate(k); ok {
+		if c, ok := p.candidateOn(k); ok {
 			p.candidates = append(p.candidates, c)
 		}
 	}
 	slices.SortFunc(p.candidates, compareCandidates)
 }
 
-// candidate tells what must stop on machine k for one task, if that is possible.
-func (p *preemption) candidate(k int) (preemptCandidate, bool) {
+// candidateOn tells what must stop on machine k for one task, if that is possible.
+func (p *preemptionSearch) candidateOn(k int) (preemptCandidate, bool) {
 	m := &p.machines[k]
-	if !admits(m, p.job) || remainingInZone(p.job, m.Zone) == 0 {
+	if !acceptsJob(m, p.job) || remainingInZone(p.job, m.Zone) == 0 {
 		return preemptCandidate{}, false
 	}
 	take, lost := pickVictims(m, p.job)
@@ -589,11 +589,11 @@
 }
 
 // preemptFirstCandidate stops what the first candidate names.
-func (p *preemption) preemptFirstCandidate() {
+func (p *preemptionSearch) preemptFirstCandidate() {
 	c := p.candidates[0]
 	p.candidates = p.candidates[1:]
 	gangs := p.preemptVictims(c)
-	p.place(c.machine, 1)
+	p.reserveRoom(c.machine, 1)
 	if freed := preemptGangMates(p.machines, gangs, p.job.ID); len(freed) > 0 {
 		// Their room serves as well, before anything more is stopped.
 		p.stops = append(p.stops, freed...)
@@ -601,17 +601,17 @@
 		p.findCandidates()
 		return
 	}
-	if c, ok := p.candidate(c.machine); ok {
+	if c, ok := p.candidateOn(c.machine); ok {
 		at, _ := slices.BinarySearchFunc(p.candidates, c, compareCandidates)
 		p.candidates = slices.Insert(p.candidates, at, c)
 	}
 }
 
 // preemptVictims stops a candidate's victims, and tells of their jobs which are gangs.
-func (p *preemption) preemptVictims(c preemptCandidate) map[string]bool {
+func (p *preemptionSearch) preemptVictims(c preemptCandidate) map[string]bool {
 	m := &p.machines[c.machine]
 	gangs := map[string]bool{}
-	for _, v := range slices.Backward(c.take) {
+	for _, v := range slices.Backward(c.victims) {
 		victim := m.Victims[v]
 		gangs[victim.JobID] = victim.Gang
 		p.stops = append(p.stops, Preemption{Machine: c.machine, Victim: victim, ForJobID: p.job.ID})
@@ -623,7 +623,7 @@
 
 // pickVictims picks, in order of their indexes, the tasks to stop on m for one
 // task of j, the least claim and the least lost work first.
-func pickVictims(m *Machine, j *Job) (take []int, lost micros.Micros) {
+func pickVictims(m *Machine, j *Job) (victims []int, cost micros.Micros) {
 	order := make([]int, 0, len(m.Victims))
 	for i := range m.Victims {
 		if isPreemptibleFor(&m.Victims[i], j) {
@@ -631,9 +631,9 @@
 		}
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		x, y := &m.Victims[a], &m.Victims[b]
-		return cmp.Or(cmp.Compare(boolRank(y.WithinGuarantee), boolRank(x.WithinGuarantee)), cmp.Compare(x.Priority, y.Priority),
-			cmp.Compare(x.LostWork, y.LostWork), cmp.Compare(x.JobID, y.JobID), cmp.Compare(x.Task, y.Task))
+		first, second := &m.Victims[a], &m.Victims[b]
+		return cmp.Or(cmp.Compare(boolRank(second.WithinGuarantee), boolRank(first.WithinGuarantee)), cmp.Compare(first.Priority, second.Priority),
+			cmp.Compare(first.LostWork, second.LostWork), cmp.Compare(first.JobID, second.JobID), cmp.Compare(first.Task, second.Task))
 	})
 	free := m.Free.Add(m.Releasing, 1)
 	counted := map[string]bool{} // gangs whose loss is in lost
@@ -643,14 +643,14 @@
 		}
 		free = free.Add(m.Victims[i].Need, 1)
 		if v := &m.Victims[i]; !v.Gang || !counted[v.JobID] {
-			lost += v.LostWork
+			cost += v.LostWork
 			counted[v.JobID] = true
 		}
-		take = append(take, i)
+		victims = append(victims, i)
 	}
-	if !free.Fits(j.Need) || take == nil {
+	if !free.Fits(j.Need) || victims == nil {
 		return nil, 0
 	}
-	slices.Sort(take)
-	return take, lost
+	slices.Sort(victims)
+	return victims, cost
 }
