--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -53,7 +53,7 @@
 			for ; k > i; k-- {
 				o := ms[k]
 				if o.drainReason == "" && !o.rejectsDelayTolerant && into[k].Fits(a.job.need) &&
-					placement.ConstraintsAdmit(&placement.Job{InstanceTypes: a.job.spec.InstanceTypes, Zone: a.job.spec.Zone, AllowSpot: a.job.spec.AllowSpot}, o.offering.Type, o.offering.Zone, o.offering.Spot) {
+					(&placement.Constraints{InstanceTypes: a.job.spec.InstanceTypes, Zone: a.job.spec.Zone, AllowSpot: a.job.spec.AllowSpot}).Admit(o.offering.Type, o.offering.Zone, o.offering.Spot) {
 					break
 				}
 			}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -574,11 +574,11 @@
 		}
 		return want
 	}
-	probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
+	constraints := placement.Constraints{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
 	inZone = map[string]int{}
 	for _, m := range l.sorted {
 		t := l.types[m.offering.Type]
-		if t == nil || m.instance.terminating || m.drainReason != "" || !placement.ConstraintsAdmit(&probe, m.offering.Type, m.offering.Zone, m.offering.Spot) {
+		if t == nil || m.instance.terminating || m.drainReason != "" || !constraints.Admit(m.offering.Type, m.offering.Zone, m.offering.Spot) {
 			continue
 		}
 		n := room(m, t).CountFitting(j.need, most(m.offering.Zone)-inZone[m.offering.Zone])
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -255,23 +255,13 @@
 func (l *Leader) placementJob(j *job, n int, covered bool, wall micros.Micros) *placement.Job {
 	s := j.spec
 	w := &placement.Job{
-		ID:              s.ID,
-		Team:            s.Team,
-		ImageIndex:      j.image,
-		Priority:        j.priority,
-		EvacuationRank:  l.evacuationRank(j),
-		OnlyZone:        l.onlyZone(j),
-		WithinGuarantee: covered,
-		Need:            j.need,
-		WaitingTasks:    n,
-		TotalTasks:      s.Tasks,
-		InstanceTypes:   s.InstanceTypes,
-		Zone:            s.Zone,
-		SingleZone:      s.SingleZone,
-		SpreadZones:     s.SpreadZones,
-		Gang:            j.isGang(),
-		AllowSpot:       s.AllowSpot,
-		ImageSizeGB:     s.ImageSizeGB,
+		ID:             s.ID,
+		Team:           s.Team,
+		Standing:       placement.Standing{EvacuationRank: l.evacuationRank(j), WithinGuarantee: covered, Priority: j.priority},
+		Request:        placement.Request{Need: j.need, WaitingTasks: n, TotalTasks: s.Tasks, ImageIndex: j.image, ImageSizeGB: s.ImageSizeGB},
+		Constraints:    placement.Constraints{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot, SingleZone: s.SingleZone, SpreadZones: s.SpreadZones},
+		GangScheduling: placement.GangScheduling{Gang: j.isGang()},
+		OnlyZone:       l.onlyZone(j),
 	}
 	w.StartDeadline, w.LaterStartDeadlines, w.Late = l.startDeadlines(j, covered, wall)
 	w.AtRisk = w.StartDeadline-wall < 4*l.heartbeatInterval && !j.isProbing()
@@ -443,17 +433,19 @@
 func (l *Leader) placementMachine(m *machine, now micros.Micros) placement.Machine {
 	t := l.types[m.offering.Type]
 	p := placement.Machine{
-		ID:                   m.id,
-		InstanceType:         m.offering.Type,
-		Zone:                 m.offering.Zone,
-		Spot:                 m.offering.Spot,
-		Free:                 m.free,
-		CommandDelay:         max(0, m.heartbeat.receivedAt+l.heartbeatInterval-now),
-		Idle:                 len(m.attempts) == 0,
-		RejectsDelayTolerant: m.rejectsDelayTolerant,
-		Images:               m.imageSet,
-		ImagePullGBPerS:      t.ImagePullGBPerS,
-		StartPenalty:         micros.FromSeconds(l.priceRatio(t, m.offering.Spot) - 1),
+		ID:           m.id,
+		InstanceType: m.offering.Type,
+		Zone:         m.offering.Zone,
+		Spot:         m.offering.Spot,
+		Free:         m.free,
+		StartFactors: placement.StartFactors{
+			CommandDelay:    max(0, m.heartbeat.receivedAt+l.heartbeatInterval-now),
+			Images:          m.imageSet,
+			ImagePullGBPerS: t.ImagePullGBPerS,
+			Idle:            len(m.attempts) == 0,
+			StartPenalty:    micros.FromSeconds(l.priceRatio(t, m.offering.Spot) - 1),
+		},
+		Restrictions: placement.Restrictions{RejectsDelayTolerant: m.rejectsDelayTolerant},
 	}
 	if late := now - m.heartbeat.receivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
 		p.CommandDelay = l.heartbeatInterval + late // it has missed a report, and may be gone
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -86,8 +86,8 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				probe := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
-				if placement.ConstraintsAdmit(&probe, name, zone, spot) {
+				constraints := placement.Constraints{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
+				if constraints.Admit(name, zone, spot) {
 					out = append(out, priced{offering{name, zone, spot}, price * machineFraction(t, need)})
 				}
 			}
@@ -474,11 +474,15 @@
 		if j.startableTasks(now) <= 0 || now-j.seenAt < constrainedLaunchDelay || wall-j.lastStart < constrainedLaunchDelay {
 			continue
 		}
-		probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot,
-			SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones, TotalTasks: j.spec.Tasks, TasksPerZone: j.attemptsPerZone}
+		probe := placement.Job{
+			Constraints: placement.Constraints{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot,
+				SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones},
+			Request:      placement.Request{TotalTasks: j.spec.Tasks},
+			TasksPerZone: j.attemptsPerZone,
+		}
 		closed, coming := 0, 0
 		for o, n := range kinds {
-			if placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
+			if probe.CanStartOn(o.Type, o.Zone, o.Spot) {
 				coming += n.coming
 			} else {
 				closed += n.all
@@ -488,7 +492,7 @@
 			continue // the targets serve it
 		}
 		for _, o := range l.offeringsFor(j) {
-			if !placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
+			if !probe.CanStartOn(o.Type, o.Zone, o.Spot) {
 				continue // its other tasks bind it to another zone
 			}
 			if l.hasOpenIntent(o) {
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -233,9 +233,9 @@
 	case l.Followers == nil:
 		return u.count > 0
 	}
-	probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot}
+	constraints := placement.Constraints{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot}
 	return slices.ContainsFunc(u.offerings, func(kind offering) bool {
-		return placement.ConstraintsAdmit(&probe, kind.Type, kind.Zone, kind.Spot)
+		return constraints.Admit(kind.Type, kind.Zone, kind.Spot)
 	})
 }
 
--- a/placement/constraints.go
+++ b/placement/constraints.go
@@ -2,35 +2,23 @@
 
 import "slices"
 
-// ConstraintsAdmit tells whether a job's constraints that do not depend on its other
-// tasks admit a machine.
-func ConstraintsAdmit(j *Job, typ, zone string, spot bool) bool {
-	return (len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, typ)) &&
-		(j.Zone == "" || j.Zone == zone) && (j.AllowSpot || !spot)
+// Admit reports whether the constraints that do not depend on a job's other tasks admit a machine.
+func (c *Constraints) Admit(instanceType, zone string, spot bool) bool {
+	return (len(c.InstanceTypes) == 0 || slices.Contains(c.InstanceTypes, instanceType)) &&
+		(c.Zone == "" || c.Zone == zone) && (c.AllowSpot || !spot)
 }
 
-// ConstraintsAdmitNow tells the same as things are now: where a job's other tasks are may bind the next
-// one to their zone, or keep it out.
-func ConstraintsAdmitNow(j *Job, typ, zone string, spot bool) bool {
-	return ConstraintsAdmit(j, typ, zone, spot) && remainingInZone(j, zone) > 0
+// CanStartOn reports whether all constraints admit a machine as things are now: where a job's other
+// tasks are may bind the next one to their zone, or keep it out.
+func (j *Job) CanStartOn(instanceType, zone string, spot bool) bool {
+	return j.Admit(instanceType, zone, spot) && j.remainingInZone(zone) > 0
 }
 
-// acceptsJob tells the same of a machine, and whether the job is worth it.
-func acceptsJob(m *Machine, j *Job) bool {
-	if m.ReservedFor != nil && m.ReservedFor.ID != j.ID && compareStanding(j, m.ReservedFor) >= 0 {
-		return false
-	}
-	if m.GangsOnly && !j.Gang || m.ZoneBoundOnly && j.OnlyZone != m.Zone {
-		return false
-	}
-	return ConstraintsAdmit(j, m.InstanceType, m.Zone, m.Spot) && !(j.DelayTolerant && m.RejectsDelayTolerant)
-}
-
-// remainingInZone tells how many more tasks of j may be in zone.
-func remainingInZone(j *Job, zone string) int {
+// remainingInZone is how many more tasks of the job may be in a zone.
+func (j *Job) remainingInZone(zone string) int {
 	if j.SingleZone {
-		for z, n := range j.TasksPerZone {
-			if n > 0 && z != zone {
+		for other, n := range j.TasksPerZone {
+			if n > 0 && other != zone {
 				return 0
 			}
 		}
@@ -40,3 +28,15 @@
 	}
 	return j.TotalTasks
 }
+
+// accepts reports whether the machine may start tasks of a job, by the job's constraints and its
+// own restrictions, whatever room it has.
+func (m *Machine) accepts(j *Job) bool {
+	if m.ReservedFor != nil && m.ReservedFor.ID != j.ID && compareStanding(j, m.ReservedFor) >= 0 {
+		return false
+	}
+	if m.GangsOnly && !j.Gang || m.ZoneBoundOnly && j.OnlyZone != m.Zone {
+		return false
+	}
+	return j.Admit(m.InstanceType, m.Zone, m.Spot) && !(j.DelayTolerant && m.RejectsDelayTolerant)
+}
--- a/placement/deferral.go
+++ b/placement/deferral.go
@@ -7,67 +7,92 @@
 	"caperlatch/internal/micros"
 )
 
-// DeferLateJobs marks as late the jobs that too much work keeps from being in time,
-// as few as possible: going through the queue, whenever the work so far would
-// take a job past its due time, the job with the most work of the same claim is
-// put off (Moore's algorithm). Without it, serving by due time makes every job
-// of an overload a little late. cpus is what the machines have. What runs
-// already is not counted: its room comes free bit by bit, and counting it put
-// off jobs that were in time after all. A job that is put off may still meet the
-// next thing expected of it, and is late only when there is none: else all that an
-// overload puts off once waits until the end.
+// DeferLateJobs defers the jobs that too much work keeps from being in time, as few as possible,
+// by Moore's algorithm: going through the queue, whenever the work so far would take a job past its
+// start deadline, the job with the most work of the same entitlement is deferred. Without it,
+// serving by start deadline alone makes every job of an overload a little late.
+//
+// cpus is what the machines have. What runs already is not counted: its room is freed bit by bit,
+// and counting it deferred jobs that were in time after all.
+//
+// A deferred job gets the next start deadline that it can still meet, and is marked as late only if
+// there is none: else all that an overload defers once would wait until the end.
 func DeferLateJobs(jobs []*Job, cpus float64, now micros.Micros) {
 	queue := slices.Clone(jobs)
-	slices.SortFunc(queue, func(a, b *Job) int { return CompareJobs(a, b) })
+	slices.SortFunc(queue, CompareJobs)
 	if cpus <= 0 {
 		return
 	}
-	workAhead, overloaded := 0.0, false
-	var onTimeByWork []*Job // of the present claim, by work
-	for i := 0; i < len(queue); i++ {
-		j := queue[i]
+	d := deferral{queue: queue, cpus: cpus, now: now}
+	for i := 0; i < len(d.queue); i++ {
+		j := d.queue[i]
 		if j.Aged {
 			continue
 		}
-		if i > 0 && compareEntitlement(j, queue[i-1]) != 0 {
-			if overloaded {
-				setDeadlinesByWork(queue[:i], queue[i-1], cpus, now)
-			}
-			onTimeByWork, overloaded = onTimeByWork[:0], false
+		if i > 0 && compareEntitlement(j, d.queue[i-1]) != 0 {
+			d.endEntitlement(i)
 		}
-		if j.Late {
-			continue
-		}
-		workAhead += j.WaitingCPUSeconds
-		position, _ := slices.BinarySearchFunc(onTimeByWork, j, func(a, b *Job) int {
-			return cmp.Or(cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
-		})
-		onTimeByWork = slices.Insert(onTimeByWork, position, j)
-		if now+micros.FromSeconds(workAhead/cpus) > j.StartDeadline {
-			overloaded = true
-			largest := onTimeByWork[len(onTimeByWork)-1]
-			workAhead -= largest.WaitingCPUSeconds
-			onTimeByWork = onTimeByWork[:len(onTimeByWork)-1]
-			for len(largest.LaterStartDeadlines) > 0 && largest.StartDeadline <= j.StartDeadline {
-				largest.StartDeadline, largest.LaterStartDeadlines = largest.LaterStartDeadlines[0], largest.LaterStartDeadlines[1:]
-			}
-			if largest.StartDeadline <= j.StartDeadline {
-				largest.Late = true
-				continue
-			}
-			position, _ := slices.BinarySearchFunc(queue[i+1:], largest, CompareJobs)
-			queue = slices.Insert(queue, i+1+position, largest)
+		if !j.Late {
+			d.serve(i)
 		}
 	}
-	if overloaded {
-		setDeadlinesByWork(queue, queue[len(queue)-1], cpus, now)
+	d.endEntitlement(len(d.queue))
+}
+
+// deferral is the state of Moore's algorithm on its way through the queue.
+type deferral struct {
+	queue []*Job
+	cpus  float64
+	now   micros.Micros
+
+	workAhead  float64 // CPU seconds of the jobs so far that are in time
+	overloaded bool    // a job of the present entitlement had to be deferred
+	onTime     []*Job  // of the present entitlement, in the order of their work
+}
+
+// serve takes the job at i as in time, and defers one if that is too late.
+func (d *deferral) serve(i int) {
+	j := d.queue[i]
+	d.workAhead += j.WaitingCPUSeconds
+	position, _ := slices.BinarySearchFunc(d.onTime, j, compareWork)
+	d.onTime = slices.Insert(d.onTime, position, j)
+	if d.now+micros.FromSeconds(d.workAhead/d.cpus) > j.StartDeadline {
+		d.deferLargest(i)
+	}
+}
+
+// deferLargest defers the job with the most work, as that at i would be late otherwise. If it has a
+// later start deadline, it takes its place in the queue by that. The job at i itself, if it is the
+// largest, has none: its deadline rises with the one that it is compared to.
+func (d *deferral) deferLargest(i int) {
+	j := d.queue[i]
+	largest := d.onTime[len(d.onTime)-1]
+	d.onTime = d.onTime[:len(d.onTime)-1]
+	d.workAhead -= largest.WaitingCPUSeconds
+	d.overloaded = true
+	for len(largest.LaterStartDeadlines) > 0 && largest.StartDeadline <= j.StartDeadline {
+		largest.StartDeadline, largest.LaterStartDeadlines = largest.LaterStartDeadlines[0], largest.LaterStartDeadlines[1:]
 	}
+	if largest.StartDeadline <= j.StartDeadline {
+		largest.Late = true
+		return
+	}
+	position, _ := slices.BinarySearchFunc(d.queue[i+1:], largest, CompareJobs)
+	d.queue = slices.Insert(d.queue, i+1+position, largest)
 }
 
-// setDeadlinesByWork gives the jobs of like's standing due times in the order
-// of their work, as there is too much of it. By their own due times each would start
-// just before it is due, and the first surprise, a longer run or a lost machine, would
-// make all of them late; done in this order the most are out of the way by then.
+// endEntitlement ends the jobs of one entitlement; those of the next begin at end.
+func (d *deferral) endEntitlement(end int) {
+	if d.overloaded {
+		setDeadlinesByWork(d.queue[:end], d.queue[end-1], d.cpus, d.now)
+	}
+	d.onTime, d.overloaded = d.onTime[:0], false
+}
+
+// setDeadlinesByWork gives the jobs of sample's entitlement start deadlines in the order of their
+// work, as there is too much of it. By their own, each would start just in time, and the first
+// surprise, a longer run or a lost machine, would make all of them late; in this order most of them
+// are done by then.
 func setDeadlinesByWork(jobs []*Job, sample *Job, cpus float64, now micros.Micros) {
 	var peers []*Job
 	for _, j := range jobs {
@@ -76,7 +101,7 @@
 		}
 	}
 	slices.SortFunc(peers, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(boolRank(!a.Late), boolRank(!b.Late)), cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(boolRank(!a.Late), boolRank(!b.Late)), compareWork(a, b))
 	})
 	peers = slices.Compact(peers)
 	workAhead := 0.0
@@ -85,3 +110,8 @@
 		j.StartDeadline = now + micros.FromSeconds(workAhead/cpus)
 	}
 }
+
+// compareWork orders jobs by their work, the least first.
+func compareWork(a, b *Job) int {
+	return cmp.Or(cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
+}
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -9,16 +9,16 @@
 	"caperlatch/internal/micros"
 )
 
-// perMachineStartCost is what each further machine costs a whole job: it starts when its last task
-// does, and one more report may be late or lost.
-const perMachineStartCost = micros.Second / 2
+// perMachinePenalty is what each further machine costs a gang: it starts when its last task does,
+// and one more heartbeat may be late or lost.
+const perMachinePenalty = micros.Second / 2
 
-// placeGang places all waiting tasks of a job or none, so that the last of them starts
-// as soon as can be: on one machine with room for all, or else on the fewest of those
-// that report soonest. A fetch counts as a late report does, so that machines with the
-// image and without it meet only when no others have room.
-func placeGang(machines []Machine, open []int, index int, j *Job, team *Team) (starts []Start) {
-	if team.CountAllowed(j.Need, j.WaitingTasks) < j.WaitingTasks {
+// placeGang places all waiting tasks of a gang or none, so that the last of them starts as soon as
+// possible: on one machine with room for all, or else on the fewest of those with the next
+// heartbeats. An image pull counts as a late heartbeat does, so that machines with the image and
+// without it are used together only when no others have room. index is the job's in the queue.
+func placeGang(machines []Machine, available []int, index int, j *Job, team *Team) (starts []Start) {
+	if !team.canStartWhole(j) {
 		return nil
 	}
 	search := gangSearch{machines: machines, job: j}
@@ -39,84 +39,85 @@
 	return starts
 }
 
-// gangSearch is the state of a search for a whole job's place.
+// gangSearch is the state of a search for the best machines for a gang.
 type gangSearch struct {
 	machines   []Machine
 	job        *Job
 	best       []allocation
 	bestCost   micros.Micros
-	startDelay micros.Micros // when the last task starts in the best place
-}
-
-// allocateFree shares all waiting tasks among a set of machines, by their free room.
-func (p *gangSearch) allocateFree(set []int) []allocation {
-	free := func(k int) Resources { return p.machines[k].Free }
-	return allocate(p.machines, set, p.job, p.job.WaitingTasks, free)
+	startDelay micros.Micros // until the last task starts on the best machines
 }
 
 // considerSingleMachine considers the first machine of a set that has room for all tasks.
-func (p *gangSearch) considerSingleMachine(set []int) {
+func (s *gangSearch) considerSingleMachine(set []int) {
 	for _, k := range set {
-		if allocations := p.allocateFree([]int{k}); allocations != nil {
-			p.considerAllocations(allocations)
+		if allocations := s.allocateFree([]int{k}); allocations != nil {
+			s.consider(allocations)
 			return
 		}
 	}
 }
 
-// considerSeveralMachines considers the shortest beginning of a set that has room, and of it the
-// roomiest machines.
-func (p *gangSearch) considerSeveralMachines(set []int) {
-	if p.allocateFree(set) == nil {
+// considerSeveralMachines considers the fewest first machines of a set that have room, and of these
+// the ones with most room.
+func (s *gangSearch) considerSeveralMachines(set []int) {
+	if s.allocateFree(set) == nil {
 		return
 	}
-	enough := sort.Search(len(set), func(n int) bool { return p.allocateFree(set[:n]) != nil })
+	enough := sort.Search(len(set), func(n int) bool { return s.allocateFree(set[:n]) != nil })
 	soonest := slices.Clone(set[:enough])
-	fitting := func(k int) int { return p.machines[k].Free.CountFitting(p.job.Need, p.job.WaitingTasks) }
+	fitting := func(k int) int { return s.machines[k].Free.CountFitting(s.job.Need, s.job.WaitingTasks) }
 	slices.SortStableFunc(soonest, func(a, b int) int { return cmp.Compare(fitting(b), fitting(a)) })
-	if allocations := p.allocateFree(soonest); allocations != nil {
-		p.considerAllocations(allocations)
+	if allocations := s.allocateFree(soonest); allocations != nil {
+		s.consider(allocations)
 	}
 }
 
-// considerAllocations takes a place if it is better than the best so far.
-func (p *gangSearch) considerAllocations(allocations []allocation) {
+// allocateFree distributes the job's waiting tasks over a set of machines by their free room.
+func (s *gangSearch) allocateFree(set []int) []allocation {
+	free := func(k int) Resources { return s.machines[k].Free }
+	return allocate(s.machines, set, s.job, free)
+}
+
+// consider keeps allocations if they are better than the best so far.
+func (s *gangSearch) consider(allocations []allocation) {
 	cost := micros.Micros(0)
 	for _, a := range allocations {
-		cost = max(cost, startCost(&p.machines[a.machine], p.job))
+		cost = max(cost, startCost(&s.machines[a.machine], s.job))
 	}
-	cost += micros.Micros(len(allocations)-1) * perMachineStartCost
-	if p.best != nil && cost >= p.bestCost {
+	cost += micros.Micros(len(allocations)-1) * perMachinePenalty
+	if s.best != nil && cost >= s.bestCost {
 		return
 	}
-	p.best, p.bestCost, p.startDelay = allocations, cost, 0
+	s.best, s.bestCost, s.startDelay = allocations, cost, 0
 	for _, a := range allocations {
-		m := &p.machines[a.machine]
-		p.startDelay = max(p.startDelay, m.CommandDelay+imagePullTime(m, p.job))
+		m := &s.machines[a.machine]
+		s.startDelay = max(s.startDelay, m.CommandDelay+imagePullTime(m, s.job))
 	}
 }
 
-// isDecidedByHeartbeat tells whether the best place is one machine of several that are held
-// free for whole jobs. The first that reports takes the job (Fill); to choose one
-// beforehand would be to wait for its report alone.
+// isDecidedByHeartbeat reports whether the best machine is one of the gang pool, whose next
+// heartbeat is not due yet. The first of the pool that sends one takes the job (Fill); to choose one
+// beforehand would be to wait for its heartbeat alone.
 func isDecidedByHeartbeat(machines []Machine, best []allocation) bool {
 	return len(best) == 1 && machines[best[0].machine].GangsOnly && machines[best[0].machine].CommandDelay > 0
 }
 
-// EarliestGangStart is when a whole job should start that is taken by the first to report of
-// the machines with room for all of it; 0 if there are none. Machines report once in each
-// interval. To wait for those that fetch its image fast takes longer, as they are fewer.
-func EarliestGangStart(machines []Machine, j *Job, interval micros.Micros) (earliest micros.Micros) {
+// EarliestGangStart is the expected delay until a gang starts that is taken by the first machine to
+// send a heartbeat of those with room for all of it; 0 if there are none. Each sends one at an
+// independent time within the interval, so the first of n is expected after 1/(n+1) of it. To wait
+// for the machines that pull its image fast takes longer, as they are fewer.
+func EarliestGangStart(machines []Machine, j *Job, heartbeatInterval micros.Micros) (earliest micros.Micros) {
 	var pullTimes []micros.Micros
 	for k := range machines {
 		m := &machines[k]
-		if acceptsJob(m, j) && m.Free.CountFitting(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone))) == j.WaitingTasks {
+		if m.accepts(j) && m.Free.CountFitting(j.Need, min(j.WaitingTasks, j.remainingInZone(m.Zone))) == j.WaitingTasks {
 			pullTimes = append(pullTimes, imagePullTime(m, j))
 		}
 	}
 	slices.Sort(pullTimes)
 	for i, pullTime := range pullTimes {
-		start := pullTime + interval/micros.Micros(i+2)
+		start := pullTime + heartbeatInterval/micros.Micros(i+2)
 		if earliest == 0 || start < earliest {
 			earliest = start
 		}
@@ -124,13 +125,13 @@
 	return earliest
 }
 
-// candidateMachineSets lists the sets of machines that a whole job may be spread over: a zone's if it
-// must be together, else all.
-func candidateMachineSets(machines []Machine, j *Job, admit func(m *Machine) bool) (sets [][]int) {
+// candidateMachineSets lists the sets of machines over which a gang may be distributed: those of
+// each zone if it must be in a single one, else all.
+func candidateMachineSets(machines []Machine, j *Job, hasRoom func(m *Machine) bool) (sets [][]int) {
 	byZone := map[string][]int{}
 	for k := range machines {
 		m := &machines[k]
-		if !acceptsJob(m, j) || remainingInZone(j, m.Zone) == 0 || !admit(m) {
+		if !m.accepts(j) || j.remainingInZone(m.Zone) == 0 || !hasRoom(m) {
 			continue
 		}
 		zone := ""
@@ -145,22 +146,26 @@
 	return sets
 }
 
-// allocation is how many of a whole job's tasks a machine takes.
+// anyMachine is for candidateMachineSets: room that is not free yet may become so.
+func anyMachine(*Machine) bool { return true }
+
+// allocation is how many of a gang's tasks a machine takes.
 type allocation struct{ machine, count int }
 
-// allocate shares want tasks of j among machines in their order, by the room that each
-// has; nil if they have too little.
-func allocate(machines []Machine, set []int, j *Job, count int, room func(k int) Resources) (allocations []allocation) {
+// allocate distributes a job's waiting tasks over a set of machines in its order, by the room that
+// each has; nil if they have too little.
+func allocate(machines []Machine, set []int, j *Job, room func(k int) Resources) (allocations []allocation) {
+	unplaced := j.WaitingTasks
 	inZone := map[string]int{}
 	for _, k := range set {
 		zone := machines[k].Zone
-		fitting := room(k).CountFitting(j.Need, min(count, remainingInZone(j, zone)-inZone[zone]))
-		if fitting <= 0 {
+		count := room(k).CountFitting(j.Need, min(unplaced, j.remainingInZone(zone)-inZone[zone]))
+		if count <= 0 {
 			continue
 		}
-		allocations = append(allocations, allocation{k, fitting})
-		inZone[zone] += fitting
-		if count -= fitting; count == 0 {
+		allocations = append(allocations, allocation{k, count})
+		inZone[zone] += count
+		if unplaced -= count; unplaced == 0 {
 			return allocations
 		}
 	}
--- a/placement/gang_preemption.go
+++ b/placement/gang_preemption.go
@@ -7,73 +7,71 @@
 	"caperlatch/internal/micros"
 )
 
-// PreemptOnSingleMachine picks the machine on which the least is lost when all waiting tasks of a
-// whole job get room there at once, and what to stop on it. Nothing is stopped where a
-// gang runs, as all its tasks would have to stop.
-func PreemptOnSingleMachine(machines []Machine, j *Job, team *Team) (stops []Preemption, machine int) {
-	if team.CountAllowed(j.Need, j.WaitingTasks) < j.WaitingTasks {
+// PreemptOnSingleMachine finds the machine where the least is lost if all waiting tasks of a gang
+// get room there at once, and stops what is in the way; machine is -1 if there is none. Nothing is
+// stopped where another gang runs, as all its tasks would have to stop.
+func PreemptOnSingleMachine(machines []Machine, j *Job, team *Team) (preemptions []Preemption, machine int) {
+	if !team.canStartWhole(j) {
 		return nil, -1
 	}
-	gang := *j
-	gang.Need = Resources{}.Add(j.Need, int64(j.WaitingTasks))
-	var bestVictims []int
-	var bestCost micros.Micros
-	machine = -1
+	need := Resources{}.Add(j.Need, int64(j.WaitingTasks))
+	var best preemptionCandidate
 	for k := range machines {
 		m := &machines[k]
-		if !acceptsJob(m, j) || remainingInZone(j, m.Zone) < j.WaitingTasks || slices.ContainsFunc(m.Victims, func(v Victim) bool { return v.Gang }) {
+		if !canFreeForGang(m, j) {
 			continue
 		}
-		if _, failed := j.FailedOn[m.ID]; failed {
-			continue
-		}
-		victims, cost := pickVictims(m, &gang)
-		cost += imagePullTime(m, j)
-		if victims != nil && (bestVictims == nil || cost < bestCost) {
-			bestVictims, bestCost, machine = victims, cost, k
+		victims, lost := pickVictims(m, j, need)
+		cost := lost + imagePullTime(m, j)
+		if victims != nil && (best.victims == nil || cost < best.cost) {
+			best = preemptionCandidate{k, victims, cost}
 		}
 	}
-	if bestVictims == nil {
+	if best.victims == nil {
 		return nil, -1
 	}
-	m := &machines[machine]
-	for _, v := range slices.Backward(bestVictims) {
-		stops = append(stops, Preemption{Machine: machine, Victim: m.Victims[v], ForJobID: j.ID})
-		m.Releasing = m.Releasing.Add(m.Victims[v].Need, 1)
-		m.Victims = slices.Delete(m.Victims, v, v+1)
-	}
-	m.ReservedFor = j
-	return stops, machine
+	preemptions = preemptVictims(machines, best.machine, best.victims, j.ID)
+	machines[best.machine].ReservedFor = j
+	return preemptions, best.machine
 }
 
-// preemptForGang stops what loses least for all tasks of a job, or nothing.
-func preemptForGang(machines []Machine, j *Job, team *Team) (stops []Preemption, reservations []Reservation) {
-	if team.CountAllowed(j.Need, j.WaitingTasks) < j.WaitingTasks {
+// canFreeForGang reports whether tasks on a machine may be stopped for a whole gang.
+func canFreeForGang(m *Machine, j *Job) bool {
+	_, failed := j.FailedOn[m.ID]
+	return !failed && m.accepts(j) && j.remainingInZone(m.Zone) >= j.WaitingTasks &&
+		!slices.ContainsFunc(m.Victims, func(v Victim) bool { return v.Gang })
+}
+
+// preemptForGang stops what loses least so that all waiting tasks of a gang find room, or nothing.
+// Their room is reserved for it.
+func preemptForGang(machines []Machine, j *Job, team *Team) (preemptions []Preemption, reservations []Reservation) {
+	if !team.canStartWhole(j) {
 		return nil, nil
 	}
-	var best []Preemption
-	var bestSet, bestRoom []int
+	var best preemptionSearch
+	var bestSet []int
 	var leastLost micros.Micros
-	for _, set := range candidateMachineSets(machines, j, func(*Machine) bool { return true }) {
-		found, room, unplaced := simulatePreemption(machines, set, j, team)
-		if unplaced > 0 {
+	for _, set := range candidateMachineSets(machines, j, anyMachine) {
+		search := simulatePreemptions(machines, set, j, team)
+		if search.unplaced > 0 {
 			continue
 		}
-		if lost := totalLostWork(found); bestRoom == nil || lost < leastLost {
-			best, bestSet, bestRoom, leastLost = found, set, room, lost
+		if lost := totalLostWork(search.preemptions); best.machinesWithRoom == nil || lost < leastLost {
+			best, bestSet, leastLost = search, set, lost
 		}
 	}
-	stops = applyPreemptions(machines, bestSet, best, j.ID)
-	slices.Sort(bestRoom)
-	for _, i := range slices.Compact(bestRoom) {
+	preemptions = applyPreemptions(machines, bestSet, best.preemptions, j.ID)
+	slices.Sort(best.machinesWithRoom)
+	for _, i := range slices.Compact(best.machinesWithRoom) {
 		reservations = append(reservations, Reservation{Machine: bestSet[i], ForJobID: j.ID})
 		machines[bestSet[i]].ReservedFor = j
 	}
-	return stops, reservations
+	return preemptions, reservations
 }
 
-// simulatePreemption is preempt on copies of a set of the machines, to which its results refer.
-func simulatePreemption(machines []Machine, set []int, j *Job, team *Team) (stops []Preemption, machinesWithRoom []int, unplaced int) {
+// simulatePreemptions is findPreemptions on copies of a set of the machines. Its results refer to
+// machines by their places in the set.
+func simulatePreemptions(machines []Machine, set []int, j *Job, team *Team) preemptionSearch {
 	copies := make([]Machine, len(set))
 	for i, k := range set {
 		copies[i] = machines[k]
@@ -87,45 +85,24 @@
 	return findPreemptions(copies, &trial, team)
 }
 
-// totalLostWork is the work that stops lose; a gang's is lost once.
-func totalLostWork(stops []Preemption) micros.Micros {
-	lost, counted := micros.Micros(0), map[string]bool{}
-	for _, s := range stops {
-		if !s.Victim.Gang || !counted[s.Victim.JobID] {
-			lost += s.Victim.LostWork
-			counted[s.Victim.JobID] = true
-		}
+// totalLostWork is the work that preemptions lose.
+func totalLostWork(preemptions []Preemption) micros.Micros {
+	sum := lostWorkSum{}
+	for i := range preemptions {
+		sum.add(&preemptions[i].Victim)
 	}
-	return lost
+	return sum.lost
 }
 
-// applyPreemptions carries out on machines the stops that were found on a set of them, with all
-// other tasks of the gangs among them.
-func applyPreemptions(machines []Machine, set []int, found []Preemption, forJobID string) (stops []Preemption) {
-	gangs := map[string]bool{}
-	for _, s := range found {
-		s.Machine = set[s.Machine]
-		stops = append(stops, s)
-		m := &machines[s.Machine]
-		m.Releasing = m.Releasing.Add(s.Victim.Need, 1)
-		m.Victims = slices.DeleteFunc(m.Victims, func(v Victim) bool { return v.JobID == s.Victim.JobID && v.Task == s.Victim.Task })
-		gangs[s.Victim.JobID] = s.Victim.Gang
-	}
-	return append(stops, preemptGangMates(machines, gangs, forJobID)...)
-}
-
-// preemptGangMates stops the other tasks of gangs of which one is stopped, wherever they are.
-func preemptGangMates(machines []Machine, gangs map[string]bool, forJobID string) (stops []Preemption) {
-	for k := range machines {
-		m := &machines[k]
-		m.Victims = slices.DeleteFunc(m.Victims, func(v Victim) bool {
-			if !v.Gang || !gangs[v.JobID] {
-				return false
-			}
-			stops = append(stops, Preemption{Machine: k, Victim: v, ForJobID: forJobID})
-			m.Releasing = m.Releasing.Add(v.Need, 1)
-			return true
-		})
+// applyPreemptions stops in machines what a simulation found to stop in a set of them, and all other
+// tasks of the gangs among that.
+func applyPreemptions(machines []Machine, set []int, found []Preemption, forJobID string) (preemptions []Preemption) {
+	for _, p := range found {
+		p.Machine = set[p.Machine]
+		preemptions = append(preemptions, p)
+		m := &machines[p.Machine]
+		m.Releasing = m.Releasing.Add(p.Victim.Need, 1)
+		m.Victims = slices.DeleteFunc(m.Victims, func(v Victim) bool { return v.JobID == p.Victim.JobID && v.Task == p.Victim.Task })
 	}
-	return stops
+	return append(preemptions, preemptGangMates(machines, found, forJobID)...)
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -12,11 +12,18 @@
 func cpus(n int64) Resources { return Resources{CPU: n * 1000} }
 
 func machine(id, zone string, free int64) Machine {
-	return Machine{ID: id, InstanceType: "m", Zone: zone, Free: cpus(free), ImagePullGBPerS: 1}
+	return Machine{ID: id, InstanceType: "m", Zone: zone, Free: cpus(free), StartFactors: StartFactors{ImagePullGBPerS: 1}}
 }
 
 func job(id string, waiting int, edit func(*Job)) *Job {
-	j := &Job{ID: id, Team: "t", ImageIndex: 70, Priority: 1, Need: cpus(1), WaitingTasks: waiting, TotalTasks: waiting, AllowSpot: true, AtRisk: true}
+	j := &Job{
+		ID:          id,
+		Team:        "t",
+		Standing:    Standing{Priority: 1},
+		Request:     Request{Need: cpus(1), WaitingTasks: waiting, TotalTasks: waiting, ImageIndex: 70},
+		Constraints: Constraints{AllowSpot: true},
+		Urgency:     Urgency{AtRisk: true},
+	}
 	if edit != nil {
 		edit(j)
 	}
--- a/placement/preemption.go
+++ b/placement/preemption.go
@@ -7,30 +7,31 @@
 	"caperlatch/internal/micros"
 )
 
-// Preempt looks for running work of less claim to stop for pressing jobs that
-// found no room, and for best-effort tasks to stop for any other job; at most limit jobs. What it
-// frees for a whole job, and the room that was there, is to be gathered for it.
-func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (stops []Preemption, reservations []Reservation) {
+// Preempt looks for running tasks to stop for jobs that are at risk and found no room, and for
+// best-effort tasks to stop for any other job; for at most limit jobs. What it frees for a gang, and
+// the room that was there, is to be reserved for it.
+func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (preemptions []Preemption, reservations []Reservation) {
 	for _, j := range jobs {
 		if limit == 0 {
 			break
 		}
-		if j.WaitingTasks > 0 && (j.AtRisk || j.PreemptsBestEffort) {
-			limit--
-			if j.Gang {
-				s, k := preemptForGang(machines, j, teams[j.Team])
-				stops, reservations = append(stops, s...), append(reservations, k...)
-				continue
-			}
-			s, _, _ := findPreemptions(machines, j, teams[j.Team])
-			stops = append(stops, s...)
+		if j.WaitingTasks == 0 || !j.AtRisk && !j.PreemptsBestEffort {
+			continue
+		}
+		limit--
+		if !j.Gang {
+			search := findPreemptions(machines, j, teams[j.Team])
+			preemptions = append(preemptions, search.preemptions...)
+			continue
 		}
+		found, reserved := preemptForGang(machines, j, teams[j.Team])
+		preemptions, reservations = append(preemptions, found...), append(reservations, reserved...)
 	}
-	return stops, reservations
+	return preemptions, reservations
 }
 
-// isPreemptibleFor tells whether v may be stopped for j: for a higher priority, or to
-// give j's team its guarantee from another team's borrowed room.
+// isPreemptibleFor reports whether a task may be stopped for a job: for a higher priority, or to
+// give the job's team its guarantee out of what another team uses beyond its own.
 func isPreemptibleFor(v *Victim, j *Job) bool {
 	if v.JobID == j.ID || !j.AtRisk && !v.BestEffort {
 		return false
@@ -41,19 +42,19 @@
 	return v.Priority < j.Priority && (j.WithinGuarantee || !v.WithinGuarantee)
 }
 
-// findPreemptions also tells on which machines there is room, or will be, and how many tasks
-// found none.
-func findPreemptions(machines []Machine, j *Job, team *Team) (stops []Preemption, machinesWithRoom []int, unplaced int) {
-	p := preemptionSearch{machines: machines, job: j, unplaced: team.CountAllowed(j.Need, j.WaitingTasks)}
+// findPreemptions searches for what to stop so that the waiting tasks of a job find room, and stops
+// it in machines. Tasks that find none all the same are left in unplaced.
+func findPreemptions(machines []Machine, j *Job, team *Team) preemptionSearch {
+	s := preemptionSearch{machines: machines, job: j, unplaced: team.CountAllowed(j.Need, j.WaitingTasks)}
 	// What is being freed already will serve the first in the queue.
-	p.useFreeRoom()
-	if p.unplaced > 0 {
-		p.findCandidates()
+	s.useRoom()
+	if s.unplaced > 0 {
+		s.findCandidates()
 	}
-	for p.unplaced > 0 && len(p.candidates) > 0 {
-		p.preemptFirstCandidate()
+	for s.unplaced > 0 && len(s.candidates) > 0 {
+		s.preemptFirstCandidate()
 	}
-	return p.stops, p.machinesWithRoom, p.unplaced
+	return s
 }
 
 // preemptionSearch is the state of a search for what to stop for one job.
@@ -61,133 +62,170 @@
 	machines         []Machine
 	job              *Job
 	unplaced         int // tasks that have no room yet
-	stops            []Preemption
-	machinesWithRoom []int              // machines with room for tasks of a whole job
-	candidates       []preemptCandidate // the least loss first
+	preemptions      []Preemption
+	machinesWithRoom []int                 // for tasks of a gang; a machine may be there repeatedly
+	candidates       []preemptionCandidate // the least cost first
 }
 
-// useFreeRoom takes the room that is there or is being freed.
-func (p *preemptionSearch) useFreeRoom() {
-	for k := range p.machines {
-		m := &p.machines[k]
-		if p.unplaced == 0 || !acceptsJob(m, p.job) {
+// preemptionCandidate is a machine with the tasks that must stop there for one task of the job.
+type preemptionCandidate struct {
+	machine int
+	victims []int         // indexes into the machine's Victims, rising
+	cost    micros.Micros // work that is lost, and the time to pull the image
+}
+
+func compareCandidates(a, b preemptionCandidate) int {
+	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.machine, b.machine))
+}
+
+// useRoom takes the room that is free or is being freed.
+func (s *preemptionSearch) useRoom() {
+	for k := range s.machines {
+		m := &s.machines[k]
+		if s.unplaced == 0 || !m.accepts(s.job) {
 			continue
 		}
-		n := m.Free.Add(m.Releasing, 1).CountFitting(p.job.Need, min(p.unplaced, remainingInZone(p.job, m.Zone)))
-		if n > 0 {
-			p.reserveRoom(k, n)
+		count := m.Free.Add(m.Releasing, 1).CountFitting(s.job.Need, min(s.unplaced, s.job.remainingInZone(m.Zone)))
+		if count > 0 {
+			s.takeRoom(k, count)
 		}
 	}
 }
 
-// reserveRoom counts n tasks as having room on machine k.
-func (p *preemptionSearch) reserveRoom(k, n int) {
-	m := &p.machines[k]
-	m.Releasing = m.Releasing.Add(p.job.Need, -int64(n))
-	p.unplaced -= n
-	if p.job.Gang {
-		p.job.TasksPerZone[m.Zone] += n
-		p.machinesWithRoom = append(p.machinesWithRoom, k)
+// takeRoom counts some tasks as having room on a machine.
+func (s *preemptionSearch) takeRoom(machine, count int) {
+	m := &s.machines[machine]
+	m.Releasing = m.Releasing.Add(s.job.Need, -int64(count))
+	s.unplaced -= count
+	if s.job.Gang {
+		s.job.TasksPerZone[m.Zone] += count
+		s.machinesWithRoom = append(s.machinesWithRoom, machine)
 	}
 }
 
-// findCandidates looks at each machine once. It is looked at again only after something
-// on it is to be stopped.
-func (p *preemptionSearch) findCandidates() {
-	p.candidates = p.candidates[:0]
-	for k := range p.machines {
-		if c, ok := p.candidateOn(k); ok {
-			p.candidates = append(p.candidates, c)
+// findCandidates looks at each machine once. It is looked at again only after something on it is to
+// be stopped.
+func (s *preemptionSearch) findCandidates() {
+	s.candidates = s.candidates[:0]
+	for k := range s.machines {
+		if c, ok := s.candidateOn(k); ok {
+			s.candidates = append(s.candidates, c)
 		}
 	}
-	slices.SortFunc(p.candidates, compareCandidates)
+	slices.SortFunc(s.candidates, compareCandidates)
 }
 
-// candidateOn tells what must stop on machine k for one task, if that is possible.
-func (p *preemptionSearch) candidateOn(k int) (preemptCandidate, bool) {
-	m := &p.machines[k]
-	if !acceptsJob(m, p.job) || remainingInZone(p.job, m.Zone) == 0 {
-		return preemptCandidate{}, false
+// candidateOn is what must stop on a machine for one task; ok is false if that is not possible.
+func (s *preemptionSearch) candidateOn(machine int) (c preemptionCandidate, ok bool) {
+	m := &s.machines[machine]
+	if !m.accepts(s.job) || s.job.remainingInZone(m.Zone) == 0 {
+		return preemptionCandidate{}, false
 	}
-	take, lost := pickVictims(m, p.job)
-	// The image must be fetched there as well before the task starts.
-	return preemptCandidate{k, take, lost + imagePullTime(m, p.job)}, take != nil
+	victims, lost := pickVictims(m, s.job, s.job.Need)
+	// The image must be pulled there as well before the task starts.
+	return preemptionCandidate{machine, victims, lost + imagePullTime(m, s.job)}, victims != nil
 }
 
-// preemptFirstCandidate stops what the first candidate names.
-func (p *preemptionSearch) preemptFirstCandidate() {
-	c := p.candidates[0]
-	p.candidates = p.candidates[1:]
-	gangs := p.preemptVictims(c)
-	p.reserveRoom(c.machine, 1)
-	if freed := preemptGangMates(p.machines, gangs, p.job.ID); len(freed) > 0 {
+// preemptFirstCandidate stops the victims of the first candidate.
+func (s *preemptionSearch) preemptFirstCandidate() {
+	c := s.candidates[0]
+	s.candidates = s.candidates[1:]
+	stopped := preemptVictims(s.machines, c.machine, c.victims, s.job.ID)
+	s.preemptions = append(s.preemptions, stopped...)
+	s.takeRoom(c.machine, 1)
+	if freed := preemptGangMates(s.machines, stopped, s.job.ID); len(freed) > 0 {
 		// Their room serves as well, before anything more is stopped.
-		p.stops = append(p.stops, freed...)
-		p.useFreeRoom()
-		p.findCandidates()
+		s.preemptions = append(s.preemptions, freed...)
+		s.useRoom()
+		s.findCandidates()
 		return
 	}
-	if c, ok := p.candidateOn(c.machine); ok {
-		at, _ := slices.BinarySearchFunc(p.candidates, c, compareCandidates)
-		p.candidates = slices.Insert(p.candidates, at, c)
+	if c, ok := s.candidateOn(c.machine); ok {
+		position, _ := slices.BinarySearchFunc(s.candidates, c, compareCandidates)
+		s.candidates = slices.Insert(s.candidates, position, c)
 	}
 }
 
-// preemptVictims stops a candidate's victims, and tells of their jobs which are gangs.
-func (p *preemptionSearch) preemptVictims(c preemptCandidate) map[string]bool {
-	m := &p.machines[c.machine]
-	gangs := map[string]bool{}
-	for _, v := range slices.Backward(c.victims) {
-		victim := m.Victims[v]
-		gangs[victim.JobID] = victim.Gang
-		p.stops = append(p.stops, Preemption{Machine: c.machine, Victim: victim, ForJobID: p.job.ID})
-		m.Releasing = m.Releasing.Add(victim.Need, 1)
-		m.Victims = slices.Delete(m.Victims, v, v+1)
-	}
-	return gangs
-}
-
-// preemptCandidate is a machine with what must stop there for one task, and what that loses.
-type preemptCandidate struct {
-	machine int
-	victims []int
-	cost    micros.Micros
-}
-
-func compareCandidates(a, b preemptCandidate) int {
-	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.machine, b.machine))
-}
-
-// pickVictims picks, in order of their indexes, the tasks to stop on m for one
-// task of j, the least claim and the least lost work first.
-func pickVictims(m *Machine, j *Job) (victims []int, cost micros.Micros) {
+// pickVictims picks the tasks to stop on a machine so that it has room for need, as indexes into its
+// Victims, rising: what is entitled to least and loses least work first. victims is nil if nothing
+// needs to be stopped, or stopping all that may be stopped is not enough.
+func pickVictims(m *Machine, j *Job, need Resources) (victims []int, lost micros.Micros) {
 	order := make([]int, 0, len(m.Victims))
 	for i := range m.Victims {
 		if isPreemptibleFor(&m.Victims[i], j) {
 			order = append(order, i)
 		}
 	}
-	slices.SortFunc(order, func(a, b int) int {
-		first, second := &m.Victims[a], &m.Victims[b]
-		return cmp.Or(cmp.Compare(boolRank(second.WithinGuarantee), boolRank(first.WithinGuarantee)), cmp.Compare(first.Priority, second.Priority),
-			cmp.Compare(first.LostWork, second.LostWork), cmp.Compare(first.JobID, second.JobID), cmp.Compare(first.Task, second.Task))
-	})
+	slices.SortFunc(order, func(a, b int) int { return compareVictims(&m.Victims[a], &m.Victims[b]) })
 	free := m.Free.Add(m.Releasing, 1)
-	counted := map[string]bool{} // gangs whose loss is in lost
+	sum := lostWorkSum{}
 	for _, i := range order {
-		if free.Fits(j.Need) {
+		if free.Fits(need) {
 			break
 		}
 		free = free.Add(m.Victims[i].Need, 1)
-		if v := &m.Victims[i]; !v.Gang || !counted[v.JobID] {
-			cost += v.LostWork
-			counted[v.JobID] = true
-		}
+		sum.add(&m.Victims[i])
 		victims = append(victims, i)
 	}
-	if !free.Fits(j.Need) || victims == nil {
+	if !free.Fits(need) || victims == nil {
 		return nil, 0
 	}
 	slices.Sort(victims)
-	return victims, cost
+	return victims, sum.lost
+}
+
+// compareVictims is the order in which tasks are stopped.
+func compareVictims(a, b *Victim) int {
+	return cmp.Or(cmp.Compare(boolRank(b.WithinGuarantee), boolRank(a.WithinGuarantee)), cmp.Compare(a.Priority, b.Priority),
+		cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Task, b.Task))
+}
+
+// lostWorkSum adds up the work that preemptions lose. A gang's, which is that of all its tasks,
+// counts once.
+type lostWorkSum struct {
+	lost    micros.Micros
+	counted map[string]bool // by IDs of jobs
+}
+
+func (s *lostWorkSum) add(v *Victim) {
+	if v.Gang && s.counted[v.JobID] {
+		return
+	}
+	s.lost += v.LostWork
+	if s.counted == nil {
+		s.counted = map[string]bool{}
+	}
+	s.counted[v.JobID] = true
+}
+
+// preemptVictims stops tasks of a machine, given by rising indexes into its Victims, for a job.
+func preemptVictims(machines []Machine, machine int, victims []int, forJobID string) (preemptions []Preemption) {
+	m := &machines[machine]
+	for _, i := range slices.Backward(victims) {
+		victim := m.Victims[i]
+		preemptions = append(preemptions, Preemption{Machine: machine, Victim: victim, ForJobID: forJobID})
+		m.Releasing = m.Releasing.Add(victim.Need, 1)
+		m.Victims = slices.Delete(m.Victims, i, i+1)
+	}
+	return preemptions
+}
+
+// preemptGangMates stops the other tasks of the gangs of which tasks were stopped, wherever they are.
+func preemptGangMates(machines []Machine, stopped []Preemption, forJobID string) (preemptions []Preemption) {
+	gangs := map[string]bool{}
+	for i := range stopped {
+		gangs[stopped[i].Victim.JobID] = stopped[i].Victim.Gang
+	}
+	for k := range machines {
+		m := &machines[k]
+		m.Victims = slices.DeleteFunc(m.Victims, func(v Victim) bool {
+			if !v.Gang || !gangs[v.JobID] {
+				return false
+			}
+			preemptions = append(preemptions, Preemption{Machine: k, Victim: v, ForJobID: forJobID})
+			m.Releasing = m.Releasing.Add(v.Need, 1)
+			return true
+		})
+	}
+	return preemptions
 }
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -2,8 +2,9 @@
 
 import "cmp"
 
-// CompareJobs is the queue's order: what has waited too long to begin, the bands while a zone is
-// lost, guarantees, then priorities, then what can still be in time, and of that what is due first.
+// CompareJobs is the order of the queue: first jobs that have aged, then by evacuation rank while a
+// zone is lost, by guarantee, by priority, then what can still be in time, and of that the next
+// start deadline.
 func CompareJobs(a, b *Job) int {
 	if c := compareStanding(a, b); c != 0 {
 		return c
@@ -14,7 +15,7 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// compareStanding compares what comes before due times. Plans sort thousands of jobs by it.
+// compareStanding compares what goes before start deadlines. Plans sort thousands of jobs by it.
 func compareStanding(a, b *Job) int {
 	if a.Aged != b.Aged {
 		return boolRank(a.Aged) - boolRank(b.Aged)
@@ -25,7 +26,8 @@
 	return boolRank(!a.Late) - boolRank(!b.Late)
 }
 
-// compareEntitlement compares what a job is entitled to, however long it waits and whatever is due.
+// compareEntitlement compares what jobs are entitled to, however long they wait and whatever their
+// start deadlines are.
 func compareEntitlement(a, b *Job) int {
 	if a.EvacuationRank != b.EvacuationRank {
 		return cmp.Compare(a.EvacuationRank, b.EvacuationRank)
@@ -36,6 +38,7 @@
 	return cmp.Compare(b.Priority, a.Priority)
 }
 
+// boolRank sorts what is true before what is false.
 func boolRank(first bool) int {
 	if first {
 		return 0
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -8,13 +8,13 @@
 // TestBandOrder has bands come after what has waited too long and before all else.
 func TestBandOrder(t *testing.T) {
 	jobs := []*Job{
-		{ID: "late", EvacuationRank: 1, Late: true, Priority: 2},
-		{ID: "aged", EvacuationRank: 3, Aged: true},
-		{ID: "guaranteed", EvacuationRank: 3, WithinGuarantee: true, Priority: 1},
-		{ID: "urgent", EvacuationRank: 1, Priority: 2, StartDeadline: 9},
-		{ID: "due sooner", EvacuationRank: 2, Priority: 1, StartDeadline: 1},
-		{ID: "first class", EvacuationRank: 2, Priority: 1, WithinGuarantee: true, StartDeadline: 5},
-		{ID: "another", EvacuationRank: 3, Priority: 1},
+		{ID: "late", Standing: Standing{EvacuationRank: 1, Late: true, Priority: 2}},
+		{ID: "aged", Standing: Standing{EvacuationRank: 3, Aged: true}},
+		{ID: "guaranteed", Standing: Standing{EvacuationRank: 3, WithinGuarantee: true, Priority: 1}},
+		{ID: "urgent", Standing: Standing{EvacuationRank: 1, Priority: 2, StartDeadline: 9}},
+		{ID: "due sooner", Standing: Standing{EvacuationRank: 2, Priority: 1, StartDeadline: 1}},
+		{ID: "first class", Standing: Standing{EvacuationRank: 2, Priority: 1, WithinGuarantee: true, StartDeadline: 5}},
+		{ID: "another", Standing: Standing{EvacuationRank: 3, Priority: 1}},
 	}
 	slices.SortFunc(jobs, CompareJobs)
 	for i, want := range []string{"aged", "urgent", "late", "first class", "due sooner", "guaranteed", "another"} {
@@ -34,8 +34,13 @@
 	}{{"", false, 2}, {"", true, 0}, {"b", true, 0}, {"a", true, 2}, {"a", false, 2}}
 	for _, c := range cases {
 		for _, whole := range []bool{false, true} {
-			machine := []Machine{{ID: "i-1", Zone: "a", Free: Resources{CPU: 4000, Memory: 4000}, ZoneBoundOnly: c.closed}}
-			job := Job{ID: "j", OnlyZone: c.bound, Need: Resources{CPU: 1000, Memory: 1000}, WaitingTasks: 2, TotalTasks: 2, Gang: whole}
+			machine := []Machine{{ID: "i-1", Zone: "a", Free: Resources{CPU: 4000, Memory: 4000}, Restrictions: Restrictions{ZoneBoundOnly: c.closed}}}
+			job := Job{
+				ID:             "j",
+				OnlyZone:       c.bound,
+				Request:        Request{Need: Resources{CPU: 1000, Memory: 1000}, WaitingTasks: 2, TotalTasks: 2},
+				GangScheduling: GangScheduling{Gang: whole},
+			}
 			planned, filled := job, job
 			Plan(slices.Clone(machine), []*Job{&planned}, nil)
 			Fill(&slices.Clone(machine)[0], []*Job{&filled}, nil)
