--- /dev/null
+++ b/placement/deferral_test.go
@@ -0,0 +1,80 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+
+	"caperlatch/internal/micros"
+)
+
+// TestDeferLargestJob has three jobs of which only two can be in time: the largest is deferred, not
+// the one with the last start deadline.
+func TestDeferLargestJob(t *testing.T) {
+	s := micros.Second
+	jobs := []*Job{
+		job("big", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 9 }),
+		job("mid", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 11*s, 5 }),
+		job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 12*s, 4 }),
+		job("urgent", 1, func(j *Job) { j.Priority, j.StartDeadline, j.WaitingCPUSeconds = 2, 1*s, 1 }),
+	}
+	DeferLateJobs(jobs, 1, 0)
+	for _, j := range jobs {
+		if j.Late != (j.ID == "big") {
+			t.Errorf("%s: late is %v", j.ID, j.Late)
+		}
+	}
+}
+
+// TestDeferToLaterDeadline has two jobs that cannot both meet their first start deadlines: the larger
+// one is deferred to its next one that can be met, and not for ever.
+func TestDeferToLaterDeadline(t *testing.T) {
+	s := micros.Second
+	for _, c := range []struct {
+		name  string
+		later []micros.Micros
+		late  bool
+	}{
+		{"a later deadline can be met", []micros.Micros{10 * s, 20 * s}, false},
+		{"no later deadline can be met", []micros.Micros{11 * s, 12 * s}, true},
+		{"no later deadline", nil, true},
+	} {
+		big := job("big", 1, func(j *Job) { j.StartDeadline, j.LaterStartDeadlines, j.WaitingCPUSeconds = 10*s, c.later, 9 })
+		small := job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 4 })
+		DeferLateJobs([]*Job{big, small}, 1, 0)
+		if small.Late || big.Late != c.late || !(CompareJobs(small, big) < 0) {
+			t.Errorf("%s: small late %v, big late %v", c.name, small.Late, big.Late)
+		}
+	}
+}
+
+// TestOverloadShortestFirst has more or less work than can be done in time. Too much of it is served
+// shortest first: by start deadlines each job started just in time, and with 91 machines lost and an
+// hour's work waiting nearly all of them were late.
+func TestOverloadShortestFirst(t *testing.T) {
+	s := micros.Second
+	for _, c := range []struct {
+		name string
+		cpus float64
+		want []string
+	}{
+		{"enough machines", 10, []string{"urgent", "early", "middle", "small", "huge"}},
+		{"too few", 1, []string{"urgent", "small", "middle", "early", "huge"}},
+	} {
+		jobs := []*Job{
+			job("early", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 6 }),
+			job("middle", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 20*s, 4 }),
+			job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 30*s, 2 }),
+			job("huge", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 40*s, 50 }),
+			job("urgent", 1, func(j *Job) { j.Priority, j.StartDeadline, j.WaitingCPUSeconds = 2, 60*s, 7 }),
+		}
+		DeferLateJobs(jobs, c.cpus, 0)
+		slices.SortFunc(jobs, CompareJobs)
+		var got []string
+		for _, j := range jobs {
+			got = append(got, j.ID)
+		}
+		if !slices.Equal(got, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		}
+	}
+}
