--- a/placement/deferral.go
+++ b/placement/deferral.go
@@ -62,8 +62,8 @@
 }
 
 // deferLargest defers the job with the most work, as that at i would be late otherwise. If it has a
-// later start deadline, it takes its place in the queue by that. The job at i itself, if it is the
-// largest, has none: its deadline rises with the one that it is compared to.
+// later start deadline, it takes its place in the queue by that. If the largest is the job at i itself,
+// its deadline is compared with itself: it gets its last one and is marked as late.
 func (d *deferral) deferLargest(i int) {
 	j := d.queue[i]
 	largest := d.onTime[len(d.onTime)-1]
