--- a/staffing/backlog.go
+++ b/staffing/backlog.go
@@ -16,31 +16,31 @@
 // GuaranteedCPUs on average besides what the running tasks still hold or, if that is more,
 // what m says that new arrivals will (mean, in GuaranteedCPUs). Nothing rented now helps
 // before boot seconds have passed, so no horizon is shorter.
-func BacklogShortage(waiting []WaitingWork, running []RunningWork, mean, supply, boot float64) float64 {
-	worst := 0.0
-	for h := math.Max(1, boot); h < 3600; h *= 1.5 {
-		work, all := 0.0, true
-		for _, d := range waiting {
-			if d.DueInS <= h {
-				work += d.CPUSeconds
+func BacklogShortage(waiting []WaitingWork, running []RunningWork, meanCPUs, supplyCPUs, bootS float64) float64 {
+	shortage := 0.0
+	for horizonS := math.Max(1, bootS); horizonS < 3600; horizonS *= 1.5 {
+		dueWork, allDue := 0.0, true
+		for _, w := range waiting {
+			if w.DueInS <= horizonS {
+				dueWork += w.CPUSeconds
 			} else {
-				all = false
+				allDue = false
 			}
 		}
-		if work == 0 {
-			if all {
+		if dueWork == 0 {
+			if allDue {
 				break
 			}
 			continue
 		}
-		held := 0.0
+		heldCPUs := 0.0
 		for _, r := range running {
-			held += r.CPUs * math.Min(r.RemainingS, h) / h
+			heldCPUs += r.CPUs * math.Min(r.RemainingS, horizonS) / horizonS
 		}
-		worst = math.Max(worst, work/h+math.Max(held, mean)-supply)
-		if all {
+		shortage = math.Max(shortage, dueWork/horizonS+math.Max(heldCPUs, meanCPUs)-supplyCPUs)
+		if allDue {
 			break
 		}
 	}
-	return worst
+	return shortage
 }
--- a/staffing/staffing.go
+++ b/staffing/staffing.go
@@ -13,12 +13,12 @@
 // StepMean carries the infinite-server mean m over dt seconds of the paper's
 // equation (12), m' = λ - μm, with λ and μ constant. The closed form is exact
 // for any dt, so a late timer does not distort m.
-func StepMean(m, lambda, mu, dt float64) float64 {
-	if mu <= 0 {
-		return m + lambda*dt
+func StepMean(mean, arrivalRate, serviceRate, elapsedS float64) float64 {
+	if serviceRate <= 0 {
+		return mean + arrivalRate*elapsedS
 	}
-	rest := lambda / mu
-	return rest + (m-rest)*math.Exp(-mu*dt)
+	steadyState := arrivalRate / serviceRate
+	return steadyState + (mean-steadyState)*math.Exp(-serviceRate*elapsedS)
 }
 
 // RequiredServers is the paper's formula (4), ⌈m + 0.5 + z√v⌉, where ⌈x⌉ is the least
@@ -29,8 +29,8 @@
 
 // PeakMean is the largest m over the next interval seconds when λ stays as it
 // is: m moves monotonically toward λ/μ, so it is at one of the interval's ends.
-func PeakMean(m, lambda, mu, interval float64) float64 {
-	return math.Max(m, StepMean(m, lambda, mu, interval))
+func PeakMean(mean, arrivalRate, serviceRate, intervalS float64) float64 {
+	return math.Max(mean, StepMean(mean, arrivalRate, serviceRate, intervalS))
 }
 
 // Peakedness is the paper's z(t), formulas (17) to (19), for work that comes in
@@ -38,14 +38,14 @@
 // over in the variance of arrivals, so c² = Σw²/Σw; as service times are
 // taken for exponential, ∫(1-G)² is half their mean. A single task of size f
 // adds the other half.
-func Peakedness(batches, taskSize float64) float64 { return (batches + taskSize) / 2 }
+func Peakedness(batchSize, taskSize float64) float64 { return (batchSize + taskSize) / 2 }
 
 // ZForPrice is z for machines that cost k times as much as the cheapest. The
 // paper leaves α to the user; spare machines are worth their price as long as
 // the chance that they are needed is in proportion to it, so α grows with k,
 // up to an even chance (z = 0, no spare machines).
-func ZForPrice(z, k float64) float64 {
-	alpha := math.Min(0.5, math.Max(1, k)*math.Erfc(z/math.Sqrt2)/2)
+func ZForPrice(z, priceRatio float64) float64 {
+	alpha := math.Min(0.5, math.Max(1, priceRatio)*math.Erfc(z/math.Sqrt2)/2)
 	return math.Sqrt2 * math.Erfinv(1-2*alpha)
 }
 
@@ -53,19 +53,19 @@
 // much of it as enough entries came in: a busy deployment's rate is known sooner,
 // and one that lags behind rents for a wave that has passed.
 type DemandWindow struct {
-	length  micros.Micros
-	began   micros.Micros // first entry
-	entries []entry
-	sum     float64
+	length    micros.Micros
+	startedAt micros.Micros // first entry
+	entries   []demandEntry
+	sum       float64
 }
 
 // Entries that make a rate, and the part of the length that is looked at at least.
 const (
-	minRateEntries = 20
-	minWindowShare = 3
+	minRateEntries    = 20
+	minWindowFraction = 3
 )
 
-type entry struct {
+type demandEntry struct {
 	at     micros.Micros
 	weight float64
 }
@@ -76,29 +76,29 @@
 // Add counts weight at an instant not before the last one; less than nothing takes back
 // what turned out to be no demand.
 func (w *DemandWindow) Add(at micros.Micros, weight float64) {
-	if w.began == 0 {
-		w.began = at
+	if w.startedAt == 0 {
+		w.startedAt = at
 	}
-	w.entries = append(w.entries, entry{at, weight})
+	w.entries = append(w.entries, demandEntry{at, weight})
 	w.sum += weight
 }
 
 // Rate is the weight a second over the window. In the beginning, what waits at
 // the start is no sign of a high rate, so it is spread over the whole window.
 func (w *DemandWindow) Rate(now micros.Micros) float64 {
-	n := 0
-	for n < len(w.entries) && w.entries[n].at <= now-w.length {
-		w.sum -= w.entries[n].weight
-		n++
+	expired := 0
+	for expired < len(w.entries) && w.entries[expired].at <= now-w.length {
+		w.sum -= w.entries[expired].weight
+		expired++
 	}
-	w.entries = w.entries[n:]
+	w.entries = w.entries[expired:]
 	if len(w.entries) == 0 {
 		w.sum = 0
 	}
-	if len(w.entries) < minRateEntries || now-w.began < w.length {
+	if len(w.entries) < minRateEntries || now-w.startedAt < w.length {
 		return math.Max(0, w.sum) / w.length.Seconds()
 	}
-	span := max(now-w.entries[len(w.entries)-minRateEntries].at, w.length/minWindowShare)
+	span := max(now-w.entries[len(w.entries)-minRateEntries].at, w.length/minWindowFraction)
 	sum := 0.0
 	for _, e := range slices.Backward(w.entries) {
 		if e.at < now-span {
@@ -114,7 +114,7 @@
 // has, few entries tell the rate badly, and z standard deviations of their number are added.
 func (w *DemandWindow) EarlyRate(now micros.Micros, z float64) float64 {
 	rate := w.Rate(now)
-	span := max(now-w.began, w.length/minWindowShare)
+	span := max(now-w.startedAt, w.length/minWindowFraction)
 	if span >= w.length || len(w.entries) == 0 {
 		return rate
 	}
@@ -128,26 +128,26 @@
 
 // ServiceTime keeps the mean time that work holds its share of a machine.
 type ServiceTime struct {
-	estimate, measured mean
+	estimate, measured decayingMean
 }
 
-type mean struct{ weight, sum float64 }
+type decayingMean struct{ weight, sum float64 }
 
 // add counts a part of a job. Old work counts for less and less, so the mean follows
 // the day: a job for a hundredth less with each newer job, of however many tasks. When
 // each task counted as much as a job, arrays of 50 left the mean of the last second,
 // and a target that holds the peak of 30 s took the worst of these.
-func (m *mean) add(weight, seconds, part float64) {
-	keep := math.Pow(0.99, part)
-	m.weight = m.weight*keep + weight
-	m.sum = m.sum*keep + weight*seconds
+func (m *decayingMean) add(weight, seconds, share float64) {
+	decay := math.Pow(0.99, share)
+	m.weight = m.weight*decay + weight
+	m.sum = m.sum*decay + weight*seconds
 }
 
 // ObserveEstimate counts what owners say of work that came in.
 func (s *ServiceTime) ObserveEstimate(weight, seconds float64) { s.estimate.add(weight, seconds, 1) }
 
 // BatchSizes counts what jobs bring at once, for the peakedness.
-type BatchSizes struct{ sum, squares, tasks, tight float64 }
+type BatchSizes struct{ total, batchSquares, taskSquares, immediate float64 }
 
 // Add counts a job that brings weight machines' worth of work in tasks tasks.
 // Spare machines are for those who cannot wait until one has booted; a job that
@@ -156,30 +156,30 @@
 	if tasks <= 0 {
 		return
 	}
-	const keep = 0.98
-	l.sum, l.squares, l.tasks, l.tight = l.sum*keep+weight, l.squares*keep, l.tasks*keep, l.tight*keep
+	const decay = 0.98
+	l.total, l.batchSquares, l.taskSquares, l.immediate = l.total*decay+weight, l.batchSquares*decay, l.taskSquares*decay, l.immediate*decay
 	if !canWait {
-		l.tight += weight
-		l.squares += weight * weight
-		l.tasks += weight * weight / float64(tasks)
+		l.immediate += weight
+		l.batchSquares += weight * weight
+		l.taskSquares += weight * weight / float64(tasks)
 	}
 }
 
 // Peakedness of what came in; 1, the paper's default, while nothing has.
 func (l *BatchSizes) Peakedness() float64 {
-	if l.sum <= 0 {
+	if l.total <= 0 {
 		return 1
 	}
-	return Peakedness(l.squares/l.sum, l.tasks/l.sum)
+	return Peakedness(l.batchSquares/l.total, l.taskSquares/l.total)
 }
 
 // ImmediateShare is the share of the work whose jobs cannot wait; all of it while
 // nothing has come in.
 func (l *BatchSizes) ImmediateShare() float64 {
-	if l.sum <= 0 {
+	if l.total <= 0 {
 		return 1
 	}
-	return l.tight / l.sum
+	return l.immediate / l.total
 }
 
 // ObserveFinished counts a finished task of a job of tasks tasks.
@@ -203,7 +203,7 @@
 // come in evenly.
 func (w *DemandWindow) Seed(now micros.Micros, rate float64) {
 	const parts = 10
-	w.entries, w.sum, w.began = nil, 0, now
+	w.entries, w.sum, w.startedAt = nil, 0, now
 	for i := range parts {
 		w.Add(now-w.length+w.length*micros.Micros(i+1)/parts, rate*w.length.Seconds()/parts)
 	}
--- a/staffing/standing.go
+++ b/staffing/standing.go
@@ -6,12 +6,12 @@
 // them can be reached within wait. A server is reached once in every interval, and the
 // servers at times that are independent of each other; so each is reached within wait with
 // the chance wait/interval.
-func IdleMachines(wait, interval, alpha float64) int {
-	if wait >= interval || alpha >= 1 {
+func IdleMachines(waitS, intervalS, alpha float64) int {
+	if waitS >= intervalS || alpha >= 1 {
 		return 1
 	}
-	if wait <= 0 || alpha <= 0 {
+	if waitS <= 0 || alpha <= 0 {
 		return math.MaxInt32
 	}
-	return max(1, int(math.Ceil(math.Log(alpha)/math.Log(1-wait/interval))))
+	return max(1, int(math.Ceil(math.Log(alpha)/math.Log(1-waitS/intervalS))))
 }
