--- a/staffing/staffing.go
+++ b/staffing/staffing.go
@@ -3,12 +3,7 @@
 // Demand". It is pure: the same inputs give the same outputs.
 package staffing
 
-import (
-	"math"
-	"slices"
-
-	"caperlatch/internal/micros"
-)
+import "math"
 
 // StepMean carries the infinite-server mean m over dt seconds of the paper's
 // equation (12), m' = λ - μm, with λ and μ constant. The closed form is exact
@@ -21,18 +16,18 @@
 	return steadyState + (mean-steadyState)*math.Exp(-serviceRate*elapsedS)
 }
 
-// RequiredServers is the paper's formula (4), ⌈m + 0.5 + z√v⌉, where ⌈x⌉ is the least
-// integer greater than x.
-func RequiredServers(m, v, z float64) int {
-	return int(math.Floor(m+0.5+z*math.Sqrt(math.Max(0, v)))) + 1
-}
-
 // PeakMean is the largest m over the next interval seconds when λ stays as it
 // is: m moves monotonically toward λ/μ, so it is at one of the interval's ends.
 func PeakMean(mean, arrivalRate, serviceRate, intervalS float64) float64 {
 	return math.Max(mean, StepMean(mean, arrivalRate, serviceRate, intervalS))
 }
 
+// RequiredServers is the paper's formula (4), ⌈m + 0.5 + z√v⌉, where ⌈x⌉ is the least
+// integer greater than x.
+func RequiredServers(m, v, z float64) int {
+	return int(math.Floor(m+0.5+z*math.Sqrt(math.Max(0, v)))) + 1
+}
+
 // Peakedness is the paper's z(t), formulas (17) to (19), for work that comes in
 // batches. A job that brings w machines' worth of tasks at once counts w times
 // over in the variance of arrivals, so c² = Σw²/Σw; as service times are
@@ -48,163 +43,3 @@
 	alpha := math.Min(0.5, math.Max(1, priceRatio)*math.Erfc(z/math.Sqrt2)/2)
 	return math.Sqrt2 * math.Erfinv(1-2*alpha)
 }
-
-// DemandWindow measures a rate: the weight that came in over the last length, or over as
-// much of it as enough entries came in: a busy deployment's rate is known sooner,
-// and one that lags behind rents for a wave that has passed.
-type DemandWindow struct {
-	length    micros.Micros
-	startedAt micros.Micros // first entry
-	entries   []demandEntry
-	sum       float64
-}
-
-// Entries that make a rate, and the part of the length that is looked at at least.
-const (
-	minRateEntries    = 20
-	minWindowFraction = 3
-)
-
-type demandEntry struct {
-	at     micros.Micros
-	weight float64
-}
-
-// NewDemandWindow measures over a length.
-func NewDemandWindow(length micros.Micros) *DemandWindow { return &DemandWindow{length: length} }
-
-// Add counts weight at an instant not before the last one; less than nothing takes back
-// what turned out to be no demand.
-func (w *DemandWindow) Add(at micros.Micros, weight float64) {
-	if w.startedAt == 0 {
-		w.startedAt = at
-	}
-	w.entries = append(w.entries, demandEntry{at, weight})
-	w.sum += weight
-}
-
-// Rate is the weight a second over the window. In the beginning, what waits at
-// the start is no sign of a high rate, so it is spread over the whole window.
-func (w *DemandWindow) Rate(now micros.Micros) float64 {
-	expired := 0
-	for expired < len(w.entries) && w.entries[expired].at <= now-w.length {
-		w.sum -= w.entries[expired].weight
-		expired++
-	}
-	w.entries = w.entries[expired:]
-	if len(w.entries) == 0 {
-		w.sum = 0
-	}
-	if len(w.entries) < minRateEntries || now-w.startedAt < w.length {
-		return math.Max(0, w.sum) / w.length.Seconds()
-	}
-	span := max(now-w.entries[len(w.entries)-minRateEntries].at, w.length/minWindowFraction)
-	sum := 0.0
-	for _, e := range slices.Backward(w.entries) {
-		if e.at < now-span {
-			break
-		}
-		sum += e.weight
-	}
-	return math.Max(0, sum) / span.Seconds()
-}
-
-// EarlyRate is Rate for a stream that begins in the midst of a day: nothing waited for it, so
-// what came in tells its rate as soon as a part of the window has passed. Until all of it
-// has, few entries tell the rate badly, and z standard deviations of their number are added.
-func (w *DemandWindow) EarlyRate(now micros.Micros, z float64) float64 {
-	rate := w.Rate(now)
-	span := max(now-w.startedAt, w.length/minWindowFraction)
-	if span >= w.length || len(w.entries) == 0 {
-		return rate
-	}
-	margin := z / math.Sqrt(float64(len(w.entries)))
-	return rate * (1 + margin) * w.length.Seconds() / span.Seconds()
-}
-
-// MinFinishedTasks is how many tasks must have finished before their run times are
-// used instead of the owners' estimates.
-const MinFinishedTasks = 20
-
-// ServiceTime keeps the mean time that work holds its share of a machine.
-type ServiceTime struct {
-	estimate, measured decayingMean
-}
-
-type decayingMean struct{ weight, sum float64 }
-
-// add counts a part of a job. Old work counts for less and less, so the mean follows
-// the day: a job for a hundredth less with each newer job, of however many tasks. When
-// each task counted as much as a job, arrays of 50 left the mean of the last second,
-// and a target that holds the peak of 30 s took the worst of these.
-func (m *decayingMean) add(weight, seconds, share float64) {
-	decay := math.Pow(0.99, share)
-	m.weight = m.weight*decay + weight
-	m.sum = m.sum*decay + weight*seconds
-}
-
-// ObserveEstimate counts what owners say of work that came in.
-func (s *ServiceTime) ObserveEstimate(weight, seconds float64) { s.estimate.add(weight, seconds, 1) }
-
-// BatchSizes counts what jobs bring at once, for the peakedness.
-type BatchSizes struct{ total, batchSquares, taskSquares, immediate float64 }
-
-// Add counts a job that brings weight machines' worth of work in tasks tasks.
-// Spare machines are for those who cannot wait until one has booted; a job that
-// can counts in the mean alone.
-func (l *BatchSizes) Add(weight float64, tasks int, canWait bool) {
-	if tasks <= 0 {
-		return
-	}
-	const decay = 0.98
-	l.total, l.batchSquares, l.taskSquares, l.immediate = l.total*decay+weight, l.batchSquares*decay, l.taskSquares*decay, l.immediate*decay
-	if !canWait {
-		l.immediate += weight
-		l.batchSquares += weight * weight
-		l.taskSquares += weight * weight / float64(tasks)
-	}
-}
-
-// Peakedness of what came in; 1, the paper's default, while nothing has.
-func (l *BatchSizes) Peakedness() float64 {
-	if l.total <= 0 {
-		return 1
-	}
-	return Peakedness(l.batchSquares/l.total, l.taskSquares/l.total)
-}
-
-// ImmediateShare is the share of the work whose jobs cannot wait; all of it while
-// nothing has come in.
-func (l *BatchSizes) ImmediateShare() float64 {
-	if l.total <= 0 {
-		return 1
-	}
-	return l.immediate / l.total
-}
-
-// ObserveFinished counts a finished task of a job of tasks tasks.
-func (s *ServiceTime) ObserveFinished(weight, seconds float64, tasks int) {
-	s.measured.add(weight, seconds, 1/math.Max(1, float64(tasks)))
-}
-
-// Rate is one over the mean time; finished says how many tasks have finished.
-func (s *ServiceTime) Rate(finished int) float64 {
-	m := s.estimate
-	if finished >= MinFinishedTasks && s.measured.weight > 0 || m.weight == 0 {
-		m = s.measured
-	}
-	if m.weight <= 0 || m.sum <= 0 {
-		return 0
-	}
-	return m.weight / m.sum
-}
-
-// Seed starts a new window with a rate that was measured before, as if it had
-// come in evenly.
-func (w *DemandWindow) Seed(now micros.Micros, rate float64) {
-	const parts = 10
-	w.entries, w.sum, w.startedAt = nil, 0, now
-	for i := range parts {
-		w.Add(now-w.length+w.length*micros.Micros(i+1)/parts, rate*w.length.Seconds()/parts)
-	}
-}
