--- a/staffing/batch_sizes.go
+++ b/staffing/batch_sizes.go
@@ -1,37 +1,43 @@
 package staffing
 
-// BatchSizes counts what jobs bring at once, for the peakedness.
-type BatchSizes struct{ total, batchSquares, taskSquares, immediate float64 }
+// batchDecay is what older jobs count for after each newer one.
+const batchDecay = 0.98
 
-// Add counts a job that brings weight machines' worth of work in tasks tasks.
-// Spare machines are for those who cannot wait until one has booted; a job that
-// can counts in the mean alone.
-func (l *BatchSizes) Add(weight float64, tasks int, canWait bool) {
+// BatchSizes keeps how much work jobs bring at once, for formulas (18) and (19). The sums decay.
+type BatchSizes struct {
+	total        float64 // of the jobs' weights w, in machines
+	batchSquares float64 // of w², of jobs that cannot wait
+	taskSquares  float64 // of w times the weight of one task, of jobs that cannot wait
+	immediate    float64 // of w, of jobs that cannot wait
+}
+
+// Add counts a job that brings weight machines' worth of work in a number of tasks. Spare machines
+// are for jobs that cannot wait until one has booted; a job that can counts in the mean alone.
+func (b *BatchSizes) Add(weight float64, tasks int, canWait bool) {
 	if tasks <= 0 {
 		return
 	}
-	const decay = 0.98
-	l.total, l.batchSquares, l.taskSquares, l.immediate = l.total*decay+weight, l.batchSquares*decay, l.taskSquares*decay, l.immediate*decay
+	b.total, b.immediate = b.total*batchDecay+weight, b.immediate*batchDecay
+	b.batchSquares, b.taskSquares = b.batchSquares*batchDecay, b.taskSquares*batchDecay
 	if !canWait {
-		l.immediate += weight
-		l.batchSquares += weight * weight
-		l.taskSquares += weight * weight / float64(tasks)
+		b.immediate += weight
+		b.batchSquares += weight * weight
+		b.taskSquares += weight * weight / float64(tasks)
 	}
 }
 
-// Peakedness of what came in; 1, the paper's default, while nothing has.
-func (l *BatchSizes) Peakedness() float64 {
-	if l.total <= 0 {
+// Peakedness is formula (18) for the jobs that came in; 1, the paper's default, while none has.
+func (b *BatchSizes) Peakedness() float64 {
+	if b.total <= 0 {
 		return 1
 	}
-	return Peakedness(l.batchSquares/l.total, l.taskSquares/l.total)
+	return Peakedness(b.batchSquares/b.total, b.taskSquares/b.total)
 }
 
-// ImmediateShare is the share of the work whose jobs cannot wait; all of it while
-// nothing has come in.
-func (l *BatchSizes) ImmediateShare() float64 {
-	if l.total <= 0 {
+// ImmediateShare is the share of the work whose jobs cannot wait; 1 while none has come in.
+func (b *BatchSizes) ImmediateShare() float64 {
+	if b.total <= 0 {
 		return 1
 	}
-	return l.immediate / l.total
+	return b.immediate / b.total
 }
