--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -69,17 +69,17 @@
 			return fmt.Errorf("step_percent must rise, and %g follows %g", 100*c.OpenShares[i], 100*c.OpenShares[i-1])
 		}
 	}
-	if name := repeated(c.EvacuationOrder); name != "" {
+	if name := firstDuplicate(c.EvacuationOrder); name != "" {
 		return fmt.Errorf("class %s stands there twice", name)
 	}
-	if name := repeated(c.ExemptZones); name != "" {
+	if name := firstDuplicate(c.ExemptZones); name != "" {
 		return fmt.Errorf("exempt %s stands there twice", name)
 	}
 	return nil
 }
 
-// repeated is the first name that stands in a list twice, empty if none does.
-func repeated(list []string) string {
+// firstDuplicate is the first name that stands in a list twice, empty if none does.
+func firstDuplicate(list []string) string {
 	for i, name := range list {
 		if slices.Contains(list[:i], name) {
 			return name
@@ -88,32 +88,32 @@
 	return ""
 }
 
-// suspicious tells whether so many machines are late that the zone is suspected.
-func (c *Config) suspicious(e Evidence) bool {
-	return e.troubled() >= c.MinMachines && float64(e.troubled()) > c.PartialDisruptionShare*float64(e.Running)
+// isPartiallyDisrupted tells whether so many machines are late that the zone is suspected.
+func (c *Config) isPartiallyDisrupted(e Evidence) bool {
+	return e.notReady() >= c.MinMachines && float64(e.notReady()) > c.PartialDisruptionShare*float64(e.Running)
 }
 
-// clear tells whether so few are late that a suspicion is dropped.
-func (c *Config) clear(e Evidence) bool {
-	return float64(e.troubled()) <= c.NormalShare*float64(e.Running)
+// isNormal tells whether so few are late that a suspicion is dropped.
+func (c *Config) isNormal(e Evidence) bool {
+	return float64(e.notReady()) <= c.NormalShare*float64(e.Running)
 }
 
-// lost tells whether so many machines are silent that the zone may be lost.
-func (c *Config) lost(e Evidence) bool {
-	return e.gone() >= c.MinMachines && float64(e.gone()) > c.FullDisruptionShare*float64(e.Running)
+// isFullyDisrupted tells whether so many machines are silent that the zone may be lost.
+func (c *Config) isFullyDisrupted(e Evidence) bool {
+	return e.unreachable() >= c.MinMachines && float64(e.unreachable()) > c.FullDisruptionShare*float64(e.Running)
 }
 
-// heard tells whether the evidence of a return is enough: what is left silent is less than
+// hasRecovered tells whether the evidence of a return is enough: what is left silent is less than
 // what makes a loss.
-func (c *Config) heard(e Evidence) bool {
+func (c *Config) hasRecovered(e Evidence) bool {
 	return e.Recovered > 0 && float64(e.Recovered) >= (1-c.FullDisruptionShare)*float64(e.Running)
 }
 
-// holdDown is how long a zone must be heard after so many flaps.
-func (c *Config) holdDown(flaps int) micros.Micros {
-	hold := c.InitialHoldDown
-	for i := 1; i < flaps && hold < c.MaxHoldDown; i++ {
-		hold *= 2
+// holdDownAfter is how long a zone must be heard after so many flaps.
+func (c *Config) holdDownAfter(flaps int) micros.Micros {
+	holdDown := c.InitialHoldDown
+	for i := 1; i < flaps && holdDown < c.MaxHoldDown; i++ {
+		holdDown *= 2
 	}
-	return min(hold, c.MaxHoldDown)
+	return min(holdDown, c.MaxHoldDown)
 }
--- a/internal/zone/manager.go
+++ b/internal/zone/manager.go
@@ -10,44 +10,44 @@
 
 // LifecyclePolicy is the policy with a state machine for each zone.
 type LifecyclePolicy struct {
-	config   Config
-	zones    map[string]lifecycle
-	evidence map[string]Evidence
-	mass     bool
-	moving   bool // work moves: some zone is not all there
-	refuge   bool // some zone is left to move to
+	config        Config
+	zones         map[string]lifecycle
+	evidence      map[string]Evidence
+	massOutage    bool
+	evacuating    bool // work moves: some zone is not all there
+	anyNormalZone bool // some zone is left to move to
 }
 
 var _ Policy = (*LifecyclePolicy)(nil)
 
 // NewLifecyclePolicy makes the policy for a checked configuration.
 func NewLifecyclePolicy(c Config) *LifecyclePolicy {
-	return &LifecyclePolicy{config: c, zones: map[string]lifecycle{}, evidence: map[string]Evidence{}, refuge: true}
+	return &LifecyclePolicy{config: c, zones: map[string]lifecycle{}, evidence: map[string]Evidence{}, anyNormalZone: true}
 }
 
 // Observe implements Policy.
 func (m *LifecyclePolicy) Observe(now micros.Micros, o Observation) (changes []Transition) {
-	m.mass = massSilent(o)
+	m.massOutage = isMassOutage(o)
 	m.evidence = o.Zones
 	// If no zone speaks against it, the observer is taken to be at fault.
-	atFault := o.ObserverIsolated || !m.hasRefuge()
-	m.moving = false
-	for _, name := range names(o, m.zones) {
+	atFault := o.ObserverIsolated || !m.hasNormalZone()
+	m.evacuating = false
+	for _, name := range zoneNames(o, m.zones) {
 		before := m.zones[name]
 		after := before.next(&m.config, o.Zones[name], atFault, now)
 		if slices.Contains(m.config.ExemptZones, name) {
 			after = lifecycle{}
 		}
 		if after.state == FullDisruption && before.state != FullDisruption {
-			after.keep = m.mass || before.keep
+			after.keepSilent = m.massOutage || before.keepSilent
 		}
 		m.zones[name] = after
-		m.moving = m.moving || after.state >= FullDisruption
+		m.evacuating = m.evacuating || after.state >= FullDisruption
 		if after.state != before.state || after.step != before.step || after.reason != before.reason {
 			changes = append(changes, transition(name, before, after, o.Zones[name]))
 		}
 	}
-	m.refuge = m.hasRefuge()
+	m.anyNormalZone = m.hasNormalZone()
 	return changes
 }
 
@@ -60,35 +60,35 @@
 	return t
 }
 
-// hasRefuge tells whether a zone is left that is neither lost, nor on its way back, nor looks
+// hasNormalZone tells whether a zone is left that is neither lost, nor on its way back, nor looks
 // lost. One with too few machines for a verdict counts all the same.
-func (m *LifecyclePolicy) hasRefuge() bool {
+func (m *LifecyclePolicy) hasNormalZone() bool {
 	for name, e := range m.evidence {
-		if e.Running > 0 && m.zones[name].state < FullDisruption && float64(e.troubled()) <= m.config.PartialDisruptionShare*float64(e.Running) {
+		if e.Running > 0 && m.zones[name].state < FullDisruption && float64(e.notReady()) <= m.config.PartialDisruptionShare*float64(e.Running) {
 			return true
 		}
 	}
 	return false
 }
 
-// names lists the zones of an observation and those known before, in order.
-func names[T any](o Observation, known map[string]T) []string {
+// zoneNames lists the zones of an observation and those known before, in order.
+func zoneNames[T any](o Observation, known map[string]T) []string {
 	all := slices.AppendSeq(slices.Collect(maps.Keys(o.Zones)), maps.Keys(known))
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// rentFrom is the share of a returning zone's machines from which on more are rented there.
+// minLaunchShare is the share of a returning zone's machines from which on more are rented there.
 // Sooner, a zone that flaps would have the same loss replaced twice: elsewhere, and in itself.
-const rentFrom = 0.5
+const minLaunchShare = 0.5
 
 // Decide implements Policy.
 func (m *LifecyclePolicy) Decide(name string) Decision {
 	z := m.zones[name]
-	d := Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: m.mass || z.state == PartialDisruption || z.keep, OpenShare: 1}
+	d := Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: m.massOutage || z.state == PartialDisruption || z.keepSilent, OpenShare: 1}
 	switch z.state {
 	case PartialDisruption:
-		d.MaxMachines, d.Reachable = 0, z.lossSince == 0
+		d.MaxMachines, d.Reachable = 0, z.disruptedSince == 0
 		if !z.observerAtFault {
 			d.ReplacementShare = m.config.ReplacementShare
 		}
@@ -101,11 +101,11 @@
 		switch {
 		case m.evidence[name].Running == 0:
 			d.MaxMachines = m.config.MinMachines // to hear whether the zone is back
-		case d.OpenShare < rentFrom:
+		case d.OpenShare < minLaunchShare:
 			d.MaxMachines = 0
 		}
 	}
-	if !m.refuge {
+	if !m.anyNormalZone {
 		d.OpenShare = 1 // what is heard there is all that is left
 	}
 	return d
@@ -114,7 +114,7 @@
 // EvacuationRank implements Policy: urgent work first, then the classes in the operators' order.
 func (m *LifecyclePolicy) EvacuationRank(class string, urgent bool) int {
 	switch {
-	case !m.moving:
+	case !m.evacuating:
 		return 0
 	case urgent:
 		return 1
@@ -145,7 +145,7 @@
 			s.Step, s.Steps = z.step+1, len(m.config.OpenShares)
 		}
 		if z.state == HeldDown {
-			s.HoldDownS = max(0, z.until-now).Seconds()
+			s.HoldDownS = max(0, z.holdDownUntil-now).Seconds()
 		}
 		out = append(out, s)
 	}
--- a/internal/zone/record.go
+++ b/internal/zone/record.go
@@ -24,13 +24,13 @@
 	NormalSince   micros.Micros `json:"calm,omitempty"`
 }
 
-// oldest is how old a stored state may be to go on from. By then a zone has long been lost
+// maxRecordAge is how old a stored state may be to go on from. By then a zone has long been lost
 // anew, or been heard without this policy.
-const oldest = 24 * 3600 * micros.Second
+const maxRecordAge = 24 * 3600 * micros.Second
 
 // Record implements Policy.
 func (m *LifecyclePolicy) Record(now, wall micros.Micros) *Record {
-	timeOfDay := func(at micros.Micros) micros.Micros {
+	toWall := func(at micros.Micros) micros.Micros {
 		if at == 0 {
 			return 0
 		}
@@ -44,12 +44,12 @@
 		r.Zones[name] = RecordedZone{
 			State:         z.state,
 			Reason:        z.reason,
-			Since:         timeOfDay(z.since),
+			Since:         toWall(z.since),
 			Step:          z.step,
 			Flaps:         z.flaps,
-			HoldDownUntil: timeOfDay(z.until),
-			KeepSilent:    z.keep,
-			NormalSince:   timeOfDay(z.calm),
+			HoldDownUntil: toWall(z.holdDownUntil),
+			KeepSilent:    z.keepSilent,
+			NormalSince:   toWall(z.normalSince),
 		}
 	}
 	return r
@@ -61,40 +61,40 @@
 		return
 	}
 	for name, s := range r.Zones {
-		if z, ok := s.lifecycle(&m.config, now, wall); ok {
+		if z, ok := s.restore(&m.config, now, wall); ok {
 			m.zones[name] = z
-			m.moving = m.moving || z.state >= FullDisruption
+			m.evacuating = m.evacuating || z.state >= FullDisruption
 		}
 	}
 }
 
-// lifecycle is a stored state as it is gone on from. The evidence is gathered anew: its
+// restore is a stored state as it is gone on from. The evidence is gathered anew: its
 // counters begin at nought with the term.
-func (s RecordedZone) lifecycle(c *Config, now, wall micros.Micros) (z lifecycle, ok bool) {
+func (s RecordedZone) restore(c *Config, now, wall micros.Micros) (z lifecycle, ok bool) {
 	if s.State < Normal || s.State > Reopening || s.Step < 0 || s.Step >= len(c.OpenShares) || s.Flaps < 0 {
 		return z, false
 	}
-	if s.State != Normal && wall-s.Since > oldest || s.State == Normal && wall-s.NormalSince > oldest {
+	if s.State != Normal && wall-s.Since > maxRecordAge || s.State == Normal && wall-s.NormalSince > maxRecordAge {
 		return z, false
 	}
 	// Another node's clock may be ahead: what lies in the future began just now.
-	steady := func(at micros.Micros) micros.Micros {
+	toLocal := func(at micros.Micros) micros.Micros {
 		if at == 0 {
 			return 0
 		}
 		return now - max(0, wall-at)
 	}
 	z = lifecycle{
-		state:  s.State,
-		reason: s.Reason,
-		since:  steady(s.Since),
-		step:   s.Step,
-		flaps:  s.Flaps,
-		keep:   s.KeepSilent,
-		calm:   steady(s.NormalSince),
+		state:       s.State,
+		reason:      s.Reason,
+		since:       toLocal(s.Since),
+		step:        s.Step,
+		flaps:       s.Flaps,
+		keepSilent:  s.KeepSilent,
+		normalSince: toLocal(s.NormalSince),
 	}
 	if s.State == HeldDown {
-		z.until = now + min(max(0, s.HoldDownUntil-wall), c.MaxHoldDown)
+		z.holdDownUntil = now + min(max(0, s.HoldDownUntil-wall), c.MaxHoldDown)
 	}
 	if s.State == Reopening {
 		z.since = now // its starts are counted anew
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -72,11 +72,11 @@
 	StartsSeen int `json:"started"`
 }
 
-// gone counts the machines that speak for a loss.
-func (e Evidence) gone() int { return e.Silent + e.LostResponses + e.Unlisted }
+// unreachable counts the machines that speak for a loss.
+func (e Evidence) unreachable() int { return e.Silent + e.LostResponses + e.Unlisted }
 
-// troubled counts those that speak for a suspicion.
-func (e Evidence) troubled() int { return e.gone() + e.Late }
+// notReady counts those that speak for a suspicion.
+func (e Evidence) notReady() int { return e.unreachable() + e.Late }
 
 // Observation is all that is known at one moment.
 type Observation struct {
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -197,13 +197,13 @@
 	}{
 		{"healthy", lifecycle{}, 9, Decision{MaxMachines: Unlimited, Reachable: true, OpenShare: 1}},
 		{"suspected", lifecycle{state: PartialDisruption}, 9, Decision{Reachable: true, KeepSilent: true, OpenShare: 1, ReplacementShare: 0.5}},
-		{"blamed", lifecycle{state: PartialDisruption, observerAtFault: true, lossSince: 1}, 9, Decision{KeepSilent: true, OpenShare: 1}},
-		{"lost", lifecycle{state: FullDisruption, keep: true}, 9, Decision{KeepSilent: true, ReplacementShare: 0.5}},
+		{"blamed", lifecycle{state: PartialDisruption, observerAtFault: true, disruptedSince: 1}, 9, Decision{KeepSilent: true, OpenShare: 1}},
+		{"lost", lifecycle{state: FullDisruption, keepSilent: true}, 9, Decision{KeepSilent: true, ReplacementShare: 0.5}},
 		{"gone", lifecycle{state: FullDisruption}, 9, Decision{ReplacementShare: 0.5}},
-		{"held", lifecycle{state: HeldDown, keep: true}, 9, Decision{Reachable: true, KeepSilent: true, ReplacementShare: 0.5}},
-		{"returning", lifecycle{state: Reopening, step: 1, keep: true}, 9, Decision{Reachable: true, KeepSilent: true, OpenShare: 0.25, ReplacementShare: 0.5}},
-		{"half open", lifecycle{state: Reopening, step: 2, keep: true}, 9, Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: true, OpenShare: 0.5, ReplacementShare: 0.5}},
-		{"empty", lifecycle{state: Reopening, keep: true}, 0, Decision{MaxMachines: 3, Reachable: true, KeepSilent: true, OpenShare: 0.1, ReplacementShare: 0.5}},
+		{"held", lifecycle{state: HeldDown, keepSilent: true}, 9, Decision{Reachable: true, KeepSilent: true, ReplacementShare: 0.5}},
+		{"returning", lifecycle{state: Reopening, step: 1, keepSilent: true}, 9, Decision{Reachable: true, KeepSilent: true, OpenShare: 0.25, ReplacementShare: 0.5}},
+		{"half open", lifecycle{state: Reopening, step: 2, keepSilent: true}, 9, Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: true, OpenShare: 0.5, ReplacementShare: 0.5}},
+		{"empty", lifecycle{state: Reopening, keepSilent: true}, 0, Decision{MaxMachines: 3, Reachable: true, KeepSilent: true, OpenShare: 0.1, ReplacementShare: 0.5}},
 	}
 	for _, c := range cases {
 		m.zones[c.name], m.evidence[c.name] = c.z, Evidence{Running: c.up}
@@ -233,7 +233,7 @@
 	m := NewLifecyclePolicy(testConfig())
 	m.config.EvacuationOrder = []string{"scan", "update"}
 	for moving, want := range map[bool][]int{false: {0, 0, 0, 0}, true: {1, 2, 3, 4}} {
-		m.moving = moving
+		m.evacuating = moving
 		got := []int{m.EvacuationRank("other", true), m.EvacuationRank("scan", false), m.EvacuationRank("update", false), m.EvacuationRank("other", false)}
 		if !slices.Equal(got, want) {
 			t.Errorf("bands %v, want %v", got, want)
@@ -248,16 +248,16 @@
 		name          string
 		before, after lifecycle
 	}{
-		{"lost", lifecycle{state: FullDisruption, reason: ReasonMostSilent, since: now - 20*s, flaps: 2, calm: now - 60*s, keep: true},
-			lifecycle{state: FullDisruption, reason: ReasonMostSilent, since: nowThere - 22*s, flaps: 2, calm: nowThere - 62*s, keep: true}},
-		{"held down", lifecycle{state: HeldDown, reason: ReasonHeartbeatsResumed, since: now - 4*s, flaps: 1, until: now + 6*s},
-			lifecycle{state: HeldDown, reason: ReasonHeartbeatsResumed, since: nowThere - 6*s, flaps: 1, until: nowThere + 4*s}},
-		{"returning", lifecycle{state: Reopening, reason: ReasonStepSucceeded, since: now - 4*s, step: 2, flaps: 1, sent: 9, started: 8},
+		{"lost", lifecycle{state: FullDisruption, reason: ReasonMostSilent, since: now - 20*s, flaps: 2, normalSince: now - 60*s, keepSilent: true},
+			lifecycle{state: FullDisruption, reason: ReasonMostSilent, since: nowThere - 22*s, flaps: 2, normalSince: nowThere - 62*s, keepSilent: true}},
+		{"held down", lifecycle{state: HeldDown, reason: ReasonHeartbeatsResumed, since: now - 4*s, flaps: 1, holdDownUntil: now + 6*s},
+			lifecycle{state: HeldDown, reason: ReasonHeartbeatsResumed, since: nowThere - 6*s, flaps: 1, holdDownUntil: nowThere + 4*s}},
+		{"returning", lifecycle{state: Reopening, reason: ReasonStepSucceeded, since: now - 4*s, step: 2, flaps: 1, startsSent: 9, startsSeen: 8},
 			lifecycle{state: Reopening, reason: ReasonStepSucceeded, since: nowThere, step: 2, flaps: 1}},
-		{"healthy after flaps", lifecycle{reason: ReasonFullyOpen, since: now - 10*s, flaps: 3, calm: now - 10*s},
-			lifecycle{reason: ReasonFullyOpen, since: nowThere - 12*s, flaps: 3, calm: nowThere - 12*s}},
+		{"healthy after flaps", lifecycle{reason: ReasonFullyOpen, since: now - 10*s, flaps: 3, normalSince: now - 10*s},
+			lifecycle{reason: ReasonFullyOpen, since: nowThere - 12*s, flaps: 3, normalSince: nowThere - 12*s}},
 		{"healthy", lifecycle{}, lifecycle{}},
-		{"too old", lifecycle{state: FullDisruption, since: now - 2*oldest, flaps: 1}, lifecycle{}},
+		{"too old", lifecycle{state: FullDisruption, since: now - 2*maxRecordAge, flaps: 1}, lifecycle{}},
 		{"a step that there is not", lifecycle{state: Reopening, since: now, step: 9, flaps: 1}, lifecycle{}},
 		{"a state that there is not", lifecycle{state: 9, since: now, flaps: 1}, lifecycle{}},
 	}
