--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -8,32 +8,33 @@
 	"caperlatch/internal/micros"
 )
 
-// Config holds what operators may set of the state machine.
+// Config is what operators may set of the LifecyclePolicy. Shares are of the zone's running machines,
+// from 0 to 1.
 type Config struct {
-	EvacuationOrder []string // in which work moves after urgent work; others come last
-	ExemptZones     []string // zones that are never judged
+	EvacuationOrder []string // classes in the order in which their work moves, after urgent work; others last
+	ExemptZones     []string // zones that are always taken as normal
 
-	PartialDisruptionShare float64       // share of late machines above which a zone is suspected
-	FullDisruptionShare    float64       // share of silent machines above which it may be lost
-	NormalShare            float64       // share of late machines at which a suspicion is dropped
-	ConfirmationTime       micros.Micros // for how long the share must hold until the verdict
-	MinMachines            int           // fewer silent machines than this say nothing of a zone
-	MaxRelapseShare        float64       // share of machines that may fall silent anew in a step
-	OpenShares             []float64     // shares of a returning zone's machines that are open, rising to 1
-	MinStepTime            micros.Micros // the least time of a step
-	HeartbeatInterval      micros.Micros // the workers' time between reports
+	PartialDisruptionShare float64       // of machines not ready, above which a zone is partially disrupted
+	FullDisruptionShare    float64       // of unreachable machines, above which it may be fully disrupted
+	NormalShare            float64       // of machines not ready, down to which a partial disruption is over
+	ConfirmationTime       micros.Micros // for how long a full disruption must be evident
+	MinMachines            int           // fewer machines are no evidence of a disruption
+	MaxRelapseShare        float64       // of machines that may fall silent again in a step of reopening
+	OpenShares             []float64     // of machines that are open, for each step of reopening; rising to 1
+	MinStepTime            micros.Micros // the least duration of a step
+	HeartbeatInterval      micros.Micros // of workers
 
-	InitialHoldDown micros.Micros // of the first loss; it doubles with each flap
+	InitialHoldDown micros.Micros // after the first full disruption; it doubles with each flap
 	MaxHoldDown     micros.Micros
-	FlapExpiry      micros.Micros // without a loss, after which one flap is forgotten
+	FlapExpiry      micros.Micros // time without a full disruption after which one flap is forgotten
 
-	ReplacementShare float64 // share of the unusable machines that is replaced elsewhere
+	ReplacementShare float64 // of the unusable machines that are replaced elsewhere
 }
 
-// DefaultConfig is what holds for the settings that are left out, where workers report so
-// often. The hold-down at its longest and the steps stay well under 90 s: no work that fits
-// waits for so long while a machine that is heard has room.
-func DefaultConfig(report micros.Micros) Config {
+// DefaultConfig is what holds for settings that are left out, for an interval of workers'
+// heartbeats. The longest hold-down and the steps stay well under 90 s: no work that fits waits for
+// so long while a machine that sends heartbeats has room.
+func DefaultConfig(heartbeatInterval micros.Micros) Config {
 	return Config{
 		PartialDisruptionShare: 0.4,
 		FullDisruptionShare:    0.5,
@@ -42,8 +43,8 @@
 		MinMachines:            3,
 		MaxRelapseShare:        0.05,
 		OpenShares:             []float64{0.10, 0.25, 0.50, 1},
-		MinStepTime:            min(micros.Second, report),
-		HeartbeatInterval:      report,
+		MinStepTime:            min(micros.Second, heartbeatInterval),
+		HeartbeatInterval:      heartbeatInterval,
 		InitialHoldDown:        micros.Second,
 		MaxHoldDown:            30 * micros.Second,
 		FlapExpiry:             300 * micros.Second,
@@ -51,8 +52,8 @@
 	}
 }
 
-// Check tells the first thing found wrong between settings that are each within bounds. Its
-// error names the element.
+// Check returns the first contradiction between settings that are each within bounds. The error
+// names the XML element.
 func (c *Config) Check() error {
 	switch {
 	case c.NormalShare >= c.PartialDisruptionShare:
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// firstDuplicate is the first name that stands in a list twice, empty if none does.
+// firstDuplicate is the first name that is in a list twice; empty if none is.
 func firstDuplicate(list []string) string {
 	for i, name := range list {
 		if slices.Contains(list[:i], name) {
@@ -88,28 +89,30 @@
 	return ""
 }
 
-// isPartiallyDisrupted tells whether so many machines are late that the zone is suspected.
+// isPartiallyDisrupted reports whether so many machines are not ready that a normal zone is partially
+// disrupted.
 func (c *Config) isPartiallyDisrupted(e Evidence) bool {
 	return e.notReady() >= c.MinMachines && float64(e.notReady()) > c.PartialDisruptionShare*float64(e.Running)
 }
 
-// isNormal tells whether so few are late that a suspicion is dropped.
+// isNormal reports whether so few machines are not ready that a partial disruption is over.
 func (c *Config) isNormal(e Evidence) bool {
 	return float64(e.notReady()) <= c.NormalShare*float64(e.Running)
 }
 
-// isFullyDisrupted tells whether so many machines are silent that the zone may be lost.
+// isFullyDisrupted reports whether so many machines are unreachable that the zone may be fully
+// disrupted.
 func (c *Config) isFullyDisrupted(e Evidence) bool {
 	return e.unreachable() >= c.MinMachines && float64(e.unreachable()) > c.FullDisruptionShare*float64(e.Running)
 }
 
-// hasRecovered tells whether the evidence of a return is enough: what is left silent is less than
-// what makes a loss.
+// hasRecovered reports whether the evidence of a recovery is enough: the machines that have not
+// recovered are fewer than what makes a full disruption.
 func (c *Config) hasRecovered(e Evidence) bool {
 	return e.Recovered > 0 && float64(e.Recovered) >= (1-c.FullDisruptionShare)*float64(e.Running)
 }
 
-// holdDownAfter is how long a zone must be heard after so many flaps.
+// holdDownAfter is for how long heartbeats must arrive from a zone after some flaps.
 func (c *Config) holdDownAfter(flaps int) micros.Micros {
 	holdDown := c.InitialHoldDown
 	for i := 1; i < flaps && holdDown < c.MaxHoldDown; i++ {
--- a/internal/zone/lifecycle_policy.go
+++ b/internal/zone/lifecycle_policy.go
@@ -8,14 +8,15 @@
 	"caperlatch/internal/micros"
 )
 
-// LifecyclePolicy is the policy with a state machine for each zone.
+// LifecyclePolicy is the policy with a lifecycle for each zone: work leaves a fully disrupted zone,
+// and comes back in steps. It owns the lifecycles; its caller serializes calls.
 type LifecyclePolicy struct {
 	config        Config
 	zones         map[string]lifecycle
 	evidence      map[string]Evidence
-	massOutage    bool
-	evacuating    bool // work moves: some zone is not all there
-	anyNormalZone bool // some zone is left to move to
+	massOutage    bool // see isMassOutage
+	evacuating    bool // work moves out of some zone, or may not move back yet
+	anyNormalZone bool // there is a zone to move to
 }
 
 var _ Policy = (*LifecyclePolicy)(nil)
@@ -26,32 +27,32 @@
 }
 
 // Observe implements Policy.
-func (m *LifecyclePolicy) Observe(now micros.Micros, o Observation) (changes []Transition) {
-	m.massOutage = isMassOutage(o)
-	m.evidence = o.Zones
-	// If no zone speaks against it, the observer is taken to be at fault.
-	atFault := o.ObserverIsolated || !m.hasNormalZone()
-	m.evacuating = false
-	for _, name := range zoneNames(o, m.zones) {
-		before := m.zones[name]
-		after := before.next(&m.config, o.Zones[name], atFault, now)
-		if slices.Contains(m.config.ExemptZones, name) {
+func (p *LifecyclePolicy) Observe(now micros.Micros, o Observation) (changes []Transition) {
+	p.massOutage = isMassOutage(o)
+	p.evidence = o.Zones
+	// Unless a zone is evidence against it, the observer is taken to be at fault.
+	atFault := o.ObserverIsolated || !p.hasNormalZone()
+	p.evacuating = false
+	for _, name := range zoneNames(o, p.zones) {
+		before := p.zones[name]
+		after := before.next(&p.config, o.Zones[name], atFault, now)
+		if slices.Contains(p.config.ExemptZones, name) {
 			after = lifecycle{}
 		}
 		if after.state == FullDisruption && before.state != FullDisruption {
-			after.keepSilent = m.massOutage || before.keepSilent
+			after.keepSilent = p.massOutage || before.keepSilent
 		}
-		m.zones[name] = after
-		m.evacuating = m.evacuating || after.state >= FullDisruption
+		p.zones[name] = after
+		p.evacuating = p.evacuating || after.state.isEvacuating()
 		if after.state != before.state || after.step != before.step || after.reason != before.reason {
 			changes = append(changes, transition(name, before, after, o.Zones[name]))
 		}
 	}
-	m.anyNormalZone = m.hasNormalZone()
+	p.anyNormalZone = p.hasNormalZone()
 	return changes
 }
 
-// transition describes a change.
+// transition describes a change of a zone.
 func transition(name string, before, after lifecycle, e Evidence) Transition {
 	t := Transition{Zone: name, From: before.state, To: after.state, Reason: after.reason, Evidence: e}
 	if after.state == Reopening {
@@ -60,11 +61,11 @@
 	return t
 }
 
-// hasNormalZone tells whether a zone is left that is neither lost, nor on its way back, nor looks
-// lost. One with too few machines for a verdict counts all the same.
-func (m *LifecyclePolicy) hasNormalZone() bool {
-	for name, e := range m.evidence {
-		if e.Running > 0 && m.zones[name].state < FullDisruption && float64(e.notReady()) <= m.config.PartialDisruptionShare*float64(e.Running) {
+// hasNormalZone reports whether there is a zone that is neither fully disrupted, nor on the way back,
+// nor looks disrupted. One with too few machines for evidence of a disruption counts all the same.
+func (p *LifecyclePolicy) hasNormalZone() bool {
+	for name, e := range p.evidence {
+		if e.Running > 0 && !p.zones[name].state.isEvacuating() && float64(e.notReady()) <= p.config.PartialDisruptionShare*float64(e.Running) {
 			return true
 		}
 	}
@@ -78,71 +79,71 @@
 	return slices.Compact(all)
 }
 
-// minLaunchShare is the share of a returning zone's machines from which on more are rented there.
-// Sooner, a zone that flaps would have the same loss replaced twice: elsewhere, and in itself.
+// minLaunchShare is the open share of a reopening zone from which on machines are launched there.
+// Sooner, the same machines of a zone that flaps would be replaced twice: elsewhere, and in itself.
 const minLaunchShare = 0.5
 
 // Decide implements Policy.
-func (m *LifecyclePolicy) Decide(name string) Decision {
-	z := m.zones[name]
-	d := Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: m.massOutage || z.state == PartialDisruption || z.keepSilent, OpenShare: 1}
+func (p *LifecyclePolicy) Decide(name string) Decision {
+	z := p.zones[name]
+	d := Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: p.massOutage || z.state == PartialDisruption || z.keepSilent, OpenShare: 1}
 	switch z.state {
 	case PartialDisruption:
 		d.MaxMachines, d.Reachable = 0, z.disruptedSince == 0
 		if !z.observerAtFault {
-			d.ReplacementShare = m.config.ReplacementShare
+			d.ReplacementShare = p.config.ReplacementShare
 		}
 	case FullDisruption:
-		d.MaxMachines, d.Reachable, d.OpenShare, d.ReplacementShare = 0, false, 0, m.config.ReplacementShare
+		d.MaxMachines, d.Reachable, d.OpenShare, d.ReplacementShare = 0, false, 0, p.config.ReplacementShare
 	case HeldDown:
-		d.MaxMachines, d.OpenShare, d.ReplacementShare = 0, 0, m.config.ReplacementShare
+		d.MaxMachines, d.OpenShare, d.ReplacementShare = 0, 0, p.config.ReplacementShare
 	case Reopening:
-		d.OpenShare, d.ReplacementShare = m.config.OpenShares[z.step], m.config.ReplacementShare
+		d.OpenShare, d.ReplacementShare = p.config.OpenShares[z.step], p.config.ReplacementShare
 		switch {
-		case m.evidence[name].Running == 0:
-			d.MaxMachines = m.config.MinMachines // to hear whether the zone is back
+		case p.evidence[name].Running == 0:
+			d.MaxMachines = p.config.MinMachines // whose heartbeats show whether the zone has recovered
 		case d.OpenShare < minLaunchShare:
 			d.MaxMachines = 0
 		}
 	}
-	if !m.anyNormalZone {
-		d.OpenShare = 1 // what is heard there is all that is left
+	if !p.anyNormalZone {
+		d.OpenShare = 1 // the machines that are heard there are all that is left
 	}
 	return d
 }
 
 // EvacuationRank implements Policy: urgent work first, then the classes in the operators' order.
-func (m *LifecyclePolicy) EvacuationRank(class string, urgent bool) int {
+func (p *LifecyclePolicy) EvacuationRank(class string, urgent bool) int {
 	switch {
-	case !m.evacuating:
+	case !p.evacuating:
 		return 0
 	case urgent:
 		return 1
 	}
-	if i := slices.Index(m.config.EvacuationOrder, class); i >= 0 {
+	if i := slices.Index(p.config.EvacuationOrder, class); i >= 0 {
 		return 2 + i
 	}
-	return 2 + len(m.config.EvacuationOrder)
+	return 2 + len(p.config.EvacuationOrder)
 }
 
 // Status implements Policy.
-func (m *LifecyclePolicy) Status(now micros.Micros) []Status {
+func (p *LifecyclePolicy) Status(now micros.Micros) []Status {
 	out := []Status{}
-	for _, name := range slices.Sorted(maps.Keys(m.zones)) {
-		z := m.zones[name]
+	for _, name := range slices.Sorted(maps.Keys(p.zones)) {
+		z := p.zones[name]
 		s := Status{
 			Zone:      name,
 			State:     z.state.String(),
 			Reason:    cmp.Or(z.reason, ReasonHeartbeatsArrive),
-			OpenShare: m.Decide(name).OpenShare,
+			OpenShare: p.Decide(name).OpenShare,
 			Flaps:     z.flaps,
-			Evidence:  m.evidence[name],
+			Evidence:  p.evidence[name],
 		}
 		if z.since != 0 {
 			s.SinceS = (now - z.since).Seconds()
 		}
 		if z.state == Reopening {
-			s.Step, s.Steps = z.step+1, len(m.config.OpenShares)
+			s.Step, s.Steps = z.step+1, len(p.config.OpenShares)
 		}
 		if z.state == HeldDown {
 			s.HoldDownS = max(0, z.holdDownUntil-now).Seconds()
--- a/internal/zone/record.go
+++ b/internal/zone/record.go
@@ -2,17 +2,18 @@
 
 import "caperlatch/internal/micros"
 
-// RecordVersion is that of records as they are written now. Others are not read.
+// RecordVersion is the version of records. Others are not read.
 const RecordVersion = 1
 
-// Record is what a next leader goes on from, so that a change of leader begins neither an
-// evacuation nor a return again. No rule hangs on it: without it all is derived anew.
+// Record is what a next leader continues from, so that a failover starts neither an evacuation nor a
+// reopening again. No proof depends on it: without it all is derived anew.
 type Record struct {
 	Version int                     `json:"version"`
 	Zones   map[string]RecordedZone `json:"zones"`
 }
 
-// RecordedZone is the state of a zone that is not healthy, or was not lately. Times are of day.
+// RecordedZone is the stored lifecycle of a zone that is not normal, or was not lately. Times are of
+// day.
 type RecordedZone struct {
 	State         State         `json:"state"`
 	Reason        Reason        `json:"reason"`
@@ -24,12 +25,12 @@
 	NormalSince   micros.Micros `json:"calm,omitempty"`
 }
 
-// maxRecordAge is how old a stored state may be to go on from. By then a zone has long been lost
-// anew, or been heard without this policy.
+// maxRecordAge is how old a stored state may be. By then a zone has long been disrupted again, or has
+// recovered without this policy.
 const maxRecordAge = 24 * 3600 * micros.Second
 
 // Record implements Policy.
-func (m *LifecyclePolicy) Record(now, wall micros.Micros) *Record {
+func (p *LifecyclePolicy) Record(now, wall micros.Micros) *Record {
 	toWall := func(at micros.Micros) micros.Micros {
 		if at == 0 {
 			return 0
@@ -37,7 +38,7 @@
 		return wall - (now - at)
 	}
 	r := &Record{Version: RecordVersion, Zones: map[string]RecordedZone{}}
-	for name, z := range m.zones {
+	for name, z := range p.zones {
 		if z.state == Normal && z.flaps == 0 {
 			continue
 		}
@@ -55,21 +56,21 @@
 	return r
 }
 
-// Restore implements Policy. What cannot be used is left out, zone by zone.
-func (m *LifecyclePolicy) Restore(r *Record, now, wall micros.Micros) {
+// Restore implements Policy. Invalid and old states are left out, zone by zone.
+func (p *LifecyclePolicy) Restore(r *Record, now, wall micros.Micros) {
 	if r == nil || r.Version != RecordVersion {
 		return
 	}
 	for name, s := range r.Zones {
-		if z, ok := s.restore(&m.config, now, wall); ok {
-			m.zones[name] = z
-			m.evacuating = m.evacuating || z.state >= FullDisruption
+		if z, ok := s.restore(&p.config, now, wall); ok {
+			p.zones[name] = z
+			p.evacuating = p.evacuating || z.state.isEvacuating()
 		}
 	}
 }
 
-// restore is a stored state as it is gone on from. The evidence is gathered anew: its
-// counters begin at nought with the term.
+// restore is the lifecycle that continues a stored one; ok is false if it is invalid or too old. The
+// evidence is gathered anew: its counters start at 0 with the term.
 func (s RecordedZone) restore(c *Config, now, wall micros.Micros) (z lifecycle, ok bool) {
 	if s.State < Normal || s.State > Reopening || s.Step < 0 || s.Step >= len(c.OpenShares) || s.Flaps < 0 {
 		return z, false
@@ -77,7 +78,7 @@
 	if s.State != Normal && wall-s.Since > maxRecordAge || s.State == Normal && wall-s.NormalSince > maxRecordAge {
 		return z, false
 	}
-	// Another node's clock may be ahead: what lies in the future began just now.
+	// Another node's clock may be ahead: what lies in the future started just now.
 	toLocal := func(at micros.Micros) micros.Micros {
 		if at == 0 {
 			return 0
--- a/internal/zone/threshold_policy.go
+++ b/internal/zone/threshold_policy.go
@@ -2,18 +2,20 @@
 
 import "caperlatch/internal/micros"
 
-// Limits of the default policy.
 const (
-	minSilentMachines  = 3 // fewer say nothing of a zone
-	cutOffFraction     = 2 // a zone is cut off if more than one in so many is silent
-	massOutageFraction = 3 // the network is at fault if more than one in so many is silent
+	// minCutOffMachines is how many machines must be cut off: fewer are no evidence.
+	minCutOffMachines = 3
+	// cutOffFraction: a zone is cut off if more than one in so many of its machines are.
+	cutOffFraction = 2
+	// massOutageFraction: the network is at fault if more than one in so many of all machines are.
+	massOutageFraction = 3
 )
 
-// ThresholdPolicy is the default policy: a zone in which most machines are silent is cut off for
-// as long as they are. Nothing is rented there; nothing else is decided on zones.
+// ThresholdPolicy is the default policy: a zone in which most machines are cut off is, for as long as
+// they are. Nothing is launched there; nothing else is decided on zones.
 type ThresholdPolicy struct {
 	cutOff     map[string]bool
-	massOutage bool
+	massOutage bool // see isMassOutage
 }
 
 var _ Policy = (*ThresholdPolicy)(nil)
@@ -22,18 +24,17 @@
 func NewThresholdPolicy() *ThresholdPolicy { return &ThresholdPolicy{cutOff: map[string]bool{}} }
 
 // Observe implements Policy.
-func (t *ThresholdPolicy) Observe(_ micros.Micros, o Observation) (changes []Transition) {
-	t.massOutage = isMassOutage(o)
-	for _, name := range zoneNames(o, t.cutOff) {
-		// All machines of a zone may have been returned. Then none is left that could be heard
+func (p *ThresholdPolicy) Observe(_ micros.Micros, o Observation) (changes []Transition) {
+	p.massOutage = isMassOutage(o)
+	for _, name := range zoneNames(o, p.cutOff) {
+		// All machines of a zone may have been terminated. Then none is left that could be heard
 		// again, and a zone that stayed cut off for it got no others as long as the term lasted.
 		e := o.Zones[name]
-		silent := e.Silent + e.LostResponses
-		cut := silent >= minSilentMachines && cutOffFraction*silent > e.Running
-		if cut != t.cutOff[name] {
+		cut := e.cutOff() >= minCutOffMachines && cutOffFraction*e.cutOff() > e.Running
+		if cut != p.cutOff[name] {
 			changes = append(changes, cutOffTransition(name, cut, e))
 		}
-		t.cutOff[name] = cut
+		p.cutOff[name] = cut
 	}
 	return changes
 }
@@ -46,33 +47,33 @@
 	return Transition{Zone: name, From: FullDisruption, To: Normal, Reason: ReasonHeartbeatsArrive, Evidence: e}
 }
 
-// isMassOutage tells whether so many machines are silent that the network is more likely at
-// fault than they are: a network comes back sooner than a fleet boots.
+// isMassOutage reports whether so many machines are cut off that the network is more likely at fault
+// than they are: a network recovers sooner than a fleet boots.
 func isMassOutage(o Observation) bool {
-	silent, up := 0, 0
+	cutOff, running := 0, 0
 	for _, e := range o.Zones {
-		silent += e.Silent + e.LostResponses
-		up += e.Running
+		cutOff += e.cutOff()
+		running += e.Running
 	}
-	return silent >= minSilentMachines && massOutageFraction*silent > up
+	return cutOff >= minCutOffMachines && massOutageFraction*cutOff > running
 }
 
 // Decide implements Policy.
-func (t *ThresholdPolicy) Decide(zone string) Decision {
-	if t.cutOff[zone] {
-		return Decision{KeepSilent: t.massOutage, OpenShare: 1}
+func (p *ThresholdPolicy) Decide(zone string) Decision {
+	if p.cutOff[zone] {
+		return Decision{KeepSilent: p.massOutage, OpenShare: 1}
 	}
-	return Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: t.massOutage, OpenShare: 1}
+	return Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: p.massOutage, OpenShare: 1}
 }
 
 // EvacuationRank implements Policy.
-func (t *ThresholdPolicy) EvacuationRank(string, bool) int { return 0 }
+func (p *ThresholdPolicy) EvacuationRank(string, bool) int { return 0 }
 
 // Status implements Policy.
-func (t *ThresholdPolicy) Status(micros.Micros) []Status { return nil }
+func (p *ThresholdPolicy) Status(micros.Micros) []Status { return nil }
 
 // Record implements Policy.
-func (t *ThresholdPolicy) Record(micros.Micros, micros.Micros) *Record { return nil }
+func (p *ThresholdPolicy) Record(micros.Micros, micros.Micros) *Record { return nil }
 
 // Restore implements Policy.
-func (t *ThresholdPolicy) Restore(*Record, micros.Micros, micros.Micros) {}
+func (p *ThresholdPolicy) Restore(*Record, micros.Micros, micros.Micros) {}
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,10 +1,13 @@
-// Package zone decides on zones as a whole: whether one is lost, when it has returned, and
-// how much of its capacity may be used on the way back.
+// Package zone decides on zones as a whole: whether one is disrupted, when it has recovered, and how
+// much of its capacity may be used on the way back.
 //
-// It owns the states of a zone, the evidence that moves it between them, and the order in
-// which work moves to other zones. It does no I/O and takes the time as an argument; the
-// leader gathers the evidence and carries decisions out. Nothing here proves that a task has
-// ended: a decision orders, paces and rents, and never allows a start elsewhere.
+// It owns the states of a zone, the evidence that moves it between them, and the order in which
+// work moves to other zones. It is pure: no I/O, and time is an argument. The leader gathers the
+// evidence and carries decisions out. Nothing here proves that a task has ended: a decision orders,
+// paces and launches, and must never be what allows a start elsewhere.
+//
+// The states are those of Kubernetes' node lifecycle controller, with the way back from a full
+// disruption in two more. Operators see them by older words, which String gives.
 package zone
 
 import (
@@ -13,21 +16,21 @@
 	"caperlatch/internal/micros"
 )
 
-// State is what is thought of a zone.
+// State is what is known of a zone. Its numbers are stored.
 type State int
 
-// The states of a zone.
+// The states of a zone, with the words that operators see.
 const (
-	Normal            State = iota // all of it is used
-	PartialDisruption              // many machines are late: capacity elsewhere is rented ahead
-	FullDisruption                 // its work moves to other zones
-	HeldDown                       // it is heard again, and must stay so for a while before it is used
-	Reopening                      // its capacity opens in steps
+	Normal            State = iota // "healthy": all of it is used
+	PartialDisruption              // "suspected": many machines are late; capacity elsewhere is launched ahead
+	FullDisruption                 // "lost": its work moves to other zones
+	HeldDown                       // "held down": heartbeats arrive again, and must for a while before it is used
+	Reopening                      // "returning": its capacity opens in steps
 )
 
 var stateNames = [...]string{"healthy", "suspected", "lost", "held down", "returning"}
 
-// String names the state.
+// String is the word that operators see.
 func (s State) String() string {
 	if s < 0 || int(s) >= len(stateNames) {
 		return "unknown"
@@ -35,7 +38,10 @@
 	return stateNames[s]
 }
 
-// Reason says why a zone is in its state.
+// isEvacuating reports whether work moves out of a zone in the state, or may not move back yet.
+func (s State) isEvacuating() bool { return s >= FullDisruption }
+
+// Reason is why a zone is in its state. Reasons are stored and shown to operators.
 type Reason string
 
 // The reasons of transitions.
@@ -53,109 +59,72 @@
 	ReasonFullyOpen         Reason = "all of its capacity is open and held"
 )
 
-// Evidence is what is known of one zone's machines. Each machine counts once, in the gravest
-// of the groups; Up counts all that have come up and are not being returned.
+// Evidence is what is known of one zone's machines. Each machine counts once, in the gravest of the
+// groups; Running counts all that have come up and are not being terminated.
 type Evidence struct {
 	Running       int `json:"up"`
-	Late          int `json:"late"`     // with their reports, not yet silent
-	Silent        int `json:"silent"`   // for more than two reports
-	LostResponses int `json:"deaf"`     // reports come, and answers do not arrive
-	Unlisted      int `json:"vanished"` // silent, and no longer in the cloud's list
-	Quarantined   int `json:"failing"`  // found faulty; no sign of a lost zone
-	// Recovered counts the machines heard twice since the zone was lost: the second report was
-	// made after that, by a worker that had this term's token.
+	Late          int `json:"late"`     // heartbeat overdue, not yet silent
+	Silent        int `json:"silent"`   // no heartbeat for more than two intervals
+	LostResponses int `json:"deaf"`     // heartbeats arrive, and responses do not reach the machine
+	Unlisted      int `json:"vanished"` // late, and no longer in the cloud's list
+	Quarantined   int `json:"failing"`  // taken to be at fault; no sign of a disruption
+	// Recovered counts the machines heard twice since the disruption: the second heartbeat was made
+	// after it, by a worker that had this term's token.
 	Recovered int `json:"back"`
-	// Relapses, Sent and Started only grow during a term: machines that were back and fell
-	// silent, starts sent to the zone, and starts that were seen there.
-	Relapses   int `json:"relapses"`
-	StartsSent int `json:"sent"`
-	StartsSeen int `json:"started"`
+	// The following only grow during a term.
+	Relapses   int `json:"relapses"` // machines that had recovered and fell silent
+	StartsSent int `json:"sent"`     // starts sent to the zone
+	StartsSeen int `json:"started"`  // starts that heartbeats from the zone showed
 }
 
-// unreachable counts the machines that speak for a loss.
-func (e Evidence) unreachable() int { return e.Silent + e.LostResponses + e.Unlisted }
+// cutOff counts the machines that heartbeats do not come from, or responses do not reach.
+func (e Evidence) cutOff() int { return e.Silent + e.LostResponses }
+
+// unreachable counts the machines that are evidence of a full disruption.
+func (e Evidence) unreachable() int { return e.cutOff() + e.Unlisted }
 
-// notReady counts those that speak for a suspicion.
+// notReady counts those that are evidence of a partial disruption.
 func (e Evidence) notReady() int { return e.unreachable() + e.Late }
 
-// Observation is all that is known at one moment.
+// Observation is all that is known at one time.
 type Observation struct {
 	Zones            map[string]Evidence
-	ObserverIsolated bool // the observer hears neither the state service nor most of its peers
+	ObserverIsolated bool // the observer reaches neither the state service nor most of its peers
 }
 
 // Decision is what holds for one zone.
 type Decision struct {
-	MaxMachines      int     // how many machines there may be that are booked, boot or are up; see Unlimited
-	Reachable        bool    // orders can be expected to arrive
-	KeepSilent       bool    // silent machines are kept for as long as their leases last, and again
-	OpenShare        float64 // share of its machines that may start work which could run elsewhere
+	MaxMachines      int     // how many machines there may be that are launched, boot or run; see Unlimited
+	Reachable        bool    // commands can be expected to arrive
+	KeepSilent       bool    // silent machines are kept for as long as their leases last, and once more as long
+	OpenShare        float64 // share of its machines that may start tasks which could run elsewhere
 	ReplacementShare float64 // share of its unusable machines that do not count as supply
 }
 
-// Unlimited is no limit on rentals.
+// Unlimited is no limit on machines.
 const Unlimited = math.MaxInt
 
-// Transition is a change of a zone's state or step.
+// Transition is a change of a zone's state, step or reason.
 type Transition struct {
 	Zone     string
 	From, To State
-	Step     int // of a return, from 1
+	Step     int // of Reopening, from 1
 	Reason   Reason
 	Evidence Evidence
 }
 
 // Policy decides on zones. It is not safe for concurrent use.
 type Policy interface {
-	// Observe takes over what is known now, and tells what has changed.
+	// Observe takes over what is known now, and returns what has changed.
 	Observe(now micros.Micros, o Observation) []Transition
-	// Decide tells what holds for a zone since the last observation.
+	// Decide is what holds for a zone since the last observation.
 	Decide(zone string) Decision
-	// EvacuationRank is the place of a job in the order in which work moves, 0 if there is none now.
+	// EvacuationRank is a job's place in the order in which work moves, 0 if none moves now.
 	EvacuationRank(class string, urgent bool) int
-	// Status describes all zones that are known; nil if the policy has nothing to tell.
+	// Status describes all known zones; nil if the policy has nothing to show.
 	Status(now micros.Micros) []Status
-	// Record is what a next leader needs, nil if nothing is to be stored.
+	// Record is what a next leader needs, nil if nothing is to be stored. wall is the time of day.
 	Record(now, wall micros.Micros) *Record
-	// Restore goes on from a record of an earlier term.
+	// Restore continues from a record of an earlier term.
 	Restore(r *Record, now, wall micros.Micros)
 }
-
-// Status describes a zone for operators. The leader adds what it knows of its tasks.
-type Status struct {
-	Zone      string     `json:"zone"`
-	State     string     `json:"state"`
-	Reason    Reason     `json:"reason"`
-	SinceS    float64    `json:"since_s"`
-	Step      int        `json:"step,omitempty"` // of a return, from 1
-	Steps     int        `json:"steps,omitempty"`
-	OpenShare float64    `json:"open"`
-	HoldDownS float64    `json:"hold_s,omitempty"` // what is left of a hold-down
-	Flaps     int        `json:"flaps"`
-	Evidence  Evidence   `json:"evidence"`
-	Work      WorkStatus `json:"work"`
-}
-
-// WorkStatus is what became of a zone's work in this term, in tasks by class.
-type WorkStatus struct {
-	Displaced map[string]int `json:"displaced,omitempty"` // lost with the zone
-	Moved     map[string]int `json:"moved,omitempty"`     // of these, begun in another zone
-	Restarted map[string]int `json:"restarted,omitempty"` // of these, begun in the zone itself
-	// LeasedMachines whose leases are not over yet hold tasks that may not start elsewhere.
-	LeasedMachines   int     `json:"machines,omitempty"`
-	LeasedTasks      int     `json:"tasks,omitempty"`
-	NextLeaseEndS    float64 `json:"next_end_s,omitempty"`
-	LastLeaseEndS    float64 `json:"last_end_s,omitempty"`
-	ClosedMachines   int     `json:"closed,omitempty"`   // machines that get no work which could run elsewhere
-	ReplacedMachines int     `json:"replaced,omitempty"` // machines that do not count as supply
-}
-
-// AddLease counts a machine whose tasks have to wait for the end of its lease.
-func (w *WorkStatus) AddLease(tasks int, endS float64) {
-	if w.LeasedMachines == 0 || endS < w.NextLeaseEndS {
-		w.NextLeaseEndS = endS
-	}
-	w.LastLeaseEndS = max(w.LastLeaseEndS, endS)
-	w.LeasedMachines++
-	w.LeasedTasks += tasks
-}
--- a/internal/zone/zone_test.go
+++ b/internal/zone/zone_test.go
@@ -252,7 +252,7 @@
 			lifecycle{state: FullDisruption, reason: ReasonMostSilent, since: nowThere - 22*s, flaps: 2, normalSince: nowThere - 62*s, keepSilent: true}},
 		{"held down", lifecycle{state: HeldDown, reason: ReasonHeartbeatsResumed, since: now - 4*s, flaps: 1, holdDownUntil: now + 6*s},
 			lifecycle{state: HeldDown, reason: ReasonHeartbeatsResumed, since: nowThere - 6*s, flaps: 1, holdDownUntil: nowThere + 4*s}},
-		{"returning", lifecycle{state: Reopening, reason: ReasonStepSucceeded, since: now - 4*s, step: 2, flaps: 1, startsSent: 9, startsSeen: 8},
+		{"returning", lifecycle{state: Reopening, reason: ReasonStepSucceeded, since: now - 4*s, step: 2, flaps: 1, stepStart: counters{startsSent: 9, startsSeen: 8}},
 			lifecycle{state: Reopening, reason: ReasonStepSucceeded, since: nowThere, step: 2, flaps: 1}},
 		{"healthy after flaps", lifecycle{reason: ReasonFullyOpen, since: now - 10*s, flaps: 3, normalSince: now - 10*s},
 			lifecycle{reason: ReasonFullyOpen, since: nowThere - 12*s, flaps: 3, normalSince: nowThere - 12*s}},
