--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values are stored, and told of zones.
+// encodedTypes are those whose values are stored, sent between nodes, or shown to operators.
 var encodedTypes = []golden.Type{
 	golden.Of[Record]("the stored record"),
 	golden.Of[RecordedZone]("a stored zone"),
@@ -16,15 +16,15 @@
 	golden.Of[WorkStatus]("what is known of work"),
 }
 
-// TestEncoded has them be encoded as they were.
+// TestEncoded checks their encoding against the captured one.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
+// TestEncodedTags checks that all their fields are named by tags.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestWords has what is said of zones be what it was.
+// TestWords checks stored and shown words against the captured ones.
 func TestWords(t *testing.T) {
 	var states []string
 	for s := Normal; s <= Reopening+1; s++ {
