--- a/internal/membership/health.go
+++ b/internal/membership/health.go
@@ -4,46 +4,48 @@
 
 // Bounds of this node's own health.
 const (
-	// pauseIntervals is over how many intervals between two ticks the node stood still.
-	pauseIntervals = 2
-	// slowFor is for how long after standing still a node counts as slow.
-	slowFor = 30 * micros.Second
+	// maxTickIntervals is over how many intervals between two ticks the node stood still.
+	maxTickIntervals = 2
+	// slowAfterPause is for how long after standing still a node counts as slow.
+	slowAfterPause = 30 * micros.Second
 	// slowRoundTrip is over what time to most of the members and back a node counts as slow.
 	slowRoundTrip = micros.Second
-	// slowFactor is how much longer a slow node waits for its own verdicts.
-	slowFactor = 2
+	// slowTimeoutFactor is how much longer a slow node waits for its own verdicts.
+	slowTimeoutFactor = 2
 )
 
-// health is how far this node's own clock of ticks can be relied on.
-type health struct {
+// localHealth is how far this node's own clock of ticks can be relied on.
+type localHealth struct {
 	interval micros.Micros
 	ticked   micros.Micros // when the last tick was
 	pausedAt micros.Micros // when the node last went on after standing still, 0 if it never did
 }
 
-// newHealth is the health of a node that has just started.
-func newHealth(interval, now micros.Micros) health { return health{interval: interval, ticked: now} }
+// newLocalHealth is the health of a node that has just started.
+func newLocalHealth(interval, now micros.Micros) localHealth {
+	return localHealth{interval: interval, ticked: now}
+}
 
 // tick notes a tick, and tells for how long the node stood still before it.
-func (h *health) tick(now micros.Micros) (paused micros.Micros) {
+func (h *localHealth) tick(now micros.Micros) (paused micros.Micros) {
 	gap := now - h.ticked
 	h.ticked = now
-	if gap <= pauseIntervals*h.interval {
+	if gap <= maxTickIntervals*h.interval {
 		return 0
 	}
 	h.pausedAt = now
 	return gap - h.interval
 }
 
-// paused tells whether the node stood still lately.
-func (h *health) paused(now micros.Micros) bool {
-	return h.pausedAt != 0 && now-h.pausedAt < slowFor
+// hasPausedRecently tells whether the node stood still lately.
+func (h *localHealth) hasPausedRecently(now micros.Micros) bool {
+	return h.pausedAt != 0 && now-h.pausedAt < slowAfterPause
 }
 
-// slow tells whether this node is what is slow: it stood still lately, or its messages to most of
+// isSlow tells whether this node is what is slow: it stood still lately, or its messages to most of
 // the members take long, as they would not if only one of these were slow.
-func (d *Detector) slow(now micros.Micros) bool {
-	if d.health.paused(now) {
+func (d *Detector) isSlow(now micros.Micros) bool {
+	if d.localHealth.hasPausedRecently(now) {
 		return true
 	}
 	late, heard := 0, 0
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -26,8 +26,8 @@
 	Left      State = "left"
 )
 
-// doubts tells whether the state says that the member may be gone.
-func (s State) doubts() bool { return s == Suspected || s == Failed }
+// isSuspicion tells whether the state says that the member may be gone.
+func (s State) isSuspicion() bool { return s == Suspected || s == Failed }
 
 // Config holds the times of a detector.
 type Config struct {
@@ -50,8 +50,8 @@
 	}
 }
 
-// minHeartbeats is how many heartbeats must be missed before a member may be suspected.
-const minHeartbeats = 3
+// minMissedHeartbeats is how many heartbeats must be missed before a member may be suspected.
+const minMissedHeartbeats = 3
 
 // Errors of configurations.
 var (
@@ -61,7 +61,7 @@
 
 // Check checks the times against each other.
 func (c *Config) Check() error {
-	if c.SuspectAfter < minHeartbeats*c.HeartbeatInterval {
+	if c.SuspectAfter < minMissedHeartbeats*c.HeartbeatInterval {
 		return ErrSuspectTooSoon
 	}
 	if c.MinSuspicionTimeout > c.MaxSuspicionTimeout {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -164,7 +164,7 @@
 }
 func slowVerdict(c *check) bool {
 	seen := slices.DeleteFunc(append(c.saw(0, Suspected, 1), c.saw(0, Failed, 1)...), func(o observation) bool { return o.by != "host-2" })
-	return c.state(2, 1).State == Failed && c.nodes[2].detector.Status(c.now).Slow && seen[1].at-seen[0].at >= slowFactor*DefaultConfig().MinSuspicionTimeout
+	return c.state(2, 1).State == Failed && c.nodes[2].detector.Status(c.now).Slow && seen[1].at-seen[0].at >= slowTimeoutFactor*DefaultConfig().MinSuspicionTimeout
 }
 func lateAnswer(c *check) { c.nodes[0].detector.HandleAck(c.now, "host-1", 15*micros.Second) }
 func lateHeartbeat(c *check) {
@@ -253,13 +253,13 @@
 		last := c.MaxSuspicionTimeout + 1
 		saved := micros.Micros(0)
 		for confirmed := range possible + 1 {
-			got := suspicionTimeout(&c, confirmed, possible)
+			got := confirmedTimeout(&c, confirmed, possible)
 			if got >= last || confirmed > 1 && last-got > saved {
 				t.Errorf("%d of %d confirm: %v after %v", confirmed, possible, got.Duration(), last.Duration())
 			}
 			last, saved = got, last-got
 		}
-		if first := suspicionTimeout(&c, 0, possible); first != c.MaxSuspicionTimeout || possible > 0 && last != c.MinSuspicionTimeout {
+		if first := confirmedTimeout(&c, 0, possible); first != c.MaxSuspicionTimeout || possible > 0 && last != c.MinSuspicionTimeout {
 			t.Errorf("%d possible: from %v to %v", possible, first.Duration(), last.Duration())
 		}
 	}
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -29,10 +29,10 @@
 // Status tells what this node thinks of all members.
 func (d *Detector) Status(now micros.Micros) Status {
 	s := Status{
-		Member:      d.own,
+		Member:      d.self,
 		Incarnation: d.incarnation,
-		Slow:        d.slow(now),
-		Isolated:    d.isolated(),
+		Slow:        d.isSlow(now),
+		Isolated:    d.isIsolated(),
 		Counts:      d.counts,
 	}
 	for _, name := range d.names {
@@ -48,14 +48,14 @@
 		State:        m.state,
 		SinceS:       (now - m.since).Seconds(),
 		Incarnation:  m.incarnation,
-		SilenceS:     (now - m.heardAt).Seconds(),
-		HeardThrough: m.through(now, d.config.SuspectAfter),
+		SilenceS:     (now - m.lastHeard).Seconds(),
+		HeardThrough: m.indirectlyHeardThrough(now, d.config.SuspectAfter),
 		RoundTripS:   m.roundTrip.Seconds(),
-		ConfirmedBy:  d.confirmers(m),
+		ConfirmedBy:  d.confirmedBy(m),
 	}
 	if m.state == Suspected {
-		s.FailureWithheld = d.withheld(m)
-		s.SuspicionLeftS = max(0, m.suspectedAt+d.timeout(now, m)-now).Seconds()
+		s.FailureWithheld = d.isFailureWithheld(m)
+		s.SuspicionLeftS = max(0, m.suspectedAt+d.suspicionTimeout(now, m)-now).Seconds()
 	}
 	return s
 }
