--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -6,17 +6,18 @@
 	"caperlatch/internal/micros"
 )
 
-// Detector holds what one node thinks of the other members.
+// Detector is the failure detector of one node: what it takes the other members to be. It is not
+// safe for concurrent use.
 type Detector struct {
 	config      Config
 	self        string
-	incarnation uint64
-	leaving     bool
+	incarnation uint64   // of this node
+	leaving     bool     // this node ends
 	names       []string // of the others, in order
 	members     map[string]*member
 	localHealth localHealth
 	environment Environment
-	transitions []Transition
+	transitions []Transition // not taken yet
 	counts      Counts
 }
 
@@ -24,15 +25,15 @@
 type Counts struct {
 	Suspicions  int `json:"suspicions"`
 	Failures    int `json:"failures"`
-	Refutations int `json:"refuted"` // doubts of this node by others
+	Refutations int `json:"refuted"` // of suspicions of this node by others
 }
 
-// NewDetector makes a detector of a node that has just started. The incarnation should be later than
-// those of the node's earlier lives; where it is not, the others' answers correct it.
-func NewDetector(own string, others []string, config Config, incarnation uint64, now micros.Micros) *Detector {
+// NewDetector makes the detector of a node that has just started. The incarnation should be later
+// than those of the node's earlier starts; where it is not, the others' responses correct it.
+func NewDetector(self string, others []string, config Config, incarnation uint64, now micros.Micros) *Detector {
 	d := &Detector{
 		config:      config,
-		self:        own,
+		self:        self,
 		names:       slices.Sorted(slices.Values(others)),
 		incarnation: incarnation,
 		members:     map[string]*member{},
@@ -44,7 +45,7 @@
 	return d
 }
 
-// Heartbeat is what to tell a member now.
+// Heartbeat is what to send to a member now.
 func (d *Detector) Heartbeat(now micros.Micros) Heartbeat {
 	h := Heartbeat{Member: d.self, Incarnation: d.incarnation, Leaving: d.leaving}
 	for _, name := range d.names {
@@ -59,14 +60,14 @@
 	return h
 }
 
-// Leave has the heartbeats from now on say that this node ends.
+// Leave has the heartbeats from now on announce that this node ends.
 func (d *Detector) Leave() { d.leaving = true }
 
-// HandleHeartbeat takes over a heartbeat, one that was sent here or the answer to one.
+// HandleHeartbeat takes over a heartbeat, one that was sent here or the response to one.
 func (d *Detector) HandleHeartbeat(now micros.Micros, h *Heartbeat) {
 	sender := d.members[h.Member]
 	if sender == nil || h.Incarnation < sender.incarnation {
-		return // nobody of ours, or of an earlier life
+		return // of no known member, or of an earlier incarnation
 	}
 	d.applySender(now, sender, h)
 	for i := range h.Views {
@@ -82,8 +83,8 @@
 	}
 }
 
-// HandleAck notes that a member answered a heartbeat that took so long there and back. One of a
-// version without heartbeats answers as well, and tells nothing in its answer.
+// HandleAck takes over that a member responded to a heartbeat, after a round-trip time. One of a
+// version without heartbeats responds as well, without a heartbeat of its own.
 func (d *Detector) HandleAck(now micros.Micros, name string, roundTrip micros.Micros) {
 	m := d.members[name]
 	if m == nil {
@@ -95,15 +96,15 @@
 	case m.state == Suspected:
 		d.transition(now, m, Alive, ReasonReachable)
 	case m.state == Failed && now-roundTrip > m.since, m.state == Left && now-roundTrip > m.since+d.config.SuspectAfter:
-		// It answered what was sent after the verdict: proof that it lived after it.
+		// It responded to what was sent after the transition: proof that it was alive after it.
 		d.transition(now, m, Alive, ReasonReachable)
 	}
 }
 
-// applySender takes over what a heartbeat says of its sender.
+// applySender takes over what a heartbeat shows of its sender.
 func (d *Detector) applySender(now micros.Micros, sender *member, h *Heartbeat) {
-	isLaterIncarnation := h.Incarnation > sender.incarnation
-	restarted := isLaterIncarnation && sender.incarnation != 0
+	newer := h.Incarnation > sender.incarnation
+	restarted := newer && sender.incarnation != 0
 	sender.incarnation = h.Incarnation
 	sender.lastHeard = now
 	switch {
@@ -111,35 +112,35 @@
 		d.transition(now, sender, Left, ReasonLeft)
 	case sender.state == Suspected:
 		d.transition(now, sender, Alive, ReasonReachable)
-	case sender.state == Failed && isLaterIncarnation:
+	case sender.state == Failed && newer:
 		d.transition(now, sender, Alive, ReasonRefuted)
-	case sender.state == Left && isLaterIncarnation:
+	case sender.state == Left && newer:
 		d.transition(now, sender, Alive, ReasonRestarted)
 	case sender.state == Alive && restarted:
 		d.recordTransition(now, sender, Alive, ReasonRestarted)
 	}
 }
 
-// refute answers a doubt of this node by a later incarnation, which overrides it everywhere. The
-// same holds where an earlier life of this node had a later one.
+// refute answers a suspicion of this node by a later incarnation, which overrides it everywhere. The
+// same holds where an earlier start of this node had a later one.
 func (d *Detector) refute(view *MemberView) {
-	isSuspected := view.State.isSuspicion() && view.Incarnation == d.incarnation
+	suspected := view.State.isSuspicion() && view.Incarnation == d.incarnation
 	left := view.State == Left && !d.leaving && view.Incarnation == d.incarnation
-	if view.Incarnation > d.incarnation || isSuspected || left {
+	if view.Incarnation > d.incarnation || suspected || left {
 		d.incarnation = view.Incarnation + 1
 		d.counts.Refutations++
 	}
 }
 
-// applyView takes over what one member says of another.
+// applyView takes over one member's view of another.
 func (d *Detector) applyView(now micros.Micros, sender, subject *member, view *MemberView) {
 	if view.Incarnation < subject.incarnation {
-		return // of an earlier life
+		return // of an earlier incarnation
 	}
-	isLaterIncarnation := view.Incarnation > subject.incarnation
+	newer := view.Incarnation > subject.incarnation
 	subject.incarnation = view.Incarnation
 	if view.State == Left {
-		if isLaterIncarnation || subject.state != Left {
+		if newer || subject.state != Left {
 			d.transition(now, subject, Left, ReasonLeft)
 		}
 		return
@@ -150,15 +151,15 @@
 	switch recent := now-subject.lastHeardIndirectly <= d.config.SuspectAfter; {
 	case subject.state == Suspected && recent:
 		d.transition(now, subject, Alive, ReasonIndirectlyReachable)
-	case (subject.state == Failed || subject.state == Left) && recent && isLaterIncarnation:
+	case (subject.state == Failed || subject.state == Left) && recent && newer:
 		d.transition(now, subject, Alive, ReasonRefuted)
 	}
 }
 
-// Tick looks at all members; it is to be called once an interval. Time in which this node itself
-// stood still is not held against the others.
-func (d *Detector) Tick(now micros.Micros, around Environment) {
-	d.environment = around
+// Tick checks all members; it is to be called once every HeartbeatInterval. Time in which this node
+// itself was paused does not count as silence of the others.
+func (d *Detector) Tick(now micros.Micros, environment Environment) {
+	d.environment = environment
 	if paused := d.localHealth.tick(now); paused > 0 {
 		for _, m := range d.members {
 			m.excusePause(paused, now)
@@ -169,7 +170,7 @@
 	}
 }
 
-// checkMember suspects a member that is silent, and confirms a suspicion whose timer is over.
+// checkMember suspects a member that is silent, and takes it as failed when the suspicion times out.
 func (d *Detector) checkMember(now micros.Micros, m *member) {
 	if m.state == Alive && m.silence(now) > d.config.SuspectAfter {
 		d.counts.Suspicions++
@@ -189,14 +190,14 @@
 	}
 }
 
-// isFailureWithheld tells whether a suspicion must not become a verdict: the member's session lives, so it
-// was alive within the session's life; or this node hears nobody, neither the state service nor a
-// member, and cannot tell their failure from its own.
+// isFailureWithheld reports whether a suspected member must not be taken as failed: its session is
+// alive, so it was within the session's TTL; or this node is isolated, and cannot tell their failure
+// from its own.
 func (d *Detector) isFailureWithheld(m *member) bool {
 	return d.environment.Leader == m.name || d.isIsolated()
 }
 
-// isIsolated tells whether this node hears neither the state service nor any member.
+// isIsolated reports whether this node reaches neither the state service nor any member.
 func (d *Detector) isIsolated() bool {
 	if d.environment.StateServiceReachable {
 		return false
@@ -209,7 +210,7 @@
 	return true
 }
 
-// suspicionTimeout is how long a suspicion of a member lasts until it is a verdict.
+// suspicionTimeout is how long a suspicion of a member lasts until the member is taken as failed.
 func (d *Detector) suspicionTimeout(now micros.Micros, m *member) micros.Micros {
 	possible := 0
 	for _, other := range d.members {
@@ -224,7 +225,7 @@
 	return timeout
 }
 
-// confirmedBy are the members heard here that doubt a member's present life as well.
+// confirmedBy are the members alive that suspect a member's present incarnation as well.
 func (d *Detector) confirmedBy(m *member) (names []string) {
 	for _, name := range d.names {
 		other := d.members[name]
@@ -236,7 +237,7 @@
 	return names
 }
 
-// transition moves a member to another state.
+// transition moves a member to another state, and does nothing if it is in that state.
 func (d *Detector) transition(now micros.Micros, m *member, to State, reason Reason) {
 	if m.state == to {
 		return
@@ -254,7 +255,7 @@
 	d.transitions = append(d.transitions, t)
 }
 
-// TakeTransitions are the changes since they were last asked for.
+// TakeTransitions returns the transitions since they were last taken.
 func (d *Detector) TakeTransitions() []Transition {
 	out := d.transitions
 	d.transitions = nil
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,10 +1,15 @@
-// Package membership decides, from heartbeats, which controller nodes are alive, suspected,
-// failed, or have left.
+// Package membership decides, from heartbeats, which controller nodes are alive, suspected, failed,
+// or have left. It is a failure detector after SWIM (Das, Gupta and Motivala) with the Lifeguard
+// extensions (Dadgar, Phillips and Currey): a suspicion lasts until it is refuted by a later
+// incarnation or times out, confirmations by other members shorten it, and a node that is itself slow
+// trusts its own suspicions less. Unlike SWIM, members are few and fixed, so each sends heartbeats
+// with its views of all members to all others.
 //
-// It owns the states of the members as one node sees them, the timers of suspicion and the
-// incarnation numbers by which a member refutes what is said of it. It does no I/O and takes the
-// time as an argument; its caller sends the heartbeats and locks. A verdict is a hint: who leads,
-// and what may start where, is proved by the state service's sessions and by tokens alone.
+// It owns the states of the members as one node sees them, the timers of suspicions, and the
+// incarnation numbers by which a member refutes a suspicion. It is pure: no I/O, and time is an
+// argument; its caller sends the heartbeats and locks. That a member has failed is a hint, and must
+// never be more: who leads, and what may start where, is proved by the state service's sessions and
+// by fencing tokens alone.
 package membership
 
 import (
@@ -13,12 +18,12 @@
 	"caperlatch/internal/micros"
 )
 
-// State is what a node thinks of a member.
+// State is what a node takes a member to be. States are sent and shown to operators.
 type State string
 
-// The states. A member is suspected once it has not been heard for a while, and failed once no
-// refutation came for as long again as the suspicion's timer runs. One that said that it ends has
-// left, and is neither suspected nor failed.
+// The states. A member is suspected once it has been silent for a while, and failed once the
+// suspicion has timed out without a refutation. One that announced that it ends has left, and is
+// neither suspected nor failed.
 const (
 	Alive     State = "alive"
 	Suspected State = "suspected"
@@ -26,7 +31,7 @@
 	Left      State = "left"
 )
 
-// isSuspicion tells whether the state says that the member may be gone.
+// isSuspicion reports whether the member may have failed by the state.
 func (s State) isSuspicion() bool { return s == Suspected || s == Failed }
 
 // Config holds the times of a detector.
@@ -35,12 +40,12 @@
 	HeartbeatInterval micros.Micros
 	// SuspectAfter is after what silence a member is suspected.
 	SuspectAfter micros.Micros
-	// MaxSuspicionTimeout is how long a suspicion lasts that nobody else shares, MinSuspicionTimeout one that
-	// all other members share.
+	// MaxSuspicionTimeout is how long a suspicion lasts that no other member confirms,
+	// MinSuspicionTimeout one that all others confirm.
 	MaxSuspicionTimeout, MinSuspicionTimeout micros.Micros
 }
 
-// DefaultConfig tolerates two seconds of lag on a path and confirms a failure within ten.
+// DefaultConfig tolerates two seconds of latency on a path, and finds a member failed within ten.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:   500 * micros.Millisecond,
@@ -53,13 +58,14 @@
 // minMissedHeartbeats is how many heartbeats must be missed before a member may be suspected.
 const minMissedHeartbeats = 3
 
-// Errors of configurations.
+// Errors of configurations. They name the XML elements.
 var (
 	ErrSuspectTooSoon        = errors.New("suspect_ms must be at least three times heartbeat_ms")
 	ErrSuspicionTimeoutOrder = errors.New("confirm_least_ms must be at most confirm_most_ms")
 )
 
-// Check checks the times against each other.
+// Check returns the first contradiction between the times: ErrSuspectTooSoon or
+// ErrSuspicionTimeoutOrder.
 func (c *Config) Check() error {
 	if c.SuspectAfter < minMissedHeartbeats*c.HeartbeatInterval {
 		return ErrSuspectTooSoon
@@ -70,33 +76,33 @@
 	return nil
 }
 
-// Heartbeat is what one node tells another, in a request and in the answer to one.
+// Heartbeat is what one node sends another, in a request and in the response to one.
 type Heartbeat struct {
-	Member      string       `json:"member"`
+	Member      string       `json:"member"` // the sender
 	Incarnation uint64       `json:"incarnation"`
 	Leaving     bool         `json:"leaving,omitempty"` // the sender ends
 	Views       []MemberView `json:"opinions,omitempty"`
 }
 
-// MemberView is what the sender of a heartbeat thinks of another member.
+// MemberView is what the sender of a heartbeat takes another member to be.
 type MemberView struct {
 	Member      string `json:"member"`
 	State       State  `json:"state"`
-	Incarnation uint64 `json:"incarnation"`
-	// Silence is since the sender itself last heard the member.
+	Incarnation uint64 `json:"incarnation"` // the latest known to the sender
+	// Silence is since the sender itself last heard from the member.
 	Silence micros.Micros `json:"silence"`
 }
 
-// Transition is one change of what this node thinks of a member.
+// Transition is one change of what this node takes a member to be.
 type Transition struct {
 	Member      string
 	From, To    State
 	Reason      Reason
-	Silence     micros.Micros // since it was last heard, here or by another
-	ConfirmedBy []string      // members that doubted it as well
+	Silence     micros.Micros // since it was last heard from, here or by another member
+	ConfirmedBy []string      // other members that suspect it as well
 }
 
-// Reason is why a member's state changed.
+// Reason is why a member's state changed. Reasons are logged.
 type Reason string
 
 // The reasons.
@@ -112,9 +118,9 @@
 
 // Environment is what the caller knows besides heartbeats.
 type Environment struct {
-	// StateServiceReachable tells whether the state service answered lately.
+	// StateServiceReachable reports whether the state service answered lately.
 	StateServiceReachable bool
-	// Leader is the member whose session the state service held when it was last read, if that
-	// was lately; empty if nobody's is known to live.
+	// Leader is the member whose session the state service had when it was last read, if that was
+	// lately; empty if no session is known to be alive.
 	Leader string
 }
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,31 +2,31 @@
 
 import "caperlatch/internal/micros"
 
-// Status is what a node tells the duty team of the members.
+// Status describes the members for operators, as one node sees them.
 type Status struct {
 	Member      string         `json:"member"`
 	Incarnation uint64         `json:"incarnation"`
-	Slow        bool           `json:"slow"`     // this node waits longer for its own verdicts
-	Isolated    bool           `json:"isolated"` // it hears nobody, and gives no verdict
+	Slow        bool           `json:"slow"`     // its own suspicions last longer
+	Isolated    bool           `json:"isolated"` // it reaches nobody, and takes no member as failed
 	Counts      Counts         `json:"counts"`
 	Members     []MemberStatus `json:"members"`
 }
 
-// MemberStatus is what a node thinks of another member.
+// MemberStatus describes another member. Times are in seconds.
 type MemberStatus struct {
 	Member          string   `json:"member"`
 	State           State    `json:"state"`
-	SinceS          float64  `json:"since_s"` // of the state
+	SinceS          float64  `json:"since_s"` // in the state
 	Incarnation     uint64   `json:"incarnation"`
-	SilenceS        float64  `json:"heard_s"`              // since it was last heard by this node
-	HeardThrough    string   `json:"through,omitempty"`    // who hears it where this node does not
+	SilenceS        float64  `json:"heard_s"`              // since this node last heard from it
+	HeardThrough    string   `json:"through,omitempty"`    // a member that hears from it where this node does not
 	RoundTripS      float64  `json:"round_trip_s"`         // of the last heartbeat answered, 0 if none was
-	SuspicionLeftS  float64  `json:"verdict_s,omitempty"`  // until a suspicion is a verdict
-	FailureWithheld bool     `json:"withheld,omitempty"`   // a suspicion that becomes no verdict for now
-	ConfirmedBy     []string `json:"doubted_by,omitempty"` // members that doubt it as well
+	SuspicionLeftS  float64  `json:"verdict_s,omitempty"`  // until a suspicion times out
+	FailureWithheld bool     `json:"withheld,omitempty"`   // it is not taken as failed for now
+	ConfirmedBy     []string `json:"doubted_by,omitempty"` // other members that suspect it as well
 }
 
-// Status tells what this node thinks of all members.
+// Status describes all members.
 func (d *Detector) Status(now micros.Micros) Status {
 	s := Status{
 		Member:      d.self,
@@ -41,7 +41,7 @@
 	return s
 }
 
-// memberStatus tells what this node thinks of a member.
+// memberStatus describes a member.
 func (d *Detector) memberStatus(now micros.Micros, m *member) MemberStatus {
 	s := MemberStatus{
 		Member:       m.name,
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,10 +6,9 @@
 	"caperlatch/internal/micros"
 )
 
-// confirmedTimeout is how long a suspicion lasts that some of the members who could share it
-// share. As in the Lifeguard extensions of SWIM, each independent confirmation shortens it, the
-// first ones by most: one node that is cut off by itself waits for long, a failure that all see is
-// confirmed soon.
+// confirmedTimeout is how long a suspicion lasts that some of the members who could confirm it do. As
+// in Lifeguard, each independent confirmation shortens it, the first ones by most: a node that is cut
+// off alone waits for long, and a failure that all see is found soon.
 func confirmedTimeout(c *Config, confirmations, possibleConfirmations int) micros.Micros {
 	if possibleConfirmations == 0 {
 		return c.MaxSuspicionTimeout
