--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values members tell each other, and of each other.
+// encodedTypes are those whose values are sent between nodes, or shown to operators.
 var encodedTypes = []golden.Type{
 	golden.Of[Heartbeat]("a heartbeat"),
 	golden.Of[MemberView]("an opinion of a member"),
@@ -16,15 +16,15 @@
 	golden.Of[Counts]("how often it was in doubt"),
 }
 
-// TestEncoded has them be encoded as they were.
+// TestEncoded checks their encoding against the captured one.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
+// TestEncodedTags checks that all their fields are named by tags.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestStates has the states of members be called as they were.
+// TestStates checks the words of states against the captured ones.
 func TestStates(t *testing.T) {
 	golden.Check(t, "states.golden", []golden.Section{{Name: "states", Text: golden.Values([]State{Alive, Suspected, Failed, Left})}})
 }
