--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -52,29 +52,39 @@
 	}
 }
 
-// Check returns the first contradiction between settings that are each within bounds. The error
-// names the XML element.
+// Errors of configurations. They name the XML elements.
+var (
+	ErrNormalShareOrder     = errors.New("clear_percent must be under suspect_percent")
+	ErrDisruptionShareOrder = errors.New("suspect_percent must not be over lost_percent")
+	ErrHoldDownOrder        = errors.New("hold_down_s must not be over hold_down_most_s")
+	ErrOpenSharesEnd        = errors.New("step_percent must end with 100")
+	ErrOpenSharesOrder      = errors.New("step_percent must rise")
+	ErrDuplicate            = errors.New("stands there twice")
+)
+
+// Check returns the first contradiction between settings that are each within bounds, as one of the
+// errors above or wrapping it.
 func (c *Config) Check() error {
 	switch {
 	case c.NormalShare >= c.PartialDisruptionShare:
-		return errors.New("clear_percent must be under suspect_percent")
+		return ErrNormalShareOrder
 	case c.PartialDisruptionShare > c.FullDisruptionShare:
-		return errors.New("suspect_percent must not be over lost_percent")
+		return ErrDisruptionShareOrder
 	case c.InitialHoldDown > c.MaxHoldDown:
-		return errors.New("hold_down_s must not be over hold_down_most_s")
+		return ErrHoldDownOrder
 	case len(c.OpenShares) == 0 || c.OpenShares[len(c.OpenShares)-1] != 1:
-		return errors.New("step_percent must end with 100")
+		return ErrOpenSharesEnd
 	}
 	for i := 1; i < len(c.OpenShares); i++ {
 		if c.OpenShares[i] <= c.OpenShares[i-1] {
-			return fmt.Errorf("step_percent must rise, and %g follows %g", 100*c.OpenShares[i], 100*c.OpenShares[i-1])
+			return fmt.Errorf("%w, and %g follows %g", ErrOpenSharesOrder, 100*c.OpenShares[i], 100*c.OpenShares[i-1])
 		}
 	}
 	if name := firstDuplicate(c.EvacuationOrder); name != "" {
-		return fmt.Errorf("class %s stands there twice", name)
+		return fmt.Errorf("class %s %w", name, ErrDuplicate)
 	}
 	if name := firstDuplicate(c.ExemptZones); name != "" {
-		return fmt.Errorf("exempt %s stands there twice", name)
+		return fmt.Errorf("exempt %s %w", name, ErrDuplicate)
 	}
 	return nil
 }
