--- a/cmd/caperlatch/explain.go
+++ b/cmd/caperlatch/explain.go
@@ -37,10 +37,10 @@
 		return e, wire.Unmarshal(body, &e)
 	}
 	var why wire.ErrorResponse
-	if err := wire.Unmarshal(body, &why); err != nil || why.Error == "" {
-		why.Error = fmt.Sprintf("%d %s", status, http.StatusText(status))
+	if err := wire.Unmarshal(body, &why); err != nil || why.Message == "" {
+		why.Message = fmt.Sprintf("%d %s", status, http.StatusText(status))
 	}
-	return e, fmt.Errorf("%s: %s answers: %s", job, node, why.Error)
+	return e, fmt.Errorf("%s: %s answers: %s", job, node, why.Message)
 }
 
 // printExplanation writes an explanation for people.
--- a/cmd/caperlatch/features.go
+++ b/cmd/caperlatch/features.go
@@ -39,7 +39,7 @@
 		return features, nil
 	}
 	if features.Standby != nil {
-		return features, settings.ErrStandbyTwice
+		return features, settings.ErrStandbyEnabledTwice
 	}
 	features.Standby, err = settings.ReadStandby(f.standby)
 	return features, err
--- a/cmd/caperlatch/golden_test.go
+++ b/cmd/caperlatch/golden_test.go
@@ -93,7 +93,7 @@
 		cases = append(cases,
 			answered{name + ", with all", c.command, 0, c.whole},
 			answered{name + ", with nothing", c.command, 0, c.empty},
-			answered{name + ", not now", c.command, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no leader known"}},
+			answered{name + ", not now", c.command, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "no leader known"}},
 			answered{name + ", not known", c.command, http.StatusNotFound, nil})
 	}
 	return append(cases,
@@ -126,7 +126,7 @@
 				answered{name + ", with all", args, 0, filled[wire.JobStatus]()},
 				answered{name + ", with the least", args, http.StatusCreated, fields{"id": "j-000412", "status": "pending"}},
 				answered{name + ", with counts of none", args, 0, fields{"id": "j-000412", "status": "running", "done": 0, "running": 0}},
-				answered{name + ", refused", args, http.StatusBadRequest, wire.ErrorResponse{Error: "lane is missing"}},
+				answered{name + ", refused", args, http.StatusBadRequest, wire.ErrorResponse{Message: "lane is missing"}},
 				answered{name + ", not known", args, http.StatusNotFound, nil})
 		}
 	}
--- a/cmd/caperlatch/jobs.go
+++ b/cmd/caperlatch/jobs.go
@@ -136,7 +136,7 @@
 	if c.output == "json" {
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(status)
 	}
-	line := status.ID + ": " + status.Status
+	line := status.ID + ": " + status.State
 	if status.Done != nil && status.Running != nil {
 		line += fmt.Sprintf(", %d tasks done, %d running", *status.Done, *status.Running)
 	}
@@ -174,8 +174,8 @@
 		return status, wire.Unmarshal(answer, &status)
 	}
 	var why wire.ErrorResponse
-	if wire.Unmarshal(answer, &why) != nil || why.Error == "" {
-		why.Error = strings.ToLower(http.StatusText(code))
+	if wire.Unmarshal(answer, &why) != nil || why.Message == "" {
+		why.Message = strings.ToLower(http.StatusText(code))
 	}
-	return status, errors.New(why.Error)
+	return status, errors.New(why.Message)
 }
--- a/cmd/caperlatch/lab_test.go
+++ b/cmd/caperlatch/lab_test.go
@@ -214,7 +214,7 @@
 			asked := 0
 			node := answering(t, "POST /v1/jobs", func() (int, any) {
 				asked++
-				return c.codes[min(asked, len(c.codes))-1], wire.JobStatus{ID: "j-100001", Status: wire.JobPending}
+				return c.codes[min(asked, len(c.codes))-1], wire.JobStatus{ID: "j-100001", State: wire.JobPending}
 			})
 			execute(t, c.says, c.wrong, "submit", "--node", node, "../../deploy/job.example.json")
 			if asked != c.asked {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -51,28 +51,28 @@
 	Explain(ctx context.Context, id string) (explain.Explanation, error)
 	// AwaitHandover waits, for a moment at most, while leadership is being handed over.
 	AwaitHandover(ctx context.Context)
-	// ExpectsLeader tells whether a leader that does not answer now should have a successor
+	// ExpectsSuccessor tells whether a leader that does not answer now should have a successor
 	// soon, so that reports are kept for it.
-	ExpectsLeader() bool
-	// Standby tells how far the warm standby is.
-	Standby() (StandbyStatus, error)
-	// Zones tells what the leader thinks of the zones.
-	Zones(ctx context.Context) ([]zone.Status, error)
-	// Members tells what this node thinks of the others.
-	Members() (membership.Status, error)
+	ExpectsSuccessor() bool
+	// StandbyStatus tells how far the warm standby is.
+	StandbyStatus() (StandbyStatus, error)
+	// ZoneStatus tells what the leader thinks of the zones.
+	ZoneStatus(ctx context.Context) ([]zone.Status, error)
+	// MembershipStatus tells what this node thinks of the others.
+	MembershipStatus() (membership.Status, error)
 	// HandOver hands leadership over, and tells to whom.
 	HandOver() (to string, err error)
 }
 
 // Handler holds what the handlers work with.
 type Handler struct {
-	Node          Node
-	Settings      *settings.Settings
-	Store         *statestore.Client
-	Batcher       *statestore.Batcher
-	Replica       *replica.Replica
-	RequestTimes  *RequestTimes
-	HeartbeatHold micros.Micros // how long a report that is passed on is kept for its answer
+	Node           Node
+	Settings       *settings.Settings
+	Store          *statestore.Client
+	Batcher        *statestore.Batcher
+	Replica        *replica.Replica
+	RequestTimes   *RequestTimes
+	ForwardTimeout micros.Micros // how long a report that is passed on is kept for its answer
 
 	mu               sync.Mutex
 	redirected       map[string]micros.Micros // machines sent to another node, when
@@ -169,12 +169,12 @@
 // respondRetryLater tells a user when to come back.
 func respondRetryLater(c echo.Context, code int) error {
 	c.Response().Header().Set("Retry-After", strconv.Itoa(int(statestore.RetryAfter/micros.Second)))
-	return respond(c, code, wire.ErrorResponse{Error: "come back later"})
+	return respond(c, code, wire.ErrorResponse{Message: "come back later"})
 }
 
 // respondError answers with what is wrong.
 func respondError(c echo.Context, code int, err error) error {
-	return respond(c, code, wire.ErrorResponse{Error: err.Error()})
+	return respond(c, code, wire.ErrorResponse{Message: err.Error()})
 }
 
 // ready tells whether this node can take requests, and which versions serve.
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -64,12 +64,12 @@
 
 // status is what users are shown of a job.
 func (h *Handler) status(id string, job replica.Job) wire.JobStatus {
-	s := wire.JobStatus{ID: id, Status: job.State}
+	s := wire.JobStatus{ID: id, State: job.State}
 	if !job.IsFinal() {
 		done, running := h.Node.TaskCounts(id)
 		s.Done, s.Running = &done, &running
 		if running > 0 {
-			s.Status = wire.JobRunning
+			s.State = wire.JobRunning
 		}
 	}
 	return s
@@ -124,7 +124,7 @@
 	if stamp == 0 {
 		return replica.Job{}, errCatalogUnknown
 	}
-	if err := CheckRunnable(&spec, catalog.Types, h.Settings.Params.Teams); err != nil {
+	if err := checkFeasible(&spec, catalog.Types, h.Settings.Params.Teams); err != nil {
 		return replica.Job{}, &rejection{http.StatusUnprocessableEntity, err}
 	}
 	return job, nil
@@ -159,7 +159,7 @@
 	switch {
 	case err == nil:
 		h.Replica.ApplyPut(key, job, revision)
-		return respond(c, http.StatusCreated, wire.JobStatus{ID: id, Status: wire.JobPending})
+		return respond(c, http.StatusCreated, wire.JobStatus{ID: id, State: wire.JobPending})
 	case errors.Is(err, statestore.ErrConflict):
 		return h.respondWithStatus(c, id)
 	case errors.Is(err, statestore.ErrRejected):
@@ -252,16 +252,16 @@
 	case err != nil:
 		return respondUnavailable(c)
 	case job.IsFinal():
-		return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
+		return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: job.State})
 	}
 	err = h.storeCancellation(ctx, id, job)
 	switch {
 	case err == nil:
-		return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: wire.JobCancelled})
+		return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: wire.JobCancelled})
 	case errors.Is(err, statestore.ErrConflict):
 		// A job's key changes once after its creation, when it ends: a read tells how.
 		if job, err = h.currentJob(ctx, id); err == nil && job.IsFinal() {
-			return respond(c, http.StatusOK, wire.JobStatus{ID: id, Status: job.State})
+			return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: job.State})
 		}
 	}
 	slog.Debug("abort", "job", id, "error", err)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -28,10 +28,10 @@
 
 // Limits of the interface.
 const (
-	MaxLaunch    = 50
-	MaxTerminate = 100
-	maxList      = 500
-	timeout      = 5 * micros.Second
+	MaxInstancesPerLaunch      = 50
+	MaxInstancesPerTermination = 100
+	maxList                    = 500
+	timeout                    = 5 * micros.Second
 )
 
 // requestShare is which part of the rate limit a node may use: only the leader calls often.
@@ -82,10 +82,10 @@
 	}
 	if status != http.StatusOK {
 		var e wire.ErrorResponse
-		if wire.Unmarshal(body, &e) == nil && status == http.StatusServiceUnavailable && e.Error == noCapacity {
+		if wire.Unmarshal(body, &e) == nil && status == http.StatusServiceUnavailable && e.Message == noCapacity {
 			return ErrNoCapacity
 		}
-		return fmt.Errorf("cloud: %s answered %d %s", q.path, status, e.Error)
+		return fmt.Errorf("cloud: %s answered %d %s", q.path, status, e.Message)
 	}
 	if out == nil {
 		return nil
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -42,7 +42,7 @@
 func (t *Term) HoldsSession() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.ended && micros.Now() < t.sessionConfirmedAt+SessionTTL-micros.Drift(SessionTTL)
+	return !t.ended && micros.Now() < t.sessionConfirmedAt+SessionTTL-micros.MaxClockDrift(SessionTTL)
 }
 
 // IsExclusive tells whether nobody else can be leader now: the session has not ended, or
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -257,7 +257,7 @@
 	l.intentSequence++
 	b := &launchIntent{
 		id:   fmt.Sprintf("r-%d-%d", l.FencingToken, l.intentSequence),
-		Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: min(count, cloud.MaxLaunch), At: micros.Wall(),
+		Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: min(count, cloud.MaxInstancesPerLaunch), At: micros.Wall(),
 	}
 	slog.Debug("renting", "booking", b.id, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", b.Count)
 	l.intents[b.id] = b
@@ -366,7 +366,7 @@
 func (l *Leader) terminateLoop(ctx context.Context) {
 	micros.Every(ctx, 200*micros.Millisecond, func() {
 		l.mu.Lock()
-		n := min(len(l.terminationQueue), cloud.MaxTerminate)
+		n := min(len(l.terminationQueue), cloud.MaxInstancesPerTermination)
 		if l.handingOver {
 			n = 0
 		}
--- a/internal/leader/flush.go
+++ b/internal/leader/flush.go
@@ -65,7 +65,7 @@
 	}
 	defer l.endFlush()
 	rev, err := l.Store.CommitRateLimited(ctx, l.transaction(ws))
-	var conflict *statestore.Conflict
+	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		l.applyFlushed(ws, rev)
@@ -183,7 +183,7 @@
 			delete(l.rejectedSizes, key)
 		}
 		s += 3*len(key) + 128
-		if len(ws) == l.maxOps || len(ws) > 0 && size+s > wire.MaxBody {
+		if len(ws) == l.maxOps || len(ws) > 0 && size+s > wire.MaxBodyBytes {
 			return ws, true
 		}
 		size += s
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -165,9 +165,9 @@
 		if alone := l.Term.EarlierTermsFencedSince(); alone != 0 {
 			last = min(last, alone)
 		}
-		return max(last, m.lease.renewedAt) + w.LeaseDuration() + micros.Drift(w.CancellationTimeout()) + micros.Second
+		return max(last, m.lease.renewedAt) + w.LeaseDuration() + micros.MaxClockDrift(w.CancellationTimeout()) + micros.Second
 	}
-	return m.lease.renewedAt + l.leaseDuration + micros.Drift(l.leaseDuration) + micros.Second
+	return m.lease.renewedAt + l.leaseDuration + micros.MaxClockDrift(l.leaseDuration) + micros.Second
 }
 
 // silenceLimit is how long a machine may be silent before it is returned to
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -17,7 +17,7 @@
 // ErrCannotRespond says that this node must not answer a report now.
 var ErrCannotRespond = errors.New("not entitled to answer")
 
-// maxCommands keeps an answer to a worker well within wire.MaxBody.
+// maxCommands keeps an answer to a worker well within wire.MaxBodyBytes.
 const maxCommands = 300
 
 // deferralWindow is how long a worker that was sent away in doubt may come back
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -436,7 +436,7 @@
 		count := min((left+len(open)-i-1)/(len(open)-i), l.launchAllowance(o.Zone))
 		for k := 0; count > 0 && k < maxIntentsPerOffering; k++ {
 			l.createIntent(o, count)
-			part := min(count, cloud.MaxLaunch)
+			part := min(count, cloud.MaxInstancesPerLaunch)
 			booked, count = booked+part, count-part
 		}
 	}
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -52,7 +52,7 @@
 		{"complete", func(*standby.View) {}, []string{"start j-000001/1", "start j-000001/2"}},
 		{"not complete", func(v *standby.View) { v.Handover.Complete = false }, nil},
 		{"no handover, a crash", func(v *standby.View) { v.Handover = nil }, nil},
-		{"another term led in between", func(v *standby.View) { v.Token-- }, nil},
+		{"another term led in between", func(v *standby.View) { v.FencingToken-- }, nil},
 		{"the machine's tasks were not known", func(v *standby.View) { v.Machines["i-1"].TasksKnown = false }, nil},
 		{"the machine is not in the view", func(v *standby.View) { delete(v.Machines, "i-1") }, nil},
 		{"the start was never sent", func(v *standby.View) {
@@ -98,7 +98,7 @@
 	}{
 		{"being returned", func(v *standby.View) { v.Machines["i-1"].Terminating = true }, []string{"i-1"}},
 		{"after a crash", func(v *standby.View) { v.Machines["i-1"].Terminating, v.Handover = true, nil }, []string{"i-1"}},
-		{"another term led in between", func(v *standby.View) { v.Machines["i-1"].Terminating = true; v.Token-- }, nil},
+		{"another term led in between", func(v *standby.View) { v.Machines["i-1"].Terminating = true; v.FencingToken-- }, nil},
 		{"not being returned", func(*standby.View) {}, nil},
 		{"dropped", func(v *standby.View) { delete(v.Machines, "i-1") }, []string{"i-1"}},
 		{"not known after a crash", func(v *standby.View) { delete(v.Machines, "i-1"); v.Handover = nil }, nil},
@@ -263,11 +263,11 @@
 	return uint64(len(f.entries))
 }
 
-func (f *fakeFollowers) Furthest(micros.Micros) standby.FollowerState {
+func (f *fakeFollowers) FurthestFollower(micros.Micros) standby.FollowerState {
 	return standby.FollowerState{Member: f.follower}
 }
 
-func (f *fakeFollowers) Applied(string, uint64) bool { return f.applies }
+func (f *fakeFollowers) HasApplied(string, uint64) bool { return f.applies }
 
 // TestPublished has tasks start, run, stop and end: a follower's view shows at each step what
 // the leader counts on the machine, before the answer leaves.
@@ -292,11 +292,11 @@
 		}
 		f := standby.NewFollower("host-1")
 		for !f.Progress().Complete || f.Progress().Position < p.Position() {
-			if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
+			if err := f.ApplyPage(p.HandleQuery(f.NextQuery(token)), micros.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		known := f.View().Machines["i-1"]
+		known := f.TakeView().Machines["i-1"]
 		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].attempts) {
 			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].attempts))
 		}
@@ -320,10 +320,10 @@
 	m.reconciliation.knowledge = tasksConfirmed
 	view := func() map[string]standby.TaskState {
 		f := standby.NewFollower("host-1")
-		if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
+		if err := f.ApplyPage(p.HandleQuery(f.NextQuery(token)), micros.Now()); err != nil {
 			t.Fatal(err)
 		}
-		return f.View().Machines["i-1"].Tasks
+		return f.TakeView().Machines["i-1"].Tasks
 	}
 	l.plan(micros.Now())
 	l.planStarts(m, l.jobs["j-000001"], 3, micros.Now())
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -57,8 +57,8 @@
 	timerStep = 20 * Millisecond
 )
 
-// Drift is how far two machines' steady clocks may run apart over m.
-func Drift(m Micros) Micros { return m/driftPart + timerStep }
+// MaxClockDrift is how far two machines' steady clocks may run apart over m.
+func MaxClockDrift(m Micros) Micros { return m/driftPart + timerStep }
 
 // Every calls f again and again, d apart, until ctx ends.
 func Every(ctx context.Context, d Micros, f func()) {
--- a/internal/replica/barrier.go
+++ b/internal/replica/barrier.go
@@ -65,7 +65,7 @@
 	if !r.IsLoaded() {
 		return errors.New("barrier: nothing loaded yet")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), statestore.Timeout.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), statestore.RequestTimeout.Duration())
 	defer cancel()
 	err := r.catchUp(ctx)
 	if errors.Is(err, statestore.ErrRateLimited) {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -190,7 +190,7 @@
 func (r *Replica) list(ctx context.Context) (entries []wire.KeyValue, revision uint64, err error) {
 	after := ""
 	for {
-		page, err := r.store.List(ctx, Prefix, after)
+		page, err := r.store.ListPage(ctx, Prefix, after)
 		if err != nil {
 			return nil, 0, err
 		}
--- a/internal/settings/features.go
+++ b/internal/settings/features.go
@@ -17,8 +17,8 @@
 	Membership *membership.Config
 }
 
-// ErrStandbyTwice says that the standby is turned on in two files.
-var ErrStandbyTwice = errors.New("standby is turned on by both files, one is enough")
+// ErrStandbyEnabledTwice says that the standby is turned on in two files.
+var ErrStandbyEnabledTwice = errors.New("standby is turned on by both files, one is enough")
 
 // ReadFeatures reads the file at path for a deployment.
 func ReadFeatures(path string, p *Params) (Features, error) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -109,7 +109,7 @@
 // may still renew worker leases: a lease renewed at the end of it runs out
 // before a cancellation that the node could not see is due.
 func (w Workers) LeaseRenewalWindow() micros.Micros {
-	return max(0, w.CancellationTimeout()-w.LeaseDuration()-micros.Drift(w.CancellationTimeout())-renewMargin)
+	return max(0, w.CancellationTimeout()-w.LeaseDuration()-micros.MaxClockDrift(w.CancellationTimeout())-renewMargin)
 }
 
 // State holds the state service's limits: the present ones and, in Next, those that
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -138,7 +138,7 @@
 func TestRenewFor(t *testing.T) {
 	// A lease renewed at the very end must run out before cancel_s.
 	for _, w := range []Workers{{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41}, {HeartbeatIntervalS: 3, LeaseDurationS: 45, CancellationTimeoutS: 75}, {HeartbeatIntervalS: 1, LeaseDurationS: 10, CancellationTimeoutS: 11}} {
-		if end := w.LeaseRenewalWindow() + w.LeaseDuration() + micros.Drift(w.LeaseDuration()); end > w.CancellationTimeout() {
+		if end := w.LeaseRenewalWindow() + w.LeaseDuration() + micros.MaxClockDrift(w.LeaseDuration()); end > w.CancellationTimeout() {
 			t.Errorf("%+v: leases may last until %v s", w, end.Seconds())
 		}
 	}
--- a/internal/statestore/batch.go
+++ b/internal/statestore/batch.go
@@ -77,7 +77,7 @@
 )
 
 // sendTimeout bounds all transactions that a batch is sent in.
-const sendTimeout = 2 * Timeout
+const sendTimeout = 2 * RequestTimeout
 
 // run sends transactions until nothing waits.
 func (b *Batcher) run() {
@@ -106,7 +106,7 @@
 	for n < len(b.pending) && n < b.maxOps {
 		p := b.pending[n]
 		size += p.size
-		if n > 0 && size > wire.MaxBody || keys[p.key] {
+		if n > 0 && size > wire.MaxBodyBytes || keys[p.key] {
 			break
 		}
 		keys[p.key] = true
@@ -128,7 +128,7 @@
 		if errors.Is(err, ErrRejected) && len(batch) > 1 {
 			return b.sendHalves(batch)
 		}
-		var conflict *Conflict
+		var conflict *ConflictError
 		if !errors.As(err, &conflict) {
 			finishAll(batch, revision, err)
 			return err
@@ -165,7 +165,7 @@
 }
 
 // split tells which writes of a batch have a condition that failed.
-func (c *Conflict) split(batch []*pendingPut) (failed, rest []*pendingPut) {
+func (c *ConflictError) split(batch []*pendingPut) (failed, rest []*pendingPut) {
 	for _, p := range batch {
 		if slices.Contains(c.Keys, p.key) {
 			failed = append(failed, p)
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -35,18 +35,18 @@
 	ErrRejected = fmt.Errorf("%w: refused as it is", ErrNotExecuted)
 )
 
-// Conflict carries the keys whose conditions failed.
-type Conflict struct{ Keys []string }
+// ConflictError carries the keys whose conditions failed.
+type ConflictError struct{ Keys []string }
 
 // Error names the keys.
-func (c *Conflict) Error() string { return "conditions failed: " + strings.Join(c.Keys, " ") }
+func (c *ConflictError) Error() string { return "conditions failed: " + strings.Join(c.Keys, " ") }
 
 // Unwrap makes errors.Is(err, ErrConflict) true.
-func (c *Conflict) Unwrap() error { return ErrConflict }
+func (c *ConflictError) Unwrap() error { return ErrConflict }
 
-// Timeout bounds a request. The service usually takes under 10 ms and at times
+// RequestTimeout bounds a request. The service usually takes under 10 ms and at times
 // a few hundred, so an answer later than this is taken for lost.
-const Timeout = 1500 * micros.Millisecond
+const RequestTimeout = 1500 * micros.Millisecond
 
 // Client talks to the state service within a share of its rate limits.
 type Client struct {
@@ -166,10 +166,10 @@
 		return fmt.Errorf("state service: %w", ErrRateLimited)
 	case http.StatusBadRequest:
 		var e wire.ErrorResponse
-		if wire.Unmarshal(answer, &e) == nil && e.Error == errorNoSuchLease {
+		if wire.Unmarshal(answer, &e) == nil && e.Message == errorNoSuchLease {
 			return ErrSessionNotFound
 		}
-		return fmt.Errorf("state service: %w: %s", ErrRejected, e.Error)
+		return fmt.Errorf("state service: %w: %s", ErrRejected, e.Message)
 	}
 	return nil
 }
@@ -177,14 +177,14 @@
 // maxPage is the most keys that the service lists in a page.
 const maxPage = "500"
 
-// List reads a page of keys.
-func (c *Client) List(ctx context.Context, prefix, after string) (wire.KeyPage, error) {
+// ListPage reads a page of keys.
+func (c *Client) ListPage(ctx context.Context, prefix, after string) (wire.KeyPage, error) {
 	q := url.Values{"starts": {prefix}, "most": {maxPage}}
 	if after != "" {
 		q.Set("after", after)
 	}
 	var page wire.KeyPage
-	code, err := c.call(ctx, http.MethodGet, "/store?"+q.Encode(), nil, &page, 2*Timeout)
+	code, err := c.call(ctx, http.MethodGet, "/store?"+q.Encode(), nil, &page, 2*RequestTimeout)
 	if err == nil && code != http.StatusOK {
 		err = fmt.Errorf("state service: list answered %d", code)
 	}
@@ -203,12 +203,12 @@
 // Commit carries out a transaction at once and returns its revision.
 func (c *Client) Commit(ctx context.Context, t wire.Txn) (uint64, error) {
 	var a wire.TxnResponse
-	code, err := c.call(ctx, http.MethodPost, "/txn", t, &a, Timeout)
+	code, err := c.call(ctx, http.MethodPost, "/txn", t, &a, RequestTimeout)
 	switch {
 	case err != nil:
 		return 0, err
 	case code == http.StatusConflict:
-		return a.Revision, &Conflict{Keys: a.Failed}
+		return a.Revision, &ConflictError{Keys: a.FailedKeys}
 	case code != http.StatusOK:
 		return 0, fmt.Errorf("state service: transaction answered %d", code)
 	}
@@ -224,7 +224,7 @@
 		"wait_ms": {strconv.FormatInt(int64(wait/micros.Millisecond), 10)},
 	}
 	var e wire.WatchResponse
-	code, err := c.call(ctx, http.MethodGet, "/watch?"+q.Encode(), nil, &e, wait+Timeout)
+	code, err := c.call(ctx, http.MethodGet, "/watch?"+q.Encode(), nil, &e, wait+RequestTimeout)
 	switch {
 	case err != nil:
 		return e, err
@@ -240,7 +240,7 @@
 // within life, and the keys written with it are removed then.
 func (c *Client) NewSession(ctx context.Context, life micros.Micros) (uint64, error) {
 	var a wire.SessionResponse
-	code, err := c.call(ctx, http.MethodPost, "/holds", wire.SessionRequest{TTLMS: int64(life / micros.Millisecond)}, &a, Timeout)
+	code, err := c.call(ctx, http.MethodPost, "/holds", wire.SessionRequest{TTLMS: int64(life / micros.Millisecond)}, &a, RequestTimeout)
 	if err == nil && code != http.StatusOK {
 		err = fmt.Errorf("state service: session answered %d", code)
 	}
@@ -249,13 +249,13 @@
 
 // RenewSession has a session live for its whole life again.
 func (c *Client) RenewSession(ctx context.Context, session uint64) error {
-	code, err := c.call(ctx, http.MethodPost, fmt.Sprintf("/holds/%d/extend", session), struct{}{}, nil, Timeout)
+	code, err := c.call(ctx, http.MethodPost, fmt.Sprintf("/holds/%d/extend", session), struct{}{}, nil, RequestTimeout)
 	return sessionError(code, err)
 }
 
 // EndSession ends a session at once.
 func (c *Client) EndSession(ctx context.Context, session uint64) error {
-	code, err := c.call(ctx, http.MethodDelete, fmt.Sprintf("/holds/%d", session), nil, nil, Timeout)
+	code, err := c.call(ctx, http.MethodDelete, fmt.Sprintf("/holds/%d", session), nil, nil, RequestTimeout)
 	return sessionError(code, err)
 }
 
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -72,7 +72,7 @@
 		_, err := c.Commit(ctx, wire.Txn{Then: []wire.Op{{Put: "c/x", Value: 1}}})
 		return err
 	}
-	list := func(c *Client) error { _, err := c.List(ctx, "c/", ""); return err }
+	list := func(c *Client) error { _, err := c.ListPage(ctx, "c/", ""); return err }
 	watch := func(c *Client) error { _, err := c.Watch(ctx, "c/", 7, 0); return err }
 	open := func(c *Client) error { _, err := c.NewSession(ctx, micros.Second); return err }
 	renew := func(c *Client) error { return c.RenewSession(ctx, 7) }
@@ -86,9 +86,9 @@
 		heard bool
 	}{
 		{"a transaction", commit, answer{200, wire.TxnResponse{Revision: 9}}, nil, true, true},
-		{"conditions that failed", commit, answer{409, wire.TxnResponse{Failed: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
-		{"a transaction that is too large", commit, answer{400, wire.ErrorResponse{Error: "value too large"}}, ErrRejected, true, true},
-		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Error: errorNoSuchLease}}, ErrSessionNotFound, true, true},
+		{"conditions that failed", commit, answer{409, wire.TxnResponse{FailedKeys: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
+		{"a transaction that is too large", commit, answer{400, wire.ErrorResponse{Message: "value too large"}}, ErrRejected, true, true},
+		{"a write by an ended session", commit, answer{400, wire.ErrorResponse{Message: errorNoSuchLease}}, ErrSessionNotFound, true, true},
 		{"too many changes", commit, answer{429, nil}, ErrRateLimited, true, true},
 		{"an outage", commit, answer{503, nil}, ErrUnavailable, true, false},
 		{"no answer", commit, answer{}, errCut, false, false},
@@ -118,7 +118,7 @@
 			if want := slices.Contains([]error{ErrRejected, ErrRateLimited, ErrUnavailable}, c.want); errors.Is(err, ErrNotExecuted) != want {
 				t.Errorf("error %v: not executed is %v, want %v", err, !want, want)
 			}
-			if conflict := new(Conflict); errors.As(err, &conflict) && !strings.Contains(err.Error(), "c/x c/y") {
+			if conflict := new(ConflictError); errors.As(err, &conflict) && !strings.Contains(err.Error(), "c/x c/y") {
 				t.Errorf("error %v does not name the keys", err)
 			}
 			if client.IsUnreachable() == c.heard || (client.SinceLastResponse() < micros.Second) != c.heard {
@@ -158,7 +158,7 @@
 					return n
 				}
 				near := func(got, want int) bool { return got >= want-2 && got <= want+2 }
-				requests := count(func(ctx context.Context) error { _, err := client.List(ctx, "", ""); return err })
+				requests := count(func(ctx context.Context) error { _, err := client.ListPage(ctx, "", ""); return err })
 				one := wire.Txn{Then: []wire.Op{{Put: "c/x"}}}
 				changes := count(func(ctx context.Context) error { _, err := client.CommitRateLimited(ctx, one); return err })
 				if !near(requests, c.requests) || !near(changes, c.changes) {
@@ -188,10 +188,10 @@
 		sizes string        // of the transactions
 	}{
 		{"all taken", second, answer{200, wire.TxnResponse{Revision: 9}}, nil, "[1 4 3]"},
-		{"a condition fails, the others go on without it", withKey, answer{409, wire.TxnResponse{Failed: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
-		{"a conflict that names none of them", withKey, answer{409, wire.TxnResponse{Failed: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
-		{"a value is refused, halves find it", withKey, answer{400, wire.ErrorResponse{Error: "value too large"}}, map[int]error{2: ErrRejected}, "[1 4 2 1 1 2 3]"},
-		{"their number is refused, fewer go from then on", many, answer{400, wire.ErrorResponse{Error: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
+		{"a condition fails, the others go on without it", withKey, answer{409, wire.TxnResponse{FailedKeys: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
+		{"a conflict that names none of them", withKey, answer{409, wire.TxnResponse{FailedKeys: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
+		{"a value is refused, halves find it", withKey, answer{400, wire.ErrorResponse{Message: "value too large"}}, map[int]error{2: ErrRejected}, "[1 4 2 1 1 2 3]"},
+		{"their number is refused, fewer go from then on", many, answer{400, wire.ErrorResponse{Message: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
 		{"no answer", second, answer{}, all(errCut), "[1 4 3]"},
 		{"too many at once", second, answer{429, nil}, all(ErrRateLimited), "[1 4 3]"},
 	}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -61,7 +61,7 @@
 		{"orders", []string{VerbStart, VerbStop, VerbClear}},
 		{"states of machines", []string{InstanceBooting, InstanceRunning, InstanceFailed}},
 		{"type of bodies", ContentType},
-		{"limits", []int{MaxBody, MaxTasks}},
+		{"limits", []int{MaxBodyBytes, MaxTasks}},
 	}
 	var sections []golden.Section
 	for _, w := range words {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,8 +18,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBody is the most that a request or response body may measure as JSON.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the most that a request or response body may measure as JSON.
+const MaxBodyBytes = 64 << 10
 
 // ContentType labels every body.
 const ContentType = "application/cbor"
@@ -72,30 +72,30 @@
 func JSONSize(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
-		return MaxBody + 1
+		return MaxBodyBytes + 1
 	}
 	return len(b)
 }
 
-// ErrBodyTooLarge says that a body is over MaxBody.
+// ErrBodyTooLarge says that a body is over MaxBodyBytes.
 var ErrBodyTooLarge = errors.New("body over the limit")
 
 // maxJSONPerByte is how many JSON characters a CBOR byte can stand for. Only bodies that may
 // be too large by it need to be measured.
 const maxJSONPerByte = 6
 
-// ReadBody reads at most MaxBody bytes and checks what they measure as JSON.
+// ReadBody reads at most MaxBodyBytes bytes and checks what they measure as JSON.
 func ReadBody(r io.Reader) ([]byte, error) {
 	var buf bytes.Buffer
-	if _, err := io.Copy(&buf, io.LimitReader(r, MaxBody+1)); err != nil {
+	if _, err := io.Copy(&buf, io.LimitReader(r, MaxBodyBytes+1)); err != nil {
 		return nil, fmt.Errorf("read body: %w", err)
 	}
-	if buf.Len() > MaxBody {
+	if buf.Len() > MaxBodyBytes {
 		return nil, ErrBodyTooLarge
 	}
-	if buf.Len() > MaxBody/maxJSONPerByte {
+	if buf.Len() > MaxBodyBytes/maxJSONPerByte {
 		var v map[string]any
-		if err := Unmarshal(buf.Bytes(), &v); err == nil && JSONSize(v) > MaxBody {
+		if err := Unmarshal(buf.Bytes(), &v); err == nil && JSONSize(v) > MaxBodyBytes {
 			return nil, ErrBodyTooLarge
 		}
 	}
@@ -138,7 +138,7 @@
 // JobStatus answers submissions, polls and cancellations.
 type JobStatus struct {
 	ID      string `json:"id"`
-	Status  string `json:"status"`
+	State   string `json:"status"`
 	Done    *int   `json:"done,omitempty"`
 	Running *int   `json:"running,omitempty"`
 }
@@ -327,8 +327,8 @@
 
 // TxnResponse answers a transaction.
 type TxnResponse struct {
-	Revision uint64   `json:"ledger"`
-	Failed   []string `json:"failed,omitempty"`
+	Revision   uint64   `json:"ledger"`
+	FailedKeys []string `json:"failed,omitempty"`
 }
 
 // Event is one change seen by a watch.
@@ -358,5 +358,5 @@
 
 // ErrorResponse says what was wrong.
 type ErrorResponse struct {
-	Error string `json:"error"`
+	Message string `json:"error"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -105,8 +105,8 @@
 		{"small", text(100), true},
 		{"a machine with many tasks", report(1000), true},
 		{"a machine with too many", report(2000), false},
-		{"just under", text(MaxBody - 100), true},
-		{"over", text(MaxBody), false},
+		{"just under", text(MaxBodyBytes - 100), true},
+		{"over", text(MaxBodyBytes), false},
 		{"over as JSON only", string(b), false},
 	}
 	for _, c := range cases {
--- a/membership.go
+++ b/membership.go
@@ -41,7 +41,7 @@
 	var others []string
 	for _, p := range n.settings.Peers {
 		others = append(others, p.Member)
-		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.dialPeer)
+		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.DialPeer)
 	}
 	m.detector = membership.NewDetector(n.settings.Member, others, config, uint64(micros.Wall()), micros.Now())
 	return m
@@ -82,15 +82,15 @@
 	defer cancel()
 	sent := micros.Now()
 	heartbeat := m.heartbeat()
-	response, err := client.Ask(ctx, peer.Request{Heartbeat: &heartbeat})
+	response, err := client.Call(ctx, peer.Request{MembershipHeartbeat: &heartbeat})
 	if err != nil {
 		slog.Debug("heartbeat", "peer", member, "error", err)
 		return
 	}
 	m.update(func(d *membership.Detector, now micros.Micros) {
 		d.HandleAck(now, member, now-sent)
-		if response.Heartbeat != nil {
-			d.HandleHeartbeat(now, response.Heartbeat)
+		if response.MembershipHeartbeat != nil {
+			d.HandleHeartbeat(now, response.MembershipHeartbeat)
 		}
 	})
 }
@@ -161,8 +161,8 @@
 	return &answer
 }
 
-// Members tells what this node thinks of the other nodes.
-func (n *Node) Members() (membership.Status, error) {
+// MembershipStatus tells what this node thinks of the other nodes.
+func (n *Node) MembershipStatus() (membership.Status, error) {
 	if n.membership == nil {
 		return membership.Status{}, api.ErrMembershipOff
 	}
--- a/standby_kills_test.go
+++ b/standby_kills_test.go
@@ -54,8 +54,8 @@
 		s.Params.Workers.HeartbeatIntervalS = 2
 	}, testStandby())
 	defer c.close()
-	c.cloud.Most = killMachines
-	c.cloud.RunFor = func(task string) float64 { return float64(4 + 3*(len(task)+int(task[len(task)-1]))%24) }
+	c.cloud.MaxMachines = killMachines
+	c.cloud.RuntimeOf = func(task string) float64 { return float64(4 + 3*(len(task)+int(task[len(task)-1]))%24) }
 	r := &killRun{cluster: c, random: rand.New(rand.NewPCG(seed, 24)), size: size, cancelled: map[string]bool{}}
 	var users sync.WaitGroup
 	// Each has numbers of its own, as all run at the same time.
@@ -110,7 +110,7 @@
 	}
 	<-done
 	switch {
-	case err != nil && way != 6: // refused: the process ends without, as HandOverAtEnd has it
+	case err != nil && way != 6: // refused: the process ends without, as HandOverOnShutdown has it
 		if !errors.Is(err, errNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
 			r.t.Errorf("handing over: %v", err)
 		}
@@ -170,7 +170,7 @@
 		code, status := r.request(http.MethodPost, (first+try)%r.size, "/v1/jobs/"+id+"/abort", nil)
 		if code == http.StatusOK {
 			r.mu.Lock()
-			r.cancelled[id] = status.Status == wire.JobCancelled
+			r.cancelled[id] = status.State == wire.JobCancelled
 			r.mu.Unlock()
 			return
 		}
--- a/versions_test.go
+++ b/versions_test.go
@@ -28,7 +28,7 @@
 				t.Fatalf("%s: %d, %+v, %v", step, code, v, err)
 			}
 			for i, p := range v.Peers {
-				if p.Member != fmt.Sprintf("host-%d", i+1) || p.Heard != heard[i] || p.Heard != (p.Version == peer.Version) {
+				if p.Member != fmt.Sprintf("host-%d", i+1) || p.Responding != heard[i] || p.Responding != (p.Version == peer.Version) {
 					t.Errorf("%s: %+v", step, p)
 				}
 			}
@@ -43,9 +43,9 @@
 		ask("it is back", http.StatusOK, peer.Version, true, true)
 		c.kill(1)
 		c.kill(2)
-		c.state.SetDown(true)
+		c.state.SetOutage(true)
 		time.Sleep(5 * time.Second)
 		ask("not ready", http.StatusServiceUnavailable, 0, false, false)
-		c.state.SetDown(false)
+		c.state.SetOutage(false)
 	})
 }
