--- a/internal/leader/autoscaler/gangs.go
+++ b/internal/leader/autoscaler/gangs.go
@@ -6,7 +6,6 @@
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/zone"
-	"caperlatch/placement"
 )
 
 // launchDelayWhenShort is how long a gang that lost a task before its start waits for another place to
@@ -91,11 +90,10 @@
 	for _, a := range j.Attempts {
 		room.held[a.Machine.Offering.Zone]++
 	}
-	constraints := placement.Job{InstanceTypes: j.Spec.InstanceTypes, Zone: j.Spec.Zone, AllowSpot: j.Spec.AllowSpot}
 	for _, m := range s.Fleet.Sorted {
 		o := m.Offering
 		t := s.types[o.Type]
-		if t == nil || m.Instance.Terminating || m.DrainReason != "" || !placement.ConstraintsAdmit(&constraints, o.Type, o.Zone, o.Spot) {
+		if t == nil || m.Instance.Terminating || m.DrainReason != "" || !j.MayRunOn(o) {
 			continue
 		}
 		free := t.Capacity
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -153,10 +153,10 @@
 
 // launchForConstrainedJob launches machines for a job if some of the fleet is closed to it.
 func (s *Scaler) launchForConstrainedJob(j *state.Job, counts map[state.Offering]offeringCount, now micros.Micros) {
-	constraints := constraintsNow(j)
+	probe := placementProbe(j)
 	closed, booting := 0, 0
 	for o, n := range counts {
-		if placement.ConstraintsAdmitNow(&constraints, o.Type, o.Zone, o.Spot) {
+		if probe.CanStartOn(o.Type, o.Zone, o.Spot) {
 			booting += n.booting
 		} else {
 			closed += n.all
@@ -166,7 +166,7 @@
 		return // the targets serve it
 	}
 	for _, o := range s.OfferingsFor(j) {
-		if !placement.ConstraintsAdmitNow(&constraints, o.Type, o.Zone, o.Spot) {
+		if !probe.CanStartOn(o.Type, o.Zone, o.Spot) {
 			continue // its other tasks bind it to another zone
 		}
 		if s.Fleet.HasOpenIntent(o) {
@@ -180,15 +180,11 @@
 	}
 }
 
-// constraintsNow are a job's placement constraints, with those that follow from where its tasks are.
-func constraintsNow(j *state.Job) placement.Job {
+// placementProbe is what placement must know of a job to say where its next task can start.
+func placementProbe(j *state.Job) placement.Job {
 	return placement.Job{
-		InstanceTypes: j.Spec.InstanceTypes,
-		Zone:          j.Spec.Zone,
-		AllowSpot:     j.Spec.AllowSpot,
-		SingleZone:    j.Spec.SingleZone,
-		SpreadZones:   j.Spec.SpreadZones,
-		TotalTasks:    j.Spec.Tasks,
-		TasksPerZone:  j.AttemptsPerZone,
+		Constraints:  j.Constraints(),
+		Request:      placement.Request{TotalTasks: j.Spec.Tasks},
+		TasksPerZone: j.AttemptsPerZone,
 	}
 }
--- a/internal/leader/autoscaler/types.go
+++ b/internal/leader/autoscaler/types.go
@@ -120,28 +120,27 @@
 // It is kept with the job for as long as the instance types stay as they are.
 func (s *Scaler) OfferingsFor(j *state.Job) []state.Offering {
 	if j.OfferingsVersion != s.version {
-		j.Offerings, j.OfferingsVersion = s.findOfferings(j.Spec, j.Need), s.version
+		j.Offerings, j.OfferingsVersion = s.findOfferings(j), s.version
 	}
 	return j.Offerings
 }
 
-func (s *Scaler) findOfferings(spec *wire.Job, need placement.Resources) []state.Offering {
+func (s *Scaler) findOfferings(j *state.Job) []state.Offering {
 	type pricedOffering struct {
 		state.Offering
 		price float64 // of a task per hour
 	}
-	constraints := placement.Job{InstanceTypes: spec.InstanceTypes, Zone: spec.Zone, AllowSpot: spec.AllowSpot}
 	var priced []pricedOffering
 	for _, name := range s.order {
 		t := s.types[name]
-		if t.Capacity.CountFitting(need, unlimited) == 0 {
+		if t.Capacity.CountFitting(j.Need, unlimited) == 0 {
 			continue
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				if placement.ConstraintsAdmit(&constraints, name, zone, spot) {
-					o := state.Offering{Type: name, Zone: zone, Spot: spot}
-					priced = append(priced, pricedOffering{o, t.Price(spot) * t.Fraction(need)})
+				o := state.Offering{Type: name, Zone: zone, Spot: spot}
+				if j.MayRunOn(o) {
+					priced = append(priced, pricedOffering{o, t.Price(spot) * t.Fraction(j.Need)})
 				}
 			}
 		}
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -53,7 +53,7 @@
 			for ; k > i; k-- {
 				o := ms[k]
 				if o.DrainReason == "" && !o.RejectsDelayTolerant && into[k].Fits(a.Job.Need) &&
-					placement.ConstraintsAdmit(&placement.Job{InstanceTypes: a.Job.Spec.InstanceTypes, Zone: a.Job.Spec.Zone, AllowSpot: a.Job.Spec.AllowSpot}, o.Offering.Type, o.Offering.Zone, o.Offering.Spot) {
+					a.Job.MayRunOn(o.Offering) {
 					break
 				}
 			}
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -254,23 +254,23 @@
 func (l *Leader) placementJob(j *state.Job, n int, covered bool, wall micros.Micros) *placement.Job {
 	s := j.Spec
 	w := &placement.Job{
-		ID:              s.ID,
-		Team:            s.Team,
-		ImageIndex:      j.Image,
-		Priority:        j.Priority,
-		EvacuationRank:  l.evacuationRank(j),
-		OnlyZone:        l.onlyZone(j),
-		WithinGuarantee: covered,
-		Need:            j.Need,
-		WaitingTasks:    n,
-		TotalTasks:      s.Tasks,
-		InstanceTypes:   s.InstanceTypes,
-		Zone:            s.Zone,
-		SingleZone:      s.SingleZone,
-		SpreadZones:     s.SpreadZones,
-		Gang:            j.IsGang(),
-		AllowSpot:       s.AllowSpot,
-		ImageSizeGB:     s.ImageSizeGB,
+		ID:       s.ID,
+		Team:     s.Team,
+		OnlyZone: l.onlyZone(j),
+		Standing: placement.Standing{
+			EvacuationRank:  l.evacuationRank(j),
+			WithinGuarantee: covered,
+			Priority:        j.Priority,
+		},
+		Request: placement.Request{
+			Need:         j.Need,
+			WaitingTasks: n,
+			TotalTasks:   s.Tasks,
+			ImageIndex:   j.Image,
+			ImageSizeGB:  s.ImageSizeGB,
+		},
+		Constraints:    j.Constraints(),
+		GangScheduling: placement.GangScheduling{Gang: j.IsGang()},
 	}
 	deadlines := l.workload.StartDeadlines(j, covered, wall)
 	w.StartDeadline, w.LaterStartDeadlines, w.Late = deadlines.Next, deadlines.Later, deadlines.Late
@@ -351,17 +351,19 @@
 func (l *Leader) placementMachine(m *state.Machine, now micros.Micros) placement.Machine {
 	t := l.scaler.Type(m.Offering.Type)
 	p := placement.Machine{
-		ID:                   m.ID,
-		InstanceType:         m.Offering.Type,
-		Zone:                 m.Offering.Zone,
-		Spot:                 m.Offering.Spot,
-		Free:                 m.Free,
-		CommandDelay:         max(0, m.Heartbeat.ReceivedAt+l.heartbeatInterval-now),
-		Idle:                 len(m.Attempts) == 0,
-		RejectsDelayTolerant: m.RejectsDelayTolerant,
-		Images:               m.ImageSet,
-		ImagePullGBPerS:      t.ImagePullGBPerS,
-		StartPenalty:         micros.FromSeconds(l.scaler.PriceRatio(t, m.Offering.Spot) - 1),
+		ID:           m.ID,
+		InstanceType: m.Offering.Type,
+		Zone:         m.Offering.Zone,
+		Spot:         m.Offering.Spot,
+		Free:         m.Free,
+		StartFactors: placement.StartFactors{
+			CommandDelay:    max(0, m.Heartbeat.ReceivedAt+l.heartbeatInterval-now),
+			Images:          m.ImageSet,
+			ImagePullGBPerS: t.ImagePullGBPerS,
+			Idle:            len(m.Attempts) == 0,
+			StartPenalty:    micros.FromSeconds(l.scaler.PriceRatio(t, m.Offering.Spot) - 1),
+		},
+		Restrictions: placement.Restrictions{RejectsDelayTolerant: m.RejectsDelayTolerant},
 	}
 	if late := now - m.Heartbeat.ReceivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
 		p.CommandDelay = l.heartbeatInterval + late // it has missed a report, and may be gone
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -11,7 +11,6 @@
 	"caperlatch/internal/micros"
 	"caperlatch/internal/standby"
 	"caperlatch/internal/wire"
-	"caperlatch/placement"
 )
 
 // Followers are the nodes that keep a view of what this term decides.
@@ -226,10 +225,7 @@
 	case l.Followers == nil:
 		return u.count > 0
 	}
-	probe := placement.Job{InstanceTypes: j.Spec.InstanceTypes, Zone: j.Spec.Zone, AllowSpot: j.Spec.AllowSpot}
-	return slices.ContainsFunc(u.offerings, func(kind state.Offering) bool {
-		return placement.ConstraintsAdmit(&probe, kind.Type, kind.Zone, kind.Spot)
-	})
+	return slices.ContainsFunc(u.offerings, j.MayRunOn)
 }
 
 // countUnconfirmed counts the machines whose tasks are known by a handover alone.
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -201,3 +201,20 @@
 	slices.SortFunc(gangs, func(a, b *Job) int { return cmp.Compare(a.Spec.ID, b.Spec.ID) })
 	return gangs
 }
+
+// Constraints are where the job's tasks may run, whatever its other tasks do.
+func (j *Job) Constraints() placement.Constraints {
+	return placement.Constraints{
+		InstanceTypes: j.Spec.InstanceTypes,
+		Zone:          j.Spec.Zone,
+		AllowSpot:     j.Spec.AllowSpot,
+		SingleZone:    j.Spec.SingleZone,
+		SpreadZones:   j.Spec.SpreadZones,
+	}
+}
+
+// MayRunOn reports whether the job's constraints admit an offering, whatever its other tasks do.
+func (j *Job) MayRunOn(o Offering) bool {
+	constraints := j.Constraints()
+	return constraints.Admit(o.Type, o.Zone, o.Spot)
+}
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -13,9 +13,9 @@
 
 // Versions is which nodes serve with which version, as one node knows it.
 type Versions struct {
-	Member  string        `json:"member"`
-	Version int           `json:"version"`
-	Common  int           `json:"common"` // what all nodes are known to speak at least
+	Member  string          `json:"member"`
+	Version int             `json:"version"`
+	Common  int             `json:"common"` // what all nodes are known to speak at least
 	Peers   []MemberVersion `json:"peers"`
 }
 
--- /dev/null
+++ b/placement/plan.go
@@ -0,0 +1,96 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+
+	"caperlatch/internal/micros"
+)
+
+// Plan places what it can of jobs that are in the queue's order, and leaves in WaitingTasks what
+// finds no room. Waiting tasks cost nothing here: the work grows with the jobs, and with the
+// machines that have room.
+func Plan(machines []Machine, jobs []*Job, teams map[string]*Team) (starts []Start) {
+	minNeed := MinNeed(jobs)
+	available := make([]int, 0, len(machines))
+	for k := range machines {
+		if machines[k].Free.Fits(minNeed) {
+			available = append(available, k)
+		}
+	}
+	largest := largestFree(machines, available)
+	for i, j := range jobs {
+		if j.WaitingTasks == 0 || !largest.Fits(j.Need) || teams[j.Team].CountAllowed(j.Need, 1) == 0 {
+			continue
+		}
+		place := placeTasks
+		if j.Gang {
+			place = placeGang
+		}
+		placed := place(machines, available, i, j, teams[j.Team])
+		starts = append(starts, placed...)
+		if len(placed) > 0 {
+			available = slices.DeleteFunc(available, func(k int) bool { return !machines[k].Free.Fits(minNeed) })
+			largest = largestFree(machines, available)
+		}
+	}
+	return starts
+}
+
+// largestFree is the most that any machine has free of each resource. A job that needs more is
+// passed over quickly.
+func largestFree(machines []Machine, available []int) (largest Resources) {
+	for _, k := range available {
+		free := machines[k].Free
+		largest = Resources{max(largest.CPU, free.CPU), max(largest.GPU, free.GPU), max(largest.Memory, free.Memory)}
+	}
+	return largest
+}
+
+// placeTasks places what it can of a job that is no gang, where its tasks start soonest. index is
+// the job's in the queue.
+func placeTasks(machines []Machine, available []int, index int, j *Job, team *Team) (starts []Start) {
+	type candidate struct {
+		machine int
+		cost    micros.Micros
+	}
+	var candidates []candidate
+	for _, k := range available {
+		m := &machines[k]
+		if m.Free.Fits(j.Need) && m.accepts(j) && j.remainingInZone(m.Zone) > 0 && isWorthWaitingFor(m, j) {
+			candidates = append(candidates, candidate{k, startCost(m, j)})
+		}
+	}
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(machines[a.machine].ID, machines[b.machine].ID))
+	})
+	for _, c := range candidates {
+		m := &machines[c.machine]
+		count := team.CountAllowed(j.Need, min(j.WaitingTasks, j.remainingInZone(m.Zone)))
+		count = m.Free.CountFitting(j.Need, count)
+		if count == 0 {
+			continue
+		}
+		assign(m, j, team, count)
+		starts = append(starts, Start{Job: index, Machine: c.machine, Count: count})
+		if j.WaitingTasks == 0 {
+			break
+		}
+	}
+	return starts
+}
+
+// assign counts some of a job's waiting tasks as being on a machine.
+func assign(m *Machine, j *Job, team *Team, count int) {
+	m.Free = m.Free.Add(j.Need, -int64(count))
+	m.Idle = false
+	m.Images = m.Images.With(j.ImageIndex)
+	if team != nil {
+		team.Used = team.Used.Add(j.Need, int64(count))
+	}
+	if j.TasksPerZone == nil {
+		j.TasksPerZone = map[string]int{}
+	}
+	j.TasksPerZone[m.Zone] += count
+	j.WaitingTasks -= count
+}
