--- a/placement/deferral_test.go
+++ b/placement/deferral_test.go
@@ -78,3 +78,17 @@
 		}
 	}
 }
+
+// TestDeferLateLargestJob has the job with the most work be the one that would be late. It is to get its next start
+// deadline that can be met, as any deferred job does.
+func TestDeferLateLargestJob(t *testing.T) {
+	s := micros.Second
+	small := job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 5*s, 4 })
+	big := job("big", 1, func(j *Job) {
+		j.StartDeadline, j.LaterStartDeadlines, j.WaitingCPUSeconds = 10*s, []micros.Micros{20 * s, 30 * s}, 9
+	})
+	DeferLateJobs([]*Job{small, big}, 1, 0)
+	if small.Late || big.Late {
+		t.Errorf("late: small %v, big %v; both can meet a deadline", small.Late, big.Late)
+	}
+}
