--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -66,7 +66,7 @@
 		return cmp.Or(cmp.Compare(a.Job.Spec.ID, b.Job.Spec.ID), cmp.Compare(a.Index, b.Index))
 	})
 	for _, a := range starts[:min(len(starts), max(0, maxCommands-len(orders)))] {
-		if !l.startAllowedWith(a.Job, m, 0) {
+		if !l.canStartTasks(a.Job, m, 0) {
 			// A task that nobody knew of has shown itself since the places were reserved.
 			l.releaseReservation(a, "it may not start there any more")
 			continue
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -25,7 +25,7 @@
 // machine, and of three machines that are up, not yet known if old.
 func newGangTest(t *testing.T, old bool) *Leader {
 	t.Helper()
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	useWorkers(l, heard{})
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
 	l.applyJobChanges()
@@ -38,7 +38,7 @@
 	}
 	for _, m := range l.fleet.Sorted {
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
-		m.Reconciliation.Knowledge = knowledge(!old)
+		m.Reconciliation.Knowledge = taskKnowledge(!old)
 		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
 	}
 	return l
@@ -50,7 +50,7 @@
 func tellTasks(t *testing.T, l *Leader, machine string, tasks ...string) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
-	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: nil}
+	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken, Tasks: nil}
 	for _, s := range tasks {
 		f := strings.Fields(s)
 		number, at, _ := strings.Cut(f[0], "@")
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(a)
+	return commandNames(a)
 }
 
 // addUp adds a machine that is up and may get tasks.
@@ -102,11 +102,11 @@
 	t.Helper()
 	m := l.fleet.Machines[machine]
 	l.replan, l.plannedAt = true, 0
-	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: tasks})
+	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(answer)
+	return commandNames(answer)
 }
 
 // leave has the gang's task leave a machine, which gets no others.
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -30,7 +30,7 @@
 		{"one is in a zone that is cut off", func(l *Leader, _ *state.Machine) {
 			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
-		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).sure = false }, 0},
+		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).exclusive = false }, 0},
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -107,8 +107,8 @@
 			}
 		}
 		n := j.Gang.Number
-		if n > token<<32 {
-			n -= token << 32
+		if n > testToken<<32 {
+			n -= testToken << 32
 		}
 		if _, final := l.finalJobs[j.Spec.ID]; n != c.n || (j.DoneCount == 3) != c.done || final != c.done {
 			t.Errorf("%s: attempt %d, %d done", c.name, n, j.DoneCount)
@@ -142,7 +142,7 @@
 		a.StartedAt = late
 	}
 	l.checkGangs(micros.Now())
-	if j.WaitingTasks() != 1 || j.Gang.Number != token<<32|1 {
+	if j.WaitingTasks() != 1 || j.Gang.Number != testToken<<32|1 {
 		t.Errorf("%d wait for another place, attempt %d", j.WaitingTasks(), j.Gang.Number)
 	}
 	// It waits too long: all is given back.
@@ -369,7 +369,7 @@
 func TestGangSurelyGone(t *testing.T) {
 	say := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *state.Machine) {
 		return func(_ *testing.T, l *Leader, m *state.Machine) {
-			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}
+			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
 			edit(r)
 			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.Heartbeat.Sequence {
 				t.Error(err)
@@ -383,7 +383,7 @@
 		return func(_ *testing.T, l *Leader, m *state.Machine) {
 			m.Lease.RenewedAt = micros.Now() - seconds*micros.Second
 			m.Heartbeat.ReceivedAt = m.Lease.RenewedAt
-			l.checkMachines(micros.Now())
+			l.superviseMachines(micros.Now())
 		}
 	}
 	cases := []struct {
@@ -406,8 +406,8 @@
 		}, false},
 		{"it reports in a new session", say(func(r *wire.Heartbeat) { r.Incarnation = 2 }), true},
 		{"a late copy of a report from before the start comes", say(func(r *wire.Heartbeat) { r.Sequence = 1 }), false},
-		{"a report of an earlier term comes", say(func(r *wire.Heartbeat) { r.FencingToken = token - 1 }), false},
-		{"it reports in a new session, and knows an earlier term", say(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, token-1 }), true},
+		{"a report of an earlier term comes", say(func(r *wire.Heartbeat) { r.FencingToken = testToken - 1 }), false},
+		{"it reports in a new session, and knows an earlier term", say(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, testToken-1 }), true},
 		{"it reports without the task", shows(), true},
 		{"it reports another attempt, which is to be cleared", shows("1@3 ended stopped", ". waiting"), false},
 		{"it still fetches", shows(". pulling"), false},
@@ -602,10 +602,10 @@
 	}
 	m, n := l.fleet.Machines["i-2"], j.Gang.Number
 	name := state.TaskID(j.Spec.ID, a.Index)
-	ended := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token,
+	ended := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken,
 		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.plannedAt = 0
-	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
+	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(commandNames(answer), "start "+name) {
 		t.Fatalf("told %v (%v), want the start again", answer.Commands, err)
 	}
 	waiting := *ended
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -95,7 +95,7 @@
 	workload   *workload.Workload   // what is expected of jobs, and what teams may use
 	dispatcher *dispatch.Dispatcher // direct calls to workers
 	writes     *persist.Queue       // what is to be stored
-	workerCalls
+	taskQueryState
 	standbyState
 	zoneState
 
@@ -134,8 +134,8 @@
 	preemptedForGangsAt micros.Micros
 }
 
-// workerCalls is what is known of this node's own calls to workers.
-type workerCalls struct {
+// taskQueryState is what is known of this node's own calls to workers.
+type taskQueryState struct {
 	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
 }
 
@@ -160,7 +160,7 @@
 		gangState: gangState{
 			reservations: map[string]*state.GangReservation{},
 		},
-		workerCalls: workerCalls{
+		taskQueryState: taskQueryState{
 			zoneQueries: map[string]queryCounts{},
 		},
 	}
@@ -367,7 +367,7 @@
 		l.reportTasksKnown()
 		if now-watched >= 200*micros.Millisecond {
 			watched = now
-			l.checkMachines(now)
+			l.superviseMachines(now)
 		}
 		l.checkGangs(now)
 		l.planIfNeeded(now)
