--- a/internal/leader/machine.go
+++ b/internal/leader/liveness.go
@@ -5,9 +5,43 @@
 
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
-	"caperlatch/internal/wire"
 )
 
+// superviseMachines acts on silence, notices and stops that take too long.
+func (l *Leader) superviseMachines(now micros.Micros) {
+	l.observeZones(now)
+	l.fleet.CheckBoots(now)
+	l.unknownCount = l.fleet.CountUnknown()
+	for _, m := range slices.Clone(l.fleet.Sorted) {
+		over := l.checkLease(m, now)
+		if why := l.terminationReason(m, over, now); why != "" {
+			l.fleet.Terminate(m, why)
+		}
+		if !m.Instance.Terminating && l.ignoresStop(m, now) {
+			l.fleet.Terminate(m, "a cancelled task does not stop")
+		}
+	}
+}
+
+// checkLease takes the tasks off a machine whose lease is over, and tells whether it is.
+func (l *Leader) checkLease(m *state.Machine, now micros.Micros) (over bool) {
+	over = now > l.leaseExpiry(m)
+	if over && (len(m.Attempts) > 0 || !m.TasksKnown()) {
+		if len(m.Attempts) > 0 {
+			l.events.Add("lease expired, tasks lost", "", m.ID)
+		} else {
+			l.events.Add("lease expired", "", m.ID)
+		}
+		l.releaseAll(m, "its lease ended")
+	}
+	if !over || !m.Instance.Running {
+		m.Lease.ExpiredSince = 0
+	} else if m.Lease.ExpiredSince == 0 {
+		m.Lease.ExpiredSince = now
+	}
+	return over
+}
+
 // leaseExpiry tells when a silent machine has surely ended its tasks.
 func (l *Leader) leaseExpiry(m *state.Machine) micros.Micros {
 	if !m.TasksKnown() {
@@ -24,6 +58,11 @@
 	return m.Lease.RenewedAt + l.leaseDuration + micros.MaxClockDrift(l.leaseDuration) + micros.Second
 }
 
+// silence is how long a machine has not been heard of in this term.
+func (l *Leader) silence(m *state.Machine, now micros.Micros) micros.Micros {
+	return now - max(m.Heartbeat.ReceivedAt, l.startedAt)
+}
+
 // silenceLimit is how long a machine may be silent before it is returned to
 // the cloud, which proves its tasks gone and stops its cost.
 func (l *Leader) silenceLimit(m *state.Machine) micros.Micros {
@@ -43,10 +82,6 @@
 	return max(3*l.heartbeatInterval+4*micros.Second, min(l.leaseDuration, 20*micros.Second))
 }
 
-// maxLostResponses is how many answers in a row must have been lost before a machine is
-// taken for one that receives none.
-const maxLostResponses = 3
-
 // seemsReclaimed tells whether the cloud seems to have taken a machine without a notice: it is
 // silent, and was listed before and is so no longer. That proves nothing, as lists
 // lag; but it is a reason to return it now, which does.
@@ -54,46 +89,6 @@
 	return m.Instance.Listed && m.Instance.MissingLists >= 2 && l.isHeartbeatLate(m, now)
 }
 
-// silence is how long a machine has not been heard of in this term.
-func (l *Leader) silence(m *state.Machine, now micros.Micros) micros.Micros {
-	return now - max(m.Heartbeat.ReceivedAt, l.startedAt)
-}
-
-// superviseMachines acts on silence, notices and stops that take too long.
-func (l *Leader) superviseMachines(now micros.Micros) {
-	l.observeZones(now)
-	l.fleet.CheckBoots(now)
-	l.unknownCount = l.fleet.CountUnknown()
-	for _, m := range slices.Clone(l.fleet.Sorted) {
-		over := l.checkLease(m, now)
-		if why := l.terminationReason(m, over, now); why != "" {
-			l.fleet.Terminate(m, why)
-		}
-		if !m.Instance.Terminating && l.ignoresStop(m, now) {
-			l.fleet.Terminate(m, "a cancelled task does not stop")
-		}
-	}
-}
-
-// checkLease takes the tasks off a machine whose lease is over, and tells whether it is.
-func (l *Leader) checkLease(m *state.Machine, now micros.Micros) (over bool) {
-	over = now > l.leaseExpiry(m)
-	if over && (len(m.Attempts) > 0 || !m.TasksKnown()) {
-		if len(m.Attempts) > 0 {
-			l.events.Add("lease expired, tasks lost", "", m.ID)
-		} else {
-			l.events.Add("lease expired", "", m.ID)
-		}
-		l.releaseAll(m, "its lease ended")
-	}
-	if !over || !m.Instance.Running {
-		m.Lease.ExpiredSince = 0
-	} else if m.Lease.ExpiredSince == 0 {
-		m.Lease.ExpiredSince = now
-	}
-	return over
-}
-
 // terminationReason is why a machine should be returned to the cloud, empty if it should not; over
 // says that its lease is. Where many are silent at once the network is more likely at fault
 // than they are: they are kept as long as their leases last, and as long again.
@@ -136,73 +131,3 @@
 	}
 	return false
 }
-
-// assign counts a task as being on its machine.
-func (l *Leader) assign(a *state.Attempt) {
-	l.recordMoved(a)
-	a.Attach()
-	team := a.Job.Spec.Team
-	l.teamUsage[team] = l.teamUsage[team].Add(a.Job.Need, 1)
-	l.publishAssigned(a)
-}
-
-// releaseAll frees all tasks of a machine that are surely gone.
-func (l *Leader) releaseAll(m *state.Machine, why string) {
-	for _, a := range m.Attempts {
-		l.release(a, why)
-	}
-	m.Reconciliation.Knowledge = state.TasksConfirmed
-	m.Planned = nil
-	l.replan = true
-	l.publishMachine(m)
-}
-
-// release frees a task that is no longer on its machine.
-func (l *Leader) release(a *state.Attempt, why string) {
-	job := a.Job
-	l.publishRemoved(a)
-	l.teamUsage[job.Spec.Team] = l.teamUsage[job.Spec.Team].Add(job.Need, -1)
-	if a.Detach(micros.Now()) {
-		if len(job.Attempts) == 0 {
-			delete(l.cancelledJobs, job.Spec.ID)
-		}
-		l.observeGangTaskLost(a)
-	}
-	if a.StopReason != "" {
-		why = a.StopReason
-	}
-	if !job.Ended && !job.Done.Has(a.Index) {
-		l.recordDisplaced(a)
-		l.recordStop(a, why)
-		l.replan = true // it waits again
-	}
-}
-
-// stopTask tells a task to stop.
-func (l *Leader) stopTask(a *state.Attempt, grace micros.Micros, why string) {
-	if l.markStopping(a, grace, why) {
-		l.dispatcher.Send(commandTarget(a.Machine), stopCommand(a))
-	}
-}
-
-// markStopping notes that a task is to stop, and tells whether its machine must be told.
-func (l *Leader) markStopping(a *state.Attempt, grace micros.Micros, reason string) (mustTell bool) {
-	if a.Reserved {
-		l.releaseReservation(a, reason)
-		return false
-	}
-	if !a.MarkStopping(grace, reason, micros.Now()) {
-		return false
-	}
-	l.publishAssigned(a)
-	return true
-}
-
-func stopCommand(a *state.Attempt) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, TaskID: a.TaskID(), Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)}
-}
-
-func secondsPtr(m micros.Micros) *float64 {
-	s := m.Seconds()
-	return &s
-}
