--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -23,16 +23,16 @@
 	golden.Of[explain.Explanation]("an explanation"),
 }
 
-// TestEncoded has them be encoded as they were.
-func TestEncoded(t *testing.T) {
+// TestEncodedTypes has them be encoded as they were.
+func TestEncodedTypes(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
 // TestEncodedTags has all their fields be named by tags.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestKeys has the keys that the leader makes be what they were.
-func TestKeys(t *testing.T) {
+// TestStoredKeys has the keys that the leader makes be what they were.
+func TestStoredKeys(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
 		{Name: "a task", Text: state.TaskID("j-000412", 3)},
 		{Name: "progress of a job", Text: state.ProgressKey("j-000412", 2)},
--- /dev/null
+++ b/internal/leader/helpers_test.go
@@ -0,0 +1,104 @@
+package leader
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"slices"
+	"testing"
+
+	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/settings"
+	"caperlatch/internal/statestore"
+	"caperlatch/internal/wire"
+)
+
+// fakeTerm is a term whose proofs the tests set.
+type fakeTerm struct {
+	holdsSession, exclusive                bool
+	lastConfirmed, earlierTermsFencedSince micros.Micros
+}
+
+func (t *fakeTerm) HoldsSession() bool { return t.holdsSession }
+
+func (t *fakeTerm) IsExclusive() bool { return t.exclusive }
+
+func (t *fakeTerm) LastConfirmed() micros.Micros { return t.lastConfirmed }
+
+func (t *fakeTerm) EarlierTermsFencedSince() micros.Micros { return t.earlierTermsFencedSince }
+
+const testToken = 7
+
+// newTestLeader makes a leader of one job of three tasks and one machine that an
+// earlier leader had brought up.
+func newTestLeader(t *testing.T) (*Leader, *fakeTerm) {
+	t.Helper()
+	now := micros.Now()
+	term := &fakeTerm{holdsSession: true, exclusive: true, lastConfirmed: now}
+	s := &settings.Settings{Params: settings.Params{
+		Teams:   []settings.Team{{Name: "blue"}},
+		Workers: settings.Workers{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41},
+	}}
+	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
+		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: testToken})
+	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
+	b := l.fleet.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}})
+	m := l.fleet.Add("i-1", b, now)
+	l.fleet.RegisterRunning(m)
+	l.writes.Unmark(fleet.ListKey(0))
+	m.Instance.IntentStored, m.Instance.ListStored = true, true
+	m.Reconciliation.Knowledge = state.TasksUnknown
+	m.Heartbeat.OfThisTerm = true
+	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
+		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
+	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
+	l.applyJobChange("j-000001", true)
+	l.ready = true
+	l.replan = true
+	return l, term
+}
+
+func heartbeat(seq, baton uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{MachineID: "i-1", Address: "", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: baton, Tasks: tasks}
+}
+
+func commandNames(a wire.HeartbeatResponse) (out []string) {
+	for _, c := range a.Commands {
+		out = append(out, string(c.Verb)+" "+c.TaskID)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// taskKnowledge is that of a machine that has confirmed its tasks in this term, or has not.
+func taskKnowledge(confirmed bool) state.TaskKnowledge {
+	if confirmed {
+		return state.TasksConfirmed
+	}
+	return state.TasksUnknown
+}
+
+// fakeWorkers answers calls to workers' addresses.
+type fakeWorkers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
+
+// RoundTrip implements http.RoundTripper.
+func (f fakeWorkers) RoundTrip(r *http.Request) (*http.Response, error) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return nil, err
+	}
+	var c wire.CommandRequest
+	if err := wire.Unmarshal(body, &c); err != nil {
+		return nil, err
+	}
+	status, report := f(&c)
+	if report == nil {
+		return nil, errors.New("no answer")
+	}
+	answer, err := wire.Marshal(report)
+	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(answer)), Request: r}, err
+}
--- a/internal/leader/ask_test.go
+++ b/internal/leader/task_queries_test.go
@@ -1,41 +1,13 @@
 package leader
 
 import (
-	"bytes"
-	"errors"
-	"fmt"
-	"io"
-	"net/http"
 	"slices"
 	"testing"
 
-	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
-	"caperlatch/internal/zone"
 )
 
-// fakeWorkers answers calls to workers' addresses.
-type fakeWorkers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
-
-// RoundTrip implements http.RoundTripper.
-func (f fakeWorkers) RoundTrip(r *http.Request) (*http.Response, error) {
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		return nil, err
-	}
-	var c wire.CommandRequest
-	if err := wire.Unmarshal(body, &c); err != nil {
-		return nil, err
-	}
-	status, report := f(&c)
-	if report == nil {
-		return nil, errors.New("no answer")
-	}
-	answer, err := wire.Marshal(report)
-	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(answer)), Request: r}, err
-}
-
 // TestTaskQuery has a new leader ask a machine for its tasks. Only an answer made after the
 // worker heard of this term proves them: until then a start of an earlier term may
 // still be carried out, and a task that is started elsewhere would run twice.
@@ -111,79 +83,3 @@
 		}
 	}
 }
-
-// TestUnresponsiveMachineTermination has a machine give no answer after a take-over. All old jobs wait for
-// it, so it is returned soon; but not where the fault may be with this node's own ways.
-func TestUnresponsiveMachineTermination(t *testing.T) {
-	for _, c := range []struct {
-		name           string
-		asked, answers int // of its zone
-		unresolved     int
-		leaves         bool
-	}{
-		{"the only one", 20, 19, 1, true},
-		{"its whole zone is silent", 20, 0, 1, false},
-		{"many are", 20, 12, 8, false},
-	} {
-		l, _ := newTestLeader(t)
-		b := l.fleet.Intent("r-1")
-		for i := range 19 {
-			l.fleet.Add(string(rune('a'+i)), b, l.startedAt).Instance.Running = true
-		}
-		now := l.startedAt + unresponsiveLimit + 100*micros.Millisecond
-		for i, m := range l.fleet.Sorted {
-			m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
-			m.Reconciliation.Knowledge = state.TasksConfirmed
-			if i < c.unresolved {
-				m.Heartbeat.ReceivedAt, m.Lease.RenewedAt, m.Reconciliation.FailedQueries = 0, 0, 2
-				m.Reconciliation.Knowledge = state.TasksUnknown
-			}
-		}
-		l.zoneQueries["a"] = queryCounts{c.asked, c.answers}
-		l.superviseMachines(now)
-		if got := l.fleet.Sorted[0].Instance.Terminating; got != c.leaves {
-			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
-		}
-	}
-}
-
-// TestZoneCutOff counts silent machines of a zone that stop being there. While a zone is
-// cut off nothing is rented in it; once its machines are returned, none of them can show
-// that it is not cut off any more.
-func TestZoneCutOff(t *testing.T) {
-	steps := []struct {
-		name     string
-		machines int
-		silent   bool
-		cut      bool
-	}{
-		{"all heard", 4, false, false},
-		{"all silent", 4, true, true},
-		{"too few to tell", 2, true, false},
-		{"all silent again", 4, true, true},
-		{"all returned", 0, true, false},
-	}
-	l, _ := newTestLeader(t)
-	b := l.fleet.Intent("r-1")
-	now := micros.Now() + micros.Second
-	for _, s := range steps {
-		l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
-		now += 100 * micros.Second
-		for i := range s.machines {
-			m := l.fleet.Add(fmt.Sprintf("i-%d", i), b, now)
-			m.Instance.Running = true
-			if m.Heartbeat.ReceivedAt = now; s.silent {
-				m.Heartbeat.ReceivedAt = now - 50*micros.Second
-			}
-		}
-		l.observeZones(now)
-		// All of the only zone is most of the network, too.
-		want := zone.Decision{MaxMachines: zone.Unlimited, Reachable: true, OpenShare: 1}
-		if s.cut {
-			want = zone.Decision{KeepSilent: true, OpenShare: 1}
-		}
-		if got := l.policy.Decide("a"); got != want {
-			t.Errorf("%s: %+v, want %+v", s.name, got, want)
-		}
-	}
-}
--- /dev/null
+++ b/internal/leader/writes_test.go
@@ -0,0 +1,153 @@
+package leader
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/settings"
+	"caperlatch/internal/statestore"
+	"caperlatch/internal/wire"
+)
+
+// TestWritePriority has the end of a job, a machine that came up and a crowd of machines that
+// are gone wait to be written: the crowd must not keep users from their answers.
+func TestWritePriority(t *testing.T) {
+	l, _ := newTestLeader(t)
+	for i := range 40 {
+		b := l.fleet.AddIntent(fmt.Sprintf("r-0-%d", i), fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}})
+		m := l.fleet.Add(fmt.Sprintf("i-9%02d", i), b, l.startedAt)
+		l.fleet.Remove(m)
+	}
+	l.writes.Mark(replica.AutoscalerKey)
+	l.fleet.RegisterRunning(l.fleet.Add("i-2", l.fleet.Intent("r-1"), l.startedAt))
+	j := l.jobs["j-000001"]
+	for i := range j.Spec.Tasks {
+		j.Done.Set(i)
+		j.DoneCount++
+	}
+	l.writes.Mark(state.ProgressKey("j-000002", 0))
+	l.finishIfDone(j)
+	ws, more := l.writes.Collect()
+	// The record goes before progress: behind it, a busy leader's was never written, and
+	// the next one knew nothing of the jobs at fault.
+	if len(ws) < 3 || !more || ws[0].Key != replica.JobPrefix+"j-000001" || ws[1].Key != fleet.ListKey(0) || ws[2].Key != replica.AutoscalerKey {
+		t.Fatalf("written first: %+v", ws)
+	}
+	if ws, _ = l.writes.Collect(); len(ws) == 0 {
+		t.Error("nothing is written after them")
+	}
+	for _, w := range ws {
+		if !strings.HasPrefix(w.Key, replica.LaunchIntentPrefix) {
+			t.Errorf("%s is written before machines that are gone", w.Key)
+		}
+	}
+}
+
+// TestDeleteLeftovers has writes carried out late, when what they were for is over: they are
+// removed, and what is in use is not.
+func TestDeleteLeftovers(t *testing.T) {
+	l, _ := newTestLeader(t)
+	leftovers := []string{replica.LaunchIntentPrefix + "r-9", state.ProgressKey("j-000009", 0)}
+	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", state.ProgressKey("j-000001", 0)) {
+		l.Replica.ApplyPut(key, map[string]any{}, 5)
+	}
+	l.deleteLeftovers()
+	ws, _ := l.writes.Collect()
+	var removed []string
+	for _, w := range ws {
+		if w.Value != nil || w.ModRevision != 5 {
+			t.Errorf("written: %+v", w)
+		}
+		removed = append(removed, w.Key)
+	}
+	if !slices.Equal(removed, leftovers) {
+		t.Errorf("removed %v, want %v", removed, leftovers)
+	}
+}
+
+// TestFinalStateKeepsCancellation guards against a rule once broken (went_back): a cancellation
+// that the replica took over after the leader had decided that the job is done
+// must not be overwritten.
+func TestFinalStateKeepsCancellation(t *testing.T) {
+	l, _ := newTestLeader(t)
+	j := l.jobs["j-000001"]
+	for i := range j.Spec.Tasks {
+		j.Done.Set(i)
+		j.DoneCount++
+	}
+	l.finishIfDone(j)
+	if ws, _ := l.writes.Collect(); len(ws) != 1 || ws[0].ModRevision != 1 {
+		t.Fatalf("the end is written as %+v, want under the version decided on", ws)
+	}
+	l.writes.Mark(replica.JobPrefix + "j-000001")
+	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
+	if ws, _ := l.writes.Collect(); len(ws) != 0 {
+		t.Errorf("a cancelled job is written as %+v", ws)
+	}
+}
+
+// TestRejectedTransactions has the state service refuse transactions as they are. None is sent
+// again with the same content, and what can be stored is.
+func TestRejectedTransactions(t *testing.T) {
+	cases := []struct {
+		name    string
+		refuses func(ws []persist.Write) bool
+		lost    string // the key that cannot be stored
+		most    int    // changes in a transaction afterwards
+	}{
+		{"nothing", func([]persist.Write) bool { return false }, "", 6},
+		{"more than two changes", func(ws []persist.Write) bool { return len(ws) > 2 }, "", 2},
+		{"one value", func(ws []persist.Write) bool {
+			return slices.ContainsFunc(ws, func(w persist.Write) bool { return w.Key == "c/j/j-000104" })
+		}, "c/j/j-000104", 6},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			l, _ := newTestLeader(t)
+			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, nil)
+			l.writes = l.newWriteQueue()
+			for i := range 8 {
+				id := fmt.Sprintf("j-%06d", 101+i)
+				l.Replica.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending}, uint64(10+i))
+				l.finalJobs[id] = replica.Job{State: wire.JobDone}
+				l.writes.Mark(replica.JobPrefix + id)
+			}
+			sent, stored := map[string]bool{}, 0
+			for n := 0; l.writes.Len() > 0; n++ {
+				ws, _ := l.writes.Collect()
+				var keys []string
+				for _, w := range ws {
+					keys = append(keys, w.Key)
+				}
+				if !c.refuses(ws) {
+					stored += len(ws)
+					continue
+				}
+				all := strings.Join(keys, " ")
+				if sent[all] || n > 50 {
+					t.Fatalf("sent again as it was refused: %s", all)
+				}
+				sent[all] = true
+				l.writes.Reject(ws, errors.New("refused"))
+			}
+			want := 8
+			if c.lost != "" {
+				want--
+				l.writes.Mark(c.lost)
+				if ws, _ := l.writes.Collect(); len(ws) != 0 {
+					t.Errorf("a value as large as the one refused is sent")
+				}
+			}
+			if stored != want || l.writes.MaxOps() != c.most {
+				t.Errorf("%d stored, then %d changes at a time; want %d, %d", stored, l.writes.MaxOps(), want, c.most)
+			}
+		})
+	}
+}
