--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -225,7 +225,7 @@
 	for _, a := range j.Attempts {
 		m := a.Machine
 		if m.Instance.Terminating || m.Delivery.LostResponses > 0 || m.Instance.Address == "" || !l.policy.Decide(m.Offering.Zone).Reachable ||
-			l.isHeartbeatLate(m, now) {
+			l.liveness.IsHeartbeatLate(m, now) {
 			return false
 		}
 	}
@@ -268,7 +268,7 @@
 			continue
 		}
 		for _, a := range j.Attempts {
-			late := now-a.StartedAt > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second && l.silence(a.Machine, now) > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second
+			late := now-a.StartedAt > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second && l.liveness.Silence(a.Machine, now) > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second
 			if a.Reserved && (late || !a.Machine.IsSchedulable(now)) {
 				l.releaseReservation(a, "its machine did not come for it")
 			}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -20,6 +20,7 @@
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
 	l.workload = workload.New(l.Settings.Params)
 	l.heartbeatInterval = 8 * micros.Second
+	l.liveness.HeartbeatInterval = l.heartbeatInterval
 	l.scaler.HeartbeatInterval, l.scaler.Workload = l.heartbeatInterval, l.workload
 	clear(l.jobs)
 	for i := range 31 {
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -23,7 +23,7 @@
 		{"all can be told", func(*Leader, *state.Machine) {}, 3},
 		{"one is silent", func(l *Leader, m *state.Machine) {
 			m.Heartbeat.ReceivedAt = micros.Now() - 10*micros.Second
-			l.startedAt = m.Heartbeat.ReceivedAt
+			setTermStart(l, m.Heartbeat.ReceivedAt)
 		}, 0},
 		{"one hears nothing", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
 		{"one is being returned", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -137,7 +137,8 @@
 	}
 	// A machine that does not come for its start in time is passed over.
 	late := l.startedAt - 10*micros.Second
-	l.startedAt, l.fleet.Machines["i-3"].Heartbeat.ReceivedAt = late, late
+	setTermStart(l, late)
+	l.fleet.Machines["i-3"].Heartbeat.ReceivedAt = late
 	for _, a := range j.Attempts {
 		a.StartedAt = late
 	}
@@ -164,7 +165,7 @@
 func TestGangGathering(t *testing.T) {
 	const s = micros.Second
 	l := newGangTest(t, false)
-	l.startedAt -= 100 * s
+	setTermStart(l, l.startedAt-100*s)
 	now := micros.Now()
 	small := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
 	for _, m := range l.fleet.Sorted {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -108,7 +108,7 @@
 	// One that is older than what the machine answered when asked tells nothing new.
 	m.Heartbeat.OfThisTerm = r.FencingToken == l.FencingToken && r.Sequence > m.Reconciliation.QueriedSequence
 	if !m.Heartbeat.OfThisTerm && m.Delivery.RespondedThisTerm {
-		l.recordLostResponse(m, now)
+		l.liveness.RecordLostResponse(m, now)
 	}
 	m.Delivery.RespondedThisTerm = true
 	if m.Heartbeat.OfThisTerm {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -102,3 +102,8 @@
 	answer, err := wire.Marshal(report)
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(answer)), Request: r}, err
 }
+
+// setTermStart has the term have begun at an instant, for all parts that go by it.
+func setTermStart(l *Leader, at micros.Micros) {
+	l.startedAt, l.liveness.TermStartedAt, l.taskQueries.TermStartedAt = at, at, at
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -20,8 +20,10 @@
 	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/eventlog"
 	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/liveness"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/leader/state"
+	"caperlatch/internal/leader/taskquery"
 	"caperlatch/internal/leader/workload"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -85,17 +87,17 @@
 	termLostOnce sync.Once
 
 	jobState
-	fleet        *fleet.Fleet       // machines, and launches and terminations
-	unknownCount int                // machines whose tasks are not known, as of the last check
-	scaler       *autoscaler.Scaler // how many machines there are to be
+	fleet  *fleet.Fleet       // machines, and launches and terminations
+	scaler *autoscaler.Scaler // how many machines there are to be
 	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
 	rejectedTypes *wire.InstanceTypeList
 	planState
 	gangState
-	workload   *workload.Workload   // what is expected of jobs, and what teams may use
-	dispatcher *dispatch.Dispatcher // direct calls to workers
-	writes     *persist.Queue       // what is to be stored
-	taskQueryState
+	workload    *workload.Workload   // what is expected of jobs, and what teams may use
+	dispatcher  *dispatch.Dispatcher // direct calls to workers
+	writes      *persist.Queue       // what is to be stored
+	taskQueries *taskquery.Queries   // queries of machines for their tasks after a failover
+	liveness    *liveness.Monitor    // which machines are silent, and since when
 	standbyState
 	zoneState
 
@@ -134,11 +136,6 @@
 	preemptedForGangsAt micros.Micros
 }
 
-// taskQueryState is what is known of this node's own calls to workers.
-type taskQueryState struct {
-	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
-}
-
 // New makes a leader for a term.
 func New(c Config) *Leader {
 	workers := c.Settings.Params.Workers
@@ -160,15 +157,14 @@
 		gangState: gangState{
 			reservations: map[string]*state.GangReservation{},
 		},
-		taskQueryState: taskQueryState{
-			zoneQueries: map[string]queryCounts{},
-		},
 	}
 	l.workload = workload.New(c.Settings.Params)
 	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
 	l.zoneState = newZoneState(c.Zones)
+	l.taskQueries = l.newTaskQueries()
+	l.liveness = l.newMonitor()
 	l.scaler = l.newScaler()
 	return l
 }
@@ -207,7 +203,7 @@
 		l.tickLoop,
 		l.fleet.Run,
 		l.instanceTypesLoop,
-		l.queryTasksLoop,
+		l.taskQueries.Run,
 	}
 	for _, f := range loops {
 		wg.Go(func() { f(ctx) })
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -3,7 +3,9 @@
 import (
 	"testing"
 
+	"caperlatch/internal/leader/liveness"
 	"caperlatch/internal/leader/state"
+	"caperlatch/internal/leader/taskquery"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 )
@@ -26,7 +28,7 @@
 	for _, c := range cases {
 		m.Lease.RenewedAt, term.earlierTermsFencedSince = c.answered, c.alone
 		m.Reconciliation.Knowledge = taskKnowledge(c.resolved)
-		if got := l.leaseExpiry(m) - l.startedAt; got <= c.after || got > c.notAfter {
+		if got := l.liveness.LeaseExpiry(m) - l.startedAt; got <= c.after || got > c.notAfter {
 			t.Errorf("%s: over after %v s, want within (%v, %v]", c.name, got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
 		}
 	}
@@ -125,7 +127,7 @@
 		for i := range 19 {
 			l.fleet.Add(string(rune('a'+i)), b, l.startedAt).Instance.Running = true
 		}
-		now := l.startedAt + unresponsiveLimit + 100*micros.Millisecond
+		now := l.startedAt + liveness.UnresponsiveLimit + 100*micros.Millisecond
 		for i, m := range l.fleet.Sorted {
 			m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
 			m.Reconciliation.Knowledge = state.TasksConfirmed
@@ -134,7 +136,7 @@
 				m.Reconciliation.Knowledge = state.TasksUnknown
 			}
 		}
-		l.zoneQueries["a"] = queryCounts{c.asked, c.answers}
+		l.taskQueries.ByZone["a"] = taskquery.Counts{Queried: c.asked, Responded: c.answers}
 		l.superviseMachines(now)
 		if got := l.fleet.Sorted[0].Instance.Terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -22,7 +22,7 @@
 	for i := range r.Tasks {
 		listed[r.Tasks[i].TaskID] = true
 	}
-	l.checkDelivery(m, listed, now)
+	l.liveness.CheckDelivery(m, listed, now)
 	m.Delivery.FollowUps = m.Delivery.FollowUps[:0]
 	for i := range r.Tasks {
 		l.observeTask(m, &r.Tasks[i], now)
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -127,15 +127,15 @@
 	l.PreviousTerm = handedView()
 	l.usePreviousTerm()
 	m := l.fleet.Machines["i-1"]
-	if over := l.leaseExpiry(m); over < l.startedAt+l.leaseDuration {
+	if over := l.liveness.LeaseExpiry(m); over < l.startedAt+l.leaseDuration {
 		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.startedAt).Duration(), l.leaseDuration.Duration())
 	}
 	l.superviseMachines(l.startedAt + l.leaseDuration)
 	if l.jobs["j-000001"].Attempts[0] == nil {
 		t.Error("the task is given up within the lease")
 	}
-	term.lastConfirmed = l.leaseExpiry(m)
-	l.superviseMachines(l.leaseExpiry(m) + 1)
+	term.lastConfirmed = l.liveness.LeaseExpiry(m)
+	l.superviseMachines(l.liveness.LeaseExpiry(m) + 1)
 	if l.jobs["j-000001"].Attempts[0] != nil || m.Reconciliation.Knowledge == state.TasksHandedOver {
 		t.Error("the task is kept after the lease")
 	}
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -111,7 +111,7 @@
 // ReconciliationState is how far a machine's tasks are known after a failover.
 type ReconciliationState struct {
 	Knowledge       TaskKnowledge
-	QueriedSequence uint64 // of the worker's answer to a task query; see queryTasksLoop
+	QueriedSequence uint64 // of the worker's answer to a task query; see package taskquery
 	FailedQueries   int
 	PreviousTerm    *standby.Machine // what the term before was seen to know of it, nil if nothing
 }
--- a/internal/leader/task_queries_test.go
+++ b/internal/leader/task_queries_test.go
@@ -67,13 +67,13 @@
 			}
 			return c.worker(d)
 		}))
-		if done := l.queryTasks(t.Context(), m); done != c.done || m.TasksKnown() != c.done {
+		if done := l.taskQueries.Query(t.Context(), m); done != c.done || m.TasksKnown() != c.done {
 			t.Errorf("%s: done %v, resolved %v", c.name, done, m.TasksKnown())
 		}
 		if c.done && m.Attempts["j-000001/0"] == nil {
 			t.Errorf("%s: the running task is not known", c.name)
 		}
-		if now := micros.Now(); c.done && now > l.leaseExpiry(m) {
+		if now := micros.Now(); c.done && now > l.liveness.LeaseExpiry(m) {
 			t.Errorf("%s: its lease counts as over", c.name)
 		}
 		l.plannedAt = 0
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -6,6 +6,7 @@
 	"maps"
 	"math"
 
+	"caperlatch/internal/leader/liveness"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
@@ -136,12 +137,12 @@
 
 // addEvidence adds a machine to its group.
 func (l *Leader) addEvidence(m *state.Machine, e *zone.Evidence, now micros.Micros) {
-	silent := l.silence(m, now)
-	late := l.isHeartbeatLate(m, now)
+	silent := l.liveness.Silence(m, now)
+	late := l.liveness.IsHeartbeatLate(m, now)
 	switch {
 	case silent > 2*l.heartbeatInterval+micros.Second:
 		e.Silent++
-	case m.Delivery.LostResponses >= maxLostResponses:
+	case m.Delivery.LostResponses >= liveness.MaxLostResponses:
 		e.LostResponses++
 	case late && m.Instance.Listed && m.Instance.MissingLists >= 2:
 		e.Unlisted++
@@ -162,11 +163,6 @@
 	m.ResetZoneReturn()
 }
 
-// isHeartbeatLate tells whether a machine's report is overdue.
-func (l *Leader) isHeartbeatLate(m *state.Machine, now micros.Micros) bool {
-	return l.silence(m, now) > l.heartbeatInterval+l.heartbeatInterval/4+micros.Second
-}
-
 // observeZoneReturn notes a report that its worker made in this term. A single one that was on its way
 // when the zone was cut, and was held back, is no evidence of a return. A later session is, and
 // a report that skips a number: its worker has given up the one between, so made it in the cut
@@ -176,7 +172,7 @@
 func (l *Leader) observeZoneReturn(m *state.Machine, now micros.Micros) {
 	z := &m.ZoneReturn
 	switch {
-	case z.Returned || m.Delivery.LostResponses >= maxLostResponses:
+	case z.Returned || m.Delivery.LostResponses >= liveness.MaxLostResponses:
 	case z.IncarnationBefore == 0 || m.Heartbeat.Incarnation > z.IncarnationBefore || m.Heartbeat.Sequence > z.SequenceBefore+1:
 		z.Returned = true
 	case z.HeardAt == 0:
@@ -225,7 +221,7 @@
 // isUnusable tells whether the room of a machine that is up is not to be had now. One that boots
 // counts as supply: it is open once it is heard, and was rented for that.
 func (l *Leader) isUnusable(m *state.Machine, now micros.Micros) bool {
-	return m.Instance.Running && (m.ZoneReturn.Closed || l.isHeartbeatLate(m, now) || m.Delivery.LostResponses >= maxLostResponses)
+	return m.Instance.Running && (m.ZoneReturn.Closed || l.liveness.IsHeartbeatLate(m, now) || m.Delivery.LostResponses >= liveness.MaxLostResponses)
 }
 
 // replacedMachines picks the machines that do not count as supply, since their zone is
@@ -368,7 +364,7 @@
 		if replaced[m] {
 			s.Work.ReplacedMachines++
 		}
-		if ends := (l.leaseExpiry(m) - now).Seconds(); l.isUnusable(m, now) && len(m.Attempts) > 0 && ends > 0 {
+		if ends := (l.liveness.LeaseExpiry(m) - now).Seconds(); l.isUnusable(m, now) && len(m.Attempts) > 0 && ends > 0 {
 			s.Work.AddLease(len(m.Attempts), ends)
 		}
 	}
@@ -400,7 +396,7 @@
 	var held zone.WorkStatus
 	for _, a := range j.Attempts {
 		if a.Machine.Offering.Zone == s.Zone && l.isUnusable(a.Machine, now) {
-			held.AddLease(1, max(0, (l.leaseExpiry(a.Machine)-now).Seconds()))
+			held.AddLease(1, max(0, (l.liveness.LeaseExpiry(a.Machine)-now).Seconds()))
 		}
 	}
 	switch {
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/liveness"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
@@ -64,9 +65,9 @@
 			m.Heartbeat.ReceivedAt, m.Instance.Listed, m.Instance.MissingLists = now-overdueFor, true, 2
 		}, zone.Evidence{Running: 10, Unlisted: 1}},
 		{"gone from the list and heard", func(m *state.Machine, _ micros.Micros) { m.Instance.Listed, m.Instance.MissingLists = true, 9 }, zone.Evidence{Running: 10}},
-		{"deaf", func(m *state.Machine, _ micros.Micros) { m.Delivery.LostResponses = maxLostResponses }, zone.Evidence{Running: 10, LostResponses: 1}},
+		{"deaf", func(m *state.Machine, _ micros.Micros) { m.Delivery.LostResponses = liveness.MaxLostResponses }, zone.Evidence{Running: 10, LostResponses: 1}},
 		{"silent and deaf", func(m *state.Machine, now micros.Micros) {
-			m.Heartbeat.ReceivedAt, m.Delivery.LostResponses = now-silentEnough, maxLostResponses
+			m.Heartbeat.ReceivedAt, m.Delivery.LostResponses = now-silentEnough, liveness.MaxLostResponses
 		}, zone.Evidence{Running: 10, Silent: 1}},
 		{"faulty", func(m *state.Machine, _ micros.Micros) { m.DrainReason = drainFaulty }, zone.Evidence{Running: 10, Quarantined: 1}},
 		{"being returned", func(m *state.Machine, _ micros.Micros) { m.Instance.Terminating = true }, zone.Evidence{Running: 9}},
