--- a/internal/leader/assignments.go
+++ b/internal/leader/assignments.go
@@ -5,7 +5,7 @@
 	"caperlatch/internal/micros"
 )
 
-// assign counts a task as being on its machine.
+// assign counts an attempt on its machine, in its job and in its team's use.
 func (l *Leader) assign(a *state.Attempt) {
 	l.recordMoved(a)
 	a.Attach()
@@ -14,8 +14,20 @@
 	l.publishAssigned(a)
 }
 
-// release frees a task that is no longer on its machine.
-func (l *Leader) release(a *state.Attempt, why string) {
+// releaseAll releases all tasks of a machine that are known to have left it.
+func (l *Leader) releaseAll(m *state.Machine, reason string) {
+	for _, a := range m.Attempts {
+		l.release(a, reason)
+	}
+	m.Reconciliation.Knowledge = state.TasksConfirmed
+	m.Planned = nil
+	l.replan = true
+	l.publishMachine(m)
+}
+
+// release takes back the assignment of an attempt that is known to have left its machine. The reason is told to
+// operators, unless the attempt was stopped for another.
+func (l *Leader) release(a *state.Attempt, reason string) {
 	job := a.Job
 	l.publishRemoved(a)
 	l.teamUsage[job.Spec.Team] = l.teamUsage[job.Spec.Team].Add(job.Need, -1)
@@ -26,35 +38,24 @@
 		l.observeGangTaskLost(a)
 	}
 	if a.StopReason != "" {
-		why = a.StopReason
+		reason = a.StopReason
 	}
 	if !job.Ended && !job.Done.Has(a.Index) {
 		l.recordDisplaced(a)
-		l.recordStop(a, why)
+		l.recordStop(a, reason)
 		l.replan = true // it waits again
 	}
 }
 
-// releaseAll frees all tasks of a machine that are surely gone.
-func (l *Leader) releaseAll(m *state.Machine, why string) {
-	for _, a := range m.Attempts {
-		l.release(a, why)
-	}
-	m.Reconciliation.Knowledge = state.TasksConfirmed
-	m.Planned = nil
-	l.replan = true
-	l.publishMachine(m)
-}
-
-// stopTask tells a task to stop.
-func (l *Leader) stopTask(a *state.Attempt, grace micros.Micros, why string) {
-	if l.markStopping(a, grace, why) {
+// stopTask has an attempt stopped within a grace period.
+func (l *Leader) stopTask(a *state.Attempt, grace micros.Micros, reason string) {
+	if l.markStopping(a, grace, reason) {
 		l.dispatcher.Send(commandTarget(a.Machine), stopCommand(a))
 	}
 }
 
-// markStopping notes that a task is to stop, and tells whether its machine must be told.
-func (l *Leader) markStopping(a *state.Attempt, grace micros.Micros, reason string) (mustTell bool) {
+// markStopping notes that an attempt is to stop, and reports whether its worker must get the command.
+func (l *Leader) markStopping(a *state.Attempt, grace micros.Micros, reason string) (mustSend bool) {
 	if a.Reserved {
 		l.releaseReservation(a, reason)
 		return false
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -31,14 +31,14 @@
 	})
 }
 
-// setInstanceTypes takes over the instance types that the cloud offers.
+// setInstanceTypes takes over the instance types that the cloud offers. It takes the lock.
 func (l *Leader) setInstanceTypes(list wire.InstanceTypeList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.scaler.SetInstanceTypes(list)
 }
 
-// autoscale scales out and in, and now and then has stored what a next leader goes on from.
+// autoscale scales out and in, and once in each RecordInterval has stored what a next leader goes on from.
 func (l *Leader) autoscale(now micros.Micros) {
 	if !l.ready {
 		return
@@ -58,7 +58,7 @@
 	r := l.scaler.Record(now)
 	r.Quarantined = l.quarantinedJobs()
 	if !l.Store.ValueAlwaysFits(r) {
-		r.Quarantined = nil // a next leader finds that again
+		r.Quarantined = nil // a next leader will find them again
 	}
 	return r
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -1,81 +1,101 @@
 package leader
 
 import (
-	"slices"
-
 	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
+	"caperlatch/placement"
 )
 
-// maxCommands keeps an answer to a worker well within wire.MaxBodyBytes.
+// maxCommands keeps a response to a worker well within wire.MaxBodyBytes.
 const maxCommands = 300
 
-// commandsForMachine are the commands for a machine that has just reported.
-func (l *Leader) commandsForMachine(m *state.Machine, now micros.Micros) (orders []wire.Command) {
-	// Stops first, and all of them: an answer that renews the lease must not leave one out.
-	// There are no more than tasks on the machine.
-	orders = make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.Planned))
+// commandsForMachine are the commands in the response to a machine's heartbeat.
+func (l *Leader) commandsForMachine(m *state.Machine, now micros.Micros) []wire.Command {
+	commands := stopsAndFollowUps(m)
+	if l.canReceiveStarts(m, now) {
+		l.fillMachine(m, now)
+		commands = l.commandReservedStarts(m, commands)
+		commands = l.commandPlannedStarts(m, commands, now)
+	}
+	recordSent(m, commands)
+	return commands
+}
+
+// stopsAndFollowUps are the stops of a machine's attempts, and what its latest heartbeat calls for. Stops come
+// first, and all of them: a response that renews the lease must not leave one out. There are no more than
+// tasks on the machine.
+func stopsAndFollowUps(m *state.Machine) []wire.Command {
+	commands := make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.Planned))
 	for name, a := range m.Attempts {
 		if a.StopRequestedAt != 0 && a.Number != 0 {
-			orders = append(orders, wire.Command{Verb: wire.VerbStop, TaskID: name, Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)})
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, TaskID: name, Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)})
 		}
 	}
 	for _, c := range m.Delivery.FollowUps {
-		if c.Verb == wire.VerbStop || len(orders) < maxCommands {
-			orders = append(orders, c)
+		if c.Verb == wire.VerbStop || len(commands) < maxCommands {
+			commands = append(commands, c)
 		}
 	}
-	defer func() {
-		m.Delivery.Sent = m.Delivery.Sent[:0]
-		for _, c := range orders {
-			if c.Verb != wire.VerbStop {
-				m.Delivery.Sent = append(m.Delivery.Sent, c)
-			}
-		}
-	}()
-	if !l.canReceiveStarts(m, now) {
-		return orders
-	}
-	l.fillMachine(m, now)
-	orders = l.commandReservedStarts(m, orders)
+	return commands
+}
+
+// commandPlannedStarts adds the starts that are planned for a machine to its commands.
+func (l *Leader) commandPlannedStarts(m *state.Machine, commands []wire.Command, now micros.Micros) []wire.Command {
 	for _, j := range m.Planned {
-		if len(orders) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.canStartTask(j, m) {
+		if len(commands) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.canStartTask(j, m) {
 			continue
 		}
-		task, ok := j.TakeWaitingTask()
+		index, ok := j.TakeWaitingTask()
 		if !ok {
 			continue
 		}
-		n := l.nextAttemptNumber()
-		a := &state.Attempt{Job: j, Index: task, Number: n, Machine: m, StartSequence: m.Heartbeat.Sequence, StartedAt: now, Protected: j.ProtectedTasks < 1+j.Spec.Tasks/agingDivisor}
+		a := &state.Attempt{
+			Job:           j,
+			Index:         index,
+			Number:        l.nextAttemptNumber(),
+			Machine:       m,
+			StartSequence: m.Heartbeat.Sequence,
+			StartedAt:     now,
+			Protected:     j.ProtectedTasks < 1+j.Spec.Tasks/agingDivisor,
+		}
 		if a.Protected {
 			j.ProtectedTasks++
 		}
 		l.assign(a)
-		orders = append(orders, wire.Command{Verb: wire.VerbStart, TaskID: state.TaskID(j.Spec.ID, task), Attempt: n})
+		commands = append(commands, wire.Command{Verb: wire.VerbStart, TaskID: a.TaskID(), Attempt: a.Number})
 	}
 	m.Planned = m.Planned[:0]
-	return orders
+	return commands
+}
+
+// recordSent notes the starts and clears of a response, by which the next heartbeat shows whether it arrived.
+func recordSent(m *state.Machine, commands []wire.Command) {
+	m.Delivery.Sent = m.Delivery.Sent[:0]
+	for _, c := range commands {
+		if c.Verb != wire.VerbStop {
+			m.Delivery.Sent = append(m.Delivery.Sent, c)
+		}
+	}
 }
 
-// canReceiveStarts tells whether tasks may be started on a machine now.
+// canReceiveStarts reports whether tasks may be started on a machine now.
 func (l *Leader) canReceiveStarts(m *state.Machine, now micros.Micros) bool {
 	return m.IsSchedulable(now) && l.Term.IsExclusive()
 }
 
-// canStartTask tells whether a task of a job may begin on a machine as things are at this
-// moment. Plans see to all this, but are older: since then a machine may have shown tasks
-// that nobody knew of, or jobs may have lost the tasks that bound them to a zone.
+// canStartTask reports whether a task of a job may start on a machine as things are now. Plans see to all
+// this, but are older: since then a machine may have reported tasks that were not known, or jobs may have
+// lost the tasks that bound them to a zone.
 func (l *Leader) canStartTask(j *state.Job, m *state.Machine) bool {
 	return l.canStartTasks(j, m, 1)
 }
 
-// canStartTasks tells it of so many more tasks; none more: of one that has its place there.
+// canStartTasks reports it of so many more tasks; 0 stands for one that is assigned there already.
 func (l *Leader) canStartTasks(j *state.Job, m *state.Machine, more int) bool {
 	s := j.Spec
-	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.Offering.Type) || s.Zone != "" && s.Zone != m.Offering.Zone || m.Offering.Spot && !s.AllowSpot {
+	if !admitsOffering(s, m.Offering) {
 		return false
 	}
 	if !l.workload.WithinLimit(s.Team, l.teamUsage[s.Team].Add(l.unknownUsage, 1).Add(j.Need, int64(more))) {
@@ -84,26 +104,37 @@
 	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
-	here := j.AttemptsPerZone[m.Offering.Zone]
-	return (!s.SingleZone || here == len(j.Attempts)) && (!s.SpreadZones || 2*(here+more) <= s.Tasks+1)
+	inZone := j.AttemptsPerZone[m.Offering.Zone]
+	return (!s.SingleZone || inZone == len(j.Attempts)) && (!s.SpreadZones || 2*(inZone+more) <= s.Tasks+1)
+}
+
+// admitsOffering reports whether a job's tasks may run on machines of an offering.
+func admitsOffering(s *wire.Job, o state.Offering) bool {
+	constraints := placement.Job{InstanceTypes: s.InstanceTypes, Zone: s.Zone, AllowSpot: s.AllowSpot}
+	return placement.ConstraintsAdmit(&constraints, o.Type, o.Zone, o.Spot)
 }
 
-// nextAttemptNumber is a new number for a start: rising across terms without a write, as the
-// term's token stands above.
+// attemptNumberShift is by how many bits the fencing token stands above the count of a term's attempts.
+const attemptNumberShift = 32
+
+// nextAttemptNumber is a new number for an attempt: rising across terms without a write, as the term's fencing
+// token stands above.
 func (l *Leader) nextAttemptNumber() uint64 {
 	l.attempts++
-	return l.FencingToken<<32 | l.attempts
+	return l.FencingToken<<attemptNumberShift | l.attempts
 }
 
-// stopAtOnce stops a reported task without time to save.
+// stopAtOnce stops a reported task without time to save a checkpoint.
 func stopAtOnce(t *wire.TaskStatus) wire.Command {
 	return wire.Command{Verb: wire.VerbStop, TaskID: t.TaskID, Attempt: t.Attempt, GracePeriodS: secondsPtr(0)}
 }
 
+// stopCommand stops an attempt within its grace period.
 func stopCommand(a *state.Attempt) wire.Command {
 	return wire.Command{Verb: wire.VerbStop, TaskID: a.TaskID(), Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)}
 }
 
+// clearCommand has the worker forget a task that has exited.
 func clearCommand(t *wire.TaskStatus) wire.Command {
 	return wire.Command{Verb: wire.VerbClear, TaskID: t.TaskID, Attempt: t.Attempt}
 }
--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -8,17 +8,25 @@
 	"caperlatch/internal/wire"
 )
 
-// observeExit takes over a task that has ended on its machine.
-func (l *Leader) observeExit(m *state.Machine, j *state.Job, task int, a *state.Attempt, t *wire.TaskStatus, now micros.Micros) {
+const (
+	// jobNotFoundBackoff is for how long a job is not started that workers do not find.
+	jobNotFoundBackoff = 5 * micros.Second
+	// noRoomHeartbeats is for how many heartbeat intervals a machine gets no starts that had no room for one.
+	noRoomHeartbeats = 2
+)
+
+// observeExit takes over a task that has exited on its machine.
+func (l *Leader) observeExit(o observation) {
+	m, j, a, t := o.machine, o.job, o.attempt, o.status
 	if t.ExitReason == wire.ExitDone && j.Spec.Kind != wire.KindService {
-		l.observeCompletion(m, j, task, a, t, now)
+		l.observeCompletion(o)
 		return
 	}
 	if !wire.IsKnownExitReason(t.ExitReason) {
-		l.events.Add("a task's exit reason is unknown", fmt.Sprintf("%.40q", t.ExitReason), m.ID)
+		l.events.Add("unknown exit reason of a task", fmt.Sprintf("%.40q", t.ExitReason), m.ID)
 	}
-	m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
-	l.observeGangExit(j, task, a, t)
+	followUp(m, clearCommand(t))
+	l.observeGangExit(j, o.index, a, t)
 	if a == nil {
 		return
 	}
@@ -27,47 +35,53 @@
 		j.Failures.Count++
 		j.Failures.LastMachine = m.ID
 		if a.RunningSince != 0 {
-			j.Failures.LongestRun = max(j.Failures.LongestRun, now-a.RunningSince)
+			j.Failures.LongestRun = max(j.Failures.LongestRun, o.at-a.RunningSince)
 		}
-		l.attributeFailure(m, j, now)
+		l.attributeFailure(m, j, o.at)
 	case wire.ExitInsufficientResources:
-		// Our count of what is free was wrong: wait for the next reports.
-		m.StartBackoffUntil = now + 2*l.heartbeatInterval
+		// The count of what is free was wrong: wait for the next heartbeats.
+		m.StartBackoffUntil = o.at + noRoomHeartbeats*l.heartbeatInterval
 	case wire.ExitJobNotFound:
 		// The worker cannot find the job yet.
-		j.BackoffUntil = now + 5*micros.Second
+		j.BackoffUntil = o.at + jobNotFoundBackoff
 		j.BackoffReason = "the workers do not find its description"
 	case wire.ExitOtherAttemptPresent:
-		// Another attempt of the task is there; the report lists it too.
+		// Another attempt of the task is there; the heartbeat lists it too.
 	}
 	l.release(a, "ended: "+t.ExitReason)
 }
 
 // observeCompletion takes over a task that is done.
-func (l *Leader) observeCompletion(m *state.Machine, j *state.Job, task int, a *state.Attempt, t *wire.TaskStatus, now micros.Micros) {
-	if !j.Done.Has(task) && !j.Ended {
-		j.Done.Set(task)
-		j.DoneCount++
-		l.recordSuccess(m, j, a, now)
-		if a != nil {
-			l.scaler.ObserveCompletion(a, now)
-		}
-		l.writes.Mark(state.ProgressKey(j.Spec.ID, task/state.ChunkTasks))
-		l.completions.count++
-		l.completeGang(j)
+func (l *Leader) observeCompletion(o observation) {
+	m, j, a := o.machine, o.job, o.attempt
+	if !j.Done.Has(o.index) && !j.Ended {
+		l.recordCompletion(o)
 	} else if a != nil && j.IsGang() && !j.Ended {
-		l.scaler.ObserveCompletion(a, now)
+		l.scaler.ObserveCompletion(a, o.at)
 	}
 	if a != nil {
 		l.release(a, "")
 	}
-	if other := j.Attempts[task]; other != nil {
+	if other := j.Attempts[o.index]; other != nil {
 		l.stopTask(other, 0, "done elsewhere")
 	}
 	l.finishIfDone(j)
-	// The worker keeps the result until it is surely stored.
-	if j.Ended || j.StoredDone.Has(task) {
-		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
+	// The worker keeps the result until it is known to be stored.
+	if j.Ended || j.StoredDone.Has(o.index) {
+		followUp(m, clearCommand(o.status))
 	}
 	l.writes.Wake()
 }
+
+// recordCompletion notes that a task is done which was not before.
+func (l *Leader) recordCompletion(o observation) {
+	j, a := o.job, o.attempt
+	j.MarkDone(o.index)
+	l.recordSuccess(o.machine, j, a, o.at)
+	if a != nil {
+		l.scaler.ObserveCompletion(a, o.at)
+	}
+	l.writes.Mark(state.ProgressKey(j.Spec.ID, o.index/state.ChunkTasks))
+	l.completions.count++
+	l.completeGang(j)
+}
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/standby"
 )
 
-// newFleet makes the fleet of this term, without machines yet.
+// newFleet makes the fleet of this term, still without machines.
 func (l *Leader) newFleet() *fleet.Fleet {
 	return fleet.New(fleet.Config{
 		Lock:          &l.mu,
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -8,73 +8,86 @@
 	"caperlatch/internal/wire"
 )
 
-// ErrCannotRespond says that this node must not answer a report now.
+// ErrCannotRespond says that this node must not respond to a heartbeat now.
 var ErrCannotRespond = errors.New("not entitled to answer")
 
-// deferralWindow is how long a worker that was sent away in doubt may come back
-// for an answer.
+// deferralWindow is for how long a worker whose heartbeat was refused while leadership was in doubt may come
+// back for a response.
 const deferralWindow = 15 * micros.Second
 
-// HandleHeartbeat takes a worker's report and answers with its orders.
+// HandleHeartbeat takes a worker's heartbeat, and returns the commands for it.
 func (l *Leader) HandleHeartbeat(r *wire.Heartbeat) (wire.HeartbeatResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := micros.Now()
-	answer := wire.HeartbeatResponse{FencingToken: l.FencingToken, Commands: []wire.Command{}}
-	if !l.canRespond(r, now) {
-		return answer, ErrCannotRespond
+	response := wire.HeartbeatResponse{FencingToken: l.FencingToken, Commands: []wire.Command{}}
+	l.observeFencingToken(r)
+	if !l.canRespond(now) {
+		return response, ErrCannotRespond
 	}
-	// What this node has told a user, or was told by a peer, holds for the answer: no
+	// What this node has answered to a user, or has got from a peer, holds for the response: no
 	// task of a job that is known here as cancelled may start.
 	l.applyJobChanges()
 	m := l.fleet.Machines[r.MachineID]
 	if m == nil {
-		answer.Commands = append(answer.Commands, l.stopsForEndedJobs(r)...)
-		return answer, l.adoptUnknownMachine(r, now)
+		response.Commands = append(response.Commands, l.stopsForEndedJobs(r)...)
+		return response, l.adoptUnknownMachine(r, now)
 	}
 	if !l.acceptsHeartbeat(m, r, now) {
-		return answer, ErrCannotRespond
+		return response, ErrCannotRespond
 	}
 	l.endEarlierIncarnation(m, r)
 	l.recordHeartbeat(m, r, now)
 	l.reconcileIfCurrent(m, r, now)
 	l.drainOnInterruption(m, now)
 	l.publishMachine(m)
-	answer.Commands = l.planCommands(m, now)
-	return answer, nil
+	response.Commands = l.planCommands(m, now)
+	return response, nil
 }
 
-// canRespond tells whether this node may answer a report now. A report with a higher
-// token ends the term.
-func (l *Leader) canRespond(r *wire.Heartbeat, now micros.Micros) bool {
-	if l.superseded || r.FencingToken > l.FencingToken {
+// observeFencingToken ends the term if a worker has seen a higher fencing token.
+func (l *Leader) observeFencingToken(r *wire.Heartbeat) {
+	if r.FencingToken > l.FencingToken {
 		l.superseded = true
 		l.loseTerm()
-		return false
 	}
-	return l.ready && !l.handingOver && now < l.Term.LastConfirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
 }
 
-// acceptsHeartbeat tells whether a known machine's report is to be answered.
+// canRespond reports whether this node may respond to heartbeats now.
+func (l *Leader) canRespond(now micros.Micros) bool {
+	return !l.superseded && l.ready && !l.handingOver && now < l.Term.LastConfirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
+}
+
+// acceptsHeartbeat reports whether a known machine's heartbeat is to be handled. One that is deferred is noted,
+// so that the next is not.
 func (l *Leader) acceptsHeartbeat(m *state.Machine, r *wire.Heartbeat, now micros.Micros) bool {
-	if !l.Term.IsExclusive() && now-m.Lease.DeferredAt > deferralWindow {
-		// Another node may lead by now. A worker that finds no other answer
-		// comes back and has its lease renewed.
+	if l.mustDefer(m, now) {
 		m.Lease.DeferredAt = now
 		return false
 	}
-	// A late copy is refused. Its worker gave up waiting for the answer.
-	late := r.Incarnation < m.Heartbeat.Incarnation || r.Incarnation == m.Heartbeat.Incarnation && r.Sequence <= m.Heartbeat.Sequence
-	return !late
+	return !isLateCopy(m, r)
+}
+
+// mustDefer reports whether a machine's heartbeat is to be refused once, as another node may lead by now. A
+// worker that finds no other leader comes back, and has its lease renewed.
+func (l *Leader) mustDefer(m *state.Machine, now micros.Micros) bool {
+	return !l.Term.IsExclusive() && now-m.Lease.DeferredAt > deferralWindow
+}
+
+// isLateCopy reports whether a heartbeat is no newer than the machine's latest. Its worker gave up
+// waiting for the response.
+func isLateCopy(m *state.Machine, r *wire.Heartbeat) bool {
+	latest := &m.Heartbeat
+	return r.Incarnation < latest.Incarnation || r.Incarnation == latest.Incarnation && r.Sequence <= latest.Sequence
 }
 
-// endEarlierIncarnation frees the tasks of a worker's session when a later one reports.
+// endEarlierIncarnation releases the tasks of a worker's incarnation when a later one sends a heartbeat.
 func (l *Leader) endEarlierIncarnation(m *state.Machine, r *wire.Heartbeat) {
 	if m.Heartbeat.Incarnation == 0 || r.Incarnation <= m.Heartbeat.Incarnation {
 		return
 	}
-	// That an earlier session ended says nothing of what earlier terms started in this
-	// one: a report held back from before a take-over may be all that is known of it.
+	// That an earlier incarnation ended says nothing of what earlier terms started in this one: a
+	// heartbeat held back from before a failover may be all that is known of it.
 	knowledge := m.Reconciliation.Knowledge
 	l.releaseAll(m, "the worker's session ended")
 	m.Reconciliation.Knowledge = knowledge
@@ -82,7 +95,7 @@
 	m.Delivery.Sent = m.Delivery.Sent[:0]
 }
 
-// recordHeartbeat notes what a report tells besides the tasks.
+// recordHeartbeat notes what a heartbeat says beside the status of tasks.
 func (l *Leader) recordHeartbeat(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
 	m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = r.Incarnation, r.Sequence, r.Address
 	l.checkZone(m, r)
@@ -103,9 +116,9 @@
 	}
 }
 
-// reconcileIfCurrent takes over the tasks of a report that is a snapshot of its machine.
+// reconcileIfCurrent reconciles the tasks of a heartbeat that is a snapshot of its machine in this term.
 func (l *Leader) reconcileIfCurrent(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
-	// One that is older than what the machine answered when asked tells nothing new.
+	// One that is older than the machine's response to a task query says nothing new.
 	m.Heartbeat.OfThisTerm = r.FencingToken == l.FencingToken && r.Sequence > m.Reconciliation.QueriedSequence
 	if !m.Heartbeat.OfThisTerm && m.Delivery.RespondedThisTerm {
 		l.liveness.RecordLostResponse(m, now)
@@ -115,15 +128,14 @@
 		l.observeZoneReturn(m, now)
 		l.reconcile(m, r, now)
 	} else {
-		// The answer may renew the machine's lease, whatever is thought of the report.
+		// The response may renew the machine's lease, whatever is thought of the heartbeat.
 		m.Delivery.FollowUps = l.stopsForEndedJobs(r)
 	}
 }
 
-// stopsForEndedJobs has the tasks of jobs that are over stopped by the answer to a report which is
-// not taken for the machine's snapshot. Every answer that renews a lease must do that: one
-// that came first after a take-over, to a machine which then heard nothing more, kept
-// cancelled tasks for a lease too long.
+// stopsForEndedJobs are the stops for tasks of ended jobs in the response to a heartbeat that is not taken
+// for the machine's snapshot. Every response that renews a lease must have them: one that came first after a
+// failover, to a machine that got no other, kept cancelled tasks for a lease too long.
 func (l *Leader) stopsForEndedJobs(r *wire.Heartbeat) (stops []wire.Command) {
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
@@ -138,7 +150,8 @@
 	return stops
 }
 
-// planCommands plans anew if that is due, and gives the orders for the machine that reports.
+// planCommands plans anew if that is due, and returns the commands for the machine whose heartbeat is being
+// handled.
 func (l *Leader) planCommands(m *state.Machine, now micros.Micros) []wire.Command {
 	l.responding = m
 	defer func() { l.responding = nil }()
@@ -146,7 +159,7 @@
 	return l.commandsForMachine(m, now)
 }
 
-// drainOnInterruption empties a machine that the cloud will take.
+// drainOnInterruption drains a machine that the cloud will take back.
 func (l *Leader) drainOnInterruption(m *state.Machine, now micros.Micros) {
 	if m.Heartbeat.InterruptionAt == 0 {
 		return
@@ -155,30 +168,32 @@
 		m.DrainReason = "spot notice"
 		l.replan = true
 	}
+	const reason = "its spot machine is being taken"
+	remaining := m.Heartbeat.InterruptionAt - now
 	for _, a := range m.Attempts {
 		s := a.Job.Spec
 		if a.Job.IsGang() {
-			l.evictGangTask(a, max(state.CheckpointGrace(a.Job), m.Heartbeat.InterruptionAt-now), "its spot machine is being taken", now)
+			l.evictGangTask(a, max(state.CheckpointGrace(a.Job), remaining), reason, now)
 		} else if s.CheckpointIntervalS > 0 && a.StopRequestedAt == 0 {
-			l.stopTask(a, max(micros.FromSeconds(s.CheckpointDurationS), m.Heartbeat.InterruptionAt-now), "its spot machine is being taken")
+			l.stopTask(a, max(micros.FromSeconds(s.CheckpointDurationS), remaining), reason)
 		}
 	}
 }
 
-// adoptUnknownMachine handles a machine that no answered booking explains: a rental
-// carried out late.
+// adoptUnknownMachine takes a machine into the fleet that no answered launch intent explains: a launch that
+// was carried out late.
 func (l *Leader) adoptUnknownMachine(r *wire.Heartbeat, now micros.Micros) error {
 	if l.fleet.WasTerminated(r.MachineID) {
 		return ErrCannotRespond
 	}
 	offering := state.Offering{Type: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
 	if l.fleet.HasOpenIntent(offering) {
-		return nil // the answer to its launch will name it
+		return nil // the response to its launch will name it
 	}
 	if r.FencingToken != l.FencingToken {
-		// It may be a late copy, and its machine long gone: taken for a machine it would
-		// count as supply, and a next leader would wait for what it may hold. The answer
-		// tells a live one this term's token, and it reports again at once.
+		// It may be a late copy, and its machine terminated long ago: taken for a machine it would
+		// count as supply, and a next leader would wait for what it may hold. The response
+		// carries this term's fencing token to a live one, which sends its next heartbeat at once.
 		return nil
 	}
 	l.fleet.Adopt(r.MachineID, offering, now)
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -9,9 +9,9 @@
 	"caperlatch/placement"
 )
 
-// reconcile compares a report with what should be on the machine. The report
-// carries this term's token, so the worker made it after it had accepted an
-// answer of this term: starts of earlier terms can no longer be executed.
+// reconcile compares a heartbeat with what should be on the machine. The heartbeat carries this term's fencing
+// token, so the worker made it after it had accepted a response of this term: starts of earlier terms can no
+// longer be executed.
 func (l *Leader) reconcile(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
 	confirmed := m.TasksConfirmed()
 	if !confirmed {
@@ -28,9 +28,8 @@
 		l.observeTask(m, &r.Tasks[i], now)
 	}
 	for name, a := range m.Attempts {
-		// A worker has one report in flight, and drops late answers: if the
-		// start that went with an earlier report's answer does not show in a
-		// newer report, it never will.
+		// A worker has one heartbeat in flight, and drops late responses: if the start in the response
+		// to an earlier heartbeat does not show in a newer one, it never will.
 		if !listed[name] && a.StartSequence < r.Sequence && !a.Reserved {
 			l.release(a, "the start was lost")
 		}
@@ -40,55 +39,72 @@
 	}
 }
 
-// observeTask takes over one task of a report.
+// observation is the status of a job's task in a heartbeat, with what was known of it before.
+type observation struct {
+	machine *state.Machine
+	job     *state.Job
+	index   int            // of the task in its job
+	attempt *state.Attempt // nil if the task was not known to be on the machine
+	status  *wire.TaskStatus
+	at      micros.Micros // when the heartbeat was received
+}
+
+// observeTask takes over the status of one task.
 func (l *Leader) observeTask(m *state.Machine, t *wire.TaskStatus, now micros.Micros) {
 	a := m.Attempts[t.TaskID]
 	if a != nil && t.State == wire.TaskExited && a.Number != t.Attempt && t.ExitReason != wire.ExitDone {
-		// An older attempt that was not cleared yet, or a refusal of a newer
-		// one that never ran; what should be on the machine is not it.
+		// An older attempt that was not cleared yet, or a refusal of a newer one that never ran;
+		// what should be on the machine is not it.
 		if t.Attempt > a.Number && t.ExitReason != wire.ExitOtherAttemptPresent {
 			l.release(a, "the worker shows another attempt")
 		}
-		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
+		followUp(m, clearCommand(t))
 		return
 	}
 	if a != nil && a.Number == t.Attempt && a.ReportedState == "" && a.StartSequence != 0 {
 		l.zoneCounters(m).startsSeen++
 	}
-	id, task, err := state.ParseTaskID(t.TaskID)
+	id, index, err := state.ParseTaskID(t.TaskID)
 	j := l.jobs[id]
 	if a != nil {
 		j = a.Job
 	} else if j == nil {
 		j = l.cancelledJob(id)
 	}
+	o := observation{machine: m, job: j, index: index, attempt: a, status: t, at: now}
 	switch {
-	case err != nil || j == nil || task >= j.Spec.Tasks:
+	case err != nil || j == nil || index >= j.Spec.Tasks:
 		l.rejectTask(m, t)
 	case t.State != wire.TaskExited:
-		l.observePresentTask(m, j, task, a, t, now)
+		l.observePresentTask(o)
 	case a != nil && a.Reserved && t.ExitReason != wire.ExitDone:
-		// An earlier start of the same attempt, for whose place this one is held.
-		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
+		// An earlier start of the same attempt, whose place is reserved for this one.
+		followUp(m, clearCommand(t))
 	default:
-		l.observeExit(m, j, task, a, t, now)
+		l.observeExit(o)
 	}
 }
 
-// rejectTask has a task that belongs to no job stopped, or cleared if it has ended.
+// followUp adds a command to the next response to a machine's heartbeat.
+func followUp(m *state.Machine, c wire.Command) {
+	m.Delivery.FollowUps = append(m.Delivery.FollowUps, c)
+}
+
+// rejectTask has a task of no known job stopped, or cleared if it has exited.
 func (l *Leader) rejectTask(m *state.Machine, t *wire.TaskStatus) {
 	if t.State == wire.TaskExited {
-		m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
+		followUp(m, clearCommand(t))
 		return
 	}
 	l.dispatcher.Send(commandTarget(m), stopAtOnce(t))
-	m.Delivery.FollowUps = append(m.Delivery.FollowUps, stopAtOnce(t))
+	followUp(m, stopAtOnce(t))
 }
 
-// observePresentTask takes over a task that is on its machine. a is nil if it was not known there.
-func (l *Leader) observePresentTask(m *state.Machine, j *state.Job, task int, a *state.Attempt, t *wire.TaskStatus, now micros.Micros) {
+// observePresentTask takes over a task that is on its machine.
+func (l *Leader) observePresentTask(o observation) {
+	m, a, t := o.machine, o.attempt, o.status
 	if a == nil {
-		if a = l.adoptTask(m, j, task, t, now); a == nil {
+		if a = l.adoptTask(o); a == nil {
 			return
 		}
 	}
@@ -97,26 +113,27 @@
 		l.publishAssigned(a)
 	}
 	if t.State == wire.TaskRunning && a.RunningSince == 0 {
-		l.recordRunning(m, a, now)
+		l.recordRunning(a, o.at)
 	}
 	if t.State != a.ReportedState && !wire.IsKnownTaskState(t.State) {
-		l.events.Add("a task's state is unknown, it is taken to be there", fmt.Sprintf("%.40q", t.State), m.ID)
+		l.events.Add("unknown task state, the task is taken to be present", fmt.Sprintf("%.40q", t.State), m.ID)
 	}
 	a.ReportedState = t.State
-	l.observeGangTask(a, now)
+	l.observeGangTask(a, o.at)
 }
 
-// adoptTask counts a task as being on a machine that was not known to have it. It has the
-// task stopped instead, and gives nil, if that is done or on another machine.
-func (l *Leader) adoptTask(m *state.Machine, j *state.Job, task int, t *wire.TaskStatus, now micros.Micros) *state.Attempt {
-	if other := j.Attempts[task]; other != nil && other.Reserved {
+// adoptTask assigns a task to a machine that was not known to have it. If the task is done or on another
+// machine, it has the task stopped instead, and returns nil.
+func (l *Leader) adoptTask(o observation) *state.Attempt {
+	m, j := o.machine, o.job
+	if other := j.Attempts[o.index]; other != nil && other.Reserved {
 		l.releaseReservation(other, "an earlier start of it is on "+m.ID)
 	}
-	if other := j.Attempts[task]; !j.Ended && (other != nil && other.Machine != m || j.Done.Has(task)) {
-		m.Delivery.FollowUps = append(m.Delivery.FollowUps, stopAtOnce(t))
+	if other := j.Attempts[o.index]; !j.Ended && (other != nil && other.Machine != m || j.Done.Has(o.index)) {
+		followUp(m, stopAtOnce(o.status))
 		return nil
 	}
-	a := &state.Attempt{Job: j, Index: task, Number: t.Attempt, Machine: m, StartedAt: now}
+	a := &state.Attempt{Job: j, Index: o.index, Number: o.status.Attempt, Machine: m, StartedAt: o.at}
 	l.assign(a)
 	if j.Ended {
 		l.stopTask(a, 0, "job is over")
@@ -124,10 +141,10 @@
 	return a
 }
 
-// cancelledJob is a job that was cancelled before this term saw it, but that a machine still
-// has tasks of: they were not told to stop, or the machine hung. Until they are gone they
-// take their places, and count against their team's limit; when they did not, a leader that
-// took over from one which had been cut off filled the team up beside them.
+// cancelledJob is a job that was cancelled before this term saw it, but that a machine still has tasks of:
+// these were not stopped yet, or the machine hung. Until they have left they take their places, and
+// count against their team's limit; when they did not, a leader that succeeded one which had been cut off
+// filled the team up beside them. It is nil if there is no such job.
 func (l *Leader) cancelledJob(id string) *state.Job {
 	if j := l.cancelledJobs[id]; j != nil {
 		return j
@@ -143,9 +160,9 @@
 	return j
 }
 
-// recordRunning notes that a task was seen running for the first time.
-func (l *Leader) recordRunning(m *state.Machine, a *state.Attempt, now micros.Micros) {
-	j := a.Job
+// recordRunning notes that an attempt was seen running for the first time.
+func (l *Leader) recordRunning(a *state.Attempt, now micros.Micros) {
+	j, m := a.Job, a.Machine
 	a.RunningSince = now
 	if j.Attempts[a.Index] == a {
 		j.RunningCount++
@@ -154,20 +171,20 @@
 	if j.FirstStart == 0 {
 		j.FirstStart = j.LastStart
 	}
-	if mt := l.scaler.Type(m.Offering.Type); mt != nil {
-		m.Images.Use(j.Spec.Image, j.Spec.ImageSizeGB, mt.ImageCacheGB)
+	if t := l.scaler.Type(m.Offering.Type); t != nil {
+		m.Images.Use(j.Spec.Image, j.Spec.ImageSizeGB, t.ImageCacheGB)
 		l.refreshImageSet(m)
 	}
 }
 
-// refreshImageSet takes anew what images a machine has or is fetching.
+// refreshImageSet determines anew which images a machine has cached or is pulling.
 func (l *Leader) refreshImageSet(m *state.Machine) {
-	var s placement.ImageSet
+	var images placement.ImageSet
 	for _, name := range m.Images.Names {
-		s = s.With(l.imageIndex(name))
+		images = images.With(l.imageIndex(name))
 	}
 	for _, a := range m.Attempts {
-		s = s.With(a.Job.Image)
+		images = images.With(a.Job.Image)
 	}
-	m.ImageSet = s
+	m.ImageSet = images
 }
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// newWriteQueue makes the queue of what this term stores.
+// newWriteQueue makes the queue of what this term writes to the state service.
 func (l *Leader) newWriteQueue() *persist.Queue {
 	return persist.NewQueue(persist.Config{
 		Lock:              &l.mu,
@@ -25,12 +25,12 @@
 	})
 }
 
-// loseTerm ends the term, as it is proved that a newer one has begun or may begin.
+// loseTerm ends the term, as it is proven that a newer one has begun, or may begin.
 func (l *Leader) loseTerm() { l.termLostOnce.Do(func() { close(l.termLost) }) }
 
-// deleteLeftovers has keys removed that belong to nothing any more: a booking or a job's progress
-// whose first write got no answer, was repeated, removed when over, and then carried out
-// after all. The next leader would rent once more for such a booking.
+// deleteLeftovers has keys deleted that belong to nothing any more: a launch intent or a job's progress
+// whose first write got no response, was repeated, deleted when no longer needed, and then carried out
+// after all. The next leader would launch once more for such an intent.
 func (l *Leader) deleteLeftovers() {
 	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
 		if l.fleet.Intent(strings.TrimPrefix(key, replica.LaunchIntentPrefix)) == nil {
@@ -44,54 +44,51 @@
 	}
 }
 
-// encode makes a dirty key's present value.
+// encode makes the write of a marked key's present value. It reports whether there is anything to write.
 func (l *Leader) encode(key string) (persist.Write, bool) {
 	w := persist.Write{Key: key, ModRevision: l.Replica.ModRevision(key)}
-	if strings.HasPrefix(key, replica.MachineListPrefix) {
+	switch {
+	case strings.HasPrefix(key, replica.MachineListPrefix):
 		return l.fleet.EncodeList(w)
-	}
-	if strings.HasPrefix(key, replica.LaunchIntentPrefix) {
+	case strings.HasPrefix(key, replica.LaunchIntentPrefix):
 		return l.fleet.EncodeIntent(w)
-	}
-	if id, ok := strings.CutPrefix(key, replica.JobPrefix); ok {
-		return l.encodeFinalJob(w, id)
-	}
-	if strings.HasPrefix(key, replica.ProgressPrefix) {
+	case strings.HasPrefix(key, replica.JobPrefix):
+		return l.encodeFinalJob(w)
+	case strings.HasPrefix(key, replica.ProgressPrefix):
 		return l.encodeProgress(w)
-	}
-	if key == replica.ZonesKey {
+	case key == replica.ZonesKey:
 		return l.encodeZones(w)
-	}
-	if key == replica.AutoscalerKey {
+	case key == replica.AutoscalerKey:
 		w.Value = l.autoscalerRecord(micros.Now())
 		return w, true
 	}
 	return w, false
 }
 
-// encodeFinalJob makes the record of a job that has ended.
-func (l *Leader) encodeFinalJob(w persist.Write, id string) (persist.Write, bool) {
+// encodeFinalJob makes the write of a job that has ended.
+func (l *Leader) encodeFinalJob(w persist.Write) (persist.Write, bool) {
+	id := strings.TrimPrefix(w.Key, replica.JobPrefix)
 	final, ok := l.finalJobs[id]
-	// The version and the state go together: were the version read later,
+	// The mod revision and the state go together: were the mod revision read later,
 	// a cancellation that came in between would be overwritten.
-	known, stamp, _ := l.Replica.Job(id)
-	if known.IsFinal() {
+	stored, revision, _ := l.Replica.Job(id)
+	if stored.IsFinal() {
 		return w, false
 	}
-	w.Value, w.ModRevision = final, stamp
+	w.Value, w.ModRevision = final, revision
 	w.OnStored = func() { l.onFinalStored(id) }
 	return w, ok
 }
 
-// encodeProgress makes the record of which tasks of a job are done.
+// encodeProgress makes the write of which tasks of a job are done.
 func (l *Leader) encodeProgress(w persist.Write) (persist.Write, bool) {
 	id, chunk, err := state.ParseProgressKey(w.Key)
 	j := l.jobs[id]
 	if err != nil || j == nil {
-		return w, l.Replica.ModRevision(w.Key) != 0 // the job is over
+		return w, l.Replica.ModRevision(w.Key) != 0 // the job has ended
 	}
 	if _, finishing := l.finalJobs[id]; finishing {
-		return w, false // the final state says it all
+		return w, false // the final state implies it
 	}
 	w.Value = j.Progress(chunk)
 	snapshot := slices.Clone(j.Done.Chunk(chunk))
@@ -113,17 +110,20 @@
 	l.writes.Wake()
 }
 
+// onFinalStored drops a job once its end is stored.
 func (l *Leader) onFinalStored(id string) {
-	if j := l.jobs[id]; j != nil {
-		slog.Debug("job done",
-			"job", id,
-			"class", j.Spec.Class,
-			"tasks", j.Spec.Tasks,
-			"estimate_s", j.Spec.EstimatedRuntimeS,
-			"took", (micros.Wall() - j.SubmittedAt).Duration(),
-			"first_start", (j.FirstStart - j.SubmittedAt).Duration(),
-			"last_start", (j.LastStart - j.SubmittedAt).Duration(),
-			"longest_run", j.LongestRun.Duration())
-		l.dropJob(j, wire.JobDone)
+	j := l.jobs[id]
+	if j == nil {
+		return
 	}
+	slog.Debug("job done",
+		"job", id,
+		"class", j.Spec.Class,
+		"tasks", j.Spec.Tasks,
+		"estimated_runtime", micros.FromSeconds(j.Spec.EstimatedRuntimeS).Duration(),
+		"duration", (micros.Wall() - j.SubmittedAt).Duration(),
+		"first_start", (j.FirstStart - j.SubmittedAt).Duration(),
+		"last_start", (j.LastStart - j.SubmittedAt).Duration(),
+		"longest_run", j.LongestRun.Duration())
+	l.dropJob(j, wire.JobDone)
 }
