--- /dev/null
+++ b/internal/leader/dispatch/dispatch_test.go
@@ -0,0 +1,184 @@
+package dispatch
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+
+	"caperlatch/internal/micros"
+	"caperlatch/internal/wire"
+)
+
+const fencingToken = 7
+
+// errNoResponse is the error of a call that gets no response.
+var errNoResponse = errors.New("no response")
+
+// fakeWorker responds to commands with a status; with nil there is no response.
+type fakeWorker func(ctx context.Context, c *wire.CommandRequest) *wire.Heartbeat
+
+// RoundTrip implements http.RoundTripper.
+func (f fakeWorker) RoundTrip(r *http.Request) (*http.Response, error) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return nil, err
+	}
+	var c wire.CommandRequest
+	if err := wire.Unmarshal(body, &c); err != nil {
+		return nil, err
+	}
+	status := f(r.Context(), &c)
+	if status == nil {
+		return nil, errNoResponse
+	}
+	response, err := wire.Marshal(status)
+	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(response))}, err
+}
+
+// target is the worker of the tests.
+var target = Target{MachineID: "i-1", Address: "i-1:9000", Incarnation: 4}
+
+// newTestDispatcher makes a dispatcher for a node that may have as few sockets as there are.
+func newTestDispatcher(exclusive bool, worker fakeWorker) *Dispatcher {
+	return New(&http.Client{Transport: worker}, fencingToken, func() bool { return exclusive }, 0)
+}
+
+// TestQuery asks workers for their status.
+func TestQuery(t *testing.T) {
+	cases := []struct {
+		name   string
+		status *wire.Heartbeat
+		want   error
+	}{
+		{"the machine responds", &wire.Heartbeat{MachineID: "i-1", Sequence: 9}, nil},
+		{"another machine has its address", &wire.Heartbeat{MachineID: "i-2"}, ErrWrongMachine},
+		{"no response", nil, errNoResponse},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			d := newTestDispatcher(true, func(_ context.Context, r *wire.CommandRequest) *wire.Heartbeat {
+				if r.FencingToken != fencingToken || r.Incarnation != target.Incarnation || r.Commands == nil || len(r.Commands) != 0 {
+					t.Errorf("asked with %+v", r)
+				}
+				return c.status
+			})
+			status, err := d.Query(t.Context(), target)
+			if !errors.Is(err, c.want) || (status != nil) != (c.want == nil) || status != nil && status.Sequence != 9 {
+				t.Errorf("%+v, %v; want error %v", status, err, c.want)
+			}
+		})
+	}
+}
+
+// TestSend sends a command at once, or not at all.
+func TestSend(t *testing.T) {
+	unaddressed := target
+	unaddressed.Address = ""
+	cases := []struct {
+		name      string
+		to        Target
+		exclusive bool
+		busy      bool // all calls are in progress
+		want      int32
+	}{
+		{"to a worker", target, true, false, 1},
+		{"while another node may lead", target, false, false, 0},
+		{"to an unknown address", unaddressed, true, false, 0},
+		{"while no call is free", target, true, true, 0},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				var calls atomic.Int32
+				d := newTestDispatcher(c.exclusive, func(_ context.Context, r *wire.CommandRequest) *wire.Heartbeat {
+					calls.Add(1)
+					if len(r.Commands) != 1 || r.Commands[0].TaskID != "j-000001/0" || r.FencingToken != fencingToken || r.Incarnation != c.to.Incarnation {
+						t.Errorf("sent %+v", r)
+					}
+					return nil
+				})
+				if c.busy {
+					for range d.MaxCalls() {
+						d.inProgress <- struct{}{}
+					}
+				}
+				d.Send(c.to, wire.Command{Verb: wire.VerbStop, TaskID: "j-000001/0", Attempt: 5})
+				synctest.Wait()
+				if got := calls.Load(); got != c.want {
+					t.Errorf("%d calls, want %d: a failed one is not repeated", got, c.want)
+				}
+				if busy := len(d.inProgress); (busy > 0) != c.busy {
+					t.Errorf("%d calls stay in progress", busy)
+				}
+			})
+		})
+	}
+}
+
+// TestSendUntilDelivered repeats commands until the worker responds, the time is over, or another node may lead.
+func TestSendUntilDelivered(t *testing.T) {
+	const within = 50*attemptPause - attemptPause/2 // ends between two calls
+	cases := []struct {
+		name        string
+		respondsAt  int32 // the call that gets a response
+		isExclusive func(calls int32) bool
+		want        int32 // calls
+		ended       micros.Micros
+	}{
+		{"the first is delivered", 1, func(int32) bool { return true }, 1, 0},
+		{"the third is delivered", 3, func(int32) bool { return true }, 3, 2 * attemptPause},
+		{"none is", 1000, func(int32) bool { return true }, 50, 49 * attemptPause},
+		{"another node may lead after two", 1000, func(calls int32) bool { return calls < 2 }, 2, 2 * attemptPause},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				var calls atomic.Int32
+				began, last := micros.Now(), micros.Micros(0)
+				d := newTestDispatcher(true, func(context.Context, *wire.CommandRequest) *wire.Heartbeat {
+					last = micros.Now() - began
+					if calls.Add(1) >= c.respondsAt {
+						return &wire.Heartbeat{MachineID: "i-1"}
+					}
+					return nil
+				})
+				d.isExclusive = func() bool { return c.isExclusive(calls.Load()) }
+				d.SendUntilDelivered(target, []wire.Command{{Verb: wire.VerbStop, TaskID: "j-000001/0"}}, within)
+				(2 * within).Sleep()
+				synctest.Wait()
+				if got := calls.Load(); got != c.want || last > c.ended {
+					t.Errorf("%d calls, the last after %v; want %d, within %v", got, last.Duration(), c.want, c.ended.Duration())
+				}
+			})
+		})
+	}
+}
+
+// TestMaxCalls gives a part of the node's sockets to calls.
+func TestMaxCalls(t *testing.T) {
+	for _, c := range []struct{ sockets, want int }{{0, minCalls}, {16 * minCalls, minCalls}, {1600, 100}} {
+		if got := New(nil, fencingToken, nil, c.sockets).MaxCalls(); got != c.want {
+			t.Errorf("%d calls of %d sockets, want %d", got, c.sockets, c.want)
+		}
+	}
+}
+
+// TestTimeout has a worker hang: a query ends within its timeout, and its call is free again.
+func TestTimeout(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newTestDispatcher(true, func(ctx context.Context, _ *wire.CommandRequest) *wire.Heartbeat {
+			<-ctx.Done()
+			return nil
+		})
+		began := micros.Now()
+		_, err := d.Query(t.Context(), target)
+		if took := micros.Now() - began; err == nil || took != queryTimeout || len(d.inProgress) != 0 {
+			t.Errorf("%v after %v, %d calls in progress; want an error after %v", err, took.Duration(), len(d.inProgress), queryTimeout.Duration())
+		}
+	})
+}
