--- a/internal/leader/commands_test.go
+++ b/internal/leader/commands_test.go
@@ -7,11 +7,11 @@
 	"caperlatch/internal/settings"
 )
 
-// TestCanStartTask checks what binds a start at the moment it is sent, whatever was planned.
+// TestCanStartTask checks what a start must keep when it is sent, whatever was planned.
 func TestCanStartTask(t *testing.T) {
 	cases := []struct {
 		name string
-		set  func(l *Leader, j *state.Job, m *state.Machine)
+		edit func(l *Leader, j *state.Job, m *state.Machine)
 		want bool
 	}{
 		{"nothing in the way", func(*Leader, *state.Job, *state.Machine) {}, true},
@@ -40,7 +40,7 @@
 	for _, c := range cases {
 		l, _ := newTestLeader(t)
 		j, m := l.jobs["j-000001"], l.fleet.Machines["i-1"]
-		c.set(l, j, m)
+		c.edit(l, j, m)
 		if got := l.canStartTask(j, m); got != c.want {
 			t.Errorf("%s: %t, want %t", c.name, got, c.want)
 		}
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -11,7 +11,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values are stored by the leader, or explain a job.
+// encodedTypes are those whose values are stored by the leader, or explain a job, by their names in the golden file.
 var encodedTypes = []golden.Type{
 	golden.Of[fleet.LaunchIntent]("a booking"),
 	golden.Of[fleet.MachineList]("a list of machines that are up"),
@@ -23,15 +23,15 @@
 	golden.Of[explain.Explanation]("an explanation"),
 }
 
-// TestEncodedTypes has them be encoded as they were.
+// TestEncodedTypes checks that they are encoded as they were.
 func TestEncodedTypes(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
+// TestEncodedTags checks that all their fields are named by tags.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestStoredKeys has the keys that the leader makes be what they were.
+// TestStoredKeys checks that the keys which the leader makes are what they were.
 func TestStoredKeys(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
 		{Name: "a task", Text: state.TaskID("j-000412", 3)},
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -17,7 +17,7 @@
 	"caperlatch/internal/wire"
 )
 
-// fakeTerm is a term whose proofs the tests set.
+// fakeTerm is a term whose proofs of leadership the tests set.
 type fakeTerm struct {
 	holdsSession, exclusive                bool
 	lastConfirmed, earlierTermsFencedSince micros.Micros
@@ -31,10 +31,11 @@
 
 func (t *fakeTerm) EarlierTermsFencedSince() micros.Micros { return t.earlierTermsFencedSince }
 
+// testToken is the fencing token of the term.
 const testToken = 7
 
-// newTestLeader makes a leader of one job of three tasks and one machine that an
-// earlier leader had brought up.
+// newTestLeader makes a leader of one job of three tasks and one machine that an earlier leader had
+// launched, and whose tasks are unknown.
 func newTestLeader(t *testing.T) (*Leader, *fakeTerm) {
 	t.Helper()
 	now := micros.Now()
@@ -46,8 +47,8 @@
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
 		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: testToken})
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
-	b := l.fleet.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}})
-	m := l.fleet.Add("i-1", b, now)
+	intent := l.fleet.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}})
+	m := l.fleet.Add("i-1", intent, now)
 	l.fleet.RegisterRunning(m)
 	l.writes.Unmark(fleet.ListKey(0))
 	m.Instance.IntentStored, m.Instance.ListStored = true, true
@@ -62,19 +63,21 @@
 	return l, term
 }
 
-func heartbeat(seq, baton uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	return &wire.Heartbeat{MachineID: "i-1", Address: "", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: baton, Tasks: tasks}
+// heartbeat is one of machine i-1, in its first incarnation.
+func heartbeat(sequence, fencingToken uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{MachineID: "i-1", Address: "", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: sequence, FencingToken: fencingToken, Tasks: tasks}
 }
 
-func commandNames(a wire.HeartbeatResponse) (out []string) {
-	for _, c := range a.Commands {
-		out = append(out, string(c.Verb)+" "+c.TaskID)
+// commandNames lists the commands of a response as "verb task", sorted.
+func commandNames(response wire.HeartbeatResponse) (names []string) {
+	for _, c := range response.Commands {
+		names = append(names, string(c.Verb)+" "+c.TaskID)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// taskKnowledge is that of a machine that has confirmed its tasks in this term, or has not.
+// taskKnowledge is the knowledge of the tasks of a machine that has confirmed its tasks in this term, or has not.
 func taskKnowledge(confirmed bool) state.TaskKnowledge {
 	if confirmed {
 		return state.TasksConfirmed
@@ -82,7 +85,7 @@
 	return state.TasksUnknown
 }
 
-// fakeWorkers answers calls to workers' addresses.
+// fakeWorkers responds to calls to workers' addresses with an HTTP status and the worker's status; nil: there is no response.
 type fakeWorkers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
 
 // RoundTrip implements http.RoundTripper.
@@ -95,12 +98,12 @@
 	if err := wire.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
-	status, report := f(&c)
-	if report == nil {
-		return nil, errors.New("no answer")
+	status, workerStatus := f(&c)
+	if workerStatus == nil {
+		return nil, errors.New("no response")
 	}
-	answer, err := wire.Marshal(report)
-	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(answer)), Request: r}, err
+	response, err := wire.Marshal(workerStatus)
+	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(response)), Request: r}, err
 }
 
 // setTermStart has the term have begun at an instant, for all parts that go by it.
--- a/internal/leader/queue_test.go
+++ b/internal/leader/queue_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/replica"
 )
 
-// TestAgingOrder has a large job late and put off while others press: after two minutes
-// without a start a part of it goes before all others, so that it begins within four.
+// TestAgingOrder has a large job late while more urgent ones wait: after two minutes without a start a part of it goes
+// before all others, so that it starts within four.
 func TestAgingOrder(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -21,8 +21,8 @@
 		{"for a short time", 100 * micros.Second, 0, 0, false, "j-000002"},
 		{"for long", 130 * micros.Second, 0, 0, false, "j-000001"},
 		{"but a task of it runs", 130 * micros.Second, 0, 0, true, "j-000002"},
-		{"it has begun, and lately started one", 400 * micros.Second, 50 * micros.Second, 1, false, "j-000002"},
-		{"it has begun, and started none for long", 400 * micros.Second, 130 * micros.Second, 1, false, "j-000001"},
+		{"it has started, and lately started a task", 400 * micros.Second, 50 * micros.Second, 1, false, "j-000002"},
+		{"it has started, and no task for long", 400 * micros.Second, 130 * micros.Second, 1, false, "j-000001"},
 	} {
 		l, _ := newTestLeader(t)
 		wall := micros.Wall()
@@ -52,8 +52,8 @@
 // TestWorstCaseTeamUse counts what machines with unknown tasks could hold.
 func TestWorstCaseTeamUse(t *testing.T) {
 	l, _ := newTestLeader(t)
-	if teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow().count; unresolved != 1 || teams["blue"].Used.CPU != 4000 {
-		t.Errorf("unresolved %d, used %+v, want all 4 CPUs of the one machine", unresolved, teams["blue"].Used)
+	if teams, unknown := l.worstCaseTeamUse(), l.unknownMachinesNow().count; unknown != 1 || teams["blue"].Used.CPU != 4000 {
+		t.Errorf("%d machines with unknown tasks, used %+v; want all 4 CPUs of the one machine", unknown, teams["blue"].Used)
 	}
 	l.fleet.Machines["i-1"].Reconciliation.Knowledge = state.TasksConfirmed
 	if teams := l.worstCaseTeamUse(); teams["blue"].Used.CPU != 0 {
--- a/internal/leader/task_counts_test.go
+++ b/internal/leader/task_counts_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestTaskCountsOfLargeFleet has 16,000 jobs run, as single tasks on 4,000 machines do: the
-// counts of all are told to the other nodes, in one message. Beyond 2,000 they were left out.
+// counts of all go to the other nodes, in one message. Beyond 2,000 they were left out.
 func TestTaskCountsOfLargeFleet(t *testing.T) {
 	const jobs, messageBytes = 16000, 1 << 20
 	l, _ := newTestLeader(t)
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -12,8 +12,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestWritePriority has the end of a job, a machine that came up and a crowd of machines that
-// are gone wait to be written: the crowd must not keep users from their answers.
+// TestWritePriority has the end of a job, a machine that came up and many terminated machines
+// wait to be written: the many must not keep users from their answers.
 func TestWritePriority(t *testing.T) {
 	l, _ := newTestLeader(t)
 	for i := range 40 {
@@ -30,24 +30,24 @@
 	}
 	l.writes.Mark(state.ProgressKey("j-000002", 0))
 	l.finishIfDone(j)
-	ws, more := l.writes.Collect()
-	// The record goes before progress: behind it, a busy leader's was never written, and
-	// the next one knew nothing of the jobs at fault.
-	if len(ws) < 3 || !more || ws[0].Key != replica.JobPrefix+"j-000001" || ws[1].Key != fleet.ListKey(0) || ws[2].Key != replica.AutoscalerKey {
-		t.Fatalf("written first: %+v", ws)
+	writes, more := l.writes.Collect()
+	// The autoscaler's record goes before progress: behind it, a busy leader's was never written, and
+	// the next one knew nothing of the quarantined jobs.
+	if len(writes) < 3 || !more || writes[0].Key != replica.JobPrefix+"j-000001" || writes[1].Key != fleet.ListKey(0) || writes[2].Key != replica.AutoscalerKey {
+		t.Fatalf("written first: %+v", writes)
 	}
-	if ws, _ = l.writes.Collect(); len(ws) == 0 {
+	if writes, _ = l.writes.Collect(); len(writes) == 0 {
 		t.Error("nothing is written after them")
 	}
-	for _, w := range ws {
-		if !strings.HasPrefix(w.Key, replica.LaunchIntentPrefix) {
-			t.Errorf("%s is written before machines that are gone", w.Key)
+	for _, write := range writes {
+		if !strings.HasPrefix(write.Key, replica.LaunchIntentPrefix) {
+			t.Errorf("%s is written before terminated machines", write.Key)
 		}
 	}
 }
 
-// TestDeleteLeftovers has writes carried out late, when what they were for is over: they are
-// removed, and what is in use is not.
+// TestDeleteLeftovers has writes carried out late, when what they were for is no longer needed: these keys
+// are deleted, and what is in use is not.
 func TestDeleteLeftovers(t *testing.T) {
 	l, _ := newTestLeader(t)
 	leftovers := []string{replica.LaunchIntentPrefix + "r-9", state.ProgressKey("j-000009", 0)}
@@ -55,22 +55,21 @@
 		l.Replica.ApplyPut(key, map[string]any{}, 5)
 	}
 	l.deleteLeftovers()
-	ws, _ := l.writes.Collect()
-	var removed []string
-	for _, w := range ws {
-		if w.Value != nil || w.ModRevision != 5 {
-			t.Errorf("written: %+v", w)
+	writes, _ := l.writes.Collect()
+	var deleted []string
+	for _, write := range writes {
+		if write.Value != nil || write.ModRevision != 5 {
+			t.Errorf("written: %+v", write)
 		}
-		removed = append(removed, w.Key)
+		deleted = append(deleted, write.Key)
 	}
-	if !slices.Equal(removed, leftovers) {
-		t.Errorf("removed %v, want %v", removed, leftovers)
+	if !slices.Equal(deleted, leftovers) {
+		t.Errorf("deleted %v, want %v", deleted, leftovers)
 	}
 }
 
-// TestFinalStateKeepsCancellation guards against a rule once broken (went_back): a cancellation
-// that the replica took over after the leader had decided that the job is done
-// must not be overwritten.
+// TestFinalStateKeepsCancellation guards against a rule once broken (went_back): a cancellation that the replica saw after the
+// leader had decided that the job is done must not be overwritten.
 func TestFinalStateKeepsCancellation(t *testing.T) {
 	l, _ := newTestLeader(t)
 	j := l.jobs["j-000001"]
@@ -79,12 +78,12 @@
 		j.DoneCount++
 	}
 	l.finishIfDone(j)
-	if ws, _ := l.writes.Collect(); len(ws) != 1 || ws[0].ModRevision != 1 {
-		t.Fatalf("the end is written as %+v, want under the version decided on", ws)
+	if writes, _ := l.writes.Collect(); len(writes) != 1 || writes[0].ModRevision != 1 {
+		t.Fatalf("the end is written as %+v, want under the mod revision decided on", writes)
 	}
 	l.writes.Mark(replica.JobPrefix + "j-000001")
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
-	if ws, _ := l.writes.Collect(); len(ws) != 0 {
-		t.Errorf("a cancelled job is written as %+v", ws)
+	if writes, _ := l.writes.Collect(); len(writes) != 0 {
+		t.Errorf("a cancelled job is written as %+v", writes)
 	}
 }
