--- a/internal/leader/assignments.go
+++ b/internal/leader/assignments.go
@@ -25,7 +25,7 @@
 	l.publishMachine(m)
 }
 
-// release takes back the assignment of an attempt that is known to have left its machine. The reason is told to
+// release takes back the assignment of an attempt that is known to have left its machine. The reason is shown to
 // operators, unless the attempt was stopped for another.
 func (l *Leader) release(a *state.Attempt, reason string) {
 	job := a.Job
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -41,7 +41,7 @@
 	}}
 }
 
-// benchReplica holds the jobs and machines of a large fleet as stored.
+// benchReplica has the jobs and machines of a large fleet as they are stored.
 func benchReplica(machines int) *replica.Replica {
 	r := replica.New(nil)
 	for i := range benchJobs {
@@ -52,19 +52,20 @@
 		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
 	}
 	for i := range machines / 50 {
-		b := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
+		intent := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
 		for k := range 50 {
-			b.Machines = append(b.Machines, benchMachine(i*50+k))
+			intent.Machines = append(intent.Machines, benchMachine(i*50+k))
 		}
-		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), b, uint64(i+5000))
-		r.ApplyPut(fleet.ListKey(i), fleet.MachineList{Entries: b.Machines}, uint64(i+6000))
+		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), intent, uint64(i+5000))
+		r.ApplyPut(fleet.ListKey(i), fleet.MachineList{Entries: intent.Machines}, uint64(i+6000))
 	}
 	return r
 }
 
+// benchMachine is the ID of a machine.
 func benchMachine(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// newBenchLeader makes a leader that has just taken over.
+// newBenchLeader makes a leader just after a failover.
 func newBenchLeader(b *testing.B, r *replica.Replica) *Leader {
 	b.Helper()
 	now := micros.Now()
@@ -79,17 +80,17 @@
 	return l
 }
 
-// fillMachines has every machine report twice, so that all hold tasks.
+// fillMachines has every machine send heartbeats until all run tasks, and returns the latest ones by machine.
 func fillMachines(b *testing.B, l *Leader, machines int) map[string]*wire.Heartbeat {
 	b.Helper()
-	reports := map[string]*wire.Heartbeat{}
+	heartbeats := map[string]*wire.Heartbeat{}
 	for round := range 3 {
 		for i := range machines {
 			id := benchMachine(i)
-			r := reports[id]
+			r := heartbeats[id]
 			if r == nil {
 				r = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: testToken}
-				reports[id] = r
+				heartbeats[id] = r
 			}
 			if round == 2 && i == 0 {
 				l.plan(micros.Now())
@@ -98,23 +99,24 @@
 			benchHeartbeat(b, l, r)
 		}
 	}
-	return reports
+	return heartbeats
 }
 
-// benchHeartbeat sends a report and carries out what it is told.
+// benchHeartbeat has a worker send its next heartbeat, and start the tasks that the response commands.
 func benchHeartbeat(b *testing.B, l *Leader, r *wire.Heartbeat) {
 	r.Sequence++
-	a, err := l.HandleHeartbeat(r)
+	response, err := l.HandleHeartbeat(r)
 	if err != nil {
 		b.Fatal(err)
 	}
-	for _, c := range a.Commands {
+	for _, c := range response.Commands {
 		if c.Verb == wire.VerbStart {
 			r.Tasks = append(r.Tasks, wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 	}
 }
 
+// BenchmarkFailover rebuilds a leader's state from what is stored.
 func BenchmarkFailover(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		r := benchReplica(machines)
@@ -125,16 +127,17 @@
 	})
 }
 
+// BenchmarkHeartbeat handles heartbeats of machines with tasks, without a plan.
 func BenchmarkHeartbeat(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
-		reports := fillMachines(b, l, machines)
+		heartbeats := fillMachines(b, l, machines)
 		i := 0
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
 			l.plannedAt = micros.Now() + micros.Second
-			benchHeartbeat(b, l, reports[benchMachine(i%machines)])
+			benchHeartbeat(b, l, heartbeats[benchMachine(i%machines)])
 			i++
 		}
 	})
@@ -159,6 +162,7 @@
 	})
 }
 
+// BenchmarkMachineSupervision checks all machines once.
 func BenchmarkMachineSupervision(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
@@ -171,11 +175,12 @@
 	})
 }
 
+// BenchmarkAutoscale sizes the fleet once, without launches and terminations.
 func BenchmarkAutoscale(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
 		fillMachines(b, l, machines)
-		l.Term.(*fakeTerm).exclusive = false // rent nothing
+		l.Term.(*fakeTerm).exclusive = false // launch nothing
 		l.Term.(*fakeTerm).holdsSession = false
 		b.ResetTimer()
 		b.ReportAllocs()
@@ -185,6 +190,7 @@
 	})
 }
 
+// BenchmarkTaskCounts reads the counts of all jobs' tasks.
 func BenchmarkTaskCounts(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
--- a/internal/leader/liveness/liveness_test.go
+++ b/internal/leader/liveness/liveness_test.go
@@ -155,13 +155,13 @@
 	cases := []struct {
 		name    string
 		ended   bool
-		stopped micros.Micros // for how long it has been told to stop, 0 if it was not
+		stopped micros.Micros // since its stop was first requested, 0 if it was not
 		want    bool
 	}{
-		{"not told to stop", true, 0, false},
-		{"told lately", true, limit, false},
-		{"told long ago", true, limit + 1, true},
-		{"told long ago, of a job that goes on", false, limit + 1, false},
+		{"not stopped", true, 0, false},
+		{"stopped lately", true, limit, false},
+		{"stopped long ago", true, limit + 1, true},
+		{"stopped long ago, of a job that goes on", false, limit + 1, false},
 	}
 	for _, c := range cases {
 		m := &state.Machine{Attempts: map[string]*state.Attempt{}}
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -145,15 +145,15 @@
 
 var oldVersions = []oldVersion{
 	{"3a714ab", v3a714abLayouts},
-	// It stores gangs as all other jobs, and divided lists as all other lists.
+	// It stores gangs as all other jobs, and split lists as all other lists.
 	{"5fd93d5", v3a714abLayouts},
 	{"1f14824", v3a714abLayouts}, // the last without a standby
 	{"d052fb0", v3a714abLayouts}, // the last without a policy on zones
 	{"01da0cf", v01da0cfLayouts},
 }
 
-// of finds the layout of a key.
-func (v oldVersion) of(key string) (layout, bool) {
+// layoutOf finds the layout of a key.
+func (v oldVersion) layoutOf(key string) (layout, bool) {
 	i := slices.IndexFunc(v.layouts, func(l layout) bool { return strings.HasPrefix(key, l.prefix) })
 	if i < 0 {
 		return layout{}, false
@@ -161,9 +161,9 @@
 	return v.layouts[i], true
 }
 
-// stored is what was captured from the version (testdata/versions/capture), by moment and
+// captured is what the version was seen to store (testdata/versions/capture), by the moment of the capture and by
 // key.
-func (v oldVersion) stored(t *testing.T) (moments map[string]map[string]wire.Raw) {
+func (v oldVersion) captured(t *testing.T) (moments map[string]map[string]wire.Raw) {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "testdata", "versions", v.name, "stored.cbor"))
 	if err == nil {
@@ -175,8 +175,8 @@
 	return moments
 }
 
-// through encodes a value and decodes it as another type.
-func through(t *testing.T, v any, as reflect.Type) any {
+// reencode encodes a value and decodes it as another type.
+func reencode(t *testing.T, v any, as reflect.Type) any {
 	t.Helper()
 	b, err := wire.Marshal(v)
 	if err != nil {
@@ -189,26 +189,25 @@
 	return out.Elem().Interface()
 }
 
-// TestReadsValuesOfOldVersions reads all that was captured from earlier versions. Their frozen
-// layouts say all of it, and stored again by either version after the other it says the
-// same.
+// TestReadsValuesOfOldVersions reads all that was captured from earlier versions. Their frozen layouts decode all of
+// it, and stored again by either version after the other it is the same.
 func TestReadsValuesOfOldVersions(t *testing.T) {
 	for _, v := range oldVersions {
 		t.Run(v.name, func(t *testing.T) {
-			met := map[string]int{}
-			for moment, keys := range v.stored(t) {
+			checked := map[string]int{}
+			for moment, keys := range v.captured(t) {
 				for key, value := range keys {
-					l, ok := v.of(key)
+					l, ok := v.layoutOf(key)
 					if !ok {
-						t.Errorf("%s: nobody reads %s", moment, key)
+						t.Errorf("%s: no layout for %s", moment, key)
 						continue
 					}
-					met[l.prefix]++
+					checked[l.prefix]++
 					l.checkStored(t, moment+", "+key, value)
 				}
 			}
 			for _, l := range v.layouts {
-				if met[l.prefix] == 0 {
+				if checked[l.prefix] == 0 {
 					t.Errorf("nothing captured of %s", l.prefix)
 				}
 			}
@@ -219,20 +218,20 @@
 // checkStored checks one value that an earlier version stored.
 func (l layout) checkStored(t *testing.T, what string, value wire.Raw) {
 	t.Helper()
-	now, old := through(t, value, l.now), through(t, value, l.old)
-	if got := through(t, now, l.old); !reflect.DeepEqual(got, old) {
+	now, old := reencode(t, value, l.now), reencode(t, value, l.old)
+	if got := reencode(t, now, l.old); !reflect.DeepEqual(got, old) {
 		t.Errorf("%s: rewritten here it is %+v, was %+v", what, got, old)
 	}
-	if got := through(t, old, l.now); !reflect.DeepEqual(got, now) {
+	if got := reencode(t, old, l.now); !reflect.DeepEqual(got, now) {
 		t.Errorf("%s: rewritten by the earlier version it is %+v, was %+v", what, got, now)
 	}
-	whole := reflect.TypeFor[any]()
-	if got, want := through(t, old, whole), through(t, value, whole); !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the frozen layout says %+v of %+v", what, got, want)
+	anything := reflect.TypeFor[any]()
+	if got, want := reencode(t, old, anything), reencode(t, value, anything); !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: the frozen layout decodes %+v of %+v", what, got, want)
 	}
 }
 
-// fill sets every stored field of a value, all different.
+// fill gives every stored field of a value a content of its own.
 func fill(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -277,7 +276,7 @@
 			n := 0
 			ours := reflect.New(l.now).Elem()
 			fill(ours, &n)
-			if got := through(t, through(t, ours.Interface(), l.old), l.now); !reflect.DeepEqual(got, ours.Interface()) {
+			if got := reencode(t, reencode(t, ours.Interface(), l.old), l.now); !reflect.DeepEqual(got, ours.Interface()) {
 				t.Errorf("%s: rewritten by %s it is %+v, was %+v", l.prefix, v.name, got, ours.Interface())
 			}
 		}
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestWritePriority has the end of a job, a machine that came up and many terminated machines
-// wait to be written: the many must not keep users from their answers.
+// wait to be written: the many must not keep users from the ends of their jobs.
 func TestWritePriority(t *testing.T) {
 	l, _ := newTestLeader(t)
 	for i := range 40 {
