--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -41,7 +41,7 @@
 	}}
 }
 
-// benchReplica holds the jobs and machines of a large fleet as stored.
+// benchReplica has the jobs and machines of a large fleet as they are stored.
 func benchReplica(machines int) *replica.Replica {
 	r := replica.New(nil)
 	for i := range benchJobs {
@@ -52,26 +52,27 @@
 		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
 	}
 	for i := range machines / 50 {
-		b := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
+		intent := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
 		for k := range 50 {
-			b.Machines = append(b.Machines, benchMachine(i*50+k))
+			intent.Machines = append(intent.Machines, benchMachine(i*50+k))
 		}
-		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), b, uint64(i+5000))
-		r.ApplyPut(fleet.ListKey(i), fleet.MachineList{Entries: b.Machines}, uint64(i+6000))
+		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), intent, uint64(i+5000))
+		r.ApplyPut(fleet.ListKey(i), fleet.MachineList{Entries: intent.Machines}, uint64(i+6000))
 	}
 	return r
 }
 
+// benchMachine is the ID of a machine.
 func benchMachine(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// newBench makes a leader that has just taken over.
-func newBench(b *testing.B, r *replica.Replica) *Leader {
+// newBenchLeader makes a leader just after a failover.
+func newBenchLeader(b *testing.B, r *replica.Replica) *Leader {
 	b.Helper()
 	now := micros.Now()
 	s := benchSettings()
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: r,
-		Store: statestore.New("unused", s.Params.State, nil), FencingToken: token,
-		Term: &fakeTerm{held: true, sure: true, confirmed: now + 3600*micros.Second, alone: now}})
+		Store: statestore.New("unused", s.Params.State, nil), FencingToken: testToken,
+		Term: &fakeTerm{holdsSession: true, exclusive: true, lastConfirmed: now + 3600*micros.Second, earlierTermsFencedSince: now}})
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 60, ImagePullGBPerS: 1, OnDemandPrice: 0.97, SpotPrice: 0.35, BootTimeS: 50, Zones: []string{"a", "b"}}}})
 	if err := l.rebuildState(); err != nil {
 		b.Fatal(err)
@@ -79,62 +80,64 @@
 	return l
 }
 
-// full has every machine report twice, so that all hold tasks.
-func full(b *testing.B, l *Leader, machines int) map[string]*wire.Heartbeat {
+// fillMachines has every machine send heartbeats until all run tasks, and returns the latest ones by machine.
+func fillMachines(b *testing.B, l *Leader, machines int) map[string]*wire.Heartbeat {
 	b.Helper()
-	reports := map[string]*wire.Heartbeat{}
+	heartbeats := map[string]*wire.Heartbeat{}
 	for round := range 3 {
 		for i := range machines {
 			id := benchMachine(i)
-			r := reports[id]
+			r := heartbeats[id]
 			if r == nil {
-				r = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: token}
-				reports[id] = r
+				r = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: testToken}
+				heartbeats[id] = r
 			}
 			if round == 2 && i == 0 {
 				l.plan(micros.Now())
 			}
 			l.plannedAt = micros.Now() + micros.Second
-			benchReport(b, l, r)
+			benchHeartbeat(b, l, r)
 		}
 	}
-	return reports
+	return heartbeats
 }
 
-// benchReport sends a report and carries out what it is told.
-func benchReport(b *testing.B, l *Leader, r *wire.Heartbeat) {
+// benchHeartbeat has a worker send its next heartbeat, and start the tasks that the response commands.
+func benchHeartbeat(b *testing.B, l *Leader, r *wire.Heartbeat) {
 	r.Sequence++
-	a, err := l.HandleHeartbeat(r)
+	response, err := l.HandleHeartbeat(r)
 	if err != nil {
 		b.Fatal(err)
 	}
-	for _, c := range a.Commands {
+	for _, c := range response.Commands {
 		if c.Verb == wire.VerbStart {
 			r.Tasks = append(r.Tasks, wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 	}
 }
 
-func BenchmarkTakeOver(b *testing.B) {
+// BenchmarkFailover rebuilds a leader's state from what is stored.
+func BenchmarkFailover(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		r := benchReplica(machines)
 		b.ReportAllocs()
 		for b.Loop() {
-			newBench(b, r)
+			newBenchLeader(b, r)
 		}
 	})
 }
 
-func BenchmarkReport(b *testing.B) {
+// BenchmarkHeartbeat handles heartbeats of machines with tasks, without a plan.
+func BenchmarkHeartbeat(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		reports := full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		heartbeats := fillMachines(b, l, machines)
 		i := 0
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
 			l.plannedAt = micros.Now() + micros.Second
-			benchReport(b, l, reports[benchMachine(i%machines)])
+			benchHeartbeat(b, l, heartbeats[benchMachine(i%machines)])
 			i++
 		}
 	})
@@ -143,8 +146,8 @@
 // BenchmarkPlan plans with each machine full but for a twentieth of them.
 func BenchmarkPlan(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
 		n := 0
 		for _, m := range l.fleet.Sorted {
 			if n++; n%20 == 0 {
@@ -159,24 +162,26 @@
 	})
 }
 
-func BenchmarkTick(b *testing.B) {
+// BenchmarkMachineSupervision checks all machines once.
+func BenchmarkMachineSupervision(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.checkMachines(micros.Now())
+			l.superviseMachines(micros.Now())
 		}
 	})
 }
 
-func BenchmarkStaff(b *testing.B) {
+// BenchmarkAutoscale sizes the fleet once, without launches and terminations.
+func BenchmarkAutoscale(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
-		l.Term.(*fakeTerm).sure = false // rent nothing
-		l.Term.(*fakeTerm).held = false
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
+		l.Term.(*fakeTerm).exclusive = false // launch nothing
+		l.Term.(*fakeTerm).holdsSession = false
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
@@ -185,10 +190,11 @@
 	})
 }
 
-func BenchmarkCounts(b *testing.B) {
+// BenchmarkTaskCounts reads the counts of all jobs' tasks.
+func BenchmarkTaskCounts(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -23,14 +23,14 @@
 		{"all can be told", func(*Leader, *state.Machine) {}, 3},
 		{"one is silent", func(l *Leader, m *state.Machine) {
 			m.Heartbeat.ReceivedAt = micros.Now() - 10*micros.Second
-			l.startedAt = m.Heartbeat.ReceivedAt
+			setTermStart(l, m.Heartbeat.ReceivedAt)
 		}, 0},
 		{"one hears nothing", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
 		{"one is being returned", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
 		{"one is in a zone that is cut off", func(l *Leader, _ *state.Machine) {
 			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
-		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).sure = false }, 0},
+		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).exclusive = false }, 0},
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
--- /dev/null
+++ b/internal/leader/helpers_test.go
@@ -0,0 +1,112 @@
+package leader
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"slices"
+	"testing"
+
+	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/settings"
+	"caperlatch/internal/statestore"
+	"caperlatch/internal/wire"
+)
+
+// fakeTerm is a term whose proofs of leadership the tests set.
+type fakeTerm struct {
+	holdsSession, exclusive                bool
+	lastConfirmed, earlierTermsFencedSince micros.Micros
+}
+
+func (t *fakeTerm) HoldsSession() bool { return t.holdsSession }
+
+func (t *fakeTerm) IsExclusive() bool { return t.exclusive }
+
+func (t *fakeTerm) LastConfirmed() micros.Micros { return t.lastConfirmed }
+
+func (t *fakeTerm) EarlierTermsFencedSince() micros.Micros { return t.earlierTermsFencedSince }
+
+// testToken is the fencing token of the term.
+const testToken = 7
+
+// newTestLeader makes a leader of one job of three tasks and one machine that an earlier leader had
+// launched, and whose tasks are unknown.
+func newTestLeader(t *testing.T) (*Leader, *fakeTerm) {
+	t.Helper()
+	now := micros.Now()
+	term := &fakeTerm{holdsSession: true, exclusive: true, lastConfirmed: now}
+	s := &settings.Settings{Params: settings.Params{
+		Teams:   []settings.Team{{Name: "blue"}},
+		Workers: settings.Workers{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41},
+	}}
+	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
+		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: testToken})
+	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
+	intent := l.fleet.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}})
+	m := l.fleet.Add("i-1", intent, now)
+	l.fleet.RegisterRunning(m)
+	l.writes.Unmark(fleet.ListKey(0))
+	m.Instance.IntentStored, m.Instance.ListStored = true, true
+	m.Reconciliation.Knowledge = state.TasksUnknown
+	m.Heartbeat.OfThisTerm = true
+	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
+		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
+	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
+	l.applyJobChange("j-000001", true)
+	l.ready = true
+	l.replan = true
+	return l, term
+}
+
+// heartbeat is one of machine i-1, in its first incarnation.
+func heartbeat(sequence, fencingToken uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{MachineID: "i-1", Address: "", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: sequence, FencingToken: fencingToken, Tasks: tasks}
+}
+
+// commandNames lists the commands of a response as "verb task", sorted.
+func commandNames(response wire.HeartbeatResponse) (names []string) {
+	for _, c := range response.Commands {
+		names = append(names, string(c.Verb)+" "+c.TaskID)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// taskKnowledge is the knowledge of the tasks of a machine that has confirmed its tasks in this term, or has not.
+func taskKnowledge(confirmed bool) state.TaskKnowledge {
+	if confirmed {
+		return state.TasksConfirmed
+	}
+	return state.TasksUnknown
+}
+
+// fakeWorkers responds to calls to workers' addresses with an HTTP status and the worker's status; nil: there is no response.
+type fakeWorkers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
+
+// RoundTrip implements http.RoundTripper.
+func (f fakeWorkers) RoundTrip(r *http.Request) (*http.Response, error) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return nil, err
+	}
+	var c wire.CommandRequest
+	if err := wire.Unmarshal(body, &c); err != nil {
+		return nil, err
+	}
+	status, workerStatus := f(&c)
+	if workerStatus == nil {
+		return nil, errors.New("no response")
+	}
+	response, err := wire.Marshal(workerStatus)
+	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(response)), Request: r}, err
+}
+
+// setTermStart has the term have begun at an instant, for all parts that go by it.
+func setTermStart(l *Leader, at micros.Micros) {
+	l.startedAt, l.liveness.TermStartedAt, l.taskQueries.TermStartedAt = at, at, at
+}
