--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -58,8 +58,8 @@
 	Followers        Followers
 	FailoverProgress FailoverProgress
 	PreviousTerm     *standby.View // of the term before, if one was followed
-	// Zones decides on zones; nil: the default policy.
-	Zones zone.Policy
+	// ZonePolicy decides on zones; nil: the default policy.
+	ZonePolicy zone.Policy
 	// IsIsolated tells whether this node hears neither the state service nor most of its peers;
 	// nil: it is not known.
 	IsIsolated func() bool
@@ -168,7 +168,7 @@
 	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
-	l.zoneState = newZoneState(c.Zones)
+	l.zoneState = newZoneState(c.ZonePolicy)
 	l.scaler = l.newScaler()
 	return l
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -25,7 +25,7 @@
 			return func(j *state.Job) bool { return l.mustAwaitReconciliation(j, unknown) }
 		},
 		ReplacedMachines: l.replacedMachines,
-		Zones:            l.policy,
+		ZonePolicy:       l.policy,
 		LaunchAllowance:  l.launchAllowance,
 		OnChange:         func() { l.replan = true },
 	})
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -24,7 +24,7 @@
 	c := zone.DefaultConfig(l.heartbeatInterval)
 	c.ConfirmationTime = 0
 	l.zoneState = newZoneState(zone.NewLifecyclePolicy(c))
-	l.scaler.Zones = l.policy
+	l.scaler.ZonePolicy = l.policy
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
 	now = micros.Now() + 1000*micros.Second
