--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"testing"
 
+	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -119,9 +120,15 @@
 			l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
 			l.drainOnInterruption(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
-		{"one of its machines is found faulty", func(_ *testing.T, l *Leader) {
-			l.fleet.Machines["i-2"].Quarantine.Failures = quarantineFailures
-			l.evaluateMachine(l.fleet.Machines["i-2"], micros.Now())
+		{"one of its machines is found faulty", func(t *testing.T, l *Leader) {
+			m, good := l.fleet.Machines["i-2"], state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000100", Tasks: 20}}, false)
+			good.DoneCount = 1
+			for range 2 {
+				l.quarantine.AttributeFailure(m, good, micros.Now())
+			}
+			if m.DrainReason != quarantine.DrainReason {
+				t.Fatalf("drained for %q", m.DrainReason)
+			}
 		}, 3 * micros.Second},
 		{"one has saved", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended stopped") }, 3 * micros.Second},
 		{"one has saved, and another's machine is gone", func(t *testing.T, l *Leader) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -21,6 +21,7 @@
 	"caperlatch/internal/leader/eventlog"
 	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/leader/workload"
 	"caperlatch/internal/micros"
@@ -85,9 +86,10 @@
 	termLostOnce sync.Once
 
 	jobState
-	fleet        *fleet.Fleet       // machines, and launches and terminations
-	unknownCount int                // machines whose tasks are not known, as of the last check
-	scaler       *autoscaler.Scaler // how many machines there are to be
+	fleet        *fleet.Fleet           // machines, and launches and terminations
+	unknownCount int                    // machines whose tasks are not known, as of the last check
+	scaler       *autoscaler.Scaler     // how many machines there are to be
+	quarantine   *quarantine.Quarantine // whether failures speak against machines or jobs
 	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
 	rejectedTypes *wire.InstanceTypeList
 	planState
@@ -170,6 +172,7 @@
 	l.fleet = l.newFleet()
 	l.zoneState = newZoneState(c.ZonePolicy)
 	l.scaler = l.newScaler()
+	l.quarantine = l.newQuarantine()
 	return l
 }
 
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
@@ -113,7 +114,7 @@
 		return "did not boot"
 	case m.DrainReason != "" && len(m.Attempts) == 0 && m.TasksKnown():
 		return m.DrainReason
-	case m.DrainReason == drainFaulty && now-m.Quarantine.Since > 3*report:
+	case m.DrainReason == quarantine.DrainReason && now-m.Quarantine.Since > 3*report:
 		// What still runs there had time to save and would fail as well. A next leader
 		// would have to find the fault anew.
 		return m.DrainReason
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -220,7 +220,7 @@
 	wall := micros.Wall()
 	var entries []queueEntry
 	for _, j := range l.jobs {
-		l.liftQuarantine(j, now)
+		l.quarantine.ReviewJob(j, now)
 		n := j.StartableTasks(now)
 		if n <= 0 || l.mustAwaitReconciliation(j, unresolved) {
 			continue
--- /dev/null
+++ b/internal/leader/quarantine.go
@@ -0,0 +1,15 @@
+package leader
+
+import "caperlatch/internal/leader/quarantine"
+
+// newQuarantine makes the quarantine of this term.
+func (l *Leader) newQuarantine() *quarantine.Quarantine {
+	return quarantine.New(quarantine.Config{
+		Fleet:         l.fleet,
+		Jobs:          l.jobs,
+		Demand:        l.scaler,
+		StopTask:      l.stopTask,
+		EvictGangTask: l.evictGangTask,
+		OnChange:      func() { l.replan = true },
+	})
+}
--- /dev/null
+++ b/internal/leader/quarantine/quarantine_test.go
@@ -0,0 +1,167 @@
+package quarantine
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"caperlatch/internal/leader/autoscaler"
+	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/leader/workload"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/settings"
+	"caperlatch/internal/wire"
+	"caperlatch/placement"
+)
+
+// newTest makes a quarantine over the machines i-1 to i-4, with the autoscaler that counts its jobs' demand.
+func newTest(t *testing.T) (*Quarantine, *autoscaler.Scaler) {
+	t.Helper()
+	jobs := map[string]*state.Job{}
+	f := fleet.New(fleet.Config{InstanceType: func(string) (fleet.InstanceType, bool) {
+		return fleet.InstanceType{Capacity: placement.Resources{CPU: 4000, Memory: 16000}}, true
+	}})
+	scaler := autoscaler.New(autoscaler.Config{
+		Tuning:   settings.DefaultTuning(),
+		Fleet:    f,
+		Workload: workload.New(settings.Params{Teams: []settings.Team{{Name: "blue"}}}),
+		Jobs:     jobs,
+	})
+	scaler.SetInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
+	intent := f.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true})
+	for i := 1; i <= 4; i++ {
+		f.Add(fmt.Sprintf("i-%d", i), intent, micros.Now())
+	}
+	return New(Config{
+		Fleet:  f,
+		Jobs:   jobs,
+		Demand: scaler,
+		StopTask: func(a *state.Attempt, _ micros.Micros, reason string) {
+			t.Errorf("%s is stopped: %s", a.TaskID(), reason)
+		},
+		EvictGangTask: func(a *state.Attempt, _ micros.Micros, reason string, _ micros.Micros) {
+			t.Errorf("%s is evicted: %s", a.TaskID(), reason)
+		},
+		OnChange: func() {},
+	}), scaler
+}
+
+// TestAttributeFailure has tasks fail and succeed, step by step. A job that was submitted with a mistake fails
+// on every machine and must cost none; a machine on which everything fails is found all the same, also among
+// such jobs. Steps: "2x1" is a failure of job 2 on machine 1, "2+1" a success there of a task that started
+// after all before.
+func TestAttributeFailure(t *testing.T) {
+	cases := []struct {
+		name        string
+		steps       []string
+		drained     []int // machines
+		quarantined []int // jobs
+	}{
+		{"one failure", []string{"0x1"}, nil, nil},
+		{"a job on one machine, again and again within a second", []string{"0x1", "0x1", "0x1", "0x1"}, nil, nil},
+		{"a job on three machines", []string{"0x1", "0x2", "0x3"}, nil, []int{0}},
+		{"many such jobs on the same machines", []string{"0x1", "1x2", "2x3", "0x2", "1x3", "2x1", "0x3", "1x1", "2x2", "0x1", "1x1", "2x1"}, nil, []int{0, 1, 2}},
+		{"such jobs before and after good ones on one machine", []string{"0x1", "1x1", "2+1", "3x1", "4x1", "2+1"}, nil, nil},
+		{"a machine on which a task succeeds afterwards proves the job wrong", []string{"0x1", "1+1", "wait", "0x1"}, nil, []int{0}},
+		{"one on which a task had succeeded before proves nothing", []string{"1+1", "0x1", "wait", "0x1"}, nil, nil},
+		{"a good job fails on a machine twice", []string{"0+2", "0x1", "0x1"}, []int{1}, nil},
+		{"a job succeeds elsewhere after its failures", []string{"0x1", "1x1", "0+2", "1+2"}, []int{1}, nil},
+		{"three jobs fail there and nowhere else", []string{"0x1", "1x1", "2x1"}, []int{1}, nil},
+		// It must not stay in quarantine for what three faulty machines did to it.
+		{"a good job runs on faulty machines only", []string{"9+4", "0x1", "0x2", "0x3", "9x1", "9x1", "9x2", "9x2"}, []int{1, 2}, nil},
+		{"a quarantined job succeeds after all", []string{"0x1", "0x2", "0x3", "0+4"}, nil, nil},
+		// Nothing else shows which is at fault: it costs one machine to find out, not one after another.
+		{"the only machine and the only job", []string{"0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1"}, []int{1}, nil},
+		{"and on the next one", []string{"0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "0x2", "wait", "0x2", "wait", "0x2", "wait", "0x2"}, []int{1}, nil},
+		{"three jobs with mistakes on one machine and then on others", []string{"0x1", "1x1", "2x1", "0x2", "1x2", "2x2", "0x3", "1x3", "2x3"}, []int{1}, []int{0, 1, 2}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			q, _ := newTest(t)
+			var jobs []*state.Job
+			for i := range 10 {
+				j := state.NewJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00010%d", i), Tasks: 20}}, false)
+				q.Jobs[j.Spec.ID] = j
+				jobs = append(jobs, j)
+			}
+			now := micros.Now()
+			for _, step := range c.steps {
+				now += 200 * micros.Millisecond
+				if step == "wait" {
+					now += 2 * maxProbeBackoff
+					continue
+				}
+				j, m := jobs[step[0]-'0'], q.Fleet.Machines["i-"+step[2:]]
+				if step[1] == 'x' {
+					j.Failures.Count++
+					q.AttributeFailure(m, j, now)
+				} else {
+					j.DoneCount++
+					q.RecordSuccess(m, j, &state.Attempt{Job: j, Machine: m, StartSequence: 1, StartedAt: now}, now)
+				}
+			}
+			for i := 1; i <= 4; i++ {
+				want := slices.Contains(c.drained, i)
+				if got := q.Fleet.Machines[fmt.Sprintf("i-%d", i)].DrainReason != ""; got != want {
+					t.Errorf("machine %d drained: %v, want %v", i, got, want)
+				}
+			}
+			for i, j := range jobs {
+				if want := slices.Contains(c.quarantined, i); j.Failures.Quarantined != want {
+					t.Errorf("job %d quarantined: %v, want %v", i, j.Failures.Quarantined, want)
+				}
+			}
+		})
+	}
+}
+
+// TestProbes has a job quarantined: it is probed ever more seldom, a few tasks at a time, also by the next
+// leader; it brings no demand; and a success ends all that.
+func TestProbes(t *testing.T) {
+	q, scaler := newTest(t)
+	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
+	q.Jobs[j.Spec.ID] = j
+	scaler.AddDemand(j)
+	now := micros.Now()
+	demand := scaler.Type("m4").Demand
+	before := demand.Rate(now)
+	for i := 1; i <= 3; i++ {
+		q.AttributeFailure(q.Fleet.Machines[fmt.Sprintf("i-%d", i)], j, now)
+	}
+	if after := demand.Rate(now); before <= 0 || after >= before/2 {
+		t.Errorf("demand %v before and %v after it was quarantined", before, after)
+	}
+	var pauses []micros.Micros
+	for range 6 {
+		pauses = append(pauses, j.BackoffUntil-now)
+		if n := j.StartableTasks(j.BackoffUntil - 1); n != 0 {
+			t.Errorf("%d tasks are tried in the pause", n)
+		}
+		now = j.BackoffUntil
+		if n := j.StartableTasks(now); n != state.ProbeTasks {
+			t.Errorf("%d tasks are tried, want %d", n, state.ProbeTasks)
+		}
+		for range state.ProbeTasks { // one probe
+			q.AttributeFailure(q.Fleet.Machines["i-1"], j, now)
+		}
+	}
+	for i := 1; i < len(pauses); i++ {
+		if pauses[i] < min(maxProbeBackoff, 2*pauses[i-1]) || pauses[i] > maxProbeBackoff {
+			t.Errorf("pauses %v", pauses)
+		}
+	}
+	next, _ := newTest(t)
+	restored := state.NewJob(replica.Job{Spec: j.Spec}, true)
+	next.Jobs[j.Spec.ID] = restored
+	next.Restore(q.Record(), now)
+	if !restored.Failures.Quarantined || restored.StartableTasks(now) != 0 || restored.StartableTasks(restored.BackoffUntil) != state.ProbeTasks {
+		t.Errorf("the next leader tries %d tasks at once", restored.StartableTasks(now))
+	}
+	j.DoneCount++
+	q.RecordSuccess(q.Fleet.Machines["i-2"], j, nil, now)
+	if n := j.StartableTasks(now); n != 499 {
+		t.Errorf("%d tasks may start after a success", n)
+	}
+}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -376,7 +376,7 @@
 		if a.RunningSince != 0 {
 			j.Failures.LongestRun = max(j.Failures.LongestRun, now-a.RunningSince)
 		}
-		l.attributeFailure(m, j, now)
+		l.quarantine.AttributeFailure(m, j, now)
 	case wire.ExitInsufficientResources:
 		// Our count of what is free was wrong: wait for the next reports.
 		m.StartBackoffUntil = now + 2*l.heartbeatInterval
@@ -395,7 +395,7 @@
 	if !j.Done.Has(task) && !j.Ended {
 		j.Done.Set(task)
 		j.DoneCount++
-		l.recordSuccess(m, j, a, now)
+		l.quarantine.RecordSuccess(m, j, a, now)
 		if a != nil {
 			l.scaler.ObserveCompletion(a, now)
 		}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -56,7 +56,7 @@
 // autoscalerRecord is what is stored for a next leader.
 func (l *Leader) autoscalerRecord(now micros.Micros) autoscaler.Record {
 	r := l.scaler.Record(now)
-	r.Quarantined = l.quarantinedJobs()
+	r.Quarantined = l.quarantine.Record()
 	if !l.Store.ValueAlwaysFits(r) {
 		r.Quarantined = nil // a next leader finds that again
 	}
@@ -69,7 +69,7 @@
 	if _, err := l.Replica.Get(replica.AutoscalerKey, &r); err != nil {
 		return err
 	}
-	l.restoreQuarantinedJobs(r.Quarantined, now)
+	l.quarantine.Restore(r.Quarantined, now)
 	l.scaler.Restore(r, now)
 	slog.Info("staffing model restored", "instance_types", len(r.Types), "quarantined_jobs", len(r.Quarantined))
 	return nil
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -116,9 +116,9 @@
 	PreviousTerm    *standby.Machine // what the term before was seen to know of it, nil if nothing
 }
 
-// QuarantineState is the evidence for a machine being at fault when tasks fail; see faults.go.
+// QuarantineState is the evidence for a machine being at fault when tasks fail; see package quarantine.
 type QuarantineState struct {
-	Since       micros.Micros   // when it was found faulty, 0 if it was not
+	Since       micros.Micros   // when it was quarantined, 0 if it was not
 	Failures    int             // of jobs that succeed elsewhere, since its last success
 	SuspectJobs map[string]bool // other jobs that failed on it since then
 	ProvenAt    micros.Micros   // start of the latest task that succeeded on it
@@ -133,8 +133,6 @@
 	Closed            bool // to work that is not bound to the zone
 }
 
-// TasksConfirmed tells whether the machine itself has told this term its tasks, or cannot have
-// any of an earlier one.
 // TasksConfirmed reports whether the machine itself has reported its tasks in this term, or cannot
 // have any of an earlier one.
 func (m *Machine) TasksConfirmed() bool { return m.Reconciliation.Knowledge == TasksConfirmed }
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -7,6 +7,7 @@
 	"math"
 
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -148,7 +149,7 @@
 	default:
 		if late {
 			e.Late++
-		} else if m.DrainReason == drainFaulty {
+		} else if m.DrainReason == quarantine.DrainReason {
 			e.Quarantined++
 		}
 		if m.ZoneReturn.Returned {
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -9,6 +9,7 @@
 
 	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
@@ -68,7 +69,7 @@
 		{"silent and deaf", func(m *state.Machine, now micros.Micros) {
 			m.Heartbeat.ReceivedAt, m.Delivery.LostResponses = now-silentEnough, maxLostResponses
 		}, zone.Evidence{Running: 10, Silent: 1}},
-		{"faulty", func(m *state.Machine, _ micros.Micros) { m.DrainReason = drainFaulty }, zone.Evidence{Running: 10, Quarantined: 1}},
+		{"faulty", func(m *state.Machine, _ micros.Micros) { m.DrainReason = quarantine.DrainReason }, zone.Evidence{Running: 10, Quarantined: 1}},
 		{"being returned", func(m *state.Machine, _ micros.Micros) { m.Instance.Terminating = true }, zone.Evidence{Running: 9}},
 		{"booting", func(m *state.Machine, _ micros.Micros) { m.Instance.Running = false }, zone.Evidence{Running: 9}},
 		{"back", func(m *state.Machine, _ micros.Micros) { m.ZoneReturn.Returned = true }, zone.Evidence{Running: 10, Recovered: 1}},
