--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -176,13 +176,13 @@
 				m.Heartbeat.ReceivedAt = now - 50*micros.Second
 			}
 		}
-		l.observeZones(now)
+		l.zones.Observe(now)
 		// All of the only zone is most of the network, too.
 		want := zone.Decision{MaxMachines: zone.Unlimited, Reachable: true, OpenShare: 1}
 		if s.cut {
 			want = zone.Decision{KeepSilent: true, OpenShare: 1}
 		}
-		if got := l.policy.Decide("a"); got != want {
+		if got := l.zones.Policy.Decide("a"); got != want {
 			t.Errorf("%s: %+v, want %+v", s.name, got, want)
 		}
 	}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -224,7 +224,7 @@
 	}
 	for _, a := range j.Attempts {
 		m := a.Machine
-		if m.Instance.Terminating || m.Delivery.LostResponses > 0 || m.Instance.Address == "" || !l.policy.Decide(m.Offering.Zone).Reachable ||
+		if m.Instance.Terminating || m.Delivery.LostResponses > 0 || m.Instance.Address == "" || !l.zones.Policy.Decide(m.Offering.Zone).Reachable ||
 			l.isHeartbeatLate(m, now) {
 			return false
 		}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -20,7 +20,7 @@
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
 	l.workload = workload.New(l.Settings.Params)
 	l.heartbeatInterval = 8 * micros.Second
-	l.scaler.HeartbeatInterval, l.scaler.Workload = l.heartbeatInterval, l.workload
+	l.scaler.HeartbeatInterval, l.scaler.Workload, l.zones.HeartbeatInterval = l.heartbeatInterval, l.workload, l.heartbeatInterval
 	clear(l.jobs)
 	for i := range 31 {
 		l.fleet.Add(fmt.Sprintf("i-%d", 10+i), l.fleet.Intent("r-1"), l.startedAt)
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -29,7 +29,7 @@
 		{"one hears nothing", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
 		{"one is being returned", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
 		{"one is in a zone that is cut off", func(l *Leader, _ *state.Machine) {
-			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
+			l.zones.Policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
 		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).sure = false }, 0},
 	} {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -24,6 +24,7 @@
 	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/leader/workload"
+	"caperlatch/internal/leader/zoning"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -90,6 +91,7 @@
 	unknownCount int                    // machines whose tasks are not known, as of the last check
 	scaler       *autoscaler.Scaler     // how many machines there are to be
 	quarantine   *quarantine.Quarantine // whether failures speak against machines or jobs
+	zones        *zoning.Zones          // what the policy on zones comes to
 	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
 	rejectedTypes *wire.InstanceTypeList
 	planState
@@ -99,7 +101,6 @@
 	writes     *persist.Queue       // what is to be stored
 	workerCalls
 	standbyState
-	zoneState
 
 	// What is shown to users and written to the log.
 	taskCounts   map[string][2]int // see AllTaskCounts
@@ -170,7 +171,7 @@
 	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
-	l.zoneState = newZoneState(c.ZonePolicy)
+	l.zones = l.newZones()
 	l.scaler = l.newScaler()
 	l.quarantine = l.newQuarantine()
 	return l
@@ -337,7 +338,7 @@
 	if err := l.restoreAutoscaler(now); err != nil {
 		return err
 	}
-	l.restoreZones(now)
+	l.zones.Restore(now)
 	l.usePreviousTerm()
 	l.scaler.StepPools(now)
 	l.ready = true
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -44,10 +44,6 @@
 	return max(3*l.heartbeatInterval+4*micros.Second, min(l.leaseDuration, 20*micros.Second))
 }
 
-// maxLostResponses is how many answers in a row must have been lost before a machine is
-// taken for one that receives none.
-const maxLostResponses = 3
-
 // seemsReclaimed tells whether the cloud seems to have taken a machine without a notice: it is
 // silent, and was listed before and is so no longer. That proves nothing, as lists
 // lag; but it is a reason to return it now, which does.
@@ -57,12 +53,17 @@
 
 // silence is how long a machine has not been heard of in this term.
 func (l *Leader) silence(m *state.Machine, now micros.Micros) micros.Micros {
-	return now - max(m.Heartbeat.ReceivedAt, l.startedAt)
+	return m.Silence(l.startedAt, now)
+}
+
+// isHeartbeatLate reports whether a machine's next heartbeat is overdue.
+func (l *Leader) isHeartbeatLate(m *state.Machine, now micros.Micros) bool {
+	return l.silence(m, now) > state.HeartbeatTimeout(l.heartbeatInterval)
 }
 
 // checkMachines acts on silence, notices and stops that take too long.
 func (l *Leader) checkMachines(now micros.Micros) {
-	l.observeZones(now)
+	l.zones.Observe(now)
 	l.fleet.CheckBoots(now)
 	l.unknownCount = l.fleet.CountUnknown()
 	for _, m := range slices.Clone(l.fleet.Sorted) {
@@ -100,14 +101,14 @@
 // than they are: they are kept as long as their leases last, and as long again.
 func (l *Leader) terminationReason(m *state.Machine, over bool, now micros.Micros) string {
 	report := l.Settings.Params.Workers.HeartbeatInterval()
-	kept := func() bool { return l.policy.Decide(m.Offering.Zone).KeepSilent }
+	kept := func() bool { return l.zones.Policy.Decide(m.Offering.Zone).KeepSilent }
 	switch {
 	case m.Instance.Terminating:
 	case m.Instance.Running && l.silence(m, now) > l.silenceLimit(m) && (!kept() || m.Lease.ExpiredSince != 0 && now-m.Lease.ExpiredSince > l.leaseDuration):
 		return "silent"
 	case m.Instance.Running && l.seemsReclaimed(m, now):
 		return "silent and no longer listed"
-	case m.Delivery.LostResponses >= maxLostResponses && now-m.Delivery.LosingSince > l.silenceLimit(m) && (!kept() || over):
+	case m.LosesResponses() && now-m.Delivery.LosingSince > l.silenceLimit(m) && (!kept() || over):
 		return "it hears nothing"
 	case !m.Instance.Running && m.Instance.FirstHeartbeatAt == 0 && now-m.Instance.LaunchedAt > l.fleet.BootTimeout(m) && now-l.startedAt > 2*report:
 		l.fleet.RecordStuckBoot()
@@ -140,7 +141,7 @@
 
 // assign counts a task as being on its machine.
 func (l *Leader) assign(a *state.Attempt) {
-	l.recordMoved(a)
+	l.zones.RecordAssigned(a)
 	a.Attach()
 	team := a.Job.Spec.Team
 	l.teamUsage[team] = l.teamUsage[team].Add(a.Job.Need, 1)
@@ -173,7 +174,7 @@
 		why = a.StopReason
 	}
 	if !job.Ended && !job.Done.Has(a.Index) {
-		l.recordDisplaced(a)
+		l.zones.RecordDisplaced(a)
 		l.recordStop(a, why)
 		l.replan = true // it waits again
 	}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -60,7 +60,7 @@
 		return l.encodeProgress(w)
 	}
 	if key == replica.ZonesKey {
-		return l.encodeZones(w)
+		return l.zones.EncodeRecord(w)
 	}
 	if key == replica.AutoscalerKey {
 		w.Value = l.autoscalerRecord(micros.Now())
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -92,7 +92,7 @@
 // recordHeartbeat notes what a report tells besides the tasks.
 func (l *Leader) recordHeartbeat(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
 	m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = r.Incarnation, r.Sequence, r.Address
-	l.checkZone(m, r)
+	l.zones.CheckReportedZone(m, r.Zone)
 	m.Heartbeat.ReceivedAt = now
 	m.Lease.RenewedAt = now
 	m.Heartbeat.InterruptionAt = 0
@@ -119,7 +119,7 @@
 	}
 	m.Delivery.RespondedThisTerm = true
 	if m.Heartbeat.OfThisTerm {
-		l.observeZoneReturn(m, now)
+		l.zones.ObserveReturn(m, now)
 		l.reconcile(m, r, now)
 	} else {
 		// The answer may renew the machine's lease, whatever is thought of the report.
@@ -225,7 +225,7 @@
 		return
 	}
 	if a != nil && a.Number == t.Attempt && a.ReportedState == "" && a.StartSequence != 0 {
-		l.zoneCounters(m).startsSeen++
+		l.zones.RecordStartSeen(m)
 	}
 	id, task, err := state.ParseTaskID(t.TaskID)
 	j := l.jobs[id]
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -24,9 +24,9 @@
 			unknown := l.unknownMachinesNow()
 			return func(j *state.Job) bool { return l.mustAwaitReconciliation(j, unknown) }
 		},
-		ReplacedMachines: l.replacedMachines,
-		ZonePolicy:       l.policy,
-		LaunchAllowance:  l.launchAllowance,
+		ReplacedMachines: l.zones.ReplacedMachines,
+		ZonePolicy:       l.zones.Policy,
+		LaunchAllowance:  l.zones.LaunchAllowance,
 		OnChange:         func() { l.replan = true },
 	})
 }
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -96,6 +96,10 @@
 	FollowUps         []wire.Command // clears and stops that the latest heartbeat calls for
 }
 
+// MaxLostResponses is how many responses in a row must have been lost before a machine counts as one that
+// receives none.
+const MaxLostResponses = 3
+
 // TaskKnowledge says how the leader knows which tasks are on a machine.
 type TaskKnowledge int
 
@@ -126,13 +130,27 @@
 
 // ZoneReturn is a machine's part in the return of its zone.
 type ZoneReturn struct {
-	FirstHeartbeatAt  micros.Micros // first report since the zone was lost, or the machine fell silent
-	IncarnationBefore uint64        // and what the last report before that was
+	FirstHeartbeatAt  micros.Micros // since the zone was lost, or the machine fell silent; 0 if there was none
+	IncarnationBefore uint64        // of the last heartbeat before that
 	SequenceBefore    uint64
-	Returned          bool // it is heard anew for certain
+	Returned          bool // its heartbeats prove that it was reached again
 	Closed            bool // to work that is not bound to the zone
 }
 
+// Silence is for how long the machine has sent no heartbeat, counted from the start of the term at the earliest.
+func (m *Machine) Silence(termStartedAt, now micros.Micros) micros.Micros {
+	return now - max(m.Heartbeat.ReceivedAt, termStartedAt)
+}
+
+// HeartbeatTimeout is after what silence a heartbeat is overdue, where the usual time between them is interval.
+// A live worker sends one within five quarters of that; a second is for the network and a busy node.
+func HeartbeatTimeout(interval micros.Micros) micros.Micros {
+	return interval + interval/4 + micros.Second
+}
+
+// LosesResponses reports whether the machine is taken to receive no responses, though its heartbeats arrive.
+func (m *Machine) LosesResponses() bool { return m.Delivery.LostResponses >= MaxLostResponses }
+
 // TasksConfirmed reports whether the machine itself has reported its tasks in this term, or cannot
 // have any of an earlier one.
 func (m *Machine) TasksConfirmed() bool { return m.Reconciliation.Knowledge == TasksConfirmed }
@@ -163,8 +181,8 @@
 	return m.IsSchedulable(now) && !m.ZoneReturn.Closed
 }
 
-// ResetZoneReturn forgets that the machine was heard since its zone was lost: its latest heartbeat is no
-// evidence of a return later.
+// ResetZoneReturn forgets the machine's heartbeats since its zone was lost: its latest one is no evidence of a
+// return later.
 func (m *Machine) ResetZoneReturn() {
 	m.ZoneReturn = ZoneReturn{IncarnationBefore: m.Heartbeat.Incarnation, SequenceBefore: m.Heartbeat.Sequence, Closed: m.ZoneReturn.Closed}
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -8,24 +8,21 @@
 	"testing"
 
 	"caperlatch/internal/leader/fleet"
-	"caperlatch/internal/leader/persist"
-	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
-	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
 	"caperlatch/internal/zone"
 )
 
-// newZonesTest makes a leader with the policy on zones over two zones of ten machines that
-// have just reported.
+// newZonesTest makes a leader with the lifecycle policy over two zones of ten machines that have just sent a
+// heartbeat.
 func newZonesTest(t *testing.T) (l *Leader, now micros.Micros) {
 	t.Helper()
 	l, term := newTest(t)
 	c := zone.DefaultConfig(l.heartbeatInterval)
 	c.ConfirmationTime = 0
-	l.zoneState = newZoneState(zone.NewLifecyclePolicy(c))
-	l.scaler.ZonePolicy = l.policy
+	l.zones.Policy = zone.NewLifecyclePolicy(c)
+	l.scaler.ZonePolicy = l.zones.Policy
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
 	now = micros.Now() + 1000*micros.Second
@@ -38,154 +35,72 @@
 	return l, now
 }
 
-// silence has the machines of zone b last report so long ago, and the policy look at that.
-func silence(l *Leader, now, ago micros.Micros) {
+// loseZone has the machines of zone b be silent for long enough that it is lost.
+func loseZone(l *Leader, now micros.Micros) {
+	const silence = 6 * micros.Second
 	for _, m := range l.fleet.Sorted[10:] {
-		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-ago, now-ago
+		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-silence, now-silence
 	}
 	for range 3 {
-		l.observeZones(now)
+		l.zones.Observe(now)
 	}
 }
 
-// A machine is silent after the second of these times, and overdue after the first.
-const overdueFor, silentEnough = 4 * micros.Second, 6 * micros.Second
-
-// TestZoneEvidence counts machines in several states, each in the gravest group.
-func TestZoneEvidence(t *testing.T) {
-	cases := []struct {
-		name string
-		edit func(m *state.Machine, now micros.Micros)
-		want zone.Evidence
-	}{
-		{"heard", func(*state.Machine, micros.Micros) {}, zone.Evidence{Running: 10}},
-		{"late", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - overdueFor }, zone.Evidence{Running: 10, Late: 1}},
-		{"silent", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - silentEnough }, zone.Evidence{Running: 10, Silent: 1}},
-		{"late and gone from the list", func(m *state.Machine, now micros.Micros) {
-			m.Heartbeat.ReceivedAt, m.Instance.Listed, m.Instance.MissingLists = now-overdueFor, true, 2
-		}, zone.Evidence{Running: 10, Unlisted: 1}},
-		{"gone from the list and heard", func(m *state.Machine, _ micros.Micros) { m.Instance.Listed, m.Instance.MissingLists = true, 9 }, zone.Evidence{Running: 10}},
-		{"deaf", func(m *state.Machine, _ micros.Micros) { m.Delivery.LostResponses = maxLostResponses }, zone.Evidence{Running: 10, LostResponses: 1}},
-		{"silent and deaf", func(m *state.Machine, now micros.Micros) {
-			m.Heartbeat.ReceivedAt, m.Delivery.LostResponses = now-silentEnough, maxLostResponses
-		}, zone.Evidence{Running: 10, Silent: 1}},
-		{"faulty", func(m *state.Machine, _ micros.Micros) { m.DrainReason = quarantine.DrainReason }, zone.Evidence{Running: 10, Quarantined: 1}},
-		{"being returned", func(m *state.Machine, _ micros.Micros) { m.Instance.Terminating = true }, zone.Evidence{Running: 9}},
-		{"booting", func(m *state.Machine, _ micros.Micros) { m.Instance.Running = false }, zone.Evidence{Running: 9}},
-		{"back", func(m *state.Machine, _ micros.Micros) { m.ZoneReturn.Returned = true }, zone.Evidence{Running: 10, Recovered: 1}},
-		{"back and silent anew", func(m *state.Machine, now micros.Micros) {
-			m.ZoneReturn.Returned, m.Heartbeat.ReceivedAt = true, now-silentEnough
-		}, zone.Evidence{Running: 10, Silent: 1, Relapses: 1}},
-	}
-	for _, c := range cases {
-		l, now := newZonesTest(t)
-		c.edit(l.fleet.Machines["i-15"], now)
-		l.zoneEvidence(now)
-		if got := l.zoneEvidence(now); got["b"] != c.want || got["a"] != (zone.Evidence{Running: 10}) {
-			t.Errorf("%s: %+v, want %+v, and the other zone well", c.name, got, c.want)
-		}
-	}
-}
-
-// TestHeardAnew has reports of a machine arrive after its zone was lost. What it made before
-// the cut is no evidence of a return.
-func TestHeardAnew(t *testing.T) {
+// TestZoneReturn has heartbeats of a machine arrive after its zone was lost. What it made before the cut is no
+// evidence of a return.
+func TestZoneReturn(t *testing.T) {
 	type arrival struct {
 		afterS       float64
-		session, seq uint64
-		token        uint64
+		incarnation  uint64
+		sequence     uint64
+		fencingToken uint64
 	}
 	cases := []struct {
 		name     string
 		arrivals []arrival
-		back     bool
+		returned bool
 	}{
 		{"nothing", nil, false},
 		{"a copy of the last", []arrival{{1, 1, 100, token}}, false},
 		{"one that was on its way", []arrival{{1, 1, 101, token}}, false},
 		{"two that were held back", []arrival{{1, 1, 101, token}, {0, 1, 102, token}}, true}, // its worker gave up the first
 		{"a later one", []arrival{{1, 1, 103, token}}, true},
-		{"a later session", []arrival{{1, 2, 105, token}}, true},
+		{"a later incarnation", []arrival{{1, 2, 105, token}}, true},
 		{"two in the usual time", []arrival{{1, 1, 101, token}, {2, 1, 102, token}}, true},
-		{"of a lower token", []arrival{{1, 1, 103, token - 1}}, false},
-		{"of an earlier session", []arrival{{1, 0, 300, token}}, false},
+		{"of a lower fencing token", []arrival{{1, 1, 103, token - 1}}, false},
+		{"of an earlier incarnation", []arrival{{1, 0, 300, token}}, false},
 	}
 	for _, c := range cases {
-		l, now := newZonesTest(t)
-		silence(l, now, silentEnough)
-		m := l.fleet.Machines["i-15"]
-		for _, a := range c.arrivals {
-			now += micros.FromSeconds(a.afterS)
-			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "b", Incarnation: a.session, Sequence: a.seq, FencingToken: a.token}
-			if l.acceptsHeartbeat(m, r, now) {
-				l.recordHeartbeat(m, r, now)
-				l.reconcileIfCurrent(m, r, now)
+		t.Run(c.name, func(t *testing.T) {
+			l, now := newZonesTest(t)
+			loseZone(l, now)
+			m := l.fleet.Machines["i-15"]
+			for _, a := range c.arrivals {
+				now += micros.FromSeconds(a.afterS)
+				h := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "b", Incarnation: a.incarnation, Sequence: a.sequence, FencingToken: a.fencingToken}
+				if l.acceptsHeartbeat(m, h, now) {
+					l.recordHeartbeat(m, h, now)
+					l.reconcileIfCurrent(m, h, now)
+				}
 			}
-		}
-		if m.ZoneReturn.Returned != c.back {
-			t.Errorf("%s: back is %v", c.name, m.ZoneReturn.Returned)
-		}
-	}
-}
-
-// TestZoneCarriedOut has what the policy decides be carried out: which machines are closed, for
-// whom, which do not count as supply, and what is rented there.
-func TestZoneCarriedOut(t *testing.T) {
-	l, now := newZonesTest(t)
-	bound := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000002", Team: "blue", Zone: "b", Tasks: 1, AllowSpot: true}}, false)
-	together := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", SingleZone: true, Tasks: 2, AllowSpot: true}}, false)
-	together.AttemptsPerZone["b"] = 1
-	expect := func(state string, wantClosed, wantReplaced, wantRent int, wantBound string) {
-		t.Helper()
-		closed := 0
-		for _, m := range l.fleet.Sorted {
-			if m.ZoneReturn.Closed {
-				closed++
+			if m.ZoneReturn.Returned != c.returned {
+				t.Errorf("returned is %v", m.ZoneReturn.Returned)
 			}
-		}
-		replaced := l.replacedMachines(now)
-		supply, ofBound, ofTogether := l.scaler.CountSupply(replaced, now)["m4"].Total, l.onlyZone(bound), l.onlyZone(together)
-		if closed != wantClosed || len(replaced) != wantReplaced || supply != 20-wantReplaced || l.launchAllowance("b") != wantRent ||
-			ofBound != wantBound || ofTogether != wantBound || l.onlyZone(l.jobs["j-000001"]) != "" {
-			t.Errorf("%s: %d closed, %d replaced, supply %d, %d to rent, bound to %q and %q", state, closed, len(replaced), supply, l.launchAllowance("b"), ofBound, ofTogether)
-		}
-	}
-	expect("well", 0, 0, zone.Unlimited, "")
-	silence(l, now, overdueFor)
-	expect("suspected", 0, 5, 0, "")
-	silence(l, now, silentEnough)
-	expect("lost", 10, 5, 0, "b")
-	if w, ok := l.encodeZones(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.FullDisruption || !l.writes.IsUrgent(replica.ZonesKey) {
-		t.Errorf("stored is %+v (%v)", w.Value, ok)
+		})
 	}
-	l.fleet.Sorted[10].Instance.Running = false // half of the nine others, rounded
-	if expect("one boots", 10, 5, 0, "b"); l.replacedMachines(now)[l.fleet.Sorted[10]] {
-		t.Error("a machine that boots is replaced")
-	}
-	l.fleet.Sorted[10].Instance.Running = true
-	for range 4 { // held down, and then the first step
-		now += 2 * micros.Second
-		for _, m := range l.fleet.Sorted {
-			m.Heartbeat.ReceivedAt, m.ZoneReturn.Returned = now, true
-		}
-		if l.observeZones(now); l.policy.Status(now)[1].Step == 1 {
-			break
-		}
-	}
-	expect("first step", 9, 5, 0, "b")
 }
 
-// TestZoneMoves has tasks be lost with a zone, and begin again: what is told of them.
-func TestZoneMoves(t *testing.T) {
+// TestDisplacedTasks has tasks be lost with a zone, and start again: what is shown of them.
+func TestDisplacedTasks(t *testing.T) {
 	l, now := newZonesTest(t)
 	j := l.jobs["j-000001"]
 	for task := range 3 {
 		j.TakeWaitingTask()
 		l.assign(&state.Attempt{Job: j, Index: task, Number: 1, Machine: l.fleet.Sorted[10+task], StartSequence: 90, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
 	}
-	silence(l, now, silentEnough)
+	loseZone(l, now)
 	if e, _ := l.Explain("j-000001"); len(e.Reasons) != 1 || !strings.Contains(e.Reasons[0], "3 of its tasks are in zone b, which is lost") {
-		t.Errorf("why: %q", e.Reasons)
+		t.Errorf("reasons: %q", e.Reasons)
 	}
 	for task, to := range []*state.Machine{l.fleet.Sorted[0], l.fleet.Sorted[19]} {
 		l.releaseAll(l.fleet.Sorted[10+task], "its lease ended")
@@ -197,9 +112,9 @@
 	}
 }
 
-// TestZoneReported has a worker name another zone than its booking: that counts, and one line
-// tells of it.
-func TestZoneReported(t *testing.T) {
+// TestReportedZone has a worker name another zone than its launch: that of the launch counts, and one line
+// is logged.
+func TestReportedZone(t *testing.T) {
 	l, now := newZonesTest(t)
 	m := l.fleet.Sorted[0]
 	m.Instance.FirstHeartbeatAt = 0
@@ -207,25 +122,31 @@
 		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.ID, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
 	}
 	events := l.events.Counts()
-	told := slices.DeleteFunc(slices.Collect(maps.Keys(events)), func(line string) bool { return !strings.Contains(line, "launched in a") })
-	if len(told) != 1 || events[told[0]] != 1 || m.Offering.Zone != "a" {
-		t.Errorf("told %q, the machine is in zone %s", told, m.Offering.Zone)
+	logged := slices.DeleteFunc(slices.Collect(maps.Keys(events)), func(line string) bool { return !strings.Contains(line, "launched in a") })
+	if len(logged) != 1 || events[logged[0]] != 1 || m.Offering.Zone != "a" {
+		t.Errorf("logged %q, the machine is in zone %s", logged, m.Offering.Zone)
 	}
 }
 
-// TestZonesRestored has a term go on from what the one before stored, though its machines have
-// not been heard and are not silent for long; and begin anew where that cannot be read.
-func TestZonesRestored(t *testing.T) {
-	lost := zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.RecordedZone{"b": {State: zone.FullDisruption, Since: micros.Wall(), Flaps: 2}}}
-	for want, stored := range map[string]any{"lost": lost, "healthy": "nonsense"} {
-		l, now := newZonesTest(t)
-		l.Replica.ApplyPut(replica.ZonesKey, stored, 3)
-		l.restoreZones(now)
-		for range 3 {
-			l.observeZones(now)
+// TestHeartbeatLate has a machine be late once its heartbeat is overdue by a quarter of the interval and a
+// second; before this term saw one, that counts from the term's start.
+func TestHeartbeatLate(t *testing.T) {
+	l, _ := newTest(t)
+	m, now := l.fleet.Machines["i-1"], l.startedAt+100*micros.Second
+	for _, c := range []struct {
+		name    string
+		silence micros.Micros
+		late    bool
+	}{
+		{"just sent", 0, false},
+		{"not overdue yet", 3500 * micros.Millisecond, false},
+		{"overdue", 3500*micros.Millisecond + 1, true},
+	} {
+		if m.Heartbeat.ReceivedAt = now - c.silence; l.isHeartbeatLate(m, now) != c.late {
+			t.Errorf("%s: late %v, want %v", c.name, !c.late, c.late)
 		}
-		if s := l.policy.Status(now)[1]; s.Zone != "b" || s.State != want || l.fleet.Sorted[15].ZoneReturn.Closed != (want == "lost") || l.fleet.Sorted[5].ZoneReturn.Closed {
-			t.Errorf("from %v: %+v, want %s", stored, s, want)
+		if m.Heartbeat.ReceivedAt = 0; l.isHeartbeatLate(m, l.startedAt+c.silence) != c.late {
+			t.Errorf("%s, since the term started: late %v, want %v", c.name, !c.late, c.late)
 		}
 	}
 }
