--- a/internal/leader/quarantine/quarantine_test.go
+++ b/internal/leader/quarantine/quarantine_test.go
@@ -147,6 +147,9 @@
 			q.AttributeFailure(q.Fleet.Machines["i-1"], j, now)
 		}
 	}
+	if pauses[0] <= 0 {
+		t.Errorf("the first probe is %v after the quarantine", pauses[0].Duration())
+	}
 	for i := 1; i < len(pauses); i++ {
 		if pauses[i] < min(maxProbeBackoff, 2*pauses[i-1]) || pauses[i] > maxProbeBackoff {
 			t.Errorf("pauses %v", pauses)
@@ -165,3 +168,71 @@
 		t.Errorf("%d tasks may start after a success", n)
 	}
 }
+
+// TestOutlivingTaskPreventsQuarantine has a job fail on three machines while a task of it runs on elsewhere.
+func TestOutlivingTaskPreventsQuarantine(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		ran         micros.Micros // how long the running task has run, as of its machine's latest heartbeat
+		quarantined bool
+	}{
+		{"it runs no longer than those that failed", 3 * micros.Second, true},
+		{"it runs well beyond those that failed", 3*micros.Second + 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			q, _ := newTest(t)
+			now := micros.Now()
+			j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Tasks: 50}}, false)
+			q.Jobs[j.Spec.ID] = j
+			m := q.Fleet.Machines["i-4"]
+			(&state.Attempt{Job: j, Machine: m, RunningSince: now - c.ran}).Attach()
+			m.Heartbeat.ReceivedAt = now
+			for i := 1; i <= 3; i++ {
+				q.AttributeFailure(q.Fleet.Machines[fmt.Sprintf("i-%d", i)], j, now)
+			}
+			if j.Failures.Quarantined != c.quarantined {
+				t.Errorf("quarantined %v, want %v", j.Failures.Quarantined, c.quarantined)
+			}
+		})
+	}
+}
+
+// TestDrain has a machine quarantined with several kinds of tasks on it: those that can save a checkpoint leave
+// with the time for that, and the others run on.
+func TestDrain(t *testing.T) {
+	q, _ := newTest(t)
+	m, now := q.Fleet.Machines["i-1"], micros.Now()
+	newJob := func(spec wire.Job) *state.Job {
+		j := state.NewJob(replica.Job{Spec: &spec}, false)
+		q.Jobs[spec.ID] = j
+		(&state.Attempt{Job: j, Machine: m}).Attach()
+		return j
+	}
+	newJob(wire.Job{ID: "j-000001", Kind: wire.KindArray, Tasks: 2})
+	newJob(wire.Job{ID: "j-000002", Kind: wire.KindArray, Tasks: 2, CheckpointIntervalS: 60, CheckpointDurationS: 4})
+	gang := newJob(wire.Job{ID: "j-000003", Kind: wire.KindGang, Tasks: 2, CheckpointIntervalS: 60, CheckpointDurationS: 5})
+	var got []string
+	q.StopTask = func(a *state.Attempt, grace micros.Micros, reason string) {
+		got = append(got, fmt.Sprintf("stop %s %v %s", a.TaskID(), grace.Duration(), reason))
+	}
+	q.EvictGangTask = func(a *state.Attempt, grace micros.Micros, reason string, at micros.Micros) {
+		got = append(got, fmt.Sprintf("evict %s %v %s %v", a.TaskID(), grace.Duration(), reason, at == now))
+	}
+	good := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000004", Tasks: 20}}, false)
+	good.DoneCount = 1
+	q.AttributeFailure(m, good, now)
+	if m.DrainReason != "" || len(got) > 0 {
+		t.Errorf("drained for %q after one failure: %q", m.DrainReason, got)
+	}
+	q.AttributeFailure(m, good, now)
+	want := []string{
+		fmt.Sprintf("evict j-000003/0 %v its machine is faulty true", state.CheckpointGrace(gang).Duration()),
+		"stop j-000002/0 4s its machine is faulty",
+	}
+	if slices.Sort(got); !slices.Equal(got, want) {
+		t.Errorf("%q, want %q", got, want)
+	}
+	if m.DrainReason != "tasks fail on it" || m.Quarantine.Since != now {
+		t.Errorf("drained for %q, since %v, want %v", m.DrainReason, m.Quarantine.Since, now)
+	}
+}
--- /dev/null
+++ b/internal/leader/zoning/status_test.go
@@ -0,0 +1,65 @@
+package zoning
+
+import (
+	"slices"
+	"testing"
+	"testing/synctest"
+
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/replica"
+	"caperlatch/internal/wire"
+)
+
+// TestReasons has the reasons that users are shown be what they were, in a bubble whose clock stands still.
+func TestReasons(t *testing.T) {
+	cases := []struct {
+		name string
+		spec wire.Job
+		on   []int // machines with a task of the job, by their place in the fleet
+		want []string
+	}{
+		{"of no zone", wire.Job{}, nil, nil},
+		{"on machines of the other zone", wire.Job{}, []int{0, 1}, nil},
+		{"on one that is open and two that are not", wire.Job{}, []int{0, 11, 12},
+			[]string{"2 of its tasks are in zone b, which is lost: each may run on until its machine's lease ends, in 1000 to 1020 s"}},
+		{"a gang", wire.Job{Kind: wire.KindGang}, []int{11, 12},
+			[]string{"2 of its gang's tasks are in zone b, which is lost: the gang starts elsewhere only as a whole, once all are gone (leases end in 1020 s at the latest)"}},
+		{"bound to the zone", wire.Job{Zone: "b"}, []int{11}, []string{
+			"it can run in zone b only, which is lost",
+			"1 of its tasks are in zone b, which is lost: each may run on until its machine's lease ends, in 1000 to 1000 s",
+		}},
+		{"bound to the other zone", wire.Job{Zone: "a"}, nil, nil},
+	}
+	for _, c := range cases {
+		synctest.Test(t, func(t *testing.T) {
+			z, _, now := newTest(t)
+			silence(z, now, fullSilence)
+			start := micros.Now()
+			z.LeaseExpiry = func(m *state.Machine) micros.Micros {
+				if m == z.Fleet.Sorted[12] {
+					return start + 1020*micros.Second
+				}
+				return start + 1000*micros.Second
+			}
+			c.spec.ID, c.spec.Tasks, c.spec.CPUs, c.spec.AllowSpot = "j-000001", 5, 1, true
+			j := state.NewJob(replica.Job{Spec: &c.spec}, false)
+			for index, machine := range c.on {
+				(&state.Attempt{Job: j, Index: index, Machine: z.Fleet.Sorted[machine]}).Attach()
+			}
+			if got := z.Reasons(j); !slices.Equal(got, c.want) {
+				t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			}
+		})
+	}
+}
+
+// TestReasonsOfHealthyZones has no reasons be given while all zones are open.
+func TestReasonsOfHealthyZones(t *testing.T) {
+	z, _, now := newTest(t)
+	z.Observe(now)
+	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 5, CPUs: 1, Zone: "b", AllowSpot: true}}, false)
+	if got := z.Reasons(j); got != nil {
+		t.Errorf("%q", got)
+	}
+}
--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -115,6 +115,39 @@
 	}
 }
 
+// TestStartsAsEvidence has starts be sent to a zone and be seen there: both are counted for as long as the term
+// lasts, and adopted tasks are not.
+func TestStartsAsEvidence(t *testing.T) {
+	z, _, now := newTest(t)
+	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 4}}, false)
+	m := z.Fleet.Sorted[15]
+	z.RecordAssigned(&state.Attempt{Job: j, Machine: m, StartSequence: 100})
+	z.RecordAssigned(&state.Attempt{Job: j, Index: 1, Machine: m, Reserved: true})
+	z.RecordAssigned(&state.Attempt{Job: j, Index: 2, Machine: m}) // adopted
+	z.RecordStartSeen(m)
+	want := zone.Evidence{Running: 10, StartsSent: 2, StartsSeen: 1}
+	if got := z.evidence(now); got["b"] != want || got["a"] != (zone.Evidence{Running: 10}) {
+		t.Errorf("%+v, want %+v, and nothing of the other zone", got, want)
+	}
+}
+
+// TestLossResetsReturns has a zone be lost while one of its machines still sends heartbeats: what was seen of
+// it before is no evidence of a return.
+func TestLossResetsReturns(t *testing.T) {
+	z, _, now := newTest(t)
+	elsewhere, m := z.Fleet.Sorted[0], z.Fleet.Sorted[19]
+	elsewhere.ZoneReturn.Returned, m.ZoneReturn.Returned = true, true
+	for _, other := range z.Fleet.Sorted[10:19] {
+		other.Heartbeat.ReceivedAt = now - fullSilence
+	}
+	for range 3 {
+		z.Observe(now)
+	}
+	if s := z.Policy.Status(now)[1]; s.State != "lost" || m.ZoneReturn.Returned || m.ZoneReturn.SequenceBefore != 100 || !elsewhere.ZoneReturn.Returned {
+		t.Errorf("%s, %+v, elsewhere %+v", s.State, m.ZoneReturn, elsewhere.ZoneReturn)
+	}
+}
+
 // TestDecisionsCarriedOut has what the policy decides be carried out: which machines are closed, for which
 // jobs, which do not count as supply, and what is launched there.
 func TestDecisionsCarriedOut(t *testing.T) {
@@ -179,6 +212,9 @@
 			z, _, now := newTest(t)
 			z.Replica.ApplyPut(replica.ZonesKey, c.stored, 3)
 			z.Restore(now)
+			if closed := z.Fleet.Sorted[15].ZoneReturn.Closed; closed != (c.want == "lost") {
+				t.Errorf("closed %v before anything is observed", closed)
+			}
 			for range 3 {
 				z.Observe(now)
 			}
