--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -197,6 +197,62 @@
 	expect("first step", 9, 5, 0, "b")
 }
 
+// TestClosingDropsPlans has a zone be lost: what is planned for its machines is planned anew.
+func TestClosingDropsPlans(t *testing.T) {
+	z, _, now := newTest(t)
+	changes := 0
+	z.OnChange = func() { changes++ }
+	planned := []*state.Job{state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 1}}, false)}
+	elsewhere, m := z.Fleet.Sorted[0], z.Fleet.Sorted[10]
+	elsewhere.Planned, m.Planned = planned, planned
+	silence(z, now, fullSilence)
+	if changes != 10 || len(m.Planned) != 0 || len(elsewhere.Planned) != 1 {
+		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one", changes, len(m.Planned), len(elsewhere.Planned))
+	}
+}
+
+// TestLaunchAllowance has the policy limit a zone's machines: those that are launched or on their way count
+// against the limit, and those that are being terminated do not.
+func TestLaunchAllowance(t *testing.T) {
+	cases := []struct {
+		name             string
+		running, pending int
+		want             int
+	}{
+		{"none", 0, 0, 5},
+		{"some machines", 2, 0, 3},
+		{"and an open launch intent", 2, 2, 1},
+		{"more than allowed", 2, 9, 0},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			z, _, now := newTest(t)
+			z.Policy = limitedPolicy{Policy: z.Policy, machines: 5}
+			for _, m := range z.Fleet.Sorted[10+c.running:] {
+				m.Instance.Terminating = true
+			}
+			z.Fleet.AddIntent("r-200", fleet.LaunchIntent{Type: "m4", Zone: "b", Count: c.pending})
+			z.Fleet.AddIntent("r-201", fleet.LaunchIntent{Type: "m4", Zone: "a", Count: 1})
+			z.Observe(now)
+			if got := z.LaunchAllowance("b"); got != c.want {
+				t.Errorf("%d may be launched, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// limitedPolicy limits the machines of each zone.
+type limitedPolicy struct {
+	zone.Policy
+	machines int
+}
+
+func (p limitedPolicy) Decide(name string) zone.Decision {
+	d := p.Policy.Decide(name)
+	d.MaxMachines = p.machines
+	return d
+}
+
 // TestRestore has a term go on from what the one before stored, though its machines have sent no heartbeats and
 // are not silent for long; and start anew where that cannot be read.
 func TestRestore(t *testing.T) {
