--- a/internal/leader/assignments.go
+++ b/internal/leader/assignments.go
@@ -7,7 +7,7 @@
 
 // assign counts an attempt on its machine, in its job and in its team's use.
 func (l *Leader) assign(a *state.Attempt) {
-	l.recordMoved(a)
+	l.zones.RecordAssigned(a)
 	a.Attach()
 	team := a.Job.Spec.Team
 	l.teamUsage[team] = l.teamUsage[team].Add(a.Job.Need, 1)
@@ -41,7 +41,7 @@
 		reason = a.StopReason
 	}
 	if !job.Ended && !job.Done.Has(a.Index) {
-		l.recordDisplaced(a)
+		l.zones.RecordDisplaced(a)
 		l.recordStop(a, reason)
 		l.replan = true // it waits again
 	}
--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -37,7 +37,7 @@
 		if a.RunningSince != 0 {
 			j.Failures.LongestRun = max(j.Failures.LongestRun, o.at-a.RunningSince)
 		}
-		l.attributeFailure(m, j, o.at)
+		l.quarantine.AttributeFailure(m, j, o.at)
 	case wire.ExitInsufficientResources:
 		// The count of what is free was wrong: wait for the next heartbeats.
 		m.StartBackoffUntil = o.at + noRoomHeartbeats*l.heartbeatInterval
@@ -77,7 +77,7 @@
 func (l *Leader) recordCompletion(o observation) {
 	j, a := o.job, o.attempt
 	j.MarkDone(o.index)
-	l.recordSuccess(o.machine, j, a, o.at)
+	l.quarantine.RecordSuccess(o.machine, j, a, o.at)
 	if a != nil {
 		l.scaler.ObserveCompletion(a, o.at)
 	}
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -21,6 +21,7 @@
 	l.workload = workload.New(l.Settings.Params)
 	l.heartbeatInterval = 8 * micros.Second
 	l.liveness.HeartbeatInterval = l.heartbeatInterval
+	l.zones.HeartbeatInterval = l.heartbeatInterval
 	l.scaler.HeartbeatInterval, l.scaler.Workload = l.heartbeatInterval, l.workload
 	clear(l.jobs)
 	for i := range 31 {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -98,7 +98,7 @@
 // recordHeartbeat notes what a heartbeat says beside the status of tasks.
 func (l *Leader) recordHeartbeat(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
 	m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = r.Incarnation, r.Sequence, r.Address
-	l.checkZone(m, r)
+	l.zones.CheckReportedZone(m, r.Zone)
 	m.Heartbeat.ReceivedAt = now
 	m.Lease.RenewedAt = now
 	m.Heartbeat.InterruptionAt = 0
@@ -125,7 +125,7 @@
 	}
 	m.Delivery.RespondedThisTerm = true
 	if m.Heartbeat.OfThisTerm {
-		l.observeZoneReturn(m, now)
+		l.zones.ObserveReturn(m, now)
 		l.reconcile(m, r, now)
 	} else {
 		// The response may renew the machine's lease, whatever is thought of the heartbeat.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -22,9 +22,11 @@
 	"caperlatch/internal/leader/fleet"
 	"caperlatch/internal/leader/liveness"
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/leader/taskquery"
 	"caperlatch/internal/leader/workload"
+	"caperlatch/internal/leader/zoning"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
@@ -60,8 +62,8 @@
 	Followers        Followers
 	FailoverProgress FailoverProgress
 	PreviousTerm     *standby.View // of the term before, if one was followed
-	// Zones decides on zones; nil: the default policy.
-	Zones zone.Policy
+	// ZonePolicy decides on zones; nil: the default policy.
+	ZonePolicy zone.Policy
 	// IsIsolated tells whether this node hears neither the state service nor most of its peers;
 	// nil: it is not known.
 	IsIsolated func() bool
@@ -87,8 +89,10 @@
 	termLostOnce sync.Once
 
 	jobState
-	fleet  *fleet.Fleet       // machines, and launches and terminations
-	scaler *autoscaler.Scaler // how many machines there are to be
+	fleet      *fleet.Fleet           // machines, and launches and terminations
+	scaler     *autoscaler.Scaler     // how many machines there are to be
+	quarantine *quarantine.Quarantine // whether failures speak against machines or jobs
+	zones      *zoning.Zones          // what the policy on zones comes to
 	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
 	rejectedTypes *wire.InstanceTypeList
 	planState
@@ -99,7 +103,6 @@
 	taskQueries *taskquery.Queries   // queries of machines for their tasks after a failover
 	liveness    *liveness.Monitor    // which machines are silent, and since when
 	standbyState
-	zoneState
 
 	// What is shown to users and written to the log.
 	taskCounts   map[string][2]int // see AllTaskCounts
@@ -162,10 +165,11 @@
 	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
-	l.zoneState = newZoneState(c.Zones)
 	l.taskQueries = l.newTaskQueries()
+	l.zones = l.newZones()
 	l.liveness = l.newMonitor()
 	l.scaler = l.newScaler()
+	l.quarantine = l.newQuarantine()
 	return l
 }
 
@@ -330,7 +334,7 @@
 	if err := l.restoreAutoscaler(now); err != nil {
 		return err
 	}
-	l.restoreZones(now)
+	l.zones.Restore(now)
 	l.usePreviousTerm()
 	l.scaler.StepPools(now)
 	l.ready = true
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"caperlatch/internal/leader/liveness"
+	"caperlatch/internal/leader/quarantine"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 )
@@ -18,7 +19,7 @@
 		LeaseRenewalWindow:      workers.LeaseRenewalWindow(),
 		CancellationTimeout:     workers.CancellationTimeout(),
 		EarlierTermsFencedSince: l.Term.EarlierTermsFencedSince,
-		KeepsSilent:             func(zone string) bool { return l.policy.Decide(zone).KeepSilent },
+		KeepsSilent:             func(zone string) bool { return l.zones.Policy.Decide(zone).KeepSilent },
 		Fleet:                   l.fleet,
 		Queries:                 l.taskQueries,
 	})
@@ -26,7 +27,7 @@
 
 // superviseMachines acts on silence, interruption notices and stops that take too long.
 func (l *Leader) superviseMachines(now micros.Micros) {
-	l.observeZones(now)
+	l.zones.Observe(now)
 	l.fleet.CheckBoots(now)
 	l.liveness.CountUnknown()
 	for _, m := range slices.Clone(l.fleet.Sorted) {
@@ -69,7 +70,7 @@
 	switch {
 	case m.DrainReason != "" && len(m.Attempts) == 0 && m.TasksKnown():
 		return m.DrainReason
-	case m.DrainReason == drainFaulty && now-m.Quarantine.Since > faultyDrainHeartbeats*l.Settings.Params.Workers.HeartbeatInterval():
+	case m.DrainReason == quarantine.DrainReason && now-m.Quarantine.Since > faultyDrainHeartbeats*l.Settings.Params.Workers.HeartbeatInterval():
 		// What still runs there had time to save a checkpoint and would fail as well. A next leader
 		// would have to find the fault anew.
 		return m.DrainReason
--- a/internal/leader/liveness/delivery.go
+++ b/internal/leader/liveness/delivery.go
@@ -6,10 +6,6 @@
 	"caperlatch/internal/wire"
 )
 
-// MaxLostResponses is how many responses in a row must have been lost before a machine is taken for one that
-// receives none.
-const MaxLostResponses = 3
-
 const (
 	// backoffLostResponses is from how many lost responses in a row on starts are held back. One may get lost.
 	backoffLostResponses = 2
--- a/internal/leader/liveness/liveness.go
+++ b/internal/leader/liveness/liveness.go
@@ -45,18 +45,12 @@
 
 // Silence is for how long a machine has sent no heartbeat in this term.
 func (o *Monitor) Silence(m *state.Machine, now micros.Micros) micros.Micros {
-	return now - max(m.Heartbeat.ReceivedAt, o.TermStartedAt)
-}
-
-// heartbeatDelay is how long the heartbeat of a live worker takes at most: it sends one within five quarters
-// of the usual time.
-func (o *Monitor) heartbeatDelay() micros.Micros {
-	return o.HeartbeatInterval + o.HeartbeatInterval/4
+	return m.Silence(o.TermStartedAt, now)
 }
 
 // IsHeartbeatLate reports whether a machine's heartbeat is overdue.
 func (o *Monitor) IsHeartbeatLate(m *state.Machine, now micros.Micros) bool {
-	return o.Silence(m, now) > o.heartbeatDelay()+micros.Second
+	return o.Silence(m, now) > state.HeartbeatTimeout(o.HeartbeatInterval)
 }
 
 // leaseMargin is kept free beside the drift of clocks.
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -11,9 +11,9 @@
 	UnresponsiveLimit = 4 * micros.Second
 	// minFailedQueries is after how many queries in vain a machine counts as unresponsive.
 	minFailedQueries = 2
-	// heartbeatMargin is allowed beside the delay of a live worker's heartbeat, and nodeChangeTime where the
+	// heartbeatMargin is allowed beside the timeout of a live worker's heartbeat, and nodeChangeTime where the
 	// worker may have to give a node up before (4 s, and a pause of 1 s).
-	heartbeatMargin = 2 * micros.Second
+	heartbeatMargin = micros.Second
 	nodeChangeTime  = 5 * micros.Second
 	// Parts of the fleet whose tasks are unknown: one in mostDivisor at most is little enough for
 	// UnresponsiveLimit, one in fewDivisor for no allowance of nodeChangeTime.
@@ -36,7 +36,7 @@
 	}
 	// Jobs of earlier terms wait for these, so a machine or two is the smaller loss. A live worker sends a
 	// heartbeat within five quarters of the usual time; it may have to give a node up before.
-	late := o.heartbeatDelay() + heartbeatMargin
+	late := state.HeartbeatTimeout(o.HeartbeatInterval) + heartbeatMargin
 	unresponsive := m.Reconciliation.FailedQueries >= minFailedQueries
 	fleetSize := len(o.Fleet.Sorted)
 	if unresponsive && o.Queries.MostOfZoneRespond(m.Offering.Zone) && mostDivisor*o.unknownCount <= fleetSize {
@@ -66,7 +66,7 @@
 		return "silent"
 	case i.Running && o.seemsReclaimed(m, now):
 		return "silent and no longer listed"
-	case m.Delivery.LostResponses >= MaxLostResponses && now-m.Delivery.LosingSince > o.silenceLimit(m) && (!kept() || leaseExpired):
+	case m.LosesResponses() && now-m.Delivery.LosingSince > o.silenceLimit(m) && (!kept() || leaseExpired):
 		return "it hears nothing"
 	case o.isStuckInBoot(m, now):
 		o.Fleet.RecordStuckBoot()
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -220,7 +220,7 @@
 	wall := micros.Wall()
 	var entries []queueEntry
 	for _, j := range l.jobs {
-		l.liftQuarantine(j, now)
+		l.quarantine.ReviewJob(j, now)
 		n := j.StartableTasks(now)
 		if n <= 0 || l.mustAwaitReconciliation(j, unresolved) {
 			continue
@@ -256,9 +256,9 @@
 	w := &placement.Job{
 		ID:       s.ID,
 		Team:     s.Team,
-		OnlyZone: l.onlyZone(j),
+		OnlyZone: l.zones.OnlyZone(j),
 		Standing: placement.Standing{
-			EvacuationRank:  l.evacuationRank(j),
+			EvacuationRank:  l.zones.EvacuationRank(j),
 			WithinGuarantee: covered,
 			Priority:        j.Priority,
 		},
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -62,7 +62,7 @@
 		return
 	}
 	if a != nil && a.Number == t.Attempt && a.ReportedState == "" && a.StartSequence != 0 {
-		l.zoneCounters(m).startsSeen++
+		l.zones.RecordStartSeen(m)
 	}
 	id, index, err := state.ParseTaskID(t.TaskID)
 	j := l.jobs[id]
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -57,7 +57,7 @@
 	case strings.HasPrefix(key, replica.ProgressPrefix):
 		return l.encodeProgress(w)
 	case key == replica.ZonesKey:
-		return l.encodeZones(w)
+		return l.zones.EncodeRecord(w)
 	case key == replica.AutoscalerKey:
 		w.Value = l.autoscalerRecord(micros.Now())
 		return w, true
--- a/node.go
+++ b/node.go
@@ -255,7 +255,7 @@
 		FencingToken:      t.FencingToken,
 		LeaderKeyRevision: t.LeaderKeyRevision,
 		WorkerClient:      &http.Client{Transport: n.network.WorkerTransport},
-		Zones:             newZonePolicy(n.features.Zones),
+		ZonePolicy:        newZonePolicy(n.features.Zones),
 		IsIsolated:        n.contact.isIsolated,
 	}
 	if n.standby != nil {
