--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -21,7 +21,7 @@
 		HeartbeatInterval: l.heartbeatInterval,
 		TeamUse:           l.worstCaseTeamUse,
 		AwaitsReconciliation: func() func(*state.Job) bool {
-			unknown := l.unknownMachinesNow()
+			unknown := l.findUnknownMachines()
 			return func(j *state.Job) bool { return l.mustAwaitReconciliation(j, unknown) }
 		},
 		ReplacedMachines: l.zones.ReplacedMachines,
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -108,7 +108,7 @@
 func (l *Leader) waitReasons(j *state.Job) (why []string) {
 	now := micros.Now()
 	teams := l.worstCaseTeamUse()
-	if u := l.unknownMachinesNow(); l.mustAwaitReconciliation(j, u) {
+	if u := l.findUnknownMachines(); l.mustAwaitReconciliation(j, u) {
 		why = append(why, fmt.Sprintf("%d machines' tasks are not known yet after the take-over", u.count+l.countUnconfirmed()))
 	}
 	if f := j.DescribeFailures(now); f != "" && !j.HasSucceeded() {
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -256,7 +256,7 @@
 	if !l.ready {
 		return
 	}
-	unresolved := l.unknownMachinesNow()
+	unresolved := l.findUnknownMachines()
 	for _, j := range state.Gangs(l.jobs) {
 		if j.DoneCount > 0 {
 			continue
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -102,7 +102,7 @@
 	writes      *persist.Queue       // what is to be stored
 	taskQueries *taskquery.Queries   // queries of machines for their tasks after a failover
 	liveness    *liveness.Monitor    // which machines are silent, and since when
-	standbyState
+	failoverState
 
 	// What is shown to users and written to the log.
 	taskCounts   map[string][2]int // see AllTaskCounts
@@ -335,7 +335,7 @@
 		return err
 	}
 	l.zones.Restore(now)
-	l.usePreviousTerm()
+	l.restoreFromPreviousTerm()
 	l.scaler.StepPools(now)
 	l.ready = true
 	l.replan = true
@@ -364,7 +364,7 @@
 			l.mu.Unlock()
 			continue
 		}
-		l.reportTasksKnown()
+		l.recordTasksKnown()
 		if now-watched >= 200*micros.Millisecond {
 			watched = now
 			l.superviseMachines(now)
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -215,7 +215,7 @@
 // may have started waits until no machine's tasks are unknown.
 func (l *Leader) newQueue(now micros.Micros) queue {
 	teams := l.worstCaseTeamUse()
-	unresolved := l.unknownMachinesNow()
+	unresolved := l.findUnknownMachines()
 	covered := l.workload.JobsWithinGuarantee(l.jobs)
 	wall := micros.Wall()
 	var entries []queueEntry
--- a/internal/leader/queue_test.go
+++ b/internal/leader/queue_test.go
@@ -52,7 +52,7 @@
 // TestWorstCaseTeamUse counts what machines with unknown tasks could hold.
 func TestWorstCaseTeamUse(t *testing.T) {
 	l, _ := newTestLeader(t)
-	if teams, unknown := l.worstCaseTeamUse(), l.unknownMachinesNow().count; unknown != 1 || teams["blue"].Used.CPU != 4000 {
+	if teams, unknown := l.worstCaseTeamUse(), l.findUnknownMachines().count; unknown != 1 || teams["blue"].Used.CPU != 4000 {
 		t.Errorf("%d machines with unknown tasks, used %+v; want all 4 CPUs of the one machine", unknown, teams["blue"].Used)
 	}
 	l.fleet.Machines["i-1"].Reconciliation.Knowledge = state.TasksConfirmed
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -76,7 +76,7 @@
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
-			l.usePreviousTerm()
+			l.restoreFromPreviousTerm()
 			a, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 			if err != nil {
 				t.Fatal(err)
@@ -110,7 +110,7 @@
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
-			l.usePreviousTerm()
+			l.restoreFromPreviousTerm()
 			if !slices.Equal(l.fleet.TerminationQueue(), tc.want) {
 				t.Errorf("to be returned: %v, want %v", l.fleet.TerminationQueue(), tc.want)
 			}
@@ -125,7 +125,7 @@
 	l, term := newTestLeader(t)
 	withSecond(l)
 	l.PreviousTerm = handedView()
-	l.usePreviousTerm()
+	l.restoreFromPreviousTerm()
 	m := l.fleet.Machines["i-1"]
 	if over := l.liveness.LeaseExpiry(m); over < l.startedAt+l.leaseDuration {
 		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.startedAt).Duration(), l.leaseDuration.Duration())
@@ -160,7 +160,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l, _ := newTestLeader(t)
 			l.PreviousTerm = handedView()
-			l.usePreviousTerm()
+			l.restoreFromPreviousTerm()
 			m := l.fleet.Machines["i-1"]
 			if m.LikelyIncarnation() != 4 {
 				t.Errorf("it is asked in session %d", m.LikelyIncarnation())
@@ -189,7 +189,7 @@
 	m := withSecond(l)
 	l.jobs["j-000001"].Spec.Kind = wire.KindGang
 	l.PreviousTerm = handedView()
-	l.usePreviousTerm()
+	l.restoreFromPreviousTerm()
 	a, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 	if err != nil || len(a.Commands) > 0 {
 		t.Errorf("told %v (%v) before the gang's machine has confirmed", commandNames(a), err)
@@ -233,11 +233,11 @@
 			m.Reconciliation.Knowledge = taskKnowledge(tc.allResolved)
 			j := l.jobs["j-000001"]
 			tc.edit(j)
-			if got := l.mustAwaitReconciliation(j, l.unknownMachinesNow()); got != tc.cold {
+			if got := l.mustAwaitReconciliation(j, l.findUnknownMachines()); got != tc.cold {
 				t.Errorf("without the standby it waits: %v", got)
 			}
 			l.Followers = &fakeFollowers{}
-			if got := l.mustAwaitReconciliation(j, l.unknownMachinesNow()); got != tc.warm {
+			if got := l.mustAwaitReconciliation(j, l.findUnknownMachines()); got != tc.warm {
 				t.Errorf("with the standby it waits: %v", got)
 			}
 		})
@@ -433,7 +433,7 @@
 	l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
 	l.PreviousTerm = handedView()
 	l.PreviousTerm.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
-	l.usePreviousTerm()
+	l.restoreFromPreviousTerm()
 	r := heartbeat(1, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
 	r.Incarnation = 4
 	a, err := l.HandleHeartbeat(r)
