--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -104,7 +104,7 @@
 		if now := micros.Now(); c.done && now > l.leaseExpiry(m) {
 			t.Errorf("%s: its lease counts as over", c.name)
 		}
-		l.plannedAt = 0
+		l.scheduler.PlannedAt = 0
 		a, err := l.HandleHeartbeat(c.report)
 		if got := verbs(a); err != nil || !slices.Equal(got, c.want) {
 			t.Errorf("%s: told %v (%v), want %v", c.name, got, err, c.want)
--- /dev/null
+++ b/internal/leader/autoscaler/scalein_test.go
@@ -0,0 +1,41 @@
+package autoscaler
+
+import (
+	"fmt"
+	"testing"
+
+	"caperlatch/internal/leader/state"
+)
+
+// TestRejectDelayTolerant has best-effort tasks on on-demand machines that no other work wants: no more of them
+// start there. What others use, or wait for, stays open to all.
+func TestRejectDelayTolerant(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		priorities   []int // of a task on each machine
+		wanted, need float64
+		rejecting    int
+	}{
+		{"no other work", []int{0, 0, 0}, 0, 0, 3},
+		{"one machine holds other work", []int{0, 1, 0}, 0, 0, 2},
+		{"the formula wants two machines", []int{0, 0, 0}, 2, 0, 1},
+		{"other work waits", []int{0, 0, 0}, 0, 1, 0},
+	} {
+		s := newTest(t, len(c.priorities))
+		for i, priority := range c.priorities {
+			j := newJob(fmt.Sprintf("j-00030%d", i), 1)
+			j.Priority = priority
+			(&state.Attempt{Job: j, Machine: s.Fleet.Sorted[i]}).Attach()
+		}
+		s.RejectDelayTolerant(s.Type("m4"), c.wanted, c.need)
+		rejecting := 0
+		for _, m := range s.Fleet.Sorted {
+			if m.RejectsDelayTolerant {
+				rejecting++
+			}
+		}
+		if rejecting != c.rejecting {
+			t.Errorf("%s: %d machines reject delay-tolerant jobs, want %d", c.name, rejecting, c.rejecting)
+		}
+	}
+}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -92,9 +92,9 @@
 				reports[id] = r
 			}
 			if round == 2 && i == 0 {
-				l.plan(micros.Now())
+				l.scheduler.Plan(micros.Now())
 			}
-			l.plannedAt = micros.Now() + micros.Second
+			l.scheduler.PlannedAt = micros.Now() + micros.Second
 			benchReport(b, l, r)
 		}
 	}
@@ -133,7 +133,7 @@
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.plannedAt = micros.Now() + micros.Second
+			l.scheduler.PlannedAt = micros.Now() + micros.Second
 			benchReport(b, l, reports[benchMachine(i%machines)])
 			i++
 		}
@@ -154,7 +154,7 @@
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.plan(micros.Now())
+			l.scheduler.Plan(micros.Now())
 		}
 	})
 }
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -11,7 +11,6 @@
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
-	"caperlatch/placement"
 )
 
 // Bounds of the memory for notes, and of what is shown of one job. A zone with half of 4,000
@@ -131,8 +130,8 @@
 			why = append(why, fmt.Sprintf("its gang was ended, and %d tasks are not gone yet", len(j.Attempts)))
 		case len(j.Attempts) > 0:
 			why = append(why, fmt.Sprintf("%d of its gang's tasks have their places; it is completed under the same attempt", len(j.Attempts)))
-		case l.reservations[j.Spec.ID] != nil && len(l.reservations[j.Spec.ID].Machines) > 0:
-			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", len(l.reservations[j.Spec.ID].Machines)))
+		case l.scheduler.ReservedMachines(j.Spec.ID) > 0:
+			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", l.scheduler.ReservedMachines(j.Spec.ID)))
 		}
 	}
 	if !l.Term.IsExclusive() {
@@ -141,14 +140,11 @@
 	if len(why) > 0 {
 		return why
 	}
-	machines, _ := l.schedulableMachines(now, placement.Resources{})
-	for i := range machines {
-		if machines[i].Free.Fits(j.Need) && !machines[i].ZoneBoundOnly {
-			if j.IsGang() {
-				return append(why, "there is room for single tasks, not for the whole gang where it may run")
-			}
-			return append(why, "it starts at a machine's next report, or its zone rules leave no room")
-		}
+	switch hasRoom := l.scheduler.HasRoomFor(j.Need, now); {
+	case hasRoom && j.IsGang():
+		return append(why, "there is room for single tasks, not for the whole gang where it may run")
+	case hasRoom:
+		return append(why, "it starts at a machine's next report, or its zone rules leave no room")
 	}
 	coming := 0
 	for _, m := range l.fleet.Machines {
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -58,7 +58,7 @@
 			l.evaluateMachine(other, now)
 		}
 	}
-	l.replan = true
+	l.scheduler.RequestPlan()
 }
 
 // attributeFailure decides whether a failure speaks against the machine or the job.
@@ -157,7 +157,7 @@
 	m.Quarantine.Since = now
 	for _, a := range m.Attempts {
 		if a.Job.IsGang() {
-			l.evictGangTask(a, state.CheckpointGrace(a.Job), "its machine is faulty", now)
+			l.gangs.EvictTask(a, state.CheckpointGrace(a.Job), "its machine is faulty", now)
 		} else if a.Job.Spec.CheckpointIntervalS > 0 {
 			l.stopTask(a, micros.FromSeconds(a.Job.Spec.CheckpointDurationS), "its machine is faulty")
 		}
@@ -177,7 +177,7 @@
 			// It may have met bad machines only: it is judged anew, at once.
 			j.Failures.Quarantined, j.Failures.BackoffRounds, j.Failures.SoleMachineTries, j.BackoffUntil = false, 0, 0, 0
 			l.scaler.RestoreDemand(j, now)
-			l.replan = true
+			l.scheduler.RequestPlan()
 		}
 	}
 }
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -168,7 +168,7 @@
 			t.Fatalf("%s: not put aside", c.name)
 		}
 		l.fleet.Machines["i-1"].Heartbeat.ReceivedAt = now + c.report
-		l.newQueue(now + c.report)
+		l.scheduler.Plan(now + c.report)
 		if j.Failures.Quarantined != c.atFault {
 			t.Errorf("%s: at fault %v, want %v", c.name, j.Failures.Quarantined, c.atFault)
 		}
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -46,8 +46,15 @@
 
 // tellTasks has a machine report tasks given as "number state" or "number state cause",
 // the attempt behind an @ if it is another, and a dot for the task that the leader has
-// there. It returns what it is told.
+// there. It returns what it is told, by a new plan if one is needed.
 func tellTasks(t *testing.T, l *Leader, machine string, tasks ...string) []string {
+	t.Helper()
+	l.scheduler.PlannedAt = 0
+	return tellTasksBetweenPlans(t, l, machine, tasks...)
+}
+
+// tellTasksBetweenPlans is the same without a new plan, unless one is due.
+func tellTasksBetweenPlans(t *testing.T, l *Leader, machine string, tasks ...string) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
 	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: nil}
@@ -71,7 +78,6 @@
 		}
 		r.Tasks = append(r.Tasks, x)
 	}
-	l.plannedAt = 0
 	a, err := l.HandleHeartbeat(r)
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +107,8 @@
 func tellPlain(t *testing.T, l *Leader, machine string, tasks ...wire.TaskStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
-	l.replan, l.plannedAt = true, 0
+	l.scheduler.RequestPlan()
+	l.scheduler.PlannedAt = 0
 	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +120,7 @@
 func leave(l *Leader, machine string) {
 	a := taskOn(l, machine)
 	a.Machine.DrainReason = "test"
-	l.evictGangTask(a, state.CheckpointGrace(a.Job), "test", micros.Now())
+	l.gangs.EvictTask(a, state.CheckpointGrace(a.Job), "test", micros.Now())
 }
 
 // launchGang has the gang's tasks started on three machines, and reported with a state
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -21,6 +21,8 @@
 	l.workload = workload.New(l.Settings.Params)
 	l.heartbeatInterval = 8 * micros.Second
 	l.scaler.HeartbeatInterval, l.scaler.Workload = l.heartbeatInterval, l.workload
+	l.scheduler.HeartbeatInterval, l.scheduler.Workload = l.heartbeatInterval, l.workload
+	l.gangs.HeartbeatInterval = l.heartbeatInterval
 	clear(l.jobs)
 	for i := range 31 {
 		l.fleet.Add(fmt.Sprintf("i-%d", 10+i), l.fleet.Intent("r-1"), l.startedAt)
@@ -112,7 +114,7 @@
 		t.Fatal("nothing is reserved")
 	}
 	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
-	l.plannedAt = 0
+	l.scheduler.PlannedAt = 0
 	for _, m := range l.fleet.Sorted {
 		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}); err != nil {
 			t.Fatal(err)
@@ -190,34 +192,3 @@
 		}
 	}
 }
-
-// TestRaiseMeans has a leader of two types know, after a take-over, what their machines
-// hold. Tasks run on other types than those their demand was counted for, so only what is
-// held beyond all means raises them.
-func TestRaiseMeans(t *testing.T) {
-	for _, c := range []struct {
-		name        string
-		small, wide float64 // their means
-		held        int     // tasks of one CPU on machines of four
-		want, other float64
-	}{
-		{"less is held than known", 10, 0, 20, 10, 0},
-		{"more is held", 2, 0, 20, 5, 0},
-		{"the other type's mean is of the same demand", 2, 2, 20, 2, 2},
-		{"and does not explain all", 2, 1, 20, 3, 1},
-	} {
-		l := newReserveTest(t)
-		l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{
-			{Name: "m4", CPUs: 4, MemoryGB: 16, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}},
-			{Name: "m8", CPUs: 8, MemoryGB: 32, ImagePullGBPerS: 1, OnDemandPrice: 3, SpotPrice: 3, Zones: []string{"a"}}}})
-		array := addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
-		for n := range c.held {
-			l.assign(&state.Attempt{Job: array, Index: n, Number: 1, Machine: l.fleet.Sorted[n/4]})
-		}
-		l.scaler.Type("m4").Mean, l.scaler.Type("m8").Mean = c.small, c.wide
-		l.scaler.RaiseMeans()
-		if got, other := l.scaler.Type("m4").Mean, l.scaler.Type("m8").Mean; got != c.want || other != c.other {
-			t.Errorf("%s: means of %v and %v, want %v and %v", c.name, got, other, c.want, c.other)
-		}
-	}
-}
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -41,7 +41,7 @@
 			tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". running")
 		}
 		c.edit(l, l.fleet.Machines["i-2"])
-		stopped := l.stopGangIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
+		stopped := l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
 		n := 0
 		for _, a := range j.Attempts {
 			if a.StopRequestedAt != 0 && a.GracePeriod >= 3*micros.Second {
@@ -113,7 +113,7 @@
 	}{
 		{"nothing", func(*testing.T, *Leader) {}, 3 * micros.Second},
 		{"it is stopped again for other work", func(_ *testing.T, l *Leader) {
-			l.stopGangIfReachable(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test", micros.Now())
+			l.gangs.StopIfReachable(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test", micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is taken after a short notice", func(_ *testing.T, l *Leader) {
 			l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
@@ -141,11 +141,11 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskRunning)
 		j := l.jobs["j-000002"]
-		if !l.stopGangIfReachable(j, state.CheckpointGrace(j), "test", micros.Now()) {
+		if !l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now()) {
 			t.Fatalf("%s: it can't be stopped", c.name)
 		}
 		c.event(t, l)
-		l.checkGangs(micros.Now())
+		l.gangs.Check(micros.Now())
 		for _, a := range j.Attempts {
 			if a.StopRequestedAt == 0 || a.GracePeriod < c.least || c.least == 0 && a.GracePeriod != 0 {
 				t.Errorf("%s: task %d has %v to save, want %v", c.name, a.Index, a.GracePeriod.Duration(), c.least.Duration())
@@ -164,51 +164,51 @@
 		return func(t *testing.T, l *Leader) { launchGang(t, l, state) }
 	}
 	cases := []struct {
-		name   string
-		before func(t *testing.T, l *Leader)
-		stops  int
+		name        string
+		before      func(t *testing.T, l *Leader)
+		stops       int
+		earlierTerm bool // its job is of one
 	}{
-		{"nothing of it is placed", func(*testing.T, *Leader) {}, 0},
-		{"one start is sent", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, 1},
-		{"all starts are sent", launched(""), 3},
-		{"it fetches", launched(wire.TaskPullingImage), 3},
-		{"it waits", launched(wire.TaskWaitingForGang), 3},
-		{"it runs", launched(wire.TaskRunning), 3},
+		{"nothing of it is placed", func(*testing.T, *Leader) {}, 0, false},
+		{"one start is sent", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, 1, false},
+		{"all starts are sent", launched(""), 3, false},
+		{"it fetches", launched(wire.TaskPullingImage), 3, false},
+		{"it waits", launched(wire.TaskWaitingForGang), 3, false},
+		{"it runs", launched(wire.TaskRunning), 3, false},
 		{"it waits for a replacement", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			leave(l, "i-2")
 			tellTasks(t, l, "i-2", ". ended stopped")
-		}, 2},
+		}, 2, false},
 		{"it has a place for a replacement", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			leave(l, "i-2")
 			addUp(l, "i-4", "a")
 			tellTasks(t, l, "i-2", ". ended stopped")
-		}, 2},
+		}, 2, false},
 		{"it saves", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.endGangAttempt(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test")
+			l.gangs.EndAttempt(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test")
 			tellTasks(t, l, "i-1", ". flushing")
-		}, 3},
+		}, 3, false},
 		{"one of it is gone, and it ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Remove(l.fleet.Machines["i-2"])
-		}, 2},
+		}, 2, false},
 		{"one of it hangs, and its machine is to be returned", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Terminate(l.fleet.Machines["i-2"], "test")
-		}, 3},
+		}, 3, false},
 		{"it is done, which is not stored", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			tellTasks(t, l, "i-2", ". ended done")
-		}, 2},
+		}, 2, false},
 		{"a new leader has heard of one task", func(t *testing.T, l *Leader) {
-			*l = *newGangTest(t, true)
 			tellTasks(t, l, "i-1", "0@5 waiting")
-		}, 1},
+		}, 1, true},
 	}
 	for _, c := range cases {
-		l := newGangTest(t, false)
+		l := newGangTest(t, c.earlierTerm)
 		c.before(t, l)
 		j := l.jobs["j-000002"]
 		l.Replica.ApplyPut(replica.JobPrefix+j.Spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.Spec}, 9)
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -141,13 +141,13 @@
 	for _, a := range j.Attempts {
 		a.StartedAt = late
 	}
-	l.checkGangs(micros.Now())
+	l.gangs.Check(micros.Now())
 	if j.WaitingTasks() != 1 || j.Gang.Number != token<<32|1 {
 		t.Errorf("%d wait for another place, attempt %d", j.WaitingTasks(), j.Gang.Number)
 	}
 	// It waits too long: all is given back.
 	j.Gang.WaitingSince = micros.Now() - 15*micros.Second
-	l.checkGangs(micros.Now())
+	l.gangs.Check(micros.Now())
 	n := 0
 	for _, a := range j.Attempts {
 		if a.StopRequestedAt != 0 && !a.Reserved && a.GracePeriod >= state.CheckpointGrace(j) { // it may run unseen
@@ -181,7 +181,7 @@
 		}
 		return n
 	}
-	l.plan(now)
+	l.scheduler.Plan(now)
 	if gathered() != 3 {
 		t.Fatalf("%d machines are gathered", gathered())
 	}
@@ -194,13 +194,12 @@
 	if small.Spec.Priority = "normal"; len(tellTasks(t, l, "i-1")) != 0 {
 		t.Error("the room that is gathered went to another")
 	}
-	g := l.reservations["j-000002"]
-	g.ExpiresAt = micros.Now()
-	l.checkGangs(micros.Now())
+	m.Reservation.ExpiresAt = micros.Now()
+	l.gangs.Check(micros.Now())
 	if gathered() != 0 {
 		t.Error("it is gathered for ever")
 	}
-	if l.plan(micros.Now()); gathered() != 0 {
+	if l.scheduler.Plan(micros.Now()); gathered() != 0 {
 		t.Error("it is gathered again at once")
 	}
 }
@@ -256,13 +255,13 @@
 		for _, m := range l.fleet.Sorted {
 			m.StartBackoffUntil = later
 		}
-		l.plan(micros.Now())
+		l.scheduler.Plan(micros.Now())
 		for _, m := range l.fleet.Sorted {
 			m.StartBackoffUntil = 0
 		}
 		c.between(l)
-		l.planDuration = micros.Now() // no other plan for long
-		got := tellTasks(t, l, c.machine, c.tasks...)
+		l.scheduler.PlannedAt = micros.Now() + 3600*micros.Second // no other plan for long
+		got := tellTasksBetweenPlans(t, l, c.machine, c.tasks...)
 		for i := range got {
 			got[i], _, _ = strings.Cut(got[i], " ")
 		}
@@ -338,9 +337,9 @@
 		{"one of it is nowhere, which is known when all machines are", "old", []step{
 			{nil, "i-1", []string{"0@5 running"}, nil},
 			{nil, "i-2", []string{"1@5 running"}, nil},
-			{func(l *Leader) { l.checkGangs(micros.Now()) }, "i-1", []string{"0@5 running"}, nil},
+			{func(l *Leader) { l.gangs.Check(micros.Now()) }, "i-1", []string{"0@5 running"}, nil},
 			{nil, "i-3", nil, nil},
-			{func(l *Leader) { l.checkGangs(micros.Now()) }, "i-1", []string{"0@5 running"}, []string{"stop"}}}},
+			{func(l *Leader) { l.gangs.Check(micros.Now()) }, "i-1", []string{"0@5 running"}, []string{"stop"}}}},
 		{"one gave an earlier attempt up", "old", []step{
 			{nil, "i-2", []string{"1@5 ended peers"}, []string{"clear"}},
 			{nil, "i-1", []string{"0@6 running"}, nil},
@@ -425,7 +424,9 @@
 		if held := m.Attempts[state.TaskID(j.Spec.ID, a.Index)] == a; held == c.gone {
 			t.Errorf("%s: its task counts as being there: %t", c.name, held)
 		}
-		m.StartBackoffUntil, l.replan, l.plannedAt = micros.Now()+100*micros.Second, true, 0
+		m.StartBackoffUntil = micros.Now() + 100*micros.Second
+		l.scheduler.RequestPlan()
+		l.scheduler.PlannedAt = 0
 		if b := j.Attempts[a.Index]; b != a && b != nil && b.Machine == m {
 			continue // it is started on the same machine again
 		}
@@ -503,7 +504,7 @@
 		{"it runs", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskRunning) }, false},
 		{"it is stopped", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.endGangAttempt(l.jobs["j-000002"], 0, "test")
+			l.gangs.EndAttempt(l.jobs["j-000002"], 0, "test")
 		}, false},
 		{"it is cancelled, and not gone", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
@@ -604,7 +605,7 @@
 	name := state.TaskID(j.Spec.ID, a.Index)
 	ended := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token,
 		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
-	l.plannedAt = 0
+	l.scheduler.PlannedAt = 0
 	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
 		t.Fatalf("told %v (%v), want the start again", answer.Commands, err)
 	}
--- /dev/null
+++ b/internal/leader/gangs/stop.go
@@ -0,0 +1,85 @@
+package gangs
+
+import (
+	"maps"
+	"slices"
+
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+)
+
+// Reasons of stops. They are shown to users: their texts do not change.
+const (
+	reasonTaskLost       = "another task of its gang is gone"
+	reasonIncomplete     = "its gang was not complete in time"
+	reasonBeingStopped   = "its gang is being stopped"
+	reasonEarlierLeader  = "an earlier leader stopped its gang"
+	reasonSuperseded     = "a later attempt of its gang is there"
+	reasonMachineDrained = "one of its gang's machines is given up"
+)
+
+// StopIfReachable stops all tasks of a gang, with time to save, and reports whether it did. It does so only if
+// all of them should get the command in time: a gang of which only a part is stopped falls back to its
+// last checkpoint, so one of which not all tasks can be reached is left alone, and loses no more.
+func (c *Coordinator) StopIfReachable(j *state.Job, grace micros.Micros, reason string, now micros.Micros) bool {
+	if !j.Gang.Ending && !c.areAllReachable(j, now) {
+		return false
+	}
+	c.EndAttempt(j, grace, reason)
+	return true
+}
+
+// EvictTask has a gang's task leave a machine that is drained. One that waits for the others is replaced; once
+// they run, all stop, if that saves their work. It may run unseen already: then it saves, and its
+// heartbeats show that. One that waits exits at once all the same.
+func (c *Coordinator) EvictTask(a *state.Attempt, grace micros.Micros, reason string, now micros.Micros) {
+	switch {
+	case !a.Job.Gang.Started && a.StopRequestedAt == 0:
+		c.Stop(a, grace, reason)
+	case a.Job.Spec.CheckpointIntervalS > 0 && a.StopRequestedAt == 0:
+		c.StopIfReachable(a.Job, grace, reason, now)
+	}
+}
+
+// areAllReachable reports whether all tasks of a gang should get a command to stop in time.
+func (c *Coordinator) areAllReachable(j *state.Job, now micros.Micros) bool {
+	if !c.Term.IsExclusive() {
+		return false
+	}
+	for _, a := range j.Attempts {
+		m := a.Machine
+		if m.Instance.Terminating || m.Delivery.LostResponses > 0 || m.Instance.Address == "" ||
+			!c.IsZoneReachable(m.Offering.Zone) || c.IsHeartbeatLate(m, now) {
+			return false
+		}
+	}
+	return true
+}
+
+// EndAttempt ends a gang's attempt: tasks whose start was not sent are released, and the machines of the
+// others are called at once. The next attempt begins when all tasks are gone.
+func (c *Coordinator) EndAttempt(j *state.Job, grace micros.Micros, reason string) {
+	j.Gang.Ending = true
+	stops := map[*state.Machine][]*state.Attempt{}
+	for _, index := range slices.Sorted(maps.Keys(j.Attempts)) {
+		if a := j.Attempts[index]; a != nil && c.MarkStopping(a, grace, reason) {
+			stops[a.Machine] = append(stops[a.Machine], a)
+		}
+	}
+	for m, attempts := range stops {
+		c.SendStops(m, attempts)
+	}
+	if len(j.Attempts) == 0 {
+		j.Gang = state.GangAttempt{}
+	}
+}
+
+// NonPreemptible finds the gangs that must not be stopped for other work: those not all of whose tasks run
+// yet, and those not all of whose tasks can be reached.
+func (c *Coordinator) NonPreemptible(now micros.Micros) map[*state.Job]bool {
+	nonPreemptible := map[*state.Job]bool{}
+	for _, j := range state.Gangs(c.Jobs) {
+		nonPreemptible[j] = !j.Gang.Started || j.DoneCount > 0 || !c.areAllReachable(j, now)
+	}
+	return nonPreemptible
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -20,7 +20,9 @@
 	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/eventlog"
 	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/gangs"
 	"caperlatch/internal/leader/persist"
+	"caperlatch/internal/leader/scheduler"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/leader/workload"
 	"caperlatch/internal/micros"
@@ -90,11 +92,11 @@
 	scaler       *autoscaler.Scaler // how many machines there are to be
 	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
 	rejectedTypes *wire.InstanceTypeList
-	planState
-	gangState
-	workload   *workload.Workload   // what is expected of jobs, and what teams may use
-	dispatcher *dispatch.Dispatcher // direct calls to workers
-	writes     *persist.Queue       // what is to be stored
+	scheduler     *scheduler.Scheduler // which task starts where
+	gangs         *gangs.Coordinator   // attempts of gangs
+	workload      *workload.Workload   // what is expected of jobs, and what teams may use
+	dispatcher    *dispatch.Dispatcher // direct calls to workers
+	writes        *persist.Queue       // what is to be stored
 	workerCalls
 	standbyState
 	zoneState
@@ -117,23 +119,6 @@
 	finalJobs     map[string]replica.Job // ends that are not stored yet
 }
 
-// planState is what waits, and when it was planned.
-type planState struct {
-	queue        queue // as of the last plan
-	replan       bool  // something changed since then
-	planDuration micros.Micros
-	plannedAt    micros.Micros
-	preemptedAt  micros.Micros
-	completions  completionRate
-	responding   *state.Machine // whose report is being answered
-}
-
-// gangState is what is held and done for gangs beside plans.
-type gangState struct {
-	reservations        map[string]*state.GangReservation // room being gathered for gangs, by job
-	preemptedForGangsAt micros.Micros
-}
-
 // workerCalls is what is known of this node's own calls to workers.
 type workerCalls struct {
 	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
@@ -157,9 +142,6 @@
 			images:        map[string]int{},
 			finalJobs:     map[string]replica.Job{},
 		},
-		gangState: gangState{
-			reservations: map[string]*state.GangReservation{},
-		},
 		workerCalls: workerCalls{
 			zoneQueries: map[string]queryCounts{},
 		},
@@ -170,6 +152,8 @@
 	l.fleet = l.newFleet()
 	l.zoneState = newZoneState(c.Zones)
 	l.scaler = l.newScaler()
+	l.gangs = l.newGangs()
+	l.scheduler = l.newScheduler()
 	return l
 }
 
@@ -327,7 +311,7 @@
 			return fmt.Errorf("stored %s: %w", key, err)
 		}
 		if j.DoneCount > 0 {
-			l.completeGang(j)
+			l.gangs.Complete(j)
 		}
 		l.finishIfDone(j)
 	}
@@ -338,7 +322,7 @@
 	l.usePreviousTerm()
 	l.scaler.StepPools(now)
 	l.ready = true
-	l.replan = true
+	l.scheduler.RequestPlan()
 	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown())
 	return nil
 }
@@ -369,8 +353,10 @@
 			watched = now
 			l.checkMachines(now)
 		}
-		l.checkGangs(now)
-		l.planIfNeeded(now)
+		if l.ready {
+			l.gangs.Check(now)
+			l.scheduler.PlanIfNeeded(nil, now)
+		}
 		if now-staffed >= micros.Second {
 			staffed = now
 			l.autoscale(now)
@@ -410,7 +396,7 @@
 		j.Image = l.imageIndex(j.Spec.Image)
 		l.jobs[id] = j
 		l.scaler.AddDemand(j)
-		l.replan = true
+		l.scheduler.RequestPlan()
 	}
 }
 
@@ -476,13 +462,13 @@
 		}
 	}
 	if j.IsGang() {
-		l.dropReservation(j)
-		l.endGangAttempt(j, 0, "job is "+endState)
+		l.scheduler.DropReservation(j)
+		l.gangs.EndAttempt(j, 0, "job is "+endState)
 	}
 	for _, a := range j.Attempts {
 		l.stopTask(a, 0, "job is "+endState)
 	}
-	l.replan = true
+	l.scheduler.RequestPlan()
 }
 
 // imageIndex is the number that stands for an image.
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -53,7 +53,7 @@
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
 	l.applyJobChange("j-000001", true)
 	l.ready = true
-	l.replan = true
+	l.scheduler.RequestPlan()
 	return l, term
 }
 
@@ -99,7 +99,7 @@
 			[]string{"clear j-000001/1", "start j-000001/1"}},
 	}
 	for _, s := range steps {
-		l.plannedAt = 0 // plans may follow each other at once
+		l.scheduler.PlannedAt = 0 // plans may follow each other at once
 		a, err := l.HandleHeartbeat(s.report)
 		if (err != nil) != (s.want == nil) {
 			t.Fatalf("%s: error %v", s.name, err)
@@ -180,47 +180,6 @@
 	}
 }
 
-// TestAged has a large job late and put off while others press: after two minutes
-// without a start a part of it goes before all others, so that it begins within four.
-func TestAged(t *testing.T) {
-	for _, c := range []struct {
-		name          string
-		waited, since micros.Micros // for the first start, and since the last one
-		done          int
-		running       bool
-		first         string
-	}{
-		{"for a short time", 100 * micros.Second, 0, 0, false, "j-000002"},
-		{"for long", 130 * micros.Second, 0, 0, false, "j-000001"},
-		{"but a task of it runs", 130 * micros.Second, 0, 0, true, "j-000002"},
-		{"it has begun, and lately started one", 400 * micros.Second, 50 * micros.Second, 1, false, "j-000002"},
-		{"it has begun, and started none for long", 400 * micros.Second, 130 * micros.Second, 1, false, "j-000001"},
-	} {
-		l, _ := newTest(t)
-		wall := micros.Wall()
-		l.startedAtWall = wall - 500*micros.Second
-		big := l.jobs["j-000001"]
-		big.MayHaveEarlierTasks, big.Spec.Tasks, big.SubmittedAt = false, 64, wall-c.waited
-		if c.since != 0 {
-			big.LastStart = wall - c.since
-		}
-		big.DoneCount = c.done
-		if c.running {
-			big.Attempts[0] = &state.Attempt{Job: big, Machine: l.fleet.Machines["i-1"]}
-		}
-		spec := *big.Spec
-		spec.ID, spec.Priority, spec.Tasks = "j-000002", "urgent", 10
-		l.jobs["j-000002"] = state.NewJob(replica.Job{Spec: &spec, SubmittedAt: wall}, false)
-		q := l.newQueue(micros.Now())
-		if got := q.jobs[0].Spec.ID; got != c.first {
-			t.Errorf("%s: %s goes first, want %s", c.name, got, c.first)
-		}
-		if n := q.waiting[0].WaitingTasks; c.first == "j-000001" && n > 8 {
-			t.Errorf("%s: %d of its tasks go first, want a part", c.name, n)
-		}
-	}
-}
-
 // TestTaken has machines silent that the cloud's list still names or no longer does.
 func TestTaken(t *testing.T) {
 	for _, c := range []struct {
@@ -270,7 +229,7 @@
 		m := l.fleet.Machines["i-1"]
 		var tasks []wire.TaskStatus
 		for i, want := range c.told {
-			l.plannedAt = 0
+			l.scheduler.PlannedAt = 0
 			if i == 4 {
 				m.StartBackoffUntil = 0
 			}
@@ -308,7 +267,7 @@
 		upStored   bool
 		starts     int
 	}{{1, 0, true, 0}, {2, token - 1, true, 0}, {3, token, false, 0}, {4, token, true, 3}} {
-		m.Instance.ListStored, l.plannedAt = c.upStored, 0
+		m.Instance.ListStored, l.scheduler.PlannedAt = c.upStored, 0
 		r := report(c.seq, c.token)
 		r.MachineID = "i-2"
 		if a, err := l.HandleHeartbeat(r); err != nil || len(a.Commands) != c.starts {
@@ -354,7 +313,7 @@
 	seq := uint64(10)
 	ask := func() (wire.HeartbeatResponse, error) {
 		seq++
-		l.plannedAt = 0
+		l.scheduler.PlannedAt = 0
 		return l.HandleHeartbeat(report(seq, token))
 	}
 	if a, err := ask(); err != nil || len(a.Commands) == 0 {
@@ -532,7 +491,8 @@
 			[]string{"clear j-000002/1", "start j-000001/2"}},
 	}
 	for _, s := range steps {
-		l.replan, l.plannedAt = true, 0
+		l.scheduler.RequestPlan()
+		l.scheduler.PlannedAt = 0
 		answer, err := l.HandleHeartbeat(s.report)
 		if got := verbs(answer); err != nil || !slices.Equal(got, s.want) {
 			t.Errorf("%s: %v, %v, want %v", s.name, got, err, s.want)
@@ -607,7 +567,8 @@
 	for _, c := range cases {
 		l, _ := newTest(t)
 		for i, r := range []*wire.Heartbeat{report(1, token), report(2, token, c.tasks...), report(3, token, c.tasks...), report(4, token)} {
-			l.replan, l.plannedAt = true, 0
+			l.scheduler.RequestPlan()
+			l.scheduler.PlannedAt = 0
 			if _, err := l.HandleHeartbeat(r); err != nil {
 				t.Errorf("%s: report %d: %v", c.name, i, err)
 			}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -153,7 +153,7 @@
 	}
 	m.Reconciliation.Knowledge = state.TasksConfirmed
 	m.Planned = nil
-	l.replan = true
+	l.scheduler.RequestPlan()
 	l.publishMachine(m)
 }
 
@@ -166,7 +166,7 @@
 		if len(job.Attempts) == 0 {
 			delete(l.cancelledJobs, job.Spec.ID)
 		}
-		l.observeGangTaskLost(a)
+		l.gangs.ObserveRelease(a)
 	}
 	if a.StopReason != "" {
 		why = a.StopReason
@@ -174,7 +174,7 @@
 	if !job.Ended && !job.Done.Has(a.Index) {
 		l.recordDisplaced(a)
 		l.recordStop(a, why)
-		l.replan = true // it waits again
+		l.scheduler.RequestPlan() // it waits again
 	}
 }
 
@@ -188,7 +188,7 @@
 // markStopping notes that a task is to stop, and tells whether its machine must be told.
 func (l *Leader) markStopping(a *state.Attempt, grace micros.Micros, reason string) (mustTell bool) {
 	if a.Reserved {
-		l.releaseReservation(a, reason)
+		l.gangs.ReleaseUnsent(a, reason)
 		return false
 	}
 	if !a.MarkStopping(grace, reason, micros.Now()) {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -21,7 +21,7 @@
 		ListLag:       micros.FromSeconds(l.Settings.Params.Cloud.ListLagS),
 		InstanceType:  l.fleetInstanceType,
 		IsHandingOver: func() bool { return l.handingOver },
-		OnChange:      func() { l.replan = true },
+		OnChange:      func() { l.scheduler.RequestPlan() },
 		OnTerminating: func(m *state.Machine, reason string) {
 			l.publish(standby.Entry{MachineTerminating: &standby.MachineTerminating{Machine: m.ID, Reason: reason}})
 		},
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"caperlatch/internal/leader/dispatch"
+	"caperlatch/internal/leader/scheduler"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
@@ -129,9 +130,7 @@
 
 // planCommands plans anew if that is due, and gives the orders for the machine that reports.
 func (l *Leader) planCommands(m *state.Machine, now micros.Micros) []wire.Command {
-	l.responding = m
-	defer func() { l.responding = nil }()
-	l.planIfNeeded(now)
+	l.scheduler.PlanIfNeeded(m, now)
 	return l.commandsFor(m, now)
 }
 
@@ -142,7 +141,7 @@
 	confirmed := m.TasksConfirmed()
 	if !confirmed {
 		m.Reconciliation.Knowledge = state.TasksConfirmed
-		l.replan = true
+		l.scheduler.RequestPlan()
 	}
 	listed := make(map[string]bool, len(r.Tasks))
 	for i := range r.Tasks {
@@ -275,14 +274,14 @@
 		l.events.Add("a task's state is unknown, it is taken to be there", fmt.Sprintf("%.40q", t.State), m.ID)
 	}
 	a.ReportedState = t.State
-	l.observeGangTask(a, now)
+	l.gangs.ObserveTask(a, now)
 }
 
 // adoptTask counts a task as being on a machine that was not known to have it. It has the
 // task stopped instead, and gives nil, if that is done or on another machine.
 func (l *Leader) adoptTask(m *state.Machine, j *state.Job, task int, t *wire.TaskStatus, now micros.Micros) *state.Attempt {
 	if other := j.Attempts[task]; other != nil && other.Reserved {
-		l.releaseReservation(other, "an earlier start of it is on "+m.ID)
+		l.gangs.ReleaseUnsent(other, "an earlier start of it is on "+m.ID)
 	}
 	if other := j.Attempts[task]; !j.Ended && (other != nil && other.Machine != m || j.Done.Has(task)) {
 		m.Delivery.FollowUps = append(m.Delivery.FollowUps, stopAtOnce(t))
@@ -365,7 +364,7 @@
 		l.events.Add("a task's exit reason is unknown", fmt.Sprintf("%.40q", t.ExitReason), m.ID)
 	}
 	m.Delivery.FollowUps = append(m.Delivery.FollowUps, clearCommand(t))
-	l.observeGangExit(j, task, a, t)
+	l.gangs.ObserveExit(j, task, a, t)
 	if a == nil {
 		return
 	}
@@ -400,8 +399,8 @@
 			l.scaler.ObserveCompletion(a, now)
 		}
 		l.writes.Mark(state.ProgressKey(j.Spec.ID, task/state.ChunkTasks))
-		l.completions.count++
-		l.completeGang(j)
+		l.scheduler.CountCompletion()
+		l.gangs.Complete(j)
 	} else if a != nil && j.IsGang() && !j.Ended {
 		l.scaler.ObserveCompletion(a, now)
 	}
@@ -449,8 +448,8 @@
 	if !l.canStart(m, now) {
 		return orders
 	}
-	l.fillMachine(m, now)
-	orders = l.commandReservedStarts(m, orders)
+	l.scheduler.FillMachine(m, now)
+	orders = l.gangs.AppendStarts(m, orders, maxCommands)
 	for _, j := range m.Planned {
 		if len(orders) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.startAllowed(j, m) {
 			continue
@@ -460,7 +459,7 @@
 			continue
 		}
 		n := l.nextAttemptNumber()
-		a := &state.Attempt{Job: j, Index: task, Number: n, Machine: m, StartSequence: m.Heartbeat.Sequence, StartedAt: now, Protected: j.ProtectedTasks < 1+j.Spec.Tasks/agingDivisor}
+		a := &state.Attempt{Job: j, Index: task, Number: n, Machine: m, StartSequence: m.Heartbeat.Sequence, StartedAt: now, Protected: scheduler.ProtectsNextStart(j)}
 		if a.Protected {
 			j.ProtectedTasks++
 		}
@@ -513,12 +512,12 @@
 	}
 	if m.DrainReason == "" {
 		m.DrainReason = "spot notice"
-		l.replan = true
+		l.scheduler.RequestPlan()
 	}
 	for _, a := range m.Attempts {
 		s := a.Job.Spec
 		if a.Job.IsGang() {
-			l.evictGangTask(a, max(state.CheckpointGrace(a.Job), m.Heartbeat.InterruptionAt-now), "its spot machine is being taken", now)
+			l.gangs.EvictTask(a, max(state.CheckpointGrace(a.Job), m.Heartbeat.InterruptionAt-now), "its spot machine is being taken", now)
 		} else if s.CheckpointIntervalS > 0 && a.StopRequestedAt == 0 {
 			l.stopTask(a, max(micros.FromSeconds(s.CheckpointDurationS), m.Heartbeat.InterruptionAt-now), "its spot machine is being taken")
 		}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -4,7 +4,6 @@
 	"log/slog"
 
 	"caperlatch/internal/leader/autoscaler"
-	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/wire"
@@ -13,21 +12,18 @@
 // newScaler makes the autoscaler of this term.
 func (l *Leader) newScaler() *autoscaler.Scaler {
 	return autoscaler.New(autoscaler.Config{
-		Tuning:            l.Tuning,
-		Term:              l.Term,
-		Fleet:             l.fleet,
-		Workload:          l.workload,
-		Jobs:              l.jobs,
-		HeartbeatInterval: l.heartbeatInterval,
-		TeamUse:           l.worstCaseTeamUse,
-		AwaitsReconciliation: func() func(*state.Job) bool {
-			unknown := l.unknownMachinesNow()
-			return func(j *state.Job) bool { return l.mustAwaitReconciliation(j, unknown) }
-		},
-		ReplacedMachines: l.replacedMachines,
-		Zones:            l.policy,
-		LaunchAllowance:  l.launchAllowance,
-		OnChange:         func() { l.replan = true },
+		Tuning:               l.Tuning,
+		Term:                 l.Term,
+		Fleet:                l.fleet,
+		Workload:             l.workload,
+		Jobs:                 l.jobs,
+		HeartbeatInterval:    l.heartbeatInterval,
+		TeamUse:              l.worstCaseTeamUse,
+		AwaitsReconciliation: l.awaitsReconciliation,
+		ReplacedMachines:     l.replacedMachines,
+		Zones:                l.policy,
+		LaunchAllowance:      l.launchAllowance,
+		OnChange:             func() { l.scheduler.RequestPlan() },
 	})
 }
 
@@ -44,7 +40,7 @@
 		return
 	}
 	l.scaler.Step(now)
-	l.consolidate(now)
+	l.scheduler.Consolidate(now)
 	if interval := int64(l.Tuning.RecordInterval / micros.Second); interval < 1 || int64(now/micros.Second)%interval == 0 {
 		l.writes.Mark(replica.AutoscalerKey)
 		l.publishEstimates()
--- /dev/null
+++ b/internal/leader/scheduler/queue_test.go
@@ -0,0 +1,53 @@
+package scheduler
+
+import (
+	"testing"
+
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/wire"
+)
+
+// TestAgedJobGoesFirst has a large job late, and put off while others press: after two minutes without a start
+// a part of it goes before all others, so that it starts within four.
+func TestAgedJobGoesFirst(t *testing.T) {
+	const second = micros.Second
+	const large, urgent = "j-000001", "j-000002"
+	for _, c := range []struct {
+		name      string
+		waited    micros.Micros // since its submission
+		sinceLast micros.Micros // since its latest start, 0 if there was none
+		done      int
+		running   bool
+		first     string
+	}{
+		{"waited for a short time", 100 * second, 0, 0, false, urgent},
+		{"waited for long", 130 * second, 0, 0, false, large},
+		{"waited for long, but a task of it runs", 130 * second, 0, 0, true, urgent},
+		{"has a task done, and lately started one", 400 * second, 50 * second, 1, false, urgent},
+		{"has a task done, and started none for long", 400 * second, 130 * second, 1, false, large},
+	} {
+		s, _ := newTest(t)
+		now, wall := micros.Now(), micros.Wall()
+		s.TermStartedAt = wall - 500*second
+		m := addMachine(s, "i-1", now)
+		spec := wire.Job{ID: large, Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 64, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
+		j := addJob(s, spec)
+		j.SubmittedAt, j.DoneCount = wall-c.waited, c.done
+		if c.sinceLast != 0 {
+			j.LastStart = wall - c.sinceLast
+		}
+		if c.running {
+			j.Attempts[0] = &state.Attempt{Job: j, Machine: m}
+		}
+		spec.ID, spec.Priority, spec.Tasks = urgent, "urgent", 10
+		addJob(s, spec)
+		q := s.newQueue(now)
+		if got := q.jobs[0].Spec.ID; got != c.first {
+			t.Errorf("%s: %s goes first, want %s", c.name, got, c.first)
+		}
+		if n := q.waiting[0].WaitingTasks; c.first == large && n > 8 {
+			t.Errorf("%s: %d of its tasks go first, want a part", c.name, n)
+		}
+	}
+}
--- /dev/null
+++ b/internal/leader/scheduler/reservation.go
@@ -0,0 +1,113 @@
+package scheduler
+
+import (
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/placement"
+)
+
+// Bounds of reservations for gangs.
+const (
+	reservationHorizon = 16 * micros.Second // within what time the room of reserved machines must come free
+	reservationDivisor = 8                  // part of the machines
+	maxReservationJobs = 8                  // for which a plan looks for room
+)
+
+// reserveForGangs reserves machines for gangs that found no room, in the queue's order. A machine is held for one
+// gang, so none waits for another's.
+func (s *Scheduler) reserveForGangs(now micros.Micros) {
+	q := &s.queue
+	var v view
+	reserved, tries := s.countReserved(), 0
+	for i, w := range q.waiting {
+		if !s.canReserve(w, now) || reserved > 0 && reservationDivisor*reserved >= len(s.Fleet.Sorted) {
+			continue
+		}
+		if tries++; tries > maxReservationJobs {
+			break
+		}
+		if v.placement == nil {
+			v = s.withCompletions(now)
+		}
+		for _, n := range placement.PickReservation(v.placement, w, q.teams[w.Team], reservationHorizon) {
+			v.placement[n].ReservedFor = w
+			s.reserve(q.jobs[i].Spec.ID, v.machines[n], now)
+			reserved++
+		}
+	}
+}
+
+// countReserved counts the machines that are reserved for gangs.
+func (s *Scheduler) countReserved() int {
+	n := 0
+	for _, m := range s.Fleet.Sorted {
+		if m.Reservation != nil {
+			n++
+		}
+	}
+	return n
+}
+
+// canReserve reports whether machines may be reserved for a waiting job: a gang that has none, and has let
+// none go lately.
+func (s *Scheduler) canReserve(w *placement.Job, now micros.Micros) bool {
+	if !w.Gang || w.WaitingTasks == 0 {
+		return false
+	}
+	r := s.reservations[w.ID]
+	return r == nil || len(r.Machines) == 0 && now >= r.RetryAt
+}
+
+// reserve adds a machine to a gang's reservation.
+func (s *Scheduler) reserve(jobID string, m *state.Machine, now micros.Micros) {
+	j := s.Jobs[jobID]
+	if j == nil || m.Reservation != nil {
+		return
+	}
+	r := s.reservations[jobID]
+	if r == nil || len(r.Machines) == 0 {
+		lifetime := reservationHorizon + s.HeartbeatInterval
+		r = &state.GangReservation{ExpiresAt: now + lifetime, RetryAt: now + 2*lifetime}
+		s.reservations[jobID] = r
+		for _, w := range s.queue.waiting {
+			if w.ID == jobID {
+				r.Waiting = w
+			}
+		}
+	}
+	m.Reservation = r
+	r.Machines = append(r.Machines, m)
+}
+
+// ReservedMachines counts the machines that are reserved for a job.
+func (s *Scheduler) ReservedMachines(jobID string) int {
+	if r := s.reservations[jobID]; r != nil {
+		return len(r.Machines)
+	}
+	return 0
+}
+
+// DropReservation opens to all the machines that are reserved for a gang, if there are any.
+func (s *Scheduler) DropReservation(j *state.Job) {
+	r := s.reservations[j.Spec.ID]
+	if r == nil {
+		return
+	}
+	for _, m := range r.Machines {
+		if m.Reservation == r {
+			m.Reservation = nil
+			s.RequestPlan()
+		}
+	}
+	r.Machines = nil
+	if j.Ended || micros.Now() >= r.RetryAt {
+		delete(s.reservations, j.Spec.ID)
+	}
+}
+
+// ExpireReservation drops a gang's reservation if its time is over.
+func (s *Scheduler) ExpireReservation(j *state.Job, now micros.Micros) {
+	if r := s.reservations[j.Spec.ID]; r != nil && now >= r.ExpiresAt && (len(r.Machines) > 0 || now >= r.RetryAt) {
+		s.DropReservation(j)
+	}
+}
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -202,7 +202,7 @@
 	if _, err := l.HandleHeartbeat(reportOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
 	}
-	l.plannedAt, m.StartBackoffUntil = 0, 0
+	l.scheduler.PlannedAt, m.StartBackoffUntil = 0, 0
 	if a, err = l.HandleHeartbeat(reportOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
 		t.Errorf("told %v (%v), want the other two under attempt 5", a.Commands, err)
 	}
@@ -287,7 +287,7 @@
 		{"nothing is left", report(14, token)},
 	}
 	for _, s := range steps {
-		l.plannedAt = 0
+		l.scheduler.PlannedAt = 0
 		if _, err := l.HandleHeartbeat(s.report); err != nil {
 			t.Fatal(err)
 		}
@@ -326,8 +326,8 @@
 		}
 		return f.TakeView().Machines["i-1"].Tasks
 	}
-	l.plan(micros.Now())
-	l.planStarts(m, l.jobs["j-000001"], 3, micros.Now())
+	l.scheduler.Plan(micros.Now())
+	l.gangs.AssignTasks(m, l.jobs["j-000001"], 3, micros.Now())
 	for task, state := range view() {
 		if !state.Reserved {
 			t.Errorf("%s is published as started before any answer", task)
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -219,7 +219,7 @@
 	}
 	m.ZoneReturn.Closed = closed
 	m.Planned = m.Planned[:0]
-	l.replan = true
+	l.scheduler.RequestPlan()
 }
 
 // isUnusable tells whether the room of a machine that is up is not to be had now. One that boots
