--- a/internal/leader/scheduler/queue_test.go
+++ b/internal/leader/scheduler/queue_test.go
@@ -19,17 +19,19 @@
 		sinceLast micros.Micros // since its latest start, 0 if there was none
 		done      int
 		running   bool
+		termAge   micros.Micros
 		first     string
 	}{
-		{"waited for a short time", 100 * second, 0, 0, false, urgent},
-		{"waited for long", 130 * second, 0, 0, false, large},
-		{"waited for long, but a task of it runs", 130 * second, 0, 0, true, urgent},
-		{"has a task done, and lately started one", 400 * second, 50 * second, 1, false, urgent},
-		{"has a task done, and started none for long", 400 * second, 130 * second, 1, false, large},
+		{"waited for a short time", 100 * second, 0, 0, false, 500 * second, urgent},
+		{"waited for long", 130 * second, 0, 0, false, 500 * second, large},
+		{"waited for long, but a task of it runs", 130 * second, 0, 0, true, 500 * second, urgent},
+		{"has a task done, and lately started one", 400 * second, 50 * second, 1, false, 500 * second, urgent},
+		{"has a task done, and started none for long", 400 * second, 130 * second, 1, false, 500 * second, large},
+		{"has a task done, and the term is young", 400 * second, 130 * second, 1, false, 50 * second, urgent},
 	} {
 		s, _ := newTest(t)
 		now, wall := micros.Now(), micros.Wall()
-		s.TermStartedAt = wall - 500*second
+		s.TermStartedAt = wall - c.termAge
 		m := addMachine(s, "i-1", now)
 		spec := wire.Job{ID: large, Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 64, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
 		j := addJob(s, spec)
