--- /dev/null
+++ b/internal/leader/gang_attempt_test.go
@@ -0,0 +1,131 @@
+package leader
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"caperlatch/internal/wire"
+)
+
+// TestGangAttempt goes step by step through the heartbeats of machines with a gang's tasks, and the commands
+// of the responses.
+func TestGangAttempt(t *testing.T) {
+	type step struct {
+		machine string
+		tasks   gangStatuses
+		want    []string
+	}
+	launched := []step{
+		{"i-1", nil, []string{"start"}},
+		{"i-2", nil, []string{"start"}},
+		{"i-3", nil, []string{"start"}},
+	}
+	started := append(slices.Clone(launched),
+		step{"i-1", gangStatuses{here.running()}, nil}, step{"i-2", gangStatuses{here.running()}, nil}, step{"i-3", gangStatuses{here.running()}, nil})
+	for _, c := range []struct {
+		name        string
+		earlierTerm bool // may have started tasks
+		steps       []step
+		attempt     uint64 // its number at the end, less the number before the term's first; 0: none
+		done        bool
+	}{
+		{"it starts", false, started, 1, false},
+		{"a start is lost, and sent again under the same number", false, append(slices.Clone(launched),
+			step{"i-2", nil, []string{"start"}}), 1, false},
+		{"a waiting task that exits is replaced under the same number", false, append(slices.Clone(launched),
+			step{"i-1", gangStatuses{here.waiting()}, nil},
+			step{"i-2", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear", "start"}}), 1, false},
+		{"a waiting task that failed is not replaced at once on that machine", false, append(slices.Clone(launched),
+			step{"i-1", gangStatuses{here.waiting()}, nil},
+			step{"i-2", gangStatuses{here.exited(wire.ExitError)}, []string{"clear"}}), 1, false},
+		{"a running gang that loses a task ends", false, append(slices.Clone(started),
+			step{"i-2", nil, nil},
+			step{"i-1", gangStatuses{here.running()}, []string{"stop"}},
+			step{"i-3", gangStatuses{here.running()}, []string{"stop"}}), 1, false},
+		{"the next attempt begins when all tasks have left", false, append(slices.Clone(started),
+			step{"i-2", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
+			step{"i-1", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear"}},
+			step{"i-2", nil, nil},
+			step{"i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear", "start"}}), 2, false},
+		{"one task gives up waiting, and all stop", false, append(slices.Clone(launched),
+			step{"i-2", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
+			step{"i-1", gangStatuses{here.waiting()}, []string{"stop"}}), 1, false},
+		{"one task is done, and so are all", false, append(slices.Clone(started), step{"i-2", gangStatuses{here.exited(wire.ExitDone)}, nil}), 1, true},
+		{"unknown states and exit reasons do no harm", false, append(slices.Clone(launched),
+			step{"i-1", gangStatuses{here.inState(unknownTaskState)}, nil},
+			step{"i-2", gangStatuses{here.exited(unknownExitReason)}, []string{"clear", "start"}}), 1, false},
+		// After a failover.
+		{"a waiting gang is adopted and completed under its number", true, []step{
+			{"i-1", gangStatuses{gangTask(0).waiting().ofAttempt(5)}, nil},
+			{"i-2", gangStatuses{gangTask(1).waiting().ofAttempt(5)}, nil},
+			{"i-3", nil, []string{"start"}}}, 5, false},
+		{"tasks of a lower attempt are stopped", true, []step{
+			{"i-1", gangStatuses{gangTask(0).waiting().ofAttempt(4)}, nil},
+			{"i-2", gangStatuses{gangTask(1).waiting().ofAttempt(5)}, nil},
+			{"i-1", gangStatuses{gangTask(0).waiting().ofAttempt(4)}, []string{"stop"}},
+			{"i-3", gangStatuses{gangTask(2).waiting().ofAttempt(4)}, []string{"stop"}},
+			{"i-3", gangStatuses{gangTask(2).exited(wire.ExitStopped).ofAttempt(4)}, []string{"clear", "start"}}}, 5, false},
+		{"a running gang is adopted and left alone", true, []step{
+			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}, {"i-2", gangStatuses{gangTask(1).running().ofAttempt(5)}, nil}, {"i-3", gangStatuses{gangTask(2).running().ofAttempt(5)}, nil},
+			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}}, 5, false},
+		{"a gang that an earlier leader was stopping is stopped whole", true, []step{
+			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}, {"i-2", gangStatuses{gangTask(1).checkpointing().ofAttempt(5)}, []string{"stop"}},
+			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}},
+			{"i-3", gangStatuses{gangTask(2).running().ofAttempt(5)}, []string{"stop"}}}, 5, false},
+		{"a gang that an earlier leader had stopped in part is stopped whole", true, []step{
+			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}, {"i-2", gangStatuses{gangTask(1).exited(wire.ExitStopped).ofAttempt(5)}, []string{"clear"}},
+			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}}}, 5, false},
+		{"a result was lost with its machine, all start again, and one has it at once", true, []step{
+			{"i-1", nil, nil}, {"i-2", nil, nil}, {"i-3", nil, []string{"start"}},
+			{"i-1", nil, []string{"start"}}, {"i-2", nil, []string{"start"}},
+			{"i-1", gangStatuses{here.pulling()}, nil}, {"i-2", gangStatuses{here.exited(wire.ExitDone)}, nil}}, 1, true},
+		{"a result was lost with its machine, and is not known yet", true, []step{
+			{"i-1", nil, nil}, {"i-2", nil, nil}, {"i-3", nil, []string{"start"}},
+			{"i-1", nil, []string{"start"}}, {"i-2", nil, []string{"start"}},
+			{"i-1", gangStatuses{here.pulling()}, nil}, {"i-2", gangStatuses{here.waiting()}, nil}}, 1, false},
+		{"a result that an earlier leader did not store counts for all tasks", true, []step{{"i-2", gangStatuses{gangTask(1).exited(wire.ExitDone).ofAttempt(5)}, nil}}, 0, true},
+	} {
+		l := newGangTest(t, c.earlierTerm)
+		j := l.jobs[gangID]
+		for i, s := range c.steps {
+			if s.want == nil {
+				s.want = []string{}
+			}
+			got := commandVerbs(gangHeartbeat(t, l, s.machine, s.tasks...))
+			if !slices.Equal(got, s.want) {
+				t.Fatalf("%s: step %d: commands %v, want %v", c.name, i, got, s.want)
+			}
+		}
+		n := j.Gang.Number
+		if n > token<<32 {
+			n -= token << 32
+		}
+		if _, final := l.finalJobs[j.Spec.ID]; n != c.attempt || (j.DoneCount == 3) != c.done || final != c.done {
+			t.Errorf("%s: attempt %d, %d done", c.name, n, j.DoneCount)
+		}
+		for name, m := range l.fleet.Machines {
+			if m.Quarantine.Failures > 0 || len(m.Quarantine.SuspectJobs) > 0 && !strings.Contains(c.name, "failed") {
+				t.Errorf("%s: %s has failures: %d, %v", c.name, name, m.Quarantine.Failures, m.Quarantine.SuspectJobs)
+			}
+		}
+	}
+}
+
+// TestAttemptNumberByKind has jobs of each kind start: a gang's tasks share a number, for others it only tells one
+// start from another.
+func TestAttemptNumberByKind(t *testing.T) {
+	for kind, numbers := range map[wire.JobKind]int{wire.KindGang: 1, wire.KindArray: 3, wire.KindService: 3} {
+		l := newGangTest(t, false)
+		j := l.jobs[gangID]
+		j.Spec.Kind = kind
+		launchGang(t, l, "")
+		seen := map[uint64]bool{}
+		for _, a := range j.Attempts {
+			seen[a.Number] = true
+		}
+		if len(seen) != numbers {
+			t.Errorf("%s: numbers %v", kind, seen)
+		}
+	}
+}
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -1,9 +1,7 @@
 package leader
 
 import (
-	"fmt"
 	"net/http"
-	"strconv"
 	"strings"
 	"testing"
 
@@ -14,22 +12,25 @@
 	"caperlatch/internal/wire"
 )
 
-// heard has every call to a worker answered.
-type heard struct{}
+// acceptingWorkers responds to every call of a worker.
+type acceptingWorkers struct{}
 
-func (heard) RoundTrip(*http.Request) (*http.Response, error) {
+func (acceptingWorkers) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: http.NoBody}, nil
 }
 
+// gangID is the ID of the gang.
+const gangID = "j-000002"
+
 // newGangTest makes a leader of a gang of three tasks, each of which needs most of a
 // machine, and of three machines that are up, not yet known if old.
 func newGangTest(t *testing.T, old bool) *Leader {
 	t.Helper()
 	l, _ := newTest(t)
-	useWorkers(l, heard{})
+	useWorkers(l, acceptingWorkers{})
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
 	l.applyJobChanges()
-	spec := &wire.Job{ID: "j-000002", Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
+	spec := &wire.Job{ID: gangID, Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
 		EstimatedRuntimeS: 60, CheckpointIntervalS: 20, CheckpointDurationS: 3, AllowSpot: true}
 	l.jobs[spec.ID] = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, old)
 	b := l.fleet.Intent("r-1")
@@ -44,67 +45,102 @@
 	return l
 }
 
-// tellTasks has a machine report tasks given as "number state" or "number state cause",
-// the attempt behind an @ if it is another, and a dot for the task that the leader has
-// there. It returns what it is told, by a new plan if one is needed.
-func tellTasks(t *testing.T, l *Leader, machine string, tasks ...string) []string {
+// gangTask is the index of a task of the gang, or here.
+type gangTask int
+
+// here stands for the task of the gang that the leader has on the machine that sends the heartbeat.
+const here gangTask = -1
+
+// gangStatus is what a heartbeat says of a task of the gang.
+type gangStatus struct {
+	index      gangTask
+	attempt    uint64 // 0: the gang's present one
+	state      string
+	exitReason string
+}
+
+// gangStatuses are what a heartbeat says of tasks of the gang.
+type gangStatuses []gangStatus
+
+// Words that the protocol does not have.
+const (
+	unknownTaskState  = "pondering"
+	unknownExitReason = "boredom"
+)
+
+func (n gangTask) inState(state string) gangStatus { return gangStatus{index: n, state: state} }
+func (n gangTask) pulling() gangStatus             { return n.inState(wire.TaskPullingImage) }
+func (n gangTask) waiting() gangStatus             { return n.inState(wire.TaskWaitingForGang) }
+func (n gangTask) running() gangStatus             { return n.inState(wire.TaskRunning) }
+func (n gangTask) checkpointing() gangStatus       { return n.inState(wire.TaskCheckpointing) }
+func (n gangTask) exited(reason string) gangStatus {
+	return gangStatus{index: n, state: wire.TaskExited, exitReason: reason}
+}
+
+// ofAttempt is the status for another attempt than the present one.
+func (s gangStatus) ofAttempt(number uint64) gangStatus {
+	s.attempt = number
+	return s
+}
+
+// onWire is the status in the form of a heartbeat of a machine.
+func (s gangStatus) onWire(j *state.Job, m *state.Machine) wire.TaskStatus {
+	if s.index == here {
+		for index, a := range j.Attempts {
+			if a.Machine == m {
+				s.index = gangTask(index)
+			}
+		}
+	}
+	if s.attempt == 0 {
+		s.attempt = j.Gang.Number
+	}
+	return wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, int(s.index)), Attempt: s.attempt, State: s.state, ExitReason: s.exitReason}
+}
+
+// gangHeartbeat has a machine send a heartbeat with tasks of the gang, and returns the commands of the response, by
+// a new plan if one is needed.
+func gangHeartbeat(t *testing.T, l *Leader, machine string, tasks ...gangStatus) []string {
 	t.Helper()
 	l.scheduler.PlannedAt = 0
-	return tellTasksBetweenPlans(t, l, machine, tasks...)
+	return gangHeartbeatBetweenPlans(t, l, machine, tasks...)
 }
 
-// tellTasksBetweenPlans is the same without a new plan, unless one is due.
-func tellTasksBetweenPlans(t *testing.T, l *Leader, machine string, tasks ...string) []string {
+// gangHeartbeatBetweenPlans is the same without a new plan, unless one is due.
+func gangHeartbeatBetweenPlans(t *testing.T, l *Leader, machine string, tasks ...gangStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
-	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: nil}
-	for _, s := range tasks {
-		f := strings.Fields(s)
-		number, at, _ := strings.Cut(f[0], "@")
-		for task, a := range l.jobs["j-000002"].Attempts {
-			if number == "." && a.Machine == m {
-				number = strconv.Itoa(task)
-				break
-			}
-		}
-		x := wire.TaskStatus{TaskID: "j-000002/" + number, State: f[1], Attempt: l.jobs["j-000002"].Gang.Number}
-		if at != "" {
-			if _, err := fmt.Sscan(at, &x.Attempt); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if len(f) > 2 {
-			x.ExitReason = f[2]
-		}
-		r.Tasks = append(r.Tasks, x)
+	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}
+	for _, status := range tasks {
+		r.Tasks = append(r.Tasks, status.onWire(l.jobs[gangID], m))
 	}
-	a, err := l.HandleHeartbeat(r)
+	response, err := l.HandleHeartbeat(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(a)
+	return verbs(response)
 }
 
-// addUp adds a machine that is up and may get tasks.
-func addUp(l *Leader, id, zone string) {
+// addSchedulable adds a machine that is up and may get tasks.
+func addSchedulable(l *Leader, id, zone string) {
 	m := l.fleet.Add(id, l.fleet.Intent("r-1"), micros.Now())
 	m.Offering.Zone = zone
 	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
 	m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = id+":9000", 1, micros.Now(), micros.Now()
 }
 
-// taskOn is the gang's task that the leader has on a machine.
-func taskOn(l *Leader, machine string) *state.Attempt {
+// gangAttemptOn is the gang's task that the leader has on a machine.
+func gangAttemptOn(l *Leader, machine string) *state.Attempt {
 	for _, a := range l.fleet.Machines[machine].Attempts {
-		if a.Job.Spec.ID == "j-000002" {
+		if a.Job.Spec.ID == gangID {
 			return a
 		}
 	}
 	return nil
 }
 
-// tellPlain has a machine report tasks as they are given, and returns what it is told.
-func tellPlain(t *testing.T, l *Leader, machine string, tasks ...wire.TaskStatus) []string {
+// heartbeatOf has a machine report tasks as they are given, and returns what it is told.
+func heartbeatOf(t *testing.T, l *Leader, machine string, tasks ...wire.TaskStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
 	l.scheduler.RequestPlan()
@@ -116,9 +152,9 @@
 	return verbs(answer)
 }
 
-// leave has the gang's task leave a machine, which gets no others.
-func leave(l *Leader, machine string) {
-	a := taskOn(l, machine)
+// evictGangTask has the gang's task leave a machine, which gets no others.
+func evictGangTask(l *Leader, machine string) {
+	a := gangAttemptOn(l, machine)
 	a.Machine.DrainReason = "test"
 	l.gangs.EvictTask(a, state.CheckpointGrace(a.Job), "test", micros.Now())
 }
@@ -129,20 +165,20 @@
 	t.Helper()
 	machines := []string{"i-1", "i-2", "i-3"}
 	for _, id := range machines {
-		tellTasks(t, l, id)
+		gangHeartbeat(t, l, id)
 	}
 	for _, id := range machines {
 		if state != "" {
-			tellTasks(t, l, id, ". "+state)
+			gangHeartbeat(t, l, id, here.inState(state))
 		}
 	}
-	if len(l.jobs["j-000002"].Attempts) != len(machines) {
-		t.Fatalf("%d tasks of the gang are on machines", len(l.jobs["j-000002"].Attempts))
+	if len(l.jobs[gangID].Attempts) != len(machines) {
+		t.Fatalf("%d tasks of the gang are on machines", len(l.jobs[gangID].Attempts))
 	}
 }
 
-// verbsOf are the verbs of commands.
-func verbsOf(commands []string) []string {
+// commandVerbs are the verbs of commands.
+func commandVerbs(commands []string) []string {
 	out := []string{}
 	for _, c := range commands {
 		verb, _, _ := strings.Cut(c, " ")
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -34,11 +34,11 @@
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
-			tellTasks(t, l, fmt.Sprintf("i-%d", i+1))
+			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1))
 		}
-		j := l.jobs["j-000002"]
+		j := l.jobs[gangID]
 		for i := range 3 {
-			tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". running")
+			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), here.running())
 		}
 		c.edit(l, l.fleet.Machines["i-2"])
 		stopped := l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
@@ -76,15 +76,15 @@
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
-		j := l.jobs["j-000002"]
+		j := l.jobs[gangID]
 		j.Spec.CheckpointIntervalS = c.saveEvery
-		tellTasks(t, l, "i-1")
+		gangHeartbeat(t, l, "i-1")
 		for i := 1; i < len(c.states); i++ {
-			tellTasks(t, l, fmt.Sprintf("i-%d", i+1))
+			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1))
 		}
 		for i, state := range c.states {
 			if state != "" {
-				tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". "+state)
+				gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), here.inState(state))
 			}
 		}
 		l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
@@ -113,7 +113,7 @@
 	}{
 		{"nothing", func(*testing.T, *Leader) {}, 3 * micros.Second},
 		{"it is stopped again for other work", func(_ *testing.T, l *Leader) {
-			l.gangs.StopIfReachable(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test", micros.Now())
+			l.gangs.StopIfReachable(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test", micros.Now())
 		}, 3 * micros.Second},
 		{"one of its machines is taken after a short notice", func(_ *testing.T, l *Leader) {
 			l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
@@ -123,24 +123,24 @@
 			l.fleet.Machines["i-2"].Quarantine.Failures = quarantineFailures
 			l.evaluateMachine(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
-		{"one has saved", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended stopped") }, 3 * micros.Second},
+		{"one has saved", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped)) }, 3 * micros.Second},
 		{"one has saved, and another's machine is gone", func(t *testing.T, l *Leader) {
-			tellTasks(t, l, "i-2", ". ended stopped")
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 			l.fleet.Remove(l.fleet.Machines["i-1"])
 		}, 3 * micros.Second},
-		{"one was not told in time", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended peers") }, 3 * micros.Second},
+		{"one was not told in time", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
 		{"one was not told in time, and is listed again", func(t *testing.T, l *Leader) {
-			tellTasks(t, l, "i-2", ". ended peers")
-			tellTasks(t, l, "i-2", "1 ended peers")
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost))
+			gangHeartbeat(t, l, "i-2", gangTask(1).exited(wire.ExitGangTaskLost))
 		}, 3 * micros.Second},
 		{"a machine is gone", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
-		{"one still shows to run", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". running") }, 3 * micros.Second},
-		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs["j-000002"], wire.JobCancelled) }, 0},
+		{"one still shows to run", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.running()) }, 3 * micros.Second},
+		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs[gangID], wire.JobCancelled) }, 0},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskRunning)
-		j := l.jobs["j-000002"]
+		j := l.jobs[gangID]
 		if !l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now()) {
 			t.Fatalf("%s: it can't be stopped", c.name)
 		}
@@ -170,26 +170,26 @@
 		earlierTerm bool // its job is of one
 	}{
 		{"nothing of it is placed", func(*testing.T, *Leader) {}, 0, false},
-		{"one start is sent", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, 1, false},
+		{"one start is sent", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, 1, false},
 		{"all starts are sent", launched(""), 3, false},
 		{"it fetches", launched(wire.TaskPullingImage), 3, false},
 		{"it waits", launched(wire.TaskWaitingForGang), 3, false},
 		{"it runs", launched(wire.TaskRunning), 3, false},
 		{"it waits for a replacement", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
-			leave(l, "i-2")
-			tellTasks(t, l, "i-2", ". ended stopped")
+			evictGangTask(l, "i-2")
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 		}, 2, false},
 		{"it has a place for a replacement", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
-			leave(l, "i-2")
-			addUp(l, "i-4", "a")
-			tellTasks(t, l, "i-2", ". ended stopped")
+			evictGangTask(l, "i-2")
+			addSchedulable(l, "i-4", "a")
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 		}, 2, false},
 		{"it saves", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.gangs.EndAttempt(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test")
-			tellTasks(t, l, "i-1", ". flushing")
+			l.gangs.EndAttempt(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test")
+			gangHeartbeat(t, l, "i-1", here.checkpointing())
 		}, 3, false},
 		{"one of it is gone, and it ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
@@ -201,23 +201,23 @@
 		}, 3, false},
 		{"it is done, which is not stored", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			tellTasks(t, l, "i-2", ". ended done")
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitDone))
 		}, 2, false},
 		{"a new leader has heard of one task", func(t *testing.T, l *Leader) {
-			tellTasks(t, l, "i-1", "0@5 waiting")
+			gangHeartbeat(t, l, "i-1", gangTask(0).waiting().ofAttempt(5))
 		}, 1, true},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, c.earlierTerm)
 		c.before(t, l)
-		j := l.jobs["j-000002"]
+		j := l.jobs[gangID]
 		l.Replica.ApplyPut(replica.JobPrefix+j.Spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.Spec}, 9)
 		l.applyJobChanges()
 		told := 0
 		for _, m := range slices.Clone(l.fleet.Sorted) {
-			a := taskOn(l, m.ID)
+			a := gangAttemptOn(l, m.ID)
 			if a == nil {
-				if got := tellPlain(t, l, m.ID); len(got) > 0 {
+				if got := heartbeatOf(t, l, m.ID); len(got) > 0 {
 					t.Errorf("%s: %s is told %v", c.name, m.ID, got)
 				}
 				continue
@@ -228,12 +228,12 @@
 			}
 			task := wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, a.Index), Attempt: a.Number}
 			for _, task.State = range []string{wire.TaskPullingImage, wire.TaskWaitingForGang, wire.TaskRunning, wire.TaskCheckpointing} {
-				if got := tellPlain(t, l, m.ID, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
+				if got := heartbeatOf(t, l, m.ID, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
 					t.Errorf("%s: %s is told %v while its task is %s", c.name, m.ID, got, task.State)
 				}
 			}
 			task.State, task.ExitReason = wire.TaskExited, wire.ExitStopped
-			if got := tellPlain(t, l, m.ID, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
+			if got := heartbeatOf(t, l, m.ID, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
 				t.Errorf("%s: %s is told %v when its task has ended", c.name, m.ID, got)
 			}
 		}
