--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -22,9 +22,9 @@
 // gangID is the ID of the gang.
 const gangID = "j-000002"
 
-// newGangTest makes a leader of a gang of three tasks, each of which needs most of a
-// machine, and of three machines that are up, not yet known if old.
-func newGangTest(t *testing.T, old bool) *Leader {
+// newGangTest makes a leader of a gang of three tasks, each of which needs most of a machine, and of three running
+// machines. If an earlier term may have started tasks, none of the machines' tasks are known yet.
+func newGangTest(t *testing.T, earlierTerm bool) *Leader {
 	t.Helper()
 	l, _ := newTest(t)
 	useWorkers(l, acceptingWorkers{})
@@ -32,14 +32,13 @@
 	l.applyJobChanges()
 	spec := &wire.Job{ID: gangID, Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
 		EstimatedRuntimeS: 60, CheckpointIntervalS: 20, CheckpointDurationS: 3, AllowSpot: true}
-	l.jobs[spec.ID] = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, old)
-	b := l.fleet.Intent("r-1")
+	l.jobs[spec.ID] = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, earlierTerm)
 	for _, id := range []string{"i-2", "i-3"} {
-		l.fleet.Add(id, b, l.startedAt)
+		l.fleet.Add(id, l.fleet.Intent("r-1"), l.startedAt)
 	}
 	for _, m := range l.fleet.Sorted {
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
-		m.Reconciliation.Knowledge = knowledge(!old)
+		m.Reconciliation.Knowledge = knowledge(!earlierTerm)
 		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
 	}
 	return l
@@ -121,7 +120,7 @@
 	return verbs(response)
 }
 
-// addSchedulable adds a machine that is up and may get tasks.
+// addSchedulable adds a running machine that may get tasks.
 func addSchedulable(l *Leader, id, zone string) {
 	m := l.fleet.Add(id, l.fleet.Intent("r-1"), micros.Now())
 	m.Offering.Zone = zone
@@ -129,7 +128,7 @@
 	m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = id+":9000", 1, micros.Now(), micros.Now()
 }
 
-// gangAttemptOn is the gang's task that the leader has on a machine.
+// gangAttemptOn is the attempt of the gang that the leader has on a machine, nil if there is none.
 func gangAttemptOn(l *Leader, machine string) *state.Attempt {
 	for _, a := range l.fleet.Machines[machine].Attempts {
 		if a.Job.Spec.ID == gangID {
@@ -139,28 +138,29 @@
 	return nil
 }
 
-// heartbeatOf has a machine report tasks as they are given, and returns what it is told.
+// heartbeatOf has a machine send a heartbeat with tasks as they are given, and returns the commands of the response,
+// by a new plan.
 func heartbeatOf(t *testing.T, l *Leader, machine string, tasks ...wire.TaskStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
 	l.scheduler.RequestPlan()
 	l.scheduler.PlannedAt = 0
-	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: tasks})
+	response, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(answer)
+	return verbs(response)
 }
 
-// evictGangTask has the gang's task leave a machine, which gets no others.
+// evictGangTask drains a machine of the gang's task there.
 func evictGangTask(l *Leader, machine string) {
 	a := gangAttemptOn(l, machine)
 	a.Machine.DrainReason = "test"
 	l.gangs.EvictTask(a, state.CheckpointGrace(a.Job), "test", micros.Now())
 }
 
-// launchGang has the gang's tasks started on three machines, and reported with a state
-// unless it is empty.
+// launchGang has the gang's tasks started on three machines, whose heartbeats then show them in a state unless it is
+// empty.
 func launchGang(t *testing.T, l *Leader, state string) {
 	t.Helper()
 	machines := []string{"i-1", "i-2", "i-3"}
@@ -179,12 +179,12 @@
 
 // commandVerbs are the verbs of commands.
 func commandVerbs(commands []string) []string {
-	out := []string{}
+	all := []string{}
 	for _, c := range commands {
 		verb, _, _ := strings.Cut(c, " ")
-		out = append(out, verb)
+		all = append(all, verb)
 	}
-	return out
+	return all
 }
 
 // useWorkers has a leader's direct calls reach workers by a transport.
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_pool_test.go
@@ -12,9 +12,9 @@
 	"caperlatch/internal/wire"
 )
 
-// newReserveTest makes a leader of 32 machines of four CPUs that are up and idle, and of no
-// jobs. A gang is to start within 2 s with a chance of 0.85.
-func newReserveTest(t *testing.T) *Leader {
+// newPoolTest makes a leader of 32 idle machines of four CPUs, and of no jobs. A gang is to start within 2 s with a
+// chance of 0.85.
+func newPoolTest(t *testing.T) *Leader {
 	t.Helper()
 	l, _ := newTest(t)
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
@@ -35,20 +35,20 @@
 	return l
 }
 
-// addJob has a job come in, or be known at a take-over.
-func addJob(l *Leader, id string, shape wire.JobKind, tasks int, old bool, edit func(*wire.Job)) *state.Job {
-	spec := &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: shape, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}
+// addPairsJob has a job of class pairs come in, or be known at a failover.
+func addPairsJob(l *Leader, id string, kind wire.JobKind, tasks int, earlierTerm bool, edit func(*wire.Job)) *state.Job {
+	spec := &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: kind, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}
 	if edit != nil {
 		edit(spec)
 	}
-	j := state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, old)
+	j := state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, earlierTerm)
 	l.jobs[id] = j
 	l.scaler.AddDemand(j)
 	return j
 }
 
-// reserved counts the machines on which only gangs start.
-func reserved(l *Leader) (n int) {
+// countPooled counts the machines on which only gangs start.
+func countPooled(l *Leader) (n int) {
 	for _, m := range l.fleet.Sorted {
 		if m.Pool.IsSet() {
 			n++
@@ -57,25 +57,25 @@
 	return n
 }
 
-// TestGangReserve has gangs come in and counts the machines that are then reserved.
-func TestGangReserve(t *testing.T) {
+// TestGangPoolSize has gangs come in and counts the machines that are then in a pool.
+func TestGangPoolSize(t *testing.T) {
 	gang := func(edit func(*wire.Job)) func(*Leader) {
 		return func(l *Leader) {
 			for i := range 4 {
-				addJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, false, edit)
+				addPairsJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, false, edit)
 			}
 		}
 	}
 	// Two CPUs of four: a gang is half of a machine. Four that came in now, over a third
 	// of a window at least and with 1.3 deviations of their number, are 3.9 machines in the mean
-	// by the end of an interval, rounded up. Seven machines that report every 8 s
+	// by the end of an interval, rounded up. Seven machines that send a heartbeat every 8 s
 	// must have room: 0.75^7 = 0.13. The fleet's share bounds both.
 	for _, c := range []struct {
-		name string
-		play func(*Leader)
-		want int
+		name   string
+		submit func(*Leader)
+		want   int
 	}{
-		{"arrays alone", func(l *Leader) { addJob(l, "j-000100", wire.KindArray, 40, false, nil) }, 0},
+		{"arrays alone", func(l *Leader) { addPairsJob(l, "j-000100", wire.KindArray, 40, false, nil) }, 0},
 		{"gangs", gang(nil), 4},
 		{"gangs in a larger fleet", func(l *Leader) {
 			for i := range 200 {
@@ -85,35 +85,35 @@
 			}
 			gang(nil)(l)
 		}, 11},
-		{"known at a take-over", func(l *Leader) {
+		{"known at a failover", func(l *Leader) {
 			for i := range 4 {
-				addJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, true, nil)
+				addPairsJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, true, nil)
 			}
 		}, 4},
 		{"larger than a machine", gang(func(j *wire.Job) { j.CPUs = 3 }), 0},
-		{"scattered", gang(func(j *wire.Job) { j.SpreadZones = true }), 0},
+		{"spread over zones", gang(func(j *wire.Job) { j.SpreadZones = true }), 0},
 		{"bound to a zone", gang(func(j *wire.Job) { j.Zone = "a" }), 0},
-		{"bound to a type", gang(func(j *wire.Job) { j.InstanceTypes = []string{"m4"} }), 0},
+		{"bound to an instance type", gang(func(j *wire.Job) { j.InstanceTypes = []string{"m4"} }), 0},
 	} {
-		l := newReserveTest(t)
-		c.play(l)
+		l := newPoolTest(t)
+		c.submit(l)
 		l.autoscale(micros.Now())
-		if got := reserved(l); got != c.want {
-			t.Errorf("%s: %d machines are reserved, want %d", c.name, got, c.want)
+		if got := countPooled(l); got != c.want {
+			t.Errorf("%s: %d machines are in a pool, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// TestGangReserveUse has work start beside a reserve: gangs start there and arrays don't,
-// it is not returned while it is wanted, and is open to all when it is not.
-func TestGangReserveUse(t *testing.T) {
-	l := newReserveTest(t)
-	addJob(l, "j-000100", wire.KindGang, 2, false, nil)
+// TestGangPoolUse has work start beside a pool: gangs start there and arrays don't, its machines are not terminated
+// while they are wanted, and are open to all when they are not.
+func TestGangPoolUse(t *testing.T) {
+	l := newPoolTest(t)
+	addPairsJob(l, "j-000100", wire.KindGang, 2, false, nil)
 	l.autoscale(micros.Now())
-	if reserved(l) == 0 {
-		t.Fatal("nothing is reserved")
+	if countPooled(l) == 0 {
+		t.Fatal("no machine is in a pool")
 	}
-	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
+	addPairsJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.scheduler.PlannedAt = 0
 	for _, m := range l.fleet.Sorted {
 		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}); err != nil {
@@ -127,43 +127,43 @@
 			case a.Job.IsGang() && m.Pool.IsSet():
 				gangs++
 			case !a.Job.IsGang() && m.Pool.IsSet():
-				t.Errorf("a task of an array starts on %s, which is reserved", m.ID)
+				t.Errorf("a task of an array starts on %s, which is in a pool", m.ID)
 			}
 		}
 	}
 	if gangs != 2 {
-		t.Errorf("%d tasks of the gang start on reserved machines, want 2", gangs)
+		t.Errorf("%d tasks of the gang start on machines of the pool, want 2", gangs)
 	}
-	before := reserved(l)
+	before := countPooled(l)
 	for _, m := range l.fleet.Sorted {
 		m.Instance.LaunchedAt, m.Instance.IdleSince = m.Instance.LaunchedAt-1000*micros.Second, m.Instance.IdleSince-1000*micros.Second
 	}
 	l.autoscale(micros.Now())
 	for _, m := range l.fleet.Sorted {
 		if m.Instance.Terminating && m.Pool.IsSet() {
-			t.Errorf("%s is returned, and is reserved", m.ID)
+			t.Errorf("%s is terminated, and is in a pool", m.ID)
 		}
 	}
-	if reserved(l) != before {
-		t.Errorf("%d machines are reserved, were %d", reserved(l), before)
+	if countPooled(l) != before {
+		t.Errorf("%d machines are in a pool, were %d", countPooled(l), before)
 	}
 	for _, p := range l.scaler.Pools() {
 		p.Mean = 0
 		p.Demand.Seed(micros.Now(), 0)
 	}
 	l.autoscale(micros.Now() + l.Tuning.ReviewInterval)
-	if n := reserved(l); n != 0 {
-		t.Errorf("%d machines stay reserved for gangs that do not come", n)
+	if n := countPooled(l); n != 0 {
+		t.Errorf("%d machines stay in a pool for gangs that do not come", n)
 	}
 }
 
-// TestGangReserveTakeOver has a leader take over with two gangs known and show it machines
-// whose tasks are not known yet, full of an array, idle, or with a gang.
-func TestGangReserveTakeOver(t *testing.T) {
-	l := newReserveTest(t)
-	gang := addJob(l, "j-000100", wire.KindGang, 2, true, nil)
-	addJob(l, "j-000101", wire.KindGang, 2, true, nil)
-	array := addJob(l, "j-000200", wire.KindArray, 1000, true, nil)
+// TestGangPoolAfterFailover has a new leader know two gangs, and get heartbeats of machines whose tasks are not known
+// yet: full of an array, idle, or with a gang.
+func TestGangPoolAfterFailover(t *testing.T) {
+	l := newPoolTest(t)
+	gang := addPairsJob(l, "j-000100", wire.KindGang, 2, true, nil)
+	addPairsJob(l, "j-000101", wire.KindGang, 2, true, nil)
+	array := addPairsJob(l, "j-000200", wire.KindArray, 1000, true, nil)
 	l.scaler.StepPools(micros.Now())
 	running := func(j *state.Job, tasks ...int) (out []wire.TaskStatus) {
 		for _, n := range tasks {
@@ -172,10 +172,10 @@
 		return out
 	}
 	for _, c := range []struct {
-		name     string
-		machine  string
-		tasks    []wire.TaskStatus
-		reserved bool
+		name    string
+		machine string
+		tasks   []wire.TaskStatus
+		pooled  bool
 	}{
 		{"tasks of an array", "i-10", running(array, 0, 1), false},
 		{"idle", "i-11", nil, true},
@@ -187,8 +187,8 @@
 		m := l.fleet.Machines[c.machine]
 		m.Reconciliation.Knowledge = state.TasksUnknown
 		l.reconcile(m, &wire.Heartbeat{MachineID: m.ID, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
-		if got := m.Pool.IsSet(); got != c.reserved {
-			t.Errorf("%s: reserved: %t, want %t", c.name, got, c.reserved)
+		if got := m.Pool.IsSet(); got != c.pooled {
+			t.Errorf("%s: in a pool: %t, want %t", c.name, got, c.pooled)
 		}
 	}
 }
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -12,25 +12,25 @@
 	"caperlatch/internal/zone"
 )
 
-// TestGangStop has a running gang stopped for other work while its machines are in several
-// states: whole, with time to save, or not at all.
-func TestGangStop(t *testing.T) {
+// TestGangStoppedWholeOrNotAtAll has a running gang stopped for other work while its machines are in several
+// states: all tasks, with time to save, or none.
+func TestGangStoppedWholeOrNotAtAll(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		edit  func(l *Leader, m *state.Machine)
 		stops int
 	}{
-		{"all can be told", func(*Leader, *state.Machine) {}, 3},
+		{"all can be reached", func(*Leader, *state.Machine) {}, 3},
 		{"one is silent", func(l *Leader, m *state.Machine) {
 			m.Heartbeat.ReceivedAt = micros.Now() - 10*micros.Second
 			l.startedAt = m.Heartbeat.ReceivedAt
 		}, 0},
-		{"one hears nothing", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
-		{"one is being returned", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
-		{"one is in a zone that is cut off", func(l *Leader, _ *state.Machine) {
+		{"one loses responses", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
+		{"one is being terminated", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
+		{"one is in a disrupted zone", func(l *Leader, _ *state.Machine) {
 			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
-		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).sure = false }, 0},
+		{"another node may lead", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).sure = false }, 0},
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
@@ -54,20 +54,19 @@
 	}
 }
 
-// TestGangLeaves has a machine with a task of a gang be taken after a notice. A gang that
-// runs stops whole, with time to save; one that waits gives up that task alone. As it may
-// run unseen by then, that task has time to save too: to stop it at once would cost what
-// the gang did since its last checkpoint.
-func TestGangLeaves(t *testing.T) {
+// TestGangEvictedOnInterruption has the cloud take a machine with a task of a gang back after a notice. A gang that
+// runs stops whole, with time to save; of one that waits only that task stops. As it may run unseen by then, that
+// task has time to save too: to stop it at once would cost what the gang did since its last checkpoint.
+func TestGangEvictedOnInterruption(t *testing.T) {
 	cases := []struct {
-		name      string
-		states    []string // of the three, empty: its start was not heard of; none: not sent
-		saveEvery float64
-		stops     int
+		name                string
+		states              []string // of the three, empty: no heartbeat has shown its start; none: it was not sent
+		checkpointIntervalS float64
+		stops               int
 	}{
 		{"its start is not sent", nil, 20, 0},
 		{"its start is sent", []string{"", "", ""}, 20, 1},
-		{"it fetches", []string{wire.TaskPullingImage, wire.TaskPullingImage, wire.TaskPullingImage}, 20, 1},
+		{"it pulls its image", []string{wire.TaskPullingImage, wire.TaskPullingImage, wire.TaskPullingImage}, 20, 1},
 		{"it waits", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskPullingImage}, 20, 1},
 		{"it runs, which is not known", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 1},
 		{"it runs", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 20, 3},
@@ -77,7 +76,7 @@
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		j := l.jobs[gangID]
-		j.Spec.CheckpointIntervalS = c.saveEvery
+		j.Spec.CheckpointIntervalS = c.checkpointIntervalS
 		gangHeartbeat(t, l, "i-1")
 		for i := 1; i < len(c.states); i++ {
 			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1))
@@ -104,8 +103,8 @@
 	}
 }
 
-// TestGangSaves has more happen to a gang that is saving. None of it may cut its time.
-func TestGangSaves(t *testing.T) {
+// TestGangGracePeriodIsKept has more happen to a gang that is saving checkpoints. None of it may cut its time.
+func TestGangGracePeriodIsKept(t *testing.T) {
 	cases := []struct {
 		name  string
 		event func(t *testing.T, l *Leader)
@@ -115,25 +114,25 @@
 		{"it is stopped again for other work", func(_ *testing.T, l *Leader) {
 			l.gangs.StopIfReachable(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test", micros.Now())
 		}, 3 * micros.Second},
-		{"one of its machines is taken after a short notice", func(_ *testing.T, l *Leader) {
+		{"one of its machines has a short interruption notice", func(_ *testing.T, l *Leader) {
 			l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
 			l.drainOnInterruption(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
-		{"one of its machines is found faulty", func(_ *testing.T, l *Leader) {
+		{"one of its machines is quarantined", func(_ *testing.T, l *Leader) {
 			l.fleet.Machines["i-2"].Quarantine.Failures = quarantineFailures
 			l.evaluateMachine(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
 		{"one has saved", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped)) }, 3 * micros.Second},
-		{"one has saved, and another's machine is gone", func(t *testing.T, l *Leader) {
+		{"one has saved, and another's machine is terminated", func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 			l.fleet.Remove(l.fleet.Machines["i-1"])
 		}, 3 * micros.Second},
-		{"one was not told in time", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
-		{"one was not told in time, and is listed again", func(t *testing.T, l *Leader) {
+		{"one has lost its gang", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
+		{"one has lost its gang, and is listed again", func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost))
 			gangHeartbeat(t, l, "i-2", gangTask(1).exited(wire.ExitGangTaskLost))
 		}, 3 * micros.Second},
-		{"a machine is gone", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
+		{"a machine is terminated", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
 		{"one still shows to run", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.running()) }, 3 * micros.Second},
 		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs[gangID], wire.JobCancelled) }, 0},
 	}
@@ -157,9 +156,9 @@
 	}
 }
 
-// TestGangCancelled has a gang cancelled in each of its states: no start follows, what was
-// not sent is dropped, and all the others are told to stop at once until they are gone.
-func TestGangCancelled(t *testing.T) {
+// TestGangCancelledInEachState has a gang cancelled in each of its states: no start follows, tasks whose start was not
+// sent are released, and all the others have the command to stop at once until they have left.
+func TestGangCancelledInEachState(t *testing.T) {
 	launched := func(state string) func(t *testing.T, l *Leader) {
 		return func(t *testing.T, l *Leader) { launchGang(t, l, state) }
 	}
@@ -167,12 +166,12 @@
 		name        string
 		before      func(t *testing.T, l *Leader)
 		stops       int
-		earlierTerm bool // its job is of one
+		earlierTerm bool // may have started tasks
 	}{
-		{"nothing of it is placed", func(*testing.T, *Leader) {}, 0, false},
+		{"none of its tasks is assigned", func(*testing.T, *Leader) {}, 0, false},
 		{"one start is sent", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, 1, false},
 		{"all starts are sent", launched(""), 3, false},
-		{"it fetches", launched(wire.TaskPullingImage), 3, false},
+		{"it pulls its image", launched(wire.TaskPullingImage), 3, false},
 		{"it waits", launched(wire.TaskWaitingForGang), 3, false},
 		{"it runs", launched(wire.TaskRunning), 3, false},
 		{"it waits for a replacement", func(t *testing.T, l *Leader) {
@@ -180,7 +179,7 @@
 			evictGangTask(l, "i-2")
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 		}, 2, false},
-		{"it has a place for a replacement", func(t *testing.T, l *Leader) {
+		{"a replacement is assigned", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			evictGangTask(l, "i-2")
 			addSchedulable(l, "i-4", "a")
@@ -191,11 +190,11 @@
 			l.gangs.EndAttempt(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test")
 			gangHeartbeat(t, l, "i-1", here.checkpointing())
 		}, 3, false},
-		{"one of it is gone, and it ends", func(t *testing.T, l *Leader) {
+		{"one task is lost, and its attempt ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Remove(l.fleet.Machines["i-2"])
 		}, 2, false},
-		{"one of it hangs, and its machine is to be returned", func(t *testing.T, l *Leader) {
+		{"one machine hangs, and its termination is requested", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Terminate(l.fleet.Machines["i-2"], "test")
 		}, 3, false},
@@ -203,7 +202,7 @@
 			launchGang(t, l, wire.TaskRunning)
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitDone))
 		}, 2, false},
-		{"a new leader has heard of one task", func(t *testing.T, l *Leader) {
+		{"a new leader knows of one task", func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-1", gangTask(0).waiting().ofAttempt(5))
 		}, 1, true},
 	}
@@ -213,32 +212,32 @@
 		j := l.jobs[gangID]
 		l.Replica.ApplyPut(replica.JobPrefix+j.Spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.Spec}, 9)
 		l.applyJobChanges()
-		told := 0
+		stopping := 0
 		for _, m := range slices.Clone(l.fleet.Sorted) {
 			a := gangAttemptOn(l, m.ID)
 			if a == nil {
 				if got := heartbeatOf(t, l, m.ID); len(got) > 0 {
-					t.Errorf("%s: %s is told %v", c.name, m.ID, got)
+					t.Errorf("%s: %s has commands %v", c.name, m.ID, got)
 				}
 				continue
 			}
-			told++
+			stopping++
 			if a.StopRequestedAt == 0 || a.GracePeriod != 0 || a.Reserved {
-				t.Errorf("%s: task %d is told nothing, or has %v", c.name, a.Index, a.GracePeriod.Duration())
+				t.Errorf("%s: task %d is not stopping, or has %v to save", c.name, a.Index, a.GracePeriod.Duration())
 			}
 			task := wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, a.Index), Attempt: a.Number}
 			for _, task.State = range []string{wire.TaskPullingImage, wire.TaskWaitingForGang, wire.TaskRunning, wire.TaskCheckpointing} {
 				if got := heartbeatOf(t, l, m.ID, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
-					t.Errorf("%s: %s is told %v while its task is %s", c.name, m.ID, got, task.State)
+					t.Errorf("%s: %s has commands %v while its task is %s", c.name, m.ID, got, task.State)
 				}
 			}
 			task.State, task.ExitReason = wire.TaskExited, wire.ExitStopped
 			if got := heartbeatOf(t, l, m.ID, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
-				t.Errorf("%s: %s is told %v when its task has ended", c.name, m.ID, got)
+				t.Errorf("%s: %s has commands %v when its task has exited", c.name, m.ID, got)
 			}
 		}
-		if told != c.stops || len(j.Attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
-			t.Errorf("%s: %d are told, want %d; %d are left, %+v used", c.name, told, c.stops, len(j.Attempts), l.teamUsage["blue"])
+		if stopping != c.stops || len(j.Attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
+			t.Errorf("%s: %d tasks are stopping, want %d; %d are left, %+v used", c.name, stopping, c.stops, len(j.Attempts), l.teamUsage["blue"])
 		}
 	}
 }
