--- a/internal/leader/gangs/gangs.go
+++ b/internal/leader/gangs/gangs.go
@@ -54,12 +54,12 @@
 	// Assign counts an attempt on its machine, and Release one that is known to have left.
 	Assign  func(a *state.Attempt)
 	Release func(a *state.Attempt, reason string)
-	// PublishStarted tells followers that an assigned attempt's start is being sent.
+	// PublishStarted publishes to followers that an assigned attempt's start is being sent.
 	PublishStarted func(a *state.Attempt)
 	// Stop has one attempt stopped within a grace period, and its worker called.
 	Stop func(a *state.Attempt, grace micros.Micros, reason string)
-	// MarkStopping notes that an attempt is to stop, and reports whether its worker must be told so.
-	MarkStopping func(a *state.Attempt, grace micros.Micros, reason string) (mustTell bool)
+	// MarkStopping notes that an attempt is to stop, and reports whether its worker must be called.
+	MarkStopping func(a *state.Attempt, grace micros.Micros, reason string) (mustCall bool)
 	// SendStops calls a machine's worker, again and again, to stop attempts that are marked so.
 	SendStops func(m *state.Machine, stops []*state.Attempt)
 	// StoreProgress has a chunk of a job's completed tasks stored.
@@ -71,7 +71,7 @@
 // Coordinator begins, watches and ends the attempts of gangs for one term.
 type Coordinator struct{ Config }
 
-// New makes a coordinator. All that it knows of gangs stands in their jobs.
+// New makes a coordinator. All that is known of gangs stands in their jobs.
 func New(c Config) *Coordinator { return &Coordinator{c} }
 
 // AssignTasks assigns waiting tasks of a gang to a machine. Their starts go out with the next response to
@@ -79,7 +79,7 @@
 func (c *Coordinator) AssignTasks(m *state.Machine, j *state.Job, count int, now micros.Micros) {
 	if len(j.Attempts) == 0 {
 		j.Gang = state.GangAttempt{Number: c.NextAttemptNumber()}
-		slog.Debug("gang attempt began", "job", j.Spec.ID, "attempt", j.Gang.Number, "tasks", j.Spec.Tasks)
+		slog.Debug("gang attempt started", "job", j.Spec.ID, "attempt", j.Gang.Number, "tasks", j.Spec.Tasks)
 	}
 	for range count {
 		index, ok := j.TakeWaitingTask()
--- a/internal/leader/gangs/observe.go
+++ b/internal/leader/gangs/observe.go
@@ -58,7 +58,7 @@
 		// Its exits say so, or one of its starts was never sent.
 		c.EndAttempt(j, 0, reasonTaskLost)
 	case g.Started && isLeaving:
-		// One that was to leave while it waited runs by now: all must be told in time.
+		// One that was to leave while it waited runs by now: all must get that command in time.
 		c.EndAttempt(j, state.CheckpointGrace(j), reasonMachineDrained)
 	}
 }
--- a/internal/leader/gangs/stop.go
+++ b/internal/leader/gangs/stop.go
@@ -57,7 +57,7 @@
 }
 
 // EndAttempt ends a gang's attempt: tasks whose start was not sent are released, and the machines of the
-// others are called at once. The next attempt begins when all tasks are gone.
+// others are called at once. The next attempt begins when all tasks have left.
 func (c *Coordinator) EndAttempt(j *state.Job, grace micros.Micros, reason string) {
 	j.Gang.Ending = true
 	stops := map[*state.Machine][]*state.Attempt{}
--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -61,8 +61,8 @@
 		}
 	}
 	pricePerUsed := func(m *state.Machine) float64 {
-		t := s.Scaler.Type(m.Offering.Type)
-		return t.Price(m.Offering.Spot) / float64(max(1, t.Capacity.CPU-m.Free.CPU))
+		instanceType := s.Scaler.Type(m.Offering.Type)
+		return instanceType.Price(m.Offering.Spot) / float64(max(1, instanceType.Capacity.CPU-m.Free.CPU))
 	}
 	slices.SortStableFunc(machines, func(a, b *state.Machine) int {
 		return cmp.Or(cmp.Compare(pricePerUsed(b), pricePerUsed(a)), cmp.Compare(a.ID, b.ID))
@@ -128,10 +128,10 @@
 // hasSlackToMove reports whether a task would not be late for being moved: on fleets whose images take 25 s
 // to pull, a fifth of the jobs with a deadline were.
 func (s *Scheduler) hasSlackToMove(a *state.Attempt, now micros.Micros) bool {
-	spec, t := a.Job.Spec, s.Scaler.Type(a.Machine.Offering.Type)
+	spec, instanceType := a.Job.Spec, s.Scaler.Type(a.Machine.Offering.Type)
 	wall := micros.Wall()
 	deadlines := s.Workload.StartDeadlines(a.Job, false, wall)
-	costS := spec.CheckpointDurationS + t.PullTimeS(spec.ImageSizeGB) + 2*s.HeartbeatInterval.Seconds()
+	costS := spec.CheckpointDurationS + instanceType.PullTimeS(spec.ImageSizeGB) + 2*s.HeartbeatInterval.Seconds()
 	slackS := (deadlines.Next - wall).Seconds() + s.Workload.ExpectedRuntime(spec) - s.Workload.RemainingRuntime(a, now)
 	return !deadlines.Late && slackS >= minSlack*costS
 }
--- a/internal/leader/scheduler/preempt.go
+++ b/internal/leader/scheduler/preempt.go
@@ -26,20 +26,20 @@
 			count += w.WaitingTasks
 		}
 	}
-	// Where so many tasks end by themselves that their room serves these jobs within moments, stopping
+	// Where so many tasks end by themselves that their room serves these jobs very soon, stopping
 	// others would only waste their checkpoints and image pulls.
 	soon := s.completions.perSecond(now) * preemptInterval.Seconds()
 	s.preemptedAt = now
 	if count == 0 || float64(count) <= soon {
 		return
 	}
-	v := s.withVictims(now)
-	preemptions, reservations := placement.Preempt(v.placement, q.waiting, q.teams, maxPreemptJobs)
+	view := s.withVictims(now)
+	preemptions, reservations := placement.Preempt(view.placement, q.waiting, q.teams, maxPreemptJobs)
 	for _, r := range reservations {
-		s.reserve(r.ForJobID, v.machines[r.Machine], now)
+		s.reserve(r.ForJobID, view.machines[r.Machine], now)
 	}
 	for _, p := range preemptions {
-		if a := v.machines[p.Machine].Attempts[state.TaskID(p.Victim.JobID, p.Victim.Task)]; a != nil {
+		if a := view.machines[p.Machine].Attempts[state.TaskID(p.Victim.JobID, p.Victim.Task)]; a != nil {
 			s.preemptVictim(a, p.ForJobID, now)
 		}
 	}
@@ -80,13 +80,13 @@
 		return
 	}
 	s.preemptedForGangsAt = now
-	v := s.withVictims(now)
+	view := s.withVictims(now)
 	for _, w := range late[:min(len(late), maxReservationJobs)] {
-		preemptions, at := placement.PreemptOnSingleMachine(v.placement, w, s.queue.teams[w.Team])
+		preemptions, at := placement.PreemptOnSingleMachine(view.placement, w, s.queue.teams[w.Team])
 		if len(preemptions) == 0 {
 			continue
 		}
-		m := v.machines[at]
+		m := view.machines[at]
 		s.reserve(w.ID, m, now)
 		for _, p := range preemptions {
 			a := m.Attempts[state.TaskID(p.Victim.JobID, p.Victim.Task)]
--- a/internal/leader/scheduler/queue.go
+++ b/internal/leader/scheduler/queue.go
@@ -97,7 +97,7 @@
 // placementJob is a job with so many startable tasks as placement sees it.
 func (s *Scheduler) placementJob(j *state.Job, count int, withinGuarantee bool, wall micros.Micros) *placement.Job {
 	spec := j.Spec
-	w := &placement.Job{
+	waiting := &placement.Job{
 		ID:              spec.ID,
 		Team:            spec.Team,
 		ImageIndex:      j.Image,
@@ -117,22 +117,22 @@
 		ImageSizeGB:     spec.ImageSizeGB,
 	}
 	deadlines := s.Workload.StartDeadlines(j, withinGuarantee, wall)
-	w.StartDeadline, w.LaterStartDeadlines, w.Late = deadlines.Next, deadlines.Later, deadlines.Late
-	w.AtRisk = w.StartDeadline-wall < atRiskHeartbeats*s.HeartbeatInterval && !j.IsProbing()
-	w.PreemptsBestEffort = j.Priority > 0 && !j.IsProbing()
-	w.DelayTolerant = s.Workload.IsDelayTolerant(j)
+	waiting.StartDeadline, waiting.LaterStartDeadlines, waiting.Late = deadlines.Next, deadlines.Later, deadlines.Late
+	waiting.AtRisk = waiting.StartDeadline-wall < atRiskHeartbeats*s.HeartbeatInterval && !j.IsProbing()
+	waiting.PreemptsBestEffort = j.Priority > 0 && !j.IsProbing()
+	waiting.DelayTolerant = s.Workload.IsDelayTolerant(j)
 	if j.IsGang() {
 		if len(j.Attempts) > 0 {
-			w.StartDeadline, w.Late, w.AtRisk = wall, false, !j.IsProbing() // the others of its tasks wait for these
+			waiting.StartDeadline, waiting.Late, waiting.AtRisk = wall, false, !j.IsProbing() // the others of its tasks wait for these
 		}
-		w.FailedOn = j.Failures.ByMachine
-		w.MaxStartDelay = max(immediateStartLimit, wall-j.SubmittedAt)
+		waiting.FailedOn = j.Failures.ByMachine
+		waiting.MaxStartDelay = max(immediateStartLimit, wall-j.SubmittedAt)
 	}
-	w.WaitingCPUSeconds = float64(count) * spec.CPUs * s.Workload.ExpectedRuntime(spec)
+	waiting.WaitingCPUSeconds = float64(count) * spec.CPUs * s.Workload.ExpectedRuntime(spec)
 	if spec.SingleZone || spec.SpreadZones {
-		w.TasksPerZone = maps.Clone(j.AttemptsPerZone)
+		waiting.TasksPerZone = maps.Clone(j.AttemptsPerZone)
 	}
-	return w
+	return waiting
 }
 
 // hasAged reports whether a job has waited for a start for so long that it goes before others.
@@ -145,15 +145,15 @@
 }
 
 // splitAged has a part of a job's tasks go before all others; the rest, if any, waits as before.
-func (s *Scheduler) splitAged(w *placement.Job, j *state.Job) (rest *placement.Job) {
-	w.Aged, w.Late, w.DelayTolerant = true, false, false
-	part := 1 + w.WaitingTasks/agingDivisor
-	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.WaitingTasks {
+func (s *Scheduler) splitAged(waiting *placement.Job, j *state.Job) (rest *placement.Job) {
+	waiting.Aged, waiting.Late, waiting.DelayTolerant = true, false, false
+	part := 1 + waiting.WaitingTasks/agingDivisor
+	if waiting.SingleZone || waiting.SpreadZones || waiting.Gang || part >= waiting.WaitingTasks {
 		return nil
 	}
-	other := *w
+	other := *waiting
 	other.Aged, other.DelayTolerant = false, s.Workload.IsDelayTolerant(j)
-	w.WaitingTasks, other.WaitingTasks = part, w.WaitingTasks-part
+	waiting.WaitingTasks, other.WaitingTasks = part, waiting.WaitingTasks-part
 	return &other
 }
 
--- a/internal/leader/scheduler/reservation.go
+++ b/internal/leader/scheduler/reservation.go
@@ -17,7 +17,7 @@
 // gang, so none waits for another's.
 func (s *Scheduler) reserveForGangs(now micros.Micros) {
 	q := &s.queue
-	var v view
+	var view machineView
 	reserved, tries := s.countReserved(), 0
 	for i, w := range q.waiting {
 		if !s.canReserve(w, now) || reserved > 0 && reservationDivisor*reserved >= len(s.Fleet.Sorted) {
@@ -26,12 +26,12 @@
 		if tries++; tries > maxReservationJobs {
 			break
 		}
-		if v.placement == nil {
-			v = s.withCompletions(now)
+		if view.placement == nil {
+			view = s.withCompletions(now)
 		}
-		for _, n := range placement.PickReservation(v.placement, w, q.teams[w.Team], reservationHorizon) {
-			v.placement[n].ReservedFor = w
-			s.reserve(q.jobs[i].Spec.ID, v.machines[n], now)
+		for _, n := range placement.PickReservation(view.placement, w, q.teams[w.Team], reservationHorizon) {
+			view.placement[n].ReservedFor = w
+			s.reserve(q.jobs[i].Spec.ID, view.machines[n], now)
 			reserved++
 		}
 	}
@@ -50,12 +50,12 @@
 
 // canReserve reports whether machines may be reserved for a waiting job: a gang that has none, and has let
 // none go lately.
-func (s *Scheduler) canReserve(w *placement.Job, now micros.Micros) bool {
-	if !w.Gang || w.WaitingTasks == 0 {
+func (s *Scheduler) canReserve(waiting *placement.Job, now micros.Micros) bool {
+	if !waiting.Gang || waiting.WaitingTasks == 0 {
 		return false
 	}
-	r := s.reservations[w.ID]
-	return r == nil || len(r.Machines) == 0 && now >= r.RetryAt
+	reservation := s.reservations[waiting.ID]
+	return reservation == nil || len(reservation.Machines) == 0 && now >= reservation.RetryAt
 }
 
 // reserve adds a machine to a gang's reservation.
@@ -64,19 +64,19 @@
 	if j == nil || m.Reservation != nil {
 		return
 	}
-	r := s.reservations[jobID]
-	if r == nil || len(r.Machines) == 0 {
+	reservation := s.reservations[jobID]
+	if reservation == nil || len(reservation.Machines) == 0 {
 		lifetime := reservationHorizon + s.HeartbeatInterval
-		r = &state.GangReservation{ExpiresAt: now + lifetime, RetryAt: now + 2*lifetime}
-		s.reservations[jobID] = r
+		reservation = &state.GangReservation{ExpiresAt: now + lifetime, RetryAt: now + 2*lifetime}
+		s.reservations[jobID] = reservation
 		for _, w := range s.queue.waiting {
 			if w.ID == jobID {
-				r.Waiting = w
+				reservation.Waiting = w
 			}
 		}
 	}
-	m.Reservation = r
-	r.Machines = append(r.Machines, m)
+	m.Reservation = reservation
+	reservation.Machines = append(reservation.Machines, m)
 }
 
 // ReservedMachines counts the machines that are reserved for a job.
@@ -89,25 +89,25 @@
 
 // DropReservation opens to all the machines that are reserved for a gang, if there are any.
 func (s *Scheduler) DropReservation(j *state.Job) {
-	r := s.reservations[j.Spec.ID]
-	if r == nil {
+	reservation := s.reservations[j.Spec.ID]
+	if reservation == nil {
 		return
 	}
-	for _, m := range r.Machines {
-		if m.Reservation == r {
+	for _, m := range reservation.Machines {
+		if m.Reservation == reservation {
 			m.Reservation = nil
 			s.RequestPlan()
 		}
 	}
-	r.Machines = nil
-	if j.Ended || micros.Now() >= r.RetryAt {
+	reservation.Machines = nil
+	if j.Ended || micros.Now() >= reservation.RetryAt {
 		delete(s.reservations, j.Spec.ID)
 	}
 }
 
 // ExpireReservation drops a gang's reservation if its time is over.
 func (s *Scheduler) ExpireReservation(j *state.Job, now micros.Micros) {
-	if r := s.reservations[j.Spec.ID]; r != nil && now >= r.ExpiresAt && (len(r.Machines) > 0 || now >= r.RetryAt) {
+	if reservation := s.reservations[j.Spec.ID]; reservation != nil && now >= reservation.ExpiresAt && (len(reservation.Machines) > 0 || now >= reservation.RetryAt) {
 		s.DropReservation(j)
 	}
 }
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -131,19 +131,19 @@
 	if len(q.jobs) == 0 || !s.Term.IsExclusive() {
 		return
 	}
-	v := s.schedulable(now, q.minNeed)
-	for _, start := range placement.Plan(v.placement, q.waiting, q.teams) {
-		s.planStarts(v.machines[start.Machine], q.jobs[start.Job], start.Count, now)
+	view := s.schedulable(now, q.minNeed)
+	for _, start := range placement.Plan(view.placement, q.waiting, q.teams) {
+		s.planStarts(view.machines[start.Machine], q.jobs[start.Job], start.Count, now)
 	}
 	q.dropPlanned()
 	for _, w := range q.waiting {
 		if w.Gang {
-			w.EarliestStart = placement.EarliestGangStart(v.placement, w, s.HeartbeatInterval)
+			w.EarliestStart = placement.EarliestGangStart(view.placement, w, s.HeartbeatInterval)
 		}
 	}
 	s.preemptForGangs(now)
 	s.reserveForGangs(now)
-	q.hasSpareRoom = v.hasSpareRoom(q.waiting)
+	q.hasSpareRoom = view.hasSpareRoom(q.waiting)
 	if now-s.preemptedAt >= preemptInterval {
 		s.preempt(now)
 	}
@@ -171,14 +171,14 @@
 		return
 	}
 	s.responding = m
-	p := s.placementMachine(m, now)
+	machine := s.placementMachine(m, now)
 	s.responding = nil
-	subtractPlanned(&p, m)
-	if !p.Free.Fits(q.minNeed) {
+	subtractPlanned(&machine, m)
+	if !machine.Free.Fits(q.minNeed) {
 		return
 	}
 	hasPlannedAll := false // of some job
-	for _, start := range placement.Fill(&p, q.waiting, q.teams) {
+	for _, start := range placement.Fill(&machine, q.waiting, q.teams) {
 		hasPlannedAll = hasPlannedAll || q.waiting[start.Job].WaitingTasks == 0
 		if j := q.jobs[start.Job]; !j.IsGang() || !j.Ended && start.Count == j.StartableTasks(now) {
 			s.planStarts(m, j, start.Count, now)
--- a/internal/leader/scheduler/view.go
+++ b/internal/leader/scheduler/view.go
@@ -10,8 +10,8 @@
 	"caperlatch/placement"
 )
 
-// view is the machines that may get tasks, as placement sees them and as they are.
-type view struct {
+// machineView is the machines that may get tasks, as placement sees them and as they are.
+type machineView struct {
 	placement []placement.Machine
 	machines  []*state.Machine // of these, with the same indexes
 }
@@ -27,15 +27,15 @@
 const surplusPenalty = 30 * micros.Second
 
 // schedulable views the machines that may get tasks and have room for need.
-func (s *Scheduler) schedulable(now micros.Micros, need placement.Resources) view {
-	var v view
+func (s *Scheduler) schedulable(now micros.Micros, need placement.Resources) machineView {
+	var view machineView
 	for _, m := range s.Fleet.Sorted {
 		if m.Free.Fits(need) && s.mayGetTasks(m, now) {
-			v.placement = append(v.placement, s.placementMachine(m, now))
-			v.machines = append(v.machines, m)
+			view.placement = append(view.placement, s.placementMachine(m, now))
+			view.machines = append(view.machines, m)
 		}
 	}
-	return v
+	return view
 }
 
 // mayGetTasks reports whether a machine may get tasks, if it has room.
@@ -52,11 +52,11 @@
 }
 
 // hasSpareRoom reports whether the machines that are no surplus have room enough for what waits.
-func (v view) hasSpareRoom(waiting []*placement.Job) bool {
+func (view machineView) hasSpareRoom(waiting []*placement.Job) bool {
 	free, need := int64(0), int64(0)
-	for i, m := range v.machines {
+	for i, m := range view.machines {
 		if !m.Surplus && !m.ZoneReturn.Closed {
-			free += v.placement[i].Free.CPU
+			free += view.placement[i].Free.CPU
 		}
 	}
 	for _, w := range waiting {
@@ -71,8 +71,8 @@
 
 // placementMachine is a machine as placement sees it.
 func (s *Scheduler) placementMachine(m *state.Machine, now micros.Micros) placement.Machine {
-	t := s.Scaler.Type(m.Offering.Type)
-	p := placement.Machine{
+	instanceType := s.Scaler.Type(m.Offering.Type)
+	machine := placement.Machine{
 		ID:                   m.ID,
 		InstanceType:         m.Offering.Type,
 		Zone:                 m.Offering.Zone,
@@ -82,24 +82,24 @@
 		Idle:                 len(m.Attempts) == 0,
 		RejectsDelayTolerant: m.RejectsDelayTolerant,
 		Images:               m.ImageSet,
-		ImagePullGBPerS:      t.ImagePullGBPerS,
-		StartPenalty:         micros.FromSeconds(s.Scaler.PriceRatio(t, m.Offering.Spot) - 1),
+		ImagePullGBPerS:      instanceType.ImagePullGBPerS,
+		StartPenalty:         micros.FromSeconds(s.Scaler.PriceRatio(instanceType, m.Offering.Spot) - 1),
 	}
 	if late := now - m.Heartbeat.ReceivedAt - s.HeartbeatInterval - s.HeartbeatInterval/4; late > 0 {
-		p.CommandDelay = s.HeartbeatInterval + late // it has missed a heartbeat, and may be gone
+		machine.CommandDelay = s.HeartbeatInterval + late // it has missed a heartbeat, and may be gone
 	}
 	if m == s.responding {
-		p.CommandDelay = 0
+		machine.CommandDelay = 0
 	}
 	if m.Surplus {
-		p.StartPenalty += surplusPenalty
+		machine.StartPenalty += surplusPenalty
 	}
 	if r := m.Reservation; r != nil {
-		p.ReservedFor = r.Waiting
+		machine.ReservedFor = r.Waiting
 	}
-	p.GangsOnly = m.Pool.IsSet()
-	p.ZoneBoundOnly = m.ZoneReturn.Closed
-	return p
+	machine.GangsOnly = m.Pool.IsSet()
+	machine.ZoneBoundOnly = m.ZoneReturn.Closed
+	return machine
 }
 
 // subtractPlanned takes off what a machine has free what is planned on it.
@@ -110,24 +110,24 @@
 }
 
 // withVictims views the machines that may get tasks, with the tasks that could be preempted there.
-func (s *Scheduler) withVictims(now micros.Micros) view {
+func (s *Scheduler) withVictims(now micros.Micros) machineView {
 	withinGuarantee, nonPreemptible := s.Workload.JobsWithinGuarantee(s.Jobs), s.Gangs.NonPreemptible(now)
-	v := s.schedulable(now, placement.Resources{})
-	for i, m := range v.machines {
-		p := &v.placement[i]
-		subtractPlanned(p, m)
+	view := s.schedulable(now, placement.Resources{})
+	for i, m := range view.machines {
+		machine := &view.placement[i]
+		subtractPlanned(machine, m)
 		for _, a := range m.Attempts {
 			if a.StopRequestedAt != 0 {
-				p.Releasing = p.Releasing.Add(a.Job.Need, 1)
+				machine.Releasing = machine.Releasing.Add(a.Job.Need, 1)
 			} else if !a.Job.Ended && !nonPreemptible[a.Job] {
-				p.Victims = append(p.Victims, s.placementVictim(a, withinGuarantee[a.Job], now))
+				machine.Victims = append(machine.Victims, s.placementVictim(a, withinGuarantee[a.Job], now))
 			}
 		}
-		slices.SortFunc(p.Victims, func(a, b placement.Victim) int {
+		slices.SortFunc(machine.Victims, func(a, b placement.Victim) int {
 			return cmp.Or(cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Task, b.Task))
 		})
 	}
-	return v
+	return view
 }
 
 // minCountedRun is how long a task must run before its start is worth anything. The part of a best-effort
@@ -137,7 +137,7 @@
 
 // placementVictim is a running task as placement sees it.
 func (s *Scheduler) placementVictim(a *state.Attempt, withinGuarantee bool, now micros.Micros) placement.Victim {
-	v := placement.Victim{
+	victim := placement.Victim{
 		JobID:           a.Job.Spec.ID,
 		Task:            a.Index,
 		Team:            a.Job.Spec.Team,
@@ -147,31 +147,31 @@
 		BestEffort:      a.Job.Priority == 0 && !withinGuarantee,
 		LostWork:        workload.LostWork(a, now),
 	}
-	if v.BestEffort {
-		v.LostWork += s.Workload.PreemptionSetback(a, now)
+	if victim.BestEffort {
+		victim.LostWork += s.Workload.PreemptionSetback(a, now)
 	}
 	if a.Job.IsGang() {
-		v.Gang, v.LostWork = true, v.LostWork*micros.Micros(len(a.Job.Attempts))
+		victim.Gang, victim.LostWork = true, victim.LostWork*micros.Micros(len(a.Job.Attempts))
 	}
 	if a.Protected && (a.RunningSince == 0 || now-a.RunningSince < minCountedRun) {
-		v.BestEffort, v.LostWork = false, v.LostWork+minCountedRun
+		victim.BestEffort, victim.LostWork = false, victim.LostWork+minCountedRun
 	}
-	return v
+	return victim
 }
 
 // withCompletions views the machines that may get tasks, with when what runs there should end.
-func (s *Scheduler) withCompletions(now micros.Micros) view {
-	v := s.schedulable(now, placement.Resources{})
-	for i, m := range v.machines {
-		p := &v.placement[i]
-		subtractPlanned(p, m)
+func (s *Scheduler) withCompletions(now micros.Micros) machineView {
+	view := s.schedulable(now, placement.Resources{})
+	for i, m := range view.machines {
+		machine := &view.placement[i]
+		subtractPlanned(machine, m)
 		for _, a := range m.Attempts {
-			c := placement.Completion{Remaining: micros.FromSeconds(s.Workload.RemainingRuntime(a, now)), Need: a.Job.Need}
+			completion := placement.Completion{Remaining: micros.FromSeconds(s.Workload.RemainingRuntime(a, now)), Need: a.Job.Need}
 			if a.StopRequestedAt != 0 {
-				c.Remaining = a.GracePeriod
+				completion.Remaining = a.GracePeriod
 			}
-			p.Completions = append(p.Completions, c)
+			machine.Completions = append(machine.Completions, completion)
 		}
 	}
-	return v
+	return view
 }
--- a/internal/leader/scheduler/view_test.go
+++ b/internal/leader/scheduler/view_test.go
@@ -35,11 +35,11 @@
 		for range 4 {
 			runTask(j, m, now-c.ran).Protected = c.protected
 		}
-		v := s.withVictims(now)
-		if len(v.placement) != 1 || len(v.placement[0].Victims) != 4 {
-			t.Fatalf("%s: %+v", c.name, v.placement)
+		view := s.withVictims(now)
+		if len(view.placement) != 1 || len(view.placement[0].Victims) != 4 {
+			t.Fatalf("%s: %+v", c.name, view.placement)
 		}
-		if victim := v.placement[0].Victims[0]; victim.BestEffort != c.bestEffort || victim.LostWork < c.least || victim.LostWork > c.most {
+		if victim := view.placement[0].Victims[0]; victim.BestEffort != c.bestEffort || victim.LostWork < c.least || victim.LostWork > c.most {
 			t.Errorf("%s: best-effort %v, loses %v", c.name, victim.BestEffort, victim.LostWork.Duration())
 		}
 	}
