--- a/internal/leader/autoscaler/model_test.go
+++ b/internal/leader/autoscaler/model_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"caperlatch/internal/leader/state"
+	"caperlatch/internal/wire"
 )
 
 // TestRaiseMeans has a leader of two types know, after a failover, what their machines hold. Tasks run on other
@@ -20,8 +21,8 @@
 		{"the other type's mean is of the same demand", 2, 2, 20, 2, 2},
 		{"the other type's mean does not explain all", 2, 1, 20, 3, 1},
 	} {
-		s := newTest(t, 32)
-		j := newJob("j-000200", 1000)
+		s := newTest(t, 32, typeM4, typeM8)
+		j := newJob("j-000200", wire.KindArray, 1000)
 		for i := range c.held {
 			(&state.Attempt{Job: j, Index: i, Number: 1, Machine: s.Fleet.Sorted[i/4]}).Attach()
 		}
--- a/internal/leader/autoscaler/scalein_test.go
+++ b/internal/leader/autoscaler/scalein_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"caperlatch/internal/leader/state"
+	"caperlatch/internal/wire"
 )
 
 // TestRejectDelayTolerant has best-effort tasks on on-demand machines that no other work wants: no more of them
@@ -21,10 +22,10 @@
 		{"the formula wants two machines", []int{0, 0, 0}, 2, 0, 1},
 		{"other work waits", []int{0, 0, 0}, 0, 1, 0},
 	} {
-		s := newTest(t, len(c.priorities))
+		s := newTest(t, len(c.priorities), typeM4)
 		for i, priority := range c.priorities {
-			j := newJob(fmt.Sprintf("j-00030%d", i), 1)
-			j.Priority = priority
+			j := newJob(fmt.Sprintf("j-00030%d", i), wire.KindArray, 1)
+			j.Spec.Class, j.Priority = "", priority // of no objective
 			(&state.Attempt{Job: j, Machine: s.Fleet.Sorted[i]}).Attach()
 		}
 		s.RejectDelayTolerant(s.Type("m4"), c.wanted, c.need)
--- a/internal/leader/gang_pool_test.go
+++ b/internal/leader/gang_pool_test.go
@@ -57,53 +57,6 @@
 	return n
 }
 
-// TestGangPoolSize has gangs come in and counts the machines that are then in a pool.
-func TestGangPoolSize(t *testing.T) {
-	gang := func(edit func(*wire.Job)) func(*Leader) {
-		return func(l *Leader) {
-			for i := range 4 {
-				addPairsJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, false, edit)
-			}
-		}
-	}
-	// Two CPUs of four: a gang is half of a machine. Four that came in now, over a third
-	// of a window at least and with 1.3 deviations of their number, are 3.9 machines in the mean
-	// by the end of an interval, rounded up. Seven machines that send a heartbeat every 8 s
-	// must have room: 0.75^7 = 0.13. The fleet's share bounds both.
-	for _, c := range []struct {
-		name   string
-		submit func(*Leader)
-		want   int
-	}{
-		{"arrays alone", func(l *Leader) { addPairsJob(l, "j-000100", wire.KindArray, 40, false, nil) }, 0},
-		{"gangs", gang(nil), 4},
-		{"gangs in a larger fleet", func(l *Leader) {
-			for i := range 200 {
-				m := l.fleet.Add(fmt.Sprintf("i-%d", 100+i), l.fleet.Intent("r-1"), l.startedAt)
-				m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, true, true, true, l.startedAt
-				m.Reconciliation.Knowledge = state.TasksConfirmed
-			}
-			gang(nil)(l)
-		}, 11},
-		{"known at a failover", func(l *Leader) {
-			for i := range 4 {
-				addPairsJob(l, fmt.Sprintf("j-00010%d", i), wire.KindGang, 2, true, nil)
-			}
-		}, 4},
-		{"larger than a machine", gang(func(j *wire.Job) { j.CPUs = 3 }), 0},
-		{"spread over zones", gang(func(j *wire.Job) { j.SpreadZones = true }), 0},
-		{"bound to a zone", gang(func(j *wire.Job) { j.Zone = "a" }), 0},
-		{"bound to an instance type", gang(func(j *wire.Job) { j.InstanceTypes = []string{"m4"} }), 0},
-	} {
-		l := newPoolTest(t)
-		c.submit(l)
-		l.autoscale(micros.Now())
-		if got := countPooled(l); got != c.want {
-			t.Errorf("%s: %d machines are in a pool, want %d", c.name, got, c.want)
-		}
-	}
-}
-
 // TestGangPoolUse has work start beside a pool: gangs start there and arrays don't, its machines are not terminated
 // while they are wanted, and are open to all when they are not.
 func TestGangPoolUse(t *testing.T) {
