--- a/internal/leader/scheduler/helpers_test.go
+++ b/internal/leader/scheduler/helpers_test.go
@@ -24,19 +24,23 @@
 func (t *fakeTerm) HoldsSession() bool { return t.holdsSession }
 func (t *fakeTerm) IsExclusive() bool  { return t.isExclusive }
 
-// fakeGangs are the gangs of tests that have none.
-type fakeGangs struct{ t *testing.T }
+// fakeGangs keeps what it is called for.
+type fakeGangs struct {
+	assigned       map[*state.Machine]int
+	stopped        []*state.Job
+	nonPreemptible map[*state.Job]bool
+}
 
-func (g fakeGangs) AssignTasks(*state.Machine, *state.Job, int, micros.Micros) {
-	g.t.Error("tasks of a gang are assigned")
+func (g *fakeGangs) AssignTasks(m *state.Machine, _ *state.Job, count int, _ micros.Micros) {
+	g.assigned[m] += count
 }
 
-func (g fakeGangs) StopIfReachable(*state.Job, micros.Micros, string, micros.Micros) bool {
-	g.t.Error("a gang is stopped")
-	return false
+func (g *fakeGangs) StopIfReachable(j *state.Job, _ micros.Micros, _ string, _ micros.Micros) bool {
+	g.stopped = append(g.stopped, j)
+	return true
 }
 
-func (g fakeGangs) NonPreemptible(micros.Micros) map[*state.Job]bool { return nil }
+func (g *fakeGangs) NonPreemptible(micros.Micros) map[*state.Job]bool { return g.nonPreemptible }
 
 // newTest makes a scheduler of no jobs and no machines, for machines of type m4 with four CPUs.
 func newTest(t *testing.T) (*Scheduler, *fakeTerm) {
@@ -59,7 +63,7 @@
 		Fleet:                machines,
 		Scaler:               scaler,
 		Workload:             work,
-		Gangs:                fakeGangs{t},
+		Gangs:                &fakeGangs{assigned: map[*state.Machine]int{}},
 		Jobs:                 jobs,
 		HeartbeatInterval:    testHeartbeatInterval,
 		TermStartedAt:        micros.Wall(),
--- a/internal/leader/scheduler/view_test.go
+++ b/internal/leader/scheduler/view_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
 )
@@ -44,3 +45,68 @@
 		}
 	}
 }
+
+// TestVictimsOfGangs has running gangs beside a task that is to stop.
+func TestVictimsOfGangs(t *testing.T) {
+	s, _ := newTest(t)
+	now := micros.Now()
+	m := addMachine(s, "i-1", now)
+	gang, startingGang := addJob(s, gangJob("j-000100", 2)), addJob(s, gangJob("j-000101", 2))
+	runTask(gang, m, now-10*micros.Second)
+	runTask(startingGang, m, now-10*micros.Second)
+	s.Gangs.(*fakeGangs).nonPreemptible = map[*state.Job]bool{startingGang: true}
+	stopping := runTask(addJob(s, arrayJob("j-000200", 1)), m, now-10*micros.Second)
+	stopping.MarkStopping(0, "test", now)
+	view := s.withVictims(now)
+	machine := view.placement[0]
+	if len(machine.Victims) != 1 || machine.Victims[0].JobID != gang.Spec.ID || !machine.Victims[0].Gang || machine.Releasing != stopping.Job.Need {
+		t.Errorf("victims %+v, %+v comes free", machine.Victims, machine.Releasing)
+	}
+	s.preemptVictim(m.Attempts[state.TaskID(gang.Spec.ID, machine.Victims[0].Task)], "j-000300", now)
+	if stopped := s.Gangs.(*fakeGangs).stopped; len(stopped) != 1 || stopped[0] != gang {
+		t.Errorf("gangs stopped: %v", stopped)
+	}
+}
+
+// TestCompletions looks at when the tasks of a machine should end.
+func TestCompletions(t *testing.T) {
+	const second = micros.Second
+	for _, c := range []struct {
+		name string
+		set  func(a *state.Attempt)
+		want micros.Micros
+	}{
+		{"runs for less than its estimate", func(*state.Attempt) {}, 6 * second},
+		{"is to stop", func(a *state.Attempt) { a.MarkStopping(3*second, "test", micros.Now()) }, 3 * second},
+	} {
+		s, _ := newTest(t)
+		now := micros.Now()
+		c.set(runTask(addJob(s, arrayJob("j-000100", 1)), addMachine(s, "i-1", now), now-4*second))
+		completions := s.withCompletions(now).placement[0].Completions
+		if len(completions) != 1 || completions[0].Remaining != c.want {
+			t.Errorf("%s: %+v, want %v", c.name, completions, c.want.Duration())
+		}
+	}
+}
+
+// TestMaxStartDelay has a gang wait: it takes late starts only when it has waited for as long.
+func TestMaxStartDelay(t *testing.T) {
+	const second = micros.Second
+	for _, c := range []struct {
+		kind   wire.JobKind
+		waited micros.Micros
+		want   micros.Micros
+	}{
+		{wire.KindGang, 0, second},
+		{wire.KindGang, 5 * second, 5 * second},
+		{wire.KindArray, 5 * second, 0},
+	} {
+		s, _ := newTest(t)
+		spec := gangJob("j-000100", 2)
+		spec.Kind = c.kind
+		j := addJob(s, spec)
+		if got := s.placementJob(j, 2, false, j.SubmittedAt+c.waited).MaxStartDelay; got != c.want {
+			t.Errorf("%s that has waited for %v: %v, want %v", c.kind, c.waited.Duration(), got.Duration(), c.want.Duration())
+		}
+	}
+}
