--- a/internal/leader/autoscaler/gangs.go
+++ b/internal/leader/autoscaler/gangs.go
@@ -65,7 +65,7 @@
 		if s.Fleet.HasOpenIntent(o) {
 			return state.Offering{}, false
 		}
-		if !s.Fleet.HasCapacity(o, now) || s.Zones.Decide(o.Zone).MaxMachines < zone.Unlimited || room.mostIn(o.Zone) <= room.perZone[o.Zone] {
+		if !s.Fleet.HasCapacity(o, now) || s.ZonePolicy.Decide(o.Zone).MaxMachines < zone.Unlimited || room.mostIn(o.Zone) <= room.perZone[o.Zone] {
 			continue
 		}
 		if !ok || j.Spec.SingleZone && room.perZone[o.Zone] > room.perZone[best.Zone] {
--- a/internal/leader/autoscaler/helpers_test.go
+++ b/internal/leader/autoscaler/helpers_test.go
@@ -31,7 +31,7 @@
 func (exclusiveTerm) HoldsSession() bool { return true }
 func (exclusiveTerm) IsExclusive() bool  { return true }
 
-// newTest makes an autoscaler of so many idle on-demand machines of type m4, and of no jobs. Heartbeats come every
+// newTestLeader makes an autoscaler of so many idle on-demand machines of type m4, and of no jobs. Heartbeats come every
 // 8 s, and a gang of class pairs is to start within 2 s with a chance of 0.85.
 func newTest(t *testing.T, machines int, types ...wire.InstanceType) *Scaler {
 	t.Helper()
@@ -50,7 +50,7 @@
 		TeamUse:              func() map[string]*placement.Team { return map[string]*placement.Team{"blue": {}} },
 		AwaitsReconciliation: func() func(*state.Job) bool { return func(*state.Job) bool { return false } },
 		ReplacedMachines:     func(micros.Micros) map[*state.Machine]bool { return nil },
-		Zones:                zone.NewThresholdPolicy(),
+		ZonePolicy:           zone.NewThresholdPolicy(),
 		LaunchAllowance:      func(string) int { return zone.Unlimited },
 		OnChange:             func() {},
 	})
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -82,7 +82,7 @@
 		switch {
 		case s.Fleet.HasOpenIntent(o):
 			return n // its answer comes first
-		case s.Zones.Decide(zone).MaxMachines == 0:
+		case s.ZonePolicy.Decide(zone).MaxMachines == 0:
 		case s.Fleet.HasCapacity(o, now):
 			open = append(open, o)
 		}
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -42,8 +42,8 @@
 	AwaitsReconciliation func() func(*state.Job) bool
 	// ReplacedMachines are those that do not count as supply, since their zone is disrupted.
 	ReplacedMachines func(now micros.Micros) map[*state.Machine]bool
-	// Zones decides in which zones machines may be launched, and LaunchAllowance how many more.
-	Zones           zone.Policy
+	// ZonePolicy decides in which zones machines may be launched, and LaunchAllowance how many more.
+	ZonePolicy      zone.Policy
 	LaunchAllowance func(zone string) int
 	// OnChange is called when machines are open to other jobs than before.
 	OnChange func()
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -184,7 +184,7 @@
 			states[a.ReportedState]++
 			held += a.Job.Need.CPU
 		}
-		if t := l.scaler.Type(m.Offering.Type); t != nil && l.canStart(m, now) {
+		if t := l.scaler.Type(m.Offering.Type); t != nil && l.canReceiveStarts(m, now) {
 			cpus += t.Capacity.CPU
 		}
 	}
--- a/internal/leader/gang_assignment_test.go
+++ b/internal/leader/gang_assignment_test.go
@@ -33,7 +33,7 @@
 		a.StartedAt = late
 	}
 	l.gangs.Check(micros.Now())
-	if j.WaitingTasks() != 1 || j.Gang.Number != token<<32|1 {
+	if j.WaitingTasks() != 1 || j.Gang.Number != testToken<<32|1 {
 		t.Errorf("%d tasks wait for another machine, attempt %d", j.WaitingTasks(), j.Gang.Number)
 	}
 	// It waits too long: all tasks are released or stopped.
--- a/internal/leader/gang_attempt_test.go
+++ b/internal/leader/gang_attempt_test.go
@@ -98,8 +98,8 @@
 			}
 		}
 		n := j.Gang.Number
-		if n > token<<32 {
-			n -= token << 32
+		if n > testToken<<32 {
+			n -= testToken << 32
 		}
 		if _, final := l.finalJobs[j.Spec.ID]; n != c.attempt || (j.DoneCount == 3) != c.done || final != c.done {
 			t.Errorf("%s: attempt %d, %d done", c.name, n, j.DoneCount)
--- a/internal/leader/gang_heartbeat_test.go
+++ b/internal/leader/gang_heartbeat_test.go
@@ -149,10 +149,10 @@
 	}
 	j, m, a := l.jobs[gangID], l.fleet.Machines["i-2"], gangAttemptOn(l, "i-2")
 	number := j.Gang.Number
-	refusal := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token,
+	refusal := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken,
 		Tasks: []wire.TaskStatus{{TaskID: a.TaskID(), Attempt: number, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.scheduler.PlannedAt = 0
-	if response, err := l.HandleHeartbeat(refusal); err != nil || !slices.Contains(verbs(response), "start "+a.TaskID()) {
+	if response, err := l.HandleHeartbeat(refusal); err != nil || !slices.Contains(commandNames(response), "start "+a.TaskID()) {
 		t.Fatalf("commands %v (%v), want the start again", response.Commands, err)
 	}
 	next := *refusal
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -26,7 +26,7 @@
 // machines. If an earlier term may have started tasks, none of the machines' tasks are known yet.
 func newGangTest(t *testing.T, earlierTerm bool) *Leader {
 	t.Helper()
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	useWorkers(l, acceptingWorkers{})
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
 	l.applyJobChanges()
@@ -38,7 +38,7 @@
 	}
 	for _, m := range l.fleet.Sorted {
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
-		m.Reconciliation.Knowledge = knowledge(!earlierTerm)
+		m.Reconciliation.Knowledge = taskKnowledge(!earlierTerm)
 		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
 	}
 	return l
@@ -109,7 +109,7 @@
 func gangHeartbeatBetweenPlans(t *testing.T, l *Leader, machine string, tasks ...gangStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
-	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}
+	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
 	for _, status := range tasks {
 		r.Tasks = append(r.Tasks, status.onWire(l.jobs[gangID], m))
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(response)
+	return commandNames(response)
 }
 
 // addSchedulable adds a running machine that may get tasks.
@@ -145,11 +145,11 @@
 	m := l.fleet.Machines[machine]
 	l.scheduler.RequestPlan()
 	l.scheduler.PlannedAt = 0
-	response, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token, Tasks: tasks})
+	response, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: m.Heartbeat.Incarnation, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(response)
+	return commandNames(response)
 }
 
 // evictGangTask drains a machine of the gang's task there.
--- a/internal/leader/gang_loss_test.go
+++ b/internal/leader/gang_loss_test.go
@@ -14,7 +14,7 @@
 func TestGangTaskReplacedOnlyWhenGone(t *testing.T) {
 	sends := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *state.Machine) {
 		return func(_ *testing.T, l *Leader, m *state.Machine) {
-			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}
+			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
 			edit(r)
 			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.Heartbeat.Sequence {
 				t.Error(err)
@@ -28,7 +28,7 @@
 		return func(_ *testing.T, l *Leader, m *state.Machine) {
 			m.Lease.RenewedAt = micros.Now() - seconds*micros.Second
 			m.Heartbeat.ReceivedAt = m.Lease.RenewedAt
-			l.checkMachines(micros.Now())
+			l.superviseMachines(micros.Now())
 		}
 	}
 	cases := []struct {
@@ -51,8 +51,8 @@
 		}, false},
 		{"a heartbeat of a later incarnation", sends(func(r *wire.Heartbeat) { r.Incarnation = 2 }), true},
 		{"a late copy of a heartbeat from before the start", sends(func(r *wire.Heartbeat) { r.Sequence = 1 }), false},
-		{"a heartbeat of an earlier term", sends(func(r *wire.Heartbeat) { r.FencingToken = token - 1 }), false},
-		{"a heartbeat of a later incarnation and an earlier term", sends(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, token-1 }), true},
+		{"a heartbeat of an earlier term", sends(func(r *wire.Heartbeat) { r.FencingToken = testToken - 1 }), false},
+		{"a heartbeat of a later incarnation and an earlier term", sends(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, testToken-1 }), true},
 		{"a heartbeat without the task", shows(), true},
 		{"a heartbeat with another attempt, which is to be cleared", shows(gangTask(1).exited(wire.ExitStopped).ofAttempt(3), here.waiting()), false},
 		{"it still pulls its image", shows(here.pulling()), false},
--- a/internal/leader/gang_pool_test.go
+++ b/internal/leader/gang_pool_test.go
@@ -16,7 +16,7 @@
 // chance of 0.85.
 func newPoolTest(t *testing.T) *Leader {
 	t.Helper()
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
 	l.workload = workload.New(l.Settings.Params)
 	l.heartbeatInterval = 8 * micros.Second
@@ -69,7 +69,7 @@
 	addPairsJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.scheduler.PlannedAt = 0
 	for _, m := range l.fleet.Sorted {
-		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: token}); err != nil {
+		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -139,7 +139,7 @@
 	} {
 		m := l.fleet.Machines[c.machine]
 		m.Reconciliation.Knowledge = state.TasksUnknown
-		l.reconcile(m, &wire.Heartbeat{MachineID: m.ID, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
+		l.reconcile(m, &wire.Heartbeat{MachineID: m.ID, Incarnation: 1, Sequence: 1, FencingToken: testToken, Tasks: c.tasks}, micros.Now())
 		if got := m.Pool.IsSet(); got != c.pooled {
 			t.Errorf("%s: in a pool: %t, want %t", c.name, got, c.pooled)
 		}
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -30,7 +30,7 @@
 		{"one is in a disrupted zone", func(l *Leader, _ *state.Machine) {
 			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
-		{"another node may lead", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).sure = false }, 0},
+		{"another node may lead", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).exclusive = false }, 0},
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -60,8 +60,8 @@
 	Followers        Followers
 	FailoverProgress FailoverProgress
 	PreviousTerm     *standby.View // of the term before, if one was followed
-	// Zones decides on zones; nil: the default policy.
-	Zones zone.Policy
+	// ZonePolicy decides on zones; nil: the default policy.
+	ZonePolicy zone.Policy
 	// IsIsolated tells whether this node hears neither the state service nor most of its peers;
 	// nil: it is not known.
 	IsIsolated func() bool
@@ -97,7 +97,7 @@
 	workload      *workload.Workload   // what is expected of jobs, and what teams may use
 	dispatcher    *dispatch.Dispatcher // direct calls to workers
 	writes        *persist.Queue       // what is to be stored
-	workerCalls
+	taskQueryState
 	standbyState
 	zoneState
 
@@ -119,8 +119,8 @@
 	finalJobs     map[string]replica.Job // ends that are not stored yet
 }
 
-// workerCalls is what is known of this node's own calls to workers.
-type workerCalls struct {
+// taskQueryState is what is known of this node's own calls to workers.
+type taskQueryState struct {
 	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
 }
 
@@ -142,7 +142,7 @@
 			images:        map[string]int{},
 			finalJobs:     map[string]replica.Job{},
 		},
-		workerCalls: workerCalls{
+		taskQueryState: taskQueryState{
 			zoneQueries: map[string]queryCounts{},
 		},
 	}
@@ -150,7 +150,7 @@
 	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
 	l.writes = l.newWriteQueue()
 	l.fleet = l.newFleet()
-	l.zoneState = newZoneState(c.Zones)
+	l.zoneState = newZoneState(c.ZonePolicy)
 	l.scaler = l.newScaler()
 	l.gangs = l.newGangs()
 	l.scheduler = l.newScheduler()
@@ -351,7 +351,7 @@
 		l.reportTasksKnown()
 		if now-watched >= 200*micros.Millisecond {
 			watched = now
-			l.checkMachines(now)
+			l.superviseMachines(now)
 		}
 		if l.ready {
 			l.gangs.Check(now)
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -59,8 +59,8 @@
 	return now - max(m.Heartbeat.ReceivedAt, l.startedAt)
 }
 
-// checkMachines acts on silence, notices and stops that take too long.
-func (l *Leader) checkMachines(now micros.Micros) {
+// superviseMachines acts on silence, notices and stops that take too long.
+func (l *Leader) superviseMachines(now micros.Micros) {
 	l.observeZones(now)
 	l.fleet.CheckBoots(now)
 	l.unknownCount = l.fleet.CountUnknown()
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -131,7 +131,7 @@
 // planCommands plans anew if that is due, and gives the orders for the machine that reports.
 func (l *Leader) planCommands(m *state.Machine, now micros.Micros) []wire.Command {
 	l.scheduler.PlanIfNeeded(m, now)
-	return l.commandsFor(m, now)
+	return l.commandsForMachine(m, now)
 }
 
 // reconcile compares a report with what should be on the machine. The report
@@ -187,7 +187,7 @@
 }
 
 // recordLostResponse counts an answer that did not reach a machine. One may get lost; from the
-// second in a row on, starts wait longer each time. See checkMachines for what
+// second in a row on, starts wait longer each time. See superviseMachines for what
 // becomes of a machine that hears nothing at all.
 func (l *Leader) recordLostResponse(m *state.Machine, now micros.Micros) {
 	if m.Delivery.LostResponses == 0 {
@@ -422,8 +422,8 @@
 	return wire.Command{Verb: wire.VerbClear, TaskID: t.TaskID, Attempt: t.Attempt}
 }
 
-// commandsFor are the commands for a machine that has just reported.
-func (l *Leader) commandsFor(m *state.Machine, now micros.Micros) (orders []wire.Command) {
+// commandsForMachine are the commands for a machine that has just reported.
+func (l *Leader) commandsForMachine(m *state.Machine, now micros.Micros) (orders []wire.Command) {
 	// Stops first, and all of them: an answer that renews the lease must not leave one out.
 	// There are no more than tasks on the machine.
 	orders = make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.Planned))
@@ -445,13 +445,13 @@
 			}
 		}
 	}()
-	if !l.canStart(m, now) {
+	if !l.canReceiveStarts(m, now) {
 		return orders
 	}
 	l.scheduler.FillMachine(m, now)
 	orders = l.gangs.AppendStarts(m, orders, maxCommands)
 	for _, j := range m.Planned {
-		if len(orders) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.startAllowed(j, m) {
+		if len(orders) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.canStartTask(j, m) {
 			continue
 		}
 		task, ok := j.TakeWaitingTask()
@@ -470,15 +470,15 @@
 	return orders
 }
 
-// startAllowed tells whether a task of a job may begin on a machine as things are at this
+// canStartTask tells whether a task of a job may begin on a machine as things are at this
 // moment. Plans see to all this, but are older: since then a machine may have shown tasks
 // that nobody knew of, or jobs may have lost the tasks that bound them to a zone.
-func (l *Leader) startAllowed(j *state.Job, m *state.Machine) bool {
-	return l.startAllowedWith(j, m, 1)
+func (l *Leader) canStartTask(j *state.Job, m *state.Machine) bool {
+	return l.canStartTasks(j, m, 1)
 }
 
-// startAllowedWith tells it of so many more tasks; none more: of one that has its place there.
-func (l *Leader) startAllowedWith(j *state.Job, m *state.Machine, more int) bool {
+// canStartTasks tells it of so many more tasks; none more: of one that has its place there.
+func (l *Leader) canStartTasks(j *state.Job, m *state.Machine, more int) bool {
 	s := j.Spec
 	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.Offering.Type) || s.Zone != "" && s.Zone != m.Offering.Zone || m.Offering.Spot && !s.AllowSpot {
 		return false
@@ -500,8 +500,8 @@
 	return l.FencingToken<<32 | l.attempts
 }
 
-// canStart tells whether tasks may be started on a machine now.
-func (l *Leader) canStart(m *state.Machine, now micros.Micros) bool {
+// canReceiveStarts tells whether tasks may be started on a machine now.
+func (l *Leader) canReceiveStarts(m *state.Machine, now micros.Micros) bool {
 	return m.IsSchedulable(now) && l.Term.IsExclusive()
 }
 
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -21,7 +21,7 @@
 		TeamUse:              l.worstCaseTeamUse,
 		AwaitsReconciliation: l.awaitsReconciliation,
 		ReplacedMachines:     l.replacedMachines,
-		Zones:                l.policy,
+		ZonePolicy:           l.policy,
 		LaunchAllowance:      l.launchAllowance,
 		OnChange:             func() { l.scheduler.RequestPlan() },
 	})
--- a/internal/leader/scheduler/helpers_test.go
+++ b/internal/leader/scheduler/helpers_test.go
@@ -42,7 +42,7 @@
 
 func (g *fakeGangs) NonPreemptible(micros.Micros) map[*state.Job]bool { return g.nonPreemptible }
 
-// newTest makes a scheduler of no jobs and no machines, for machines of type m4 with four CPUs.
+// newTestLeader makes a scheduler of no jobs and no machines, for machines of type m4 with four CPUs.
 func newTest(t *testing.T) (*Scheduler, *fakeTerm) {
 	t.Helper()
 	term := &fakeTerm{holdsSession: true, isExclusive: true}
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -18,7 +18,7 @@
 		HeartbeatInterval:    l.heartbeatInterval,
 		AssemblyTimeout:      workers.GangAssemblyTimeout(),
 		NextAttemptNumber:    l.nextAttemptNumber,
-		MayStayAssigned:      func(j *state.Job, m *state.Machine) bool { return l.startAllowedWith(j, m, 0) },
+		MayStayAssigned:      func(j *state.Job, m *state.Machine) bool { return l.canStartTasks(j, m, 0) },
 		AwaitsReconciliation: l.awaitsReconciliation,
 		IsHeartbeatLate:      l.isHeartbeatLate,
 		IsZoneReachable:      func(zone string) bool { return l.policy.Decide(zone).Reachable },
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -18,7 +18,7 @@
 // handedView is a view of the term before, whose leader has handed over: machine i-1 has the
 // task j-000001/0.
 func handedView() *standby.View {
-	v := standby.NewView(token - 1)
+	v := standby.NewView(testToken - 1)
 	v.Machines["i-1"] = &standby.Machine{
 		MachineState: standby.MachineState{Incarnation: 4, TasksKnown: true},
 		Tasks:        map[string]standby.TaskState{"j-000001/0": {Attempt: 5}},
@@ -35,8 +35,8 @@
 	return m
 }
 
-func reportOf(machine string, seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	r := report(seq, token, tasks...)
+func heartbeatOf(machine string, seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	r := heartbeat(seq, testToken, tasks...)
 	r.MachineID = machine
 	return r
 }
@@ -71,17 +71,17 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			withSecond(l)
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
 			l.usePreviousTerm()
-			a, err := l.HandleHeartbeat(reportOf("i-2", 1))
+			a, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := verbs(a); !slices.Equal(got, tc.want) {
+			if got := commandNames(a); !slices.Equal(got, tc.want) {
 				t.Errorf("told %v, want %v", got, tc.want)
 			}
 		})
@@ -106,7 +106,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
@@ -122,7 +122,7 @@
 // elsewhere only once the lease is over that the leader before may have renewed until this
 // term began.
 func TestHandedOverLease(t *testing.T) {
-	l, term := newTest(t)
+	l, term := newTestLeader(t)
 	withSecond(l)
 	l.PreviousTerm = handedView()
 	l.usePreviousTerm()
@@ -130,12 +130,12 @@
 	if over := l.leaseExpiry(m); over < l.startedAt+l.leaseDuration {
 		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.startedAt).Duration(), l.leaseDuration.Duration())
 	}
-	l.checkMachines(l.startedAt + l.leaseDuration)
+	l.superviseMachines(l.startedAt + l.leaseDuration)
 	if l.jobs["j-000001"].Attempts[0] == nil {
 		t.Error("the task is given up within the lease")
 	}
-	term.confirmed = l.leaseExpiry(m)
-	l.checkMachines(l.leaseExpiry(m) + 1)
+	term.lastConfirmed = l.leaseExpiry(m)
+	l.superviseMachines(l.leaseExpiry(m) + 1)
 	if l.jobs["j-000001"].Attempts[0] != nil || m.Reconciliation.Knowledge == state.TasksHandedOver {
 		t.Error("the task is kept after the lease")
 	}
@@ -158,7 +158,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			l.PreviousTerm = handedView()
 			l.usePreviousTerm()
 			m := l.fleet.Machines["i-1"]
@@ -166,7 +166,7 @@
 				t.Errorf("it is asked in session %d", m.LikelyIncarnation())
 			}
 			m.StartBackoffUntil = l.startedAt + 100*micros.Second // no starts here
-			if _, err := l.HandleHeartbeat(reportOf("i-1", 3, tc.tasks...)); err != nil {
+			if _, err := l.HandleHeartbeat(heartbeatOf("i-1", 3, tc.tasks...)); err != nil {
 				t.Fatal(err)
 			}
 			var on []int
@@ -185,25 +185,25 @@
 // whether its attempt runs, waits or ends, and a task completed under an attempt that runs
 // would be one too many.
 func TestHandedOverGang(t *testing.T) {
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	m := withSecond(l)
 	l.jobs["j-000001"].Spec.Kind = wire.KindGang
 	l.PreviousTerm = handedView()
 	l.usePreviousTerm()
-	a, err := l.HandleHeartbeat(reportOf("i-2", 1))
+	a, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 	if err != nil || len(a.Commands) > 0 {
-		t.Errorf("told %v (%v) before the gang's machine has confirmed", verbs(a), err)
+		t.Errorf("told %v (%v) before the gang's machine has confirmed", commandNames(a), err)
 	}
 	if l.jobs["j-000001"].Gang.Number != 5 {
 		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].Gang.Number)
 	}
 	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
 	l.fleet.Machines["i-1"].StartBackoffUntil = l.startedAt + 100*micros.Second
-	if _, err := l.HandleHeartbeat(reportOf("i-1", 3, waiting)); err != nil {
+	if _, err := l.HandleHeartbeat(heartbeatOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
 	}
 	l.scheduler.PlannedAt, m.StartBackoffUntil = 0, 0
-	if a, err = l.HandleHeartbeat(reportOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
+	if a, err = l.HandleHeartbeat(heartbeatOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
 		t.Errorf("told %v (%v), want the other two under attempt 5", a.Commands, err)
 	}
 }
@@ -227,10 +227,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			m := l.fleet.Machines["i-1"]
 			m.Offering.Spot = true
-			m.Reconciliation.Knowledge = knowledge(tc.allResolved)
+			m.Reconciliation.Knowledge = taskKnowledge(tc.allResolved)
 			j := l.jobs["j-000001"]
 			tc.edit(j)
 			if got := l.mustAwaitReconciliation(j, l.unknownMachinesNow()); got != tc.cold {
@@ -273,18 +273,18 @@
 // TestPublished has tasks start, run, stop and end: a follower's view shows at each step what
 // the leader counts on the machine, before the answer leaves.
 func TestPublished(t *testing.T) {
-	l, _ := newTest(t)
-	p := standby.NewPublisher(token, 1000)
+	l, _ := newTestLeader(t)
+	p := standby.NewPublisher(testToken, 1000)
 	l.Followers = p
 	steps := []struct {
 		name   string
 		report *wire.Heartbeat
 	}{
-		{"the first", report(11, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"starts lost", report(12, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"one is done", report(13, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskExited, ExitReason: wire.ExitDone},
-			wire.TaskStatus{TaskID: "j-000001/1", Attempt: token<<32 | 3, State: wire.TaskRunning})},
-		{"nothing is left", report(14, token)},
+		{"the first", heartbeat(11, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"starts lost", heartbeat(12, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"one is done", heartbeat(13, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskExited, ExitReason: wire.ExitDone},
+			wire.TaskStatus{TaskID: "j-000001/1", Attempt: testToken<<32 | 3, State: wire.TaskRunning})},
+		{"nothing is left", heartbeat(14, testToken)},
 	}
 	for _, s := range steps {
 		l.scheduler.PlannedAt = 0
@@ -293,7 +293,7 @@
 		}
 		f := standby.NewFollower("host-1")
 		for !f.Progress().Complete || f.Progress().Position < p.Position() {
-			if err := f.ApplyPage(p.HandleQuery(f.NextQuery(token)), micros.Now()); err != nil {
+			if err := f.ApplyPage(p.HandleQuery(f.NextQuery(testToken)), micros.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -313,15 +313,15 @@
 // started with the answer that carries the starts. A place that was still published as
 // reserved then would be taken for a start that was never sent.
 func TestPublishedReserved(t *testing.T) {
-	l, _ := newTest(t)
-	p := standby.NewPublisher(token, 1000)
+	l, _ := newTestLeader(t)
+	p := standby.NewPublisher(testToken, 1000)
 	l.Followers = p
 	l.jobs["j-000001"].Spec.Kind = wire.KindGang
 	m := l.fleet.Machines["i-1"]
 	m.Reconciliation.Knowledge = state.TasksConfirmed
 	view := func() map[string]standby.TaskState {
 		f := standby.NewFollower("host-1")
-		if err := f.ApplyPage(p.HandleQuery(f.NextQuery(token)), micros.Now()); err != nil {
+		if err := f.ApplyPage(p.HandleQuery(f.NextQuery(testToken)), micros.Now()); err != nil {
 			t.Fatal(err)
 		}
 		return f.TakeView().Machines["i-1"].Tasks
@@ -333,9 +333,9 @@
 			t.Errorf("%s is published as started before any answer", task)
 		}
 	}
-	answer, err := l.HandleHeartbeat(report(11, token))
+	answer, err := l.HandleHeartbeat(heartbeat(11, testToken))
 	if err != nil || len(answer.Commands) != 3 {
-		t.Fatalf("told %v (%v)", verbs(answer), err)
+		t.Fatalf("told %v (%v)", commandNames(answer), err)
 	}
 	for task, state := range view() {
 		if state.Reserved {
@@ -360,10 +360,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			f := &fakeFollowers{follower: tc.follower, applies: tc.applies}
 			l.Followers = f
-			l.fleet.Machines["i-1"].Reconciliation.Knowledge = knowledge(tc.resolved)
+			l.fleet.Machines["i-1"].Reconciliation.Knowledge = taskKnowledge(tc.resolved)
 			const limit = 300 * micros.Millisecond
 			begun := time.Now()
 			to, err := l.HandOver(limit)
@@ -382,7 +382,7 @@
 			if last == nil || last.To != tc.follower || last.Complete != tc.resolved {
 				t.Errorf("the last entry is %+v", last)
 			}
-			if _, err := l.HandleHeartbeat(report(12, token)); !errors.Is(err, ErrCannotRespond) {
+			if _, err := l.HandleHeartbeat(heartbeat(12, testToken)); !errors.Is(err, ErrCannotRespond) {
 				t.Errorf("a report is answered after the handover: %v", err)
 			}
 			if len(f.entries) > 0 && f.entries[len(f.entries)-1].Handover == nil {
@@ -398,7 +398,7 @@
 // TestAskOrder has a new leader order the machines that it asks.
 func TestAskOrder(t *testing.T) {
 	for _, urgent := range []bool{false, true} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		ms := []*state.Machine{{ID: "unknown"}, {ID: "idle"}, {ID: "busy"}, {ID: "busiest"}}
 		tasks := func(names ...string) *standby.Machine {
 			m := &standby.Machine{Tasks: map[string]standby.TaskState{}}
@@ -428,16 +428,16 @@
 // TestHandedOverCancelled has a handover tell of a task whose job was cancelled, and which the
 // term before had not told to stop: the next report is answered with the stop.
 func TestHandedOverCancelled(t *testing.T) {
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	spec := &wire.Job{ID: "j-000009", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
 	l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
 	l.PreviousTerm = handedView()
 	l.PreviousTerm.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
 	l.usePreviousTerm()
-	r := report(1, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
+	r := heartbeat(1, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
 	r.Incarnation = 4
 	a, err := l.HandleHeartbeat(r)
-	if err != nil || !slices.Contains(verbs(a), "stop j-000009/0") {
-		t.Errorf("told %v (%v), want a stop of j-000009/0", verbs(a), err)
+	if err != nil || !slices.Contains(commandNames(a), "stop j-000009/0") {
+		t.Errorf("told %v (%v), want a stop of j-000009/0", commandNames(a), err)
 	}
 }
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -126,7 +126,7 @@
 
 // ZoneReturn is a machine's part in the return of its zone.
 type ZoneReturn struct {
-	HeardAt           micros.Micros // first report since the zone was lost, or the machine fell silent
+	FirstHeartbeatAt  micros.Micros // first report since the zone was lost, or the machine fell silent
 	IncarnationBefore uint64        // and what the last report before that was
 	SequenceBefore    uint64
 	Returned          bool // it is heard anew for certain
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -179,9 +179,9 @@
 	case z.Returned || m.Delivery.LostResponses >= maxLostResponses:
 	case z.IncarnationBefore == 0 || m.Heartbeat.Incarnation > z.IncarnationBefore || m.Heartbeat.Sequence > z.SequenceBefore+1:
 		z.Returned = true
-	case z.HeardAt == 0:
-		z.HeardAt = now
-	case now-z.HeardAt >= l.heartbeatInterval/2:
+	case z.FirstHeartbeatAt == 0:
+		z.FirstHeartbeatAt = now
+	case now-z.FirstHeartbeatAt >= l.heartbeatInterval/2:
 		z.Returned = true
 	}
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -20,15 +20,15 @@
 // have just reported.
 func newZonesTest(t *testing.T) (l *Leader, now micros.Micros) {
 	t.Helper()
-	l, term := newTest(t)
+	l, term := newTestLeader(t)
 	c := zone.DefaultConfig(l.heartbeatInterval)
 	c.ConfirmationTime = 0
 	l.zoneState = newZoneState(zone.NewLifecyclePolicy(c))
-	l.scaler.Zones = l.policy
+	l.scaler.ZonePolicy = l.policy
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
 	now = micros.Now() + 1000*micros.Second
-	term.confirmed = now
+	term.lastConfirmed = now
 	for i := range 20 {
 		m := l.fleet.Add(fmt.Sprintf("i-%02d", i), l.fleet.AddIntent(fmt.Sprintf("r-1%02d", i), fleet.LaunchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, Answered: true, At: micros.Wall()}), now)
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Delivery.RespondedThisTerm = true, true, true, true, true
@@ -100,14 +100,14 @@
 		back     bool
 	}{
 		{"nothing", nil, false},
-		{"a copy of the last", []arrival{{1, 1, 100, token}}, false},
-		{"one that was on its way", []arrival{{1, 1, 101, token}}, false},
-		{"two that were held back", []arrival{{1, 1, 101, token}, {0, 1, 102, token}}, true}, // its worker gave up the first
-		{"a later one", []arrival{{1, 1, 103, token}}, true},
-		{"a later session", []arrival{{1, 2, 105, token}}, true},
-		{"two in the usual time", []arrival{{1, 1, 101, token}, {2, 1, 102, token}}, true},
-		{"of a lower token", []arrival{{1, 1, 103, token - 1}}, false},
-		{"of an earlier session", []arrival{{1, 0, 300, token}}, false},
+		{"a copy of the last", []arrival{{1, 1, 100, testToken}}, false},
+		{"one that was on its way", []arrival{{1, 1, 101, testToken}}, false},
+		{"two that were held back", []arrival{{1, 1, 101, testToken}, {0, 1, 102, testToken}}, true}, // its worker gave up the first
+		{"a later one", []arrival{{1, 1, 103, testToken}}, true},
+		{"a later session", []arrival{{1, 2, 105, testToken}}, true},
+		{"two in the usual time", []arrival{{1, 1, 101, testToken}, {2, 1, 102, testToken}}, true},
+		{"of a lower token", []arrival{{1, 1, 103, testToken - 1}}, false},
+		{"of an earlier session", []arrival{{1, 0, 300, testToken}}, false},
 	}
 	for _, c := range cases {
 		l, now := newZonesTest(t)
@@ -203,7 +203,7 @@
 	m := l.fleet.Sorted[0]
 	m.Instance.FirstHeartbeatAt = 0
 	for seq := uint64(101); seq < 104; seq++ {
-		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.ID, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
+		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.ID, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: testToken}, now)
 	}
 	events := l.events.Counts()
 	told := slices.DeleteFunc(slices.Collect(maps.Keys(events)), func(line string) bool { return !strings.Contains(line, "launched in a") })
--- a/node.go
+++ b/node.go
@@ -240,7 +240,7 @@
 		FencingToken:      t.FencingToken,
 		LeaderKeyRevision: t.LeaderKeyRevision,
 		WorkerClient:      &http.Client{Transport: n.network.WorkerTransport},
-		Zones:             n.newZonePolicy(),
+		ZonePolicy:        n.newZonePolicy(),
 		IsIsolated:        n.isIsolated,
 	}
 	if n.standby != nil {
