--- a/internal/leader/assignments.go
+++ b/internal/leader/assignments.go
@@ -21,7 +21,7 @@
 	}
 	m.Reconciliation.Knowledge = state.TasksConfirmed
 	m.Planned = nil
-	l.replan = true
+	l.scheduler.RequestPlan()
 	l.publishMachine(m)
 }
 
@@ -35,7 +35,7 @@
 		if len(job.Attempts) == 0 {
 			delete(l.cancelledJobs, job.Spec.ID)
 		}
-		l.observeGangTaskLost(a)
+		l.gangs.ObserveRelease(a)
 	}
 	if a.StopReason != "" {
 		reason = a.StopReason
@@ -43,7 +43,7 @@
 	if !job.Ended && !job.Done.Has(a.Index) {
 		l.zones.RecordDisplaced(a)
 		l.recordStop(a, reason)
-		l.replan = true // it waits again
+		l.scheduler.RequestPlan() // it waits again
 	}
 }
 
@@ -57,7 +57,7 @@
 // markStopping notes that an attempt is to stop, and reports whether its worker must get the command.
 func (l *Leader) markStopping(a *state.Attempt, grace micros.Micros, reason string) (mustSend bool) {
 	if a.Reserved {
-		l.releaseReservation(a, reason)
+		l.gangs.ReleaseUnsent(a, reason)
 		return false
 	}
 	if !a.MarkStopping(grace, reason, micros.Now()) {
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -93,9 +93,9 @@
 				heartbeats[id] = r
 			}
 			if round == 2 && i == 0 {
-				l.plan(micros.Now())
+				l.scheduler.Plan(micros.Now())
 			}
-			l.plannedAt = micros.Now() + micros.Second
+			l.scheduler.PlannedAt = micros.Now() + micros.Second
 			benchHeartbeat(b, l, r)
 		}
 	}
@@ -136,7 +136,7 @@
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.plannedAt = micros.Now() + micros.Second
+			l.scheduler.PlannedAt = micros.Now() + micros.Second
 			benchHeartbeat(b, l, heartbeats[benchMachine(i%machines)])
 			i++
 		}
@@ -157,7 +157,7 @@
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.plan(micros.Now())
+			l.scheduler.Plan(micros.Now())
 		}
 	})
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -2,6 +2,7 @@
 
 import (
 	"caperlatch/internal/leader/dispatch"
+	"caperlatch/internal/leader/scheduler"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/micros"
 	"caperlatch/internal/wire"
@@ -14,8 +15,8 @@
 func (l *Leader) commandsForMachine(m *state.Machine, now micros.Micros) []wire.Command {
 	commands := stopsAndFollowUps(m)
 	if l.canReceiveStarts(m, now) {
-		l.fillMachine(m, now)
-		commands = l.commandReservedStarts(m, commands)
+		l.scheduler.FillMachine(m, now)
+		commands = l.gangs.AppendStarts(m, commands, maxCommands)
 		commands = l.commandPlannedStarts(m, commands, now)
 	}
 	recordSent(m, commands)
@@ -57,7 +58,7 @@
 			Machine:       m,
 			StartSequence: m.Heartbeat.Sequence,
 			StartedAt:     now,
-			Protected:     j.ProtectedTasks < 1+j.Spec.Tasks/agingDivisor,
+			Protected:     scheduler.ProtectsNextStart(j),
 		}
 		if a.Protected {
 			j.ProtectedTasks++
--- a/internal/leader/delivery_test.go
+++ b/internal/leader/delivery_test.go
@@ -23,7 +23,7 @@
 		m := l.fleet.Machines["i-1"]
 		var tasks []wire.TaskStatus
 		for i, want := range c.starts {
-			l.plannedAt = 0
+			l.scheduler.PlannedAt = 0
 			if i == 4 {
 				m.StartBackoffUntil = 0
 			}
--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -26,7 +26,7 @@
 		l.events.Add("unknown exit reason of a task", fmt.Sprintf("%.40q", t.ExitReason), m.ID)
 	}
 	followUp(m, clearCommand(t))
-	l.observeGangExit(j, o.index, a, t)
+	l.gangs.ObserveExit(j, o.index, a, t)
 	if a == nil {
 		return
 	}
@@ -82,6 +82,6 @@
 		l.scaler.ObserveCompletion(a, o.at)
 	}
 	l.writes.Mark(state.ProgressKey(j.Spec.ID, o.index/state.ChunkTasks))
-	l.completions.count++
-	l.completeGang(j)
+	l.scheduler.CountCompletion()
+	l.gangs.Complete(j)
 }
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -13,36 +13,36 @@
 	"caperlatch/internal/zone"
 )
 
-// TestGangStop has a running gang stopped for other work while its machines are in several
-// states: whole, with time to save, or not at all.
-func TestGangStop(t *testing.T) {
+// TestGangStoppedWholeOrNotAtAll has a running gang stopped for other work while its machines are in several
+// states: all tasks, with time to save, or none.
+func TestGangStoppedWholeOrNotAtAll(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		edit  func(l *Leader, m *state.Machine)
 		stops int
 	}{
-		{"all can be told", func(*Leader, *state.Machine) {}, 3},
+		{"all can be reached", func(*Leader, *state.Machine) {}, 3},
 		{"one is silent", func(l *Leader, m *state.Machine) {
 			m.Heartbeat.ReceivedAt = micros.Now() - 10*micros.Second
 			setTermStart(l, m.Heartbeat.ReceivedAt)
 		}, 0},
-		{"one hears nothing", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
-		{"one is being returned", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
-		{"one is in a zone that is cut off", func(l *Leader, _ *state.Machine) {
+		{"one loses responses", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
+		{"one is being terminated", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
+		{"one is in a disrupted zone", func(l *Leader, _ *state.Machine) {
 			l.zones.Policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
-		{"its leader is in doubt", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).exclusive = false }, 0},
+		{"another node may lead", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).exclusive = false }, 0},
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
-			tellTasks(t, l, fmt.Sprintf("i-%d", i+1))
+			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1))
 		}
-		j := l.jobs["j-000002"]
+		j := l.jobs[gangID]
 		for i := range 3 {
-			tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". running")
+			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), here.running())
 		}
 		c.edit(l, l.fleet.Machines["i-2"])
-		stopped := l.stopGangIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
+		stopped := l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
 		n := 0
 		for _, a := range j.Attempts {
 			if a.StopRequestedAt != 0 && a.GracePeriod >= 3*micros.Second {
@@ -55,20 +55,19 @@
 	}
 }
 
-// TestGangLeaves has a machine with a task of a gang be taken after a notice. A gang that
-// runs stops whole, with time to save; one that waits gives up that task alone. As it may
-// run unseen by then, that task has time to save too: to stop it at once would cost what
-// the gang did since its last checkpoint.
-func TestGangLeaves(t *testing.T) {
+// TestGangEvictedOnInterruption has the cloud take a machine with a task of a gang back after a notice. A gang that
+// runs stops whole, with time to save; of one that waits only that task stops. As it may run unseen by then, that
+// task has time to save too: to stop it at once would cost what the gang did since its last checkpoint.
+func TestGangEvictedOnInterruption(t *testing.T) {
 	cases := []struct {
-		name      string
-		states    []string // of the three, empty: its start was not heard of; none: not sent
-		saveEvery float64
-		stops     int
+		name                string
+		states              []string // of the three, empty: no heartbeat has shown its start; none: it was not sent
+		checkpointIntervalS float64
+		stops               int
 	}{
 		{"its start is not sent", nil, 20, 0},
 		{"its start is sent", []string{"", "", ""}, 20, 1},
-		{"it fetches", []string{wire.TaskPullingImage, wire.TaskPullingImage, wire.TaskPullingImage}, 20, 1},
+		{"it pulls its image", []string{wire.TaskPullingImage, wire.TaskPullingImage, wire.TaskPullingImage}, 20, 1},
 		{"it waits", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskPullingImage}, 20, 1},
 		{"it runs, which is not known", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 1},
 		{"it runs", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 20, 3},
@@ -77,15 +76,15 @@
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
-		j := l.jobs["j-000002"]
-		j.Spec.CheckpointIntervalS = c.saveEvery
-		tellTasks(t, l, "i-1")
+		j := l.jobs[gangID]
+		j.Spec.CheckpointIntervalS = c.checkpointIntervalS
+		gangHeartbeat(t, l, "i-1")
 		for i := 1; i < len(c.states); i++ {
-			tellTasks(t, l, fmt.Sprintf("i-%d", i+1))
+			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1))
 		}
 		for i, state := range c.states {
 			if state != "" {
-				tellTasks(t, l, fmt.Sprintf("i-%d", i+1), ". "+state)
+				gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), here.inState(state))
 			}
 		}
 		l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
@@ -105,8 +104,8 @@
 	}
 }
 
-// TestGangSaves has more happen to a gang that is saving. None of it may cut its time.
-func TestGangSaves(t *testing.T) {
+// TestGangGracePeriodIsKept has more happen to a gang that is saving checkpoints. None of it may cut its time.
+func TestGangGracePeriodIsKept(t *testing.T) {
 	cases := []struct {
 		name  string
 		event func(t *testing.T, l *Leader)
@@ -114,13 +113,13 @@
 	}{
 		{"nothing", func(*testing.T, *Leader) {}, 3 * micros.Second},
 		{"it is stopped again for other work", func(_ *testing.T, l *Leader) {
-			l.stopGangIfReachable(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test", micros.Now())
+			l.gangs.StopIfReachable(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test", micros.Now())
 		}, 3 * micros.Second},
-		{"one of its machines is taken after a short notice", func(_ *testing.T, l *Leader) {
+		{"one of its machines has a short interruption notice", func(_ *testing.T, l *Leader) {
 			l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
 			l.drainOnInterruption(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
-		{"one of its machines is found faulty", func(t *testing.T, l *Leader) {
+		{"one of its machines is quarantined", func(t *testing.T, l *Leader) {
 			m, good := l.fleet.Machines["i-2"], state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000100", Tasks: 20}}, false)
 			good.DoneCount = 1
 			for range 2 {
@@ -130,29 +129,29 @@
 				t.Fatalf("drained for %q", m.DrainReason)
 			}
 		}, 3 * micros.Second},
-		{"one has saved", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended stopped") }, 3 * micros.Second},
-		{"one has saved, and another's machine is gone", func(t *testing.T, l *Leader) {
-			tellTasks(t, l, "i-2", ". ended stopped")
+		{"one has saved", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped)) }, 3 * micros.Second},
+		{"one has saved, and another's machine is terminated", func(t *testing.T, l *Leader) {
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 			l.fleet.Remove(l.fleet.Machines["i-1"])
 		}, 3 * micros.Second},
-		{"one was not told in time", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". ended peers") }, 3 * micros.Second},
-		{"one was not told in time, and is listed again", func(t *testing.T, l *Leader) {
-			tellTasks(t, l, "i-2", ". ended peers")
-			tellTasks(t, l, "i-2", "1 ended peers")
+		{"one has lost its gang", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
+		{"one has lost its gang, and is listed again", func(t *testing.T, l *Leader) {
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost))
+			gangHeartbeat(t, l, "i-2", gangTask(1).exited(wire.ExitGangTaskLost))
 		}, 3 * micros.Second},
-		{"a machine is gone", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
-		{"one still shows to run", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-2", ". running") }, 3 * micros.Second},
-		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs["j-000002"], wire.JobCancelled) }, 0},
+		{"a machine is terminated", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
+		{"one still shows to run", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.running()) }, 3 * micros.Second},
+		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs[gangID], wire.JobCancelled) }, 0},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskRunning)
-		j := l.jobs["j-000002"]
-		if !l.stopGangIfReachable(j, state.CheckpointGrace(j), "test", micros.Now()) {
+		j := l.jobs[gangID]
+		if !l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now()) {
 			t.Fatalf("%s: it can't be stopped", c.name)
 		}
 		c.event(t, l)
-		l.checkGangs(micros.Now())
+		l.gangs.Check(micros.Now())
 		for _, a := range j.Attempts {
 			if a.StopRequestedAt == 0 || a.GracePeriod < c.least || c.least == 0 && a.GracePeriod != 0 {
 				t.Errorf("%s: task %d has %v to save, want %v", c.name, a.Index, a.GracePeriod.Duration(), c.least.Duration())
@@ -164,88 +163,88 @@
 	}
 }
 
-// TestGangCancelled has a gang cancelled in each of its states: no start follows, what was
-// not sent is dropped, and all the others are told to stop at once until they are gone.
-func TestGangCancelled(t *testing.T) {
+// TestGangCancelledInEachState has a gang cancelled in each of its states: no start follows, tasks whose start was not
+// sent are released, and all the others have the command to stop at once until they have left.
+func TestGangCancelledInEachState(t *testing.T) {
 	launched := func(state string) func(t *testing.T, l *Leader) {
 		return func(t *testing.T, l *Leader) { launchGang(t, l, state) }
 	}
 	cases := []struct {
-		name   string
-		before func(t *testing.T, l *Leader)
-		stops  int
+		name        string
+		before      func(t *testing.T, l *Leader)
+		stops       int
+		earlierTerm bool // may have started tasks
 	}{
-		{"nothing of it is placed", func(*testing.T, *Leader) {}, 0},
-		{"one start is sent", func(t *testing.T, l *Leader) { tellTasks(t, l, "i-1") }, 1},
-		{"all starts are sent", launched(""), 3},
-		{"it fetches", launched(wire.TaskPullingImage), 3},
-		{"it waits", launched(wire.TaskWaitingForGang), 3},
-		{"it runs", launched(wire.TaskRunning), 3},
+		{"none of its tasks is assigned", func(*testing.T, *Leader) {}, 0, false},
+		{"one start is sent", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, 1, false},
+		{"all starts are sent", launched(""), 3, false},
+		{"it pulls its image", launched(wire.TaskPullingImage), 3, false},
+		{"it waits", launched(wire.TaskWaitingForGang), 3, false},
+		{"it runs", launched(wire.TaskRunning), 3, false},
 		{"it waits for a replacement", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
-			leave(l, "i-2")
-			tellTasks(t, l, "i-2", ". ended stopped")
-		}, 2},
-		{"it has a place for a replacement", func(t *testing.T, l *Leader) {
+			evictGangTask(l, "i-2")
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
+		}, 2, false},
+		{"a replacement is assigned", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
-			leave(l, "i-2")
-			addUp(l, "i-4", "a")
-			tellTasks(t, l, "i-2", ". ended stopped")
-		}, 2},
+			evictGangTask(l, "i-2")
+			addSchedulable(l, "i-4", "a")
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
+		}, 2, false},
 		{"it saves", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			l.endGangAttempt(l.jobs["j-000002"], state.CheckpointGrace(l.jobs["j-000002"]), "test")
-			tellTasks(t, l, "i-1", ". flushing")
-		}, 3},
-		{"one of it is gone, and it ends", func(t *testing.T, l *Leader) {
+			l.gangs.EndAttempt(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test")
+			gangHeartbeat(t, l, "i-1", here.checkpointing())
+		}, 3, false},
+		{"one task is lost, and its attempt ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Remove(l.fleet.Machines["i-2"])
-		}, 2},
-		{"one of it hangs, and its machine is to be returned", func(t *testing.T, l *Leader) {
+		}, 2, false},
+		{"one machine hangs, and its termination is requested", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Terminate(l.fleet.Machines["i-2"], "test")
-		}, 3},
+		}, 3, false},
 		{"it is done, which is not stored", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			tellTasks(t, l, "i-2", ". ended done")
-		}, 2},
-		{"a new leader has heard of one task", func(t *testing.T, l *Leader) {
-			*l = *newGangTest(t, true)
-			tellTasks(t, l, "i-1", "0@5 waiting")
-		}, 1},
+			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitDone))
+		}, 2, false},
+		{"a new leader knows of one task", func(t *testing.T, l *Leader) {
+			gangHeartbeat(t, l, "i-1", gangTask(0).waiting().ofAttempt(5))
+		}, 1, true},
 	}
 	for _, c := range cases {
-		l := newGangTest(t, false)
+		l := newGangTest(t, c.earlierTerm)
 		c.before(t, l)
-		j := l.jobs["j-000002"]
+		j := l.jobs[gangID]
 		l.Replica.ApplyPut(replica.JobPrefix+j.Spec.ID, replica.Job{State: wire.JobCancelled, Spec: j.Spec}, 9)
 		l.applyJobChanges()
-		told := 0
+		stopping := 0
 		for _, m := range slices.Clone(l.fleet.Sorted) {
-			a := taskOn(l, m.ID)
+			a := gangAttemptOn(l, m.ID)
 			if a == nil {
-				if got := tellPlain(t, l, m.ID); len(got) > 0 {
-					t.Errorf("%s: %s is told %v", c.name, m.ID, got)
+				if got := sendHeartbeat(t, l, m.ID); len(got) > 0 {
+					t.Errorf("%s: %s has commands %v", c.name, m.ID, got)
 				}
 				continue
 			}
-			told++
+			stopping++
 			if a.StopRequestedAt == 0 || a.GracePeriod != 0 || a.Reserved {
-				t.Errorf("%s: task %d is told nothing, or has %v", c.name, a.Index, a.GracePeriod.Duration())
+				t.Errorf("%s: task %d is not stopping, or has %v to save", c.name, a.Index, a.GracePeriod.Duration())
 			}
 			task := wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, a.Index), Attempt: a.Number}
 			for _, task.State = range []string{wire.TaskPullingImage, wire.TaskWaitingForGang, wire.TaskRunning, wire.TaskCheckpointing} {
-				if got := tellPlain(t, l, m.ID, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
-					t.Errorf("%s: %s is told %v while its task is %s", c.name, m.ID, got, task.State)
+				if got := sendHeartbeat(t, l, m.ID, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
+					t.Errorf("%s: %s has commands %v while its task is %s", c.name, m.ID, got, task.State)
 				}
 			}
 			task.State, task.ExitReason = wire.TaskExited, wire.ExitStopped
-			if got := tellPlain(t, l, m.ID, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
-				t.Errorf("%s: %s is told %v when its task has ended", c.name, m.ID, got)
+			if got := sendHeartbeat(t, l, m.ID, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
+				t.Errorf("%s: %s has commands %v when its task has exited", c.name, m.ID, got)
 			}
 		}
-		if told != c.stops || len(j.Attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
-			t.Errorf("%s: %d are told, want %d; %d are left, %+v used", c.name, told, c.stops, len(j.Attempts), l.teamUsage["blue"])
+		if stopping != c.stops || len(j.Attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
+			t.Errorf("%s: %d tasks are stopping, want %d; %d are left, %+v used", c.name, stopping, c.stops, len(j.Attempts), l.teamUsage["blue"])
 		}
 	}
 }
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -153,9 +153,7 @@
 // planCommands plans anew if that is due, and returns the commands for the machine whose heartbeat is being
 // handled.
 func (l *Leader) planCommands(m *state.Machine, now micros.Micros) []wire.Command {
-	l.responding = m
-	defer func() { l.responding = nil }()
-	l.planIfNeeded(now)
+	l.scheduler.PlanIfNeeded(m, now)
 	return l.commandsForMachine(m, now)
 }
 
@@ -166,14 +164,14 @@
 	}
 	if m.DrainReason == "" {
 		m.DrainReason = "spot notice"
-		l.replan = true
+		l.scheduler.RequestPlan()
 	}
 	const reason = "its spot machine is being taken"
 	remaining := m.Heartbeat.InterruptionAt - now
 	for _, a := range m.Attempts {
 		s := a.Job.Spec
 		if a.Job.IsGang() {
-			l.evictGangTask(a, max(state.CheckpointGrace(a.Job), remaining), reason, now)
+			l.gangs.EvictTask(a, max(state.CheckpointGrace(a.Job), remaining), reason, now)
 		} else if s.CheckpointIntervalS > 0 && a.StopRequestedAt == 0 {
 			l.stopTask(a, max(micros.FromSeconds(s.CheckpointDurationS), remaining), reason)
 		}
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -23,7 +23,7 @@
 		listStored bool
 		starts     int
 	}{{1, 0, true, 0}, {2, testToken - 1, true, 0}, {3, testToken, false, 0}, {4, testToken, true, 3}} {
-		m.Instance.ListStored, l.plannedAt = c.listStored, 0
+		m.Instance.ListStored, l.scheduler.PlannedAt = c.listStored, 0
 		r := heartbeat(c.seq, c.token)
 		r.MachineID = "i-2"
 		if a, err := l.HandleHeartbeat(r); err != nil || len(a.Commands) != c.starts {
@@ -69,7 +69,7 @@
 	seq := uint64(10)
 	respond := func() (wire.HeartbeatResponse, error) {
 		seq++
-		l.plannedAt = 0
+		l.scheduler.PlannedAt = 0
 		return l.HandleHeartbeat(heartbeat(seq, testToken))
 	}
 	if a, err := respond(); err != nil || len(a.Commands) == 0 {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -59,7 +59,7 @@
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
 	l.applyJobChange("j-000001", true)
 	l.ready = true
-	l.replan = true
+	l.scheduler.RequestPlan()
 	return l, term
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -20,9 +20,11 @@
 	"caperlatch/internal/leader/dispatch"
 	"caperlatch/internal/leader/eventlog"
 	"caperlatch/internal/leader/fleet"
+	"caperlatch/internal/leader/gangs"
 	"caperlatch/internal/leader/liveness"
 	"caperlatch/internal/leader/persist"
 	"caperlatch/internal/leader/quarantine"
+	"caperlatch/internal/leader/scheduler"
 	"caperlatch/internal/leader/state"
 	"caperlatch/internal/leader/taskquery"
 	"caperlatch/internal/leader/workload"
@@ -95,13 +97,13 @@
 	zones      *zoning.Zones          // what the policy on zones comes to
 	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
 	rejectedTypes *wire.InstanceTypeList
-	planState
-	gangState
-	workload    *workload.Workload   // what is expected of jobs, and what teams may use
-	dispatcher  *dispatch.Dispatcher // direct calls to workers
-	writes      *persist.Queue       // what is to be stored
-	taskQueries *taskquery.Queries   // queries of machines for their tasks after a failover
-	liveness    *liveness.Monitor    // which machines are silent, and since when
+	scheduler     *scheduler.Scheduler // which task starts where
+	gangs         *gangs.Coordinator   // attempts of gangs
+	workload      *workload.Workload   // what is expected of jobs, and what teams may use
+	dispatcher    *dispatch.Dispatcher // direct calls to workers
+	writes        *persist.Queue       // what is to be stored
+	taskQueries   *taskquery.Queries   // queries of machines for their tasks after a failover
+	liveness      *liveness.Monitor    // which machines are silent, and since when
 	failoverState
 
 	// What is shown to users and written to the log.
@@ -122,23 +124,6 @@
 	finalJobs     map[string]replica.Job // ends that are not stored yet
 }
 
-// planState is what waits, and when it was planned.
-type planState struct {
-	queue        queue // as of the last plan
-	replan       bool  // something changed since then
-	planDuration micros.Micros
-	plannedAt    micros.Micros
-	preemptedAt  micros.Micros
-	completions  completionRate
-	responding   *state.Machine // whose report is being answered
-}
-
-// gangState is what is held and done for gangs beside plans.
-type gangState struct {
-	reservations        map[string]*state.GangReservation // room being gathered for gangs, by job
-	preemptedForGangsAt micros.Micros
-}
-
 // New makes a leader for a term.
 func New(c Config) *Leader {
 	workers := c.Settings.Params.Workers
@@ -157,9 +142,6 @@
 			images:        map[string]int{},
 			finalJobs:     map[string]replica.Job{},
 		},
-		gangState: gangState{
-			reservations: map[string]*state.GangReservation{},
-		},
 	}
 	l.workload = workload.New(c.Settings.Params)
 	l.dispatcher = dispatch.New(c.WorkerClient, c.FencingToken, c.Term.IsExclusive, c.Settings.Params.Limits.MaxSockets)
@@ -169,7 +151,9 @@
 	l.zones = l.newZones()
 	l.liveness = l.newMonitor()
 	l.scaler = l.newScaler()
+	l.gangs = l.newGangs()
 	l.quarantine = l.newQuarantine()
+	l.scheduler = l.newScheduler()
 	return l
 }
 
@@ -327,7 +311,7 @@
 			return fmt.Errorf("stored %s: %w", key, err)
 		}
 		if j.DoneCount > 0 {
-			l.completeGang(j)
+			l.gangs.Complete(j)
 		}
 		l.finishIfDone(j)
 	}
@@ -338,7 +322,7 @@
 	l.restoreFromPreviousTerm()
 	l.scaler.StepPools(now)
 	l.ready = true
-	l.replan = true
+	l.scheduler.RequestPlan()
 	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown())
 	return nil
 }
@@ -369,8 +353,10 @@
 			watched = now
 			l.superviseMachines(now)
 		}
-		l.checkGangs(now)
-		l.planIfNeeded(now)
+		if l.ready {
+			l.gangs.Check(now)
+			l.scheduler.PlanIfNeeded(nil, now)
+		}
 		if now-staffed >= micros.Second {
 			staffed = now
 			l.autoscale(now)
@@ -410,7 +396,7 @@
 		j.Image = l.imageIndex(j.Spec.Image)
 		l.jobs[id] = j
 		l.scaler.AddDemand(j)
-		l.replan = true
+		l.scheduler.RequestPlan()
 	}
 }
 
@@ -476,13 +462,13 @@
 		}
 	}
 	if j.IsGang() {
-		l.dropReservation(j)
-		l.endGangAttempt(j, 0, "job is "+endState)
+		l.scheduler.DropReservation(j)
+		l.gangs.EndAttempt(j, 0, "job is "+endState)
 	}
 	for _, a := range j.Attempts {
 		l.stopTask(a, 0, "job is "+endState)
 	}
-	l.replan = true
+	l.scheduler.RequestPlan()
 }
 
 // imageIndex is the number that stands for an image.
--- a/internal/leader/quarantine.go
+++ b/internal/leader/quarantine.go
@@ -9,7 +9,7 @@
 		Jobs:          l.jobs,
 		Demand:        l.scaler,
 		StopTask:      l.stopTask,
-		EvictGangTask: l.evictGangTask,
-		OnChange:      func() { l.replan = true },
+		EvictGangTask: l.gangs.EvictTask,
+		OnChange:      func() { l.scheduler.RequestPlan() },
 	})
 }
--- a/internal/leader/quarantine_test.go
+++ b/internal/leader/quarantine_test.go
@@ -38,7 +38,7 @@
 				t.Fatal("not quarantined")
 			}
 			l.fleet.Machines["i-1"].Heartbeat.ReceivedAt = now + c.heartbeatAt
-			l.newQueue(now + c.heartbeatAt)
+			l.scheduler.Plan(now + c.heartbeatAt)
 			if j.Failures.Quarantined != c.quarantined {
 				t.Errorf("quarantined %v, want %v", j.Failures.Quarantined, c.quarantined)
 			}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -16,7 +16,7 @@
 	confirmed := m.TasksConfirmed()
 	if !confirmed {
 		m.Reconciliation.Knowledge = state.TasksConfirmed
-		l.replan = true
+		l.scheduler.RequestPlan()
 	}
 	listed := make(map[string]bool, len(r.Tasks))
 	for i := range r.Tasks {
@@ -119,7 +119,7 @@
 		l.events.Add("unknown task state, the task is taken to be present", fmt.Sprintf("%.40q", t.State), m.ID)
 	}
 	a.ReportedState = t.State
-	l.observeGangTask(a, o.at)
+	l.gangs.ObserveTask(a, o.at)
 }
 
 // adoptTask assigns a task to a machine that was not known to have it. If the task is done or on another
@@ -127,7 +127,7 @@
 func (l *Leader) adoptTask(o observation) *state.Attempt {
 	m, j := o.machine, o.job
 	if other := j.Attempts[o.index]; other != nil && other.Reserved {
-		l.releaseReservation(other, "an earlier start of it is on "+m.ID)
+		l.gangs.ReleaseUnsent(other, "an earlier start of it is on "+m.ID)
 	}
 	if other := j.Attempts[o.index]; !j.Ended && (other != nil && other.Machine != m || j.Done.Has(o.index)) {
 		followUp(m, stopAtOnce(o.status))
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -40,7 +40,7 @@
 			[]string{"clear j-000001/1", "start j-000001/1"}},
 	}
 	for _, s := range steps {
-		l.plannedAt = 0 // plans may follow each other at once
+		l.scheduler.PlannedAt = 0 // plans may follow each other at once
 		a, err := l.HandleHeartbeat(s.heartbeat)
 		if (err != nil) != (s.want == nil) {
 			t.Fatalf("%s: error %v", s.name, err)
@@ -102,7 +102,8 @@
 			[]string{"clear j-000002/1", "start j-000001/2"}},
 	}
 	for _, s := range steps {
-		l.replan, l.plannedAt = true, 0
+		l.scheduler.RequestPlan()
+		l.scheduler.PlannedAt = 0
 		response, err := l.HandleHeartbeat(s.heartbeat)
 		if got := commandNames(response); err != nil || !slices.Equal(got, s.want) {
 			t.Errorf("%s: %v, %v, want %v", s.name, got, err, s.want)
@@ -137,7 +138,8 @@
 	for _, c := range cases {
 		l, _ := newTestLeader(t)
 		for i, r := range []*wire.Heartbeat{heartbeat(1, testToken), heartbeat(2, testToken, c.tasks...), heartbeat(3, testToken, c.tasks...), heartbeat(4, testToken)} {
-			l.replan, l.plannedAt = true, 0
+			l.scheduler.RequestPlan()
+			l.scheduler.PlannedAt = 0
 			if _, err := l.HandleHeartbeat(r); err != nil {
 				t.Errorf("%s: heartbeat %d: %v", c.name, i, err)
 			}
--- /dev/null
+++ b/internal/leader/scheduler/view_test.go
@@ -0,0 +1,112 @@
+package scheduler
+
+import (
+	"testing"
+
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/micros"
+	"caperlatch/internal/wire"
+)
+
+// TestVictimsLostWork has best-effort tasks that could be preempted: those of a job that starts first are protected
+// until their starts count, one that is nearly done is left alone, and of the others the job goes first that has
+// most yet to start.
+func TestVictimsLostWork(t *testing.T) {
+	const second = micros.Second
+	for _, c := range []struct {
+		name       string
+		tasks      int // of the job; 4 of them are on the machine
+		protected  bool
+		ran        micros.Micros
+		bestEffort bool
+		least      micros.Micros // lost work
+		most       micros.Micros
+	}{
+		{"started long ago", 400, true, 100 * second, true, 3 * second, 4 * second},
+		{"just started, and protected", 400, true, 10 * second, false, 38 * second, 39 * second},
+		{"just started, and not protected", 400, false, 10 * second, true, 3 * second, 4 * second},
+		{"all tasks of its job have started", 4, false, 100 * second, true, 13 * second, 13 * second},
+		{"nearly done", 400, false, 290 * second, true, 23 * second, 24 * second},
+	} {
+		s, _ := newTest(t)
+		now := micros.Now() + 1000*second
+		m := addMachine(s, "i-1", now)
+		j := addJob(s, wire.Job{ID: "j-000300", Team: "blue", Priority: "idle", Tasks: c.tasks, CPUs: 1, EstimatedRuntimeS: 300,
+			CheckpointIntervalS: 30, CheckpointDurationS: 3, AllowSpot: true})
+		for range 4 {
+			runTask(j, m, now-c.ran).Protected = c.protected
+		}
+		view := s.withVictims(now)
+		if len(view.placement) != 1 || len(view.placement[0].Victims) != 4 {
+			t.Fatalf("%s: %+v", c.name, view.placement)
+		}
+		if victim := view.placement[0].Victims[0]; victim.BestEffort != c.bestEffort || victim.LostWork < c.least || victim.LostWork > c.most {
+			t.Errorf("%s: best-effort %v, loses %v", c.name, victim.BestEffort, victim.LostWork.Duration())
+		}
+	}
+}
+
+// TestVictimsOfGangs has running gangs beside a task that is to stop.
+func TestVictimsOfGangs(t *testing.T) {
+	s, _ := newTest(t)
+	now := micros.Now()
+	m := addMachine(s, "i-1", now)
+	gang, startingGang := addJob(s, gangJob("j-000100", 2)), addJob(s, gangJob("j-000101", 2))
+	runTask(gang, m, now-10*micros.Second)
+	runTask(startingGang, m, now-10*micros.Second)
+	s.Gangs.(*fakeGangs).nonPreemptible = map[*state.Job]bool{startingGang: true}
+	stopping := runTask(addJob(s, arrayJob("j-000200", 1)), m, now-10*micros.Second)
+	stopping.MarkStopping(0, "test", now)
+	view := s.withVictims(now)
+	machine := view.placement[0]
+	if len(machine.Victims) != 1 || machine.Victims[0].JobID != gang.Spec.ID || !machine.Victims[0].Gang || machine.Releasing != stopping.Job.Need {
+		t.Errorf("victims %+v, %+v comes free", machine.Victims, machine.Releasing)
+	}
+	s.preemptVictim(m.Attempts[state.TaskID(gang.Spec.ID, machine.Victims[0].Task)], "j-000300", now)
+	if stopped := s.Gangs.(*fakeGangs).stopped; len(stopped) != 1 || stopped[0] != gang {
+		t.Errorf("gangs stopped: %v", stopped)
+	}
+}
+
+// TestCompletions looks at when the tasks of a machine should end.
+func TestCompletions(t *testing.T) {
+	const second = micros.Second
+	for _, c := range []struct {
+		name string
+		set  func(a *state.Attempt)
+		want micros.Micros
+	}{
+		{"runs for less than its estimate", func(*state.Attempt) {}, 6 * second},
+		{"is to stop", func(a *state.Attempt) { a.MarkStopping(3*second, "test", micros.Now()) }, 3 * second},
+	} {
+		s, _ := newTest(t)
+		now := micros.Now()
+		c.set(runTask(addJob(s, arrayJob("j-000100", 1)), addMachine(s, "i-1", now), now-4*second))
+		completions := s.withCompletions(now).placement[0].Completions
+		if len(completions) != 1 || completions[0].Remaining != c.want {
+			t.Errorf("%s: %+v, want %v", c.name, completions, c.want.Duration())
+		}
+	}
+}
+
+// TestMaxStartDelay has a gang wait: it takes late starts only when it has waited for as long.
+func TestMaxStartDelay(t *testing.T) {
+	const second = micros.Second
+	for _, c := range []struct {
+		kind   wire.JobKind
+		waited micros.Micros
+		want   micros.Micros
+	}{
+		{wire.KindGang, 0, second},
+		{wire.KindGang, 5 * second, 5 * second},
+		{wire.KindArray, 5 * second, 0},
+	} {
+		s, _ := newTest(t)
+		spec := gangJob("j-000100", 2)
+		spec.Kind = c.kind
+		j := addJob(s, spec)
+		if got := s.placementJob(j, 2, false, j.SubmittedAt+c.waited).MaxStartDelay; got != c.want {
+			t.Errorf("%s that has waited for %v: %v, want %v", c.kind, c.waited.Duration(), got.Duration(), c.want.Duration())
+		}
+	}
+}
--- a/internal/leader/task_queries_test.go
+++ b/internal/leader/task_queries_test.go
@@ -76,7 +76,7 @@
 		if now := micros.Now(); c.done && now > l.liveness.LeaseExpiry(m) {
 			t.Errorf("%s: its lease counts as expired", c.name)
 		}
-		l.plannedAt = 0
+		l.scheduler.PlannedAt = 0
 		a, err := l.HandleHeartbeat(c.after)
 		if got := commandNames(a); err != nil || !slices.Equal(got, c.want) {
 			t.Errorf("%s: commands %v (%v), want %v", c.name, got, err, c.want)
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -21,7 +21,7 @@
 		LeaseExpiry:       func(m *state.Machine) micros.Micros { return l.liveness.LeaseExpiry(m) },
 		Offerings:         func(j *state.Job) []state.Offering { return l.scaler.OfferingsFor(j) },
 		IsIsolated:        l.IsIsolated,
-		OnChange:          func() { l.replan = true },
+		OnChange:          func() { l.scheduler.RequestPlan() },
 	})
 }
 
