--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -74,7 +74,7 @@
 		Store: statestore.New("unused", s.Params.State, nil), FencingToken: testToken,
 		Term: &fakeTerm{holdsSession: true, exclusive: true, lastConfirmed: now + 3600*micros.Second, earlierTermsFencedSince: now}})
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 60, ImagePullGBPerS: 1, OnDemandPrice: 0.97, SpotPrice: 0.35, BootTimeS: 50, Zones: []string{"a", "b"}}}})
-	if err := l.rebuildState(); err != nil {
+	if err := l.restoreState(); err != nil {
 		b.Fatal(err)
 	}
 	return l
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -1,7 +1,6 @@
 package leader
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"maps"
@@ -13,23 +12,25 @@
 	"caperlatch/internal/wire"
 )
 
-// Bounds of the memory for notes, and of what is shown of one job. A zone with half of 4,000
-// machines loses some 16,000 tasks at once, and each has its note; they take 4 MB at most.
+// Bounds of the stops that are kept, and of what is shown of one job. A zone with half of 4,000 machines loses some
+// 16,000 tasks at once, and each is a stop; they take 4 MB at most.
 const (
 	maxRecordedStops = 20000
 	maxShownEntries  = 50
 )
 
-func (l *Leader) recordStop(a *state.Attempt, why string) {
-	n := explain.TaskStop{Task: a.TaskID(), Attempt: a.Number, Machine: a.Machine.ID, At: micros.Wall(), Reason: why}
-	slog.Debug("task stopped", "task", n.Task, "machine", n.Machine, "why", why)
+// recordStop keeps why a task was stopped, for Explain.
+func (l *Leader) recordStop(a *state.Attempt, reason string) {
+	stop := explain.TaskStop{Task: a.TaskID(), Attempt: a.Number, Machine: a.Machine.ID, At: micros.Wall(), Reason: reason}
+	slog.Debug("task stopped", "task", stop.Task, "attempt", stop.Attempt, "machine", stop.Machine, "reason", reason)
 	if len(l.recentStops) >= maxRecordedStops {
 		l.recentStops = slices.Delete(l.recentStops, 0, maxRecordedStops/4)
 	}
-	l.recentStops = append(l.recentStops, n)
+	l.recentStops = append(l.recentStops, stop)
 }
 
-// Explain says why a job waits, where its tasks are and why they were stopped.
+// Explain explains why a job waits, where its tasks are and why they were stopped. It reports false if nothing is
+// known of the job. The texts are shown to users: they do not change.
 func (l *Leader) Explain(id string) (explain.Explanation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +57,7 @@
 	return e, true
 }
 
-// explainStops adds the latest stops of a job's tasks.
+// explainStops adds the latest stops of the job's tasks.
 func (l *Leader) explainStops(e *explain.Explanation) {
 	for _, s := range l.recentStops {
 		if job, _, err := state.ParseTaskID(s.Task); err == nil && job == e.Job {
@@ -87,7 +88,7 @@
 	}
 }
 
-// describeAttempt says what an attempt does.
+// describeAttempt describes what an attempt does.
 func describeAttempt(a *state.Attempt) string {
 	switch {
 	case a.StopRequestedAt != 0:
@@ -104,94 +105,72 @@
 	return a.ReportedState
 }
 
-func (l *Leader) waitReasons(j *state.Job) (why []string) {
+// waitReasons lists why tasks of a job wait.
+func (l *Leader) waitReasons(j *state.Job) (reasons []string) {
 	now := micros.Now()
-	teams := l.worstCaseTeamUse()
 	if u := l.findUnknownMachines(); l.mustAwaitReconciliation(j, u) {
-		why = append(why, fmt.Sprintf("%d machines' tasks are not known yet after the take-over", u.count+l.countUnconfirmed()))
+		reasons = append(reasons, fmt.Sprintf("%d machines' tasks are not known yet after the take-over", u.count+l.countUnconfirmed()))
 	}
-	if f := j.DescribeFailures(now); f != "" && !j.HasSucceeded() {
-		why = append(why, f)
+	if failures := j.DescribeFailures(now); failures != "" && !j.HasSucceeded() {
+		reasons = append(reasons, failures)
 	} else if now < j.BackoffUntil {
-		why = append(why, j.BackoffReason)
-	}
-	if t := teams[j.Spec.Team]; t != nil && t.Limit.CPU > 0 && t.Used.CPU+j.Need.CPU > t.Limit.CPU {
-		why = append(why, "its team uses as many CPUs as it may")
-	}
-	if t := teams[j.Spec.Team]; t != nil && t.Limit.GPU > 0 && t.Used.GPU+j.Need.GPU > t.Limit.GPU {
-		why = append(why, "its team uses as many GPUs as it may")
+		reasons = append(reasons, j.BackoffReason)
 	}
+	reasons = l.appendLimitReasons(reasons, j)
 	if j.IsGang() {
-		if t := teams[j.Spec.Team]; len(why) == 0 && t.CountAllowed(j.Need, j.WaitingTasks()) < j.WaitingTasks() {
-			why = append(why, "its team may not use as much as the whole gang needs")
-		}
-		switch {
-		case j.Gang.Ending:
-			why = append(why, fmt.Sprintf("its gang was ended, and %d tasks are not gone yet", len(j.Attempts)))
-		case len(j.Attempts) > 0:
-			why = append(why, fmt.Sprintf("%d of its gang's tasks have their places; it is completed under the same attempt", len(j.Attempts)))
-		case l.scheduler.ReservedMachines(j.Spec.ID) > 0:
-			why = append(why, fmt.Sprintf("room for the whole gang is gathered on %d machines", l.scheduler.ReservedMachines(j.Spec.ID)))
-		}
+		reasons = l.appendGangReasons(reasons, j)
 	}
 	if !l.Term.IsExclusive() {
-		why = append(why, "the leader is not sure of its leadership")
+		reasons = append(reasons, "the leader is not sure of its leadership")
 	}
-	if len(why) > 0 {
-		return why
+	if len(reasons) > 0 {
+		return reasons
 	}
-	switch hasRoom := l.scheduler.HasRoomFor(j.Need, now); {
-	case hasRoom && j.IsGang():
-		return append(why, "there is room for single tasks, not for the whole gang where it may run")
-	case hasRoom:
-		return append(why, "it starts at a machine's next report, or its zone rules leave no room")
+	return []string{l.roomReason(j, now)}
+}
+
+// appendLimitReasons adds which limits of its team a job meets.
+func (l *Leader) appendLimitReasons(reasons []string, j *state.Job) []string {
+	team := l.worstCaseTeamUse()[j.Spec.Team]
+	if team != nil && team.Limit.CPU > 0 && team.Used.CPU+j.Need.CPU > team.Limit.CPU {
+		reasons = append(reasons, "its team uses as many CPUs as it may")
 	}
-	coming := 0
-	for _, m := range l.fleet.Machines {
-		if !m.Instance.Running {
-			coming++
-		}
+	if team != nil && team.Limit.GPU > 0 && team.Used.GPU+j.Need.GPU > team.Limit.GPU {
+		reasons = append(reasons, "its team uses as many GPUs as it may")
+	}
+	if j.IsGang() && len(reasons) == 0 && team.CountAllowed(j.Need, j.WaitingTasks()) < j.WaitingTasks() {
+		reasons = append(reasons, "its team may not use as much as the whole gang needs")
 	}
-	return append(why, fmt.Sprintf("no machine has room for a task; %d are coming up", coming))
+	return reasons
 }
 
-// TaskCounts is what is shown of a job that is not over.
-func (l *Leader) TaskCounts(id string) (done, running int, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	j := l.jobs[id]
-	if j == nil {
-		return 0, 0, false
-	}
-	return j.DoneCount, j.RunningCount, true
+// appendGangReasons adds how far a gang's attempt is.
+func (l *Leader) appendGangReasons(reasons []string, j *state.Job) []string {
+	reserved := l.scheduler.ReservedMachines(j.Spec.ID)
+	switch {
+	case j.Gang.Ending:
+		return append(reasons, fmt.Sprintf("its gang was ended, and %d tasks are not gone yet", len(j.Attempts)))
+	case len(j.Attempts) > 0:
+		return append(reasons, fmt.Sprintf("%d of its gang's tasks have their places; it is completed under the same attempt", len(j.Attempts)))
+	case reserved > 0:
+		return append(reasons, fmt.Sprintf("room for the whole gang is gathered on %d machines", reserved))
+	}
+	return reasons
 }
 
-// logSnapshot shows now and then what the leader sees.
-func (l *Leader) logSnapshot(now micros.Micros) {
-	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
-		return
-	}
-	states := map[string]int{}
-	waiting, held, cpus, open := 0, int64(0), int64(0), 0
-	for _, j := range l.jobs {
-		waiting += j.WaitingTasks()
-		if j.StartableTasks(now) > 0 {
-			open++
-		}
+// roomReason is why a job waits that nothing but room keeps from starting.
+func (l *Leader) roomReason(j *state.Job, now micros.Micros) string {
+	switch hasRoom := l.scheduler.HasRoomFor(j.Need, now); {
+	case hasRoom && j.IsGang():
+		return "there is room for single tasks, not for the whole gang where it may run"
+	case hasRoom:
+		return "it starts at a machine's next report, or its zone rules leave no room"
 	}
+	booting := 0
 	for _, m := range l.fleet.Machines {
-		for _, a := range m.Attempts {
-			states[a.ReportedState]++
-			held += a.Job.Need.CPU
-		}
-		if t := l.scaler.Type(m.Offering.Type); t != nil && l.canReceiveStarts(m, now) {
-			cpus += t.Capacity.CPU
+		if !m.Instance.Running {
+			booting++
 		}
 	}
-	targets := map[string]string{}
-	for _, t := range l.scaler.Types() {
-		targets[t.Name] = fmt.Sprintf("m=%.1f want=%.1f target=%d", t.Mean, t.Wanted, t.Target)
-	}
-	slog.Debug("snapshot", "jobs", len(l.jobs), "waiting", waiting, "open", open, "states", states,
-		"held_cpus", held/1000, "usable_cpus", cpus/1000, "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown(), "targets", targets)
+	return fmt.Sprintf("no machine has room for a task; %d are coming up", booting)
 }
--- /dev/null
+++ b/internal/leader/jobs.go
@@ -0,0 +1,70 @@
+package leader
+
+import (
+	"caperlatch/internal/leader/state"
+	"caperlatch/internal/replica"
+)
+
+// applyJobChanges takes over what the replica has seen since the last time.
+func (l *Leader) applyJobChanges() {
+	for _, id := range l.Replica.TakeChangedJobs(false) {
+		l.applyJobChange(id, false)
+	}
+}
+
+// applyJobChange takes over a change of a job that the replica saw. An earlier term may have started tasks of it
+// where mayHaveEarlierTasks is set.
+func (l *Leader) applyJobChange(id string, mayHaveEarlierTasks bool) {
+	stored, _, ok := l.Replica.Job(id)
+	if !ok {
+		return
+	}
+	j := l.jobs[id]
+	switch {
+	case stored.IsFinal() && j != nil:
+		l.dropJob(j, stored.State)
+	case !stored.IsFinal() && j == nil:
+		if _, finishing := l.finalJobs[id]; finishing {
+			return
+		}
+		j = state.NewJob(stored, mayHaveEarlierTasks)
+		j.Image = l.imageIndex(j.Spec.Image)
+		l.jobs[id] = j
+		l.scaler.AddDemand(j)
+		l.scheduler.RequestPlan()
+	}
+}
+
+// dropJob drops a job that has ended; its tasks are stopped.
+func (l *Leader) dropJob(j *state.Job, finalState string) {
+	j.Ended = true
+	delete(l.jobs, j.Spec.ID)
+	delete(l.finalJobs, j.Spec.ID)
+	l.writes.Unmark(replica.JobPrefix + j.Spec.ID)
+	for chunk := range j.Chunks() {
+		key := state.ProgressKey(j.Spec.ID, chunk)
+		l.writes.Unmark(key)
+		if l.Replica.ModRevision(key) != 0 {
+			l.writes.Mark(key)
+		}
+	}
+	reason := "job is " + finalState
+	if j.IsGang() {
+		l.scheduler.DropReservation(j)
+		l.gangs.EndAttempt(j, 0, reason)
+	}
+	for _, a := range j.Attempts {
+		l.stopTask(a, 0, reason)
+	}
+	l.scheduler.RequestPlan()
+}
+
+// imageIndex is the index that stands for an image in placement.
+func (l *Leader) imageIndex(name string) int {
+	index, ok := l.images[name]
+	if !ok {
+		index = len(l.images)
+		l.images[name] = index
+	}
+	return index
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,15 +1,17 @@
-// Package leader is what the leading node does: it keeps a snapshot of
-// machines and tasks, gives workers their orders, and rents and returns
-// machines.
+// Package leader is what the leading node does for one term: it reconciles workers' heartbeats with what should
+// run, gives workers their commands, decides what starts where, and has instances launched and terminated.
+//
+// A Leader holds the term and one lock over all of its state, and runs the loops. The concerns are packages below
+// this one, which are called with that lock held; this package joins them. It must never give a worker a command
+// while another node may lead, nor count a task as gone from a machine without one of the proofs that
+// docs/design.md lists.
 package leader
 
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net/http"
-	"strings"
 	"sync"
 	"time"
 
@@ -41,10 +43,14 @@
 
 // Term is the part of an election's term that the leader needs.
 type Term interface {
-	HoldsSession() bool                     // the hold has not ended
-	IsExclusive() bool                      // nobody else can lead
-	LastConfirmed() micros.Micros           // when that was last proved
-	EarlierTermsFencedSince() micros.Micros // since when nobody answers with a lower token, 0 if unknown
+	// HoldsSession reports whether the session of the leader key has not ended, as far as this node knows.
+	HoldsSession() bool
+	// IsExclusive reports whether no other node can lead now.
+	IsExclusive() bool
+	// LastConfirmed is when that was last proved.
+	LastConfirmed() micros.Micros
+	// EarlierTermsFencedSince is since when no node responds with a lower fencing token; 0 if that is not known.
+	EarlierTermsFencedSince() micros.Micros
 }
 
 var _ Term = (*election.Term)(nil)
@@ -58,56 +64,59 @@
 	Replica           *replica.Replica
 	Term              Term
 	FencingToken      uint64
-	LeaderKeyRevision uint64 // of the leader key
+	LeaderKeyRevision uint64 // the mod revision of the leader key
 	WorkerClient      *http.Client
 	// Of a node with a warm standby; nil without.
 	Followers        Followers
 	FailoverProgress FailoverProgress
-	PreviousTerm     *standby.View // of the term before, if one was followed
+	PreviousTerm     *standby.View // of the term before, if this node followed it
 	// ZonePolicy decides on zones; nil: the default policy.
 	ZonePolicy zone.Policy
-	// IsIsolated tells whether this node hears neither the state service nor most of its peers;
-	// nil: it is not known.
+	// IsIsolated reports whether this node reaches neither the state service nor most of its peers; nil: it is
+	// not known.
 	IsIsolated func() bool
 }
 
-// Leader acts for one term. Its mu guards all that changes after New, except
-// rejectedTypes, which only those who refresh the catalog use, one after the other.
+// Leader acts for one term. It is safe for concurrent use.
+//
+// mu guards all that changes after New, also in the packages below, except rejectedTypes: the goroutine that
+// refreshes the instance types owns it.
 type Leader struct {
 	Config
 
 	// The term and its times, as of New.
 	startedAt         micros.Micros
 	startedAtWall     micros.Micros // time of day
-	heartbeatInterval micros.Micros // workers' usual time between reports
+	heartbeatInterval micros.Micros // usual time between a worker's heartbeats
 	leaseDuration     micros.Micros // of workers
 
 	mu sync.Mutex
 
-	// How far the take-over is, and whether the term is over.
-	ready        bool          // the snapshot has been rebuilt
-	superseded   bool          // a higher token is known
+	// How far the failover is, and whether the term is over.
+	ready        bool          // the state was restored from what is stored
+	superseded   bool          // a node with a higher fencing token is known
 	termLost     chan struct{} // closed when a write proved that the term is over
 	termLostOnce sync.Once
+	failoverState
 
 	jobState
-	fleet      *fleet.Fleet           // machines, and launches and terminations
-	scaler     *autoscaler.Scaler     // how many machines there are to be
-	quarantine *quarantine.Quarantine // whether failures speak against machines or jobs
-	zones      *zoning.Zones          // what the policy on zones comes to
+	fleet       *fleet.Fleet           // machines, and launches and terminations
+	liveness    *liveness.Monitor      // which machines are silent, and since when
+	taskQueries *taskquery.Queries     // queries of machines for their tasks after a failover
+	zones       *zoning.Zones          // carries out the policy on zones
+	workload    *workload.Workload     // what is expected of jobs, and what teams may use
+	scaler      *autoscaler.Scaler     // how many machines there are to be
+	scheduler   *scheduler.Scheduler   // which task starts where
+	gangs       *gangs.Coordinator     // attempts of gangs
+	quarantine  *quarantine.Quarantine // whether failures speak against machines or jobs
+	dispatcher  *dispatch.Dispatcher   // direct calls to workers
+	writes      *persist.Queue         // what is to be stored
+
 	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
 	rejectedTypes *wire.InstanceTypeList
-	scheduler     *scheduler.Scheduler // which task starts where
-	gangs         *gangs.Coordinator   // attempts of gangs
-	workload      *workload.Workload   // what is expected of jobs, and what teams may use
-	dispatcher    *dispatch.Dispatcher // direct calls to workers
-	writes        *persist.Queue       // what is to be stored
-	taskQueries   *taskquery.Queries   // queries of machines for their tasks after a failover
-	liveness      *liveness.Monitor    // which machines are silent, and since when
-	failoverState
 
 	// What is shown to users and written to the log.
-	taskCounts   map[string][2]int // see AllTaskCounts
+	taskCounts   TaskCounts // see AllTaskCounts
 	taskCountsAt micros.Micros
 	recentStops  []explain.TaskStop
 	events       *eventlog.Log
@@ -115,16 +124,16 @@
 
 // jobState is what is known of jobs and their tasks.
 type jobState struct {
-	jobs          map[string]*state.Job
+	jobs          map[string]*state.Job          // that have not ended, by ID
 	cancelledJobs map[string]*state.Job          // cancelled before this term, with tasks still on machines
-	teamUsage     map[string]placement.Resources // by what is on machines, a team
-	unknownUsage  placement.Resources            // what machines with unknown tasks may hold, as of the last plan
-	images        map[string]int                 // the numbers that stand for images
-	attempts      uint64
-	finalJobs     map[string]replica.Job // ends that are not stored yet
+	teamUsage     map[string]placement.Resources // of tasks that are known to be on machines, by team
+	unknownUsage  placement.Resources            // what machines with unknown tasks may hold, as of the latest plan
+	images        map[string]int                 // indexes that stand for images in placement, by name
+	attempts      uint64                         // how many attempts this term has numbered
+	finalJobs     map[string]replica.Job         // final states that are not stored yet, by job ID
 }
 
-// New makes a leader for a term.
+// New makes a leader for a term. It does nothing until Run.
 func New(c Config) *Leader {
 	workers := c.Settings.Params.Workers
 	l := &Leader{
@@ -157,32 +166,21 @@
 	return l
 }
 
-// Run leads until ctx ends or a write shows that the term is over.
+// failoverRetryInterval is how long a new leader waits before it reads the stored state again.
+const failoverRetryInterval = 200 * micros.Millisecond
+
+// errPreviousTermUnproven is returned if no proof was found that the term before has ended.
+var errPreviousTermUnproven = errors.New("there is no proof that the term before has ended")
+
+// Run leads until ctx ends or a write shows that the term is over. It returns once all its loops have ended.
 func (l *Leader) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for {
-		// All that earlier terms stored must be seen before the snapshot is
-		// built: their writes fail from this term's leader key on.
-		err := l.Replica.Barrier(ctx)
-		if err == nil {
-			err = l.loadInstanceTypes(ctx)
-		}
-		if err == nil {
-			break
-		}
-		slog.Debug("take-over waits", "error", err)
-		micros.Pause(ctx, 200*micros.Millisecond)
-		if ctx.Err() != nil {
-			return
-		}
-	}
-	if l.FailoverProgress != nil && !l.FailoverProgress.StateRead(l.Replica.Revision(), l.PreviousTerm != nil && l.PreviousTerm.ProvesAssignments(l.FencingToken)) {
-		slog.Error("take-over", "error", "there is no proof that the term before has ended")
+	if !l.awaitStoredState(ctx) {
 		return
 	}
-	if err := l.rebuildState(); err != nil {
-		slog.Error("take-over", "error", err)
+	if err := l.takeOver(); err != nil {
+		slog.Error("failover failed", "fencing_token", l.FencingToken, "error", err)
 		return
 	}
 	var wg sync.WaitGroup
@@ -193,8 +191,8 @@
 		l.instanceTypesLoop,
 		l.taskQueries.Run,
 	}
-	for _, f := range loops {
-		wg.Go(func() { f(ctx) })
+	for _, loop := range loops {
+		wg.Go(func() { loop(ctx) })
 	}
 	select {
 	case <-ctx.Done():
@@ -204,205 +202,97 @@
 	wg.Wait()
 }
 
-// loadInstanceTypes uses the stored catalog or else asks the cloud.
-func (l *Leader) loadInstanceTypes(ctx context.Context) error {
-	var c wire.InstanceTypeList
-	stamp, err := l.Replica.Get(replica.InstanceTypesKey, &c)
-	if err != nil {
-		return err
-	}
-	if stamp != 0 {
-		l.setInstanceTypes(c)
-		return nil
-	}
-	return l.refreshInstanceTypes(ctx)
-}
-
-// refreshInstanceTypes asks the cloud for the present prices and stores a catalog
-// that is new.
-func (l *Leader) refreshInstanceTypes(ctx context.Context) error {
-	c, err := l.Cloud.InstanceTypes(ctx)
-	if err != nil {
-		return err
-	}
-	var stored wire.InstanceTypeList
-	stamp, err := l.Replica.Get(replica.InstanceTypesKey, &stored)
-	if err != nil {
-		return err
-	}
-	l.setInstanceTypes(c)
-	if stamp != 0 && sameTypes(stored, c) {
-		return nil
-	}
-	if l.rejectedTypes != nil && sameTypes(*l.rejectedTypes, c) {
-		return nil
-	}
-	rev, err := l.Store.Commit(ctx, wire.Txn{
-		If:   []wire.Compare{{Key: replica.LeaderKey, ModRevision: l.LeaderKeyRevision}, {Key: replica.InstanceTypesKey, ModRevision: stamp}},
-		Then: []wire.Op{{Put: replica.InstanceTypesKey, Value: c}},
-	})
-	if errors.Is(err, statestore.ErrRejected) {
-		// The leader goes on with what it was told. Submissions are judged by the
-		// catalog stored before; a take-over must not wait for what cannot be.
-		l.rejectedTypes = &c
-		slog.Error("the state service refuses the catalog, which is not stored", "types", len(c.Types), "bytes", wire.JSONSize(c), "error", err)
-		return nil
-	}
-	if err != nil {
-		return err
-	}
-	l.Replica.ApplyPut(replica.InstanceTypesKey, c, rev)
-	return nil
-}
-
-// sameTypes compares what decides whether a job can ever run.
-func sameTypes(a, b wire.InstanceTypeList) bool {
-	if len(a.Types) != len(b.Types) {
-		return false
-	}
-	for i, x := range a.Types {
-		y := b.Types[i]
-		if x.Name != y.Name || x.CPUs != y.CPUs || x.GPUs != y.GPUs || x.MemoryGB != y.MemoryGB ||
-			strings.Join(x.Zones, " ") != strings.Join(y.Zones, " ") {
+// awaitStoredState waits until all that earlier terms stored is in the replica: their writes fail from this term's
+// leader key on. It reports false if ctx ended before.
+func (l *Leader) awaitStoredState(ctx context.Context) bool {
+	for {
+		err := l.Replica.Barrier(ctx)
+		if err == nil {
+			err = l.loadInstanceTypes(ctx)
+		}
+		if err == nil {
+			return true
+		}
+		slog.Debug("failover waits for the stored state", "fencing_token", l.FencingToken, "error", err)
+		micros.Pause(ctx, failoverRetryInterval)
+		if ctx.Err() != nil {
 			return false
 		}
 	}
-	return true
 }
 
-func (l *Leader) instanceTypesLoop(ctx context.Context) {
-	micros.Every(ctx, 60*micros.Second, func() {
-		if err := l.refreshInstanceTypes(ctx); err != nil {
-			slog.Debug("catalog", "error", err)
-		}
-	})
+// takeOver begins to decide, from what is stored and from what the term before handed over.
+func (l *Leader) takeOver() error {
+	handedOver := l.PreviousTerm != nil && l.PreviousTerm.ProvesAssignments(l.FencingToken)
+	if l.FailoverProgress != nil && !l.FailoverProgress.StateRead(l.Replica.Revision(), handedOver) {
+		return errPreviousTermUnproven
+	}
+	return l.restoreState()
 }
 
-// rebuildState makes the snapshot from what is stored. What machines hold is not
-// known until each has answered with this term's token.
-func (l *Leader) rebuildState() error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := micros.Now()
-	if err := l.fleet.RestoreIntents(now); err != nil {
-		return err
-	}
-	if err := l.fleet.RestoreLists(); err != nil {
-		return err
-	}
-	for _, id := range l.Replica.TakeChangedJobs(true) {
-		l.applyJobChange(id, true)
-	}
-	for _, key := range l.Replica.Keys(replica.ProgressPrefix) {
-		id, chunk, err := state.ParseProgressKey(key)
-		if err != nil {
-			return err
-		}
-		j := l.jobs[id]
-		if j == nil {
-			l.writes.Mark(key) // of a job that is over
-			continue
-		}
-		var p state.TaskProgress
-		if _, err := l.Replica.Get(key, &p); err != nil {
-			return err
-		}
-		if err := j.Restore(chunk, p); err != nil {
-			return fmt.Errorf("stored %s: %w", key, err)
-		}
-		if j.DoneCount > 0 {
-			l.gangs.Complete(j)
-		}
-		l.finishIfDone(j)
-	}
-	if err := l.restoreAutoscaler(now); err != nil {
-		return err
-	}
-	l.zones.Restore(now)
-	l.restoreFromPreviousTerm()
-	l.scaler.StepPools(now)
-	l.ready = true
-	l.scheduler.RequestPlan()
-	slog.Info("take-over", "token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.fleet.Machines), "unresolved", l.fleet.CountUnknown())
-	return nil
+// Intervals of what the passing of time brings.
+const (
+	tickInterval      = 200 * micros.Millisecond
+	superviseInterval = 200 * micros.Millisecond
+	autoscaleInterval = micros.Second
+	summaryInterval   = 5 * micros.Second
+)
+
+// tickTimes is when the parts of a tick were last done.
+type tickTimes struct {
+	supervised, autoscaled, summarized micros.Micros
 }
 
-// tickLoop does what time alone brings.
+// tickLoop does what the passing of time and changes of the replica bring.
 func (l *Leader) tickLoop(ctx context.Context) {
 	changed := l.Replica.Changed()
-	t := time.NewTicker((200 * micros.Millisecond).Duration())
-	defer t.Stop()
-	var staffed, shown, watched micros.Micros
+	ticker := time.NewTicker(tickInterval.Duration())
+	defer ticker.Stop()
+	var last tickTimes
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 			changed = l.Replica.Changed()
-		case <-t.C:
-		}
-		now := micros.Now()
-		l.mu.Lock()
-		l.applyJobChanges()
-		if l.handingOver {
-			l.mu.Unlock()
-			continue
-		}
-		l.recordTasksKnown()
-		if now-watched >= 200*micros.Millisecond {
-			watched = now
-			l.superviseMachines(now)
-		}
-		if l.ready {
-			l.gangs.Check(now)
-			l.scheduler.PlanIfNeeded(nil, now)
-		}
-		if now-staffed >= micros.Second {
-			staffed = now
-			l.autoscale(now)
-			l.events.Flush()
+		case <-ticker.C:
 		}
-		if now-shown >= 5*micros.Second {
-			shown = now
-			l.logSnapshot(now)
-		}
-		l.mu.Unlock()
-	}
-}
-
-// applyJobChanges takes over what the replica has seen since the last time.
-func (l *Leader) applyJobChanges() {
-	for _, id := range l.Replica.TakeChangedJobs(false) {
-		l.applyJobChange(id, false)
+		l.tick(&last)
 	}
 }
 
-// applyJobChange takes over a change that the replica saw. Old jobs are those
-// that an earlier term may have started tasks of.
-func (l *Leader) applyJobChange(id string, old bool) {
-	r, _, ok := l.Replica.Job(id)
-	if !ok {
+// tick does those parts that are due.
+func (l *Leader) tick(last *tickTimes) {
+	now := micros.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.applyJobChanges()
+	if l.handingOver {
 		return
 	}
-	j := l.jobs[id]
-	switch {
-	case r.IsFinal() && j != nil:
-		l.dropJob(j, r.State)
-	case !r.IsFinal() && j == nil:
-		if _, finishing := l.finalJobs[id]; finishing {
-			return
-		}
-		j = state.NewJob(r, old)
-		j.Image = l.imageIndex(j.Spec.Image)
-		l.jobs[id] = j
-		l.scaler.AddDemand(j)
-		l.scheduler.RequestPlan()
+	l.recordTasksKnown()
+	if now-last.supervised >= superviseInterval {
+		last.supervised = now
+		l.superviseMachines(now)
+	}
+	if l.ready {
+		l.gangs.Check(now)
+		l.scheduler.PlanIfNeeded(nil, now)
+	}
+	if now-last.autoscaled >= autoscaleInterval {
+		last.autoscaled = now
+		l.autoscale(now)
+		l.events.Flush()
+	}
+	if now-last.summarized >= summaryInterval {
+		last.summarized = now
+		l.logSummary(now)
 	}
 }
 
-// Supersede ends all answers to workers, as another node has a higher token.
-func (l *Leader) Supersede(token uint64) {
-	if token <= l.FencingToken {
+// Supersede ends all responses to workers if another node has a higher fencing token.
+func (l *Leader) Supersede(fencingToken uint64) {
+	if fencingToken <= l.FencingToken {
 		return
 	}
 	l.mu.Lock()
@@ -411,72 +301,5 @@
 	l.loseTerm()
 }
 
-// taskCountsInterval is how often the counts are taken anew; they are for display only.
-const taskCountsInterval = 2 * micros.Second
-
-// AllTaskCounts is how far the jobs are that are not over: done and running tasks, as
-// of at most taskCountsInterval ago, and since when. The map must not be changed.
-func (l *Leader) AllTaskCounts() (map[string][2]int, micros.Micros) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if now := micros.Now(); l.taskCounts == nil || now-l.taskCountsAt >= taskCountsInterval {
-		l.taskCounts, l.taskCountsAt = l.countTasks(), now
-	}
-	return l.taskCounts, l.taskCountsAt
-}
-
-// Bounds of the counts, which go into one message between nodes: all that are within
-// maxTaskCountBytes, where each takes its job's name and taskCountBytes at most. A fleet of 4,000
-// machines that run single tasks has 16,000 jobs to count, which take 400 KB.
-const (
-	maxTaskCountBytes = 1 << 19
-	taskCountBytes    = 16
-)
-
-// countTasks counts the tasks of the jobs that have begun.
-func (l *Leader) countTasks() map[string][2]int {
-	counts, size := make(map[string][2]int, len(l.jobs)), 0
-	for id, j := range l.jobs {
-		if j.DoneCount+j.RunningCount == 0 {
-			continue
-		}
-		if size += len(id) + taskCountBytes; size > maxTaskCountBytes {
-			break
-		}
-		counts[id] = [2]int{j.DoneCount, j.RunningCount}
-	}
-	return counts
-}
-
-// dropJob drops a job that is over; its tasks are stopped.
-func (l *Leader) dropJob(j *state.Job, endState string) {
-	j.Ended = true
-	delete(l.jobs, j.Spec.ID)
-	delete(l.finalJobs, j.Spec.ID)
-	l.writes.Unmark(replica.JobPrefix + j.Spec.ID)
-	for chunk := range j.Chunks() {
-		key := state.ProgressKey(j.Spec.ID, chunk)
-		l.writes.Unmark(key)
-		if l.Replica.ModRevision(key) != 0 {
-			l.writes.Mark(key)
-		}
-	}
-	if j.IsGang() {
-		l.scheduler.DropReservation(j)
-		l.gangs.EndAttempt(j, 0, "job is "+endState)
-	}
-	for _, a := range j.Attempts {
-		l.stopTask(a, 0, "job is "+endState)
-	}
-	l.scheduler.RequestPlan()
-}
-
-// imageIndex is the number that stands for an image.
-func (l *Leader) imageIndex(name string) int {
-	n, ok := l.images[name]
-	if !ok {
-		n = len(l.images)
-		l.images[name] = n
-	}
-	return n
-}
+// loseTerm ends the term, as it is proved that a newer one has begun, or may begin.
+func (l *Leader) loseTerm() { l.termLostOnce.Do(func() { close(l.termLost) }) }
--- /dev/null
+++ b/internal/leader/summary.go
@@ -0,0 +1,48 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+
+	"caperlatch/internal/micros"
+)
+
+// logSummary logs now and then, at level debug, what the leader decides on.
+func (l *Leader) logSummary(now micros.Micros) {
+	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	waitingTasks, startableJobs := 0, 0
+	for _, j := range l.jobs {
+		waitingTasks += j.WaitingTasks()
+		if j.StartableTasks(now) > 0 {
+			startableJobs++
+		}
+	}
+	tasksByState := map[string]int{}
+	usedCPU, schedulableCPU := int64(0), int64(0) // thousandths
+	for _, m := range l.fleet.Machines {
+		for _, a := range m.Attempts {
+			tasksByState[a.ReportedState]++
+			usedCPU += a.Job.Need.CPU
+		}
+		if t := l.scaler.Type(m.Offering.Type); t != nil && l.canReceiveStarts(m, now) {
+			schedulableCPU += t.Capacity.CPU
+		}
+	}
+	targets := map[string]string{}
+	for _, t := range l.scaler.Types() {
+		targets[t.Name] = fmt.Sprintf("mean=%.1f wanted=%.1f target=%d", t.Mean, t.Wanted, t.Target)
+	}
+	slog.Debug("summary",
+		"jobs", len(l.jobs),
+		"startable_jobs", startableJobs,
+		"waiting_tasks", waitingTasks,
+		"tasks_by_state", tasksByState,
+		"used_cpus", usedCPU/1000,
+		"schedulable_cpus", schedulableCPU/1000,
+		"machines", len(l.fleet.Machines),
+		"tasks_unknown", l.fleet.CountUnknown(),
+		"targets", targets)
+}
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -25,9 +25,6 @@
 	})
 }
 
-// loseTerm ends the term, as it is proven that a newer one has begun, or may begin.
-func (l *Leader) loseTerm() { l.termLostOnce.Do(func() { close(l.termLost) }) }
-
 // deleteLeftovers has keys deleted that belong to nothing any more: a launch intent or a job's progress
 // whose first write got no response, was repeated, deleted when no longer needed, and then carried out
 // after all. The next leader would launch once more for such an intent.
--- a/peers.go
+++ b/peers.go
@@ -54,7 +54,7 @@
 	if local := h.leadership.local(); local != nil {
 		p.LeadershipInDoubt = !local.Term.HoldsSession()
 		if counts, at := local.AllTaskCounts(); at != *sentCountsAt {
-			p.TaskCounts, *sentCountsAt = counts, at
+			p.TaskCounts, *sentCountsAt = peer.TaskCounts(counts), at
 		}
 	}
 	return p
