--- a/internal/leader/autoscaler/backlog.go
+++ b/internal/leader/autoscaler/backlog.go
@@ -150,7 +150,7 @@
 	runtime := s.Workload.ExpectedRuntime(j.Spec)
 	work := float64(n) * j.Spec.CPUs * runtime
 	if perMachine := t.Capacity.CountFitting(j.Need, n+1); j.IsGang() && perMachine > 0 && perMachine <= n {
-		// It fills whole machines at once, with what its tasks leave unused there.
+		// It fills entire machines at once, with what its tasks leave unused there.
 		work += float64(n/perMachine) * (t.CPUs - float64(perMachine)*j.Spec.CPUs) * runtime
 	}
 	deadlines := s.Workload.StartDeadlines(j, false, wall)
--- a/internal/leader/autoscaler/gangs.go
+++ b/internal/leader/autoscaler/gangs.go
@@ -14,7 +14,7 @@
 
 // launchForGangs launches machines for gangs that not even an empty fleet could take: the types'
 // targets count machines, and a gang may need more of them at once, or more in one zone, than the work alone
-// would. One that has begun to start needs room now: its other tasks hold theirs in vain until it comes.
+// would. One whose start is in progress needs room now: its other tasks hold theirs in vain until it comes.
 func (s *Scaler) launchForGangs(now micros.Micros) {
 	teams, awaitsReconciliation := s.TeamUse(), s.AwaitsReconciliation()
 	for _, j := range state.Gangs(s.Jobs) {
@@ -58,7 +58,7 @@
 
 // bestOfferingForGang finds the cheapest offering in a zone where a gang may have more tasks, or,
 // for one that must be in a single zone, where it has most room already. There is none while a launch that
-// would serve the gang waits for its answer.
+// would serve the gang waits for its response.
 func (s *Scaler) bestOfferingForGang(j *state.Job, room gangRoom, now micros.Micros) (best state.Offering, ok bool) {
 	for _, o := range s.OfferingsFor(j) {
 		if s.Fleet.HasOpenIntent(o) {
@@ -83,8 +83,8 @@
 	total   int            // of all that may be used together
 }
 
-// gangRoom counts the tasks of a gang, at most wanted, for which its machines would have room: what is
-// free, once it has begun to start, and before that their whole capacity.
+// gangRoom counts the tasks of a gang, up to wanted, for which its machines would have room: what is
+// free, once its start is in progress, and before that their whole capacity.
 func (s *Scaler) gangRoom(j *state.Job, wanted int) gangRoom {
 	room := gangRoom{job: j, wanted: wanted, held: map[string]int{}, perZone: map[string]int{}}
 	for _, a := range j.Attempts {
--- a/internal/leader/autoscaler/model.go
+++ b/internal/leader/autoscaler/model.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// servers is how many machines of a type the formula asks for at a mean.
+// servers is how many machines of a type the formula requires at a mean.
 func (s *Scaler) servers(t *Type, mean float64, spot bool) float64 {
 	if mean < minMean {
 		return 0
--- a/internal/leader/autoscaler/pools.go
+++ b/internal/leader/autoscaler/pools.go
@@ -13,9 +13,9 @@
 	"caperlatch/staffing"
 )
 
-// Arrays fill a fleet task by task, so a busy fleet seldom has room for a whole gang on
+// Arrays fill a fleet task by task, so a busy fleet seldom has room for an entire gang on
 // any machine. Gangs therefore have machines of their own: their demand is a stream apart,
-// measured in whole machines, with its mean stepped by the same equation as the fleet's
+// measured in machines, with its mean stepped by the same equation as the fleet's
 // and its margin by the same formula. Only gangs start on these machines.
 
 // Pool is the machines of one kind that are held ready for gangs.
@@ -61,7 +61,7 @@
 }
 
 // addPoolDemand counts a gang that came in. Its size is the part of a machine that it
-// keeps from other gangs of its size: 12 of 16 CPUs are a whole one, 6 are half of one.
+// keeps from other gangs of its size: 12 of 16 CPUs count as one, 6 as half of one.
 func (s *Scaler) addPoolDemand(j *state.Job, now micros.Micros) {
 	p := s.poolFor(j)
 	if p == nil {
--- a/internal/leader/autoscaler/record.go
+++ b/internal/leader/autoscaler/record.go
@@ -21,7 +21,7 @@
 	Finished int     `json:"finished"`
 	Want     float64 `json:"want"`
 	Target   int     `json:"target"`
-	InFlight int     `json:"in_flight"` // machines that the cloud was asked for
+	InFlight int     `json:"in_flight"` // machines whose launch is in progress
 }
 
 // Record makes the record of the model as it is.
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -87,7 +87,7 @@
 // used that is paid for.
 func (s *Scaler) terminateIdle(t *Type, n int, now micros.Micros) {
 	if !s.Term.HoldsSession() {
-		// That a machine is gone could not be stored, and a next leader would
+		// That a machine is terminated could not be stored, and a next leader would
 		// have to wait for its lease.
 		return
 	}
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -81,7 +81,7 @@
 		o := state.Offering{Type: t.Name, Zone: zone, Spot: spot}
 		switch {
 		case s.Fleet.HasOpenIntent(o):
-			return n // its answer comes first
+			return n // the response to it comes first
 		case s.ZonePolicy.Decide(zone).MaxMachines == 0:
 		case s.Fleet.HasCapacity(o, now):
 			open = append(open, o)
@@ -170,7 +170,7 @@
 			continue // its other tasks bind it to another zone
 		}
 		if s.Fleet.HasOpenIntent(o) {
-			return // its answer comes first
+			return // the response to it comes first
 		}
 		count := int(ceilMachines(float64(j.StartableTasks(now))*s.types[o.Type].Fraction(j.Need))) - booting
 		if count > 0 && s.Fleet.HasCapacity(o, now) && s.Term.IsExclusive() {
@@ -180,7 +180,7 @@
 	}
 }
 
-// placementProbe is what placement must know of a job to say where its next task can start.
+// placementProbe is what placement must know of a job to choose where its next task can start.
 func placementProbe(j *state.Job) placement.Job {
 	return placement.Job{
 		Constraints:  j.Constraints(),
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -1,7 +1,7 @@
 // Package autoscaler decides how many machines of each instance type there are to be, and has the fleet
 // scaled out and in toward that.
 //
-// It follows "Server Staffing To Meet Time-Varying Demand"; docs/design.md says what was kept and changed. It
+// It follows "Server Staffing To Meet Time-Varying Demand"; docs/design.md lists what was kept and changed. It
 // owns the staffing model of each instance type, the pools of machines for gangs, and what is stored of
 // both. It does no I/O: the fleet carries out. It must never launch while another node may lead, nor
 // terminate a machine that holds tasks.
@@ -19,7 +19,7 @@
 	"caperlatch/placement"
 )
 
-// Term is what the autoscaler asks of the leader's term.
+// Term is what the autoscaler needs of the leader's term.
 type Term interface {
 	HoldsSession() bool
 	IsExclusive() bool
@@ -57,7 +57,7 @@
 	version int      // raised with each list of types
 
 	pools map[state.PoolKind]*Pool
-	// meansRaised says that the means were raised to what machines really hold, once after a failover.
+	// meansRaised is set once the means were raised to what machines really hold, once after a failover.
 	meansRaised bool
 }
 
--- a/internal/leader/autoscaler/types.go
+++ b/internal/leader/autoscaler/types.go
@@ -25,7 +25,7 @@
 	service          staffing.ServiceTime
 	batches          staffing.BatchSizes
 	finishedTasks    int
-	// Wanted is what the formula asks for, held for an interval, and WantedOnDemand the same with the z
+	// Wanted is what the formula requires, held for an interval, and WantedOnDemand the same with the z
 	// of on-demand machines.
 	Wanted         float64
 	WantedOnDemand float64
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -86,7 +86,7 @@
 }
 
 // canStartTask reports whether a task of a job may start on a machine as things are now. Plans see to all
-// this, but are older: since then a machine may have reported tasks that were not known, or jobs may have
+// this, but are older: since then a machine may have shown tasks that were not known, or jobs may have
 // lost the tasks that bound them to a zone.
 func (l *Leader) canStartTask(j *state.Job, m *state.Machine) bool {
 	return l.canStartTasks(j, m, 1)
@@ -118,7 +118,7 @@
 	return l.FencingToken<<attemptNumberShift | l.attempts
 }
 
-// stopAtOnce stops a reported task without time to save a checkpoint.
+// stopAtOnce stops a task that a heartbeat shows, without time to save a checkpoint.
 func stopAtOnce(t *wire.TaskStatus) wire.Command {
 	return wire.Command{Verb: wire.VerbStop, TaskID: t.TaskID, Attempt: t.Attempt, GracePeriodS: secondsPtr(0)}
 }
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -31,7 +31,7 @@
 	attemptPause   = 200 * micros.Millisecond
 )
 
-// ErrWrongMachine says that another machine responds at a machine's address.
+// ErrWrongMachine is returned if another machine responds at a machine's address.
 var ErrWrongMachine = errors.New("another machine answers")
 
 // Target is a worker as it was known when a call began. Its commands are executed only in that
--- a/internal/leader/eventlog/eventlog.go
+++ b/internal/leader/eventlog/eventlog.go
@@ -30,7 +30,7 @@
 // New makes a log without events.
 func New() *Log { return &Log{events: map[event]*occurrences{}} }
 
-// Add counts an event of a machine. detail, which may be empty, tells kinds of the event apart.
+// Add counts an event of a machine. detail, which may be empty, distinguishes kinds of the event.
 func (l *Log) Add(message, detail, machine string) {
 	e := event{message, detail}
 	o := l.events[e]
--- a/internal/leader/fleet/boots.go
+++ b/internal/leader/fleet/boots.go
@@ -19,7 +19,7 @@
 	unknownBootTime = 30 * micros.Second
 	// cohortWindow is within what time machines were launched together.
 	cohortWindow = 15 * micros.Second
-	// minCohort is how many machines tell something of a cohort.
+	// minCohort is how many machines a cohort must have to be judged.
 	minCohort = 3
 	// lateSampleDivisor is which part of the machines that are late together is replaced to see.
 	lateSampleDivisor = 10
--- a/internal/leader/fleet/fleet.go
+++ b/internal/leader/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet keeps the machines that are rented from the cloud, and scales out and in as it is told.
+// Package fleet keeps the instances of the cloud, and launches and terminates them as the autoscaler decides.
 //
 // It owns the set of machines, launch intents, machine lists, the queue of terminations, the backoff after
 // the cloud had no capacity, and how long boots take. It does not decide how many machines there are to
 // be (that is the autoscaler's part), nor which tasks run on them. Two rules hold everywhere: an intent is
-// stored before the cloud is asked, and a machine is in a stored list before it may get tasks, so that every
+// stored before the cloud gets its request, and a machine is in a stored list before it may get tasks, so that every
 // later leader finds all machines that may hold tasks.
 //
 // Its methods are called with the leader's lock held, but for Run.
@@ -24,7 +24,7 @@
 	"caperlatch/placement"
 )
 
-// Term is what the fleet asks of the leader's term.
+// Term is what the fleet needs of the leader's term.
 type Term interface {
 	HoldsSession() bool
 	IsExclusive() bool
@@ -58,14 +58,14 @@
 	OnChange func()
 	// OnTerminating is called when a machine's termination is requested, with the reason.
 	OnTerminating func(m *state.Machine, reason string)
-	// OnTerminated is called when a machine's termination was answered, before it is forgotten.
+	// OnTerminated is called when the cloud has confirmed a machine's termination, before it is forgotten.
 	OnTerminated func(m *state.Machine)
 }
 
-// Fleet is the leader's view of the rented machines.
+// Fleet is the leader's view of the cloud's instances.
 type Fleet struct {
 	Config
-	// Machines are all that may be rented, by ID. Sorted has the same ones by ID, which is the
+	// Machines are all that may exist, by ID. Sorted has the same ones by ID, which is the
 	// order of their creation.
 	Machines map[string]*state.Machine
 	Sorted   []*state.Machine
@@ -77,7 +77,7 @@
 	boots          bootOutcomes
 
 	terminationQueue []string        // machines to be terminated
-	terminated       map[string]bool // machines whose termination was answered
+	terminated       map[string]bool // machines whose termination the cloud has confirmed
 	// unexplained are instances in the cloud's list that no launch intent has, and since when.
 	unexplained map[string]micros.Micros
 }
--- a/internal/leader/fleet/intents.go
+++ b/internal/leader/fleet/intents.go
@@ -18,7 +18,7 @@
 	"caperlatch/internal/wire"
 )
 
-// LaunchIntent is a launch of instances: stored before the cloud is asked, and with its machines
+// LaunchIntent is a launch of instances: stored before the cloud gets its request, and with its machines
 // afterwards. It is kept until all its machines are terminated, so that every later leader knows which
 // machines may hold tasks. The exported fields are what is stored.
 type LaunchIntent struct {
@@ -31,7 +31,7 @@
 	Machines []string      `json:"machines"` // IDs
 
 	id         string // also the request ID of the launch
-	stored     bool   // the cloud may be asked
+	stored     bool   // its request may be sent
 	requesting bool   // a goroutine is asking it
 	abandoned  bool   // none of its machines is left
 }
@@ -44,7 +44,7 @@
 	return state.Offering{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
 }
 
-// capacityBackoff is how long an offering is not asked for, as the cloud had no capacity.
+// capacityBackoff is for how long no launch of an offering is requested, as the cloud had no capacity.
 type capacityBackoff struct {
 	refusals int
 	until    micros.Micros
@@ -63,10 +63,10 @@
 	maxCloudRetry   = 8 * micros.Second
 )
 
-// launchInterval is how often intents are looked for that the cloud is to be asked for.
+// launchInterval is how often intents are looked for whose requests are to be sent.
 const launchInterval = 100 * micros.Millisecond
 
-// Launch has up to cloud.MaxInstancesPerLaunch instances launched. The cloud is asked once the intent is stored.
+// Launch has up to cloud.MaxInstancesPerLaunch instances launched. The request is sent once the intent is stored.
 func (f *Fleet) Launch(o state.Offering, count int) {
 	f.intentSequence++
 	i := f.AddIntent(fmt.Sprintf("r-%d-%d", f.FencingToken, f.intentSequence), LaunchIntent{
@@ -107,7 +107,7 @@
 // Intent is the launch intent with an ID, nil if there is none.
 func (f *Fleet) Intent(id string) *LaunchIntent { return f.intents[id] }
 
-// OpenIntents lists the intents that the cloud has not answered.
+// OpenIntents lists the intents without a response from the cloud.
 func (f *Fleet) OpenIntents() iter.Seq[*LaunchIntent] {
 	return func(yield func(*LaunchIntent) bool) {
 		for _, i := range f.intents {
@@ -196,7 +196,7 @@
 	return !handingOver && f.Term.IsExclusive()
 }
 
-// launchLoop asks the cloud for what the stored intents name.
+// launchLoop sends the requests of the stored intents to the cloud.
 func (f *Fleet) launchLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -210,7 +210,7 @@
 	})
 }
 
-// claimIntents takes the stored intents without an answer that no goroutine asks for: new
+// claimIntents takes the stored intents without a response whose requests no goroutine sends: new
 // ones, those of an earlier term, and those that were left while leadership was in doubt.
 func (f *Fleet) claimIntents() (ids []string) {
 	f.Lock.Lock()
@@ -224,7 +224,7 @@
 	return ids
 }
 
-// requestLaunch asks the cloud for a stored intent until it answers. The same request launches
+// requestLaunch sends the request of a stored intent until the cloud responds. The same request launches
 // once, however often it is sent.
 func (f *Fleet) requestLaunch(ctx context.Context, id string) {
 	for wait := firstCloudRetry; ; wait = min(2*wait, maxCloudRetry) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// launchRequest is what to ask the cloud for an intent, if this term may still ask.
+// launchRequest is the request of an intent, if this term may still send it.
 func (f *Fleet) launchRequest(ctx context.Context, id string) (r wire.LaunchRequest, ok bool) {
 	f.Lock.Lock()
 	defer f.Lock.Unlock()
@@ -282,7 +282,7 @@
 		delete(f.backoffs, i.offering())
 	}
 	i.Answered, i.requesting = true, false
-	// What was to be launched in an outage of the cloud was launched when it answered. Counted from
+	// What was to be launched in an outage of the cloud was launched when it responded. Counted from
 	// the intent, machines were taken for late as soon as they were launched, and terminated before
 	// the time was over that is paid for at least.
 	i.At = micros.Wall()
@@ -298,7 +298,7 @@
 	i.abandoned = len(i.Machines) == 0
 }
 
-// backOff has an offering not asked for for a while.
+// backOff has no launch of an offering requested for a while.
 func (f *Fleet) backOff(o state.Offering) {
 	b := f.backoffs[o]
 	if b == nil {
--- a/internal/leader/fleet/lists.go
+++ b/internal/leader/fleet/lists.go
@@ -15,7 +15,7 @@
 // MachineList is the stored list of machines that may have got tasks. The lists are apart from the
 // launch intents, so that all machines that come up at about the same time share a write: with an intent
 // written anew for each of its machines, a thousand that booted waited seconds for their first tasks. Each
-// machine stands with its address, so that a next leader can ask it for its tasks.
+// machine stands with its address, so that a next leader can query its tasks.
 type MachineList struct {
 	Entries []string `json:"m"` // "id address"
 
@@ -27,7 +27,7 @@
 // maxLists bounds the index of a list that is read. It only refuses what is no list of this service.
 const maxLists = 1 << 20
 
-// ErrNoMachineList says that a stored key with the prefix of machine lists is none.
+// ErrNoMachineList is returned for a stored key with the prefix of machine lists that is none.
 var ErrNoMachineList = errors.New("no list of machines")
 
 // listEntry is a machine's entry in its list.
--- a/internal/leader/fleet/termination.go
+++ b/internal/leader/fleet/termination.go
@@ -15,7 +15,7 @@
 // terminateInterval is how often queued terminations are sent.
 const terminateInterval = 200 * micros.Millisecond
 
-// Terminate has a machine terminated. Its tasks count as being on it until the cloud has answered.
+// Terminate has a machine terminated. Its tasks count as being on it until the cloud has confirmed that.
 //
 // A leader whose session is in doubt terminates nothing: its requests may be held back and carried out
 // minutes later, on machines that the next leader uses. An isolated leader to which all machines were silent
@@ -62,7 +62,7 @@
 	return ids
 }
 
-// requestTermination asks the cloud until it has answered; then the machines and all on them are gone.
+// requestTermination sends the request until the cloud has confirmed it; then the machines and all tasks on them have ended.
 func (f *Fleet) requestTermination(ctx context.Context, ids []string) {
 	for wait := firstCloudRetry; ; wait = min(2*wait, maxCloudRetry) {
 		if f.Term.HoldsSession() {
--- a/internal/leader/gangs/gangs.go
+++ b/internal/leader/gangs/gangs.go
@@ -24,7 +24,7 @@
 	"caperlatch/internal/wire"
 )
 
-// Term is what this package asks of the leader's term.
+// Term is what this package needs of the leader's term.
 type Term interface {
 	IsExclusive() bool
 }
--- a/internal/leader/liveness/liveness.go
+++ b/internal/leader/liveness/liveness.go
@@ -20,7 +20,7 @@
 	LeaseDuration     micros.Micros // of workers
 	// LeaseRenewalWindow is for how long after its last proof of leadership a node may respond.
 	LeaseRenewalWindow micros.Micros
-	// CancellationTimeout is how soon a cancelled job's tasks must be gone from all machines.
+	// CancellationTimeout is how soon a cancelled job's tasks must have left all machines.
 	CancellationTimeout micros.Micros
 	// EarlierTermsFencedSince is since when nobody responds with a lower fencing token, 0 if that is not known.
 	EarlierTermsFencedSince func() micros.Micros
@@ -62,7 +62,7 @@
 		return m.Lease.RenewedAt + o.LeaseDuration + micros.MaxClockDrift(o.LeaseDuration) + leaseMargin
 	}
 	// Another node may have renewed the lease until LeaseRenewalWindow after its last proof of
-	// leadership, which was before this term began, unless all are known to have seen this term's
+	// leadership, which was before this term started, unless all are known to have seen this term's
 	// fencing token sooner.
 	lastRenewal := o.TermStartedAt + o.LeaseRenewalWindow
 	if fenced := o.EarlierTermsFencedSince(); fenced != 0 {
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -28,7 +28,7 @@
 	minMissingLists = 2
 )
 
-// silenceLimit is how long a machine may be silent before it is terminated, which proves its tasks gone and
+// silenceLimit is how long a machine may be silent before it is terminated, which proves that its tasks have ended and
 // stops its cost.
 func (o *Monitor) silenceLimit(m *state.Machine) micros.Micros {
 	if m.TasksKnown() {
@@ -83,7 +83,7 @@
 }
 
 // IgnoresStop reports whether a machine has not stopped a task of a job that has ended. It is terminated well
-// before the task must be gone.
+// before the task must have ended.
 func (o *Monitor) IgnoresStop(m *state.Machine, now micros.Micros) bool {
 	if m.StoppingCount == 0 {
 		return false
--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -42,7 +42,7 @@
 	LeaderKeyRevision uint64
 	// MayWrite reports whether no other node can lead now.
 	MayWrite func() bool
-	// Encode makes the present write of a key. Its second result says whether there is anything to write.
+	// Encode makes the present write of a key. Its second result reports whether there is anything to write.
 	Encode func(key string) (Write, bool)
 	// OnTermLost is called when a write proves that a newer term has begun.
 	OnTermLost func()
@@ -54,7 +54,7 @@
 	Config
 	dirty map[string]bool // keys to be written; false: only when nothing more urgent is
 	wake  chan struct{}
-	// maxOps is the most changes in a transaction. It is lower than the settings say once
+	// maxOps is the most changes in a transaction. It is lower than the settings allow once
 	// the service has rejected that many.
 	maxOps        int
 	rejectedSizes map[string]int // of values that the service rejected, by key
@@ -229,7 +229,7 @@
 }
 
 // Reject makes a transaction smaller that the state service will never carry out as it is.
-// Halves tell whether the number of changes is at fault, which then stays lower, or a value: one
+// Halves show whether the number of changes is at fault, which then stays lower, or a value: one
 // that is rejected alone is given up until it is smaller, while the others go on. Without that it was
 // sent again for ever, with all the writes beside it.
 func (q *Queue) Reject(writes []Write, err error) {
@@ -311,7 +311,7 @@
 
 // priority orders the keys, the lowest first. That machines were terminated can wait, since a
 // record that still names them only makes a next leader careful. When that came before the ends
-// of jobs, nobody was told of a finished job for a minute while a fleet was scaled in.
+// of jobs, no user saw a job finish for a minute while a fleet was scaled in.
 func (q *Queue) priority(key string) int {
 	soon := q.dirty[key]
 	for i, prefix := range urgentPrefixes {
--- a/internal/leader/quarantine/quarantine.go
+++ b/internal/leader/quarantine/quarantine.go
@@ -245,7 +245,7 @@
 }
 
 // countSuspects counts the jobs, not known to be good, that failed on a machine and on no other, and forgets
-// those that no longer are such jobs. isSoleMachine says that one was tried there in vain for long enough.
+// those that no longer are such jobs. isSoleMachine: one was tried there in vain for long enough.
 func (q *Quarantine) countSuspects(m *state.Machine) (suspects int, isSoleMachine bool) {
 	for id := range m.Quarantine.SuspectJobs {
 		j := q.Jobs[id]
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -12,25 +12,25 @@
 // reconcile compares a heartbeat with what should be on the machine. The heartbeat carries this term's fencing
 // token, so the worker made it after it had accepted a response of this term: starts of earlier terms can no
 // longer be executed.
-func (l *Leader) reconcile(m *state.Machine, r *wire.Heartbeat, now micros.Micros) {
+func (l *Leader) reconcile(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
 	confirmed := m.TasksConfirmed()
 	if !confirmed {
 		m.Reconciliation.Knowledge = state.TasksConfirmed
 		l.scheduler.RequestPlan()
 	}
-	listed := make(map[string]bool, len(r.Tasks))
-	for i := range r.Tasks {
-		listed[r.Tasks[i].TaskID] = true
+	listed := make(map[string]bool, len(h.Tasks))
+	for i := range h.Tasks {
+		listed[h.Tasks[i].TaskID] = true
 	}
 	l.liveness.CheckDelivery(m, listed, now)
 	m.Delivery.FollowUps = m.Delivery.FollowUps[:0]
-	for i := range r.Tasks {
-		l.observeTask(m, &r.Tasks[i], now)
+	for i := range h.Tasks {
+		l.observeTask(m, &h.Tasks[i], now)
 	}
 	for name, a := range m.Attempts {
 		// A worker has one heartbeat in flight, and drops late responses: if the start in the response
 		// to an earlier heartbeat does not show in a newer one, it never will.
-		if !listed[name] && a.StartSequence < r.Sequence && !a.Reserved {
+		if !listed[name] && a.StartSequence < h.Sequence && !a.Reserved {
 			l.release(a, "the start was lost")
 		}
 	}
@@ -149,11 +149,11 @@
 	if j := l.cancelledJobs[id]; j != nil {
 		return j
 	}
-	r, _, ok := l.Replica.Job(id)
-	if !ok || !r.IsFinal() || r.Spec == nil {
+	stored, _, ok := l.Replica.Job(id)
+	if !ok || !stored.IsFinal() || stored.Spec == nil {
 		return nil
 	}
-	j := state.NewJob(r, true)
+	j := state.NewJob(stored, true)
 	j.Ended = true
 	j.Image = l.imageIndex(j.Spec.Image)
 	l.cancelledJobs[id] = j
--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -111,7 +111,7 @@
 
 // canMove reports whether a task can save a checkpoint, has run for long enough, and should run on for as long.
 func (s *Scheduler) canMove(a *state.Attempt, now micros.Micros) bool {
-	// A gang would be stopped whole, wherever else its tasks are.
+	// All tasks of a gang would be stopped, wherever else its tasks are.
 	spec := a.Job.Spec
 	if a.Job.IsGang() || spec.CheckpointIntervalS <= 0 || spec.SingleZone || spec.SpreadZones || a.Job.Ended || a.StopRequestedAt != 0 ||
 		a.RunningSince == 0 || now-a.RunningSince < minRunBeforeMove {
--- a/internal/leader/scheduler/queue.go
+++ b/internal/leader/scheduler/queue.go
@@ -43,7 +43,7 @@
 // immediateStartLimit is how late assignments may start a gang that are made as soon as they are found.
 // Later ones are made only when it has waited for as long: of many machines some send a heartbeat soon, so it
 // starts at most twice as late as it could, and mostly sooner. Assignments to machines that had sent theirs just
-// before once cost gangs a whole heartbeat interval.
+// before once cost gangs an entire heartbeat interval.
 const immediateStartLimit = micros.Second
 
 // atRiskHeartbeats is how many heartbeat intervals before its deadline a job is at risk of missing it.
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -19,7 +19,7 @@
 	"caperlatch/placement"
 )
 
-// Term is what the scheduler asks of the leader's term.
+// Term is what the scheduler needs of the leader's term.
 type Term interface {
 	HoldsSession() bool
 	IsExclusive() bool
@@ -46,7 +46,7 @@
 	Jobs map[string]*state.Job
 	// HeartbeatInterval is the usual time between a worker's heartbeats.
 	HeartbeatInterval micros.Micros
-	// TermStartedAt is when the term began, as time of day.
+	// TermStartedAt is when the term started, as time of day.
 	TermStartedAt micros.Micros
 
 	// TeamUse is what each team may be using at worst, and its limit.
--- a/internal/leader/scheduler/view.go
+++ b/internal/leader/scheduler/view.go
@@ -88,7 +88,7 @@
 		Restrictions: placement.Restrictions{RejectsDelayTolerant: m.RejectsDelayTolerant},
 	}
 	if late := now - m.Heartbeat.ReceivedAt - s.HeartbeatInterval - s.HeartbeatInterval/4; late > 0 {
-		machine.CommandDelay = s.HeartbeatInterval + late // it has missed a heartbeat, and may be gone
+		machine.CommandDelay = s.HeartbeatInterval + late // it has missed a heartbeat, and may have ended
 	}
 	if m == s.responding {
 		machine.CommandDelay = 0
--- a/internal/leader/state/attempt.go
+++ b/internal/leader/state/attempt.go
@@ -8,7 +8,7 @@
 	"caperlatch/internal/micros"
 )
 
-// Attempt is one start of a task, counted as being on a machine from the moment the start is
+// Attempt is one start of a task, counted as being on a machine from when the start is
 // planned for the next response (or, of a gang, its place is reserved) until the task is known to have left.
 type Attempt struct {
 	Job     *Job
@@ -17,7 +17,7 @@
 	Machine *Machine
 
 	// ReportedState is the wire.Task... state that the worker reported last; empty: the start was
-	// sent and is not reported yet.
+	// sent, and no heartbeat shows it yet.
 	ReportedState string
 	// StartSequence is the sequence of the heartbeat whose response carried the start; 0 if this
 	// term did not send it.
@@ -26,14 +26,14 @@
 	RunningSince  micros.Micros // when it was first seen running, 0 if it was not
 
 	// A stop is repeated in every response until the task has left.
-	StopRequestedAt micros.Micros // when it was first told to stop, 0 if it was not
+	StopRequestedAt micros.Micros // when its stop was first sent, 0 if it was not
 	GracePeriod     micros.Micros // for saving a checkpoint
 	StopReason      string
 
-	// Protected says that it is one of the first of its job, which are not preempted until
+	// Protected marks one of the first of its job, which are not preempted until
 	// their starts count for the service-level objectives.
 	Protected bool
-	// Reserved says that a gang's task has its place, and that the machine's next response
+	// Reserved marks a gang's task that has its place: the machine's next response
 	// carries its start.
 	Reserved bool
 }
@@ -86,7 +86,7 @@
 }
 
 // MarkStopping notes that an attempt is to stop within a grace period. It reports whether its
-// worker must be told: not if it was told before with as little time.
+// worker must get the command: not if it got one before with as little time.
 func (a *Attempt) MarkStopping(grace micros.Micros, reason string, now micros.Micros) (mustTell bool) {
 	if a.StopRequestedAt != 0 && grace >= a.GracePeriod {
 		return false
--- a/internal/leader/state/images.go
+++ b/internal/leader/state/images.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// ImageCache guesses which images a machine has cached, from what ran on it: the protocol says
+// ImageCache guesses which images a machine has cached, from what ran on it: the protocol states
 // that the most recently used ones stay.
 type ImageCache struct {
 	Names  []string           // least recently used first
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -26,7 +26,7 @@
 	// Offerings are those that its tasks may run on, the cheapest first, as of a version of the instance types.
 	Offerings        []Offering
 	OfferingsVersion int
-	// MayHaveEarlierTasks says that an earlier term may have started tasks of it.
+	// MayHaveEarlierTasks is set if an earlier term may have started tasks of it.
 	MayHaveEarlierTasks bool
 	Ended               bool // done or cancelled
 
@@ -50,7 +50,7 @@
 
 	Gang GangAttempt // its present attempt, if the job is a gang
 	// LastEndedAttempt is the highest number of a gang's attempt that its tasks' exits show to
-	// have ended. A new leader may hear of these before it hears of what is left of the attempt.
+	// have ended. A new leader may learn of these before it learns of what is left of the attempt.
 	LastEndedAttempt uint64
 
 	Failures      FailureRecord
@@ -81,7 +81,7 @@
 	Machines     float64 // of that type; 0 if an earlier term counted it
 }
 
-// NewJob makes the record of a stored job. mayHaveEarlierTasks says that an earlier term may have
+// NewJob makes the record of a stored job. mayHaveEarlierTasks is set if an earlier term may have
 // started tasks of it.
 func NewJob(r replica.Job, mayHaveEarlierTasks bool) *Job {
 	s := r.Spec
@@ -173,7 +173,7 @@
 	return j.WaitingTasks()
 }
 
-// DescribeFailures says for operators how the job's tasks fail, empty if none has.
+// DescribeFailures describes for operators how the job's tasks fail, empty if none has.
 func (j *Job) DescribeFailures(now micros.Micros) string {
 	if j.Failures.Count == 0 && !j.Failures.Quarantined {
 		return ""
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -13,10 +13,10 @@
 	Spot       bool
 }
 
-// Machine is the leader's record of one rented machine.
+// Machine is the leader's record of one machine.
 //
 // Its parts are grouped by what changes them. A task may start on the machine only while
-// IsSchedulable says so.
+// IsSchedulable reports so.
 type Machine struct {
 	ID       string
 	IntentID string // of the launch that it came from
@@ -33,7 +33,7 @@
 	// Assignments. Free is the capacity less the needs of all attempts, so it changes only as these
 	// are attached and detached.
 	Attempts      map[string]*Attempt // by task ID
-	StoppingCount int                 // attempts that were told to stop
+	StoppingCount int                 // attempts whose stop was sent
 	Free          placement.Resources
 	Planned       []*Job // one entry a start that the next response carries
 
@@ -43,12 +43,12 @@
 	// Who may use its room.
 	Reservation          *GangReservation     // its room is reserved for one gang
 	Pool                 PoolKind             // only gangs start on it; the zero value: all jobs may
-	Surplus              bool                 // not wanted by the staffing formula
+	Surplus              bool                 // the staffing formula does not ask for it
 	SurplusSince         micros.Micros        // 0 if it is not
 	RejectsDelayTolerant bool                 // an on-demand machine that only delay-tolerant jobs would use
 	DrainReason          string               // why it gets no more tasks, empty if it does
 	StartBackoffUntil    micros.Micros        // no starts before
-	Published            standby.MachineState // what followers were told last
+	Published            standby.MachineState // what was published last to followers
 }
 
 // InstanceState is what is known of a machine as the cloud's instance.
@@ -58,15 +58,15 @@
 type InstanceState struct {
 	Address          string
 	LaunchedAt       micros.Micros
-	Running          bool          // it has reported, or is stored as running
-	IntentStored     bool          // its launch intent is stored with its name
+	Running          bool          // it has sent a heartbeat, or is stored as running
+	IntentStored     bool          // its launch intent is stored with its ID
 	ListStored       bool          // the machine list that names it is stored
 	List             int           // index of that list
 	FirstHeartbeatAt micros.Micros // in this term, 0 if there was none
 	Listed           bool          // it has been in the cloud's list
 	MissingLists     int           // consecutive lists without it since
 	LateWithCohort   bool          // it boots late, as most that were launched with it
-	Terminating      bool          // its termination was requested; that is never taken back
+	Terminating      bool          // its termination was requested, which is never revoked
 	IdleSince        micros.Micros // when its last task ended
 }
 
@@ -80,14 +80,14 @@
 	InterruptionAt micros.Micros // when the cloud takes the machine back, 0 without a notice
 }
 
-// LeaseState is what decides when a silent worker has ended its tasks; see leaseExpiry.
+// LeaseState is what decides when a silent worker has ended its tasks; see liveness.Monitor.LeaseExpiry.
 type LeaseState struct {
 	RenewedAt    micros.Micros // of the latest response that may have renewed it
 	ExpiredSince micros.Micros // 0 while it has not expired
 	DeferredAt   micros.Micros // when a heartbeat was last refused while leadership was in doubt
 }
 
-// DeliveryState tells whether responses reach the worker.
+// DeliveryState is whether responses reach the worker.
 type DeliveryState struct {
 	RespondedThisTerm bool
 	Sent              []wire.Command // starts and clears of the latest response
@@ -100,22 +100,22 @@
 // receives none.
 const MaxLostResponses = 3
 
-// TaskKnowledge says how the leader knows which tasks are on a machine.
+// TaskKnowledge is how the leader knows which tasks are on a machine.
 type TaskKnowledge int
 
 const (
-	// TasksUnknown says that the machine may hold tasks of earlier terms that this one has not seen.
+	// TasksUnknown: the machine may hold tasks of earlier terms that this one has not seen.
 	TasksUnknown TaskKnowledge = iota
-	// TasksHandedOver says that the leader before named the tasks in a complete handover.
+	// TasksHandedOver: the leader before named the tasks in a complete handover.
 	TasksHandedOver
-	// TasksConfirmed says that the worker has reported its tasks in this term, or can hold none of an earlier one.
+	// TasksConfirmed: the worker has shown its tasks in this term, or can hold none of an earlier one.
 	TasksConfirmed
 )
 
 // ReconciliationState is how far a machine's tasks are known after a failover.
 type ReconciliationState struct {
 	Knowledge       TaskKnowledge
-	QueriedSequence uint64 // of the worker's answer to a task query; see package taskquery
+	QueriedSequence uint64 // of the worker's response to a task query; see package taskquery
 	FailedQueries   int
 	PreviousTerm    *standby.Machine // what the term before was seen to know of it, nil if nothing
 }
@@ -151,7 +151,7 @@
 // LosesResponses reports whether the machine is taken to receive no responses, though its heartbeats arrive.
 func (m *Machine) LosesResponses() bool { return m.Delivery.LostResponses >= MaxLostResponses }
 
-// TasksConfirmed reports whether the machine itself has reported its tasks in this term, or cannot
+// TasksConfirmed reports whether the machine itself has shown its tasks in this term, or cannot
 // have any of an earlier one.
 func (m *Machine) TasksConfirmed() bool { return m.Reconciliation.Knowledge == TasksConfirmed }
 
--- a/internal/leader/state/progress.go
+++ b/internal/leader/state/progress.go
@@ -38,7 +38,7 @@
 	Done string `json:"done"`
 }
 
-// ErrProgressMismatch says that stored progress does not fit its job.
+// ErrProgressMismatch is returned for stored progress that does not fit its job.
 var ErrProgressMismatch = errors.New("does not fit the job")
 
 // Chunks is how many progress keys the job has at most.
--- a/internal/leader/taskquery/taskquery.go
+++ b/internal/leader/taskquery/taskquery.go
@@ -1,4 +1,4 @@
-// Package taskquery asks machines for their tasks after a failover.
+// Package taskquery queries machines for their tasks after a failover.
 //
 // Waiting for their heartbeats took a heartbeat interval and more, and until the last one all jobs waited
 // that an earlier term may have started: in a fleet of a thousand that a busy hour filled, a fifth stood idle
@@ -8,8 +8,8 @@
 // after the worker had seen this term's token, so no start of an earlier term can follow; and this term
 // starts nothing before it knows a machine's tasks.
 //
-// The package owns which machines are still to be asked and how the machines of each zone respond. It must
-// never send a command, nor ask while another node may lead. It takes the leader's lock itself, and never
+// The package owns which machines are still to be queried and how the machines of each zone respond. It must
+// never send a command, nor query while another node may lead. It takes the leader's lock itself, and never
 // holds it over a call.
 package taskquery
 
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -7,7 +7,8 @@
 	"caperlatch/internal/zone"
 )
 
-// newZones makes the zones of this term. The autoscaler and the monitor of liveness are made after them, so they are asked late.
+// newZones makes the zones of this term. The autoscaler and the monitor of
+// liveness are made after them, so they are reached through functions.
 func (l *Leader) newZones() *zoning.Zones {
 	return zoning.New(zoning.Config{
 		Policy:            l.ZonePolicy,
