--- a/internal/leader/state/attempt.go
+++ b/internal/leader/state/attempt.go
@@ -87,7 +87,7 @@
 
 // MarkStopping notes that an attempt is to stop within a grace period. It reports whether its
 // worker must get the command: not if it got one before with as little time.
-func (a *Attempt) MarkStopping(grace micros.Micros, reason string, now micros.Micros) (mustTell bool) {
+func (a *Attempt) MarkStopping(grace micros.Micros, reason string, now micros.Micros) (mustSend bool) {
 	if a.StopRequestedAt != 0 && grace >= a.GracePeriod {
 		return false
 	}
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -104,11 +104,11 @@
 type TaskKnowledge int
 
 const (
-	// TasksUnknown: the machine may hold tasks of earlier terms that this one has not seen.
+	// TasksUnknown is of a machine that may hold tasks of earlier terms that this one has not seen.
 	TasksUnknown TaskKnowledge = iota
-	// TasksHandedOver: the leader before named the tasks in a complete handover.
+	// TasksHandedOver is of a machine whose tasks the leader before named in a complete handover.
 	TasksHandedOver
-	// TasksConfirmed: the worker has shown its tasks in this term, or can hold none of an earlier one.
+	// TasksConfirmed is of a machine whose worker has shown its tasks in this term, or can hold none of an earlier one.
 	TasksConfirmed
 )
 
