--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -237,7 +237,7 @@
 		w := writes[0]
 		q.rejectedSizes[w.Key] = wire.JSONSize(w.Value)
 		q.maxOps = q.Store.MaxLeaderOps()
-		slog.Error("the state service rejects a value, which is given up", "key", w.Key, "bytes", q.rejectedSizes[w.Key], "error", err)
+		slog.Error("state service rejects a value, which is given up", "key", w.Key, "bytes", q.rejectedSizes[w.Key], "error", err)
 		return
 	}
 	q.maxOps = (len(writes) + 1) / 2
--- a/internal/leader/zoning/record.go
+++ b/internal/leader/zoning/record.go
@@ -14,7 +14,7 @@
 	var r zone.Record
 	modRevision, err := z.Replica.Get(replica.ZonesKey, &r)
 	if err != nil {
-		slog.Error("stored record of zones can't be read", "key", replica.ZonesKey, "error", err)
+		slog.Error("stored record of zones unreadable", "key", replica.ZonesKey, "error", err)
 		return
 	}
 	if modRevision != 0 {
@@ -32,7 +32,7 @@
 	}
 	w.Value = r
 	if !z.ValueFits(r) {
-		slog.Error("record of zones is larger than a value may be, and is not stored", "key", w.Key, "count", len(r.Zones))
+		slog.Error("record of zones too large, not stored", "key", w.Key, "count", len(r.Zones))
 		return w, false
 	}
 	return w, true
