--- a/cancel_test.go
+++ b/cancel_test.go
@@ -19,7 +19,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
-		c.cloud.RunFor = func(string) float64 { return 300 }
+		c.cloud.RuntimeOf = func(string) float64 { return 300 }
 		c.submit("j-000001", 12)
 		for i := 0; i < 60 && c.cloud.Starts() == 0; i++ {
 			time.Sleep(500 * time.Millisecond)
@@ -36,7 +36,7 @@
 			}
 		}
 		time.Sleep(time.Duration(cancelS) * time.Second)
-		if on := c.cloud.OnMachines(); len(on) > 0 {
+		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 			t.Errorf("still on machines: %v", on)
 		}
 		c.await("j-000001", wire.JobCancelled, 5*time.Second)
@@ -52,11 +52,11 @@
 		for i := range 3 { // a new life has no streams yet
 			c.kill(i)
 		}
-		c.pipes.Cut(func(string, string) bool { return true })
+		c.pipes.SetPartition(func(string, string) bool { return true })
 		for i := range 3 {
 			c.start(i)
 		}
-		c.cloud.RunFor = func(string) float64 { return 300 }
+		c.cloud.RuntimeOf = func(string) float64 { return 300 }
 		c.submit("j-000001", 2)
 		for i := 0; i < 60 && c.cloud.Starts() < 2; i++ {
 			time.Sleep(500 * time.Millisecond)
@@ -65,19 +65,19 @@
 		prefix := fmt.Sprintf("host-%d/", leading)
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			if strings.HasPrefix(from, prefix) && r.URL.Path == "/watch" {
-				return fake.LostRequest
+				return fake.DroppedRequest
 			}
-			return fake.Pass
+			return fake.NoFault
 		})
 		time.Sleep(12 * time.Second) // until no watch that was open before is left
 		if code, _ := c.request(http.MethodPost, (leading+1)%3, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK {
 			t.Fatalf("abort answered %d", code)
 		}
-		if on := c.cloud.OnMachines(); len(on) != 2 {
+		if on := c.cloud.TasksOnMachines(); len(on) != 2 {
 			t.Fatalf("on machines before the test begins: %v", on)
 		}
 		time.Sleep(time.Duration(cancelS) * time.Second)
-		if on := c.cloud.OnMachines(); len(on) > 0 {
+		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 			t.Errorf("still on machines: %v", on)
 		}
 	})
@@ -90,7 +90,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := newClusterOf(t, nodes)
 			defer c.close()
-			c.cloud.RunFor = func(string) float64 { return 3 }
+			c.cloud.RuntimeOf = func(string) float64 { return 3 }
 			c.submit("j-000009", 1)
 			c.await("j-000009", wire.JobDone, time.Minute)
 			results := map[string]int{}
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -28,15 +28,15 @@
 
 // cluster is some nodes with stand-ins for all around them.
 type cluster struct {
-	*harness.World // nil where the nodes are processes
-	t              *testing.T
-	net            *fake.Net
-	pipes          *fake.Pipes
-	state          *fake.State
-	cloud          *fake.Cloud
-	rules          *fake.Rules
-	user           *http.Client
-	size           int // nodes
+	*harness.InProcessCluster // nil where the nodes are processes
+	t                         *testing.T
+	net                       *fake.Network
+	pipes                     *fake.PeerNetwork
+	state                     *fake.StateService
+	cloud                     *fake.Cloud
+	rules                     *fake.Rules
+	user                      *http.Client
+	size                      int // nodes
 
 	mu    sync.Mutex
 	tune  func(*settings.Settings)
@@ -57,8 +57,8 @@
 			HeartbeatIntervalS:   reportS,
 			LeaseDurationS:       leaseS,
 			CancellationTimeoutS: cancelS,
-			GangAssemblyTimeoutS: fake.GangWaitS,
-			GangLossTimeoutS:     fake.GangPeerS,
+			GangAssemblyTimeoutS: fake.GangAssemblyTimeoutS,
+			GangLossTimeoutS:     fake.GangLossTimeoutS,
 		},
 		State:  settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6},
 		Cloud:  settings.Cloud{RPS: 20, ListLagS: 1},
@@ -94,23 +94,23 @@
 func newFeaturesCluster(t *testing.T, size int, tune func(*settings.Settings), features settings.Features) *cluster {
 	s := nodeSettings(0, size)
 	tune(s)
-	w := harness.NewWorld(size, s, func(string) float64 { return 5 })
+	w := harness.NewInProcessCluster(size, s, func(string) float64 { return 5 })
 	c := &cluster{
-		World:    w,
-		t:        t,
-		net:      w.Net,
-		pipes:    w.Pipes,
-		state:    w.State,
-		cloud:    w.Cloud,
-		rules:    w.Rules,
-		user:     w.Client,
-		size:     size,
-		tune:     tune,
-		features: features,
-		nodes:    make([]*Node, size),
+		InProcessCluster: w,
+		t:                t,
+		net:              w.Net,
+		pipes:            w.Pipes,
+		state:            w.State,
+		cloud:            w.Cloud,
+		rules:            w.Rules,
+		user:             w.Client,
+		size:             size,
+		tune:             tune,
+		features:         features,
+		nodes:            make([]*Node, size),
 	}
 	w.StartNode = c.newLife
-	c.state.Check = c.conditioned
+	c.state.InspectTxn = c.conditioned
 	for i := range size {
 		c.start(i)
 	}
@@ -118,7 +118,7 @@
 }
 
 // newLife makes a node for a new life.
-func (c *cluster) newLife(life harness.Life) (http.Handler, func(context.Context)) {
+func (c *cluster) newLife(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
 	n := newNode(s, settings.DefaultTuning(), c.featuresOf(life.Node), network{
@@ -132,7 +132,7 @@
 }
 
 // start begins a new life of a node.
-func (c *cluster) start(i int) { c.Begin(i) }
+func (c *cluster) start(i int) { c.Start(i) }
 
 // featuresOf is what node i has of optional parts.
 func (c *cluster) featuresOf(i int) settings.Features {
@@ -149,7 +149,7 @@
 func (c *cluster) setFault(f func(from string, r *http.Request) fake.Fault) { c.SetFault(f) }
 
 // troubled counts what went wrong so far.
-func (c *cluster) troubled() int { return c.Troubled() }
+func (c *cluster) troubled() int { return c.FaultCount() }
 
 // close ends all nodes and stand-ins and waits until nothing of them runs.
 func (c *cluster) close() { c.Close() }
@@ -157,7 +157,7 @@
 // leader is the index of the node that the state service names.
 func (c *cluster) leader() int {
 	c.t.Helper()
-	node, err := harness.Leadership{State: c.state}.Leader()
+	node, err := harness.Leadership{State: c.state}.AwaitLeader()
 	c.must(err)
 	return node
 }
@@ -165,7 +165,7 @@
 // token is the highest token given out, as stored.
 func (c *cluster) token() uint64 {
 	c.t.Helper()
-	token := harness.Leadership{State: c.state}.Token()
+	token := harness.Leadership{State: c.state}.FencingToken()
 	if token == 0 {
 		c.t.Fatal("no token is stored")
 	}
@@ -234,7 +234,7 @@
 }
 
 // accepts submits a job to a node and tells whether it is accepted now or was before.
-func (c *cluster) accepts(node int, job map[string]any) bool { return c.users().Accepts(node, job) }
+func (c *cluster) accepts(node int, job map[string]any) bool { return c.users().Submit(node, job) }
 
 // submit repeats a submission, each time at the next node, until it is taken.
 func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
@@ -249,13 +249,13 @@
 
 // submitFrom repeats a submission, each time at the next node, and tells whether it was taken.
 func (c *cluster) submitFrom(first int, pause time.Duration, job map[string]any) bool {
-	return c.users().SubmitFrom(first, pause, job)
+	return c.users().SubmitWithRetries(first, pause, job)
 }
 
 // await polls, each time at the next node, until a job has a status.
 func (c *cluster) await(id, status string, within time.Duration) {
 	c.t.Helper()
-	c.must(c.users().Await(id, status, within))
+	c.must(c.users().AwaitStatus(id, status, within))
 }
 
 // must ends the test if something went wrong.
@@ -278,7 +278,7 @@
 				return fault
 			}
 		}
-		return fake.Pass
+		return fake.NoFault
 	}
 }
 
@@ -302,16 +302,16 @@
 }
 
 // back restarts nodes within a fraction of a second.
-func (c *cluster) back(nodes ...int) { c.Back(nodes...) }
+func (c *cluster) back(nodes ...int) { c.Restart(nodes...) }
 
 // cutPeers cuts a node off from the other nodes.
 func (c *cluster) cutPeers(node int) {
 	host := fmt.Sprintf("host-%d", node)
-	c.pipes.Cut(func(from, to string) bool { return from == host || to == host })
+	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
 
 // healPeers has all nodes reach each other again.
-func (c *cluster) healPeers() { c.pipes.Cut(func(string, string) bool { return false }) }
+func (c *cluster) healPeers() { c.pipes.SetPartition(func(string, string) bool { return false }) }
 
 // fromNode tells whether a sender is a node, in any of its lives.
 func fromNode(from string, node int) bool {
@@ -343,7 +343,7 @@
 // broken reports the rules that were broken.
 func (c *cluster) broken() {
 	c.t.Helper()
-	for _, rule := range c.rules.Broken() {
+	for _, rule := range c.rules.Violations() {
 		c.t.Error(rule)
 	}
 }
@@ -360,7 +360,7 @@
 // ledAfter waits until another leader leads than the one with this token.
 func (c *cluster) ledAfter(token uint64) {
 	c.t.Helper()
-	c.must(harness.Leadership{State: c.state}.LedAfter(token))
+	c.must(harness.Leadership{State: c.state}.AwaitLeaderAfter(token))
 }
 
 // runJob submits a job of long tasks to the cluster until all of them run.
@@ -373,7 +373,7 @@
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.OnMachines())
+	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.TasksOnMachines())
 }
 
 // runInNextSession loses the machines' messages for some time, in which their leases end,
@@ -382,7 +382,7 @@
 	c.t.Helper()
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if machineOf(from) != "" {
-			return fake.LostRequest
+			return fake.DroppedRequest
 		}
 		return fault(from, r)
 	})
@@ -394,7 +394,7 @@
 
 // running counts the tasks of a job that are on machines.
 func (c *cluster) running(id string) (n int) {
-	for _, task := range c.cloud.OnMachines() {
+	for _, task := range c.cloud.TasksOnMachines() {
 		if strings.HasPrefix(task, id+"/") {
 			n++
 		}
@@ -432,11 +432,11 @@
 	return func(from string, r *http.Request) fake.Fault {
 		if ids[machineOf(from)] || ids[machineOf(r.URL.Host)] {
 			cut.add("cut")
-			return fake.LostRequest
+			return fake.DroppedRequest
 		}
 		if r.URL.Path == "/hosts/return" {
-			return fake.Refused
+			return fake.ServiceUnavailable
 		}
-		return fake.Pass
+		return fake.NoFault
 	}
 }
--- a/cmd/caperlatch/lab.go
+++ b/cmd/caperlatch/lab.go
@@ -99,7 +99,7 @@
 	case o.Port < 0 || o.Port+o.Nodes > 1<<16:
 		return usage(fmt.Errorf("--port must be from 0 to %d", 1<<16-o.Nodes))
 	}
-	o.For = time.Duration(o.seconds * float64(time.Second))
+	o.SubmitFor = time.Duration(o.seconds * float64(time.Second))
 	o.Faults = lab.DefaultFaults()
 	s, err := lab.Settings()
 	if err != nil {
--- a/explain_test.go
+++ b/explain_test.go
@@ -38,13 +38,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
-		c.cloud.RunFor = func(task string) float64 {
+		c.cloud.RuntimeOf = func(task string) float64 {
 			if strings.HasPrefix(task, "j-000001/") {
 				return 3
 			}
 			return 400
 		}
-		c.cloud.Fails = func(task, _ string) bool { return strings.HasPrefix(task, "j-000004/") }
+		c.cloud.TaskFails = func(task, _ string) bool { return strings.HasPrefix(task, "j-000004/") }
 		c.submit("j-000001", 2) // done
 		c.await("j-000001", wire.JobDone, time.Minute)
 		c.submit("j-000002", 2)            // runs
@@ -90,16 +90,16 @@
 		}
 		// The leader says nothing to the others.
 		member := fmt.Sprintf("host-%d", lead)
-		c.pipes.Cut(func(from, to string) bool { return from == member || to == member })
+		c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 		time.Sleep(2 * time.Second)
 		check("leader silent", (lead+1)%3, "j-000002", wire.JobPending, "the leader does not say more")
 		c.healPeers()
 		// Nor does the state service, and a node cannot know what is new.
 		c.setFault(func(_ string, r *http.Request) fake.Fault {
 			if isState(r) {
-				return fake.Refused
+				return fake.ServiceUnavailable
 			}
-			return fake.Pass
+			return fake.NoFault
 		})
 		time.Sleep(12 * time.Second)
 		for node := range 3 {
@@ -118,7 +118,7 @@
 		c := newCluster(t)
 		defer c.close()
 		fails := 0
-		c.cloud.Fails = func(task, _ string) bool {
+		c.cloud.TaskFails = func(task, _ string) bool {
 			if strings.HasPrefix(task, "j-000002/") {
 				fails++
 				return true
@@ -146,7 +146,7 @@
 		if fails > 60 || fails < 4 {
 			t.Errorf("%d tasks failed", fails)
 		}
-		for _, rule := range c.rules.Broken() {
+		for _, rule := range c.rules.Violations() {
 			t.Error(rule)
 		}
 	})
--- a/failover_cost_test.go
+++ b/failover_cost_test.go
@@ -44,7 +44,7 @@
 			lag:       failover.Missing,
 		}
 		var status api.StandbyStatus
-		if err := fetch(c.Addrs[i].Client, "/standby", &status); err == nil && status.Progress != nil && status.Progress.LagS >= 0 {
+		if err := fetch(c.Addresses[i].Client, "/standby", &status); err == nil && status.Progress != nil && status.Progress.LagS >= 0 {
 			cost.lagEntries, cost.lag = status.Progress.LagEntries, micros.FromSeconds(status.Progress.LagS)
 		}
 		f.costs = append(f.costs, cost)
--- a/failover_process_test.go
+++ b/failover_process_test.go
@@ -133,8 +133,8 @@
 	}
 	c := newScaledProcesses(f.t, 3, f.t.TempDir(), scale)
 	defer c.end()
-	c.cloud.Most = f.machines
-	c.cloud.RunFor = func(string) float64 { return runS }
+	c.cloud.MaxMachines = f.machines
+	c.cloud.RuntimeOf = func(string) float64 { return runS }
 	if mode == failover.Warm {
 		c.Args = []string{"--standby", "deploy/standby.xml"}
 	}
@@ -154,7 +154,7 @@
 		change.Mode, change.Machines = mode, int64(len(c.cloud.Workers()))
 		history = append(history, change)
 	}
-	if broken := c.cloud.Broken(); broken != nil {
+	if broken := c.cloud.Violations(); broken != nil {
 		f.t.Error(broken)
 	}
 	return history
@@ -180,9 +180,9 @@
 func (f *failoverRun) fill(c *processes) string {
 	id := f.newID()
 	c.submitJob(wholeMachine(id, oldTasks))
-	for begun := time.Now(); len(c.cloud.OnMachines()) < f.machines*9/10; time.Sleep(200 * time.Millisecond) {
+	for begun := time.Now(); len(c.cloud.TasksOnMachines()) < f.machines*9/10; time.Sleep(200 * time.Millisecond) {
 		if time.Since(begun) > 3*time.Minute {
-			f.t.Fatalf("%d tasks run on %d machines", len(c.cloud.OnMachines()), len(c.cloud.Workers()))
+			f.t.Fatalf("%d tasks run on %d machines", len(c.cloud.TasksOnMachines()), len(c.cloud.Workers()))
 		}
 	}
 	return id
@@ -204,7 +204,7 @@
 // change ends the leader once and measures; the leader comes back afterwards.
 func (f *failoverRun) change(c *processes, old string) (failover.Change, bool) {
 	leader, token := c.leader(), c.token()
-	change := failover.Change{Led: failover.Missing, FirstNew: failover.Missing, FirstOld: failover.Missing}
+	change := failover.Change{LeaderElected: failover.Missing, FirstNewStart: failover.Missing, FirstOldResumed: failover.Missing}
 	process := c.Process(leader)
 	ended := time.Now()
 	switch f.random.IntN(3) {
@@ -216,7 +216,7 @@
 		f.signal(process, syscall.SIGSTOP)
 	default:
 		change.Cause = failover.Planned
-		c.ExpectEnd(leader)
+		c.ExpectExit(leader)
 		f.signal(process, syscall.SIGTERM)
 	}
 	f.observe(c, old, token, ended, &change)
@@ -224,7 +224,7 @@
 	case failover.Frozen:
 		// Until after another leads, and for longer than a lease at times.
 		time.Sleep(time.Duration(f.random.IntN(6000)) * time.Millisecond)
-		change.FrozenOf = since(ended)
+		change.OldLeaderFrozen = since(ended)
 		f.signal(process, syscall.SIGCONT)
 		time.Sleep(2 * time.Second)
 	default:
@@ -277,21 +277,21 @@
 		}
 	})
 	oldStarts := 0
-	for time.Since(ended) < failoverWithin && (change.FirstNew < 0 || change.FirstOld < 0) {
+	for time.Since(ended) < failoverWithin && (change.FirstNewStart < 0 || change.FirstOldResumed < 0) {
 		time.Sleep(observeEvery)
-		if change.Led < 0 {
+		if change.LeaderElected < 0 {
 			if c.token() == token {
 				continue
 			}
-			change.Led, oldStarts = since(ended), c.cloud.StartsOf(old)
+			change.LeaderElected, oldStarts = since(ended), c.cloud.StartsOf(old)
 		}
-		if change.FirstOld < 0 && c.cloud.StartsOf(old) > oldStarts {
-			change.FirstOld = since(ended)
+		if change.FirstOldResumed < 0 && c.cloud.StartsOf(old) > oldStarts {
+			change.FirstOldResumed = since(ended)
 		}
 		mu.Lock()
 		for _, id := range fresh {
-			if change.FirstNew < 0 && c.cloud.StartsOf(id) > 0 {
-				change.FirstNew = since(ended)
+			if change.FirstNewStart < 0 && c.cloud.StartsOf(id) > 0 {
+				change.FirstNewStart = since(ended)
 			}
 		}
 		mu.Unlock()
@@ -305,11 +305,11 @@
 		name string
 		of   func(failover.Change) micros.Micros
 	}{
-		{"another leads", func(c failover.Change) micros.Micros { return c.Led }},
-		{"a new job starts", func(c failover.Change) micros.Micros { return c.FirstNew }},
-		{"an old job goes on", func(c failover.Change) micros.Micros { return c.FirstOld }},
+		{"another leads", func(c failover.Change) micros.Micros { return c.LeaderElected }},
+		{"a new job starts", func(c failover.Change) micros.Micros { return c.FirstNewStart }},
+		{"an old job goes on", func(c failover.Change) micros.Micros { return c.FirstOldResumed }},
 	}
-	groups, order := failover.Grouped(history)
+	groups, order := failover.GroupChanges(history)
 	for _, m := range measures {
 		byMode := map[failover.Cause]map[failover.Mode][]micros.Micros{}
 		for _, g := range order {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -29,7 +29,7 @@
 			s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 322, MaxSockets: 3200}
 		})
 		defer c.close()
-		c.cloud.RunFor = func(string) float64 { return 300 }
+		c.cloud.RuntimeOf = func(string) float64 { return 300 }
 		time.Sleep(3 * time.Second)
 		job := testJob("j-000001", 4*fleetMachines)
 		job["expect_s"] = 300.0
@@ -38,7 +38,7 @@
 		}
 		for i := 0; c.cloud.Starts() < 4*fleetMachines; i++ {
 			if i == 60 {
-				t.Fatalf("%d tasks started on %d machines", c.cloud.Starts(), c.cloud.Rented())
+				t.Fatalf("%d tasks started on %d machines", c.cloud.Starts(), c.cloud.Launched())
 			}
 			time.Sleep(time.Second)
 		}
@@ -48,7 +48,7 @@
 		if all < fleetMachines {
 			t.Fatalf("%d machines", all)
 		}
-		rented := c.cloud.Rented()
+		rented := c.cloud.Launched()
 
 		// led waits for another leader than before, and tells how many machines it
 		// has told of itself after a time.
@@ -61,7 +61,7 @@
 			}
 			time.Sleep(after)
 			for _, w := range machines {
-				if w.Token() > before {
+				if w.FencingToken() > before {
 					told++
 				}
 			}
@@ -82,9 +82,9 @@
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			var n int
 			if _, err := fmt.Sscanf(r.URL.Host, "i-%d:", &n); err == nil && n%2 == 0 && strings.HasPrefix(from, "host") {
-				return fake.LostRequest
+				return fake.DroppedRequest
 			}
-			return fake.Pass
+			return fake.NoFault
 		})
 		before = c.token()
 		i := c.leader()
@@ -94,7 +94,7 @@
 		}
 		time.Sleep(15 * time.Second)
 		c.setFault(nil)
-		if most := c.net.MostCalls(); most > 3200/16 || most < 50 {
+		if most := c.net.MaxWorkerCalls(); most > 3200/16 || most < 50 {
 			t.Errorf("%d calls to workers at a time, want at most %d", most, 3200/16)
 		}
 
@@ -106,13 +106,13 @@
 			}
 		}
 		time.Sleep(60 * time.Second)
-		if n := len(c.cloud.OnMachines()); n != 4*fleetMachines {
+		if n := len(c.cloud.TasksOnMachines()); n != 4*fleetMachines {
 			t.Errorf("%d of %d tasks are still on their machines", n, 4*fleetMachines)
 		}
 		if n := c.cloud.Starts(); n != 4*fleetMachines {
 			t.Errorf("%d tasks started, want each of %d once", n, 4*fleetMachines)
 		}
-		for _, b := range c.cloud.Broken() {
+		for _, b := range c.cloud.Violations() {
 			t.Error(b)
 		}
 		for k := range 5 {
@@ -122,7 +122,7 @@
 		}
 		c.await("j-000001", wire.JobDone, 5*time.Minute)
 		// What runs on machines whose tasks are not known yet is no reason to rent.
-		if n := c.cloud.Rented() - rented; n > fleetMachines/10 {
+		if n := c.cloud.Launched() - rented; n > fleetMachines/10 {
 			t.Errorf("%d machines were rented at the take-overs", n)
 		}
 	})
--- a/gang_meetings_test.go
+++ b/gang_meetings_test.go
@@ -28,7 +28,7 @@
 // states counts the tasks of a job by their states.
 func (c *cluster) states(id string) map[string]int {
 	have := map[string]int{}
-	for task, state := range c.cloud.States() {
+	for task, state := range c.cloud.TaskStates() {
 		if strings.HasPrefix(task, id+"/") {
 			have[state]++
 		}
@@ -53,12 +53,12 @@
 	for _, id := range meetingGangs[1:] {
 		c.until(id, map[string]int{wire.TaskRunning: 3})
 	}
-	c.cloud.FetchS = 3
+	c.cloud.ImagePullS = 3
 	c.submitJob(gangJob(gangWaits, 3, 3, map[string]any{"bundle": "img-2"}))
 	c.until(gangWaits, map[string]int{wire.TaskPullingImage: 3})
-	c.cloud.With(gangWaits)[1].Hang(8 * time.Second)
+	c.cloud.WorkersOf(gangWaits)[1].Hang(8 * time.Second)
 	c.until(gangWaits, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
-	c.cloud.With(gangStops)[2].Take(12 * time.Second)
+	c.cloud.WorkersOf(gangStops)[2].Interrupt(12 * time.Second)
 }
 
 // run has the gangs meet the trouble, under the checker of rules. Those that nobody
@@ -67,7 +67,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, m.nodes)
 		defer c.close()
-		c.cloud.RunFor = func(string) float64 { return 90 }
+		c.cloud.RuntimeOf = func(string) float64 { return 90 }
 		m.begin(c)
 		if n := c.states(gangWaits)[wire.TaskWaitingForGang]; n == 0 {
 			t.Error("no gang waits")
@@ -87,7 +87,7 @@
 		}
 		c.await(gangCancelled, wire.JobCancelled, time.Minute)
 		time.Sleep(time.Duration(cancelS) * time.Second)
-		if left := c.cloud.OnMachines(); len(left) > 0 {
+		if left := c.cloud.TasksOnMachines(); len(left) > 0 {
 			t.Errorf("still on machines: %v", left)
 		}
 		c.broken()
@@ -148,7 +148,7 @@
 			for n := range 9 {
 				c.back(n % 3)
 				time.Sleep(400 * time.Millisecond)
-				if len(c.cloud.OnMachines()) > 0 {
+				if len(c.cloud.TasksOnMachines()) > 0 {
 					met.add("return beside running tasks")
 				}
 			}
@@ -159,9 +159,9 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if fromNode(from, first) && isState(r) {
 					met.add("refusal")
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.ledAfter(before)
 			met.add("change of leader")
@@ -173,12 +173,12 @@
 				switch {
 				case fromNode(from, first) && isState(r):
 					met.add("refusal")
-					return fake.Refused
+					return fake.ServiceUnavailable
 				case fromNode(from, first) && r.URL.Path == "/commands":
 					met.add("stop held up")
-					return fake.Late
+					return fake.DelayedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			time.Sleep(12 * time.Second)
 		}, []string{"refusal", "stop held up"}},
@@ -186,9 +186,9 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if isReport(r) {
 					met.add("copy")
-					return fake.Copied
+					return fake.DuplicatedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			for range 4 {
 				c.saves(gangStops, met)
@@ -202,9 +202,9 @@
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if isReport(r) && machineOf(from) != "" {
 						met.add("report held")
-						return fake.Late
+						return fake.DelayedRequest
 					}
-					return fake.Pass
+					return fake.NoFault
 				})
 				time.Sleep(1500 * time.Millisecond)
 				before := c.token()
@@ -220,7 +220,7 @@
 				if machineOf(from) != "" && isReport(r) {
 					held.keep(r)
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.saves(gangStops, met)
 			old := held.all(func(r *wire.Heartbeat) bool { return attemptsOf(r, gangStops) > 0 })
@@ -245,7 +245,7 @@
 				if machineOf(from) != "" && isReport(r) {
 					held.keep(r)
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.saves(gangStops, met)
 			for i := 0; c.states(gangStops)[wire.TaskCheckpointing] > 0 && i < 100; i++ {
@@ -255,7 +255,7 @@
 			old := held.all(func(*wire.Heartbeat) bool { return true })
 			c.until(gangStops, map[string]int{wire.TaskRunning: 3}) // the next attempt
 			ids := map[string]bool{}
-			for _, w := range c.cloud.With(gangStops) {
+			for _, w := range c.cloud.WorkersOf(gangStops) {
 				ids[w.ID] = true
 			}
 			var cut tally
@@ -273,12 +273,12 @@
 		// A gang's progress is its end: both are known at the same moment, and the end alone
 		// is stored.
 		{"the ends of gangs are stored late, as leaders change", 3, func(c *cluster, met *tally) {
-			c.state.SetFate(func(x fake.Transaction) fake.Fate {
+			c.state.SetTxnFault(func(x fake.Transaction) fake.TxnFault {
 				if endsJob(&x) && met.of("late end") < 3 {
 					met.add("late end")
-					return fake.Delayed
+					return fake.TxnDelayed
 				}
-				return fake.Executed
+				return fake.TxnCommitted
 			})
 			for i := 0; met.of("late end") == 0 && i < 1500; i++ {
 				time.Sleep(100 * time.Millisecond)
@@ -286,7 +286,7 @@
 			c.back(c.leader())
 			time.Sleep(8 * time.Second)
 			c.back(c.leader())
-			c.state.SetFate(nil)
+			c.state.SetTxnFault(nil)
 		}, []string{"late end"}},
 	}
 	for _, tc := range cases {
@@ -296,7 +296,7 @@
 
 // endsJob tells whether a transaction is a leader's that stores the end of a job.
 func endsJob(x *fake.Transaction) bool {
-	byLeader := slices.ContainsFunc(x.Conditions, func(k wire.Compare) bool { return k.Key == replica.LeaderKey && k.ModRevision != 0 })
+	byLeader := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool { return k.Key == replica.LeaderKey && k.ModRevision != 0 })
 	return byLeader && slices.ContainsFunc(x.Keys, func(key string) bool { return strings.HasPrefix(key, replica.JobPrefix) })
 }
 
--- a/gangs_test.go
+++ b/gangs_test.go
@@ -27,7 +27,7 @@
 	c.t.Helper()
 	for range 600 {
 		have := map[string]int{}
-		for task, state := range c.cloud.States() {
+		for task, state := range c.cloud.TaskStates() {
 			if strings.HasPrefix(task, id+"/") {
 				have[state]++
 			}
@@ -37,7 +37,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	c.t.Fatalf("%s: tasks %v, want %v", id, c.cloud.States(), want)
+	c.t.Fatalf("%s: tasks %v, want %v", id, c.cloud.TaskStates(), want)
 }
 
 // TestGangs takes a gang through what may happen to it. It must be done in the end, with
@@ -59,7 +59,7 @@
 	}{
 		{"on one machine", gangJob(id, 4, 1, nil), nil, 0, func(c *cluster) {
 			c.until(id, running(4))
-			if n := len(c.cloud.With(id)); n != 1 {
+			if n := len(c.cloud.WorkersOf(id)); n != 1 {
 				c.t.Errorf("it is on %d machines", n)
 			}
 		}, 1, 40 * time.Second},
@@ -72,75 +72,75 @@
 		// A replacement under the same number completes it.
 		{"a machine hangs before it starts", wide, nil, 3, func(c *cluster) {
 			c.until(id, map[string]int{wire.TaskPullingImage: 3})
-			c.cloud.With(id)[1].Hang(time.Minute)
+			c.cloud.WorkersOf(id)[1].Hang(time.Minute)
 		}, 1, 60 * time.Second},
 		{"a machine is taken while the others wait", wide, nil, 3, func(c *cluster) {
 			c.until(id, map[string]int{wire.TaskPullingImage: 3})
-			hung := c.cloud.With(id)[1]
+			hung := c.cloud.WorkersOf(id)[1]
 			hung.Hang(4 * time.Second)
 			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
-			hung.Take(0)
+			hung.Interrupt(0)
 		}, 1, 60 * time.Second},
 		{"a machine is taken with a notice while the others wait", wide, nil, 3, func(c *cluster) {
 			c.until(id, map[string]int{wire.TaskPullingImage: 3})
-			c.cloud.With(id)[0].Take(8 * time.Second)
+			c.cloud.WorkersOf(id)[0].Interrupt(8 * time.Second)
 		}, 1, 60 * time.Second},
 		// The rest notices, and all begin anew.
 		{"a machine hangs while it runs", wide, nil, 0, func(c *cluster) {
 			c.until(id, running(3))
 			time.Sleep(12 * time.Second)
-			c.cloud.With(id)[2].Hang(time.Minute)
+			c.cloud.WorkersOf(id)[2].Hang(time.Minute)
 		}, 2, 90 * time.Second},
 		{"a machine is gone while it runs", wide, nil, 0, func(c *cluster) {
 			c.until(id, running(3))
 			time.Sleep(12 * time.Second)
-			c.cloud.With(id)[2].Take(0)
+			c.cloud.WorkersOf(id)[2].Interrupt(0)
 		}, 2, 80 * time.Second},
 		// All are told to stop, save, and go on elsewhere: nothing is lost.
 		{"a machine is taken with a notice while it runs", wide, nil, 0, func(c *cluster) {
 			c.until(id, running(3))
 			time.Sleep(8 * time.Second)
-			c.cloud.With(id)[2].Take(9 * time.Second)
+			c.cloud.WorkersOf(id)[2].Interrupt(9 * time.Second)
 			time.Sleep(8 * time.Second)
-			if saved := c.cloud.GangSaved(id); saved < 7*time.Second {
+			if saved := c.cloud.GangProgress(id); saved < 7*time.Second {
 				c.t.Errorf("%v of its progress is safe", saved)
 			}
 		}, 2, 60 * time.Second},
 		{"its stop reaches only some", wide, nil, 0, func(c *cluster) {
 			c.until(id, running(3))
 			time.Sleep(8 * time.Second)
-			machines := c.cloud.With(id)
+			machines := c.cloud.WorkersOf(id)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if r.URL.Host == machines[0].ID+":9000" || from == machines[0].ID {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
-			machines[2].Take(9 * time.Second)
+			machines[2].Interrupt(9 * time.Second)
 			time.Sleep(12 * time.Second)
 		}, 2, 100 * time.Second},
 		{"a zone is cut through it", gangJob(id, 4, 3, map[string]any{"scatter": true}), []string{"a", "b"}, 0, func(c *cluster) {
 			c.until(id, running(4))
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if strings.HasSuffix(from, "1") || strings.HasSuffix(r.URL.Host, "1:9000") {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			time.Sleep(15 * time.Second)
 		}, -1, 120 * time.Second},
 		{"the leader ends while it waits", wide, nil, 4, func(c *cluster) {
 			c.until(id, map[string]int{wire.TaskPullingImage: 3})
-			c.cloud.With(id)[0].Hang(6 * time.Second)
+			c.cloud.WorkersOf(id)[0].Hang(6 * time.Second)
 			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			c.back(c.leader())
 		}, 1, 60 * time.Second},
 		{"the leader ends while it waits for a machine that is lost", wide, nil, 4, func(c *cluster) {
 			c.until(id, map[string]int{wire.TaskPullingImage: 3})
-			hung := c.cloud.With(id)[0]
+			hung := c.cloud.WorkersOf(id)[0]
 			hung.Hang(20 * time.Second)
 			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
-			hung.Take(0)
+			hung.Interrupt(0)
 			c.back(c.leader())
 		}, 1, 80 * time.Second},
 		{"the leader ends while it runs", wide, nil, 0, func(c *cluster) {
@@ -151,14 +151,14 @@
 		{"the leader ends while it runs, and a machine with it", wide, nil, 0, func(c *cluster) {
 			c.until(id, running(3))
 			time.Sleep(3 * time.Second)
-			c.cloud.With(id)[1].Take(0)
+			c.cloud.WorkersOf(id)[1].Interrupt(0)
 			c.back(c.leader())
 		}, 2, 90 * time.Second},
 		{"the leader ends while it stops", wide, nil, 0, func(c *cluster) {
 			c.until(id, running(3))
 			time.Sleep(8 * time.Second)
-			c.cloud.With(id)[2].Take(12 * time.Second)
-			for i := 0; i < 600 && len(c.cloud.States()) == 3 && !slices.Contains(slices.Collect(maps.Values(c.cloud.States())), wire.TaskCheckpointing); i++ {
+			c.cloud.WorkersOf(id)[2].Interrupt(12 * time.Second)
+			for i := 0; i < 600 && len(c.cloud.TaskStates()) == 3 && !slices.Contains(slices.Collect(maps.Values(c.cloud.TaskStates())), wire.TaskCheckpointing); i++ {
 				time.Sleep(100 * time.Millisecond)
 			}
 			c.back(c.leader())
@@ -168,12 +168,12 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				// The first machine that is told to start hears no answer any more.
 				for _, w := range c.cloud.Workers() {
-					if from == w.ID && w.Token() > 0 && (deaf == "" || deaf == from) {
+					if from == w.ID && w.FencingToken() > 0 && (deaf == "" || deaf == from) {
 						deaf = from
-						return fake.LostAnswer
+						return fake.DroppedResponse
 					}
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.until(id, waiting(2))
 			c.back(c.leader())
@@ -183,16 +183,16 @@
 			time.Sleep(18 * time.Second)
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if isState(r) && r.URL.Path == "/txn" {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
-			machine := c.cloud.With(id)[0]
+			machine := c.cloud.WorkersOf(id)[0]
 			time.Sleep(4 * time.Second)
 			if len(machine.Tasks()) > 0 {
 				c.t.Error("it is not done")
 			}
-			machine.Take(0)
+			machine.Interrupt(0)
 			leader := c.leader()
 			c.kill(leader)
 			c.setFault(nil)
@@ -204,14 +204,14 @@
 		{"one reports done, and the leader ends", wide, nil, 0, func(c *cluster) {
 			c.until(id, running(3))
 			time.Sleep(18 * time.Second)
-			quiet := c.cloud.With(id)[0].ID
+			quiet := c.cloud.WorkersOf(id)[0].ID
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if from != quiet && strings.HasPrefix(from, "i-") {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
-			for i := 0; i < 600 && len(c.cloud.States()) > 0; i++ {
+			for i := 0; i < 600 && len(c.cloud.TaskStates()) > 0; i++ {
 				time.Sleep(100 * time.Millisecond)
 			}
 			time.Sleep(700 * time.Millisecond)
@@ -223,10 +223,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newClusterOf(t, 3)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 20 }
-				c.cloud.Zones, c.cloud.FetchS = tc.zones, tc.fetch
+				c.cloud.RuntimeOf = func(string) float64 { return 20 }
+				c.cloud.Zones, c.cloud.ImagePullS = tc.zones, tc.fetch
 				if tc.zones != nil {
-					c.rules.Offers[0].Zones = tc.zones
+					c.rules.InstanceTypes[0].Zones = tc.zones
 				}
 				begun := time.Now()
 				c.submitJob(tc.job)
@@ -240,10 +240,10 @@
 					t.Errorf("%d attempts ran, want %d", runs, tc.runs)
 				}
 				time.Sleep(5 * time.Second)
-				if left := c.cloud.OnMachines(); len(left) > 0 {
+				if left := c.cloud.TasksOnMachines(); len(left) > 0 {
 					t.Errorf("still on machines: %v", left)
 				}
-				for _, rule := range c.rules.Broken() {
+				for _, rule := range c.rules.Violations() {
 					t.Error(rule)
 				}
 			})
@@ -269,8 +269,8 @@
 			}
 		}},
 		{"a stream of small tasks", func(c *cluster) {
-			c.cloud.Most = 2
-			c.cloud.RunFor = func(task string) float64 { return 5 + float64(task[len(task)-1]%3) }
+			c.cloud.MaxMachines = 2
+			c.cloud.RuntimeOf = func(task string) float64 { return 5 + float64(task[len(task)-1]%3) }
 			for i := range 3 {
 				c.submit(fmt.Sprintf("j-0001%02d", i), 9)
 			}
@@ -290,10 +290,10 @@
 			c.await("j-000001", wire.JobDone, time.Minute)
 		}},
 		{"cancelled while it waits", func(c *cluster) {
-			c.cloud.FetchS = 3
+			c.cloud.ImagePullS = 3
 			c.submitJob(gangJob("j-000001", 3, 3, nil))
 			c.until("j-000001", map[string]int{wire.TaskPullingImage: 3})
-			c.cloud.With("j-000001")[0].Hang(10 * time.Second)
+			c.cloud.WorkersOf("j-000001")[0].Hang(10 * time.Second)
 			c.until("j-000001", map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			if code, _ := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK {
 				c.t.Errorf("cancelled: %d", code)
@@ -325,10 +325,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newClusterOf(t, 3)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 20 }
+				c.cloud.RuntimeOf = func(string) float64 { return 20 }
 				time.Sleep(5 * time.Second)
 				tc.play(c)
-				for _, rule := range c.rules.Broken() {
+				for _, rule := range c.rules.Violations() {
 					t.Error(rule)
 				}
 			})
--- a/gap_test.go
+++ b/gap_test.go
@@ -35,16 +35,16 @@
 	if isState(r) && strings.HasPrefix(from, fmt.Sprintf("host-%d/", g.leading)) {
 		if g.refusing {
 			g.refused++
-			return fake.Refused
+			return fake.ServiceUnavailable
 		}
 		if r.URL.Path == "/watch" && r.URL.Query().Get("wait_ms") != "0" {
-			return fake.LostRequest
+			return fake.DroppedRequest
 		}
 	}
 	if g.also != nil {
 		return g.also(from, r)
 	}
-	return fake.Pass
+	return fake.NoFault
 }
 
 // meanwhile has something else happen to requests as well.
@@ -74,7 +74,7 @@
 		}
 		return i
 	}
-	g.pipes.Cut(func(from, to string) bool { a, b := number(from), number(to); return pairs(a, b) || pairs(b, a) })
+	g.pipes.SetPartition(func(from, to string) bool { a, b := number(from), number(to); return pairs(a, b) || pairs(b, a) })
 }
 
 // heal ends all cuts between nodes.
@@ -140,7 +140,7 @@
 			if err != nil {
 				g.t.Fatal(err)
 			}
-			g.rules.Asks("/v1/jobs/j-000001/abort")
+			g.rules.ObserveRequest("/v1/jobs/j-000001/abort")
 			w := httptest.NewRecorder()
 			g.state.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/txn", bytes.NewReader(b)))
 			if _, s := g.request(http.MethodGet, g.confirming, "/v1/jobs/j-000001", nil); w.Code != http.StatusOK || s.Status != wire.JobCancelled {
@@ -151,9 +151,9 @@
 			lost := fmt.Sprintf("host-%d:8080", g.confirming)
 			g.meanwhile(func(from string, r *http.Request) fake.Fault {
 				if from == "user" && r.URL.Host == lost {
-					return fake.LostAnswer
+					return fake.DroppedResponse
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			defer cancel()
@@ -161,7 +161,7 @@
 			if err != nil {
 				g.t.Fatal(err)
 			}
-			g.rules.Asks("/v1/jobs/j-000001/abort")
+			g.rules.ObserveRequest("/v1/jobs/j-000001/abort")
 			if _, err := g.user.Do(r); err == nil {
 				g.t.Error("the answer was not lost")
 			}
@@ -179,28 +179,28 @@
 		{name: "machines reach no controller, commands don't reach them", before: func(g *gap) {
 			g.meanwhile(func(from string, r *http.Request) fake.Fault {
 				if everyOther(from) || everyOther(r.URL.Host) {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}, after: (*gap).heal},
 		{name: "machines are deaf", before: func(g *gap) {
 			g.meanwhile(func(from string, r *http.Request) fake.Fault {
 				switch {
 				case everyOther(from) && r.URL.Path == "/hello":
-					return fake.LostAnswer
+					return fake.DroppedResponse
 				case everyOther(r.URL.Host):
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}, after: (*gap).heal},
 		{name: "machines are mute", before: func(g *gap) {
 			g.meanwhile(func(from string, _ *http.Request) fake.Fault {
 				if everyOther(from) {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}, after: (*gap).heal},
 		// Starts are sent in the very seconds in which the leader does not know.
@@ -212,7 +212,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					g := &gap{cluster: newClusterOf(t, nodes)}
 					defer g.close()
-					g.cloud.RunFor = func(task string) float64 {
+					g.cloud.RuntimeOf = func(task string) float64 {
 						if strings.HasPrefix(task, "j-000001/") {
 							return 300
 						}
@@ -249,7 +249,7 @@
 					} else {
 						g.cancel(g.confirming)
 					}
-					g.state.SetDown(true)
+					g.state.SetOutage(true)
 					confirmed := time.Now()
 					if on := len(g.on("j-000001/")); on == 0 || tc.late == (on == 8) || !tc.late && !g.doubted() {
 						t.Errorf("%d tasks on machines, the leader is refused: %t: the troubles did not meet", on, g.doubted())
@@ -261,7 +261,7 @@
 					}
 					g.setFault(nil)
 					g.heal()
-					g.state.SetDown(false)
+					g.state.SetOutage(false)
 					for i := range nodes {
 						g.kill(i)
 						g.start(i)
@@ -271,7 +271,7 @@
 					if on := g.on("j-000001/"); len(on) > 0 {
 						t.Errorf("still on machines: %v", on)
 					}
-					for _, rule := range g.rules.Broken() {
+					for _, rule := range g.rules.Violations() {
 						t.Error(rule)
 					}
 				})
@@ -287,5 +287,5 @@
 
 // on lists the tasks of a job that are on machines.
 func (c *cluster) on(prefix string) []string {
-	return slices.DeleteFunc(c.cloud.OnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
+	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
 }
--- a/guards_test.go
+++ b/guards_test.go
@@ -64,28 +64,28 @@
 func TestListedNotBooked(t *testing.T) {
 	fates := []struct {
 		name string
-		fate fake.Fate
-	}{{"refused", fake.Unserved}, {"lost", fake.Unheard}, {"carried out late", fake.Delayed}}
+		fate fake.TxnFault
+	}{{"refused", fake.TxnUnavailable}, {"lost", fake.TxnDropped}, {"carried out late", fake.TxnDelayed}}
 	for _, f := range fates {
 		t.Run(f.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 40 }
+				c.cloud.RuntimeOf = func(string) float64 { return 40 }
 				c.submit("j-000009", 4) // it fills a machine that stays in reach
 				time.Sleep(3 * time.Second)
 				// One that changes both is too large, and comes again in parts.
-				c.state.SetFate(func(x fake.Transaction) fake.Fate {
-					names := slices.ContainsFunc(x.Conditions, func(k wire.Compare) bool {
+				c.state.SetTxnFault(func(x fake.Transaction) fake.TxnFault {
+					names := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
 						return strings.HasPrefix(k.Key, replica.LaunchIntentPrefix) && k.ModRevision != 0
 					})
 					switch {
 					case names && len(x.Keys) > 1:
-						return fake.Oversized
+						return fake.TxnTooLarge
 					case names:
 						return f.fate
 					}
-					return fake.Executed
+					return fake.TxnCommitted
 				})
 				long := testJob("j-000001", 12)
 				long["expect_s"] = 200.0
@@ -99,7 +99,7 @@
 				c.setFault(c.cutAll("j-000001", &cut))
 				c.back(c.leader())
 				c.ledAfter(before)
-				c.state.SetFate(nil)
+				c.state.SetTxnFault(nil)
 				time.Sleep(time.Duration(leaseS-1) * time.Second)
 				c.setFault(nil)
 				if unbooked == 0 {
@@ -122,7 +122,7 @@
 			s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = 20, 50
 		})
 		defer c.close()
-		c.cloud.RunFor = func(string) float64 { return 60 }
+		c.cloud.RuntimeOf = func(string) float64 { return 60 }
 		const between = 45 // keys of jobs that are read between the bookings and the leader key
 		for n := range between {
 			id := fmt.Sprintf("j-%06d", n+1)
@@ -141,12 +141,12 @@
 			switch {
 			case fromNode(from, next) && r.URL.Path == "/store":
 				pages.add("read")
-				return fake.Slow
+				return fake.HighLatency
 			case fromNode(from, next) && r.URL.Path == "/watch":
 				watches.add("held")
-				return fake.LostRequest
+				return fake.DroppedRequest
 			}
-			return fake.Pass
+			return fake.NoFault
 		})
 		c.start(next)
 		time.Sleep(2 * time.Second) // the bookings are read
@@ -195,7 +195,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 60 }
+				c.cloud.RuntimeOf = func(string) float64 { return 60 }
 				base := testJob("j-000009", 8) // leaves a CPU of each machine
 				base["vcpus"], base["expect_s"] = 3.0, 200.0
 				c.runJob(base)
@@ -212,29 +212,29 @@
 				var met tally
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if fromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0") {
-						return fake.LostRequest
+						return fake.DroppedRequest
 					}
-					return fake.Pass
+					return fake.NoFault
 				})
 				time.Sleep(12 * time.Second) // until no watch is open that would tell it
 				fault := func(others bool) func(string, *http.Request) fake.Fault {
 					return func(from string, r *http.Request) fake.Fault {
 						switch {
 						case isState(r) && fromNode(from, first):
-							return fake.LostRequest
+							return fake.DroppedRequest
 						case isState(r) && !others || r.URL.Path == "/hosts/return":
-							return fake.Refused
+							return fake.ServiceUnavailable
 						case machineOf(from) != "" && ids[machineOf(from)] != (r.URL.Host == host+":8080"):
-							return fake.Refused // the others would tell the old leader by their reports
+							return fake.ServiceUnavailable // the others would tell the old leader by their reports
 						case ids[machineOf(from)] && others && c.token() > before:
 							met.add("reports to the old leader")
 						case ids[machineOf(r.URL.Host)] && !fromNode(from, first):
-							return fake.LostRequest
+							return fake.DroppedRequest
 						}
-						return fake.Pass
+						return fake.NoFault
 					}
 				}
-				cut := func() { c.pipes.Cut(func(from, to string) bool { return (from == host) != (to == host) }) }
+				cut := func() { c.pipes.SetPartition(func(from, to string) bool { return (from == host) != (to == host) }) }
 				cut()
 				c.setFault(fault(false))
 				time.Sleep(7*time.Second + time.Duration(phase)*210*time.Millisecond)
@@ -268,7 +268,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 40 }
+				c.cloud.RuntimeOf = func(string) float64 { return 40 }
 				base := testJob("j-000009", 8) // leaves a CPU of each machine
 				base["vcpus"], base["expect_s"] = 3.0, 200.0
 				c.runJob(base)
@@ -284,30 +284,30 @@
 					return func(from string, r *http.Request) fake.Fault {
 						switch {
 						case isState(r) && fromNode(from, first) && (!news || r.URL.Path != "/watch"):
-							return fake.LostRequest
+							return fake.DroppedRequest
 						case isState(r) && fromNode(from, first):
 							met.add("news")
 						case r.URL.Path == "/hosts/return":
-							return fake.Refused
+							return fake.ServiceUnavailable
 						case machineOf(from) != "" && ids[machineOf(from)] != (r.URL.Host == host+":8080"):
-							return fake.Refused
+							return fake.ServiceUnavailable
 						case news && ids[machineOf(from)]:
 							met.add("reports to the old leader")
 						case ids[machineOf(r.URL.Host)] && !fromNode(from, first):
-							return fake.LostRequest
+							return fake.DroppedRequest
 						}
-						return fake.Pass
+						return fake.NoFault
 					}
 				}
-				c.pipes.Cut(func(from, to string) bool { return (from == host) != (to == host) })
+				c.pipes.SetPartition(func(from, to string) bool { return (from == host) != (to == host) })
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					switch {
 					case fromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0"):
-						return fake.LostRequest
+						return fake.DroppedRequest
 					case ids[machineOf(from)] && r.URL.Host != host+":8080":
-						return fake.Refused
+						return fake.ServiceUnavailable
 					}
-					return fake.Pass
+					return fake.NoFault
 				})
 				time.Sleep(12 * time.Second) // until no watch is open that would tell it
 				c.setFault(fault(false))
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -42,7 +42,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				net, state := fake.NewNet(), fake.NewState()
+				net, state := fake.NewNetwork(), fake.NewStateService()
 				net.Handle("state", state)
 				store := statestore.New("state", settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, net.From("host-0/1"))
 				copied := replica.New(store)
@@ -87,7 +87,7 @@
 func TestYieldsAfterItsTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		net, state := fake.NewNet(), fake.NewState()
+		net, state := fake.NewNetwork(), fake.NewStateService()
 		net.Handle("state", state)
 		store := statestore.New("state", settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, net.From("host-0/1"))
 		copied := replica.New(store)
--- a/internal/sim/charts/charts.go
+++ b/internal/sim/charts/charts.go
@@ -47,8 +47,8 @@
 	return line
 }
 
-// Seconds draws times by name.
-func Seconds(title, subtitle string, names []string, series ...Series) *charts.Bar {
+// DurationBars draws times by name.
+func DurationBars(title, subtitle string, names []string, series ...Series) *charts.Bar {
 	bar := charts.NewBar()
 	bar.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: title, Subtitle: subtitle}),
--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -11,19 +11,19 @@
 
 // Cloud is a stand-in of the cloud: one type, machines up at once.
 type Cloud struct {
-	Net     *Net
-	Nodes   []string // hosts of the controllers
-	RunFor  func(task string) float64
-	ReportS float64
-	LeaseS  float64
-	Rules   *Rules
-	Fails   func(task, machine string) bool // nil: nothing does
-	Zones   []string                        // nil: one, a
-	FetchS  float64                         // how long a machine fetches an image
-	Most    int                             // machines that it has, 0: any number
-	MostIn  map[string]int                  // the same by zone; a zone without: any number
-	// Serve has a worker's handler served somewhere and returns its address; nil: Net.
-	Serve func(h http.Handler) (address string)
+	Net                *Network
+	Nodes              []string // hosts of the controllers
+	RuntimeOf          func(task string) float64
+	HeartbeatIntervalS float64
+	LeaseDurationS     float64
+	Rules              *Rules
+	TaskFails          func(task, machine string) bool // nil: nothing does
+	Zones              []string                        // nil: one, a
+	ImagePullS         float64                         // how long a machine fetches an image
+	MaxMachines        int                             // machines that it has, 0: any number
+	MaxMachinesByZone  map[string]int                  // the same by zone; a zone without: any number
+	// ServeWorker has a worker's handler served somewhere and returns its address; nil: Net.
+	ServeWorker func(h http.Handler) (address string)
 
 	gangs *gangs
 
@@ -45,18 +45,18 @@
 			n++
 		}
 	}
-	most, limited := c.MostIn[zone]
-	return limited && n >= most || c.Most > 0 && len(c.machines) >= c.Most
+	most, limited := c.MaxMachinesByZone[zone]
+	return limited && n >= most || c.MaxMachines > 0 && len(c.machines) >= c.MaxMachines
 }
 
 // NewCloud makes a cloud without machines.
-func NewCloud(n *Net, rules *Rules, nodes []string, reportS, leaseS float64, runFor func(string) float64) *Cloud {
-	return &Cloud{Net: n, Rules: rules, Nodes: nodes, RunFor: runFor, ReportS: reportS, LeaseS: leaseS,
+func NewCloud(n *Network, rules *Rules, nodes []string, reportS, leaseS float64, runFor func(string) float64) *Cloud {
+	return &Cloud{Net: n, Rules: rules, Nodes: nodes, RuntimeOf: runFor, HeartbeatIntervalS: reportS, LeaseDurationS: leaseS,
 		gangs: newGangs(), bookings: map[string][]string{}, machines: map[string]*Worker{}, sites: map[string]string{}, startsOf: map[string]int{}}
 }
 
-// Catalog is what this cloud offers.
-func Catalog() wire.InstanceTypeList {
+// InstanceTypes is what this cloud offers.
+func InstanceTypes() wire.InstanceTypeList {
 	return wire.InstanceTypeList{Types: []wire.InstanceType{{
 		Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 0.3, BootTimeS: 2, Zones: []string{"a"},
 	}}}
@@ -73,7 +73,7 @@
 	defer c.mu.Unlock()
 	switch r.Method + r.URL.Path {
 	case "GET/catalog":
-		offers := Catalog()
+		offers := InstanceTypes()
 		if c.Zones != nil {
 			offers.Types[0].Zones = c.Zones
 		}
@@ -96,7 +96,7 @@
 			c.next++
 			c.rented++
 			ids = append(ids, id)
-			c.Rules.Rented(id, q)
+			c.Rules.ObserveLaunch(id, q)
 			wk := newWorker(c, id, q)
 			c.machines[id] = wk
 			c.Net.Handle(wk.address, wk)
@@ -127,7 +127,7 @@
 	for task, m := range c.sites {
 		if m == id {
 			delete(c.sites, task)
-			c.Rules.Left(task, id, false)
+			c.Rules.ObserveExit(task, id, false)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	c.starts++
 	id, _, _ := strings.Cut(task, "/")
 	c.startsOf[id]++
-	c.Rules.Started(task, machine)
+	c.Rules.ObserveStart(task, machine)
 	c.sites[task] = machine
 }
 
@@ -147,12 +147,12 @@
 	defer c.mu.Unlock()
 	if c.sites[task] == machine {
 		delete(c.sites, task)
-		c.Rules.Left(task, machine, done)
+		c.Rules.ObserveExit(task, machine, done)
 	}
 }
 
-// Broken lists the rules broken so far.
-func (c *Cloud) Broken() []string { return c.Rules.Broken() }
+// Violations lists the rules broken so far.
+func (c *Cloud) Violations() []string { return c.Rules.Violations() }
 
 // Starts counts the tasks started, Rented the machines rented.
 func (c *Cloud) Starts() int {
@@ -168,15 +168,15 @@
 	return c.startsOf[id]
 }
 
-// Rented counts the machines rented so far.
-func (c *Cloud) Rented() int {
+// Launched counts the machines rented so far.
+func (c *Cloud) Launched() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rented
 }
 
-// OnMachines lists the tasks that are on machines.
-func (c *Cloud) OnMachines() []string {
+// TasksOnMachines lists the tasks that are on machines.
+func (c *Cloud) TasksOnMachines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
--- a/internal/sim/fake/fate.go
+++ b/internal/sim/fake/fate.go
@@ -7,18 +7,18 @@
 	"caperlatch/internal/wire"
 )
 
-// Fate is what becomes of a transaction that has reached the state service.
-type Fate int
+// TxnFault is what becomes of a transaction that has reached the state service.
+type TxnFault int
 
 // The fates. Oversized is refused with 400, as one with more changes than the service
 // takes; Unserved is refused with 503; Unheard is never carried out, nor answered;
 // Delayed is carried out delayBy later, and not answered.
 const (
-	Executed Fate = iota
-	Oversized
-	Unserved
-	Unheard
-	Delayed
+	TxnCommitted TxnFault = iota
+	TxnTooLarge
+	TxnUnavailable
+	TxnDropped
+	TxnDelayed
 )
 
 // delayBy is well over the time after which a node gives a transaction up.
@@ -26,46 +26,46 @@
 
 // Transaction is what a test is shown of a transaction to decide its fate.
 type Transaction struct {
-	Conditions []wire.Compare
-	Keys       []string // that it changes
+	Compares []wire.Compare
+	Keys     []string // that it changes
 }
 
-// SetFate decides what becomes of transactions from now on; nil has all carried out.
-func (s *State) SetFate(decide func(Transaction) Fate) {
+// SetTxnFault decides what becomes of transactions from now on; nil has all carried out.
+func (s *StateService) SetTxnFault(decide func(Transaction) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fate = decide
 }
 
 // fateOf decides what becomes of a transaction.
-func (s *State) fateOf(t Transaction) Fate {
+func (s *StateService) fateOf(t Transaction) TxnFault {
 	s.mu.Lock()
 	decide := s.fate
 	s.mu.Unlock()
 	if decide == nil {
-		return Executed
+		return TxnCommitted
 	}
 	return decide(t)
 }
 
 // txn carries a transaction out, unless its fate is another.
-func (s *State) txn(w http.ResponseWriter, r *http.Request, body []byte) {
+func (s *StateService) txn(w http.ResponseWriter, r *http.Request, body []byte) {
 	var t transaction
 	if wire.Unmarshal(body, &t) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if s.Check != nil {
-		s.Check(t.If, t.keys())
+	if s.InspectTxn != nil {
+		s.InspectTxn(t.If, t.keys())
 	}
 	switch s.fateOf(Transaction{t.If, t.keys()}) {
-	case Oversized:
+	case TxnTooLarge:
 		w.WriteHeader(http.StatusBadRequest)
-	case Unserved:
+	case TxnUnavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Unheard:
+	case TxnDropped:
 		<-r.Context().Done()
-	case Delayed:
+	case TxnDelayed:
 		time.AfterFunc(delayBy, func() { s.commit(discarded{}, &t) })
 		<-r.Context().Done()
 	default:
--- a/internal/sim/fake/gang.go
+++ b/internal/sim/fake/gang.go
@@ -43,8 +43,8 @@
 // Times of gangs: how long a task waits for the others, and in what time it notices that
 // one is gone.
 const (
-	GangWaitS = 20.0
-	GangPeerS = 3.0
+	GangAssemblyTimeoutS = 20.0
+	GangLossTimeoutS     = 3.0
 )
 
 // unseen is how long after its last sign a task is taken to be gone.
@@ -126,7 +126,7 @@
 			a.stored = true
 			g.saved[job.ID] += a.firstStop.Sub(a.started)
 			exit(wire.ExitStopped, true)
-		case !a.failed && (!a.all(job, now) || now.Sub(a.firstStop) > seconds(GangPeerS) && !a.allTold(job)):
+		case !a.failed && (!a.all(job, now) || now.Sub(a.firstStop) > seconds(GangLossTimeoutS) && !a.allTold(job)):
 			a.failed = true
 			g.fallBack(a, job, a.firstStop)
 		}
@@ -149,14 +149,14 @@
 			a.lost = now
 			g.fallBack(a, job, now)
 		}
-		if now.Sub(a.lost) >= seconds(GangPeerS)-unseen {
+		if now.Sub(a.lost) >= seconds(GangLossTimeoutS)-unseen {
 			exit(wire.ExitGangTaskLost, false)
 		}
 	case a.all(job, now):
 		a.started, a.ends = now, now.Add(seconds(runFor)-g.saved[job.ID])
 		g.runs[job.ID]++
 		t.State = wire.TaskRunning
-	case now.Sub(m.joined) > seconds(GangWaitS):
+	case now.Sub(m.joined) > seconds(GangAssemblyTimeoutS):
 		exit(wire.ExitGangTimeout, false)
 	}
 	return t.State != was
@@ -189,15 +189,15 @@
 	return c.gangs.runs[id]
 }
 
-// GangSaved is how much of a job's progress is safe.
-func (c *Cloud) GangSaved(id string) time.Duration {
+// GangProgress is how much of a job's progress is safe.
+func (c *Cloud) GangProgress(id string) time.Duration {
 	c.gangs.mu.Lock()
 	defer c.gangs.mu.Unlock()
 	return c.gangs.saved[id]
 }
 
-// Take has the cloud take a machine after a notice.
-func (w *Worker) Take(notice time.Duration) {
+// Interrupt has the cloud take a machine after a notice.
+func (w *Worker) Interrupt(notice time.Duration) {
 	w.mu.Lock()
 	w.recall = time.Now().Add(notice)
 	w.wake()
@@ -215,9 +215,9 @@
 	})
 }
 
-// States lists the tasks that machines have, with their states; those that ended are
+// TaskStates lists the tasks that machines have, with their states; those that ended are
 // left out.
-func (c *Cloud) States() map[string]string {
+func (c *Cloud) TaskStates() map[string]string {
 	out := map[string]string{}
 	for _, w := range c.Workers() {
 		w.mu.Lock()
@@ -231,8 +231,8 @@
 	return out
 }
 
-// With lists the machines that have a task of a job, by name.
-func (c *Cloud) With(job string) (out []*Worker) {
+// WorkersOf lists the machines that have a task of a job, by name.
+func (c *Cloud) WorkersOf(job string) (out []*Worker) {
 	for _, w := range c.Workers() {
 		if slices.ContainsFunc(w.Tasks(), func(t string) bool { return strings.HasPrefix(t, job+"/") }) {
 			out = append(out, w)
--- a/internal/sim/fake/gang_test.go
+++ b/internal/sim/fake/gang_test.go
@@ -34,9 +34,9 @@
 }
 
 func newGangBench(t *testing.T, machines int) *gangBench {
-	n := NewNet()
+	n := NewNetwork()
 	rules := NewRules(time.Minute, map[string]float64{"blue": 0})
-	rules.Submits(wire.Job{ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 2, AllowSpot: true})
+	rules.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 2, AllowSpot: true})
 	b := &gangBench{t: t, cloud: NewCloud(n, rules, []string{"host-0:8080"}, 1, 60, func(string) float64 { return 20 })}
 	n.Handle("host-0:8080", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 		send(rw, http.StatusOK, wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}})
@@ -158,7 +158,7 @@
 					t.Errorf("%s: after %v they are %q, want %q", c.name, d, got, c.want[d])
 				}
 			}
-			if got := b.cloud.GangSaved("j-000001").Round(s); got != c.safe {
+			if got := b.cloud.GangProgress("j-000001").Round(s); got != c.safe {
 				t.Errorf("%s: %v of its progress is safe, want %v", c.name, got, c.safe)
 			}
 		})
--- a/internal/sim/fake/history.go
+++ b/internal/sim/fake/history.go
@@ -12,11 +12,11 @@
 // judged from that alone. It knows nothing of what any node thinks.
 type History struct {
 	ClassOf func(task string) string
-	// Hit tells whether a trouble meets the machines of a zone now; what runs there may have to
+	// Affected tells whether a trouble meets the machines of a zone now; what runs there may have to
 	// begin again. It is called under the history's lock.
-	Hit func(zone string) bool
-	// Recent is for how long the end of a task may not have been reported.
-	Recent time.Duration
+	Affected func(zone string) bool
+	// UnreportedFor is for how long the end of a task may not have been reported.
+	UnreportedFor time.Duration
 
 	mu       sync.Mutex
 	began    time.Time
@@ -26,8 +26,8 @@
 	tainted  map[string]bool // tasks that a trouble met
 	sizes    map[string]int  // accepted tasks by class
 	accepted map[string]time.Duration
-	starts   []Moment
-	ends     []Moment // of what was done
+	starts   []TaskRecord
+	ends     []TaskRecord // of what was done
 	repeated time.Duration
 	samples  []Sample
 	sampled  int // starts as of the last sample
@@ -39,21 +39,21 @@
 	since time.Time
 }
 
-// Moment is a start or an end as its machine saw it, at a time since the history began.
-type Moment struct {
+// TaskRecord is a start or an end as its machine saw it, at a time since the history began.
+type TaskRecord struct {
 	At                         time.Duration
 	Class, Task, Machine, Zone string
-	Took                       time.Duration // on the machine, of an end
+	Duration                   time.Duration // on the machine, of an end
 }
 
 // Sample is what was so at a moment.
 type Sample struct {
-	At      time.Duration
-	Waiting map[string]int // by class: tasks that are accepted, not done, and on no machine
-	Starts  map[string]int // the same: since the sample before
-	Busy    map[string]int // tasks on machines by zone
-	Room    int            // for tasks of one CPU, in zones that no trouble meets
-	Price   float64        // of all machines an hour
+	At           time.Duration
+	Waiting      map[string]int // by class: tasks that are accepted, not done, and on no machine
+	Starts       map[string]int // the same: since the sample before
+	Running      map[string]int // tasks on machines by zone
+	FreeCPUs     int            // for tasks of one CPU, in zones that no trouble meets
+	PricePerHour float64        // of all machines an hour
 }
 
 // NewHistory begins a history.
@@ -69,16 +69,16 @@
 	}
 }
 
-// Now is the time since the history began.
-func (h *History) Now() time.Duration { return time.Since(h.began) }
+// Elapsed is the time since the history began.
+func (h *History) Elapsed() time.Duration { return time.Since(h.began) }
 
-// Watch takes over what a task did; see Rules.Watch.
-func (h *History) Watch(e TaskEvent) {
+// ObserveTask takes over what a task did; see Rules.Watch.
+func (h *History) ObserveTask(e TaskEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	m := Moment{At: h.Now(), Class: h.ClassOf(e.Task), Task: e.Task, Machine: e.Machine, Zone: e.Zone}
+	m := TaskRecord{At: h.Elapsed(), Class: h.ClassOf(e.Task), Task: e.Task, Machine: e.Machine, Zone: e.Zone}
 	switch {
-	case e.Began:
+	case e.Started:
 		h.on[e.Task] = placed{e, time.Now()}
 		h.begun[e.Task]++
 		h.starts = append(h.starts, m)
@@ -86,7 +86,7 @@
 		return
 	case e.Done:
 		h.done[e.Task] = true
-		m.Took = time.Since(h.on[e.Task].since)
+		m.Duration = time.Since(h.on[e.Task].since)
 		h.ends = append(h.ends, m)
 	default:
 		h.repeated += time.Since(h.on[e.Task].since)
@@ -96,30 +96,30 @@
 
 // taint notes that a task may have to begin again, if a trouble meets its zone.
 func (h *History) taint(task, zone string) {
-	if h.Hit(zone) {
+	if h.Affected(zone) {
 		h.tainted[task] = true
 	}
 }
 
-// Troubled notes which tasks the troubles meet that have just begun.
-func (h *History) Troubled() {
+// ObserveFault notes which tasks the troubles meet that have just begun.
+func (h *History) ObserveFault() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for task, p := range h.on {
 		h.taint(task, p.Zone)
 	}
 	for _, e := range h.ends {
-		if h.Now()-e.At < h.Recent {
+		if h.Elapsed()-e.At < h.UnreportedFor {
 			h.taint(e.Task, e.Zone)
 		}
 	}
 }
 
-// Accepted notes that a user's job was accepted.
-func (h *History) Accepted(job, class string, tasks int) {
+// ObserveAccepted notes that a user's job was accepted.
+func (h *History) ObserveAccepted(job, class string, tasks int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.accepted[job] = h.Now()
+	h.accepted[job] = h.Elapsed()
 	h.sizes[class] += tasks
 }
 
@@ -130,11 +130,11 @@
 	return slices.Sorted(maps.Keys(h.accepted))
 }
 
-// Sample notes what is so now, with these machines.
-func (h *History) Sample(machines []*Worker) {
+// RecordSample notes what is so now, with these machines.
+func (h *History) RecordSample(machines []*Worker) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := Sample{At: h.Now(), Waiting: map[string]int{}, Starts: map[string]int{}, Busy: map[string]int{}}
+	s := Sample{At: h.Elapsed(), Waiting: map[string]int{}, Starts: map[string]int{}, Running: map[string]int{}}
 	for class, n := range h.sizes {
 		s.Waiting[class] = n
 	}
@@ -142,18 +142,18 @@
 		s.Waiting[h.ClassOf(task)]--
 	}
 	for task, p := range h.on {
-		if s.Busy[p.Zone]++; !h.done[task] {
+		if s.Running[p.Zone]++; !h.done[task] {
 			s.Waiting[h.ClassOf(task)]--
 		}
 	}
 	room := map[string]int{}
 	for _, w := range machines {
-		room[w.Zone()] += int(Catalog().Types[0].CPUs)
-		s.Price += w.Price()
+		room[w.Zone()] += int(InstanceTypes().Types[0].CPUs)
+		s.PricePerHour += w.PricePerHour()
 	}
 	for zone, n := range room {
-		if !h.Hit(zone) {
-			s.Room += max(0, n-s.Busy[zone])
+		if !h.Affected(zone) {
+			s.FreeCPUs += max(0, n-s.Running[zone])
 		}
 	}
 	for _, start := range h.starts[h.sampled:] {
@@ -163,12 +163,12 @@
 	h.samples = append(h.samples, s)
 }
 
-// Pause is for how long tasks of a class waited at the longest, although they had room where
+// LongestStall is for how long tasks of a class waited at the longest, although they had room where
 // they might lawfully run, and none of them began.
-func (h *History) Pause(class string) (longest time.Duration) {
+func (h *History) LongestStall(class string) (longest time.Duration) {
 	var since time.Duration
 	for i, s := range h.Samples() {
-		if s.Waiting[class] <= 0 || s.Room == 0 || s.Starts[class] > 0 {
+		if s.Waiting[class] <= 0 || s.FreeCPUs == 0 || s.Starts[class] > 0 {
 			since = 0
 			continue
 		}
@@ -180,9 +180,9 @@
 	return longest
 }
 
-// StartsWhile counts the starts of two classes, between two moments, in seconds in which at
+// StartsWhileWaiting counts the starts of two classes, between two moments, in seconds in which at
 // least so many tasks of the first one waited all the time.
-func (h *History) StartsWhile(first, second string, waiting int, from, to time.Duration) (ofFirst, ofSecond int) {
+func (h *History) StartsWhileWaiting(first, second string, waiting int, from, to time.Duration) (ofFirst, ofSecond int) {
 	all := h.Samples()
 	for i, s := range all {
 		if i == 0 || s.At < from || s.At > to || min(all[i-1].Waiting[first], s.Waiting[first]) < waiting {
@@ -209,8 +209,8 @@
 	return at
 }
 
-// EndsIn counts the tasks that were done in a zone after a moment.
-func (h *History) EndsIn(zone string, after time.Duration) (n int) {
+// CompletionsIn counts the tasks that were done in a zone after a moment.
+func (h *History) CompletionsIn(zone string, after time.Duration) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.ends {
@@ -221,8 +221,8 @@
 	return n
 }
 
-// BegunAgain lists the tasks of a class that began more than once although no trouble met them.
-func (h *History) BegunAgain(class string) (tasks []string) {
+// RestartedTasks lists the tasks of a class that began more than once although no trouble met them.
+func (h *History) RestartedTasks(class string) (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for task, n := range h.begun {
@@ -233,8 +233,8 @@
 	return tasks
 }
 
-// Used counts the machines that had a start.
-func (h *History) Used() int {
+// MachinesUsed counts the machines that had a start.
+func (h *History) MachinesUsed() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	used := map[string]bool{}
@@ -244,8 +244,8 @@
 	return len(used)
 }
 
-// Repeated is the time on machines of starts that did not end done.
-func (h *History) Repeated() time.Duration {
+// RepeatedWork is the time on machines of starts that did not end done.
+func (h *History) RepeatedWork() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.repeated
@@ -258,18 +258,18 @@
 	return h.samples
 }
 
-// Runs tells of each task that was done how long it was on its machine.
-func (h *History) Runs(tell func(class string, run time.Duration)) {
+// EachRuntime tells of each task that was done how long it was on its machine.
+func (h *History) EachRuntime(tell func(class string, run time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range h.ends {
-		tell(e.Class, e.Took)
+		tell(e.Class, e.Duration)
 	}
 }
 
-// Waits tells of each task of a job accepted after a moment how long it waited for its first
+// EachWait tells of each task of a job accepted after a moment how long it waited for its first
 // start.
-func (h *History) Waits(after time.Duration, tell func(class string, wait time.Duration)) {
+func (h *History) EachWait(after time.Duration, tell func(class string, wait time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	seen := map[string]bool{}
--- a/internal/sim/fake/limits.go
+++ b/internal/sim/fake/limits.go
@@ -26,7 +26,7 @@
 
 // SetLimits changes the limits from now on, as the service does, without notice; what
 // is stored stays.
-func (s *State) SetLimits(l StateLimits) {
+func (s *StateService) SetLimits(l StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits.StateLimits = l
@@ -43,8 +43,8 @@
 // take tells whether n more are within a limit.
 func (*limits) take(l *rate.Limiter, n int) bool { return l == nil || l.AllowN(time.Now(), n) }
 
-// Refused counts the transactions refused for their size.
-func (s *State) Refused() int {
+// RejectedTxns counts the transactions refused for their size.
+func (s *StateService) RejectedTxns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limits.refused
--- a/internal/sim/fake/net.go
+++ b/internal/sim/fake/net.go
@@ -20,20 +20,20 @@
 // Fault is what happens to a request on its way.
 type Fault int
 
-// The faults. With LostAnswer the request is carried out and nobody hears of
+// The faults. With DroppedResponse the request is carried out and nobody hears of
 // it; with Late it is carried out after the caller has given up; with Copied it is
 // answered, and a copy of it comes late; with Slow it and its answer take a while;
-// with HeldStarts an answer that carries starts is held up for nearly as long as a worker waits.
+// with DelayedStarts an answer that carries starts is held up for nearly as long as a worker waits.
 const (
-	Pass Fault = iota
-	Refused
-	LostRequest
-	LostAnswer
-	Late
-	Copied
-	TooMany
-	Slow
-	HeldStarts
+	NoFault Fault = iota
+	ServiceUnavailable
+	DroppedRequest
+	DroppedResponse
+	DelayedRequest
+	DuplicatedRequest
+	TooManyRequests
+	HighLatency
+	DelayedStarts
 )
 
 // lateBy is when the nth late request is carried out: 2 to 12 s after it was sent, so
@@ -50,8 +50,8 @@
 // slowBy is how long a slow message takes.
 const slowBy = 300 * time.Millisecond
 
-// Net carries requests to handlers by host.
-type Net struct {
+// Network carries requests to handlers by host.
+type Network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
 	fault    func(from string, r *http.Request) Fault
@@ -62,25 +62,27 @@
 	starts   int            // answers with starts that were held up
 }
 
-// StartsHeld counts the answers with starts that were held up.
-func (n *Net) StartsHeld() int {
+// DelayedStartResponses counts the answers with starts that were held up.
+func (n *Network) DelayedStartResponses() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.starts
 }
 
-// NewNet makes a network without faults.
-func NewNet() *Net { return &Net{handlers: map[string]http.Handler{}, calls: map[string]int{}} }
+// NewNetwork makes a network without faults.
+func NewNetwork() *Network {
+	return &Network{handlers: map[string]http.Handler{}, calls: map[string]int{}}
+}
 
-// MostCalls is how many calls to workers a sender had in progress at most.
-func (n *Net) MostCalls() int {
+// MaxWorkerCalls is how many calls to workers a sender had in progress at most.
+func (n *Network) MaxWorkerCalls() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.most
 }
 
 // Handle puts a handler at a host; nil takes it away.
-func (n *Net) Handle(host string, h http.Handler) {
+func (n *Network) Handle(host string, h http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[host] = h
@@ -88,20 +90,20 @@
 
 // SetFault decides what happens to requests from now on; nil lets all pass. It is called
 // for several requests at a time.
-func (n *Net) SetFault(f func(from string, r *http.Request) Fault) {
+func (n *Network) SetFault(f func(from string, r *http.Request) Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fault = f
 }
 
-// WaitLate waits until all late requests have been carried out.
-func (n *Net) WaitLate() { n.late.Wait() }
+// WaitDelayed waits until all late requests have been carried out.
+func (n *Network) WaitDelayed() { n.late.Wait() }
 
 // From is the network as seen by one sender.
-func (n *Net) From(name string) http.RoundTripper { return &transport{n, name} }
+func (n *Network) From(name string) http.RoundTripper { return &transport{n, name} }
 
 type transport struct {
-	net  *Net
+	net  *Network
 	from string
 }
 
@@ -120,7 +122,7 @@
 		}()
 	}
 	t.net.mu.Unlock()
-	fault := Pass
+	fault := NoFault
 	if decide != nil {
 		// Not under the lock: it may look at machines, while the cloud adds one to the net.
 		fault = decide(t.from, r)
@@ -144,16 +146,16 @@
 		return rec.Result()
 	}
 	switch fault {
-	case Refused:
+	case ServiceUnavailable:
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody, Header: http.Header{}, Request: r}, nil
-	case TooMany:
+	case TooManyRequests:
 		return &http.Response{StatusCode: http.StatusTooManyRequests, Body: http.NoBody, Header: http.Header{}, Request: r}, nil
-	case Slow:
+	case HighLatency:
 		time.Sleep(slowBy)
 		resp := serve(r.Context())
 		time.Sleep(slowBy)
 		return resp, r.Context().Err()
-	case HeldStarts:
+	case DelayedStarts:
 		resp := serve(r.Context())
 		b, err := io.ReadAll(resp.Body)
 		if err != nil {
@@ -167,13 +169,13 @@
 			time.Sleep(startsBy)
 		}
 		return resp, r.Context().Err()
-	case LostAnswer:
+	case DroppedResponse:
 		serve(r.Context())
-	case Late, Copied:
+	case DelayedRequest, DuplicatedRequest:
 		t.net.mu.Lock()
 		t.net.lates++
 		by := lateBy(t.net.lates)
-		if fault == Copied {
+		if fault == DuplicatedRequest {
 			by = copyBy(t.net.lates)
 		}
 		t.net.mu.Unlock()
@@ -181,10 +183,10 @@
 			time.Sleep(by)
 			serve(context.Background())
 		})
-		if fault == Copied {
+		if fault == DuplicatedRequest {
 			return serve(r.Context()), nil
 		}
-	case Pass:
+	case NoFault:
 		if !strings.HasSuffix(r.URL.Host, workerPort) {
 			return serve(r.Context()), nil
 		}
--- a/internal/sim/fake/partition.go
+++ b/internal/sim/fake/partition.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Partition cuts zones off: nothing passes between what is inside and outside. Services and
+// ZonePartition cuts zones off: nothing passes between what is inside and outside. Services and
 // users are in no zone.
-type Partition struct {
+type ZonePartition struct {
 	ZoneOf    func(name string) string // of a sender or host, empty for services and users
 	MachineOf func(name string) string // that a sender or host is, empty if it is none
-	// Changed is told after each change; nil: nobody is.
-	Changed func()
+	// OnChange is told after each change; nil: nobody is.
+	OnChange func()
 
 	mu     sync.Mutex
 	cut    map[string]bool // zones
@@ -22,11 +22,13 @@
 	others func(from string, r *http.Request) Fault
 }
 
-// NewPartition makes one that cuts nothing.
-func NewPartition() *Partition { return &Partition{cut: map[string]bool{}, stays: map[string]bool{}} }
+// NewZonePartition makes one that cuts nothing.
+func NewZonePartition() *ZonePartition {
+	return &ZonePartition{cut: map[string]bool{}, stays: map[string]bool{}}
+}
 
-// Cut cuts zones off from everything.
-func (p *Partition) Cut(zones ...string) {
+// Isolate cuts zones off from everything.
+func (p *ZonePartition) Isolate(zones ...string) {
 	p.change(func() {
 		for _, zone := range zones {
 			p.cut[zone] = true
@@ -34,14 +36,14 @@
 	})
 }
 
-// Apart cuts all zones off from each other, not from the services.
-func (p *Partition) Apart() { p.change(func() { p.apart = true }) }
+// SplitZones cuts all zones off from each other, not from the services.
+func (p *ZonePartition) SplitZones() { p.change(func() { p.apart = true }) }
 
-// HitAll notes that some other trouble meets all machines.
-func (p *Partition) HitAll() { p.change(func() { p.allHit = true }) }
+// MarkAllAffected notes that some other trouble meets all machines.
+func (p *ZonePartition) MarkAllAffected() { p.change(func() { p.allHit = true }) }
 
-// LetThrough has some machines be heard from a zone that stays cut off.
-func (p *Partition) LetThrough(machines ...string) {
+// AllowMachines has some machines be heard from a zone that stays cut off.
+func (p *ZonePartition) AllowMachines(machines ...string) {
 	p.change(func() {
 		for _, id := range machines {
 			p.stays[id] = true
@@ -49,30 +51,30 @@
 	})
 }
 
-// Restore ends all of it.
-func (p *Partition) Restore() {
+// Heal ends all of it.
+func (p *ZonePartition) Heal() {
 	p.change(func() { p.cut, p.stays, p.apart, p.allHit = map[string]bool{}, map[string]bool{}, false, false })
 }
 
 // change changes what is cut.
-func (p *Partition) change(f func()) {
+func (p *ZonePartition) change(f func()) {
 	p.mu.Lock()
 	f()
 	p.mu.Unlock()
-	if p.Changed != nil {
-		p.Changed()
+	if p.OnChange != nil {
+		p.OnChange()
 	}
 }
 
-// Hit tells whether a trouble meets the machines of a zone.
-func (p *Partition) Hit(zone string) bool {
+// Affects tells whether a trouble meets the machines of a zone.
+func (p *ZonePartition) Affects(zone string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cut[zone] || p.apart || p.allHit
 }
 
-// Separated tells whether nothing passes between two names.
-func (p *Partition) Separated(from, to string) bool {
+// Blocks tells whether nothing passes between two names.
+func (p *ZonePartition) Blocks(from, to string) bool {
 	a, b := p.ZoneOf(from), p.ZoneOf(to)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,8 +84,8 @@
 	return p.cut[a] || p.cut[b] || p.apart && a != "" && b != ""
 }
 
-// With has messages that match meet a fault as well, for a while.
-func (p *Partition) With(d time.Duration, fault Fault, match func(from string, r *http.Request) bool) {
+// InjectFor has messages that match meet a fault as well, for a while.
+func (p *ZonePartition) InjectFor(d time.Duration, fault Fault, match func(from string, r *http.Request) bool) {
 	set := func(f func(from string, r *http.Request) Fault) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -93,22 +95,22 @@
 		if match(from, r) {
 			return fault
 		}
-		return Pass
+		return NoFault
 	})
 	time.Sleep(d)
 	set(nil)
 }
 
-// Fault is what a message meets; see Net.SetFault.
-func (p *Partition) Fault(from string, r *http.Request) Fault {
-	if p.Separated(from, r.URL.Host) {
-		return LostRequest
+// FaultOf is what a message meets; see Net.SetFault.
+func (p *ZonePartition) FaultOf(from string, r *http.Request) Fault {
+	if p.Blocks(from, r.URL.Host) {
+		return DroppedRequest
 	}
 	p.mu.Lock()
 	others := p.others
 	p.mu.Unlock()
 	if others == nil {
-		return Pass
+		return NoFault
 	}
 	return others(from, r)
 }
--- a/internal/sim/fake/pipes.go
+++ b/internal/sim/fake/pipes.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Pipes connects peers within a process.
-type Pipes struct {
+// PeerNetwork connects peers within a process.
+type PeerNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 	cut       func(from, to string) bool
@@ -17,11 +17,11 @@
 	open      []opened
 }
 
-// NewPipes makes pipes between nobody yet.
-func NewPipes() *Pipes { return &Pipes{listeners: map[string]*pipeListener{}} }
+// NewPeerNetwork makes pipes between nobody yet.
+func NewPeerNetwork() *PeerNetwork { return &PeerNetwork{listeners: map[string]*pipeListener{}} }
 
-// Cut decides who cannot connect to whom; their open connections are reset.
-func (p *Pipes) Cut(f func(from, to string) bool) {
+// SetPartition decides who cannot connect to whom; their open connections are reset.
+func (p *PeerNetwork) SetPartition(f func(from, to string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut = f
@@ -32,9 +32,9 @@
 	}
 }
 
-// Lag decides how long what is sent takes from one to the other, on connections that are
+// SetLatency decides how long what is sent takes from one to the other, on connections that are
 // opened from now on; nil: no time.
-func (p *Pipes) Lag(f func(from, to string) time.Duration) {
+func (p *PeerNetwork) SetLatency(f func(from, to string) time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lag = f
@@ -47,7 +47,7 @@
 }
 
 type pipeListener struct {
-	pipes *Pipes
+	pipes *PeerNetwork
 	addr  string
 	conns chan net.Conn
 	done  chan struct{}
@@ -55,7 +55,7 @@
 }
 
 // Listen takes an address, also from one that had it before.
-func (p *Pipes) Listen(addr string) net.Listener {
+func (p *PeerNetwork) Listen(addr string) net.Listener {
 	l := &pipeListener{pipes: p, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 }
 
 // Dial connects to a listener.
-func (p *Pipes) Dial(ctx context.Context, from, addr string) (net.Conn, error) {
+func (p *PeerNetwork) Dial(ctx context.Context, from, addr string) (net.Conn, error) {
 	p.mu.Lock()
 	l := p.listeners[addr]
 	cut := p.cut != nil && p.cut(from, addr)
--- a/internal/sim/fake/restore.go
+++ b/internal/sim/fake/restore.go
@@ -15,7 +15,7 @@
 	for i := range reports {
 		r := &reports[i]
 		rental := wire.LaunchRequest{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
-		c.Rules.Rented(r.MachineID, rental)
+		c.Rules.ObserveLaunch(r.MachineID, rental)
 		w := makeWorker(c, r.MachineID, rental)
 		w.restore(r)
 		c.machines[w.ID] = w
@@ -51,11 +51,11 @@
 	case t.State == wire.TaskPullingImage:
 		// Noted when it begins.
 	case t.State != wire.TaskExited:
-		c.Rules.Started(t.TaskID, machine)
+		c.Rules.ObserveStart(t.TaskID, machine)
 		c.sites[t.TaskID] = machine
 	case t.ExitReason == wire.ExitDone:
-		c.Rules.Started(t.TaskID, machine)
-		c.Rules.Left(t.TaskID, machine, true)
+		c.Rules.ObserveStart(t.TaskID, machine)
+		c.Rules.ObserveExit(t.TaskID, machine, true)
 	}
 }
 
@@ -70,9 +70,9 @@
 		job := w.job(t.TaskID)
 		switch t.State {
 		case wire.TaskPullingImage:
-			t.ends = time.Now().Add(seconds(w.cloud.FetchS))
+			t.ends = time.Now().Add(seconds(w.cloud.ImagePullS))
 		case wire.TaskRunning:
-			t.ends = time.Now().Add(seconds(w.cloud.RunFor(t.TaskID)))
+			t.ends = time.Now().Add(seconds(w.cloud.RuntimeOf(t.TaskID)))
 		case wire.TaskCheckpointing:
 			t.ends = time.Now().Add(seconds(job.CheckpointDurationS))
 		}
@@ -80,7 +80,7 @@
 			w.images[job.Image] = true
 		}
 		if job.Kind == wire.KindGang {
-			w.cloud.gangs.restore(t, &job, w.cloud.RunFor(t.TaskID))
+			w.cloud.gangs.restore(t, &job, w.cloud.RuntimeOf(t.TaskID))
 		}
 		w.tasks = append(w.tasks, t)
 	}
--- a/internal/sim/fake/rules.go
+++ b/internal/sim/fake/rules.go
@@ -14,10 +14,10 @@
 // Rules watches what users are told and what runs, and notes each broken rule of the
 // protocol by its name there.
 type Rules struct {
-	Cancel time.Duration       // cancel_s
-	Limits map[string]float64  // GuaranteedCPUs that a team may use, by team; 0: no limit
-	Offers []wire.InstanceType // what the cloud has
-	Watch  func(TaskEvent)     // is told what tasks do, in order; nil: nobody is
+	CancellationTimeout time.Duration       // cancel_s
+	TeamCPULimits       map[string]float64  // GuaranteedCPUs that a team may use, by team; 0: no limit
+	InstanceTypes       []wire.InstanceType // what the cloud has
+	OnTaskEvent         func(TaskEvent)     // is told what tasks do, in order; nil: nobody is
 
 	mu        sync.Mutex
 	jobs      map[string]*watched
@@ -32,13 +32,13 @@
 // TaskEvent is a task that began on a machine, or left it.
 type TaskEvent struct {
 	Task, Machine, Zone string
-	Began, Done         bool
+	Started, Done       bool
 }
 
 // tell shows an event to who watches; the caller holds the lock.
 func (r *Rules) tell(task, machine string, began, done bool) {
-	if r.Watch != nil {
-		r.Watch(TaskEvent{Task: task, Machine: machine, Zone: r.kinds[machine].Zone, Began: began, Done: done})
+	if r.OnTaskEvent != nil {
+		r.OnTaskEvent(TaskEvent{Task: task, Machine: machine, Zone: r.kinds[machine].Zone, Started: began, Done: done})
 	}
 }
 
@@ -63,7 +63,7 @@
 
 // NewRules watches nothing yet.
 func NewRules(cancel time.Duration, limits map[string]float64) *Rules {
-	return &Rules{Cancel: cancel, Limits: limits, Offers: Catalog().Types, jobs: map[string]*watched{}, on: map[string]string{},
+	return &Rules{CancellationTimeout: cancel, TeamCPULimits: limits, InstanceTypes: InstanceTypes().Types, jobs: map[string]*watched{}, on: map[string]string{},
 		used: map[string]float64{}, kinds: map[string]wire.LaunchRequest{}}
 }
 
@@ -71,23 +71,23 @@
 	r.broken = append(r.broken, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// Broken lists the rules broken so far.
-func (r *Rules) Broken() []string {
+// Violations lists the rules broken so far.
+func (r *Rules) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overstayed()
 	return slices.Clone(r.broken)
 }
 
-// Rented notes what kind of machine one is.
-func (r *Rules) Rented(machine string, kind wire.LaunchRequest) {
+// ObserveLaunch notes what kind of machine one is.
+func (r *Rules) ObserveLaunch(machine string, kind wire.LaunchRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kinds[machine] = kind
 }
 
-// Started notes a task that is on a machine from now on.
-func (r *Rules) Started(task, machine string) {
+// ObserveStart notes a task that is on a machine from now on.
+func (r *Rules) ObserveStart(task, machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overstayed()
@@ -108,7 +108,7 @@
 	if w.final == wire.JobCancelled {
 		r.after++
 	}
-	if w.final == wire.JobCancelled && time.Since(w.told) > r.Cancel {
+	if w.final == wire.JobCancelled && time.Since(w.told) > r.CancellationTimeout {
 		r.breaks("ran_cancelled", "%s starts %v after its user was told", task, time.Since(w.told))
 	}
 	if _, ok := r.on[task]; !ok {
@@ -116,13 +116,13 @@
 	}
 	r.on[task], w.on[task] = machine, true
 	r.tell(task, machine, true, false)
-	if limit := r.Limits[w.spec.Team]; limit > 0 && r.used[w.spec.Team] > limit {
+	if limit := r.TeamCPULimits[w.spec.Team]; limit > 0 && r.used[w.spec.Team] > limit {
 		r.breaks("quota", "team %s uses %v of %v CPUs", w.spec.Team, r.used[w.spec.Team], limit)
 	}
 }
 
-// Left notes a task that is no longer on a machine, and whether it was done.
-func (r *Rules) Left(task, machine string, done bool) {
+// ObserveExit notes a task that is no longer on a machine, and whether it was done.
+func (r *Rules) ObserveExit(task, machine string, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overstayed()
@@ -169,7 +169,7 @@
 // change, so a task that stays a moment too long is seen when it leaves.
 func (r *Rules) overstayed() {
 	for _, w := range r.cancelled {
-		if time.Since(w.told) <= r.Cancel {
+		if time.Since(w.told) <= r.CancellationTimeout {
 			continue
 		}
 		for task := range w.on {
@@ -199,15 +199,15 @@
 	return wire.Job{}
 }
 
-// Submits notes that a user is about to submit a job.
-func (r *Rules) Submits(spec wire.Job) {
+// ObserveSubmission notes that a user is about to submit a job.
+func (r *Rules) ObserveSubmission(spec wire.Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.submits(spec, r.wrong(&spec))
 }
 
-// SubmitsMalformed notes that a user is about to submit a job that lacks a field.
-func (r *Rules) SubmitsMalformed(id string) {
+// ObserveMalformedSubmission notes that a user is about to submit a job that lacks a field.
+func (r *Rules) ObserveMalformedSubmission(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.submits(wire.Job{ID: id}, "malformed")
@@ -223,7 +223,7 @@
 
 // wrong tells why a job can never run, if so.
 func (r *Rules) wrong(spec *wire.Job) string {
-	limit, known := r.Limits[spec.Team]
+	limit, known := r.TeamCPULimits[spec.Team]
 	switch {
 	case !known:
 		return "unknown team"
@@ -232,7 +232,7 @@
 	case limit > 0 && spec.Kind == wire.KindGang && spec.CPUs*float64(spec.Tasks) > limit+1e-6:
 		return "the whole gang is over the team's limit"
 	}
-	for _, t := range r.Offers {
+	for _, t := range r.InstanceTypes {
 		if (len(spec.InstanceTypes) == 0 || slices.Contains(spec.InstanceTypes, t.Name)) && (spec.Zone == "" || slices.Contains(t.Zones, spec.Zone)) &&
 			spec.CPUs <= t.CPUs && spec.GPUs <= t.GPUs && spec.MemoryGB <= t.MemoryGB {
 			return ""
@@ -241,8 +241,8 @@
 	return "fits no machine"
 }
 
-// Asks notes a request about a job that is about to be sent, and names the job.
-func (r *Rules) Asks(path string) (id string) {
+// ObserveRequest notes a request about a job that is about to be sent, and names the job.
+func (r *Rules) ObserveRequest(path string) (id string) {
 	id, abort := strings.CutSuffix(strings.TrimPrefix(path, "/v1/jobs/"), "/abort")
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,8 +252,8 @@
 	return id
 }
 
-// Told notes the answer to a request about a job that was sent at an instant.
-func (r *Rules) Told(method, path, id string, sent time.Time, code int, s wire.JobStatus) {
+// ObserveResponse notes the answer to a request about a job that was sent at an instant.
+func (r *Rules) ObserveResponse(method, path, id string, sent time.Time, code int, s wire.JobStatus) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.jobs[id]
--- a/internal/sim/fake/rules_test.go
+++ b/internal/sim/fake/rules_test.go
@@ -16,63 +16,63 @@
 	const poll, abort = "/v1/jobs/j-000001", "/v1/jobs/j-000001/abort"
 	told := func(r *Rules, method, path string, code int, status string) {
 		time.Sleep(time.Millisecond)
-		r.Asks(path)
+		r.ObserveRequest(path)
 		sent := time.Now()
 		time.Sleep(time.Millisecond)
-		r.Told(method, path, strings.Split(path+"/j-000001", "/")[3], sent, code, wire.JobStatus{ID: "j-000001", Status: status})
+		r.ObserveResponse(method, path, strings.Split(path+"/j-000001", "/")[3], sent, code, wire.JobStatus{ID: "j-000001", Status: status})
 	}
 	// apart starts the tasks of a job on these machines.
 	apart := func(r *Rules, job wire.Job, machines ...string) {
 		job.ID, job.Team, job.Tasks, job.AllowSpot = "j-000002", "blue", 4, true
-		r.Submits(job)
+		r.ObserveSubmission(job)
 		for i, m := range machines {
-			r.Started(fmt.Sprintf("j-000002/%d", i), m)
+			r.ObserveStart(fmt.Sprintf("j-000002/%d", i), m)
 		}
 	}
 	accepted := func(r *Rules, job wire.Job) {
 		job.ID, job.Tasks = "j-000002", max(1, job.Tasks)
-		r.Submits(job)
-		r.Told("POST", "/v1/jobs", job.ID, time.Now(), 201, wire.JobStatus{ID: job.ID, Status: wire.JobPending})
+		r.ObserveSubmission(job)
+		r.ObserveResponse("POST", "/v1/jobs", job.ID, time.Now(), 201, wire.JobStatus{ID: job.ID, Status: wire.JobPending})
 	}
 	cases := []struct {
 		rule string
 		day  func(r *Rules)
 	}{
 		{"", func(r *Rules) {
-			r.Started("j-000001/0", "i-1")
-			r.Left("j-000001/0", "i-1", false)
-			r.Started("j-000001/0", "i-2")
-			r.Started("j-000001/1", "i-1")
+			r.ObserveStart("j-000001/0", "i-1")
+			r.ObserveExit("j-000001/0", "i-1", false)
+			r.ObserveStart("j-000001/0", "i-2")
+			r.ObserveStart("j-000001/1", "i-1")
 			told(r, "GET", poll, 503, "")
-			r.Left("j-000001/0", "i-2", true)
-			r.Left("j-000001/1", "i-1", true)
+			r.ObserveExit("j-000001/0", "i-2", true)
+			r.ObserveExit("j-000001/1", "i-1", true)
 			told(r, "GET", poll, 200, wire.JobDone)
 			told(r, "POST", abort, 200, wire.JobDone)
 		}},
-		{"ran_unknown", func(r *Rules) { r.Started("j-000009/0", "i-1") }},
-		{"ran_twice", func(r *Rules) { r.Started("j-000001/0", "i-1"); r.Started("j-000001/0", "i-2") }},
+		{"ran_unknown", func(r *Rules) { r.ObserveStart("j-000009/0", "i-1") }},
+		{"ran_twice", func(r *Rules) { r.ObserveStart("j-000001/0", "i-1"); r.ObserveStart("j-000001/0", "i-2") }},
 		{"quota", func(r *Rules) {
 			for _, task := range []string{"j-000001/0", "j-000001/1", "j-000001/2"} {
-				r.Started(task, "i-1")
+				r.ObserveStart(task, "i-1")
 			}
 		}},
-		{"wrong_place", func(r *Rules) { r.Started("j-000001/0", "i-3") }},
+		{"wrong_place", func(r *Rules) { r.ObserveStart("j-000001/0", "i-3") }},
 		{"ran_cancelled", func(r *Rules) {
-			r.Started("j-000001/0", "i-1")
+			r.ObserveStart("j-000001/0", "i-1")
 			told(r, "POST", abort, 200, wire.JobCancelled)
 			time.Sleep(11 * time.Second)
 		}},
 		{"ran_cancelled", func(r *Rules) {
 			told(r, "POST", abort, 200, wire.JobCancelled)
 			time.Sleep(11 * time.Second)
-			r.Started("j-000001/0", "i-1")
+			r.ObserveStart("j-000001/0", "i-1")
 		}},
 		{"forgotten", func(r *Rules) { told(r, "GET", poll, 404, "") }},
 		{"forgotten", func(r *Rules) { told(r, "POST", "/v1/jobs", 422, "") }},
 		{"invented", func(r *Rules) { told(r, "GET", "/v1/jobs/j-000002", 200, wire.JobPending) }},
 		{"not_done", func(r *Rules) {
-			r.Started("j-000001/0", "i-1")
-			r.Left("j-000001/0", "i-1", true)
+			r.ObserveStart("j-000001/0", "i-1")
+			r.ObserveExit("j-000001/0", "i-1", true)
 			told(r, "GET", poll, 200, wire.JobDone)
 		}},
 		{"went_back", func(r *Rules) {
@@ -88,23 +88,23 @@
 		{"forgotten", func(r *Rules) { told(r, "POST", abort, 404, "") }},
 		// A question may be answered before the submission is.
 		{"forgotten", func(r *Rules) {
-			r.Submits(wire.Job{ID: "j-000003", Team: "small", Tasks: 1, CPUs: 1})
-			r.Told("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 200, wire.JobStatus{ID: "j-000003", Status: wire.JobPending})
+			r.ObserveSubmission(wire.Job{ID: "j-000003", Team: "small", Tasks: 1, CPUs: 1})
+			r.ObserveResponse("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 200, wire.JobStatus{ID: "j-000003", Status: wire.JobPending})
 			time.Sleep(time.Millisecond)
-			r.Told("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 404, wire.JobStatus{})
+			r.ObserveResponse("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 404, wire.JobStatus{})
 		}},
 		// It left, but too late, and nothing else happened meanwhile.
 		{"ran_cancelled", func(r *Rules) {
-			r.Started("j-000001/0", "i-1")
+			r.ObserveStart("j-000001/0", "i-1")
 			told(r, "POST", abort, 200, wire.JobCancelled)
 			time.Sleep(10*time.Second + time.Millisecond)
-			r.Left("j-000001/0", "i-1", false)
+			r.ObserveExit("j-000001/0", "i-1", false)
 		}},
 		{"", func(r *Rules) {
-			r.Started("j-000001/0", "i-1")
+			r.ObserveStart("j-000001/0", "i-1")
 			told(r, "POST", abort, 200, wire.JobCancelled)
 			time.Sleep(10 * time.Second)
-			r.Left("j-000001/0", "i-1", false)
+			r.ObserveExit("j-000001/0", "i-1", false)
 		}},
 		{"wrong_place", func(r *Rules) { apart(r, wire.Job{SingleZone: true}, "i-1", "i-3") }},
 		{"", func(r *Rules) { apart(r, wire.Job{SingleZone: true}, "i-1", "i-2", "i-2") }},
@@ -118,12 +118,12 @@
 		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "blue", CPUs: 1, Zone: "z"}) }},
 		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "nobody's", CPUs: 1}) }},
 		{"accepted_wrong", func(r *Rules) {
-			r.SubmitsMalformed("j-000002")
-			r.Told("POST", "/v1/jobs", "j-000002", time.Now(), 201, wire.JobStatus{ID: "j-000002", Status: wire.JobPending})
+			r.ObserveMalformedSubmission("j-000002")
+			r.ObserveResponse("POST", "/v1/jobs", "j-000002", time.Now(), 201, wire.JobStatus{ID: "j-000002", Status: wire.JobPending})
 		}},
 		// The repeat of a job that was accepted may say anything.
 		{"", func(r *Rules) {
-			r.SubmitsMalformed("j-000001")
+			r.ObserveMalformedSubmission("j-000001")
 			told(r, "POST", "/v1/jobs", 200, wire.JobPending)
 		}},
 	}
@@ -131,13 +131,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0})
 			for _, m := range []string{"i-1", "i-2"} {
-				r.Rented(m, wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
+				r.ObserveLaunch(m, wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
 			}
-			r.Rented("i-3", wire.LaunchRequest{InstanceType: "m4", Zone: "b", Spot: true})
-			r.Submits(wire.Job{ID: "j-000001", Team: "small", Tasks: 2, CPUs: 1, Zone: "a", AllowSpot: true})
+			r.ObserveLaunch("i-3", wire.LaunchRequest{InstanceType: "m4", Zone: "b", Spot: true})
+			r.ObserveSubmission(wire.Job{ID: "j-000001", Team: "small", Tasks: 2, CPUs: 1, Zone: "a", AllowSpot: true})
 			told(r, "POST", "/v1/jobs", 201, wire.JobPending)
 			c.day(r)
-			broken := r.Broken()
+			broken := r.Violations()
 			if c.rule == "" && broken != nil || c.rule != "" && (len(broken) == 0 || !strings.HasPrefix(broken[0], c.rule+":")) {
 				t.Errorf("found %v, want %q", broken, c.rule)
 			}
@@ -150,14 +150,14 @@
 func TestStartsAfterCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewRules(10*time.Second, map[string]float64{"blue": 0})
-		r.Submits(wire.Job{ID: "j-000001", Team: "blue", Tasks: 2, CPUs: 1})
-		r.Asks("/v1/jobs/j-000001/abort")
+		r.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Tasks: 2, CPUs: 1})
+		r.ObserveRequest("/v1/jobs/j-000001/abort")
 		for i, want := range []int{0, 1} {
-			r.Started(fmt.Sprintf("j-000001/%d", i), "i-1")
+			r.ObserveStart(fmt.Sprintf("j-000001/%d", i), "i-1")
 			if got := r.StartsAfterCancel(); got != want {
 				t.Errorf("start %d: %d counted, want %d", i, got, want)
 			}
-			r.Told("POST", "/v1/jobs/j-000001/abort", "j-000001", time.Now(), 200, wire.JobStatus{ID: "j-000001", Status: wire.JobCancelled})
+			r.ObserveResponse("POST", "/v1/jobs/j-000001/abort", "j-000001", time.Now(), 200, wire.JobStatus{ID: "j-000001", Status: wire.JobCancelled})
 			time.Sleep(time.Second)
 		}
 	})
--- a/internal/sim/fake/state.go
+++ b/internal/sim/fake/state.go
@@ -11,10 +11,10 @@
 	"caperlatch/internal/wire"
 )
 
-// State is a stand-in of the state service.
-type State struct {
-	// Check is shown each transaction's conditions and the keys that it changes, if set.
-	Check func(conditions []wire.Compare, keys []string)
+// StateService is a stand-in of the state service.
+type StateService struct {
+	// InspectTxn is shown each transaction's conditions and the keys that it changes, if set.
+	InspectTxn func(conditions []wire.Compare, keys []string)
 
 	mu       sync.Mutex
 	revision uint64
@@ -25,7 +25,7 @@
 	changed  chan struct{}
 	down     bool
 	limits   limits
-	fate     func(Transaction) Fate // nil: all are carried out
+	fate     func(Transaction) TxnFault // nil: all are carried out
 }
 
 type hold struct {
@@ -33,13 +33,13 @@
 	timer *time.Timer
 }
 
-// NewState makes an empty state service.
-func NewState() *State {
-	return &State{keys: map[string]wire.KeyValue{}, holds: map[uint64]*hold{}, changed: make(chan struct{})}
+// NewStateService makes an empty state service.
+func NewStateService() *StateService {
+	return &StateService{keys: map[string]wire.KeyValue{}, holds: map[uint64]*hold{}, changed: make(chan struct{})}
 }
 
 // Get reads a key.
-func (s *State) Get(key string) (wire.KeyValue, bool) {
+func (s *StateService) Get(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.keys[key]
@@ -47,7 +47,7 @@
 }
 
 // Entries lists the keys with a prefix, in any order.
-func (s *State) Entries(prefix string) (entries []wire.KeyValue) {
+func (s *StateService) Entries(prefix string) (entries []wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, e := range s.keys {
@@ -59,7 +59,7 @@
 }
 
 // Put stores a value, whatever the limits are.
-func (s *State) Put(key string, value wire.Raw) {
+func (s *StateService) Put(key string, value wire.Raw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -68,9 +68,9 @@
 	s.wake()
 }
 
-// SetDown begins or ends an outage: requests get 503, open watches wait, and
+// SetOutage begins or ends an outage: requests get 503, open watches wait, and
 // afterwards every hold has its full time again.
-func (s *State) SetDown(down bool) {
+func (s *StateService) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -84,15 +84,15 @@
 	s.wake()
 }
 
-// Down tells whether there is an outage.
-func (s *State) Down() bool {
+// InOutage tells whether there is an outage.
+func (s *StateService) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.down
 }
 
 // Close ends the holds' timers.
-func (s *State) Close() {
+func (s *StateService) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range s.holds {
@@ -101,7 +101,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -142,7 +142,7 @@
 	w.Write(b)
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	prefix, after := r.URL.Query().Get("starts"), r.URL.Query().Get("after")
@@ -160,7 +160,7 @@
 	send(w, http.StatusOK, page)
 }
 
-func (s *State) watch(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
@@ -210,7 +210,7 @@
 }
 
 // commit carries a transaction out if its conditions hold.
-func (s *State) commit(w http.ResponseWriter, t *transaction) {
+func (s *StateService) commit(w http.ResponseWriter, t *transaction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var values []wire.Raw
@@ -252,19 +252,19 @@
 	send(w, http.StatusOK, wire.TxnResponse{Revision: s.revision})
 }
 
-func (s *State) remove(key string) {
+func (s *StateService) remove(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
 		s.log = append(s.log, wire.Event{Delete: key, ModRevision: s.revision})
 	}
 }
 
-func (s *State) wake() {
+func (s *StateService) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *State) hold(w http.ResponseWriter, r *http.Request, path []string, body []byte) {
+func (s *StateService) hold(w http.ResponseWriter, r *http.Request, path []string, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(path) == 0 {
@@ -298,7 +298,7 @@
 }
 
 // end removes a hold and its keys.
-func (s *State) end(id uint64) {
+func (s *StateService) end(id uint64) {
 	delete(s.holds, id)
 	s.revision++
 	for key, e := range s.keys {
--- a/internal/sim/fake/worker.go
+++ b/internal/sim/fake/worker.go
@@ -56,8 +56,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Worker{ID: id, cloud: c, address: id + workerPort, rental: r, ctx: ctx, cancel: cancel, session: 1,
 		client: &http.Client{Transport: c.Net.From(id)}, renewed: time.Now(), changed: make(chan struct{}, 1), images: map[string]bool{}}
-	if c.Serve != nil {
-		w.address = c.Serve(w)
+	if c.ServeWorker != nil {
+		w.address = c.ServeWorker(w)
 	}
 	return w
 }
@@ -101,9 +101,9 @@
 	}
 }
 
-// Price is what the machine costs an hour.
-func (w *Worker) Price() float64 {
-	t := Catalog().Types[0]
+// PricePerHour is what the machine costs an hour.
+func (w *Worker) PricePerHour() float64 {
+	t := InstanceTypes().Types[0]
 	if w.rental.Spot {
 		return t.SpotPrice
 	}
@@ -126,8 +126,8 @@
 	return out
 }
 
-// Token is the highest token that the worker has seen.
-func (w *Worker) Token() uint64 {
+// FencingToken is the highest token that the worker has seen.
+func (w *Worker) FencingToken() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.token
@@ -154,7 +154,7 @@
 func (w *Worker) run(ctx context.Context) {
 	go w.keepTime(ctx)
 	for ctx.Err() == nil {
-		pause := w.cloud.ReportS
+		pause := w.cloud.HeartbeatIntervalS
 		w.awake()
 		if !w.report(ctx) {
 			pause = min(pause, 1) // until the next node is tried
@@ -177,7 +177,7 @@
 		return
 	}
 	now := time.Now()
-	if now.Sub(w.renewed) > seconds(w.cloud.LeaseS) {
+	if now.Sub(w.renewed) > seconds(w.cloud.LeaseDurationS) {
 		for _, t := range w.tasks {
 			w.cloud.left(t.TaskID, w.ID, false)
 		}
@@ -223,7 +223,7 @@
 
 // stepGang has a gang's task keep up with the others.
 func (w *Worker) stepGang(t *workerTask, job *wire.Job) {
-	if !w.cloud.gangs.step(t, job, w.cloud.RunFor(t.TaskID)) {
+	if !w.cloud.gangs.step(t, job, w.cloud.RuntimeOf(t.TaskID)) {
 		return
 	}
 	if t.State == wire.TaskExited {
@@ -240,7 +240,7 @@
 		w.stepGang(t, &job)
 		return
 	}
-	run := seconds(w.cloud.RunFor(t.TaskID))
+	run := seconds(w.cloud.RuntimeOf(t.TaskID))
 	t.State, t.ends = wire.TaskRunning, time.Now().Add(run)
 	w.cloud.started(t.TaskID, w.ID)
 	time.AfterFunc(run, w.wake)
@@ -352,12 +352,12 @@
 			t := &workerTask{TaskStatus: wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning}}
 			if slices.ContainsFunc(w.tasks, func(o *workerTask) bool { return o.TaskID == c.TaskID && o.State != wire.TaskExited }) {
 				t.State, t.ExitReason = wire.TaskExited, wire.ExitOtherAttemptPresent
-			} else if w.cloud.Fails != nil && w.cloud.Fails(c.TaskID, w.ID) {
+			} else if w.cloud.TaskFails != nil && w.cloud.TaskFails(c.TaskID, w.ID) {
 				t.State, t.ExitReason = wire.TaskExited, wire.ExitError
 				w.cloud.started(c.TaskID, w.ID)
 				w.cloud.left(c.TaskID, w.ID, false)
-			} else if w.cloud.FetchS > 0 && !w.images[w.image(c.TaskID)] {
-				t.State, t.ends = wire.TaskPullingImage, time.Now().Add(seconds(w.cloud.FetchS))
+			} else if w.cloud.ImagePullS > 0 && !w.images[w.image(c.TaskID)] {
+				t.State, t.ends = wire.TaskPullingImage, time.Now().Add(seconds(w.cloud.ImagePullS))
 			} else {
 				w.begin(t)
 			}
--- a/internal/sim/harness/leadership.go
+++ b/internal/sim/harness/leadership.go
@@ -10,8 +10,8 @@
 	"caperlatch/internal/wire"
 )
 
-// ErrNobodyLeads says that no node led in time.
-var ErrNobodyLeads = errors.New("nobody leads")
+// ErrNoLeader says that no node led in time.
+var ErrNoLeader = errors.New("nobody leads")
 
 // How often and how long it is looked who leads.
 const (
@@ -25,10 +25,10 @@
 const MemberFormat = "host-%d"
 
 // Leadership tells who leads, as the state service has it.
-type Leadership struct{ State *fake.State }
+type Leadership struct{ State *fake.StateService }
 
-// Now is the index of the node that the state service names, -1 if it names none.
-func (l Leadership) Now() int {
+// Current is the index of the node that the state service names, -1 if it names none.
+func (l Leadership) Current() int {
 	var leader replica.Leader
 	node := -1
 	if e, ok := l.State.Get(replica.LeaderKey); ok && wire.Unmarshal(e.Value, &leader) == nil {
@@ -39,19 +39,19 @@
 	return node
 }
 
-// Leader waits until a node leads.
-func (l Leadership) Leader() (node int, err error) {
+// AwaitLeader waits until a node leads.
+func (l Leadership) AwaitLeader() (node int, err error) {
 	for range leaderLooks {
-		if node := l.Now(); node >= 0 {
+		if node := l.Current(); node >= 0 {
 			return node, nil
 		}
 		time.Sleep(leaderPause)
 	}
-	return -1, ErrNobodyLeads
+	return -1, ErrNoLeader
 }
 
-// Token is the highest token given out, as stored; 0 if there is none.
-func (l Leadership) Token() uint64 {
+// FencingToken is the highest token given out, as stored; 0 if there is none.
+func (l Leadership) FencingToken() uint64 {
 	var n replica.TokenRecord
 	if e, ok := l.State.Get(replica.TokenKey); !ok || wire.Unmarshal(e.Value, &n) != nil {
 		return 0
@@ -59,13 +59,13 @@
 	return n.FencingToken
 }
 
-// LedAfter waits until another leader leads than the one with this token.
-func (l Leadership) LedAfter(token uint64) error {
+// AwaitLeaderAfter waits until another leader leads than the one with this token.
+func (l Leadership) AwaitLeaderAfter(token uint64) error {
 	for range nextLooks {
-		if _, ok := l.State.Get(replica.LeaderKey); ok && l.Token() > token {
+		if _, ok := l.State.Get(replica.LeaderKey); ok && l.FencingToken() > token {
 			return nil
 		}
 		time.Sleep(nextPause)
 	}
-	return ErrNobodyLeads
+	return ErrNoLeader
 }
--- a/internal/sim/harness/processes.go
+++ b/internal/sim/harness/processes.go
@@ -21,32 +21,32 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// Config is what processes are made of.
-type Config struct {
+// ProcessConfig is what processes are made of.
+type ProcessConfig struct {
 	// Settings are those of a node but for all addresses, which are filled in.
-	Settings func(node int) *settings.Settings
-	Nodes    int
-	Dir      string                    // for settings files and logs
-	RunFor   func(task string) float64 // how long a task runs, in seconds
-	// Ended is told of a process that ended by itself; nil: nobody is.
-	Ended func(node int, log string, err error)
+	Settings  func(node int) *settings.Settings
+	Nodes     int
+	Dir       string                    // for settings files and logs
+	RuntimeOf func(task string) float64 // how long a task runs, in seconds
+	// OnUnexpectedExit is told of a process that ended by itself; nil: nobody is.
+	OnUnexpectedExit func(node int, log string, err error)
 }
 
 // idleProxyConns is how many connections to a node stay open for its next requests.
 const idleProxyConns = 256
 
-// Processes are controllers that run as processes on loopback, with stand-ins of all around them
+// ProcessCluster are controllers that run as processes on loopback, with stand-ins of all around them
 // in this process.
-type Processes struct {
+type ProcessCluster struct {
 	Users
 	Leadership
-	Net   *fake.Net
-	Cloud *fake.Cloud
-	Dir   string
-	Args  []string // of each process, before those that name its settings
-	Addrs []Addrs  // of each node
+	Net       *fake.Network
+	Cloud     *fake.Cloud
+	Dir       string
+	Args      []string        // of each process, before those that name its settings
+	Addresses []NodeAddresses // of each node
 
-	config  Config
+	config  ProcessConfig
 	servers []*httptest.Server
 	starter *starter
 
@@ -57,14 +57,14 @@
 	lives    []int
 }
 
-// Addrs are where a node listens.
-type Addrs struct{ Client, Peer string }
+// NodeAddresses are where a node listens.
+type NodeAddresses struct{ Client, Peer string }
 
-// NewProcesses prepares a cluster; Run starts its nodes.
-func NewProcesses(config Config) (*Processes, error) {
-	p := &Processes{
-		Leadership: Leadership{fake.NewState()},
-		Net:        fake.NewNet(),
+// NewProcessCluster prepares a cluster; Run starts its nodes.
+func NewProcessCluster(config ProcessConfig) (*ProcessCluster, error) {
+	p := &ProcessCluster{
+		Leadership: Leadership{fake.NewStateService()},
+		Net:        fake.NewNetwork(),
 		Dir:        config.Dir,
 		config:     config,
 		starter:    newStarter(),
@@ -78,30 +78,30 @@
 		if err != nil {
 			return nil, err
 		}
-		p.Addrs = append(p.Addrs, addrs)
+		p.Addresses = append(p.Addresses, addrs)
 		p.Net.Handle(host(i), proxy(addrs.Client))
 		p.stops[i] = func() {}
 	}
-	p.Users, p.Cloud = surroundings(p.Net, config.Nodes, config.Settings(0), config.RunFor)
-	p.Cloud.Serve = p.serve
+	p.Users, p.Cloud = surroundings(p.Net, config.Nodes, config.Settings(0), config.RuntimeOf)
+	p.Cloud.ServeWorker = p.serve
 	p.serve(p.State)
 	p.serve(p.Cloud)
 	return p, nil
 }
 
-// Listen has a node listen for users at an address of the caller's choice, if it is free.
-func (p *Processes) Listen(node int, address string) {
+// SetClientAddress has a node listen for users at an address of the caller's choice, if it is free.
+func (p *ProcessCluster) SetClientAddress(node int, address string) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return
 	}
 	listener.Close()
-	p.Addrs[node].Client = address
+	p.Addresses[node].Client = address
 	p.Net.Handle(host(node), proxy(address))
 }
 
 // freeAddrs are two addresses on loopback that nothing listens at.
-func freeAddrs() (a Addrs, err error) {
+func freeAddrs() (a NodeAddresses, err error) {
 	for _, addr := range []*string{&a.Client, &a.Peer} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -123,25 +123,25 @@
 
 // serve serves a handler on loopback. Workers are served under the cloud's lock, the
 // others before.
-func (p *Processes) serve(h http.Handler) string {
+func (p *ProcessCluster) serve(h http.Handler) string {
 	server := httptest.NewServer(h)
 	p.servers = append(p.servers, server)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
 // SettingsFile is where a node's settings are.
-func (p *Processes) SettingsFile(node int) string {
+func (p *ProcessCluster) SettingsFile(node int) string {
 	return filepath.Join(p.Dir, fmt.Sprintf(MemberFormat+".toml", node))
 }
 
 // writeSettings writes a node's settings, with the addresses of all.
-func (p *Processes) writeSettings(node int) error {
+func (p *ProcessCluster) writeSettings(node int) error {
 	s := p.config.Settings(node)
-	s.ClientListen, s.PeerListen = p.Addrs[node].Client, p.Addrs[node].Peer
+	s.ClientListen, s.PeerListen = p.Addresses[node].Client, p.Addresses[node].Peer
 	s.External.State = strings.TrimPrefix(p.servers[0].URL, "http://")
 	s.External.Cloud = strings.TrimPrefix(p.servers[1].URL, "http://")
 	s.Peers = nil
-	for i, a := range p.Addrs {
+	for i, a := range p.Addresses {
 		if i != node {
 			s.Peers = append(s.Peers, settings.Peer{Member: fmt.Sprintf(MemberFormat, i), Zone: s.Zone, Addr: a.Peer})
 		}
@@ -153,8 +153,8 @@
 	return os.WriteFile(p.SettingsFile(node), text, 0o644)
 }
 
-// Run begins a new life of a node with a program.
-func (p *Processes) Run(node int, program string) error {
+// StartNode begins a new life of a node with a program.
+func (p *ProcessCluster) StartNode(node int, program string) error {
 	if err := p.writeSettings(node); err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 		p.await(node, cmd, log)
 	}()
 	p.stops[node] = func() {
-		p.ExpectEnd(node)
+		p.ExpectExit(node)
 		_ = cmd.Process.Kill() // it may have ended
 		<-ended
 	}
@@ -188,19 +188,19 @@
 }
 
 // await waits for a process to end, and tells if nobody asked it to.
-func (p *Processes) await(node int, cmd *exec.Cmd, log *os.File) {
+func (p *ProcessCluster) await(node int, cmd *exec.Cmd, log *os.File) {
 	err := cmd.Wait()
 	log.Close()
 	p.mu.Lock()
 	expected := p.expected[node]
 	p.mu.Unlock()
-	if !expected && p.config.Ended != nil {
-		p.config.Ended(node, log.Name(), err)
+	if !expected && p.config.OnUnexpectedExit != nil {
+		p.config.OnUnexpectedExit(node, log.Name(), err)
 	}
 }
 
 // Kill ends a node's process as a crash would.
-func (p *Processes) Kill(node int) {
+func (p *ProcessCluster) Kill(node int) {
 	p.mu.Lock()
 	stop := p.stops[node]
 	p.mu.Unlock()
@@ -208,29 +208,29 @@
 }
 
 // Process is a node's process in its present life.
-func (p *Processes) Process(node int) *os.Process {
+func (p *ProcessCluster) Process(node int) *os.Process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.commands[node].Process
 }
 
 // Signal sends a signal to a node's process.
-func (p *Processes) Signal(node int, s os.Signal) error {
+func (p *ProcessCluster) Signal(node int, s os.Signal) error {
 	if err := p.Process(node).Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return fmt.Errorf("node %d: %w", node, err)
 	}
 	return nil
 }
 
-// ExpectEnd says that a node's process is about to be told to end.
-func (p *Processes) ExpectEnd(node int) {
+// ExpectExit says that a node's process is about to be told to end.
+func (p *ProcessCluster) ExpectExit(node int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expected[node] = true
 }
 
 // AwaitReady waits until all nodes take requests.
-func (p *Processes) AwaitReady(within time.Duration) error {
+func (p *ProcessCluster) AwaitReady(within time.Duration) error {
 	for begun, node := time.Now(), 0; node < p.config.Nodes; {
 		if code, _ := p.Request(http.MethodGet, node, "/ready", nil); code == http.StatusOK {
 			node++
@@ -245,7 +245,7 @@
 }
 
 // Close ends all processes and stand-ins.
-func (p *Processes) Close() {
+func (p *ProcessCluster) Close() {
 	for i := range p.stops {
 		p.Kill(i)
 	}
--- a/internal/sim/harness/users.go
+++ b/internal/sim/harness/users.go
@@ -40,8 +40,8 @@
 
 // Errors of awaiting a job.
 var (
-	ErrForgotten = errors.New("the job was forgotten")
-	ErrTooLate   = errors.New("the job has not got there in time")
+	ErrJobNotFound   = errors.New("the job was forgotten")
+	ErrStatusTimeout = errors.New("the job has not got there in time")
 )
 
 // host is where a node answers users.
@@ -50,7 +50,7 @@
 // Request sends a user's request to a node and shows the answer to the checker of the
 // rules. The code is 0 if there was no answer.
 func (u *Users) Request(method string, node int, path string, body any) (int, wire.JobStatus) {
-	id := cmp.Or(u.submits(body), u.Rules.Asks(path))
+	id := cmp.Or(u.submits(body), u.Rules.ObserveRequest(path))
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), userPatience)
 	defer cancel()
@@ -63,7 +63,7 @@
 		_ = wire.Unmarshal(answer, &status) // an error body has no status, which the callers see
 	}
 	if strings.HasPrefix(path, jobsPath) {
-		u.Rules.Told(method, path, id, sent, code, status)
+		u.Rules.ObserveResponse(method, path, id, sent, code, status)
 	}
 	return code, status
 }
@@ -79,24 +79,24 @@
 	}
 	id := wire.ParseSubmissionID(content)
 	if spec, err := wire.ParseJob(content); err == nil {
-		u.Rules.Submits(spec)
+		u.Rules.ObserveSubmission(spec)
 	} else if id != "" {
-		u.Rules.SubmitsMalformed(id)
+		u.Rules.ObserveMalformedSubmission(id)
 	}
 	return id
 }
 
-// Accepts submits a job to a node and tells whether it is accepted now or was before.
-func (u *Users) Accepts(node int, job any) bool {
+// Submit submits a job to a node and tells whether it is accepted now or was before.
+func (u *Users) Submit(node int, job any) bool {
 	code, _ := u.Request(http.MethodPost, node, jobsPath, job)
 	return code == http.StatusCreated || code == http.StatusOK
 }
 
-// SubmitFrom repeats a submission sixty times, each time at the next node, and tells whether it
+// SubmitWithRetries repeats a submission sixty times, each time at the next node, and tells whether it
 // was taken.
-func (u *Users) SubmitFrom(first int, pause time.Duration, job any) bool {
+func (u *Users) SubmitWithRetries(first int, pause time.Duration, job any) bool {
 	for try := range submissions {
-		if u.Accepts((first+try)%u.Nodes, job) {
+		if u.Submit((first+try)%u.Nodes, job) {
 			return true
 		}
 		time.Sleep(pause)
@@ -104,19 +104,19 @@
 	return false
 }
 
-// Await polls, each time at the next node, until a job has a status.
-func (u *Users) Await(id, status string, within time.Duration) error {
+// AwaitStatus polls, each time at the next node, until a job has a status.
+func (u *Users) AwaitStatus(id, status string, within time.Duration) error {
 	var last wire.JobStatus
 	code := 0
 	for begun, try := time.Now(), 0; time.Since(begun) < within; try++ {
 		code, last = u.Request(http.MethodGet, try%u.Nodes, jobsPath+"/"+id, nil)
 		if code == http.StatusNotFound {
-			return fmt.Errorf("%s: %w", id, ErrForgotten)
+			return fmt.Errorf("%s: %w", id, ErrJobNotFound)
 		}
 		if last.Status == status {
 			return nil
 		}
 		time.Sleep(pollEvery)
 	}
-	return fmt.Errorf("%s is %q (%d) after %v, want %s: %w", id, last.Status, code, within, status, ErrTooLate)
+	return fmt.Errorf("%s is %q (%d) after %v, want %s: %w", id, last.Status, code, within, status, ErrStatusTimeout)
 }
--- a/internal/sim/harness/world.go
+++ b/internal/sim/harness/world.go
@@ -11,17 +11,17 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// World is a cluster within one process: stand-ins of all around its nodes, which are started and
+// InProcessCluster is a cluster within one process: stand-ins of all around its nodes, which are started and
 // ended one by one, and the faults that messages meet.
-type World struct {
+type InProcessCluster struct {
 	Users
 	Leadership
-	Net   *fake.Net
-	Pipes *fake.Pipes
+	Net   *fake.Network
+	Pipes *fake.PeerNetwork
 	Cloud *fake.Cloud
 	// StartNode makes a node for a new life: what answers users, and what it does besides until its
 	// context ends.
-	StartNode func(life Life) (handler http.Handler, work func(context.Context))
+	StartNode func(life NodeIncarnation) (handler http.Handler, work func(context.Context))
 
 	mu     sync.Mutex
 	dead   map[string]bool // senders that are no more
@@ -31,8 +31,8 @@
 	lives  []int
 }
 
-// Life is one life of a node.
-type Life struct {
+// NodeIncarnation is one life of a node.
+type NodeIncarnation struct {
 	Node   int
 	Member string
 	Sender string // by which what it sends is told from what earlier lives sent
@@ -44,12 +44,12 @@
 	CloudHost = "cloud"
 )
 
-// NewWorld prepares a world for nodes with settings like these; Begin starts them.
-func NewWorld(nodes int, s *settings.Settings, runFor func(task string) float64) *World {
-	w := &World{
-		Leadership: Leadership{fake.NewState()},
-		Net:        fake.NewNet(),
-		Pipes:      fake.NewPipes(),
+// NewInProcessCluster prepares a world for nodes with settings like these; Begin starts them.
+func NewInProcessCluster(nodes int, s *settings.Settings, runFor func(task string) float64) *InProcessCluster {
+	w := &InProcessCluster{
+		Leadership: Leadership{fake.NewStateService()},
+		Net:        fake.NewNetwork(),
+		Pipes:      fake.NewPeerNetwork(),
 		dead:       map[string]bool{},
 		stops:      make([]func(), nodes),
 		lives:      make([]int, nodes),
@@ -62,7 +62,7 @@
 }
 
 // surroundings are the users and the cloud of some nodes.
-func surroundings(n *fake.Net, nodes int, s *settings.Settings, runFor func(task string) float64) (Users, *fake.Cloud) {
+func surroundings(n *fake.Network, nodes int, s *settings.Settings, runFor func(task string) float64) (Users, *fake.Cloud) {
 	limits := map[string]float64{}
 	for _, team := range s.Params.Teams {
 		limits[team.Name] = team.MaxCPUs
@@ -78,17 +78,17 @@
 }
 
 // faultOf is the fault that a message meets.
-func (w *World) faultOf(from string, r *http.Request) fake.Fault {
+func (w *InProcessCluster) faultOf(from string, r *http.Request) fake.Fault {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.dead[from] {
-		return fake.LostRequest
+		return fake.DroppedRequest
 	}
 	if w.fault == nil {
-		return fake.Pass
+		return fake.NoFault
 	}
 	fault := w.fault(from, r)
-	if fault != fake.Pass {
+	if fault != fake.NoFault {
 		w.faults++
 	}
 	return fault
@@ -96,15 +96,15 @@
 
 // SetFault decides what messages meet from now on; nil lets all pass. One message at a time is
 // decided on.
-func (w *World) SetFault(f func(from string, r *http.Request) fake.Fault) {
+func (w *InProcessCluster) SetFault(f func(from string, r *http.Request) fake.Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// Troubled counts what went wrong so far: messages that met a fault, and lives of nodes
+// FaultCount counts what went wrong so far: messages that met a fault, and lives of nodes
 // beyond the first.
-func (w *World) Troubled() (n int) {
+func (w *InProcessCluster) FaultCount() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n = w.faults
@@ -114,12 +114,12 @@
 	return n
 }
 
-// Begin begins a new life of a node.
-func (w *World) Begin(node int) {
+// Start begins a new life of a node.
+func (w *InProcessCluster) Start(node int) {
 	w.mu.Lock()
 	w.lives[node]++
 	member := fmt.Sprintf(MemberFormat, node)
-	life := Life{Node: node, Member: member, Sender: fmt.Sprintf("%s/%d", member, w.lives[node])}
+	life := NodeIncarnation{Node: node, Member: member, Sender: fmt.Sprintf("%s/%d", member, w.lives[node])}
 	w.mu.Unlock()
 	handler, work := w.StartNode(life)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -140,19 +140,19 @@
 }
 
 // Kill ends a node as a crash would: nothing that it sends arrives any more.
-func (w *World) Kill(node int) { w.stops[node]() }
+func (w *InProcessCluster) Kill(node int) { w.stops[node]() }
 
 // backAfter is for how long nodes that restart at once are away.
 const backAfter = 100 * time.Millisecond
 
-// Back restarts nodes within a fraction of a second.
-func (w *World) Back(nodes ...int) {
+// Restart restarts nodes within a fraction of a second.
+func (w *InProcessCluster) Restart(nodes ...int) {
 	for _, i := range nodes {
 		w.Kill(i)
 	}
 	time.Sleep(backAfter)
 	for _, i := range nodes {
-		w.Begin(i)
+		w.Start(i)
 	}
 }
 
@@ -160,13 +160,13 @@
 const givesUp = time.Minute
 
 // Close ends all nodes and stand-ins and waits until nothing of them runs.
-func (w *World) Close() {
+func (w *InProcessCluster) Close() {
 	w.SetFault(nil)
 	for i := range w.stops {
 		w.Kill(i)
 	}
 	w.Cloud.Close()
 	w.State.Close()
-	w.Net.WaitLate()
+	w.Net.WaitDelayed()
 	time.Sleep(givesUp)
 }
--- a/internal/sim/lab/faults.go
+++ b/internal/sim/lab/faults.go
@@ -45,15 +45,15 @@
 
 // FaultError says what is wrong with a file of faults, in one line.
 type FaultError struct {
-	File  string
-	Line  int
-	Field string
-	Wrong string
+	File    string
+	Line    int
+	Field   string
+	Problem string
 }
 
 // Error names file, line and field.
 func (e *FaultError) Error() string {
-	return fmt.Sprintf("%s:%d: %s %s", e.File, e.Line, e.Field, e.Wrong)
+	return fmt.Sprintf("%s:%d: %s %s", e.File, e.Line, e.Field, e.Problem)
 }
 
 // ParseFaults reads and checks the content of a file of faults, a list [[fault]].
@@ -142,9 +142,9 @@
 	l.say("%s %s%s for %v", f.Kind, f.Node, f.Zone, length)
 	switch f.Kind {
 	case StateDown:
-		l.processes.State.SetDown(true)
+		l.processes.State.SetOutage(true)
 		l.sleep(length)
-		l.processes.State.SetDown(false)
+		l.processes.State.SetOutage(false)
 		return nil
 	case Silence:
 		l.silence(f.Zone, true)
@@ -162,7 +162,7 @@
 // nodeOf is the node that a fault names.
 func (l *Lab) nodeOf(name string) (node int, err error) {
 	if name == leaderNode {
-		return l.processes.Leader()
+		return l.processes.AwaitLeader()
 	}
 	_, err = fmt.Sscanf(name, harness.MemberFormat, &node)
 	return node, err
@@ -178,7 +178,7 @@
 		l.sleep(length)
 		return l.processes.Signal(node, syscall.SIGCONT)
 	case Terminate:
-		l.processes.ExpectEnd(node)
+		l.processes.ExpectExit(node)
 		if err := l.processes.Signal(node, syscall.SIGTERM); err != nil {
 			return err
 		}
@@ -188,7 +188,7 @@
 		l.processes.Kill(node)
 		l.sleep(length)
 	}
-	return l.processes.Run(node, l.options.Program)
+	return l.processes.StartNode(node, l.options.Program)
 }
 
 // silence has the reports of a zone's machines be lost, or arrive again.
@@ -200,7 +200,7 @@
 		l.silent[zone]--
 	}
 	l.mu.Unlock()
-	l.history.Troubled()
+	l.history.ObserveFault()
 }
 
 // hit tells whether the reports of a zone's machines are lost.
@@ -213,7 +213,7 @@
 // faultOf is what a message meets.
 func (l *Lab) faultOf(from string, _ *http.Request) fake.Fault {
 	if l.hit(l.processes.Rules.ZoneOf(from)) {
-		return fake.LostRequest
+		return fake.DroppedRequest
 	}
-	return fake.Pass
+	return fake.NoFault
 }
--- a/internal/sim/lab/golden_test.go
+++ b/internal/sim/lab/golden_test.go
@@ -57,13 +57,13 @@
 	var whole, empty strings.Builder
 	all := golden.Filled(reflect.TypeFor[Summary]()).Interface().(Summary)
 	all.Classes[0].Waits = failover.Summary{Median: 1250 * micros.Millisecond, P95: 2500 * micros.Millisecond, Max: 3750 * micros.Millisecond}
-	all.Classes[0].Runs = failover.Summary{Count: 9, Median: 4 * micros.Second, P95: 5 * micros.Second, Max: 6 * micros.Second}
+	all.Classes[0].Runtimes = failover.Summary{Count: 9, Median: 4 * micros.Second, P95: 5 * micros.Second, Max: 6 * micros.Second}
 	all.Print(&whole)
 	new(Summary).Print(&empty)
 	golden.Check(t, "summary.golden", []golden.Section{
 		{Name: "with all", Text: strings.TrimSuffix(whole.String(), "\n")},
 		{Name: "with nothing", Text: strings.TrimSuffix(empty.String(), "\n")},
 		{Name: "what was wrong", Text: fmt.Sprint(all.Err())},
-		{Name: "what was open", Text: fmt.Sprint((&Summary{Seed: all.Seed, Open: all.Open}).Err())},
+		{Name: "what was open", Text: fmt.Sprint((&Summary{Seed: all.Seed, OpenJobs: all.OpenJobs}).Err())},
 	})
 }
--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -24,15 +24,15 @@
 
 // Options are what a user chooses.
 type Options struct {
-	Program  string   // that the nodes run
-	Args     []string // of the nodes, as the files of optional parts
-	Dir      string   // for settings and logs
-	Nodes    int
-	Machines int
-	Seed     uint64
-	For      time.Duration // for how long jobs come
-	Faults   []Fault
-	Port     int // of the first node, if it is free; 0: any
+	Program   string   // that the nodes run
+	Args      []string // of the nodes, as the files of optional parts
+	Dir       string   // for settings and logs
+	Nodes     int
+	Machines  int
+	Seed      uint64
+	SubmitFor time.Duration // for how long jobs come
+	Faults    []Fault
+	Port      int // of the first node, if it is free; 0: any
 }
 
 // DefaultFaults end the leader once on the way.
@@ -40,10 +40,10 @@
 
 // Errors of a run.
 var (
-	ErrNotAccepted = errors.New("the job was accepted by no node")
-	ErrRuleBroken  = errors.New("a rule was broken")
-	ErrInterrupted = errors.New("interrupted")
-	ErrStuck       = errors.New("the run does not come to its end")
+	ErrNotAccepted  = errors.New("the job was accepted by no node")
+	ErrRuleViolated = errors.New("a rule was broken")
+	ErrInterrupted  = errors.New("interrupted")
+	ErrStuck        = errors.New("the run does not come to its end")
 )
 
 // Times of a run.
@@ -62,7 +62,7 @@
 type Lab struct {
 	options   Options
 	out       io.Writer
-	processes *harness.Processes
+	processes *harness.ProcessCluster
 	history   *fake.History
 	begun     time.Time
 
@@ -112,15 +112,15 @@
 // startOnce starts the nodes with ports that were free just now.
 func (l *Lab) startOnce() error {
 	l.ended = make(chan error, 1)
-	processes, err := harness.NewProcesses(harness.Config{
+	processes, err := harness.NewProcessCluster(harness.ProcessConfig{
 		Settings: func(node int) *settings.Settings {
 			s, _ := sampleSettings(node, l.options.Nodes) // New has tried it
 			return s
 		},
-		Nodes:  l.options.Nodes,
-		Dir:    l.options.Dir,
-		RunFor: l.runFor,
-		Ended: func(node int, log string, err error) {
+		Nodes:     l.options.Nodes,
+		Dir:       l.options.Dir,
+		RuntimeOf: l.runFor,
+		OnUnexpectedExit: func(node int, log string, err error) {
 			l.fail(fmt.Errorf("host-%d ended by itself (%w), see %s", node, err, log))
 		},
 	})
@@ -129,13 +129,13 @@
 	}
 	l.processes = processes
 	s, _ := sampleSettings(0, l.options.Nodes)
-	processes.Cloud.Zones, processes.Cloud.Most = s.Params.Zones, l.options.Machines
+	processes.Cloud.Zones, processes.Cloud.MaxMachines = s.Params.Zones, l.options.Machines
 	processes.Args = l.options.Args
 	for i := range l.options.Nodes {
 		if l.options.Port > 0 {
-			processes.Listen(i, fmt.Sprintf("127.0.0.1:%d", l.options.Port+i))
+			processes.SetClientAddress(i, fmt.Sprintf("127.0.0.1:%d", l.options.Port+i))
 		}
-		if err := processes.Run(i, l.options.Program); err != nil {
+		if err := processes.StartNode(i, l.options.Program); err != nil {
 			return err
 		}
 	}
@@ -147,7 +147,7 @@
 		return err
 	default:
 	}
-	_, err = processes.Leader()
+	_, err = processes.AwaitLeader()
 	return err
 }
 
@@ -155,9 +155,9 @@
 func (l *Lab) observe() {
 	s, _ := sampleSettings(0, l.options.Nodes)
 	l.history = fake.NewHistory()
-	l.history.ClassOf, l.history.Hit = classOf, l.hit
-	l.history.Recent = s.Params.Workers.LeaseDuration().Duration()
-	l.processes.Rules.Watch = l.history.Watch
+	l.history.ClassOf, l.history.Affected = classOf, l.hit
+	l.history.UnreportedFor = s.Params.Workers.LeaseDuration().Duration()
+	l.processes.Rules.OnTaskEvent = l.history.ObserveTask
 	l.processes.Net.SetFault(l.faultOf)
 }
 
@@ -180,7 +180,7 @@
 		return nil, err
 	}
 	defer l.processes.Close()
-	l.token = l.processes.Token()
+	l.token = l.processes.FencingToken()
 	l.say("%d nodes run, at most %d machines, seed %d", l.options.Nodes, l.options.Machines, l.options.Seed)
 	l.observe()
 	ctx, cancel := context.WithCancel(ctx)
@@ -204,7 +204,7 @@
 	for i := range l.options.Faults {
 		f := &l.options.Faults[i]
 		work.Go(func() {
-			l.sleep(time.Duration(f.AtS*float64(time.Second)) - l.history.Now())
+			l.sleep(time.Duration(f.AtS*float64(time.Second)) - l.history.Elapsed())
 			if ctx.Err() != nil {
 				return
 			}
@@ -233,7 +233,7 @@
 
 // longest is how long a run may take at most: all its parts have bounds of their own.
 func (l *Lab) longest() time.Duration {
-	last := l.options.For
+	last := l.options.SubmitFor
 	for _, f := range l.options.Faults {
 		last = max(last, time.Duration((f.AtS+f.ForS)*float64(time.Second)))
 	}
@@ -257,7 +257,7 @@
 
 // accepted notes a job that was accepted.
 func (l *Lab) accepted(job *wire.Job) {
-	l.history.Accepted(job.ID, job.Class, job.Tasks)
+	l.history.ObserveAccepted(job.ID, job.Class, job.Tasks)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open = append(l.open, job.ID)
@@ -296,22 +296,22 @@
 		}
 		told = time.Now()
 		leads := "nobody leads"
-		if node := l.processes.Now(); node >= 0 {
+		if node := l.processes.Current(); node >= 0 {
 			leads = fmt.Sprintf(harness.MemberFormat+" leads", node)
 		}
 		l.say("%d jobs done, %d open, %d tasks on %d machines, %s", done, open,
-			len(l.processes.Cloud.OnMachines()), len(l.processes.Cloud.Workers()), leads)
+			len(l.processes.Cloud.TasksOnMachines()), len(l.processes.Cloud.Workers()), leads)
 	}
 }
 
 // sample notes what is so, and counts the jobs that are open and done.
 func (l *Lab) sample() (open, done int) {
-	l.history.Sample(l.processes.Cloud.Workers())
-	broken := len(l.processes.Rules.Broken()) > 0
+	l.history.RecordSample(l.processes.Cloud.Workers())
+	broken := len(l.processes.Rules.Violations()) > 0
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.brokenAt == 0 && broken {
-		l.brokenAt = l.history.Now()
+		l.brokenAt = l.history.Elapsed()
 	}
 	return len(l.open), l.done
 }
@@ -322,10 +322,10 @@
 		return err
 	}
 	defer l.processes.Close()
-	for i, a := range l.processes.Addrs {
+	for i, a := range l.processes.Addresses {
 		fmt.Fprintf(l.out, "host-%d answers at %s, process %d, log in %s\n", i, a.Client, l.processes.Process(i).Pid, l.options.Dir)
 	}
-	first := l.processes.Addrs[0].Client
+	first := l.processes.Addresses[0].Client
 	fmt.Fprintf(l.out, "try, in another terminal:\n")
 	for _, try := range []string{
 		"submit --node %s deploy/job.example.json",
--- a/internal/sim/lab/lab_test.go
+++ b/internal/sim/lab/lab_test.go
@@ -18,8 +18,8 @@
 		want string // of the error
 	}{
 		{"all well", Summary{Seed: 7}, ""},
-		{"a rule broken", Summary{Seed: 7, Broken: []string{"ran_twice: j-1000001/0"}, BrokenAt: 3 * time.Second}, "a rule was broken after 3.0 s, seed 7: ran_twice: j-1000001/0"},
-		{"jobs open", Summary{Seed: 7, Open: []string{"j-1000001"}}, "1 jobs were not done in time, seed 7: j-1000001"},
+		{"a rule broken", Summary{Seed: 7, Violations: []string{"ran_twice: j-1000001/0"}, FirstViolationAt: 3 * time.Second}, "a rule was broken after 3.0 s, seed 7: ran_twice: j-1000001/0"},
+		{"jobs open", Summary{Seed: 7, OpenJobs: []string{"j-1000001"}}, "1 jobs were not done in time, seed 7: j-1000001"},
 	}
 	for _, c := range cases {
 		text := ""
@@ -35,15 +35,15 @@
 // TestSampleBesideStarts samples while workers start tasks: the checker of rules tells the history
 // of these under its lock, and the two must not wait for each other.
 func TestSampleBesideStarts(t *testing.T) {
-	l, err := New(Options{Nodes: 3, Machines: 1, For: time.Second}, io.Discard)
+	l, err := New(Options{Nodes: 3, Machines: 1, SubmitFor: time.Second}, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.processes, err = harness.NewProcesses(harness.Config{
-		Settings: func(node int) *settings.Settings { s, _ := sampleSettings(node, 3); return s },
-		Nodes:    3,
-		Dir:      t.TempDir(),
-		RunFor:   l.runFor,
+	l.processes, err = harness.NewProcessCluster(harness.ProcessConfig{
+		Settings:  func(node int) *settings.Settings { s, _ := sampleSettings(node, 3); return s },
+		Nodes:     3,
+		Dir:       t.TempDir(),
+		RuntimeOf: l.runFor,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -51,14 +51,14 @@
 	defer l.processes.Close()
 	l.observe()
 	rules := l.processes.Rules
-	rules.Rented("i-000000", wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true, Count: 1})
-	rules.Submits(classes[0].job(jobID(0, 1)))
+	rules.ObserveLaunch("i-000000", wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true, Count: 1})
+	rules.ObserveSubmission(classes[0].job(jobID(0, 1)))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for range 20_000 {
-			rules.Started(jobID(0, 1)+"/0", "i-000000")
-			rules.Left(jobID(0, 1)+"/0", "i-000000", false)
+			rules.ObserveStart(jobID(0, 1)+"/0", "i-000000")
+			rules.ObserveExit(jobID(0, 1)+"/0", "i-000000", false)
 		}
 	}()
 	sampled := make(chan struct{})
--- a/internal/sim/lab/report.go
+++ b/internal/sim/lab/report.go
@@ -20,14 +20,14 @@
 		names = append(names, c.Class)
 		median.Values = append(median.Values, c.Waits.Median.Seconds())
 		p95.Values = append(p95.Values, c.Waits.P95.Seconds())
-		runs.Values = append(runs.Values, c.Runs.Median.Seconds())
+		runs.Values = append(runs.Values, c.Runtimes.Median.Seconds())
 	}
 	subtitle := fmt.Sprintf("seed %d: %d terms of leaders on %d nodes, %d machines rented for %.4f, %d rules broken",
-		s.Seed, s.Terms, s.Nodes, s.Rented, s.Money, len(s.Broken))
+		s.Seed, s.Terms, s.Nodes, s.Launched, s.Cost, len(s.Violations))
 	page.AddCharts(
-		charts.Seconds("Tasks by class", subtitle, names, median, p95, runs),
+		charts.DurationBars("Tasks by class", subtitle, names, median, p95, runs),
 		charts.Timeline("tasks waiting by class", s.Samples, func(s fake.Sample) map[string]int { return s.Waiting }),
-		charts.Timeline("tasks on machines by zone", s.Samples, func(s fake.Sample) map[string]int { return s.Busy }),
+		charts.Timeline("tasks on machines by zone", s.Samples, func(s fake.Sample) map[string]int { return s.Running }),
 	)
 	if err := page.Render(w); err != nil {
 		return fmt.Errorf("report: %w", err)
--- a/internal/sim/lab/sample.go
+++ b/internal/sim/lab/sample.go
@@ -87,9 +87,9 @@
 func (l *Lab) submitAll(index int) {
 	c := &classes[index]
 	random := rand.New(rand.NewPCG(l.options.Seed, uint64(index)))
-	for n := 1; l.history.Now() < l.options.For; n++ {
+	for n := 1; l.history.Elapsed() < l.options.SubmitFor; n++ {
 		job := c.job(jobID(index, n))
-		if !l.processes.SubmitFrom(random.IntN(l.options.Nodes), submitPause, job) {
+		if !l.processes.SubmitWithRetries(random.IntN(l.options.Nodes), submitPause, job) {
 			l.fail(fmt.Errorf("%s: %w", job.ID, ErrNotAccepted))
 			return
 		}
--- a/internal/sim/measure/detection/detection.go
+++ b/internal/sim/measure/detection/detection.go
@@ -53,14 +53,14 @@
 type Summary struct {
 	Name                 string
 	Count                int
-	Suspected, Confirmed Times
+	Suspected, Confirmed Quantiles
 }
 
-// Times are quantiles, in seconds.
-type Times struct{ Median, P95, Most float64 }
+// Quantiles are quantiles, in seconds.
+type Quantiles struct{ Median, P95, Max float64 }
 
 // String tells times.
-func (t Times) String() string { return fmt.Sprintf("%.2f %.2f %.2f", t.Median, t.P95, t.Most) }
+func (t Quantiles) String() string { return fmt.Sprintf("%.2f %.2f %.2f", t.Median, t.P95, t.Max) }
 
 // String is one line of a report.
 func (s Summary) String() string {
@@ -92,12 +92,12 @@
 }
 
 // times are the quantiles of one time of each verdict.
-func times(group []Verdict, of func(Verdict) micros.Micros) Times {
+func times(group []Verdict, of func(Verdict) micros.Micros) Quantiles {
 	stream := quantile.NewTargeted(quantileTargets)
 	for _, v := range group {
 		stream.Insert(of(v).Seconds())
 	}
-	return Times{stream.Query(0.5), stream.Query(0.95), stream.Query(1)}
+	return Quantiles{stream.Query(0.5), stream.Query(0.95), stream.Query(1)}
 }
 
 // Size of the plot.
--- a/internal/sim/measure/failover/failover_test.go
+++ b/internal/sim/measure/failover/failover_test.go
@@ -12,8 +12,8 @@
 // TestHistory writes a history and reads it back.
 func TestHistory(t *testing.T) {
 	want := []Change{
-		{Run: "a", Number: 1, Mode: Cold, Cause: Killed, Machines: 200, Led: 3 * micros.Second, FirstNew: 4 * micros.Second, FirstOld: Missing},
-		{Run: "b", Number: 2, Mode: Warm, Cause: Planned, Machines: 4000, Led: 1, FirstNew: 2, FirstOld: 3, FrozenOf: 4},
+		{Run: "a", Number: 1, Mode: Cold, Cause: Killed, Machines: 200, LeaderElected: 3 * micros.Second, FirstNewStart: 4 * micros.Second, FirstOldResumed: Missing},
+		{Run: "b", Number: 2, Mode: Warm, Cause: Planned, Machines: 4000, LeaderElected: 1, FirstNewStart: 2, FirstOldResumed: 3, OldLeaderFrozen: 4},
 	}
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	if err := Write(path, want); err != nil {
@@ -29,7 +29,7 @@
 	if err := Write(filepath.Join(t.TempDir(), "no", "such"), want); err == nil {
 		t.Error("a history was written to nowhere")
 	}
-	groups, order := Grouped(got)
+	groups, order := GroupChanges(got)
 	if len(order) != 2 || order[0].Machines != 200 || len(groups[order[1]]) != 1 {
 		t.Errorf("groups %v", order)
 	}
--- a/internal/sim/measure/failover/record.go
+++ b/internal/sim/measure/failover/record.go
@@ -37,15 +37,15 @@
 // Change is one change of leader. Times count from the end of the leader before; negative
 // ones say that it did not happen within the measured time.
 type Change struct {
-	Run      string        `parquet:"run,dict"`
-	Number   int64         `parquet:"number"`
-	Mode     Mode          `parquet:"mode,dict"`
-	Cause    Cause         `parquet:"cause,dict"`
-	Machines int64         `parquet:"machines"`
-	Led      micros.Micros `parquet:"led_us"`       // until another leader held the key
-	FirstNew micros.Micros `parquet:"first_new_us"` // until a job of after the end started
-	FirstOld micros.Micros `parquet:"first_old_us"` // until a job of before the end went on
-	FrozenOf micros.Micros `parquet:"frozen_us"`    // how long the leader before stood still
+	Run             string        `parquet:"run,dict"`
+	Number          int64         `parquet:"number"`
+	Mode            Mode          `parquet:"mode,dict"`
+	Cause           Cause         `parquet:"cause,dict"`
+	Machines        int64         `parquet:"machines"`
+	LeaderElected   micros.Micros `parquet:"led_us"`       // until another leader held the key
+	FirstNewStart   micros.Micros `parquet:"first_new_us"` // until a job of after the end started
+	FirstOldResumed micros.Micros `parquet:"first_old_us"` // until a job of before the end went on
+	OldLeaderFrozen micros.Micros `parquet:"frozen_us"`    // how long the leader before stood still
 }
 
 // Missing stands for what did not happen.
@@ -75,8 +75,8 @@
 	Machines int64
 }
 
-// Grouped divides a history by kind, and lists the kinds in order.
-func Grouped(changes []Change) (map[Group][]Change, []Group) {
+// GroupChanges divides a history by kind, and lists the kinds in order.
+func GroupChanges(changes []Change) (map[Group][]Change, []Group) {
 	groups := map[Group][]Change{}
 	for _, c := range changes {
 		g := Group{c.Mode, c.Cause, c.Machines}
--- a/internal/sim/measure/zoneloss/html.go
+++ b/internal/sim/measure/zoneloss/html.go
@@ -26,7 +26,7 @@
 	for _, r := range runs {
 		page.AddCharts(
 			charts.Timeline("tasks waiting by class: "+r.title(), r.Samples, func(s fake.Sample) map[string]int { return s.Waiting }),
-			charts.Timeline("tasks on machines by zone: "+r.title(), r.Samples, func(s fake.Sample) map[string]int { return s.Busy }),
+			charts.Timeline("tasks on machines by zone: "+r.title(), r.Samples, func(s fake.Sample) map[string]int { return s.Running }),
 		)
 	}
 	if err := page.Render(w); err != nil {
@@ -61,6 +61,6 @@
 	}
 	title := fmt.Sprintf("%s, %s, %d machines, %d runs", g.Pattern, policyName(g.Policy), g.Machines, g.Runs)
 	subtitle := fmt.Sprintf("repeated %.0f task seconds, cost %.2f, %.0f machines rented, %.0f of them without a start",
-		g.RepeatedS, g.Money, g.Rented, g.Unused)
-	return charts.Seconds(title, subtitle, names, median, p99, recovery)
+		g.RepeatedS, g.Cost, g.Launched, g.Unused)
+	return charts.DurationBars(title, subtitle, names, median, p99, recovery)
 }
--- a/internal/sim/measure/zoneloss/measurement.go
+++ b/internal/sim/measure/zoneloss/measurement.go
@@ -33,8 +33,8 @@
 	Waits         map[string]*ddsketch.DDSketch // seconds until tasks began, by class
 	// RepeatedS is the time on machines of starts that did not end done, in task seconds.
 	RepeatedS float64
-	Money     float64 // of machines from the first cut on, at the catalog's prices
-	Rented    int     // from the first cut on
+	Cost      float64 // of machines from the first cut on, at the catalog's prices
+	Launched  int     // from the first cut on
 	Unused    int     // of these, without a start
 }
 
@@ -43,15 +43,15 @@
 	return &Run{Pattern: pattern, Policy: policy, Machines: machines, Seed: seed, Waits: map[string]*ddsketch.DDSketch{}}
 }
 
-// Take takes what a history holds from the first cut on, with a sample a second.
-func (r *Run) Take(h *fake.History) (err error) {
-	r.Samples, r.RepeatedS = h.Samples(), h.Repeated().Seconds()
+// RecordHistory takes what a history holds from the first cut on, with a sample a second.
+func (r *Run) RecordHistory(h *fake.History) (err error) {
+	r.Samples, r.RepeatedS = h.Samples(), h.RepeatedWork().Seconds()
 	for _, s := range r.Samples {
 		if s.At > r.Cut {
-			r.Money += s.Price / time.Hour.Seconds()
+			r.Cost += s.PricePerHour / time.Hour.Seconds()
 		}
 	}
-	h.Waits(r.Cut, func(class string, wait time.Duration) {
+	h.EachWait(r.Cut, func(class string, wait time.Duration) {
 		err = errors.Join(err, r.AddWait(class, wait.Seconds()))
 	})
 	return err
@@ -81,8 +81,8 @@
 	smoothed = 10               // samples of a mean
 )
 
-// ErrTooShort says that a run has no samples from before its first cut.
-var ErrTooShort = errors.New("no samples before the first cut")
+// ErrNoBaseline says that a run has no samples from before its first cut.
+var ErrNoBaseline = errors.New("no samples before the first cut")
 
 // Recovery is how long after the first cut a class's waiting tasks were last more than they
 // usually were before it, in seconds and on the mean of some samples; 0 if they never were.
@@ -100,7 +100,7 @@
 		}
 	}
 	if !seen {
-		return 0, ErrTooShort
+		return 0, ErrNoBaseline
 	}
 	return (last - r.Cut).Seconds(), nil
 }
@@ -123,14 +123,14 @@
 	Runs     int
 	Classes  []ClassSummary
 	// Means over the runs.
-	RepeatedS, Money, Rented, Unused float64
+	RepeatedS, Cost, Launched, Unused float64
 }
 
 // ClassSummary is what became of a class.
 type ClassSummary struct {
 	Class         string
 	RecoveryS     float64 // mean
-	RecoveryMostS float64
+	RecoveryMaxS  float64
 	MedianS, P99S float64 // of all waits
 	WaitsMeasured float64
 	LongestWaitS  float64
@@ -140,10 +140,10 @@
 func (g Group) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %d machines, policy %v, %d runs: repeated %.0f task s, cost %.2f, rented %.0f, unused %.0f",
-		g.Pattern, g.Machines, g.Policy, g.Runs, g.RepeatedS, g.Money, g.Rented, g.Unused)
+		g.Pattern, g.Machines, g.Policy, g.Runs, g.RepeatedS, g.Cost, g.Launched, g.Unused)
 	for _, c := range g.Classes {
 		fmt.Fprintf(&b, "\n  %s: recovered after %.0f s (at most %.0f), waits %.1f s median, %.1f s 99%%, %.1f s longest of %.0f",
-			c.Class, c.RecoveryS, c.RecoveryMostS, c.MedianS, c.P99S, c.LongestWaitS, c.WaitsMeasured)
+			c.Class, c.RecoveryS, c.RecoveryMaxS, c.MedianS, c.P99S, c.LongestWaitS, c.WaitsMeasured)
 	}
 	return b.String()
 }
@@ -183,8 +183,8 @@
 	for _, r := range runs {
 		part := 1 / float64(len(runs))
 		g.RepeatedS += r.RepeatedS * part
-		g.Money += r.Money * part
-		g.Rented += float64(r.Rented) * part
+		g.Cost += r.Cost * part
+		g.Launched += float64(r.Launched) * part
 		g.Unused += float64(r.Unused) * part
 		for class, waits := range r.Waits {
 			if merged[class] == nil {
@@ -213,7 +213,7 @@
 			return c, err
 		}
 		c.RecoveryS += s / float64(len(runs))
-		c.RecoveryMostS = max(c.RecoveryMostS, s)
+		c.RecoveryMaxS = max(c.RecoveryMaxS, s)
 	}
 	quantiles, err := waits.GetValuesAtQuantiles([]float64{0.5, 0.99, 1})
 	if err != nil {
--- a/internal/sim/measure/zoneloss/report_test.go
+++ b/internal/sim/measure/zoneloss/report_test.go
@@ -16,13 +16,13 @@
 func testRun(t *testing.T, policy bool, seed uint64, untilS, n int) *Run {
 	t.Helper()
 	r := NewRun("cut", policy, 400, seed)
-	r.Cut, r.Money, r.RepeatedS, r.Rented, r.Unused = 100*time.Second, 10, 50, 8, 2
+	r.Cut, r.Cost, r.RepeatedS, r.Launched, r.Unused = 100*time.Second, 10, 50, 8, 2
 	for at := 60; at < 300; at++ {
 		waiting := 20
 		if at > 100 && at <= untilS {
 			waiting = 200
 		}
-		r.Samples = append(r.Samples, fake.Sample{At: time.Duration(at) * time.Second, Waiting: map[string]int{"scan": waiting}, Busy: map[string]int{"a": 300}})
+		r.Samples = append(r.Samples, fake.Sample{At: time.Duration(at) * time.Second, Waiting: map[string]int{"scan": waiting}, Running: map[string]int{"a": 300}})
 	}
 	for s := 1; s <= n; s++ {
 		if err := r.AddWait("scan", float64(s)); err != nil {
@@ -41,11 +41,11 @@
 		t.Fatalf("%d groups, %v", len(groups), err)
 	}
 	off, on := groups[0], groups[1]
-	if off.Policy || !on.Policy || off.Runs != 2 || on.Runs != 1 || off.Money != 10 || off.Rented != 8 || off.Unused != 2 || off.RepeatedS != 50 {
+	if off.Policy || !on.Policy || off.Runs != 2 || on.Runs != 1 || off.Cost != 10 || off.Launched != 8 || off.Unused != 2 || off.RepeatedS != 50 {
 		t.Errorf("groups %v and %v", off, on)
 	}
 	near := func(got, want float64) bool { return math.Abs(got-want) <= 2*accuracy*want+1 }
-	if c := off.Classes[0]; c.RecoveryS != 69 || c.RecoveryMostS != 79 || c.WaitsMeasured != 150 || !near(c.MedianS, 38) || !near(c.P99S, 99) || !near(c.LongestWaitS, 100) {
+	if c := off.Classes[0]; c.RecoveryS != 69 || c.RecoveryMaxS != 79 || c.WaitsMeasured != 150 || !near(c.MedianS, 38) || !near(c.P99S, 99) || !near(c.LongestWaitS, 100) {
 		t.Errorf("off: %+v", c)
 	}
 	if c := on.Classes[0]; c.RecoveryS != 29 || !near(c.MedianS, 5) {
@@ -64,7 +64,7 @@
 		}
 	}
 	runs[0].Samples = runs[0].Samples[60:]
-	if _, err := Summarize(runs); !errors.Is(err, ErrTooShort) {
+	if _, err := Summarize(runs); !errors.Is(err, ErrNoBaseline) {
 		t.Errorf("a run without samples before its cut: %v", err)
 	}
 }
--- a/limits_test.go
+++ b/limits_test.go
@@ -51,13 +51,13 @@
 		}},
 		{"while no transaction is answered", func(c *cluster) {
 			isTxn := func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }
-			c.setFault(nth(2, fake.LostAnswer, isTxn))
+			c.setFault(nth(2, fake.DroppedResponse, isTxn))
 			time.Sleep(3 * time.Second)
 			lower(c)
 			time.Sleep(10 * time.Second)
 		}},
 		{"while transactions are applied late", func(c *cluster) {
-			c.setFault(nth(3, fake.Late, func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }))
+			c.setFault(nth(3, fake.DelayedRequest, func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }))
 			time.Sleep(3 * time.Second)
 			lower(c)
 			time.Sleep(20 * time.Second)
@@ -78,7 +78,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newTunedCluster(t, 3, tellNext)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 8 }
+				c.cloud.RuntimeOf = func(string) float64 { return 8 }
 				var ids []string
 				for i := range 10 {
 					ids = append(ids, fmt.Sprintf("j-%06d", i+1))
@@ -95,10 +95,10 @@
 					c.await(id, wire.JobDone, 120*time.Second)
 				}
 				c.answersAll(ids)
-				if broken := c.cloud.Broken(); broken != nil {
+				if broken := c.cloud.Violations(); broken != nil {
 					t.Error(broken)
 				}
-				if n := c.state.Refused(); n != 0 {
+				if n := c.state.RejectedTxns(); n != 0 {
 					t.Errorf("%d transactions were refused for their size", n)
 				}
 			})
@@ -141,12 +141,12 @@
 		for i := 1; i <= 8; i++ {
 			c.await(fmt.Sprintf("j-%06d", i), wire.JobDone, 120*time.Second)
 		}
-		before := c.state.Refused()
+		before := c.state.RejectedTxns()
 		time.Sleep(2 * time.Minute)
-		if n := c.state.Refused() - before; n != 0 {
+		if n := c.state.RejectedTxns() - before; n != 0 {
 			t.Errorf("%d transactions are still refused", n)
 		}
-		if broken := c.cloud.Broken(); broken != nil {
+		if broken := c.cloud.Violations(); broken != nil {
 			t.Error(broken)
 		}
 	})
@@ -164,9 +164,9 @@
 		kill  time.Duration // after the take-over, 0: no further one
 	}{
 		{name: "quiet"},
-		{name: "transactions get no answer", fault: fake.LostAnswer},
-		{name: "transactions are applied late", fault: fake.Late},
-		{name: "the next leader ends while it divides", fault: fake.LostAnswer, kill: 300 * time.Millisecond},
+		{name: "transactions get no answer", fault: fake.DroppedResponse},
+		{name: "transactions are applied late", fault: fake.DelayedRequest},
+		{name: "the next leader ends while it divides", fault: fake.DroppedResponse, kill: 300 * time.Millisecond},
 		{name: "the next leader ends soon", kill: time.Second},
 	}
 	for _, tc := range cases {
@@ -180,7 +180,7 @@
 					}
 				})
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 60 }
+				c.cloud.RuntimeOf = func(string) float64 { return 60 }
 				time.Sleep(3 * time.Second)
 				big, many := testJob("j-000002", 2), testJob("j-000001", 600)
 				big["lane"], many["expect_s"] = strings.Repeat("l", 3000), 60.0
@@ -239,10 +239,10 @@
 					t.Errorf("the large job's cancellation: %d %s", code, s.Status)
 				}
 				c.await("j-000001", wire.JobDone, 4*time.Minute)
-				if n := c.state.Refused(); n != 0 {
+				if n := c.state.RejectedTxns(); n != 0 {
 					t.Errorf("%d transactions were refused for their size", n)
 				}
-				if broken := c.cloud.Broken(); broken != nil {
+				if broken := c.cloud.Violations(); broken != nil {
 					t.Error(broken)
 				}
 			})
@@ -287,7 +287,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, tellNext)
 		defer c.close()
-		c.cloud.RunFor = func(task string) float64 {
+		c.cloud.RuntimeOf = func(task string) float64 {
 			if strings.HasPrefix(task, "j-000002/") {
 				return 400
 			}
@@ -323,7 +323,7 @@
 			t.Fatal(err)
 		}
 		c.state.Put(replica.JobPrefix+spec.ID, b)
-		c.rules.Submits(spec)
+		c.rules.ObserveSubmission(spec)
 		c.state.SetLimits(fake.StateLimits{ValueKB: 0.12, TxnOps: 3, WriteRPS: 15})
 		for i := range c.size {
 			c.start(i)
@@ -336,9 +336,9 @@
 		if code, _ := c.request(http.MethodPost, 1, "/v1/jobs", testJob("j-000003", 1)); code != http.StatusBadRequest {
 			t.Errorf("a job that cannot be stored: %d", code)
 		}
-		before := c.state.Refused()
+		before := c.state.RejectedTxns()
 		time.Sleep(3 * time.Minute)
-		n := c.state.Refused() - before
+		n := c.state.RejectedTxns() - before
 		t.Logf("%d refused at first, %d then", before, n)
 		if n > 20 { // each of a size that was not refused before
 			t.Errorf("%d transactions were refused in three minutes", n)
--- a/lost_writes_test.go
+++ b/lost_writes_test.go
@@ -35,9 +35,9 @@
 				var lost, seen tally
 				fault := func(from string, r *http.Request) fake.Fault {
 					if isState(r) && k.match(r) && lost.add("lost")%3 != 0 {
-						return fake.LostAnswer
+						return fake.DroppedResponse
 					}
-					return fake.Pass
+					return fake.NoFault
 				}
 				c.setFault(fault)
 				look := func() {
@@ -81,9 +81,9 @@
 		var held tally
 		c.setFault(func(_ string, r *http.Request) fake.Fault {
 			if r.URL.Path == "/txn" && match(r) && held.add("late") <= count {
-				return fake.Late
+				return fake.DelayedRequest
 			}
-			return fake.Pass
+			return fake.NoFault
 		})
 		return &held
 	}
@@ -180,7 +180,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				c.cloud.RunFor = func(task string) float64 {
+				c.cloud.RuntimeOf = func(task string) float64 {
 					switch {
 					case task == "j-000003/0" || strings.HasPrefix(task, "j-000009"):
 						return 2.5
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -34,7 +34,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, nodes)
 		defer c.close()
-		c.cloud.RunFor = func(task string) float64 {
+		c.cloud.RuntimeOf = func(task string) float64 {
 			id, n, _ := strings.Cut(task, "/")
 			if tasks := meetingTasks[id]; tasks != nil {
 				return tasks[n[0]-'0']
@@ -79,7 +79,7 @@
 					id = ids[n%9]
 				}
 				go c.request(http.MethodGet, n/9%nodes, "/v1/jobs/"+id, nil)
-				if c.troubled() > 0 || c.state.Down() {
+				if c.troubled() > 0 || c.state.InOutage() {
 					for _, id := range meetingDoomed {
 						ran = max(ran, c.running(id))
 					}
@@ -117,7 +117,7 @@
 		}
 		time.Sleep(time.Duration(cancelS) * time.Second)
 		c.answersAll(ids)
-		for _, rule := range c.rules.Broken() {
+		for _, rule := range c.rules.Violations() {
 			t.Error(rule)
 		}
 	})
@@ -185,7 +185,7 @@
 					return fault
 				}
 			}
-			return fake.Pass
+			return fake.NoFault
 		}
 	}
 	cases := []struct {
@@ -194,7 +194,7 @@
 		trouble func(c *cluster, cancel func())
 	}{
 		{"ends on both sides of changes of leader, records without an answer", 3, func(c *cluster, cancel func()) {
-			c.setFault(every(2, fake.LostAnswer, isTxn))
+			c.setFault(every(2, fake.DroppedResponse, isTxn))
 			for range 4 {
 				time.Sleep(6 * time.Second)
 				c.back(c.leader())
@@ -207,18 +207,18 @@
 			prefix := fmt.Sprintf("host-%d/", c.leader())
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if strings.HasPrefix(from, prefix) && isState(r) {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			time.Sleep(5 * time.Second)
 			cancel()
 			time.Sleep(2 * time.Second)
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if isState(r) {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			time.Sleep(time.Duration(cancelS+10) * time.Second)
 		}},
@@ -226,18 +226,18 @@
 			time.Sleep(8 * time.Second)
 			cancel()
 			time.Sleep(time.Second)
-			c.state.SetDown(true)
+			c.state.SetOutage(true)
 			time.Sleep(time.Duration(cancelS+10) * time.Second)
-			c.state.SetDown(false)
+			c.state.SetOutage(false)
 		}},
 		{"the state service is slow and loses answers while users cancel", 3, func(c *cluster, cancel func()) {
 			time.Sleep(6 * time.Second)
-			c.setFault(every(3, fake.LostAnswer, isState))
+			c.setFault(every(3, fake.DroppedResponse, isState))
 			cancel()
 			time.Sleep(40 * time.Second)
 		}},
 		{"the state service is slow while users cancel and ask", 3, func(c *cluster, cancel func()) {
-			c.setFault(every(1, fake.Slow, isState))
+			c.setFault(every(1, fake.HighLatency, isState))
 			time.Sleep(12 * time.Second)
 			cancel()
 			time.Sleep(20 * time.Second)
@@ -247,12 +247,12 @@
 		{"a leader is cut from state service and peers, not from workers and users", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			member := fmt.Sprintf("host-%d", c.leader())
-			c.pipes.Cut(func(from, to string) bool { return from == member || to == member })
+			c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if strings.HasPrefix(from, member+"/") && isState(r) {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			time.Sleep(6 * time.Second)
 			cancel()
@@ -263,9 +263,9 @@
 			time.Sleep(8 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if half(from) || half(r.URL.Host) {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			i := c.leader()
 			c.kill(i)
@@ -278,18 +278,18 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				switch {
 				case half(from) && isReport(r):
-					return fake.LostAnswer
+					return fake.DroppedResponse
 				case half(r.URL.Host):
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.back(c.leader())
 			cancel()
 			time.Sleep(20 * time.Second)
 		}},
 		{"old reports after newer ones, across changes of leader", 5, func(c *cluster, cancel func()) {
-			c.setFault(every(1, fake.Copied, isReport))
+			c.setFault(every(1, fake.DuplicatedRequest, isReport))
 			time.Sleep(8 * time.Second)
 			cancel()
 			for range 3 {
@@ -298,37 +298,37 @@
 			}
 		}},
 		{"copies of old reports are all that the next leader hears of half of the machines", 5, func(c *cluster, cancel func()) {
-			c.setFault(every(1, fake.Copied, isReport))
+			c.setFault(every(1, fake.DuplicatedRequest, isReport))
 			time.Sleep(7 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if half(from) || half(r.URL.Host) || r.URL.Host == "cloud" {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.back(c.leader())
 			time.Sleep(20 * time.Second)
 			cancel()
 		}},
 		{"reports late and answers lost", 3, func(c *cluster, cancel func()) {
-			c.setFault(every(3, fake.Late, isReport))
+			c.setFault(every(3, fake.DelayedRequest, isReport))
 			time.Sleep(10 * time.Second)
 			cancel()
 			c.back(c.leader())
 			time.Sleep(20 * time.Second)
 		}},
 		{"commands are held up, and so are their answers", 5, func(c *cluster, cancel func()) {
-			c.setFault(every(1, fake.Late, isCommand))
+			c.setFault(every(1, fake.DelayedRequest, isCommand))
 			time.Sleep(8 * time.Second)
 			cancel()
 			c.back(c.leader())
 			time.Sleep(4 * time.Second)
-			c.setFault(every(1, fake.LostAnswer, isCommand))
+			c.setFault(every(1, fake.DroppedResponse, isCommand))
 			c.back(c.leader())
 			time.Sleep(15 * time.Second)
 		}},
 		{"rentals and returns are carried out late", 3, func(c *cluster, cancel func()) {
-			c.setFault(every(2, fake.Late, func(r *http.Request) bool { return r.URL.Host == "cloud" && r.Method == http.MethodPost }))
+			c.setFault(every(2, fake.DelayedRequest, func(r *http.Request) bool { return r.URL.Host == "cloud" && r.Method == http.MethodPost }))
 			time.Sleep(12 * time.Second)
 			cancel()
 			c.back(c.leader())
@@ -358,12 +358,12 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if half(from) {
 					mute.add("report")
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
 				if half(r.URL.Host) {
 					mute.add("command")
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.back(c.leader())
 			cancel()
@@ -389,12 +389,12 @@
 		}},
 		{"all nodes are away for longer than lease_s", 3, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
-			ran := len(c.cloud.OnMachines())
+			ran := len(c.cloud.TasksOnMachines())
 			for i := range 3 {
 				c.kill(i)
 			}
 			time.Sleep(time.Duration(leaseS+3) * time.Second)
-			if on := len(c.cloud.OnMachines()); ran == 0 || on > 0 {
+			if on := len(c.cloud.TasksOnMachines()); ran == 0 || on > 0 {
 				c.t.Errorf("%d tasks ran, and %d after lease_s without nodes", ran, on)
 			}
 			for i := range 3 {
@@ -404,7 +404,7 @@
 			c.cancelJob(meetingDoomed[0], 0)
 			for try := 0; c.running(meetingDoomed[1]) == 0 || c.running(meetingDoomed[2]) == 0; try++ {
 				if try == 300 {
-					c.t.Errorf("jobs to be cancelled do not run anew: %v", c.cloud.OnMachines())
+					c.t.Errorf("jobs to be cancelled do not run anew: %v", c.cloud.TasksOnMachines())
 					break
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -418,10 +418,10 @@
 			for n := range 11 {
 				switch n {
 				case 4:
-					c.state.SetDown(true)
+					c.state.SetOutage(true)
 					cancel()
 				case 6:
-					c.state.SetDown(false)
+					c.state.SetOutage(false)
 				}
 				c.back(c.leader())
 				time.Sleep(9 * time.Second)
@@ -431,13 +431,13 @@
 			}
 		}},
 		{"more work than room, urgent and not, over slow links", 3, func(c *cluster, cancel func()) {
-			c.cloud.Most = max(5, len(c.cloud.Workers()))
+			c.cloud.MaxMachines = max(5, len(c.cloud.Workers()))
 			time.Sleep(8 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if from == "user" {
-					return fake.Pass
+					return fake.NoFault
 				}
-				return fake.Slow
+				return fake.HighLatency
 			})
 			for n := range 6 {
 				job := testJob(fmt.Sprintf("j-10000%d", n), 20)
@@ -450,7 +450,7 @@
 				}
 			}
 			time.Sleep(5 * time.Second)
-			if on, room := len(c.cloud.OnMachines()), 4*c.cloud.Most; on < room/2 {
+			if on, room := len(c.cloud.TasksOnMachines()), 4*c.cloud.MaxMachines; on < room/2 {
 				c.t.Errorf("%d tasks ran where %d have room", on, room)
 			}
 			cancel()
@@ -460,10 +460,10 @@
 			for n := range 6 {
 				c.await(fmt.Sprintf("j-10000%d", n), wire.JobDone, 3*time.Minute)
 			}
-			c.cloud.Most = 0
+			c.cloud.MaxMachines = 0
 		}},
 		{"all of it", 5, func(c *cluster, cancel func()) {
-			late, copied, lost := every(4, fake.Late, isTxn), every(3, fake.Copied, isReport), every(5, fake.LostAnswer, isReport)
+			late, copied, lost := every(4, fake.DelayedRequest, isTxn), every(3, fake.DuplicatedRequest, isReport), every(5, fake.DroppedResponse, isReport)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				return max(late(from, r), copied(from, r), lost(from, r))
 			})
@@ -495,10 +495,10 @@
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if k.key != "" && r.URL.Path == "/txn" && contains(r, k.key) || k.key == "" && strings.HasPrefix(r.URL.Path, "/holds") {
 						if count++; count%3 != 0 {
-							return fake.Late
+							return fake.DelayedRequest
 						}
 					}
-					return fake.Pass
+					return fake.NoFault
 				})
 				time.Sleep(10 * time.Second)
 				cancel()
--- a/membership_process_test.go
+++ b/membership_process_test.go
@@ -198,7 +198,7 @@
 
 // members asks a node what it thinks of the others.
 func (r *detectionRun) members(node int) (status membership.Status, err error) {
-	return status, fetch(r.Addrs[node].Client, "/members", &status)
+	return status, fetch(r.Addresses[node].Client, "/members", &status)
 }
 
 // fetch asks a node's process for a value.
--- a/membership_test.go
+++ b/membership_test.go
@@ -89,9 +89,9 @@
 func (c *memberCluster) refuses(node int) {
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if isState(r) && fromNode(from, node) {
-			return fake.LostRequest
+			return fake.DroppedRequest
 		}
-		return fake.Pass
+		return fake.NoFault
 	})
 }
 
@@ -140,7 +140,7 @@
 			}
 		}},
 		{"two nodes don't hear each other", func(c *memberCluster) {
-			c.pipes.Cut(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
+			c.pipes.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
 			c.never(time.Minute)
 		}},
 		{"the state service refuses one node", func(c *memberCluster) {
@@ -149,7 +149,7 @@
 		}},
 		{"the state service is down, and a node crashes", func(c *memberCluster) {
 			down := c.follower()
-			c.setFault(nth(1, fake.Refused, isState))
+			c.setFault(nth(1, fake.ServiceUnavailable, isState))
 			c.never(20 * time.Second)
 			c.kill(down)
 			c.reach(verdictWithin, down, membership.Failed)
@@ -176,12 +176,12 @@
 		}},
 		{"all paths are slow and jittering", func(c *memberCluster) {
 			random := rand.New(rand.NewPCG(uint64(c.size), 32))
-			c.pipes.Lag(func(string, string) time.Duration {
+			c.pipes.SetLatency(func(string, string) time.Duration {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return time.Duration(random.Int64N(int64(pathLag)))
 			})
-			c.pipes.Cut(func(string, string) bool { return true }) // all streams are opened anew
+			c.pipes.SetPartition(func(string, string) bool { return true }) // all streams are opened anew
 			c.healPeers()
 			c.never(10 * time.Minute)
 			slow := 0
--- a/node_test.go
+++ b/node_test.go
@@ -48,28 +48,28 @@
 		}},
 		// What gets no answer may have been done.
 		{"answers of the state service are lost", func(c *cluster) {
-			c.setFault(nth(4, fake.LostAnswer, isState))
+			c.setFault(nth(4, fake.DroppedResponse, isState))
 			time.Sleep(20 * time.Second)
 		}},
 		// What got no answer may be done later, after newer writes.
 		{"transactions are applied late", func(c *cluster) {
-			c.setFault(nth(3, fake.Late, func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }))
+			c.setFault(nth(3, fake.DelayedRequest, func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }))
 			time.Sleep(25 * time.Second)
 		}},
 		{"rentals are answered late", func(c *cluster) {
-			c.setFault(nth(2, fake.Late, func(r *http.Request) bool { return r.URL.Path == "/hosts" && r.Method == http.MethodPost }))
+			c.setFault(nth(2, fake.DelayedRequest, func(r *http.Request) bool { return r.URL.Path == "/hosts" && r.Method == http.MethodPost }))
 			time.Sleep(20 * time.Second)
 		}},
 		{"the state service is down", func(c *cluster) {
 			time.Sleep(time.Second)
-			c.state.SetDown(true)
+			c.state.SetOutage(true)
 			time.Sleep(8 * time.Second)
-			c.state.SetDown(false)
+			c.state.SetOutage(false)
 		}},
 		// Not an outage: the sessions run out meanwhile.
 		{"the state service refuses every node", func(c *cluster) {
 			time.Sleep(4 * time.Second)
-			c.setFault(nth(1, fake.Refused, isState))
+			c.setFault(nth(1, fake.ServiceUnavailable, isState))
 			time.Sleep(20 * time.Second)
 		}},
 		// The old leader is cut off while the others elect a new one.
@@ -78,37 +78,37 @@
 			time.Sleep(2 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if strings.HasPrefix(from, prefix) && isState(r) {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			time.Sleep(15 * time.Second)
 		}},
 		// Longer than LeaseRenewalWindow: the peers' answers keep leases and placing alive.
 		{"the state service is down for long", func(c *cluster) {
 			time.Sleep(4 * time.Second)
-			c.state.SetDown(true)
+			c.state.SetOutage(true)
 			time.Sleep(40 * time.Second)
-			c.state.SetDown(false)
+			c.state.SetOutage(false)
 		}},
 		{"the leader crashes while the state service is down", func(c *cluster) {
 			i := c.leader()
 			time.Sleep(4 * time.Second)
-			c.state.SetDown(true)
+			c.state.SetOutage(true)
 			time.Sleep(3 * time.Second)
 			c.kill(i)
 			c.start(i)
 			time.Sleep(12 * time.Second)
-			c.state.SetDown(false)
+			c.state.SetOutage(false)
 		}},
 		// The others pass the workers' reports on.
 		{"no worker reaches the leader", func(c *cluster) {
 			host := fmt.Sprintf("host-%d:8080", c.leader())
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if strings.HasPrefix(from, "i-") && r.URL.Host == host {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			for i := 1; i <= 3; i++ {
 				c.await(fmt.Sprintf("j-%06d", min(i, 2)), wire.JobDone, 90*time.Second)
@@ -120,9 +120,9 @@
 				id := ws[0].ID
 				c.setFault(func(from string, _ *http.Request) fake.Fault {
 					if from == id {
-						return fake.LostRequest
+						return fake.DroppedRequest
 					}
-					return fake.Pass
+					return fake.NoFault
 				})
 			}
 			time.Sleep(30 * time.Second)
@@ -132,10 +132,10 @@
 			c.setFault(func(from string, _ *http.Request) fake.Fault {
 				if strings.HasPrefix(from, "i-") {
 					if count++; count%3 == 0 {
-						return fake.LostAnswer
+						return fake.DroppedResponse
 					}
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			time.Sleep(20 * time.Second)
 		}},
@@ -153,10 +153,10 @@
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			if match(from, r) {
 				if count++; count%every == 0 {
-					return fake.Copied
+					return fake.DuplicatedRequest
 				}
 			}
-			return fake.Pass
+			return fake.NoFault
 		})
 	}
 	isReport := func(_ string, r *http.Request) bool { return r.URL.Path == "/hello" }
@@ -212,7 +212,7 @@
 		}},
 		// What it holds must not start elsewhere while nobody knows.
 		{"a machine is silent while another node takes over", func(c *cluster) {
-			c.cloud.RunFor = func(string) float64 { return 25 }
+			c.cloud.RuntimeOf = func(string) float64 { return 25 }
 			job := testJob("j-000004", 9)
 			job["expect_s"] = 90.0 // for a fleet that has room
 			c.request(http.MethodPost, 0, "/v1/jobs", job)
@@ -226,9 +226,9 @@
 			silent := ws[0].ID
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if from == silent || r.URL.Host == "cloud" {
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			i := c.leader()
 			c.kill(i)
@@ -247,11 +247,11 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				switch {
 				case from == deaf && r.URL.Path == "/hello":
-					return fake.LostAnswer
+					return fake.DroppedResponse
 				case strings.HasPrefix(r.URL.Host, deaf+":"):
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			for i := 1; i <= 2; i++ { // served by others while it lasts
 				c.await(fmt.Sprintf("j-%06d", i), wire.JobDone, 90*time.Second)
@@ -276,7 +276,7 @@
 				}
 				c := newClusterOf(t, size)
 				defer c.close()
-				c.cloud.RunFor = func(task string) float64 {
+				c.cloud.RuntimeOf = func(task string) float64 {
 					if strings.HasPrefix(task, "j-000001/") {
 						return 300
 					}
@@ -291,15 +291,15 @@
 					cut = (cut + 1) % size
 				}
 				member := fmt.Sprintf("host-%d", cut)
-				c.pipes.Cut(func(from, to string) bool { return from == member || to == member })
+				c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					switch {
 					case strings.HasPrefix(from, member+"/") && isState(r), r.URL.Host == "cloud": // no return helps either
-						return fake.LostRequest
+						return fake.DroppedRequest
 					case strings.HasPrefix(from, "i-") && r.URL.Host != member+":8080" && strings.HasSuffix(who, "another node"):
-						return fake.Refused
+						return fake.ServiceUnavailable
 					}
-					return fake.Pass
+					return fake.NoFault
 				})
 				time.Sleep(12 * time.Second) // until no watch that was open before is left
 				code := 0
@@ -311,7 +311,7 @@
 					t.Fatalf("abort answered %d", code)
 				}
 				time.Sleep(time.Duration(cancelS) * time.Second)
-				if on := c.cloud.OnMachines(); len(on) > 0 {
+				if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 					t.Errorf("still on machines: %v", on)
 				}
 				// Its users are to go elsewhere, too.
@@ -323,9 +323,9 @@
 				// The cut lasts; others serve the workers.
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if strings.HasPrefix(from, member+"/") && isState(r) {
-						return fake.LostRequest
+						return fake.DroppedRequest
 					}
-					return fake.Pass
+					return fake.NoFault
 				})
 				if code, _ := c.request(http.MethodPost, (cut+2)%size, "/v1/jobs", testJob("j-000002", 3)); code != http.StatusCreated {
 					t.Fatalf("submission answered %d", code)
@@ -339,7 +339,7 @@
 				if _, s := c.request(http.MethodGet, (cut+1)%size, "/v1/jobs/j-000002", nil); s.Status != wire.JobDone {
 					t.Errorf("a job submitted during the cut is %q", s.Status)
 				}
-				if broken := c.cloud.Broken(); broken != nil {
+				if broken := c.cloud.Violations(); broken != nil {
 					t.Error(broken)
 				}
 			})
@@ -357,16 +357,16 @@
 		for i := 0; i < 60 && c.cloud.Starts() == 0; i++ {
 			time.Sleep(500 * time.Millisecond)
 		}
-		c.state.SetDown(true)
+		c.state.SetOutage(true)
 		time.Sleep(10 * time.Second) // the leader can no longer count on its session
 		before := c.cloud.Starts()
 		time.Sleep(15 * time.Second)
 		if after := c.cloud.Starts(); after <= before {
 			t.Errorf("%d tasks were started before and %d after", before, after)
 		}
-		c.state.SetDown(false)
+		c.state.SetOutage(false)
 		c.await("j-000001", wire.JobDone, 3*time.Minute)
-		if broken := c.cloud.Broken(); broken != nil {
+		if broken := c.cloud.Violations(); broken != nil {
 			t.Error(broken)
 		}
 	})
@@ -387,7 +387,7 @@
 			c.await(id, wire.JobDone, 90*time.Second)
 		}
 		c.answersAll(ids)
-		if broken := c.cloud.Broken(); broken != nil {
+		if broken := c.cloud.Violations(); broken != nil {
 			t.Error(broken)
 		}
 		if starts := c.cloud.Starts(); starts < 15 {
--- a/placing_test.go
+++ b/placing_test.go
@@ -46,7 +46,7 @@
 		most := 0
 		for range 240 { // a minute
 			time.Sleep(250 * time.Millisecond)
-			own := slices.DeleteFunc(c.cloud.OnMachines(), func(task string) bool { return !strings.HasPrefix(task, "j-000001/") })
+			own := slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, "j-000001/") })
 			most = max(most, len(own))
 		}
 		c.await("j-000001", wire.JobDone, time.Minute)
@@ -77,7 +77,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newClusterOf(t, 5)
 				defer c.close()
-				c.cloud.RunFor = func(task string) float64 {
+				c.cloud.RuntimeOf = func(task string) float64 {
 					if strings.HasPrefix(task, "j-000009/") {
 						return 30
 					}
@@ -140,7 +140,7 @@
 					time.Sleep(time.Second)
 				}
 				if c.running("j-000002") != 4 {
-					t.Errorf("the team's next job does not run: %v", c.cloud.OnMachines())
+					t.Errorf("the team's next job does not run: %v", c.cloud.TasksOnMachines())
 				}
 				c.broken()
 			})
@@ -157,8 +157,8 @@
 			c := newTunedCluster(t, 3, func(s *settings.Settings) { s.Params.Zones = []string{"a", "b"} })
 			defer c.close()
 			c.cloud.Zones = []string{"a", "b"}
-			c.rules.Offers[0].Zones = c.cloud.Zones
-			c.cloud.RunFor = func(string) float64 { return 400 }
+			c.rules.InstanceTypes[0].Zones = c.cloud.Zones
+			c.cloud.RuntimeOf = func(string) float64 { return 400 }
 			first, second := testJob("j-000001", 6), testJob("j-000002", 6)
 			first["together"], second[bind] = true, true
 			first["expect_s"], second["expect_s"] = 200.0, 200.0 // for a fleet with room
@@ -172,7 +172,7 @@
 			if took := time.Since(begun); took > 30*time.Second {
 				t.Errorf("%s: %d of 6 tasks run after %v", bind, len(c.on("j-000002/")), took)
 			}
-			if broken := c.cloud.Broken(); broken != nil {
+			if broken := c.cloud.Violations(); broken != nil {
 				t.Error(broken)
 			}
 		})
@@ -197,9 +197,9 @@
 				c := newTunedCluster(t, 5, func(s *settings.Settings) { s.Params.Zones = []string{"a", "b"} })
 				defer c.close()
 				c.cloud.Zones = []string{"a", "b"}
-				c.rules.Offers[0].Zones = c.cloud.Zones
-				c.cloud.FetchS = 1
-				c.cloud.RunFor = func(string) float64 { return 40 }
+				c.rules.InstanceTypes[0].Zones = c.cloud.Zones
+				c.cloud.ImagePullS = 1
+				c.cloud.RuntimeOf = func(string) float64 { return 40 }
 				time.Sleep(3 * time.Second)
 				for n, bind := range []map[string]any{{"together": true}, {"scatter": true}, {"hall": "a"}, {"hall": "b"}, {}} {
 					job := testJob(fmt.Sprintf("j-00000%d", n+1), 6)
@@ -214,25 +214,25 @@
 				if !tc.leads {
 					inside = (inside + 1) % 5
 				}
-				p, host := fake.NewPartition(), fmt.Sprintf("host-%d", inside)
+				p, host := fake.NewZonePartition(), fmt.Sprintf("host-%d", inside)
 				p.MachineOf, p.ZoneOf = machineOf, func(name string) string {
 					if strings.HasPrefix(name, host+"/") || strings.HasPrefix(name, host+":") || name == host {
 						return "a"
 					}
 					return c.rules.ZoneOf(machineOf(name))
 				}
-				p.Changed = func() { c.pipes.Cut(p.Separated) }
+				p.OnChange = func() { c.pipes.SetPartition(p.Blocks) }
 				var cut tally
 				c.setFault(func(from string, r *http.Request) fake.Fault {
-					fault := p.Fault(from, r)
-					if fault != fake.Pass {
+					fault := p.FaultOf(from, r)
+					if fault != fake.NoFault {
 						cut.add("cut")
 					} else if r.URL.Path == "/hosts/return" && !tc.returns {
-						fault = fake.Refused
+						fault = fake.ServiceUnavailable
 					}
 					return fault
 				})
-				p.Cut("a")
+				p.Isolate("a")
 				held := 0
 				for i := 0; i < int(leaseS)+10; i++ {
 					time.Sleep(time.Second)
--- a/requests_test.go
+++ b/requests_test.go
@@ -92,9 +92,9 @@
 		{"all have just started, and the cloud is away", func(c *cluster) {
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Host == "cloud" {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.back(0, 1, 2)
 			time.Sleep(2 * time.Second)
@@ -102,9 +102,9 @@
 		{"nobody knows the catalog", func(c *cluster) {
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Host == "cloud" {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}, true},
 	}
@@ -175,9 +175,9 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if fromNode(from, odd) && watches(r) {
 					held.add("held")
-					return fake.LostRequest
+					return fake.DroppedRequest
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}, false},
 		{"a node has just started", func(c *cluster, held *tally) {
@@ -189,17 +189,17 @@
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if fromNode(from, odd) && isState(r) {
 					held.add("held")
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}, true},
 		{"every other answer to a transaction is lost", func(c *cluster, held *tally) {
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Path == "/txn" && held.add("held")%2 == 1 {
-					return fake.LostAnswer
+					return fake.DroppedResponse
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}, false},
 	}
@@ -208,7 +208,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				c.cloud.RunFor = func(task string) float64 {
+				c.cloud.RuntimeOf = func(task string) float64 {
 					if strings.HasPrefix(task, "j-00000") {
 						return 4
 					}
@@ -272,7 +272,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, 5)
 		defer c.close()
-		c.cloud.RunFor = func(string) float64 { return 60 }
+		c.cloud.RuntimeOf = func(string) float64 { return 60 }
 		c.submit("j-000001", 4)
 		time.Sleep(5 * time.Second)
 		var mu sync.Mutex
@@ -285,12 +285,12 @@
 			case r.URL.Path == "/watch" && strings.Contains(r.URL.RawQuery, "wait_ms=0"):
 				reads++
 				if readsOf[from]++; readsOf[from]%2 == 0 {
-					return fake.TooMany
+					return fake.TooManyRequests
 				}
 			case r.URL.Path == "/watch":
 				watches++
 			}
-			return fake.Pass
+			return fake.NoFault
 		})
 		var wg sync.WaitGroup
 		for n := range 1000 { // in 20 s
@@ -325,7 +325,7 @@
 		})
 		defer c.close()
 		c.state.SetLimits(fake.StateLimits{RPS: 60, WriteRPS: 15, TxnOps: 12})
-		c.cloud.RunFor = func(string) float64 { return 3 }
+		c.cloud.RuntimeOf = func(string) float64 { return 3 }
 		c.submit("j-000009", 1)
 		c.await("j-000009", wire.JobDone, time.Minute)
 		var mu sync.Mutex
--- a/rolling_test.go
+++ b/rolling_test.go
@@ -79,9 +79,9 @@
 	}
 	r.swap(r.leader(), now, time.Second) // old or new, it ends
 	r.submit(2)
-	r.state.SetDown(true) // while both serve
+	r.state.SetOutage(true) // while both serve
 	time.Sleep(4 * time.Second)
-	r.state.SetDown(false)
+	r.state.SetOutage(false)
 	r.swap((leader+1)%3, old, 300*time.Millisecond) // and back
 	r.submit(1)
 	for i := range r.size { // now all
@@ -100,10 +100,10 @@
 	if gangs && (r.accepted["old"] == 0 || r.accepted["now"] == 0) {
 		t.Errorf("not every version has accepted gangs: %v", r.accepted)
 	}
-	if n := r.state.Refused(); n != 0 {
+	if n := r.state.RejectedTxns(); n != 0 {
 		t.Errorf("%d transactions were refused for their size", n)
 	}
-	if broken := r.cloud.Broken(); broken != nil {
+	if broken := r.cloud.Violations(); broken != nil {
 		t.Error(broken)
 	}
 }
@@ -238,13 +238,13 @@
 	id := r.submitGang()
 	r.until(id, map[string]int{wire.TaskRunning: 3})
 	time.Sleep(time.Second)
-	r.cloud.With(id)[0].Take(5 * time.Second)
+	r.cloud.WorkersOf(id)[0].Interrupt(5 * time.Second)
 	r.await(id, wire.JobDone, time.Minute)
 	if runs := r.cloud.GangRuns(id); runs < 2 {
 		r.t.Errorf("%s ran %d times, although it lost a machine", id, runs)
 	}
 	r.t.Logf("%s, led by %s: attempts that ran %d, progress saved %v, done after %v",
-		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangSaved(id), time.Since(begun).Round(time.Second))
+		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangProgress(id), time.Since(begun).Round(time.Second))
 }
 
 // awaitAll awaits the ends of all jobs. A submission that is repeated then is told of them.
@@ -266,7 +266,7 @@
 // processes is a cluster whose nodes are processes on loopback.
 type processes struct {
 	*cluster
-	*harness.Processes
+	*harness.ProcessCluster
 }
 
 // processScale is how large the world of the processes is.
@@ -298,18 +298,18 @@
 // newScaledProcesses prepares processes for a world of a scale.
 func newScaledProcesses(t *testing.T, nodes int, dir string, scale processScale) *processes {
 	c := &cluster{t: t, size: nodes}
-	var p *harness.Processes
-	p, err := harness.NewProcesses(harness.Config{
+	var p *harness.ProcessCluster
+	p, err := harness.NewProcessCluster(harness.ProcessConfig{
 		Settings: func(node int) *settings.Settings { return scale.settings(node, nodes) },
 		Nodes:    nodes,
 		Dir:      dir,
-		RunFor: func(task string) float64 {
+		RuntimeOf: func(task string) float64 {
 			if id, _, _ := strings.Cut(task, "/"); p.Rules.Job(id).Kind == wire.KindGang {
 				return 8
 			}
 			return 3
 		},
-		Ended: func(_ int, log string, err error) { t.Errorf("%s ended by itself: %v", log, err) },
+		OnUnexpectedExit: func(_ int, log string, err error) { t.Errorf("%s ended by itself: %v", log, err) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -319,12 +319,12 @@
 }
 
 // kill ends a node's process.
-func (c *processes) kill(i int) { c.Processes.Kill(i) }
+func (c *processes) kill(i int) { c.ProcessCluster.Kill(i) }
 
 // run begins a new life of a node with a program.
 func (c *processes) run(i int, program string) {
 	c.t.Helper()
-	c.must(c.Run(i, program))
+	c.must(c.StartNode(i, program))
 }
 
 // end ends all and, of a test that failed, shows what the processes logged.
--- a/standby_commands_test.go
+++ b/standby_commands_test.go
@@ -38,7 +38,7 @@
 	time.Sleep(3 * time.Second)
 	leader := c.leader()
 	follower := 1 - leader
-	address := func(node int) string { return c.Addrs[node].Client }
+	address := func(node int) string { return c.Addresses[node].Client }
 	wrong := filepath.Join(t.TempDir(), "wrong.xml")
 	if err := os.WriteFile(wrong, []byte("<caperlatch><standby><pull>1</pull></standby></caperlatch>"), 0o644); err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 		t.Error("the take-over is not shown as handed over")
 	}
 	token = c.token()
-	c.ExpectEnd(follower)
+	c.ExpectExit(follower)
 	c.must(c.Signal(follower, syscall.SIGTERM))
 	begun := time.Now()
 	c.ledAfter(token)
--- a/standby_kills_test.go
+++ b/standby_kills_test.go
@@ -54,8 +54,8 @@
 		s.Params.Workers.HeartbeatIntervalS = 2
 	}, testStandby())
 	defer c.close()
-	c.cloud.Most = killMachines
-	c.cloud.RunFor = func(task string) float64 { return float64(4 + 3*(len(task)+int(task[len(task)-1]))%24) }
+	c.cloud.MaxMachines = killMachines
+	c.cloud.RuntimeOf = func(task string) float64 { return float64(4 + 3*(len(task)+int(task[len(task)-1]))%24) }
 	r := &killRun{cluster: c, random: rand.New(rand.NewPCG(seed, 24)), size: size, cancelled: map[string]bool{}}
 	var users sync.WaitGroup
 	// Each has numbers of its own, as all run at the same time.
--- a/standby_meetings_test.go
+++ b/standby_meetings_test.go
@@ -36,9 +36,9 @@
 func refuseState(node int) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if isState(r) && (node < 0 || fromNode(from, node)) {
-			return fake.Refused
+			return fake.ServiceUnavailable
 		}
-		return fake.Pass
+		return fake.NoFault
 	}
 }
 
@@ -47,11 +47,11 @@
 	return func(from string, r *http.Request) fake.Fault {
 		switch {
 		case ids[machineOf(from)]:
-			return fake.LostAnswer
+			return fake.DroppedResponse
 		case ids[machineOf(r.URL.Host)]:
-			return fake.LostRequest
+			return fake.DroppedRequest
 		}
-		return fake.Pass
+		return fake.NoFault
 	}
 }
 
@@ -135,9 +135,9 @@
 			// Answers to reports are lost from the handover on, and those with starts before.
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if machineOf(from) != "" && strings.HasSuffix(r.URL.Path, "/hello") {
-					return fake.LostAnswer
+					return fake.DroppedResponse
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 			c.submit("j-000007", 8)
 			time.Sleep(700 * time.Millisecond)
@@ -170,7 +170,7 @@
 		}},
 		{"the leader is cut from the nodes as it hands over", 3, nil, func(c *cluster) {
 			host := fmt.Sprintf("host-%d", c.leader())
-			c.pipes.Cut(func(from, to string) bool { return from == host || to == host })
+			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 			c.handOver()
 			time.Sleep(5 * time.Second)
 			c.healPeers()
@@ -185,7 +185,7 @@
 				for i := range tc.without {
 					c.back(i)
 				}
-				c.cloud.RunFor = func(string) float64 { return 12 }
+				c.cloud.RuntimeOf = func(string) float64 { return 12 }
 				c.submitJob(testJob("j-000001", 24))
 				c.submitJob(gangJob("j-000002", 3, 2, nil))
 				c.submitJob(testJob("j-000003", 4))
--- a/standby_test.go
+++ b/standby_test.go
@@ -72,8 +72,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newStandbyCluster(t, 3, noTuning, tc.standby)
 				defer c.close()
-				c.cloud.Most = 6
-				c.cloud.RunFor = func(task string) float64 {
+				c.cloud.MaxMachines = 6
+				c.cloud.RuntimeOf = func(task string) float64 {
 					if strings.HasSuffix(task, "/0") {
 						return 300 // on the machine that is to be out of reach
 					}
@@ -92,7 +92,7 @@
 				if tc.standby != nil {
 					c.awaitWhole()
 				}
-				away := map[string]bool{c.cloud.With("j-000001")[0].ID: true}
+				away := map[string]bool{c.cloud.WorkersOf("j-000001")[0].ID: true}
 				var cut tally
 				c.setFault(cutMachines(away, &cut))
 				leader, token := c.leader(), c.token()
@@ -127,8 +127,8 @@
 				c := newStandbyCluster(t, 3, func(s *settings.Settings) { s.Params.Zones = []string{"a", "b"} }, standby)
 				defer c.close()
 				c.cloud.Zones = []string{"a", "b"}
-				c.rules.Offers[0].Zones = c.cloud.Zones
-				c.cloud.RunFor = func(string) float64 { return 1 }
+				c.rules.InstanceTypes[0].Zones = c.cloud.Zones
+				c.cloud.RuntimeOf = func(string) float64 { return 1 }
 				bound, free := testJob("j-000001", 20000), testJob("j-000002", 20000)
 				bound["hall"] = "a"
 				other := testJob("j-000003", 2000) // has machines in the zone that is cut
@@ -178,7 +178,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newStandbyCluster(t, 3, noTuning, testStandby())
 		defer c.close()
-		c.cloud.RunFor = func(task string) float64 { return float64(2 + len(task)%3) }
+		c.cloud.RuntimeOf = func(task string) float64 { return float64(2 + len(task)%3) }
 		var ids []string
 		for n := range 12 {
 			id := fmt.Sprintf("j-%06d", n+1)
@@ -233,7 +233,7 @@
 		}},
 		{"no node hears the leader", func(c *cluster, leader int) {
 			host := fmt.Sprintf("host-%d", leader)
-			c.pipes.Cut(func(from, to string) bool { return from == host || to == host })
+			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 		}},
 	}
 	for _, tc := range cases {
@@ -284,8 +284,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := newStandbyCluster(t, 3, noTuning, standby)
 			defer c.close()
-			c.cloud.Most = 20
-			c.cloud.RunFor = func(string) float64 { return 1 }
+			c.cloud.MaxMachines = 20
+			c.cloud.RuntimeOf = func(string) float64 { return 1 }
 			c.submit("j-000100", 8000) // room comes free all the time
 			time.Sleep(15 * time.Second)
 			for n := range ends {
--- a/takeover_test.go
+++ b/takeover_test.go
@@ -34,20 +34,20 @@
 			i := c.leader()
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if fromNode(from, i) && isState(r) {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}},
 		{name: "the leader loses the state service and its peers", over: func(c *cluster) {
 			i := c.leader()
 			host := fmt.Sprintf("host-%d", i)
-			c.pipes.Cut(func(from, to string) bool { return from == host || to == host })
+			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if fromNode(from, i) && isState(r) {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			})
 		}},
 	}
@@ -56,7 +56,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newStandbyCluster(t, 5, noTuning, tc.standby)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 300 }
+				c.cloud.RuntimeOf = func(string) float64 { return 300 }
 				const jobs = 12
 				var ids []string
 				for n := range jobs {
@@ -97,7 +97,7 @@
 					c.cancelJob(id, 0)
 				}
 				time.Sleep(time.Duration(cancelS) * time.Second)
-				if on := c.cloud.OnMachines(); len(on) > 0 {
+				if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 					t.Errorf("still on machines: %v", on)
 				}
 				if before < 2 || after < 2 {
@@ -122,11 +122,11 @@
 		key  string
 		lag  fake.Fault
 	}{
-		{"lists of machines are carried out late", "c/u/", fake.Late},
-		{"bookings are carried out late", "c/b/", fake.Late},
-		{"lists of machines are refused", "c/u/", fake.Refused},
-		{"bookings are lost", "c/b/", fake.LostRequest},
-		{"answers to lists of machines are lost", "c/u/", fake.LostAnswer},
+		{"lists of machines are carried out late", "c/u/", fake.DelayedRequest},
+		{"bookings are carried out late", "c/b/", fake.DelayedRequest},
+		{"lists of machines are refused", "c/u/", fake.ServiceUnavailable},
+		{"bookings are lost", "c/b/", fake.DroppedRequest},
+		{"answers to lists of machines are lost", "c/u/", fake.DroppedResponse},
 	}
 	for _, tc := range cases {
 		for _, after := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 5 * time.Second, 10 * time.Second} {
@@ -134,7 +134,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					c := newCluster(t)
 					defer c.close()
-					c.cloud.RunFor = func(string) float64 { return 60 }
+					c.cloud.RuntimeOf = func(string) float64 { return 60 }
 					c.submit("j-000009", 1) // the catalog is known
 					time.Sleep(3 * time.Second)
 					var lag tally
@@ -147,7 +147,7 @@
 							lag.add("lag")
 							return tc.lag
 						}
-						return fake.Pass
+						return fake.NoFault
 					})
 					job := testJob("j-000001", 12)
 					job["expect_s"] = 200.0
@@ -214,16 +214,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				c.cloud.RunFor = func(string) float64 { return 60 }
+				c.cloud.RuntimeOf = func(string) float64 { return 60 }
 				var held heldReports
 				keep := func(from string, r *http.Request) fake.Fault {
 					if machineOf(from) != "" && r.URL.Path == "/hello" {
 						held.keep(r)
 					}
 					if r.URL.Path == "/hosts/return" {
-						return fake.Refused
+						return fake.ServiceUnavailable
 					}
-					return fake.Pass
+					return fake.NoFault
 				}
 				c.setFault(keep)
 				job := testJob("j-000001", 8)
@@ -269,12 +269,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t)
 			defer c.close()
-			c.cloud.RunFor = func(string) float64 { return 120 }
+			c.cloud.RuntimeOf = func(string) float64 { return 120 }
 			noReturns := func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Path == "/hosts/return" {
-					return fake.Refused
+					return fake.ServiceUnavailable
 				}
-				return fake.Pass
+				return fake.NoFault
 			}
 			c.setFault(noReturns)
 			base := testJob("j-000009", 4) // a CPU of each machine is left
@@ -286,7 +286,7 @@
 			}
 			holdStarts := func(from string, r *http.Request) fake.Fault {
 				if r.URL.Path == "/hello" {
-					return fake.HeldStarts
+					return fake.DelayedStarts
 				}
 				return noReturns(from, r)
 			}
@@ -296,7 +296,7 @@
 			if code, _ := c.request(http.MethodPost, c.leader(), "/v1/jobs", job); code != http.StatusCreated {
 				t.Fatalf("submission answered %d", code)
 			}
-			for i := 0; c.net.StartsHeld() == 0 && i < 500; i++ {
+			for i := 0; c.net.DelayedStartResponses() == 0 && i < 500; i++ {
 				time.Sleep(20 * time.Millisecond)
 			}
 			// What there is as nodes try to lead is noted before any of them can: the next
@@ -307,7 +307,7 @@
 				return func(from string, r *http.Request) fake.Fault {
 					if r.URL.Path == "/txn" && contains(r, replica.TokenKey) && c.token() == before {
 						met.add("tried")
-						if c.net.StartsHeld() == 0 {
+						if c.net.DelayedStartResponses() == 0 {
 							met.add("none held")
 						}
 						if c.running("j-000001") > 0 {
@@ -322,7 +322,7 @@
 			c.setFault(noting(noReturns))
 			c.ledAfter(before)
 			if met.of("tried") == 0 || met.of("none held") > 0 || met.of("some ran") > 0 {
-				t.Errorf("%d answers with starts were held up; as nodes tried to lead: %v", c.net.StartsHeld(), met.n)
+				t.Errorf("%d answers with starts were held up; as nodes tried to lead: %v", c.net.DelayedStartResponses(), met.n)
 			}
 			time.Sleep(5 * time.Second)
 			c.setFault(nil)
