--- a/upgrade_test.go
+++ b/upgrade_test.go
@@ -90,10 +90,10 @@
 // the jobs stored and the state that each must end in.
 func (c *cluster) goOn(stored map[string]wire.Raw) map[string]string {
 	const before = "before"
-	c.rules.Rented(before, wire.LaunchRequest{InstanceType: "m4", Zone: "a"})
+	c.rules.ObserveLaunch(before, wire.LaunchRequest{InstanceType: "m4", Zone: "a"})
 	done := func(task string) {
-		c.rules.Started(task, before)
-		c.rules.Left(task, before, true)
+		c.rules.ObserveStart(task, before)
+		c.rules.ObserveExit(task, before, true)
 	}
 	ends := map[string]string{}
 	for key, value := range stored {
@@ -107,14 +107,14 @@
 		}
 		ends[id] = wire.JobDone
 		if !j.IsFinal() {
-			c.rules.Submits(*j.Spec)
+			c.rules.ObserveSubmission(*j.Spec)
 			continue
 		}
 		ends[id] = j.State
 		// Of a job that is over the capture alone tells what it was.
-		c.rules.Submits(wire.Job{ID: id, Team: "blue", Tasks: 2})
+		c.rules.ObserveSubmission(wire.Job{ID: id, Team: "blue", Tasks: 2})
 		if j.State == wire.JobCancelled {
-			c.rules.Asks("/v1/jobs/" + id + "/abort")
+			c.rules.ObserveRequest("/v1/jobs/" + id + "/abort")
 		} else {
 			done(id + "/0")
 			done(id + "/1")
@@ -200,10 +200,10 @@
 						if want, known := gangBegins[moment]; known && tc.there && got != want {
 							t.Errorf("of the gang there began %+v, want %+v", got, want)
 						}
-						if n := c.state.Refused(); n != 0 {
+						if n := c.state.RejectedTxns(); n != 0 {
 							t.Errorf("%d transactions were refused for their size", n)
 						}
-						if broken := c.cloud.Broken(); broken != nil {
+						if broken := c.cloud.Violations(); broken != nil {
 							t.Error(broken)
 						}
 					})
@@ -218,7 +218,7 @@
 	for i := range c.size {
 		c.kill(i)
 	}
-	c.cloud.RunFor = func(task string) float64 {
+	c.cloud.RuntimeOf = func(task string) float64 {
 		id, _, _ := strings.Cut(task, "/")
 		if c.rules.Job(id).Kind == wire.KindGang {
 			return 12 // beyond the take-over
--- a/versions_test.go
+++ b/versions_test.go
@@ -43,9 +43,9 @@
 		ask("it is back", http.StatusOK, peer.Version, true, true)
 		c.kill(1)
 		c.kill(2)
-		c.state.SetDown(true)
+		c.state.SetOutage(true)
 		time.Sleep(5 * time.Second)
 		ask("not ready", http.StatusServiceUnavailable, 0, false, false)
-		c.state.SetDown(false)
+		c.state.SetOutage(false)
 	})
 }
--- a/zones_measure_test.go
+++ b/zones_measure_test.go
@@ -79,23 +79,23 @@
 	rented, used := 0, 0
 	r.play(func() {
 		r.leadIn("a")
-		run.Cut, rented, used = r.Now(), r.cloud.Rented(), r.Used()
+		run.Cut, rented, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
 		for i, seconds := range zonePatterns[run.Pattern] {
 			if i%2 == 0 {
-				r.Partition.Cut("b")
+				r.ZonePartition.Isolate("b")
 			} else {
-				r.Restore()
+				r.Heal()
 			}
 			time.Sleep(seconds * time.Second)
 		}
-		run.Restored = r.Now()
-		r.Restore()
+		run.Restored = r.Elapsed()
+		r.Heal()
 		time.Sleep(150 * time.Second)
 	})
-	run.Rented = r.cloud.Rented() - rented
-	run.Unused = run.Rented - (r.Used() - used)
-	if err := run.Take(r.History); err != nil {
+	run.Launched = r.cloud.Launched() - rented
+	run.Unused = run.Launched - (r.MachinesUsed() - used)
+	if err := run.RecordHistory(r.History); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, pause %v", run.Pattern, run.Machines, run.Policy, run.Seed, r.cloud.Starts(), r.Pause("urgent"))
+	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, pause %v", run.Pattern, run.Machines, run.Policy, run.Seed, r.cloud.Starts(), r.LongestStall("urgent"))
 }
--- a/zones_test.go
+++ b/zones_test.go
@@ -107,8 +107,8 @@
 var zoneScenarios = []zoneScenario{cutAndRestored, threeFlaps, killedWhenLost,
 	{name: "half of the zone comes back", steps: []zoneStep{loses(20), halfComesBack, wait(40)}},
 	{name: "reports over a lease old reach all nodes as a leader begins", steps: []zoneStep{loses(15), func(r *zoneRun) {
-		time.AfterFunc(5*time.Second, func() { r.Restore(); r.restart(r.leader()) })
-		r.With(30*time.Second, fake.Copied, func(from string, q *http.Request) bool {
+		time.AfterFunc(5*time.Second, func() { r.Heal(); r.restart(r.leader()) })
+		r.InjectFor(30*time.Second, fake.DuplicatedRequest, func(from string, q *http.Request) bool {
 			return machineOf(from) != "" && q.URL.Path == "/hello" && from[len(from)-1]%2 == 0
 		})
 	}}},
@@ -122,11 +122,11 @@
 	{name: "all nodes restart at once", steps: []zoneStep{loses(10), allRestart, goesOn(zone.Lost)}},
 	{name: "the state service refuses the leader, then all, in the evacuation", steps: []zoneStep{loses(5), stateRefuses}},
 	{name: "the state service refuses the leader, then all, in the return", steps: []zoneStep{loses(20), heals(zone.Returning), stateRefuses}},
-	{name: "two zones are apart, and both reach the state service", steps: []zoneStep{func(r *zoneRun) { r.lost = r.target(false); r.Apart() }, until(zone.Lost), wait(20)}},
+	{name: "two zones are apart, and both reach the state service", steps: []zoneStep{func(r *zoneRun) { r.lost = r.target(false); r.SplitZones() }, until(zone.Lost), wait(20)}},
 	{name: "the cloud is down meanwhile", steps: []zoneStep{func(r *zoneRun) {
-		go r.With(40*time.Second, fake.Refused, func(_ string, q *http.Request) bool { return q.URL.Host == "cloud" })
+		go r.InjectFor(40*time.Second, fake.ServiceUnavailable, func(_ string, q *http.Request) bool { return q.URL.Host == "cloud" })
 	}, loses(25)}},
-	{name: "machines are taken in the surviving zone", nodes: 3, steps: []zoneStep{loses(2), hitSurvivors(halfMachines/4, func(w *fake.Worker) { w.Take(3 * time.Second) }), wait(20)}},
+	{name: "machines are taken in the surviving zone", nodes: 3, steps: []zoneStep{loses(2), hitSurvivors(halfMachines/4, func(w *fake.Worker) { w.Interrupt(3 * time.Second) }), wait(20)}},
 	{name: "what is left cannot hold the urgent work", nodes: 3, machines: 14, load: 0.25, steps: []zoneStep{loses(0), hitSurvivors(9, func(w *fake.Worker) { w.Hang(25 * time.Second) }), wait(25)}},
 	{name: "displaced jobs are cancelled through a third node", steps: []zoneStep{submits(6, func(id string) map[string]any {
 		job := testJob(id, 10)
@@ -137,8 +137,8 @@
 		return gangJob(id, 4, 2, map[string]any{"together": id[len(id)-1]%2 == 0})
 	}), loses(25), heals(), addedAre(wire.JobDone)}},
 	{name: "the only zone", nodes: 3, zones: twoZones[:1], machines: 2 * halfMachines, steps: []zoneStep{func(r *zoneRun) {
-		r.HitAll() // its machines are cut off from the nodes, which go on
-		r.With(25*time.Second, fake.LostRequest, func(from string, q *http.Request) bool {
+		r.MarkAllAffected() // its machines are cut off from the nodes, which go on
+		r.InjectFor(25*time.Second, fake.DroppedRequest, func(from string, q *http.Request) bool {
 			return (machineOf(from) == "") != (machineOf(q.URL.Host) == "")
 		})
 		if s := r.status("a"); s.Zone == "" || s.Flaps > 0 {
@@ -148,12 +148,12 @@
 	{name: "two of four zones", zones: fourZones, machines: halfMachines / 2, steps: []zoneStep{func(r *zoneRun) {
 		leads := r.target(true)
 		lost := slices.DeleteFunc(slices.Clone(fourZones), func(name string) bool { return name == leads })[:2]
-		r.Cut(lost...)
+		r.Isolate(lost...)
 		for _, want := range []zone.State{zone.Lost, zone.Healthy} {
 			r.awaitState(lost[0], want)
 			r.awaitState(lost[1], want)
 			time.Sleep(20 * time.Second)
-			r.Restore()
+			r.Heal()
 		}
 	}}},
 	{name: "nodes of a version without it lead for a while", steps: []zoneStep{loses(8), func(r *zoneRun) {
@@ -161,7 +161,7 @@
 		r.restart(r.leader())
 		time.Sleep(5 * time.Second)
 		r.without = nil
-		r.Restore()
+		r.Heal()
 	}, allRestart}},
 	cutAndRestored.without(wrongOrder, func(c *zone.Config) { c.Classes = nil }),
 	cutAndRestored.without(wrongSteps, func(c *zone.Config) { c.Steps = []float64{1} }),
@@ -210,11 +210,11 @@
 			heals()(r)
 		}
 	})
-	pause, again := r.Pause("urgent"), r.BegunAgain("urgent")
+	pause, again := r.LongestStall("urgent"), r.RestartedTasks("urgent")
 	if pause > mostPause || len(again) > 0 {
 		t.Errorf("urgent work paused for %v; %d tasks began again that no trouble met: %v", pause, len(again), again[:min(5, len(again))])
 	}
-	t.Logf("pause %v, %d starts, %d machines rented", pause, r.cloud.Starts(), r.cloud.Rented())
+	t.Logf("pause %v, %d starts, %d machines rented", pause, r.cloud.Starts(), r.cloud.Launched())
 	return r.wrong
 }
 
@@ -222,7 +222,7 @@
 type zoneRun struct {
 	*cluster
 	*fake.History
-	*fake.Partition
+	*fake.ZonePartition
 	zones   []string
 	load    float64 // of the jobs' sizes, 1: as the classes say
 	seed    uint64  // of the jobs' sizes; 0: all of a class have one size
@@ -237,21 +237,21 @@
 
 // newZoneRun starts nodes in turn in the zones, each with so many machines at most.
 func newZoneRun(t *testing.T, nodes int, zones []string, machines int, features settings.Features) *zoneRun {
-	r := &zoneRun{zones: zones, History: fake.NewHistory(), Partition: fake.NewPartition()}
+	r := &zoneRun{zones: zones, History: fake.NewHistory(), ZonePartition: fake.NewZonePartition()}
 	r.cluster = newFeaturesCluster(t, nodes, func(s *settings.Settings) {
 		s.Params.Zones = zones
 		s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = zoneReportS, zoneLeaseS, zoneCancelS
 	}, features)
-	r.cloud.Zones, r.rules.Offers[0].Zones, r.cloud.MostIn = zones, zones, map[string]int{}
+	r.cloud.Zones, r.rules.InstanceTypes[0].Zones, r.cloud.MaxMachinesByZone = zones, zones, map[string]int{}
 	for _, name := range zones {
-		r.cloud.MostIn[name] = machines
+		r.cloud.MaxMachinesByZone[name] = machines
 	}
-	r.cloud.RunFor = func(task string) float64 { return zoneClassOf(task).runS }
+	r.cloud.RuntimeOf = func(task string) float64 { return zoneClassOf(task).runS }
 	r.ClassOf = func(task string) string { return zoneClassOf(task).name }
-	r.History.Hit, r.Recent, r.rules.Watch = r.Partition.Hit, 2*zoneReportS*time.Second, r.Watch
+	r.History.Affected, r.UnreportedFor, r.rules.OnTaskEvent = r.ZonePartition.Affects, 2*zoneReportS*time.Second, r.ObserveTask
 	r.ZoneOf, r.MachineOf = r.zoneOfName, machineOf
-	r.Changed = func() { r.Troubled(); r.pipes.Cut(r.Separated) }
-	r.setFault(r.Fault)
+	r.OnChange = func() { r.ObserveFault(); r.pipes.SetPartition(r.Blocks) }
+	r.setFault(r.FaultOf)
 	return r
 }
 
@@ -280,7 +280,7 @@
 			if !r.submitFrom(n%r.size, time.Second, job) {
 				r.t.Errorf("%s was not accepted", id)
 			}
-			r.Accepted(id, c.name, tasks)
+			r.ObserveAccepted(id, c.name, tasks)
 		})
 		time.Sleep(c.every)
 	}
@@ -297,12 +297,12 @@
 	users.Go(func() {
 		for ctx.Err() == nil {
 			time.Sleep(time.Second)
-			r.Sample(r.cloud.Workers())
+			r.RecordSample(r.cloud.Workers())
 		}
 	})
 	time.Sleep(100 * time.Second) // the fleet is steady
 	script()
-	r.Restore()
+	r.Heal()
 	time.Sleep(20 * time.Second)
 	over()
 	users.Wait()
@@ -404,8 +404,8 @@
 	if r.lost == "" {
 		r.lost = r.target(false)
 	}
-	r.cutAt = r.Now()
-	r.Cut(r.lost)
+	r.cutAt = r.Elapsed()
+	r.Isolate(r.lost)
 }
 
 // loses cuts the zone off, waits for the verdict, and then for a while.
@@ -413,17 +413,17 @@
 	return func(r *zoneRun) {
 		cuts(r)
 		r.awaitState(r.lost, zone.Lost)
-		r.lostAt = r.Now()
+		r.lostAt = r.Elapsed()
 		wait(seconds)(r)
-		r.rented = cmp.Or(r.rented, r.cloud.Rented())
+		r.rented = cmp.Or(r.rented, r.cloud.Launched())
 	}
 }
 
 // heals ends all cuts, and waits until the zone is in one of some states, or healthy.
 func heals(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
-		r.healsAt = r.Now()
-		r.Restore()
+		r.healsAt = r.Elapsed()
+		r.Heal()
 		r.awaitState(r.lost, append(states, zone.Healthy)...)
 	}
 }
@@ -442,18 +442,18 @@
 // stateRefuses has the state service refuse the leader alone for a while, and then everybody.
 // Workers then seek another node, and may lose their leases in the zone that is left.
 func stateRefuses(r *zoneRun) {
-	r.HitAll()
+	r.MarkAllAffected()
 	leads := r.leader()
-	r.With(8*time.Second, fake.Refused, func(from string, q *http.Request) bool { return isState(q) && fromNode(from, leads) })
-	r.state.SetDown(true)
+	r.InjectFor(8*time.Second, fake.ServiceUnavailable, func(from string, q *http.Request) bool { return isState(q) && fromNode(from, leads) })
+	r.state.SetOutage(true)
 	time.Sleep(8 * time.Second)
-	r.state.SetDown(false)
+	r.state.SetOutage(false)
 }
 
 func halfComesBack(r *zoneRun) {
 	for i, w := range r.cloud.Workers() {
 		if w.Zone() == r.lost && i%2 == 0 {
-			r.LetThrough(w.ID)
+			r.AllowMachines(w.ID)
 		}
 	}
 }
@@ -465,7 +465,7 @@
 		for _, w := range left[:min(most, len(left))] {
 			hit(w)
 		}
-		r.HitAll()
+		r.MarkAllAffected()
 	}
 }
 
@@ -500,13 +500,13 @@
 }
 
 func outlivesLease(r *zoneRun) {
-	if r.EndsIn(r.lost, r.cutAt+zoneLeaseS*time.Second) == 0 {
+	if r.CompletionsIn(r.lost, r.cutAt+zoneLeaseS*time.Second) == 0 {
 		r.t.Error("nothing ran on inside past its lease")
 	}
 }
 
 func flapsCounted(r *zoneRun) {
-	if s, more := r.status(r.lost), r.cloud.Rented()-r.rented; s.Flaps < 3 || more > halfMachines/4 {
+	if s, more := r.status(r.lost), r.cloud.Launched()-r.rented; s.Flaps < 3 || more > halfMachines/4 {
 		r.t.Errorf("%d flaps are counted; %d machines were rented again for the same loss", s.Flaps, more)
 	}
 }
@@ -520,7 +520,7 @@
 
 // inOrder judges the order in which work began from the verdict until the zone came back.
 func inOrder(r *zoneRun) {
-	scans, updates := r.StartsWhile("scan", "update", leastWaiting, r.lostAt, r.healsAt)
+	scans, updates := r.StartsWhileWaiting("scan", "update", leastWaiting, r.lostAt, r.healsAt)
 	if scans+updates < leastMeasured {
 		r.t.Errorf("%d tasks began while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healsAt)
 	}
@@ -535,7 +535,7 @@
 		return
 	}
 	soon, _ := slices.BinarySearch(at, at[0]+c.StepHold.Duration()/2)
-	most := 1 + int(c.Steps[0]*float64(r.cloud.MostIn[r.lost])) // a part of a machine is one
+	most := 1 + int(c.Steps[0]*float64(r.cloud.MaxMachinesByZone[r.lost])) // a part of a machine is one
 	r.judge(soon > most, wrongSteps, "%d machines got work within the first step, want at most %d", soon, most)
 	half := at[len(at)*6/10] - at[0]
 	r.judge(half < 5*c.StepHold.Duration()/2, wrongSteps, "more than half of the machines got work after %v", half)
