--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -197,6 +197,16 @@
 	return out
 }
 
+// Machines describes the machines that are up to a history.
+func (c *Cloud) Machines() []Machine {
+	cpus := int(InstanceTypes().Types[0].CPUs)
+	var out []Machine
+	for _, w := range c.Workers() {
+		out = append(out, Machine{Zone: w.Zone(), CPUs: cpus, PricePerHour: w.PricePerHour()})
+	}
+	return out
+}
+
 // Close ends all machines.
 func (c *Cloud) Close() {
 	for _, w := range c.Workers() {
--- a/internal/sim/fake/history.go
+++ b/internal/sim/fake/history.go
@@ -130,8 +130,15 @@
 	return slices.Sorted(maps.Keys(h.accepted))
 }
 
-// RecordSample notes what is so now, with these machines.
-func (h *History) RecordSample(machines []*Worker) {
+// Machine is a machine that is up, as its worker and its price show it.
+type Machine struct {
+	Zone         string
+	CPUs         int
+	PricePerHour float64
+}
+
+// RecordSample records the present state, with these machines up.
+func (h *History) RecordSample(machines []Machine) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := Sample{At: h.Elapsed(), Waiting: map[string]int{}, Starts: map[string]int{}, Running: map[string]int{}}
@@ -147,9 +154,9 @@
 		}
 	}
 	room := map[string]int{}
-	for _, w := range machines {
-		room[w.Zone()] += int(InstanceTypes().Types[0].CPUs)
-		s.PricePerHour += w.PricePerHour()
+	for _, m := range machines {
+		room[m.Zone] += m.CPUs
+		s.PricePerHour += m.PricePerHour
 	}
 	for zone, n := range room {
 		if !h.Affected(zone) {
--- a/internal/sim/fake/rules.go
+++ b/internal/sim/fake/rules.go
@@ -61,9 +61,9 @@
 	on       map[string]bool // its tasks on machines
 }
 
-// NewRules watches nothing yet.
-func NewRules(cancel time.Duration, limits map[string]float64) *Rules {
-	return &Rules{CancellationTimeout: cancel, TeamCPULimits: limits, InstanceTypes: InstanceTypes().Types, jobs: map[string]*watched{}, on: map[string]string{},
+// NewRules returns a checker that has observed nothing yet.
+func NewRules(cancellationTimeout time.Duration, teamCPULimits map[string]float64, instanceTypes []wire.InstanceType) *Rules {
+	return &Rules{CancellationTimeout: cancellationTimeout, TeamCPULimits: teamCPULimits, InstanceTypes: instanceTypes, jobs: map[string]*watched{}, on: map[string]string{},
 		used: map[string]float64{}, kinds: map[string]wire.LaunchRequest{}}
 }
 
--- a/internal/sim/fake/rules_test.go
+++ b/internal/sim/fake/rules_test.go
@@ -129,7 +129,7 @@
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0})
+			r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0}, InstanceTypes().Types)
 			for _, m := range []string{"i-1", "i-2"} {
 				r.ObserveLaunch(m, wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
 			}
@@ -149,7 +149,7 @@
 // also those within cancel_s.
 func TestStartsAfterCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewRules(10*time.Second, map[string]float64{"blue": 0})
+		r := NewRules(10*time.Second, map[string]float64{"blue": 0}, InstanceTypes().Types)
 		r.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Tasks: 2, CPUs: 1})
 		r.ObserveRequest("/v1/jobs/j-000001/abort")
 		for i, want := range []int{0, 1} {
--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -306,7 +306,7 @@
 
 // sample notes what is so, and counts the jobs that are open and done.
 func (l *Lab) sample() (open, done int) {
-	l.history.RecordSample(l.processes.Cloud.Workers())
+	l.history.RecordSample(l.processes.Cloud.Machines())
 	broken := len(l.processes.Rules.Violations()) > 0
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/zones_test.go
+++ b/zones_test.go
@@ -297,7 +297,7 @@
 	users.Go(func() {
 		for ctx.Err() == nil {
 			time.Sleep(time.Second)
-			r.RecordSample(r.cloud.Workers())
+			r.RecordSample(r.cloud.Machines())
 		}
 	})
 	time.Sleep(100 * time.Second) // the fleet is steady
