--- a/cluster_test.go
+++ b/cluster_test.go
@@ -14,6 +14,7 @@
 
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/sim/fake"
 	"caperlatch/internal/sim/harness"
 	"caperlatch/internal/wire"
@@ -34,7 +35,7 @@
 	pipes                     *fake.PeerNetwork
 	state                     *fake.StateService
 	cloud                     *fake.Cloud
-	rules                     *fake.Rules
+	rules                     *checker.Rules
 	user                      *http.Client
 	size                      int // nodes
 
--- a/internal/sim/charts/charts.go
+++ b/internal/sim/charts/charts.go
@@ -10,7 +10,7 @@
 	"github.com/go-echarts/go-echarts/v2/charts"
 	"github.com/go-echarts/go-echarts/v2/opts"
 
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 )
 
 // Series is a named row of values.
@@ -20,7 +20,7 @@
 }
 
 // Timeline draws counts of tasks over samples.
-func Timeline(title string, samples []fake.Sample, counts func(fake.Sample) map[string]int) *charts.Line {
+func Timeline(title string, samples []checker.Sample, counts func(checker.Sample) map[string]int) *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
 		charts.WithTitleOpts(opts.Title{Title: title}),
--- a/internal/sim/fake/rules.go
+++ b/internal/sim/checker/rules.go
@@ -1,4 +1,4 @@
-package fake
+package checker
 
 import (
 	"fmt"
--- a/internal/sim/fake/rules_test.go
+++ b/internal/sim/checker/rules_test.go
@@ -1,4 +1,4 @@
-package fake
+package checker
 
 import (
 	"fmt"
@@ -10,6 +10,9 @@
 	"caperlatch/internal/wire"
 )
 
+// testInstanceTypes are what machines there are: one type, in zone a.
+var testInstanceTypes = []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, Zones: []string{"a"}}}
+
 // TestRules has each rule broken once, so that the tests which rely on the checker can
 // fail, and a day on which none is.
 func TestRules(t *testing.T) {
@@ -129,7 +132,7 @@
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0}, InstanceTypes().Types)
+			r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0}, testInstanceTypes)
 			for _, m := range []string{"i-1", "i-2"} {
 				r.ObserveLaunch(m, wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
 			}
@@ -149,7 +152,7 @@
 // also those within cancel_s.
 func TestStartsAfterCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := NewRules(10*time.Second, map[string]float64{"blue": 0}, InstanceTypes().Types)
+		r := NewRules(10*time.Second, map[string]float64{"blue": 0}, testInstanceTypes)
 		r.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Tasks: 2, CPUs: 1})
 		r.ObserveRequest("/v1/jobs/j-000001/abort")
 		for i, want := range []int{0, 1} {
--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -6,6 +6,7 @@
 	"strings"
 	"sync"
 
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/wire"
 )
 
@@ -16,7 +17,7 @@
 	RuntimeOf          func(task string) float64
 	HeartbeatIntervalS float64
 	LeaseDurationS     float64
-	Rules              *Rules
+	Rules              *checker.Rules
 	TaskFails          func(task, machine string) bool // nil: nothing does
 	Zones              []string                        // nil: one, a
 	ImagePullS         float64                         // how long a machine fetches an image
@@ -50,7 +51,7 @@
 }
 
 // NewCloud makes a cloud without machines.
-func NewCloud(n *Network, rules *Rules, nodes []string, reportS, leaseS float64, runFor func(string) float64) *Cloud {
+func NewCloud(n *Network, rules *checker.Rules, nodes []string, reportS, leaseS float64, runFor func(string) float64) *Cloud {
 	return &Cloud{Net: n, Rules: rules, Nodes: nodes, RuntimeOf: runFor, HeartbeatIntervalS: reportS, LeaseDurationS: leaseS,
 		gangs: newGangs(), bookings: map[string][]string{}, machines: map[string]*Worker{}, sites: map[string]string{}, startsOf: map[string]int{}}
 }
@@ -198,11 +199,11 @@
 }
 
 // Machines describes the machines that are up to a history.
-func (c *Cloud) Machines() []Machine {
+func (c *Cloud) Machines() []checker.Machine {
 	cpus := int(InstanceTypes().Types[0].CPUs)
-	var out []Machine
+	var out []checker.Machine
 	for _, w := range c.Workers() {
-		out = append(out, Machine{Zone: w.Zone(), CPUs: cpus, PricePerHour: w.PricePerHour()})
+		out = append(out, checker.Machine{Zone: w.Zone(), CPUs: cpus, PricePerHour: w.PricePerHour()})
 	}
 	return out
 }
--- a/internal/sim/fake/gang_test.go
+++ b/internal/sim/fake/gang_test.go
@@ -11,6 +11,7 @@
 	"testing/synctest"
 	"time"
 
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/wire"
 )
 
@@ -35,7 +36,7 @@
 
 func newGangBench(t *testing.T, machines int) *gangBench {
 	n := NewNetwork()
-	rules := NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
+	rules := checker.NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
 	rules.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 2, AllowSpot: true})
 	b := &gangBench{t: t, cloud: NewCloud(n, rules, []string{"host-0:8080"}, 1, 60, func(string) float64 { return 20 })}
 	n.Handle("host-0:8080", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
--- a/internal/sim/fake/worker_test.go
+++ b/internal/sim/fake/worker_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/wire"
 )
 
@@ -40,7 +41,7 @@
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			n := NewNetwork()
-			rules := NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
+			rules := checker.NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
 			rules.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Tasks: 1, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 3, AllowSpot: true})
 			cloud := NewCloud(n, rules, []string{"host-0:8080"}, 1, 8, func(string) float64 { return 20 })
 			cloud.ImagePullS = c.fetchS
--- a/internal/sim/harness/users.go
+++ b/internal/sim/harness/users.go
@@ -13,14 +13,14 @@
 	"strings"
 	"time"
 
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/wire"
 )
 
 // Users sends users' requests to nodes and shows the answers to the checker of the rules.
 type Users struct {
 	Client *http.Client
-	Rules  *fake.Rules
+	Rules  *checker.Rules
 	Nodes  int
 }
 
--- a/internal/sim/harness/world.go
+++ b/internal/sim/harness/world.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"caperlatch/internal/settings"
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/sim/fake"
 )
 
@@ -72,7 +73,7 @@
 		hosts = append(hosts, host(i))
 	}
 	workers := s.Params.Workers
-	rules := fake.NewRules(workers.CancellationTimeout().Duration(), limits, fake.InstanceTypes().Types)
+	rules := checker.NewRules(workers.CancellationTimeout().Duration(), limits, fake.InstanceTypes().Types)
 	users := Users{Client: &http.Client{Transport: n.From("user")}, Rules: rules, Nodes: nodes}
 	return users, fake.NewCloud(n, rules, hosts, workers.HeartbeatIntervalS, workers.LeaseDurationS, runFor)
 }
--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"caperlatch/internal/settings"
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/sim/harness"
 	"caperlatch/internal/wire"
 )
@@ -63,7 +63,7 @@
 	options   Options
 	out       io.Writer
 	processes *harness.ProcessCluster
-	history   *fake.History
+	history   *checker.History
 	begun     time.Time
 
 	// The checker of rules tells the history what tasks do, which asks what is silent, each under
@@ -154,7 +154,7 @@
 // observe begins the history of what workers do; there are no tasks yet.
 func (l *Lab) observe() {
 	s, _ := sampleSettings(0, l.options.Nodes)
-	l.history = fake.NewHistory()
+	l.history = checker.NewHistory()
 	l.history.ClassOf, l.history.Affected = classOf, l.hit
 	l.history.UnreportedFor = s.Params.Workers.LeaseDuration().Duration()
 	l.processes.Rules.OnTaskEvent = l.history.ObserveTask
--- a/internal/sim/lab/report.go
+++ b/internal/sim/lab/report.go
@@ -7,7 +7,7 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 
 	"caperlatch/internal/sim/charts"
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 )
 
 // WriteHTML writes a report of the run.
@@ -26,8 +26,8 @@
 		s.Seed, s.Terms, s.Nodes, s.Launched, s.Cost, len(s.Violations))
 	page.AddCharts(
 		charts.DurationBars("Tasks by class", subtitle, names, median, p95, runs),
-		charts.Timeline("tasks waiting by class", s.Samples, func(s fake.Sample) map[string]int { return s.Waiting }),
-		charts.Timeline("tasks on machines by zone", s.Samples, func(s fake.Sample) map[string]int { return s.Running }),
+		charts.Timeline("tasks waiting by class", s.Samples, func(s checker.Sample) map[string]int { return s.Waiting }),
+		charts.Timeline("tasks on machines by zone", s.Samples, func(s checker.Sample) map[string]int { return s.Running }),
 	)
 	if err := page.Render(w); err != nil {
 		return fmt.Errorf("report: %w", err)
--- a/internal/sim/lab/summary.go
+++ b/internal/sim/lab/summary.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"caperlatch/internal/micros"
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/sim/measure/failover"
 )
 
@@ -21,7 +21,7 @@
 	Cost             float64  // their price, at an hour's rate
 	Violations       []string // rules
 	FirstViolationAt time.Duration
-	Samples          []fake.Sample
+	Samples          []checker.Sample
 }
 
 // ClassSummary tells of one class's jobs.
@@ -62,7 +62,7 @@
 }
 
 // money is what the machines cost until the last sample.
-func money(samples []fake.Sample) (sum float64) {
+func money(samples []checker.Sample) (sum float64) {
 	for i := 1; i < len(samples); i++ {
 		sum += samples[i-1].PricePerHour * (samples[i].At - samples[i-1].At).Hours()
 	}
--- a/internal/sim/measure/zoneloss/html.go
+++ b/internal/sim/measure/zoneloss/html.go
@@ -8,7 +8,7 @@
 	"github.com/go-echarts/go-echarts/v2/components"
 
 	"caperlatch/internal/sim/charts"
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 )
 
 // WriteHTML writes a report of runs: for each its timelines by class and by zone, and for each
@@ -25,8 +25,8 @@
 	}
 	for _, r := range runs {
 		page.AddCharts(
-			charts.Timeline("tasks waiting by class: "+r.title(), r.Samples, func(s fake.Sample) map[string]int { return s.Waiting }),
-			charts.Timeline("tasks on machines by zone: "+r.title(), r.Samples, func(s fake.Sample) map[string]int { return s.Running }),
+			charts.Timeline("tasks waiting by class: "+r.title(), r.Samples, func(s checker.Sample) map[string]int { return s.Waiting }),
+			charts.Timeline("tasks on machines by zone: "+r.title(), r.Samples, func(s checker.Sample) map[string]int { return s.Running }),
 		)
 	}
 	if err := page.Render(w); err != nil {
--- a/internal/sim/measure/zoneloss/measurement.go
+++ b/internal/sim/measure/zoneloss/measurement.go
@@ -15,7 +15,7 @@
 
 	"github.com/DataDog/sketches-go/ddsketch"
 
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 )
 
 // accuracy is the relative error of the quantiles of waits.
@@ -29,7 +29,7 @@
 	Seed     uint64
 
 	Cut, Restored time.Duration // the first, and the end of the last
-	Samples       []fake.Sample
+	Samples       []checker.Sample
 	Waits         map[string]*ddsketch.DDSketch // seconds until tasks began, by class
 	// RepeatedS is the time on machines of starts that did not end done, in task seconds.
 	RepeatedS float64
@@ -44,7 +44,7 @@
 }
 
 // RecordHistory takes what a history holds from the first cut on, with a sample a second.
-func (r *Run) RecordHistory(h *fake.History) (err error) {
+func (r *Run) RecordHistory(h *checker.History) (err error) {
 	r.Samples, r.RepeatedS = h.Samples(), h.RepeatedWork().Seconds()
 	for _, s := range r.Samples {
 		if s.At > r.Cut {
--- a/internal/sim/measure/zoneloss/report_test.go
+++ b/internal/sim/measure/zoneloss/report_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/sim/checker"
 )
 
 // testRun has a class wait for more than usual from a cut at 100 s until a moment, and tasks
@@ -22,7 +22,7 @@
 		if at > 100 && at <= untilS {
 			waiting = 200
 		}
-		r.Samples = append(r.Samples, fake.Sample{At: time.Duration(at) * time.Second, Waiting: map[string]int{"scan": waiting}, Running: map[string]int{"a": 300}})
+		r.Samples = append(r.Samples, checker.Sample{At: time.Duration(at) * time.Second, Waiting: map[string]int{"scan": waiting}, Running: map[string]int{"a": 300}})
 	}
 	for s := 1; s <= n; s++ {
 		if err := r.AddWait("scan", float64(s)); err != nil {
--- a/zones_test.go
+++ b/zones_test.go
@@ -18,6 +18,7 @@
 	"caperlatch/internal/micros"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/sim/fake"
 	"caperlatch/internal/wire"
 	"caperlatch/internal/zone"
@@ -221,7 +222,7 @@
 // zoneRun is a cluster over some zones with a steady load, parts of which are cut off.
 type zoneRun struct {
 	*cluster
-	*fake.History
+	*checker.History
 	*fake.ZonePartition
 	zones   []string
 	load    float64 // of the jobs' sizes, 1: as the classes say
@@ -237,7 +238,7 @@
 
 // newZoneRun starts nodes in turn in the zones, each with so many machines at most.
 func newZoneRun(t *testing.T, nodes int, zones []string, machines int, features settings.Features) *zoneRun {
-	r := &zoneRun{zones: zones, History: fake.NewHistory(), ZonePartition: fake.NewZonePartition()}
+	r := &zoneRun{zones: zones, History: checker.NewHistory(), ZonePartition: fake.NewZonePartition()}
 	r.cluster = newFeaturesCluster(t, nodes, func(s *settings.Settings) {
 		s.Params.Zones = zones
 		s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = zoneReportS, zoneLeaseS, zoneCancelS
