--- a/internal/sim/checker/rules_test.go
+++ b/internal/sim/checker/rules_test.go
@@ -13,154 +13,194 @@
 // testInstanceTypes are what machines there are: one type, in zone a.
 var testInstanceTypes = []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, Zones: []string{"a"}}}
 
-// TestRules has each rule broken once, so that the tests which rely on the checker can
-// fail, and a day on which none is.
-func TestRules(t *testing.T) {
-	const poll, abort = "/v1/jobs/j-000001", "/v1/jobs/j-000001/abort"
-	told := func(r *Rules, method, path string, code int, status string) {
-		time.Sleep(time.Millisecond)
-		r.ObserveRequest(path)
-		sent := time.Now()
-		time.Sleep(time.Millisecond)
-		r.ObserveResponse(method, path, strings.Split(path+"/j-000001", "/")[3], sent, code, wire.JobStatus{ID: "j-000001", Status: status})
+// Paths of requests about the job that all cases start with.
+const (
+	submitPath = "/v1/jobs"
+	jobPath    = "/v1/jobs/j-000001"
+	abortPath  = "/v1/jobs/j-000001/abort"
+)
+
+// respond passes a request about a job and its response on, a millisecond later each, so that
+// times tell them apart.
+func respond(r *Rules, method, path string, code int, status string) {
+	time.Sleep(time.Millisecond)
+	r.ObserveRequest(path)
+	sent := time.Now()
+	time.Sleep(time.Millisecond)
+	r.ObserveResponse(Response{
+		Method: method,
+		Path:   path,
+		JobID:  strings.Split(path+"/j-000001", "/")[3],
+		SentAt: sent,
+		Code:   code,
+		Status: wire.JobStatus{ID: "j-000001", Status: status},
+	})
+}
+
+// respondNow passes the response to a request about a job on that is sent at this instant.
+func respondNow(r *Rules, method, path, id string, code int, status wire.JobStatus) {
+	r.ObserveResponse(Response{Method: method, Path: path, JobID: id, SentAt: time.Now(), Code: code, Status: status})
+}
+
+// startOn submits a further job and starts its tasks on these machines.
+func startOn(r *Rules, job wire.Job, machines ...string) {
+	job.ID, job.Team, job.Tasks, job.AllowSpot = "j-000002", "blue", 4, true
+	r.ObserveSubmission(job)
+	for i, m := range machines {
+		r.ObserveStart(fmt.Sprintf("j-000002/%d", i), m)
 	}
-	// apart starts the tasks of a job on these machines.
-	apart := func(r *Rules, job wire.Job, machines ...string) {
-		job.ID, job.Team, job.Tasks, job.AllowSpot = "j-000002", "blue", 4, true
-		r.ObserveSubmission(job)
-		for i, m := range machines {
-			r.ObserveStart(fmt.Sprintf("j-000002/%d", i), m)
+}
+
+// accept submits a further job and has it accepted.
+func accept(r *Rules, job wire.Job) {
+	job.ID, job.Tasks = "j-000002", max(1, job.Tasks)
+	r.ObserveSubmission(job)
+	respondNow(r, "POST", submitPath, job.ID, 201, wire.JobStatus{ID: job.ID, Status: wire.JobPending})
+}
+
+// ruleCase is a run that violates one rule, or none. At its start the job j-000001 of team small,
+// with two tasks of one CPU that may run in zone a, is accepted.
+type ruleCase struct {
+	name string
+	rule string // that must be found first; empty: none may be
+	run  func(r *Rules)
+}
+
+// taskCases violate rules on where and when tasks run.
+var taskCases = []ruleCase{
+	{"all tasks complete, one on its second machine", "", func(r *Rules) {
+		r.ObserveStart("j-000001/0", "i-1")
+		r.ObserveExit("j-000001/0", "i-1", false)
+		r.ObserveStart("j-000001/0", "i-2")
+		r.ObserveStart("j-000001/1", "i-1")
+		respond(r, "GET", jobPath, 503, "")
+		r.ObserveExit("j-000001/0", "i-2", true)
+		r.ObserveExit("j-000001/1", "i-1", true)
+		respond(r, "GET", jobPath, 200, wire.JobDone)
+		respond(r, "POST", abortPath, 200, wire.JobDone)
+	}},
+	{"task of a job that nobody submitted", "ran_unknown", func(r *Rules) { r.ObserveStart("j-000009/0", "i-1") }},
+	{"task on two machines", "ran_twice", func(r *Rules) {
+		r.ObserveStart("j-000001/0", "i-1")
+		r.ObserveStart("j-000001/0", "i-2")
+	}},
+	{"team over its limit", "quota", func(r *Rules) {
+		for _, task := range []string{"j-000001/0", "j-000001/1", "j-000001/2"} {
+			r.ObserveStart(task, "i-1")
 		}
-	}
-	accepted := func(r *Rules, job wire.Job) {
-		job.ID, job.Tasks = "j-000002", max(1, job.Tasks)
-		r.ObserveSubmission(job)
-		r.ObserveResponse("POST", "/v1/jobs", job.ID, time.Now(), 201, wire.JobStatus{ID: job.ID, Status: wire.JobPending})
-	}
-	cases := []struct {
-		rule string
-		day  func(r *Rules)
-	}{
-		{"", func(r *Rules) {
-			r.ObserveStart("j-000001/0", "i-1")
-			r.ObserveExit("j-000001/0", "i-1", false)
-			r.ObserveStart("j-000001/0", "i-2")
-			r.ObserveStart("j-000001/1", "i-1")
-			told(r, "GET", poll, 503, "")
-			r.ObserveExit("j-000001/0", "i-2", true)
-			r.ObserveExit("j-000001/1", "i-1", true)
-			told(r, "GET", poll, 200, wire.JobDone)
-			told(r, "POST", abort, 200, wire.JobDone)
-		}},
-		{"ran_unknown", func(r *Rules) { r.ObserveStart("j-000009/0", "i-1") }},
-		{"ran_twice", func(r *Rules) { r.ObserveStart("j-000001/0", "i-1"); r.ObserveStart("j-000001/0", "i-2") }},
-		{"quota", func(r *Rules) {
-			for _, task := range []string{"j-000001/0", "j-000001/1", "j-000001/2"} {
-				r.ObserveStart(task, "i-1")
-			}
-		}},
-		{"wrong_place", func(r *Rules) { r.ObserveStart("j-000001/0", "i-3") }},
-		{"ran_cancelled", func(r *Rules) {
-			r.ObserveStart("j-000001/0", "i-1")
-			told(r, "POST", abort, 200, wire.JobCancelled)
-			time.Sleep(11 * time.Second)
-		}},
-		{"ran_cancelled", func(r *Rules) {
-			told(r, "POST", abort, 200, wire.JobCancelled)
-			time.Sleep(11 * time.Second)
-			r.ObserveStart("j-000001/0", "i-1")
-		}},
-		{"forgotten", func(r *Rules) { told(r, "GET", poll, 404, "") }},
-		{"forgotten", func(r *Rules) { told(r, "POST", "/v1/jobs", 422, "") }},
-		{"invented", func(r *Rules) { told(r, "GET", "/v1/jobs/j-000002", 200, wire.JobPending) }},
-		{"not_done", func(r *Rules) {
-			r.ObserveStart("j-000001/0", "i-1")
-			r.ObserveExit("j-000001/0", "i-1", true)
-			told(r, "GET", poll, 200, wire.JobDone)
-		}},
-		{"went_back", func(r *Rules) {
-			told(r, "POST", abort, 200, wire.JobCancelled)
-			told(r, "GET", poll, 200, wire.JobPending)
-		}},
-		{"went_back", func(r *Rules) { told(r, "GET", poll, 200, wire.JobCancelled) }},
-		{"went_back", func(r *Rules) {
-			told(r, "POST", abort, 200, wire.JobCancelled)
-			told(r, "POST", "/v1/jobs", 200, wire.JobPending)
-		}},
-		{"forgotten", func(r *Rules) { told(r, "POST", "/v1/jobs", 404, "") }},
-		{"forgotten", func(r *Rules) { told(r, "POST", abort, 404, "") }},
-		// A question may be answered before the submission is.
-		{"forgotten", func(r *Rules) {
-			r.ObserveSubmission(wire.Job{ID: "j-000003", Team: "small", Tasks: 1, CPUs: 1})
-			r.ObserveResponse("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 200, wire.JobStatus{ID: "j-000003", Status: wire.JobPending})
-			time.Sleep(time.Millisecond)
-			r.ObserveResponse("GET", "/v1/jobs/j-000003", "j-000003", time.Now(), 404, wire.JobStatus{})
-		}},
-		// It left, but too late, and nothing else happened meanwhile.
-		{"ran_cancelled", func(r *Rules) {
-			r.ObserveStart("j-000001/0", "i-1")
-			told(r, "POST", abort, 200, wire.JobCancelled)
-			time.Sleep(10*time.Second + time.Millisecond)
-			r.ObserveExit("j-000001/0", "i-1", false)
-		}},
-		{"", func(r *Rules) {
-			r.ObserveStart("j-000001/0", "i-1")
-			told(r, "POST", abort, 200, wire.JobCancelled)
-			time.Sleep(10 * time.Second)
-			r.ObserveExit("j-000001/0", "i-1", false)
-		}},
-		{"wrong_place", func(r *Rules) { apart(r, wire.Job{SingleZone: true}, "i-1", "i-3") }},
-		{"", func(r *Rules) { apart(r, wire.Job{SingleZone: true}, "i-1", "i-2", "i-2") }},
-		{"wrong_place", func(r *Rules) { apart(r, wire.Job{SpreadZones: true}, "i-1", "i-3", "i-2", "i-1") }},
-		{"", func(r *Rules) { apart(r, wire.Job{SpreadZones: true}, "i-1", "i-3", "i-2") }},
-		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "small", CPUs: 3}) }},
-		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "blue", CPUs: 5}) }},
-		{"accepted_wrong", func(r *Rules) {
-			accepted(r, wire.Job{Team: "small", CPUs: 1, Tasks: 3, Kind: wire.KindGang})
-		}},
-		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "blue", CPUs: 1, Zone: "z"}) }},
-		{"accepted_wrong", func(r *Rules) { accepted(r, wire.Job{Team: "nobody's", CPUs: 1}) }},
-		{"accepted_wrong", func(r *Rules) {
-			r.ObserveMalformedSubmission("j-000002")
-			r.ObserveResponse("POST", "/v1/jobs", "j-000002", time.Now(), 201, wire.JobStatus{ID: "j-000002", Status: wire.JobPending})
-		}},
-		// The repeat of a job that was accepted may say anything.
-		{"", func(r *Rules) {
-			r.ObserveMalformedSubmission("j-000001")
-			told(r, "POST", "/v1/jobs", 200, wire.JobPending)
-		}},
-	}
-	for _, c := range cases {
-		synctest.Test(t, func(t *testing.T) {
-			r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0}, testInstanceTypes)
-			for _, m := range []string{"i-1", "i-2"} {
-				r.ObserveLaunch(m, wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
-			}
-			r.ObserveLaunch("i-3", wire.LaunchRequest{InstanceType: "m4", Zone: "b", Spot: true})
-			r.ObserveSubmission(wire.Job{ID: "j-000001", Team: "small", Tasks: 2, CPUs: 1, Zone: "a", AllowSpot: true})
-			told(r, "POST", "/v1/jobs", 201, wire.JobPending)
-			c.day(r)
-			broken := r.Violations()
-			if c.rule == "" && broken != nil || c.rule != "" && (len(broken) == 0 || !strings.HasPrefix(broken[0], c.rule+":")) {
-				t.Errorf("found %v, want %q", broken, c.rule)
-			}
+	}},
+	{"zone that the job does not allow", "wrong_place", func(r *Rules) { r.ObserveStart("j-000001/0", "i-3") }},
+	{"cancelled task never leaves", "ran_cancelled", func(r *Rules) {
+		r.ObserveStart("j-000001/0", "i-1")
+		respond(r, "POST", abortPath, 200, wire.JobCancelled)
+		time.Sleep(11 * time.Second)
+	}},
+	{"task starts long after cancellation", "ran_cancelled", func(r *Rules) {
+		respond(r, "POST", abortPath, 200, wire.JobCancelled)
+		time.Sleep(11 * time.Second)
+		r.ObserveStart("j-000001/0", "i-1")
+	}},
+	// It left, but too late, and nothing else happened meanwhile.
+	{"cancelled task leaves just too late", "ran_cancelled", func(r *Rules) {
+		r.ObserveStart("j-000001/0", "i-1")
+		respond(r, "POST", abortPath, 200, wire.JobCancelled)
+		time.Sleep(10*time.Second + time.Millisecond)
+		r.ObserveExit("j-000001/0", "i-1", false)
+	}},
+	{"cancelled task leaves just in time", "", func(r *Rules) {
+		r.ObserveStart("j-000001/0", "i-1")
+		respond(r, "POST", abortPath, 200, wire.JobCancelled)
+		time.Sleep(10 * time.Second)
+		r.ObserveExit("j-000001/0", "i-1", false)
+	}},
+	{"single-zone job in two zones", "wrong_place", func(r *Rules) { startOn(r, wire.Job{SingleZone: true}, "i-1", "i-3") }},
+	{"single-zone job in one zone", "", func(r *Rules) { startOn(r, wire.Job{SingleZone: true}, "i-1", "i-2", "i-2") }},
+	{"over half of a spread job in one zone", "wrong_place", func(r *Rules) { startOn(r, wire.Job{SpreadZones: true}, "i-1", "i-3", "i-2", "i-1") }},
+	{"half of a spread job in one zone", "", func(r *Rules) { startOn(r, wire.Job{SpreadZones: true}, "i-1", "i-3", "i-2") }},
+}
+
+// responseCases violate rules on what users are told.
+var responseCases = []ruleCase{
+	{"query of an accepted job answers 404", "forgotten", func(r *Rules) { respond(r, "GET", jobPath, 404, "") }},
+	{"repeated submission answers 422", "forgotten", func(r *Rules) { respond(r, "POST", submitPath, 422, "") }},
+	{"repeated submission answers 404", "forgotten", func(r *Rules) { respond(r, "POST", submitPath, 404, "") }},
+	{"cancellation answers 404", "forgotten", func(r *Rules) { respond(r, "POST", abortPath, 404, "") }},
+	// A query may be answered before the submission is.
+	{"job is known by a query before its submission is answered", "forgotten", func(r *Rules) {
+		r.ObserveSubmission(wire.Job{ID: "j-000003", Team: "small", Tasks: 1, CPUs: 1})
+		respondNow(r, "GET", "/v1/jobs/j-000003", "j-000003", 200, wire.JobStatus{ID: "j-000003", Status: wire.JobPending})
+		time.Sleep(time.Millisecond)
+		respondNow(r, "GET", "/v1/jobs/j-000003", "j-000003", 404, wire.JobStatus{})
+	}},
+	{"job that nobody submitted is known", "invented", func(r *Rules) { respond(r, "GET", "/v1/jobs/j-000002", 200, wire.JobPending) }},
+	{"job is done before its last task", "not_done", func(r *Rules) {
+		r.ObserveStart("j-000001/0", "i-1")
+		r.ObserveExit("j-000001/0", "i-1", true)
+		respond(r, "GET", jobPath, 200, wire.JobDone)
+	}},
+	{"cancelled job is pending by a query", "went_back", func(r *Rules) {
+		respond(r, "POST", abortPath, 200, wire.JobCancelled)
+		respond(r, "GET", jobPath, 200, wire.JobPending)
+	}},
+	{"job is cancelled that nobody cancelled", "went_back", func(r *Rules) { respond(r, "GET", jobPath, 200, wire.JobCancelled) }},
+	{"cancelled job is pending by a repeated submission", "went_back", func(r *Rules) {
+		respond(r, "POST", abortPath, 200, wire.JobCancelled)
+		respond(r, "POST", submitPath, 200, wire.JobPending)
+	}},
+	{"one task over the team's limit is accepted", "accepted_wrong", func(r *Rules) { accept(r, wire.Job{Team: "small", CPUs: 3}) }},
+	{"task larger than any machine is accepted", "accepted_wrong", func(r *Rules) { accept(r, wire.Job{Team: "blue", CPUs: 5}) }},
+	{"gang over the team's limit is accepted", "accepted_wrong", func(r *Rules) {
+		accept(r, wire.Job{Team: "small", CPUs: 1, Tasks: 3, Kind: wire.KindGang})
+	}},
+	{"zone without machines is accepted", "accepted_wrong", func(r *Rules) { accept(r, wire.Job{Team: "blue", CPUs: 1, Zone: "z"}) }},
+	{"unknown team is accepted", "accepted_wrong", func(r *Rules) { accept(r, wire.Job{Team: "nobody's", CPUs: 1}) }},
+	{"malformed submission is accepted", "accepted_wrong", func(r *Rules) {
+		r.ObserveMalformedSubmission("j-000002")
+		respondNow(r, "POST", submitPath, "j-000002", 201, wire.JobStatus{ID: "j-000002", Status: wire.JobPending})
+	}},
+	// The repeat of a job that was accepted may say anything.
+	{"malformed repeat of an accepted job", "", func(r *Rules) {
+		r.ObserveMalformedSubmission("j-000001")
+		respond(r, "POST", submitPath, 200, wire.JobPending)
+	}},
+}
+
+// TestRules violates each rule once, so that the tests which rely on the checker can fail, and runs
+// cases that violate none.
+func TestRules(t *testing.T) {
+	for _, c := range append(taskCases[:len(taskCases):len(taskCases)], responseCases...) {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r := NewRules(10*time.Second, map[string]float64{"small": 2, "blue": 0}, testInstanceTypes)
+				for _, m := range []string{"i-1", "i-2"} {
+					r.ObserveLaunch(m, wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
+				}
+				r.ObserveLaunch("i-3", wire.LaunchRequest{InstanceType: "m4", Zone: "b", Spot: true})
+				r.ObserveSubmission(wire.Job{ID: "j-000001", Team: "small", Tasks: 2, CPUs: 1, Zone: "a", AllowSpot: true})
+				respond(r, "POST", submitPath, 201, wire.JobPending)
+				c.run(r)
+				violations := r.Violations()
+				if c.rule == "" && violations != nil || c.rule != "" && (len(violations) == 0 || !strings.HasPrefix(violations[0], c.rule+":")) {
+					t.Errorf("violations %v, want %q", violations, c.rule)
+				}
+			})
 		})
 	}
 }
 
-// TestStartsAfterCancel counts the starts of a job that its user knows to be cancelled,
-// also those within cancel_s.
+// TestStartsAfterCancel counts the starts of a job that its user knows to be cancelled, also those
+// within the cancellation timeout.
 func TestStartsAfterCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := NewRules(10*time.Second, map[string]float64{"blue": 0}, testInstanceTypes)
 		r.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Tasks: 2, CPUs: 1})
-		r.ObserveRequest("/v1/jobs/j-000001/abort")
+		r.ObserveRequest(abortPath)
 		for i, want := range []int{0, 1} {
 			r.ObserveStart(fmt.Sprintf("j-000001/%d", i), "i-1")
 			if got := r.StartsAfterCancel(); got != want {
 				t.Errorf("start %d: %d counted, want %d", i, got, want)
 			}
-			r.ObserveResponse("POST", "/v1/jobs/j-000001/abort", "j-000001", time.Now(), 200, wire.JobStatus{ID: "j-000001", Status: wire.JobCancelled})
+			respondNow(r, "POST", abortPath, "j-000001", 200, wire.JobStatus{ID: "j-000001", Status: wire.JobCancelled})
 			time.Sleep(time.Second)
 		}
 	})
--- a/internal/sim/harness/users.go
+++ b/internal/sim/harness/users.go
@@ -63,7 +63,7 @@
 		_ = wire.Unmarshal(answer, &status) // an error body has no status, which the callers see
 	}
 	if strings.HasPrefix(path, jobsPath) {
-		u.Rules.ObserveResponse(method, path, id, sent, code, status)
+		u.Rules.ObserveResponse(checker.Response{Method: method, Path: path, JobID: id, SentAt: sent, Code: code, Status: status})
 	}
 	return code, status
 }
--- a/zones_test.go
+++ b/zones_test.go
@@ -521,7 +521,8 @@
 
 // inOrder judges the order in which work began from the verdict until the zone came back.
 func inOrder(r *zoneRun) {
-	scans, updates := r.StartsWhileWaiting("scan", "update", leastWaiting, r.lostAt, r.healsAt)
+	scansWait := checker.Contention{Class: "scan", Waiting: leastWaiting, From: r.lostAt, To: r.healsAt}
+	scans, updates := r.StartsUnder(scansWait, "scan"), r.StartsUnder(scansWait, "update")
 	if scans+updates < leastMeasured {
 		r.t.Errorf("%d tasks began while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healsAt)
 	}
