--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 
@@ -10,53 +11,60 @@
 	"caperlatch/internal/wire"
 )
 
-// Cloud is a stand-in of the cloud: one type, machines up at once.
-type Cloud struct {
-	Net                *Network
-	Nodes              []string // hosts of the controllers
-	RuntimeOf          func(task string) float64
-	HeartbeatIntervalS float64
+// CloudConfig is what a cloud and its workers are like. Tests may change it while nothing that it
+// bears on is in progress.
+type CloudConfig struct {
+	Net   *Network
+	Rules *checker.Rules // is passed what workers do
+	Nodes []string       // hosts of the controllers
+
+	HeartbeatIntervalS float64 // of the workers, in seconds
 	LeaseDurationS     float64
-	Rules              *checker.Rules
-	TaskFails          func(task, machine string) bool // nil: nothing does
-	Zones              []string                        // nil: one, a
-	ImagePullS         float64                         // how long a machine fetches an image
-	MaxMachines        int                             // machines that it has, 0: any number
-	MaxMachinesByZone  map[string]int                  // the same by zone; a zone without: any number
-	// ServeWorker has a worker's handler served somewhere and returns its address; nil: Net.
-	ServeWorker func(h http.Handler) (address string)
+	ImagePullS         float64 // how long a machine pulls an image; 0: it has all images
 
-	gangs *gangs
+	Zones             []string       // nil: one, a
+	MaxMachines       int            // in all zones; 0: any number
+	MaxMachinesByZone map[string]int // a zone without an entry: any number
 
-	mu       sync.Mutex
-	bookings map[string][]string
-	machines map[string]*Worker
-	next     int
-	sites    map[string]string // task -> machine that has it
-	starts   int
-	startsOf map[string]int // by job
-	rented   int
+	// RuntimeOf returns how long a task runs, in seconds. It is called with locks held.
+	RuntimeOf func(task string) float64
+	// TaskFails reports whether a task fails as it starts on a machine; nil: none does. It is called
+	// with locks held.
+	TaskFails func(task, machine string) bool
+	// ServeWorker serves a worker's handler and returns the address; nil: Net serves it. It is called
+	// with the cloud's lock held.
+	ServeWorker func(h http.Handler) (address string)
 }
 
-// full tells whether a zone has no machines left; the caller holds the lock.
-func (c *Cloud) full(zone string) bool {
-	n := 0
-	for _, w := range c.machines {
-		if w.Zone() == zone {
-			n++
-		}
-	}
-	most, limited := c.MaxMachinesByZone[zone]
-	return limited && n >= most || c.MaxMachines > 0 && len(c.machines) >= c.MaxMachines
+// Cloud is a fake of the cloud: it has one instance type, and its machines are up at once.
+type Cloud struct {
+	CloudConfig
+
+	gangs *gangRegistry
+
+	mu           sync.Mutex          // guards what follows
+	launches     map[string][]string // machines by the request ID of their launch
+	machines     map[string]*Worker  // that are up
+	nextMachine  int                 // number of the next machine's name
+	taskMachines map[string]string   // the machine that a task is on
+	starts       int
+	startsByJob  map[string]int
+	launched     int
 }
 
-// NewCloud makes a cloud without machines.
-func NewCloud(n *Network, rules *checker.Rules, nodes []string, reportS, leaseS float64, runFor func(string) float64) *Cloud {
-	return &Cloud{Net: n, Rules: rules, Nodes: nodes, RuntimeOf: runFor, HeartbeatIntervalS: reportS, LeaseDurationS: leaseS,
-		gangs: newGangs(), bookings: map[string][]string{}, machines: map[string]*Worker{}, sites: map[string]string{}, startsOf: map[string]int{}}
+// NewCloud returns a cloud without machines.
+func NewCloud(config CloudConfig) *Cloud {
+	return &Cloud{
+		CloudConfig:  config,
+		gangs:        newGangRegistry(),
+		launches:     map[string][]string{},
+		machines:     map[string]*Worker{},
+		taskMachines: map[string]string{},
+		startsByJob:  map[string]int{},
+	}
 }
 
-// InstanceTypes is what this cloud offers.
+// InstanceTypes returns the list of instance types of every Cloud, with zone a; the caller owns it.
 func InstanceTypes() wire.InstanceTypeList {
 	return wire.InstanceTypeList{Types: []wire.InstanceType{{
 		Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 0.3, BootTimeS: 2, Zones: []string{"a"},
@@ -74,141 +82,200 @@
 	defer c.mu.Unlock()
 	switch r.Method + r.URL.Path {
 	case "GET/catalog":
-		offers := InstanceTypes()
+		list := InstanceTypes()
 		if c.Zones != nil {
-			offers.Types[0].Zones = c.Zones
+			list.Types[0].Zones = c.Zones
 		}
-		send(w, http.StatusOK, offers)
+		respond(w, http.StatusOK, list)
 	case "GET/hosts":
-		send(w, http.StatusOK, wire.InstancePage{Instances: []wire.InstanceStatus{}})
+		respond(w, http.StatusOK, wire.InstancePage{Instances: []wire.InstanceStatus{}})
 	case "POST/hosts":
-		var q wire.LaunchRequest
-		if wire.Unmarshal(body, &q) != nil {
-			w.WriteHeader(http.StatusBadRequest)
-			return
-		}
-		ids, known := c.bookings[q.RequestID]
-		if !known && c.full(q.Zone) {
-			send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
-			return
-		}
-		for i := 0; i < q.Count && !known && !c.full(q.Zone); i++ {
-			id := fmt.Sprintf("i-%06d", c.next)
-			c.next++
-			c.rented++
-			ids = append(ids, id)
-			c.Rules.ObserveLaunch(id, q)
-			wk := newWorker(c, id, q)
-			c.machines[id] = wk
-			c.Net.Handle(wk.address, wk)
-		}
-		c.bookings[q.RequestID] = ids
-		send(w, http.StatusOK, wire.InstanceIDs{IDs: ids})
+		c.serveLaunch(w, body)
 	case "POST/hosts/return":
-		var q wire.InstanceIDs
-		if wire.Unmarshal(body, &q) != nil {
-			w.WriteHeader(http.StatusBadRequest)
-			return
-		}
-		for _, id := range q.IDs {
-			if wk := c.machines[id]; wk != nil {
-				wk.stop()
-				delete(c.machines, id)
-				c.Net.Handle(wk.address, nil)
-				c.release(id)
-			}
-		}
+		c.serveTerminate(w, body)
 	default:
 		w.WriteHeader(http.StatusBadRequest)
 	}
 }
 
-// release forgets what a machine has; the caller holds the lock.
-func (c *Cloud) release(id string) {
-	for task, m := range c.sites {
-		if m == id {
-			delete(c.sites, task)
-			c.Rules.ObserveExit(task, id, false)
+// serveLaunch launches machines; the caller holds the lock.
+func (c *Cloud) serveLaunch(w http.ResponseWriter, body []byte) {
+	var q wire.LaunchRequest
+	if wire.Unmarshal(body, &q) != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	ids, repeated := c.launches[q.RequestID]
+	if !repeated && c.isFull(q.Zone) {
+		respond(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
+		return
+	}
+	for i := 0; i < q.Count && !repeated && !c.isFull(q.Zone); i++ {
+		ids = append(ids, c.launch(q))
+	}
+	c.launches[q.RequestID] = ids
+	respond(w, http.StatusOK, wire.InstanceIDs{IDs: ids})
+}
+
+// launch launches a machine and returns its ID; the caller holds the lock.
+func (c *Cloud) launch(q wire.LaunchRequest) string {
+	id := fmt.Sprintf(machineFormat, c.nextMachine)
+	c.nextMachine++
+	c.launched++
+	c.Rules.ObserveLaunch(id, q)
+	worker := startWorker(c, id, q)
+	c.machines[id] = worker
+	c.Net.Handle(worker.address, worker)
+	return id
+}
+
+// machineFormat is the form of machines' IDs.
+const machineFormat = "i-%06d"
+
+// isFull reports whether a zone has no room for a further machine; the caller holds the lock.
+func (c *Cloud) isFull(zone string) bool {
+	inZone := 0
+	for _, w := range c.machines {
+		if w.Zone() == zone {
+			inZone++
+		}
+	}
+	zoneMax, limited := c.MaxMachinesByZone[zone]
+	return limited && inZone >= zoneMax || c.MaxMachines > 0 && len(c.machines) >= c.MaxMachines
+}
+
+// serveTerminate terminates machines; the caller holds the lock.
+func (c *Cloud) serveTerminate(w http.ResponseWriter, body []byte) {
+	var q wire.InstanceIDs
+	if wire.Unmarshal(body, &q) != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	for _, id := range q.IDs {
+		if worker := c.machines[id]; worker != nil {
+			c.terminate(worker)
+		}
+	}
+}
+
+// terminate ends a machine that is up, and everything on it; the caller holds the lock.
+func (c *Cloud) terminate(w *Worker) {
+	w.stop()
+	delete(c.machines, w.ID)
+	c.Net.Handle(w.address, nil)
+	for task, machine := range c.taskMachines {
+		if machine == w.ID {
+			delete(c.taskMachines, task)
+			c.Rules.ObserveExit(task, w.ID, false)
 		}
 	}
 }
 
-func (c *Cloud) started(task, machine string) {
+// taskStarted records a task that is on a machine from now on.
+func (c *Cloud) taskStarted(task, machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.starts++
-	id, _, _ := strings.Cut(task, "/")
-	c.startsOf[id]++
+	job, _, _ := strings.Cut(task, "/")
+	c.startsByJob[job]++
 	c.Rules.ObserveStart(task, machine)
-	c.sites[task] = machine
+	c.taskMachines[task] = machine
 }
 
-func (c *Cloud) left(task, machine string, done bool) {
+// taskExited records that a task is no longer on a machine, and whether it is done.
+func (c *Cloud) taskExited(task, machine string, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sites[task] == machine {
-		delete(c.sites, task)
+	if c.taskMachines[task] == machine {
+		delete(c.taskMachines, task)
 		c.Rules.ObserveExit(task, machine, done)
 	}
 }
 
-// Violations lists the rules broken so far.
+// Violations lists the violations of the rules so far.
 func (c *Cloud) Violations() []string { return c.Rules.Violations() }
 
-// Starts counts the tasks started, Rented the machines rented.
+// Starts counts the starts of tasks so far.
 func (c *Cloud) Starts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.starts
 }
 
-// StartsOf counts the starts of a job's tasks.
-func (c *Cloud) StartsOf(id string) int {
+// StartsOf counts the starts of a job's tasks so far.
+func (c *Cloud) StartsOf(job string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.startsOf[id]
+	return c.startsByJob[job]
 }
 
-// Launched counts the machines rented so far.
+// Launched counts the machines launched so far.
 func (c *Cloud) Launched() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rented
+	return c.launched
 }
 
-// TasksOnMachines lists the tasks that are on machines.
+// TasksOnMachines lists the tasks that are on machines, in any order.
 func (c *Cloud) TasksOnMachines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []string
-	for task := range c.sites {
-		out = append(out, task)
+	var tasks []string
+	for task := range c.taskMachines {
+		tasks = append(tasks, task)
 	}
-	return out
+	return tasks
 }
 
-// Workers lists the machines that are up.
+// TaskStates returns the states of the tasks that machines have, by task, without those that have
+// exited.
+func (c *Cloud) TaskStates() map[string]string {
+	states := map[string]string{}
+	for _, w := range c.Workers() {
+		w.mu.Lock()
+		for _, t := range w.tasks {
+			if t.State != wire.TaskExited {
+				states[t.TaskID] = t.State
+			}
+		}
+		w.mu.Unlock()
+	}
+	return states
+}
+
+// Workers lists the workers of the machines that are up, in any order.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*Worker
+	var workers []*Worker
 	for _, w := range c.machines {
-		out = append(out, w)
+		workers = append(workers, w)
+	}
+	return workers
+}
+
+// WorkersOf lists the workers that have a task of a job, by ID.
+func (c *Cloud) WorkersOf(job string) (workers []*Worker) {
+	for _, w := range c.Workers() {
+		if slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, job+"/") }) {
+			workers = append(workers, w)
+		}
 	}
-	return out
+	slices.SortFunc(workers, func(a, b *Worker) int { return strings.Compare(a.ID, b.ID) })
+	return workers
 }
 
 // Machines describes the machines that are up to a history.
 func (c *Cloud) Machines() []checker.Machine {
 	cpus := int(InstanceTypes().Types[0].CPUs)
-	var out []checker.Machine
+	var machines []checker.Machine
 	for _, w := range c.Workers() {
-		out = append(out, checker.Machine{Zone: w.Zone(), CPUs: cpus, PricePerHour: w.PricePerHour()})
+		machines = append(machines, checker.Machine{Zone: w.Zone(), CPUs: cpus, PricePerHour: w.PricePerHour()})
 	}
-	return out
+	return machines
 }
 
-// Close ends all machines.
+// Close ends all machines, and does not wait for their workers.
 func (c *Cloud) Close() {
 	for _, w := range c.Workers() {
 		w.stop()
--- a/internal/sim/fake/gang_test.go
+++ b/internal/sim/fake/gang_test.go
@@ -1,10 +1,9 @@
 package fake
 
 import (
-	"bytes"
+	"cmp"
 	"fmt"
-	"net/http"
-	"net/http/httptest"
+	"maps"
 	"slices"
 	"strings"
 	"testing"
@@ -15,40 +14,39 @@
 	"caperlatch/internal/wire"
 )
 
-// event is what happens to a machine: it is told to start or to stop a task of the gang, or
-// it hangs.
-type event struct {
-	at       time.Duration
-	machine  int
-	verb     string
-	task     int
-	attempt  uint64
-	leewayS  float64
-	hangsFor time.Duration
+// gangEvent is what happens to a machine: a command to start or stop a task of the gang, or a hang.
+type gangEvent struct {
+	at      time.Duration
+	machine int
+	verb    string
+	task    int
+	attempt uint64
+	graceS  float64
+	hang    time.Duration
 }
 
-// gangBench is a few machines, with a node that only renews their leases.
+// gangBench is a few machines and a node that only renews their leases.
 type gangBench struct {
 	t       *testing.T
 	cloud   *Cloud
 	workers []*Worker
 }
 
+// newGangBench starts machines and submits the gang j-000001 of three tasks.
 func newGangBench(t *testing.T, machines int) *gangBench {
-	n := NewNetwork()
 	rules := checker.NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
-	rules.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 2, AllowSpot: true})
-	b := &gangBench{t: t, cloud: NewCloud(n, rules, []string{"host-0:8080"}, 1, 60, func(string) float64 { return 20 })}
-	n.Handle("host-0:8080", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
-		send(rw, http.StatusOK, wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}})
-	}))
+	rules.ObserveSubmission(wire.Job{
+		ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 2, AllowSpot: true,
+	})
+	b := &gangBench{t: t, cloud: newTestCloud(rules, 60)}
 	for i := range machines {
-		w := newWorker(b.cloud, fmt.Sprintf("i-%06d", i), wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
+		w := startWorker(b.cloud, fmt.Sprintf("i-%06d", i), wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
 		b.workers = append(b.workers, w)
 	}
 	return b
 }
 
+// close ends the machines and waits until nothing of them runs.
 func (b *gangBench) close() {
 	for _, w := range b.workers {
 		w.stop()
@@ -56,25 +54,29 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// bring has an event come about.
-func (b *gangBench) bring(e event) {
+// apply applies an event.
+func (b *gangBench) apply(e gangEvent) {
 	w := b.workers[e.machine]
-	if e.hangsFor > 0 {
-		w.Hang(e.hangsFor)
+	if e.hang > 0 {
+		w.Hang(e.hang)
 		return
 	}
 	command := wire.Command{Verb: e.verb, TaskID: fmt.Sprintf("j-000001/%d", e.task), Attempt: e.attempt}
 	if e.verb == wire.VerbStop {
-		command.GracePeriodS = &e.leewayS
+		command.GracePeriodS = &e.graceS
 	}
-	body, err := wire.Marshal(wire.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: []wire.Command{command}})
-	if err != nil {
-		b.t.Error(err)
-	}
-	w.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/commands", bytes.NewReader(body)))
+	sendCommands(b.t, w, command)
+}
+
+// stateNames name the states and exit reasons that the protocol names otherwise.
+var stateNames = map[string]string{
+	wire.TaskWaitingForGang: "waiting",
+	wire.TaskCheckpointing:  "checkpointing",
+	wire.ExitGangTaskLost:   "lost",
+	wire.ExitGangTimeout:    "timeout",
 }
 
-// states are those of the latest task of each machine, with causes.
+// states are those of the latest task of each machine; for an exited task, its exit reason.
 func (b *gangBench) states() string {
 	var out []string
 	for _, w := range b.workers {
@@ -84,8 +86,9 @@
 			if state = task.State; state == wire.TaskExited {
 				state = task.ExitReason
 			}
+			state = cmp.Or(stateNames[state], state)
 			if task.Checkpointed {
-				state += "+stored"
+				state += "+checkpointed"
 			}
 		}
 		w.mu.Unlock()
@@ -94,74 +97,86 @@
 	return strings.Join(out, " ")
 }
 
-// TestGang goes through the phases of a gang of three tasks, which runs for 20 s, has a
-// checkpoint every 5 s of its progress, and takes 2 s to save.
-func TestGang(t *testing.T) {
+// gangCase is a run of the gang on four machines.
+type gangCase struct {
+	name     string
+	events   []gangEvent
+	want     map[time.Duration]string // states at these times
+	progress time.Duration            // that its checkpoints keep in the end
+}
+
+// gangCases cover the phases of a gang.
+func gangCases() []gangCase {
 	const s = time.Second
-	start := func(at time.Duration, machine, task int, attempt uint64) event {
-		return event{at: at, machine: machine, verb: wire.VerbStart, task: task, attempt: attempt}
+	start := func(at time.Duration, machine, task int, attempt uint64) gangEvent {
+		return gangEvent{at: at, machine: machine, verb: wire.VerbStart, task: task, attempt: attempt}
 	}
-	stop := func(at time.Duration, machine int, leewayS float64) event {
-		return event{at: at, machine: machine, verb: wire.VerbStop, task: machine, attempt: 1, leewayS: leewayS}
+	stop := func(at time.Duration, machine int, graceS float64) gangEvent {
+		return gangEvent{at: at, machine: machine, verb: wire.VerbStop, task: machine, attempt: 1, graceS: graceS}
 	}
-	hang := func(at time.Duration, machine int, d time.Duration) event {
-		return event{at: at, machine: machine, hangsFor: d}
+	hang := func(at time.Duration, machine int, d time.Duration) gangEvent {
+		return gangEvent{at: at, machine: machine, hang: d}
 	}
-	all := []event{start(0, 0, 0, 1), start(0, 1, 1, 1), start(0, 2, 2, 1)}
-	with := func(more ...event) []event { return append(slices.Clone(all), more...) }
-	const running = "running running running -"
-	cases := []struct {
-		name   string
-		events []event
-		want   map[time.Duration]string
-		safe   time.Duration // progress at the end
-	}{
-		{"all run, and are done together", all, map[time.Duration]string{s: running, 19 * s: running, 21 * s: "done done done -"}, 0},
-		{"one is missing: the others give up", all[:2], map[time.Duration]string{s: "waiting waiting - -", 19 * s: "waiting waiting - -", 21 * s: "incomplete incomplete - -"}, 0},
-		{"the last comes late: all start then", []event{all[0], all[1], start(10*s, 2, 2, 1)}, map[time.Duration]string{9 * s: "waiting waiting - -", 11 * s: running, 29 * s: running, 31 * s: "done done done -"}, 0},
-		{"another attempt does not complete it", []event{all[0], all[1], start(10*s, 2, 2, 2)}, map[time.Duration]string{11 * s: "waiting waiting waiting -", 21 * s: "incomplete incomplete waiting -"}, 0},
-		{"one that waits is stopped, and exits at once; a replacement completes it", []event{all[0], all[1], stop(5*s, 1, 9), start(8*s, 2, 2, 1), start(9*s, 3, 1, 1)},
+	startAll := []gangEvent{start(0, 0, 0, 1), start(0, 1, 1, 1), start(0, 2, 2, 1)}
+	startAllAnd := func(more ...gangEvent) []gangEvent { return append(slices.Clone(startAll), more...) }
+	stopAllAnd := func(more ...gangEvent) []gangEvent {
+		return append(startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9)), more...)
+	}
+	const (
+		running = "running running running -"
+		stored  = "stopped+checkpointed stopped+checkpointed stopped+checkpointed -"
+	)
+	return []gangCase{
+		{"all tasks run, and complete together", startAll, map[time.Duration]string{s: running, 19 * s: running, 21 * s: "done done done -"}, 0},
+		{"one task never starts: the others time out", startAll[:2],
+			map[time.Duration]string{s: "waiting waiting - -", 19 * s: "waiting waiting - -", 21 * s: "timeout timeout - -"}, 0},
+		{"all run once the last task starts", []gangEvent{startAll[0], startAll[1], start(10*s, 2, 2, 1)},
+			map[time.Duration]string{9 * s: "waiting waiting - -", 11 * s: running, 29 * s: running, 31 * s: "done done done -"}, 0},
+		{"a task of another attempt does not count", []gangEvent{startAll[0], startAll[1], start(10*s, 2, 2, 2)},
+			map[time.Duration]string{11 * s: "waiting waiting waiting -", 21 * s: "timeout timeout waiting -"}, 0},
+		{"a waiting task is stopped at once, and replaced", []gangEvent{startAll[0], startAll[1], stop(5*s, 1, 9), start(8*s, 2, 2, 1), start(9*s, 3, 1, 1)},
 			map[time.Duration]string{6 * s: "waiting stopped - -", 8500 * time.Millisecond: "waiting stopped waiting -", 10 * s: "running stopped running running"}, 0},
-		{"a machine hangs: the others notice", with(hang(12*s, 2, 30*s)), map[time.Duration]string{13 * s: running, 16 * s: "peers peers running -"}, 10 * s},
-		{"all are told at once", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9)),
-			map[time.Duration]string{8 * s: "flushing flushing flushing -", 10 * s: "stopped+stored stopped+stored stopped+stored -"}, 7 * s},
-		{"the last is told just in time", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(9500*time.Millisecond, 2, 9)),
-			map[time.Duration]string{9 * s: "flushing flushing running -", 12 * s: "stopped+stored stopped+stored stopped+stored -"}, 7 * s},
-		{"one is told too late", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(11*s, 2, 9)), map[time.Duration]string{12 * s: "stopped stopped peers -"}, 5 * s},
-		{"one is told with too little time", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7500*time.Millisecond, 2, 1)), map[time.Duration]string{8500 * time.Millisecond: "stopped stopped stopped -"}, 5 * s},
-		{"a second stop ends one that saves", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9), stop(8*s, 2, 0)), map[time.Duration]string{10 * s: "stopped stopped stopped -"}, 5 * s},
-		{"a second stop with time changes nothing", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9), stop(8*s, 2, 1)),
-			map[time.Duration]string{10 * s: "stopped+stored stopped+stored stopped+stored -"}, 7 * s},
-		{"one hangs while they save", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9), hang(7500*time.Millisecond, 2, 30*s)),
-			map[time.Duration]string{11 * s: "stopped stopped flushing -"}, 5 * s},
-		{"one hangs when they have saved", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9), hang(8800*time.Millisecond, 2, 30*s)),
-			map[time.Duration]string{11 * s: "stopped+stored stopped+stored flushing -"}, 7 * s},
-		{"the next attempt goes on from what is safe", with(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9), start(20*s, 0, 0, 2), start(20*s, 1, 1, 2), start(20*s, 2, 2, 2)),
+		{"a machine hangs: the others notice the loss", startAllAnd(hang(12*s, 2, 30*s)), map[time.Duration]string{13 * s: running, 16 * s: "lost lost running -"}, 10 * s},
+		{"all tasks are stopped at once", stopAllAnd(), map[time.Duration]string{8 * s: "checkpointing checkpointing checkpointing -", 10 * s: stored}, 7 * s},
+		{"the last stop arrives just in time", startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(9500*time.Millisecond, 2, 9)),
+			map[time.Duration]string{9 * s: "checkpointing checkpointing running -", 12 * s: stored}, 7 * s},
+		{"the last stop arrives too late", startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(11*s, 2, 9)), map[time.Duration]string{12 * s: "stopped stopped lost -"}, 5 * s},
+		{"one stop has too short a grace period", startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7500*time.Millisecond, 2, 1)),
+			map[time.Duration]string{8500 * time.Millisecond: "stopped stopped stopped -"}, 5 * s},
+		{"a second stop ends the checkpoint", stopAllAnd(stop(8*s, 2, 0)), map[time.Duration]string{10 * s: "stopped stopped stopped -"}, 5 * s},
+		{"a second stop with a grace period changes nothing", stopAllAnd(stop(8*s, 2, 1)), map[time.Duration]string{10 * s: stored}, 7 * s},
+		{"a machine hangs before the checkpoint is stored", stopAllAnd(hang(7500*time.Millisecond, 2, 30*s)),
+			map[time.Duration]string{11 * s: "stopped stopped checkpointing -"}, 5 * s},
+		{"a machine hangs when the checkpoint is stored", stopAllAnd(hang(8800*time.Millisecond, 2, 30*s)),
+			map[time.Duration]string{11 * s: "stopped+checkpointed stopped+checkpointed checkpointing -"}, 7 * s},
+		{"the next attempt resumes from the checkpoint", stopAllAnd(start(20*s, 0, 0, 2), start(20*s, 1, 1, 2), start(20*s, 2, 2, 2)),
 			map[time.Duration]string{32500 * time.Millisecond: running, 34 * s: "done done done -"}, 7 * s},
-		{"one is started again when all are done", with(start(25*s, 3, 0, 2)), map[time.Duration]string{26 * s: "done done done done"}, 0},
+		{"a task starts again after all are done", startAllAnd(start(25*s, 3, 0, 2)), map[time.Duration]string{26 * s: "done done done done"}, 0},
 	}
-	for _, c := range cases {
-		synctest.Test(t, func(t *testing.T) {
-			b := newGangBench(t, 4)
-			defer b.close()
-			begun := time.Now()
-			for _, e := range c.events {
-				time.AfterFunc(e.at, func() { b.bring(e) })
-			}
-			at := make([]time.Duration, 0, len(c.want))
-			for d := range c.want {
-				at = append(at, d)
-			}
-			slices.Sort(at)
-			for _, d := range at {
-				time.Sleep(time.Until(begun.Add(d + 50*time.Millisecond)))
-				if got := b.states(); got != c.want[d] {
-					t.Errorf("%s: after %v they are %q, want %q", c.name, d, got, c.want[d])
+}
+
+// TestGang goes through the phases of a gang of three tasks, which runs for 20 s, has a checkpoint
+// every 5 s of its progress, and takes 2 s for a checkpoint when it is stopped.
+func TestGang(t *testing.T) {
+	for _, c := range gangCases() {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				b := newGangBench(t, 4)
+				defer b.close()
+				start := time.Now()
+				for _, e := range c.events {
+					time.AfterFunc(e.at, func() { b.apply(e) })
 				}
-			}
-			if got := b.cloud.GangProgress("j-000001").Round(s); got != c.safe {
-				t.Errorf("%s: %v of its progress is safe, want %v", c.name, got, c.safe)
-			}
+				for _, at := range slices.Sorted(maps.Keys(c.want)) {
+					time.Sleep(time.Until(start.Add(at + 50*time.Millisecond)))
+					if got := b.states(); got != c.want[at] {
+						t.Errorf("%s: after %v the tasks are %q, want %q", c.name, at, got, c.want[at])
+					}
+				}
+				if got := b.cloud.GangProgress("j-000001").Round(time.Second); got != c.progress {
+					t.Errorf("%s: %v of its progress is kept, want %v", c.name, got, c.progress)
+				}
+			})
 		})
 	}
 }
--- a/internal/sim/fake/restore.go
+++ b/internal/sim/fake/restore.go
@@ -7,74 +7,82 @@
 	"caperlatch/internal/wire"
 )
 
-// Restore has the cloud own machines that report what they reported once, as if they had
-// been rented and worked on. The rules must know the jobs of their tasks.
-func (c *Cloud) Restore(reports []wire.Heartbeat) error {
+// Restore has the cloud own machines as recorded heartbeats describe them, as if they had been
+// launched and worked on. The rules must know the jobs of their tasks. It is called before anything
+// else uses the cloud: workers are changed without their locks.
+func (c *Cloud) Restore(heartbeats []wire.Heartbeat) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := range reports {
-		r := &reports[i]
-		rental := wire.LaunchRequest{InstanceType: r.InstanceType, Zone: r.Zone, Spot: r.Spot}
-		c.Rules.ObserveLaunch(r.MachineID, rental)
-		w := makeWorker(c, r.MachineID, rental)
-		w.restore(r)
-		c.machines[w.ID] = w
-		c.Net.Handle(w.address, w)
-		if err := c.reserveName(w.ID); err != nil {
+	for i := range heartbeats {
+		if err := c.restoreMachine(&heartbeats[i]); err != nil {
 			return err
 		}
-		for _, t := range w.tasks {
-			c.restoreSite(t, w.ID)
-		}
 	}
-	for i := range reports { // only now, since the tasks of a gang watch each other
-		w := c.machines[reports[i].MachineID]
+	for i := range heartbeats { // only now, since the tasks of a gang watch each other
+		w := c.machines[heartbeats[i].MachineID]
 		go w.run(w.ctx)
 	}
 	return nil
 }
 
-// reserveName keeps the name of a machine from being given to a further one.
-func (c *Cloud) reserveName(id string) error {
+// restoreMachine adds a machine whose worker does not run yet; the caller holds the lock.
+func (c *Cloud) restoreMachine(h *wire.Heartbeat) error {
+	launch := wire.LaunchRequest{InstanceType: h.InstanceType, Zone: h.Zone, Spot: h.Spot}
+	c.Rules.ObserveLaunch(h.MachineID, launch)
+	w := newWorker(c, h.MachineID, launch)
+	w.restore(h)
+	c.machines[w.ID] = w
+	c.Net.Handle(w.address, w)
+	if err := c.reserveID(w.ID); err != nil {
+		return err
+	}
+	for _, t := range w.tasks {
+		c.restoreTask(t, w.ID)
+	}
+	return nil
+}
+
+// reserveID keeps the ID of a machine from being given to a further one; the caller holds the lock.
+func (c *Cloud) reserveID(id string) error {
 	var n int
 	if _, err := fmt.Sscanf(id, "i-%d", &n); err != nil {
 		return fmt.Errorf("machine %s: %w", id, err)
 	}
-	c.next = max(c.next, n+1)
+	c.nextMachine = max(c.nextMachine, n+1)
 	return nil
 }
 
-// restoreSite notes that a machine has a task, or that it is done there; the caller holds
-// the lock.
-func (c *Cloud) restoreSite(t *workerTask, machine string) {
+// restoreTask records that a machine has a task, or that it is done there; the caller holds the
+// lock.
+func (c *Cloud) restoreTask(t *workerTask, machine string) {
 	switch {
 	case t.State == wire.TaskPullingImage:
-		// Noted when it begins.
+		// Recorded when it has its image.
 	case t.State != wire.TaskExited:
 		c.Rules.ObserveStart(t.TaskID, machine)
-		c.sites[t.TaskID] = machine
+		c.taskMachines[t.TaskID] = machine
 	case t.ExitReason == wire.ExitDone:
 		c.Rules.ObserveStart(t.TaskID, machine)
 		c.Rules.ObserveExit(t.TaskID, machine, true)
 	}
 }
 
-// restore has a worker that does not run yet be as its report told.
-func (w *Worker) restore(r *wire.Heartbeat) {
-	w.session, w.seq, w.token = r.Incarnation, r.Sequence, r.FencingToken
-	if r.InterruptionNoticeS != nil {
-		w.recall = time.Now().Add(seconds(*r.InterruptionNoticeS))
+// restore gives a worker that does not run yet the state that a heartbeat describes.
+func (w *Worker) restore(h *wire.Heartbeat) {
+	w.incarnation, w.sequence, w.fencingToken = h.Incarnation, h.Sequence, h.FencingToken
+	if h.InterruptionNoticeS != nil {
+		w.interruptedAt = time.Now().Add(seconds(*h.InterruptionNoticeS))
 	}
-	for _, reported := range r.Tasks {
-		t := &workerTask{TaskStatus: reported}
+	for _, status := range h.Tasks {
+		t := &workerTask{TaskStatus: status}
 		job := w.job(t.TaskID)
 		switch t.State {
 		case wire.TaskPullingImage:
-			t.ends = time.Now().Add(seconds(w.cloud.ImagePullS))
+			t.endsAt = time.Now().Add(seconds(w.cloud.ImagePullS))
 		case wire.TaskRunning:
-			t.ends = time.Now().Add(seconds(w.cloud.RuntimeOf(t.TaskID)))
+			t.endsAt = time.Now().Add(seconds(w.cloud.RuntimeOf(t.TaskID)))
 		case wire.TaskCheckpointing:
-			t.ends = time.Now().Add(seconds(job.CheckpointDurationS))
+			t.endsAt = time.Now().Add(seconds(job.CheckpointDurationS))
 		}
 		if t.State != wire.TaskPullingImage {
 			w.images[job.Image] = true
@@ -86,12 +94,12 @@
 	}
 }
 
-// restore has a gang's attempt be as one of its tasks was reported.
-func (g *gangs) restore(t *workerTask, job *wire.Job, runFor float64) {
+// restore gives a gang's attempt the state that one of its tasks had in a heartbeat.
+func (g *gangRegistry) restore(t *workerTask, job *wire.Job, runtimeS float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now, a := time.Now(), g.attempt(t, job)
-	m := &gangMember{joined: now, seen: now}
+	m := &gangMember{joinedAt: now, seenAt: now}
 	switch t.State {
 	case wire.TaskPullingImage:
 		return
@@ -101,10 +109,10 @@
 		}
 		return
 	case wire.TaskRunning, wire.TaskCheckpointing:
-		a.started, a.ends = now, now.Add(seconds(runFor))
+		a.startedAt, a.endsAt = now, now.Add(seconds(runtimeS))
 	}
 	if t.State == wire.TaskCheckpointing {
-		a.firstStop, a.lastStop, m.told = now, now, true
+		a.firstStopAt, a.lastStopAt, m.stopping = now, now, true
 	}
 	a.members[t.TaskID] = m
 }
--- a/internal/sim/fake/golden_test.go
+++ b/internal/sim/fake/state_golden_test.go
@@ -12,10 +12,10 @@
 	golden.Of[transaction]("a transaction"),
 }
 
-// TestEncoded has them be encoded as they were.
-func TestEncoded(t *testing.T) {
+// TestTxnEncoding checks that they are encoded as they were.
+func TestTxnEncoding(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags has all their fields be named by tags.
-func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
+// TestTxnTags checks that tags name all their fields.
+func TestTxnTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
--- a/internal/sim/fake/worker.go
+++ b/internal/sim/fake/worker.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net/http"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -16,409 +15,347 @@
 // workerPort ends the addresses of workers.
 const workerPort = ":9000"
 
-// Worker is a stand-in of a machine's worker.
+// nodePort ends the hosts of controllers.
+const nodePort = ":8080"
+
+// Times of workers.
+const (
+	// responseTimeout is how long a worker waits for the response to a heartbeat.
+	responseTimeout = 4 * time.Second
+	// stepInterval is how often a worker looks what its tasks have come to.
+	stepInterval = 100 * time.Millisecond
+	// minHeartbeatInterval is between two heartbeats, also if something changes.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// nextNodeS is after how many seconds the next node is tried when one does not answer.
+	nextNodeS = 1.0
+)
+
+// Worker is a fake of the worker of one machine.
 type Worker struct {
 	ID      string
 	cloud   *Cloud
 	address string
-	rental  wire.LaunchRequest
+	launch  wire.LaunchRequest
 	ctx     context.Context // ends with the machine
 	cancel  context.CancelFunc
 	client  *http.Client
+	changed chan struct{} // capacity 1: something is to be reported soon
 
-	mu      sync.Mutex
-	session uint64
-	seq     uint64
-	token   uint64
-	tasks   []*workerTask
-	renewed time.Time // send time of the last answered report
-	node    int
-	changed chan struct{}
-	hung    chan struct{} // closed when the machine goes on; nil: it does not hang
-	images  map[string]bool
-	recall  time.Time // when the cloud takes the machine; zero: nobody said
+	mu             sync.Mutex // guards what follows
+	incarnation    uint64
+	sequence       uint64
+	fencingToken   uint64 // the highest seen
+	tasks          []*workerTask
+	leaseRenewedAt time.Time     // when the last heartbeat was sent that got a valid response
+	nodeIndex      int           // of the node that gets the heartbeats; counts on beyond the last one
+	resumed        chan struct{} // closed when the machine goes on; nil: it does not hang
+	images         map[string]bool
+	interruptedAt  time.Time // when the cloud takes the machine; zero: there was no notice
 }
 
+// workerTask is a task that a worker has, also after its exit until it is cleared.
 type workerTask struct {
 	wire.TaskStatus
-	ends time.Time // of what its state says
+	endsAt time.Time // of its present state, unless it is one of a gang's beyond the pulling of its image
 }
 
-// newWorker is a worker that runs.
-func newWorker(c *Cloud, id string, r wire.LaunchRequest) *Worker {
-	w := makeWorker(c, id, r)
+// startWorker returns a worker that runs.
+func startWorker(c *Cloud, id string, launch wire.LaunchRequest) *Worker {
+	w := newWorker(c, id, launch)
 	go w.run(w.ctx)
 	return w
 }
 
-// makeWorker is a worker that does not run yet.
-func makeWorker(c *Cloud, id string, r wire.LaunchRequest) *Worker {
+// newWorker returns a worker that does not run yet.
+func newWorker(c *Cloud, id string, launch wire.LaunchRequest) *Worker {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &Worker{ID: id, cloud: c, address: id + workerPort, rental: r, ctx: ctx, cancel: cancel, session: 1,
-		client: &http.Client{Transport: c.Net.From(id)}, renewed: time.Now(), changed: make(chan struct{}, 1), images: map[string]bool{}}
+	w := &Worker{
+		ID:             id,
+		cloud:          c,
+		address:        id + workerPort,
+		launch:         launch,
+		ctx:            ctx,
+		cancel:         cancel,
+		client:         &http.Client{Transport: c.Net.From(id)},
+		changed:        make(chan struct{}, 1),
+		incarnation:    1,
+		leaseRenewedAt: time.Now(),
+		images:         map[string]bool{},
+	}
 	if c.ServeWorker != nil {
 		w.address = c.ServeWorker(w)
 	}
 	return w
 }
 
+// stop ends the worker. It does not wait for the worker's goroutines: they take the cloud's lock,
+// which callers hold.
 func (w *Worker) stop() { w.cancel() }
 
-// Hang has the machine hang for a while: it runs nothing, reports nothing, and executes
-// what was sent to it when it goes on, if token and session still match. Its lease ends
-// meanwhile all the same: that is the first thing that it notices when it goes on.
+// Interrupt has the cloud take the machine after a notice.
+func (w *Worker) Interrupt(notice time.Duration) {
+	w.mu.Lock()
+	w.interruptedAt = time.Now().Add(notice)
+	w.notifyChange()
+	w.mu.Unlock()
+	time.AfterFunc(notice, func() {
+		c := w.cloud
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.machines[w.ID] == w {
+			c.terminate(w)
+		}
+	})
+}
+
+// Hang has the machine hang for a while: it runs nothing, sends no heartbeat, and executes what was
+// sent to it when it goes on, if fencing token and incarnation still match. Its lease expires
+// meanwhile all the same: that is the first thing that it notices when it goes on. It does nothing
+// if the machine hangs already.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.hung != nil {
+	if w.resumed != nil {
 		return
 	}
-	over := make(chan struct{})
-	w.hung = over
+	resumed := make(chan struct{})
+	w.resumed = resumed
 	time.AfterFunc(d, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, t := range w.tasks {
-			t.ends = t.ends.Add(d)
+			t.endsAt = t.endsAt.Add(d)
 		}
-		w.hung = nil
+		w.resumed = nil
 		w.step()
-		close(over)
-		w.wake()
+		close(resumed)
+		w.notifyChange()
 	})
 }
 
-// awake waits until the machine does not hang.
-func (w *Worker) awake() {
+// awaitResumed waits until the machine does not hang.
+func (w *Worker) awaitResumed() {
 	for {
 		w.mu.Lock()
-		hung := w.hung
+		resumed := w.resumed
 		w.mu.Unlock()
-		if hung == nil {
+		if resumed == nil {
 			return
 		}
-		<-hung
+		<-resumed
 	}
 }
 
-// PricePerHour is what the machine costs an hour.
+// PricePerHour returns the price of the machine.
 func (w *Worker) PricePerHour() float64 {
 	t := InstanceTypes().Types[0]
-	if w.rental.Spot {
+	if w.launch.Spot {
 		return t.SpotPrice
 	}
 	return t.OnDemandPrice
 }
 
-// Zone is where the machine is.
-func (w *Worker) Zone() string { return w.rental.Zone }
+// Zone returns the zone of the machine.
+func (w *Worker) Zone() string { return w.launch.Zone }
 
-// Tasks lists the tasks that the machine has and that have not ended.
+// Tasks lists the tasks that the machine has, without those that have exited.
 func (w *Worker) Tasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []string
+	var tasks []string
 	for _, t := range w.tasks {
 		if t.State != wire.TaskExited {
-			out = append(out, t.TaskID)
+			tasks = append(tasks, t.TaskID)
 		}
 	}
-	return out
+	return tasks
 }
 
-// FencingToken is the highest token that the worker has seen.
+// FencingToken returns the highest fencing token that the worker has seen.
 func (w *Worker) FencingToken() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.token
+	return w.fencingToken
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// keepTime ends tasks on time, also while a report waits for its answer.
-func (w *Worker) keepTime(ctx context.Context) {
-	t := time.NewTicker(100 * time.Millisecond)
-	defer t.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.C:
-			w.mu.Lock()
-			w.step()
-			w.mu.Unlock()
-		}
-	}
-}
+// String names the worker in messages.
+func (w *Worker) String() string { return fmt.Sprintf("worker %s", w.ID) }
 
+// run sends heartbeats until the machine ends.
 func (w *Worker) run(ctx context.Context) {
-	go w.keepTime(ctx)
+	go w.runTasks(ctx)
 	for ctx.Err() == nil {
-		pause := w.cloud.HeartbeatIntervalS
-		w.awake()
-		if !w.report(ctx) {
-			pause = min(pause, 1) // until the next node is tried
+		pauseS := w.cloud.HeartbeatIntervalS
+		w.awaitResumed()
+		if !w.sendHeartbeat(ctx) {
+			pauseS = min(pauseS, nextNodeS)
 		}
-		next := time.NewTimer(seconds(pause))
+		pause := time.NewTimer(seconds(pauseS))
 		select {
 		case <-ctx.Done():
-		case <-next.C:
+		case <-pause.C:
 		case <-w.changed:
-			time.Sleep(500 * time.Millisecond)
+			time.Sleep(minHeartbeatInterval)
 		}
-		next.Stop()
+		pause.Stop()
 	}
 }
 
-// step ends what has run its time, and everything when the lease is over.
-func (w *Worker) step() {
-	if w.ctx.Err() != nil {
-		w.tasks = nil
-		return
-	}
-	now := time.Now()
-	if now.Sub(w.renewed) > seconds(w.cloud.LeaseDurationS) {
-		for _, t := range w.tasks {
-			w.cloud.left(t.TaskID, w.ID, false)
-		}
-		w.tasks = nil
-		w.session++
-		w.renewed = now
-	}
-	if w.hung != nil {
-		return
-	}
-	for _, t := range w.tasks {
-		if job := w.job(t.TaskID); job.Kind == wire.KindGang && t.State != wire.TaskExited && t.State != wire.TaskPullingImage {
-			w.stepGang(t, &job)
-			continue
-		}
-		if now.Before(t.ends) {
-			continue
-		}
-		switch t.State {
-		case wire.TaskPullingImage:
-			w.images[w.image(t.TaskID)] = true
-			w.begin(t)
-		case wire.TaskRunning:
-			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
-			w.cloud.left(t.TaskID, w.ID, true)
-		case wire.TaskCheckpointing:
-			t.State, t.ExitReason, t.Checkpointed = wire.TaskExited, wire.ExitStopped, true
-			w.cloud.left(t.TaskID, w.ID, false)
-		default:
-			continue
+// runTasks has tasks change their states on time, also while a heartbeat waits for its response.
+func (w *Worker) runTasks(ctx context.Context) {
+	ticker := time.NewTicker(stepInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			w.mu.Lock()
+			w.step()
+			w.mu.Unlock()
 		}
-		w.wake()
 	}
 }
 
-// job is the description of a task's job, which its user has uploaded.
-func (w *Worker) job(task string) wire.Job {
-	id, _, _ := strings.Cut(task, "/")
-	return w.cloud.Rules.Job(id)
-}
-
-func (w *Worker) image(task string) string { return w.job(task).Image }
-
-// stepGang has a gang's task keep up with the others.
-func (w *Worker) stepGang(t *workerTask, job *wire.Job) {
-	if !w.cloud.gangs.step(t, job, w.cloud.RuntimeOf(t.TaskID)) {
-		return
-	}
-	if t.State == wire.TaskExited {
-		w.cloud.left(t.TaskID, w.ID, t.ExitReason == wire.ExitDone)
+// notifyChange has the next heartbeat be sent soon.
+func (w *Worker) notifyChange() {
+	select {
+	case w.changed <- struct{}{}:
+	default:
 	}
-	w.wake()
 }
 
-// begin has a task run that has its image.
-func (w *Worker) begin(t *workerTask) {
-	if job := w.job(t.TaskID); job.Kind == wire.KindGang {
-		w.cloud.started(t.TaskID, w.ID)
-		w.cloud.gangs.join(t, &job)
-		w.stepGang(t, &job)
-		return
+// heartbeat returns the next heartbeat; the caller holds the lock.
+func (w *Worker) heartbeat() *wire.Heartbeat {
+	w.sequence++
+	h := &wire.Heartbeat{
+		MachineID:    w.ID,
+		Address:      w.address,
+		InstanceType: w.launch.InstanceType,
+		Zone:         w.launch.Zone,
+		Spot:         w.launch.Spot,
+		Incarnation:  w.incarnation,
+		Sequence:     w.sequence,
+		FencingToken: w.fencingToken,
+		Tasks:        []wire.TaskStatus{},
 	}
-	run := seconds(w.cloud.RuntimeOf(t.TaskID))
-	t.State, t.ends = wire.TaskRunning, time.Now().Add(run)
-	w.cloud.started(t.TaskID, w.ID)
-	time.AfterFunc(run, w.wake)
-}
-
-func (w *Worker) message() *wire.Heartbeat {
-	w.seq++
-	r := &wire.Heartbeat{MachineID: w.ID, Address: w.address, InstanceType: w.rental.InstanceType, Zone: w.rental.Zone, Spot: w.rental.Spot,
-		Incarnation: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
+		h.Tasks = append(h.Tasks, t.TaskStatus)
 	}
-	if !w.recall.IsZero() {
-		left := max(0, time.Until(w.recall).Seconds())
-		r.InterruptionNoticeS = &left
+	if !w.interruptedAt.IsZero() {
+		left := max(0, time.Until(w.interruptedAt).Seconds())
+		h.InterruptionNoticeS = &left
 	}
-	return r
+	return h
 }
 
-// report tells whether a node answered.
-func (w *Worker) report(ctx context.Context) bool {
+// sendHeartbeat sends a heartbeat, executes the commands of the response, and reports whether a node
+// answered.
+func (w *Worker) sendHeartbeat(ctx context.Context) bool {
 	w.mu.Lock()
 	w.step()
-	r := w.message()
-	node := w.cloud.Nodes[w.node%len(w.cloud.Nodes)]
+	h := w.heartbeat()
+	node := w.cloud.Nodes[w.nodeIndex%len(w.cloud.Nodes)]
 	w.mu.Unlock()
-	sent := time.Now()
-	code, body := w.post(ctx, node, r)
-	w.awake()
-	if time.Since(sent) > answerWithin {
-		code = 0 // it waited too long, perhaps hanging
+	sentAt := time.Now()
+	code, body := w.post(ctx, node, h)
+	w.awaitResumed()
+	if time.Since(sentAt) > responseTimeout {
+		code = 0 // it came too late, perhaps because the machine hung
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	switch code {
-	case http.StatusOK:
-		var a wire.HeartbeatResponse
-		if w.ctx.Err() != nil {
-			return true
-		}
-		if wire.Unmarshal(body, &a) != nil || a.FencingToken < w.token || r.Incarnation != w.session {
-			return true
-		}
-		if a.FencingToken > w.token {
-			w.token = a.FencingToken
-			w.wake()
-		}
-		w.renewed = sent
-		w.step()
-		w.execute(a.Commands)
+	switch {
+	case code == http.StatusOK:
+		w.handleResponse(body, h.Incarnation, sentAt)
+		return true
+	case code == http.StatusMisdirectedRequest && w.followRedirect(body):
 		return true
-	case http.StatusMisdirectedRequest:
-		var a wire.Redirect
-		if wire.Unmarshal(body, &a) == nil {
-			if i := slices.IndexFunc(w.cloud.Nodes, func(n string) bool { return n == a.Member+":8080" }); i >= 0 {
-				w.node = i
-				w.wake()
-				return true
-			}
-		}
-		w.node++
-	default:
-		w.node++
 	}
+	w.nodeIndex++
 	return false
 }
 
-// answerWithin is how long a worker waits for the answer to a report.
-const answerWithin = 4 * time.Second
+// handleResponse renews the lease and executes the commands of a response, unless it is out of date;
+// the caller holds the lock. The heartbeat was sent in an incarnation at a time.
+func (w *Worker) handleResponse(body []byte, incarnation uint64, sentAt time.Time) {
+	var response wire.HeartbeatResponse
+	if w.ctx.Err() != nil || wire.Unmarshal(body, &response) != nil {
+		return
+	}
+	if response.FencingToken < w.fencingToken || incarnation != w.incarnation {
+		return
+	}
+	if response.FencingToken > w.fencingToken {
+		w.fencingToken = response.FencingToken
+		w.notifyChange()
+	}
+	w.leaseRenewedAt = sentAt
+	w.step()
+	w.execute(response.Commands)
+}
 
-func (w *Worker) wake() {
-	select {
-	case w.changed <- struct{}{}:
-	default:
+// followRedirect has the next heartbeat go to the node that a response names, and reports whether it
+// names one; the caller holds the lock.
+func (w *Worker) followRedirect(body []byte) bool {
+	var redirect wire.Redirect
+	if wire.Unmarshal(body, &redirect) != nil {
+		return false
+	}
+	i := slices.Index(w.cloud.Nodes, redirect.Member+nodePort)
+	if i < 0 {
+		return false
 	}
+	w.nodeIndex = i
+	w.notifyChange()
+	return true
 }
 
-func (w *Worker) post(ctx context.Context, node string, r *wire.Heartbeat) (int, []byte) {
-	b, err := wire.Marshal(r)
+// post sends a heartbeat to a node. The code is 0 if there was no response in time.
+func (w *Worker) post(ctx context.Context, node string, h *wire.Heartbeat) (code int, body []byte) {
+	b, err := wire.Marshal(h)
 	if err != nil {
 		panic(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/hello", bytes.NewReader(b))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node+"/hello", bytes.NewReader(b))
 	if err != nil {
 		panic(err)
 	}
-	resp, err := w.client.Do(req)
+	response, err := w.client.Do(request)
 	if err != nil {
 		return 0, nil
 	}
-	defer resp.Body.Close()
-	var buf bytes.Buffer
-	if _, err := buf.ReadFrom(resp.Body); err != nil {
+	defer response.Body.Close()
+	var buffer bytes.Buffer
+	if _, err := buffer.ReadFrom(response.Body); err != nil {
 		return 0, nil
 	}
-	return resp.StatusCode, buf.Bytes()
+	return response.StatusCode, buffer.Bytes()
 }
 
-func (w *Worker) execute(commands []wire.Command) {
-	for _, c := range commands {
-		i := slices.IndexFunc(w.tasks, func(t *workerTask) bool { return t.TaskID == c.TaskID && t.Attempt == c.Attempt })
-		switch c.Verb {
-		case wire.VerbStart:
-			if i >= 0 {
-				continue
-			}
-			t := &workerTask{TaskStatus: wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning}}
-			if slices.ContainsFunc(w.tasks, func(o *workerTask) bool { return o.TaskID == c.TaskID && o.State != wire.TaskExited }) {
-				t.State, t.ExitReason = wire.TaskExited, wire.ExitOtherAttemptPresent
-			} else if w.cloud.TaskFails != nil && w.cloud.TaskFails(c.TaskID, w.ID) {
-				t.State, t.ExitReason = wire.TaskExited, wire.ExitError
-				w.cloud.started(c.TaskID, w.ID)
-				w.cloud.left(c.TaskID, w.ID, false)
-			} else if w.cloud.ImagePullS > 0 && !w.images[w.image(c.TaskID)] {
-				t.State, t.ends = wire.TaskPullingImage, time.Now().Add(seconds(w.cloud.ImagePullS))
-			} else {
-				w.begin(t)
-			}
-			w.tasks = append(w.tasks, t)
-		case wire.VerbStop:
-			if i < 0 || w.tasks[i].State == wire.TaskExited {
-				continue
-			}
-			grace := 0.0
-			if c.GracePeriodS != nil {
-				grace = *c.GracePeriodS
-			}
-			job := w.job(c.TaskID)
-			if job.Kind == wire.KindGang && w.tasks[i].State != wire.TaskPullingImage {
-				if w.cloud.gangs.stop(w.tasks[i], &job, grace); w.tasks[i].State == wire.TaskExited {
-					w.cloud.left(c.TaskID, w.ID, false)
-				}
-				w.wake()
-				continue
-			}
-			switch {
-			case w.tasks[i].State == wire.TaskRunning && job.CheckpointIntervalS > 0 && job.CheckpointDurationS > 0 && grace >= job.CheckpointDurationS:
-				w.tasks[i].State, w.tasks[i].ends = wire.TaskCheckpointing, time.Now().Add(seconds(job.CheckpointDurationS))
-			case w.tasks[i].State == wire.TaskCheckpointing && grace > 0:
-			default:
-				w.tasks[i].State, w.tasks[i].ExitReason = wire.TaskExited, wire.ExitStopped
-				w.cloud.left(c.TaskID, w.ID, false)
-			}
-		case wire.VerbClear:
-			if i >= 0 && w.tasks[i].State == wire.TaskExited {
-				w.tasks = slices.Delete(w.tasks, i, i+1)
-			}
-		}
-		w.wake()
-	}
-}
-
-// ServeHTTP implements http.Handler: commands sent directly.
+// ServeHTTP implements http.Handler: commands that are sent directly.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
-	var c wire.CommandRequest
-	if err != nil || wire.Unmarshal(body, &c) != nil {
+	var q wire.CommandRequest
+	if err != nil || wire.Unmarshal(body, &q) != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	w.awake()
+	w.awaitResumed()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.step()
 	if w.ctx.Err() != nil {
-		rw.WriteHeader(http.StatusServiceUnavailable) // what was held by the machine is gone with it
+		rw.WriteHeader(http.StatusServiceUnavailable) // what reached the machine before its end is lost with it
 		return
 	}
-	if c.FencingToken < w.token || c.Incarnation != w.session {
-		send(rw, http.StatusConflict, w.message())
+	if q.FencingToken < w.fencingToken || q.Incarnation != w.incarnation {
+		respond(rw, http.StatusConflict, w.heartbeat())
 		return
 	}
-	w.token = c.FencingToken
-	w.execute(c.Commands)
-	send(rw, http.StatusOK, w.message())
+	w.fencingToken = q.FencingToken
+	w.execute(q.Commands)
+	respond(rw, http.StatusOK, w.heartbeat())
 }
-
-// String names the worker in messages.
-func (w *Worker) String() string { return fmt.Sprintf("worker %s", w.ID) }
--- a/internal/sim/fake/worker_test.go
+++ b/internal/sim/fake/worker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"maps"
 	"net/http"
 	"net/http/httptest"
 	"slices"
@@ -13,82 +14,112 @@
 	"caperlatch/internal/wire"
 )
 
-// TestWorker shows what a machine does with commands that reach it: while it hangs it
-// does nothing, and afterwards what still counts; a task that can save does so when it
-// is given the time, and none runs without its image.
-func TestWorker(t *testing.T) {
-	grace := func(s float64) *float64 { return &s }
-	stop := func(s float64) wire.Command {
-		return wire.Command{Verb: wire.VerbStop, TaskID: "j-000001/0", Attempt: 1, GracePeriodS: grace(s)}
+// newTestCloud returns a cloud for tests of workers. Its only node answers every heartbeat with
+// fencing token 1 and no commands, its workers' leases last for leaseS seconds, and tasks run for 20 s.
+func newTestCloud(rules *checker.Rules, leaseS float64) *Cloud {
+	n := NewNetwork()
+	n.Handle("host-0:8080", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
+		respond(rw, http.StatusOK, wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}})
+	}))
+	return NewCloud(CloudConfig{
+		Net:                n,
+		Rules:              rules,
+		Nodes:              []string{"host-0:8080"},
+		HeartbeatIntervalS: 1,
+		LeaseDurationS:     leaseS,
+		RuntimeOf:          func(string) float64 { return 20 },
+	})
+}
+
+// sendCommands sends commands directly to a worker.
+func sendCommands(t *testing.T, w *Worker, commands ...wire.Command) {
+	body, err := wire.Marshal(wire.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: commands})
+	if err != nil {
+		t.Error(err)
+	}
+	w.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/commands", bytes.NewReader(body)))
+}
+
+// lastTaskState describes the latest task of a worker: its state, its exit reason, and whether it
+// was checkpointed; empty if there is none.
+func lastTaskState(w *Worker) string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	state := ""
+	for _, task := range w.tasks {
+		state = task.State + task.ExitReason
+		if task.Checkpointed {
+			state += "+checkpointed"
+		}
+	}
+	return state
+}
+
+// workerCase is a task that starts at 0 s on a machine which may hang from 1 s on.
+type workerCase struct {
+	name       string
+	hang       time.Duration
+	imagePullS float64
+	commands   []wire.Command           // from 2 s on, one each second
+	want       map[time.Duration]string // the task's state at these times, as lastTaskState has it
+}
+
+// workerCases cover hangs, image pulls and checkpoints.
+func workerCases() []workerCase {
+	const running, stopped, done = wire.TaskRunning, wire.TaskExited + wire.ExitStopped, wire.TaskExited + wire.ExitDone
+	stop := func(graceS float64) wire.Command {
+		return wire.Command{Verb: wire.VerbStop, TaskID: "j-000001/0", Attempt: 1, GracePeriodS: &graceS}
 	}
-	cases := []struct {
-		name     string
-		hang     time.Duration
-		fetchS   float64
-		commands []wire.Command // from 2 s on, one each second
-		want     map[time.Duration]string
-	}{
-		{"runs to its end", 0, 0, nil, map[time.Duration]string{time.Second: wire.TaskRunning, 21 * time.Second: wire.TaskExited + wire.ExitDone}},
-		{"fetches first", 0, 4, nil, map[time.Duration]string{3 * time.Second: wire.TaskPullingImage, 5 * time.Second: wire.TaskRunning, 21 * time.Second: wire.TaskRunning}},
-		{"stops while it fetches", 0, 4, []wire.Command{stop(9)}, map[time.Duration]string{3 * time.Second: wire.TaskExited + wire.ExitStopped}},
-		{"saves", 0, 0, []wire.Command{stop(9)}, map[time.Duration]string{3 * time.Second: wire.TaskCheckpointing, 7 * time.Second: wire.TaskExited + wire.ExitStopped + "saved"}},
-		{"has no time to save", 0, 0, []wire.Command{stop(1)}, map[time.Duration]string{3 * time.Second: wire.TaskExited + wire.ExitStopped}},
-		{"is ended while it saves", 0, 0, []wire.Command{stop(9), stop(0)}, map[time.Duration]string{4 * time.Second: wire.TaskExited + wire.ExitStopped}},
-		{"hangs, goes on, and runs as much later", 5 * time.Second, 0, nil, map[time.Duration]string{23 * time.Second: wire.TaskRunning, 26 * time.Second: wire.TaskExited + wire.ExitDone}},
-		{"hangs, and is told to stop", 5 * time.Second, 0, []wire.Command{stop(0)}, map[time.Duration]string{5 * time.Second: wire.TaskRunning, 7 * time.Second: wire.TaskExited + wire.ExitStopped}},
-		{"hangs until its lease is over", 9 * time.Second, 0, nil, map[time.Duration]string{10500 * time.Millisecond: ""}},
+	return []workerCase{
+		{"task runs to its end", 0, 0, nil, map[time.Duration]string{time.Second: running, 21 * time.Second: done}},
+		{"task pulls its image before it runs", 0, 4, nil,
+			map[time.Duration]string{3 * time.Second: wire.TaskPullingImage, 5 * time.Second: running, 21 * time.Second: running}},
+		{"stop during the image pull", 0, 4, []wire.Command{stop(9)}, map[time.Duration]string{3 * time.Second: stopped}},
+		{"stop with a checkpoint", 0, 0, []wire.Command{stop(9)},
+			map[time.Duration]string{3 * time.Second: wire.TaskCheckpointing, 7 * time.Second: stopped + "+checkpointed"}},
+		{"stop with too short a grace period", 0, 0, []wire.Command{stop(1)}, map[time.Duration]string{3 * time.Second: stopped}},
+		{"second stop ends the checkpoint", 0, 0, []wire.Command{stop(9), stop(0)}, map[time.Duration]string{4 * time.Second: stopped}},
+		{"task runs as much longer as its machine hangs", 5 * time.Second, 0, nil, map[time.Duration]string{23 * time.Second: running, 26 * time.Second: done}},
+		{"stop arrives while the machine hangs", 5 * time.Second, 0, []wire.Command{stop(0)},
+			map[time.Duration]string{5 * time.Second: running, 7 * time.Second: stopped}},
+		{"lease expires while the machine hangs", 9 * time.Second, 0, nil, map[time.Duration]string{10500 * time.Millisecond: ""}},
 	}
-	for _, c := range cases {
-		synctest.Test(t, func(t *testing.T) {
-			n := NewNetwork()
-			rules := checker.NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
-			rules.ObserveSubmission(wire.Job{ID: "j-000001", Team: "blue", Tasks: 1, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 3, AllowSpot: true})
-			cloud := NewCloud(n, rules, []string{"host-0:8080"}, 1, 8, func(string) float64 { return 20 })
-			cloud.ImagePullS = c.fetchS
-			n.Handle("host-0:8080", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
-				send(rw, http.StatusOK, wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}})
-			}))
-			w := newWorker(cloud, "i-000000", wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
-			defer func() {
-				w.stop()
-				time.Sleep(time.Minute)
-			}()
-			order := func(commands ...wire.Command) {
-				b, err := wire.Marshal(wire.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: commands})
-				if err != nil {
-					t.Error(err)
+}
+
+// TestWorker checks what a machine does with commands that reach it: while it hangs it does nothing,
+// and afterwards what is still valid; a task that can checkpoint does so when it is given the time,
+// and none runs without its image.
+func TestWorker(t *testing.T) {
+	for _, c := range workerCases() {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				rules := checker.NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
+				rules.ObserveSubmission(wire.Job{
+					ID: "j-000001", Team: "blue", Tasks: 1, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 3, AllowSpot: true,
+				})
+				cloud := newTestCloud(rules, 8)
+				cloud.ImagePullS = c.imagePullS
+				w := startWorker(cloud, "i-000000", wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
+				defer func() {
+					w.stop()
+					time.Sleep(time.Minute)
+				}()
+				sendCommands(t, w, wire.Command{Verb: wire.VerbStart, TaskID: "j-000001/0", Attempt: 1})
+				start := time.Now()
+				for i, command := range c.commands {
+					time.AfterFunc(time.Duration(2+i)*time.Second, func() { sendCommands(t, w, command) })
 				}
-				w.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/commands", bytes.NewReader(b)))
-			}
-			order(wire.Command{Verb: wire.VerbStart, TaskID: "j-000001/0", Attempt: 1})
-			begun := time.Now()
-			for i, command := range c.commands {
-				time.AfterFunc(time.Duration(2+i)*time.Second, func() { order(command) })
-			}
-			time.Sleep(time.Second)
-			if c.hang > 0 {
-				w.Hang(c.hang)
-			}
-			var at []time.Duration
-			for d := range c.want {
-				at = append(at, d)
-			}
-			slices.Sort(at)
-			for _, d := range at {
-				time.Sleep(time.Until(begun.Add(d + 150*time.Millisecond)))
-				w.mu.Lock()
-				state := ""
-				for _, task := range w.tasks {
-					state = task.State + task.ExitReason
-					if task.Checkpointed {
-						state += "saved"
-					}
+				time.Sleep(time.Second)
+				if c.hang > 0 {
+					w.Hang(c.hang)
 				}
-				w.mu.Unlock()
-				if state != c.want[d] {
-					t.Errorf("%s: after %v it is %q, want %q", c.name, d, state, c.want[d])
+				for _, at := range slices.Sorted(maps.Keys(c.want)) {
+					time.Sleep(time.Until(start.Add(at + 150*time.Millisecond)))
+					if state := lastTaskState(w); state != c.want[at] {
+						t.Errorf("%s: after %v the task is %q, want %q", c.name, at, state, c.want[at])
+					}
 				}
-			}
+			})
 		})
 	}
 }
--- a/internal/sim/harness/world.go
+++ b/internal/sim/harness/world.go
@@ -75,7 +75,14 @@
 	workers := s.Params.Workers
 	rules := checker.NewRules(workers.CancellationTimeout().Duration(), limits, fake.InstanceTypes().Types)
 	users := Users{Client: &http.Client{Transport: n.From("user")}, Rules: rules, Nodes: nodes}
-	return users, fake.NewCloud(n, rules, hosts, workers.HeartbeatIntervalS, workers.LeaseDurationS, runFor)
+	return users, fake.NewCloud(fake.CloudConfig{
+		Net:                n,
+		Rules:              rules,
+		Nodes:              hosts,
+		HeartbeatIntervalS: workers.HeartbeatIntervalS,
+		LeaseDurationS:     workers.LeaseDurationS,
+		RuntimeOf:          runFor,
+	})
 }
 
 // faultOf is the fault that a message meets.
