--- a/internal/sim/harness/leadership.go
+++ b/internal/sim/harness/leadership.go
@@ -13,59 +13,62 @@
 // ErrNoLeader says that no node led in time.
 var ErrNoLeader = errors.New("nobody leads")
 
-// How often and how long it is looked who leads.
+// How often, and after what pauses, a leader is awaited.
 const (
-	leaderLooks = 100
-	leaderPause = 200 * time.Millisecond
-	nextLooks   = 200
-	nextPause   = 50 * time.Millisecond
+	leaderPolls        = 100
+	leaderPollInterval = 200 * time.Millisecond
+	nextLeaderPolls    = 200
+	nextPollInterval   = 50 * time.Millisecond
 )
 
 // MemberFormat is the form of nodes' names.
 const MemberFormat = "host-%d"
 
-// Leadership tells who leads, as the state service has it.
+// noNode is the index of no node.
+const noNode = -1
+
+// Leadership reads from the state service who leads. It takes no lock of its own.
 type Leadership struct{ State *fake.StateService }
 
-// Current is the index of the node that the state service names, -1 if it names none.
+// Current returns the index of the node that leads, -1 if none does.
 func (l Leadership) Current() int {
 	var leader replica.Leader
-	node := -1
+	node := noNode
 	if e, ok := l.State.Get(replica.LeaderKey); ok && wire.Unmarshal(e.Value, &leader) == nil {
 		if _, err := fmt.Sscanf(leader.Member, MemberFormat, &node); err != nil {
-			return -1
+			return noNode
 		}
 	}
 	return node
 }
 
-// AwaitLeader waits until a node leads.
+// AwaitLeader waits until a node leads, and returns its index.
 func (l Leadership) AwaitLeader() (node int, err error) {
-	for range leaderLooks {
-		if node := l.Current(); node >= 0 {
+	for range leaderPolls {
+		if node := l.Current(); node != noNode {
 			return node, nil
 		}
-		time.Sleep(leaderPause)
+		time.Sleep(leaderPollInterval)
 	}
-	return -1, ErrNoLeader
+	return noNode, ErrNoLeader
 }
 
-// FencingToken is the highest token given out, as stored; 0 if there is none.
+// FencingToken returns the highest fencing token that was given out; 0 if none was.
 func (l Leadership) FencingToken() uint64 {
-	var n replica.TokenRecord
-	if e, ok := l.State.Get(replica.TokenKey); !ok || wire.Unmarshal(e.Value, &n) != nil {
+	var record replica.TokenRecord
+	if e, ok := l.State.Get(replica.TokenKey); !ok || wire.Unmarshal(e.Value, &record) != nil {
 		return 0
 	}
-	return n.FencingToken
+	return record.FencingToken
 }
 
-// AwaitLeaderAfter waits until another leader leads than the one with this token.
-func (l Leadership) AwaitLeaderAfter(token uint64) error {
-	for range nextLooks {
-		if _, ok := l.State.Get(replica.LeaderKey); ok && l.FencingToken() > token {
+// AwaitLeaderAfter waits until a node leads in a later term than the one with this fencing token.
+func (l Leadership) AwaitLeaderAfter(fencingToken uint64) error {
+	for range nextLeaderPolls {
+		if _, ok := l.State.Get(replica.LeaderKey); ok && l.FencingToken() > fencingToken {
 			return nil
 		}
-		time.Sleep(nextPause)
+		time.Sleep(nextPollInterval)
 	}
 	return ErrNoLeader
 }
