--- a/internal/sim/lab/faults.go
+++ b/internal/sim/lab/faults.go
@@ -4,46 +4,42 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"net/http"
 	"slices"
 	"strings"
-	"syscall"
-	"time"
 
 	"github.com/pelletier/go-toml/v2"
 
-	"caperlatch/internal/sim/fake"
 	"caperlatch/internal/sim/harness"
 )
 
-// Kind is what a fault does.
+// Kind is the kind of a fault.
 type Kind string
 
 // The kinds of faults.
 const (
-	Kill      Kind = "kill"       // a node ends by SIGKILL, and comes back
-	Terminate Kind = "terminate"  // a node ends by SIGTERM, and comes back
-	Freeze    Kind = "freeze"     // a node is stopped by SIGSTOP, and goes on
-	StateDown Kind = "state_down" // the state service answers nobody
-	Silence   Kind = "silence"    // reports of machines of a zone, or of all, are lost
+	Kill      Kind = "kill"       // a node ends by SIGKILL, and is started again
+	Terminate Kind = "terminate"  // a node ends by SIGTERM, and is started again
+	Freeze    Kind = "freeze"     // a node is stopped by SIGSTOP, and continued
+	StateDown Kind = "state_down" // outage of the state service
+	Silence   Kind = "silence"    // heartbeats of machines of a zone, or of all, are lost
 )
 
-// Fault is one trouble on the way.
+// Fault is one fault of a run. Its names are those of the file of faults.
 type Fault struct {
-	AtS  float64 `toml:"at_s"`  // since the start of the jobs
-	ForS float64 `toml:"for_s"` // until it is over
+	AtS  float64 `toml:"at_s"`  // seconds since the first submission
+	ForS float64 `toml:"for_s"` // seconds until it is over
 	Kind Kind    `toml:"kind"`
-	Node string  `toml:"node"` // of kill, terminate, freeze; "leader": who leads then
+	Node string  `toml:"node"` // of kill, terminate, freeze; "leader": the one that leads then
 	Zone string  `toml:"zone"` // of silence; empty: all
 }
 
-// leaderNode names who leads at the moment of the fault.
+// leaderNode names the node that leads when the fault begins.
 const leaderNode = "leader"
 
-// longestFault bounds the times of faults, in seconds.
-const longestFault = 3600
+// maxFaultS bounds the times of faults, in seconds.
+const maxFaultS = 3600
 
-// FaultError says what is wrong with a file of faults, in one line.
+// FaultError is a problem of a file of faults.
 type FaultError struct {
 	File    string
 	Line    int
@@ -51,12 +47,14 @@
 	Problem string
 }
 
-// Error names file, line and field.
+// Error implements error: one line with file, line and field.
 func (e *FaultError) Error() string {
 	return fmt.Sprintf("%s:%d: %s %s", e.File, e.Line, e.Field, e.Problem)
 }
 
-// ParseFaults reads and checks the content of a file of faults, a list [[fault]].
+// ParseFaults parses and checks the content of a file of faults, a list [[fault]], for a cluster of
+// so many nodes over some zones. It returns the faults in the order of their begin. The error is a
+// *FaultError where a line is at fault.
 func ParseFaults(file string, content []byte, nodes int, zones []string) ([]Fault, error) {
 	var list struct {
 		Faults []Fault `toml:"fault"`
@@ -66,15 +64,15 @@
 		return nil, decodeError(file, err)
 	}
 	for i := range list.Faults {
-		if field, wrong := list.Faults[i].check(nodes, zones); wrong != "" {
-			return nil, &FaultError{file, lineOf(content, i, field), field, wrong}
+		if field, problem := list.Faults[i].check(nodes, zones); problem != "" {
+			return nil, &FaultError{file, lineOf(content, i, field), field, problem}
 		}
 	}
 	slices.SortStableFunc(list.Faults, func(a, b Fault) int { return int(a.AtS*1000 - b.AtS*1000) })
 	return list.Faults, nil
 }
 
-// decodeError names the line and field of what is no TOML, or no fault's field.
+// decodeError returns the error for a file that is no TOML, or has a field that no fault has.
 func decodeError(file string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -82,28 +80,25 @@
 		line, _ := first.Position()
 		return &FaultError{file, line, strings.Join(first.Key(), "."), "is unknown"}
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		line, _ := wrong.Position()
-		return &FaultError{file, line, strings.Join(wrong.Key(), "."), "cannot be read: " + wrong.Error()}
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		line, _ := invalid.Position()
+		return &FaultError{file, line, strings.Join(invalid.Key(), "."), "cannot be read: " + invalid.Error()}
 	}
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// check tells which field is wrong, and how.
-func (f *Fault) check(nodes int, zones []string) (field, wrong string) {
-	ofNode := slices.Contains([]Kind{Kill, Terminate, Freeze}, f.Kind)
-	var node int
-	_, err := fmt.Sscanf(f.Node, harness.MemberFormat, &node)
-	known := err == nil && node >= 0 && node < nodes && f.Node == fmt.Sprintf(harness.MemberFormat, node)
+// check returns the first field with a problem, and the problem; both are empty if there is none.
+func (f *Fault) check(nodes int, zones []string) (field, problem string) {
+	ofNode := f.Kind == Kill || f.Kind == Terminate || f.Kind == Freeze
 	switch {
 	case !ofNode && f.Kind != StateDown && f.Kind != Silence:
 		return "kind", fmt.Sprintf("%q is none of kill, terminate, freeze, state_down, silence", f.Kind)
-	case !(f.AtS >= 0 && f.AtS <= longestFault):
-		return "at_s", fmt.Sprintf("must be from 0 to %d", longestFault)
-	case !(f.ForS > 0 && f.ForS <= longestFault):
-		return "for_s", fmt.Sprintf("must be over 0 and at most %d", longestFault)
-	case ofNode && f.Node != leaderNode && !known:
+	case !(f.AtS >= 0 && f.AtS <= maxFaultS): // also if it is no number
+		return "at_s", fmt.Sprintf("must be from 0 to %d", maxFaultS)
+	case !(f.ForS > 0 && f.ForS <= maxFaultS):
+		return "for_s", fmt.Sprintf("must be over 0 and at most %d", maxFaultS)
+	case ofNode && f.Node != leaderNode && !isMember(f.Node, nodes):
 		return "node", fmt.Sprintf("%q is neither a node nor \"leader\"", f.Node)
 	case !ofNode && f.Node != "":
 		return "node", "belongs to kill, terminate and freeze"
@@ -115,10 +110,17 @@
 	return "", ""
 }
 
+// isMember reports whether a name is that of one of so many nodes.
+func isMember(name string, nodes int) bool {
+	var node int
+	_, err := fmt.Sscanf(name, harness.MemberFormat, &node)
+	return err == nil && node >= 0 && node < nodes && name == fmt.Sprintf(harness.MemberFormat, node)
+}
+
 // faultHeader begins a fault in the file.
 const faultHeader = "[[fault]]"
 
-// lineOf is the line of a field of the nth fault, or of the fault itself if the field is left out.
+// lineOf returns the line of a field of the nth fault, or of the fault itself if the field is left out.
 func lineOf(content []byte, n int, field string) int {
 	header, seen := 0, -1
 	for i, line := range strings.Split(string(content), "\n") {
@@ -135,85 +137,3 @@
 	}
 	return header
 }
-
-// carryOut has a fault happen, and waits until it is over.
-func (l *Lab) carryOut(f *Fault) error {
-	length := time.Duration(f.ForS * float64(time.Second))
-	l.say("%s %s%s for %v", f.Kind, f.Node, f.Zone, length)
-	switch f.Kind {
-	case StateDown:
-		l.processes.State.SetOutage(true)
-		l.sleep(length)
-		l.processes.State.SetOutage(false)
-		return nil
-	case Silence:
-		l.silence(f.Zone, true)
-		l.sleep(length)
-		l.silence(f.Zone, false)
-		return nil
-	}
-	node, err := l.nodeOf(f.Node)
-	if err != nil {
-		return err
-	}
-	return l.failNode(node, f.Kind, length)
-}
-
-// nodeOf is the node that a fault names.
-func (l *Lab) nodeOf(name string) (node int, err error) {
-	if name == leaderNode {
-		return l.processes.AwaitLeader()
-	}
-	_, err = fmt.Sscanf(name, harness.MemberFormat, &node)
-	return node, err
-}
-
-// failNode ends or freezes a node, and has it come back.
-func (l *Lab) failNode(node int, kind Kind, length time.Duration) error {
-	switch kind {
-	case Freeze:
-		if err := l.processes.Signal(node, syscall.SIGSTOP); err != nil {
-			return err
-		}
-		l.sleep(length)
-		return l.processes.Signal(node, syscall.SIGCONT)
-	case Terminate:
-		l.processes.ExpectExit(node)
-		if err := l.processes.Signal(node, syscall.SIGTERM); err != nil {
-			return err
-		}
-		l.sleep(length)
-		l.processes.Kill(node) // what has not ended by then
-	default:
-		l.processes.Kill(node)
-		l.sleep(length)
-	}
-	return l.processes.StartNode(node, l.options.Program)
-}
-
-// silence has the reports of a zone's machines be lost, or arrive again.
-func (l *Lab) silence(zone string, silent bool) {
-	l.mu.Lock()
-	if silent {
-		l.silent[zone]++
-	} else {
-		l.silent[zone]--
-	}
-	l.mu.Unlock()
-	l.history.ObserveFault()
-}
-
-// hit tells whether the reports of a zone's machines are lost.
-func (l *Lab) hit(zone string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return zone != "" && (l.silent[zone] > 0 || l.silent[""] > 0)
-}
-
-// faultOf is what a message meets.
-func (l *Lab) faultOf(from string, _ *http.Request) fake.Fault {
-	if l.hit(l.processes.Rules.ZoneOf(from)) {
-		return fake.DroppedRequest
-	}
-	return fake.NoFault
-}
--- a/internal/sim/lab/golden_test.go
+++ b/internal/sim/lab/faults_golden_test.go
@@ -15,10 +15,10 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// TestFaultNames has a fault with every field set be written as it was, the example be read as it
-// was, and what is told of a wrong file be what it was. Errors of decoding name the type and
-// fields here, so that these are seen outside.
-func TestFaultNames(t *testing.T) {
+// TestFaultEncoding checks that a fault with every field set is written as it was, the example is
+// read as it was, and the errors of invalid files are what they were. Errors of decoding name the
+// type and fields in Go, so these are seen outside.
+func TestFaultEncoding(t *testing.T) {
 	b, err := toml.Marshal(golden.Filled(reflect.TypeFor[Fault]()).Interface())
 	if err != nil {
 		t.Fatal(err)
@@ -49,19 +49,19 @@
 	golden.Check(t, "faults.golden", sections)
 }
 
-// TestFaultTags has all fields of a fault be named by tags.
+// TestFaultTags checks that tags name all fields of a fault.
 func TestFaultTags(t *testing.T) { golden.CheckTags(t, "toml", golden.Of[Fault]("a fault")) }
 
-// TestSummaryTexts has a summary say what it said.
-func TestSummaryTexts(t *testing.T) {
-	var whole, empty strings.Builder
+// TestSummaryText checks that a summary is printed as it was.
+func TestSummaryText(t *testing.T) {
+	var full, empty strings.Builder
 	all := golden.Filled(reflect.TypeFor[Summary]()).Interface().(Summary)
 	all.Classes[0].Waits = failover.Summary{Median: 1250 * micros.Millisecond, P95: 2500 * micros.Millisecond, Max: 3750 * micros.Millisecond}
 	all.Classes[0].Runtimes = failover.Summary{Count: 9, Median: 4 * micros.Second, P95: 5 * micros.Second, Max: 6 * micros.Second}
-	all.Print(&whole)
+	all.Print(&full)
 	new(Summary).Print(&empty)
 	golden.Check(t, "summary.golden", []golden.Section{
-		{Name: "with all", Text: strings.TrimSuffix(whole.String(), "\n")},
+		{Name: "with all", Text: strings.TrimSuffix(full.String(), "\n")},
 		{Name: "with nothing", Text: strings.TrimSuffix(empty.String(), "\n")},
 		{Name: "what was wrong", Text: fmt.Sprint(all.Err())},
 		{Name: "what was open", Text: fmt.Sprint((&Summary{Seed: all.Seed, OpenJobs: all.OpenJobs}).Err())},
--- a/internal/sim/lab/sample.go
+++ b/internal/sim/lab/workload.go
@@ -12,18 +12,18 @@
 	"caperlatch/internal/wire"
 )
 
-// class is a kind of the sample's jobs, which come all the time.
+// class is a class of the sample's jobs, which are submitted all the time.
 type class struct {
-	name     string
-	shape    string
-	priority string
-	every    time.Duration // between two jobs, on average
-	tasks    int
-	runS     float64
-	dueS     float64 // from the submission
+	name      string
+	kind      string
+	priority  string
+	interval  time.Duration // between two jobs, on average
+	tasks     int
+	runtimeS  float64
+	deadlineS float64 // from the submission
 }
 
-// classes use some 40 GuaranteedCPUs together.
+// classes use some 40 CPUs together.
 var classes = []class{
 	{"interactive", wire.KindArray, wire.PriorityUrgent, time.Second, 4, 1, 5},
 	{"batch", wire.KindArray, "normal", 2 * time.Second, 12, 3, 15},
@@ -31,28 +31,28 @@
 	{"nightly", wire.KindArray, "idle", 4 * time.Second, 10, 4, 60},
 }
 
-// firstJob parts the numbers of the classes' jobs.
-const firstJob = 1_000_000
+// classIDs is how many job numbers each class has.
+const classIDs = 1_000_000
 
-// jobID is the id of a class's nth job.
-func jobID(class, n int) string { return fmt.Sprintf("j-%d", (class+1)*firstJob+n) }
+// jobID returns the ID of a class's nth job.
+func jobID(class, n int) string { return fmt.Sprintf("j-%d", (class+1)*classIDs+n) }
 
-// classOf is the class of a task by its job's number; empty if the sample has none like it.
+// classOf returns the class of a task by its job's number; empty if the sample has none like it.
 func classOf(task string) string {
 	var n int
-	if _, err := fmt.Sscanf(task, "j-%d", &n); err != nil || n < firstJob || n >= (len(classes)+1)*firstJob {
+	if _, err := fmt.Sscanf(task, "j-%d", &n); err != nil || n < classIDs || n >= (len(classes)+1)*classIDs {
 		return ""
 	}
-	return classes[n/firstJob-1].name
+	return classes[n/classIDs-1].name
 }
 
-// job is a class's job.
+// job returns a job of the class.
 func (c *class) job(id string) wire.Job {
 	return wire.Job{
 		ID:                id,
 		Class:             c.name,
 		Team:              "blue",
-		Kind:              c.shape,
+		Kind:              c.kind,
 		Priority:          c.priority,
 		Tasks:             c.tasks,
 		CPUs:              1,
@@ -60,13 +60,13 @@
 		Image:             c.name,
 		ImageSizeGB:       1,
 		AllowSpot:         true,
-		EstimatedRuntimeS: c.runS,
-		DeadlineS:         &c.dueS,
+		EstimatedRuntimeS: c.runtimeS,
+		DeadlineS:         &c.deadlineS,
 	}
 }
 
-// sampleSettings are those of a node of the sample deployment, but for addresses.
-func sampleSettings(node, nodes int) (*settings.Settings, error) {
+// nodeSettings returns the settings of a node of the sample deployment, but for addresses.
+func nodeSettings(node, nodes int) (*settings.Settings, error) {
 	s, err := settings.Parse(deploy.Settings)
 	if err != nil {
 		return nil, err
@@ -77,23 +77,23 @@
 	return s, nil
 }
 
-// runFor is how long a task of a job takes, in seconds.
-func (l *Lab) runFor(task string) float64 {
+// runtimeOf returns how long a task of a job runs, in seconds.
+func (l *Lab) runtimeOf(task string) float64 {
 	id, _, _ := strings.Cut(task, "/")
-	return l.processes.Rules.Job(id).EstimatedRuntimeS
+	return l.cluster.Rules.Job(id).EstimatedRuntimeS
 }
 
-// submitAll gives a class's jobs until the time for jobs is over.
-func (l *Lab) submitAll(index int) {
+// submitClass submits a class's jobs until the time for submissions is over.
+func (l *Lab) submitClass(index int) {
 	c := &classes[index]
 	random := rand.New(rand.NewPCG(l.options.Seed, uint64(index)))
 	for n := 1; l.history.Elapsed() < l.options.SubmitFor; n++ {
 		job := c.job(jobID(index, n))
-		if !l.processes.SubmitWithRetries(random.IntN(l.options.Nodes), submitPause, job) {
+		if !l.cluster.SubmitWithRetries(random.IntN(l.options.Nodes), submitPause, job) {
 			l.fail(fmt.Errorf("%s: %w", job.ID, ErrNotAccepted))
 			return
 		}
-		l.accepted(&job)
-		time.Sleep(time.Duration((0.5 + random.Float64()) * float64(c.every)))
+		l.recordAccepted(&job)
+		time.Sleep(time.Duration((0.5 + random.Float64()) * float64(c.interval)))
 	}
 }
