--- a/failover_process_test.go
+++ b/failover_process_test.go
@@ -319,15 +319,15 @@
 			}
 			s := failover.Summarize(times)
 			t.Logf("%-18s %-4s %-7s %4d machines: %3d (missing %d), median %.2f, 95%% %.2f, 99%% %.2f, most %.2f s; mean %.2f (%.2f to %.2f)",
-				m.name, g.Mode, g.Cause, g.Machines, s.Count, s.Missing, s.Median.Seconds(), s.P95.Seconds(), s.P99.Seconds(), s.Max.Seconds(), s.Mean, s.MeanLow, s.MeanHigh)
+				m.name, g.Mode, g.Cause, g.Machines, s.Count, s.Missing, s.Median.Seconds(), s.P95.Seconds(), s.P99.Seconds(), s.Max.Seconds(), s.Mean.Value, s.Mean.Low, s.Mean.High)
 			if byMode[g.Cause] == nil {
 				byMode[g.Cause] = map[failover.Mode][]micros.Micros{}
 			}
 			byMode[g.Cause][g.Mode] = append(byMode[g.Cause][g.Mode], times...)
 		}
 		for _, cause := range []failover.Cause{failover.Killed, failover.Frozen, failover.Planned} {
-			ratio, low, high := failover.Ratio(byMode[cause][failover.Warm], byMode[cause][failover.Cold])
-			t.Logf("%-18s %-7s warm/cold %.2f (%.2f to %.2f)", m.name, cause, ratio, low, high)
+			ratio := failover.Ratio(byMode[cause][failover.Warm], byMode[cause][failover.Cold])
+			t.Logf("%-18s %-7s warm/cold %.2f (%.2f to %.2f)", m.name, cause, ratio.Value, ratio.Low, ratio.High)
 		}
 	}
 }
--- a/internal/sim/charts/charts.go
+++ b/internal/sim/charts/charts.go
@@ -1,5 +1,7 @@
-// Package charts draws what stand-ins saw, for reports in HTML. The pages load the chart library
-// from the network.
+// Package charts makes the charts of HTML reports on simulated and rehearsed runs.
+//
+// It owns their form only, and must not compute figures. The pages load the chart library from the
+// network when they are viewed.
 package charts
 
 import (
@@ -13,13 +15,14 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// Series is a named row of values.
+// Series is a named row of values, one for each name on the horizontal axis.
 type Series struct {
 	Name   string
 	Values []float64
 }
 
-// Timeline draws counts of tasks over samples.
+// Timeline returns a chart of counts of tasks over time, with a line for each name in the counts of
+// a sample.
 func Timeline(title string, samples []checker.Sample, counts func(checker.Sample) map[string]int) *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
@@ -47,7 +50,7 @@
 	return line
 }
 
-// DurationBars draws times by name.
+// DurationBars returns a chart of times in seconds, with a bar of each series for each name.
 func DurationBars(title, subtitle string, names []string, series ...Series) *charts.Bar {
 	bar := charts.NewBar()
 	bar.SetGlobalOptions(
--- a/internal/sim/measure/detection/colors.go
+++ b/internal/sim/measure/detection/colors.go
@@ -2,7 +2,7 @@
 
 import "image/color"
 
-// lineColors tell the lines of a plot apart.
+// lineColors distinguish the lines of a plot.
 var lineColors = []color.Color{
 	color.RGBA{R: 31, G: 119, B: 180, A: 255},
 	color.RGBA{R: 214, G: 39, B: 40, A: 255},
--- a/internal/sim/measure/detection/detection.go
+++ b/internal/sim/measure/detection/detection.go
@@ -1,7 +1,8 @@
-// Package detection keeps how soon failures of nodes were suspected and confirmed by the others,
-// as measured, and tells it by quantiles and as a plot.
+// Package detection computes how soon failures of nodes were detected by the other nodes, from
+// measured times: as quantiles and as a plot.
 //
-// It owns the statistics and the plot's form. It measures nothing itself.
+// It owns the statistics and the form of the plot. It measures nothing itself, and must not depend
+// on how nodes detect failures.
 package detection
 
 import (
@@ -21,81 +22,81 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// Verdict is what one node thought of a failure of another; times count from the failure.
+// Verdict is how soon one node detected the failure of another; times count from the failure.
 type Verdict struct {
-	Nodes     int
+	Nodes     int // in the cluster
 	Cause     failover.Cause
-	Leader    bool // the node that failed led
+	Leader    bool // whether the node that failed led
 	Suspected micros.Micros
 	Confirmed micros.Micros
 }
 
-// kind is what verdicts are grouped by.
-type kind struct {
+// group is what verdicts are grouped by.
+type group struct {
 	nodes  int
 	cause  failover.Cause
 	leader bool
 }
 
-// String names a group.
-func (k kind) String() string {
+// String names the group.
+func (g group) String() string {
 	role := "a follower"
-	if k.leader {
+	if g.leader {
 		role = "the leader"
 	}
-	return fmt.Sprintf("%d nodes, %s %s", k.nodes, role, k.cause)
+	return fmt.Sprintf("%d nodes, %s %s", g.nodes, role, g.cause)
 }
 
-// quantileTargets are the quantiles that are told, and how exactly each is kept.
-var quantileTargets = map[float64]float64{0.5: 0.01, 0.95: 0.005, 1: 0.0001}
+// quantileErrors are the quantiles that are computed, with the error in rank of each.
+var quantileErrors = map[float64]float64{0.5: 0.01, 0.95: 0.005, 1: 0.0001}
 
-// Summary tells how soon the verdicts of a group came.
+// Summary is the distribution of the verdicts of a group.
 type Summary struct {
 	Name                 string
 	Count                int
 	Suspected, Confirmed Quantiles
 }
 
-// Quantiles are quantiles, in seconds.
+// Quantiles are quantiles of times, in seconds.
 type Quantiles struct{ Median, P95, Max float64 }
 
-// String tells times.
-func (t Quantiles) String() string { return fmt.Sprintf("%.2f %.2f %.2f", t.Median, t.P95, t.Max) }
+// String formats the quantiles.
+func (q Quantiles) String() string { return fmt.Sprintf("%.2f %.2f %.2f", q.Median, q.P95, q.Max) }
 
-// String is one line of a report.
+// String returns one line of a report.
 func (s Summary) String() string {
 	return fmt.Sprintf("%s: %d verdicts; median, 95%%, longest in s: suspected %v, confirmed %v", s.Name, s.Count, s.Suspected, s.Confirmed)
 }
 
 // Summarize summarizes verdicts by group, in the order of their names.
-func Summarize(verdicts []Verdict) (all []Summary) {
-	for k, group := range grouped(verdicts) {
-		all = append(all, Summary{
-			Name:      k.String(),
-			Count:     len(group),
-			Suspected: times(group, func(v Verdict) micros.Micros { return v.Suspected }),
-			Confirmed: times(group, func(v Verdict) micros.Micros { return v.Confirmed }),
+func Summarize(verdicts []Verdict) (summaries []Summary) {
+	for g, members := range groupVerdicts(verdicts) {
+		summaries = append(summaries, Summary{
+			Name:      g.String(),
+			Count:     len(members),
+			Suspected: quantiles(members, func(v Verdict) micros.Micros { return v.Suspected }),
+			Confirmed: quantiles(members, func(v Verdict) micros.Micros { return v.Confirmed }),
 		})
 	}
-	slices.SortFunc(all, func(a, b Summary) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(summaries, func(a, b Summary) int { return cmp.Compare(a.Name, b.Name) })
+	return summaries
 }
 
-// grouped parts verdicts by what failed how.
-func grouped(verdicts []Verdict) map[kind][]Verdict {
-	groups := map[kind][]Verdict{}
+// groupVerdicts groups verdicts by the cluster, and by what failed how.
+func groupVerdicts(verdicts []Verdict) map[group][]Verdict {
+	groups := map[group][]Verdict{}
 	for _, v := range verdicts {
-		k := kind{v.Nodes, v.Cause, v.Leader}
-		groups[k] = append(groups[k], v)
+		g := group{v.Nodes, v.Cause, v.Leader}
+		groups[g] = append(groups[g], v)
 	}
 	return groups
 }
 
-// times are the quantiles of one time of each verdict.
-func times(group []Verdict, of func(Verdict) micros.Micros) Quantiles {
-	stream := quantile.NewTargeted(quantileTargets)
-	for _, v := range group {
-		stream.Insert(of(v).Seconds())
+// quantiles returns the quantiles of one of the times of each verdict.
+func quantiles(verdicts []Verdict, timeOf func(Verdict) micros.Micros) Quantiles {
+	stream := quantile.NewTargeted(quantileErrors)
+	for _, v := range verdicts {
+		stream.Insert(timeOf(v).Seconds())
 	}
 	return Quantiles{stream.Query(0.5), stream.Query(0.95), stream.Query(1)}
 }
@@ -106,24 +107,24 @@
 	plotHeight = 10 * vg.Centimeter
 )
 
-// WriteSVG plots, for each group, which share of the verdicts had come after what time.
+// WriteSVG writes a plot of the share of the verdicts of each group that had come after what time.
 func WriteSVG(w io.Writer, verdicts []Verdict) error {
 	p := plot.New()
 	p.Title.Text = "Failures of nodes that are confirmed"
 	p.X.Label.Text = "seconds after the failure"
 	p.Y.Label.Text = "share of the verdicts"
 	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, 1
-	groups := grouped(verdicts)
-	byName := func(a, b kind) int { return strings.Compare(a.String(), b.String()) }
-	for i, k := range slices.SortedFunc(maps.Keys(groups), byName) {
-		line, err := plotter.NewLine(shares(groups[k]))
+	groups := groupVerdicts(verdicts)
+	byName := func(a, b group) int { return strings.Compare(a.String(), b.String()) }
+	for i, g := range slices.SortedFunc(maps.Keys(groups), byName) {
+		line, err := plotter.NewLine(distribution(groups[g]))
 		if err != nil {
-			return fmt.Errorf("plot of %v: %w", k, err)
+			return fmt.Errorf("plot of %v: %w", g, err)
 		}
 		line.StepStyle = plotter.PostStep
 		line.Color = lineColors[i%len(lineColors)]
 		p.Add(line)
-		p.Legend.Add(k.String(), line)
+		p.Legend.Add(g.String(), line)
 	}
 	p.Legend.Left, p.Legend.Top = true, true
 	canvas, err := p.WriterTo(plotWidth, plotHeight, "svg")
@@ -134,10 +135,10 @@
 	return err
 }
 
-// shares is the empirical distribution of the times until verdicts.
-func shares(group []Verdict) plotter.XYs {
+// distribution returns the empirical distribution of the times until verdicts were confirmed.
+func distribution(verdicts []Verdict) plotter.XYs {
 	var seconds []float64
-	for _, v := range group {
+	for _, v := range verdicts {
 		seconds = append(seconds, v.Confirmed.Seconds())
 	}
 	slices.Sort(seconds)
--- a/internal/sim/measure/detection/detection_test.go
+++ b/internal/sim/measure/detection/detection_test.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// TestSummary groups verdicts, and tells their quantiles and their plot.
-func TestSummary(t *testing.T) {
+// TestSummarize checks the groups, quantiles and plot of verdicts.
+func TestSummarize(t *testing.T) {
 	var verdicts []Verdict
 	for i := range 100 {
 		at := micros.Micros(i+1) * 100 * micros.Millisecond
--- a/internal/sim/measure/failover/record.go
+++ b/internal/sim/measure/failover/history.go
@@ -1,8 +1,8 @@
-// Package failover keeps what measured changes of leader took: the history of each in a
-// Parquet file, and quantiles and confidence intervals over them.
+// Package failover keeps the times that measured failovers took, in Parquet files, and computes
+// quantiles and confidence intervals over them.
 //
-// It owns the form of the history and the statistics. It measures nothing itself and knows
-// nothing of how a leader comes to change.
+// It owns the form of the file and the statistics. It measures nothing itself, and must not depend
+// on how a leader comes to change.
 package failover
 
 import (
@@ -15,17 +15,17 @@
 	"caperlatch/internal/micros"
 )
 
-// Cause is how a leader ended.
+// Cause is how the leader before a failover ended.
 type Cause string
 
 // The causes that are measured.
 const (
 	Killed  Cause = "killed"  // SIGKILL
-	Frozen  Cause = "frozen"  // SIGSTOP, and SIGCONT later
+	Frozen  Cause = "frozen"  // SIGSTOP, later SIGCONT
 	Planned Cause = "planned" // SIGTERM
 )
 
-// Mode is whether the nodes had a warm standby.
+// Mode is whether the nodes have a warm standby.
 type Mode string
 
 // The modes that are compared.
@@ -34,24 +34,24 @@
 	Warm Mode = "warm"
 )
 
-// Change is one change of leader. Times count from the end of the leader before; negative
-// ones say that it did not happen within the measured time.
+// Change is one failover. Times count from the end of the leader before; Missing says that something
+// did not happen within the measured time. The type's name is that of the file's schema.
 type Change struct {
 	Run             string        `parquet:"run,dict"`
 	Number          int64         `parquet:"number"`
 	Mode            Mode          `parquet:"mode,dict"`
 	Cause           Cause         `parquet:"cause,dict"`
 	Machines        int64         `parquet:"machines"`
-	LeaderElected   micros.Micros `parquet:"led_us"`       // until another leader held the key
-	FirstNewStart   micros.Micros `parquet:"first_new_us"` // until a job of after the end started
-	FirstOldResumed micros.Micros `parquet:"first_old_us"` // until a job of before the end went on
-	OldLeaderFrozen micros.Micros `parquet:"frozen_us"`    // how long the leader before stood still
+	LeaderElected   micros.Micros `parquet:"led_us"`       // until another node held the leader key
+	FirstNewStart   micros.Micros `parquet:"first_new_us"` // until a job started that was submitted after the end
+	FirstOldResumed micros.Micros `parquet:"first_old_us"` // until a job went on that was submitted before the end
+	OldLeaderFrozen micros.Micros `parquet:"frozen_us"`    // how long the leader before was frozen
 }
 
-// Missing stands for what did not happen.
+// Missing is the time of what did not happen.
 const Missing micros.Micros = -1
 
-// Write writes a history.
+// Write writes failovers to a file, which it replaces.
 func Write(path string, changes []Change) error {
 	if err := parquet.WriteFile(path, changes); err != nil {
 		return fmt.Errorf("history: %w", err)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Read reads a history.
+// Read reads failovers from a file.
 func Read(path string) ([]Change, error) {
 	changes, err := parquet.ReadFile[Change](path)
 	if err != nil {
@@ -68,14 +68,14 @@
 	return changes, nil
 }
 
-// Group is changes of one kind.
+// Group is the kind of a failover by which figures are compared.
 type Group struct {
 	Mode     Mode
 	Cause    Cause
 	Machines int64
 }
 
-// GroupChanges divides a history by kind, and lists the kinds in order.
+// GroupChanges groups failovers by their kind. It also lists the kinds, by machines, cause and mode.
 func GroupChanges(changes []Change) (map[Group][]Change, []Group) {
 	groups := map[Group][]Change{}
 	for _, c := range changes {
--- a/internal/sim/measure/failover/golden_test.go
+++ b/internal/sim/measure/failover/history_golden_test.go
@@ -13,8 +13,8 @@
 	"caperlatch/internal/golden"
 )
 
-// TestHistoryColumns has the file of a history hold what it held, and be read as it was written.
-// The schema's own name is the one that the type had when histories were first written.
+// TestHistoryColumns checks that a file holds the columns that it held, and is read as it was written.
+// The schema's own name is the one that the type had when files were first written.
 func TestHistoryColumns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	change := golden.Filled(reflect.TypeFor[Change]()).Interface().(Change)
@@ -24,16 +24,16 @@
 	if read, err := Read(path); err != nil || len(read) != 1 || read[0] != change {
 		t.Errorf("read %+v, %v, want %+v", read, err, change)
 	}
-	b, err := os.Open(path)
+	f, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	info, err := b.Stat()
+	defer f.Close()
+	info, err := f.Stat()
 	if err != nil {
 		t.Fatal(err)
 	}
-	file, err := parquet.OpenFile(b, info.Size())
+	file, err := parquet.OpenFile(f, info.Size())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	})
 }
 
-// TestHistoryTags has all columns be named by tags.
+// TestHistoryTags checks that tags name all columns.
 func TestHistoryTags(t *testing.T) {
 	golden.CheckTags(t, "parquet", golden.Of[Change]("a change of leader"))
 }
--- a/internal/sim/measure/failover/summary.go
+++ b/internal/sim/measure/failover/summary.go
@@ -10,28 +10,31 @@
 	"caperlatch/internal/micros"
 )
 
-// confidence is that of the intervals.
+// confidence is the confidence level of the intervals.
 const confidence = 0.95
 
-// Bounds and precision of the histograms of times.
+// Bound and precision of the histograms of times.
 const (
-	longest     = 600 * micros.Second
-	significant = 3
+	maxTime           = 600 * micros.Second
+	significantDigits = 3
 )
 
-// Summary tells how some times are distributed.
+// Estimate is an estimated value with its confidence interval. Its fields are NaN where there are
+// too few values for them.
+type Estimate struct{ Value, Low, High float64 }
+
+// Summary is the distribution of some times.
 type Summary struct {
-	Count   int // that happened
-	Missing int // that did not
-	// Quantiles, and the longest.
+	Count                 int // that happened
+	Missing               int // that did not
 	Median, P95, P99, Max micros.Micros
-	// Mean, with the interval that has it with the confidence; NaN for fewer than two.
-	Mean, MeanLow, MeanHigh float64 // seconds
+	Mean                  Estimate // in seconds, with Student's interval
 }
 
-// Summarize summarizes times.
+// Summarize returns the distribution of times. Negative times are missing; those over maxTime count as
+// maxTime, but for the mean.
 func Summarize(times []micros.Micros) Summary {
-	h := hdrhistogram.New(1, int64(longest), significant)
+	h := hdrhistogram.New(1, int64(maxTime), significantDigits)
 	var s Summary
 	var seconds []float64
 	for _, t := range times {
@@ -41,53 +44,53 @@
 		}
 		s.Count++
 		seconds = append(seconds, t.Seconds())
-		// A time beyond the histogram counts as the longest.
-		_ = h.RecordValue(int64(min(max(t, 1), longest)))
+		_ = h.RecordValue(int64(min(max(t, 1), maxTime))) // fails only beyond the bounds
 	}
 	quantile := func(q float64) micros.Micros { return micros.Micros(h.ValueAtQuantile(q)) }
 	s.Median, s.P95, s.P99, s.Max = quantile(50), quantile(95), quantile(99), micros.Micros(h.Max())
-	s.Mean, s.MeanLow, s.MeanHigh = meanInterval(seconds)
+	s.Mean = estimateMean(seconds)
 	return s
 }
 
-// meanInterval is the mean of values and Student's interval of it.
-func meanInterval(values []float64) (mean, low, high float64) {
+// estimateMean returns the mean of values with Student's interval.
+func estimateMean(values []float64) Estimate {
 	if len(values) == 0 {
-		return math.NaN(), math.NaN(), math.NaN()
+		return Estimate{math.NaN(), math.NaN(), math.NaN()}
 	}
-	mean = stat.Mean(values, nil)
+	mean := stat.Mean(values, nil)
 	if len(values) < 2 {
-		return mean, math.NaN(), math.NaN()
+		return Estimate{mean, math.NaN(), math.NaN()}
 	}
-	wide := stat.StdErr(stat.StdDev(values, nil), float64(len(values))) * studentQuantile(float64(len(values)-1))
-	return mean, mean - wide, mean + wide
+	halfWidth := stat.StdErr(stat.StdDev(values, nil), float64(len(values))) * studentQuantile(float64(len(values)-1))
+	return Estimate{mean, mean - halfWidth, mean + halfWidth}
 }
 
-// studentQuantile is by how many standard errors an interval reaches to each side.
+// studentQuantile returns how many standard errors an interval extends to each side, for so many
+// degrees of freedom.
 func studentQuantile(freedom float64) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile((1 + confidence) / 2)
 }
 
-// Ratio is how the geometric means of two samples compare, with its interval (Welch's, on
-// logarithms); NaN where one has fewer than two values.
-func Ratio(of, to []micros.Micros) (ratio, low, high float64) {
-	a, b := logarithms(of), logarithms(to)
+// Ratio returns the ratio of the geometric means of two samples, with Welch's interval on their
+// logarithms; NaN where one has fewer than two values. Values that are not positive do not count.
+func Ratio(numerator, denominator []micros.Micros) Estimate {
+	a, b := logarithms(numerator), logarithms(denominator)
 	if len(a) < 2 || len(b) < 2 {
-		return math.NaN(), math.NaN(), math.NaN()
+		return Estimate{math.NaN(), math.NaN(), math.NaN()}
 	}
 	meanA, varA := stat.MeanVariance(a, nil)
 	meanB, varB := stat.MeanVariance(b, nil)
 	partA, partB := varA/float64(len(a)), varB/float64(len(b))
 	difference := meanA - meanB
 	if partA+partB == 0 {
-		return math.Exp(difference), math.Exp(difference), math.Exp(difference)
+		return Estimate{math.Exp(difference), math.Exp(difference), math.Exp(difference)}
 	}
 	freedom := (partA + partB) * (partA + partB) / (partA*partA/float64(len(a)-1) + partB*partB/float64(len(b)-1))
-	wide := math.Sqrt(partA+partB) * studentQuantile(freedom)
-	return math.Exp(difference), math.Exp(difference - wide), math.Exp(difference + wide)
+	halfWidth := math.Sqrt(partA+partB) * studentQuantile(freedom)
+	return Estimate{math.Exp(difference), math.Exp(difference - halfWidth), math.Exp(difference + halfWidth)}
 }
 
-// logarithms are those of the times that happened.
+// logarithms returns the logarithms of the positive times.
 func logarithms(times []micros.Micros) (logs []float64) {
 	for _, t := range times {
 		if t > 0 {
--- a/internal/sim/measure/zoneloss/html.go
+++ b/internal/sim/measure/zoneloss/report.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// WriteHTML writes a report of runs: for each its timelines by class and by zone, and for each
-// kind of runs the quantiles of the waits.
+// WriteHTML writes a report of runs as an HTML page: for each run its timelines by class and by zone,
+// and for each scenario the quantiles of the waits.
 func WriteHTML(w io.Writer, runs []*Run) error {
 	groups, err := Summarize(runs)
 	if err != nil {
@@ -35,21 +35,12 @@
 	return nil
 }
 
-// policyName names whether the policy was on.
-func policyName(on bool) string {
-	if on {
-		return "policy on"
-	}
-	return "policy off"
-}
-
 // title names a run.
 func (r *Run) title() string {
-	return fmt.Sprintf("%s, %s, %d machines, seed %d (cut at %.0f s, restored at %.0f s)",
-		r.Pattern, policyName(r.Policy), r.Machines, r.Seed, r.Cut.Seconds(), r.Restored.Seconds())
+	return fmt.Sprintf("%s, seed %d (cut at %.0f s, restored at %.0f s)", r.Scenario, r.Seed, r.Cut.Seconds(), r.Restored.Seconds())
 }
 
-// waitsChart shows the waits of the classes in runs of one kind.
+// waitsChart returns a chart of the waits of the classes in the runs of one scenario.
 func waitsChart(g *Group) *echarts.Bar {
 	var names []string
 	median, p99, recovery := charts.Series{Name: "median wait"}, charts.Series{Name: "99% of the waits"}, charts.Series{Name: "mean recovery"}
@@ -59,7 +50,7 @@
 		p99.Values = append(p99.Values, c.P99S)
 		recovery.Values = append(recovery.Values, c.RecoveryS)
 	}
-	title := fmt.Sprintf("%s, %s, %d machines, %d runs", g.Pattern, policyName(g.Policy), g.Machines, g.Runs)
+	title := fmt.Sprintf("%s, %d runs", g.Scenario, g.Runs)
 	subtitle := fmt.Sprintf("repeated %.0f task seconds, cost %.2f, %.0f machines rented, %.0f of them without a start",
 		g.RepeatedS, g.Cost, g.Launched, g.Unused)
 	return charts.DurationBars(title, subtitle, names, median, p99, recovery)
--- a/internal/sim/measure/zoneloss/report_test.go
+++ b/internal/sim/measure/zoneloss/report_test.go
@@ -11,11 +11,11 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// testRun has a class wait for more than usual from a cut at 100 s until a moment, and tasks
-// wait from 1 s to n s.
+// testRun returns a run in which more tasks of a class wait than before from a cut at 100 s until
+// untilS, and n tasks wait for 1 s, 2 s, and so on.
 func testRun(t *testing.T, policy bool, seed uint64, untilS, n int) *Run {
 	t.Helper()
-	r := NewRun("cut", policy, 400, seed)
+	r := NewRun(Scenario{Pattern: "cut", Policy: policy, Machines: 400}, seed)
 	r.Cut, r.Cost, r.RepeatedS, r.Launched, r.Unused = 100*time.Second, 10, 50, 8, 2
 	for at := 60; at < 300; at++ {
 		waiting := 20
@@ -32,7 +32,7 @@
 	return r
 }
 
-// TestReport merges runs of a kind, whose waits are known, and writes a report that shows every
+// TestReport checks the summaries of runs whose figures are known, and that the report shows every
 // run and class.
 func TestReport(t *testing.T) {
 	runs := []*Run{testRun(t, false, 1, 150, 50), testRun(t, true, 1, 120, 10), testRun(t, false, 2, 170, 100)}
@@ -44,15 +44,15 @@
 	if off.Policy || !on.Policy || off.Runs != 2 || on.Runs != 1 || off.Cost != 10 || off.Launched != 8 || off.Unused != 2 || off.RepeatedS != 50 {
 		t.Errorf("groups %v and %v", off, on)
 	}
-	near := func(got, want float64) bool { return math.Abs(got-want) <= 2*accuracy*want+1 }
-	if c := off.Classes[0]; c.RecoveryS != 69 || c.RecoveryMaxS != 79 || c.WaitsMeasured != 150 || !near(c.MedianS, 38) || !near(c.P99S, 99) || !near(c.LongestWaitS, 100) {
+	isNear := func(got, want float64) bool { return math.Abs(got-want) <= 2*accuracy*want+1 }
+	if c := off.Classes[0]; c.RecoveryS != 69 || c.RecoveryMaxS != 79 || c.WaitsMeasured != 150 || !isNear(c.MedianS, 38) || !isNear(c.P99S, 99) || !isNear(c.LongestWaitS, 100) {
 		t.Errorf("off: %+v", c)
 	}
-	if c := on.Classes[0]; c.RecoveryS != 29 || !near(c.MedianS, 5) {
+	if c := on.Classes[0]; c.RecoveryS != 29 || !isNear(c.MedianS, 5) {
 		t.Errorf("on: %+v", c)
 	}
 	if s, err := testRun(t, true, 3, 0, 1).Recovery("scan"); s != 0 || err != nil {
-		t.Errorf("a class that never waited for long recovered after %v s (%v)", s, err)
+		t.Errorf("a class whose tasks never waited for long recovered after %v s (%v)", s, err)
 	}
 	var out bytes.Buffer
 	if err := WriteHTML(&out, runs); err != nil {
@@ -60,11 +60,11 @@
 	}
 	for _, want := range []string{"cut, policy off, 400 machines, 2 runs", "cut, policy on, 400 machines, seed 1", "median wait", "scan", "tasks on machines by zone"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the report does not show %q", want)
+			t.Errorf("the report lacks %q", want)
 		}
 	}
 	runs[0].Samples = runs[0].Samples[60:]
 	if _, err := Summarize(runs); !errors.Is(err, ErrNoBaseline) {
-		t.Errorf("a run without samples before its cut: %v", err)
+		t.Errorf("a run without samples before its cut: error %v", err)
 	}
 }
--- /dev/null
+++ b/internal/sim/measure/zoneloss/summary.go
@@ -0,0 +1,109 @@
+package zoneloss
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/DataDog/sketches-go/ddsketch"
+)
+
+// Group is the summary of the runs of one scenario, over their seeds.
+type Group struct {
+	Scenario
+	Runs                              int
+	Classes                           []ClassSummary
+	RepeatedS, Cost, Launched, Unused float64 // means over the runs
+}
+
+// ClassSummary is the summary of a class over the runs of one scenario.
+type ClassSummary struct {
+	Class         string
+	RecoveryS     float64 // mean
+	RecoveryMaxS  float64
+	MedianS, P99S float64 // of all waits
+	WaitsMeasured float64
+	LongestWaitS  float64
+}
+
+// String describes the group in one line, and each class in a further one.
+func (g Group) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%s, %d machines, policy %v, %d runs: repeated %.0f task s, cost %.2f, rented %.0f, unused %.0f",
+		g.Pattern, g.Machines, g.Policy, g.Runs, g.RepeatedS, g.Cost, g.Launched, g.Unused)
+	for _, c := range g.Classes {
+		fmt.Fprintf(&b, "\n  %s: recovered after %.0f s (at most %.0f), waits %.1f s median, %.1f s 99%%, %.1f s longest of %.0f",
+			c.Class, c.RecoveryS, c.RecoveryMaxS, c.MedianS, c.P99S, c.LongestWaitS, c.WaitsMeasured)
+	}
+	return b.String()
+}
+
+// Summarize groups runs by their scenarios, in the order in which these first occur, and merges their
+// waits. The error wraps ErrNoBaseline for a run without samples before its first cut.
+func Summarize(runs []*Run) ([]Group, error) {
+	var order []Scenario
+	byScenario := map[Scenario][]*Run{}
+	for _, r := range runs {
+		if byScenario[r.Scenario] == nil {
+			order = append(order, r.Scenario)
+		}
+		byScenario[r.Scenario] = append(byScenario[r.Scenario], r)
+	}
+	var groups []Group
+	for _, s := range order {
+		g, err := summarizeGroup(byScenario[s])
+		if err != nil {
+			return nil, fmt.Errorf("%s, %d machines: %w", s.Pattern, s.Machines, err)
+		}
+		groups = append(groups, g)
+	}
+	return groups, nil
+}
+
+// summarizeGroup summarizes the runs of one scenario.
+func summarizeGroup(runs []*Run) (Group, error) {
+	g := Group{Scenario: runs[0].Scenario, Runs: len(runs)}
+	weight := 1 / float64(len(runs))
+	merged := map[string]*ddsketch.DDSketch{}
+	for _, r := range runs {
+		g.RepeatedS += r.RepeatedS * weight
+		g.Cost += r.Cost * weight
+		g.Launched += float64(r.Launched) * weight
+		g.Unused += float64(r.Unused) * weight
+		for class, waits := range r.Waits {
+			if merged[class] == nil {
+				merged[class] = waits.Copy()
+			} else if err := merged[class].MergeWith(waits); err != nil {
+				return g, fmt.Errorf("merge: %w", err)
+			}
+		}
+	}
+	for _, class := range slices.Sorted(maps.Keys(merged)) {
+		c, err := summarizeClass(class, runs, merged[class])
+		if err != nil {
+			return g, fmt.Errorf("class %s: %w", class, err)
+		}
+		g.Classes = append(g.Classes, c)
+	}
+	return g, nil
+}
+
+// summarizeClass summarizes a class over the runs of one scenario, with all its waits.
+func summarizeClass(class string, runs []*Run, waits *ddsketch.DDSketch) (ClassSummary, error) {
+	c := ClassSummary{Class: class, WaitsMeasured: waits.GetCount()}
+	for _, r := range runs {
+		recovery, err := r.Recovery(class)
+		if err != nil {
+			return c, err
+		}
+		c.RecoveryS += recovery / float64(len(runs))
+		c.RecoveryMaxS = max(c.RecoveryMaxS, recovery)
+	}
+	quantiles, err := waits.GetValuesAtQuantiles([]float64{0.5, 0.99, 1})
+	if err != nil {
+		return c, err
+	}
+	c.MedianS, c.P99S, c.LongestWaitS = quantiles[0], quantiles[1], quantiles[2]
+	return c, nil
+}
--- a/zones_measure_test.go
+++ b/zones_measure_test.go
@@ -44,7 +44,7 @@
 		}
 		for _, pattern := range slices.Sorted(maps.Keys(zonePatterns)) {
 			for n := range 2 * seeds {
-				run := zoneloss.NewRun(pattern, n%2 == 1, machines, n/2+1)
+				run := zoneloss.NewRun(zoneloss.Scenario{Pattern: pattern, Policy: n%2 == 1, Machines: machines}, n/2+1)
 				synctest.Test(t, func(t *testing.T) { measureZones(t, run) })
 				runs = append(runs, run)
 			}
