--- a/cancel_test.go
+++ b/cancel_test.go
@@ -13,9 +13,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestAbort cancels a job whose tasks run and whose starts are on their way:
+// TestCancellation cancels a job whose tasks run and whose starts are on their way:
 // they are gone within cancel_s, and the job stays cancelled everywhere.
-func TestAbort(t *testing.T) {
+func TestCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -35,17 +35,17 @@
 				t.Errorf("node %d says %q right after the abort", i, s.Status)
 			}
 		}
-		time.Sleep(time.Duration(cancelS) * time.Second)
+		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 			t.Errorf("still on machines: %v", on)
 		}
-		c.await("j-000001", wire.JobCancelled, 5*time.Second)
+		c.awaitStatus("j-000001", wire.JobCancelled, 5*time.Second)
 	})
 }
 
-// TestUnseenAbort cancels a job while the leader's session lives but its watch hangs
+// TestCancellationUnseenByLeader cancels a job while the leader's session lives but its watch hangs
 // and no peer can tell it: it must stop renewing leases in time.
-func TestUnseenAbort(t *testing.T) {
+func TestCancellationUnseenByLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -76,36 +76,36 @@
 		if on := c.cloud.TasksOnMachines(); len(on) != 2 {
 			t.Fatalf("on machines before the test begins: %v", on)
 		}
-		time.Sleep(time.Duration(cancelS) * time.Second)
+		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 			t.Errorf("still on machines: %v", on)
 		}
 	})
 }
 
-// TestCancelAtEnd has users cancel, ask and repeat submissions at the very moment at which
+// TestCancellationAtCompletion has users cancel, ask and repeat submissions at the very moment at which
 // a job's last task ends, at different nodes: whichever is decided, all say the same.
-func TestCancelAtEnd(t *testing.T) {
+func TestCancellationAtCompletion(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newClusterOf(t, nodes)
 			defer c.close()
 			c.cloud.RuntimeOf = func(string) float64 { return 3 }
 			c.submit("j-000009", 1)
-			c.await("j-000009", wire.JobDone, time.Minute)
+			c.awaitStatus("j-000009", wire.JobDone, time.Minute)
 			results := map[string]int{}
-			var seen tally
+			var seen counter
 			for n := range 30 {
 				job := testJob(fmt.Sprintf("j-%06d", 100+n), 1)
 				c.runJob(job)
 				id := job["id"].(string)
-				for c.running(id) > 0 {
+				for c.runningTasks(id) > 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
 				// Its end is reported half a second later at most, and stored after that.
 				time.Sleep(time.Duration(n) * 40 * time.Millisecond)
 				var wg sync.WaitGroup
-				wg.Go(func() { c.lookClosely(job, false, 600*time.Millisecond, &seen) })
+				wg.Go(func() { c.queryAllNodes(job, false, 600*time.Millisecond, &seen) })
 				for node := range nodes {
 					wg.Go(func() { c.cancelJob(id, node) })
 				}
@@ -116,7 +116,7 @@
 			if results[wire.JobDone] < 3 || results[wire.JobCancelled] < 3 {
 				t.Errorf("%d nodes: ended as %v, want some of both", nodes, results)
 			}
-			c.broken()
+			c.checkRules()
 		})
 	}
 }
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -22,9 +22,9 @@
 
 // Times of the clusters' workers, in seconds.
 const (
-	reportS = 1.0
-	leaseS  = 8.0
-	cancelS = 25.0
+	heartbeatIntervalS   = 1.0
+	leaseDurationS       = 8.0
+	cancellationTimeoutS = 25.0
 )
 
 // cluster is some nodes with stand-ins for all around them.
@@ -55,9 +55,9 @@
 		Zones: []string{"a"},
 		Teams: []settings.Team{{Name: "blue"}, {Name: "small", GuaranteedCPUs: 2, MaxCPUs: 4}},
 		Workers: settings.Workers{
-			HeartbeatIntervalS:   reportS,
-			LeaseDurationS:       leaseS,
-			CancellationTimeoutS: cancelS,
+			HeartbeatIntervalS:   heartbeatIntervalS,
+			LeaseDurationS:       leaseDurationS,
+			CancellationTimeoutS: cancellationTimeoutS,
 			GangAssemblyTimeoutS: fake.GangAssemblyTimeoutS,
 			GangLossTimeoutS:     fake.GangLossTimeoutS,
 		},
@@ -110,16 +110,16 @@
 		features:         features,
 		nodes:            make([]*Node, size),
 	}
-	w.StartNode = c.newLife
-	c.state.InspectTxn = c.conditioned
+	w.StartNode = c.newNode
+	c.state.InspectTxn = c.checkTxn
 	for i := range size {
 		c.start(i)
 	}
 	return c
 }
 
-// newLife makes a node for a new life.
-func (c *cluster) newLife(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
+// newNode makes a node for a new life.
+func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
 	n := newNode(s, settings.DefaultTuning(), c.featuresOf(life.Node), network{
@@ -149,8 +149,8 @@
 // setFault decides what messages meet from now on; nil lets all pass.
 func (c *cluster) setFault(f func(from string, r *http.Request) fake.Fault) { c.SetFault(f) }
 
-// troubled counts what went wrong so far.
-func (c *cluster) troubled() int { return c.FaultCount() }
+// faultCount counts what went wrong so far.
+func (c *cluster) faultCount() int { return c.FaultCount() }
 
 // close ends all nodes and stand-ins and waits until nothing of them runs.
 func (c *cluster) close() { c.Close() }
@@ -163,8 +163,8 @@
 	return node
 }
 
-// token is the highest token given out, as stored.
-func (c *cluster) token() uint64 {
+// fencingToken is the highest token given out, as stored.
+func (c *cluster) fencingToken() uint64 {
 	c.t.Helper()
 	token := harness.Leadership{State: c.state}.FencingToken()
 	if token == 0 {
@@ -173,9 +173,9 @@
 	return token
 }
 
-// conditioned checks that no write can be carried out late to harm: each is conditioned
+// checkTxn checks that no write can be carried out late to harm: each is conditioned
 // on its key's version, and the leader's on its leader key.
-func (c *cluster) conditioned(conditions []wire.Compare, keys []string) {
+func (c *cluster) checkTxn(conditions []wire.Compare, keys []string) {
 	someoneLeads := slices.ContainsFunc(conditions, func(x wire.Compare) bool {
 		return x.Key == replica.LeaderKey && x.ModRevision != 0
 	})
@@ -183,14 +183,14 @@
 		if !slices.ContainsFunc(conditions, func(x wire.Compare) bool { return x.Key == key }) {
 			c.t.Errorf("%s is written whatever its version", key)
 		}
-		if ofLeader(key) && !someoneLeads {
+		if isLeaderKey(key) && !someoneLeads {
 			c.t.Errorf("%s is written whoever leads", key)
 		}
 	}
 }
 
-// ofLeader tells whether only the leader may write a key.
-func ofLeader(key string) bool {
+// isLeaderKey tells whether only the leader may write a key.
+func isLeaderKey(key string) bool {
 	if key == replica.AutoscalerKey || key == replica.InstanceTypesKey || key == replica.ZonesKey {
 		return true
 	}
@@ -234,8 +234,8 @@
 	}
 }
 
-// accepts submits a job to a node and tells whether it is accepted now or was before.
-func (c *cluster) accepts(node int, job map[string]any) bool { return c.users().Submit(node, job) }
+// accept submits a job to a node and tells whether it is accepted now or was before.
+func (c *cluster) accept(node int, job map[string]any) bool { return c.users().Submit(node, job) }
 
 // submit repeats a submission, each time at the next node, until it is taken.
 func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
@@ -243,18 +243,18 @@
 // submitJob is submit for any job.
 func (c *cluster) submitJob(job map[string]any) {
 	c.t.Helper()
-	if !c.submitFrom(0, time.Second, job) {
+	if !c.submitWithRetries(0, time.Second, job) {
 		c.t.Fatalf("%s was not accepted", job["id"])
 	}
 }
 
-// submitFrom repeats a submission, each time at the next node, and tells whether it was taken.
-func (c *cluster) submitFrom(first int, pause time.Duration, job map[string]any) bool {
+// submitWithRetries repeats a submission, each time at the next node, and tells whether it was taken.
+func (c *cluster) submitWithRetries(first int, pause time.Duration, job map[string]any) bool {
 	return c.users().SubmitWithRetries(first, pause, job)
 }
 
-// await polls, each time at the next node, until a job has a status.
-func (c *cluster) await(id, status string, within time.Duration) {
+// awaitStatus polls, each time at the next node, until a job has a status.
+func (c *cluster) awaitStatus(id, status string, within time.Duration) {
 	c.t.Helper()
 	c.must(c.users().AwaitStatus(id, status, within))
 }
@@ -267,11 +267,11 @@
 	}
 }
 
-// isState tells whether a request goes to the state service.
-func isState(r *http.Request) bool { return r.URL.Host == "state" }
+// isStateRequest tells whether a request goes to the state service.
+func isStateRequest(r *http.Request) bool { return r.URL.Host == "state" }
 
-// nth lets every nth request of a kind meet a fault.
-func nth(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
+// everyNth lets every nth request of a kind meet a fault.
+func everyNth(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 	count := 0
 	return func(from string, r *http.Request) fake.Fault {
 		if strings.HasPrefix(from, "host") && match(r) {
@@ -283,17 +283,17 @@
 	}
 }
 
-// answersAll asks every node that calls itself ready about every job. A job about
+// checkAnswers asks every node that calls itself ready about every job. A job about
 // which no question is answered for 75 s counts as forgotten.
-func (c *cluster) answersAll(ids []string) {
+func (c *cluster) checkAnswers(ids []string) {
 	c.t.Helper()
 	for i := range c.size {
 		if code, _ := c.request(http.MethodGet, i, "/ready", nil); code != http.StatusOK {
 			continue
 		}
 		for _, id := range ids {
-			for begun, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
-				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(begun) > 30*time.Second {
+			for startedAt, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
+				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(startedAt) > 30*time.Second {
 					c.t.Errorf("node %d does not answer about %s (%d)", i, id, code)
 					break
 				}
@@ -302,11 +302,11 @@
 	}
 }
 
-// back restarts nodes within a fraction of a second.
-func (c *cluster) back(nodes ...int) { c.Restart(nodes...) }
+// restartNodes restarts nodes within a fraction of a second.
+func (c *cluster) restartNodes(nodes ...int) { c.Restart(nodes...) }
 
-// cutPeers cuts a node off from the other nodes.
-func (c *cluster) cutPeers(node int) {
+// partitionPeer cuts a node off from the other nodes.
+func (c *cluster) partitionPeer(node int) {
 	host := fmt.Sprintf("host-%d", node)
 	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
@@ -314,35 +314,35 @@
 // healPeers has all nodes reach each other again.
 func (c *cluster) healPeers() { c.pipes.SetPartition(func(string, string) bool { return false }) }
 
-// fromNode tells whether a sender is a node, in any of its lives.
-func fromNode(from string, node int) bool {
+// isFromNode tells whether a sender is a node, in any of its lives.
+func isFromNode(from string, node int) bool {
 	return strings.HasPrefix(from, fmt.Sprintf("host-%d/", node))
 }
 
-// tally counts what happened by name, so that a test can show that its troubles met.
-type tally struct {
-	mu sync.Mutex
-	n  map[string]int
+// counter counts what happened by name, so that a test can show that its troubles met.
+type counter struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (c *tally) add(name string) int {
+func (c *counter) add(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.n == nil {
-		c.n = map[string]int{}
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	c.n[name]++
-	return c.n[name]
+	c.counts[name]++
+	return c.counts[name]
 }
 
-func (c *tally) of(name string) int {
+func (c *counter) count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.n[name]
+	return c.counts[name]
 }
 
-// broken reports the rules that were broken.
-func (c *cluster) broken() {
+// checkRules reports the rules that were broken.
+func (c *cluster) checkRules() {
 	c.t.Helper()
 	for _, rule := range c.rules.Violations() {
 		c.t.Error(rule)
@@ -358,8 +358,8 @@
 	return ""
 }
 
-// ledAfter waits until another leader leads than the one with this token.
-func (c *cluster) ledAfter(token uint64) {
+// awaitLeaderAfter waits until another leader leads than the one with this token.
+func (c *cluster) awaitLeaderAfter(token uint64) {
 	c.t.Helper()
 	c.must(harness.Leadership{State: c.state}.AwaitLeaderAfter(token))
 }
@@ -367,9 +367,9 @@
 // runJob submits a job of long tasks to the cluster until all of them run.
 func (c *cluster) runJob(job map[string]any) {
 	c.t.Helper()
-	c.submitFrom(0, 500*time.Millisecond, job)
+	c.submitWithRetries(0, 500*time.Millisecond, job)
 	for range 120 {
-		if c.running(job["id"].(string)) == job["pieces"] {
+		if c.runningTasks(job["id"].(string)) == job["pieces"] {
 			return
 		}
 		time.Sleep(250 * time.Millisecond)
@@ -377,9 +377,9 @@
 	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.TasksOnMachines())
 }
 
-// runInNextSession loses the machines' messages for some time, in which their leases end,
+// runInNextIncarnation loses the machines' messages for some time, in which their leases end,
 // and then has a job run anew on the machines' next sessions. Other messages meet fault.
-func (c *cluster) runInNextSession(job map[string]any, lost time.Duration, fault func(string, *http.Request) fake.Fault) {
+func (c *cluster) runInNextIncarnation(job map[string]any, lost time.Duration, fault func(string, *http.Request) fake.Fault) {
 	c.t.Helper()
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if machineOf(from) != "" {
@@ -393,8 +393,8 @@
 	time.Sleep(2 * time.Second)
 }
 
-// running counts the tasks of a job that are on machines.
-func (c *cluster) running(id string) (n int) {
+// runningTasks counts the tasks of a job that are on machines.
+func (c *cluster) runningTasks(id string) (n int) {
 	for _, task := range c.cloud.TasksOnMachines() {
 		if strings.HasPrefix(task, id+"/") {
 			n++
@@ -427,9 +427,9 @@
 	c.t.Fatalf("%s could not be cancelled", id)
 }
 
-// cutMachines has nothing pass between these machines and the nodes; the cloud takes
+// isolateMachines has nothing pass between these machines and the nodes; the cloud takes
 // nothing back, or its answer would prove the machines gone.
-func cutMachines(ids map[string]bool, cut *tally) func(string, *http.Request) fake.Fault {
+func isolateMachines(ids map[string]bool, cut *counter) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if ids[machineOf(from)] || ids[machineOf(r.URL.Host)] {
 			cut.add("cut")
--- a/explain_test.go
+++ b/explain_test.go
@@ -14,8 +14,8 @@
 	"caperlatch/internal/wire"
 )
 
-// why asks a node about a job.
-func (c *cluster) why(node int, id string) (int, explain.Explanation, string) {
+// explain asks a node about a job.
+func (c *cluster) explain(node int, id string) (int, explain.Explanation, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	status, b, err := wire.Call(ctx, c.user, http.MethodGet, fmt.Sprintf("http://%s/v1/jobs/%s/why", fmt.Sprintf("host-%d:8080", node), id), nil)
@@ -46,7 +46,7 @@
 		}
 		c.cloud.TaskFails = func(task, _ string) bool { return strings.HasPrefix(task, "j-000004/") }
 		c.submit("j-000001", 2) // done
-		c.await("j-000001", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		c.submit("j-000002", 2)            // runs
 		c.submit("j-000003", 1)            // is cancelled
 		c.submit("j-000004", 8)            // fails
@@ -61,7 +61,7 @@
 		lead := c.leader()
 		check := func(when string, node int, id, state string, parts ...string) {
 			t.Helper()
-			status, e, _ := c.why(node, id)
+			status, e, _ := c.explain(node, id)
 			text := strings.Join(append(append([]string{}, e.Reasons...), e.Notes...), "\n")
 			for _, n := range e.Placements {
 				text += fmt.Sprintf("\n%s on %s: %s", n.Task, n.Machine, n.State)
@@ -85,7 +85,7 @@
 			check("quiet", node, "j-000004", wire.JobPending, "ended: error", "failed", "on i-0000")
 			check("quiet", node, "j-000005", wire.JobPending, "its team uses as many CPUs as it may")
 		}
-		if status, _, text := c.why(1, "j-777777"); status != http.StatusNotFound || text != "no such job" {
+		if status, _, text := c.explain(1, "j-777777"); status != http.StatusNotFound || text != "no such job" {
 			t.Errorf("unknown job: %d %q", status, text)
 		}
 		// The leader says nothing to the others.
@@ -96,7 +96,7 @@
 		c.healPeers()
 		// Nor does the state service, and a node cannot know what is new.
 		c.setFault(func(_ string, r *http.Request) fake.Fault {
-			if isState(r) {
+			if isStateRequest(r) {
 				return fake.ServiceUnavailable
 			}
 			return fake.NoFault
@@ -104,16 +104,16 @@
 		time.Sleep(12 * time.Second)
 		for node := range 3 {
 			check("no state service", node, "j-000002", wire.JobPending, "the state service has not answered")
-			if status, _, text := c.why(node, "j-777777"); status != http.StatusServiceUnavailable || !strings.Contains(text, "not known here") {
+			if status, _, text := c.explain(node, "j-777777"); status != http.StatusServiceUnavailable || !strings.Contains(text, "not known here") {
 				t.Errorf("unknown job without the state service: %d %q", status, text)
 			}
 		}
 	})
 }
 
-// TestMistake has a large job that fails on every machine beside good ones: these are
+// TestFailingJob has a large job that fails on every machine beside good ones: these are
 // done, no machine is returned for it, it stays known, and its cancellation is quick.
-func TestMistake(t *testing.T) {
+func TestFailingJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -129,14 +129,14 @@
 		c.submit("j-000002", 200)
 		time.Sleep(20 * time.Second)
 		before := fails
-		c.back(c.leader()) // the next leader must not begin from nothing
+		c.restartNodes(c.leader()) // the next leader must not begin from nothing
 		time.Sleep(60 * time.Second)
 		if fails-before > 12 {
 			t.Errorf("%d tasks failed in the minute after a take-over", fails-before)
 		}
 		c.submit("j-000003", 8)
-		c.await("j-000003", wire.JobDone, time.Minute)
-		c.await("j-000001", wire.JobDone, time.Second)
+		c.awaitStatus("j-000003", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Second)
 		if code, s := c.request(http.MethodGet, 1, "/v1/jobs/j-000002", nil); code != http.StatusOK || s.Status == wire.JobDone {
 			t.Errorf("the failing job is %d %q", code, s.Status)
 		}
--- a/failover_cost_test.go
+++ b/failover_cost_test.go
@@ -17,14 +17,14 @@
 type nodeCost struct {
 	mode       failover.Mode
 	leads      bool
-	share      float64 // of a core
+	cpuShare   float64 // of a core
 	megabytes  float64 // resident
 	lagEntries uint64
 	lag        micros.Micros // negative: it does not follow
 }
 
-// costOver is over how long a process's use of the processor is measured.
-const costOver = 3 * time.Second
+// costPeriod is over how long a process's use of the processor is measured.
+const costPeriod = 3 * time.Second
 
 // sampleCost measures all nodes of a cluster that nothing happens to.
 func (f *failoverRun) sampleCost(c *processes, mode failover.Mode) {
@@ -33,13 +33,13 @@
 	for i := range before {
 		before[i] = processorSeconds(f.t, c.Process(i).Pid)
 	}
-	time.Sleep(costOver)
+	time.Sleep(costPeriod)
 	for i := range before {
 		pid := c.Process(i).Pid
 		cost := nodeCost{
 			mode:      mode,
 			leads:     i == leader,
-			share:     (processorSeconds(f.t, pid) - before[i]) / costOver.Seconds(),
+			cpuShare:  (processorSeconds(f.t, pid) - before[i]) / costPeriod.Seconds(),
 			megabytes: residentMegabytes(f.t, pid),
 			lag:       failover.Missing,
 		}
@@ -107,7 +107,7 @@
 					continue
 				}
 				n++
-				share += c.share
+				share += c.cpuShare
 				megabytes = max(megabytes, c.megabytes)
 				lags = append(lags, c.lag)
 				most = max(most, c.lagEntries)
--- a/failover_process_test.go
+++ b/failover_process_test.go
@@ -32,8 +32,8 @@
 	failoverClusters = 4
 )
 
-// failoverWithin is how long a change may take before it counts as not happened.
-const failoverWithin = 60 * time.Second
+// failoverTimeout is how long a change may take before it counts as not happened.
+const failoverTimeout = 60 * time.Second
 
 // TestFailoverTimes ends the leader of real processes on loopback, by SIGKILL, by SIGSTOP
 // with SIGCONT later, and by SIGTERM, at random moments, with the standby on and off in turn,
@@ -69,7 +69,7 @@
 			t.Error(err)
 		}
 	}
-	report(t, history)
+	logHistory(t, history)
 	reportCosts(t, costs)
 }
 
@@ -97,12 +97,12 @@
 	costs    []nodeCost
 }
 
-// modeRuns is how many changes are measured at most before the standby is switched on or off.
-const modeRuns = 15
+// changesPerMode is how many changes are measured at most before the standby is switched on or off.
+const changesPerMode = 15
 
 // measure measures changes of leader, with the standby off and on in turn.
 func (f *failoverRun) measure(run string, changes int) (history []failover.Change) {
-	inTurn := min(modeRuns, max(1, changes/2))
+	inTurn := min(changesPerMode, max(1, changes/2))
 	for len(history) < changes {
 		mode := failover.Cold
 		if len(history)/inTurn%2 == 1 {
@@ -120,19 +120,19 @@
 	return history
 }
 
-// largeFleet is from how many machines on workers report as a large fleet's do.
-const largeFleet = 1000
+// largeFleetMachines is from how many machines on workers report as a large fleet's do.
+const largeFleetMachines = 1000
 
 // measureMode measures changes with a new cluster.
 func (f *failoverRun) measureMode(mode failover.Mode, changes int) (history []failover.Change) {
-	scale := processScale{reportS: 2, leaseS: 12, cancelS: 30, sockets: 2000}
+	scale := clusterScale{heartbeatIntervalS: 2, leaseDurationS: 12, cancellationTimeoutS: 30, sockets: 2000}
 	runS := 4.0
-	if f.machines >= largeFleet {
-		scale = processScale{reportS: 8, leaseS: 45, cancelS: 75, sockets: 8000}
+	if f.machines >= largeFleetMachines {
+		scale = clusterScale{heartbeatIntervalS: 8, leaseDurationS: 45, cancellationTimeoutS: 75, sockets: 8000}
 		runS = 16
 	}
 	c := newScaledProcesses(f.t, 3, f.t.TempDir(), scale)
-	defer c.end()
+	defer c.close()
 	c.cloud.MaxMachines = f.machines
 	c.cloud.RuntimeOf = func(string) float64 { return runS }
 	if mode == failover.Warm {
@@ -160,8 +160,8 @@
 	return history
 }
 
-// oldTasks is how many tasks the job has that goes on across changes.
-const oldTasks = 100_000
+// oldJobTasks is how many tasks the job has that goes on across changes.
+const oldJobTasks = 100_000
 
 // newID is the name of the next job.
 func (f *failoverRun) newID() string {
@@ -169,8 +169,8 @@
 	return fmt.Sprintf("j-%06d", f.next)
 }
 
-// wholeMachine is a job whose tasks take a whole machine each.
-func wholeMachine(id string, tasks int) map[string]any {
+// wholeMachineJob is a job whose tasks take a whole machine each.
+func wholeMachineJob(id string, tasks int) map[string]any {
 	job := testJob(id, tasks)
 	job["vcpus"] = 3.0
 	return job
@@ -179,9 +179,9 @@
 // fill submits a job for all machines, and waits until they run it.
 func (f *failoverRun) fill(c *processes) string {
 	id := f.newID()
-	c.submitJob(wholeMachine(id, oldTasks))
-	for begun := time.Now(); len(c.cloud.TasksOnMachines()) < f.machines*9/10; time.Sleep(200 * time.Millisecond) {
-		if time.Since(begun) > 3*time.Minute {
+	c.submitJob(wholeMachineJob(id, oldJobTasks))
+	for startedAt := time.Now(); len(c.cloud.TasksOnMachines()) < f.machines*9/10; time.Sleep(200 * time.Millisecond) {
+		if time.Since(startedAt) > 3*time.Minute {
 			f.t.Fatalf("%d tasks run on %d machines", len(c.cloud.TasksOnMachines()), len(c.cloud.Workers()))
 		}
 	}
@@ -190,11 +190,11 @@
 
 // refill submits another job for all machines when the one before is nearly over.
 func (f *failoverRun) refill(c *processes, old string) string {
-	if c.cloud.StartsOf(old) < oldTasks*9/10 {
+	if c.cloud.StartsOf(old) < oldJobTasks*9/10 {
 		return old
 	}
 	id := f.newID()
-	c.submitJob(wholeMachine(id, oldTasks))
+	c.submitJob(wholeMachineJob(id, oldJobTasks))
 	for c.cloud.StartsOf(id) == 0 {
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -203,7 +203,7 @@
 
 // change ends the leader once and measures; the leader comes back afterwards.
 func (f *failoverRun) change(c *processes, old string) (failover.Change, bool) {
-	leader, token := c.leader(), c.token()
+	leader, token := c.leader(), c.fencingToken()
 	change := failover.Change{LeaderElected: failover.Missing, FirstNewStart: failover.Missing, FirstOldResumed: failover.Missing}
 	process := c.Process(leader)
 	ended := time.Now()
@@ -224,7 +224,7 @@
 	case failover.Frozen:
 		// Until after another leads, and for longer than a lease at times.
 		time.Sleep(time.Duration(f.random.IntN(6000)) * time.Millisecond)
-		change.OldLeaderFrozen = since(ended)
+		change.OldLeaderFrozen = microsSince(ended)
 		f.signal(process, syscall.SIGCONT)
 		time.Sleep(2 * time.Second)
 	default:
@@ -241,13 +241,13 @@
 	}
 }
 
-// since is the time since an instant.
-func since(t time.Time) micros.Micros { return micros.Micros(time.Since(t) / time.Microsecond) }
+// microsSince is the time since an instant.
+func microsSince(t time.Time) micros.Micros { return micros.Micros(time.Since(t) / time.Microsecond) }
 
 // Times of observing.
 const (
-	observeEvery = 5 * time.Millisecond
-	newJobEvery  = 250 * time.Millisecond
+	observeInterval = 5 * time.Millisecond
+	newJobInterval  = 250 * time.Millisecond
 )
 
 // observe notes when another leads, when a job that was submitted since starts, and when the
@@ -272,34 +272,34 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(newJobEvery):
+			case <-time.After(newJobInterval):
 			}
 		}
 	})
 	oldStarts := 0
-	for time.Since(ended) < failoverWithin && (change.FirstNewStart < 0 || change.FirstOldResumed < 0) {
-		time.Sleep(observeEvery)
+	for time.Since(ended) < failoverTimeout && (change.FirstNewStart < 0 || change.FirstOldResumed < 0) {
+		time.Sleep(observeInterval)
 		if change.LeaderElected < 0 {
-			if c.token() == token {
+			if c.fencingToken() == token {
 				continue
 			}
-			change.LeaderElected, oldStarts = since(ended), c.cloud.StartsOf(old)
+			change.LeaderElected, oldStarts = microsSince(ended), c.cloud.StartsOf(old)
 		}
 		if change.FirstOldResumed < 0 && c.cloud.StartsOf(old) > oldStarts {
-			change.FirstOldResumed = since(ended)
+			change.FirstOldResumed = microsSince(ended)
 		}
 		mu.Lock()
 		for _, id := range fresh {
 			if change.FirstNewStart < 0 && c.cloud.StartsOf(id) > 0 {
-				change.FirstNewStart = since(ended)
+				change.FirstNewStart = microsSince(ended)
 			}
 		}
 		mu.Unlock()
 	}
 }
 
-// report logs what was measured, by kind, and how warm compares with cold.
-func report(t *testing.T, history []failover.Change) {
+// logHistory logs what was measured, by kind, and how warm compares with cold.
+func logHistory(t *testing.T, history []failover.Change) {
 	t.Helper()
 	measures := []struct {
 		name string
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -16,12 +16,12 @@
 // fleetMachines is twice as many as the first fleets here had: about 4,000 are to be run.
 const fleetMachines = 4100
 
-// TestFleet ends nodes of a deployment of 4,100 machines that report every 8 s. Each
+// TestFleetFailover ends nodes of a deployment of 4,100 machines that report every 8 s. Each
 // time the next leader must have told all machines of itself in a fraction of that:
 // waiting for their reports, old jobs stood still for 12 to 25 s. It must do so with a
 // bounded number of connections, also when half of the machines give no answer; and
 // none of the tasks may be lost or start twice, also when one node is left with all.
-func TestFleet(t *testing.T) {
+func TestFleetFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 5, func(s *settings.Settings) {
 			s.Params.Workers = settings.Workers{HeartbeatIntervalS: 8, LeaseDurationS: 45, CancellationTimeoutS: 75}
@@ -53,7 +53,7 @@
 		// led waits for another leader than before, and tells how many machines it
 		// has told of itself after a time.
 		led := func(before uint64, after time.Duration) (told int) {
-			for i := 0; c.token() == before; i++ {
+			for i := 0; c.fencingToken() == before; i++ {
 				if i == 200 {
 					t.Fatal("nobody leads")
 				}
@@ -67,7 +67,7 @@
 			}
 			return told
 		}
-		before := c.token()
+		before := c.fencingToken()
 		for i := range 5 {
 			c.kill(i)
 		}
@@ -86,7 +86,7 @@
 			}
 			return fake.NoFault
 		})
-		before = c.token()
+		before = c.fencingToken()
 		i := c.leader()
 		c.kill(i)
 		if told := led(before, 6*time.Second); told < all/2 {
@@ -120,7 +120,7 @@
 				c.start(k)
 			}
 		}
-		c.await("j-000001", wire.JobDone, 5*time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, 5*time.Minute)
 		// What runs on machines whose tasks are not known yet is no reason to rent.
 		if n := c.cloud.Launched() - rented; n > fleetMachines/10 {
 			t.Errorf("%d machines were rented at the take-overs", n)
--- a/gang_meetings_test.go
+++ b/gang_meetings_test.go
@@ -17,16 +17,16 @@
 // The gangs of a meeting. One waits for a machine that hangs as the trouble begins, one
 // runs, one is being stopped for a notice, and one is cancelled in the midst of it.
 const (
-	gangWaits     = "j-000001"
-	gangRuns      = "j-000002"
-	gangStops     = "j-000003"
-	gangCancelled = "j-000004"
+	waitingGang   = "j-000001"
+	runningGang   = "j-000002"
+	stoppingGang  = "j-000003"
+	cancelledGang = "j-000004"
 )
 
-var meetingGangs = []string{gangWaits, gangRuns, gangStops, gangCancelled}
+var faultGangs = []string{waitingGang, runningGang, stoppingGang, cancelledGang}
 
-// states counts the tasks of a job by their states.
-func (c *cluster) states(id string) map[string]int {
+// taskStateCounts counts the tasks of a job by their states.
+func (c *cluster) taskStateCounts(id string) map[string]int {
 	have := map[string]int{}
 	for task, state := range c.cloud.TaskStates() {
 		if strings.HasPrefix(task, id+"/") {
@@ -36,66 +36,66 @@
 	return have
 }
 
-// gangMeeting is a trouble that gangs meet. Met tells, after it, whether it came about.
-type gangMeeting struct {
-	name    string
-	nodes   int
-	trouble func(c *cluster, met *tally)
-	met     []string // what the trouble must have noted
+// gangFaultCase is a trouble that gangs meet. Met tells, after it, whether it came about.
+type gangFaultCase struct {
+	name      string
+	nodes     int
+	inject    func(c *cluster, met *counter)
+	wantNoted []string // what the trouble must have noted
 }
 
-// begin brings the gangs into their states: all but the first run, the first waits for a
+// prepare brings the gangs into their states: all but the first run, the first waits for a
 // machine that hangs, and a machine of the third is to be taken.
-func (m *gangMeeting) begin(c *cluster) {
-	for _, id := range meetingGangs[1:] {
+func (m *gangFaultCase) prepare(c *cluster) {
+	for _, id := range faultGangs[1:] {
 		c.submitJob(gangJob(id, 3, 3, nil))
 	}
-	for _, id := range meetingGangs[1:] {
-		c.until(id, map[string]int{wire.TaskRunning: 3})
+	for _, id := range faultGangs[1:] {
+		c.awaitTaskStates(id, map[string]int{wire.TaskRunning: 3})
 	}
 	c.cloud.ImagePullS = 3
-	c.submitJob(gangJob(gangWaits, 3, 3, map[string]any{"bundle": "img-2"}))
-	c.until(gangWaits, map[string]int{wire.TaskPullingImage: 3})
-	c.cloud.WorkersOf(gangWaits)[1].Hang(8 * time.Second)
-	c.until(gangWaits, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
-	c.cloud.WorkersOf(gangStops)[2].Interrupt(12 * time.Second)
+	c.submitJob(gangJob(waitingGang, 3, 3, map[string]any{"bundle": "img-2"}))
+	c.awaitTaskStates(waitingGang, map[string]int{wire.TaskPullingImage: 3})
+	c.cloud.WorkersOf(waitingGang)[1].Hang(8 * time.Second)
+	c.awaitTaskStates(waitingGang, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
+	c.cloud.WorkersOf(stoppingGang)[2].Interrupt(12 * time.Second)
 }
 
 // run has the gangs meet the trouble, under the checker of rules. Those that nobody
 // cancelled must be done in the end, and nothing be left on machines.
-func (m *gangMeeting) run(t *testing.T) {
+func (m *gangFaultCase) run(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, m.nodes)
 		defer c.close()
 		c.cloud.RuntimeOf = func(string) float64 { return 90 }
-		m.begin(c)
-		if n := c.states(gangWaits)[wire.TaskWaitingForGang]; n == 0 {
+		m.prepare(c)
+		if n := c.taskStateCounts(waitingGang)[wire.TaskWaitingForGang]; n == 0 {
 			t.Error("no gang waits")
 		}
-		var met tally
-		go c.cancelMeanwhile(gangCancelled)
-		m.trouble(c, &met)
+		var met counter
+		go c.cancelDuringFaults(cancelledGang)
+		m.inject(c, &met)
 		c.setFault(nil)
 		c.healPeers()
-		for _, what := range m.met {
-			if met.of(what) == 0 {
-				t.Errorf("no %s; met %v", what, met.n)
+		for _, what := range m.wantNoted {
+			if met.count(what) == 0 {
+				t.Errorf("no %s; met %v", what, met.counts)
 			}
 		}
-		for _, id := range meetingGangs[:3] {
-			c.await(id, wire.JobDone, 4*time.Minute)
+		for _, id := range faultGangs[:3] {
+			c.awaitStatus(id, wire.JobDone, 4*time.Minute)
 		}
-		c.await(gangCancelled, wire.JobCancelled, time.Minute)
-		time.Sleep(time.Duration(cancelS) * time.Second)
+		c.awaitStatus(cancelledGang, wire.JobCancelled, time.Minute)
+		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if left := c.cloud.TasksOnMachines(); len(left) > 0 {
 			t.Errorf("still on machines: %v", left)
 		}
-		c.broken()
+		c.checkRules()
 	})
 }
 
-// cancelMeanwhile repeats a cancellation while something else goes on.
-func (c *cluster) cancelMeanwhile(id string) {
+// cancelDuringFaults repeats a cancellation while something else goes on.
+func (c *cluster) cancelDuringFaults(id string) {
 	for try := range 200 {
 		if code, _ := c.request(http.MethodPost, try%c.size, "/v1/jobs/"+id+"/abort", nil); code == http.StatusOK {
 			return
@@ -105,76 +105,76 @@
 	c.t.Errorf("%s could not be cancelled", id)
 }
 
-// saves waits until a gang's tasks save, and notes it.
-func (c *cluster) saves(id string, met *tally) {
-	for i := 0; i < 100 && met.of("gang being stopped") == 0; i++ {
-		if c.states(id)[wire.TaskCheckpointing] > 0 {
+// awaitCheckpointing waits until a gang's tasks save, and notes it.
+func (c *cluster) awaitCheckpointing(id string, met *counter) {
+	for i := 0; i < 100 && met.count("gang being stopped") == 0; i++ {
+		if c.taskStateCounts(id)[wire.TaskCheckpointing] > 0 {
 			met.add("gang being stopped")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// TestGangMeetings has controllers come and go, and messages come late, while gangs wait,
+// TestGangCombinedFaults has controllers come and go, and messages come late, while gangs wait,
 // run, are being stopped and are cancelled.
-func TestGangMeetings(t *testing.T) {
+func TestGangCombinedFaults(t *testing.T) {
 	isReport := func(r *http.Request) bool { return r.URL.Path == "/hello" }
-	cases := []gangMeeting{
-		{"the leader is back within a fraction of a second, twice", 5, func(c *cluster, met *tally) {
+	cases := []gangFaultCase{
+		{"the leader is back within a fraction of a second, twice", 5, func(c *cluster, met *counter) {
 			for range 2 {
-				before := c.token()
-				c.back(c.leader())
-				c.ledAfter(before)
+				before := c.fencingToken()
+				c.restartNodes(c.leader())
+				c.awaitLeaderAfter(before)
 				met.add("change of leader")
-				c.saves(gangStops, met)
+				c.awaitCheckpointing(stoppingGang, met)
 			}
 		}, []string{"change of leader", "gang being stopped"}},
-		{"the next leader is back mid-election as well", 5, func(c *cluster, met *tally) {
-			c.saves(gangStops, met)
+		{"the next leader is back mid-election as well", 5, func(c *cluster, met *counter) {
+			c.awaitCheckpointing(stoppingGang, met)
 			for range 4 {
-				before := c.token()
+				before := c.fencingToken()
 				led := c.leader()
 				c.kill(led)
 				// The next one ends as soon as it holds the key, before it knows the machines.
-				c.ledAfter(before)
+				c.awaitLeaderAfter(before)
 				next := c.leader()
 				met.add("election broken off")
-				c.back(next)
+				c.restartNodes(next)
 				c.start(led)
 				time.Sleep(700 * time.Millisecond)
 			}
 		}, []string{"election broken off", "gang being stopped"}},
-		{"all are back within a fraction of a second, one after the other", 3, func(c *cluster, met *tally) {
+		{"all are back within a fraction of a second, one after the other", 3, func(c *cluster, met *counter) {
 			for n := range 9 {
-				c.back(n % 3)
+				c.restartNodes(n % 3)
 				time.Sleep(400 * time.Millisecond)
 				if len(c.cloud.TasksOnMachines()) > 0 {
 					met.add("return beside running tasks")
 				}
 			}
 		}, []string{"return beside running tasks"}},
-		{"the state service refuses the leader alone while a gang is being stopped", 5, func(c *cluster, met *tally) {
-			c.saves(gangStops, met)
-			first, before := c.leader(), c.token()
+		{"the state service refuses the leader alone while a gang is being stopped", 5, func(c *cluster, met *counter) {
+			c.awaitCheckpointing(stoppingGang, met)
+			first, before := c.leader(), c.fencingToken()
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if fromNode(from, first) && isState(r) {
+				if isFromNode(from, first) && isStateRequest(r) {
 					met.add("refusal")
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
 			})
-			c.ledAfter(before)
+			c.awaitLeaderAfter(before)
 			met.add("change of leader")
 			time.Sleep(5 * time.Second)
 		}, []string{"gang being stopped", "refusal", "change of leader"}},
-		{"it refuses the leader alone from before the stop, and stops reach no machine at first", 5, func(c *cluster, met *tally) {
+		{"it refuses the leader alone from before the stop, and stops reach no machine at first", 5, func(c *cluster, met *counter) {
 			first := c.leader()
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				switch {
-				case fromNode(from, first) && isState(r):
+				case isFromNode(from, first) && isStateRequest(r):
 					met.add("refusal")
 					return fake.ServiceUnavailable
-				case fromNode(from, first) && r.URL.Path == "/commands":
+				case isFromNode(from, first) && r.URL.Path == "/commands":
 					met.add("stop held up")
 					return fake.DelayedRequest
 				}
@@ -182,7 +182,7 @@
 			})
 			time.Sleep(12 * time.Second)
 		}, []string{"refusal", "stop held up"}},
-		{"copies of reports come up to two leases late, as leaders change", 5, func(c *cluster, met *tally) {
+		{"copies of reports come up to two leases late, as leaders change", 5, func(c *cluster, met *counter) {
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if isReport(r) {
 					met.add("copy")
@@ -191,13 +191,13 @@
 				return fake.NoFault
 			})
 			for range 4 {
-				c.saves(gangStops, met)
-				c.back(c.leader())
-				time.Sleep(time.Duration(leaseS) * time.Second)
+				c.awaitCheckpointing(stoppingGang, met)
+				c.restartNodes(c.leader())
+				time.Sleep(time.Duration(leaseDurationS) * time.Second)
 			}
 		}, []string{"copy", "gang being stopped"}},
-		{"reports are held for the next leader, and the one after it", 5, func(c *cluster, met *tally) {
-			c.saves(gangStops, met)
+		{"reports are held for the next leader, and the one after it", 5, func(c *cluster, met *counter) {
+			c.awaitCheckpointing(stoppingGang, met)
 			for range 3 {
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if isReport(r) && machineOf(from) != "" {
@@ -207,64 +207,64 @@
 					return fake.NoFault
 				})
 				time.Sleep(1500 * time.Millisecond)
-				before := c.token()
-				c.back(c.leader())
-				c.ledAfter(before)
+				before := c.fencingToken()
+				c.restartNodes(c.leader())
+				c.awaitLeaderAfter(before)
 				c.setFault(nil)
 				time.Sleep(5 * time.Second)
 			}
 		}, []string{"gang being stopped", "report held"}},
-		{"the next leader gets old reports of every attempt", 5, func(c *cluster, met *tally) {
-			var held heldReports
+		{"the next leader gets old reports of every attempt", 5, func(c *cluster, met *counter) {
+			var held heartbeatRecorder
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if machineOf(from) != "" && isReport(r) {
-					held.keep(r)
+					held.record(r)
 				}
 				return fake.NoFault
 			})
-			c.saves(gangStops, met)
-			old := held.all(func(r *wire.Heartbeat) bool { return attemptsOf(r, gangStops) > 0 })
-			c.until(gangStops, map[string]int{wire.TaskRunning: 3}) // the next attempt
+			c.awaitCheckpointing(stoppingGang, met)
+			old := held.matching(func(r *wire.Heartbeat) bool { return attemptsOf(r, stoppingGang) > 0 })
+			c.awaitTaskStates(stoppingGang, map[string]int{wire.TaskRunning: 3}) // the next attempt
 			for range 3 {
-				before := c.token()
-				c.back(c.leader())
-				c.ledAfter(before)
+				before := c.fencingToken()
+				c.restartNodes(c.leader())
+				c.awaitLeaderAfter(before)
 				for range 10 {
-					c.deliver(old)
+					c.replayHeartbeats(old)
 					time.Sleep(100 * time.Millisecond)
 				}
-				if len(old) > 0 && len(c.states(gangStops)) > 0 {
+				if len(old) > 0 && len(c.taskStateCounts(stoppingGang)) > 0 {
 					met.add("old reports beside a later attempt")
 				}
-				time.Sleep(time.Duration(leaseS) * time.Second)
+				time.Sleep(time.Duration(leaseDurationS) * time.Second)
 			}
 		}, []string{"gang being stopped", "old reports beside a later attempt"}},
-		{"old reports are all that the next leader hears of a gang's machines", 5, func(c *cluster, met *tally) {
-			var held heldReports
+		{"old reports are all that the next leader hears of a gang's machines", 5, func(c *cluster, met *counter) {
+			var held heartbeatRecorder
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if machineOf(from) != "" && isReport(r) {
-					held.keep(r)
+					held.record(r)
 				}
 				return fake.NoFault
 			})
-			c.saves(gangStops, met)
-			for i := 0; c.states(gangStops)[wire.TaskCheckpointing] > 0 && i < 100; i++ {
+			c.awaitCheckpointing(stoppingGang, met)
+			for i := 0; c.taskStateCounts(stoppingGang)[wire.TaskCheckpointing] > 0 && i < 100; i++ {
 				time.Sleep(50 * time.Millisecond)
 			}
 			// Before and between its attempts; some show the first, some none.
-			old := held.all(func(*wire.Heartbeat) bool { return true })
-			c.until(gangStops, map[string]int{wire.TaskRunning: 3}) // the next attempt
+			old := held.matching(func(*wire.Heartbeat) bool { return true })
+			c.awaitTaskStates(stoppingGang, map[string]int{wire.TaskRunning: 3}) // the next attempt
 			ids := map[string]bool{}
-			for _, w := range c.cloud.WorkersOf(gangStops) {
+			for _, w := range c.cloud.WorkersOf(stoppingGang) {
 				ids[w.ID] = true
 			}
-			var cut tally
-			before := c.token()
-			c.setFault(cutMachines(ids, &cut))
-			c.back(c.leader())
-			c.ledAfter(before)
+			var cut counter
+			before := c.fencingToken()
+			c.setFault(isolateMachines(ids, &cut))
+			c.restartNodes(c.leader())
+			c.awaitLeaderAfter(before)
 			for range 50 {
-				if c.deliver(old) > 0 && c.states(gangStops)[wire.TaskRunning] == 3 {
+				if c.replayHeartbeats(old) > 0 && c.taskStateCounts(stoppingGang)[wire.TaskRunning] == 3 {
 					met.add("old report answered beside a later attempt")
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -272,20 +272,20 @@
 		}, []string{"gang being stopped", "old report answered beside a later attempt"}},
 		// A gang's progress is its end: both are known at the same moment, and the end alone
 		// is stored.
-		{"the ends of gangs are stored late, as leaders change", 3, func(c *cluster, met *tally) {
+		{"the ends of gangs are stored late, as leaders change", 3, func(c *cluster, met *counter) {
 			c.state.SetTxnFault(func(x fake.Transaction) fake.TxnFault {
-				if endsJob(&x) && met.of("late end") < 3 {
+				if storesCompletion(&x) && met.count("late end") < 3 {
 					met.add("late end")
 					return fake.TxnDelayed
 				}
 				return fake.TxnCommitted
 			})
-			for i := 0; met.of("late end") == 0 && i < 1500; i++ {
+			for i := 0; met.count("late end") == 0 && i < 1500; i++ {
 				time.Sleep(100 * time.Millisecond)
 			}
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(8 * time.Second)
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			c.state.SetTxnFault(nil)
 		}, []string{"late end"}},
 	}
@@ -294,8 +294,8 @@
 	}
 }
 
-// endsJob tells whether a transaction is a leader's that stores the end of a job.
-func endsJob(x *fake.Transaction) bool {
+// storesCompletion tells whether a transaction is a leader's that stores the end of a job.
+func storesCompletion(x *fake.Transaction) bool {
 	byLeader := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool { return k.Key == replica.LeaderKey && k.ModRevision != 0 })
 	return byLeader && slices.ContainsFunc(x.Keys, func(key string) bool { return strings.HasPrefix(key, replica.JobPrefix) })
 }
--- a/gangs_test.go
+++ b/gangs_test.go
@@ -22,8 +22,8 @@
 	return job
 }
 
-// until waits for tasks of a job to have states, as many as named.
-func (c *cluster) until(id string, want map[string]int) {
+// awaitTaskStates waits for tasks of a job to have states, as many as named.
+func (c *cluster) awaitTaskStates(id string, want map[string]int) {
 	c.t.Helper()
 	for range 600 {
 		have := map[string]int{}
@@ -40,10 +40,10 @@
 	c.t.Fatalf("%s: tasks %v, want %v", id, c.cloud.TaskStates(), want)
 }
 
-// TestGangs takes a gang through what may happen to it. It must be done in the end, with
+// TestGangFaults takes a gang through what may happen to it. It must be done in the end, with
 // no rule broken; how often all its tasks ran tells whether an attempt was lost, and how
 // long whether its progress was.
-func TestGangs(t *testing.T) {
+func TestGangFaults(t *testing.T) {
 	const id = "j-000001"
 	wide := gangJob(id, 3, 3, nil) // a machine has four GuaranteedCPUs: on three of them
 	waiting := func(n int) map[string]int { return map[string]int{wire.TaskWaitingForGang: n} }
@@ -58,7 +58,7 @@
 		within  time.Duration // from its submission to its end
 	}{
 		{"on one machine", gangJob(id, 4, 1, nil), nil, 0, func(c *cluster) {
-			c.until(id, running(4))
+			c.awaitTaskStates(id, running(4))
 			if n := len(c.cloud.WorkersOf(id)); n != 1 {
 				c.t.Errorf("it is on %d machines", n)
 			}
@@ -71,34 +71,34 @@
 		{"a whole team's limit", gangJob(id, 4, 1, map[string]any{"desk": "small"}), nil, 0, func(*cluster) {}, 1, 40 * time.Second},
 		// A replacement under the same number completes it.
 		{"a machine hangs before it starts", wide, nil, 3, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskPullingImage: 3})
+			c.awaitTaskStates(id, map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.WorkersOf(id)[1].Hang(time.Minute)
 		}, 1, 60 * time.Second},
 		{"a machine is taken while the others wait", wide, nil, 3, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskPullingImage: 3})
+			c.awaitTaskStates(id, map[string]int{wire.TaskPullingImage: 3})
 			hung := c.cloud.WorkersOf(id)[1]
 			hung.Hang(4 * time.Second)
-			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
+			c.awaitTaskStates(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			hung.Interrupt(0)
 		}, 1, 60 * time.Second},
 		{"a machine is taken with a notice while the others wait", wide, nil, 3, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskPullingImage: 3})
+			c.awaitTaskStates(id, map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.WorkersOf(id)[0].Interrupt(8 * time.Second)
 		}, 1, 60 * time.Second},
 		// The rest notices, and all begin anew.
 		{"a machine hangs while it runs", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(12 * time.Second)
 			c.cloud.WorkersOf(id)[2].Hang(time.Minute)
 		}, 2, 90 * time.Second},
 		{"a machine is gone while it runs", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(12 * time.Second)
 			c.cloud.WorkersOf(id)[2].Interrupt(0)
 		}, 2, 80 * time.Second},
 		// All are told to stop, save, and go on elsewhere: nothing is lost.
 		{"a machine is taken with a notice while it runs", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(8 * time.Second)
 			c.cloud.WorkersOf(id)[2].Interrupt(9 * time.Second)
 			time.Sleep(8 * time.Second)
@@ -107,7 +107,7 @@
 			}
 		}, 2, 60 * time.Second},
 		{"its stop reaches only some", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(8 * time.Second)
 			machines := c.cloud.WorkersOf(id)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -120,7 +120,7 @@
 			time.Sleep(12 * time.Second)
 		}, 2, 100 * time.Second},
 		{"a zone is cut through it", gangJob(id, 4, 3, map[string]any{"scatter": true}), []string{"a", "b"}, 0, func(c *cluster) {
-			c.until(id, running(4))
+			c.awaitTaskStates(id, running(4))
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if strings.HasSuffix(from, "1") || strings.HasSuffix(r.URL.Host, "1:9000") {
 					return fake.DroppedRequest
@@ -130,38 +130,38 @@
 			time.Sleep(15 * time.Second)
 		}, -1, 120 * time.Second},
 		{"the leader ends while it waits", wide, nil, 4, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskPullingImage: 3})
+			c.awaitTaskStates(id, map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.WorkersOf(id)[0].Hang(6 * time.Second)
-			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
-			c.back(c.leader())
+			c.awaitTaskStates(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
+			c.restartNodes(c.leader())
 		}, 1, 60 * time.Second},
 		{"the leader ends while it waits for a machine that is lost", wide, nil, 4, func(c *cluster) {
-			c.until(id, map[string]int{wire.TaskPullingImage: 3})
+			c.awaitTaskStates(id, map[string]int{wire.TaskPullingImage: 3})
 			hung := c.cloud.WorkersOf(id)[0]
 			hung.Hang(20 * time.Second)
-			c.until(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
+			c.awaitTaskStates(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			hung.Interrupt(0)
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 		}, 1, 80 * time.Second},
 		{"the leader ends while it runs", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(3 * time.Second)
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 		}, 1, 60 * time.Second},
 		{"the leader ends while it runs, and a machine with it", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(3 * time.Second)
 			c.cloud.WorkersOf(id)[1].Interrupt(0)
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 		}, 2, 90 * time.Second},
 		{"the leader ends while it stops", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(8 * time.Second)
 			c.cloud.WorkersOf(id)[2].Interrupt(12 * time.Second)
 			for i := 0; i < 600 && len(c.cloud.TaskStates()) == 3 && !slices.Contains(slices.Collect(maps.Values(c.cloud.TaskStates())), wire.TaskCheckpointing); i++ {
 				time.Sleep(100 * time.Millisecond)
 			}
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 		}, 2, 90 * time.Second},
 		{"the leader ends when some of its starts were sent", wide, nil, 0, func(c *cluster) {
 			deaf := ""
@@ -175,14 +175,14 @@
 				}
 				return fake.NoFault
 			})
-			c.until(id, waiting(2))
-			c.back(c.leader())
+			c.awaitTaskStates(id, waiting(2))
+			c.restartNodes(c.leader())
 		}, 1, 80 * time.Second},
 		{"its result is lost with its machine before it is stored, and the leader ends", gangJob(id, 4, 1, nil), nil, 2, func(c *cluster) {
-			c.until(id, running(4))
+			c.awaitTaskStates(id, running(4))
 			time.Sleep(18 * time.Second)
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
-				if isState(r) && r.URL.Path == "/txn" {
+				if isStateRequest(r) && r.URL.Path == "/txn" {
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
@@ -202,7 +202,7 @@
 			c.start(leader)
 		}, 1, 100 * time.Second},
 		{"one reports done, and the leader ends", wide, nil, 0, func(c *cluster) {
-			c.until(id, running(3))
+			c.awaitTaskStates(id, running(3))
 			time.Sleep(18 * time.Second)
 			quiet := c.cloud.WorkersOf(id)[0].ID
 			c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -215,7 +215,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			time.Sleep(700 * time.Millisecond)
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 		}, 1, 60 * time.Second},
 	}
 	for _, tc := range cases {
@@ -228,13 +228,13 @@
 				if tc.zones != nil {
 					c.rules.InstanceTypes[0].Zones = tc.zones
 				}
-				begun := time.Now()
+				startedAt := time.Now()
 				c.submitJob(tc.job)
 				tc.trouble(c)
 				c.setFault(nil)
-				c.await(id, wire.JobDone, tc.within+30*time.Second)
-				if took := time.Since(begun); took > tc.within {
-					t.Errorf("done after %v", took)
+				c.awaitStatus(id, wire.JobDone, tc.within+30*time.Second)
+				if duration := time.Since(startedAt); duration > tc.within {
+					t.Errorf("done after %v", duration)
 				}
 				if runs := c.cloud.GangRuns(id); tc.runs >= 0 && runs != tc.runs {
 					t.Errorf("%d attempts ran, want %d", runs, tc.runs)
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestGangsMeet has gangs meet each other and other work.
-func TestGangsMeet(t *testing.T) {
+// TestGangContention has gangs meet each other and other work.
+func TestGangContention(t *testing.T) {
 	cases := []struct {
 		name string
 		play func(c *cluster)
@@ -262,7 +262,7 @@
 				c.submitJob(gangJob(fmt.Sprintf("j-00000%d", i+1), 4, 1, map[string]any{"desk": "small"}))
 			}
 			for i := range 4 {
-				c.await(fmt.Sprintf("j-00000%d", i+1), wire.JobDone, 3*time.Minute)
+				c.awaitStatus(fmt.Sprintf("j-00000%d", i+1), wire.JobDone, 3*time.Minute)
 				if n := c.cloud.GangRuns(fmt.Sprintf("j-00000%d", i+1)); n != 1 {
 					c.t.Errorf("%d attempts of gang %d ran", n, i+1)
 				}
@@ -276,7 +276,7 @@
 			}
 			time.Sleep(6 * time.Second)
 			c.submitJob(gangJob("j-000001", 2, 4, nil))
-			begun := time.Now()
+			startedAt := time.Now()
 			for i := range 40 {
 				c.submit(fmt.Sprintf("j-0002%02d", i), 4)
 				time.Sleep(3 * time.Second)
@@ -284,21 +284,21 @@
 					break
 				}
 			}
-			if took := time.Since(begun); c.cloud.GangRuns("j-000001") == 0 || took > 100*time.Second {
-				c.t.Errorf("the gang did not start in %v", took)
+			if duration := time.Since(startedAt); c.cloud.GangRuns("j-000001") == 0 || duration > 100*time.Second {
+				c.t.Errorf("the gang did not start in %v", duration)
 			}
-			c.await("j-000001", wire.JobDone, time.Minute)
+			c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		}},
 		{"cancelled while it waits", func(c *cluster) {
 			c.cloud.ImagePullS = 3
 			c.submitJob(gangJob("j-000001", 3, 3, nil))
-			c.until("j-000001", map[string]int{wire.TaskPullingImage: 3})
+			c.awaitTaskStates("j-000001", map[string]int{wire.TaskPullingImage: 3})
 			c.cloud.WorkersOf("j-000001")[0].Hang(10 * time.Second)
-			c.until("j-000001", map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
+			c.awaitTaskStates("j-000001", map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
 			if code, _ := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK {
 				c.t.Errorf("cancelled: %d", code)
 			}
-			time.Sleep(time.Duration(cancelS) * time.Second)
+			time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 			if n := c.cloud.GangRuns("j-000001"); n != 0 {
 				c.t.Errorf("%d attempts ran", n)
 			}
@@ -317,7 +317,7 @@
 					c.t.Errorf("%v: %d, want %d", x.job["id"], code, x.code)
 				}
 			}
-			c.await("j-000004", wire.JobDone, 2*time.Minute)
+			c.awaitStatus("j-000004", wire.JobDone, 2*time.Minute)
 		}},
 	}
 	for _, tc := range cases {
--- a/gap_test.go
+++ b/gap_test.go
@@ -18,44 +18,44 @@
 	"caperlatch/internal/wire"
 )
 
-// gap is a day on which the state service refuses the leader alone, another node confirms
+// outageRun is a day on which the state service refuses the leader alone, another node confirms
 // that a job is cancelled, and then the state service is down for all for longer than
 // cancel_s, while the workers go on reporting to the old leader.
-type gap struct {
+type outageRun struct {
 	*cluster
-	leading, confirming int
-	also                func(from string, r *http.Request) fake.Fault // what else happens
-	refusing            bool
-	refused             int // requests of the leader
+	leadingNode, confirmingNode int
+	otherFault                  func(from string, r *http.Request) fake.Fault // what else happens
+	refusing                    bool
+	refusals                    int // requests of the leader
 }
 
-// faults has the state service refuse the leader. An open watch of one that is refused
+// faultOf has the state service refuse the leader. An open watch of one that is refused
 // waits, so it gets none from before: until then it has to ask.
-func (g *gap) faults(from string, r *http.Request) fake.Fault {
-	if isState(r) && strings.HasPrefix(from, fmt.Sprintf("host-%d/", g.leading)) {
+func (g *outageRun) faultOf(from string, r *http.Request) fake.Fault {
+	if isStateRequest(r) && strings.HasPrefix(from, fmt.Sprintf("host-%d/", g.leadingNode)) {
 		if g.refusing {
-			g.refused++
+			g.refusals++
 			return fake.ServiceUnavailable
 		}
 		if r.URL.Path == "/watch" && r.URL.Query().Get("wait_ms") != "0" {
 			return fake.DroppedRequest
 		}
 	}
-	if g.also != nil {
-		return g.also(from, r)
+	if g.otherFault != nil {
+		return g.otherFault(from, r)
 	}
 	return fake.NoFault
 }
 
-// meanwhile has something else happen to requests as well.
-func (g *gap) meanwhile(also func(from string, r *http.Request) fake.Fault) {
+// setOtherFault has something else happen to requests as well.
+func (g *outageRun) setOtherFault(also func(from string, r *http.Request) fake.Fault) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.also = also
+	g.otherFault = also
 }
 
 // cancel has a user cancel the job at a node.
-func (g *gap) cancel(node int) {
+func (g *outageRun) cancel(node int) {
 	g.t.Helper()
 	for range 20 {
 		if code, s := g.request(http.MethodPost, node, "/v1/jobs/j-000001/abort", nil); code == http.StatusOK && s.Status == wire.JobCancelled {
@@ -66,8 +66,8 @@
 	g.t.Fatal("the job could not be cancelled")
 }
 
-// cutPeers cuts some pairs of nodes.
-func (g *gap) cutPeers(pairs func(a, b int) bool) {
+// partitionPairs cuts some pairs of nodes.
+func (g *outageRun) partitionPairs(pairs func(a, b int) bool) {
 	number := func(member string) (i int) {
 		if _, err := fmt.Sscanf(member, "host-%d", &i); err != nil {
 			panic(err)
@@ -77,59 +77,59 @@
 	g.pipes.SetPartition(func(from, to string) bool { a, b := number(from), number(to); return pairs(a, b) || pairs(b, a) })
 }
 
-// heal ends all cuts between nodes.
-func (g *gap) heal() { g.cutPeers(func(int, int) bool { return false }) }
+// healPairs ends all cuts between nodes.
+func (g *outageRun) healPairs() { g.partitionPairs(func(int, int) bool { return false }) }
 
-// doubted tells whether the state service has refused the leader.
-func (g *gap) doubted() bool {
+// isLeaderRefused tells whether the state service has refused the leader.
+func (g *outageRun) isLeaderRefused() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.refused > 0
+	return g.refusals > 0
 }
 
-// TestGap has the tasks of a job whose cancellation was confirmed in the gap gone in time,
+// TestCancellationDuringOutage has the tasks of a job whose cancellation was confirmed in the gap gone in time,
 // and never back.
-func TestGap(t *testing.T) {
-	const outage = time.Duration(1.6*cancelS) * time.Second
+func TestCancellationDuringOutage(t *testing.T) {
+	const outage = time.Duration(1.6*cancellationTimeoutS) * time.Second
 	cases := []struct {
 		name string
 		// before is what happens before the user asks; confirm the confirmation, if it is
 		// not simply asked of the confirming node; after what happens in the outage. Until
 		// then the leader is cut from the other nodes, so that it cannot hear of it at once.
-		before, confirm, after func(g *gap)
+		before, confirm, after func(g *outageRun)
 		late                   bool // the job comes just before
 	}{
-		{name: "plain", after: (*gap).heal},
-		{name: "the confirming node ends right after", after: func(g *gap) {
-			g.kill(g.confirming)
-			g.heal()
+		{name: "plain", after: (*outageRun).healPairs},
+		{name: "the confirming node ends right after", after: func(g *outageRun) {
+			g.kill(g.confirmingNode)
+			g.healPairs()
 		}},
-		{name: "the confirming node is back at once with an empty memory", after: func(g *gap) {
-			g.back(g.confirming)
-			g.heal()
+		{name: "the confirming node is back at once with an empty memory", after: func(g *outageRun) {
+			g.restartNodes(g.confirmingNode)
+			g.healPairs()
 		}},
-		{name: "the confirming node stays cut from the leader", after: func(g *gap) {
-			g.cutPeers(func(a, b int) bool { return a == g.leading && b == g.confirming })
+		{name: "the confirming node stays cut from the leader", after: func(g *outageRun) {
+			g.partitionPairs(func(a, b int) bool { return a == g.leadingNode && b == g.confirmingNode })
 		}},
-		{name: "the leader stays cut from all others", after: func(*gap) {}},
-		{name: "the leader hears of it late", after: func(g *gap) {
+		{name: "the leader stays cut from all others", after: func(*outageRun) {}},
+		{name: "the leader hears of it late", after: func(g *outageRun) {
 			time.Sleep(6 * time.Second)
-			g.heal()
+			g.healPairs()
 		}},
 		// What a node told is told on, however long ago it was: else the leader, on the word
 		// of its peers, would begin the tasks again.
-		{name: "the leader hears of it after more than cancel_s", after: func(g *gap) {
-			time.Sleep(time.Duration(1.2*cancelS) * time.Second)
-			g.heal()
+		{name: "the leader hears of it after more than cancel_s", after: func(g *outageRun) {
+			time.Sleep(time.Duration(1.2*cancellationTimeoutS) * time.Second)
+			g.healPairs()
 		}},
-		{name: "the confirming node ends, and the others know it", confirm: func(g *gap) {
-			g.cancel(g.confirming)
+		{name: "the confirming node ends, and the others know it", confirm: func(g *outageRun) {
+			g.cancel(g.confirmingNode)
 			time.Sleep(600 * time.Millisecond) // they read the changes
-			g.kill(g.confirming)
-		}, after: (*gap).heal},
+			g.kill(g.confirmingNode)
+		}, after: (*outageRun).healPairs},
 		// The user's node wrote it long before it was carried out, and gave up; another
 		// read it. What counts is what a node knows, not when it was written.
-		{name: "the cancellation was carried out minutes late", confirm: func(g *gap) {
+		{name: "the cancellation was carried out minutes late", confirm: func(g *outageRun) {
 			var j replica.Job
 			e, _ := g.state.Get(replica.JobPrefix + "j-000001")
 			if err := wire.Unmarshal(e.Value, &j); err != nil {
@@ -143,13 +143,13 @@
 			g.rules.ObserveRequest("/v1/jobs/j-000001/abort")
 			w := httptest.NewRecorder()
 			g.state.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/txn", bytes.NewReader(b)))
-			if _, s := g.request(http.MethodGet, g.confirming, "/v1/jobs/j-000001", nil); w.Code != http.StatusOK || s.Status != wire.JobCancelled {
+			if _, s := g.request(http.MethodGet, g.confirmingNode, "/v1/jobs/j-000001", nil); w.Code != http.StatusOK || s.Status != wire.JobCancelled {
 				g.t.Fatalf("carried out with %d, and then %s", w.Code, s.Status)
 			}
-		}, after: (*gap).heal},
-		{name: "the first answer is lost, and the user asks another node", confirm: func(g *gap) {
-			lost := fmt.Sprintf("host-%d:8080", g.confirming)
-			g.meanwhile(func(from string, r *http.Request) fake.Fault {
+		}, after: (*outageRun).healPairs},
+		{name: "the first answer is lost, and the user asks another node", confirm: func(g *outageRun) {
+			lost := fmt.Sprintf("host-%d:8080", g.confirmingNode)
+			g.setOtherFault(func(from string, r *http.Request) fake.Fault {
 				if from == "user" && r.URL.Host == lost {
 					return fake.DroppedResponse
 				}
@@ -166,51 +166,51 @@
 				g.t.Error("the answer was not lost")
 			}
 			for i := range g.size {
-				if i != g.confirming && i != g.leading {
+				if i != g.confirmingNode && i != g.leadingNode {
 					g.cancel(i)
 					break
 				}
 			}
-		}, after: func(g *gap) {
-			g.kill(g.confirming)
-			g.heal()
+		}, after: func(g *outageRun) {
+			g.kill(g.confirmingNode)
+			g.healPairs()
 		}},
 		// They do what they have until their leases end.
-		{name: "machines reach no controller, commands don't reach them", before: func(g *gap) {
-			g.meanwhile(func(from string, r *http.Request) fake.Fault {
-				if everyOther(from) || everyOther(r.URL.Host) {
+		{name: "machines reach no controller, commands don't reach them", before: func(g *outageRun) {
+			g.setOtherFault(func(from string, r *http.Request) fake.Fault {
+				if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) {
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
 			})
-		}, after: (*gap).heal},
-		{name: "machines are deaf", before: func(g *gap) {
-			g.meanwhile(func(from string, r *http.Request) fake.Fault {
+		}, after: (*outageRun).healPairs},
+		{name: "machines are deaf", before: func(g *outageRun) {
+			g.setOtherFault(func(from string, r *http.Request) fake.Fault {
 				switch {
-				case everyOther(from) && r.URL.Path == "/hello":
+				case isEveryOtherMachine(from) && r.URL.Path == "/hello":
 					return fake.DroppedResponse
-				case everyOther(r.URL.Host):
+				case isEveryOtherMachine(r.URL.Host):
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
 			})
-		}, after: (*gap).heal},
-		{name: "machines are mute", before: func(g *gap) {
-			g.meanwhile(func(from string, _ *http.Request) fake.Fault {
-				if everyOther(from) {
+		}, after: (*outageRun).healPairs},
+		{name: "machines are mute", before: func(g *outageRun) {
+			g.setOtherFault(func(from string, _ *http.Request) fake.Fault {
+				if isEveryOtherMachine(from) {
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
 			})
-		}, after: (*gap).heal},
+		}, after: (*outageRun).healPairs},
 		// Starts are sent in the very seconds in which the leader does not know.
-		{name: "tasks are being started", late: true, after: (*gap).heal},
+		{name: "tasks are being started", late: true, after: (*outageRun).healPairs},
 	}
 	for _, nodes := range []int{3, 5} {
 		for _, tc := range cases {
 			t.Run(fmt.Sprintf("%s, %d nodes", tc.name, nodes), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					g := &gap{cluster: newClusterOf(t, nodes)}
+					g := &outageRun{cluster: newClusterOf(t, nodes)}
 					defer g.close()
 					g.cloud.RuntimeOf = func(task string) float64 {
 						if strings.HasPrefix(task, "j-000001/") {
@@ -223,15 +223,15 @@
 						g.submit("j-000001", 8)
 					}
 					time.Sleep(20 * time.Second) // there are machines
-					g.leading = g.leader()
-					g.confirming = (g.leading + 1) % nodes
-					g.setFault(g.faults)
+					g.leadingNode = g.leader()
+					g.confirmingNode = (g.leadingNode + 1) % nodes
+					g.setFault(g.faultOf)
 					g.submit("j-000003", 1) // what watches there are end
 					time.Sleep(3 * time.Second)
 					if tc.late {
 						g.submit("j-000001", 8)
 					}
-					for i := 0; i < 2000 && len(g.on("j-000001/")) < 8 && !(tc.late && len(g.on("j-000001/")) > 0); i++ {
+					for i := 0; i < 2000 && len(g.tasksOn("j-000001/")) < 8 && !(tc.late && len(g.tasksOn("j-000001/")) > 0); i++ {
 						time.Sleep(20 * time.Millisecond)
 					}
 					g.mu.Lock()
@@ -240,35 +240,35 @@
 					if tc.before != nil {
 						tc.before(g)
 					}
-					g.cutPeers(func(a, _ int) bool { return a == g.leading })
-					for i := 0; i < 30 && !tc.late && !g.doubted(); i++ {
+					g.partitionPairs(func(a, _ int) bool { return a == g.leadingNode })
+					for i := 0; i < 30 && !tc.late && !g.isLeaderRefused(); i++ {
 						time.Sleep(50 * time.Millisecond)
 					}
 					if tc.confirm != nil {
 						tc.confirm(g)
 					} else {
-						g.cancel(g.confirming)
+						g.cancel(g.confirmingNode)
 					}
 					g.state.SetOutage(true)
 					confirmed := time.Now()
-					if on := len(g.on("j-000001/")); on == 0 || tc.late == (on == 8) || !tc.late && !g.doubted() {
-						t.Errorf("%d tasks on machines, the leader is refused: %t: the troubles did not meet", on, g.doubted())
+					if on := len(g.tasksOn("j-000001/")); on == 0 || tc.late == (on == 8) || !tc.late && !g.isLeaderRefused() {
+						t.Errorf("%d tasks on machines, the leader is refused: %t: the troubles did not meet", on, g.isLeaderRefused())
 					}
 					tc.after(g)
 					time.Sleep(outage - time.Since(confirmed))
-					if now := g.leader(); now != g.leading {
-						t.Errorf("node %d leads instead of %d", now, g.leading)
+					if now := g.leader(); now != g.leadingNode {
+						t.Errorf("node %d leads instead of %d", now, g.leadingNode)
 					}
 					g.setFault(nil)
-					g.heal()
+					g.healPairs()
 					g.state.SetOutage(false)
 					for i := range nodes {
 						g.kill(i)
 						g.start(i)
 					}
-					g.await("j-000002", wire.JobDone, 2*time.Minute)
-					g.await("j-000001", wire.JobCancelled, 5*time.Second)
-					if on := g.on("j-000001/"); len(on) > 0 {
+					g.awaitStatus("j-000002", wire.JobDone, 2*time.Minute)
+					g.awaitStatus("j-000001", wire.JobCancelled, 5*time.Second)
+					if on := g.tasksOn("j-000001/"); len(on) > 0 {
 						t.Errorf("still on machines: %v", on)
 					}
 					for _, rule := range g.rules.Violations() {
@@ -280,12 +280,12 @@
 	}
 }
 
-// everyOther tells whether a host is one of every other machine.
-func everyOther(host string) bool {
+// isEveryOtherMachine tells whether a host is one of every other machine.
+func isEveryOtherMachine(host string) bool {
 	return strings.HasPrefix(host, "i-") && (host[len("i-00000")]-'0')%2 == 0
 }
 
-// on lists the tasks of a job that are on machines.
-func (c *cluster) on(prefix string) []string {
+// tasksOn lists the tasks of a job that are on machines.
+func (c *cluster) tasksOn(prefix string) []string {
 	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
 }
--- a/guards_test.go
+++ b/guards_test.go
@@ -18,8 +18,8 @@
 // The tests in this file bring about the moments for which single guards are there. Each
 // shows that its moment came, and fails when the guard is taken out.
 
-// storedNames lists the machines that stand in the stored values under a prefix.
-func (c *cluster) storedNames(prefix string) map[string]bool {
+// storedMachines lists the machines that stand in the stored values under a prefix.
+func (c *cluster) storedMachines(prefix string) map[string]bool {
 	names := map[string]bool{}
 	for _, e := range c.state.Entries(prefix) {
 		var value struct {
@@ -37,10 +37,10 @@
 	return names
 }
 
-// unbooked counts the machines that stand in a stored list, but in no stored booking.
-func (c *cluster) unbooked() (n int) {
-	booked := c.storedNames(replica.LaunchIntentPrefix)
-	for id := range c.storedNames(replica.MachineListPrefix) {
+// machinesWithoutIntent counts the machines that stand in a stored list, but in no stored booking.
+func (c *cluster) machinesWithoutIntent() (n int) {
+	booked := c.storedMachines(replica.LaunchIntentPrefix)
+	for id := range c.storedMachines(replica.MachineListPrefix) {
 		if !booked[id] {
 			n++
 		}
@@ -48,20 +48,20 @@
 	return n
 }
 
-// cutAll has the machines with tasks of a job be out of reach.
-func (c *cluster) cutAll(job string, cut *tally) func(string, *http.Request) fake.Fault {
+// isolateMachinesOf has the machines with tasks of a job be out of reach.
+func (c *cluster) isolateMachinesOf(job string, cut *counter) func(string, *http.Request) fake.Fault {
 	ids := map[string]bool{}
 	for _, w := range c.cloud.Workers() {
 		ids[w.ID] = ids[w.ID] || slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, job+"/") })
 	}
-	return cutMachines(ids, cut)
+	return isolateMachines(ids, cut)
 }
 
-// TestListedNotBooked has the state service take lists of machines that are up, and the
+// TestMachineListWithoutLaunchIntent has the state service take lists of machines that are up, and the
 // bookings that name these machines not: refused, lost or carried out late. Then the leader
 // ends. The next one finds machines listed that no booking has, and takes them for gone:
 // none of them may have got a task (the guard is `stored` in machine.open).
-func TestListedNotBooked(t *testing.T) {
+func TestMachineListWithoutLaunchIntent(t *testing.T) {
 	fates := []struct {
 		name string
 		fate fake.TxnFault
@@ -90,33 +90,33 @@
 				long := testJob("j-000001", 12)
 				long["expect_s"] = 200.0
 				c.submitJob(long)
-				for i := 0; c.unbooked() == 0 && i < 200; i++ {
+				for i := 0; c.machinesWithoutIntent() == 0 && i < 200; i++ {
 					time.Sleep(50 * time.Millisecond)
 				}
 				time.Sleep(1500 * time.Millisecond)
-				unbooked, before := c.unbooked(), c.token()
-				var cut tally
-				c.setFault(c.cutAll("j-000001", &cut))
-				c.back(c.leader())
-				c.ledAfter(before)
+				unbooked, before := c.machinesWithoutIntent(), c.fencingToken()
+				var cut counter
+				c.setFault(c.isolateMachinesOf("j-000001", &cut))
+				c.restartNodes(c.leader())
+				c.awaitLeaderAfter(before)
 				c.state.SetTxnFault(nil)
-				time.Sleep(time.Duration(leaseS-1) * time.Second)
+				time.Sleep(time.Duration(leaseDurationS-1) * time.Second)
 				c.setFault(nil)
 				if unbooked == 0 {
 					t.Error("no machine was listed and not booked")
 				}
-				c.await("j-000001", wire.JobDone, 4*time.Minute)
-				c.broken()
+				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestOldPages has a node start, whose pages of all keys are of different moments: the
+// TestStalePagesAtStart has a node start, whose pages of all keys are of different moments: the
 // bookings from before the leader rented machines, the leader key from after it ended. It
 // leads at once, with its watch held up. Without the barrier at the take-over it does not
 // know of the machines that run the last job, and starts the job's tasks elsewhere.
-func TestOldPages(t *testing.T) {
+func TestStalePagesAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, func(s *settings.Settings) {
 			s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = 20, 50
@@ -136,13 +136,13 @@
 		next := (first + 1) % 3
 		c.kill(next)
 		c.kill((first + 2) % 3)
-		var pages, watches tally
+		var pages, watches counter
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			switch {
-			case fromNode(from, next) && r.URL.Path == "/store":
+			case isFromNode(from, next) && r.URL.Path == "/store":
 				pages.add("read")
 				return fake.HighLatency
-			case fromNode(from, next) && r.URL.Path == "/watch":
+			case isFromNode(from, next) && r.URL.Path == "/watch":
 				watches.add("held")
 				return fake.DroppedRequest
 			}
@@ -158,38 +158,38 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		for i := 0; c.running("j-900000") < 8 && i < 100; i++ {
+		for i := 0; c.runningTasks("j-900000") < 8 && i < 100; i++ {
 			time.Sleep(50 * time.Millisecond)
 		}
-		ran, read, before := c.running("j-900000"), pages.of("read"), c.token()
-		var cut tally
-		cutThem := c.cutAll("j-900000", &cut)
+		ran, read, before := c.runningTasks("j-900000"), pages.count("read"), c.fencingToken()
+		var cut counter
+		cutThem := c.isolateMachinesOf("j-900000", &cut)
 		c.kill(first)
-		for i := 0; c.token() == before && i < 400; i++ {
+		for i := 0; c.fencingToken() == before && i < 400; i++ {
 			time.Sleep(50 * time.Millisecond)
 		}
-		if ran < 8 || c.token() == before || pages.of("read") <= read+4 || watches.of("held") == 0 {
-			t.Errorf("%d tasks ran, token %d after %d, pages %d after %d, %d watches held", ran, c.token(), before, pages.of("read"), read, watches.of("held"))
+		if ran < 8 || c.fencingToken() == before || pages.count("read") <= read+4 || watches.count("held") == 0 {
+			t.Errorf("%d tasks ran, token %d after %d, pages %d after %d, %d watches held", ran, c.fencingToken(), before, pages.count("read"), read, watches.count("held"))
 		}
 		time.Sleep(500 * time.Millisecond)
 		c.setFault(cutThem)
 		time.Sleep(9 * time.Second) // well within their lease
-		if on := c.running("j-900000"); on < ran {
+		if on := c.runningTasks("j-900000"); on < ran {
 			t.Errorf("%d of %d tasks still ran", on, ran)
 		}
 		c.setFault(nil)
 		c.start(first)
-		c.await("j-900000", wire.JobDone, 4*time.Minute)
-		c.broken()
+		c.awaitStatus("j-900000", wire.JobDone, 4*time.Minute)
+		c.checkRules()
 	})
 }
 
-// TestToldOfSuccessor has a leader be cut from the state service, and then hear from its
+// TestSupersededLeader has a leader be cut from the state service, and then hear from its
 // peers that another leads, while half of the machines reach only it. It told the next
 // leader that it knows its token, which thus counts these machines' leases as over a lease
 // later: it must answer none of them from then on (`superseded`), not even until its
 // request to the state service has failed.
-func TestToldOfSuccessor(t *testing.T) {
+func TestSupersededLeader(t *testing.T) {
 	for phase := range 8 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -207,11 +207,11 @@
 				for _, w := range c.holders("j-000001") {
 					ids[w.ID] = true
 				}
-				first, before := c.leader(), c.token()
+				first, before := c.leader(), c.fencingToken()
 				host := fmt.Sprintf("host-%d", first)
-				var met tally
+				var met counter
 				c.setFault(func(from string, r *http.Request) fake.Fault {
-					if fromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0") {
+					if isFromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0") {
 						return fake.DroppedRequest
 					}
 					return fake.NoFault
@@ -220,15 +220,15 @@
 				fault := func(others bool) func(string, *http.Request) fake.Fault {
 					return func(from string, r *http.Request) fake.Fault {
 						switch {
-						case isState(r) && fromNode(from, first):
+						case isStateRequest(r) && isFromNode(from, first):
 							return fake.DroppedRequest
-						case isState(r) && !others || r.URL.Path == "/hosts/return":
+						case isStateRequest(r) && !others || r.URL.Path == "/hosts/return":
 							return fake.ServiceUnavailable
 						case machineOf(from) != "" && ids[machineOf(from)] != (r.URL.Host == host+":8080"):
 							return fake.ServiceUnavailable // the others would tell the old leader by their reports
-						case ids[machineOf(from)] && others && c.token() > before:
+						case ids[machineOf(from)] && others && c.fencingToken() > before:
 							met.add("reports to the old leader")
-						case ids[machineOf(r.URL.Host)] && !fromNode(from, first):
+						case ids[machineOf(r.URL.Host)] && !isFromNode(from, first):
 							return fake.DroppedRequest
 						}
 						return fake.NoFault
@@ -240,29 +240,29 @@
 				time.Sleep(7*time.Second + time.Duration(phase)*210*time.Millisecond)
 				c.healPeers()
 				c.setFault(fault(true))
-				c.ledAfter(before)
-				ran := c.running("j-000001")
+				c.awaitLeaderAfter(before)
+				ran := c.runningTasks("j-000001")
 				time.Sleep(600 * time.Millisecond) // until all have told each other
 				cut()
-				time.Sleep(time.Duration(leaseS+4) * time.Second)
+				time.Sleep(time.Duration(leaseDurationS+4) * time.Second)
 				c.setFault(nil)
 				c.healPeers()
-				if ran != 3 || met.of("reports to the old leader") == 0 {
-					t.Errorf("%d tasks ran, met %v", ran, met.n)
+				if ran != 3 || met.count("reports to the old leader") == 0 {
+					t.Errorf("%d tasks ran, met %v", ran, met.counts)
 				}
-				c.await("j-000001", wire.JobDone, 4*time.Minute)
-				c.broken()
+				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestNewsBeforeTheEnd has a leader whose hold has ended hear of a job that was accepted
+// TestDelayedChangesAfterSessionEnd has a leader whose hold has ended hear of a job that was accepted
 // under the next leader, before it notices that its own term is over: its changes come late,
 // all at once, while it waits for the answer about its hold. The next leader starts new jobs
 // without waiting for anybody; so the old one may start nothing unless its hold lasts or all
 // peers promise not to lead (`Term.Sure`).
-func TestNewsBeforeTheEnd(t *testing.T) {
+func TestDelayedChangesAfterSessionEnd(t *testing.T) {
 	for phase := range 6 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -277,15 +277,15 @@
 				for i, w := range c.holders("j-000009") {
 					ids[w.ID] = i%2 == 0
 				}
-				first, before := c.leader(), c.token()
+				first, before := c.leader(), c.fencingToken()
 				host := fmt.Sprintf("host-%d", first)
-				var met tally
+				var met counter
 				fault := func(news bool) func(string, *http.Request) fake.Fault {
 					return func(from string, r *http.Request) fake.Fault {
 						switch {
-						case isState(r) && fromNode(from, first) && (!news || r.URL.Path != "/watch"):
+						case isStateRequest(r) && isFromNode(from, first) && (!news || r.URL.Path != "/watch"):
 							return fake.DroppedRequest
-						case isState(r) && fromNode(from, first):
+						case isStateRequest(r) && isFromNode(from, first):
 							met.add("news")
 						case r.URL.Path == "/hosts/return":
 							return fake.ServiceUnavailable
@@ -293,7 +293,7 @@
 							return fake.ServiceUnavailable
 						case news && ids[machineOf(from)]:
 							met.add("reports to the old leader")
-						case ids[machineOf(r.URL.Host)] && !fromNode(from, first):
+						case ids[machineOf(r.URL.Host)] && !isFromNode(from, first):
 							return fake.DroppedRequest
 						}
 						return fake.NoFault
@@ -302,7 +302,7 @@
 				c.pipes.SetPartition(func(from, to string) bool { return (from == host) != (to == host) })
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					switch {
-					case fromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0"):
+					case isFromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0"):
 						return fake.DroppedRequest
 					case ids[machineOf(from)] && r.URL.Host != host+":8080":
 						return fake.ServiceUnavailable
@@ -311,7 +311,7 @@
 				})
 				time.Sleep(12 * time.Second) // until no watch is open that would tell it
 				c.setFault(fault(false))
-				c.ledAfter(before)
+				c.awaitLeaderAfter(before)
 				time.Sleep(500 * time.Millisecond) // a job that it finds at its take-over is none of its own
 				job := testJob("j-000001", 4)
 				job["expect_s"] = 200.0
@@ -324,17 +324,17 @@
 				time.Sleep(time.Duration(phase) * 270 * time.Millisecond)
 				c.setFault(fault(true))
 				time.Sleep(4 * time.Second)
-				for i := 0; c.running("j-000001") == 0 && i < 100; i++ {
+				for i := 0; c.runningTasks("j-000001") == 0 && i < 100; i++ {
 					time.Sleep(50 * time.Millisecond) // machines look for the next leader first
 				}
-				ran := c.running("j-000001")
-				if ran == 0 || met.of("news") == 0 || met.of("reports to the old leader") == 0 {
-					t.Errorf("%d tasks of the new job ran, met %v", ran, met.n)
+				ran := c.runningTasks("j-000001")
+				if ran == 0 || met.count("news") == 0 || met.count("reports to the old leader") == 0 {
+					t.Errorf("%d tasks of the new job ran, met %v", ran, met.counts)
 				}
 				c.setFault(nil)
 				c.healPeers()
-				c.await("j-000001", wire.JobDone, 4*time.Minute)
-				c.broken()
+				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+				c.checkRules()
 			})
 		})
 	}
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -26,7 +26,7 @@
 // TestAbstentions has a node that may lead at once abstain, or come back within a moment of
 // an abstention of its earlier life: it must not lead before that is over. A leader whose
 // session has ended still acts for as long (see Term.Sure), and would start
-// what its successor starts elsewhere (TestNewsBeforeTheEnd).
+// what its successor starts elsewhere (TestDelayedChangesAfterSessionEnd).
 func TestAbstentions(t *testing.T) {
 	cases := []struct {
 		name     string
--- a/limits_test.go
+++ b/limits_test.go
@@ -15,21 +15,21 @@
 	"caperlatch/internal/wire"
 )
 
-// lowered are the limits that the state service has from some moment on.
-var lowered = fake.StateLimits{ValueKB: 2, TxnOps: 4, WriteRPS: 15}
+// loweredLimits are the limits that the state service has from some moment on.
+var loweredLimits = fake.StateLimits{ValueKB: 2, TxnOps: 4, WriteRPS: 15}
 
-// tellNext has the settings tell of the lowered limits.
-func tellNext(s *settings.Settings) {
-	l := lowered
+// announceLimits has the settings tell of the lowered limits.
+func announceLimits(s *settings.Settings) {
+	l := loweredLimits
 	s.Params.State = settings.State{RPS: 200, WriteRPS: 30, ValueKB: 8, TxnOps: 12,
 		Upcoming: settings.UpcomingLimits{WriteRPS: &l.WriteRPS, ValueKB: &l.ValueKB, TxnOps: &l.TxnOps}}
 }
 
-// TestLoweredLimits lowers the state service's limits in the midst of other things. No
+// TestAnnouncedLimits lowers the state service's limits in the midst of other things. No
 // write may be refused for its size when the settings told of the limits, before or
 // after; and the jobs are done, no rule is broken.
-func TestLoweredLimits(t *testing.T) {
-	lower := func(c *cluster) { c.state.SetLimits(lowered) }
+func TestAnnouncedLimits(t *testing.T) {
+	lower := func(c *cluster) { c.state.SetLimits(loweredLimits) }
 	cases := []struct {
 		name    string
 		trouble func(c *cluster)
@@ -50,14 +50,14 @@
 			c.start(i)
 		}},
 		{"while no transaction is answered", func(c *cluster) {
-			isTxn := func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }
-			c.setFault(nth(2, fake.DroppedResponse, isTxn))
+			isTxn := func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }
+			c.setFault(everyNth(2, fake.DroppedResponse, isTxn))
 			time.Sleep(3 * time.Second)
 			lower(c)
 			time.Sleep(10 * time.Second)
 		}},
 		{"while transactions are applied late", func(c *cluster) {
-			c.setFault(nth(3, fake.DelayedRequest, func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }))
+			c.setFault(everyNth(3, fake.DelayedRequest, func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }))
 			time.Sleep(3 * time.Second)
 			lower(c)
 			time.Sleep(20 * time.Second)
@@ -76,7 +76,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newTunedCluster(t, 3, tellNext)
+				c := newTunedCluster(t, 3, announceLimits)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 8 }
 				var ids []string
@@ -92,9 +92,9 @@
 					c.submit(id, 8)
 				}
 				for _, id := range ids {
-					c.await(id, wire.JobDone, 120*time.Second)
+					c.awaitStatus(id, wire.JobDone, 120*time.Second)
 				}
-				c.answersAll(ids)
+				c.checkAnswers(ids)
 				if broken := c.cloud.Violations(); broken != nil {
 					t.Error(broken)
 				}
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestLimitsNobodyToldOf lowers the limits with settings that say nothing of it. What
+// TestUnannouncedLimits lowers the limits with settings that say nothing of it. What
 // is refused must not be sent for ever as it is, nor take others with it.
-func TestLimitsNobodyToldOf(t *testing.T) {
+func TestUnannouncedLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, func(s *settings.Settings) {
 			s.Params.State = settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 12}
@@ -116,7 +116,7 @@
 		defer c.close()
 		c.submit("j-000001", 30)
 		time.Sleep(5 * time.Second)
-		c.state.SetLimits(lowered)
+		c.state.SetLimits(loweredLimits)
 		// Many at once at one node, to share transactions; one of them is too large.
 		large := testJob("j-000009", 2)
 		large["lane"] = strings.Repeat("l", 3000)
@@ -139,7 +139,7 @@
 			t.Errorf("answers to submissions: %v, want seven of 201 and one of 400", got)
 		}
 		for i := 1; i <= 8; i++ {
-			c.await(fmt.Sprintf("j-%06d", i), wire.JobDone, 120*time.Second)
+			c.awaitStatus(fmt.Sprintf("j-%06d", i), wire.JobDone, 120*time.Second)
 		}
 		before := c.state.RejectedTxns()
 		time.Sleep(2 * time.Minute)
@@ -152,12 +152,12 @@
 	})
 }
 
-// TestLargerValuesStored lowers the limits where larger values are stored already: a
+// TestStoredValuesOverLimits lowers the limits where larger values are stored already: a
 // list of the machines that are up and a job's description. The list is divided, at no
 // moment does a machine stand in none; the job can be cancelled; also when the leader
 // ends in the midst, and when transactions get no answer.
-func TestLargerValuesStored(t *testing.T) {
-	isTxn := func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }
+func TestStoredValuesOverLimits(t *testing.T) {
+	isTxn := func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }
 	cases := []struct {
 		name  string
 		fault fake.Fault
@@ -176,7 +176,7 @@
 				c := newTunedCluster(t, 3, func(s *settings.Settings) {
 					s.Params.State = settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 12}
 					if told {
-						tellNext(s)
+						announceLimits(s)
 					}
 				})
 				defer c.close()
@@ -190,12 +190,12 @@
 					}
 				}
 				time.Sleep(25 * time.Second)
-				up := c.upMachines()
-				if len(up) < 100 || len(c.upLists()) != 1 {
-					t.Fatalf("%d machines in %d lists, want a hundred in one", len(up), len(c.upLists()))
+				up := c.listedMachines()
+				if len(up) < 100 || len(c.machineLists()) != 1 {
+					t.Fatalf("%d machines in %d lists, want a hundred in one", len(up), len(c.machineLists()))
 				}
 				told = true
-				c.state.SetLimits(lowered)
+				c.state.SetLimits(loweredLimits)
 				for i := range c.size {
 					c.kill(i)
 				}
@@ -203,10 +203,10 @@
 					c.start(i)
 				}
 				if tc.fault != 0 {
-					c.setFault(nth(2, tc.fault, isTxn))
+					c.setFault(everyNth(2, tc.fault, isTxn))
 				}
 				missing := func() (out []string) {
-					now := c.upMachines()
+					now := c.listedMachines()
 					for _, w := range c.cloud.Workers() {
 						if slices.Contains(up, w.ID) && !slices.Contains(now, w.ID) {
 							out = append(out, w.ID)
@@ -230,15 +230,15 @@
 				}
 				c.setFault(nil)
 				time.Sleep(5 * time.Second)
-				for key, value := range c.upLists() {
-					if n := wire.JSONSize(value); n > int(lowered.ValueKB*1024) {
+				for key, value := range c.machineLists() {
+					if n := wire.JSONSize(value); n > int(loweredLimits.ValueKB*1024) {
 						t.Errorf("%s still has %d bytes", key, n)
 					}
 				}
 				if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000002/abort", nil); code != http.StatusOK {
 					t.Errorf("the large job's cancellation: %d %s", code, s.Status)
 				}
-				c.await("j-000001", wire.JobDone, 4*time.Minute)
+				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 				if n := c.state.RejectedTxns(); n != 0 {
 					t.Errorf("%d transactions were refused for their size", n)
 				}
@@ -250,17 +250,17 @@
 	}
 }
 
-type storedUps struct {
+type storedMachineList struct {
 	Machines []string `json:"m"`
 }
 
-// upLists are the stored lists of machines that are up.
-func (c *cluster) upLists() map[string]storedUps {
-	out := map[string]storedUps{}
+// machineLists are the stored lists of machines that are up.
+func (c *cluster) machineLists() map[string]storedMachineList {
+	out := map[string]storedMachineList{}
 	for n := range 50 {
 		key := fmt.Sprintf("%s%d", replica.MachineListPrefix, n)
 		if e, ok := c.state.Get(key); ok {
-			var l storedUps
+			var l storedMachineList
 			if err := wire.Unmarshal(e.Value, &l); err != nil {
 				c.t.Fatal(err)
 			}
@@ -270,8 +270,8 @@
 	return out
 }
 
-func (c *cluster) upMachines() (ids []string) {
-	for _, l := range c.upLists() {
+func (c *cluster) listedMachines() (ids []string) {
+	for _, l := range c.machineLists() {
 		for _, entry := range l.Machines {
 			id, _, _ := strings.Cut(entry, " ")
 			ids = append(ids, id)
@@ -280,12 +280,12 @@
 	return ids
 }
 
-// TestNextToNothingFits has a state service that takes hardly any value: no catalog that
+// TestMinimalLimits has a state service that takes hardly any value: no catalog that
 // is new, no booking, no job. Who leads must take over all the same and use the machines
 // that are there, cancellations be stored, and what is refused must not come for ever.
-func TestNextToNothingFits(t *testing.T) {
+func TestMinimalLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newTunedCluster(t, 3, tellNext)
+		c := newTunedCluster(t, 3, announceLimits)
 		defer c.close()
 		c.cloud.RuntimeOf = func(task string) float64 {
 			if strings.HasPrefix(task, "j-000002/") {
@@ -294,7 +294,7 @@
 			return 5
 		}
 		c.submit("j-000001", 3)
-		c.await("j-000001", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		for i := range c.size {
 			c.kill(i)
 		}
@@ -330,7 +330,7 @@
 		}
 		c.leader()
 		time.Sleep(70 * time.Second)
-		if code, e, _ := c.why(0, spec.ID); code != http.StatusOK || e.Waiting == 0 || e.Waiting+e.Running != 40 {
+		if code, e, _ := c.explain(0, spec.ID); code != http.StatusOK || e.Waiting == 0 || e.Waiting+e.Running != 40 {
 			t.Errorf("the leader has not taken over: %d, %+v", code, e)
 		}
 		if code, _ := c.request(http.MethodPost, 1, "/v1/jobs", testJob("j-000003", 1)); code != http.StatusBadRequest {
--- a/lost_writes_test.go
+++ b/lost_writes_test.go
@@ -12,29 +12,29 @@
 	"caperlatch/internal/wire"
 )
 
-// TestLostAnswers has each kind of write carried out at once and only its answer lost,
+// TestDroppedResponses has each kind of write carried out at once and only its answer lost,
 // while all nodes read what it wrote: a repeat that fails for its condition may mean that
 // the first one was carried out.
-func TestLostAnswers(t *testing.T) {
+func TestDroppedResponses(t *testing.T) {
 	kinds := []struct {
 		name  string
 		match func(r *http.Request) bool
 	}{
-		{"intake", func(r *http.Request) bool { return contains(r, "c/j/") && contains(r, "pieces") }},
-		{"cancellations", func(r *http.Request) bool { return contains(r, "cancelled by its user") }},
-		{"ends", func(r *http.Request) bool { return contains(r, "all tasks done") }},
-		{"progress", func(r *http.Request) bool { return contains(r, "c/p/") }},
-		{"bookings", func(r *http.Request) bool { return contains(r, "c/b/") }},
-		{"lists of machines", func(r *http.Request) bool { return contains(r, "c/u/") }},
-		{"the leader key and the token", func(r *http.Request) bool { return contains(r, "c/token") }},
+		{"intake", func(r *http.Request) bool { return bodyContains(r, "c/j/") && bodyContains(r, "pieces") }},
+		{"cancellations", func(r *http.Request) bool { return bodyContains(r, "cancelled by its user") }},
+		{"ends", func(r *http.Request) bool { return bodyContains(r, "all tasks done") }},
+		{"progress", func(r *http.Request) bool { return bodyContains(r, "c/p/") }},
+		{"bookings", func(r *http.Request) bool { return bodyContains(r, "c/b/") }},
+		{"lists of machines", func(r *http.Request) bool { return bodyContains(r, "c/u/") }},
+		{"the leader key and the token", func(r *http.Request) bool { return bodyContains(r, "c/token") }},
 		{"holds", func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, "/holds") }},
 	}
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
-			meet(t, 3, func(c *cluster, cancel func()) {
-				var lost, seen tally
+			runUnderFault(t, 3, func(c *cluster, cancel func()) {
+				var lost, seen counter
 				fault := func(from string, r *http.Request) fake.Fault {
-					if isState(r) && k.match(r) && lost.add("lost")%3 != 0 {
+					if isStateRequest(r) && k.match(r) && lost.add("lost")%3 != 0 {
 						return fake.DroppedResponse
 					}
 					return fake.NoFault
@@ -42,11 +42,11 @@
 				c.setFault(fault)
 				look := func() {
 					var wg sync.WaitGroup
-					for id := range meetingTasks {
+					for id := range faultJobRuntimes {
 						if id != "j-000004" {
-							job := testJob(id, len(meetingTasks[id]))
+							job := testJob(id, len(faultJobRuntimes[id]))
 							job["expect_s"] = 200.0
-							wg.Go(func() { c.lookClosely(job, false, 100*time.Millisecond, &seen) })
+							wg.Go(func() { c.queryAllNodes(job, false, 100*time.Millisecond, &seen) })
 						}
 					}
 					wg.Wait()
@@ -54,19 +54,19 @@
 				c.submit("j-000010", 2) // after the fault was set
 				time.Sleep(6 * time.Second)
 				look()
-				c.back(c.leader()) // so that a leader key and sessions are among the writes
+				c.restartNodes(c.leader()) // so that a leader key and sessions are among the writes
 				time.Sleep(time.Second)
 				cancel()
 				for range 8 {
 					look()
 					time.Sleep(100 * time.Millisecond)
 				}
-				c.back(c.leader())
+				c.restartNodes(c.leader())
 				for range 10 {
 					time.Sleep(900 * time.Millisecond)
 					look()
 				}
-				if n := lost.of("lost"); n < 2 {
+				if n := lost.count("lost"); n < 2 {
 					c.t.Errorf("only %d such writes were seen", n)
 				}
 			})
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestLateOverNewer has a write get no answer and be carried out 9 s later, after newer
+// TestDelayedWriteAfterNewer has a write get no answer and be carried out 9 s later, after newer
 // ones of the same leader, with something decided in between that it would undo.
-func TestLateOverNewer(t *testing.T) {
-	late := func(c *cluster, count int, match func(*http.Request) bool) *tally {
-		var held tally
+func TestDelayedWriteAfterNewer(t *testing.T) {
+	late := func(c *cluster, count int, match func(*http.Request) bool) *counter {
+		var held counter
 		c.setFault(func(_ string, r *http.Request) fake.Fault {
 			if r.URL.Path == "/txn" && match(r) && held.add("late") <= count {
 				return fake.DelayedRequest
@@ -88,7 +88,7 @@
 		return &held
 	}
 	key := func(k string) func(*http.Request) bool {
-		return func(r *http.Request) bool { return contains(r, k) }
+		return func(r *http.Request) bool { return bodyContains(r, k) }
 	}
 	// nextMustKnow ends the leader while the machines that run a job cannot be reached.
 	nextMustKnow := func(c *cluster, id string) {
@@ -96,17 +96,17 @@
 		for _, w := range c.holders(id) {
 			ids[w.ID] = true
 		}
-		var cut tally
-		c.setFault(cutMachines(ids, &cut))
-		before := c.token()
-		c.back(c.leader())
-		c.ledAfter(before)
+		var cut counter
+		c.setFault(isolateMachines(ids, &cut))
+		before := c.fencingToken()
+		c.restartNodes(c.leader())
+		c.awaitLeaderAfter(before)
 		time.Sleep(4 * time.Second)
-		if cut.of("cut") == 0 || c.running(id) == 0 {
-			c.t.Errorf("%d messages were cut, %d tasks still ran", cut.of("cut"), c.running(id))
+		if cut.count("cut") == 0 || c.runningTasks(id) == 0 {
+			c.t.Errorf("%d messages were cut, %d tasks still ran", cut.count("cut"), c.runningTasks(id))
 		}
 		c.setFault(nil)
-		c.await(id, wire.JobDone, 4*time.Minute)
+		c.awaitStatus(id, wire.JobDone, 4*time.Minute)
 	}
 	long := func(id string) map[string]any {
 		job := testJob(id, 4)
@@ -115,9 +115,9 @@
 	}
 	cases := []struct {
 		name string
-		run  func(c *cluster) *tally
+		run  func(c *cluster) *counter
 	}{
-		{"a list of machines, after one that names more", func(c *cluster) *tally {
+		{"a list of machines, after one that names more", func(c *cluster) *counter {
 			held := late(c, 1, key("c/u/"))
 			c.runJob(long("j-000001"))
 			c.runJob(long("j-000002"))
@@ -125,53 +125,53 @@
 			nextMustKnow(c, "j-000002")
 			return held
 		}},
-		{"a booking, after one that names its machines", func(c *cluster) *tally {
+		{"a booking, after one that names its machines", func(c *cluster) *counter {
 			held := late(c, 1, key("c/b/"))
 			c.runJob(long("j-000001"))
 			time.Sleep(10 * time.Second)
 			nextMustKnow(c, "j-000001")
 			return held
 		}},
-		{"progress, after newer progress", func(c *cluster) *tally {
+		{"progress, after newer progress", func(c *cluster) *counter {
 			held := late(c, 1, key("c/p/"))
 			c.runJob(long("j-000001")) // its tasks end 4 s apart
 			time.Sleep(18 * time.Second)
-			c.back(c.leader())
-			c.await("j-000001", wire.JobDone, 2*time.Minute)
+			c.restartNodes(c.leader())
+			c.awaitStatus("j-000001", wire.JobDone, 2*time.Minute)
 			if n := c.cloud.Starts(); n != 4 {
 				c.t.Errorf("%d starts for 4 tasks", n)
 			}
 			return held
 		}},
-		{"a job's end, after its cancellation", func(c *cluster) *tally {
+		{"a job's end, after its cancellation", func(c *cluster) *counter {
 			held := late(c, 1000, key("all tasks done"))
 			c.submit("j-000003", 1)
-			for i := 0; held.of("late") == 0 && i < 600; i++ {
+			for i := 0; held.count("late") == 0 && i < 600; i++ {
 				time.Sleep(100 * time.Millisecond)
 			}
 			c.cancelJob("j-000003", 1)
 			time.Sleep(15 * time.Second)
-			c.answersAll([]string{"j-000003"})
-			c.await("j-000003", wire.JobCancelled, time.Second)
+			c.checkAnswers([]string{"j-000003"})
+			c.awaitStatus("j-000003", wire.JobCancelled, time.Second)
 			return held
 		}},
-		{"a cancellation, after the job's end", func(c *cluster) *tally {
+		{"a cancellation, after the job's end", func(c *cluster) *counter {
 			held := late(c, 1000, key("cancelled by its user"))
 			c.runJob(testJob("j-000003", 1))
 			if code, _ := c.request(http.MethodPost, 1, "/v1/jobs/j-000003/abort", nil); code == http.StatusOK {
 				c.t.Error("the cancellation was confirmed")
 			}
-			c.await("j-000003", wire.JobDone, 8*time.Second)
+			c.awaitStatus("j-000003", wire.JobDone, 8*time.Second)
 			time.Sleep(15 * time.Second)
-			c.answersAll([]string{"j-000003"})
+			c.checkAnswers([]string{"j-000003"})
 			return held
 		}},
-		{"an intake, after its repeat and the job's end", func(c *cluster) *tally {
+		{"an intake, after its repeat and the job's end", func(c *cluster) *counter {
 			held := late(c, 1, key("pieces"))
 			c.submit("j-000003", 1)
-			c.await("j-000003", wire.JobDone, 20*time.Second)
+			c.awaitStatus("j-000003", wire.JobDone, 20*time.Second)
 			time.Sleep(10 * time.Second)
-			c.answersAll([]string{"j-000003"})
+			c.checkAnswers([]string{"j-000003"})
 			return held
 		}},
 	}
@@ -190,10 +190,10 @@
 					return 50
 				}
 				time.Sleep(3 * time.Second)
-				if held := tc.run(c); held.of("late") == 0 {
+				if held := tc.run(c); held.count("late") == 0 {
 					t.Error("no such write was late")
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -18,31 +18,31 @@
 // Jobs of a meeting of troubles. Their tasks end far apart, so that ends lie on both
 // sides of whatever happens; the doomed ones are cancelled in its midst.
 var (
-	meetingTasks = map[string][]float64{
+	faultJobRuntimes = map[string][]float64{
 		"j-000001": {2, 25}, "j-000002": {3, 14, 40}, "j-000003": {8, 50}, "j-000004": {1, 20, 33},
 		"j-000005": {4, 4, 4, 4, 4, 4}, // of a team with a limit of four GuaranteedCPUs
 		"j-000006": {300, 300}, "j-000007": {300, 2, 300}, "j-000008": {300},
 	}
-	meetingDoomed = []string{"j-000006", "j-000007", "j-000008"}
+	cancelledJobs = []string{"j-000006", "j-000007", "j-000008"}
 )
 
-// meet has the jobs accepted, users ask every node about them all the time, and a
+// runUnderFault has the jobs accepted, users ask every node about them all the time, and a
 // trouble happen. In its midst users cancel the doomed ones. Afterwards the others must
 // be done, and no rule broken at any moment.
-func meet(t *testing.T, nodes int, trouble func(c *cluster, cancel func())) {
+func runUnderFault(t *testing.T, nodes int, trouble func(c *cluster, cancel func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, nodes)
 		defer c.close()
 		c.cloud.RuntimeOf = func(task string) float64 {
 			id, n, _ := strings.Cut(task, "/")
-			if tasks := meetingTasks[id]; tasks != nil {
+			if tasks := faultJobRuntimes[id]; tasks != nil {
 				return tasks[n[0]-'0']
 			}
 			return 5 // of a job that a case adds
 		}
 		submit := func(id string) {
-			job := testJob(id, len(meetingTasks[id]))
+			job := testJob(id, len(faultJobRuntimes[id]))
 			job["expect_s"] = 200.0 // for a fleet with room: a task that may start twice can
 			if id == "j-000005" {
 				job["desk"] = "small"
@@ -56,7 +56,7 @@
 			t.Errorf("%s was not accepted", id)
 		}
 		var ids []string
-		for i := range len(meetingTasks) {
+		for i := range len(faultJobRuntimes) {
 			ids = append(ids, fmt.Sprintf("j-%06d", i+1))
 		}
 		for _, id := range ids {
@@ -79,9 +79,9 @@
 					id = ids[n%9]
 				}
 				go c.request(http.MethodGet, n/9%nodes, "/v1/jobs/"+id, nil)
-				if c.troubled() > 0 || c.state.InOutage() {
-					for _, id := range meetingDoomed {
-						ran = max(ran, c.running(id))
+				if c.faultCount() > 0 || c.state.InOutage() {
+					for _, id := range cancelledJobs {
+						ran = max(ran, c.runningTasks(id))
 					}
 				}
 			}
@@ -90,7 +90,7 @@
 		trouble(c, func() {
 			go func() {
 				defer close(cancelled)
-				for _, id := range meetingDoomed {
+				for _, id := range cancelledJobs {
 					done := false
 					for try := 0; try < 90 && !done; try++ {
 						code, s := c.request(http.MethodPost, try%nodes, "/v1/jobs/"+id+"/abort", nil)
@@ -105,27 +105,27 @@
 		})
 		c.setFault(nil)
 		<-cancelled
-		go c.noneWaits(ids, over)
+		go c.checkProgress(ids, over)
 		submit("j-000004")
 		for _, id := range ids[:5] {
-			c.await(id, wire.JobDone, 3*time.Minute)
+			c.awaitStatus(id, wire.JobDone, 3*time.Minute)
 		}
 		close(over)
 		<-asked
 		if ran == 0 {
 			t.Error("no task of a job to be cancelled ran in the trouble")
 		}
-		time.Sleep(time.Duration(cancelS) * time.Second)
-		c.answersAll(ids)
+		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
+		c.checkAnswers(ids)
 		for _, rule := range c.rules.Violations() {
 			t.Error(rule)
 		}
 	})
 }
 
-// noneWaits sees to it, once the troubles are over, that no job waits for 90 s while a
+// checkProgress sees to it, once the troubles are over, that no job waits for 90 s while a
 // machine has room for a task of it and its team is under its limit.
-func (c *cluster) noneWaits(ids []string, over <-chan struct{}) {
+func (c *cluster) checkProgress(ids []string, over <-chan struct{}) {
 	waited := map[string]int{}
 	for n := 0; ; n++ {
 		select {
@@ -135,7 +135,7 @@
 		}
 		room := slices.ContainsFunc(c.cloud.Workers(), func(w *fake.Worker) bool { return len(w.Tasks()) < 4 })
 		for _, id := range ids {
-			if !room || !c.waits(id, n%c.size) {
+			if !room || !c.hasWaitingTasks(id, n%c.size) {
 				waited[id] = 0
 			} else if waited[id]++; waited[id] == 90 {
 				c.t.Errorf("%s waits beside a machine with room", id)
@@ -144,19 +144,19 @@
 	}
 }
 
-// waits tells whether a job has tasks that neither run nor are done, as a node says, though
+// hasWaitingTasks tells whether a job has tasks that neither run nor are done, as a node says, though
 // its team's limit leaves room for one.
-func (c *cluster) waits(id string, node int) bool {
-	on := c.running(id)
+func (c *cluster) hasWaitingTasks(id string, node int) bool {
+	on := c.runningTasks(id)
 	if id == "j-000005" && on >= 4 {
 		return false
 	}
 	_, s := c.request(http.MethodGet, node, "/v1/jobs/"+id, nil)
-	return s.Done != nil && *s.Done+on < len(meetingTasks[id])
+	return s.Done != nil && *s.Done+on < len(faultJobRuntimes[id])
 }
 
-// contains tells whether a request's body names a key.
-func contains(r *http.Request, key string) bool {
+// bodyContains tells whether a request's body names a key.
+func bodyContains(r *http.Request, key string) bool {
 	if r.GetBody == nil {
 		return false
 	}
@@ -168,8 +168,8 @@
 	return err == nil && bytes.Contains(b, []byte(key))
 }
 
-// TestMeetings has two troubles meet.
-func TestMeetings(t *testing.T) {
+// TestCombinedFaults has two troubles meet.
+func TestCombinedFaults(t *testing.T) {
 	isReport := func(r *http.Request) bool { return r.URL.Path == "/hello" }
 	isCommand := func(r *http.Request) bool { return r.URL.Path == "/commands" }
 	isTxn := func(r *http.Request) bool { return r.URL.Path == "/txn" }
@@ -197,7 +197,7 @@
 			c.setFault(every(2, fake.DroppedResponse, isTxn))
 			for range 4 {
 				time.Sleep(6 * time.Second)
-				c.back(c.leader())
+				c.restartNodes(c.leader())
 			}
 			cancel()
 			time.Sleep(5 * time.Second)
@@ -206,7 +206,7 @@
 			time.Sleep(8 * time.Second)
 			prefix := fmt.Sprintf("host-%d/", c.leader())
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if strings.HasPrefix(from, prefix) && isState(r) {
+				if strings.HasPrefix(from, prefix) && isStateRequest(r) {
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
@@ -215,33 +215,33 @@
 			cancel()
 			time.Sleep(2 * time.Second)
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
-				if isState(r) {
+				if isStateRequest(r) {
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
 			})
-			time.Sleep(time.Duration(cancelS+10) * time.Second)
+			time.Sleep(time.Duration(cancellationTimeoutS+10) * time.Second)
 		}},
 		{"the same, with an outage in which nobody's hold ends", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			cancel()
 			time.Sleep(time.Second)
 			c.state.SetOutage(true)
-			time.Sleep(time.Duration(cancelS+10) * time.Second)
+			time.Sleep(time.Duration(cancellationTimeoutS+10) * time.Second)
 			c.state.SetOutage(false)
 		}},
 		{"the state service is slow and loses answers while users cancel", 3, func(c *cluster, cancel func()) {
 			time.Sleep(6 * time.Second)
-			c.setFault(every(3, fake.DroppedResponse, isState))
+			c.setFault(every(3, fake.DroppedResponse, isStateRequest))
 			cancel()
 			time.Sleep(40 * time.Second)
 		}},
 		{"the state service is slow while users cancel and ask", 3, func(c *cluster, cancel func()) {
-			c.setFault(every(1, fake.HighLatency, isState))
+			c.setFault(every(1, fake.HighLatency, isStateRequest))
 			time.Sleep(12 * time.Second)
 			cancel()
 			time.Sleep(20 * time.Second)
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(10 * time.Second)
 		}},
 		{"a leader is cut from state service and peers, not from workers and users", 5, func(c *cluster, cancel func()) {
@@ -249,7 +249,7 @@
 			member := fmt.Sprintf("host-%d", c.leader())
 			c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if strings.HasPrefix(from, member+"/") && isState(r) {
+				if strings.HasPrefix(from, member+"/") && isStateRequest(r) {
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
@@ -284,7 +284,7 @@
 				}
 				return fake.NoFault
 			})
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			cancel()
 			time.Sleep(20 * time.Second)
 		}},
@@ -293,7 +293,7 @@
 			time.Sleep(8 * time.Second)
 			cancel()
 			for range 3 {
-				c.back(c.leader())
+				c.restartNodes(c.leader())
 				time.Sleep(9 * time.Second)
 			}
 		}},
@@ -306,7 +306,7 @@
 				}
 				return fake.NoFault
 			})
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(20 * time.Second)
 			cancel()
 		}},
@@ -314,30 +314,30 @@
 			c.setFault(every(3, fake.DelayedRequest, isReport))
 			time.Sleep(10 * time.Second)
 			cancel()
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(20 * time.Second)
 		}},
 		{"commands are held up, and so are their answers", 5, func(c *cluster, cancel func()) {
 			c.setFault(every(1, fake.DelayedRequest, isCommand))
 			time.Sleep(8 * time.Second)
 			cancel()
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(4 * time.Second)
 			c.setFault(every(1, fake.DroppedResponse, isCommand))
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(15 * time.Second)
 		}},
 		{"rentals and returns are carried out late", 3, func(c *cluster, cancel func()) {
 			c.setFault(every(2, fake.DelayedRequest, func(r *http.Request) bool { return r.URL.Host == "cloud" && r.Method == http.MethodPost }))
 			time.Sleep(12 * time.Second)
 			cancel()
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(30 * time.Second)
 		}},
 		{"handing over and back, all end, one returns within a second", 5, func(c *cluster, cancel func()) {
 			time.Sleep(7 * time.Second)
 			for range 3 {
-				c.back(c.leader())
+				c.restartNodes(c.leader())
 				time.Sleep(1300 * time.Millisecond)
 			}
 			for i := range 5 {
@@ -354,7 +354,7 @@
 		}},
 		{"half of the machines reach no node, while commands reach them", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
-			var mute tally
+			var mute counter
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if half(from) {
 					mute.add("report")
@@ -365,11 +365,11 @@
 				}
 				return fake.NoFault
 			})
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			cancel()
 			time.Sleep(20 * time.Second)
-			if mute.of("report") == 0 || mute.of("command") == 0 {
-				c.t.Errorf("met %v", mute.n)
+			if mute.count("report") == 0 || mute.count("command") == 0 {
+				c.t.Errorf("met %v", mute.counts)
 			}
 		}},
 		{"machines hang with commands on their way, and the leader changes", 5, func(c *cluster, cancel func()) {
@@ -381,7 +381,7 @@
 			}
 			cancel()
 			time.Sleep(time.Second)
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(15 * time.Second)
 			if ran == 0 {
 				c.t.Error("nothing ran on the machines that hung")
@@ -393,7 +393,7 @@
 			for i := range 3 {
 				c.kill(i)
 			}
-			time.Sleep(time.Duration(leaseS+3) * time.Second)
+			time.Sleep(time.Duration(leaseDurationS+3) * time.Second)
 			if on := len(c.cloud.TasksOnMachines()); ran == 0 || on > 0 {
 				c.t.Errorf("%d tasks ran, and %d after lease_s without nodes", ran, on)
 			}
@@ -401,8 +401,8 @@
 				c.start(i)
 			}
 			// One is cancelled as the nodes return, the others once they run anew.
-			c.cancelJob(meetingDoomed[0], 0)
-			for try := 0; c.running(meetingDoomed[1]) == 0 || c.running(meetingDoomed[2]) == 0; try++ {
+			c.cancelJob(cancelledJobs[0], 0)
+			for try := 0; c.runningTasks(cancelledJobs[1]) == 0 || c.runningTasks(cancelledJobs[2]) == 0; try++ {
 				if try == 300 {
 					c.t.Errorf("jobs to be cancelled do not run anew: %v", c.cloud.TasksOnMachines())
 					break
@@ -414,7 +414,7 @@
 		}},
 		{"leaders change ten times in two minutes, also inside an outage", 5, func(c *cluster, cancel func()) {
 			time.Sleep(6 * time.Second)
-			first := c.token()
+			first := c.fencingToken()
 			for n := range 11 {
 				switch n {
 				case 4:
@@ -423,10 +423,10 @@
 				case 6:
 					c.state.SetOutage(false)
 				}
-				c.back(c.leader())
+				c.restartNodes(c.leader())
 				time.Sleep(9 * time.Second)
 			}
-			if n := c.token() - first; n < 9 {
+			if n := c.fencingToken() - first; n < 9 {
 				c.t.Errorf("only %d changes", n)
 			}
 		}},
@@ -454,11 +454,11 @@
 				c.t.Errorf("%d tasks ran where %d have room", on, room)
 			}
 			cancel()
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			time.Sleep(20 * time.Second)
 			c.setFault(nil)
 			for n := range 6 {
-				c.await(fmt.Sprintf("j-10000%d", n), wire.JobDone, 3*time.Minute)
+				c.awaitStatus(fmt.Sprintf("j-10000%d", n), wire.JobDone, 3*time.Minute)
 			}
 			c.cloud.MaxMachines = 0
 		}},
@@ -471,29 +471,29 @@
 			cancel()
 			for n := range 4 {
 				i := c.leader()
-				c.back(i, (i+1+n)%5)
+				c.restartNodes(i, (i+1+n)%5)
 				time.Sleep(7 * time.Second)
 			}
 		}},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { meet(t, tc.nodes, tc.trouble) })
+		t.Run(tc.name, func(t *testing.T) { runUnderFault(t, tc.nodes, tc.trouble) })
 	}
 }
 
-// TestLateWrites has each kind of write get no answer and be carried out 2 to 12 s
+// TestDelayedWrites has each kind of write get no answer and be carried out 2 to 12 s
 // later, after newer ones, also of a leader that ended meanwhile.
-func TestLateWrites(t *testing.T) {
+func TestDelayedWrites(t *testing.T) {
 	kinds := []struct{ name, key string }{
 		{"jobs: intake, cancellations and ends", "c/j/"}, {"progress", "c/p/"}, {"bookings", "c/b/"}, {"lists of machines", "c/u/"},
 		{"the leader key and the token", "c/token"}, {"the staffing record", "c/staffing"}, {"holds", ""},
 	}
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
-			meet(t, 3, func(c *cluster, cancel func()) {
+			runUnderFault(t, 3, func(c *cluster, cancel func()) {
 				count := 0
 				c.setFault(func(from string, r *http.Request) fake.Fault {
-					if k.key != "" && r.URL.Path == "/txn" && contains(r, k.key) || k.key == "" && strings.HasPrefix(r.URL.Path, "/holds") {
+					if k.key != "" && r.URL.Path == "/txn" && bodyContains(r, k.key) || k.key == "" && strings.HasPrefix(r.URL.Path, "/holds") {
 						if count++; count%3 != 0 {
 							return fake.DelayedRequest
 						}
@@ -502,9 +502,9 @@
 				})
 				time.Sleep(10 * time.Second)
 				cancel()
-				c.back(c.leader())
+				c.restartNodes(c.leader())
 				time.Sleep(15 * time.Second)
-				c.back(c.leader())
+				c.restartNodes(c.leader())
 				time.Sleep(15 * time.Second)
 				if count < 3 {
 					c.t.Errorf("only %d such writes were seen", count)
--- a/membership_process_test.go
+++ b/membership_process_test.go
@@ -27,9 +27,9 @@
 
 // Times of measuring.
 const (
-	membersPoll  = 20 * time.Millisecond
-	shortFreeze  = time.Second // too short for a suspicion
-	settledAfter = 2 * time.Second
+	membersPollInterval = 20 * time.Millisecond
+	shortFreeze         = time.Second // too short for a suspicion
+	settlePause         = 2 * time.Second
 )
 
 // TestDetectionTimes ends and freezes nodes of real processes on loopback at random moments while
@@ -65,20 +65,20 @@
 
 // measure measures some failures.
 func (r *detectionRun) measure(failures int) (verdicts []detection.Verdict) {
-	defer r.end()
+	defer r.close()
 	r.Args = []string{"--features", "deploy/membership.xml"}
 	for i := range r.size {
 		r.run(i, r.program)
 	}
 	r.leader()
-	time.Sleep(settledAfter)
+	time.Sleep(settlePause)
 	for n := range failures {
 		id := fmt.Sprintf("j-%06d", n+1)
 		r.submit(id, 8)
 		verdicts = append(verdicts, r.fail(n)...)
-		r.await(id, "done", time.Minute)
+		r.awaitStatus(id, "done", time.Minute)
 	}
-	r.broken()
+	r.checkRules()
 	return verdicts
 }
 
@@ -96,15 +96,15 @@
 		r.signal(node, syscall.SIGSTOP)
 		time.Sleep(shortFreeze)
 		r.signal(node, syscall.SIGCONT)
-		r.allAlive(node, 0)
+		r.awaitAlive(node, 0)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if cause == failover.Frozen {
 		r.signal(node, syscall.SIGSTOP)
 	} else {
 		r.kill(node)
 	}
-	verdicts = r.observe(node, begun)
+	verdicts = r.observe(node, startedAt)
 	for i := range verdicts {
 		verdicts[i].Nodes, verdicts[i].Cause, verdicts[i].Leader = r.size, cause, node == leader
 	}
@@ -113,7 +113,7 @@
 	} else {
 		r.run(node, r.program)
 	}
-	r.allAlive(node, verdictWithin)
+	r.awaitAlive(node, detectionTimeout)
 	return verdicts
 }
 
@@ -123,27 +123,27 @@
 }
 
 // observe waits until all others have confirmed that a node failed.
-func (r *detectionRun) observe(node int, begun time.Time) (verdicts []detection.Verdict) {
+func (r *detectionRun) observe(node int, startedAt time.Time) (verdicts []detection.Verdict) {
 	seen := map[int]*detection.Verdict{}
-	for time.Since(begun) < verdictWithin && len(verdicts) < r.size-1 {
+	for time.Since(startedAt) < detectionTimeout && len(verdicts) < r.size-1 {
 		for i := range r.size {
 			if i != node && (seen[i] == nil || seen[i].Confirmed == 0) {
-				r.look(i, node, begun, seen)
+				r.observeNode(i, node, startedAt, seen)
 				if v := seen[i]; v != nil && v.Confirmed != 0 {
 					verdicts = append(verdicts, *v)
 				}
 			}
 		}
-		time.Sleep(membersPoll)
+		time.Sleep(membersPollInterval)
 	}
 	if len(verdicts) < r.size-1 {
-		r.t.Errorf("host-%d: %d nodes have confirmed its failure within %v", node, len(verdicts), verdictWithin)
+		r.t.Errorf("host-%d: %d nodes have confirmed its failure within %v", node, len(verdicts), detectionTimeout)
 	}
 	return verdicts
 }
 
-// look asks one node what it thinks of the one that failed; no other may have failed to it.
-func (r *detectionRun) look(by, node int, begun time.Time, seen map[int]*detection.Verdict) {
+// observeNode asks one node what it thinks of the one that failed; no other may have failed to it.
+func (r *detectionRun) observeNode(by, node int, startedAt time.Time, seen map[int]*detection.Verdict) {
 	status, err := r.members(by)
 	if err != nil {
 		return // it is asked again
@@ -158,30 +158,30 @@
 			continue
 		}
 		if seen[by] == nil {
-			seen[by] = &detection.Verdict{Suspected: since(begun)}
+			seen[by] = &detection.Verdict{Suspected: microsSince(startedAt)}
 		}
 		if m.State == membership.Failed {
-			seen[by].Confirmed = since(begun)
+			seen[by].Confirmed = microsSince(startedAt)
 		}
 	}
 }
 
-// allAlive waits until all nodes find a node alive, and it them.
-func (r *detectionRun) allAlive(node int, within time.Duration) {
-	for begun := time.Now(); ; time.Sleep(membersPoll) {
-		doubted := r.doubted(node)
+// awaitAlive waits until all nodes find a node alive, and it them.
+func (r *detectionRun) awaitAlive(node int, within time.Duration) {
+	for startedAt := time.Now(); ; time.Sleep(membersPollInterval) {
+		doubted := r.checkAlive(node)
 		if doubted == nil {
 			return
 		}
-		if time.Since(begun) >= within {
+		if time.Since(startedAt) >= within {
 			r.t.Errorf("host-%d: %v", node, doubted)
 			return
 		}
 	}
 }
 
-// doubted tells who does not find a node alive, or whom it does not.
-func (r *detectionRun) doubted(node int) error {
+// checkAlive tells who does not find a node alive, or whom it does not.
+func (r *detectionRun) checkAlive(node int) error {
 	for i := range r.size {
 		status, err := r.members(i)
 		if err != nil {
--- a/membership_test.go
+++ b/membership_test.go
@@ -15,9 +15,9 @@
 
 // Bounds of verdicts on nodes.
 const (
-	verdictWithin = 10 * time.Second // of a real failure
-	aliveWithin   = 3 * time.Second  // after it is over
-	pathLag       = 2 * time.Second  // that a path may have
+	detectionTimeout = 10 * time.Second // of a real failure
+	recoveryTimeout  = 3 * time.Second  // after it is over
+	maxPathLatency   = 2 * time.Second  // that a path may have
 )
 
 // memberCluster is a cluster whose nodes watch each other.
@@ -25,8 +25,8 @@
 	*cluster
 }
 
-// are tells which of the others thinks otherwise of a node.
-func (c *memberCluster) are(of int, want membership.State) error {
+// checkState tells which of the others thinks otherwise of a node.
+func (c *memberCluster) checkState(of int, want membership.State) error {
 	for i, n := range c.nodes {
 		status, err := n.Members()
 		if err != nil && !c.without[i] {
@@ -41,11 +41,11 @@
 	return nil
 }
 
-// reach waits until all others think so of a node.
-func (c *memberCluster) reach(within time.Duration, of int, want membership.State) {
+// awaitState waits until all others think so of a node.
+func (c *memberCluster) awaitState(within time.Duration, of int, want membership.State) {
 	c.t.Helper()
-	err := c.are(of, want)
-	for begun := time.Now(); err != nil && time.Since(begun) < within; err = c.are(of, want) {
+	err := c.checkState(of, want)
+	for startedAt := time.Now(); err != nil && time.Since(startedAt) < within; err = c.checkState(of, want) {
 		time.Sleep(100 * time.Millisecond)
 	}
 	if err != nil {
@@ -53,26 +53,26 @@
 	}
 }
 
-// stay expects that all others think so of a node after half a minute.
-func (c *memberCluster) stay(of int, want membership.State) {
+// checkStateStays expects that all others think so of a node after half a minute.
+func (c *memberCluster) checkStateStays(of int, want membership.State) {
 	c.t.Helper()
 	time.Sleep(30 * time.Second)
-	if err := c.are(of, want); err != nil {
+	if err := c.checkState(of, want); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// fails ends a node, and starts it again once all others have found it failed.
-func (c *memberCluster) fails(node int) {
+// crashAndRecover ends a node, and starts it again once all others have found it failed.
+func (c *memberCluster) crashAndRecover(node int) {
 	c.t.Helper()
 	c.kill(node)
-	c.reach(verdictWithin, node, membership.Failed)
+	c.awaitState(detectionTimeout, node, membership.Failed)
 	c.start(node)
-	c.reach(aliveWithin, node, membership.Alive)
+	c.awaitState(recoveryTimeout, node, membership.Alive)
 }
 
-// never expects for a while that no node came to a verdict on another.
-func (c *memberCluster) never(during time.Duration) {
+// checkNoFailures expects for a while that no node came to a verdict on another.
+func (c *memberCluster) checkNoFailures(during time.Duration) {
 	c.t.Helper()
 	time.Sleep(during)
 	for i, n := range c.nodes {
@@ -85,105 +85,105 @@
 // follower is a node that does not lead.
 func (c *memberCluster) follower() int { return (c.leader() + 1) % c.size }
 
-// refuses cuts one node off from the state service.
-func (c *memberCluster) refuses(node int) {
+// refuseState cuts one node off from the state service.
+func (c *memberCluster) refuseState(node int) {
 	c.setFault(func(from string, r *http.Request) fake.Fault {
-		if isState(r) && fromNode(from, node) {
+		if isStateRequest(r) && isFromNode(from, node) {
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
 	})
 }
 
-// TestMembers has controllers fail, freeze out, leave and come back while jobs run, under the
+// TestMembership has controllers fail, freeze out, leave and come back while jobs run, under the
 // checker of rules.
-func TestMembers(t *testing.T) {
+func TestMembership(t *testing.T) {
 	cases := []struct {
 		name string
 		play func(*memberCluster)
 	}{
-		{"a follower crashes and comes back", func(c *memberCluster) { c.fails(c.follower()) }},
-		{"the leader crashes and comes back", func(c *memberCluster) { c.fails(c.leader()) }},
+		{"a follower crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.follower()) }},
+		{"the leader crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.leader()) }},
 		{"the leader restarts at once, again and again", func(c *memberCluster) {
 			for range 5 {
 				leader := c.leader()
 				c.kill(leader)
 				time.Sleep(300 * time.Millisecond)
 				c.start(leader)
-				c.never(4 * time.Second)
+				c.checkNoFailures(4 * time.Second)
 			}
 		}},
 		{"the leader's paths to all nodes are cut, its session lives", func(c *memberCluster) {
 			leader := c.leader()
-			c.cutPeers(leader)
-			c.reach(verdictWithin, leader, membership.Suspected)
-			c.stay(leader, membership.Suspected)
+			c.partitionPeer(leader)
+			c.awaitState(detectionTimeout, leader, membership.Suspected)
+			c.checkStateStays(leader, membership.Suspected)
 			if c.leader() != leader {
 				c.t.Error("another leads")
 			}
 			c.healPeers()
-			c.reach(aliveWithin, leader, membership.Alive)
+			c.awaitState(recoveryTimeout, leader, membership.Alive)
 		}},
 		{"a node is cut off from all", func(c *memberCluster) {
 			cut := c.follower()
-			c.cutPeers(cut)
-			c.refuses(cut)
-			c.reach(verdictWithin, cut, membership.Failed)
-			c.stay(cut, membership.Failed)
+			c.partitionPeer(cut)
+			c.refuseState(cut)
+			c.awaitState(detectionTimeout, cut, membership.Failed)
+			c.checkStateStays(cut, membership.Failed)
 			if status, err := c.nodes[cut].Members(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
 				c.t.Errorf("what is cut off gives a verdict: %v, %+v", err, status)
 			}
 			c.setFault(nil)
 			c.healPeers()
 			for i := range c.size {
-				c.reach(aliveWithin, i, membership.Alive)
+				c.awaitState(recoveryTimeout, i, membership.Alive)
 			}
 		}},
 		{"two nodes don't hear each other", func(c *memberCluster) {
 			c.pipes.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
-			c.never(time.Minute)
+			c.checkNoFailures(time.Minute)
 		}},
 		{"the state service refuses one node", func(c *memberCluster) {
-			c.refuses(c.follower())
-			c.never(time.Minute)
+			c.refuseState(c.follower())
+			c.checkNoFailures(time.Minute)
 		}},
 		{"the state service is down, and a node crashes", func(c *memberCluster) {
 			down := c.follower()
-			c.setFault(nth(1, fake.ServiceUnavailable, isState))
-			c.never(20 * time.Second)
+			c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
+			c.checkNoFailures(20 * time.Second)
 			c.kill(down)
-			c.reach(verdictWithin, down, membership.Failed)
+			c.awaitState(detectionTimeout, down, membership.Failed)
 			c.setFault(nil)
 			c.start(down)
-			c.reach(aliveWithin, down, membership.Alive)
+			c.awaitState(recoveryTimeout, down, membership.Alive)
 		}},
 		{"a node says that it ends", func(c *memberCluster) {
 			leaves := c.follower()
 			c.nodes[leaves].Leave()
 			c.kill(leaves)
-			c.reach(time.Second, leaves, membership.Left)
-			c.stay(leaves, membership.Left)
+			c.awaitState(time.Second, leaves, membership.Left)
+			c.checkStateStays(leaves, membership.Left)
 			c.start(leaves)
-			c.reach(aliveWithin, leaves, membership.Alive)
+			c.awaitState(recoveryTimeout, leaves, membership.Alive)
 		}},
 		{"a node without membership crashes and comes back", func(c *memberCluster) {
 			without := c.follower()
 			c.without = map[int]bool{without: true}
-			c.back(without)
-			c.reach(aliveWithin, without, membership.Alive)
-			c.stay(without, membership.Alive)
-			c.fails(without)
+			c.restartNodes(without)
+			c.awaitState(recoveryTimeout, without, membership.Alive)
+			c.checkStateStays(without, membership.Alive)
+			c.crashAndRecover(without)
 		}},
 		{"all paths are slow and jittering", func(c *memberCluster) {
 			random := rand.New(rand.NewPCG(uint64(c.size), 32))
 			c.pipes.SetLatency(func(string, string) time.Duration {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				return time.Duration(random.Int64N(int64(pathLag)))
+				return time.Duration(random.Int64N(int64(maxPathLatency)))
 			})
 			c.pipes.SetPartition(func(string, string) bool { return true }) // all streams are opened anew
 			c.healPeers()
-			c.never(10 * time.Minute)
+			c.checkNoFailures(10 * time.Minute)
 			slow := 0
 			for range 60 { // single messages may be fast
 				status, err := c.nodes[0].Members()
@@ -208,8 +208,8 @@
 					time.Sleep(3 * time.Second)
 					c.submit("j-000001", 20)
 					tc.play(c)
-					c.await("j-000001", "done", 2*time.Minute)
-					c.broken()
+					c.awaitStatus("j-000001", "done", 2*time.Minute)
+					c.checkRules()
 				})
 			})
 		}
--- a/node_test.go
+++ b/node_test.go
@@ -12,10 +12,10 @@
 	"caperlatch/internal/wire"
 )
 
-// TestNodes runs whole clusters through failures. In each case three jobs of
+// TestSingleFaults runs whole clusters through failures. In each case three jobs of
 // five tasks are accepted before or during the trouble and must be done after
 // it, with no task on two machines at a time.
-func TestNodes(t *testing.T) {
+func TestSingleFaults(t *testing.T) {
 	cases := []struct {
 		name    string
 		trouble func(c *cluster)
@@ -48,16 +48,16 @@
 		}},
 		// What gets no answer may have been done.
 		{"answers of the state service are lost", func(c *cluster) {
-			c.setFault(nth(4, fake.DroppedResponse, isState))
+			c.setFault(everyNth(4, fake.DroppedResponse, isStateRequest))
 			time.Sleep(20 * time.Second)
 		}},
 		// What got no answer may be done later, after newer writes.
 		{"transactions are applied late", func(c *cluster) {
-			c.setFault(nth(3, fake.DelayedRequest, func(r *http.Request) bool { return isState(r) && r.URL.Path == "/txn" }))
+			c.setFault(everyNth(3, fake.DelayedRequest, func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }))
 			time.Sleep(25 * time.Second)
 		}},
 		{"rentals are answered late", func(c *cluster) {
-			c.setFault(nth(2, fake.DelayedRequest, func(r *http.Request) bool { return r.URL.Path == "/hosts" && r.Method == http.MethodPost }))
+			c.setFault(everyNth(2, fake.DelayedRequest, func(r *http.Request) bool { return r.URL.Path == "/hosts" && r.Method == http.MethodPost }))
 			time.Sleep(20 * time.Second)
 		}},
 		{"the state service is down", func(c *cluster) {
@@ -69,7 +69,7 @@
 		// Not an outage: the sessions run out meanwhile.
 		{"the state service refuses every node", func(c *cluster) {
 			time.Sleep(4 * time.Second)
-			c.setFault(nth(1, fake.ServiceUnavailable, isState))
+			c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
 			time.Sleep(20 * time.Second)
 		}},
 		// The old leader is cut off while the others elect a new one.
@@ -77,7 +77,7 @@
 			prefix := fmt.Sprintf("host-%d/", c.leader())
 			time.Sleep(2 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if strings.HasPrefix(from, prefix) && isState(r) {
+				if strings.HasPrefix(from, prefix) && isStateRequest(r) {
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
@@ -111,7 +111,7 @@
 				return fake.NoFault
 			})
 			for i := 1; i <= 3; i++ {
-				c.await(fmt.Sprintf("j-%06d", min(i, 2)), wire.JobDone, 90*time.Second)
+				c.awaitStatus(fmt.Sprintf("j-%06d", min(i, 2)), wire.JobDone, 90*time.Second)
 			}
 		}},
 		{"a machine's reports are lost", func(c *cluster) {
@@ -141,13 +141,13 @@
 		}},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { throughTrouble(t, 3, tc.trouble) })
+		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 3, tc.trouble) })
 	}
 }
 
-// TestFiveNodes has troubles of a grown deployment: several of five nodes at once,
+// TestFiveNodeFaults has troubles of a grown deployment: several of five nodes at once,
 // elections broken off, copies of messages that come well over a lease late.
-func TestFiveNodes(t *testing.T) {
+func TestFiveNodeFaults(t *testing.T) {
 	copies := func(c *cluster, every int, match func(from string, r *http.Request) bool) {
 		count := 0
 		c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -180,9 +180,9 @@
 			time.Sleep(2 * time.Second)
 			for range 6 {
 				i := c.leader()
-				c.back(i, (i+1)%5)
+				c.restartNodes(i, (i+1)%5)
 				time.Sleep(700 * time.Millisecond)
-				c.back((i+2)%5, (i+3)%5)
+				c.restartNodes((i+2)%5, (i+3)%5)
 				time.Sleep(time.Second)
 			}
 		}},
@@ -193,7 +193,7 @@
 			time.Sleep(2 * time.Second)
 			for range 4 {
 				i := c.leader()
-				c.back(i, (i+1)%5)
+				c.restartNodes(i, (i+1)%5)
 				time.Sleep(1500 * time.Millisecond)
 			}
 			time.Sleep(20 * time.Second)
@@ -254,19 +254,19 @@
 				return fake.NoFault
 			})
 			for i := 1; i <= 2; i++ { // served by others while it lasts
-				c.await(fmt.Sprintf("j-%06d", i), wire.JobDone, 90*time.Second)
+				c.awaitStatus(fmt.Sprintf("j-%06d", i), wire.JobDone, 90*time.Second)
 			}
 		}},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { throughTrouble(t, 5, tc.trouble) })
+		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 5, tc.trouble) })
 	}
 }
 
-// TestCutLeader has the leader, or a follower, lose the state service and all other
+// TestPartitionedNode has the leader, or a follower, lose the state service and all other
 // nodes but not its workers. A job is cancelled elsewhere: its tasks are gone in
 // time although the node cannot know, and the workers find another node.
-func TestCutLeader(t *testing.T) {
+func TestPartitionedNode(t *testing.T) {
 	for _, who := range []string{"leader", "follower", "leader, and no worker reaches another node"} {
 		t.Run(who, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -294,7 +294,7 @@
 				c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					switch {
-					case strings.HasPrefix(from, member+"/") && isState(r), r.URL.Host == "cloud": // no return helps either
+					case strings.HasPrefix(from, member+"/") && isStateRequest(r), r.URL.Host == "cloud": // no return helps either
 						return fake.DroppedRequest
 					case strings.HasPrefix(from, "i-") && r.URL.Host != member+":8080" && strings.HasSuffix(who, "another node"):
 						return fake.ServiceUnavailable
@@ -310,7 +310,7 @@
 				if code != http.StatusOK {
 					t.Fatalf("abort answered %d", code)
 				}
-				time.Sleep(time.Duration(cancelS) * time.Second)
+				time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 				if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 					t.Errorf("still on machines: %v", on)
 				}
@@ -322,7 +322,7 @@
 				}
 				// The cut lasts; others serve the workers.
 				c.setFault(func(from string, r *http.Request) fake.Fault {
-					if strings.HasPrefix(from, member+"/") && isState(r) {
+					if strings.HasPrefix(from, member+"/") && isStateRequest(r) {
 						return fake.DroppedRequest
 					}
 					return fake.NoFault
@@ -347,9 +347,9 @@
 	}
 }
 
-// TestOutagePlacing has the state service away for everyone: on the peers' answers
+// TestPlacementDuringOutage has the state service away for everyone: on the peers' answers
 // the leader goes on placing tasks of known jobs.
-func TestOutagePlacing(t *testing.T) {
+func TestPlacementDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -365,15 +365,15 @@
 			t.Errorf("%d tasks were started before and %d after", before, after)
 		}
 		c.state.SetOutage(false)
-		c.await("j-000001", wire.JobDone, 3*time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, 3*time.Minute)
 		if broken := c.cloud.Violations(); broken != nil {
 			t.Error(broken)
 		}
 	})
 }
 
-// throughTrouble has three jobs of five tasks accepted before and after a trouble.
-func throughTrouble(t *testing.T, nodes int, trouble func(*cluster)) {
+// runThroughFault has three jobs of five tasks accepted before and after a trouble.
+func runThroughFault(t *testing.T, nodes int, trouble func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, nodes)
 		defer c.close()
@@ -384,9 +384,9 @@
 		c.setFault(nil)
 		c.submit(ids[2], 5)
 		for _, id := range ids {
-			c.await(id, wire.JobDone, 90*time.Second)
+			c.awaitStatus(id, wire.JobDone, 90*time.Second)
 		}
-		c.answersAll(ids)
+		c.checkAnswers(ids)
 		if broken := c.cloud.Violations(); broken != nil {
 			t.Error(broken)
 		}
--- a/placing_test.go
+++ b/placing_test.go
@@ -14,20 +14,20 @@
 	"caperlatch/internal/wire"
 )
 
-// TestOrdinaryOnly has a job that may not use spot machines come to a fleet of
+// TestOnDemandOnly has a job that may not use spot machines come to a fleet of
 // idle spot machines: it must get an ordinary one, not starve beside them.
-func TestOrdinaryOnly(t *testing.T) {
+func TestOnDemandOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
 		c.submit("j-000001", 4)
-		c.await("j-000001", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		job := testJob("j-000002", 2)
 		job["standby"] = false
 		if code, _ := c.request(http.MethodPost, 0, "/v1/jobs", job); code != http.StatusCreated {
 			t.Fatalf("submission answered %d", code)
 		}
-		c.await("j-000002", wire.JobDone, 2*time.Minute)
+		c.awaitStatus("j-000002", wire.JobDone, 2*time.Minute)
 	})
 }
 
@@ -49,17 +49,17 @@
 			own := slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, "j-000001/") })
 			most = max(most, len(own))
 		}
-		c.await("j-000001", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		if most > 4 {
 			t.Errorf("%d tasks of a team with a limit of 4 at once", most)
 		}
 	})
 }
 
-// TestFullTeams has a team at its limit whose job is cancelled while its machines cannot
+// TestTeamLimitAcrossFailover has a team at its limit whose job is cancelled while its machines cannot
 // be reached, or hang, and the leader changes, once and again. The team's next job waits
 // until what may still run there is surely gone.
-func TestFullTeams(t *testing.T) {
+func TestTeamLimitAcrossFailover(t *testing.T) {
 	cases := []struct {
 		name    string
 		hang    bool // else cut off
@@ -94,64 +94,64 @@
 				for _, w := range c.holders("j-000001") {
 					ids[w.ID] = true
 				}
-				var cut tally
+				var cut counter
 				stillOn := 0
 				if tc.hang {
-					c.setFault(cutMachines(nil, &cut))
+					c.setFault(isolateMachines(nil, &cut))
 					for _, w := range c.holders("j-000001") {
 						w.Hang(7 * time.Second)
 					}
 				} else {
-					c.setFault(cutMachines(ids, &cut))
+					c.setFault(isolateMachines(ids, &cut))
 				}
 				if tc.before {
 					c.cancelJob("j-000001", 0)
 				}
 				for i, pause := range tc.changes {
 					time.Sleep(pause)
-					before := c.token()
-					c.back(c.leader())
+					before := c.fencingToken()
+					c.restartNodes(c.leader())
 					if i == 0 && !tc.before {
 						c.cancelJob("j-000001", 1)
 					}
 					next := testJob(fmt.Sprintf("j-00000%d", 2+i), 4)
 					next["desk"] = "small"
 					for try := range 40 {
-						if c.accepts(try%5, next) {
+						if c.accept(try%5, next) {
 							break
 						}
 						time.Sleep(100 * time.Millisecond)
 					}
-					c.ledAfter(before)
-					stillOn += c.running("j-000001")
+					c.awaitLeaderAfter(before)
+					stillOn += c.runningTasks("j-000001")
 				}
 				time.Sleep(4 * time.Second)
 				c.setFault(nil)
 				if stillOn < 4*len(tc.changes) {
 					t.Errorf("only %d tasks still ran under the new leaders", stillOn)
 				}
-				if !tc.hang && cut.of("cut") == 0 {
+				if !tc.hang && cut.count("cut") == 0 {
 					t.Error("nothing was cut")
 				}
 				for range 120 {
-					if c.running("j-000002") == 4 {
+					if c.runningTasks("j-000002") == 4 {
 						break
 					}
 					time.Sleep(time.Second)
 				}
-				if c.running("j-000002") != 4 {
+				if c.runningTasks("j-000002") != 4 {
 					t.Errorf("the team's next job does not run: %v", c.cloud.TasksOnMachines())
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestZoneBound has jobs whose tasks bind each other to zones, or keep each other out, run
+// TestZoneConstraints has jobs whose tasks bind each other to zones, or keep each other out, run
 // where the other zone has room: machines must be rented in the zone where the next task may
 // start. Once they came up in the other one, one after the other, for up to 150 s.
-func TestZoneBound(t *testing.T) {
+func TestZoneConstraints(t *testing.T) {
 	for _, bind := range []string{"together", "scatter"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newTunedCluster(t, 3, func(s *settings.Settings) { s.Params.Zones = []string{"a", "b"} })
@@ -165,12 +165,12 @@
 			c.submitJob(first)
 			time.Sleep(5 * time.Second)
 			c.submitJob(second)
-			begun := time.Now()
-			for len(c.on("j-000002/")) < 6 && time.Since(begun) < 2*time.Minute {
+			startedAt := time.Now()
+			for len(c.tasksOn("j-000002/")) < 6 && time.Since(startedAt) < 2*time.Minute {
 				time.Sleep(200 * time.Millisecond)
 			}
-			if took := time.Since(begun); took > 30*time.Second {
-				t.Errorf("%s: %d of 6 tasks run after %v", bind, len(c.on("j-000002/")), took)
+			if duration := time.Since(startedAt); duration > 30*time.Second {
+				t.Errorf("%s: %d of 6 tasks run after %v", bind, len(c.tasksOn("j-000002/")), duration)
 			}
 			if broken := c.cloud.Violations(); broken != nil {
 				t.Error(broken)
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestZones has jobs that are bound to one zone, or spread over zones, lose machines as a
+// TestZoneConstraintsUnderPartition has jobs that are bound to one zone, or spread over zones, lose machines as a
 // zone with a node is cut off for longer than lease_s, and the leader is in it or not.
-func TestZones(t *testing.T) {
+func TestZoneConstraintsUnderPartition(t *testing.T) {
 	cases := []struct {
 		name    string
 		leads   bool // the leader is in the zone that is cut off
@@ -222,7 +222,7 @@
 					return c.rules.ZoneOf(machineOf(name))
 				}
 				p.OnChange = func() { c.pipes.SetPartition(p.Blocks) }
-				var cut tally
+				var cut counter
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					fault := p.FaultOf(from, r)
 					if fault != fake.NoFault {
@@ -234,7 +234,7 @@
 				})
 				p.Isolate("a")
 				held := 0
-				for i := 0; i < int(leaseS)+10; i++ {
+				for i := 0; i < int(leaseDurationS)+10; i++ {
 					time.Sleep(time.Second)
 					for _, w := range c.cloud.Workers() {
 						if w.Zone() == "a" {
@@ -244,13 +244,13 @@
 				}
 				c.setFault(nil)
 				c.healPeers()
-				if cut.of("cut") == 0 || held == 0 {
-					t.Errorf("%d messages were cut, %d tasks seen in the zone", cut.of("cut"), held)
+				if cut.count("cut") == 0 || held == 0 {
+					t.Errorf("%d messages were cut, %d tasks seen in the zone", cut.count("cut"), held)
 				}
 				for n := range 5 {
-					c.await(fmt.Sprintf("j-00000%d", n+1), wire.JobDone, 5*time.Minute)
+					c.awaitStatus(fmt.Sprintf("j-00000%d", n+1), wire.JobDone, 5*time.Minute)
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
--- a/requests_test.go
+++ b/requests_test.go
@@ -15,9 +15,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestDoubleSubmission has one job submitted at two nodes at once: it is one
+// TestConcurrentSubmission has one job submitted at two nodes at once: it is one
 // job, each of whose tasks runs once.
-func TestDoubleSubmission(t *testing.T) {
+func TestConcurrentSubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -33,7 +33,7 @@
 		if codes[0]+codes[1] != http.StatusCreated+http.StatusOK {
 			t.Errorf("answers %v, want one 201 and one 200", codes)
 		}
-		c.await("j-000001", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		if n := c.cloud.Starts(); n != 5 {
 			t.Errorf("%d starts for 5 tasks", n)
 		}
@@ -47,9 +47,9 @@
 	})
 }
 
-// TestOddRequests has users send what cannot be, at every node: also at one that has just
+// TestInvalidSubmissions has users send what cannot be, at every node: also at one that has just
 // started, and at nodes that know the machine types from the store alone.
-func TestOddRequests(t *testing.T) {
+func TestInvalidSubmissions(t *testing.T) {
 	with := func(field string, value any) func(map[string]any) {
 		return func(job map[string]any) { job[field] = value }
 	}
@@ -96,7 +96,7 @@
 				}
 				return fake.NoFault
 			})
-			c.back(0, 1, 2)
+			c.restartNodes(0, 1, 2)
 			time.Sleep(2 * time.Second)
 		}, false},
 		{"nobody knows the catalog", func(c *cluster) {
@@ -118,7 +118,7 @@
 					time.Sleep(5 * time.Second)
 				} else {
 					c.submit("j-000001", 1)
-					c.await("j-000001", wire.JobDone, time.Minute)
+					c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 					tc.trouble(c)
 				}
 				for i, o := range odd {
@@ -151,50 +151,50 @@
 						}
 					}
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestCloseLooks has users ask at all nodes, repeat submissions and cancel, within
+// TestMonotonicResponses has users ask at all nodes, repeat submissions and cancel, within
 // milliseconds of what another node told: no node may answer something older, also one
 // that is behind.
-func TestCloseLooks(t *testing.T) {
+func TestMonotonicResponses(t *testing.T) {
 	const odd = 2 // the node that is in trouble
 	watches := func(r *http.Request) bool {
 		return r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0")
 	}
 	cases := []struct {
 		name    string
-		trouble func(c *cluster, held *tally) // before each look
-		refuses bool                          // the odd node cannot know
+		trouble func(c *cluster, held *counter) // before each look
+		refuses bool                            // the odd node cannot know
 	}{
-		{"no other trouble", func(*cluster, *tally) {}, false},
-		{"a node's watch is held", func(c *cluster, held *tally) {
+		{"no other trouble", func(*cluster, *counter) {}, false},
+		{"a node's watch is held", func(c *cluster, held *counter) {
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if fromNode(from, odd) && watches(r) {
+				if isFromNode(from, odd) && watches(r) {
 					held.add("held")
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
 			})
 		}, false},
-		{"a node has just started", func(c *cluster, held *tally) {
+		{"a node has just started", func(c *cluster, held *counter) {
 			held.add("held")
 			c.kill(odd)
 			c.start(odd)
 		}, false},
-		{"a node is cut from the state service", func(c *cluster, held *tally) {
+		{"a node is cut from the state service", func(c *cluster, held *counter) {
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if fromNode(from, odd) && isState(r) {
+				if isFromNode(from, odd) && isStateRequest(r) {
 					held.add("held")
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
 			})
 		}, true},
-		{"every other answer to a transaction is lost", func(c *cluster, held *tally) {
+		{"every other answer to a transaction is lost", func(c *cluster, held *counter) {
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Path == "/txn" && held.add("held")%2 == 1 {
 					return fake.DroppedResponse
@@ -216,11 +216,11 @@
 				}
 				c.submit("j-000009", 1) // the catalog is known, and there are machines
 				if c.leader() == odd {
-					c.back(odd)
+					c.restartNodes(odd)
 					time.Sleep(5 * time.Second)
 				}
-				c.await("j-000009", wire.JobDone, time.Minute)
-				var held, seen tally
+				c.awaitStatus("j-000009", wire.JobDone, time.Minute)
+				var held, seen counter
 				tc.trouble(c, &held)
 				time.Sleep(12 * time.Second) // until no watch that was open before is left
 				for n := range 4 {
@@ -228,11 +228,11 @@
 					ends, doomed := testJob(fmt.Sprintf("j-00000%d", n+1), 1), testJob(fmt.Sprintf("j-10000%d", n+1), 1)
 					for i, job := range []map[string]any{ends, doomed} {
 						for range 20 {
-							if c.accepts(n%2, job) {
+							if c.accept(n%2, job) {
 								break
 							}
 						}
-						c.lookClosely(job, i == 1 && n%2 == 1, 400*time.Millisecond, &seen)
+						c.queryAllNodes(job, i == 1 && n%2 == 1, 400*time.Millisecond, &seen)
 					}
 					time.Sleep(time.Duration(n) * 300 * time.Millisecond)
 					for range 20 {
@@ -240,35 +240,35 @@
 							break
 						}
 					}
-					c.lookClosely(doomed, false, 300*time.Millisecond, &seen)
+					c.queryAllNodes(doomed, false, 300*time.Millisecond, &seen)
 					// Until it ends, and well after; half of them are called off then.
-					c.lookClosely(ends, false, 3*time.Second, &seen)
-					c.lookClosely(ends, n%2 == 0, 4*time.Second, &seen)
+					c.queryAllNodes(ends, false, 3*time.Second, &seen)
+					c.queryAllNodes(ends, n%2 == 0, 4*time.Second, &seen)
 					for code, s := 0, (wire.JobStatus{}); s.Status != wire.JobDone && s.Status != wire.JobCancelled; time.Sleep(200 * time.Millisecond) {
 						if code, s = c.request(http.MethodGet, 0, "/v1/jobs/"+ends["id"].(string), nil); code == http.StatusNotFound {
 							break
 						}
 					}
-					c.lookClosely(ends, true, 300*time.Millisecond, &seen)
+					c.queryAllNodes(ends, true, 300*time.Millisecond, &seen)
 				}
-				if tc.name != cases[0].name && held.of("held") == 0 {
+				if tc.name != cases[0].name && held.count("held") == 0 {
 					t.Error("nothing was held")
 				}
-				ok, refused := seen.of(fmt.Sprintf("node %d: 200", odd)), seen.of(fmt.Sprintf("node %d: 503", odd))
+				ok, refused := seen.count(fmt.Sprintf("node %d: 200", odd)), seen.count(fmt.Sprintf("node %d: 503", odd))
 				if !tc.refuses && ok < 1000 || tc.refuses && refused < 1000 {
-					t.Errorf("the odd node answered 200 %d times and 503 %d times: %v", ok, refused, seen.n)
+					t.Errorf("the odd node answered 200 %d times and 503 %d times: %v", ok, refused, seen.counts)
 				}
 				c.setFault(nil)
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestManyQuestions has users ask very often while the state service refuses every other
+// TestManyQueries has users ask very often while the state service refuses every other
 // read for its rate limit: questions share reads, each is answered, and the followers'
 // watches leave room for them.
-func TestManyQuestions(t *testing.T) {
+func TestManyQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, 5)
 		defer c.close()
@@ -327,7 +327,7 @@
 		c.state.SetLimits(fake.StateLimits{RPS: 60, WriteRPS: 15, TxnOps: 12})
 		c.cloud.RuntimeOf = func(string) float64 { return 3 }
 		c.submit("j-000009", 1)
-		c.await("j-000009", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000009", wire.JobDone, time.Minute)
 		var mu sync.Mutex
 		var cancels, ends, intake []time.Duration
 		note := func(list *[]time.Duration, since time.Time) {
@@ -339,41 +339,41 @@
 		for n := range 480 {
 			wg.Go(func() {
 				id := fmt.Sprintf("j-%06d", 1000+n)
-				begun := time.Now()
+				startedAt := time.Now()
 				for try := range 60 {
-					if c.accepts((n+try)%5, testJob(id, 1)) {
+					if c.accept((n+try)%5, testJob(id, 1)) {
 						break
 					}
 					time.Sleep(time.Second)
 				}
-				note(&intake, begun)
+				note(&intake, startedAt)
 				if n%4 == 0 {
 					time.Sleep(time.Duration(n%16) * 200 * time.Millisecond)
-					begun = time.Now()
+					startedAt = time.Now()
 					for try := range 60 {
 						if code, _ := c.request(http.MethodPost, (n+try)%5, "/v1/jobs/"+id+"/abort", nil); code == http.StatusOK {
 							break
 						}
 						time.Sleep(time.Second)
 					}
-					note(&cancels, begun)
+					note(&cancels, startedAt)
 					return
 				}
 				// Its task is seen to end on its machine.
-				for c.running(id) == 0 && time.Since(begun) < 2*time.Minute {
+				for c.runningTasks(id) == 0 && time.Since(startedAt) < 2*time.Minute {
 					time.Sleep(100 * time.Millisecond)
 				}
-				for c.running(id) > 0 {
+				for c.runningTasks(id) > 0 {
 					time.Sleep(100 * time.Millisecond)
 				}
-				begun = time.Now()
+				startedAt = time.Now()
 				for try := range 120 {
 					if _, s := c.request(http.MethodGet, (n+try)%5, "/v1/jobs/"+id, nil); s.Status == wire.JobDone {
 						break
 					}
 					time.Sleep(500 * time.Millisecond)
 				}
-				note(&ends, begun)
+				note(&ends, startedAt)
 			})
 			time.Sleep(250 * time.Millisecond)
 		}
@@ -398,16 +398,16 @@
 				t.Errorf("%s took too long: 95 in 100 %v, most %v", list.name, p95, most)
 			}
 		}
-		c.broken()
+		c.checkRules()
 	})
 }
 
-// lookClosely asks all nodes about a job again and again within milliseconds, and
+// queryAllNodes asks all nodes about a job again and again within milliseconds, and
 // repeats its submission and, if it is to be cancelled, its cancellation.
-func (c *cluster) lookClosely(job map[string]any, cancel bool, within time.Duration, seen *tally) {
+func (c *cluster) queryAllNodes(job map[string]any, cancel bool, within time.Duration, seen *counter) {
 	id := job["id"].(string)
 	var wg sync.WaitGroup
-	for begun, n := time.Now(), 0; time.Since(begun) < within; n++ {
+	for startedAt, n := time.Now(), 0; time.Since(startedAt) < within; n++ {
 		for node := range c.size {
 			wg.Go(func() {
 				code := 0
--- a/rolling_test.go
+++ b/rolling_test.go
@@ -38,7 +38,7 @@
 			old := filepath.Join(t.TempDir(), "old")
 			shell(t, `mkdir "$1.src"; git archive "$2" | tar -x -C "$1.src"; cd "$1.src"
 				go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, old, v.commit(t))
-			rollOut(t, old, now, v)
+			runRollout(t, old, now, v)
 		})
 	}
 }
@@ -51,51 +51,51 @@
 	}
 }
 
-// rollOut upgrades three nodes from the old program to the one of now.
-func rollOut(t *testing.T, old, now string, v oldVersion) {
+// runRollout upgrades three nodes from the old program to the one of now.
+func runRollout(t *testing.T, old, now string, v oldVersion) {
 	gangs := v.gangs
-	r := &rollout{processes: newProcesses(t, 3, t.TempDir()), begun: time.Now(), gangs: gangs, newArgs: v.args, ends: map[string]string{},
+	r := &rollout{processes: newProcesses(t, 3, t.TempDir()), startedAt: time.Now(), gangsSupported: gangs, newArgs: v.args, finalStatuses: map[string]string{},
 		programs: make([]string, 3), accepted: map[string]int{}}
-	defer r.end()
+	defer r.close()
 	for i := range r.size {
-		r.begin(i, old)
+		r.startNode(i, old)
 	}
 	r.leader()
 	r.submit(3)
 	time.Sleep(3 * time.Second)
 	r.cancel(r.jobs[1])
 	if gangs {
-		r.stopGang()
+		r.interruptGang()
 	}
 	leader := r.leader()
-	r.swap(leader, old, time.Second) // comes back old before its turn
-	r.swap((leader+1)%3, now, time.Second)
+	r.replaceProgram(leader, old, time.Second) // comes back old before its turn
+	r.replaceProgram((leader+1)%3, now, time.Second)
 	r.submit(2)
 	if gangs {
-		r.lead(old)
-		r.stopGang()
-		r.lead(now)
-		r.stopGang()
+		r.leadWith(old)
+		r.interruptGang()
+		r.leadWith(now)
+		r.interruptGang()
 	}
-	r.swap(r.leader(), now, time.Second) // old or new, it ends
+	r.replaceProgram(r.leader(), now, time.Second) // old or new, it ends
 	r.submit(2)
 	r.state.SetOutage(true) // while both serve
 	time.Sleep(4 * time.Second)
 	r.state.SetOutage(false)
-	r.swap((leader+1)%3, old, 300*time.Millisecond) // and back
+	r.replaceProgram((leader+1)%3, old, 300*time.Millisecond) // and back
 	r.submit(1)
 	for i := range r.size { // now all
-		r.swap(i, now, 500*time.Millisecond)
+		r.replaceProgram(i, now, 500*time.Millisecond)
 	}
-	r.gangs = true
+	r.gangsSupported = true
 	r.submit(2)
-	r.stopGang()
-	r.state.SetLimits(lowered)
-	r.swap(r.leader(), now, 300*time.Millisecond)
+	r.interruptGang()
+	r.state.SetLimits(loweredLimits)
+	r.replaceProgram(r.leader(), now, 300*time.Millisecond)
 	r.submit(2)
 	r.cancel(r.jobs[len(r.jobs)-1])
 	r.awaitAll()
-	t.Logf("%v: all jobs are over", time.Since(r.begun).Round(time.Second))
+	t.Logf("%v: all jobs are over", time.Since(r.startedAt).Round(time.Second))
 	t.Logf("gangs accepted by nodes of each program: %v", r.accepted)
 	if gangs && (r.accepted["old"] == 0 || r.accepted["now"] == 0) {
 		t.Errorf("not every version has accepted gangs: %v", r.accepted)
@@ -111,17 +111,17 @@
 // rollout is processes of two versions with the jobs that they were given.
 type rollout struct {
 	*processes
-	begun    time.Time
-	gangs    bool     // all that serve know gangs
-	newArgs  []string // of new processes
-	programs []string
-	jobs     []map[string]any
-	ends     map[string]string // the state that each job must end in
-	accepted map[string]int    // gangs, by the program (old, now) of the node that accepted them
+	startedAt      time.Time
+	gangsSupported bool     // all that serve know gangs
+	newArgs        []string // of new processes
+	programs       []string
+	jobs           []map[string]any
+	finalStatuses  map[string]string // the state that each job must end in
+	accepted       map[string]int    // gangs, by the program (old, now) of the node that accepted them
 }
 
-// begin begins a life of a node with a program.
-func (r *rollout) begin(i int, program string) {
+// startNode begins a life of a node with a program.
+func (r *rollout) startNode(i int, program string) {
 	r.programs[i], r.Args = program, nil
 	if filepath.Base(program) == "now" {
 		r.Args = r.newArgs
@@ -129,17 +129,17 @@
 	r.run(i, program)
 }
 
-// swap ends a node and has it come back with a program.
-func (r *rollout) swap(i int, program string, down time.Duration) {
+// replaceProgram ends a node and has it come back with a program.
+func (r *rollout) replaceProgram(i int, program string, down time.Duration) {
 	r.kill(i)
 	time.Sleep(down)
-	r.begin(i, program)
+	r.startNode(i, program)
 	time.Sleep(2500 * time.Millisecond)
-	r.t.Logf("%v: node %d is back with %s", time.Since(r.begun).Round(time.Second), i, filepath.Base(program))
+	r.t.Logf("%v: node %d is back with %s", time.Since(r.startedAt).Round(time.Second), i, filepath.Base(program))
 }
 
-// lead has a node of a program lead, by ending all others for a while.
-func (r *rollout) lead(program string) {
+// leadWith has a node of a program lead, by ending all others for a while.
+func (r *rollout) leadWith(program string) {
 	for i, p := range r.programs {
 		if p != program {
 			r.kill(i)
@@ -153,7 +153,7 @@
 	}
 	for i, p := range r.programs {
 		if p != program {
-			r.begin(i, p)
+			r.startNode(i, p)
 		}
 	}
 	time.Sleep(2500 * time.Millisecond)
@@ -162,32 +162,32 @@
 // submit gives jobs of independent tasks and, if all know them, as many gangs.
 func (r *rollout) submit(n int) {
 	for range n {
-		if r.gangs {
+		if r.gangsSupported {
 			r.submitGang()
 		}
-		r.give(testJob(r.nextID(), 8))
+		r.submitAndRepeat(testJob(r.nextID(), 8))
 	}
 }
 
 // submitGang gives a gang on three machines, and returns its name.
 func (r *rollout) submitGang() string {
 	id := r.nextID()
-	node := r.give(gangJob(id, 3, 3, nil))
+	node := r.submitAndRepeat(gangJob(id, 3, 3, nil))
 	r.accepted[filepath.Base(r.programs[node])]++
 	return id
 }
 
 func (r *rollout) nextID() string { return fmt.Sprintf("j-%06d", len(r.jobs)+1) }
 
-// give submits a job, first at one node and then at the next, until one accepts it, which
+// submitAndRepeat submits a job, first at one node and then at the next, until one accepts it, which
 // it returns; and repeats the submission at all.
-func (r *rollout) give(job map[string]any) (node int) {
+func (r *rollout) submitAndRepeat(job map[string]any) (node int) {
 	r.t.Helper()
 	id := job["id"].(string)
 	for try := range 60 {
 		node = (len(r.jobs) + try) % r.size
 		if code, _ := r.request(http.MethodPost, node, "/v1/jobs", job); code == http.StatusCreated || code == http.StatusOK {
-			r.jobs, r.ends[id] = append(r.jobs, job), wire.JobDone
+			r.jobs, r.finalStatuses[id] = append(r.jobs, job), wire.JobDone
 			r.repeat(job)
 			return node
 		}
@@ -220,7 +220,7 @@
 // cancel cancels a job.
 func (r *rollout) cancel(job map[string]any) {
 	id := job["id"].(string)
-	r.ends[id] = wire.JobCancelled
+	r.finalStatuses[id] = wire.JobCancelled
 	for try := range 30 {
 		if code, _ := r.request(http.MethodPost, try%3, "/v1/jobs/"+id+"/abort", nil); code == http.StatusOK {
 			return
@@ -232,32 +232,32 @@
 
 // stopGangIfReachable has the cloud take a machine from a gang that runs, with enough time to stop it
 // and save. It must run again.
-func (r *rollout) stopGang() {
+func (r *rollout) interruptGang() {
 	r.t.Helper()
-	leader, begun := r.programs[r.leader()], time.Now()
+	leader, startedAt := r.programs[r.leader()], time.Now()
 	id := r.submitGang()
-	r.until(id, map[string]int{wire.TaskRunning: 3})
+	r.awaitTaskStates(id, map[string]int{wire.TaskRunning: 3})
 	time.Sleep(time.Second)
 	r.cloud.WorkersOf(id)[0].Interrupt(5 * time.Second)
-	r.await(id, wire.JobDone, time.Minute)
+	r.awaitStatus(id, wire.JobDone, time.Minute)
 	if runs := r.cloud.GangRuns(id); runs < 2 {
 		r.t.Errorf("%s ran %d times, although it lost a machine", id, runs)
 	}
 	r.t.Logf("%s, led by %s: attempts that ran %d, progress saved %v, done after %v",
-		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangProgress(id), time.Since(begun).Round(time.Second))
+		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangProgress(id), time.Since(startedAt).Round(time.Second))
 }
 
 // awaitAll awaits the ends of all jobs. A submission that is repeated then is told of them.
 func (r *rollout) awaitAll() {
 	for _, job := range r.jobs {
 		id := job["id"].(string)
-		r.await(id, r.ends[id], 30*time.Second)
+		r.awaitStatus(id, r.finalStatuses[id], 30*time.Second)
 	}
 	for _, job := range r.jobs {
 		id := job["id"].(string)
 		for node, told := range r.repeat(job) {
-			if told != r.ends[id] {
-				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, told, r.ends[id])
+			if told != r.finalStatuses[id] {
+				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, told, r.finalStatuses[id])
 			}
 		}
 	}
@@ -269,34 +269,36 @@
 	*harness.ProcessCluster
 }
 
-// processScale is how large the world of the processes is.
-type processScale struct {
-	reportS, leaseS, cancelS float64 // of the workers
-	sockets                  int     // of a node
+// clusterScale is how large the world of the processes is.
+type clusterScale struct {
+	heartbeatIntervalS, leaseDurationS, cancellationTimeoutS float64 // of the workers
+	sockets                                                  int     // of a node
 }
 
-// smallScale is that of few machines.
-func smallScale() processScale { return processScale{reportS, leaseS, cancelS, 1000} }
+// smallFleetScale is that of few machines.
+func smallFleetScale() clusterScale {
+	return clusterScale{heartbeatIntervalS, leaseDurationS, cancellationTimeoutS, 1000}
+}
 
 // settings are those of a node of a world of this scale.
-func (p processScale) settings(node, nodes int) *settings.Settings {
+func (p clusterScale) settings(node, nodes int) *settings.Settings {
 	s := nodeSettings(node, nodes)
-	tellNext(s)
+	announceLimits(s)
 	s.Zone = "a"
 	s.Params.Nodes, s.Params.ClockErrorMS = nodes, 5
 	s.Params.Teams = []settings.Team{{Name: "blue"}}
-	s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = p.reportS, p.leaseS, p.cancelS
+	s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = p.heartbeatIntervalS, p.leaseDurationS, p.cancellationTimeoutS
 	s.Params.State.WriteRPS = 60
 	s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 500, MaxSockets: p.sockets}
 	return s
 }
 
 func newProcesses(t *testing.T, nodes int, dir string) *processes {
-	return newScaledProcesses(t, nodes, dir, smallScale())
+	return newScaledProcesses(t, nodes, dir, smallFleetScale())
 }
 
 // newScaledProcesses prepares processes for a world of a scale.
-func newScaledProcesses(t *testing.T, nodes int, dir string, scale processScale) *processes {
+func newScaledProcesses(t *testing.T, nodes int, dir string, scale clusterScale) *processes {
 	c := &cluster{t: t, size: nodes}
 	var p *harness.ProcessCluster
 	p, err := harness.NewProcessCluster(harness.ProcessConfig{
@@ -327,8 +329,8 @@
 	c.must(c.StartNode(i, program))
 }
 
-// end ends all and, of a test that failed, shows what the processes logged.
-func (c *processes) end() {
+// close ends all and, of a test that failed, shows what the processes logged.
+func (c *processes) close() {
 	c.Close()
 	if !c.t.Failed() {
 		return
--- a/standby_commands_test.go
+++ b/standby_commands_test.go
@@ -20,7 +20,7 @@
 	program := filepath.Join(t.TempDir(), "now")
 	shell(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
 	c := newProcesses(t, 3, t.TempDir())
-	defer c.end()
+	defer c.close()
 	withParts := []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}
 	c.run(2, program) // without optional parts
 	c.Args = withParts
@@ -28,9 +28,9 @@
 	c.run(1, program)
 	c.submit("j-000001", 6)
 	for c.leader() == 2 {
-		token := c.token()
+		token := c.fencingToken()
 		c.kill(2)
-		c.ledAfter(token)
+		c.awaitLeaderAfter(token)
 		c.Args = nil
 		c.run(2, program)
 		c.Args = withParts
@@ -64,7 +64,7 @@
 		{"handover by a node without", []string{"handover", "--node", address(2)}, true, []string{"the warm standby is off"}},
 		{"handover by the leader", []string{"handover", "--node", address(leader)}, false, []string{"handed over to host-"}},
 	}
-	token := c.token()
+	token := c.fencingToken()
 	for _, tc := range cases {
 		out, err := exec.Command(program, tc.args...).CombinedOutput()
 		t.Logf("%s: caperlatch %s\n%s", tc.name, strings.Join(tc.args, " "), out)
@@ -80,7 +80,7 @@
 			t.Errorf("%s: more than one line", tc.name)
 		}
 	}
-	c.ledAfter(token)
+	c.awaitLeaderAfter(token)
 	if next := c.leader(); next != follower {
 		t.Errorf("node %d leads, want %d", next, follower)
 	}
@@ -89,14 +89,14 @@
 	if t.Logf("after the handover (%v)\n%s", err, out); !strings.Contains(string(out), "handed over") {
 		t.Error("the take-over is not shown as handed over")
 	}
-	token = c.token()
+	token = c.fencingToken()
 	c.ExpectExit(follower)
 	c.must(c.Signal(follower, syscall.SIGTERM))
-	begun := time.Now()
-	c.ledAfter(token)
-	if took := time.Since(begun); took > 2500*time.Millisecond {
-		t.Errorf("after SIGTERM nobody led for %v", took)
+	startedAt := time.Now()
+	c.awaitLeaderAfter(token)
+	if duration := time.Since(startedAt); duration > 2500*time.Millisecond {
+		t.Errorf("after SIGTERM nobody led for %v", duration)
 	}
-	c.await("j-000001", "done", time.Minute)
-	c.broken()
+	c.awaitStatus("j-000001", "done", time.Minute)
+	c.checkRules()
 }
--- a/standby_kills_test.go
+++ b/standby_kills_test.go
@@ -15,29 +15,29 @@
 	"caperlatch/internal/wire"
 )
 
-// Sizes of TestKills: five hundred ends of the active controller in all.
+// Sizes of TestRandomFailovers: five hundred ends of the active controller in all.
 const (
-	killSeeds    = 10
-	killsASeed   = 50
-	killMachines = 300
+	failoverSeeds          = 10
+	failoversPerSeed       = 50
+	randomFailoverMachines = 300
 )
 
-// TestKills ends the leader at random moments, five hundred times in all, over 300 machines
+// TestRandomFailovers ends the leader at random moments, five hundred times in all, over 300 machines
 // that run arrays and gangs, while users submit, cancel and ask all nodes. Some ends are
 // handovers, some of them broken off by the end of the process or of the node that was
 // named. A leader that is still taking over refuses to hand over; it ends without. Under the checker of rules: no job has two final answers or goes back, no task is on
 // two machines, none is forgotten, and all that was accepted ends.
-func TestKills(t *testing.T) {
-	for seed := range uint64(killSeeds) {
+func TestRandomFailovers(t *testing.T) {
+	for seed := range uint64(failoverSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { runKills(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runRandomFailovers(t, seed) })
 		})
 	}
 }
 
-// killRun is one seed of TestKills.
-type killRun struct {
+// randomFailoverRun is one seed of TestRandomFailovers.
+type randomFailoverRun struct {
 	*cluster
 	random *rand.Rand
 	size   int
@@ -45,34 +45,34 @@
 	mu        sync.Mutex
 	jobs      []string
 	cancelled map[string]bool
-	over      bool
+	finished  bool
 }
 
-func runKills(t *testing.T, seed uint64) {
+func runRandomFailovers(t *testing.T, seed uint64) {
 	size := 3 + 2*int(seed%2)
 	c := newStandbyCluster(t, size, func(s *settings.Settings) {
 		s.Params.Workers.HeartbeatIntervalS = 2
 	}, testStandby())
 	defer c.close()
-	c.cloud.MaxMachines = killMachines
+	c.cloud.MaxMachines = randomFailoverMachines
 	c.cloud.RuntimeOf = func(task string) float64 { return float64(4 + 3*(len(task)+int(task[len(task)-1]))%24) }
-	r := &killRun{cluster: c, random: rand.New(rand.NewPCG(seed, 24)), size: size, cancelled: map[string]bool{}}
+	r := &randomFailoverRun{cluster: c, random: rand.New(rand.NewPCG(seed, 24)), size: size, cancelled: map[string]bool{}}
 	var users sync.WaitGroup
 	// Each has numbers of its own, as all run at the same time.
-	users.Go(func() { r.submitAll(rand.New(rand.NewPCG(seed, 1))) })
-	users.Go(func() { r.ask(rand.New(rand.NewPCG(seed, 2))) })
+	users.Go(func() { r.submitJobs(rand.New(rand.NewPCG(seed, 1))) })
+	users.Go(func() { r.queryJobs(rand.New(rand.NewPCG(seed, 2))) })
 	time.Sleep(15 * time.Second)
 	handed := 0
-	for range killsASeed {
+	for range failoversPerSeed {
 		time.Sleep(time.Duration(r.random.IntN(4000)) * time.Millisecond)
-		token := c.token()
+		token := c.fencingToken()
 		if r.endLeader(c.leader()) {
 			handed++
 		}
-		c.ledAfter(token)
+		c.awaitLeaderAfter(token)
 	}
 	r.mu.Lock()
-	r.over = true
+	r.finished = true
 	r.mu.Unlock()
 	users.Wait()
 	for _, id := range r.jobs {
@@ -80,18 +80,18 @@
 		if r.cancelled[id] {
 			want = wire.JobCancelled
 		}
-		c.await(id, want, 10*time.Minute)
+		c.awaitStatus(id, want, 10*time.Minute)
 	}
-	c.answersAll(r.jobs)
-	c.broken()
-	t.Logf("%d nodes, %d ends of a leader, %d of them handovers, %d jobs, %d starts", size, killsASeed, handed, len(r.jobs), c.cloud.Starts())
-	if handed < killsASeed/10 || c.cloud.Starts() < 5000 {
+	c.checkAnswers(r.jobs)
+	c.checkRules()
+	t.Logf("%d nodes, %d ends of a leader, %d of them handovers, %d jobs, %d starts", size, failoversPerSeed, handed, len(r.jobs), c.cloud.Starts())
+	if handed < failoversPerSeed/10 || c.cloud.Starts() < 5000 {
 		t.Errorf("%d handovers, %d starts", handed, c.cloud.Starts())
 	}
 }
 
 // endLeader ends the leader in one of several ways, and tells whether it handed over first.
-func (r *killRun) endLeader(leader int) (handed bool) {
+func (r *randomFailoverRun) endLeader(leader int) (handed bool) {
 	way := r.random.IntN(10)
 	if way < 6 { // a crash
 		r.crash(leader, time.Duration(r.random.IntN(3000))*time.Millisecond)
@@ -122,7 +122,7 @@
 }
 
 // crashNamed ends the node that a handover names, within half a second.
-func (r *killRun) crashNamed(member string) {
+func (r *randomFailoverRun) crashNamed(member string) {
 	for i, n := range r.nodes {
 		if n.settings.Member == member {
 			time.Sleep(time.Duration(r.random.IntN(500)) * time.Millisecond)
@@ -132,22 +132,22 @@
 }
 
 // crash ends a node and starts it again after a while.
-func (r *killRun) crash(node int, down time.Duration) {
+func (r *randomFailoverRun) crash(node int, down time.Duration) {
 	r.kill(node)
 	time.Sleep(down)
 	r.start(node)
 }
 
-// ended tells whether no more work is to come.
-func (r *killRun) ended() bool {
+// isFinished tells whether no more work is to come.
+func (r *randomFailoverRun) isFinished() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.over
+	return r.finished
 }
 
-// submitAll gives work until the run is over, and cancels some of it.
-func (r *killRun) submitAll(random *rand.Rand) {
-	for n := 1; !r.ended(); n++ {
+// submitJobs gives work until the run is over, and cancels some of it.
+func (r *randomFailoverRun) submitJobs(random *rand.Rand) {
+	for n := 1; !r.isFinished(); n++ {
 		id := fmt.Sprintf("j-%06d", n)
 		job := testJob(id, 20+random.IntN(200))
 		if n%4 == 0 {
@@ -165,7 +165,7 @@
 }
 
 // cancelUnlessDone repeats a cancellation until it is confirmed or comes too late.
-func (r *killRun) cancelUnlessDone(id string, first int) {
+func (r *randomFailoverRun) cancelUnlessDone(id string, first int) {
 	for try := range 200 {
 		code, status := r.request(http.MethodPost, (first+try)%r.size, "/v1/jobs/"+id+"/abort", nil)
 		if code == http.StatusOK {
@@ -179,9 +179,9 @@
 	r.t.Errorf("%s could not be cancelled", id)
 }
 
-// ask asks random nodes about random jobs until the run is over.
-func (r *killRun) ask(random *rand.Rand) {
-	for !r.ended() {
+// queryJobs asks random nodes about random jobs until the run is over.
+func (r *randomFailoverRun) queryJobs(random *rand.Rand) {
+	for !r.isFinished() {
 		time.Sleep(200 * time.Millisecond)
 		r.mu.Lock()
 		id := ""
--- a/standby_meetings_test.go
+++ b/standby_meetings_test.go
@@ -12,8 +12,8 @@
 	"caperlatch/internal/wire"
 )
 
-// handOver has the leader hand over, and tells to whom.
-func (c *cluster) handOver() string {
+// handover has the leader hand over, and tells to whom.
+func (c *cluster) handover() string {
 	c.t.Helper()
 	to, err := c.nodes[c.leader()].HandOver()
 	if err != nil {
@@ -32,18 +32,18 @@
 	return -1
 }
 
-// refuseState has the state service refuse a node, or all if it is negative.
-func refuseState(node int) func(string, *http.Request) fake.Fault {
+// stateRefusal has the state service refuse a node, or all if it is negative.
+func stateRefusal(node int) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
-		if isState(r) && (node < 0 || fromNode(from, node)) {
+		if isStateRequest(r) && (node < 0 || isFromNode(from, node)) {
 			return fake.ServiceUnavailable
 		}
 		return fake.NoFault
 	}
 }
 
-// deafMachines loses all answers and commands to these machines; what they send arrives.
-func deafMachines(ids map[string]bool) func(string, *http.Request) fake.Fault {
+// dropResponsesTo loses all answers and commands to these machines; what they send arrives.
+func dropResponsesTo(ids map[string]bool) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		switch {
 		case ids[machineOf(from)]:
@@ -55,10 +55,10 @@
 	}
 }
 
-// TestStandbyMeetings has troubles meet a take-over of nodes with a standby, while an array,
+// TestStandbyCombinedFaults has troubles meet a take-over of nodes with a standby, while an array,
 // a gang and a cancelled job are on machines. Whatever happens, no rule is broken, and all
 // jobs end once the troubles are over.
-func TestStandbyMeetings(t *testing.T) {
+func TestStandbyCombinedFaults(t *testing.T) {
 	cases := []struct {
 		name    string
 		nodes   int
@@ -66,18 +66,18 @@
 		trouble func(c *cluster)
 	}{
 		{"the named node ends as it confirms", 3, nil, func(c *cluster) {
-			to := c.handOver()
-			c.back(c.indexOf(to))
+			to := c.handover()
+			c.restartNodes(c.indexOf(to))
 		}},
 		{"the named node ends as it adopts", 3, nil, func(c *cluster) {
-			token := c.token()
-			to := c.handOver()
-			c.ledAfter(token)
-			c.back(c.indexOf(to))
+			token := c.fencingToken()
+			to := c.handover()
+			c.awaitLeaderAfter(token)
+			c.restartNodes(c.indexOf(to))
 		}},
 		{"followers that have just begun, as the leader ends", 3, nil, func(c *cluster) {
 			leader := c.leader()
-			c.back((leader+1)%3, (leader+2)%3)
+			c.restartNodes((leader+1)%3, (leader+2)%3)
 			time.Sleep(1600 * time.Millisecond)
 			c.kill(leader)
 			time.Sleep(time.Second)
@@ -85,28 +85,28 @@
 		}},
 		{"handed back and forth", 3, nil, func(c *cluster) {
 			for range 6 {
-				token := c.token()
-				c.handOver()
-				c.ledAfter(token)
+				token := c.fencingToken()
+				c.handover()
+				c.awaitLeaderAfter(token)
 				time.Sleep(300 * time.Millisecond)
 			}
 		}},
 		{"the state service refuses the leader that hands over", 3, nil, func(c *cluster) {
-			c.setFault(refuseState(c.leader()))
-			c.handOver()
+			c.setFault(stateRefusal(c.leader()))
+			c.handover()
 			time.Sleep(5 * time.Second)
 			c.setFault(nil)
 		}},
 		{"the state service is down for all during a handover", 3, nil, func(c *cluster) {
-			time.AfterFunc(100*time.Millisecond, func() { c.setFault(refuseState(-1)) })
-			c.handOver()
+			time.AfterFunc(100*time.Millisecond, func() { c.setFault(stateRefusal(-1)) })
+			c.handover()
 			time.Sleep(10 * time.Second)
 			c.setFault(nil)
 		}},
 		{"refused for the leader alone, then down for all", 5, nil, func(c *cluster) {
-			c.setFault(refuseState(c.leader()))
+			c.setFault(stateRefusal(c.leader()))
 			time.Sleep(2 * time.Second)
-			c.setFault(refuseState(-1))
+			c.setFault(stateRefusal(-1))
 			time.Sleep(12 * time.Second)
 			c.setFault(nil)
 		}},
@@ -115,8 +115,8 @@
 			for _, w := range c.holders("j-000001")[:2] {
 				deaf[w.ID] = true
 			}
-			c.setFault(deafMachines(deaf))
-			c.handOver()
+			c.setFault(dropResponsesTo(deaf))
+			c.handover()
 			time.Sleep(20 * time.Second)
 			c.setFault(nil)
 		}},
@@ -125,9 +125,9 @@
 			for _, w := range c.holders("j-000001")[:2] {
 				away[w.ID] = true
 			}
-			var cut tally
-			c.setFault(cutMachines(away, &cut))
-			c.handOver()
+			var cut counter
+			c.setFault(isolateMachines(away, &cut))
+			c.handover()
 			time.Sleep(20 * time.Second)
 			c.setFault(nil)
 		}},
@@ -141,7 +141,7 @@
 			})
 			c.submit("j-000007", 8)
 			time.Sleep(700 * time.Millisecond)
-			c.handOver()
+			c.handover()
 			time.Sleep(2 * time.Second)
 			c.setFault(nil)
 		}},
@@ -161,17 +161,17 @@
 			}
 		}},
 		{"the leader has no standby, the others do", 3, map[int]bool{0: true}, func(c *cluster) {
-			c.leadBy(0)
-			c.back(0)
+			c.makeLeader(0)
+			c.restartNodes(0)
 		}},
 		{"the others have no standby", 3, map[int]bool{1: true, 2: true}, func(c *cluster) {
-			c.leadBy(0)
-			c.handOver()
+			c.makeLeader(0)
+			c.handover()
 		}},
 		{"the leader is cut from the nodes as it hands over", 3, nil, func(c *cluster) {
 			host := fmt.Sprintf("host-%d", c.leader())
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
-			c.handOver()
+			c.handover()
 			time.Sleep(5 * time.Second)
 			c.healPeers()
 		}},
@@ -183,46 +183,46 @@
 				defer c.close()
 				c.without = tc.without
 				for i := range tc.without {
-					c.back(i)
+					c.restartNodes(i)
 				}
 				c.cloud.RuntimeOf = func(string) float64 { return 12 }
 				c.submitJob(testJob("j-000001", 24))
 				c.submitJob(gangJob("j-000002", 3, 2, nil))
 				c.submitJob(testJob("j-000003", 4))
 				for range 120 {
-					if c.running("j-000001") >= 8 && c.running("j-000002") == 3 {
+					if c.runningTasks("j-000001") >= 8 && c.runningTasks("j-000002") == 3 {
 						break
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
 				time.Sleep(500 * time.Millisecond)
 				time.AfterFunc(600*time.Millisecond, func() { c.cancelJob("j-000003", 1) })
-				token := c.token()
+				token := c.fencingToken()
 				tc.trouble(c)
 				c.submitJob(testJob("j-000004", 4))
 				for _, id := range []string{"j-000001", "j-000002", "j-000004"} {
-					c.await(id, wire.JobDone, 3*time.Minute)
+					c.awaitStatus(id, wire.JobDone, 3*time.Minute)
 				}
-				c.answersAll([]string{"j-000001", "j-000002", "j-000003", "j-000004"})
-				if c.token() == token {
+				c.checkAnswers([]string{"j-000001", "j-000002", "j-000003", "j-000004"})
+				if c.fencingToken() == token {
 					t.Error("nobody else has led")
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// leadBy has a node lead, by ending the others for a while.
-func (c *cluster) leadBy(node int) {
+// makeLeader has a node lead, by ending the others for a while.
+func (c *cluster) makeLeader(node int) {
 	c.t.Helper()
 	for try := 0; c.leader() != node; try++ {
 		if try == 20 {
 			c.t.Fatalf("node %d does not lead", node)
 		}
-		leader, token := c.leader(), c.token()
+		leader, token := c.leader(), c.fencingToken()
 		c.kill(leader)
-		c.ledAfter(token)
+		c.awaitLeaderAfter(token)
 		c.start(leader)
 		time.Sleep(2 * time.Second)
 	}
--- a/standby_test.go
+++ b/standby_test.go
@@ -27,13 +27,13 @@
 // noTuning leaves the settings of a cluster as they are.
 func noTuning(*settings.Settings) {}
 
-// awaitWhole waits until all nodes that do not lead have a whole view of the leader's.
-func (c *cluster) awaitWhole() {
+// awaitStandbysComplete waits until all nodes that do not lead have a whole view of the leader's.
+func (c *cluster) awaitStandbysComplete() {
 	c.t.Helper()
 	for range 200 {
 		whole := 0
 		for _, n := range c.nodes {
-			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.Token == c.token() {
+			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.Token == c.fencingToken() {
 				whole++
 			}
 		}
@@ -48,10 +48,10 @@
 	c.t.Fatal("not all nodes follow")
 }
 
-// TestTakeOvers ends the leader while an array of which a part has begun goes on, and one of
+// TestFailoverWithUnreachableMachine ends the leader while an array of which a part has begun goes on, and one of
 // its machines is out of reach. What remains of the array must wait for that machine, as
 // after any crash; after a complete handover it is known that the machine has none of it.
-func TestTakeOvers(t *testing.T) {
+func TestFailoverWithUnreachableMachine(t *testing.T) {
 	cases := []struct {
 		name    string
 		standby *settings.Standby
@@ -80,7 +80,7 @@
 					return 1
 				}
 				job := testJob("j-000001", 1000)
-				if !c.accepts(0, job) {
+				if !c.accept(0, job) {
 					c.submitJob(job)
 				}
 				for i := 0; c.cloud.Starts() < 60; i++ {
@@ -90,14 +90,14 @@
 					time.Sleep(500 * time.Millisecond)
 				}
 				if tc.standby != nil {
-					c.awaitWhole()
+					c.awaitStandbysComplete()
 				}
 				away := map[string]bool{c.cloud.WorkersOf("j-000001")[0].ID: true}
-				var cut tally
-				c.setFault(cutMachines(away, &cut))
-				leader, token := c.leader(), c.token()
+				var cut counter
+				c.setFault(isolateMachines(away, &cut))
+				leader, token := c.leader(), c.fencingToken()
 				tc.end(c, leader)
-				c.ledAfter(token)
+				c.awaitLeaderAfter(token)
 				led, before := time.Now(), c.cloud.Starts()
 				first := time.Duration(0)
 				for first == 0 && time.Since(led) < 40*time.Second {
@@ -111,16 +111,16 @@
 				}
 				t.Logf("the array goes on after %v", first)
 				c.setFault(nil)
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestCrashInCutZone crashes the leader while a zone is cut off. An array that is bound to the
+// TestFailoverDuringZoneLoss crashes the leader while a zone is cut off. An array that is bound to the
 // other zone has no task in the zone that is cut: with the standby it goes on at once, and an
 // array that may be anywhere waits for the lease, as ever.
-func TestCrashInCutZone(t *testing.T) {
+func TestFailoverDuringZoneLoss(t *testing.T) {
 	for _, standby := range []*settings.Standby{nil, testStandby()} {
 		t.Run(fmt.Sprintf("standby %v", standby != nil), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -149,11 +149,11 @@
 						away[w.ID] = true
 					}
 				}
-				var cut tally
-				c.setFault(cutMachines(away, &cut))
-				token := c.token()
+				var cut counter
+				c.setFault(isolateMachines(away, &cut))
+				token := c.fencingToken()
 				c.kill(c.leader())
-				c.ledAfter(token)
+				c.awaitLeaderAfter(token)
 				before := [2]int{c.cloud.StartsOf("j-000001"), c.cloud.StartsOf("j-000002")}
 				time.Sleep(4 * time.Second)
 				if got := c.cloud.StartsOf("j-000001") > before[0]; got != (standby != nil) {
@@ -166,15 +166,15 @@
 					t.Errorf("%d of %d machines are cut off", len(away), len(c.cloud.Workers()))
 				}
 				c.setFault(nil)
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestHandoverUnderWork hands leadership on again and again, while work comes, runs, ends and
+// TestRepeatedHandovers hands leadership on again and again, while work comes, runs, ends and
 // is cancelled: each time the named node leads within a second, and no rule is broken.
-func TestHandoverUnderWork(t *testing.T) {
+func TestRepeatedHandovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStandbyCluster(t, 3, noTuning, testStandby())
 		defer c.close()
@@ -188,15 +188,15 @@
 			} else {
 				c.submit(id, 20)
 			}
-			c.awaitWhole()
-			token, begun := c.token(), time.Now()
+			c.awaitStandbysComplete()
+			token, startedAt := c.fencingToken(), time.Now()
 			to, err := c.nodes[c.leader()].HandOver()
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.ledAfter(token)
-			if took := time.Since(begun); took > 2500*time.Millisecond {
-				t.Errorf("handover %d took %v", n, took)
+			c.awaitLeaderAfter(token)
+			if duration := time.Since(startedAt); duration > 2500*time.Millisecond {
+				t.Errorf("handover %d took %v", n, duration)
 			}
 			if leader := fmt.Sprintf("host-%d", c.leader()); leader != to {
 				t.Errorf("handover %d: %s leads, %s was named", n, leader, to)
@@ -210,15 +210,15 @@
 			if n%5 == 4 {
 				want = wire.JobCancelled
 			}
-			c.await(id, want, 2*time.Minute)
+			c.awaitStatus(id, want, 2*time.Minute)
 		}
-		c.broken()
+		c.checkRules()
 	})
 }
 
-// TestHandoverToNobody hands over while the named node ends at once, and while no node
+// TestHandoverWithoutSuccessor hands over while the named node ends at once, and while no node
 // follows: anyone leads all the same, and not later than after a crash.
-func TestHandoverToNobody(t *testing.T) {
+func TestHandoverWithoutSuccessor(t *testing.T) {
 	cases := []struct {
 		name  string
 		spoil func(c *cluster, leader int) // before or as the handover begins
@@ -242,27 +242,27 @@
 				c := newStandbyCluster(t, 3, noTuning, testStandby())
 				defer c.close()
 				c.submit("j-000001", 30)
-				c.awaitWhole()
-				leader, token := c.leader(), c.token()
+				c.awaitStandbysComplete()
+				leader, token := c.leader(), c.fencingToken()
 				tc.spoil(c, leader)
-				begun := time.Now()
+				startedAt := time.Now()
 				if _, err := c.nodes[leader].HandOver(); err != nil {
 					t.Fatal(err)
 				}
-				c.ledAfter(token)
-				if took := time.Since(begun); took > 4*time.Second {
-					t.Errorf("nobody led for %v", took)
+				c.awaitLeaderAfter(token)
+				if duration := time.Since(startedAt); duration > 4*time.Second {
+					t.Errorf("nobody led for %v", duration)
 				}
 				c.healPeers()
-				c.await("j-000001", wire.JobDone, time.Minute)
-				c.broken()
+				c.awaitStatus("j-000001", wire.JobDone, time.Minute)
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestStandbyOff asks nodes without a standby, as earlier versions are: they say so.
-func TestStandbyOff(t *testing.T) {
+// TestStandbyDisabled asks nodes without a standby, as earlier versions are: they say so.
+func TestStandbyDisabled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -275,10 +275,10 @@
 	})
 }
 
-// TestReportsWait ends the leader again and again and measures until a job starts that was
+// TestFailoverStartLatency ends the leader again and again and measures until a job starts that was
 // submitted since: with the standby, where reports wait for the next leader, half of the
 // times are within 4 s and all within 5 s, of which the session's end takes 3 s.
-func TestReportsWait(t *testing.T) {
+func TestFailoverStartLatency(t *testing.T) {
 	const ends = 15
 	measure := func(t *testing.T, standby *settings.Standby) (times []time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
@@ -295,7 +295,7 @@
 				id := fmt.Sprintf("j-%06d", n+1)
 				job := testJob(id, 1)
 				job["rank"] = wire.PriorityUrgent
-				for try := 0; !c.accepts((leader+1+try%2)%3, job); try++ {
+				for try := 0; !c.accept((leader+1+try%2)%3, job); try++ {
 					time.Sleep(20 * time.Millisecond)
 				}
 				for c.cloud.StartsOf(id) == 0 {
@@ -304,7 +304,7 @@
 				times = append(times, time.Since(ended))
 				c.start(leader)
 			}
-			c.broken()
+			c.checkRules()
 		})
 		slices.Sort(times)
 		return times
