--- a/takeover_test.go
+++ b/takeover_test.go
@@ -16,10 +16,10 @@
 	"caperlatch/internal/wire"
 )
 
-// TestHandOvers has jobs cancelled in the seconds in which one leader's work changes
+// TestCancellationDuringFailover has jobs cancelled in the seconds in which one leader's work changes
 // hands, at every stage of that; nothing of them starts once its user was told, but for
 // starts that were on their way.
-func TestHandOvers(t *testing.T) {
+func TestCancellationDuringFailover(t *testing.T) {
 	cases := []struct {
 		name string
 		over func(c *cluster) // ends the leader
@@ -27,13 +27,13 @@
 		standby *settings.Standby
 		later   time.Duration
 	}{
-		{name: "the leader hands over", over: func(c *cluster) { c.handOver() }, standby: testStandby(), later: 1500 * time.Millisecond},
+		{name: "the leader hands over", over: func(c *cluster) { c.handover() }, standby: testStandby(), later: 1500 * time.Millisecond},
 		{name: "the leader crashes", over: func(c *cluster) { c.kill(c.leader()) }},
-		{name: "the leader restarts", over: func(c *cluster) { c.back(c.leader()) }},
+		{name: "the leader restarts", over: func(c *cluster) { c.restartNodes(c.leader()) }},
 		{name: "the leader loses the state service", over: func(c *cluster) {
 			i := c.leader()
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if fromNode(from, i) && isState(r) {
+				if isFromNode(from, i) && isStateRequest(r) {
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
@@ -44,7 +44,7 @@
 			host := fmt.Sprintf("host-%d", i)
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if fromNode(from, i) && isState(r) {
+				if isFromNode(from, i) && isStateRequest(r) {
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
@@ -71,7 +71,7 @@
 						time.AfterFunc(time.Duration(i)*200*time.Millisecond, func() { c.submit(id, 2) })
 					}
 				}
-				led, token := c.leader(), c.token()
+				led, token := c.leader(), c.fencingToken()
 				time.AfterFunc(400*time.Millisecond+tc.later, func() { tc.over(c) })
 				before, after := 0, 0 // the next leader led
 				for i, id := range ids {
@@ -83,20 +83,20 @@
 						continue // not accepted yet
 					}
 					c.cancelJob(id, (led+1+i)%5)
-					if c.token() == token {
+					if c.fencingToken() == token {
 						before++
 					} else {
 						after++
 					}
 				}
-				time.Sleep(time.Duration(cancelS) * time.Second)
+				time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 				c.setFault(nil)
 				c.healPeers()
 				for _, id := range ids {
 					c.submit(id, 2)
 					c.cancelJob(id, 0)
 				}
-				time.Sleep(time.Duration(cancelS) * time.Second)
+				time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 				if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 					t.Errorf("still on machines: %v", on)
 				}
@@ -107,16 +107,16 @@
 				if n := c.rules.StartsAfterCancel(); n > 0 {
 					t.Errorf("%d starts after a cancellation", n)
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestUpAtOnce has machines that are up at once get work while the writes that name them
+// TestFailoverWithDelayedMachineWrites has machines that are up at once get work while the writes that name them
 // lag, and the leader end. The machines that have work then are out of the next leader's
 // reach: it must know of them all the same, or it starts their tasks elsewhere.
-func TestUpAtOnce(t *testing.T) {
+func TestFailoverWithDelayedMachineWrites(t *testing.T) {
 	cases := []struct {
 		name string
 		key  string
@@ -137,10 +137,10 @@
 					c.cloud.RuntimeOf = func(string) float64 { return 60 }
 					c.submit("j-000009", 1) // the catalog is known
 					time.Sleep(3 * time.Second)
-					var lag tally
+					var lag counter
 					held := func(r *http.Request) bool {
 						// The first write of each booking passes, or nothing is rented.
-						return r.URL.Path == "/txn" && contains(r, tc.key) && (tc.key != "c/b/" || contains(r, "i-0"))
+						return r.URL.Path == "/txn" && bodyContains(r, tc.key) && (tc.key != "c/b/" || bodyContains(r, "i-0"))
 					}
 					c.setFault(func(_ string, r *http.Request) fake.Fault {
 						if held(r) {
@@ -152,12 +152,12 @@
 					job := testJob("j-000001", 12)
 					job["expect_s"] = 200.0
 					for try := range 40 {
-						if c.accepts(try%3, job) {
+						if c.accept(try%3, job) {
 							break
 						}
 						time.Sleep(100 * time.Millisecond)
 					}
-					for i := 0; lag.of("lag") == 0; i++ {
+					for i := 0; lag.count("lag") == 0; i++ {
 						if i == 200 {
 							t.Fatal("no such write lagged")
 						}
@@ -168,36 +168,36 @@
 					for _, w := range c.holders("j-000001") {
 						ids[w.ID] = true
 					}
-					var cut tally
-					cutThem := cutMachines(ids, &cut)
+					var cut counter
+					cutThem := isolateMachines(ids, &cut)
 					c.setFault(func(from string, r *http.Request) fake.Fault {
 						if held(r) {
 							return tc.lag
 						}
 						return cutThem(from, r)
 					})
-					before, ran := c.token(), c.running("j-000001")
-					c.back(c.leader())
-					c.ledAfter(before)
+					before, ran := c.fencingToken(), c.runningTasks("j-000001")
+					c.restartNodes(c.leader())
+					c.awaitLeaderAfter(before)
 					time.Sleep(2 * time.Second)
 					c.setFault(cutThem)
 					time.Sleep(1500 * time.Millisecond)
-					if on := c.running("j-000001"); on < ran {
+					if on := c.runningTasks("j-000001"); on < ran {
 						t.Errorf("%d of %d tasks still ran", on, ran)
 					}
 					c.setFault(nil)
-					c.await("j-000001", wire.JobDone, 4*time.Minute)
-					c.broken()
+					c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+					c.checkRules()
 				})
 			})
 		}
 	}
 }
 
-// TestOldReports has old reports reach every node just as a new leader begins, and while
+// TestStaleHeartbeats has old reports reach every node just as a new leader begins, and while
 // it leads: of machines that are out of reach for the moment, made before they got the
 // tasks that they now run; of earlier sessions; and in any order.
-func TestOldReports(t *testing.T) {
+func TestStaleHeartbeats(t *testing.T) {
 	cases := []struct {
 		name string
 		want func(*wire.Heartbeat) bool // reports that are delivered again
@@ -215,10 +215,10 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 60 }
-				var held heldReports
+				var held heartbeatRecorder
 				keep := func(from string, r *http.Request) fake.Fault {
 					if machineOf(from) != "" && r.URL.Path == "/hello" {
-						held.keep(r)
+						held.record(r)
 					}
 					if r.URL.Path == "/hosts/return" {
 						return fake.ServiceUnavailable
@@ -232,39 +232,39 @@
 				time.Sleep(2 * time.Second)
 				// All leases end once, so that there is an earlier session, and the
 				// tasks start anew on the same machines.
-				c.runInNextSession(job, time.Duration(leaseS+3)*time.Second, keep)
-				old := held.all(tc.want)
+				c.runInNextIncarnation(job, time.Duration(leaseDurationS+3)*time.Second, keep)
+				old := held.matching(tc.want)
 				ids := map[string]bool{}
 				for _, w := range c.holders("j-000001") {
 					ids[w.ID] = tc.mute
 				}
-				var cut tally
-				c.setFault(cutMachines(ids, &cut))
-				ran, answered := c.running("j-000001"), 0
+				var cut counter
+				c.setFault(isolateMachines(ids, &cut))
+				ran, answered := c.runningTasks("j-000001"), 0
 				i := c.leader()
 				c.kill(i)
 				for range 60 { // 6 s
-					answered += c.deliver(old)
+					answered += c.replayHeartbeats(old)
 					time.Sleep(100 * time.Millisecond)
 				}
 				c.setFault(nil)
 				// Beside newer ones the old ones get no answer once those have come.
-				if len(old) == 0 || tc.mute && answered == 0 || ran != 8 || tc.mute && cut.of("cut") == 0 || c.leader() == i {
-					t.Errorf("%d old reports, %d answers to them, %d tasks ran, %d messages cut", len(old), answered, ran, cut.of("cut"))
+				if len(old) == 0 || tc.mute && answered == 0 || ran != 8 || tc.mute && cut.count("cut") == 0 || c.leader() == i {
+					t.Errorf("%d old reports, %d answers to them, %d tasks ran, %d messages cut", len(old), answered, ran, cut.count("cut"))
 				}
 				c.start(i)
-				c.await("j-000001", wire.JobDone, 4*time.Minute)
-				c.broken()
+				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestStartsInFlight has a leader end while its starts are on their way to machines that
+// TestDelayedStartsAtFailover has a leader end while its starts are on their way to machines that
 // are in their second session, which the next leader does not know: it is told so by an
 // answer that shows their tasks but does not carry its token. Taken for a picture, it
 // would have the tasks started elsewhere before the starts arrive.
-func TestStartsInFlight(t *testing.T) {
+func TestDelayedStartsAtFailover(t *testing.T) {
 	for _, sessions := range []int{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t)
@@ -282,7 +282,7 @@
 			c.runJob(base)
 			time.Sleep(2 * time.Second)
 			if sessions == 2 {
-				c.runInNextSession(base, time.Duration(leaseS+2)*time.Second, noReturns)
+				c.runInNextIncarnation(base, time.Duration(leaseDurationS+2)*time.Second, noReturns)
 			}
 			holdStarts := func(from string, r *http.Request) fake.Fault {
 				if r.URL.Path == "/hello" {
@@ -301,16 +301,16 @@
 			}
 			// What there is as nodes try to lead is noted before any of them can: the next
 			// leader may start the tasks within milliseconds, where machines answer it.
-			before := c.token()
-			var met tally
+			before := c.fencingToken()
+			var met counter
 			noting := func(other func(string, *http.Request) fake.Fault) func(string, *http.Request) fake.Fault {
 				return func(from string, r *http.Request) fake.Fault {
-					if r.URL.Path == "/txn" && contains(r, replica.TokenKey) && c.token() == before {
+					if r.URL.Path == "/txn" && bodyContains(r, replica.TokenKey) && c.fencingToken() == before {
 						met.add("tried")
 						if c.net.DelayedStartResponses() == 0 {
 							met.add("none held")
 						}
-						if c.running("j-000001") > 0 {
+						if c.runningTasks("j-000001") > 0 {
 							met.add("some ran")
 						}
 					}
@@ -318,27 +318,27 @@
 				}
 			}
 			c.setFault(noting(holdStarts))
-			c.back(c.leader())
+			c.restartNodes(c.leader())
 			c.setFault(noting(noReturns))
-			c.ledAfter(before)
-			if met.of("tried") == 0 || met.of("none held") > 0 || met.of("some ran") > 0 {
-				t.Errorf("%d answers with starts were held up; as nodes tried to lead: %v", c.net.DelayedStartResponses(), met.n)
+			c.awaitLeaderAfter(before)
+			if met.count("tried") == 0 || met.count("none held") > 0 || met.count("some ran") > 0 {
+				t.Errorf("%d answers with starts were held up; as nodes tried to lead: %v", c.net.DelayedStartResponses(), met.counts)
 			}
 			time.Sleep(5 * time.Second)
 			c.setFault(nil)
-			c.await("j-000001", wire.JobDone, 4*time.Minute)
-			c.broken()
+			c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+			c.checkRules()
 		})
 	}
 }
 
 // held keeps bodies of reports that were sent, to be sent again later.
-type heldReports struct {
+type heartbeatRecorder struct {
 	mu     sync.Mutex
 	bodies [][]byte
 }
 
-func (h *heldReports) keep(r *http.Request) {
+func (h *heartbeatRecorder) record(r *http.Request) {
 	body, err := r.GetBody()
 	if err != nil {
 		return
@@ -352,8 +352,8 @@
 	h.bodies = append(h.bodies, b)
 }
 
-// all decodes the reports that a test wants.
-func (h *heldReports) all(want func(*wire.Heartbeat) bool) (bodies [][]byte) {
+// matching decodes the reports that a test wants.
+func (h *heartbeatRecorder) matching(want func(*wire.Heartbeat) bool) (bodies [][]byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range h.bodies {
@@ -365,8 +365,8 @@
 	return bodies
 }
 
-// deliver sends reports to every node.
-func (c *cluster) deliver(bodies [][]byte) (answered int) {
+// replayHeartbeats sends reports to every node.
+func (c *cluster) replayHeartbeats(bodies [][]byte) (answered int) {
 	for _, b := range bodies {
 		for node := range c.size {
 			resp, err := c.user.Post(fmt.Sprintf("http://host-%d:8080/hello", node), wire.ContentType, bytes.NewReader(b))
--- a/upgrade_test.go
+++ b/upgrade_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// goOn has the checker of rules know what was so before a stored moment, and returns
+// restoreRules has the checker of rules know what was so before a stored moment, and returns
 // the jobs stored and the state that each must end in.
-func (c *cluster) goOn(stored map[string]wire.Raw) map[string]string {
+func (c *cluster) restoreRules(stored map[string]wire.Raw) map[string]string {
 	const before = "before"
 	c.rules.ObserveLaunch(before, wire.LaunchRequest{InstanceType: "m4", Zone: "a"})
 	done := func(task string) {
@@ -145,18 +145,18 @@
 	return ends
 }
 
-// capturedGang is the gang of the moments that gangBegins names.
+// capturedGang is the gang of the moments that wantGangStarts names.
 const capturedGang = "j-000002"
 
-// begun counts what begins of a gang after a take-over.
-type begun struct {
-	starts int // of its tasks
-	runs   int // attempts of which all tasks came to run
+// gangStarts counts what begins of a gang after a take-over.
+type gangStarts struct {
+	tasks int // of its tasks
+	runs  int // attempts of which all tasks came to run
 }
 
-// gangBegins is what begins of the gang if its machines are still there: what runs, or is
+// wantGangStarts is what begins of the gang if its machines are still there: what runs, or is
 // done, does not begin anew, what waits is completed, and what was stopped runs again.
-var gangBegins = map[string]begun{
+var wantGangStarts = map[string]gangStarts{
 	"a gang waits for a machine that hangs":                      {1, 1},
 	"a gang runs":                                                {0, 0},
 	"a gang is being stopped":                                    {3, 1},
@@ -166,20 +166,20 @@
 	"a list was divided, a gang runs":                            {0, 0},
 }
 
-// takeOver is a way to take over from an earlier version.
-type takeOver struct {
-	name  string
-	there bool          // the machines of then are there, with their tasks
-	lower time.Duration // when the limits are lowered, negative: never
-	kill  bool          // the first leader ends
+// failoverCase is a way to take over from an earlier version.
+type failoverCase struct {
+	name             string
+	machinesPresent  bool          // the machines of then are there, with their tasks
+	lowerLimitsAfter time.Duration // when the limits are lowered, negative: never
+	killLeader       bool          // the first leader ends
 }
 
-// TestTakeOverFromOldVersions has this version take over what earlier ones stored, with
+// TestFailoverFromOldVersions has this version take over what earlier ones stored, with
 // the limits of then or with lower ones, while the machines of then are gone or still
 // there. What was over stays so, what ran is done, and nodes that end meanwhile change
 // nothing of that.
-func TestTakeOverFromOldVersions(t *testing.T) {
-	cases := []takeOver{
+func TestFailoverFromOldVersions(t *testing.T) {
+	cases := []failoverCase{
 		{"the limits stay", false, -1, false},
 		{"the limits are lower", false, 0, false},
 		{"the limits are lowered as the leader ends", false, 3 * time.Second, true},
@@ -193,11 +193,11 @@
 			for _, tc := range cases {
 				t.Run(v.name+", "+moment+", "+tc.name, func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						c := newTunedCluster(t, 3, tellNext)
+						c := newTunedCluster(t, 3, announceLimits)
 						defer c.close()
-						c.takeOver(tc, stored, old.machines[moment])
-						got := begun{c.cloud.StartsOf(capturedGang), c.cloud.GangRuns(capturedGang)}
-						if want, known := gangBegins[moment]; known && tc.there && got != want {
+						c.restoreAndFinish(tc, stored, old.machines[moment])
+						got := gangStarts{c.cloud.StartsOf(capturedGang), c.cloud.GangRuns(capturedGang)}
+						if want, known := wantGangStarts[moment]; known && tc.machinesPresent && got != want {
 							t.Errorf("of the gang there began %+v, want %+v", got, want)
 						}
 						if n := c.state.RejectedTxns(); n != 0 {
@@ -213,8 +213,8 @@
 	}
 }
 
-// takeOver has a cluster begin with what was stored, and awaits the ends of all jobs.
-func (c *cluster) takeOver(how takeOver, stored map[string]wire.Raw, machines []wire.Heartbeat) {
+// restoreAndFinish has a cluster begin with what was stored, and awaits the ends of all jobs.
+func (c *cluster) restoreAndFinish(how failoverCase, stored map[string]wire.Raw, machines []wire.Heartbeat) {
 	for i := range c.size {
 		c.kill(i)
 	}
@@ -230,26 +230,26 @@
 			c.state.Put(key, value)
 		}
 	}
-	ends := c.goOn(stored)
-	if how.there {
+	ends := c.restoreRules(stored)
+	if how.machinesPresent {
 		if err := c.cloud.Restore(machines); err != nil {
 			c.t.Fatal(err)
 		}
 	}
-	if how.lower == 0 {
-		c.state.SetLimits(lowered)
+	if how.lowerLimitsAfter == 0 {
+		c.state.SetLimits(loweredLimits)
 	}
 	for i := range c.size {
 		c.start(i)
 	}
-	if i := c.leader(); how.kill {
-		time.Sleep(how.lower)
-		c.state.SetLimits(lowered)
+	if i := c.leader(); how.killLeader {
+		time.Sleep(how.lowerLimitsAfter)
+		c.state.SetLimits(loweredLimits)
 		c.kill(i)
 		time.Sleep(time.Second)
 		c.start(i)
 	}
 	for id, end := range ends {
-		c.await(id, end, 4*time.Minute)
+		c.awaitStatus(id, end, 4*time.Minute)
 	}
 }
--- a/versions_test.go
+++ b/versions_test.go
@@ -11,9 +11,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestReadyTellsVersions asks a node which versions serve, as an operator does between
+// TestReadyVersions asks a node which versions serve, as an operator does between
 // two steps of an upgrade.
-func TestReadyTellsVersions(t *testing.T) {
+func TestReadyVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
--- a/zones_measure_test.go
+++ b/zones_measure_test.go
@@ -62,9 +62,9 @@
 
 // Of a measurement's machines, this part is busy before the cuts.
 const (
-	measuredLoad = 0.55
-	cpusAMachine = 4
-	classCPUs    = 410 // of all classes at load 1
+	measuredLoad   = 0.55
+	cpusPerMachine = 4
+	classCPUs      = 410 // of all classes at load 1
 )
 
 // measureZones measures one run.
@@ -75,10 +75,10 @@
 	}
 	r := newZoneRun(t, 5, twoZones, run.Machines/len(twoZones), features)
 	defer r.close()
-	r.load, r.seed = measuredLoad*float64(run.Machines*cpusAMachine)/classCPUs, run.Seed
+	r.load, r.seed = measuredLoad*float64(run.Machines*cpusPerMachine)/classCPUs, run.Seed
 	rented, used := 0, 0
 	r.play(func() {
-		r.leadIn("a")
+		r.makeLeaderIn("a")
 		run.Cut, rented, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
 		for i, seconds := range zonePatterns[run.Pattern] {
 			if i%2 == 0 {
--- a/zones_test.go
+++ b/zones_test.go
@@ -50,7 +50,7 @@
 }
 
 // Times of the workers in runs of lost zones, in seconds.
-const zoneReportS, zoneLeaseS, zoneCancelS = 2.0, 16.0, 41.0
+const zoneHeartbeatS, zoneLeaseS, zoneCancelS = 2.0, 16.0, 41.0
 
 // A full load is more than one of two zones can hold, with room of both for it; a half one is
 // less, at half the size.
@@ -58,21 +58,21 @@
 
 // Bounds of what is seen.
 const (
-	mostPause     = 30 * time.Second // of urgent work
-	orderPart     = 5                // a routine start in so many scans is borne while scans wait
-	leastMeasured = 60               // starts, for an order to be judged
-	leastWaiting  = 30               // scans, for others to be out of order
+	maxStall          = 30 * time.Second // of urgent work
+	maxOrderRatio     = 5                // a routine start in so many scans is borne while scans wait
+	minMeasuredStarts = 60               // starts, for an order to be judged
+	minWaiting        = 30               // scans, for others to be out of order
 )
 
 // What checks find wrong.
-const wrongOrder, wrongSteps, wrongHoldDown, wrongState = "order:", "steps:", "hold-down:", "stored state:"
+const orderProblem, stepsProblem, holdDownProblem, stateProblem = "order:", "steps:", "hold-down:", "stored state:"
 
 var twoZones, fourZones = []string{"a", "b"}, []string{"a", "b", "c", "d"}
 
 // zoneSettings is the policy as the runs have it. Workers that were cut off come back within
 // some 6 s; steps must show beside that.
 func zoneSettings() *zone.Config {
-	c := zone.DefaultConfig(micros.FromSeconds(zoneReportS))
+	c := zone.DefaultConfig(micros.FromSeconds(zoneHeartbeatS))
 	c.Classes = []string{"scan", "update"}
 	c.StepHold, c.HoldDown = 4*micros.Second, 2*micros.Second
 	return &c
@@ -88,8 +88,8 @@
 	load     float64  // 1: as the classes say; halfLoad
 	steps    []zoneStep
 	// Of a scenario with a guard off: how, and what its checks must then find.
-	off   func(c *zone.Config)
-	wrong string
+	guardOff    func(c *zone.Config)
+	wantProblem string
 }
 
 // zoneStep is what happens next, or is checked.
@@ -97,46 +97,46 @@
 
 var (
 	// Shorter than two leases: none of the zone's machines is given up for being silent.
-	cutAndRestored = zoneScenario{name: "cut and restored", machines: fullMachines, load: fullLoad, steps: []zoneStep{loses(14), heals(), inOrder, wait(15), inSteps}}
+	cutAndRestored = zoneScenario{name: "cut and restored", machines: fullMachines, load: fullLoad, steps: []zoneStep{loseZone(14), heal(), checkOrder, waitFor(15), checkSteps}}
 	// Most machines are heard between the cuts, or nothing would be left there to be lost again.
-	threeFlaps = zoneScenario{name: "three flaps, as leases end and as a step opens", nodes: 3, steps: []zoneStep{loses(14), heals(zone.Returning), wait(2), loses(zoneLeaseS - 6),
-		heals(zone.HeldDown, zone.Returning), loses(5), flapsCounted, heals(), heldDown}}
-	killedWhenLost = zoneScenario{name: "the leader is killed when the zone is lost", nodes: 3, steps: []zoneStep{loses(0.3), kills(1, zone.Lost), until(zone.Lost), wait(10)}}
+	threeFlaps = zoneScenario{name: "three flaps, as leases end and as a step opens", nodes: 3, steps: []zoneStep{loseZone(14), heal(zone.Returning), waitFor(2), loseZone(zoneLeaseS - 6),
+		heal(zone.HeldDown, zone.Returning), loseZone(5), checkFlaps, heal(), checkHoldDown}}
+	killedWhenLost = zoneScenario{name: "the leader is killed when the zone is lost", nodes: 3, steps: []zoneStep{loseZone(0.3), killLeaders(1, zone.Lost), awaitZone(zone.Lost), waitFor(10)}}
 )
 
 // zoneScenarios are the troubles. At the end of each the zone comes back.
 var zoneScenarios = []zoneScenario{cutAndRestored, threeFlaps, killedWhenLost,
-	{name: "half of the zone comes back", steps: []zoneStep{loses(20), halfComesBack, wait(40)}},
-	{name: "reports over a lease old reach all nodes as a leader begins", steps: []zoneStep{loses(15), func(r *zoneRun) {
+	{name: "half of the zone comes back", steps: []zoneStep{loseZone(20), reconnectHalf, waitFor(40)}},
+	{name: "reports over a lease old reach all nodes as a leader begins", steps: []zoneStep{loseZone(15), func(r *zoneRun) {
 		time.AfterFunc(5*time.Second, func() { r.Heal(); r.restart(r.leader()) })
 		r.InjectFor(30*time.Second, fake.DuplicatedRequest, func(from string, q *http.Request) bool {
 			return machineOf(from) != "" && q.URL.Path == "/hello" && from[len(from)-1]%2 == 0
 		})
 	}}},
 	// Two of three nodes are in zone a.
-	{name: "the leader is inside, and keeps leases alive", nodes: 3, steps: []zoneStep{func(r *zoneRun) { r.leadIn("a"); r.lost = "a" }, loses(20), outlivesLease}},
-	{name: "the leader is killed when the zone is suspected", steps: []zoneStep{cuts, until(zone.Suspected), kills(1), until(zone.Lost), wait(10)}},
-	{name: "the leader is killed when the zone is held down", steps: []zoneStep{loses(15), heals(zone.HeldDown), wait(0.3), kills(1, zone.HeldDown, zone.Returning)}},
-	{name: "the leader is killed when the zone returns", steps: []zoneStep{loses(15), heals(zone.Returning), wait(0.3), kills(1, zone.HeldDown, zone.Returning)}},
-	{name: "two leaders in a row are killed when the zone is lost", steps: []zoneStep{loses(0.3), kills(2, zone.Lost), until(zone.Lost), wait(10)}},
-	{name: "two leaders in a row are killed when the zone returns", steps: []zoneStep{loses(15), heals(zone.Returning), wait(0.3), kills(2, zone.HeldDown, zone.Returning)}},
-	{name: "all nodes restart at once", steps: []zoneStep{loses(10), allRestart, goesOn(zone.Lost)}},
-	{name: "the state service refuses the leader, then all, in the evacuation", steps: []zoneStep{loses(5), stateRefuses}},
-	{name: "the state service refuses the leader, then all, in the return", steps: []zoneStep{loses(20), heals(zone.Returning), stateRefuses}},
-	{name: "two zones are apart, and both reach the state service", steps: []zoneStep{func(r *zoneRun) { r.lost = r.target(false); r.SplitZones() }, until(zone.Lost), wait(20)}},
+	{name: "the leader is inside, and keeps leases alive", nodes: 3, steps: []zoneStep{func(r *zoneRun) { r.makeLeaderIn("a"); r.lostZone = "a" }, loseZone(20), checkOutlivesLease}},
+	{name: "the leader is killed when the zone is suspected", steps: []zoneStep{isolate, awaitZone(zone.Suspected), killLeaders(1), awaitZone(zone.Lost), waitFor(10)}},
+	{name: "the leader is killed when the zone is held down", steps: []zoneStep{loseZone(15), heal(zone.HeldDown), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
+	{name: "the leader is killed when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
+	{name: "two leaders in a row are killed when the zone is lost", steps: []zoneStep{loseZone(0.3), killLeaders(2, zone.Lost), awaitZone(zone.Lost), waitFor(10)}},
+	{name: "two leaders in a row are killed when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(2, zone.HeldDown, zone.Returning)}},
+	{name: "all nodes restart at once", steps: []zoneStep{loseZone(10), restartAll, checkNextLeader(zone.Lost)}},
+	{name: "the state service refuses the leader, then all, in the evacuation", steps: []zoneStep{loseZone(5), stateRefusals}},
+	{name: "the state service refuses the leader, then all, in the return", steps: []zoneStep{loseZone(20), heal(zone.Returning), stateRefusals}},
+	{name: "two zones are apart, and both reach the state service", steps: []zoneStep{func(r *zoneRun) { r.lostZone = r.zoneByLeader(false); r.SplitZones() }, awaitZone(zone.Lost), waitFor(20)}},
 	{name: "the cloud is down meanwhile", steps: []zoneStep{func(r *zoneRun) {
 		go r.InjectFor(40*time.Second, fake.ServiceUnavailable, func(_ string, q *http.Request) bool { return q.URL.Host == "cloud" })
-	}, loses(25)}},
-	{name: "machines are taken in the surviving zone", nodes: 3, steps: []zoneStep{loses(2), hitSurvivors(halfMachines/4, func(w *fake.Worker) { w.Interrupt(3 * time.Second) }), wait(20)}},
-	{name: "what is left cannot hold the urgent work", nodes: 3, machines: 14, load: 0.25, steps: []zoneStep{loses(0), hitSurvivors(9, func(w *fake.Worker) { w.Hang(25 * time.Second) }), wait(25)}},
-	{name: "displaced jobs are cancelled through a third node", steps: []zoneStep{submits(6, func(id string) map[string]any {
+	}, loseZone(25)}},
+	{name: "machines are taken in the surviving zone", nodes: 3, steps: []zoneStep{loseZone(2), faultSurvivors(halfMachines/4, func(w *fake.Worker) { w.Interrupt(3 * time.Second) }), waitFor(20)}},
+	{name: "what is left cannot hold the urgent work", nodes: 3, machines: 14, load: 0.25, steps: []zoneStep{loseZone(0), faultSurvivors(9, func(w *fake.Worker) { w.Hang(25 * time.Second) }), waitFor(25)}},
+	{name: "displaced jobs are cancelled through a third node", steps: []zoneStep{submitAdded(6, func(id string) map[string]any {
 		job := testJob(id, 10)
 		job["expect_s"] = 60.0
 		return job
-	}), loses(3), cancelsAdded, wait(20), heals(), wait(zoneCancelS), addedAre(wire.JobCancelled)}},
-	{name: "gangs are in both zones", steps: []zoneStep{submits(8, func(id string) map[string]any {
+	}), loseZone(3), cancelAdded, waitFor(20), heal(), waitFor(zoneCancelS), awaitAdded(wire.JobCancelled)}},
+	{name: "gangs are in both zones", steps: []zoneStep{submitAdded(8, func(id string) map[string]any {
 		return gangJob(id, 4, 2, map[string]any{"together": id[len(id)-1]%2 == 0})
-	}), loses(25), heals(), addedAre(wire.JobDone)}},
+	}), loseZone(25), heal(), awaitAdded(wire.JobDone)}},
 	{name: "the only zone", nodes: 3, zones: twoZones[:1], machines: 2 * halfMachines, steps: []zoneStep{func(r *zoneRun) {
 		r.MarkAllAffected() // its machines are cut off from the nodes, which go on
 		r.InjectFor(25*time.Second, fake.DroppedRequest, func(from string, q *http.Request) bool {
@@ -147,7 +147,7 @@
 		}
 	}}},
 	{name: "two of four zones", zones: fourZones, machines: halfMachines / 2, steps: []zoneStep{func(r *zoneRun) {
-		leads := r.target(true)
+		leads := r.zoneByLeader(true)
 		lost := slices.DeleteFunc(slices.Clone(fourZones), func(name string) bool { return name == leads })[:2]
 		r.Isolate(lost...)
 		for _, want := range []zone.State{zone.Lost, zone.Healthy} {
@@ -157,22 +157,22 @@
 			r.Heal()
 		}
 	}}},
-	{name: "nodes of a version without it lead for a while", steps: []zoneStep{loses(8), func(r *zoneRun) {
+	{name: "nodes of a version without it lead for a while", steps: []zoneStep{loseZone(8), func(r *zoneRun) {
 		r.without = map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true}
 		r.restart(r.leader())
 		time.Sleep(5 * time.Second)
 		r.without = nil
 		r.Heal()
-	}, allRestart}},
-	cutAndRestored.without(wrongOrder, func(c *zone.Config) { c.Classes = nil }),
-	cutAndRestored.without(wrongSteps, func(c *zone.Config) { c.Steps = []float64{1} }),
-	threeFlaps.without(wrongHoldDown, func(c *zone.Config) { c.HoldDown, c.MaxHoldDown = 0, 0 }),
-	killedWhenLost.without(wrongState, func(*zone.Config) {}),
+	}, restartAll}},
+	cutAndRestored.withGuardOff(orderProblem, func(c *zone.Config) { c.Classes = nil }),
+	cutAndRestored.withGuardOff(stepsProblem, func(c *zone.Config) { c.Steps = []float64{1} }),
+	threeFlaps.withGuardOff(holdDownProblem, func(c *zone.Config) { c.HoldDown, c.MaxHoldDown = 0, 0 }),
+	killedWhenLost.withGuardOff(stateProblem, func(*zone.Config) {}),
 }
 
-// without is the scenario with a guard off: what is checked must then be seen to be wrong.
-func (s zoneScenario) without(wrong string, off func(c *zone.Config)) zoneScenario {
-	s.name, s.wrong, s.off = "without "+strings.TrimSuffix(wrong, ":")+", "+s.name, wrong, off
+// withGuardOff is the scenario with a guard off: what is checked must then be seen to be wrong.
+func (s zoneScenario) withGuardOff(wrong string, off func(c *zone.Config)) zoneScenario {
+	s.name, s.wantProblem, s.guardOff = "without "+strings.TrimSuffix(wrong, ":")+", "+s.name, wrong, off
 	return s
 }
 
@@ -183,8 +183,8 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				wrong := s.run(t)
-				if s.wrong == "" && len(wrong) > 0 || s.wrong != "" && !slices.ContainsFunc(wrong, func(w string) bool { return strings.HasPrefix(w, s.wrong) }) {
-					t.Errorf("seen: %q, want %q", wrong, s.wrong)
+				if s.wantProblem == "" && len(wrong) > 0 || s.wantProblem != "" && !slices.ContainsFunc(wrong, func(w string) bool { return strings.HasPrefix(w, s.wantProblem) }) {
+					t.Errorf("seen: %q, want %q", wrong, s.wantProblem)
 				}
 			})
 		})
@@ -194,29 +194,29 @@
 // run plays a scenario, and tells what its checks found wrong.
 func (s zoneScenario) run(t *testing.T) (wrong []string) {
 	c := zoneSettings()
-	if s.off != nil {
-		s.off(c)
+	if s.guardOff != nil {
+		s.guardOff(c)
 	}
 	if s.zones == nil {
 		s.zones = twoZones
 	}
 	r := newZoneRun(t, cmp.Or(s.nodes, 5), s.zones, cmp.Or(s.machines, halfMachines), settings.Features{Zones: c})
 	defer r.close()
-	r.load, r.forgets = cmp.Or(s.load, halfLoad), s.wrong == wrongState
+	r.load, r.dropRecord = cmp.Or(s.load, halfLoad), s.wantProblem == stateProblem
 	r.play(func() {
 		for _, step := range s.steps {
 			step(r)
 		}
-		if r.lost != "" {
-			heals()(r)
+		if r.lostZone != "" {
+			heal()(r)
 		}
 	})
 	pause, again := r.LongestStall("urgent"), r.RestartedTasks("urgent")
-	if pause > mostPause || len(again) > 0 {
+	if pause > maxStall || len(again) > 0 {
 		t.Errorf("urgent work paused for %v; %d tasks began again that no trouble met: %v", pause, len(again), again[:min(5, len(again))])
 	}
 	t.Logf("pause %v, %d starts, %d machines rented", pause, r.cloud.Starts(), r.cloud.Launched())
-	return r.wrong
+	return r.problems
 }
 
 // zoneRun is a cluster over some zones with a steady load, parts of which are cut off.
@@ -224,16 +224,16 @@
 	*cluster
 	*checker.History
 	*fake.ZonePartition
-	zones   []string
-	load    float64 // of the jobs' sizes, 1: as the classes say
-	seed    uint64  // of the jobs' sizes; 0: all of a class have one size
-	forgets bool    // what is stored of zones is lost with each leader
+	zones      []string
+	load       float64 // of the jobs' sizes, 1: as the classes say
+	seed       uint64  // of the jobs' sizes; 0: all of a class have one size
+	dropRecord bool    // what is stored of zones is lost with each leader
 	// What the steps did: the zone that is cut off, when it was, was declared lost, and the cuts
 	// ended, machines rented once it was first lost, jobs added, and what checks found.
-	lost                   string
+	lostZone               string
 	cutAt, lostAt, healsAt time.Duration
-	rented                 int
-	added, wrong           []string
+	launched               int
+	added, problems        []string
 }
 
 // newZoneRun starts nodes in turn in the zones, each with so many machines at most.
@@ -241,7 +241,7 @@
 	r := &zoneRun{zones: zones, History: checker.NewHistory(), ZonePartition: fake.NewZonePartition()}
 	r.cluster = newFeaturesCluster(t, nodes, func(s *settings.Settings) {
 		s.Params.Zones = zones
-		s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = zoneReportS, zoneLeaseS, zoneCancelS
+		s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = zoneHeartbeatS, zoneLeaseS, zoneCancelS
 	}, features)
 	r.cloud.Zones, r.rules.InstanceTypes[0].Zones, r.cloud.MaxMachinesByZone = zones, zones, map[string]int{}
 	for _, name := range zones {
@@ -249,7 +249,7 @@
 	}
 	r.cloud.RuntimeOf = func(task string) float64 { return zoneClassOf(task).runS }
 	r.ClassOf = func(task string) string { return zoneClassOf(task).name }
-	r.History.Affected, r.UnreportedFor, r.rules.OnTaskEvent = r.ZonePartition.Affects, 2*zoneReportS*time.Second, r.ObserveTask
+	r.History.Affected, r.UnreportedFor, r.rules.OnTaskEvent = r.ZonePartition.Affects, 2*zoneHeartbeatS*time.Second, r.ObserveTask
 	r.ZoneOf, r.MachineOf = r.zoneOfName, machineOf
 	r.OnChange = func() { r.ObserveFault(); r.pipes.SetPartition(r.Blocks) }
 	r.setFault(r.FaultOf)
@@ -265,7 +265,7 @@
 	return r.rules.ZoneOf(machineOf(name))
 }
 
-// submitAll has the jobs of a class come until ctx ends.
+// submitJobs has the jobs of a class come until ctx ends.
 func (r *zoneRun) submitAll(ctx context.Context, c zoneClass) {
 	var users sync.WaitGroup
 	random := rand.New(rand.NewPCG(r.seed, uint64(c.first)))
@@ -278,7 +278,7 @@
 		job := testJob(id, tasks)
 		job["lane"], job["rank"], job["expect_s"], job["save_every_s"] = c.name, c.rank, c.runS, c.saveS
 		users.Go(func() {
-			if !r.submitFrom(n%r.size, time.Second, job) {
+			if !r.submitWithRetries(n%r.size, time.Second, job) {
 				r.t.Errorf("%s was not accepted", id)
 			}
 			r.ObserveAccepted(id, c.name, tasks)
@@ -309,10 +309,10 @@
 	users.Wait()
 	jobs := r.Jobs()
 	for _, id := range jobs {
-		r.await(id, wire.JobDone, 6*time.Minute)
+		r.awaitStatus(id, wire.JobDone, 6*time.Minute)
 	}
-	r.answersAll(jobs[:min(len(jobs), 50)])
-	r.broken()
+	r.checkAnswers(jobs[:min(len(jobs), 50)])
+	r.checkRules()
 }
 
 // status is what the leader thinks of a zone, as the first node tells that knows; empty while
@@ -342,15 +342,15 @@
 	return s
 }
 
-// isAny tells whether a zone is in one of some states.
-func isAny(s zone.Status, states []zone.State) bool {
+// isInState tells whether a zone is in one of some states.
+func isInState(s zone.Status, states []zone.State) bool {
 	return slices.ContainsFunc(states, func(want zone.State) bool { return s.State == want.String() })
 }
 
 // awaitState waits until the leader thinks so of a zone.
 func (r *zoneRun) awaitState(name string, states ...zone.State) {
 	r.t.Helper()
-	if s := r.poll(name, 1200, func(s zone.Status) bool { return isAny(s, states) }); !isAny(s, states) {
+	if s := r.poll(name, 1200, func(s zone.Status) bool { return isInState(s, states) }); !isInState(s, states) {
 		r.t.Fatalf("zone %s is %s (%s: %+v), want %v", name, s.State, s.Reason, s.Evidence, states)
 	}
 }
@@ -358,11 +358,11 @@
 // restart crashes nodes for a moment and waits for the next leader. The state service may then
 // hold nothing that can be read of zones.
 func (r *zoneRun) restart(nodes ...int) {
-	token := r.token()
+	token := r.fencingToken()
 	for _, i := range nodes {
 		r.kill(i)
 	}
-	if r.forgets {
+	if r.dropRecord {
 		b, err := wire.Marshal(zone.Record{Version: zone.RecordVersion + 1})
 		if err != nil {
 			panic(err)
@@ -373,96 +373,96 @@
 	for _, i := range nodes {
 		r.start(i)
 	}
-	r.ledAfter(token)
+	r.awaitLeaderAfter(token)
 }
 
-// target is a zone that the leader is in, or one that it is not in.
-func (r *zoneRun) target(leads bool) string {
+// zoneByLeader is a zone that the leader is in, or one that it is not in.
+func (r *zoneRun) zoneByLeader(leads bool) string {
 	inside := r.zoneOfName(fmt.Sprintf("host-%d", r.leader()))
 	return r.zones[slices.IndexFunc(r.zones, func(name string) bool { return (name == inside) == leads })]
 }
 
-// leadIn has the leader be in a zone.
-func (r *zoneRun) leadIn(name string) {
-	for r.target(true) != name {
+// makeLeaderIn has the leader be in a zone.
+func (r *zoneRun) makeLeaderIn(name string) {
+	for r.zoneByLeader(true) != name {
 		r.restart(r.leader())
 		time.Sleep(10 * time.Second)
 	}
 }
 
-func wait(seconds float64) zoneStep {
+func waitFor(seconds float64) zoneStep {
 	return func(*zoneRun) { time.Sleep(time.Duration(seconds * float64(time.Second))) }
 }
 
-func until(states ...zone.State) zoneStep {
-	return func(r *zoneRun) { r.awaitState(r.lost, states...) }
+func awaitZone(states ...zone.State) zoneStep {
+	return func(r *zoneRun) { r.awaitState(r.lostZone, states...) }
 }
 
-func allRestart(r *zoneRun) { r.restart(0, 1, 2, 3, 4) }
+func restartAll(r *zoneRun) { r.restart(0, 1, 2, 3, 4) }
 
-// cuts cuts the zone off that was before, or one that the leader is not in.
-func cuts(r *zoneRun) {
-	if r.lost == "" {
-		r.lost = r.target(false)
+// isolate cuts the zone off that was before, or one that the leader is not in.
+func isolate(r *zoneRun) {
+	if r.lostZone == "" {
+		r.lostZone = r.zoneByLeader(false)
 	}
 	r.cutAt = r.Elapsed()
-	r.Isolate(r.lost)
+	r.Isolate(r.lostZone)
 }
 
-// loses cuts the zone off, waits for the verdict, and then for a while.
-func loses(seconds float64) zoneStep {
+// loseZone cuts the zone off, waits for the verdict, and then for a while.
+func loseZone(seconds float64) zoneStep {
 	return func(r *zoneRun) {
-		cuts(r)
-		r.awaitState(r.lost, zone.Lost)
+		isolate(r)
+		r.awaitState(r.lostZone, zone.Lost)
 		r.lostAt = r.Elapsed()
-		wait(seconds)(r)
-		r.rented = cmp.Or(r.rented, r.cloud.Launched())
+		waitFor(seconds)(r)
+		r.launched = cmp.Or(r.launched, r.cloud.Launched())
 	}
 }
 
-// heals ends all cuts, and waits until the zone is in one of some states, or healthy.
-func heals(states ...zone.State) zoneStep {
+// heal ends all cuts, and waits until the zone is in one of some states, or healthy.
+func heal(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
 		r.healsAt = r.Elapsed()
 		r.Heal()
-		r.awaitState(r.lost, append(states, zone.Healthy)...)
+		r.awaitState(r.lostZone, append(states, zone.Healthy)...)
 	}
 }
 
-// kills ends the leader again and again; the next one must think so of the zone, if anything.
-func kills(times int, states ...zone.State) zoneStep {
+// killLeaders ends the leader again and again; the next one must think so of the zone, if anything.
+func killLeaders(times int, states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
 		for range times {
 			if r.restart(r.leader()); len(states) > 0 {
-				goesOn(states...)(r)
+				checkNextLeader(states...)(r)
 			}
 		}
 	}
 }
 
-// stateRefuses has the state service refuse the leader alone for a while, and then everybody.
+// stateRefusals has the state service refuse the leader alone for a while, and then everybody.
 // Workers then seek another node, and may lose their leases in the zone that is left.
-func stateRefuses(r *zoneRun) {
+func stateRefusals(r *zoneRun) {
 	r.MarkAllAffected()
 	leads := r.leader()
-	r.InjectFor(8*time.Second, fake.ServiceUnavailable, func(from string, q *http.Request) bool { return isState(q) && fromNode(from, leads) })
+	r.InjectFor(8*time.Second, fake.ServiceUnavailable, func(from string, q *http.Request) bool { return isStateRequest(q) && isFromNode(from, leads) })
 	r.state.SetOutage(true)
 	time.Sleep(8 * time.Second)
 	r.state.SetOutage(false)
 }
 
-func halfComesBack(r *zoneRun) {
+func reconnectHalf(r *zoneRun) {
 	for i, w := range r.cloud.Workers() {
-		if w.Zone() == r.lost && i%2 == 0 {
+		if w.Zone() == r.lostZone && i%2 == 0 {
 			r.AllowMachines(w.ID)
 		}
 	}
 }
 
-// hitSurvivors has something happen to so many of the machines in the other zones.
-func hitSurvivors(most int, hit func(w *fake.Worker)) zoneStep {
+// faultSurvivors has something happen to so many of the machines in the other zones.
+func faultSurvivors(most int, hit func(w *fake.Worker)) zoneStep {
 	return func(r *zoneRun) {
-		left := slices.DeleteFunc(r.cloud.Workers(), func(w *fake.Worker) bool { return w.Zone() == r.lost })
+		left := slices.DeleteFunc(r.cloud.Workers(), func(w *fake.Worker) bool { return w.Zone() == r.lostZone })
 		for _, w := range left[:min(most, len(left))] {
 			hit(w)
 		}
@@ -470,8 +470,8 @@
 	}
 }
 
-// submits adds jobs and lets them begin.
-func submits(n int, job func(id string) map[string]any) zoneStep {
+// submitAdded adds jobs and lets them begin.
+func submitAdded(n int, job func(id string) map[string]any) zoneStep {
 	return func(r *zoneRun) {
 		for i := range n {
 			r.added = append(r.added, fmt.Sprintf("j-%06d", 100+i))
@@ -481,79 +481,79 @@
 	}
 }
 
-func cancelsAdded(r *zoneRun) {
-	third := slices.IndexFunc(r.zones, func(name string) bool { return name != r.lost }) + 2
+func cancelAdded(r *zoneRun) {
+	third := slices.IndexFunc(r.zones, func(name string) bool { return name != r.lostZone }) + 2
 	for _, id := range r.added {
 		r.cancelJob(id, third)
 	}
 }
 
-// addedAre waits until the jobs that were added have a last status. None of their tasks runs on.
-func addedAre(status string) zoneStep {
+// awaitAdded waits until the jobs that were added have a last status. None of their tasks runs on.
+func awaitAdded(status string) zoneStep {
 	return func(r *zoneRun) {
 		for _, id := range r.added {
-			r.await(id, status, 4*time.Minute)
-			if n := r.running(id); n > 0 {
+			r.awaitStatus(id, status, 4*time.Minute)
+			if n := r.runningTasks(id); n > 0 {
 				r.t.Errorf("%d tasks of %s still run", n, id)
 			}
 		}
 	}
 }
 
-func outlivesLease(r *zoneRun) {
-	if r.CompletionsIn(r.lost, r.cutAt+zoneLeaseS*time.Second) == 0 {
+func checkOutlivesLease(r *zoneRun) {
+	if r.CompletionsIn(r.lostZone, r.cutAt+zoneLeaseS*time.Second) == 0 {
 		r.t.Error("nothing ran on inside past its lease")
 	}
 }
 
-func flapsCounted(r *zoneRun) {
-	if s, more := r.status(r.lost), r.cloud.Launched()-r.rented; s.Flaps < 3 || more > halfMachines/4 {
+func checkFlaps(r *zoneRun) {
+	if s, more := r.status(r.lostZone), r.cloud.Launched()-r.launched; s.Flaps < 3 || more > halfMachines/4 {
 		r.t.Errorf("%d flaps are counted; %d machines were rented again for the same loss", s.Flaps, more)
 	}
 }
 
-// judge notes what is wrong of a kind, if it is.
-func (r *zoneRun) judge(is bool, kind, format string, args ...any) {
+// reportProblem notes what is wrong of a kind, if it is.
+func (r *zoneRun) reportProblem(is bool, kind, format string, args ...any) {
 	if is {
-		r.wrong = append(r.wrong, kind+" "+fmt.Sprintf(format, args...))
+		r.problems = append(r.problems, kind+" "+fmt.Sprintf(format, args...))
 	}
 }
 
-// inOrder judges the order in which work began from the verdict until the zone came back.
-func inOrder(r *zoneRun) {
-	scansWait := checker.Contention{Class: "scan", Waiting: leastWaiting, From: r.lostAt, To: r.healsAt}
+// checkOrder judges the order in which work began from the verdict until the zone came back.
+func checkOrder(r *zoneRun) {
+	scansWait := checker.Contention{Class: "scan", Waiting: minWaiting, From: r.lostAt, To: r.healsAt}
 	scans, updates := r.StartsUnder(scansWait, "scan"), r.StartsUnder(scansWait, "update")
-	if scans+updates < leastMeasured {
+	if scans+updates < minMeasuredStarts {
 		r.t.Errorf("%d tasks began while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healsAt)
 	}
-	r.judge(updates*orderPart > scans, wrongOrder, "%d updates began beside %d scans while scans waited", updates, scans)
+	r.reportProblem(updates*maxOrderRatio > scans, orderProblem, "%d updates began beside %d scans while scans waited", updates, scans)
 }
 
-// inSteps judges how fast the zone's machines got work again.
-func inSteps(r *zoneRun) {
-	at, c := r.FirstStarts(r.lost, r.healsAt), zoneSettings()
+// checkSteps judges how fast the zone's machines got work again.
+func checkSteps(r *zoneRun) {
+	at, c := r.FirstStarts(r.lostZone, r.healsAt), zoneSettings()
 	if len(at) < fullMachines/2 {
 		r.t.Errorf("%d machines got work again, too few to tell", len(at))
 		return
 	}
 	soon, _ := slices.BinarySearch(at, at[0]+c.StepHold.Duration()/2)
-	most := 1 + int(c.Steps[0]*float64(r.cloud.MaxMachinesByZone[r.lost])) // a part of a machine is one
-	r.judge(soon > most, wrongSteps, "%d machines got work within the first step, want at most %d", soon, most)
+	most := 1 + int(c.Steps[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // a part of a machine is one
+	r.reportProblem(soon > most, stepsProblem, "%d machines got work within the first step, want at most %d", soon, most)
 	half := at[len(at)*6/10] - at[0]
-	r.judge(half < 5*c.StepHold.Duration()/2, wrongSteps, "more than half of the machines got work after %v", half)
+	r.reportProblem(half < 5*c.StepHold.Duration()/2, stepsProblem, "more than half of the machines got work after %v", half)
 }
 
-// heldDown judges when the zone's first machine got work that could run elsewhere, after a third loss.
-func heldDown(r *zoneRun) {
+// checkHoldDown judges when the zone's first machine got work that could run elsewhere, after a third loss.
+func checkHoldDown(r *zoneRun) {
 	least := r.healsAt + 4*zoneSettings().HoldDown.Duration()
-	at := append(r.FirstStarts(r.lost, r.healsAt), least)[0]
-	r.judge(at < least, wrongHoldDown, "a task began %v after the zone was heard again", at-r.healsAt)
+	at := append(r.FirstStarts(r.lostZone, r.healsAt), least)[0]
+	r.reportProblem(at < least, holdDownProblem, "a task began %v after the zone was heard again", at-r.healsAt)
 }
 
-// goesOn judges whether a leader that has just begun thinks so of the zone.
-func goesOn(states ...zone.State) zoneStep {
+// checkNextLeader judges whether a leader that has just begun thinks so of the zone.
+func checkNextLeader(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
-		s := r.poll(r.lost, 30, func(s zone.Status) bool { return s.Zone != "" })
-		r.judge(!isAny(s, states), wrongState, "zone %s is %q (%s) under the next leader, want %v", r.lost, s.State, s.Reason, states)
+		s := r.poll(r.lostZone, 30, func(s zone.Status) bool { return s.Zone != "" })
+		r.reportProblem(!isInState(s, states), stateProblem, "zone %s is %q (%s) under the next leader, want %v", r.lostZone, s.State, s.Reason, states)
 	}
 }
