--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -13,8 +13,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestCancellation cancels a job whose tasks run and whose starts are on their way:
-// they are gone within cancel_s, and the job stays cancelled everywhere.
+// TestCancellation cancels a job whose tasks run and whose starts are on their way: they are gone
+// within the cancellation timeout, and every node says that the job is cancelled.
 func TestCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -25,14 +25,14 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		if c.cloud.Starts() == 0 {
-			t.Fatal("nothing was started")
+			t.Fatal("no task started")
 		}
 		if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.Status != wire.JobCancelled {
-			t.Fatalf("abort answered %d %q", code, s.Status)
+			t.Fatalf("cancellation answered %d %q", code, s.Status)
 		}
 		for i := range 3 {
 			if _, s := c.request(http.MethodGet, i, "/v1/jobs/j-000001", nil); s.Status != wire.JobCancelled {
-				t.Errorf("node %d says %q right after the abort", i, s.Status)
+				t.Errorf("node %d says %q right after the cancellation", i, s.Status)
 			}
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
-		for i := range 3 { // a new life has no streams yet
+		for i := range 3 { // a new incarnation has no streams yet
 			c.kill(i)
 		}
 		c.pipes.SetPartition(func(string, string) bool { return true })
@@ -69,12 +69,12 @@
 			}
 			return fake.NoFault
 		})
-		time.Sleep(12 * time.Second) // until no watch that was open before is left
+		time.Sleep(12 * time.Second) // until all watches that were open before have ended
 		if code, _ := c.request(http.MethodPost, (leading+1)%3, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK {
-			t.Fatalf("abort answered %d", code)
+			t.Fatalf("cancellation answered %d", code)
 		}
 		if on := c.cloud.TasksOnMachines(); len(on) != 2 {
-			t.Fatalf("on machines before the test begins: %v", on)
+			t.Fatalf("on machines before the cancellation could take effect: %v", on)
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
@@ -83,8 +83,8 @@
 	})
 }
 
-// TestCancellationAtCompletion has users cancel, ask and repeat submissions at the very moment at which
-// a job's last task ends, at different nodes: whichever is decided, all say the same.
+// TestCancellationAtCompletion has users cancel, query and repeat submissions just as a job's last
+// task completes, at different nodes: whichever comes first, all nodes say the same.
 func TestCancellationAtCompletion(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		synctest.Test(t, func(t *testing.T) {
@@ -102,7 +102,8 @@
 				for c.runningTasks(id) > 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
-				// Its end is reported half a second later at most, and stored after that.
+				// Its completion is in a heartbeat half a second later at most, and stored after
+				// that.
 				time.Sleep(time.Duration(n) * 40 * time.Millisecond)
 				var wg sync.WaitGroup
 				wg.Go(func() { c.queryAllNodes(job, false, 600*time.Millisecond, &seen) })
@@ -114,7 +115,7 @@
 				results[s.Status]++
 			}
 			if results[wire.JobDone] < 3 || results[wire.JobCancelled] < 3 {
-				t.Errorf("%d nodes: ended as %v, want some of both", nodes, results)
+				t.Errorf("%d nodes: final statuses %v, want some of both", nodes, results)
 			}
 			c.checkRules()
 		})
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -1,7 +1,6 @@
 package caperlatch
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"net"
@@ -27,7 +26,7 @@
 	cancellationTimeoutS = 25.0
 )
 
-// cluster is some nodes with stand-ins for all around them.
+// cluster is some nodes among fakes of all that surrounds them, under the checker of the rules.
 type cluster struct {
 	*harness.InProcessCluster // nil where the nodes are processes
 	t                         *testing.T
@@ -41,13 +40,13 @@
 
 	mu    sync.Mutex
 	tune  func(*settings.Settings)
-	nodes []*Node // in their present lives
-	// features are those of all nodes but the ones without.
+	nodes []*Node // in their present incarnations
+	// features are the optional parts of all nodes but those in without.
 	features settings.Features
 	without  map[int]bool
 }
 
-// nodeSettings are the settings of node i of a cluster.
+// nodeSettings returns the settings of node i of a cluster.
 func nodeSettings(i, nodes int) *settings.Settings {
 	s := &settings.Settings{Member: fmt.Sprintf("host-%d", i), ClientListen: "unused"}
 	s.External.State, s.External.Cloud = "state", "cloud"
@@ -86,7 +85,7 @@
 	return newStandbyCluster(t, size, tune, nil)
 }
 
-// newStandbyCluster starts a cluster with a warm standby, or without if it has no settings.
+// newStandbyCluster starts a cluster with a warm standby, or without one if standby is nil.
 func newStandbyCluster(t *testing.T, size int, tune func(*settings.Settings), standby *settings.Standby) *cluster {
 	return newFeaturesCluster(t, size, tune, settings.Features{Standby: standby})
 }
@@ -118,7 +117,7 @@
 	return c
 }
 
-// newNode makes a node for a new life.
+// newNode makes a node for a new incarnation; it serves as StartNode.
 func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
@@ -132,10 +131,10 @@
 	return n.handler(), n.runBackground
 }
 
-// start begins a new life of a node.
+// start starts a new incarnation of a node.
 func (c *cluster) start(i int) { c.Start(i) }
 
-// featuresOf is what node i has of optional parts.
+// featuresOf returns the optional parts of node i.
 func (c *cluster) featuresOf(i int) settings.Features {
 	if c.without[i] {
 		return settings.Features{}
@@ -146,16 +145,16 @@
 // kill ends a node as a crash would: nothing that it sends arrives any more.
 func (c *cluster) kill(i int) { c.Kill(i) }
 
-// setFault decides what messages meet from now on; nil lets all pass.
+// setFault has f choose the faults of messages from now on; nil: no faults.
 func (c *cluster) setFault(f func(from string, r *http.Request) fake.Fault) { c.SetFault(f) }
 
-// faultCount counts what went wrong so far.
+// faultCount counts the faults so far, with restarts of nodes.
 func (c *cluster) faultCount() int { return c.FaultCount() }
 
-// close ends all nodes and stand-ins and waits until nothing of them runs.
+// close ends all nodes and fakes and waits until nothing of them runs.
 func (c *cluster) close() { c.Close() }
 
-// leader is the index of the node that the state service names.
+// leader waits until a node leads, and returns its index.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	node, err := harness.Leadership{State: c.state}.AwaitLeader()
@@ -163,7 +162,7 @@
 	return node
 }
 
-// fencingToken is the highest token given out, as stored.
+// fencingToken returns the highest fencing token that was given out, as stored.
 func (c *cluster) fencingToken() uint64 {
 	c.t.Helper()
 	token := harness.Leadership{State: c.state}.FencingToken()
@@ -173,23 +172,23 @@
 	return token
 }
 
-// checkTxn checks that no write can be carried out late to harm: each is conditioned
-// on its key's version, and the leader's on its leader key.
+// checkTxn checks that no write can do harm when it is carried out late: each compares its key's
+// mod revision, and each of the leader's its leader key.
 func (c *cluster) checkTxn(conditions []wire.Compare, keys []string) {
-	someoneLeads := slices.ContainsFunc(conditions, func(x wire.Compare) bool {
+	comparesLeader := slices.ContainsFunc(conditions, func(x wire.Compare) bool {
 		return x.Key == replica.LeaderKey && x.ModRevision != 0
 	})
 	for _, key := range keys {
 		if !slices.ContainsFunc(conditions, func(x wire.Compare) bool { return x.Key == key }) {
-			c.t.Errorf("%s is written whatever its version", key)
+			c.t.Errorf("%s is written without a compare of its revision", key)
 		}
-		if isLeaderKey(key) && !someoneLeads {
-			c.t.Errorf("%s is written whoever leads", key)
+		if isLeaderKey(key) && !comparesLeader {
+			c.t.Errorf("%s is written without a compare of the leader key", key)
 		}
 	}
 }
 
-// isLeaderKey tells whether only the leader may write a key.
+// isLeaderKey reports whether only the leader may write a key.
 func isLeaderKey(key string) bool {
 	if key == replica.AutoscalerKey || key == replica.InstanceTypesKey || key == replica.ZonesKey {
 		return true
@@ -198,18 +197,18 @@
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// users sends users' requests to the nodes.
+// users returns the users of the cluster.
 func (c *cluster) users() *harness.Users {
 	return &harness.Users{Client: c.user, Rules: c.rules, Nodes: c.size}
 }
 
-// request sends a user's request to a node and shows the answer to the checker of the
-// rules. The code is 0 if there was no answer.
+// request sends a user's request to a node, with the checker of the rules watching. The code is 0
+// if there was no response.
 func (c *cluster) request(method string, node int, path string, body any) (int, wire.JobStatus) {
 	return c.users().Request(method, node, path, body)
 }
 
-// testJob is a submission of a job of small tasks, as the wire has it.
+// testJob returns the submission of a job of small tasks, with the protocol's names.
 func testJob(id string, tasks int) map[string]any {
 	return map[string]any{
 		"id":           id,
@@ -234,13 +233,13 @@
 	}
 }
 
-// accept submits a job to a node and tells whether it is accepted now or was before.
+// accept submits a job to a node and reports whether it is accepted now or was before.
 func (c *cluster) accept(node int, job map[string]any) bool { return c.users().Submit(node, job) }
 
-// submit repeats a submission, each time at the next node, until it is taken.
+// submit submits a job of small tasks, each time to the next node, until it is accepted.
 func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
 
-// submitJob is submit for any job.
+// submitJob submits any job, each time to the next node, until it is accepted.
 func (c *cluster) submitJob(job map[string]any) {
 	c.t.Helper()
 	if !c.submitWithRetries(0, time.Second, job) {
@@ -248,7 +247,8 @@
 	}
 }
 
-// submitWithRetries repeats a submission, each time at the next node, and tells whether it was taken.
+// submitWithRetries repeats a submission, each time to the next node, and reports whether it was
+// accepted.
 func (c *cluster) submitWithRetries(first int, pause time.Duration, job map[string]any) bool {
 	return c.users().SubmitWithRetries(first, pause, job)
 }
@@ -259,7 +259,7 @@
 	c.must(c.users().AwaitStatus(id, status, within))
 }
 
-// must ends the test if something went wrong.
+// must ends the test if there is an error.
 func (c *cluster) must(err error) {
 	c.t.Helper()
 	if err != nil {
@@ -267,10 +267,10 @@
 	}
 }
 
-// isStateRequest tells whether a request goes to the state service.
+// isStateRequest reports whether a request goes to the state service.
 func isStateRequest(r *http.Request) bool { return r.URL.Host == "state" }
 
-// everyNth lets every nth request of a kind meet a fault.
+// everyNth gives every nth request of the nodes that matches a fault.
 func everyNth(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 	count := 0
 	return func(from string, r *http.Request) fake.Fault {
@@ -283,8 +283,8 @@
 	}
 }
 
-// checkAnswers asks every node that calls itself ready about every job. A job about
-// which no question is answered for 75 s counts as forgotten.
+// checkAnswers checks that every node that is ready answers queries of every job. A job none of
+// whose queries is answered for 30 s counts as forgotten.
 func (c *cluster) checkAnswers(ids []string) {
 	c.t.Helper()
 	for i := range c.size {
@@ -294,7 +294,7 @@
 		for _, id := range ids {
 			for startedAt, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
 				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(startedAt) > 30*time.Second {
-					c.t.Errorf("node %d does not answer about %s (%d)", i, id, code)
+					c.t.Errorf("node %d does not answer queries of %s (%d)", i, id, code)
 					break
 				}
 			}
@@ -302,7 +302,7 @@
 	}
 }
 
-// restartNodes restarts nodes within a fraction of a second.
+// restartNodes kills nodes and starts them within a fraction of a second.
 func (c *cluster) restartNodes(nodes ...int) { c.Restart(nodes...) }
 
 // partitionPeer cuts a node off from the other nodes.
@@ -311,15 +311,16 @@
 	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
 
-// healPeers has all nodes reach each other again.
+// healPeers ends the partitions between nodes.
 func (c *cluster) healPeers() { c.pipes.SetPartition(func(string, string) bool { return false }) }
 
-// isFromNode tells whether a sender is a node, in any of its lives.
+// isFromNode reports whether a sender is a node, in any of its incarnations.
 func isFromNode(from string, node int) bool {
 	return strings.HasPrefix(from, fmt.Sprintf("host-%d/", node))
 }
 
-// counter counts what happened by name, so that a test can show that its troubles met.
+// counter counts events by name, so that a test can show that its faults occurred. It is safe for
+// concurrent use.
 type counter struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -341,7 +342,7 @@
 	return c.counts[name]
 }
 
-// checkRules reports the rules that were broken.
+// checkRules fails the test for each violation of the rules.
 func (c *cluster) checkRules() {
 	c.t.Helper()
 	for _, rule := range c.rules.Violations() {
@@ -349,7 +350,7 @@
 	}
 }
 
-// machineOf is the machine's name in a sender or a host, empty if it is none.
+// machineOf returns the machine that a sender or host is, empty if it is none.
 func machineOf(name string) string {
 	id, _, _ := strings.Cut(name, ":")
 	if strings.HasPrefix(id, "i-") {
@@ -358,13 +359,13 @@
 	return ""
 }
 
-// awaitLeaderAfter waits until another leader leads than the one with this token.
+// awaitLeaderAfter waits until a node leads in a later term than the one with this fencing token.
 func (c *cluster) awaitLeaderAfter(token uint64) {
 	c.t.Helper()
 	c.must(harness.Leadership{State: c.state}.AwaitLeaderAfter(token))
 }
 
-// runJob submits a job of long tasks to the cluster until all of them run.
+// runJob submits a job of long tasks, and waits until all of them run.
 func (c *cluster) runJob(job map[string]any) {
 	c.t.Helper()
 	c.submitWithRetries(0, 500*time.Millisecond, job)
@@ -377,9 +378,10 @@
 	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.TasksOnMachines())
 }
 
-// runInNextIncarnation loses the machines' messages for some time, in which their leases end,
-// and then has a job run anew on the machines' next sessions. Other messages meet fault.
-func (c *cluster) runInNextIncarnation(job map[string]any, lost time.Duration, fault func(string, *http.Request) fake.Fault) {
+// runInNextIncarnation drops the machines' messages for some time, in which their leases expire,
+// and then has a job run again on the machines' next incarnations. Other messages have the given
+// fault.
+func (c *cluster) runInNextIncarnation(job map[string]any, dropFor time.Duration, fault func(string, *http.Request) fake.Fault) {
 	c.t.Helper()
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if machineOf(from) != "" {
@@ -387,7 +389,7 @@
 		}
 		return fault(from, r)
 	})
-	time.Sleep(lost)
+	time.Sleep(dropFor)
 	c.setFault(fault)
 	c.runJob(job)
 	time.Sleep(2 * time.Second)
@@ -403,17 +405,6 @@
 	return n
 }
 
-// holders are the machines that have tasks of a job.
-func (c *cluster) holders(id string) (ws []*fake.Worker) {
-	for _, w := range c.cloud.Workers() {
-		if slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, id+"/") }) {
-			ws = append(ws, w)
-		}
-	}
-	slices.SortFunc(ws, func(a, b *fake.Worker) int { return cmp.Compare(a.ID, b.ID) })
-	return ws
-}
-
 // cancelJob repeats a cancellation until it is confirmed.
 func (c *cluster) cancelJob(id string, first int) {
 	c.t.Helper()
@@ -427,12 +418,12 @@
 	c.t.Fatalf("%s could not be cancelled", id)
 }
 
-// isolateMachines has nothing pass between these machines and the nodes; the cloud takes
-// nothing back, or its answer would prove the machines gone.
-func isolateMachines(ids map[string]bool, cut *counter) func(string, *http.Request) fake.Fault {
+// isolateMachines drops all messages between these machines and the nodes. The cloud terminates
+// nothing meanwhile, as its response would prove that the machines are gone.
+func isolateMachines(ids map[string]bool, dropped *counter) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if ids[machineOf(from)] || ids[machineOf(r.URL.Host)] {
-			cut.add("cut")
+			dropped.add("dropped")
 			return fake.DroppedRequest
 		}
 		if r.URL.Path == "/hosts/return" {
--- a/explain_test.go
+++ b/explain_test.go
@@ -14,7 +14,7 @@
 	"caperlatch/internal/wire"
 )
 
-// explain asks a node about a job.
+// explain asks a node to explain the state of a job.
 func (c *cluster) explain(node int, id string) (int, explain.Explanation, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -27,13 +27,13 @@
 		err = wire.Unmarshal(b, &body)
 	}
 	if err != nil {
-		c.t.Errorf("why %s at node %d: %v", id, node, err)
+		c.t.Errorf("explain %s at node %d: %v", id, node, err)
 	}
 	return status, e, body.Error
 }
 
-// TestExplain asks every node about jobs in every state, also while the state service or
-// the leader says nothing: the duty team could not tell why a job hung.
+// TestExplain asks every node to explain jobs in every state, also while the state service or the
+// leader does not answer: operators could not tell why a job hung.
 func TestExplain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -45,17 +45,17 @@
 			return 400
 		}
 		c.cloud.TaskFails = func(task, _ string) bool { return strings.HasPrefix(task, "j-000004/") }
-		c.submit("j-000001", 2) // done
+		c.submit("j-000001", 2) // completes
 		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		c.submit("j-000002", 2)            // runs
-		c.submit("j-000003", 1)            // is cancelled
+		c.submit("j-000003", 1)            // gets cancelled
 		c.submit("j-000004", 8)            // fails
 		limited := testJob("j-000005", 30) // waits for its team's limit
 		limited["desk"], limited["expect_s"] = "small", 300.0
 		c.request(http.MethodPost, 0, "/v1/jobs", limited)
 		time.Sleep(15 * time.Second)
 		if code, _ := c.request(http.MethodPost, 0, "/v1/jobs/j-000003/abort", nil); code != http.StatusOK {
-			t.Fatalf("abort answered %d", code)
+			t.Fatalf("cancellation answered %d", code)
 		}
 		time.Sleep(10 * time.Second)
 		lead := c.leader()
@@ -79,22 +79,22 @@
 			}
 		}
 		for node := range 3 {
-			check("quiet", node, "j-000001", wire.JobDone, "all tasks done")
-			check("quiet", node, "j-000002", wire.JobPending, "j-000002/1 on i-0000", "running")
-			check("quiet", node, "j-000003", wire.JobCancelled, "cancelled by its user")
-			check("quiet", node, "j-000004", wire.JobPending, "ended: error", "failed", "on i-0000")
-			check("quiet", node, "j-000005", wire.JobPending, "its team uses as many CPUs as it may")
+			check("no fault", node, "j-000001", wire.JobDone, "all tasks done")
+			check("no fault", node, "j-000002", wire.JobPending, "j-000002/1 on i-0000", "running")
+			check("no fault", node, "j-000003", wire.JobCancelled, "cancelled by its user")
+			check("no fault", node, "j-000004", wire.JobPending, "ended: error", "failed", "on i-0000")
+			check("no fault", node, "j-000005", wire.JobPending, "its team uses as many CPUs as it may")
 		}
 		if status, _, text := c.explain(1, "j-777777"); status != http.StatusNotFound || text != "no such job" {
 			t.Errorf("unknown job: %d %q", status, text)
 		}
-		// The leader says nothing to the others.
+		// The other nodes cannot reach the leader.
 		member := fmt.Sprintf("host-%d", lead)
 		c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 		time.Sleep(2 * time.Second)
-		check("leader silent", (lead+1)%3, "j-000002", wire.JobPending, "the leader does not say more")
+		check("leader unreachable", (lead+1)%3, "j-000002", wire.JobPending, "the leader does not say more")
 		c.healPeers()
-		// Nor does the state service, and a node cannot know what is new.
+		// Nor the state service: a node cannot know what is new.
 		c.setFault(func(_ string, r *http.Request) fake.Fault {
 			if isStateRequest(r) {
 				return fake.ServiceUnavailable
@@ -103,7 +103,7 @@
 		})
 		time.Sleep(12 * time.Second)
 		for node := range 3 {
-			check("no state service", node, "j-000002", wire.JobPending, "the state service has not answered")
+			check("state service unavailable", node, "j-000002", wire.JobPending, "the state service has not answered")
 			if status, _, text := c.explain(node, "j-777777"); status != http.StatusServiceUnavailable || !strings.Contains(text, "not known here") {
 				t.Errorf("unknown job without the state service: %d %q", status, text)
 			}
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestFailingJob has a large job that fails on every machine beside good ones: these are
-// done, no machine is returned for it, it stays known, and its cancellation is quick.
+// TestFailingJob runs a large job that fails on every machine beside good jobs: these complete, no
+// machine is quarantined for it, it stays known, and its cancellation is quick.
 func TestFailingJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -129,10 +129,10 @@
 		c.submit("j-000002", 200)
 		time.Sleep(20 * time.Second)
 		before := fails
-		c.restartNodes(c.leader()) // the next leader must not begin from nothing
+		c.restartNodes(c.leader()) // the next leader must know that the job is at fault
 		time.Sleep(60 * time.Second)
 		if fails-before > 12 {
-			t.Errorf("%d tasks failed in the minute after a take-over", fails-before)
+			t.Errorf("%d tasks failed in the minute after a failover", fails-before)
 		}
 		c.submit("j-000003", 8)
 		c.awaitStatus("j-000003", wire.JobDone, time.Minute)
@@ -141,7 +141,7 @@
 			t.Errorf("the failing job is %d %q", code, s.Status)
 		}
 		if code, _ := c.request(http.MethodPost, 1, "/v1/jobs/j-000002/abort", nil); code != http.StatusOK {
-			t.Errorf("abort answered %d", code)
+			t.Errorf("cancellation answered %d", code)
 		}
 		if fails > 60 || fails < 4 {
 			t.Errorf("%d tasks failed", fails)
--- a/failover_guards_test.go
+++ b/failover_guards_test.go
@@ -49,12 +49,12 @@
 }
 
 // isolateMachinesOf has the machines with tasks of a job be out of reach.
-func (c *cluster) isolateMachinesOf(job string, cut *counter) func(string, *http.Request) fake.Fault {
+func (c *cluster) isolateMachinesOf(job string, dropped *counter) func(string, *http.Request) fake.Fault {
 	ids := map[string]bool{}
 	for _, w := range c.cloud.Workers() {
 		ids[w.ID] = ids[w.ID] || slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, job+"/") })
 	}
-	return isolateMachines(ids, cut)
+	return isolateMachines(ids, dropped)
 }
 
 // TestMachineListWithoutLaunchIntent has the state service take lists of machines that are up, and the
@@ -95,8 +95,8 @@
 				}
 				time.Sleep(1500 * time.Millisecond)
 				unbooked, before := c.machinesWithoutIntent(), c.fencingToken()
-				var cut counter
-				c.setFault(c.isolateMachinesOf("j-000001", &cut))
+				var dropped counter
+				c.setFault(c.isolateMachinesOf("j-000001", &dropped))
 				c.restartNodes(c.leader())
 				c.awaitLeaderAfter(before)
 				c.state.SetTxnFault(nil)
@@ -162,8 +162,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		ran, read, before := c.runningTasks("j-900000"), pages.count("read"), c.fencingToken()
-		var cut counter
-		cutThem := c.isolateMachinesOf("j-900000", &cut)
+		var dropped counter
+		cutThem := c.isolateMachinesOf("j-900000", &dropped)
 		c.kill(first)
 		for i := 0; c.fencingToken() == before && i < 400; i++ {
 			time.Sleep(50 * time.Millisecond)
@@ -204,7 +204,7 @@
 				c.runJob(job)
 				time.Sleep(2 * time.Second)
 				ids := map[string]bool{}
-				for _, w := range c.holders("j-000001") {
+				for _, w := range c.cloud.WorkersOf("j-000001") {
 					ids[w.ID] = true
 				}
 				first, before := c.leader(), c.fencingToken()
@@ -274,7 +274,7 @@
 				c.runJob(base)
 				time.Sleep(2 * time.Second)
 				ids := map[string]bool{} // machines that reach the old leader only
-				for i, w := range c.holders("j-000009") {
+				for i, w := range c.cloud.WorkersOf("j-000009") {
 					ids[w.ID] = i%2 == 0
 				}
 				first, before := c.leader(), c.fencingToken()
--- a/failover_test.go
+++ b/failover_test.go
@@ -165,11 +165,11 @@
 					}
 					time.Sleep(after)
 					ids := map[string]bool{}
-					for _, w := range c.holders("j-000001") {
+					for _, w := range c.cloud.WorkersOf("j-000001") {
 						ids[w.ID] = true
 					}
-					var cut counter
-					cutThem := isolateMachines(ids, &cut)
+					var dropped counter
+					cutThem := isolateMachines(ids, &dropped)
 					c.setFault(func(from string, r *http.Request) fake.Fault {
 						if held(r) {
 							return tc.lag
@@ -235,11 +235,11 @@
 				c.runInNextIncarnation(job, time.Duration(leaseDurationS+3)*time.Second, keep)
 				old := held.matching(tc.want)
 				ids := map[string]bool{}
-				for _, w := range c.holders("j-000001") {
+				for _, w := range c.cloud.WorkersOf("j-000001") {
 					ids[w.ID] = tc.mute
 				}
-				var cut counter
-				c.setFault(isolateMachines(ids, &cut))
+				var dropped counter
+				c.setFault(isolateMachines(ids, &dropped))
 				ran, answered := c.runningTasks("j-000001"), 0
 				i := c.leader()
 				c.kill(i)
@@ -249,8 +249,8 @@
 				}
 				c.setFault(nil)
 				// Beside newer ones the old ones get no answer once those have come.
-				if len(old) == 0 || tc.mute && answered == 0 || ran != 8 || tc.mute && cut.count("cut") == 0 || c.leader() == i {
-					t.Errorf("%d old reports, %d answers to them, %d tasks ran, %d messages cut", len(old), answered, ran, cut.count("cut"))
+				if len(old) == 0 || tc.mute && answered == 0 || ran != 8 || tc.mute && dropped.count("dropped") == 0 || c.leader() == i {
+					t.Errorf("%d old reports, %d answers to them, %d tasks ran, %d messages cut", len(old), answered, ran, dropped.count("dropped"))
 				}
 				c.start(i)
 				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
--- a/fleet_failover_test.go
+++ b/fleet_failover_test.go
@@ -13,14 +13,14 @@
 	"caperlatch/internal/wire"
 )
 
-// fleetMachines is twice as many as the first fleets here had: about 4,000 are to be run.
+// fleetMachines is somewhat more than the 4,000 machines that a deployment may have.
 const fleetMachines = 4100
 
-// TestFleetFailover ends nodes of a deployment of 4,100 machines that report every 8 s. Each
-// time the next leader must have told all machines of itself in a fraction of that:
-// waiting for their reports, old jobs stood still for 12 to 25 s. It must do so with a
-// bounded number of connections, also when half of the machines give no answer; and
-// none of the tasks may be lost or start twice, also when one node is left with all.
+// TestFleetFailover kills nodes of a deployment of 4,100 machines with heartbeats every 8 s. Each
+// time the next leader must have called all machines in a fraction of that: when it waited for
+// their heartbeats, old jobs stood still for 12 to 25 s. It must do so with a bounded number of
+// connections, also when half of the machines do not answer; and no task may be lost or start
+// twice, also when one node is left with all machines.
 func TestFleetFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 5, func(s *settings.Settings) {
@@ -42,17 +42,17 @@
 			}
 			time.Sleep(time.Second)
 		}
-		time.Sleep(70 * time.Second) // the burst is over, for λ
+		time.Sleep(70 * time.Second) // until the burst has left the demand rate λ
 		machines := c.cloud.Workers()
 		all := len(machines)
 		if all < fleetMachines {
 			t.Fatalf("%d machines", all)
 		}
-		rented := c.cloud.Launched()
+		launched := c.cloud.Launched()
 
-		// led waits for another leader than before, and tells how many machines it
-		// has told of itself after a time.
-		led := func(before uint64, after time.Duration) (told int) {
+		// countCalled waits for the next leader, and counts the machines that know its fencing
+		// token after a while.
+		countCalled := func(before uint64, after time.Duration) (called int) {
 			for i := 0; c.fencingToken() == before; i++ {
 				if i == 200 {
 					t.Fatal("nobody leads")
@@ -62,10 +62,10 @@
 			time.Sleep(after)
 			for _, w := range machines {
 				if w.FencingToken() > before {
-					told++
+					called++
 				}
 			}
-			return told
+			return called
 		}
 		before := c.fencingToken()
 		for i := range 5 {
@@ -74,11 +74,11 @@
 		for i := range 5 {
 			c.start(i)
 		}
-		if told := led(before, 2*time.Second); told != all {
-			t.Errorf("all nodes back at once: %d of %d machines told after 2 s", told, all)
+		if called := countCalled(before, 2*time.Second); called != all {
+			t.Errorf("all nodes restart at once: %d of %d machines called after 2 s", called, all)
 		}
 
-		// Every second machine is out of reach for calls; its reports still come.
+		// Every second machine cannot be called; its heartbeats still come.
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			var n int
 			if _, err := fmt.Sscanf(r.URL.Host, "i-%d:", &n); err == nil && n%2 == 0 && strings.HasPrefix(from, "host") {
@@ -89,8 +89,8 @@
 		before = c.fencingToken()
 		i := c.leader()
 		c.kill(i)
-		if told := led(before, 6*time.Second); told < all/2 {
-			t.Errorf("half out of reach: %d of %d machines told after 6 s", told, all)
+		if called := countCalled(before, 6*time.Second); called < all/2 {
+			t.Errorf("half unreachable: %d of %d machines called after 6 s", called, all)
 		}
 		time.Sleep(15 * time.Second)
 		c.setFault(nil)
@@ -121,9 +121,9 @@
 			}
 		}
 		c.awaitStatus("j-000001", wire.JobDone, 5*time.Minute)
-		// What runs on machines whose tasks are not known yet is no reason to rent.
-		if n := c.cloud.Launched() - rented; n > fleetMachines/10 {
-			t.Errorf("%d machines were rented at the take-overs", n)
+		// What runs on machines whose tasks are not known yet is no reason to launch others.
+		if n := c.cloud.Launched() - launched; n > fleetMachines/10 {
+			t.Errorf("%d machines were launched at the failovers", n)
 		}
 	})
 }
--- a/gang_combined_faults_test.go
+++ b/gang_combined_faults_test.go
@@ -258,9 +258,9 @@
 			for _, w := range c.cloud.WorkersOf(stoppingGang) {
 				ids[w.ID] = true
 			}
-			var cut counter
+			var dropped counter
 			before := c.fencingToken()
-			c.setFault(isolateMachines(ids, &cut))
+			c.setFault(isolateMachines(ids, &dropped))
 			c.restartNodes(c.leader())
 			c.awaitLeaderAfter(before)
 			for range 50 {
--- a/placement_test.go
+++ b/placement_test.go
@@ -91,18 +91,18 @@
 				c.runJob(full)
 				time.Sleep(2 * time.Second)
 				ids := map[string]bool{}
-				for _, w := range c.holders("j-000001") {
+				for _, w := range c.cloud.WorkersOf("j-000001") {
 					ids[w.ID] = true
 				}
-				var cut counter
+				var dropped counter
 				stillOn := 0
 				if tc.hang {
-					c.setFault(isolateMachines(nil, &cut))
-					for _, w := range c.holders("j-000001") {
+					c.setFault(isolateMachines(nil, &dropped))
+					for _, w := range c.cloud.WorkersOf("j-000001") {
 						w.Hang(7 * time.Second)
 					}
 				} else {
-					c.setFault(isolateMachines(ids, &cut))
+					c.setFault(isolateMachines(ids, &dropped))
 				}
 				if tc.before {
 					c.cancelJob("j-000001", 0)
@@ -130,7 +130,7 @@
 				if stillOn < 4*len(tc.changes) {
 					t.Errorf("only %d tasks still ran under the new leaders", stillOn)
 				}
-				if !tc.hang && cut.count("cut") == 0 {
+				if !tc.hang && dropped.count("dropped") == 0 {
 					t.Error("nothing was cut")
 				}
 				for range 120 {
@@ -222,11 +222,11 @@
 					return c.rules.ZoneOf(machineOf(name))
 				}
 				p.OnChange = func() { c.pipes.SetPartition(p.Blocks) }
-				var cut counter
+				var dropped counter
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					fault := p.FaultOf(from, r)
 					if fault != fake.NoFault {
-						cut.add("cut")
+						dropped.add("dropped")
 					} else if r.URL.Path == "/hosts/return" && !tc.returns {
 						fault = fake.ServiceUnavailable
 					}
@@ -244,8 +244,8 @@
 				}
 				c.setFault(nil)
 				c.healPeers()
-				if cut.count("cut") == 0 || held == 0 {
-					t.Errorf("%d messages were cut, %d tasks seen in the zone", cut.count("cut"), held)
+				if dropped.count("dropped") == 0 || held == 0 {
+					t.Errorf("%d messages were cut, %d tasks seen in the zone", dropped.count("dropped"), held)
 				}
 				for n := range 5 {
 					c.awaitStatus(fmt.Sprintf("j-00000%d", n+1), wire.JobDone, 5*time.Minute)
--- a/standby_combined_faults_test.go
+++ b/standby_combined_faults_test.go
@@ -112,7 +112,7 @@
 		}},
 		{"machines do not hear the next leader", 3, nil, func(c *cluster) {
 			deaf := map[string]bool{}
-			for _, w := range c.holders("j-000001")[:2] {
+			for _, w := range c.cloud.WorkersOf("j-000001")[:2] {
 				deaf[w.ID] = true
 			}
 			c.setFault(dropResponsesTo(deaf))
@@ -122,11 +122,11 @@
 		}},
 		{"machines reach nobody for longer than a lease", 3, nil, func(c *cluster) {
 			away := map[string]bool{}
-			for _, w := range c.holders("j-000001")[:2] {
+			for _, w := range c.cloud.WorkersOf("j-000001")[:2] {
 				away[w.ID] = true
 			}
-			var cut counter
-			c.setFault(isolateMachines(away, &cut))
+			var dropped counter
+			c.setFault(isolateMachines(away, &dropped))
 			c.handover()
 			time.Sleep(20 * time.Second)
 			c.setFault(nil)
--- a/standby_test.go
+++ b/standby_test.go
@@ -93,8 +93,8 @@
 					c.awaitStandbysComplete()
 				}
 				away := map[string]bool{c.cloud.WorkersOf("j-000001")[0].ID: true}
-				var cut counter
-				c.setFault(isolateMachines(away, &cut))
+				var dropped counter
+				c.setFault(isolateMachines(away, &dropped))
 				leader, token := c.leader(), c.fencingToken()
 				tc.end(c, leader)
 				c.awaitLeaderAfter(token)
@@ -149,8 +149,8 @@
 						away[w.ID] = true
 					}
 				}
-				var cut counter
-				c.setFault(isolateMachines(away, &cut))
+				var dropped counter
+				c.setFault(isolateMachines(away, &dropped))
 				token := c.fencingToken()
 				c.kill(c.leader())
 				c.awaitLeaderAfter(token)
--- a/write_faults_test.go
+++ b/write_faults_test.go
@@ -93,17 +93,17 @@
 	// nextMustKnow ends the leader while the machines that run a job cannot be reached.
 	nextMustKnow := func(c *cluster, id string) {
 		ids := map[string]bool{}
-		for _, w := range c.holders(id) {
+		for _, w := range c.cloud.WorkersOf(id) {
 			ids[w.ID] = true
 		}
-		var cut counter
-		c.setFault(isolateMachines(ids, &cut))
+		var dropped counter
+		c.setFault(isolateMachines(ids, &dropped))
 		before := c.fencingToken()
 		c.restartNodes(c.leader())
 		c.awaitLeaderAfter(before)
 		time.Sleep(4 * time.Second)
-		if cut.count("cut") == 0 || c.runningTasks(id) == 0 {
-			c.t.Errorf("%d messages were cut, %d tasks still ran", cut.count("cut"), c.runningTasks(id))
+		if dropped.count("dropped") == 0 || c.runningTasks(id) == 0 {
+			c.t.Errorf("%d messages were cut, %d tasks still ran", dropped.count("dropped"), c.runningTasks(id))
 		}
 		c.setFault(nil)
 		c.awaitStatus(id, wire.JobDone, 4*time.Minute)
