--- a/single_faults_test.go
+++ b/single_faults_test.go
@@ -12,15 +12,15 @@
 	"caperlatch/internal/wire"
 )
 
-// TestSingleFaults runs whole clusters through failures. In each case three jobs of
-// five tasks are accepted before or during the trouble and must be done after
-// it, with no task on two machines at a time.
+// TestSingleFaults runs clusters of three nodes through one fault each. In each case three jobs of
+// five tasks are accepted before or during the fault and must complete after it, with no rule
+// violated.
 func TestSingleFaults(t *testing.T) {
 	cases := []struct {
-		name    string
-		trouble func(c *cluster)
+		name   string
+		inject func(c *cluster)
 	}{
-		{"quiet", func(*cluster) {}},
+		{"no fault", func(*cluster) {}},
 		{"the leader crashes", func(c *cluster) {
 			i := c.leader()
 			time.Sleep(2 * time.Second)
@@ -28,8 +28,8 @@
 			time.Sleep(10 * time.Second)
 			c.start(i)
 		}},
-		// A restart within the session's life must not wait for its end, and the
-		// old life's token must not be used again.
+		// A restart within the session's TTL must not wait for its end, and the fencing token of
+		// the earlier incarnation must not be used again.
 		{"the leader restarts at once", func(c *cluster) {
 			i := c.leader()
 			time.Sleep(2 * time.Second)
@@ -46,34 +46,34 @@
 				c.start(i)
 			}
 		}},
-		// What gets no answer may have been done.
-		{"answers of the state service are lost", func(c *cluster) {
+		// A request whose response is dropped may have been carried out.
+		{"responses of the state service are dropped", func(c *cluster) {
 			c.setFault(everyNth(4, fake.DroppedResponse, isStateRequest))
 			time.Sleep(20 * time.Second)
 		}},
-		// What got no answer may be done later, after newer writes.
-		{"transactions are applied late", func(c *cluster) {
+		// A request without a response may be carried out later, after newer writes.
+		{"transactions are delayed", func(c *cluster) {
 			c.setFault(everyNth(3, fake.DelayedRequest, func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }))
 			time.Sleep(25 * time.Second)
 		}},
-		{"rentals are answered late", func(c *cluster) {
+		{"launches are delayed", func(c *cluster) {
 			c.setFault(everyNth(2, fake.DelayedRequest, func(r *http.Request) bool { return r.URL.Path == "/hosts" && r.Method == http.MethodPost }))
 			time.Sleep(20 * time.Second)
 		}},
-		{"the state service is down", func(c *cluster) {
+		{"outage of the state service", func(c *cluster) {
 			time.Sleep(time.Second)
 			c.state.SetOutage(true)
 			time.Sleep(8 * time.Second)
 			c.state.SetOutage(false)
 		}},
-		// Not an outage: the sessions run out meanwhile.
-		{"the state service refuses every node", func(c *cluster) {
+		// No outage: the sessions end meanwhile.
+		{"the state service is unavailable to every node", func(c *cluster) {
 			time.Sleep(4 * time.Second)
 			c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
 			time.Sleep(20 * time.Second)
 		}},
-		// The old leader is cut off while the others elect a new one.
-		{"the leader is cut off from the state service", func(c *cluster) {
+		// The others elect a new leader while the old one has no state service.
+		{"the state service is unavailable to the leader alone", func(c *cluster) {
 			prefix := fmt.Sprintf("host-%d/", c.leader())
 			time.Sleep(2 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -84,14 +84,15 @@
 			})
 			time.Sleep(15 * time.Second)
 		}},
-		// Longer than LeaseRenewalWindow: the peers' answers keep leases and placing alive.
-		{"the state service is down for long", func(c *cluster) {
+		// Longer than LeaseRenewalWindow: the peers' answers keep lease renewals and placement
+		// going.
+		{"long outage of the state service", func(c *cluster) {
 			time.Sleep(4 * time.Second)
 			c.state.SetOutage(true)
 			time.Sleep(40 * time.Second)
 			c.state.SetOutage(false)
 		}},
-		{"the leader crashes while the state service is down", func(c *cluster) {
+		{"the leader crashes during an outage of the state service", func(c *cluster) {
 			i := c.leader()
 			time.Sleep(4 * time.Second)
 			c.state.SetOutage(true)
@@ -101,7 +102,7 @@
 			time.Sleep(12 * time.Second)
 			c.state.SetOutage(false)
 		}},
-		// The others pass the workers' reports on.
+		// The followers forward the workers' heartbeats.
 		{"no worker reaches the leader", func(c *cluster) {
 			host := fmt.Sprintf("host-%d:8080", c.leader())
 			c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -114,7 +115,7 @@
 				c.awaitStatus(fmt.Sprintf("j-%06d", min(i, 2)), wire.JobDone, 90*time.Second)
 			}
 		}},
-		{"a machine's reports are lost", func(c *cluster) {
+		{"a machine's heartbeats are dropped", func(c *cluster) {
 			time.Sleep(3 * time.Second)
 			if ws := c.cloud.Workers(); len(ws) > 0 {
 				id := ws[0].ID
@@ -127,7 +128,7 @@
 			}
 			time.Sleep(30 * time.Second)
 		}},
-		{"answers to reports are lost", func(c *cluster) {
+		{"responses to heartbeats are dropped", func(c *cluster) {
 			count := 0
 			c.setFault(func(from string, _ *http.Request) fake.Fault {
 				if strings.HasPrefix(from, "i-") {
@@ -141,14 +142,15 @@
 		}},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 3, tc.trouble) })
+		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 3, tc.inject) })
 	}
 }
 
-// TestFiveNodeFaults has troubles of a grown deployment: several of five nodes at once,
-// elections broken off, copies of messages that come well over a lease late.
+// TestFiveNodeFaults runs clusters of five nodes through faults of larger deployments: several
+// nodes at once, interrupted elections, duplicates of messages that arrive well over a lease
+// duration late.
 func TestFiveNodeFaults(t *testing.T) {
-	copies := func(c *cluster, every int, match func(from string, r *http.Request) bool) {
+	duplicate := func(c *cluster, every int, match func(from string, r *http.Request) bool) {
 		count := 0
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			if match(from, r) {
@@ -159,12 +161,12 @@
 			return fake.NoFault
 		})
 	}
-	isReport := func(_ string, r *http.Request) bool { return r.URL.Path == "/hello" }
+	isHeartbeat := func(_ string, r *http.Request) bool { return r.URL.Path == "/hello" }
 	cases := []struct {
-		name    string
-		trouble func(c *cluster)
+		name   string
+		inject func(c *cluster)
 	}{
-		{"four of five crash", func(c *cluster) {
+		{"four of five nodes crash", func(c *cluster) {
 			i := c.leader()
 			time.Sleep(2 * time.Second)
 			for k := range 4 {
@@ -175,8 +177,8 @@
 				c.start((i + k) % 5)
 			}
 		}},
-		// A restarted node must still abstain as in its earlier life, whose session goes on.
-		{"nodes are back at once, also in the midst of elections", func(c *cluster) {
+		// A restarted node must still abstain as in its earlier incarnation, whose session goes on.
+		{"nodes restart at once, also during elections", func(c *cluster) {
 			time.Sleep(2 * time.Second)
 			for range 6 {
 				i := c.leader()
@@ -186,8 +188,8 @@
 				time.Sleep(time.Second)
 			}
 		}},
-		{"the same, with late copies of what they sent", func(c *cluster) {
-			copies(c, 2, func(from string, r *http.Request) bool {
+		{"nodes restart at once, with duplicates of their requests delayed", func(c *cluster) {
+			duplicate(c, 2, func(from string, r *http.Request) bool {
 				return strings.HasPrefix(from, "host") && (r.URL.Path == "/txn" || r.Host != "state" && r.Method == http.MethodPost)
 			})
 			time.Sleep(2 * time.Second)
@@ -198,23 +200,23 @@
 			}
 			time.Sleep(20 * time.Second)
 		}},
-		{"late copies of reports", func(c *cluster) {
-			copies(c, 2, isReport)
+		{"delayed duplicates of heartbeats", func(c *cluster) {
+			duplicate(c, 2, isHeartbeat)
 			time.Sleep(30 * time.Second)
 		}},
-		{"late copies of reports reach the next leader", func(c *cluster) {
-			copies(c, 1, isReport)
+		{"delayed duplicates of heartbeats reach the next leader", func(c *cluster) {
+			duplicate(c, 1, isHeartbeat)
 			time.Sleep(6 * time.Second)
 			i := c.leader()
 			c.kill(i)
 			time.Sleep(15 * time.Second)
 			c.start(i)
 		}},
-		// What it holds must not start elsewhere while nobody knows.
-		{"a machine is silent while another node takes over", func(c *cluster) {
+		// Its tasks must not start elsewhere while nobody knows whether they run.
+		{"a machine's heartbeats are dropped during a failover", func(c *cluster) {
 			c.cloud.RuntimeOf = func(string) float64 { return 25 }
 			job := testJob("j-000004", 9)
-			job["expect_s"] = 90.0 // for a fleet that has room
+			job["expect_s"] = 90.0 // for a fleet with room
 			c.request(http.MethodPost, 0, "/v1/jobs", job)
 			for i := 0; i < 80 && c.cloud.Starts() < 19; i++ {
 				time.Sleep(500 * time.Millisecond)
@@ -223,9 +225,9 @@
 			if len(ws) < 4 {
 				c.t.Fatalf("%d machines", len(ws))
 			}
-			silent := ws[0].ID
+			silentID := ws[0].ID
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if from == silent || r.URL.Host == "cloud" {
+				if from == silentID || r.URL.Host == "cloud" {
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
@@ -237,42 +239,42 @@
 			time.Sleep(10 * time.Second)
 			c.start(i)
 		}},
-		// Its reports keep it looking healthy; its lease runs out all the same.
-		{"answers and commands don't reach a machine", func(c *cluster) {
+		// Its heartbeats make it look healthy; its lease expires all the same.
+		{"responses and commands to a machine are dropped", func(c *cluster) {
 			time.Sleep(3 * time.Second)
-			deaf := ""
+			isolated := ""
 			if ws := c.cloud.Workers(); len(ws) > 0 {
-				deaf = ws[0].ID
+				isolated = ws[0].ID
 			}
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				switch {
-				case from == deaf && r.URL.Path == "/hello":
+				case from == isolated && r.URL.Path == "/hello":
 					return fake.DroppedResponse
-				case strings.HasPrefix(r.URL.Host, deaf+":"):
+				case strings.HasPrefix(r.URL.Host, isolated+":"):
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
 			})
-			for i := 1; i <= 2; i++ { // served by others while it lasts
+			for i := 1; i <= 2; i++ { // on other machines while it lasts
 				c.awaitStatus(fmt.Sprintf("j-%06d", i), wire.JobDone, 90*time.Second)
 			}
 		}},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 5, tc.trouble) })
+		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 5, tc.inject) })
 	}
 }
 
-// TestPartitionedNode has the leader, or a follower, lose the state service and all other
-// nodes but not its workers. A job is cancelled elsewhere: its tasks are gone in
-// time although the node cannot know, and the workers find another node.
+// TestPartitionedNode has the leader, or a follower, lose the state service and all other nodes but
+// not its workers. A job is cancelled at another node: its tasks are gone in time although the
+// partitioned node cannot know, and the workers find another node.
 func TestPartitionedNode(t *testing.T) {
 	for _, who := range []string{"leader", "follower", "leader, and no worker reaches another node"} {
 		t.Run(who, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				size := 5
 				if strings.HasSuffix(who, "another node") {
-					size = 3 // or the lease would end while the worker asks the others
+					size = 3 // or the lease would expire while the worker tries the others
 				}
 				c := newClusterOf(t, size)
 				defer c.close()
@@ -286,58 +288,58 @@
 				for i := 0; i < 80 && c.cloud.Starts() < 4; i++ {
 					time.Sleep(500 * time.Millisecond)
 				}
-				cut := c.leader()
+				partitioned := c.leader()
 				if who == "follower" {
-					cut = (cut + 1) % size
+					partitioned = (partitioned + 1) % size
 				}
-				member := fmt.Sprintf("host-%d", cut)
+				member := fmt.Sprintf("host-%d", partitioned)
 				c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					switch {
-					case strings.HasPrefix(from, member+"/") && isStateRequest(r), r.URL.Host == "cloud": // no return helps either
+					case strings.HasPrefix(from, member+"/") && isStateRequest(r), r.URL.Host == "cloud": // nor does a termination help
 						return fake.DroppedRequest
 					case strings.HasPrefix(from, "i-") && r.URL.Host != member+":8080" && strings.HasSuffix(who, "another node"):
 						return fake.ServiceUnavailable
 					}
 					return fake.NoFault
 				})
-				time.Sleep(12 * time.Second) // until no watch that was open before is left
+				time.Sleep(12 * time.Second) // until all watches that were open before have ended
 				code := 0
 				for i := 0; i < 20 && code != http.StatusOK; i++ {
-					code, _ = c.request(http.MethodPost, (cut+2)%size, "/v1/jobs/j-000001/abort", nil)
+					code, _ = c.request(http.MethodPost, (partitioned+2)%size, "/v1/jobs/j-000001/abort", nil)
 					time.Sleep(500 * time.Millisecond)
 				}
 				if code != http.StatusOK {
-					t.Fatalf("abort answered %d", code)
+					t.Fatalf("cancellation answered %d", code)
 				}
 				time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 				if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 					t.Errorf("still on machines: %v", on)
 				}
-				// Its users are to go elsewhere, too.
+				// Its users are to go to other nodes, too.
 				for i := range size {
-					if code, _ := c.request(http.MethodGet, i, "/ready", nil); (code == http.StatusOK) != (i != cut) {
-						t.Errorf("node %d says %d to whether it is ready; %d is cut off", i, code, cut)
+					if code, _ := c.request(http.MethodGet, i, "/ready", nil); (code == http.StatusOK) != (i != partitioned) {
+						t.Errorf("node %d answers readiness with %d; %d is partitioned", i, code, partitioned)
 					}
 				}
-				// The cut lasts; others serve the workers.
+				// The partition lasts; other nodes serve the workers.
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if strings.HasPrefix(from, member+"/") && isStateRequest(r) {
 						return fake.DroppedRequest
 					}
 					return fake.NoFault
 				})
-				if code, _ := c.request(http.MethodPost, (cut+2)%size, "/v1/jobs", testJob("j-000002", 3)); code != http.StatusCreated {
+				if code, _ := c.request(http.MethodPost, (partitioned+2)%size, "/v1/jobs", testJob("j-000002", 3)); code != http.StatusCreated {
 					t.Fatalf("submission answered %d", code)
 				}
 				for i := 0; i < 90; i++ {
-					if _, s := c.request(http.MethodGet, (cut+1)%size, "/v1/jobs/j-000002", nil); s.Status == wire.JobDone {
+					if _, s := c.request(http.MethodGet, (partitioned+1)%size, "/v1/jobs/j-000002", nil); s.Status == wire.JobDone {
 						break
 					}
 					time.Sleep(time.Second)
 				}
-				if _, s := c.request(http.MethodGet, (cut+1)%size, "/v1/jobs/j-000002", nil); s.Status != wire.JobDone {
-					t.Errorf("a job submitted during the cut is %q", s.Status)
+				if _, s := c.request(http.MethodGet, (partitioned+1)%size, "/v1/jobs/j-000002", nil); s.Status != wire.JobDone {
+					t.Errorf("a job submitted during the partition is %q", s.Status)
 				}
 				if broken := c.cloud.Violations(); broken != nil {
 					t.Error(broken)
@@ -347,8 +349,8 @@
 	}
 }
 
-// TestPlacementDuringOutage has the state service away for everyone: on the peers' answers
-// the leader goes on placing tasks of known jobs.
+// TestPlacementDuringOutage has an outage of the state service: on the peers' answers the leader
+// goes on placing tasks of known jobs.
 func TestPlacementDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -362,7 +364,7 @@
 		before := c.cloud.Starts()
 		time.Sleep(15 * time.Second)
 		if after := c.cloud.Starts(); after <= before {
-			t.Errorf("%d tasks were started before and %d after", before, after)
+			t.Errorf("%d starts before and %d after", before, after)
 		}
 		c.state.SetOutage(false)
 		c.awaitStatus("j-000001", wire.JobDone, 3*time.Minute)
@@ -372,15 +374,16 @@
 	})
 }
 
-// runThroughFault has three jobs of five tasks accepted before and after a trouble.
-func runThroughFault(t *testing.T, nodes int, trouble func(*cluster)) {
+// runThroughFault has two jobs of five tasks accepted before a fault and one after it began, and
+// checks that all complete.
+func runThroughFault(t *testing.T, nodes int, inject func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, nodes)
 		defer c.close()
 		ids := []string{"j-000001", "j-000002", "j-000003"}
 		c.submit(ids[0], 5)
 		c.submit(ids[1], 5)
-		trouble(c)
+		inject(c)
 		c.setFault(nil)
 		c.submit(ids[2], 5)
 		for _, id := range ids {
@@ -391,7 +394,7 @@
 			t.Error(broken)
 		}
 		if starts := c.cloud.Starts(); starts < 15 {
-			t.Errorf("%d tasks were started for 15 that are done", starts)
+			t.Errorf("%d starts for 15 tasks that are done", starts)
 		}
 	})
 }
