--- a/failover_guards_test.go
+++ b/failover_guards_test.go
@@ -15,21 +15,21 @@
 	"caperlatch/internal/wire"
 )
 
-// The tests in this file bring about the moments for which single guards are there. Each
-// shows that its moment came, and fails when the guard is taken out.
+// The tests in this file bring about the situations that single guards are for. Each shows that its
+// situation occurred, and fails when the guard is taken out.
 
-// storedMachines lists the machines that stand in the stored values under a prefix.
+// storedMachines returns the machines that the stored values under a prefix name.
 func (c *cluster) storedMachines(prefix string) map[string]bool {
 	names := map[string]bool{}
 	for _, e := range c.state.Entries(prefix) {
 		var value struct {
-			Listed []string `json:"m"`        // of a list of machines that are up
-			Booked []string `json:"machines"` // of a booking
+			Listed   []string `json:"m"`        // of a machine list
+			Launched []string `json:"machines"` // of a launch intent
 		}
 		if wire.Unmarshal(e.Value, &value) != nil {
 			c.t.Fatalf("stored %s is unreadable", e.Key)
 		}
-		for _, entry := range append(value.Listed, value.Booked...) {
+		for _, entry := range append(value.Listed, value.Launched...) {
 			id, _, _ := strings.Cut(entry, " ")
 			names[id] = true
 		}
@@ -37,18 +37,19 @@
 	return names
 }
 
-// machinesWithoutIntent counts the machines that stand in a stored list, but in no stored booking.
+// machinesWithoutIntent counts the machines that are in a stored machine list, but in no stored
+// launch intent.
 func (c *cluster) machinesWithoutIntent() (n int) {
-	booked := c.storedMachines(replica.LaunchIntentPrefix)
+	launched := c.storedMachines(replica.LaunchIntentPrefix)
 	for id := range c.storedMachines(replica.MachineListPrefix) {
-		if !booked[id] {
+		if !launched[id] {
 			n++
 		}
 	}
 	return n
 }
 
-// isolateMachinesOf has the machines with tasks of a job be out of reach.
+// isolateMachinesOf returns the fault that isolates the machines with tasks of a job.
 func (c *cluster) isolateMachinesOf(job string, dropped *counter) func(string, *http.Request) fake.Fault {
 	ids := map[string]bool{}
 	for _, w := range c.cloud.Workers() {
@@ -57,33 +58,33 @@
 	return isolateMachines(ids, dropped)
 }
 
-// TestMachineListWithoutLaunchIntent has the state service take lists of machines that are up, and the
-// bookings that name these machines not: refused, lost or carried out late. Then the leader
-// ends. The next one finds machines listed that no booking has, and takes them for gone:
-// none of them may have got a task (the guard is `stored` in machine.open).
+// TestMachineListWithoutLaunchIntent has the state service store machine lists, but not the launch
+// intents with the IDs of these machines: their transactions are rejected, dropped or delayed. Then
+// a failover follows. The next leader finds machines that are listed and have no launch intent, and
+// takes them for gone: none of them may have got a task (the guard is `stored` in machine.open).
 func TestMachineListWithoutLaunchIntent(t *testing.T) {
-	fates := []struct {
-		name string
-		fate fake.TxnFault
-	}{{"refused", fake.TxnUnavailable}, {"lost", fake.TxnDropped}, {"carried out late", fake.TxnDelayed}}
-	for _, f := range fates {
+	faults := []struct {
+		name  string
+		fault fake.TxnFault
+	}{{"rejected", fake.TxnUnavailable}, {"dropped", fake.TxnDropped}, {"delayed", fake.TxnDelayed}}
+	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 40 }
-				c.submit("j-000009", 4) // it fills a machine that stays in reach
+				c.submit("j-000009", 4) // fills a machine that stays reachable
 				time.Sleep(3 * time.Second)
-				// One that changes both is too large, and comes again in parts.
+				// A transaction that changes both is too large, and comes again in parts.
 				c.state.SetTxnFault(func(x fake.Transaction) fake.TxnFault {
-					names := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
+					namesMachines := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
 						return strings.HasPrefix(k.Key, replica.LaunchIntentPrefix) && k.ModRevision != 0
 					})
 					switch {
-					case names && len(x.Keys) > 1:
+					case namesMachines && len(x.Keys) > 1:
 						return fake.TxnTooLarge
-					case names:
-						return f.fate
+					case namesMachines:
+						return f.fault
 					}
 					return fake.TxnCommitted
 				})
@@ -94,7 +95,7 @@
 					time.Sleep(50 * time.Millisecond)
 				}
 				time.Sleep(1500 * time.Millisecond)
-				unbooked, before := c.machinesWithoutIntent(), c.fencingToken()
+				withoutIntent, before := c.machinesWithoutIntent(), c.fencingToken()
 				var dropped counter
 				c.setFault(c.isolateMachinesOf("j-000001", &dropped))
 				c.restartNodes(c.leader())
@@ -102,8 +103,8 @@
 				c.state.SetTxnFault(nil)
 				time.Sleep(time.Duration(leaseDurationS-1) * time.Second)
 				c.setFault(nil)
-				if unbooked == 0 {
-					t.Error("no machine was listed and not booked")
+				if withoutIntent == 0 {
+					t.Error("no machine was in a machine list and in no launch intent")
 				}
 				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 				c.checkRules()
@@ -112,10 +113,10 @@
 	}
 }
 
-// TestStalePagesAtStart has a node start, whose pages of all keys are of different moments: the
-// bookings from before the leader rented machines, the leader key from after it ended. It
-// leads at once, with its watch held up. Without the barrier at the take-over it does not
-// know of the machines that run the last job, and starts the job's tasks elsewhere.
+// TestStalePagesAtStart has a node start whose pages of all keys are of different times: the launch
+// intents from before the leader launched machines, the leader key from after its session ended. It
+// leads at once, with its watch delayed. Without the read barrier at the failover it does not know
+// of the machines that run the last job, and starts the job's tasks elsewhere.
 func TestStalePagesAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, func(s *settings.Settings) {
@@ -123,7 +124,7 @@
 		})
 		defer c.close()
 		c.cloud.RuntimeOf = func(string) float64 { return 60 }
-		const between = 45 // keys of jobs that are read between the bookings and the leader key
+		const between = 45 // keys of jobs, in order between the launch intents and the leader key
 		for n := range between {
 			id := fmt.Sprintf("j-%06d", n+1)
 			c.submit(id, 1)
@@ -143,13 +144,13 @@
 				pages.add("read")
 				return fake.HighLatency
 			case isFromNode(from, next) && r.URL.Path == "/watch":
-				watches.add("held")
+				watches.add("dropped")
 				return fake.DroppedRequest
 			}
 			return fake.NoFault
 		})
 		c.start(next)
-		time.Sleep(2 * time.Second) // the bookings are read
+		time.Sleep(2 * time.Second) // until the launch intents are read
 		job := testJob("j-900000", 8)
 		job["expect_s"] = 200.0
 		for range 40 {
@@ -163,19 +164,19 @@
 		}
 		ran, read, before := c.runningTasks("j-900000"), pages.count("read"), c.fencingToken()
 		var dropped counter
-		cutThem := c.isolateMachinesOf("j-900000", &dropped)
+		isolated := c.isolateMachinesOf("j-900000", &dropped)
 		c.kill(first)
 		for i := 0; c.fencingToken() == before && i < 400; i++ {
 			time.Sleep(50 * time.Millisecond)
 		}
-		if ran < 8 || c.fencingToken() == before || pages.count("read") <= read+4 || watches.count("held") == 0 {
-			t.Errorf("%d tasks ran, token %d after %d, pages %d after %d, %d watches held", ran, c.fencingToken(), before, pages.count("read"), read, watches.count("held"))
+		if ran < 8 || c.fencingToken() == before || pages.count("read") <= read+4 || watches.count("dropped") == 0 {
+			t.Errorf("%d tasks ran, fencing token %d after %d, pages %d after %d, %d watches dropped", ran, c.fencingToken(), before, pages.count("read"), read, watches.count("dropped"))
 		}
 		time.Sleep(500 * time.Millisecond)
-		c.setFault(cutThem)
+		c.setFault(isolated)
 		time.Sleep(9 * time.Second) // well within their lease
 		if on := c.runningTasks("j-900000"); on < ran {
-			t.Errorf("%d of %d tasks still ran", on, ran)
+			t.Errorf("%d of %d tasks still run", on, ran)
 		}
 		c.setFault(nil)
 		c.start(first)
@@ -184,11 +185,11 @@
 	})
 }
 
-// TestSupersededLeader has a leader be cut from the state service, and then hear from its
-// peers that another leads, while half of the machines reach only it. It told the next
-// leader that it knows its token, which thus counts these machines' leases as over a lease
-// later: it must answer none of them from then on (`superseded`), not even until its
-// request to the state service has failed.
+// TestSupersededLeader has a leader lose the state service, and then learn from its peers that
+// another node leads, while half of the machines reach only the old leader. It told the next leader
+// that it knows its fencing token, so the next leader counts the leases of these machines as
+// expired a lease duration later: the old leader must answer none of them from then on
+// (`superseded`), not even until its request to the state service has failed.
 func TestSupersededLeader(t *testing.T) {
 	for phase := range 8 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
@@ -196,7 +197,7 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 60 }
-				base := testJob("j-000009", 8) // leaves a CPU of each machine
+				base := testJob("j-000009", 8) // leaves one CPU of each machine free
 				base["vcpus"], base["expect_s"] = 3.0, 200.0
 				c.runJob(base)
 				job := testJob("j-000001", 3)
@@ -209,14 +210,14 @@
 				}
 				first, before := c.leader(), c.fencingToken()
 				host := fmt.Sprintf("host-%d", first)
-				var met counter
+				var noted counter
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if isFromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0") {
 						return fake.DroppedRequest
 					}
 					return fake.NoFault
 				})
-				time.Sleep(12 * time.Second) // until no watch is open that would tell it
+				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
 				fault := func(others bool) func(string, *http.Request) fake.Fault {
 					return func(from string, r *http.Request) fake.Fault {
 						switch {
@@ -225,30 +226,30 @@
 						case isStateRequest(r) && !others || r.URL.Path == "/hosts/return":
 							return fake.ServiceUnavailable
 						case machineOf(from) != "" && ids[machineOf(from)] != (r.URL.Host == host+":8080"):
-							return fake.ServiceUnavailable // the others would tell the old leader by their reports
+							return fake.ServiceUnavailable // the old leader would learn of the token from their heartbeats
 						case ids[machineOf(from)] && others && c.fencingToken() > before:
-							met.add("reports to the old leader")
+							noted.add("heartbeat to the old leader")
 						case ids[machineOf(r.URL.Host)] && !isFromNode(from, first):
 							return fake.DroppedRequest
 						}
 						return fake.NoFault
 					}
 				}
-				cut := func() { c.pipes.SetPartition(func(from, to string) bool { return (from == host) != (to == host) }) }
-				cut()
+				isolateLeader := func() { c.pipes.SetPartition(func(from, to string) bool { return (from == host) != (to == host) }) }
+				isolateLeader()
 				c.setFault(fault(false))
 				time.Sleep(7*time.Second + time.Duration(phase)*210*time.Millisecond)
 				c.healPeers()
 				c.setFault(fault(true))
 				c.awaitLeaderAfter(before)
 				ran := c.runningTasks("j-000001")
-				time.Sleep(600 * time.Millisecond) // until all have told each other
-				cut()
+				time.Sleep(600 * time.Millisecond) // until the nodes have exchanged their tokens
+				isolateLeader()
 				time.Sleep(time.Duration(leaseDurationS+4) * time.Second)
 				c.setFault(nil)
 				c.healPeers()
-				if ran != 3 || met.count("reports to the old leader") == 0 {
-					t.Errorf("%d tasks ran, met %v", ran, met.counts)
+				if ran != 3 || noted.count("heartbeat to the old leader") == 0 {
+					t.Errorf("%d tasks ran, noted %v", ran, noted.counts)
 				}
 				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 				c.checkRules()
@@ -257,11 +258,11 @@
 	}
 }
 
-// TestDelayedChangesAfterSessionEnd has a leader whose hold has ended hear of a job that was accepted
-// under the next leader, before it notices that its own term is over: its changes come late,
-// all at once, while it waits for the answer about its hold. The next leader starts new jobs
-// without waiting for anybody; so the old one may start nothing unless its hold lasts or all
-// peers promise not to lead (`Term.Sure`).
+// TestDelayedChangesAfterSessionEnd has a leader whose session has ended learn of a job that was
+// accepted under the next leader, before it notices that its own term is over: changes reach it
+// late, all at once, while it waits for the response to the renewal of its session. The next leader
+// starts new jobs without waiting for anybody; so the old one may start nothing unless its session
+// lasts or all peers promise not to lead (`Term.Sure`).
 func TestDelayedChangesAfterSessionEnd(t *testing.T) {
 	for phase := range 6 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
@@ -269,30 +270,30 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 40 }
-				base := testJob("j-000009", 8) // leaves a CPU of each machine
+				base := testJob("j-000009", 8) // leaves one CPU of each machine free
 				base["vcpus"], base["expect_s"] = 3.0, 200.0
 				c.runJob(base)
 				time.Sleep(2 * time.Second)
-				ids := map[string]bool{} // machines that reach the old leader only
+				ids := map[string]bool{} // machines that reach only the old leader
 				for i, w := range c.cloud.WorkersOf("j-000009") {
 					ids[w.ID] = i%2 == 0
 				}
 				first, before := c.leader(), c.fencingToken()
 				host := fmt.Sprintf("host-%d", first)
-				var met counter
-				fault := func(news bool) func(string, *http.Request) fake.Fault {
+				var noted counter
+				fault := func(changes bool) func(string, *http.Request) fake.Fault {
 					return func(from string, r *http.Request) fake.Fault {
 						switch {
-						case isStateRequest(r) && isFromNode(from, first) && (!news || r.URL.Path != "/watch"):
+						case isStateRequest(r) && isFromNode(from, first) && (!changes || r.URL.Path != "/watch"):
 							return fake.DroppedRequest
 						case isStateRequest(r) && isFromNode(from, first):
-							met.add("news")
+							noted.add("changes")
 						case r.URL.Path == "/hosts/return":
 							return fake.ServiceUnavailable
 						case machineOf(from) != "" && ids[machineOf(from)] != (r.URL.Host == host+":8080"):
 							return fake.ServiceUnavailable
-						case news && ids[machineOf(from)]:
-							met.add("reports to the old leader")
+						case changes && ids[machineOf(from)]:
+							noted.add("heartbeat to the old leader")
 						case ids[machineOf(r.URL.Host)] && !isFromNode(from, first):
 							return fake.DroppedRequest
 						}
@@ -309,10 +310,10 @@
 					}
 					return fake.NoFault
 				})
-				time.Sleep(12 * time.Second) // until no watch is open that would tell it
+				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
 				c.setFault(fault(false))
 				c.awaitLeaderAfter(before)
-				time.Sleep(500 * time.Millisecond) // a job that it finds at its take-over is none of its own
+				time.Sleep(500 * time.Millisecond) // a job that it finds at its failover does not count as new
 				job := testJob("j-000001", 4)
 				job["expect_s"] = 200.0
 				for try := range 20 {
@@ -325,11 +326,11 @@
 				c.setFault(fault(true))
 				time.Sleep(4 * time.Second)
 				for i := 0; c.runningTasks("j-000001") == 0 && i < 100; i++ {
-					time.Sleep(50 * time.Millisecond) // machines look for the next leader first
+					time.Sleep(50 * time.Millisecond) // the machines try the next leader first
 				}
 				ran := c.runningTasks("j-000001")
-				if ran == 0 || met.count("news") == 0 || met.count("reports to the old leader") == 0 {
-					t.Errorf("%d tasks of the new job ran, met %v", ran, met.counts)
+				if ran == 0 || noted.count("changes") == 0 || noted.count("heartbeat to the old leader") == 0 {
+					t.Errorf("%d tasks of the new job ran, noted %v", ran, noted.counts)
 				}
 				c.setFault(nil)
 				c.healPeers()
--- a/outage_cancellation_test.go
+++ b/outage_cancellation_test.go
@@ -18,19 +18,19 @@
 	"caperlatch/internal/wire"
 )
 
-// outageRun is a day on which the state service refuses the leader alone, another node confirms
-// that a job is cancelled, and then the state service is down for all for longer than
-// cancel_s, while the workers go on reporting to the old leader.
+// outageRun is a run in which the state service is unavailable to the leader alone, another node
+// confirms that a job is cancelled, and then the state service is down for all for longer than the
+// cancellation timeout, while the workers go on sending heartbeats to the old leader.
 type outageRun struct {
 	*cluster
 	leadingNode, confirmingNode int
-	otherFault                  func(from string, r *http.Request) fake.Fault // what else happens
+	otherFault                  func(from string, r *http.Request) fake.Fault // in addition; nil: none
 	refusing                    bool
-	refusals                    int // requests of the leader
+	refusals                    int // of the leader, by the state service
 }
 
-// faultOf has the state service refuse the leader. An open watch of one that is refused
-// waits, so it gets none from before: until then it has to ask.
+// faultOf makes the state service unavailable to the leader. An open watch of a node to which it is
+// unavailable waits, so the leader gets none from before: until then it has to poll.
 func (g *outageRun) faultOf(from string, r *http.Request) fake.Fault {
 	if isStateRequest(r) && strings.HasPrefix(from, fmt.Sprintf("host-%d/", g.leadingNode)) {
 		if g.refusing {
@@ -47,14 +47,14 @@
 	return fake.NoFault
 }
 
-// setOtherFault has something else happen to requests as well.
+// setOtherFault adds faults of other requests.
 func (g *outageRun) setOtherFault(also func(from string, r *http.Request) fake.Fault) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.otherFault = also
 }
 
-// cancel has a user cancel the job at a node.
+// cancel cancels the job at a node.
 func (g *outageRun) cancel(node int) {
 	g.t.Helper()
 	for range 20 {
@@ -66,7 +66,7 @@
 	g.t.Fatal("the job could not be cancelled")
 }
 
-// partitionPairs cuts some pairs of nodes.
+// partitionPairs partitions the pairs of nodes that match, and ends other partitions.
 func (g *outageRun) partitionPairs(pairs func(a, b int) bool) {
 	number := func(member string) (i int) {
 		if _, err := fmt.Sscanf(member, "host-%d", &i); err != nil {
@@ -77,65 +77,65 @@
 	g.pipes.SetPartition(func(from, to string) bool { a, b := number(from), number(to); return pairs(a, b) || pairs(b, a) })
 }
 
-// healPairs ends all cuts between nodes.
+// healPairs ends all partitions between nodes.
 func (g *outageRun) healPairs() { g.partitionPairs(func(int, int) bool { return false }) }
 
-// isLeaderRefused tells whether the state service has refused the leader.
+// isLeaderRefused reports whether the state service has refused a request of the leader.
 func (g *outageRun) isLeaderRefused() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.refusals > 0
 }
 
-// TestCancellationDuringOutage has the tasks of a job whose cancellation was confirmed in the gap gone in time,
-// and never back.
+// TestCancellationDuringOutage checks that the tasks of a job whose cancellation was confirmed in
+// an outageRun are gone in time, and never start again.
 func TestCancellationDuringOutage(t *testing.T) {
 	const outage = time.Duration(1.6*cancellationTimeoutS) * time.Second
 	cases := []struct {
 		name string
-		// before is what happens before the user asks; confirm the confirmation, if it is
-		// not simply asked of the confirming node; after what happens in the outage. Until
-		// then the leader is cut from the other nodes, so that it cannot hear of it at once.
+		// before is what happens before the cancellation; confirm is the cancellation, if it is not
+		// simply requested of the confirming node; after is what happens in the outage. Until then
+		// the leader is partitioned from the other nodes, so that it cannot learn of it at once.
 		before, confirm, after func(g *outageRun)
-		late                   bool // the job comes just before
+		late                   bool // the job is submitted just before
 	}{
-		{name: "plain", after: (*outageRun).healPairs},
-		{name: "the confirming node ends right after", after: func(g *outageRun) {
+		{name: "no other fault", after: (*outageRun).healPairs},
+		{name: "the confirming node crashes right after", after: func(g *outageRun) {
 			g.kill(g.confirmingNode)
 			g.healPairs()
 		}},
-		{name: "the confirming node is back at once with an empty memory", after: func(g *outageRun) {
+		{name: "the confirming node restarts, and has lost its memory", after: func(g *outageRun) {
 			g.restartNodes(g.confirmingNode)
 			g.healPairs()
 		}},
-		{name: "the confirming node stays cut from the leader", after: func(g *outageRun) {
+		{name: "the confirming node stays partitioned from the leader", after: func(g *outageRun) {
 			g.partitionPairs(func(a, b int) bool { return a == g.leadingNode && b == g.confirmingNode })
 		}},
-		{name: "the leader stays cut from all others", after: func(*outageRun) {}},
-		{name: "the leader hears of it late", after: func(g *outageRun) {
+		{name: "the leader stays partitioned from all nodes", after: func(*outageRun) {}},
+		{name: "the leader learns of it late", after: func(g *outageRun) {
 			time.Sleep(6 * time.Second)
 			g.healPairs()
 		}},
-		// What a node told is told on, however long ago it was: else the leader, on the word
-		// of its peers, would begin the tasks again.
-		{name: "the leader hears of it after more than cancel_s", after: func(g *outageRun) {
+		// What a node has answered stays valid, however long ago it was: else the leader, on the
+		// word of its peers, would start the tasks again.
+		{name: "the leader learns of it after the cancellation timeout", after: func(g *outageRun) {
 			time.Sleep(time.Duration(1.2*cancellationTimeoutS) * time.Second)
 			g.healPairs()
 		}},
-		{name: "the confirming node ends, and the others know it", confirm: func(g *outageRun) {
+		{name: "the confirming node crashes, and the others know of the cancellation", confirm: func(g *outageRun) {
 			g.cancel(g.confirmingNode)
-			time.Sleep(600 * time.Millisecond) // they read the changes
+			time.Sleep(600 * time.Millisecond) // for the others to read the change
 			g.kill(g.confirmingNode)
 		}, after: (*outageRun).healPairs},
-		// The user's node wrote it long before it was carried out, and gave up; another
-		// read it. What counts is what a node knows, not when it was written.
-		{name: "the cancellation was carried out minutes late", confirm: func(g *outageRun) {
+		// The user's node wrote it long before it was carried out, and gave up; another node read
+		// it. What counts is what a node knows, not when it was written.
+		{name: "the transaction of the cancellation was minutes old when it was carried out", confirm: func(g *outageRun) {
 			var j replica.Job
 			e, _ := g.state.Get(replica.JobPrefix + "j-000001")
 			if err := wire.Unmarshal(e.Value, &j); err != nil {
 				g.t.Fatal(err)
 			}
-			j.State, j.EndedAt = wire.JobCancelled, j.SubmittedAt-600*micros.Second // when it was sent
+			j.State, j.EndedAt = wire.JobCancelled, j.SubmittedAt-600*micros.Second // the time at which it was sent
 			b, err := wire.Marshal(wire.Txn{If: []wire.Compare{{Key: e.Key, ModRevision: e.ModRevision}}, Then: []wire.Op{{Put: e.Key, Value: j}}})
 			if err != nil {
 				g.t.Fatal(err)
@@ -144,26 +144,26 @@
 			w := httptest.NewRecorder()
 			g.state.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/txn", bytes.NewReader(b)))
 			if _, s := g.request(http.MethodGet, g.confirmingNode, "/v1/jobs/j-000001", nil); w.Code != http.StatusOK || s.Status != wire.JobCancelled {
-				g.t.Fatalf("carried out with %d, and then %s", w.Code, s.Status)
+				g.t.Fatalf("the transaction answered %d, then the job is %s", w.Code, s.Status)
 			}
 		}, after: (*outageRun).healPairs},
-		{name: "the first answer is lost, and the user asks another node", confirm: func(g *outageRun) {
-			lost := fmt.Sprintf("host-%d:8080", g.confirmingNode)
+		{name: "the first response is dropped, and the user cancels at another node", confirm: func(g *outageRun) {
+			confirmingHost := fmt.Sprintf("host-%d:8080", g.confirmingNode)
 			g.setOtherFault(func(from string, r *http.Request) fake.Fault {
-				if from == "user" && r.URL.Host == lost {
+				if from == "user" && r.URL.Host == confirmingHost {
 					return fake.DroppedResponse
 				}
 				return fake.NoFault
 			})
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			defer cancel()
-			r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+lost+"/v1/jobs/j-000001/abort", nil)
+			r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+confirmingHost+"/v1/jobs/j-000001/abort", nil)
 			if err != nil {
 				g.t.Fatal(err)
 			}
 			g.rules.ObserveRequest("/v1/jobs/j-000001/abort")
 			if _, err := g.user.Do(r); err == nil {
-				g.t.Error("the answer was not lost")
+				g.t.Error("the response was not dropped")
 			}
 			for i := range g.size {
 				if i != g.confirmingNode && i != g.leadingNode {
@@ -175,8 +175,8 @@
 			g.kill(g.confirmingNode)
 			g.healPairs()
 		}},
-		// They do what they have until their leases end.
-		{name: "machines reach no controller, commands don't reach them", before: func(g *outageRun) {
+		// They run their tasks until their leases expire.
+		{name: "half of the machines are isolated", before: func(g *outageRun) {
 			g.setOtherFault(func(from string, r *http.Request) fake.Fault {
 				if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) {
 					return fake.DroppedRequest
@@ -184,7 +184,7 @@
 				return fake.NoFault
 			})
 		}, after: (*outageRun).healPairs},
-		{name: "machines are deaf", before: func(g *outageRun) {
+		{name: "responses and commands to half of the machines are dropped", before: func(g *outageRun) {
 			g.setOtherFault(func(from string, r *http.Request) fake.Fault {
 				switch {
 				case isEveryOtherMachine(from) && r.URL.Path == "/hello":
@@ -195,7 +195,7 @@
 				return fake.NoFault
 			})
 		}, after: (*outageRun).healPairs},
-		{name: "machines are mute", before: func(g *outageRun) {
+		{name: "heartbeats of half of the machines are dropped", before: func(g *outageRun) {
 			g.setOtherFault(func(from string, _ *http.Request) fake.Fault {
 				if isEveryOtherMachine(from) {
 					return fake.DroppedRequest
@@ -203,8 +203,9 @@
 				return fake.NoFault
 			})
 		}, after: (*outageRun).healPairs},
-		// Starts are sent in the very seconds in which the leader does not know.
-		{name: "tasks are being started", late: true, after: (*outageRun).healPairs},
+		// Starts are sent in the very seconds in which the leader does not know of the
+		// cancellation.
+		{name: "tasks are being started meanwhile", late: true, after: (*outageRun).healPairs},
 	}
 	for _, nodes := range []int{3, 5} {
 		for _, tc := range cases {
@@ -222,11 +223,11 @@
 					if !tc.late {
 						g.submit("j-000001", 8)
 					}
-					time.Sleep(20 * time.Second) // there are machines
+					time.Sleep(20 * time.Second) // until there are machines
 					g.leadingNode = g.leader()
 					g.confirmingNode = (g.leadingNode + 1) % nodes
 					g.setFault(g.faultOf)
-					g.submit("j-000003", 1) // what watches there are end
+					g.submit("j-000003", 1) // so that open watches end
 					time.Sleep(3 * time.Second)
 					if tc.late {
 						g.submit("j-000001", 8)
@@ -252,7 +253,7 @@
 					g.state.SetOutage(true)
 					confirmed := time.Now()
 					if on := len(g.tasksOn("j-000001/")); on == 0 || tc.late == (on == 8) || !tc.late && !g.isLeaderRefused() {
-						t.Errorf("%d tasks on machines, the leader is refused: %t: the troubles did not meet", on, g.isLeaderRefused())
+						t.Errorf("%d tasks on machines, the leader is refused: %t: the faults did not coincide", on, g.isLeaderRefused())
 					}
 					tc.after(g)
 					time.Sleep(outage - time.Since(confirmed))
@@ -280,12 +281,12 @@
 	}
 }
 
-// isEveryOtherMachine tells whether a host is one of every other machine.
+// isEveryOtherMachine reports whether a host is one of every other machine.
 func isEveryOtherMachine(host string) bool {
 	return strings.HasPrefix(host, "i-") && (host[len("i-00000")]-'0')%2 == 0
 }
 
-// tasksOn lists the tasks of a job that are on machines.
+// tasksOn lists the tasks with a prefix that are on machines.
 func (c *cluster) tasksOn(prefix string) []string {
 	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
 }
--- a/state_limits_test.go
+++ b/state_limits_test.go
@@ -15,32 +15,32 @@
 	"caperlatch/internal/wire"
 )
 
-// loweredLimits are the limits that the state service has from some moment on.
+// loweredLimits are the limits that the state service has from some time on.
 var loweredLimits = fake.StateLimits{ValueKB: 2, TxnOps: 4, WriteRPS: 15}
 
-// announceLimits has the settings tell of the lowered limits.
+// announceLimits announces the lowered limits in the settings.
 func announceLimits(s *settings.Settings) {
 	l := loweredLimits
 	s.Params.State = settings.State{RPS: 200, WriteRPS: 30, ValueKB: 8, TxnOps: 12,
 		Upcoming: settings.UpcomingLimits{WriteRPS: &l.WriteRPS, ValueKB: &l.ValueKB, TxnOps: &l.TxnOps}}
 }
 
-// TestAnnouncedLimits lowers the state service's limits in the midst of other things. No
-// write may be refused for its size when the settings told of the limits, before or
-// after; and the jobs are done, no rule is broken.
+// TestAnnouncedLimits lowers the state service's limits during other faults, as the settings
+// announce. No write may be rejected for its size, before or after; all jobs complete, and no rule
+// is violated.
 func TestAnnouncedLimits(t *testing.T) {
 	lower := func(c *cluster) { c.state.SetLimits(loweredLimits) }
 	cases := []struct {
-		name    string
-		trouble func(c *cluster)
+		name   string
+		inject func(c *cluster)
 	}{
 		{"from the start", lower},
-		{"in the midst of traffic", func(c *cluster) {
+		{"during traffic", func(c *cluster) {
 			time.Sleep(4 * time.Second)
 			lower(c)
 			time.Sleep(4 * time.Second)
 		}},
-		{"during a take-over", func(c *cluster) {
+		{"during a failover", func(c *cluster) {
 			i := c.leader()
 			time.Sleep(4 * time.Second)
 			c.kill(i)
@@ -49,20 +49,20 @@
 			time.Sleep(5 * time.Second)
 			c.start(i)
 		}},
-		{"while no transaction is answered", func(c *cluster) {
+		{"while responses to transactions are dropped", func(c *cluster) {
 			isTxn := func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }
 			c.setFault(everyNth(2, fake.DroppedResponse, isTxn))
 			time.Sleep(3 * time.Second)
 			lower(c)
 			time.Sleep(10 * time.Second)
 		}},
-		{"while transactions are applied late", func(c *cluster) {
+		{"while transactions are delayed", func(c *cluster) {
 			c.setFault(everyNth(3, fake.DelayedRequest, func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }))
 			time.Sleep(3 * time.Second)
 			lower(c)
 			time.Sleep(20 * time.Second)
 		}},
-		{"as all nodes end", func(c *cluster) {
+		{"as all nodes restart", func(c *cluster) {
 			time.Sleep(3 * time.Second)
 			for i := range c.size {
 				c.kill(i)
@@ -86,7 +86,7 @@
 				for _, id := range ids[:5] {
 					c.submit(id, 8)
 				}
-				tc.trouble(c)
+				tc.inject(c)
 				c.setFault(nil)
 				for _, id := range ids[5:] {
 					c.submit(id, 8)
@@ -99,15 +99,15 @@
 					t.Error(broken)
 				}
 				if n := c.state.RejectedTxns(); n != 0 {
-					t.Errorf("%d transactions were refused for their size", n)
+					t.Errorf("%d transactions were rejected for their size", n)
 				}
 			})
 		})
 	}
 }
 
-// TestUnannouncedLimits lowers the limits with settings that say nothing of it. What
-// is refused must not be sent for ever as it is, nor take others with it.
+// TestUnannouncedLimits lowers the limits although the settings announce nothing. What is rejected
+// must not be sent for ever as it is, nor prevent other writes.
 func TestUnannouncedLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, func(s *settings.Settings) {
@@ -117,7 +117,8 @@
 		c.submit("j-000001", 30)
 		time.Sleep(5 * time.Second)
 		c.state.SetLimits(loweredLimits)
-		// Many at once at one node, to share transactions; one of them is too large.
+		// Many submissions at once to one node, which shares transactions; one of them is too
+		// large.
 		large := testJob("j-000009", 2)
 		large["lane"] = strings.Repeat("l", 3000)
 		codes := make(chan int, 9)
@@ -136,7 +137,7 @@
 			got[<-codes]++
 		}
 		if got[http.StatusCreated] != 7 || got[http.StatusBadRequest] != 1 {
-			t.Errorf("answers to submissions: %v, want seven of 201 and one of 400", got)
+			t.Errorf("responses to submissions: %v, want seven of 201 and one of 400", got)
 		}
 		for i := 1; i <= 8; i++ {
 			c.awaitStatus(fmt.Sprintf("j-%06d", i), wire.JobDone, 120*time.Second)
@@ -144,7 +145,7 @@
 		before := c.state.RejectedTxns()
 		time.Sleep(2 * time.Minute)
 		if n := c.state.RejectedTxns() - before; n != 0 {
-			t.Errorf("%d transactions are still refused", n)
+			t.Errorf("%d transactions are still rejected", n)
 		}
 		if broken := c.cloud.Violations(); broken != nil {
 			t.Error(broken)
@@ -152,30 +153,30 @@
 	})
 }
 
-// TestStoredValuesOverLimits lowers the limits where larger values are stored already: a
-// list of the machines that are up and a job's description. The list is divided, at no
-// moment does a machine stand in none; the job can be cancelled; also when the leader
-// ends in the midst, and when transactions get no answer.
+// TestStoredValuesOverLimits lowers the limits where larger values are stored already: a machine
+// list and a job's description. The list is divided, and at no time is a machine in none; the job
+// can be cancelled; also when the leader restarts meanwhile, and when responses to transactions are
+// dropped.
 func TestStoredValuesOverLimits(t *testing.T) {
 	isTxn := func(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }
 	cases := []struct {
 		name  string
 		fault fake.Fault
-		kill  time.Duration // after the take-over, 0: no further one
+		kill  time.Duration // when the next leader restarts; 0: it does not
 	}{
-		{name: "quiet"},
-		{name: "transactions get no answer", fault: fake.DroppedResponse},
-		{name: "transactions are applied late", fault: fake.DelayedRequest},
-		{name: "the next leader ends while it divides", fault: fake.DroppedResponse, kill: 300 * time.Millisecond},
-		{name: "the next leader ends soon", kill: time.Second},
+		{name: "no fault"},
+		{name: "responses to transactions are dropped", fault: fake.DroppedResponse},
+		{name: "transactions are delayed", fault: fake.DelayedRequest},
+		{name: "the next leader restarts while it divides the list", fault: fake.DroppedResponse, kill: 300 * time.Millisecond},
+		{name: "the next leader restarts soon", kill: time.Second},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				told := false
+				announced := false
 				c := newTunedCluster(t, 3, func(s *settings.Settings) {
 					s.Params.State = settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 12}
-					if told {
+					if announced {
 						announceLimits(s)
 					}
 				})
@@ -190,11 +191,11 @@
 					}
 				}
 				time.Sleep(25 * time.Second)
-				up := c.listedMachines()
-				if len(up) < 100 || len(c.machineLists()) != 1 {
-					t.Fatalf("%d machines in %d lists, want a hundred in one", len(up), len(c.machineLists()))
+				listed := c.listedMachines()
+				if len(listed) < 100 || len(c.machineLists()) != 1 {
+					t.Fatalf("%d machines in %d lists, want a hundred in one", len(listed), len(c.machineLists()))
 				}
-				told = true
+				announced = true
 				c.state.SetLimits(loweredLimits)
 				for i := range c.size {
 					c.kill(i)
@@ -208,7 +209,7 @@
 				missing := func() (out []string) {
 					now := c.listedMachines()
 					for _, w := range c.cloud.Workers() {
-						if slices.Contains(up, w.ID) && !slices.Contains(now, w.ID) {
+						if slices.Contains(listed, w.ID) && !slices.Contains(now, w.ID) {
 							out = append(out, w.ID)
 						}
 					}
@@ -216,15 +217,15 @@
 				}
 				killed := tc.kill == 0
 				i := c.leader()
-				began := time.Now()
-				for time.Since(began) < 20*time.Second {
-					if !killed && time.Since(began) >= tc.kill {
+				restartedAt := time.Now()
+				for time.Since(restartedAt) < 20*time.Second {
+					if !killed && time.Since(restartedAt) >= tc.kill {
 						killed = true
 						c.kill(i)
 						c.start(i)
 					}
 					if m := missing(); m != nil {
-						t.Fatalf("%d machines that are up stand in no list: %v", len(m), m[0])
+						t.Fatalf("%d machines that are up are in no list: %v", len(m), m[0])
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -240,7 +241,7 @@
 				}
 				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 				if n := c.state.RejectedTxns(); n != 0 {
-					t.Errorf("%d transactions were refused for their size", n)
+					t.Errorf("%d transactions were rejected for their size", n)
 				}
 				if broken := c.cloud.Violations(); broken != nil {
 					t.Error(broken)
@@ -254,7 +255,7 @@
 	Machines []string `json:"m"`
 }
 
-// machineLists are the stored lists of machines that are up.
+// machineLists returns the stored machine lists, by key.
 func (c *cluster) machineLists() map[string]storedMachineList {
 	out := map[string]storedMachineList{}
 	for n := range 50 {
@@ -280,9 +281,9 @@
 	return ids
 }
 
-// TestMinimalLimits has a state service that takes hardly any value: no catalog that
-// is new, no booking, no job. Who leads must take over all the same and use the machines
-// that are there, cancellations be stored, and what is refused must not come for ever.
+// TestMinimalLimits has a state service that takes hardly any value: no new list of instance types,
+// no launch intent, no job. The leader must complete its failover all the same and use the machines
+// that are there, cancellations must be stored, and what is rejected must not be sent for ever.
 func TestMinimalLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, announceLimits)
@@ -298,13 +299,13 @@
 		for i := range c.size {
 			c.kill(i)
 		}
-		var catalog wire.InstanceTypeList
+		var instanceTypes wire.InstanceTypeList
 		e, _ := c.state.Get(replica.InstanceTypesKey)
-		if err := wire.Unmarshal(e.Value, &catalog); err != nil {
+		if err := wire.Unmarshal(e.Value, &instanceTypes); err != nil {
 			t.Fatal(err)
 		}
-		catalog.Types[0].Zones = append(catalog.Types[0].Zones, "gone")
-		b, err := wire.Marshal(catalog)
+		instanceTypes.Types[0].Zones = append(instanceTypes.Types[0].Zones, "gone")
+		b, err := wire.Marshal(instanceTypes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -331,7 +332,7 @@
 		c.leader()
 		time.Sleep(70 * time.Second)
 		if code, e, _ := c.explain(0, spec.ID); code != http.StatusOK || e.Waiting == 0 || e.Waiting+e.Running != 40 {
-			t.Errorf("the leader has not taken over: %d, %+v", code, e)
+			t.Errorf("the leader has not completed its failover: %d, %+v", code, e)
 		}
 		if code, _ := c.request(http.MethodPost, 1, "/v1/jobs", testJob("j-000003", 1)); code != http.StatusBadRequest {
 			t.Errorf("a job that cannot be stored: %d", code)
@@ -339,9 +340,9 @@
 		before := c.state.RejectedTxns()
 		time.Sleep(3 * time.Minute)
 		n := c.state.RejectedTxns() - before
-		t.Logf("%d refused at first, %d then", before, n)
-		if n > 20 { // each of a size that was not refused before
-			t.Errorf("%d transactions were refused in three minutes", n)
+		t.Logf("%d rejected at first, %d then", before, n)
+		if n > 20 { // each of a size that was not rejected before
+			t.Errorf("%d transactions were rejected in three minutes", n)
 		}
 		if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000002/abort", nil); code != http.StatusOK {
 			t.Errorf("cancellation: %d %s", code, s.Status)
--- a/write_faults_test.go
+++ b/write_faults_test.go
@@ -12,35 +12,35 @@
 	"caperlatch/internal/wire"
 )
 
-// TestDroppedResponses has each kind of write carried out at once and only its answer lost,
-// while all nodes read what it wrote: a repeat that fails for its condition may mean that
-// the first one was carried out.
+// TestDroppedResponses has writes of each kind carried out at once and only their responses
+// dropped, while all nodes read what was written: a repeat whose compare fails may mean that the
+// first one was carried out.
 func TestDroppedResponses(t *testing.T) {
 	kinds := []struct {
 		name  string
 		match func(r *http.Request) bool
 	}{
-		{"intake", func(r *http.Request) bool { return bodyContains(r, "c/j/") && bodyContains(r, "pieces") }},
+		{"submissions", func(r *http.Request) bool { return bodyContains(r, "c/j/") && bodyContains(r, "pieces") }},
 		{"cancellations", func(r *http.Request) bool { return bodyContains(r, "cancelled by its user") }},
-		{"ends", func(r *http.Request) bool { return bodyContains(r, "all tasks done") }},
+		{"completions", func(r *http.Request) bool { return bodyContains(r, "all tasks done") }},
 		{"progress", func(r *http.Request) bool { return bodyContains(r, "c/p/") }},
-		{"bookings", func(r *http.Request) bool { return bodyContains(r, "c/b/") }},
-		{"lists of machines", func(r *http.Request) bool { return bodyContains(r, "c/u/") }},
-		{"the leader key and the token", func(r *http.Request) bool { return bodyContains(r, "c/token") }},
-		{"holds", func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, "/holds") }},
+		{"launch intents", func(r *http.Request) bool { return bodyContains(r, "c/b/") }},
+		{"machine lists", func(r *http.Request) bool { return bodyContains(r, "c/u/") }},
+		{"leader key and fencing token", func(r *http.Request) bool { return bodyContains(r, "c/token") }},
+		{"sessions", func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, "/holds") }},
 	}
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
 			runUnderFault(t, 3, func(c *cluster, cancel func()) {
-				var lost, seen counter
+				var dropped, seen counter
 				fault := func(from string, r *http.Request) fake.Fault {
-					if isStateRequest(r) && k.match(r) && lost.add("lost")%3 != 0 {
+					if isStateRequest(r) && k.match(r) && dropped.add("dropped")%3 != 0 {
 						return fake.DroppedResponse
 					}
 					return fake.NoFault
 				}
 				c.setFault(fault)
-				look := func() {
+				queryAll := func() {
 					var wg sync.WaitGroup
 					for id := range faultJobRuntimes {
 						if id != "j-000004" {
@@ -51,47 +51,47 @@
 					}
 					wg.Wait()
 				}
-				c.submit("j-000010", 2) // after the fault was set
+				c.submit("j-000010", 2) // with the fault set
 				time.Sleep(6 * time.Second)
-				look()
-				c.restartNodes(c.leader()) // so that a leader key and sessions are among the writes
+				queryAll()
+				c.restartNodes(c.leader()) // so that leader key and sessions are among the writes
 				time.Sleep(time.Second)
 				cancel()
 				for range 8 {
-					look()
+					queryAll()
 					time.Sleep(100 * time.Millisecond)
 				}
 				c.restartNodes(c.leader())
 				for range 10 {
 					time.Sleep(900 * time.Millisecond)
-					look()
+					queryAll()
 				}
-				if n := lost.count("lost"); n < 2 {
-					c.t.Errorf("only %d such writes were seen", n)
+				if n := dropped.count("dropped"); n < 2 {
+					c.t.Errorf("only %d such writes occurred", n)
 				}
 			})
 		})
 	}
 }
 
-// TestDelayedWriteAfterNewer has a write get no answer and be carried out 9 s later, after newer
-// ones of the same leader, with something decided in between that it would undo.
+// TestDelayedWriteAfterNewer has a write delayed by 9 s, so that it is carried out after newer ones
+// of the same leader, with something decided in between that it would undo.
 func TestDelayedWriteAfterNewer(t *testing.T) {
-	late := func(c *cluster, count int, match func(*http.Request) bool) *counter {
-		var held counter
+	delay := func(c *cluster, count int, match func(*http.Request) bool) *counter {
+		var delayed counter
 		c.setFault(func(_ string, r *http.Request) fake.Fault {
-			if r.URL.Path == "/txn" && match(r) && held.add("late") <= count {
+			if r.URL.Path == "/txn" && match(r) && delayed.add("delayed") <= count {
 				return fake.DelayedRequest
 			}
 			return fake.NoFault
 		})
-		return &held
+		return &delayed
 	}
 	key := func(k string) func(*http.Request) bool {
 		return func(r *http.Request) bool { return bodyContains(r, k) }
 	}
-	// nextMustKnow ends the leader while the machines that run a job cannot be reached.
-	nextMustKnow := func(c *cluster, id string) {
+	// checkNextLeaderKnows forces a failover while the machines that run a job are isolated.
+	checkNextLeaderKnows := func(c *cluster, id string) {
 		ids := map[string]bool{}
 		for _, w := range c.cloud.WorkersOf(id) {
 			ids[w.ID] = true
@@ -103,7 +103,7 @@
 		c.awaitLeaderAfter(before)
 		time.Sleep(4 * time.Second)
 		if dropped.count("dropped") == 0 || c.runningTasks(id) == 0 {
-			c.t.Errorf("%d messages were cut, %d tasks still ran", dropped.count("dropped"), c.runningTasks(id))
+			c.t.Errorf("%d messages were dropped, %d tasks still run", dropped.count("dropped"), c.runningTasks(id))
 		}
 		c.setFault(nil)
 		c.awaitStatus(id, wire.JobDone, 4*time.Minute)
@@ -117,23 +117,23 @@
 		name string
 		run  func(c *cluster) *counter
 	}{
-		{"a list of machines, after one that names more", func(c *cluster) *counter {
-			held := late(c, 1, key("c/u/"))
+		{"machine list after one with more machines", func(c *cluster) *counter {
+			delayed := delay(c, 1, key("c/u/"))
 			c.runJob(long("j-000001"))
 			c.runJob(long("j-000002"))
 			time.Sleep(10 * time.Second)
-			nextMustKnow(c, "j-000002")
-			return held
+			checkNextLeaderKnows(c, "j-000002")
+			return delayed
 		}},
-		{"a booking, after one that names its machines", func(c *cluster) *counter {
-			held := late(c, 1, key("c/b/"))
+		{"launch intent after one with its machines", func(c *cluster) *counter {
+			delayed := delay(c, 1, key("c/b/"))
 			c.runJob(long("j-000001"))
 			time.Sleep(10 * time.Second)
-			nextMustKnow(c, "j-000001")
-			return held
+			checkNextLeaderKnows(c, "j-000001")
+			return delayed
 		}},
-		{"progress, after newer progress", func(c *cluster) *counter {
-			held := late(c, 1, key("c/p/"))
+		{"progress after newer progress", func(c *cluster) *counter {
+			delayed := delay(c, 1, key("c/p/"))
 			c.runJob(long("j-000001")) // its tasks end 4 s apart
 			time.Sleep(18 * time.Second)
 			c.restartNodes(c.leader())
@@ -141,22 +141,22 @@
 			if n := c.cloud.Starts(); n != 4 {
 				c.t.Errorf("%d starts for 4 tasks", n)
 			}
-			return held
+			return delayed
 		}},
-		{"a job's end, after its cancellation", func(c *cluster) *counter {
-			held := late(c, 1000, key("all tasks done"))
+		{"completion after the job's cancellation", func(c *cluster) *counter {
+			delayed := delay(c, 1000, key("all tasks done"))
 			c.submit("j-000003", 1)
-			for i := 0; held.count("late") == 0 && i < 600; i++ {
+			for i := 0; delayed.count("delayed") == 0 && i < 600; i++ {
 				time.Sleep(100 * time.Millisecond)
 			}
 			c.cancelJob("j-000003", 1)
 			time.Sleep(15 * time.Second)
 			c.checkAnswers([]string{"j-000003"})
 			c.awaitStatus("j-000003", wire.JobCancelled, time.Second)
-			return held
+			return delayed
 		}},
-		{"a cancellation, after the job's end", func(c *cluster) *counter {
-			held := late(c, 1000, key("cancelled by its user"))
+		{"cancellation after the job's completion", func(c *cluster) *counter {
+			delayed := delay(c, 1000, key("cancelled by its user"))
 			c.runJob(testJob("j-000003", 1))
 			if code, _ := c.request(http.MethodPost, 1, "/v1/jobs/j-000003/abort", nil); code == http.StatusOK {
 				c.t.Error("the cancellation was confirmed")
@@ -164,15 +164,15 @@
 			c.awaitStatus("j-000003", wire.JobDone, 8*time.Second)
 			time.Sleep(15 * time.Second)
 			c.checkAnswers([]string{"j-000003"})
-			return held
+			return delayed
 		}},
-		{"an intake, after its repeat and the job's end", func(c *cluster) *counter {
-			held := late(c, 1, key("pieces"))
+		{"submission after its repeat and the job's completion", func(c *cluster) *counter {
+			delayed := delay(c, 1, key("pieces"))
 			c.submit("j-000003", 1)
 			c.awaitStatus("j-000003", wire.JobDone, 20*time.Second)
 			time.Sleep(10 * time.Second)
 			c.checkAnswers([]string{"j-000003"})
-			return held
+			return delayed
 		}},
 	}
 	for _, tc := range cases {
@@ -184,14 +184,14 @@
 					switch {
 					case task == "j-000003/0" || strings.HasPrefix(task, "j-000009"):
 						return 2.5
-					case tc.name == "progress, after newer progress":
+					case tc.name == "progress after newer progress":
 						return 2 + 4*float64(task[len(task)-1]-'0') + 12*float64((task[len(task)-1]-'0')/3)
 					}
 					return 50
 				}
 				time.Sleep(3 * time.Second)
-				if held := tc.run(c); held.count("late") == 0 {
-					t.Error("no such write was late")
+				if delayed := tc.run(c); delayed.count("delayed") == 0 {
+					t.Error("no such write was delayed")
 				}
 				c.checkRules()
 			})
