--- a/combined_faults_test.go
+++ b/combined_faults_test.go
@@ -15,21 +15,22 @@
 	"caperlatch/internal/wire"
 )
 
-// Jobs of a meeting of troubles. Their tasks end far apart, so that ends lie on both
-// sides of whatever happens; the doomed ones are cancelled in its midst.
+// Run times of the tasks of the jobs in these tests, in seconds. The tasks complete far apart, so
+// that completions lie on both sides of whatever happens; cancelledJobs are cancelled during the
+// fault.
 var (
 	faultJobRuntimes = map[string][]float64{
 		"j-000001": {2, 25}, "j-000002": {3, 14, 40}, "j-000003": {8, 50}, "j-000004": {1, 20, 33},
-		"j-000005": {4, 4, 4, 4, 4, 4}, // of a team with a limit of four GuaranteedCPUs
+		"j-000005": {4, 4, 4, 4, 4, 4}, // of a team with a limit of four CPUs
 		"j-000006": {300, 300}, "j-000007": {300, 2, 300}, "j-000008": {300},
 	}
 	cancelledJobs = []string{"j-000006", "j-000007", "j-000008"}
 )
 
-// runUnderFault has the jobs accepted, users ask every node about them all the time, and a
-// trouble happen. In its midst users cancel the doomed ones. Afterwards the others must
-// be done, and no rule broken at any moment.
-func runUnderFault(t *testing.T, nodes int, trouble func(c *cluster, cancel func())) {
+// runUnderFault has the jobs accepted, users query every node about them all the time, and a fault
+// injected. During the fault users cancel some of the jobs. Afterwards the others must complete,
+// and no rule be violated at any time.
+func runUnderFault(t *testing.T, nodes int, inject func(c *cluster, cancel func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, nodes)
@@ -43,7 +44,7 @@
 		}
 		submit := func(id string) {
 			job := testJob(id, len(faultJobRuntimes[id]))
-			job["expect_s"] = 200.0 // for a fleet with room: a task that may start twice can
+			job["expect_s"] = 200.0 // for a fleet with room, so that a task could start twice
 			if id == "j-000005" {
 				job["desk"] = "small"
 			}
@@ -64,10 +65,10 @@
 				submit(id)
 			}
 		}
-		ran := 0 // tasks of jobs to be cancelled at a time, once there was trouble
-		over, asked := make(chan struct{}), make(chan struct{})
+		ran := 0 // tasks of a job to be cancelled at a time, once there was a fault
+		over, queried := make(chan struct{}), make(chan struct{})
 		go func() {
-			defer close(asked)
+			defer close(queried)
 			for n := 0; ; n++ {
 				select {
 				case <-over:
@@ -87,7 +88,7 @@
 			}
 		}()
 		cancelled := make(chan struct{})
-		trouble(c, func() {
+		inject(c, func() {
 			go func() {
 				defer close(cancelled)
 				for _, id := range cancelledJobs {
@@ -111,9 +112,9 @@
 			c.awaitStatus(id, wire.JobDone, 3*time.Minute)
 		}
 		close(over)
-		<-asked
+		<-queried
 		if ran == 0 {
-			t.Error("no task of a job to be cancelled ran in the trouble")
+			t.Error("no task of a job to be cancelled ran during the fault")
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		c.checkAnswers(ids)
@@ -123,8 +124,8 @@
 	})
 }
 
-// checkProgress sees to it, once the troubles are over, that no job waits for 90 s while a
-// machine has room for a task of it and its team is under its limit.
+// checkProgress checks, once the faults are over, that no job waits for 90 s while a machine has
+// room for a task of it and its team is under its limit.
 func (c *cluster) checkProgress(ids []string, over <-chan struct{}) {
 	waited := map[string]int{}
 	for n := 0; ; n++ {
@@ -138,14 +139,14 @@
 			if !room || !c.hasWaitingTasks(id, n%c.size) {
 				waited[id] = 0
 			} else if waited[id]++; waited[id] == 90 {
-				c.t.Errorf("%s waits beside a machine with room", id)
+				c.t.Errorf("%s waits although a machine has room", id)
 			}
 		}
 	}
 }
 
-// hasWaitingTasks tells whether a job has tasks that neither run nor are done, as a node says, though
-// its team's limit leaves room for one.
+// hasWaitingTasks reports whether a job has tasks that neither run nor are done, by a node's
+// answer, although its team's limit leaves room for one.
 func (c *cluster) hasWaitingTasks(id string, node int) bool {
 	on := c.runningTasks(id)
 	if id == "j-000005" && on >= 4 {
@@ -155,7 +156,7 @@
 	return s.Done != nil && *s.Done+on < len(faultJobRuntimes[id])
 }
 
-// bodyContains tells whether a request's body names a key.
+// bodyContains reports whether a request's body contains a key.
 func bodyContains(r *http.Request, key string) bool {
 	if r.GetBody == nil {
 		return false
@@ -168,15 +169,12 @@
 	return err == nil && bytes.Contains(b, []byte(key))
 }
 
-// TestCombinedFaults has two troubles meet.
+// TestCombinedFaults combines faults with each other and with failovers, completions and
+// cancellations.
 func TestCombinedFaults(t *testing.T) {
-	isReport := func(r *http.Request) bool { return r.URL.Path == "/hello" }
+	isHeartbeat := func(r *http.Request) bool { return r.URL.Path == "/hello" }
 	isCommand := func(r *http.Request) bool { return r.URL.Path == "/commands" }
 	isTxn := func(r *http.Request) bool { return r.URL.Path == "/txn" }
-	// half are every other machine.
-	half := func(name string) bool {
-		return strings.HasPrefix(name, "i-") && (name[8-1]-'0')%2 == 0
-	}
 	every := func(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 		count := 0
 		return func(_ string, r *http.Request) fake.Fault {
@@ -189,11 +187,11 @@
 		}
 	}
 	cases := []struct {
-		name    string
-		nodes   int
-		trouble func(c *cluster, cancel func())
+		name   string
+		nodes  int
+		inject func(c *cluster, cancel func())
 	}{
-		{"ends on both sides of changes of leader, records without an answer", 3, func(c *cluster, cancel func()) {
+		{"completions on both sides of failovers, responses to transactions dropped", 3, func(c *cluster, cancel func()) {
 			c.setFault(every(2, fake.DroppedResponse, isTxn))
 			for range 4 {
 				time.Sleep(6 * time.Second)
@@ -202,7 +200,7 @@
 			cancel()
 			time.Sleep(5 * time.Second)
 		}},
-		{"the state service refuses the leader alone, then all for longer than cancel_s", 5, func(c *cluster, cancel func()) {
+		{"state service unavailable to the leader alone, then to all for longer than the cancellation timeout", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			prefix := fmt.Sprintf("host-%d/", c.leader())
 			c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -222,7 +220,7 @@
 			})
 			time.Sleep(time.Duration(cancellationTimeoutS+10) * time.Second)
 		}},
-		{"the same, with an outage in which nobody's hold ends", 5, func(c *cluster, cancel func()) {
+		{"outage of the state service, in which no session ends, for longer than the cancellation timeout", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			cancel()
 			time.Sleep(time.Second)
@@ -230,13 +228,13 @@
 			time.Sleep(time.Duration(cancellationTimeoutS+10) * time.Second)
 			c.state.SetOutage(false)
 		}},
-		{"the state service is slow and loses answers while users cancel", 3, func(c *cluster, cancel func()) {
+		{"responses of the state service dropped while users cancel", 3, func(c *cluster, cancel func()) {
 			time.Sleep(6 * time.Second)
 			c.setFault(every(3, fake.DroppedResponse, isStateRequest))
 			cancel()
 			time.Sleep(40 * time.Second)
 		}},
-		{"the state service is slow while users cancel and ask", 3, func(c *cluster, cancel func()) {
+		{"high latency of the state service while users cancel and query", 3, func(c *cluster, cancel func()) {
 			c.setFault(every(1, fake.HighLatency, isStateRequest))
 			time.Sleep(12 * time.Second)
 			cancel()
@@ -244,7 +242,7 @@
 			c.restartNodes(c.leader())
 			time.Sleep(10 * time.Second)
 		}},
-		{"a leader is cut from state service and peers, not from workers and users", 5, func(c *cluster, cancel func()) {
+		{"leader partitioned from state service and peers, not from workers and users", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			member := fmt.Sprintf("host-%d", c.leader())
 			c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
@@ -259,10 +257,10 @@
 			time.Sleep(40 * time.Second)
 			c.healPeers()
 		}},
-		{"a leader ends while half of the machines can't be reached", 5, func(c *cluster, cancel func()) {
+		{"failover while half of the machines are isolated", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if half(from) || half(r.URL.Host) {
+				if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) {
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
@@ -273,13 +271,13 @@
 			time.Sleep(20 * time.Second)
 			c.start(i)
 		}},
-		{"a leader ends, and half of the machines don't hear the next", 5, func(c *cluster, cancel func()) {
+		{"failover while responses and commands to half of the machines are dropped", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				switch {
-				case half(from) && isReport(r):
+				case isEveryOtherMachine(from) && isHeartbeat(r):
 					return fake.DroppedResponse
-				case half(r.URL.Host):
+				case isEveryOtherMachine(r.URL.Host):
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
@@ -288,8 +286,8 @@
 			cancel()
 			time.Sleep(20 * time.Second)
 		}},
-		{"old reports after newer ones, across changes of leader", 5, func(c *cluster, cancel func()) {
-			c.setFault(every(1, fake.DuplicatedRequest, isReport))
+		{"stale heartbeats after newer ones, across failovers", 5, func(c *cluster, cancel func()) {
+			c.setFault(every(1, fake.DuplicatedRequest, isHeartbeat))
 			time.Sleep(8 * time.Second)
 			cancel()
 			for range 3 {
@@ -297,11 +295,11 @@
 				time.Sleep(9 * time.Second)
 			}
 		}},
-		{"copies of old reports are all that the next leader hears of half of the machines", 5, func(c *cluster, cancel func()) {
-			c.setFault(every(1, fake.DuplicatedRequest, isReport))
+		{"the next leader gets only stale heartbeats of half of the machines", 5, func(c *cluster, cancel func()) {
+			c.setFault(every(1, fake.DuplicatedRequest, isHeartbeat))
 			time.Sleep(7 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if half(from) || half(r.URL.Host) || r.URL.Host == "cloud" {
+				if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) || r.URL.Host == "cloud" {
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
@@ -310,14 +308,14 @@
 			time.Sleep(20 * time.Second)
 			cancel()
 		}},
-		{"reports late and answers lost", 3, func(c *cluster, cancel func()) {
-			c.setFault(every(3, fake.DelayedRequest, isReport))
+		{"heartbeats delayed, failover", 3, func(c *cluster, cancel func()) {
+			c.setFault(every(3, fake.DelayedRequest, isHeartbeat))
 			time.Sleep(10 * time.Second)
 			cancel()
 			c.restartNodes(c.leader())
 			time.Sleep(20 * time.Second)
 		}},
-		{"commands are held up, and so are their answers", 5, func(c *cluster, cancel func()) {
+		{"commands delayed, then their responses dropped, across failovers", 5, func(c *cluster, cancel func()) {
 			c.setFault(every(1, fake.DelayedRequest, isCommand))
 			time.Sleep(8 * time.Second)
 			cancel()
@@ -327,14 +325,14 @@
 			c.restartNodes(c.leader())
 			time.Sleep(15 * time.Second)
 		}},
-		{"rentals and returns are carried out late", 3, func(c *cluster, cancel func()) {
+		{"launches and terminations delayed, failover", 3, func(c *cluster, cancel func()) {
 			c.setFault(every(2, fake.DelayedRequest, func(r *http.Request) bool { return r.URL.Host == "cloud" && r.Method == http.MethodPost }))
 			time.Sleep(12 * time.Second)
 			cancel()
 			c.restartNodes(c.leader())
 			time.Sleep(30 * time.Second)
 		}},
-		{"handing over and back, all end, one returns within a second", 5, func(c *cluster, cancel func()) {
+		{"restarts of leaders, then all nodes crash and one restarts within a second", 5, func(c *cluster, cancel func()) {
 			time.Sleep(7 * time.Second)
 			for range 3 {
 				c.restartNodes(c.leader())
@@ -352,27 +350,27 @@
 				c.start(i)
 			}
 		}},
-		{"half of the machines reach no node, while commands reach them", 5, func(c *cluster, cancel func()) {
+		{"heartbeats of half of the machines dropped, commands not, failover", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
-			var mute counter
+			var noted counter
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if half(from) {
-					mute.add("report")
+				if isEveryOtherMachine(from) {
+					noted.add("heartbeat")
 					return fake.DroppedRequest
 				}
-				if half(r.URL.Host) {
-					mute.add("command")
+				if isEveryOtherMachine(r.URL.Host) {
+					noted.add("command")
 				}
 				return fake.NoFault
 			})
 			c.restartNodes(c.leader())
 			cancel()
 			time.Sleep(20 * time.Second)
-			if mute.count("report") == 0 || mute.count("command") == 0 {
-				c.t.Errorf("met %v", mute.counts)
+			if noted.count("heartbeat") == 0 || noted.count("command") == 0 {
+				c.t.Errorf("noted %v", noted.counts)
 			}
 		}},
-		{"machines hang with commands on their way, and the leader changes", 5, func(c *cluster, cancel func()) {
+		{"machines hang with commands on their way, failover", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			ran := 0
 			for _, w := range c.cloud.Workers() {
@@ -384,10 +382,10 @@
 			c.restartNodes(c.leader())
 			time.Sleep(15 * time.Second)
 			if ran == 0 {
-				c.t.Error("nothing ran on the machines that hung")
+				c.t.Error("no task was on the machines that hung")
 			}
 		}},
-		{"all nodes are away for longer than lease_s", 3, func(c *cluster, cancel func()) {
+		{"all nodes down for longer than a lease", 3, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
 			ran := len(c.cloud.TasksOnMachines())
 			for i := range 3 {
@@ -395,16 +393,16 @@
 			}
 			time.Sleep(time.Duration(leaseDurationS+3) * time.Second)
 			if on := len(c.cloud.TasksOnMachines()); ran == 0 || on > 0 {
-				c.t.Errorf("%d tasks ran, and %d after lease_s without nodes", ran, on)
+				c.t.Errorf("%d tasks ran, and %d after a lease without nodes", ran, on)
 			}
 			for i := range 3 {
 				c.start(i)
 			}
-			// One is cancelled as the nodes return, the others once they run anew.
+			// One is cancelled as the nodes start, the others once they run again.
 			c.cancelJob(cancelledJobs[0], 0)
 			for try := 0; c.runningTasks(cancelledJobs[1]) == 0 || c.runningTasks(cancelledJobs[2]) == 0; try++ {
 				if try == 300 {
-					c.t.Errorf("jobs to be cancelled do not run anew: %v", c.cloud.TasksOnMachines())
+					c.t.Errorf("jobs to be cancelled do not run again: %v", c.cloud.TasksOnMachines())
 					break
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -412,7 +410,7 @@
 			cancel()
 			time.Sleep(10 * time.Second)
 		}},
-		{"leaders change ten times in two minutes, also inside an outage", 5, func(c *cluster, cancel func()) {
+		{"ten failovers in two minutes, also during an outage", 5, func(c *cluster, cancel func()) {
 			time.Sleep(6 * time.Second)
 			first := c.fencingToken()
 			for n := range 11 {
@@ -427,10 +425,10 @@
 				time.Sleep(9 * time.Second)
 			}
 			if n := c.fencingToken() - first; n < 9 {
-				c.t.Errorf("only %d changes", n)
+				c.t.Errorf("only %d failovers", n)
 			}
 		}},
-		{"more work than room, urgent and not, over slow links", 3, func(c *cluster, cancel func()) {
+		{"more work than room, urgent and not, with high latency", 3, func(c *cluster, cancel func()) {
 			c.cloud.MaxMachines = max(5, len(c.cloud.Workers()))
 			time.Sleep(8 * time.Second)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -462,10 +460,10 @@
 			}
 			c.cloud.MaxMachines = 0
 		}},
-		{"all of it", 5, func(c *cluster, cancel func()) {
-			late, copied, lost := every(4, fake.DelayedRequest, isTxn), every(3, fake.DuplicatedRequest, isReport), every(5, fake.DroppedResponse, isReport)
+		{"transactions delayed, heartbeats duplicated, responses dropped, failovers", 5, func(c *cluster, cancel func()) {
+			delayed, duplicated, dropped := every(4, fake.DelayedRequest, isTxn), every(3, fake.DuplicatedRequest, isHeartbeat), every(5, fake.DroppedResponse, isHeartbeat)
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				return max(late(from, r), copied(from, r), lost(from, r))
+				return max(delayed(from, r), duplicated(from, r), dropped(from, r))
 			})
 			time.Sleep(8 * time.Second)
 			cancel()
@@ -477,16 +475,16 @@
 		}},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { runUnderFault(t, tc.nodes, tc.trouble) })
+		t.Run(tc.name, func(t *testing.T) { runUnderFault(t, tc.nodes, tc.inject) })
 	}
 }
 
-// TestDelayedWrites has each kind of write get no answer and be carried out 2 to 12 s
-// later, after newer ones, also of a leader that ended meanwhile.
+// TestDelayedWrites has writes of each kind delayed by 2 to 12 s and their responses dropped, so
+// that they are carried out after newer ones, also writes of a leader whose term ended meanwhile.
 func TestDelayedWrites(t *testing.T) {
 	kinds := []struct{ name, key string }{
-		{"jobs: intake, cancellations and ends", "c/j/"}, {"progress", "c/p/"}, {"bookings", "c/b/"}, {"lists of machines", "c/u/"},
-		{"the leader key and the token", "c/token"}, {"the staffing record", "c/staffing"}, {"holds", ""},
+		{"jobs: submissions, cancellations and completions", "c/j/"}, {"progress", "c/p/"}, {"launch intents", "c/b/"}, {"machine lists", "c/u/"},
+		{"leader key and fencing token", "c/token"}, {"autoscaler record", "c/staffing"}, {"sessions", ""},
 	}
 	for _, k := range kinds {
 		t.Run(k.name, func(t *testing.T) {
@@ -507,7 +505,7 @@
 				c.restartNodes(c.leader())
 				time.Sleep(15 * time.Second)
 				if count < 3 {
-					c.t.Errorf("only %d such writes were seen", count)
+					c.t.Errorf("only %d such writes occurred", count)
 				}
 			})
 		})
--- a/failover_test.go
+++ b/failover_test.go
@@ -16,21 +16,20 @@
 	"caperlatch/internal/wire"
 )
 
-// TestCancellationDuringFailover has jobs cancelled in the seconds in which one leader's work changes
-// hands, at every stage of that; nothing of them starts once its user was told, but for
-// starts that were on their way.
+// TestCancellationDuringFailover has jobs cancelled in the seconds of a failover, at every stage of
+// it; no task of them starts once its user was told, but for starts that were on their way.
 func TestCancellationDuringFailover(t *testing.T) {
 	cases := []struct {
 		name string
-		over func(c *cluster) // ends the leader
-		// Of a handover, which needs the standby and takes less time than the others.
+		end  func(c *cluster) // ends the term of the leader
+		// Of a handover, which needs the standby and takes less time than the other ways.
 		standby *settings.Standby
-		later   time.Duration
+		pause   time.Duration
 	}{
-		{name: "the leader hands over", over: func(c *cluster) { c.handover() }, standby: testStandby(), later: 1500 * time.Millisecond},
-		{name: "the leader crashes", over: func(c *cluster) { c.kill(c.leader()) }},
-		{name: "the leader restarts", over: func(c *cluster) { c.restartNodes(c.leader()) }},
-		{name: "the leader loses the state service", over: func(c *cluster) {
+		{name: "handover", end: func(c *cluster) { c.handover() }, standby: testStandby(), pause: 1500 * time.Millisecond},
+		{name: "crash", end: func(c *cluster) { c.kill(c.leader()) }},
+		{name: "restart", end: func(c *cluster) { c.restartNodes(c.leader()) }},
+		{name: "state service unavailable to the leader", end: func(c *cluster) {
 			i := c.leader()
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if isFromNode(from, i) && isStateRequest(r) {
@@ -39,7 +38,7 @@
 				return fake.NoFault
 			})
 		}},
-		{name: "the leader loses the state service and its peers", over: func(c *cluster) {
+		{name: "state service unavailable to the leader, peers partitioned", end: func(c *cluster) {
 			i := c.leader()
 			host := fmt.Sprintf("host-%d", i)
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
@@ -67,13 +66,13 @@
 					job["expect_s"] = 200.0
 					if i%2 == 0 {
 						c.runJob(job)
-					} else { // it is being started as the leader ends
+					} else { // it is being started as the term ends
 						time.AfterFunc(time.Duration(i)*200*time.Millisecond, func() { c.submit(id, 2) })
 					}
 				}
 				led, token := c.leader(), c.fencingToken()
-				time.AfterFunc(400*time.Millisecond+tc.later, func() { tc.over(c) })
-				before, after := 0, 0 // the next leader led
+				time.AfterFunc(400*time.Millisecond+tc.pause, func() { tc.end(c) })
+				before, after := 0, 0 // the next leader led, by number of cancellations
 				for i, id := range ids {
 					time.Sleep(150 * time.Millisecond)
 					if i%2 == 1 {
@@ -101,9 +100,10 @@
 					t.Errorf("still on machines: %v", on)
 				}
 				if before < 2 || after < 2 {
-					t.Errorf("%d were cancelled before the next leader led, %d after", before, after)
+					t.Errorf("%d jobs were cancelled before the next leader led, %d after", before, after)
 				}
-				// What was on its way as its user was told may start; here nothing was.
+				// Starts that were on their way as their user was told are admitted; here there
+				// were none.
 				if n := c.rules.StartsAfterCancel(); n > 0 {
 					t.Errorf("%d starts after a cancellation", n)
 				}
@@ -113,39 +113,40 @@
 	}
 }
 
-// TestFailoverWithDelayedMachineWrites has machines that are up at once get work while the writes that name them
-// lag, and the leader end. The machines that have work then are out of the next leader's
-// reach: it must know of them all the same, or it starts their tasks elsewhere.
+// TestFailoverWithDelayedMachineWrites has machines that are up at once get work while the writes
+// that name them are delayed or lost, and then a failover. The machines that have work then are
+// isolated from the next leader: it must know of them all the same, or it starts their tasks
+// elsewhere.
 func TestFailoverWithDelayedMachineWrites(t *testing.T) {
 	cases := []struct {
-		name string
-		key  string
-		lag  fake.Fault
+		name  string
+		key   string
+		fault fake.Fault
 	}{
-		{"lists of machines are carried out late", "c/u/", fake.DelayedRequest},
-		{"bookings are carried out late", "c/b/", fake.DelayedRequest},
-		{"lists of machines are refused", "c/u/", fake.ServiceUnavailable},
-		{"bookings are lost", "c/b/", fake.DroppedRequest},
-		{"answers to lists of machines are lost", "c/u/", fake.DroppedResponse},
+		{"machine lists delayed", "c/u/", fake.DelayedRequest},
+		{"launch intents delayed", "c/b/", fake.DelayedRequest},
+		{"machine lists rejected", "c/u/", fake.ServiceUnavailable},
+		{"launch intents dropped", "c/b/", fake.DroppedRequest},
+		{"responses to machine lists dropped", "c/u/", fake.DroppedResponse},
 	}
 	for _, tc := range cases {
 		for _, after := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 5 * time.Second, 10 * time.Second} {
-			t.Run(fmt.Sprintf("%s, the leader ends %v later", tc.name, after), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, failover %v later", tc.name, after), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := newCluster(t)
 					defer c.close()
 					c.cloud.RuntimeOf = func(string) float64 { return 60 }
-					c.submit("j-000009", 1) // the catalog is known
+					c.submit("j-000009", 1) // so that the instance types are known
 					time.Sleep(3 * time.Second)
-					var lag counter
-					held := func(r *http.Request) bool {
-						// The first write of each booking passes, or nothing is rented.
+					var noted counter
+					isAffected := func(r *http.Request) bool {
+						// The first write of each launch intent passes, or nothing is launched.
 						return r.URL.Path == "/txn" && bodyContains(r, tc.key) && (tc.key != "c/b/" || bodyContains(r, "i-0"))
 					}
 					c.setFault(func(_ string, r *http.Request) fake.Fault {
-						if held(r) {
-							lag.add("lag")
-							return tc.lag
+						if isAffected(r) {
+							noted.add("fault")
+							return tc.fault
 						}
 						return fake.NoFault
 					})
@@ -157,9 +158,9 @@
 						}
 						time.Sleep(100 * time.Millisecond)
 					}
-					for i := 0; lag.count("lag") == 0; i++ {
+					for i := 0; noted.count("fault") == 0; i++ {
 						if i == 200 {
-							t.Fatal("no such write lagged")
+							t.Fatal("no such write occurred")
 						}
 						time.Sleep(50 * time.Millisecond)
 					}
@@ -169,21 +170,21 @@
 						ids[w.ID] = true
 					}
 					var dropped counter
-					cutThem := isolateMachines(ids, &dropped)
+					isolated := isolateMachines(ids, &dropped)
 					c.setFault(func(from string, r *http.Request) fake.Fault {
-						if held(r) {
-							return tc.lag
+						if isAffected(r) {
+							return tc.fault
 						}
-						return cutThem(from, r)
+						return isolated(from, r)
 					})
 					before, ran := c.fencingToken(), c.runningTasks("j-000001")
 					c.restartNodes(c.leader())
 					c.awaitLeaderAfter(before)
 					time.Sleep(2 * time.Second)
-					c.setFault(cutThem)
+					c.setFault(isolated)
 					time.Sleep(1500 * time.Millisecond)
 					if on := c.runningTasks("j-000001"); on < ran {
-						t.Errorf("%d of %d tasks still ran", on, ran)
+						t.Errorf("%d of %d tasks still run", on, ran)
 					}
 					c.setFault(nil)
 					c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
@@ -194,20 +195,20 @@
 	}
 }
 
-// TestStaleHeartbeats has old reports reach every node just as a new leader begins, and while
-// it leads: of machines that are out of reach for the moment, made before they got the
-// tasks that they now run; of earlier sessions; and in any order.
+// TestStaleHeartbeats replays old heartbeats to every node just as a new leader begins, and while
+// it leads: of machines that are isolated meanwhile, from before they got the tasks that they now
+// run; of earlier incarnations; and in any order.
 func TestStaleHeartbeats(t *testing.T) {
 	cases := []struct {
-		name string
-		want func(*wire.Heartbeat) bool // reports that are delivered again
-		mute bool                       // the machines' own reports are lost, and calls to them
+		name     string
+		want     func(*wire.Heartbeat) bool // heartbeats that are replayed
+		isolated bool                       // the machines are
 	}{
-		{"made before the tasks began, of machines out of reach", func(r *wire.Heartbeat) bool { return len(r.Tasks) == 0 }, true},
-		{"made before the tasks began, beside newer ones", func(r *wire.Heartbeat) bool { return len(r.Tasks) == 0 }, false},
-		{"of an earlier session", func(r *wire.Heartbeat) bool { return r.Incarnation == 1 }, false},
-		{"of an earlier session, of machines out of reach", func(r *wire.Heartbeat) bool { return r.Incarnation == 1 }, true},
-		{"all, of machines out of reach", func(*wire.Heartbeat) bool { return true }, true},
+		{"from before the tasks started, of isolated machines", func(r *wire.Heartbeat) bool { return len(r.Tasks) == 0 }, true},
+		{"from before the tasks started, beside newer ones", func(r *wire.Heartbeat) bool { return len(r.Tasks) == 0 }, false},
+		{"of an earlier incarnation", func(r *wire.Heartbeat) bool { return r.Incarnation == 1 }, false},
+		{"of an earlier incarnation, of isolated machines", func(r *wire.Heartbeat) bool { return r.Incarnation == 1 }, true},
+		{"all, of isolated machines", func(*wire.Heartbeat) bool { return true }, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -215,28 +216,28 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 60 }
-				var held heartbeatRecorder
-				keep := func(from string, r *http.Request) fake.Fault {
+				var recorder heartbeatRecorder
+				recordAll := func(from string, r *http.Request) fake.Fault {
 					if machineOf(from) != "" && r.URL.Path == "/hello" {
-						held.record(r)
+						recorder.record(r)
 					}
 					if r.URL.Path == "/hosts/return" {
 						return fake.ServiceUnavailable
 					}
 					return fake.NoFault
 				}
-				c.setFault(keep)
+				c.setFault(recordAll)
 				job := testJob("j-000001", 8)
 				job["expect_s"] = 200.0
 				c.runJob(job)
 				time.Sleep(2 * time.Second)
-				// All leases end once, so that there is an earlier session, and the
-				// tasks start anew on the same machines.
-				c.runInNextIncarnation(job, time.Duration(leaseDurationS+3)*time.Second, keep)
-				old := held.matching(tc.want)
+				// All leases expire once, so that there is an earlier incarnation, and the tasks
+				// start again on the same machines.
+				c.runInNextIncarnation(job, time.Duration(leaseDurationS+3)*time.Second, recordAll)
+				stale := recorder.matching(tc.want)
 				ids := map[string]bool{}
 				for _, w := range c.cloud.WorkersOf("j-000001") {
-					ids[w.ID] = tc.mute
+					ids[w.ID] = tc.isolated
 				}
 				var dropped counter
 				c.setFault(isolateMachines(ids, &dropped))
@@ -244,13 +245,13 @@
 				i := c.leader()
 				c.kill(i)
 				for range 60 { // 6 s
-					answered += c.replayHeartbeats(old)
+					answered += c.replayHeartbeats(stale)
 					time.Sleep(100 * time.Millisecond)
 				}
 				c.setFault(nil)
-				// Beside newer ones the old ones get no answer once those have come.
-				if len(old) == 0 || tc.mute && answered == 0 || ran != 8 || tc.mute && dropped.count("dropped") == 0 || c.leader() == i {
-					t.Errorf("%d old reports, %d answers to them, %d tasks ran, %d messages cut", len(old), answered, ran, dropped.count("dropped"))
+				// Beside newer ones the stale ones get no response once the newer ones have come.
+				if len(stale) == 0 || tc.isolated && answered == 0 || ran != 8 || tc.isolated && dropped.count("dropped") == 0 || c.leader() == i {
+					t.Errorf("%d stale heartbeats, %d responses to them, %d tasks ran, %d messages dropped", len(stale), answered, ran, dropped.count("dropped"))
 				}
 				c.start(i)
 				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
@@ -260,37 +261,37 @@
 	}
 }
 
-// TestDelayedStartsAtFailover has a leader end while its starts are on their way to machines that
-// are in their second session, which the next leader does not know: it is told so by an
-// answer that shows their tasks but does not carry its token. Taken for a picture, it
-// would have the tasks started elsewhere before the starts arrive.
+// TestDelayedStartsAtFailover has a failover while starts of the old leader are on their way to
+// machines in their second incarnation, which the next leader does not know: it learns of it from a
+// response that shows their tasks but does not carry its fencing token. Taken for the state of the
+// machine, that response would have the tasks started elsewhere before the starts arrive.
 func TestDelayedStartsAtFailover(t *testing.T) {
-	for _, sessions := range []int{1, 2} {
+	for _, incarnations := range []int{1, 2} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t)
 			defer c.close()
 			c.cloud.RuntimeOf = func(string) float64 { return 120 }
-			noReturns := func(_ string, r *http.Request) fake.Fault {
+			noTerminations := func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Path == "/hosts/return" {
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
 			}
-			c.setFault(noReturns)
-			base := testJob("j-000009", 4) // a CPU of each machine is left
+			c.setFault(noTerminations)
+			base := testJob("j-000009", 4) // leaves one CPU of each machine free
 			base["vcpus"], base["expect_s"] = 3.0, 200.0
 			c.runJob(base)
 			time.Sleep(2 * time.Second)
-			if sessions == 2 {
-				c.runInNextIncarnation(base, time.Duration(leaseDurationS+2)*time.Second, noReturns)
+			if incarnations == 2 {
+				c.runInNextIncarnation(base, time.Duration(leaseDurationS+2)*time.Second, noTerminations)
 			}
-			holdStarts := func(from string, r *http.Request) fake.Fault {
+			delayStarts := func(from string, r *http.Request) fake.Fault {
 				if r.URL.Path == "/hello" {
 					return fake.DelayedStarts
 				}
-				return noReturns(from, r)
+				return noTerminations(from, r)
 			}
-			c.setFault(holdStarts)
+			c.setFault(delayStarts)
 			job := testJob("j-000001", 3)
 			job["expect_s"] = 200.0
 			if code, _ := c.request(http.MethodPost, c.leader(), "/v1/jobs", job); code != http.StatusCreated {
@@ -299,30 +300,30 @@
 			for i := 0; c.net.DelayedStartResponses() == 0 && i < 500; i++ {
 				time.Sleep(20 * time.Millisecond)
 			}
-			// What there is as nodes try to lead is noted before any of them can: the next
-			// leader may start the tasks within milliseconds, where machines answer it.
+			// The state as nodes try to lead is noted before any of them can: the next leader may
+			// start the tasks within milliseconds, where machines answer it.
 			before := c.fencingToken()
-			var met counter
-			noting := func(other func(string, *http.Request) fake.Fault) func(string, *http.Request) fake.Fault {
+			var noted counter
+			notingStarts := func(other func(string, *http.Request) fake.Fault) func(string, *http.Request) fake.Fault {
 				return func(from string, r *http.Request) fake.Fault {
 					if r.URL.Path == "/txn" && bodyContains(r, replica.TokenKey) && c.fencingToken() == before {
-						met.add("tried")
+						noted.add("attempt to lead")
 						if c.net.DelayedStartResponses() == 0 {
-							met.add("none held")
+							noted.add("no start delayed")
 						}
 						if c.runningTasks("j-000001") > 0 {
-							met.add("some ran")
+							noted.add("task ran")
 						}
 					}
 					return other(from, r)
 				}
 			}
-			c.setFault(noting(holdStarts))
+			c.setFault(notingStarts(delayStarts))
 			c.restartNodes(c.leader())
-			c.setFault(noting(noReturns))
+			c.setFault(notingStarts(noTerminations))
 			c.awaitLeaderAfter(before)
-			if met.count("tried") == 0 || met.count("none held") > 0 || met.count("some ran") > 0 {
-				t.Errorf("%d answers with starts were held up; as nodes tried to lead: %v", c.net.DelayedStartResponses(), met.counts)
+			if noted.count("attempt to lead") == 0 || noted.count("no start delayed") > 0 || noted.count("task ran") > 0 {
+				t.Errorf("%d responses with starts were delayed; as nodes tried to lead: %v", c.net.DelayedStartResponses(), noted.counts)
 			}
 			time.Sleep(5 * time.Second)
 			c.setFault(nil)
@@ -332,7 +333,8 @@
 	}
 }
 
-// held keeps bodies of reports that were sent, to be sent again later.
+// heartbeatRecorder records the bodies of heartbeats, to be replayed later. It is safe for
+// concurrent use.
 type heartbeatRecorder struct {
 	mu     sync.Mutex
 	bodies [][]byte
@@ -352,20 +354,21 @@
 	h.bodies = append(h.bodies, b)
 }
 
-// matching decodes the reports that a test wants.
-func (h *heartbeatRecorder) matching(want func(*wire.Heartbeat) bool) (bodies [][]byte) {
+// matching returns the recorded bodies of the heartbeats that match.
+func (h *heartbeatRecorder) matching(match func(*wire.Heartbeat) bool) (bodies [][]byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, b := range h.bodies {
 		var r wire.Heartbeat
-		if wire.Unmarshal(b, &r) == nil && want(&r) {
+		if wire.Unmarshal(b, &r) == nil && match(&r) {
 			bodies = append(bodies, b)
 		}
 	}
 	return bodies
 }
 
-// replayHeartbeats sends reports to every node.
+// replayHeartbeats sends heartbeats to every node, and counts the responses that a worker would
+// accept.
 func (c *cluster) replayHeartbeats(bodies [][]byte) (answered int) {
 	for _, b := range bodies {
 		for node := range c.size {
--- a/placement_test.go
+++ b/placement_test.go
@@ -14,8 +14,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestOnDemandOnly has a job that may not use spot machines come to a fleet of
-// idle spot machines: it must get an ordinary one, not starve beside them.
+// TestOnDemandOnly submits a job that may not use spot machines to a fleet of idle spot machines:
+// it must get an on-demand one, not starve.
 func TestOnDemandOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -31,13 +31,13 @@
 	})
 }
 
-// TestTeamLimit has a team with room for four GuaranteedCPUs and a job of more.
+// TestTeamLimit submits a job of twelve CPUs of a team with a limit of four.
 func TestTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
 		c.submit("j-000009", 1)
-		time.Sleep(time.Second) // until every node knows the catalog
+		time.Sleep(time.Second) // until every node knows the instance types
 		job := testJob("j-000001", 12)
 		job["desk"] = "small"
 		if code, _ := c.request(http.MethodPost, 0, "/v1/jobs", job); code != http.StatusCreated {
@@ -51,26 +51,26 @@
 		}
 		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		if most > 4 {
-			t.Errorf("%d tasks of a team with a limit of 4 at once", most)
+			t.Errorf("%d tasks at once of a team with a limit of 4", most)
 		}
 	})
 }
 
-// TestTeamLimitAcrossFailover has a team at its limit whose job is cancelled while its machines cannot
-// be reached, or hang, and the leader changes, once and again. The team's next job waits
-// until what may still run there is surely gone.
+// TestTeamLimitAcrossFailover has a team at its limit whose job is cancelled while its machines are
+// isolated or hang, across one or two failovers. The team's next job waits until what may still run
+// there is certainly gone.
 func TestTeamLimitAcrossFailover(t *testing.T) {
 	cases := []struct {
-		name    string
-		hang    bool // else cut off
-		changes []time.Duration
-		before  bool // cancelled before the first change
+		name        string
+		hang        bool            // else they are isolated
+		pauses      []time.Duration // before each failover
+		cancelFirst bool            // before the first failover
 	}{
-		{"cut off, one change", false, []time.Duration{0}, true},
-		{"cut off, two changes", false, []time.Duration{0, 2 * time.Second}, true},
-		{"cut off, cancelled after the change", false, []time.Duration{0, 3 * time.Second}, false},
-		{"hang, one change", true, []time.Duration{0}, true},
-		{"hang, two changes", true, []time.Duration{0, 300 * time.Millisecond}, false},
+		{"isolated, one failover", false, []time.Duration{0}, true},
+		{"isolated, two failovers", false, []time.Duration{0, 2 * time.Second}, true},
+		{"isolated, cancelled after the failover", false, []time.Duration{0, 3 * time.Second}, false},
+		{"hang, one failover", true, []time.Duration{0}, true},
+		{"hang, two failovers", true, []time.Duration{0, 300 * time.Millisecond}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 					}
 					return 300
 				}
-				idle := testJob("j-000009", 8) // machines that stay in reach
+				idle := testJob("j-000009", 8) // its machines stay reachable
 				idle["expect_s"] = 200.0
 				c.runJob(idle)
 				full := testJob("j-000001", 4)
@@ -104,14 +104,14 @@
 				} else {
 					c.setFault(isolateMachines(ids, &dropped))
 				}
-				if tc.before {
+				if tc.cancelFirst {
 					c.cancelJob("j-000001", 0)
 				}
-				for i, pause := range tc.changes {
+				for i, pause := range tc.pauses {
 					time.Sleep(pause)
 					before := c.fencingToken()
 					c.restartNodes(c.leader())
-					if i == 0 && !tc.before {
+					if i == 0 && !tc.cancelFirst {
 						c.cancelJob("j-000001", 1)
 					}
 					next := testJob(fmt.Sprintf("j-00000%d", 2+i), 4)
@@ -127,11 +127,11 @@
 				}
 				time.Sleep(4 * time.Second)
 				c.setFault(nil)
-				if stillOn < 4*len(tc.changes) {
-					t.Errorf("only %d tasks still ran under the new leaders", stillOn)
+				if stillOn < 4*len(tc.pauses) {
+					t.Errorf("only %d tasks still ran under the next leaders", stillOn)
 				}
 				if !tc.hang && dropped.count("dropped") == 0 {
-					t.Error("nothing was cut")
+					t.Error("no message was dropped")
 				}
 				for range 120 {
 					if c.runningTasks("j-000002") == 4 {
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestZoneConstraints has jobs whose tasks bind each other to zones, or keep each other out, run
-// where the other zone has room: machines must be rented in the zone where the next task may
-// start. Once they came up in the other one, one after the other, for up to 150 s.
+// TestZoneConstraints submits a job whose tasks must be in one zone, or spread over zones, beside a
+// job that is in one zone: machines must be launched in the zone where the next task may start.
+// They once came up in the other one, one after the other, for up to 150 s.
 func TestZoneConstraints(t *testing.T) {
 	for _, bind := range []string{"together", "scatter"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -179,17 +179,17 @@
 	}
 }
 
-// TestZoneConstraintsUnderPartition has jobs that are bound to one zone, or spread over zones, lose machines as a
-// zone with a node is cut off for longer than lease_s, and the leader is in it or not.
+// TestZoneConstraintsUnderPartition has jobs with all kinds of zone constraints lose machines as a
+// zone with a node is isolated for longer than a lease, with the leader in it or not.
 func TestZoneConstraintsUnderPartition(t *testing.T) {
 	cases := []struct {
-		name    string
-		leads   bool // the leader is in the zone that is cut off
-		returns bool // the cloud takes machines back meanwhile
+		name         string
+		leaderInside bool // in the isolated zone
+		terminations bool // answered meanwhile
 	}{
-		{"the leader is cut off with its zone", true, true},
-		{"a follower is cut off with its zone", false, true},
-		{"a follower is cut off with its zone, and no return is answered", false, false},
+		{"the zone of the leader is isolated", true, true},
+		{"the zone of a follower is isolated", false, true},
+		{"the zone of a follower is isolated, and terminations are not answered", false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -211,7 +211,7 @@
 				}
 				time.Sleep(15 * time.Second)
 				inside := c.leader()
-				if !tc.leads {
+				if !tc.leaderInside {
 					inside = (inside + 1) % 5
 				}
 				p, host := fake.NewZonePartition(), fmt.Sprintf("host-%d", inside)
@@ -227,7 +227,7 @@
 					fault := p.FaultOf(from, r)
 					if fault != fake.NoFault {
 						dropped.add("dropped")
-					} else if r.URL.Path == "/hosts/return" && !tc.returns {
+					} else if r.URL.Path == "/hosts/return" && !tc.terminations {
 						fault = fake.ServiceUnavailable
 					}
 					return fault
@@ -245,7 +245,7 @@
 				c.setFault(nil)
 				c.healPeers()
 				if dropped.count("dropped") == 0 || held == 0 {
-					t.Errorf("%d messages were cut, %d tasks seen in the zone", dropped.count("dropped"), held)
+					t.Errorf("%d messages were dropped, %d tasks seen in the zone", dropped.count("dropped"), held)
 				}
 				for n := range 5 {
 					c.awaitStatus(fmt.Sprintf("j-00000%d", n+1), wire.JobDone, 5*time.Minute)
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -15,14 +15,14 @@
 	"caperlatch/internal/wire"
 )
 
-// TestConcurrentSubmission has one job submitted at two nodes at once: it is one
-// job, each of whose tasks runs once.
+// TestConcurrentSubmission submits one job to two nodes at once: it is one job, each of whose tasks
+// runs once.
 func TestConcurrentSubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
-		c.submit("j-000009", 1) // the catalog is known from here on
-		// At the nodes that follow a little later: until then they may answer 503.
+		c.submit("j-000009", 1) // the instance types are known from here on
+		// The followers know them a little later: until then they may answer 503.
 		time.Sleep(2 * time.Second)
 		codes := make([]int, 2)
 		var wg sync.WaitGroup
@@ -31,13 +31,13 @@
 		}
 		wg.Wait()
 		if codes[0]+codes[1] != http.StatusCreated+http.StatusOK {
-			t.Errorf("answers %v, want one 201 and one 200", codes)
+			t.Errorf("responses %v, want one 201 and one 200", codes)
 		}
 		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		if n := c.cloud.Starts(); n != 5 {
 			t.Errorf("%d starts for 5 tasks", n)
 		}
-		// A repeat gets 200 whatever else it says, also after the end.
+		// A repeat gets 200 whatever else it says, also after the completion.
 		if code, s := c.request(http.MethodPost, 2, "/v1/jobs", map[string]any{"id": "j-000001"}); code != http.StatusOK || s.Status != wire.JobDone {
 			t.Errorf("repeat answered %d %q", code, s.Status)
 		}
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestInvalidSubmissions has users send what cannot be, at every node: also at one that has just
-// started, and at nodes that know the machine types from the store alone.
+// TestInvalidSubmissions submits invalid jobs to every node: also to nodes that have just started,
+// and to nodes that know the instance types only from the state service.
 func TestInvalidSubmissions(t *testing.T) {
 	with := func(field string, value any) func(map[string]any) {
 		return func(job map[string]any) { job[field] = value }
@@ -56,7 +56,7 @@
 	without := func(field string) func(map[string]any) {
 		return func(job map[string]any) { delete(job, field) }
 	}
-	odd := []struct {
+	invalid := []struct {
 		name string
 		edit func(map[string]any)
 		want int
@@ -65,31 +65,31 @@
 		{"no number of tasks", without("pieces"), http.StatusBadRequest},
 		{"no estimate", without("expect_s"), http.StatusBadRequest},
 		{"too many tasks", with("pieces", 100001), http.StatusBadRequest},
-		{"an unknown priority", with("rank", "high"), http.StatusBadRequest},
-		{"an unknown team", with("desk", "nobody's"), http.StatusUnprocessableEntity},
-		{"more than any machine has", with("vcpus", 5.0), http.StatusUnprocessableEntity},
-		{"cards where no machine has any", with("cards", 1.0), http.StatusUnprocessableEntity},
-		{"a zone that there is not", with("hall", "z"), http.StatusUnprocessableEntity},
-		{"a type that there is not", with("builds", []string{"m5"}), http.StatusUnprocessableEntity},
-		{"more than its team may use", func(job map[string]any) { job["desk"], job["vcpus"] = "small", 4.5 }, http.StatusUnprocessableEntity},
-		{"an unknown shape", with("shape", "band"), http.StatusBadRequest},
-		{"a shape that is a number", with("shape", 7), http.StatusBadRequest},
-		{"a gang of half a task", func(job map[string]any) { job["shape"], job["pieces"] = "gang", 0.5 }, http.StatusBadRequest},
-		{"a gang whose flag is a number", func(job map[string]any) { job["shape"], job["together"] = "gang", 1 }, http.StatusBadRequest},
-		{"a gang whose number of tasks is text", func(job map[string]any) { job["shape"], job["pieces"] = "gang", "3" }, http.StatusBadRequest},
-		{"a gang without a number of tasks", func(job map[string]any) { job["shape"] = "gang"; delete(job, "pieces") }, http.StatusBadRequest},
-		{"a gang that needs more than its team may use, each task less", func(job map[string]any) {
+		{"unknown priority", with("rank", "high"), http.StatusBadRequest},
+		{"unknown team", with("desk", "nobody's"), http.StatusUnprocessableEntity},
+		{"task larger than any machine", with("vcpus", 5.0), http.StatusUnprocessableEntity},
+		{"GPUs where no machine has any", with("cards", 1.0), http.StatusUnprocessableEntity},
+		{"unknown zone", with("hall", "z"), http.StatusUnprocessableEntity},
+		{"unknown instance type", with("builds", []string{"m5"}), http.StatusUnprocessableEntity},
+		{"task over the team's limit", func(job map[string]any) { job["desk"], job["vcpus"] = "small", 4.5 }, http.StatusUnprocessableEntity},
+		{"unknown kind", with("shape", "band"), http.StatusBadRequest},
+		{"kind is a number", with("shape", 7), http.StatusBadRequest},
+		{"gang with half a task", func(job map[string]any) { job["shape"], job["pieces"] = "gang", 0.5 }, http.StatusBadRequest},
+		{"gang with a number for a flag", func(job map[string]any) { job["shape"], job["together"] = "gang", 1 }, http.StatusBadRequest},
+		{"gang with text for a number of tasks", func(job map[string]any) { job["shape"], job["pieces"] = "gang", "3" }, http.StatusBadRequest},
+		{"gang without a number of tasks", func(job map[string]any) { job["shape"] = "gang"; delete(job, "pieces") }, http.StatusBadRequest},
+		{"gang over the team's limit, each task within it", func(job map[string]any) {
 			job["shape"], job["desk"], job["pieces"], job["vcpus"] = "gang", "small", 5, 1.0
 		}, http.StatusUnprocessableEntity},
-		{"a gang of which a task fits no machine", func(job map[string]any) { job["shape"], job["vcpus"] = "gang", 5.0 }, http.StatusUnprocessableEntity},
+		{"gang with tasks larger than any machine", func(job map[string]any) { job["shape"], job["vcpus"] = "gang", 5.0 }, http.StatusUnprocessableEntity},
 	}
 	cases := []struct {
 		name    string
-		trouble func(c *cluster)
-		refuses bool // the catalog is not known
+		inject  func(c *cluster)
+		unknown bool // the instance types are
 	}{
-		{"no trouble", func(*cluster) {}, false},
-		{"all have just started, and the cloud is away", func(c *cluster) {
+		{"no fault", func(*cluster) {}, false},
+		{"all nodes have just started, and the cloud is unavailable", func(c *cluster) {
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Host == "cloud" {
 					return fake.ServiceUnavailable
@@ -99,7 +99,7 @@
 			c.restartNodes(0, 1, 2)
 			time.Sleep(2 * time.Second)
 		}, false},
-		{"nobody knows the catalog", func(c *cluster) {
+		{"no node knows the instance types", func(c *cluster) {
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
 				if r.URL.Host == "cloud" {
 					return fake.ServiceUnavailable
@@ -113,41 +113,41 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
-				if tc.refuses {
-					tc.trouble(c)
+				if tc.unknown {
+					tc.inject(c)
 					time.Sleep(5 * time.Second)
 				} else {
 					c.submit("j-000001", 1)
 					c.awaitStatus("j-000001", wire.JobDone, time.Minute)
-					tc.trouble(c)
+					tc.inject(c)
 				}
-				for i, o := range odd {
+				for i, o := range invalid {
 					for node := range c.size {
 						job := testJob(fmt.Sprintf("j-%06d", 100+i), 1)
 						o.edit(job)
 						want := o.want
-						if tc.refuses && want == http.StatusUnprocessableEntity {
+						if tc.unknown && want == http.StatusUnprocessableEntity {
 							want = http.StatusServiceUnavailable
 						}
 						if code, _ := c.request(http.MethodPost, node, "/v1/jobs", job); code != want {
 							t.Errorf("%s: node %d answers %d, want %d", o.name, node, code, want)
 						}
 						if code, _ := c.request(http.MethodGet, node, "/v1/jobs/"+job["id"].(string), nil); code != http.StatusNotFound {
-							t.Errorf("%s: node %d answers %d about what it refused", o.name, node, code)
+							t.Errorf("%s: node %d answers %d to a query of what it rejected", o.name, node, code)
 						}
 						if code, _ := c.request(http.MethodPost, node, "/v1/jobs/"+job["id"].(string)+"/abort", nil); code != http.StatusNotFound {
-							t.Errorf("%s: node %d answers %d to cancelling what it refused", o.name, node, code)
+							t.Errorf("%s: node %d answers %d to a cancellation of what it rejected", o.name, node, code)
 						}
-						if tc.refuses {
+						if tc.unknown {
 							continue
 						}
-						// The repeat of an accepted job is answered whatever it says.
+						// The repeat of an accepted job is accepted whatever it says.
 						job["id"] = "j-000001"
 						if code, s := c.request(http.MethodPost, node, "/v1/jobs", job); code != http.StatusOK || s.Status != wire.JobDone {
 							t.Errorf("%s: node %d answers %d %q to the repeat of a job that is done", o.name, node, code, s.Status)
 						}
 						if code, s := c.request(http.MethodPost, node, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.Status != wire.JobDone {
-							t.Errorf("node %d answers %d %q to cancelling a job that is done", node, code, s.Status)
+							t.Errorf("node %d answers %d %q to a cancellation of a job that is done", node, code, s.Status)
 						}
 					}
 				}
@@ -157,46 +157,46 @@
 	}
 }
 
-// TestMonotonicResponses has users ask at all nodes, repeat submissions and cancel, within
-// milliseconds of what another node told: no node may answer something older, also one
-// that is behind.
+// TestMonotonicResponses has users query all nodes, repeat submissions and cancel, within
+// milliseconds of another node's response: no node may answer something older, also one that is
+// behind.
 func TestMonotonicResponses(t *testing.T) {
-	const odd = 2 // the node that is in trouble
+	const affected = 2 // the node with the fault
 	watches := func(r *http.Request) bool {
 		return r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0")
 	}
 	cases := []struct {
-		name    string
-		trouble func(c *cluster, held *counter) // before each look
-		refuses bool                            // the odd node cannot know
+		name   string
+		inject func(c *cluster, noted *counter) // before each round
+		behind bool                             // the affected node cannot know
 	}{
-		{"no other trouble", func(*cluster, *counter) {}, false},
-		{"a node's watch is held", func(c *cluster, held *counter) {
+		{"no fault", func(*cluster, *counter) {}, false},
+		{"a node's watches are dropped", func(c *cluster, noted *counter) {
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if isFromNode(from, odd) && watches(r) {
-					held.add("held")
+				if isFromNode(from, affected) && watches(r) {
+					noted.add("fault")
 					return fake.DroppedRequest
 				}
 				return fake.NoFault
 			})
 		}, false},
-		{"a node has just started", func(c *cluster, held *counter) {
-			held.add("held")
-			c.kill(odd)
-			c.start(odd)
+		{"a node has just restarted", func(c *cluster, noted *counter) {
+			noted.add("fault")
+			c.kill(affected)
+			c.start(affected)
 		}, false},
-		{"a node is cut from the state service", func(c *cluster, held *counter) {
+		{"the state service is unavailable to a node", func(c *cluster, noted *counter) {
 			c.setFault(func(from string, r *http.Request) fake.Fault {
-				if isFromNode(from, odd) && isStateRequest(r) {
-					held.add("held")
+				if isFromNode(from, affected) && isStateRequest(r) {
+					noted.add("fault")
 					return fake.ServiceUnavailable
 				}
 				return fake.NoFault
 			})
 		}, true},
-		{"every other answer to a transaction is lost", func(c *cluster, held *counter) {
+		{"every other response to a transaction is dropped", func(c *cluster, noted *counter) {
 			c.setFault(func(_ string, r *http.Request) fake.Fault {
-				if r.URL.Path == "/txn" && held.add("held")%2 == 1 {
+				if r.URL.Path == "/txn" && noted.add("fault")%2 == 1 {
 					return fake.DroppedResponse
 				}
 				return fake.NoFault
@@ -214,19 +214,19 @@
 					}
 					return 100
 				}
-				c.submit("j-000009", 1) // the catalog is known, and there are machines
-				if c.leader() == odd {
-					c.restartNodes(odd)
+				c.submit("j-000009", 1) // the instance types are known, and there are machines
+				if c.leader() == affected {
+					c.restartNodes(affected)
 					time.Sleep(5 * time.Second)
 				}
 				c.awaitStatus("j-000009", wire.JobDone, time.Minute)
-				var held, seen counter
-				tc.trouble(c, &held)
-				time.Sleep(12 * time.Second) // until no watch that was open before is left
+				var noted, seen counter
+				tc.inject(c, &noted)
+				time.Sleep(12 * time.Second) // until all watches that were open before have ended
 				for n := range 4 {
-					tc.trouble(c, &held)
-					ends, doomed := testJob(fmt.Sprintf("j-00000%d", n+1), 1), testJob(fmt.Sprintf("j-10000%d", n+1), 1)
-					for i, job := range []map[string]any{ends, doomed} {
+					tc.inject(c, &noted)
+					finishing, cancelled := testJob(fmt.Sprintf("j-00000%d", n+1), 1), testJob(fmt.Sprintf("j-10000%d", n+1), 1)
+					for i, job := range []map[string]any{finishing, cancelled} {
 						for range 20 {
 							if c.accept(n%2, job) {
 								break
@@ -236,27 +236,27 @@
 					}
 					time.Sleep(time.Duration(n) * 300 * time.Millisecond)
 					for range 20 {
-						if code, _ := c.request(http.MethodPost, (n+1)%2, "/v1/jobs/"+doomed["id"].(string)+"/abort", nil); code == http.StatusOK {
+						if code, _ := c.request(http.MethodPost, (n+1)%2, "/v1/jobs/"+cancelled["id"].(string)+"/abort", nil); code == http.StatusOK {
 							break
 						}
 					}
-					c.queryAllNodes(doomed, false, 300*time.Millisecond, &seen)
-					// Until it ends, and well after; half of them are called off then.
-					c.queryAllNodes(ends, false, 3*time.Second, &seen)
-					c.queryAllNodes(ends, n%2 == 0, 4*time.Second, &seen)
+					c.queryAllNodes(cancelled, false, 300*time.Millisecond, &seen)
+					// Until it completes, and well after; half of them are cancelled then.
+					c.queryAllNodes(finishing, false, 3*time.Second, &seen)
+					c.queryAllNodes(finishing, n%2 == 0, 4*time.Second, &seen)
 					for code, s := 0, (wire.JobStatus{}); s.Status != wire.JobDone && s.Status != wire.JobCancelled; time.Sleep(200 * time.Millisecond) {
-						if code, s = c.request(http.MethodGet, 0, "/v1/jobs/"+ends["id"].(string), nil); code == http.StatusNotFound {
+						if code, s = c.request(http.MethodGet, 0, "/v1/jobs/"+finishing["id"].(string), nil); code == http.StatusNotFound {
 							break
 						}
 					}
-					c.queryAllNodes(ends, true, 300*time.Millisecond, &seen)
+					c.queryAllNodes(finishing, true, 300*time.Millisecond, &seen)
 				}
-				if tc.name != cases[0].name && held.count("held") == 0 {
-					t.Error("nothing was held")
+				if tc.name != cases[0].name && noted.count("fault") == 0 {
+					t.Error("no request had the fault")
 				}
-				ok, refused := seen.count(fmt.Sprintf("node %d: 200", odd)), seen.count(fmt.Sprintf("node %d: 503", odd))
-				if !tc.refuses && ok < 1000 || tc.refuses && refused < 1000 {
-					t.Errorf("the odd node answered 200 %d times and 503 %d times: %v", ok, refused, seen.counts)
+				ok, refused := seen.count(fmt.Sprintf("node %d: 200", affected)), seen.count(fmt.Sprintf("node %d: 503", affected))
+				if !tc.behind && ok < 1000 || tc.behind && refused < 1000 {
+					t.Errorf("the affected node answered 200 %d times and 503 %d times: %v", ok, refused, seen.counts)
 				}
 				c.setFault(nil)
 				c.checkRules()
@@ -265,9 +265,9 @@
 	}
 }
 
-// TestManyQueries has users ask very often while the state service refuses every other
-// read for its rate limit: questions share reads, each is answered, and the followers'
-// watches leave room for them.
+// TestManyQueries has users query very often while the state service rejects every other read for
+// its rate limit: queries share reads, each is answered, and the followers' watches leave room for
+// them.
 func TestManyQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, 5)
@@ -276,7 +276,7 @@
 		c.submit("j-000001", 4)
 		time.Sleep(5 * time.Second)
 		var mu sync.Mutex
-		reads, watches, answers := 0, 0, map[int]int{}
+		reads, watches, responses := 0, 0, map[int]int{}
 		readsOf := map[string]int{}
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			mu.Lock()
@@ -301,23 +301,23 @@
 				code, _ := c.request(http.MethodGet, n%5, "/v1/jobs/j-000001", nil)
 				mu.Lock()
 				defer mu.Unlock()
-				answers[code]++
+				responses[code]++
 			})
 			time.Sleep(20 * time.Millisecond)
 		}
 		wg.Wait()
-		if answers[http.StatusOK] < 990 {
-			t.Errorf("answers: %v", answers)
+		if responses[http.StatusOK] < 990 {
+			t.Errorf("responses: %v", responses)
 		}
 		if reads > 800 || watches > 400 {
-			t.Errorf("%d reads and %d watches for 1000 questions and 100 jobs in 20 s", reads, watches)
+			t.Errorf("%d reads and %d watches for 1000 queries and 100 jobs in 20 s", reads, watches)
 		}
 	})
 }
 
-// TestManyJobs has one-task jobs come four a second for two minutes, a quarter of them
-// cancelled, at the least limits that a deployment has. Neither their ends nor their
-// cancellations may be held up by each other.
+// TestManyJobs submits one-task jobs four a second for two minutes, a quarter of which are
+// cancelled, at the lowest limits that a deployment has. Neither their completions nor their
+// cancellations may be delayed by each other.
 func TestManyJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 5, func(s *settings.Settings) {
@@ -359,7 +359,7 @@
 					note(&cancels, startedAt)
 					return
 				}
-				// Its task is seen to end on its machine.
+				// Its task is seen to complete on its machine.
 				for c.runningTasks(id) == 0 && time.Since(startedAt) < 2*time.Minute {
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -384,9 +384,9 @@
 			count int
 			most  time.Duration // of 95 in 100; the rest may take as long again
 		}{
-			{"intake", intake, 480, 2 * time.Second},
+			{"submissions", intake, 480, 2 * time.Second},
 			{"cancellations", cancels, 120, 2 * time.Second},
-			{"ends", ends, 360, 3 * time.Second},
+			{"completions", ends, 360, 3 * time.Second},
 		} {
 			slices.Sort(list.took)
 			if len(list.took) != list.count {
@@ -402,8 +402,8 @@
 	})
 }
 
-// queryAllNodes asks all nodes about a job again and again within milliseconds, and
-// repeats its submission and, if it is to be cancelled, its cancellation.
+// queryAllNodes queries all nodes about a job again and again within milliseconds, and repeats its
+// submission and, if it is to be cancelled, its cancellation.
 func (c *cluster) queryAllNodes(job map[string]any, cancel bool, within time.Duration, seen *counter) {
 	id := job["id"].(string)
 	var wg sync.WaitGroup
