--- a/membership_measurement_test.go
+++ b/membership_measurement_test.go
@@ -25,17 +25,17 @@
 	membersOutVariable = "CAPERLATCH_MEMBERS_OUT"
 )
 
-// Times of measuring.
+// Times of the measurement.
 const (
 	membersPollInterval = 20 * time.Millisecond
 	shortFreeze         = time.Second // too short for a suspicion
 	settlePause         = 2 * time.Second
 )
 
-// TestDetectionTimes ends and freezes nodes of real processes on loopback at random moments while
+// TestDetectionTimes kills and freezes nodes of real processes on loopback at random times while
 // jobs run, and measures until each of the others suspects the node and confirms its failure. No
-// other node may be found failed, nor may one that froze for a second be suspected. The checker of
-// rules watches all of it.
+// other node may be found failed, nor may one that froze for a second be suspected. All of it runs
+// under the checker of the rules.
 func TestDetectionTimes(t *testing.T) {
 	failures := intVariable(t, membersVariable, 0)
 	if failures == 0 {
@@ -82,7 +82,7 @@
 	return verdicts
 }
 
-// fail has one node fail, the leader and another in turn, killed or frozen, and come back.
+// fail has one node fail, the leader and a follower in turn, killed or frozen, and recover.
 func (r *detectionRun) fail(n int) (verdicts []detection.Verdict) {
 	time.Sleep(time.Duration(r.random.Int64N(int64(time.Second))))
 	leader := r.leader()
@@ -142,45 +142,47 @@
 	return verdicts
 }
 
-// observeNode asks one node what it thinks of the one that failed; no other may have failed to it.
-func (r *detectionRun) observeNode(by, node int, startedAt time.Time, seen map[int]*detection.Verdict) {
-	status, err := r.members(by)
+// observeNode queries one node about the one that failed, and checks that it finds no other node
+// failed.
+func (r *detectionRun) observeNode(observer, node int, startedAt time.Time, seen map[int]*detection.Verdict) {
+	status, err := r.members(observer)
 	if err != nil {
-		return // it is asked again
+		return // it is queried again
 	}
 	for _, m := range status.Members {
-		doubts := m.State == membership.Suspected || m.State == membership.Failed
-		if !doubts {
+		doubted := m.State == membership.Suspected || m.State == membership.Failed
+		if !doubted {
 			continue
 		}
 		if m.Member != fmt.Sprintf("host-%d", node) {
-			r.t.Errorf("host-%d finds %s %s, which runs", by, m.Member, m.State)
+			r.t.Errorf("host-%d finds %s %s, which runs", observer, m.Member, m.State)
 			continue
 		}
-		if seen[by] == nil {
-			seen[by] = &detection.Verdict{Suspected: microsSince(startedAt)}
+		if seen[observer] == nil {
+			seen[observer] = &detection.Verdict{Suspected: microsSince(startedAt)}
 		}
 		if m.State == membership.Failed {
-			seen[by].Confirmed = microsSince(startedAt)
+			seen[observer].Confirmed = microsSince(startedAt)
 		}
 	}
 }
 
-// awaitAlive waits until all nodes find a node alive, and it them.
-func (r *detectionRun) awaitAlive(node int, within time.Duration) {
+// awaitAlive waits until all nodes find a node alive, and it finds all of them alive.
+func (r *detectionRun) awaitAlive(node int, timeout time.Duration) {
 	for startedAt := time.Now(); ; time.Sleep(membersPollInterval) {
-		doubted := r.checkAlive(node)
-		if doubted == nil {
+		err := r.checkAlive(node)
+		if err == nil {
 			return
 		}
-		if time.Since(startedAt) >= within {
-			r.t.Errorf("host-%d: %v", node, doubted)
+		if time.Since(startedAt) >= timeout {
+			r.t.Errorf("host-%d: %v", node, err)
 			return
 		}
 	}
 }
 
-// checkAlive tells who does not find a node alive, or whom it does not.
+// checkAlive returns an error if some node does not find a node alive, or it does not find some
+// node alive.
 func (r *detectionRun) checkAlive(node int) error {
 	for i := range r.size {
 		status, err := r.members(i)
@@ -196,12 +198,12 @@
 	return nil
 }
 
-// members asks a node what it thinks of the others.
+// members returns a node's view of the others.
 func (r *detectionRun) members(node int) (status membership.Status, err error) {
 	return status, fetch(r.Addresses[node].Client, "/members", &status)
 }
 
-// fetch asks a node's process for a value.
+// fetch gets a value from a node's process.
 func fetch(address, path string, value any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -215,7 +217,7 @@
 	return wire.Unmarshal(body, value)
 }
 
-// writeReport writes a report to the file that a variable names, if it does.
+// writeReport writes a report to the file that an environment variable names, if it does.
 func writeReport(t *testing.T, variable string, write func(io.Writer) error) {
 	t.Helper()
 	out := os.Getenv(variable)
--- a/membership_test.go
+++ b/membership_test.go
@@ -13,56 +13,56 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// Bounds of verdicts on nodes.
+// Bounds of the detection of failures.
 const (
-	detectionTimeout = 10 * time.Second // of a real failure
-	recoveryTimeout  = 3 * time.Second  // after it is over
-	maxPathLatency   = 2 * time.Second  // that a path may have
+	detectionTimeout = 10 * time.Second // of a failure
+	recoveryTimeout  = 3 * time.Second  // after the failure is over
+	maxPathLatency   = 2 * time.Second  // of a path between nodes
 )
 
-// memberCluster is a cluster whose nodes watch each other.
+// memberCluster is a cluster whose nodes detect each other's failures.
 type memberCluster struct {
 	*cluster
 }
 
-// checkState tells which of the others thinks otherwise of a node.
-func (c *memberCluster) checkState(of int, want membership.State) error {
+// checkState returns an error if a node with membership finds another state of a node than wanted.
+func (c *memberCluster) checkState(node int, want membership.State) error {
 	for i, n := range c.nodes {
 		status, err := n.Members()
 		if err != nil && !c.without[i] {
 			return err
 		}
 		for _, m := range status.Members {
-			if m.Member == fmt.Sprintf("host-%d", of) && m.State != want {
-				return fmt.Errorf("%s thinks that %s is %s, not %s", status.Member, m.Member, m.State, want)
+			if m.Member == fmt.Sprintf("host-%d", node) && m.State != want {
+				return fmt.Errorf("%s finds %s %s, not %s", status.Member, m.Member, m.State, want)
 			}
 		}
 	}
 	return nil
 }
 
-// awaitState waits until all others think so of a node.
-func (c *memberCluster) awaitState(within time.Duration, of int, want membership.State) {
+// awaitState waits until all others find a node in a state.
+func (c *memberCluster) awaitState(timeout time.Duration, node int, want membership.State) {
 	c.t.Helper()
-	err := c.checkState(of, want)
-	for startedAt := time.Now(); err != nil && time.Since(startedAt) < within; err = c.checkState(of, want) {
+	err := c.checkState(node, want)
+	for startedAt := time.Now(); err != nil && time.Since(startedAt) < timeout; err = c.checkState(node, want) {
 		time.Sleep(100 * time.Millisecond)
 	}
 	if err != nil {
-		c.t.Errorf("within %v: %v", within, err)
+		c.t.Errorf("within %v: %v", timeout, err)
 	}
 }
 
-// checkStateStays expects that all others think so of a node after half a minute.
-func (c *memberCluster) checkStateStays(of int, want membership.State) {
+// checkStateStays checks that all others find a node in a state after half a minute.
+func (c *memberCluster) checkStateStays(node int, want membership.State) {
 	c.t.Helper()
 	time.Sleep(30 * time.Second)
-	if err := c.checkState(of, want); err != nil {
+	if err := c.checkState(node, want); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// crashAndRecover ends a node, and starts it again once all others have found it failed.
+// crashAndRecover kills a node, and starts it again once all others have found it failed.
 func (c *memberCluster) crashAndRecover(node int) {
 	c.t.Helper()
 	c.kill(node)
@@ -71,10 +71,10 @@
 	c.awaitState(recoveryTimeout, node, membership.Alive)
 }
 
-// checkNoFailures expects for a while that no node came to a verdict on another.
-func (c *memberCluster) checkNoFailures(during time.Duration) {
+// checkNoFailures checks that for a while no node finds another failed.
+func (c *memberCluster) checkNoFailures(period time.Duration) {
 	c.t.Helper()
-	time.Sleep(during)
+	time.Sleep(period)
 	for i, n := range c.nodes {
 		if status, err := n.Members(); err != nil || status.Counts.Failures > 0 {
 			c.t.Errorf("host-%d: %v, %+v", i, err, status)
@@ -82,10 +82,10 @@
 	}
 }
 
-// follower is a node that does not lead.
+// follower returns a node that does not lead.
 func (c *memberCluster) follower() int { return (c.leader() + 1) % c.size }
 
-// refuseState cuts one node off from the state service.
+// refuseState drops all requests of one node to the state service.
 func (c *memberCluster) refuseState(node int) {
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if isStateRequest(r) && isFromNode(from, node) {
@@ -95,12 +95,12 @@
 	})
 }
 
-// TestMembership has controllers fail, freeze out, leave and come back while jobs run, under the
-// checker of rules.
+// TestMembership has nodes fail, be partitioned, leave and come back while jobs run, under the
+// checker of the rules.
 func TestMembership(t *testing.T) {
 	cases := []struct {
 		name string
-		play func(*memberCluster)
+		run  func(*memberCluster)
 	}{
 		{"a follower crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.follower()) }},
 		{"the leader crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.leader()) }},
@@ -113,25 +113,25 @@
 				c.checkNoFailures(4 * time.Second)
 			}
 		}},
-		{"the leader's paths to all nodes are cut, its session lives", func(c *memberCluster) {
+		{"the leader is partitioned from all nodes, its session lives", func(c *memberCluster) {
 			leader := c.leader()
 			c.partitionPeer(leader)
 			c.awaitState(detectionTimeout, leader, membership.Suspected)
 			c.checkStateStays(leader, membership.Suspected)
 			if c.leader() != leader {
-				c.t.Error("another leads")
+				c.t.Error("another node leads")
 			}
 			c.healPeers()
 			c.awaitState(recoveryTimeout, leader, membership.Alive)
 		}},
-		{"a node is cut off from all", func(c *memberCluster) {
-			cut := c.follower()
-			c.partitionPeer(cut)
-			c.refuseState(cut)
-			c.awaitState(detectionTimeout, cut, membership.Failed)
-			c.checkStateStays(cut, membership.Failed)
-			if status, err := c.nodes[cut].Members(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
-				c.t.Errorf("what is cut off gives a verdict: %v, %+v", err, status)
+		{"a node is partitioned from all nodes and the state service", func(c *memberCluster) {
+			isolated := c.follower()
+			c.partitionPeer(isolated)
+			c.refuseState(isolated)
+			c.awaitState(detectionTimeout, isolated, membership.Failed)
+			c.checkStateStays(isolated, membership.Failed)
+			if status, err := c.nodes[isolated].Members(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
+				c.t.Errorf("the isolated node finds others failed: %v, %+v", err, status)
 			}
 			c.setFault(nil)
 			c.healPeers()
@@ -139,15 +139,15 @@
 				c.awaitState(recoveryTimeout, i, membership.Alive)
 			}
 		}},
-		{"two nodes don't hear each other", func(c *memberCluster) {
+		{"two nodes are partitioned from each other", func(c *memberCluster) {
 			c.pipes.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
 			c.checkNoFailures(time.Minute)
 		}},
-		{"the state service refuses one node", func(c *memberCluster) {
+		{"the state service is unavailable to one node", func(c *memberCluster) {
 			c.refuseState(c.follower())
 			c.checkNoFailures(time.Minute)
 		}},
-		{"the state service is down, and a node crashes", func(c *memberCluster) {
+		{"a node crashes while the state service is unavailable", func(c *memberCluster) {
 			down := c.follower()
 			c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
 			c.checkNoFailures(20 * time.Second)
@@ -157,7 +157,7 @@
 			c.start(down)
 			c.awaitState(recoveryTimeout, down, membership.Alive)
 		}},
-		{"a node says that it ends", func(c *memberCluster) {
+		{"a node leaves", func(c *memberCluster) {
 			leaves := c.follower()
 			c.nodes[leaves].Leave()
 			c.kill(leaves)
@@ -174,14 +174,14 @@
 			c.checkStateStays(without, membership.Alive)
 			c.crashAndRecover(without)
 		}},
-		{"all paths are slow and jittering", func(c *memberCluster) {
+		{"all paths have high latency with jitter", func(c *memberCluster) {
 			random := rand.New(rand.NewPCG(uint64(c.size), 32))
 			c.pipes.SetLatency(func(string, string) time.Duration {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				return time.Duration(random.Int64N(int64(maxPathLatency)))
 			})
-			c.pipes.SetPartition(func(string, string) bool { return true }) // all streams are opened anew
+			c.pipes.SetPartition(func(string, string) bool { return true }) // so that all streams are opened anew
 			c.healPeers()
 			c.checkNoFailures(10 * time.Minute)
 			slow := 0
@@ -207,7 +207,7 @@
 					defer c.close()
 					time.Sleep(3 * time.Second)
 					c.submit("j-000001", 20)
-					tc.play(c)
+					tc.run(c)
 					c.awaitStatus("j-000001", "done", 2*time.Minute)
 					c.checkRules()
 				})
--- a/random_failovers_test.go
+++ b/random_failovers_test.go
@@ -15,18 +15,19 @@
 	"caperlatch/internal/wire"
 )
 
-// Sizes of TestRandomFailovers: five hundred ends of the active controller in all.
+// Sizes of TestRandomFailovers: five hundred failovers in all.
 const (
 	failoverSeeds          = 10
 	failoversPerSeed       = 50
 	randomFailoverMachines = 300
 )
 
-// TestRandomFailovers ends the leader at random moments, five hundred times in all, over 300 machines
-// that run arrays and gangs, while users submit, cancel and ask all nodes. Some ends are
-// handovers, some of them broken off by the end of the process or of the node that was
-// named. A leader that is still taking over refuses to hand over; it ends without. Under the checker of rules: no job has two final answers or goes back, no task is on
-// two machines, none is forgotten, and all that was accepted ends.
+// TestRandomFailovers ends the term of the leader at random times, five hundred times in all, over
+// 300 machines that run arrays and gangs, while users submit, cancel and query all nodes. Some
+// terms end by handovers, some of which are interrupted by the crash of the leader or of the named
+// node. A leader whose own failover is not complete rejects a handover; it is killed instead. Under
+// the checker of the rules: no job has two final statuses or goes back, no task is on two machines,
+// no job is forgotten, and every accepted job ends.
 func TestRandomFailovers(t *testing.T) {
 	for seed := range uint64(failoverSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// randomFailoverRun is one seed of TestRandomFailovers.
+// randomFailoverRun is the run of one seed of TestRandomFailovers.
 type randomFailoverRun struct {
 	*cluster
 	random *rand.Rand
@@ -48,6 +49,7 @@
 	finished  bool
 }
 
+// runRandomFailovers runs one seed.
 func runRandomFailovers(t *testing.T, seed uint64) {
 	size := 3 + 2*int(seed%2)
 	c := newStandbyCluster(t, size, func(s *settings.Settings) {
@@ -58,16 +60,16 @@
 	c.cloud.RuntimeOf = func(task string) float64 { return float64(4 + 3*(len(task)+int(task[len(task)-1]))%24) }
 	r := &randomFailoverRun{cluster: c, random: rand.New(rand.NewPCG(seed, 24)), size: size, cancelled: map[string]bool{}}
 	var users sync.WaitGroup
-	// Each has numbers of its own, as all run at the same time.
+	// Each has a random source of its own, as all run at the same time.
 	users.Go(func() { r.submitJobs(rand.New(rand.NewPCG(seed, 1))) })
 	users.Go(func() { r.queryJobs(rand.New(rand.NewPCG(seed, 2))) })
 	time.Sleep(15 * time.Second)
-	handed := 0
+	handovers := 0
 	for range failoversPerSeed {
 		time.Sleep(time.Duration(r.random.IntN(4000)) * time.Millisecond)
 		token := c.fencingToken()
 		if r.endLeader(c.leader()) {
-			handed++
+			handovers++
 		}
 		c.awaitLeaderAfter(token)
 	}
@@ -84,14 +86,14 @@
 	}
 	c.checkAnswers(r.jobs)
 	c.checkRules()
-	t.Logf("%d nodes, %d ends of a leader, %d of them handovers, %d jobs, %d starts", size, failoversPerSeed, handed, len(r.jobs), c.cloud.Starts())
-	if handed < failoversPerSeed/10 || c.cloud.Starts() < 5000 {
-		t.Errorf("%d handovers, %d starts", handed, c.cloud.Starts())
+	t.Logf("%d nodes, %d failovers, %d of them handovers, %d jobs, %d starts", size, failoversPerSeed, handovers, len(r.jobs), c.cloud.Starts())
+	if handovers < failoversPerSeed/10 || c.cloud.Starts() < 5000 {
+		t.Errorf("%d handovers, %d starts", handovers, c.cloud.Starts())
 	}
 }
 
-// endLeader ends the leader in one of several ways, and tells whether it handed over first.
-func (r *randomFailoverRun) endLeader(leader int) (handed bool) {
+// endLeader ends the term of the leader in one of several ways, and reports whether it handed over.
+func (r *randomFailoverRun) endLeader(leader int) (handedOver bool) {
 	way := r.random.IntN(10)
 	if way < 6 { // a crash
 		r.crash(leader, time.Duration(r.random.IntN(3000))*time.Millisecond)
@@ -104,24 +106,24 @@
 		defer close(done)
 		to, err = r.nodes[leader].HandOver()
 	}()
-	if way == 6 { // it crashes in the midst of handing over
+	if way == 6 { // it crashes during the handover
 		time.Sleep(time.Duration(r.random.IntN(400)) * time.Millisecond)
 		r.crash(leader, 100*time.Millisecond)
 	}
 	<-done
 	switch {
-	case err != nil && way != 6: // refused: the process ends without, as HandOverAtEnd has it
+	case err != nil && way != 6: // rejected: the process ends without, as HandOverAtEnd has it
 		if !errors.Is(err, errNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
-			r.t.Errorf("handing over: %v", err)
+			r.t.Errorf("handover: %v", err)
 		}
 		r.crash(leader, 100*time.Millisecond)
-	case way == 7: // the named node ends in the midst of taking over
+	case way == 7: // the named node crashes during its failover
 		r.crashNamed(to)
 	}
 	return err == nil
 }
 
-// crashNamed ends the node that a handover names, within half a second.
+// crashNamed kills the node that a handover names, within half a second.
 func (r *randomFailoverRun) crashNamed(member string) {
 	for i, n := range r.nodes {
 		if n.settings.Member == member {
@@ -131,21 +133,21 @@
 	}
 }
 
-// crash ends a node and starts it again after a while.
+// crash kills a node and starts it again after a while.
 func (r *randomFailoverRun) crash(node int, down time.Duration) {
 	r.kill(node)
 	time.Sleep(down)
 	r.start(node)
 }
 
-// isFinished tells whether no more work is to come.
+// isFinished reports whether no more jobs are to be submitted.
 func (r *randomFailoverRun) isFinished() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.finished
 }
 
-// submitJobs gives work until the run is over, and cancels some of it.
+// submitJobs submits jobs until the run is finished, and cancels some of them.
 func (r *randomFailoverRun) submitJobs(random *rand.Rand) {
 	for n := 1; !r.isFinished(); n++ {
 		id := fmt.Sprintf("j-%06d", n)
@@ -179,7 +181,7 @@
 	r.t.Errorf("%s could not be cancelled", id)
 }
 
-// queryJobs asks random nodes about random jobs until the run is over.
+// queryJobs queries random nodes about random jobs until the run is finished.
 func (r *randomFailoverRun) queryJobs(random *rand.Rand) {
 	for !r.isFinished() {
 		time.Sleep(200 * time.Millisecond)
--- a/standby_combined_faults_test.go
+++ b/standby_combined_faults_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// handover has the leader hand over, and tells to whom.
+// handover has the leader hand over, and returns the named node.
 func (c *cluster) handover() string {
 	c.t.Helper()
 	to, err := c.nodes[c.leader()].HandOver()
@@ -22,7 +22,7 @@
 	return to
 }
 
-// indexOf is the index of a member; -1 if there is none.
+// indexOf returns the index of a member; -1 if there is none.
 func (c *cluster) indexOf(member string) int {
 	for i, n := range c.nodes {
 		if n.settings.Member == member {
@@ -32,7 +32,8 @@
 	return -1
 }
 
-// stateRefusal has the state service refuse a node, or all if it is negative.
+// stateRefusal returns the fault that makes the state service unavailable to a node, or to all if
+// it is negative.
 func stateRefusal(node int) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if isStateRequest(r) && (node < 0 || isFromNode(from, node)) {
@@ -42,7 +43,8 @@
 	}
 }
 
-// dropResponsesTo loses all answers and commands to these machines; what they send arrives.
+// dropResponsesTo returns the fault that drops all responses and commands to these machines; what
+// they send arrives.
 func dropResponsesTo(ids map[string]bool) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		switch {
@@ -55,27 +57,27 @@
 	}
 }
 
-// TestStandbyCombinedFaults has troubles meet a take-over of nodes with a standby, while an array,
-// a gang and a cancelled job are on machines. Whatever happens, no rule is broken, and all
-// jobs end once the troubles are over.
+// TestStandbyCombinedFaults combines faults with failovers of nodes with a standby, while an array,
+// a gang and a cancelled job are on machines. No rule is violated, and all jobs complete once the
+// faults are over.
 func TestStandbyCombinedFaults(t *testing.T) {
 	cases := []struct {
 		name    string
 		nodes   int
 		without map[int]bool // nodes that run without a standby, as earlier versions do
-		trouble func(c *cluster)
+		inject  func(c *cluster)
 	}{
-		{"the named node ends as it confirms", 3, nil, func(c *cluster) {
+		{"the named node restarts as it confirms", 3, nil, func(c *cluster) {
 			to := c.handover()
 			c.restartNodes(c.indexOf(to))
 		}},
-		{"the named node ends as it adopts", 3, nil, func(c *cluster) {
+		{"the named node restarts as it leads", 3, nil, func(c *cluster) {
 			token := c.fencingToken()
 			to := c.handover()
 			c.awaitLeaderAfter(token)
 			c.restartNodes(c.indexOf(to))
 		}},
-		{"followers that have just begun, as the leader ends", 3, nil, func(c *cluster) {
+		{"the leader crashes as its followers have just restarted", 3, nil, func(c *cluster) {
 			leader := c.leader()
 			c.restartNodes((leader+1)%3, (leader+2)%3)
 			time.Sleep(1600 * time.Millisecond)
@@ -83,7 +85,7 @@
 			time.Sleep(time.Second)
 			c.start(leader)
 		}},
-		{"handed back and forth", 3, nil, func(c *cluster) {
+		{"repeated handovers", 3, nil, func(c *cluster) {
 			for range 6 {
 				token := c.fencingToken()
 				c.handover()
@@ -91,48 +93,49 @@
 				time.Sleep(300 * time.Millisecond)
 			}
 		}},
-		{"the state service refuses the leader that hands over", 3, nil, func(c *cluster) {
+		{"state service unavailable to the leader that hands over", 3, nil, func(c *cluster) {
 			c.setFault(stateRefusal(c.leader()))
 			c.handover()
 			time.Sleep(5 * time.Second)
 			c.setFault(nil)
 		}},
-		{"the state service is down for all during a handover", 3, nil, func(c *cluster) {
+		{"state service unavailable to all during a handover", 3, nil, func(c *cluster) {
 			time.AfterFunc(100*time.Millisecond, func() { c.setFault(stateRefusal(-1)) })
 			c.handover()
 			time.Sleep(10 * time.Second)
 			c.setFault(nil)
 		}},
-		{"refused for the leader alone, then down for all", 5, nil, func(c *cluster) {
+		{"state service unavailable to the leader alone, then to all", 5, nil, func(c *cluster) {
 			c.setFault(stateRefusal(c.leader()))
 			time.Sleep(2 * time.Second)
 			c.setFault(stateRefusal(-1))
 			time.Sleep(12 * time.Second)
 			c.setFault(nil)
 		}},
-		{"machines do not hear the next leader", 3, nil, func(c *cluster) {
-			deaf := map[string]bool{}
+		{"responses and commands to machines are dropped during a handover", 3, nil, func(c *cluster) {
+			affected := map[string]bool{}
 			for _, w := range c.cloud.WorkersOf("j-000001")[:2] {
-				deaf[w.ID] = true
+				affected[w.ID] = true
 			}
-			c.setFault(dropResponsesTo(deaf))
+			c.setFault(dropResponsesTo(affected))
 			c.handover()
 			time.Sleep(20 * time.Second)
 			c.setFault(nil)
 		}},
-		{"machines reach nobody for longer than a lease", 3, nil, func(c *cluster) {
-			away := map[string]bool{}
+		{"machines are isolated for longer than a lease", 3, nil, func(c *cluster) {
+			isolated := map[string]bool{}
 			for _, w := range c.cloud.WorkersOf("j-000001")[:2] {
-				away[w.ID] = true
+				isolated[w.ID] = true
 			}
 			var dropped counter
-			c.setFault(isolateMachines(away, &dropped))
+			c.setFault(isolateMachines(isolated, &dropped))
 			c.handover()
 			time.Sleep(20 * time.Second)
 			c.setFault(nil)
 		}},
-		{"starts are on their way", 3, nil, func(c *cluster) {
-			// Answers to reports are lost from the handover on, and those with starts before.
+		{"starts are on their way during a handover", 3, nil, func(c *cluster) {
+			// Responses to heartbeats are dropped from the handover on, and those with starts
+			// before.
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if machineOf(from) != "" && strings.HasSuffix(r.URL.Path, "/hello") {
 					return fake.DroppedResponse
@@ -145,7 +148,7 @@
 			time.Sleep(2 * time.Second)
 			c.setFault(nil)
 		}},
-		{"one of five is left", 5, nil, func(c *cluster) {
+		{"all nodes but one crash", 5, nil, func(c *cluster) {
 			leader := c.leader()
 			for i := range c.nodes {
 				if i != leader && i != (leader+1)%5 {
@@ -160,15 +163,15 @@
 				}
 			}
 		}},
-		{"the leader has no standby, the others do", 3, map[int]bool{0: true}, func(c *cluster) {
+		{"the leader alone has no standby", 3, map[int]bool{0: true}, func(c *cluster) {
 			c.makeLeader(0)
 			c.restartNodes(0)
 		}},
-		{"the others have no standby", 3, map[int]bool{1: true, 2: true}, func(c *cluster) {
+		{"the followers have no standby", 3, map[int]bool{1: true, 2: true}, func(c *cluster) {
 			c.makeLeader(0)
 			c.handover()
 		}},
-		{"the leader is cut from the nodes as it hands over", 3, nil, func(c *cluster) {
+		{"the leader is partitioned from the nodes as it hands over", 3, nil, func(c *cluster) {
 			host := fmt.Sprintf("host-%d", c.leader())
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 			c.handover()
@@ -198,14 +201,14 @@
 				time.Sleep(500 * time.Millisecond)
 				time.AfterFunc(600*time.Millisecond, func() { c.cancelJob("j-000003", 1) })
 				token := c.fencingToken()
-				tc.trouble(c)
+				tc.inject(c)
 				c.submitJob(testJob("j-000004", 4))
 				for _, id := range []string{"j-000001", "j-000002", "j-000004"} {
 					c.awaitStatus(id, wire.JobDone, 3*time.Minute)
 				}
 				c.checkAnswers([]string{"j-000001", "j-000002", "j-000003", "j-000004"})
 				if c.fencingToken() == token {
-					t.Error("nobody else has led")
+					t.Error("no other node has led")
 				}
 				c.checkRules()
 			})
@@ -213,7 +216,7 @@
 	}
 }
 
-// makeLeader has a node lead, by ending the others for a while.
+// makeLeader makes a node the leader, by killing the others for a while.
 func (c *cluster) makeLeader(node int) {
 	c.t.Helper()
 	for try := 0; c.leader() != node; try++ {
--- a/standby_commands_test.go
+++ b/standby_commands_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestStandbyCommands follows docs/operations-standby.md and docs/operations-zones.md with real
-// processes: the commands,
-// asked of leaders, followers and nodes without a standby. It runs with TestFailoverTimes.
+// TestStandbyCommands runs the commands of docs/operations-standby.md and docs/operations-zones.md
+// with real processes: against leaders, followers and nodes without a standby. It runs with
+// TestFailoverTimes.
 func TestStandbyCommands(t *testing.T) {
 	if os.Getenv(failoverVariable) == "" {
 		t.Skip(failoverVariable + " is not set")
@@ -39,8 +39,8 @@
 	leader := c.leader()
 	follower := 1 - leader
 	address := func(node int) string { return c.Addresses[node].Client }
-	wrong := filepath.Join(t.TempDir(), "wrong.xml")
-	if err := os.WriteFile(wrong, []byte("<caperlatch><standby><pull>1</pull></standby></caperlatch>"), 0o644); err != nil {
+	invalid := filepath.Join(t.TempDir(), "wrong.xml")
+	if err := os.WriteFile(invalid, []byte("<caperlatch><standby><pull>1</pull></standby></caperlatch>"), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	settingsFile := c.SettingsFile(0)
@@ -48,14 +48,14 @@
 		name  string
 		args  []string
 		fails bool
-		says  []string
+		want  []string // parts of the output
 	}{
 		{"check", []string{"check", "--standby", "deploy/standby.xml", settingsFile}, false, []string{"ok: member host-0"}},
-		{"check of wrong settings", []string{"check", "--standby", wrong, settingsFile}, true, []string{"element pull is unknown"}},
+		{"check of invalid settings", []string{"check", "--standby", invalid, settingsFile}, true, []string{"element pull is unknown"}},
 		{"the leader", []string{"standby", "--node", address(leader)}, false, []string{"active", "0 entries behind", "last take-over here"}},
 		{"a follower", []string{"standby", "--node", address(follower)}, false, []string{"following", "whole"}},
 		{"a node without", []string{"standby", "--node", address(2)}, true, []string{"the warm standby is off"}},
-		{"a node that is not there", []string{"standby", "--node", "127.0.0.1:1"}, true, []string{"refused"}},
+		{"a node that does not run", []string{"standby", "--node", "127.0.0.1:1"}, true, []string{"refused"}},
 		{"check of zones", []string{"check", "--features", "deploy/zones.xml", settingsFile}, false, []string{"ok: member host-0"}},
 		{"zones, by the leader", []string{"zones", "--node", address(leader)}, false, []string{"as host-", "sees them", "healthy: its machines are heard"}},
 		{"zones, by a follower", []string{"zones", "--node", address(follower)}, false, []string{"as host-", "healthy: its machines are heard"}},
@@ -71,9 +71,9 @@
 		if (err != nil) != tc.fails {
 			t.Errorf("%s: %v", tc.name, err)
 		}
-		for _, want := range tc.says {
+		for _, want := range tc.want {
 			if !strings.Contains(string(out), want) {
-				t.Errorf("%s says nothing of %q", tc.name, want)
+				t.Errorf("the output of %s lacks %q", tc.name, want)
 			}
 		}
 		if tc.fails && strings.Count(strings.TrimSpace(string(out)), "\n") > 0 {
@@ -87,7 +87,7 @@
 	time.Sleep(2 * time.Second)
 	out, err := exec.Command(program, "standby", "--node", address(follower)).CombinedOutput()
 	if t.Logf("after the handover (%v)\n%s", err, out); !strings.Contains(string(out), "handed over") {
-		t.Error("the take-over is not shown as handed over")
+		t.Error("the failover is not shown as handed over")
 	}
 	token = c.fencingToken()
 	c.ExpectExit(follower)
@@ -95,7 +95,7 @@
 	startedAt := time.Now()
 	c.awaitLeaderAfter(token)
 	if duration := time.Since(startedAt); duration > 2500*time.Millisecond {
-		t.Errorf("after SIGTERM nobody led for %v", duration)
+		t.Errorf("after SIGTERM no node led for %v", duration)
 	}
 	c.awaitStatus("j-000001", "done", time.Minute)
 	c.checkRules()
--- a/standby_test.go
+++ b/standby_test.go
@@ -14,7 +14,7 @@
 	"caperlatch/internal/wire"
 )
 
-// testStandby are the settings of the clusters' warm standby.
+// testStandby returns the settings of the clusters' warm standby.
 func testStandby() *settings.Standby {
 	return &settings.Standby{
 		QueryInterval:   100 * micros.Millisecond,
@@ -27,17 +27,17 @@
 // noTuning leaves the settings of a cluster as they are.
 func noTuning(*settings.Settings) {}
 
-// awaitStandbysComplete waits until all nodes that do not lead have a whole view of the leader's.
+// awaitStandbysComplete waits until all followers have a complete view of the leader's state.
 func (c *cluster) awaitStandbysComplete() {
 	c.t.Helper()
 	for range 200 {
-		whole := 0
+		complete := 0
 		for _, n := range c.nodes {
 			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.Token == c.fencingToken() {
-				whole++
+				complete++
 			}
 		}
-		if whole == len(c.nodes)-1 {
+		if complete == len(c.nodes)-1 {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -45,22 +45,22 @@
 	for _, n := range c.nodes {
 		c.t.Logf("%s: %+v", n.settings.Member, n.standby.follower.Progress())
 	}
-	c.t.Fatal("not all nodes follow")
+	c.t.Fatal("not all followers are complete")
 }
 
-// TestFailoverWithUnreachableMachine ends the leader while an array of which a part has begun goes on, and one of
-// its machines is out of reach. What remains of the array must wait for that machine, as
-// after any crash; after a complete handover it is known that the machine has none of it.
+// TestFailoverWithUnreachableMachine ends the term of the leader while an array is in progress and
+// one of its machines is isolated. The rest of the array must wait for that machine, as after any
+// crash; after a complete handover it is known that the machine has none of these tasks.
 func TestFailoverWithUnreachableMachine(t *testing.T) {
 	cases := []struct {
 		name    string
 		standby *settings.Standby
 		end     func(c *cluster, leader int)
-		soon    bool // the rest goes on before the machine's lease is over
+		soon    bool // the array continues before the machine's lease has expired
 	}{
-		{"cold, a crash", nil, func(c *cluster, leader int) { c.kill(leader) }, false},
-		{"warm, a crash", testStandby(), func(c *cluster, leader int) { c.kill(leader) }, false},
-		{"a handover", testStandby(), func(c *cluster, leader int) {
+		{"crash without standby", nil, func(c *cluster, leader int) { c.kill(leader) }, false},
+		{"crash with standby", testStandby(), func(c *cluster, leader int) { c.kill(leader) }, false},
+		{"handover", testStandby(), func(c *cluster, leader int) {
 			to, err := c.nodes[leader].HandOver()
 			if err != nil || to == "" {
 				c.t.Errorf("handed over to %q: %v", to, err)
@@ -75,7 +75,7 @@
 				c.cloud.MaxMachines = 6
 				c.cloud.RuntimeOf = func(task string) float64 {
 					if strings.HasSuffix(task, "/0") {
-						return 300 // on the machine that is to be out of reach
+						return 300 // on the machine that is to be isolated
 					}
 					return 1
 				}
@@ -92,9 +92,9 @@
 				if tc.standby != nil {
 					c.awaitStandbysComplete()
 				}
-				away := map[string]bool{c.cloud.WorkersOf("j-000001")[0].ID: true}
+				isolated := map[string]bool{c.cloud.WorkersOf("j-000001")[0].ID: true}
 				var dropped counter
-				c.setFault(isolateMachines(away, &dropped))
+				c.setFault(isolateMachines(isolated, &dropped))
 				leader, token := c.leader(), c.fencingToken()
 				tc.end(c, leader)
 				c.awaitLeaderAfter(token)
@@ -107,9 +107,9 @@
 					}
 				}
 				if soon := first != 0 && first < 2*time.Second; soon != tc.soon {
-					t.Errorf("the array goes on %v after another leads, want soon: %v", first, tc.soon)
+					t.Errorf("the array continues %v after the next leader leads, want soon: %v", first, tc.soon)
 				}
-				t.Logf("the array goes on after %v", first)
+				t.Logf("the array continues after %v", first)
 				c.setFault(nil)
 				c.checkRules()
 			})
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestFailoverDuringZoneLoss crashes the leader while a zone is cut off. An array that is bound to the
-// other zone has no task in the zone that is cut: with the standby it goes on at once, and an
-// array that may be anywhere waits for the lease, as ever.
+// TestFailoverDuringZoneLoss kills the leader while a zone is isolated. An array that is bound to
+// the other zone has no task in the isolated zone: with the standby it continues at once. An array
+// that may be anywhere waits for the leases.
 func TestFailoverDuringZoneLoss(t *testing.T) {
 	for _, standby := range []*settings.Standby{nil, testStandby()} {
 		t.Run(fmt.Sprintf("standby %v", standby != nil), func(t *testing.T) {
@@ -131,10 +131,10 @@
 				c.cloud.RuntimeOf = func(string) float64 { return 1 }
 				bound, free := testJob("j-000001", 20000), testJob("j-000002", 20000)
 				bound["hall"] = "a"
-				other := testJob("j-000003", 2000) // has machines in the zone that is cut
+				other := testJob("j-000003", 2000) // has machines in the zone that is isolated
 				other["hall"] = "b"
 				c.submitJob(other)
-				free["vcpus"] = 3.0 // leaves room for a task of the other on each machine
+				free["vcpus"] = 3.0 // leaves room for a task of the bound array on each machine
 				c.submitJob(free)
 				c.submitJob(bound)
 				for i := 0; c.cloud.StartsOf("j-000001") < 40 || c.cloud.StartsOf("j-000002") < 40 || c.cloud.StartsOf("j-000003") < 40; i++ {
@@ -143,27 +143,27 @@
 					}
 					time.Sleep(200 * time.Millisecond)
 				}
-				away := map[string]bool{}
+				isolated := map[string]bool{}
 				for _, w := range c.cloud.Workers() {
 					if w.Zone() == "b" {
-						away[w.ID] = true
+						isolated[w.ID] = true
 					}
 				}
 				var dropped counter
-				c.setFault(isolateMachines(away, &dropped))
+				c.setFault(isolateMachines(isolated, &dropped))
 				token := c.fencingToken()
 				c.kill(c.leader())
 				c.awaitLeaderAfter(token)
 				before := [2]int{c.cloud.StartsOf("j-000001"), c.cloud.StartsOf("j-000002")}
 				time.Sleep(4 * time.Second)
 				if got := c.cloud.StartsOf("j-000001") > before[0]; got != (standby != nil) {
-					t.Errorf("the bound array goes on within 4 s: %v", got)
+					t.Errorf("the bound array continues within 4 s: %v", got)
 				}
 				if c.cloud.StartsOf("j-000002") > before[1] {
-					t.Error("the other array goes on while its tasks may run unseen")
+					t.Error("the other array continues while its tasks may run on isolated machines")
 				}
-				if len(away) == 0 || len(away) == len(c.cloud.Workers()) {
-					t.Errorf("%d of %d machines are cut off", len(away), len(c.cloud.Workers()))
+				if len(isolated) == 0 || len(isolated) == len(c.cloud.Workers()) {
+					t.Errorf("%d of %d machines are isolated", len(isolated), len(c.cloud.Workers()))
 				}
 				c.setFault(nil)
 				c.checkRules()
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestRepeatedHandovers hands leadership on again and again, while work comes, runs, ends and
-// is cancelled: each time the named node leads within a second, and no rule is broken.
+// TestRepeatedHandovers hands leadership over again and again, while jobs are submitted, run,
+// complete and are cancelled: each time the named node leads within 2.5 s, and no rule is violated.
 func TestRepeatedHandovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStandbyCluster(t, 3, noTuning, testStandby())
@@ -216,14 +216,14 @@
 	})
 }
 
-// TestHandoverWithoutSuccessor hands over while the named node ends at once, and while no node
-// follows: anyone leads all the same, and not later than after a crash.
+// TestHandoverWithoutSuccessor hands over while the named node crashes, and while no node follows:
+// some node leads all the same, and not later than after a crash.
 func TestHandoverWithoutSuccessor(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(c *cluster, leader int) // before or as the handover begins
+		name   string
+		inject func(c *cluster, leader int) // before the handover
 	}{
-		{"the named node ends", func(c *cluster, leader int) {
+		{"the named node crashes", func(c *cluster, leader int) {
 			named := c.nodes[leader].standby.currentPublisher().Furthest(micros.Second).Member
 			for i, n := range c.nodes {
 				if n.settings.Member == named {
@@ -231,7 +231,7 @@
 				}
 			}
 		}},
-		{"no node hears the leader", func(c *cluster, leader int) {
+		{"the leader is partitioned from all nodes", func(c *cluster, leader int) {
 			host := fmt.Sprintf("host-%d", leader)
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 		}},
@@ -244,14 +244,14 @@
 				c.submit("j-000001", 30)
 				c.awaitStandbysComplete()
 				leader, token := c.leader(), c.fencingToken()
-				tc.spoil(c, leader)
+				tc.inject(c, leader)
 				startedAt := time.Now()
 				if _, err := c.nodes[leader].HandOver(); err != nil {
 					t.Fatal(err)
 				}
 				c.awaitLeaderAfter(token)
 				if duration := time.Since(startedAt); duration > 4*time.Second {
-					t.Errorf("nobody led for %v", duration)
+					t.Errorf("no node led for %v", duration)
 				}
 				c.healPeers()
 				c.awaitStatus("j-000001", wire.JobDone, time.Minute)
@@ -261,7 +261,7 @@
 	}
 }
 
-// TestStandbyDisabled asks nodes without a standby, as earlier versions are: they say so.
+// TestStandbyDisabled queries nodes without a standby, as earlier versions are: they say so.
 func TestStandbyDisabled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -275,22 +275,22 @@
 	})
 }
 
-// TestFailoverStartLatency ends the leader again and again and measures until a job starts that was
-// submitted since: with the standby, where reports wait for the next leader, half of the
-// times are within 4 s and all within 5 s, of which the session's end takes 3 s.
+// TestFailoverStartLatency kills the leader again and again and measures until a job starts that
+// was submitted afterwards: with the standby, where heartbeats wait for the next leader, half of
+// the times are within 4 s and all within 5 s, of which the session's end takes 3 s.
 func TestFailoverStartLatency(t *testing.T) {
-	const ends = 15
+	const kills = 15
 	measure := func(t *testing.T, standby *settings.Standby) (times []time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newStandbyCluster(t, 3, noTuning, standby)
 			defer c.close()
 			c.cloud.MaxMachines = 20
 			c.cloud.RuntimeOf = func(string) float64 { return 1 }
-			c.submit("j-000100", 8000) // room comes free all the time
+			c.submit("j-000100", 8000) // so that room comes free all the time
 			time.Sleep(15 * time.Second)
-			for n := range ends {
+			for n := range kills {
 				time.Sleep(3*time.Second + time.Duration(n*170)*time.Millisecond)
-				leader, ended := c.leader(), time.Now()
+				leader, killedAt := c.leader(), time.Now()
 				c.kill(leader)
 				id := fmt.Sprintf("j-%06d", n+1)
 				job := testJob(id, 1)
@@ -301,7 +301,7 @@
 				for c.cloud.StartsOf(id) == 0 {
 					time.Sleep(20 * time.Millisecond)
 				}
-				times = append(times, time.Since(ended))
+				times = append(times, time.Since(killedAt))
 				c.start(leader)
 			}
 			c.checkRules()
@@ -310,8 +310,8 @@
 		return times
 	}
 	cold, warm := measure(t, nil), measure(t, testStandby())
-	t.Logf("cold: median %v, most %v; warm: median %v, most %v", cold[ends/2], cold[ends-1], warm[ends/2], warm[ends-1])
-	if warm[ends/2] > 4*time.Second || warm[ends-1] > 5*time.Second {
+	t.Logf("cold: median %v, most %v; warm: median %v, most %v", cold[kills/2], cold[kills-1], warm[kills/2], warm[kills-1])
+	if warm[kills/2] > 4*time.Second || warm[kills-1] > 5*time.Second {
 		t.Errorf("with the standby: %v", warm)
 	}
 }
--- a/versions_test.go
+++ b/versions_test.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestReadyVersions asks a node which versions serve, as an operator does between
-// two steps of an upgrade.
+// TestReadyVersions checks which versions a node says are serving, as an operator asks between two
+// steps of an upgrade.
 func TestReadyVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -37,10 +37,10 @@
 		ask("all serve", http.StatusOK, peer.Version, true, true)
 		c.kill(2)
 		time.Sleep(5 * time.Second)
-		ask("one has ended", http.StatusOK, 0, true, false)
+		ask("one node is down", http.StatusOK, 0, true, false)
 		c.start(2)
 		time.Sleep(3 * time.Second)
-		ask("it is back", http.StatusOK, peer.Version, true, true)
+		ask("it is up again", http.StatusOK, peer.Version, true, true)
 		c.kill(1)
 		c.kill(2)
 		c.state.SetOutage(true)
