--- a/cluster_test.go
+++ b/cluster_test.go
@@ -395,16 +395,14 @@
 	time.Sleep(2 * time.Second)
 }
 
-// runningTasks counts the tasks of a job that are on machines.
-func (c *cluster) runningTasks(id string) (n int) {
-	for _, task := range c.cloud.TasksOnMachines() {
-		if strings.HasPrefix(task, id+"/") {
-			n++
-		}
-	}
-	return n
+// tasksOn lists the tasks with a prefix that are on machines.
+func (c *cluster) tasksOn(prefix string) []string {
+	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
 }
 
+// runningTasks counts the tasks of a job that are on machines.
+func (c *cluster) runningTasks(id string) int { return len(c.tasksOn(id + "/")) }
+
 // cancelJob repeats a cancellation until it is confirmed.
 func (c *cluster) cancelJob(id string, first int) {
 	c.t.Helper()
--- a/failover_measurement_costs_test.go
+++ b/failover_measurement_costs_test.go
@@ -13,20 +13,20 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// nodeCost is what a node's process took over some seconds, and how far it followed.
+// nodeCost is what a node's process used over some seconds, and how far its standby was behind.
 type nodeCost struct {
 	mode       failover.Mode
 	leads      bool
 	cpuShare   float64 // of a core
 	megabytes  float64 // resident
 	lagEntries uint64
-	lag        micros.Micros // negative: it does not follow
+	lag        micros.Micros // failover.Missing: it does not follow
 }
 
-// costPeriod is over how long a process's use of the processor is measured.
+// costPeriod is for how long a process's use of the processor is measured.
 const costPeriod = 3 * time.Second
 
-// sampleCost measures all nodes of a cluster that nothing happens to.
+// sampleCost measures all nodes of a cluster without faults.
 func (f *failoverRun) sampleCost(c *processes, mode failover.Mode) {
 	leader := c.leader()
 	before := make([]float64, c.size)
@@ -58,7 +58,7 @@
 	ticksPerSecond   = 100
 )
 
-// processorSeconds is how long a process has run so far.
+// processorSeconds returns how long a process has run so far.
 func processorSeconds(t *testing.T, pid int) float64 {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -77,7 +77,7 @@
 	return float64(ticks) / ticksPerSecond
 }
 
-// residentMegabytes is a process's resident memory.
+// residentMegabytes returns a process's resident memory.
 func residentMegabytes(t *testing.T, pid int) float64 {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -94,7 +94,7 @@
 	return 0
 }
 
-// reportCosts logs what nodes took, by mode and part.
+// reportCosts logs what nodes used, by mode and role.
 func reportCosts(t *testing.T, costs []nodeCost) {
 	t.Helper()
 	for _, mode := range []failover.Mode{failover.Cold, failover.Warm} {
--- a/failover_measurement_test.go
+++ b/failover_measurement_test.go
@@ -16,9 +16,9 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// Variables of TestFailoverTimes, which takes minutes of real time: how many changes of
-// leader it measures in all (without it, it is skipped), over how many machines, by how many
-// clusters at a time, and where the history is written.
+// Variables of TestFailoverTimes, which takes minutes of real time: how many failovers it measures
+// in all (without it, it is skipped), over how many machines, by how many clusters at a time, and
+// where the history is written.
 const (
 	failoverVariable         = "CAPERLATCH_FAILOVER"
 	failoverMachinesVariable = "CAPERLATCH_FAILOVER_MACHINES"
@@ -26,22 +26,22 @@
 	failoverOutVariable      = "CAPERLATCH_FAILOVER_OUT"
 )
 
-// Sizes where the variables say nothing.
+// Defaults of the variables.
 const (
 	failoverMachines = 200
 	failoverClusters = 4
 )
 
-// failoverTimeout is how long a change may take before it counts as not happened.
+// failoverTimeout is how long a failover may take before it counts as not happened.
 const failoverTimeout = 60 * time.Second
 
-// TestFailoverTimes ends the leader of real processes on loopback, by SIGKILL, by SIGSTOP
-// with SIGCONT later, and by SIGTERM, at random moments, with the standby on and off in turn,
-// and measures until another leads, until a new job starts, and until an old one goes on. The
-// checker of rules watches all of it.
+// TestFailoverTimes ends the leader of real processes on loopback, by SIGKILL, by SIGSTOP with
+// SIGCONT later, and by SIGTERM, at random times, with the standby on and off in turn, and measures
+// until the next node leads, until a new job starts, and until an old one continues. All of it runs
+// under the checker of the rules.
 func TestFailoverTimes(t *testing.T) {
-	ends := intVariable(t, failoverVariable, 0)
-	if ends == 0 {
+	failovers := intVariable(t, failoverVariable, 0)
+	if failovers == 0 {
 		t.Skip(failoverVariable + " is not set")
 	}
 	machines := intVariable(t, failoverMachinesVariable, failoverMachines)
@@ -56,7 +56,7 @@
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
 				f := &failoverRun{t: t, program: program, machines: machines, random: rand.New(rand.NewPCG(uint64(i), uint64(machines)))}
-				changes := f.measure(fmt.Sprint(i), (ends+clusters-1)/clusters)
+				changes := f.measure(fmt.Sprint(i), (failovers+clusters-1)/clusters)
 				mu.Lock()
 				defer mu.Unlock()
 				history = append(history, changes...)
@@ -73,12 +73,12 @@
 	reportCosts(t, costs)
 }
 
-// intVariable reads a number from the environment.
-func intVariable(t *testing.T, name string, otherwise int) int {
+// intVariable returns a number from the environment, or a default.
+func intVariable(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
@@ -97,10 +97,11 @@
 	costs    []nodeCost
 }
 
-// changesPerMode is how many changes are measured at most before the standby is switched on or off.
+// changesPerMode is how many failovers are measured at most before the standby is switched on or
+// off.
 const changesPerMode = 15
 
-// measure measures changes of leader, with the standby off and on in turn.
+// measure measures failovers, with the standby off and on in turn.
 func (f *failoverRun) measure(run string, changes int) (history []failover.Change) {
 	inTurn := min(changesPerMode, max(1, changes/2))
 	for len(history) < changes {
@@ -120,10 +121,11 @@
 	return history
 }
 
-// largeFleetMachines is from how many machines on workers report as a large fleet's do.
+// largeFleetMachines is from how many machines on workers have the heartbeats and leases of a large
+// fleet.
 const largeFleetMachines = 1000
 
-// measureMode measures changes with a new cluster.
+// measureMode measures failovers with a new cluster.
 func (f *failoverRun) measureMode(mode failover.Mode, changes int) (history []failover.Change) {
 	scale := clusterScale{heartbeatIntervalS: 2, leaseDurationS: 12, cancellationTimeoutS: 30, sockets: 2000}
 	runS := 4.0
@@ -145,7 +147,7 @@
 	for range changes {
 		old = f.refill(c, old)
 		f.sampleCost(c, mode)
-		// Any moment of the reports' and tasks' rhythm.
+		// At any phase of the heartbeats and tasks.
 		time.Sleep(time.Duration(f.random.IntN(2000)) * time.Millisecond)
 		change, ok := f.change(c, old)
 		if !ok {
@@ -160,16 +162,16 @@
 	return history
 }
 
-// oldJobTasks is how many tasks the job has that goes on across changes.
+// oldJobTasks is how many tasks the job has that continues across failovers.
 const oldJobTasks = 100_000
 
-// newID is the name of the next job.
+// newID returns the ID of the next job.
 func (f *failoverRun) newID() string {
 	f.next++
 	return fmt.Sprintf("j-%06d", f.next)
 }
 
-// wholeMachineJob is a job whose tasks take a whole machine each.
+// wholeMachineJob returns a job of which each machine has room for one task.
 func wholeMachineJob(id string, tasks int) map[string]any {
 	job := testJob(id, tasks)
 	job["vcpus"] = 3.0
@@ -188,7 +190,7 @@
 	return id
 }
 
-// refill submits another job for all machines when the one before is nearly over.
+// refill submits another job for all machines when the one before is nearly done.
 func (f *failoverRun) refill(c *processes, old string) string {
 	if c.cloud.StartsOf(old) < oldJobTasks*9/10 {
 		return old
@@ -201,12 +203,12 @@
 	return id
 }
 
-// change ends the leader once and measures; the leader comes back afterwards.
+// change ends the leader once and measures; the node comes back afterwards.
 func (f *failoverRun) change(c *processes, old string) (failover.Change, bool) {
 	leader, token := c.leader(), c.fencingToken()
 	change := failover.Change{LeaderElected: failover.Missing, FirstNewStart: failover.Missing, FirstOldResumed: failover.Missing}
 	process := c.Process(leader)
-	ended := time.Now()
+	endedAt := time.Now()
 	switch f.random.IntN(3) {
 	case 0:
 		change.Cause = failover.Killed
@@ -219,12 +221,12 @@
 		c.ExpectExit(leader)
 		f.signal(process, syscall.SIGTERM)
 	}
-	f.observe(c, old, token, ended, &change)
+	f.observe(c, old, token, endedAt, &change)
 	switch change.Cause {
 	case failover.Frozen:
-		// Until after another leads, and for longer than a lease at times.
+		// Until after another node leads, and at times for longer than a lease.
 		time.Sleep(time.Duration(f.random.IntN(6000)) * time.Millisecond)
-		change.OldLeaderFrozen = microsSince(ended)
+		change.OldLeaderFrozen = microsSince(endedAt)
 		f.signal(process, syscall.SIGCONT)
 		time.Sleep(2 * time.Second)
 	default:
@@ -241,33 +243,33 @@
 	}
 }
 
-// microsSince is the time since an instant.
+// microsSince returns the time since an instant.
 func microsSince(t time.Time) micros.Micros { return micros.Micros(time.Since(t) / time.Microsecond) }
 
-// Times of observing.
+// Intervals of observe.
 const (
 	observeInterval = 5 * time.Millisecond
 	newJobInterval  = 250 * time.Millisecond
 )
 
-// observe notes when another leads, when a job that was submitted since starts, and when the
-// old one goes on.
-func (f *failoverRun) observe(c *processes, old string, token uint64, ended time.Time, change *failover.Change) {
+// observe records when another node leads, when a job starts that was submitted afterwards, and
+// when the old one continues.
+func (f *failoverRun) observe(c *processes, old string, token uint64, endedAt time.Time, change *failover.Change) {
 	stop := make(chan struct{})
 	var submitting sync.WaitGroup
 	defer submitting.Wait()
 	defer close(stop)
 	var mu sync.Mutex
-	var fresh []string
+	var newJobs []string
 	submitting.Go(func() {
 		for n := 0; ; n++ {
 			mu.Lock()
 			id := f.newID()
-			fresh = append(fresh, id)
+			newJobs = append(newJobs, id)
 			mu.Unlock()
 			job := testJob(id, 1)
 			job["rank"], job["vcpus"] = "urgent", 1.0
-			// A node that stands still must not hold up the next submission.
+			// A frozen node must not delay the next submission.
 			submitting.Go(func() { c.request(http.MethodPost, n%3, "/v1/jobs", job) })
 			select {
 			case <-stop:
@@ -277,21 +279,21 @@
 		}
 	})
 	oldStarts := 0
-	for time.Since(ended) < failoverTimeout && (change.FirstNewStart < 0 || change.FirstOldResumed < 0) {
+	for time.Since(endedAt) < failoverTimeout && (change.FirstNewStart < 0 || change.FirstOldResumed < 0) {
 		time.Sleep(observeInterval)
 		if change.LeaderElected < 0 {
 			if c.fencingToken() == token {
 				continue
 			}
-			change.LeaderElected, oldStarts = microsSince(ended), c.cloud.StartsOf(old)
+			change.LeaderElected, oldStarts = microsSince(endedAt), c.cloud.StartsOf(old)
 		}
 		if change.FirstOldResumed < 0 && c.cloud.StartsOf(old) > oldStarts {
-			change.FirstOldResumed = microsSince(ended)
+			change.FirstOldResumed = microsSince(endedAt)
 		}
 		mu.Lock()
-		for _, id := range fresh {
+		for _, id := range newJobs {
 			if change.FirstNewStart < 0 && c.cloud.StartsOf(id) > 0 {
-				change.FirstNewStart = microsSince(ended)
+				change.FirstNewStart = microsSince(endedAt)
 			}
 		}
 		mu.Unlock()
@@ -305,9 +307,9 @@
 		name string
 		of   func(failover.Change) micros.Micros
 	}{
-		{"another leads", func(c failover.Change) micros.Micros { return c.LeaderElected }},
+		{"another node leads", func(c failover.Change) micros.Micros { return c.LeaderElected }},
 		{"a new job starts", func(c failover.Change) micros.Micros { return c.FirstNewStart }},
-		{"an old job goes on", func(c failover.Change) micros.Micros { return c.FirstOldResumed }},
+		{"an old job continues", func(c failover.Change) micros.Micros { return c.FirstOldResumed }},
 	}
 	groups, order := failover.GroupChanges(history)
 	for _, m := range measures {
@@ -318,7 +320,7 @@
 				times = append(times, m.of(c))
 			}
 			s := failover.Summarize(times)
-			t.Logf("%-18s %-4s %-7s %4d machines: %3d (missing %d), median %.2f, 95%% %.2f, 99%% %.2f, most %.2f s; mean %.2f (%.2f to %.2f)",
+			t.Logf("%-19s %-4s %-7s %4d machines: %3d (missing %d), median %.2f, 95%% %.2f, 99%% %.2f, most %.2f s; mean %.2f (%.2f to %.2f)",
 				m.name, g.Mode, g.Cause, g.Machines, s.Count, s.Missing, s.Median.Seconds(), s.P95.Seconds(), s.P99.Seconds(), s.Max.Seconds(), s.Mean.Value, s.Mean.Low, s.Mean.High)
 			if byMode[g.Cause] == nil {
 				byMode[g.Cause] = map[failover.Mode][]micros.Micros{}
@@ -327,7 +329,7 @@
 		}
 		for _, cause := range []failover.Cause{failover.Killed, failover.Frozen, failover.Planned} {
 			ratio := failover.Ratio(byMode[cause][failover.Warm], byMode[cause][failover.Cold])
-			t.Logf("%-18s %-7s warm/cold %.2f (%.2f to %.2f)", m.name, cause, ratio.Value, ratio.Low, ratio.High)
+			t.Logf("%-19s %-7s warm/cold %.2f (%.2f to %.2f)", m.name, cause, ratio.Value, ratio.Low, ratio.High)
 		}
 	}
 }
--- a/outage_cancellation_test.go
+++ b/outage_cancellation_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
-	"slices"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -285,8 +284,3 @@
 func isEveryOtherMachine(host string) bool {
 	return strings.HasPrefix(host, "i-") && (host[len("i-00000")]-'0')%2 == 0
 }
-
-// tasksOn lists the tasks with a prefix that are on machines.
-func (c *cluster) tasksOn(prefix string) []string {
-	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
-}
--- a/rolling_upgrade_test.go
+++ b/rolling_upgrade_test.go
@@ -21,12 +21,12 @@
 // minutes of real time.
 const upgradeVariable = "CAPERLATCH_UPGRADE"
 
-// TestRollingUpgrade runs processes of each earlier version, built from the repository's
-// history, and of this version side by side on loopback, against the stand-ins: the old
-// ones are killed one after the other and come back with this version; one comes back old
-// first, and one goes back to the old one; meanwhile the state service is down for a
-// while. Then it lowers its limits. Gangs are submitted as soon as all nodes that serve
-// know them. Each submission is repeated at every node. All under the checker of rules.
+// TestRollingUpgrade runs processes of each earlier version, built from the repository's history,
+// and of this version side by side on loopback, against the fakes: the old ones are killed one
+// after the other and come back with this version; one comes back old first, and one goes back to
+// the old version; meanwhile the state service has an outage. Then it lowers its limits. Gangs are
+// submitted as soon as all nodes that serve know them. Each submission is repeated at every node.
+// All runs under the checker of the rules.
 func TestRollingUpgrade(t *testing.T) {
 	if os.Getenv(upgradeVariable) == "" {
 		t.Skip(upgradeVariable + " is not set")
@@ -43,6 +43,7 @@
 	}
 }
 
+// shell runs a script with bash, and fails the test if it fails.
 func shell(t *testing.T, script string, args ...string) {
 	t.Helper()
 	cmd := exec.Command("bash", append([]string{"-euo", "pipefail", "-c", script, "bash"}, args...)...)
@@ -51,7 +52,7 @@
 	}
 }
 
-// runRollout upgrades three nodes from the old program to the one of now.
+// runRollout upgrades three nodes from the old program to the new one.
 func runRollout(t *testing.T, old, now string, v oldVersion) {
 	gangs := v.gangs
 	r := &rollout{processes: newProcesses(t, 3, t.TempDir()), startedAt: time.Now(), gangsSupported: gangs, newArgs: v.args, finalStatuses: map[string]string{},
@@ -68,7 +69,7 @@
 		r.interruptGang()
 	}
 	leader := r.leader()
-	r.replaceProgram(leader, old, time.Second) // comes back old before its turn
+	r.replaceProgram(leader, old, time.Second) // comes back old at first
 	r.replaceProgram((leader+1)%3, now, time.Second)
 	r.submit(2)
 	if gangs {
@@ -77,14 +78,14 @@
 		r.leadWith(now)
 		r.interruptGang()
 	}
-	r.replaceProgram(r.leader(), now, time.Second) // old or new, it ends
+	r.replaceProgram(r.leader(), now, time.Second) // whichever version it has
 	r.submit(2)
-	r.state.SetOutage(true) // while both serve
+	r.state.SetOutage(true) // while both versions serve
 	time.Sleep(4 * time.Second)
 	r.state.SetOutage(false)
-	r.replaceProgram((leader+1)%3, old, 300*time.Millisecond) // and back
+	r.replaceProgram((leader+1)%3, old, 300*time.Millisecond) // back to the old version
 	r.submit(1)
-	for i := range r.size { // now all
+	for i := range r.size { // all of them
 		r.replaceProgram(i, now, 500*time.Millisecond)
 	}
 	r.gangsSupported = true
@@ -95,32 +96,32 @@
 	r.submit(2)
 	r.cancel(r.jobs[len(r.jobs)-1])
 	r.awaitAll()
-	t.Logf("%v: all jobs are over", time.Since(r.startedAt).Round(time.Second))
+	t.Logf("%v: all jobs have ended", time.Since(r.startedAt).Round(time.Second))
 	t.Logf("gangs accepted by nodes of each program: %v", r.accepted)
 	if gangs && (r.accepted["old"] == 0 || r.accepted["now"] == 0) {
-		t.Errorf("not every version has accepted gangs: %v", r.accepted)
+		t.Errorf("not every version accepted gangs: %v", r.accepted)
 	}
 	if n := r.state.RejectedTxns(); n != 0 {
-		t.Errorf("%d transactions were refused for their size", n)
+		t.Errorf("%d transactions were rejected for their size", n)
 	}
 	if broken := r.cloud.Violations(); broken != nil {
 		t.Error(broken)
 	}
 }
 
-// rollout is processes of two versions with the jobs that they were given.
+// rollout is a cluster of processes of two versions, with the jobs that were submitted to it.
 type rollout struct {
 	*processes
 	startedAt      time.Time
-	gangsSupported bool     // all that serve know gangs
+	gangsSupported bool     // by all nodes that serve
 	newArgs        []string // of new processes
 	programs       []string
 	jobs           []map[string]any
-	finalStatuses  map[string]string // the state that each job must end in
+	finalStatuses  map[string]string // that each job must reach
 	accepted       map[string]int    // gangs, by the program (old, now) of the node that accepted them
 }
 
-// startNode begins a life of a node with a program.
+// startNode starts a new incarnation of a node with a program.
 func (r *rollout) startNode(i int, program string) {
 	r.programs[i], r.Args = program, nil
 	if filepath.Base(program) == "now" {
@@ -129,7 +130,7 @@
 	r.run(i, program)
 }
 
-// replaceProgram ends a node and has it come back with a program.
+// replaceProgram kills a node and starts it with a program after a while.
 func (r *rollout) replaceProgram(i int, program string, down time.Duration) {
 	r.kill(i)
 	time.Sleep(down)
@@ -138,7 +139,7 @@
 	r.t.Logf("%v: node %d is back with %s", time.Since(r.startedAt).Round(time.Second), i, filepath.Base(program))
 }
 
-// leadWith has a node of a program lead, by ending all others for a while.
+// leadWith makes a node with a program the leader, by killing all others for a while.
 func (r *rollout) leadWith(program string) {
 	for i, p := range r.programs {
 		if p != program {
@@ -159,7 +160,7 @@
 	time.Sleep(2500 * time.Millisecond)
 }
 
-// submit gives jobs of independent tasks and, if all know them, as many gangs.
+// submit submits jobs of independent tasks and, if all nodes know them, as many gangs.
 func (r *rollout) submit(n int) {
 	for range n {
 		if r.gangsSupported {
@@ -169,7 +170,7 @@
 	}
 }
 
-// submitGang gives a gang on three machines, and returns its name.
+// submitGang submits a gang for three machines, and returns its ID.
 func (r *rollout) submitGang() string {
 	id := r.nextID()
 	node := r.submitAndRepeat(gangJob(id, 3, 3, nil))
@@ -177,10 +178,11 @@
 	return id
 }
 
+// nextID returns the ID of the next job.
 func (r *rollout) nextID() string { return fmt.Sprintf("j-%06d", len(r.jobs)+1) }
 
-// submitAndRepeat submits a job, first at one node and then at the next, until one accepts it, which
-// it returns; and repeats the submission at all.
+// submitAndRepeat submits a job, first to one node and then to the next, until one accepts it,
+// whose index it returns; and repeats the submission at all nodes.
 func (r *rollout) submitAndRepeat(job map[string]any) (node int) {
 	r.t.Helper()
 	id := job["id"].(string)
@@ -197,9 +199,9 @@
 	return -1
 }
 
-// repeat submits a job that was accepted again, at each node until it answers, and returns
-// the statuses told. That none goes back the checker of rules sees to.
-func (r *rollout) repeat(job map[string]any) (told []string) {
+// repeat submits an accepted job again, to each node until it answers, and returns the statuses of
+// the responses. That none goes back is checked by the checker of the rules.
+func (r *rollout) repeat(job map[string]any) (statuses []string) {
 	r.t.Helper()
 	for node := range r.size {
 		code, status := 0, wire.JobStatus{}
@@ -212,12 +214,12 @@
 		if code != http.StatusOK || status.Status == "" {
 			r.t.Errorf("%s submitted again at node %d: %d, %q", job["id"], node, code, status.Status)
 		}
-		told = append(told, status.Status)
+		statuses = append(statuses, status.Status)
 	}
-	return told
+	return statuses
 }
 
-// cancel cancels a job.
+// cancel cancels a job, each time at the next node until it is confirmed.
 func (r *rollout) cancel(job map[string]any) {
 	id := job["id"].(string)
 	r.finalStatuses[id] = wire.JobCancelled
@@ -230,8 +232,8 @@
 	r.t.Errorf("%s could not be cancelled", id)
 }
 
-// stopGangIfReachable has the cloud take a machine from a gang that runs, with enough time to stop it
-// and save. It must run again.
+// interruptGang has the cloud interrupt a machine of a running gang, with enough notice to stop the
+// gang with a checkpoint. It must run again.
 func (r *rollout) interruptGang() {
 	r.t.Helper()
 	leader, startedAt := r.programs[r.leader()], time.Now()
@@ -241,13 +243,14 @@
 	r.cloud.WorkersOf(id)[0].Interrupt(5 * time.Second)
 	r.awaitStatus(id, wire.JobDone, time.Minute)
 	if runs := r.cloud.GangRuns(id); runs < 2 {
-		r.t.Errorf("%s ran %d times, although it lost a machine", id, runs)
+		r.t.Errorf("%s has %d full runs, although it lost a machine", id, runs)
 	}
-	r.t.Logf("%s, led by %s: attempts that ran %d, progress saved %v, done after %v",
+	r.t.Logf("%s, led by %s: %d full runs, progress kept %v, done after %v",
 		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangProgress(id), time.Since(startedAt).Round(time.Second))
 }
 
-// awaitAll awaits the ends of all jobs. A submission that is repeated then is told of them.
+// awaitAll waits for the final statuses of all jobs. A submission that is repeated then is answered
+// with them.
 func (r *rollout) awaitAll() {
 	for _, job := range r.jobs {
 		id := job["id"].(string)
@@ -255,9 +258,9 @@
 	}
 	for _, job := range r.jobs {
 		id := job["id"].(string)
-		for node, told := range r.repeat(job) {
-			if told != r.finalStatuses[id] {
-				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, told, r.finalStatuses[id])
+		for node, status := range r.repeat(job) {
+			if status != r.finalStatuses[id] {
+				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, status, r.finalStatuses[id])
 			}
 		}
 	}
@@ -269,9 +272,9 @@
 	*harness.ProcessCluster
 }
 
-// clusterScale is how large the world of the processes is.
+// clusterScale is how large the deployment of a cluster of processes is.
 type clusterScale struct {
-	heartbeatIntervalS, leaseDurationS, cancellationTimeoutS float64 // of the workers
+	heartbeatIntervalS, leaseDurationS, cancellationTimeoutS float64 // of the workers, in seconds
 	sockets                                                  int     // of a node
 }
 
@@ -280,7 +283,7 @@
 	return clusterScale{heartbeatIntervalS, leaseDurationS, cancellationTimeoutS, 1000}
 }
 
-// settings are those of a node of a world of this scale.
+// settings returns the settings of a node of a deployment of this scale.
 func (p clusterScale) settings(node, nodes int) *settings.Settings {
 	s := nodeSettings(node, nodes)
 	announceLimits(s)
@@ -293,11 +296,12 @@
 	return s
 }
 
+// newProcesses prepares a cluster of processes with few machines.
 func newProcesses(t *testing.T, nodes int, dir string) *processes {
 	return newScaledProcesses(t, nodes, dir, smallFleetScale())
 }
 
-// newScaledProcesses prepares processes for a world of a scale.
+// newScaledProcesses prepares a cluster of processes for a deployment of a scale.
 func newScaledProcesses(t *testing.T, nodes int, dir string, scale clusterScale) *processes {
 	c := &cluster{t: t, size: nodes}
 	var p *harness.ProcessCluster
@@ -323,13 +327,13 @@
 // kill ends a node's process.
 func (c *processes) kill(i int) { c.ProcessCluster.Kill(i) }
 
-// run begins a new life of a node with a program.
+// run starts a new incarnation of a node with a program.
 func (c *processes) run(i int, program string) {
 	c.t.Helper()
 	c.must(c.StartNode(i, program))
 }
 
-// close ends all and, of a test that failed, shows what the processes logged.
+// close ends all processes and, if the test failed, logs what they logged.
 func (c *processes) close() {
 	c.Close()
 	if !c.t.Failed() {
--- a/upgrade_failover_test.go
+++ b/upgrade_failover_test.go
@@ -15,11 +15,12 @@
 	"caperlatch/internal/wire"
 )
 
-// oldVersion is an earlier version that may serve beside this one, and be upgraded from.
+// oldVersion is an earlier version that may serve beside this one, and from which nodes are
+// upgraded.
 type oldVersion struct {
 	name  string // first digits of its commit, and its directory in testdata/versions
-	gangs bool   // it runs gangs
-	// args are those of the new processes when an upgrade from it is tried.
+	gangs bool   // whether it runs gangs
+	// args are the arguments of the new processes in a rolling upgrade from it.
 	args []string
 }
 
@@ -31,11 +32,12 @@
 	{"01da0cf", true, []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}},
 }
 
+// path returns the path of a file that was captured from the version.
 func (v oldVersion) path(file string) string {
 	return filepath.Join("testdata", "versions", v.name, file)
 }
 
-// commit is the whole hash of the version.
+// commit returns the full hash of the version.
 func (v oldVersion) commit(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile(v.path("COMMIT"))
@@ -45,12 +47,14 @@
 	return strings.TrimSpace(string(b))
 }
 
-// captured is what was captured from a version (testdata/versions/capture), by moment.
+// captured is what was captured from a version (testdata/versions/capture), by the situation in
+// which it was.
 type captured struct {
 	stored   map[string]map[string]wire.Raw // by key
 	machines map[string][]wire.Heartbeat
 }
 
+// captured reads what was captured from the version.
 func (v oldVersion) captured(t *testing.T) (c captured) {
 	t.Helper()
 	for file, into := range map[string]any{"stored.cbor": &c.stored, "machines.cbor": &c.machines} {
@@ -65,8 +69,8 @@
 	return c
 }
 
-// TestProductionIsCaptured sees to it that the version in production is one of those that
-// the tests of upgrades know, and that each of them was captured from its own commit.
+// TestProductionIsCaptured checks that the version in production is one of those that the tests of
+// upgrades know, and that each of them was captured from its own commit.
 func TestProductionIsCaptured(t *testing.T) {
 	b, err := os.ReadFile("deploy/service.toml")
 	if err != nil {
@@ -86,8 +90,8 @@
 	}
 }
 
-// restoreRules has the checker of rules know what was so before a stored moment, and returns
-// the jobs stored and the state that each must end in.
+// restoreRules passes on to the checker of the rules what happened before the stored values were
+// captured, and returns the jobs stored with the final status that each must reach.
 func (c *cluster) restoreRules(stored map[string]wire.Raw) map[string]string {
 	const before = "before"
 	c.rules.ObserveLaunch(before, wire.LaunchRequest{InstanceType: "m4", Zone: "a"})
@@ -95,7 +99,7 @@
 		c.rules.ObserveStart(task, before)
 		c.rules.ObserveExit(task, before, true)
 	}
-	ends := map[string]string{}
+	finalStatuses := map[string]string{}
 	for key, value := range stored {
 		id, ok := strings.CutPrefix(key, replica.JobPrefix)
 		if !ok {
@@ -105,13 +109,13 @@
 		if err := wire.Unmarshal(value, &j); err != nil {
 			c.t.Fatal(err)
 		}
-		ends[id] = wire.JobDone
+		finalStatuses[id] = wire.JobDone
 		if !j.IsFinal() {
 			c.rules.ObserveSubmission(*j.Spec)
 			continue
 		}
-		ends[id] = j.State
-		// Of a job that is over the capture alone tells what it was.
+		finalStatuses[id] = j.State
+		// Only the capture knows what a job was that has ended.
 		c.rules.ObserveSubmission(wire.Job{ID: id, Team: "blue", Tasks: 2})
 		if j.State == wire.JobCancelled {
 			c.rules.ObserveRequest("/v1/jobs/" + id + "/abort")
@@ -142,20 +146,21 @@
 			}
 		}
 	}
-	return ends
+	return finalStatuses
 }
 
-// capturedGang is the gang of the moments that wantGangStarts names.
+// capturedGang is the gang of the situations in wantGangStarts.
 const capturedGang = "j-000002"
 
-// gangStarts counts what begins of a gang after a take-over.
+// gangStarts counts what starts of a gang after a failover.
 type gangStarts struct {
-	tasks int // of its tasks
-	runs  int // attempts of which all tasks came to run
+	tasks int // starts of its tasks
+	runs  int // attempts of which all tasks ran
 }
 
-// wantGangStarts is what begins of the gang if its machines are still there: what runs, or is
-// done, does not begin anew, what waits is completed, and what was stopped runs again.
+// wantGangStarts is what starts of the gang if its machines are still there, by situation as
+// captured: a gang that runs or is done does not start again, one that waits is completed, and one
+// that was stopped runs again.
 var wantGangStarts = map[string]gangStarts{
 	"a gang waits for a machine that hangs":                      {1, 1},
 	"a gang runs":                                                {0, 0},
@@ -166,42 +171,41 @@
 	"a list was divided, a gang runs":                            {0, 0},
 }
 
-// failoverCase is a way to take over from an earlier version.
+// failoverCase is how this version takes over from an earlier one.
 type failoverCase struct {
 	name             string
-	machinesPresent  bool          // the machines of then are there, with their tasks
-	lowerLimitsAfter time.Duration // when the limits are lowered, negative: never
-	killLeader       bool          // the first leader ends
+	machinesPresent  bool          // the captured machines still run their tasks
+	lowerLimitsAfter time.Duration // negative: never
+	killLeader       bool          // the first leader is killed
 }
 
-// TestFailoverFromOldVersions has this version take over what earlier ones stored, with
-// the limits of then or with lower ones, while the machines of then are gone or still
-// there. What was over stays so, what ran is done, and nodes that end meanwhile change
-// nothing of that.
+// TestFailoverFromOldVersions has this version take over what earlier ones stored, with the same
+// limits or with lower ones, while the captured machines are gone or still there. What had ended
+// stays so, what ran completes, and nodes that are killed meanwhile change nothing of that.
 func TestFailoverFromOldVersions(t *testing.T) {
 	cases := []failoverCase{
-		{"the limits stay", false, -1, false},
-		{"the limits are lower", false, 0, false},
-		{"the limits are lowered as the leader ends", false, 3 * time.Second, true},
-		{"the machines are there, the limits stay", true, -1, false},
-		{"the machines are there, the limits are lower", true, 0, false},
-		{"the machines are there, the limits are lowered as the leader ends", true, 3 * time.Second, true},
+		{"same limits", false, -1, false},
+		{"lower limits", false, 0, false},
+		{"limits are lowered as the leader is killed", false, 3 * time.Second, true},
+		{"machines present, same limits", true, -1, false},
+		{"machines present, lower limits", true, 0, false},
+		{"machines present, limits are lowered as the leader is killed", true, 3 * time.Second, true},
 	}
 	for _, v := range oldVersions {
 		old := v.captured(t)
-		for moment, stored := range old.stored {
+		for situation, stored := range old.stored {
 			for _, tc := range cases {
-				t.Run(v.name+", "+moment+", "+tc.name, func(t *testing.T) {
+				t.Run(v.name+", "+situation+", "+tc.name, func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						c := newTunedCluster(t, 3, announceLimits)
 						defer c.close()
-						c.restoreAndFinish(tc, stored, old.machines[moment])
+						c.restoreAndFinish(tc, stored, old.machines[situation])
 						got := gangStarts{c.cloud.StartsOf(capturedGang), c.cloud.GangRuns(capturedGang)}
-						if want, known := wantGangStarts[moment]; known && tc.machinesPresent && got != want {
-							t.Errorf("of the gang there began %+v, want %+v", got, want)
+						if want, known := wantGangStarts[situation]; known && tc.machinesPresent && got != want {
+							t.Errorf("of the gang there started %+v, want %+v", got, want)
 						}
 						if n := c.state.RejectedTxns(); n != 0 {
-							t.Errorf("%d transactions were refused for their size", n)
+							t.Errorf("%d transactions were rejected for their size", n)
 						}
 						if broken := c.cloud.Violations(); broken != nil {
 							t.Error(broken)
@@ -213,7 +217,8 @@
 	}
 }
 
-// restoreAndFinish has a cluster begin with what was stored, and awaits the ends of all jobs.
+// restoreAndFinish starts a cluster with what was stored, and waits for the final statuses of all
+// jobs.
 func (c *cluster) restoreAndFinish(how failoverCase, stored map[string]wire.Raw, machines []wire.Heartbeat) {
 	for i := range c.size {
 		c.kill(i)
@@ -221,16 +226,16 @@
 	c.cloud.RuntimeOf = func(task string) float64 {
 		id, _, _ := strings.Cut(task, "/")
 		if c.rules.Job(id).Kind == wire.KindGang {
-			return 12 // beyond the take-over
+			return 12 // beyond the failover
 		}
 		return 3
 	}
 	for key, value := range stored {
-		if key != replica.LeaderKey { // its hold has ended
+		if key != replica.LeaderKey { // its session has ended
 			c.state.Put(key, value)
 		}
 	}
-	ends := c.restoreRules(stored)
+	finalStatuses := c.restoreRules(stored)
 	if how.machinesPresent {
 		if err := c.cloud.Restore(machines); err != nil {
 			c.t.Fatal(err)
@@ -249,7 +254,7 @@
 		time.Sleep(time.Second)
 		c.start(i)
 	}
-	for id, end := range ends {
-		c.awaitStatus(id, end, 4*time.Minute)
+	for id, status := range finalStatuses {
+		c.awaitStatus(id, status, 4*time.Minute)
 	}
 }
--- a/zone_loss_measurement_test.go
+++ b/zone_loss_measurement_test.go
@@ -16,18 +16,18 @@
 	"caperlatch/internal/sim/measure/zoneloss"
 )
 
-// The measurement is asked for by the first variable, which lists how many machines there
-// may be; the others set how many seeds there are, and where the report goes.
+// Variables of TestZoneTimes: how many machines there may be, as a list (without it, the test is
+// skipped); how many seeds there are; and where the report is written.
 const zonesVariable, zonesSeedsVariable, zonesOutVariable = "CAPERLATCH_ZONES", "CAPERLATCH_ZONES_SEEDS", "CAPERLATCH_ZONES_OUT"
 
-// zonePatterns are how a zone is cut off, in seconds on and off in turn.
+// zonePatterns are how a zone is isolated: seconds isolated and healed in turn.
 var zonePatterns = map[string][]time.Duration{
 	"one cut of 60 s":                {60},
 	"three cuts of 25 s, 40 s apart": {25, 40, 25, 40, 25},
 }
 
-// TestZoneTimes measures what cuts of a zone cost, with the policy off and on in turn and
-// equal seeds. It is no test of limits: the figures stand in docs/results.md.
+// TestZoneTimes measures what losses of a zone cost, with the policy off and on in turn and equal
+// seeds. It checks no limits: the figures stand in docs/results.md.
 func TestZoneTimes(t *testing.T) {
 	if os.Getenv(zonesVariable) == "" {
 		t.Skip(zonesVariable + " is not set")
@@ -60,7 +60,7 @@
 	writeReport(t, zonesOutVariable, func(w io.Writer) error { return zoneloss.WriteHTML(w, runs) })
 }
 
-// Of a measurement's machines, this part is busy before the cuts.
+// The load of a measurement, before the zone is isolated.
 const (
 	measuredLoad   = 0.55
 	cpusPerMachine = 4
@@ -76,10 +76,10 @@
 	r := newZoneRun(t, 5, twoZones, run.Machines/len(twoZones), features)
 	defer r.close()
 	r.load, r.seed = measuredLoad*float64(run.Machines*cpusPerMachine)/classCPUs, run.Seed
-	rented, used := 0, 0
+	launched, used := 0, 0
 	r.play(func() {
 		r.makeLeaderIn("a")
-		run.Cut, rented, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
+		run.Cut, launched, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
 		for i, seconds := range zonePatterns[run.Pattern] {
 			if i%2 == 0 {
 				r.ZonePartition.Isolate("b")
@@ -92,10 +92,10 @@
 		r.Heal()
 		time.Sleep(150 * time.Second)
 	})
-	run.Launched = r.cloud.Launched() - rented
+	run.Launched = r.cloud.Launched() - launched
 	run.Unused = run.Launched - (r.MachinesUsed() - used)
 	if err := run.RecordHistory(r.History); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, pause %v", run.Pattern, run.Machines, run.Policy, run.Seed, r.cloud.Starts(), r.LongestStall("urgent"))
+	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, stall %v", run.Pattern, run.Machines, run.Policy, run.Seed, r.cloud.Starts(), r.LongestStall("urgent"))
 }
--- a/zone_loss_test.go
+++ b/zone_loss_test.go
@@ -24,23 +24,24 @@
 	"caperlatch/internal/zone"
 )
 
-// zoneClass is a class of the jobs that come all the time in runs of lost zones.
+// zoneClass is a class of the jobs that are submitted all the time in runs of lost zones.
 type zoneClass struct {
 	name, rank  string
-	first       int // of its jobs' numbers
+	first       int // number of its first job
 	every       time.Duration
 	tasks       int
-	runS, saveS float64 // saveS is between checkpoints, 0: its tasks never save
+	runS, saveS float64 // saveS is the checkpoint interval; 0: no checkpoints
 }
 
-// zoneClasses need some 410 GuaranteedCPUs in all, which is more than one of two zones has.
+// zoneClasses need some 410 CPUs in all, which is more than one of two zones has.
 var zoneClasses = []zoneClass{
 	{"urgent", "urgent", 100_000, time.Second, 10, 8, 0},
 	{"scan", "normal", 200_000, 2 * time.Second, 24, 20, 5},
 	{"update", "normal", 300_000, 2 * time.Second, 12, 15, 5},
 }
 
-// zoneClassOf is the class of a task by its job's number; one without a name that a script adds.
+// zoneClassOf returns the class of a task by its job's number; one without a name for jobs that a
+// step adds.
 func zoneClassOf(task string) zoneClass {
 	var n int
 	if _, err := fmt.Sscanf(task, "j-%d", &n); err != nil || n < zoneClasses[0].first {
@@ -52,24 +53,24 @@
 // Times of the workers in runs of lost zones, in seconds.
 const zoneHeartbeatS, zoneLeaseS, zoneCancelS = 2.0, 16.0, 41.0
 
-// A full load is more than one of two zones can hold, with room of both for it; a half one is
-// less, at half the size.
+// The full load is more than one of two zones can hold, with room for it in both; the half load is
+// less than one zone can hold, at half the size.
 const fullLoad, fullMachines, halfLoad, halfMachines = 1.3, 85, 0.5, 70
 
-// Bounds of what is seen.
+// Bounds of the checks.
 const (
-	maxStall          = 30 * time.Second // of urgent work
-	maxOrderRatio     = 5                // a routine start in so many scans is borne while scans wait
-	minMeasuredStarts = 60               // starts, for an order to be judged
-	minWaiting        = 30               // scans, for others to be out of order
+	maxStall          = 30 * time.Second // of urgent jobs
+	maxOrderRatio     = 5                // starts of scans for each of an update while scans wait, at least
+	minMeasuredStarts = 60               // starts for an order to be checked
+	minWaiting        = 30               // scans for which updates are out of order
 )
 
-// What checks find wrong.
+// Kinds of problems that checks find.
 const orderProblem, stepsProblem, holdDownProblem, stateProblem = "order:", "steps:", "hold-down:", "stored state:"
 
 var twoZones, fourZones = []string{"a", "b"}, []string{"a", "b", "c", "d"}
 
-// zoneSettings is the policy as the runs have it. Workers that were cut off come back within
+// zoneSettings returns the policy of the runs. Workers that were isolated are heard again within
 // some 6 s; steps must show beside that.
 func zoneSettings() *zone.Config {
 	c := zone.DefaultConfig(micros.FromSeconds(zoneHeartbeatS))
@@ -78,67 +79,68 @@
 	return &c
 }
 
-// zoneScenario is a trouble with zones. In all of them no rule is broken, all that was accepted
-// ends, and urgent work neither pauses nor begins again for no reason.
+// zoneScenario is a combination of faults that affects zones. In all scenarios no rule is violated,
+// all accepted jobs end, and urgent jobs neither stall nor restart without a fault.
 type zoneScenario struct {
 	name     string
-	nodes    int      // 5
-	zones    []string // two
-	machines int      // of each zone at most; halfMachines
-	load     float64  // 1: as the classes say; halfLoad
+	nodes    int      // 0: 5
+	zones    []string // nil: two
+	machines int      // of each zone at most; 0: halfMachines
+	load     float64  // 1: as the classes say; 0: halfLoad
 	steps    []zoneStep
-	// Of a scenario with a guard off: how, and what its checks must then find.
+	// Of a scenario with a guard off: how it is off, and the kind of problem that the checks must
+	// then find.
 	guardOff    func(c *zone.Config)
 	wantProblem string
 }
 
-// zoneStep is what happens next, or is checked.
+// zoneStep injects a fault, waits, or checks.
 type zoneStep func(r *zoneRun)
 
 var (
-	// Shorter than two leases: none of the zone's machines is given up for being silent.
-	cutAndRestored = zoneScenario{name: "cut and restored", machines: fullMachines, load: fullLoad, steps: []zoneStep{loseZone(14), heal(), checkOrder, waitFor(15), checkSteps}}
-	// Most machines are heard between the cuts, or nothing would be left there to be lost again.
-	threeFlaps = zoneScenario{name: "three flaps, as leases end and as a step opens", nodes: 3, steps: []zoneStep{loseZone(14), heal(zone.Returning), waitFor(2), loseZone(zoneLeaseS - 6),
+	// Shorter than two leases: none of the zone's machines is terminated for being silent.
+	cutAndRestored = zoneScenario{name: "zone isolated and healed", machines: fullMachines, load: fullLoad, steps: []zoneStep{loseZone(14), heal(), checkOrder, waitFor(15), checkSteps}}
+	// Most machines are heard between the losses, or nothing would be left there to be lost again.
+	threeFlaps = zoneScenario{name: "three losses, as leases expire and as a step opens", nodes: 3, steps: []zoneStep{loseZone(14), heal(zone.Returning), waitFor(2), loseZone(zoneLeaseS - 6),
 		heal(zone.HeldDown, zone.Returning), loseZone(5), checkFlaps, heal(), checkHoldDown}}
-	killedWhenLost = zoneScenario{name: "the leader is killed when the zone is lost", nodes: 3, steps: []zoneStep{loseZone(0.3), killLeaders(1, zone.Lost), awaitZone(zone.Lost), waitFor(10)}}
+	killedWhenLost = zoneScenario{name: "failover when the zone is lost", nodes: 3, steps: []zoneStep{loseZone(0.3), killLeaders(1, zone.Lost), awaitZone(zone.Lost), waitFor(10)}}
 )
 
-// zoneScenarios are the troubles. At the end of each the zone comes back.
+// zoneScenarios are all scenarios. At the end of each the zone returns.
 var zoneScenarios = []zoneScenario{cutAndRestored, threeFlaps, killedWhenLost,
-	{name: "half of the zone comes back", steps: []zoneStep{loseZone(20), reconnectHalf, waitFor(40)}},
-	{name: "reports over a lease old reach all nodes as a leader begins", steps: []zoneStep{loseZone(15), func(r *zoneRun) {
+	{name: "half of the zone is heard again", steps: []zoneStep{loseZone(20), reconnectHalf, waitFor(40)}},
+	{name: "stale heartbeats reach all nodes at a failover", steps: []zoneStep{loseZone(15), func(r *zoneRun) {
 		time.AfterFunc(5*time.Second, func() { r.Heal(); r.restart(r.leader()) })
 		r.InjectFor(30*time.Second, fake.DuplicatedRequest, func(from string, q *http.Request) bool {
 			return machineOf(from) != "" && q.URL.Path == "/hello" && from[len(from)-1]%2 == 0
 		})
 	}}},
 	// Two of three nodes are in zone a.
-	{name: "the leader is inside, and keeps leases alive", nodes: 3, steps: []zoneStep{func(r *zoneRun) { r.makeLeaderIn("a"); r.lostZone = "a" }, loseZone(20), checkOutlivesLease}},
-	{name: "the leader is killed when the zone is suspected", steps: []zoneStep{isolate, awaitZone(zone.Suspected), killLeaders(1), awaitZone(zone.Lost), waitFor(10)}},
-	{name: "the leader is killed when the zone is held down", steps: []zoneStep{loseZone(15), heal(zone.HeldDown), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
-	{name: "the leader is killed when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
-	{name: "two leaders in a row are killed when the zone is lost", steps: []zoneStep{loseZone(0.3), killLeaders(2, zone.Lost), awaitZone(zone.Lost), waitFor(10)}},
-	{name: "two leaders in a row are killed when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(2, zone.HeldDown, zone.Returning)}},
+	{name: "the leader is in the zone, and renews leases", nodes: 3, steps: []zoneStep{func(r *zoneRun) { r.makeLeaderIn("a"); r.lostZone = "a" }, loseZone(20), checkOutlivesLease}},
+	{name: "failover when the zone is suspected", steps: []zoneStep{isolate, awaitZone(zone.Suspected), killLeaders(1), awaitZone(zone.Lost), waitFor(10)}},
+	{name: "failover when the zone is held down", steps: []zoneStep{loseZone(15), heal(zone.HeldDown), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
+	{name: "failover when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
+	{name: "two failovers when the zone is lost", steps: []zoneStep{loseZone(0.3), killLeaders(2, zone.Lost), awaitZone(zone.Lost), waitFor(10)}},
+	{name: "two failovers when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(2, zone.HeldDown, zone.Returning)}},
 	{name: "all nodes restart at once", steps: []zoneStep{loseZone(10), restartAll, checkNextLeader(zone.Lost)}},
-	{name: "the state service refuses the leader, then all, in the evacuation", steps: []zoneStep{loseZone(5), stateRefusals}},
-	{name: "the state service refuses the leader, then all, in the return", steps: []zoneStep{loseZone(20), heal(zone.Returning), stateRefusals}},
-	{name: "two zones are apart, and both reach the state service", steps: []zoneStep{func(r *zoneRun) { r.lostZone = r.zoneByLeader(false); r.SplitZones() }, awaitZone(zone.Lost), waitFor(20)}},
-	{name: "the cloud is down meanwhile", steps: []zoneStep{func(r *zoneRun) {
+	{name: "state service unavailable to the leader, then to all, during the evacuation", steps: []zoneStep{loseZone(5), stateRefusals}},
+	{name: "state service unavailable to the leader, then to all, during the return", steps: []zoneStep{loseZone(20), heal(zone.Returning), stateRefusals}},
+	{name: "two zones are partitioned from each other", steps: []zoneStep{func(r *zoneRun) { r.lostZone = r.zoneByLeader(false); r.SplitZones() }, awaitZone(zone.Lost), waitFor(20)}},
+	{name: "the cloud is unavailable meanwhile", steps: []zoneStep{func(r *zoneRun) {
 		go r.InjectFor(40*time.Second, fake.ServiceUnavailable, func(_ string, q *http.Request) bool { return q.URL.Host == "cloud" })
 	}, loseZone(25)}},
-	{name: "machines are taken in the surviving zone", nodes: 3, steps: []zoneStep{loseZone(2), faultSurvivors(halfMachines/4, func(w *fake.Worker) { w.Interrupt(3 * time.Second) }), waitFor(20)}},
-	{name: "what is left cannot hold the urgent work", nodes: 3, machines: 14, load: 0.25, steps: []zoneStep{loseZone(0), faultSurvivors(9, func(w *fake.Worker) { w.Hang(25 * time.Second) }), waitFor(25)}},
+	{name: "machines of the surviving zone are interrupted", nodes: 3, steps: []zoneStep{loseZone(2), faultSurvivors(halfMachines/4, func(w *fake.Worker) { w.Interrupt(3 * time.Second) }), waitFor(20)}},
+	{name: "the surviving zone cannot hold the urgent jobs", nodes: 3, machines: 14, load: 0.25, steps: []zoneStep{loseZone(0), faultSurvivors(9, func(w *fake.Worker) { w.Hang(25 * time.Second) }), waitFor(25)}},
 	{name: "displaced jobs are cancelled through a third node", steps: []zoneStep{submitAdded(6, func(id string) map[string]any {
 		job := testJob(id, 10)
 		job["expect_s"] = 60.0
 		return job
 	}), loseZone(3), cancelAdded, waitFor(20), heal(), waitFor(zoneCancelS), awaitAdded(wire.JobCancelled)}},
-	{name: "gangs are in both zones", steps: []zoneStep{submitAdded(8, func(id string) map[string]any {
+	{name: "gangs in both zones", steps: []zoneStep{submitAdded(8, func(id string) map[string]any {
 		return gangJob(id, 4, 2, map[string]any{"together": id[len(id)-1]%2 == 0})
 	}), loseZone(25), heal(), awaitAdded(wire.JobDone)}},
 	{name: "the only zone", nodes: 3, zones: twoZones[:1], machines: 2 * halfMachines, steps: []zoneStep{func(r *zoneRun) {
-		r.MarkAllAffected() // its machines are cut off from the nodes, which go on
+		r.MarkAllAffected() // its machines are isolated from the nodes, which continue
 		r.InjectFor(25*time.Second, fake.DroppedRequest, func(from string, q *http.Request) bool {
 			return (machineOf(from) == "") != (machineOf(q.URL.Host) == "")
 		})
@@ -146,7 +148,7 @@
 			r.t.Errorf("the only zone was lost: %+v", s)
 		}
 	}}},
-	{name: "two of four zones", zones: fourZones, machines: halfMachines / 2, steps: []zoneStep{func(r *zoneRun) {
+	{name: "two of four zones are isolated", zones: fourZones, machines: halfMachines / 2, steps: []zoneStep{func(r *zoneRun) {
 		leads := r.zoneByLeader(true)
 		lost := slices.DeleteFunc(slices.Clone(fourZones), func(name string) bool { return name == leads })[:2]
 		r.Isolate(lost...)
@@ -157,7 +159,7 @@
 			r.Heal()
 		}
 	}}},
-	{name: "nodes of a version without it lead for a while", steps: []zoneStep{loseZone(8), func(r *zoneRun) {
+	{name: "nodes without the policy lead for a while", steps: []zoneStep{loseZone(8), func(r *zoneRun) {
 		r.without = map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true}
 		r.restart(r.leader())
 		time.Sleep(5 * time.Second)
@@ -170,29 +172,30 @@
 	killedWhenLost.withGuardOff(stateProblem, func(*zone.Config) {}),
 }
 
-// withGuardOff is the scenario with a guard off: what is checked must then be seen to be wrong.
-func (s zoneScenario) withGuardOff(wrong string, off func(c *zone.Config)) zoneScenario {
-	s.name, s.wantProblem, s.guardOff = "without "+strings.TrimSuffix(wrong, ":")+", "+s.name, wrong, off
+// withGuardOff returns the scenario with a guard off: a check must then find the problem that the
+// guard prevents.
+func (s zoneScenario) withGuardOff(problem string, off func(c *zone.Config)) zoneScenario {
+	s.name, s.wantProblem, s.guardOff = "without "+strings.TrimSuffix(problem, ":")+", "+s.name, problem, off
 	return s
 }
 
-// TestZoneLoss plays the troubles, and some of them with one guard off at a time.
+// TestZoneLoss runs all scenarios, some of them with one guard off.
 func TestZoneLoss(t *testing.T) {
 	for _, s := range zoneScenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				wrong := s.run(t)
-				if s.wantProblem == "" && len(wrong) > 0 || s.wantProblem != "" && !slices.ContainsFunc(wrong, func(w string) bool { return strings.HasPrefix(w, s.wantProblem) }) {
-					t.Errorf("seen: %q, want %q", wrong, s.wantProblem)
+				problems := s.run(t)
+				if s.wantProblem == "" && len(problems) > 0 || s.wantProblem != "" && !slices.ContainsFunc(problems, func(p string) bool { return strings.HasPrefix(p, s.wantProblem) }) {
+					t.Errorf("problems %q, want %q", problems, s.wantProblem)
 				}
 			})
 		})
 	}
 }
 
-// run plays a scenario, and tells what its checks found wrong.
-func (s zoneScenario) run(t *testing.T) (wrong []string) {
+// run runs a scenario, and returns the problems that its checks found.
+func (s zoneScenario) run(t *testing.T) (problems []string) {
 	c := zoneSettings()
 	if s.guardOff != nil {
 		s.guardOff(c)
@@ -211,15 +214,15 @@
 			heal()(r)
 		}
 	})
-	pause, again := r.LongestStall("urgent"), r.RestartedTasks("urgent")
-	if pause > maxStall || len(again) > 0 {
-		t.Errorf("urgent work paused for %v; %d tasks began again that no trouble met: %v", pause, len(again), again[:min(5, len(again))])
+	stall, restarted := r.LongestStall("urgent"), r.RestartedTasks("urgent")
+	if stall > maxStall || len(restarted) > 0 {
+		t.Errorf("urgent jobs stalled for %v; %d tasks restarted without a fault: %v", stall, len(restarted), restarted[:min(5, len(restarted))])
 	}
-	t.Logf("pause %v, %d starts, %d machines rented", pause, r.cloud.Starts(), r.cloud.Launched())
+	t.Logf("stall %v, %d starts, %d machines launched", stall, r.cloud.Starts(), r.cloud.Launched())
 	return r.problems
 }
 
-// zoneRun is a cluster over some zones with a steady load, parts of which are cut off.
+// zoneRun is a cluster over some zones with a steady load, some of which are isolated.
 type zoneRun struct {
 	*cluster
 	*checker.History
@@ -227,16 +230,17 @@
 	zones      []string
 	load       float64 // of the jobs' sizes, 1: as the classes say
 	seed       uint64  // of the jobs' sizes; 0: all of a class have one size
-	dropRecord bool    // what is stored of zones is lost with each leader
-	// What the steps did: the zone that is cut off, when it was, was declared lost, and the cuts
-	// ended, machines rented once it was first lost, jobs added, and what checks found.
+	dropRecord bool    // each leader finds no usable record of zones
+	// What the steps did: the zone that is isolated, when it was isolated, declared lost and
+	// healed, machines launched until it was first lost, jobs added, and problems that checks
+	// found.
 	lostZone               string
 	cutAt, lostAt, healsAt time.Duration
 	launched               int
 	added, problems        []string
 }
 
-// newZoneRun starts nodes in turn in the zones, each with so many machines at most.
+// newZoneRun starts nodes in turn in the zones, each zone with so many machines at most.
 func newZoneRun(t *testing.T, nodes int, zones []string, machines int, features settings.Features) *zoneRun {
 	r := &zoneRun{zones: zones, History: checker.NewHistory(), ZonePartition: fake.NewZonePartition()}
 	r.cluster = newFeaturesCluster(t, nodes, func(s *settings.Settings) {
@@ -256,7 +260,7 @@
 	return r
 }
 
-// zoneOfName is the zone that a sender or host is in, empty for the services and users.
+// zoneOfName returns the zone of a sender or host, empty for the services and users.
 func (r *zoneRun) zoneOfName(name string) string {
 	var node int
 	if _, err := fmt.Sscanf(name, "host-%d", &node); err == nil {
@@ -265,7 +269,7 @@
 	return r.rules.ZoneOf(machineOf(name))
 }
 
-// submitJobs has the jobs of a class come until ctx ends.
+// submitAll submits jobs of a class until ctx ends.
 func (r *zoneRun) submitAll(ctx context.Context, c zoneClass) {
 	var users sync.WaitGroup
 	random := rand.New(rand.NewPCG(r.seed, uint64(c.first)))
@@ -288,10 +292,10 @@
 	users.Wait()
 }
 
-// play runs a script beside the load, then lets all end that was accepted.
+// play runs a script beside the load, then waits until all accepted jobs are done.
 func (r *zoneRun) play(script func()) {
 	var users sync.WaitGroup
-	ctx, over := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(context.Background())
 	for _, c := range zoneClasses {
 		users.Go(func() { r.submitAll(ctx, c) })
 	}
@@ -301,11 +305,11 @@
 			r.RecordSample(r.cloud.Machines())
 		}
 	})
-	time.Sleep(100 * time.Second) // the fleet is steady
+	time.Sleep(100 * time.Second) // until the fleet is steady
 	script()
 	r.Heal()
 	time.Sleep(20 * time.Second)
-	over()
+	stop()
 	users.Wait()
 	jobs := r.Jobs()
 	for _, id := range jobs {
@@ -315,8 +319,8 @@
 	r.checkRules()
 }
 
-// status is what the leader thinks of a zone, as the first node tells that knows; empty while
-// none does.
+// status returns the leader's view of a zone, from the first node that has it; empty while none
+// has.
 func (r *zoneRun) status(name string) zone.Status {
 	for node := range r.size {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -333,7 +337,7 @@
 	return zone.Status{}
 }
 
-// poll asks for a zone's state until that is enough.
+// poll polls a zone's status until it is enough, for so many times.
 func (r *zoneRun) poll(name string, tries int, enough func(s zone.Status) bool) (s zone.Status) {
 	for s = r.status(name); tries > 0 && !enough(s); tries-- {
 		time.Sleep(100 * time.Millisecond)
@@ -342,12 +346,12 @@
 	return s
 }
 
-// isInState tells whether a zone is in one of some states.
+// isInState reports whether a zone is in one of some states.
 func isInState(s zone.Status, states []zone.State) bool {
 	return slices.ContainsFunc(states, func(want zone.State) bool { return s.State == want.String() })
 }
 
-// awaitState waits until the leader thinks so of a zone.
+// awaitState waits until the leader finds a zone in one of some states.
 func (r *zoneRun) awaitState(name string, states ...zone.State) {
 	r.t.Helper()
 	if s := r.poll(name, 1200, func(s zone.Status) bool { return isInState(s, states) }); !isInState(s, states) {
@@ -355,8 +359,8 @@
 	}
 }
 
-// restart crashes nodes for a moment and waits for the next leader. The state service may then
-// hold nothing that can be read of zones.
+// restart kills nodes, starts them again at once, and waits for the next leader. With dropRecord it
+// finds no usable record of zones in the state service.
 func (r *zoneRun) restart(nodes ...int) {
 	token := r.fencingToken()
 	for _, i := range nodes {
@@ -376,13 +380,13 @@
 	r.awaitLeaderAfter(token)
 }
 
-// zoneByLeader is a zone that the leader is in, or one that it is not in.
+// zoneByLeader returns a zone that the leader is in, or one that it is not in.
 func (r *zoneRun) zoneByLeader(leads bool) string {
 	inside := r.zoneOfName(fmt.Sprintf("host-%d", r.leader()))
 	return r.zones[slices.IndexFunc(r.zones, func(name string) bool { return (name == inside) == leads })]
 }
 
-// makeLeaderIn has the leader be in a zone.
+// makeLeaderIn restarts leaders until the leader is in a zone.
 func (r *zoneRun) makeLeaderIn(name string) {
 	for r.zoneByLeader(true) != name {
 		r.restart(r.leader())
@@ -390,17 +394,20 @@
 	}
 }
 
+// waitFor waits for a while.
 func waitFor(seconds float64) zoneStep {
 	return func(*zoneRun) { time.Sleep(time.Duration(seconds * float64(time.Second))) }
 }
 
+// awaitZone waits until the zone is in one of some states.
 func awaitZone(states ...zone.State) zoneStep {
 	return func(r *zoneRun) { r.awaitState(r.lostZone, states...) }
 }
 
+// restartAll restarts all of five nodes at once.
 func restartAll(r *zoneRun) { r.restart(0, 1, 2, 3, 4) }
 
-// isolate cuts the zone off that was before, or one that the leader is not in.
+// isolate isolates the zone that was isolated before, or one that the leader is not in.
 func isolate(r *zoneRun) {
 	if r.lostZone == "" {
 		r.lostZone = r.zoneByLeader(false)
@@ -409,7 +416,7 @@
 	r.Isolate(r.lostZone)
 }
 
-// loseZone cuts the zone off, waits for the verdict, and then for a while.
+// loseZone isolates the zone, waits until it is declared lost, and then for a while.
 func loseZone(seconds float64) zoneStep {
 	return func(r *zoneRun) {
 		isolate(r)
@@ -420,7 +427,7 @@
 	}
 }
 
-// heal ends all cuts, and waits until the zone is in one of some states, or healthy.
+// heal ends all isolation, and waits until the zone is in one of some states, or healthy.
 func heal(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
 		r.healsAt = r.Elapsed()
@@ -429,7 +436,8 @@
 	}
 }
 
-// killLeaders ends the leader again and again; the next one must think so of the zone, if anything.
+// killLeaders kills the leader so many times; the next one must find the zone in one of some
+// states, if any are given.
 func killLeaders(times int, states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
 		for range times {
@@ -440,8 +448,8 @@
 	}
 }
 
-// stateRefusals has the state service refuse the leader alone for a while, and then everybody.
-// Workers then seek another node, and may lose their leases in the zone that is left.
+// stateRefusals makes the state service unavailable to the leader alone for a while, and then to
+// all. Workers then try another node, and their leases may expire in the surviving zone.
 func stateRefusals(r *zoneRun) {
 	r.MarkAllAffected()
 	leads := r.leader()
@@ -451,6 +459,7 @@
 	r.state.SetOutage(false)
 }
 
+// reconnectHalf has half of the machines of the isolated zone be heard again.
 func reconnectHalf(r *zoneRun) {
 	for i, w := range r.cloud.Workers() {
 		if w.Zone() == r.lostZone && i%2 == 0 {
@@ -459,18 +468,18 @@
 	}
 }
 
-// faultSurvivors has something happen to so many of the machines in the other zones.
-func faultSurvivors(most int, hit func(w *fake.Worker)) zoneStep {
+// faultSurvivors injects a fault into so many of the machines in the other zones.
+func faultSurvivors(most int, inject func(w *fake.Worker)) zoneStep {
 	return func(r *zoneRun) {
 		left := slices.DeleteFunc(r.cloud.Workers(), func(w *fake.Worker) bool { return w.Zone() == r.lostZone })
 		for _, w := range left[:min(most, len(left))] {
-			hit(w)
+			inject(w)
 		}
 		r.MarkAllAffected()
 	}
 }
 
-// submitAdded adds jobs and lets them begin.
+// submitAdded submits further jobs and lets them start.
 func submitAdded(n int, job func(id string) map[string]any) zoneStep {
 	return func(r *zoneRun) {
 		for i := range n {
@@ -481,6 +490,7 @@
 	}
 }
 
+// cancelAdded cancels the jobs that were added, at a node of a zone that is not isolated.
 func cancelAdded(r *zoneRun) {
 	third := slices.IndexFunc(r.zones, func(name string) bool { return name != r.lostZone }) + 2
 	for _, id := range r.added {
@@ -488,7 +498,8 @@
 	}
 }
 
-// awaitAdded waits until the jobs that were added have a last status. None of their tasks runs on.
+// awaitAdded waits until the jobs that were added have a final status. None of their tasks may
+// still run.
 func awaitAdded(status string) zoneStep {
 	return func(r *zoneRun) {
 		for _, id := range r.added {
@@ -500,57 +511,60 @@
 	}
 }
 
+// checkOutlivesLease checks that tasks in the zone completed after a lease from its isolation.
 func checkOutlivesLease(r *zoneRun) {
 	if r.CompletionsIn(r.lostZone, r.cutAt+zoneLeaseS*time.Second) == 0 {
-		r.t.Error("nothing ran on inside past its lease")
+		r.t.Error("no task in the zone completed after a lease")
 	}
 }
 
+// checkFlaps checks that the losses of the zone are counted, and that few machines were launched again.
 func checkFlaps(r *zoneRun) {
 	if s, more := r.status(r.lostZone), r.cloud.Launched()-r.launched; s.Flaps < 3 || more > halfMachines/4 {
-		r.t.Errorf("%d flaps are counted; %d machines were rented again for the same loss", s.Flaps, more)
+		r.t.Errorf("%d losses are counted; %d machines were launched again for the same loss", s.Flaps, more)
 	}
 }
 
-// reportProblem notes what is wrong of a kind, if it is.
-func (r *zoneRun) reportProblem(is bool, kind, format string, args ...any) {
-	if is {
+// reportProblem records a problem of a kind, if there is one.
+func (r *zoneRun) reportProblem(found bool, kind, format string, args ...any) {
+	if found {
 		r.problems = append(r.problems, kind+" "+fmt.Sprintf(format, args...))
 	}
 }
 
-// checkOrder judges the order in which work began from the verdict until the zone came back.
+// checkOrder checks the order in which tasks started from the loss until the zone was healed.
 func checkOrder(r *zoneRun) {
 	scansWait := checker.Contention{Class: "scan", Waiting: minWaiting, From: r.lostAt, To: r.healsAt}
 	scans, updates := r.StartsUnder(scansWait, "scan"), r.StartsUnder(scansWait, "update")
 	if scans+updates < minMeasuredStarts {
-		r.t.Errorf("%d tasks began while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healsAt)
+		r.t.Errorf("%d tasks started while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healsAt)
 	}
-	r.reportProblem(updates*maxOrderRatio > scans, orderProblem, "%d updates began beside %d scans while scans waited", updates, scans)
+	r.reportProblem(updates*maxOrderRatio > scans, orderProblem, "%d updates started beside %d scans while scans waited", updates, scans)
 }
 
-// checkSteps judges how fast the zone's machines got work again.
+// checkSteps checks how fast the zone's machines got tasks again.
 func checkSteps(r *zoneRun) {
 	at, c := r.FirstStarts(r.lostZone, r.healsAt), zoneSettings()
 	if len(at) < fullMachines/2 {
-		r.t.Errorf("%d machines got work again, too few to tell", len(at))
+		r.t.Errorf("%d machines got tasks again, too few to tell", len(at))
 		return
 	}
 	soon, _ := slices.BinarySearch(at, at[0]+c.StepHold.Duration()/2)
-	most := 1 + int(c.Steps[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // a part of a machine is one
-	r.reportProblem(soon > most, stepsProblem, "%d machines got work within the first step, want at most %d", soon, most)
+	most := 1 + int(c.Steps[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
+	r.reportProblem(soon > most, stepsProblem, "%d machines got tasks within the first step, want at most %d", soon, most)
 	half := at[len(at)*6/10] - at[0]
-	r.reportProblem(half < 5*c.StepHold.Duration()/2, stepsProblem, "more than half of the machines got work after %v", half)
+	r.reportProblem(half < 5*c.StepHold.Duration()/2, stepsProblem, "more than half of the machines got tasks after %v", half)
 }
 
-// checkHoldDown judges when the zone's first machine got work that could run elsewhere, after a third loss.
+// checkHoldDown checks when the zone's first machine got a task that could run elsewhere, after a
+// third loss.
 func checkHoldDown(r *zoneRun) {
 	least := r.healsAt + 4*zoneSettings().HoldDown.Duration()
 	at := append(r.FirstStarts(r.lostZone, r.healsAt), least)[0]
-	r.reportProblem(at < least, holdDownProblem, "a task began %v after the zone was heard again", at-r.healsAt)
+	r.reportProblem(at < least, holdDownProblem, "a task started %v after the zone was heard again", at-r.healsAt)
 }
 
-// checkNextLeader judges whether a leader that has just begun thinks so of the zone.
+// checkNextLeader checks that a leader that has just begun finds the zone in one of some states.
 func checkNextLeader(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
 		s := r.poll(r.lostZone, 30, func(s zone.Status) bool { return s.Zone != "" })
