--- a/cluster_test.go
+++ b/cluster_test.go
@@ -117,18 +117,18 @@
 	return c
 }
 
-// newNode makes a node for a new incarnation; it serves as StartNode.
+// NewNodeOn makes a node for a new incarnation; it serves as StartNode.
 func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
-	n := newNode(s, settings.DefaultTuning(), c.featuresOf(life.Node), network{
-		serviceTransport: c.net.From(life.Sender),
-		workerTransport:  c.net.From(life.Sender),
-		dialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
-		listenForPeers:   func() (net.Listener, error) { return c.pipes.Listen(life.Member), nil },
+	n := NewNodeOn(s, settings.DefaultTuning(), c.featuresOf(life.Node), Network{
+		ServiceTransport: c.net.From(life.Sender),
+		WorkerTransport:  c.net.From(life.Sender),
+		DialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
+		ListenForPeers:   func() (net.Listener, error) { return c.pipes.Listen(life.Member), nil },
 	})
 	c.nodes[life.Node] = n
-	return n.handler(), n.runBackground
+	return n.Handler(), n.RunBackground
 }
 
 // start starts a new incarnation of a node.
--- a/cmd/caperlatch/commands_test.go
+++ b/cmd/caperlatch/commands_test.go
@@ -62,13 +62,13 @@
 // TestStatusCommands has the commands tell what a node answers.
 func TestStatusCommands(t *testing.T) {
 	returning := zone.Status{
-		Zone: "b", State: "returning", Reason: zone.ReasonStepHeld, SinceS: 4, Step: 2, Steps: 4, OpenPart: 0.25, Flaps: 1, Evidence: zone.Evidence{Up: 40, Silent: 2, Back: 38},
-		Work: zone.Work{Displaced: map[string]int{"scan": 30, "news": 4}, Moved: map[string]int{"scan": 20}, Machines: 2, Tasks: 8, NextEndS: 1, LastEndS: 9, Closed: 30, Replaced: 15},
+		Zone: "b", State: "returning", Reason: zone.ReasonStepSucceeded, SinceS: 4, Step: 2, Steps: 4, OpenShare: 0.25, Flaps: 1, Evidence: zone.Evidence{Running: 40, Silent: 2, Recovered: 38},
+		Work: zone.WorkStatus{Displaced: map[string]int{"scan": 30, "news": 4}, Moved: map[string]int{"scan": 20}, LeasedMachines: 2, LeasedTasks: 8, NextLeaseEndS: 1, LastLeaseEndS: 9, ClosedMachines: 30, ReplacedMachines: 15},
 	}
 	doubted := membership.Status{Member: "host-0", Slow: true, Isolated: true, Counts: membership.Counts{Suspicions: 3, Failures: 1}, Members: []membership.MemberStatus{
-		{Member: "host-1", State: membership.Suspected, SinceS: 1.2, HeardS: 4.2, VerdictS: 2.1, DoubtedBy: []string{"host-2", "host-3"}},
-		{Member: "host-2", State: membership.Alive, SinceS: 60, HeardS: 9, RoundTripS: 0.0005, Through: "host-3"},
-		{Member: "host-3", State: membership.Suspected, Withheld: true},
+		{Member: "host-1", State: membership.Suspected, SinceS: 1.2, SilenceS: 4.2, SuspicionLeftS: 2.1, ConfirmedBy: []string{"host-2", "host-3"}},
+		{Member: "host-2", State: membership.Alive, SinceS: 60, SilenceS: 9, RoundTripS: 0.0005, HeardThrough: "host-3"},
+		{Member: "host-3", State: membership.Suspected, FailureWithheld: true},
 	}}
 	cases := []struct {
 		name    string
@@ -83,12 +83,12 @@
 			"hears neither the state service nor any node", "3 suspicions, 1 verdicts, 0 doubts of itself refuted"}, ""},
 		{"members, off", "members", 404, wire.ErrorResponse{Error: api.ErrMembershipOff.Error()}, nil, "membership is off"},
 		{"members, by a version without them", "members", 404, nil, nil, "404 Not Found"},
-		{"all well", "zones", 200, api.ZonesStatus{Leader: "host-1", Zones: []zone.Status{{Zone: "a", State: "healthy", Reason: zone.ReasonWell, OpenPart: 1}}},
+		{"all well", "zones", 200, api.ZonesStatus{Leader: "host-1", Zones: []zone.Status{{Zone: "a", State: "healthy", Reason: zone.ReasonHeartbeatsArrive, OpenShare: 1}}},
 			[]string{"as host-1 sees them", "a: healthy: its machines are heard"}, ""},
 		{"one returns", "zones", 200, api.ZonesStatus{Leader: "host-1", Zones: []zone.Status{returning}},
 			[]string{"b: returning, step 2 of 4 for 4 s: starts succeed there", "40 up, 0 late, 2 silent", "losses not forgotten: 1", "25% open, 30 machines closed, 15 being replaced elsewhere",
 				"lost with the zone: news 4, scan 30", "begun again elsewhere: scan 20", "8 tasks on 2 machines wait for the ends of their leases, in 1 to 9 s"}, ""},
-		{"one is held down", "zones", 200, api.ZonesStatus{Zones: []zone.Status{{Zone: "b", State: "held down", HoldS: 3}}}, []string{"held down for 3 s more"}, ""},
+		{"one is held down", "zones", 200, api.ZonesStatus{Zones: []zone.Status{{Zone: "b", State: "held down", HoldDownS: 3}}}, []string{"held down for 3 s more"}, ""},
 		{"off", "zones", 404, wire.ErrorResponse{Error: api.ErrZonesOff.Error()}, nil, "the policy on zones is off"},
 		{"nobody leads", "zones", 503, wire.ErrorResponse{Error: "no leader known"}, nil, "no leader known"},
 		{"a version without it", "zones", 404, nil, nil, "404 Not Found"},
--- a/cmd/caperlatch/members.go
+++ b/cmd/caperlatch/members.go
@@ -30,25 +30,25 @@
 		fmt.Fprintf(w, "%s hears neither the state service nor any node: it gives no verdict\n", s.Member)
 	}
 	fmt.Fprintf(w, "since %s started: %d suspicions, %d verdicts, %d doubts of itself refuted\n",
-		s.Member, s.Counts.Suspicions, s.Counts.Failures, s.Counts.Refuted)
+		s.Member, s.Counts.Suspicions, s.Counts.Failures, s.Counts.Refutations)
 }
 
 // printMember writes what is thought of one member.
 func printMember(w io.Writer, m *membership.MemberStatus) {
-	fmt.Fprintf(w, "%s: %s for %.1f s, heard %.1f s ago", m.Member, m.State, m.SinceS, m.HeardS)
+	fmt.Fprintf(w, "%s: %s for %.1f s, heard %.1f s ago", m.Member, m.State, m.SinceS, m.SilenceS)
 	if m.RoundTripS > 0 {
 		fmt.Fprintf(w, ", last answered in %.1f ms", 1000*m.RoundTripS)
 	}
 	fmt.Fprintln(w)
-	if m.Through != "" {
-		fmt.Fprintf(w, "  heard by %s alone\n", m.Through)
+	if m.HeardThrough != "" {
+		fmt.Fprintf(w, "  heard by %s alone\n", m.HeardThrough)
 	}
-	if m.Withheld {
+	if m.FailureWithheld {
 		fmt.Fprintln(w, "  no verdict: its session lives, or this node hears nobody")
 	} else if m.State == membership.Suspected {
-		fmt.Fprintf(w, "  verdict in %.1f s\n", m.VerdictS)
+		fmt.Fprintf(w, "  verdict in %.1f s\n", m.SuspicionLeftS)
 	}
-	if len(m.DoubtedBy) > 0 {
-		fmt.Fprintf(w, "  doubted as well by %s\n", strings.Join(m.DoubtedBy, ", "))
+	if len(m.ConfirmedBy) > 0 {
+		fmt.Fprintf(w, "  doubted as well by %s\n", strings.Join(m.ConfirmedBy, ", "))
 	}
 }
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -25,7 +25,7 @@
 	defer end()
 	go func() {
 		<-terminated.Done()
-		n.HandOverAtEnd()
+		n.HandOverOnShutdown()
 		n.Leave()
 		end()
 	}()
@@ -65,7 +65,7 @@
 
 // printStandby writes a status for people.
 func printStandby(w io.Writer, s *api.StandbyStatus) {
-	fmt.Fprintf(w, "%s: %s, term %d led by %s\n", s.Member, s.Phase, s.Token, s.Leader)
+	fmt.Fprintf(w, "%s: %s, term %d led by %s\n", s.Member, s.Phase, s.FencingToken, s.Leader)
 	if s.Leading {
 		fmt.Fprintf(w, "  position %d\n", s.Position)
 		for _, f := range s.Followers {
@@ -75,8 +75,8 @@
 	if p := s.Progress; p != nil {
 		printProgress(w, p)
 	}
-	if s.Last != nil {
-		printRecord(w, s.Last)
+	if s.LastFailover != nil {
+		printRecord(w, s.LastFailover)
 	}
 }
 
@@ -95,7 +95,7 @@
 	if !p.Complete {
 		state = "taking a snapshot"
 	}
-	fmt.Fprintf(w, "  follows term %d: position %d, %s, %d machines, %d tasks\n", p.Token, p.Position, state, p.Machines, p.Tasks)
+	fmt.Fprintf(w, "  follows term %d: position %d, %s, %d machines, %d tasks\n", p.FencingToken, p.Position, state, p.Machines, p.Tasks)
 	if p.LagS >= 0 {
 		fmt.Fprintf(w, "  behind: %d entries, %.1f s\n", p.LagEntries, p.LagS)
 	}
@@ -105,7 +105,7 @@
 }
 
 // printRecord writes how a take-over went.
-func printRecord(w io.Writer, r *standby.Record) {
+func printRecord(w io.Writer, r *standby.FailoverRecord) {
 	kind := "cold"
 	switch {
 	case r.Evidence.HandedOver:
@@ -114,7 +114,7 @@
 		kind = "warm"
 	}
 	fmt.Fprintf(w, "  last take-over here: token %d, %s; key taken at revision %d, read through %d\n",
-		r.Evidence.Token, kind, r.Evidence.Revision, r.Evidence.ReadThrough)
+		r.Evidence.FencingToken, kind, r.Evidence.Revision, r.Evidence.ReadThrough)
 	for _, p := range r.Phases {
 		fmt.Fprintf(w, "    %s after %.3f s\n", p.Phase, p.TookS)
 	}
--- a/cmd/caperlatch/versions.go
+++ b/cmd/caperlatch/versions.go
@@ -52,7 +52,7 @@
 	}
 	fmt.Fprintf(w, "%s: version %d, %s\n", v.Member, v.Version, state)
 	for _, p := range v.Peers {
-		if p.Heard {
+		if p.Responding {
 			fmt.Fprintf(w, "%s: version %d\n", p.Member, p.Version)
 		} else {
 			fmt.Fprintf(w, "%s: not heard by %s, counts as version 0\n", p.Member, v.Member)
--- a/cmd/caperlatch/zones.go
+++ b/cmd/caperlatch/zones.go
@@ -39,15 +39,15 @@
 	fmt.Fprintf(w, ": %s\n", z.Reason)
 	e := z.Evidence
 	fmt.Fprintf(w, "  machines: %d up, %d late, %d silent, %d deaf, %d vanished, %d failing, %d heard anew\n",
-		e.Up, e.Late, e.Silent, e.Deaf, e.Vanished, e.Failing, e.Back)
-	if z.HoldS > 0 {
-		fmt.Fprintf(w, "  held down for %.0f s more\n", z.HoldS)
+		e.Running, e.Late, e.Silent, e.LostResponses, e.Unlisted, e.Quarantined, e.Recovered)
+	if z.HoldDownS > 0 {
+		fmt.Fprintf(w, "  held down for %.0f s more\n", z.HoldDownS)
 	}
 	if z.Flaps > 0 {
 		fmt.Fprintf(w, "  losses not forgotten: %d\n", z.Flaps)
 	}
-	if z.OpenPart < 1 || z.Work.Replaced > 0 {
-		fmt.Fprintf(w, "  %.0f%% open, %d machines closed, %d being replaced elsewhere\n", 100*z.OpenPart, z.Work.Closed, z.Work.Replaced)
+	if z.OpenShare < 1 || z.Work.ReplacedMachines > 0 {
+		fmt.Fprintf(w, "  %.0f%% open, %d machines closed, %d being replaced elsewhere\n", 100*z.OpenShare, z.Work.ClosedMachines, z.Work.ReplacedMachines)
 	}
 	for _, c := range []struct {
 		what  string
@@ -57,9 +57,9 @@
 			fmt.Fprintf(w, "  %s: %s\n", c.what, byClass(c.tasks))
 		}
 	}
-	if z.Work.Machines > 0 {
+	if z.Work.LeasedMachines > 0 {
 		fmt.Fprintf(w, "  %d tasks on %d machines wait for the ends of their leases, in %.0f to %.0f s\n",
-			z.Work.Tasks, z.Work.Machines, z.Work.NextEndS, z.Work.LastEndS)
+			z.Work.LeasedTasks, z.Work.LeasedMachines, z.Work.NextLeaseEndS, z.Work.LastLeaseEndS)
 	}
 }
 
--- a/contact.go
+++ b/contact.go
@@ -49,7 +49,7 @@
 	}
 	for _, p := range n.Versions().Peers {
 		was, known := logged.versions[p.Member]
-		if p.Heard && (!known || was != p.Version) {
+		if p.Responding && (!known || was != p.Version) {
 			logged.versions[p.Member] = p.Version
 			slog.Info("peer", "member", p.Member, "version", p.Version, "own", peer.Version)
 		}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -51,28 +51,28 @@
 	Explain(ctx context.Context, id string) (explain.Explanation, error)
 	// AwaitHandover waits, for a moment at most, while leadership is being handed over.
 	AwaitHandover(ctx context.Context)
-	// ExpectsLeader tells whether a leader that does not answer now should have a successor
+	// ExpectsSuccessor tells whether a leader that does not answer now should have a successor
 	// soon, so that reports are kept for it.
-	ExpectsLeader() bool
-	// Standby tells how far the warm standby is.
-	Standby() (StandbyStatus, error)
-	// Zones tells what the leader thinks of the zones.
-	Zones(ctx context.Context) ([]zone.Status, error)
-	// Members tells what this node thinks of the others.
-	Members() (membership.Status, error)
+	ExpectsSuccessor() bool
+	// StandbyStatus tells how far the warm standby is.
+	StandbyStatus() (StandbyStatus, error)
+	// ZoneStatus tells what the leader thinks of the zones.
+	ZoneStatus(ctx context.Context) ([]zone.Status, error)
+	// MembershipStatus tells what this node thinks of the others.
+	MembershipStatus() (membership.Status, error)
 	// HandOver hands leadership over, and tells to whom.
 	HandOver() (to string, err error)
 }
 
 // Handler holds what the handlers work with.
 type Handler struct {
-	Node          Node
-	Settings      *settings.Settings
-	Store         *statestore.Client
-	Batcher       *statestore.Batcher
-	Replica       *replica.Replica
-	RequestTimes  *RequestTimes
-	HeartbeatHold micros.Micros // how long a report that is passed on is kept for its answer
+	Node           Node
+	Settings       *settings.Settings
+	Store          *statestore.Client
+	Batcher        *statestore.Batcher
+	Replica        *replica.Replica
+	RequestTimes   *RequestTimes
+	ForwardTimeout micros.Micros // how long a report that is passed on is kept for its answer
 
 	mu               sync.Mutex
 	redirected       map[string]micros.Micros // machines sent to another node, when
--- a/internal/api/conns.go
+++ b/internal/api/conns.go
@@ -29,8 +29,8 @@
 	return &ConnLimiter{limit: sockets - sockets/reservedShare, open: map[net.Conn]*list.Element{}}
 }
 
-// State follows a connection, as http.Server tells of it.
-func (c *ConnLimiter) State(conn net.Conn, s http.ConnState) {
+// ConnState follows a connection, as http.Server tells of it.
+func (c *ConnLimiter) ConnState(conn net.Conn, s http.ConnState) {
 	if over := c.follow(conn, s); over != nil {
 		over.Close()
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -124,7 +124,7 @@
 	if stamp == 0 {
 		return replica.Job{}, errCatalogUnknown
 	}
-	if err := CheckRunnable(&spec, catalog.Types, h.Settings.Params.Teams); err != nil {
+	if err := checkFeasible(&spec, catalog.Types, h.Settings.Params.Teams); err != nil {
 		return replica.Job{}, &rejection{http.StatusUnprocessableEntity, err}
 	}
 	return job, nil
--- a/internal/api/members.go
+++ b/internal/api/members.go
@@ -12,7 +12,7 @@
 
 // members tells what this node thinks of the others.
 func (h *Handler) members(c echo.Context) error {
-	status, err := h.Node.Members()
+	status, err := h.Node.MembershipStatus()
 	if err != nil {
 		return respondError(c, http.StatusNotFound, err)
 	}
--- a/internal/api/report.go
+++ b/internal/api/report.go
@@ -61,7 +61,7 @@
 	if member == "" || member == h.Settings.Member {
 		return respondError(c, http.StatusServiceUnavailable, errNoLeader)
 	}
-	if !h.Node.CanForward() && !h.Node.ExpectsLeader() {
+	if !h.Node.CanForward() && !h.Node.ExpectsSuccessor() {
 		// A worker that comes back cannot reach the leader either.
 		var report wire.Heartbeat
 		if err := wire.Unmarshal(body, &report); err != nil {
@@ -71,7 +71,7 @@
 			return redirect(c, member)
 		}
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), h.HeartbeatHold.Duration())
+	ctx, cancel := context.WithTimeout(c.Request().Context(), h.ForwardTimeout.Duration())
 	defer cancel()
 	answer, err := h.Node.ForwardHeartbeat(ctx, body)
 	if err != nil {
--- a/internal/api/runnable.go
+++ b/internal/api/runnable.go
@@ -10,9 +10,9 @@
 	"caperlatch/internal/wire"
 )
 
-// CheckRunnable tells why a job can never run (422), or nil. What is refused is lost, and what
+// checkFeasible tells why a job can never run (422), or nil. What is refused is lost, and what
 // is accepted must run: a gang is weighed whole, as it runs whole.
-func CheckRunnable(j *wire.Job, types []wire.InstanceType, teams []settings.Team) error {
+func checkFeasible(j *wire.Job, types []wire.InstanceType, teams []settings.Team) error {
 	if err := withinTeam(j, teams); err != nil {
 		return err
 	}
--- a/internal/api/runnable_test.go
+++ b/internal/api/runnable_test.go
@@ -41,7 +41,7 @@
 		{"a service of a team at its limit", wire.Job{Team: "bound", Kind: wire.KindService, CPUs: 8, Tasks: 2}, true},
 	}
 	for _, c := range cases {
-		if err := CheckRunnable(&c.job, types, teams); (err == nil) != c.ok {
+		if err := checkFeasible(&c.job, types, teams); (err == nil) != c.ok {
 			t.Errorf("%s: %v, want ok %v", c.name, err, c.ok)
 		}
 	}
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -18,18 +18,18 @@
 
 // StandbyStatus is what a node tells the duty team of the warm standby.
 type StandbyStatus struct {
-	Member  string `json:"member"`
-	Leader  string `json:"leader"`
-	Token   uint64 `json:"token"`
-	Phase   string `json:"phase"`
-	Leading bool   `json:"leading"`
+	Member       string `json:"member"`
+	Leader       string `json:"leader"`
+	FencingToken uint64 `json:"token"`
+	Phase        string `json:"phase"`
+	Leading      bool   `json:"leading"`
 	// Of a leader.
 	Position  uint64                  `json:"position,omitempty"`
 	Followers []standby.FollowerState `json:"followers,omitempty"`
 	// Of a follower.
 	Progress *standby.Progress `json:"progress,omitempty"`
-	// Last is the node's last take-over, nil if it never led.
-	Last *standby.Record `json:"last,omitempty"`
+	// LastFailover is the node's last take-over, nil if it never led.
+	LastFailover *standby.FailoverRecord `json:"last,omitempty"`
 }
 
 // HandoverResponse answers a request to hand over.
@@ -39,7 +39,7 @@
 
 // standby tells how far the warm standby is.
 func (h *Handler) standby(c echo.Context) error {
-	status, err := h.Node.Standby()
+	status, err := h.Node.StandbyStatus()
 	if err != nil {
 		return respondError(c, http.StatusNotFound, err)
 	}
--- a/internal/api/zones.go
+++ b/internal/api/zones.go
@@ -23,7 +23,7 @@
 func (h *Handler) zones(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), userTimeout.Duration())
 	defer cancel()
-	all, err := h.Node.Zones(ctx)
+	all, err := h.Node.ZoneStatus(ctx)
 	switch {
 	case errors.Is(err, ErrZonesOff):
 		return respondError(c, http.StatusNotFound, err)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// HighestKnown is who has the highest token known here. The session is not always known.
-func (e *Election) HighestKnown() replica.Leader {
+// HighestKnownLeader is who has the highest token known here. The session is not always known.
+func (e *Election) HighestKnownLeader() replica.Leader {
 	var token replica.TokenRecord
 	if _, err := e.replica.Get(replica.TokenKey, &token); err != nil {
 		slog.Error("token key", "error", err)
@@ -338,7 +338,7 @@
 	if _, stamp := e.Leader(); stamp != t.LeaderKeyRevision {
 		return true
 	}
-	return e.HighestKnown().FencingToken > t.FencingToken
+	return e.HighestKnownLeader().FencingToken > t.FencingToken
 }
 
 // maintainSession renews the session until the term is lost or given up.
--- a/internal/leader/ask_test.go
+++ b/internal/leader/ask_test.go
@@ -14,11 +14,11 @@
 	"caperlatch/internal/zone"
 )
 
-// workers answers calls to workers' addresses.
-type workers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
+// fakeWorkers answers calls to workers' addresses.
+type fakeWorkers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
 
 // RoundTrip implements http.RoundTripper.
-func (f workers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f fakeWorkers) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
@@ -35,56 +35,56 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(answer)), Request: r}, err
 }
 
-// TestAsk has a new leader ask a machine for its tasks. Only an answer made after the
+// TestTaskQuery has a new leader ask a machine for its tasks. Only an answer made after the
 // worker heard of this term proves them: until then a start of an earlier term may
 // still be carried out, and a task that is started elsewhere would run twice.
-func TestAsk(t *testing.T) {
+func TestTaskQuery(t *testing.T) {
 	running := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}
 	answer := func(session, seq, baton uint64) *wire.Heartbeat {
-		r := report(seq, baton, running)
+		r := heartbeat(seq, baton, running)
 		r.Incarnation = session
 		return r
 	}
-	other := answer(1, 20, token)
+	other := answer(1, 20, testToken)
 	other.MachineID = "i-9"
 	rest := []string{"start j-000001/1", "start j-000001/2"}
 	cases := []struct {
 		name    string
-		worker  workers
+		worker  fakeWorkers
 		already *wire.Heartbeat // comes while the worker is asked
 		done    bool
 		report  *wire.Heartbeat // comes afterwards
 		want    []string
 	}{
-		{"it tells", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, token) }, nil, true,
-			report(21, token, running), rest},
+		{"it tells", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, testToken) }, nil, true,
+			heartbeat(21, testToken, running), rest},
 		{"in a later session", func(c *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if c.Incarnation != 3 {
-				return 409, answer(3, 20, token-1)
+				return 409, answer(3, 20, testToken-1)
 			}
-			return 200, answer(3, 21, token)
-		}, nil, true, answer(3, 22, token), rest},
+			return 200, answer(3, 21, testToken)
+		}, nil, true, answer(3, 22, testToken), rest},
 		// It is older than the answer: what it shows may have ended since, and what
 		// was started since does not show.
-		{"a report from before the answer", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, token) }, nil, true,
-			report(19, token, running), []string{}},
-		{"it has not heard of this term", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 409, answer(1, 20, token-1) }, nil, false,
-			report(21, token-1, running), []string{}},
+		{"a report from before the answer", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, testToken) }, nil, true,
+			heartbeat(19, testToken, running), []string{}},
+		{"it has not heard of this term", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 409, answer(1, 20, testToken-1) }, nil, false,
+			heartbeat(21, testToken-1, running), []string{}},
 		{"another machine has its address", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, other }, nil, false,
-			report(21, token-1, running), []string{}},
+			heartbeat(21, testToken-1, running), []string{}},
 		{"no answer", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 0, nil }, nil, false,
-			report(21, token-1, running), []string{}},
+			heartbeat(21, testToken-1, running), []string{}},
 		// The report drew starts that the answer cannot show.
-		{"a report is faster", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, token) }, report(21, token, running), true,
-			report(22, token, running, wire.TaskStatus{TaskID: "j-000001/1", Attempt: token<<32 | 1, State: wire.TaskRunning},
-				wire.TaskStatus{TaskID: "j-000001/2", Attempt: token<<32 | 2, State: wire.TaskRunning}), []string{}},
+		{"a report is faster", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, answer(1, 20, testToken) }, heartbeat(21, testToken, running), true,
+			heartbeat(22, testToken, running, wire.TaskStatus{TaskID: "j-000001/1", Attempt: testToken<<32 | 1, State: wire.TaskRunning},
+				wire.TaskStatus{TaskID: "j-000001/2", Attempt: testToken<<32 | 2, State: wire.TaskRunning}), []string{}},
 	}
 	for _, c := range cases {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		m := l.machines["i-1"]
 		m.instance.address, m.heartbeat.ofThisTerm = "i-1:9000", false
-		l.WorkerClient = &http.Client{Transport: workers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
-			if d.FencingToken != token || len(d.Commands) != 0 {
+		l.WorkerClient = &http.Client{Transport: fakeWorkers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
+			if d.FencingToken != testToken || len(d.Commands) != 0 {
 				t.Errorf("%s: asked with token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
 			}
 			if c.already != nil {
@@ -105,15 +105,15 @@
 		}
 		l.plannedAt = 0
 		a, err := l.HandleHeartbeat(c.report)
-		if got := verbs(a); err != nil || !slices.Equal(got, c.want) {
+		if got := commandNames(a); err != nil || !slices.Equal(got, c.want) {
 			t.Errorf("%s: told %v (%v), want %v", c.name, got, err, c.want)
 		}
 	}
 }
 
-// TestAskedInVain has a machine give no answer after a take-over. All old jobs wait for
+// TestUnresponsiveMachineTermination has a machine give no answer after a take-over. All old jobs wait for
 // it, so it is returned soon; but not where the fault may be with this node's own ways.
-func TestAskedInVain(t *testing.T) {
+func TestUnresponsiveMachineTermination(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		asked, answers int // of its zone
@@ -124,7 +124,7 @@
 		{"its whole zone is silent", 20, 0, 1, false},
 		{"many are", 20, 12, 8, false},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		b := l.intents["r-1"]
 		for i := range 19 {
 			l.addMachine(string(rune('a'+i)), b, l.startedAt).instance.running = true
@@ -139,17 +139,17 @@
 			}
 		}
 		l.zoneQueries["a"] = queryCounts{c.asked, c.answers}
-		l.checkMachines(now)
+		l.superviseMachines(now)
 		if got := l.sorted[0].instance.terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
 }
 
-// TestCutOffZone counts silent machines of a zone that stop being there. While a zone is
+// TestZoneCutOff counts silent machines of a zone that stop being there. While a zone is
 // cut off nothing is rented in it; once its machines are returned, none of them can show
 // that it is not cut off any more.
-func TestCutOffZone(t *testing.T) {
+func TestZoneCutOff(t *testing.T) {
 	steps := []struct {
 		name     string
 		machines int
@@ -162,7 +162,7 @@
 		{"all silent again", 4, true, true},
 		{"all returned", 0, true, false},
 	}
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	b := l.intents["r-1"]
 	now := micros.Now() + micros.Second
 	for _, s := range steps {
@@ -177,9 +177,9 @@
 		}
 		l.observeZones(now)
 		// All of the only zone is most of the network, too.
-		want := zone.Decision{Rent: zone.AnyNumber, Reachable: true, Open: 1}
+		want := zone.Decision{MaxMachines: zone.Unlimited, Reachable: true, OpenShare: 1}
 		if s.cut {
-			want = zone.Decision{KeepSilent: true, Open: 1}
+			want = zone.Decision{KeepSilent: true, OpenShare: 1}
 		}
 		if got := l.policy.Decide("a"); got != want {
 			t.Errorf("%s: %+v, want %+v", s.name, got, want)
--- a/internal/leader/backlog.go
+++ b/internal/leader/backlog.go
@@ -112,7 +112,7 @@
 		}
 		// Machines are no help to what its team's limit keeps waiting.
 		if team := teams[j.spec.Team]; team != nil {
-			n = team.Room(j.need, n)
+			n = team.CountAllowed(j.need, n)
 			team.Used = team.Used.Add(j.need, int64(n))
 		}
 		if j.mayHaveEarlierTasks && d.unknownCPUs > 0 {
@@ -149,7 +149,7 @@
 	if late { // it is to be done soon all the same
 		in = 2 * t.BootTimeS
 	}
-	demand := staffing.WaitingWork{Work: work, DueInS: in}
+	demand := staffing.WaitingWork{CPUSeconds: work, DueInS: in}
 	d.waiting = append(d.waiting, demand)
 	if !l.isDelayTolerant(j) {
 		d.notDelayTolerant = append(d.notDelayTolerant, demand)
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -63,14 +63,14 @@
 
 func benchMachine(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// newBench makes a leader that has just taken over.
-func newBench(b *testing.B, r *replica.Replica) *Leader {
+// newBenchLeader makes a leader that has just taken over.
+func newBenchLeader(b *testing.B, r *replica.Replica) *Leader {
 	b.Helper()
 	now := micros.Now()
 	s := benchSettings()
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: r,
-		Store: statestore.New("unused", s.Params.State, nil), FencingToken: token,
-		Term: &fakeTerm{held: true, sure: true, confirmed: now + 3600*micros.Second, alone: now}})
+		Store: statestore.New("unused", s.Params.State, nil), FencingToken: testToken,
+		Term: &fakeTerm{holdsSession: true, exclusive: true, lastConfirmed: now + 3600*micros.Second, earlierTermsFencedSince: now}})
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 60, ImagePullGBPerS: 1, OnDemandPrice: 0.97, SpotPrice: 0.35, BootTimeS: 50, Zones: []string{"a", "b"}}}})
 	if err := l.rebuildState(); err != nil {
 		b.Fatal(err)
@@ -78,8 +78,8 @@
 	return l
 }
 
-// full has every machine report twice, so that all hold tasks.
-func full(b *testing.B, l *Leader, machines int) map[string]*wire.Heartbeat {
+// fillMachines has every machine report twice, so that all hold tasks.
+func fillMachines(b *testing.B, l *Leader, machines int) map[string]*wire.Heartbeat {
 	b.Helper()
 	reports := map[string]*wire.Heartbeat{}
 	for round := range 3 {
@@ -87,21 +87,21 @@
 			id := benchMachine(i)
 			r := reports[id]
 			if r == nil {
-				r = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: token}
+				r = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: testToken}
 				reports[id] = r
 			}
 			if round == 2 && i == 0 {
 				l.plan(micros.Now())
 			}
 			l.plannedAt = micros.Now() + micros.Second
-			benchReport(b, l, r)
+			benchHeartbeat(b, l, r)
 		}
 	}
 	return reports
 }
 
-// benchReport sends a report and carries out what it is told.
-func benchReport(b *testing.B, l *Leader, r *wire.Heartbeat) {
+// benchHeartbeat sends a report and carries out what it is told.
+func benchHeartbeat(b *testing.B, l *Leader, r *wire.Heartbeat) {
 	r.Sequence++
 	a, err := l.HandleHeartbeat(r)
 	if err != nil {
@@ -114,26 +114,26 @@
 	}
 }
 
-func BenchmarkTakeOver(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		r := benchReplica(machines)
 		b.ReportAllocs()
 		for b.Loop() {
-			newBench(b, r)
+			newBenchLeader(b, r)
 		}
 	})
 }
 
-func BenchmarkReport(b *testing.B) {
+func BenchmarkHeartbeat(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		reports := full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		reports := fillMachines(b, l, machines)
 		i := 0
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
 			l.plannedAt = micros.Now() + micros.Second
-			benchReport(b, l, reports[benchMachine(i%machines)])
+			benchHeartbeat(b, l, reports[benchMachine(i%machines)])
 			i++
 		}
 	})
@@ -142,8 +142,8 @@
 // BenchmarkPlan plans with each machine full but for a twentieth of them.
 func BenchmarkPlan(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
 		n := 0
 		for _, m := range l.sorted {
 			if n++; n%20 == 0 {
@@ -158,24 +158,24 @@
 	})
 }
 
-func BenchmarkTick(b *testing.B) {
+func BenchmarkMachineSupervision(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
-			l.checkMachines(micros.Now())
+			l.superviseMachines(micros.Now())
 		}
 	})
 }
 
-func BenchmarkStaff(b *testing.B) {
+func BenchmarkAutoscale(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
-		l.Term.(*fakeTerm).sure = false // rent nothing
-		l.Term.(*fakeTerm).held = false
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
+		l.Term.(*fakeTerm).exclusive = false // rent nothing
+		l.Term.(*fakeTerm).holdsSession = false
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
@@ -184,10 +184,10 @@
 	})
 }
 
-func BenchmarkCounts(b *testing.B) {
+func BenchmarkTaskCounts(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
-		l := newBench(b, benchReplica(machines))
-		full(b, l, machines)
+		l := newBenchLeader(b, benchReplica(machines))
+		fillMachines(b, l, machines)
 		b.ResetTimer()
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/leader/boot_test.go
+++ b/internal/leader/boot_test.go
@@ -30,7 +30,7 @@
 		{"late alone, where they never did", 9, 60 * s, 0, 2, 0, true, true},
 	}
 	for _, c := range cases {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		l.types["m4"].BootTimeS = 20
 		l.removeMachine(l.machines["i-1"])
 		now := l.startedAt + 1000*s
@@ -49,7 +49,7 @@
 		for i := range max(c.newer, -c.newer) {
 			add(10+i, c.age-20*s, c.newer > 0)
 		}
-		l.checkMachines(now)
+		l.superviseMachines(now)
 		m := l.machines["i-109"]
 		probes := 0
 		for _, o := range l.sorted {
@@ -73,7 +73,7 @@
 // cloud: its machines' boot and the time that is paid for are counted from the answer.
 func TestRentedLate(t *testing.T) {
 	for _, waited := range []micros.Micros{0, 45 * micros.Second, 300 * micros.Second} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		l.types["m4"].BootTimeS = 20
 		b := &launchIntent{id: "r-5", Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - waited}
 		l.intents[b.id] = b
--- a/internal/leader/consolidate_test.go
+++ b/internal/leader/consolidate_test.go
@@ -40,8 +40,8 @@
 		{"the room is to be given up as well", 30, 60 * s, true, false, [2]int{1, 2}, true, true, 0, 60 * s, false},
 	}
 	for _, c := range cases {
-		l, term := newTest(t)
-		term.held = c.held
+		l, term := newTestLeader(t)
+		term.holdsSession = c.held
 		now := micros.Now() + 1000*s
 		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000300", Team: "blue", Tasks: 20, CPUs: 1, EstimatedRuntimeS: 300, AllowSpot: true, CheckpointIntervalS: c.saves, CheckpointDurationS: 3}}, false)
 		if j.submittedAt = micros.Wall(); c.due > 0 {
@@ -88,7 +88,7 @@
 		{"the formula wants two", []int{0, 0, 0}, 2, 0, 1},
 		{"other work waits", []int{0, 0, 0}, 0, 1, 0},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		for i, p := range c.priorities {
 			if i > 0 {
 				l.addMachine(fmt.Sprintf("i-%d", i+1), l.intents["r-1"], l.startedAt)
@@ -129,7 +129,7 @@
 		{"the last of its job", 4, false, 100 * s, true, [2]micros.Micros{13 * s, 13 * s}},
 		{"nearly over", 400, false, 290 * s, true, [2]micros.Micros{23 * s, 24 * s}},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		m, now := l.machines["i-1"], micros.Now()+1000*s
 		m.heartbeat.receivedAt = now
 		m.reconciliation.knowledge = tasksConfirmed
--- a/internal/leader/counts_test.go
+++ b/internal/leader/counts_test.go
@@ -9,11 +9,11 @@
 	"caperlatch/internal/wire"
 )
 
-// TestCountsOfLargeFleet has 16,000 jobs run, as single tasks on 4,000 machines do: the
+// TestTaskCountsOfLargeFleet has 16,000 jobs run, as single tasks on 4,000 machines do: the
 // counts of all are told to the other nodes, in one message. Beyond 2,000 they were left out.
-func TestCountsOfLargeFleet(t *testing.T) {
+func TestTaskCountsOfLargeFleet(t *testing.T) {
 	const jobs, messageBytes = 16000, 1 << 20
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	for i := range jobs {
 		id := fmt.Sprintf("j-1%05d", i)
 		j := newJob(replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{ID: id, Tasks: 1}}, false)
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -122,7 +122,7 @@
 		why = append(why, "its team uses as many GPUs as it may")
 	}
 	if j.isGang() {
-		if t := teams[j.spec.Team]; len(why) == 0 && t.Room(j.need, j.waiting()) < j.waiting() {
+		if t := teams[j.spec.Team]; len(why) == 0 && t.CountAllowed(j.need, j.waiting()) < j.waiting() {
 			why = append(why, "its team may not use as much as the whole gang needs")
 		}
 		switch {
@@ -187,7 +187,7 @@
 			states[a.reportedState]++
 			held += a.job.need.CPU
 		}
-		if t := l.types[m.offering.Type]; t != nil && l.canStart(m, now) {
+		if t := l.types[m.offering.Type]; t != nil && l.canReceiveStarts(m, now) {
 			cpus += t.capacity.CPU
 		}
 	}
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -40,7 +40,7 @@
 		{"three jobs with mistakes on one machine and then on others", []string{"0x1", "1x1", "2x1", "0x2", "1x2", "2x2", "0x3", "1x3", "2x3"}, []int{1}, []int{0, 1, 2}},
 	}
 	for _, c := range cases {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		b := l.intents["r-1"]
 		var jobs []*job
 		for i := range 10 {
@@ -91,7 +91,7 @@
 // TestProbe has a job put off: it is tried ever more seldom, a few tasks at a time,
 // also by the next leader; it brings no demand; and a success ends all that.
 func TestProbe(t *testing.T) {
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	b := l.intents["r-1"]
 	for i := 2; i <= 3; i++ {
 		l.addMachine(fmt.Sprintf("i-%d", i), b, l.startedAt)
@@ -127,7 +127,7 @@
 			t.Errorf("pauses %v", pauses)
 		}
 	}
-	next, _ := newTest(t)
+	next, _ := newTestLeader(t)
 	heir := newJob(replica.Job{Spec: j.spec}, true)
 	next.jobs[j.spec.ID] = heir
 	next.restoreQuarantinedJobs(l.quarantinedJobs(), now)
@@ -154,7 +154,7 @@
 		{"it runs on", 0, 4 * s, false},
 		{"it runs no longer than what failed", 10 * s, 15 * s, true},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		now := micros.Now()
 		j := newJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 50, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}}, false)
 		l.jobs[j.spec.ID] = j
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -95,7 +95,7 @@
 		return cmp.Or(cmp.Compare(a.job.spec.ID, b.job.spec.ID), cmp.Compare(a.index, b.index))
 	})
 	for _, a := range starts[:min(len(starts), max(0, maxCommands-len(orders)))] {
-		if !l.startAllowedWith(a.job, m, 0) {
+		if !l.canStartTasks(a.job, m, 0) {
 			// A task that nobody knew of has shown itself since the places were reserved.
 			l.releaseReservation(a, "it may not start there any more")
 			continue
@@ -432,7 +432,7 @@
 // canReserve tells whether room may be gathered for a waiting job: a gang that has none
 // gathered, and none let go of lately.
 func (l *Leader) canReserve(w *placement.Job, now micros.Micros) bool {
-	if !w.Gang || w.Waiting == 0 {
+	if !w.Gang || w.WaitingTasks == 0 {
 		return false
 	}
 	g := l.reservations[w.ID]
@@ -511,7 +511,7 @@
 			continue
 		}
 		want := j.startableTasks(now)
-		if want == 0 || teams[j.spec.Team].Room(j.need, want) < want {
+		if want == 0 || teams[j.spec.Team].CountAllowed(j.need, want) < want {
 			j.gang.shortSince = 0
 			continue
 		}
@@ -538,7 +538,7 @@
 				best = offering{}
 				break // its answer comes first
 			}
-			if st := l.capacityBackoffs[o]; st != nil && now < st.until || l.policy.Decide(o.Zone).Rent < zone.AnyNumber || most(o.Zone) <= inZone[o.Zone] {
+			if st := l.capacityBackoffs[o]; st != nil && now < st.until || l.policy.Decide(o.Zone).MaxMachines < zone.Unlimited || most(o.Zone) <= inZone[o.Zone] {
 				continue
 			}
 			if best.Type == "" || j.spec.SingleZone && inZone[o.Zone] > inZone[best.Zone] {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -23,7 +23,7 @@
 // machine, and of three machines that are up, not yet known if old.
 func newGangTest(t *testing.T, old bool) *Leader {
 	t.Helper()
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	l.WorkerClient = &http.Client{Transport: heard{}}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobDone}, 2)
 	l.applyJobChanges()
@@ -36,7 +36,7 @@
 	}
 	for _, m := range l.sorted {
 		m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm = true, true, true, true
-		m.reconciliation.knowledge = knowledge(!old)
+		m.reconciliation.knowledge = taskKnowledge(!old)
 		m.instance.address, m.heartbeat.incarnation, m.heartbeat.receivedAt, m.lease.renewedAt = m.id+":9000", 1, l.startedAt, l.startedAt
 	}
 	return l
@@ -48,7 +48,7 @@
 func tellTasks(t *testing.T, l *Leader, machine string, tasks ...string) []string {
 	t.Helper()
 	m := l.machines[machine]
-	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token, Tasks: nil}
+	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: testToken, Tasks: nil}
 	for _, s := range tasks {
 		f := strings.Fields(s)
 		number, at, _ := strings.Cut(f[0], "@")
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(a)
+	return commandNames(a)
 }
 
 // addUp adds a machine that is up and may get tasks.
@@ -100,11 +100,11 @@
 	t.Helper()
 	m := l.machines[machine]
 	l.replan, l.plannedAt = true, 0
-	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: m.heartbeat.incarnation, Sequence: m.heartbeat.sequence + 1, FencingToken: token, Tasks: tasks})
+	answer, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: m.heartbeat.incarnation, Sequence: m.heartbeat.sequence + 1, FencingToken: testToken, Tasks: tasks})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return verbs(answer)
+	return commandNames(answer)
 }
 
 // leave has the gang's task leave a machine, which gets no others.
--- a/internal/leader/gang_reserve.go
+++ b/internal/leader/gang_reserve.go
@@ -81,7 +81,7 @@
 	perMachine := t.capacity.CountFitting(j.need, 1<<20) / j.spec.Tasks
 	size := 1 / float64(max(1, perMachine))
 	fetch := j.spec.ImageSizeGB / math.Max(t.ImagePullGBPerS, 0.01)
-	r.service.Estimate(size, l.expectedRuntime(j.spec)+fetch)
+	r.service.ObserveEstimate(size, l.expectedRuntime(j.spec)+fetch)
 	r.batches.Add(size, 1, false)
 	r.readyMachines = max(r.readyMachines, l.readyMachinesFor(j, fetch))
 	if j.mayHaveEarlierTasks {
@@ -121,7 +121,7 @@
 		peak := staffing.PeakMean(r.mean, lambda, mu, horizon)
 		target := 0
 		if peak >= minPoolMean {
-			formula := staffing.Servers(peak, r.batches.Peakedness()*peak, l.Tuning.Z)
+			formula := staffing.RequiredServers(peak, r.batches.Peakedness()*peak, l.Tuning.Z)
 			target = max(formula, int(math.Ceil(peak))+r.readyMachines)
 		}
 		target = min(target, len(l.sorted)/poolDivisor)
@@ -262,7 +262,7 @@
 	var late []*placement.Job
 	for _, w := range l.queue.waiting {
 		k := l.reservations[w.ID]
-		if w.Gang && w.AtRisk && !w.Late && (k == nil || len(k.machines) == 0) && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartBy) {
+		if w.Gang && w.AtRisk && !w.Late && (k == nil || len(k.machines) == 0) && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartDeadline) {
 			late = append(late, w)
 		}
 	}
@@ -283,7 +283,7 @@
 				continue
 			}
 			grace := micros.FromSeconds(a.job.spec.CheckpointDurationS)
-			if wall+grace > w.StartBy || a.runningSince == 0 || now-a.runningSince < grace {
+			if wall+grace > w.StartDeadline || a.runningSince == 0 || now-a.runningSince < grace {
 				grace = 0
 			}
 			l.stopTask(a, grace, "stopped to make room for "+w.ID)
--- a/internal/leader/gang_reserve_test.go
+++ b/internal/leader/gang_reserve_test.go
@@ -14,7 +14,7 @@
 // jobs. A gang is to start within 2 s with a chance of 0.85.
 func newReserveTest(t *testing.T) *Leader {
 	t.Helper()
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	l.Settings.Params.Objectives = []settings.Objective{{Kind: "wait", Class: "pairs", WithinS: 2, Share: 0.85}}
 	l.heartbeatInterval = 8 * micros.Second
 	clear(l.jobs)
@@ -110,7 +110,7 @@
 	addJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.plannedAt = 0
 	for _, m := range l.sorted {
-		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token}); err != nil {
+		if _, err := l.HandleHeartbeat(&wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: testToken}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -180,7 +180,7 @@
 	} {
 		m := l.machines[c.machine]
 		m.reconciliation.knowledge = tasksUnknown
-		l.reconcile(m, &wire.Heartbeat{MachineID: m.id, Incarnation: 1, Sequence: 1, FencingToken: token, Tasks: c.tasks}, micros.Now())
+		l.reconcile(m, &wire.Heartbeat{MachineID: m.id, Incarnation: 1, Sequence: 1, FencingToken: testToken, Tasks: c.tasks}, micros.Now())
 		if got := m.pool != nil; got != c.reserved {
 			t.Errorf("%s: reserved: %t, want %t", c.name, got, c.reserved)
 		}
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -27,9 +27,9 @@
 		{"one hears nothing", func(_ *Leader, m *machine) { m.delivery.lostResponses = 1 }, 0},
 		{"one is being returned", func(_ *Leader, m *machine) { m.instance.terminating = true }, 0},
 		{"one is in a zone that is cut off", func(l *Leader, _ *machine) {
-			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Up: 4, Silent: 3}}})
+			l.policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
-		{"its leader is in doubt", func(l *Leader, _ *machine) { l.Term.(*fakeTerm).sure = false }, 0},
+		{"its leader is in doubt", func(l *Leader, _ *machine) { l.Term.(*fakeTerm).exclusive = false }, 0},
 	} {
 		l := newGangTest(t, false)
 		for i := range 3 {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -106,8 +106,8 @@
 			}
 		}
 		n := j.gang.number
-		if n > token<<32 {
-			n -= token << 32
+		if n > testToken<<32 {
+			n -= testToken << 32
 		}
 		if _, final := l.finalJobs[j.spec.ID]; n != c.n || (j.doneCount == 3) != c.done || final != c.done {
 			t.Errorf("%s: attempt %d, %d done", c.name, n, j.doneCount)
@@ -141,7 +141,7 @@
 		a.startedAt = late
 	}
 	l.checkGangs(micros.Now())
-	if j.waiting() != 1 || j.gang.number != token<<32|1 {
+	if j.waiting() != 1 || j.gang.number != testToken<<32|1 {
 		t.Errorf("%d wait for another place, attempt %d", j.waiting(), j.gang.number)
 	}
 	// It waits too long: all is given back.
@@ -368,7 +368,7 @@
 func TestGangSurelyGone(t *testing.T) {
 	say := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *machine) {
 		return func(_ *testing.T, l *Leader, m *machine) {
-			r := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token}
+			r := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: testToken}
 			edit(r)
 			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.heartbeat.sequence {
 				t.Error(err)
@@ -382,7 +382,7 @@
 		return func(_ *testing.T, l *Leader, m *machine) {
 			m.lease.renewedAt = micros.Now() - seconds*micros.Second
 			m.heartbeat.receivedAt = m.lease.renewedAt
-			l.checkMachines(micros.Now())
+			l.superviseMachines(micros.Now())
 		}
 	}
 	cases := []struct {
@@ -405,8 +405,8 @@
 		}, false},
 		{"it reports in a new session", say(func(r *wire.Heartbeat) { r.Incarnation = 2 }), true},
 		{"a late copy of a report from before the start comes", say(func(r *wire.Heartbeat) { r.Sequence = 1 }), false},
-		{"a report of an earlier term comes", say(func(r *wire.Heartbeat) { r.FencingToken = token - 1 }), false},
-		{"it reports in a new session, and knows an earlier term", say(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, token-1 }), true},
+		{"a report of an earlier term comes", say(func(r *wire.Heartbeat) { r.FencingToken = testToken - 1 }), false},
+		{"it reports in a new session, and knows an earlier term", say(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, testToken-1 }), true},
 		{"it reports without the task", shows(), true},
 		{"it reports another attempt, which is to be cleared", shows("1@3 ended stopped", ". waiting"), false},
 		{"it still fetches", shows(". pulling"), false},
@@ -601,10 +601,10 @@
 	}
 	m, n := l.machines["i-2"], j.gang.number
 	name := taskID(j.spec.ID, a.index)
-	ended := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: token,
+	ended := &wire.Heartbeat{MachineID: m.id, Address: m.instance.address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.heartbeat.sequence + 1, FencingToken: testToken,
 		Tasks: []wire.TaskStatus{{TaskID: name, Attempt: n, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.plannedAt = 0
-	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(verbs(answer), "start "+name) {
+	if answer, err := l.HandleHeartbeat(ended); err != nil || !slices.Contains(commandNames(answer), "start "+name) {
 		t.Fatalf("told %v (%v), want the start again", answer.Commands, err)
 	}
 	waiting := *ended
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -104,7 +104,7 @@
 		submittedAt:         r.SubmittedAt,
 		seenAt:              micros.Now(),
 		mayHaveEarlierTasks: old,
-		need:                placement.Resources{CPU: ceil(s.CPUs), GPU: ceil(s.GPUs), Mem: ceil(s.MemoryGB)},
+		need:                placement.Resources{CPU: ceil(s.CPUs), GPU: ceil(s.GPUs), Memory: ceil(s.MemoryGB)},
 		priority:            wire.PriorityRank(s.Priority),
 		done:                newBitset(s.Tasks),
 		storedDone:          newBitset(s.Tasks),
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -52,8 +52,8 @@
 	Followers        Followers
 	FailoverProgress FailoverProgress
 	PreviousTerm     *standby.View // of the term before, if one was followed
-	// Zones decides on zones; nil: the default policy.
-	Zones zone.Policy
+	// ZonePolicy decides on zones; nil: the default policy.
+	ZonePolicy zone.Policy
 	// IsIsolated tells whether this node hears neither the state service nor most of its peers;
 	// nil: it is not known.
 	IsIsolated func() bool
@@ -85,7 +85,7 @@
 	planState
 	gangState
 	persistState
-	workerCalls
+	taskQueryState
 	standbyState
 	zoneState
 
@@ -160,8 +160,8 @@
 	inFlight      bool           // a transaction is under way
 }
 
-// workerCalls is what is known of this node's own calls to workers.
-type workerCalls struct {
+// taskQueryState is what is known of this node's own calls to workers.
+type taskQueryState struct {
 	slots       chan struct{}          // in progress
 	zoneQueries map[string]queryCounts // how the machines of a zone took to being asked for their tasks
 }
@@ -223,12 +223,12 @@
 			maxOps:        c.Store.MaxLeaderOps(),
 			rejectedSizes: map[string]int{},
 		},
-		workerCalls: workerCalls{
+		taskQueryState: taskQueryState{
 			slots:       make(chan struct{}, max(8, c.Settings.Params.Limits.MaxSockets/workerCallShare)),
 			zoneQueries: map[string]queryCounts{},
 		},
 	}
-	l.zoneState = newZoneState(c.Zones)
+	l.zoneState = newZoneState(c.ZonePolicy)
 	for _, t := range c.Settings.Params.Teams {
 		l.teams[t.Name] = t
 	}
@@ -363,7 +363,7 @@
 			l.types[t.Name] = mt
 		}
 		mt.InstanceType = t
-		mt.capacity = placement.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Mem: floor(t.MemoryGB)}
+		mt.capacity = placement.Resources{CPU: floor(t.CPUs), GPU: floor(t.GPUs), Memory: floor(t.MemoryGB)}
 	}
 }
 
@@ -458,7 +458,7 @@
 		l.reportTasksKnown()
 		if now-watched >= 200*micros.Millisecond {
 			watched = now
-			l.checkMachines(now)
+			l.superviseMachines(now)
 		}
 		l.checkGangs(now)
 		l.planIfNeeded(now)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -15,29 +15,29 @@
 
 // fakeTerm is a term whose proofs the tests set.
 type fakeTerm struct {
-	held, sure       bool
-	confirmed, alone micros.Micros
+	holdsSession, exclusive                bool
+	lastConfirmed, earlierTermsFencedSince micros.Micros
 }
 
-func (t *fakeTerm) HoldsSession() bool                     { return t.held }
-func (t *fakeTerm) IsExclusive() bool                      { return t.sure }
-func (t *fakeTerm) LastConfirmed() micros.Micros           { return t.confirmed }
-func (t *fakeTerm) EarlierTermsFencedSince() micros.Micros { return t.alone }
+func (t *fakeTerm) HoldsSession() bool                     { return t.holdsSession }
+func (t *fakeTerm) IsExclusive() bool                      { return t.exclusive }
+func (t *fakeTerm) LastConfirmed() micros.Micros           { return t.lastConfirmed }
+func (t *fakeTerm) EarlierTermsFencedSince() micros.Micros { return t.earlierTermsFencedSince }
 
-const token = 7
+const testToken = 7
 
-// newTest makes a leader of one job of three tasks and one machine that an
+// newTestLeader makes a leader of one job of three tasks and one machine that an
 // earlier leader had brought up.
-func newTest(t *testing.T) (*Leader, *fakeTerm) {
+func newTestLeader(t *testing.T) (*Leader, *fakeTerm) {
 	t.Helper()
 	now := micros.Now()
-	term := &fakeTerm{held: true, sure: true, confirmed: now}
+	term := &fakeTerm{holdsSession: true, exclusive: true, lastConfirmed: now}
 	s := &settings.Settings{Params: settings.Params{
 		Teams:   []settings.Team{{Name: "blue"}},
 		Workers: settings.Workers{HeartbeatIntervalS: 2, LeaseDurationS: 16, CancellationTimeoutS: 41},
 	}}
 	l := New(Config{Settings: s, Tuning: settings.DefaultTuning(), Replica: replica.New(nil),
-		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: token})
+		Store: statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 8, TxnOps: 6}, nil), Term: term, FencingToken: testToken})
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}}})
 	b := &launchIntent{id: "r-1", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}}
 	l.intents[b.id] = b
@@ -55,11 +55,11 @@
 	return l, term
 }
 
-func report(seq, baton uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func heartbeat(seq, baton uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{MachineID: "i-1", Address: "", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: baton, Tasks: tasks}
 }
 
-func verbs(a wire.HeartbeatResponse) (out []string) {
+func commandNames(a wire.HeartbeatResponse) (out []string) {
 	for _, c := range a.Commands {
 		out = append(out, c.Verb+" "+c.TaskID)
 	}
@@ -73,7 +73,7 @@
 	running := func(task string, n uint64) wire.TaskStatus {
 		return wire.TaskStatus{TaskID: task, Attempt: n, State: wire.TaskRunning}
 	}
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	steps := []struct {
 		name   string
 		report *wire.Heartbeat
@@ -81,19 +81,19 @@
 	}{
 		// Made before the worker knew of this term: an old leader's start may
 		// still be executed, so nothing of the old job is started.
-		{"a report of an earlier term", report(10, token-1), []string{}},
+		{"a report of an earlier term", heartbeat(10, testToken-1), []string{}},
 		// One task runs from the earlier term and is kept; the others start.
-		{"the first of this term", report(11, token, running("j-000001/0", 5)), []string{"start j-000001/1", "start j-000001/2"}},
-		{"a late copy", report(10, token-1), nil},
+		{"the first of this term", heartbeat(11, testToken, running("j-000001/0", 5)), []string{"start j-000001/1", "start j-000001/2"}},
+		{"a late copy", heartbeat(10, testToken-1), nil},
 		// The answer with the starts was lost: a newer report proves it.
-		{"starts lost", report(12, token, running("j-000001/0", 5)), []string{"start j-000001/1", "start j-000001/2"}},
-		{"an unknown task is stopped", report(13, token, running("j-000001/0", 5), running("j-000001/1", token<<32|3),
-			running("j-000001/2", token<<32|4), running("j-000099/0", 2)), []string{"stop j-000099/0"}},
+		{"starts lost", heartbeat(12, testToken, running("j-000001/0", 5)), []string{"start j-000001/1", "start j-000001/2"}},
+		{"an unknown task is stopped", heartbeat(13, testToken, running("j-000001/0", 5), running("j-000001/1", testToken<<32|3),
+			running("j-000001/2", testToken<<32|4), running("j-000099/0", 2)), []string{"stop j-000099/0"}},
 		// The result is kept on the worker until it is surely stored.
-		{"a task is done", report(14, token, running("j-000001/0", 5), running("j-000001/1", token<<32|3),
-			wire.TaskStatus{TaskID: "j-000001/2", Attempt: token<<32 | 4, State: wire.TaskExited, ExitReason: wire.ExitDone}), []string{}},
-		{"a refused start is cleared and tried again", report(15, token, running("j-000001/0", 5),
-			wire.TaskStatus{TaskID: "j-000001/1", Attempt: token<<32 | 3, State: wire.TaskExited, ExitReason: wire.ExitStopped}),
+		{"a task is done", heartbeat(14, testToken, running("j-000001/0", 5), running("j-000001/1", testToken<<32|3),
+			wire.TaskStatus{TaskID: "j-000001/2", Attempt: testToken<<32 | 4, State: wire.TaskExited, ExitReason: wire.ExitDone}), []string{}},
+		{"a refused start is cleared and tried again", heartbeat(15, testToken, running("j-000001/0", 5),
+			wire.TaskStatus{TaskID: "j-000001/1", Attempt: testToken<<32 | 3, State: wire.TaskExited, ExitReason: wire.ExitStopped}),
 			[]string{"clear j-000001/1", "start j-000001/1"}},
 	}
 	for _, s := range steps {
@@ -102,7 +102,7 @@
 		if (err != nil) != (s.want == nil) {
 			t.Fatalf("%s: error %v", s.name, err)
 		}
-		if got := verbs(a); !slices.Equal(got, s.want) {
+		if got := commandNames(a); !slices.Equal(got, s.want) {
 			t.Fatalf("%s: told %v, want %v", s.name, got, s.want)
 		}
 	}
@@ -114,18 +114,18 @@
 	if len(numbers) != len(slices.Compact(numbers)) {
 		t.Errorf("attempt numbers repeat: %v", numbers)
 	}
-	if _, err := l.HandleHeartbeat(report(16, token+1)); err == nil {
+	if _, err := l.HandleHeartbeat(heartbeat(16, testToken+1)); err == nil {
 		t.Error("a worker with a higher token was answered")
 	}
-	if _, err := l.HandleHeartbeat(report(17, token)); err == nil {
+	if _, err := l.HandleHeartbeat(heartbeat(17, testToken)); err == nil {
 		t.Error("answered after a higher token was seen")
 	}
 }
 
-// TestUrgency has the end of a job, a machine that came up and a crowd of machines that
+// TestWritePriority has the end of a job, a machine that came up and a crowd of machines that
 // are gone wait to be written: the crowd must not keep users from their answers.
-func TestUrgency(t *testing.T) {
-	l, _ := newTest(t)
+func TestWritePriority(t *testing.T) {
+	l, _ := newTestLeader(t)
 	for i := range 40 {
 		b := &launchIntent{id: fmt.Sprintf("r-0-%d", i), Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}}
 		l.intents[b.id] = b
@@ -157,10 +157,10 @@
 	}
 }
 
-// TestSweep has writes carried out late, when what they were for is over: they are
+// TestDeleteLeftovers has writes carried out late, when what they were for is over: they are
 // removed, and what is in use is not.
-func TestSweep(t *testing.T) {
-	l, _ := newTest(t)
+func TestDeleteLeftovers(t *testing.T) {
+	l, _ := newTestLeader(t)
 	leftovers := []string{replica.LaunchIntentPrefix + "r-9", progressKey("j-000009", 0)}
 	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", progressKey("j-000001", 0)) {
 		l.Replica.ApplyPut(key, map[string]any{}, 5)
@@ -179,9 +179,9 @@
 	}
 }
 
-// TestAged has a large job late and put off while others press: after two minutes
+// TestAgingOrder has a large job late and put off while others press: after two minutes
 // without a start a part of it goes before all others, so that it begins within four.
-func TestAged(t *testing.T) {
+func TestAgingOrder(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		waited, since micros.Micros // for the first start, and since the last one
@@ -195,7 +195,7 @@
 		{"it has begun, and lately started one", 400 * micros.Second, 50 * micros.Second, 1, false, "j-000002"},
 		{"it has begun, and started none for long", 400 * micros.Second, 130 * micros.Second, 1, false, "j-000001"},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		wall := micros.Wall()
 		l.startedAtWall = wall - 500*micros.Second
 		big := l.jobs["j-000001"]
@@ -214,14 +214,14 @@
 		if got := q.jobs[0].spec.ID; got != c.first {
 			t.Errorf("%s: %s goes first, want %s", c.name, got, c.first)
 		}
-		if n := q.waiting[0].Waiting; c.first == "j-000001" && n > 8 {
+		if n := q.waiting[0].WaitingTasks; c.first == "j-000001" && n > 8 {
 			t.Errorf("%s: %d of its tasks go first, want a part", c.name, n)
 		}
 	}
 }
 
-// TestTaken has machines silent that the cloud's list still names or no longer does.
-func TestTaken(t *testing.T) {
+// TestReclaimedWithoutNotice has machines silent that the cloud's list still names or no longer does.
+func TestReclaimedWithoutNotice(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		lists  []bool // whether it was in each
@@ -234,7 +234,7 @@
 		{"listed again", []bool{true, false, false, true}, 5 * micros.Second, false},
 		{"gone from the list and reporting", []bool{true, false, false}, micros.Second, false},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		m := l.machines["i-1"]
 		for _, there := range c.lists {
 			var list []wire.InstanceStatus
@@ -246,16 +246,16 @@
 		now := l.startedAt + 100*micros.Second
 		m.heartbeat.receivedAt, m.lease.renewedAt = now-c.silent, now-c.silent
 		m.reconciliation.knowledge = tasksConfirmed
-		l.checkMachines(now)
+		l.superviseMachines(now)
 		if m.instance.terminating != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.leaves)
 		}
 	}
 }
 
-// TestNotReceiving has a machine's reports arrive while answers don't reach it: it is not
+// TestLostResponses has a machine's reports arrive while answers don't reach it: it is not
 // taken for healthy and fed work for ever, and in the end it is returned.
-func TestNotReceiving(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		obeys  bool
@@ -265,7 +265,7 @@
 		{"it hears nothing", false, []int{3, 3, 0, 0, 3, 0}, true},
 		{"it does as it is told", true, []int{3, 0, 0, 0, 0, 0}, false},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		m := l.machines["i-1"]
 		var tasks []wire.TaskStatus
 		for i, want := range c.told {
@@ -273,7 +273,7 @@
 			if i == 4 {
 				m.startBackoffUntil = 0
 			}
-			a, err := l.HandleHeartbeat(report(uint64(11+i), token, tasks...))
+			a, err := l.HandleHeartbeat(heartbeat(uint64(11+i), testToken, tasks...))
 			if err != nil || len(a.Commands) != want {
 				t.Fatalf("%s: answer %d tells %v (%v), want %d starts", c.name, i, a.Commands, err, want)
 			}
@@ -285,18 +285,18 @@
 		}
 		now := micros.Now() + 30*micros.Second
 		m.heartbeat.receivedAt = now // its reports go on
-		l.checkMachines(now)
+		l.superviseMachines(now)
 		if m.instance.terminating != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, m.instance.terminating, c.leaves)
 		}
 	}
 }
 
-// TestNewMachine has a machine report for the first time in a term. Its report may
+// TestFirstHeartbeatOfMachine has a machine report for the first time in a term. Its report may
 // be a late copy, and its machine long gone: it draws no tasks until a report shows
 // that an answer of this term was heard.
-func TestNewMachine(t *testing.T) {
-	l, _ := newTest(t)
+func TestFirstHeartbeatOfMachine(t *testing.T) {
+	l, _ := newTestLeader(t)
 	l.machines["i-1"].startBackoffUntil = l.startedAt + 3600*micros.Second
 	b := &launchIntent{id: "r-2", Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}}
 	l.intents[b.id] = b
@@ -307,9 +307,9 @@
 		seq, token uint64
 		upStored   bool
 		starts     int
-	}{{1, 0, true, 0}, {2, token - 1, true, 0}, {3, token, false, 0}, {4, token, true, 3}} {
+	}{{1, 0, true, 0}, {2, testToken - 1, true, 0}, {3, testToken, false, 0}, {4, testToken, true, 3}} {
 		m.instance.listStored, l.plannedAt = c.upStored, 0
-		r := report(c.seq, c.token)
+		r := heartbeat(c.seq, c.token)
 		r.MachineID = "i-2"
 		if a, err := l.HandleHeartbeat(r); err != nil || len(a.Commands) != c.starts {
 			t.Errorf("report %d: told %v (%v), want %d starts", i, a.Commands, err, c.starts)
@@ -317,26 +317,26 @@
 	}
 }
 
-// TestUnknownMachine has reports of machines that no booking explains. One is adopted when
+// TestHeartbeatOfUnknownMachine has reports of machines that no booking explains. One is adopted when
 // it shows that it hears this term; a late copy of one that is gone never does.
-func TestUnknownMachine(t *testing.T) {
+func TestHeartbeatOfUnknownMachine(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		tokens  []uint64 // of its reports
 		gone    bool
 		adopted bool
 	}{
-		{"a late copy", []uint64{token - 1}, false, false},
-		{"copies", []uint64{token - 2, token - 1}, false, false},
-		{"rented late", []uint64{0, token}, false, true},
-		{"returned in this term", []uint64{token}, true, false},
+		{"a late copy", []uint64{testToken - 1}, false, false},
+		{"copies", []uint64{testToken - 2, testToken - 1}, false, false},
+		{"rented late", []uint64{0, testToken}, false, true},
+		{"returned in this term", []uint64{testToken}, true, false},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		l.terminated["i-7"] = c.gone
 		for i, n := range c.tokens {
-			r := report(uint64(i+1), n)
+			r := heartbeat(uint64(i+1), n)
 			r.MachineID = "i-7"
-			if a, err := l.HandleHeartbeat(r); (err != nil) != c.gone || err == nil && (a.FencingToken != token || len(a.Commands) > 0) {
+			if a, err := l.HandleHeartbeat(r); (err != nil) != c.gone || err == nil && (a.FencingToken != testToken || len(a.Commands) > 0) {
 				t.Errorf("%s: answered %+v, %v", c.name, a, err)
 			}
 		}
@@ -346,34 +346,34 @@
 	}
 }
 
-// TestEntitled has the proofs of leadership run out one after another.
-func TestEntitled(t *testing.T) {
-	l, term := newTest(t)
+// TestCanRespond has the proofs of leadership run out one after another.
+func TestCanRespond(t *testing.T) {
+	l, term := newTestLeader(t)
 	seq := uint64(10)
 	ask := func() (wire.HeartbeatResponse, error) {
 		seq++
 		l.plannedAt = 0
-		return l.HandleHeartbeat(report(seq, token))
+		return l.HandleHeartbeat(heartbeat(seq, testToken))
 	}
 	if a, err := ask(); err != nil || len(a.Commands) == 0 {
 		t.Fatalf("sure of its leadership: %v, %v", a, err)
 	}
-	term.sure, term.held = false, false
+	term.exclusive, term.holdsSession = false, false
 	if _, err := ask(); err == nil {
 		t.Error("in doubt a worker must be sent on once, as another may lead")
 	}
 	if a, err := ask(); err != nil || len(a.Commands) > 0 {
 		t.Errorf("a worker that came back gets its lease and no start: %v, %v", a, err)
 	}
-	term.confirmed = micros.Now() - l.Settings.Params.Workers.LeaseRenewalWindow()
+	term.lastConfirmed = micros.Now() - l.Settings.Params.Workers.LeaseRenewalWindow()
 	if _, err := ask(); err == nil {
 		t.Error("answered although a cancellation could not be seen in time")
 	}
 }
 
-// TestLeaseOver checks when a silent machine's tasks are surely gone.
-func TestLeaseOver(t *testing.T) {
-	l, term := newTest(t)
+// TestLeaseExpiry checks when a silent machine's tasks are surely gone.
+func TestLeaseExpiry(t *testing.T) {
+	l, term := newTestLeader(t)
 	m, w := l.machines["i-1"], l.Settings.Params.Workers
 	cases := []struct {
 		name            string
@@ -387,19 +387,19 @@
 		{"answered and not resolved", false, l.startedAt + micros.Second, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
 	}
 	for _, c := range cases {
-		m.lease.renewedAt, term.alone = c.answered, c.alone
-		m.reconciliation.knowledge = knowledge(c.resolved)
+		m.lease.renewedAt, term.earlierTermsFencedSince = c.answered, c.alone
+		m.reconciliation.knowledge = taskKnowledge(c.resolved)
 		if got := l.leaseExpiry(m) - l.startedAt; got <= c.after || got > c.notAfter {
 			t.Errorf("%s: over after %v s, want within (%v, %v]", c.name, got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
 		}
 	}
 }
 
-// TestFinalState guards against a rule once broken (went_back): a cancellation
+// TestFinalStateKeepsCancellation guards against a rule once broken (went_back): a cancellation
 // that the replica took over after the leader had decided that the job is done
 // must not be overwritten.
-func TestFinalState(t *testing.T) {
-	l, _ := newTest(t)
+func TestFinalStateKeepsCancellation(t *testing.T) {
+	l, _ := newTestLeader(t)
 	j := l.jobs["j-000001"]
 	for i := range j.spec.Tasks {
 		j.done.set(i)
@@ -416,9 +416,9 @@
 	}
 }
 
-// TestTeamUse counts what machines with unknown tasks could hold.
-func TestTeamUse(t *testing.T) {
-	l, _ := newTest(t)
+// TestWorstCaseTeamUse counts what machines with unknown tasks could hold.
+func TestWorstCaseTeamUse(t *testing.T) {
+	l, _ := newTestLeader(t)
 	if teams, unresolved := l.worstCaseTeamUse(), l.unknownMachinesNow().count; unresolved != 1 || teams["blue"].Used.CPU != 4000 {
 		t.Errorf("unresolved %d, used %+v, want all 4 CPUs of the one machine", unresolved, teams["blue"].Used)
 	}
@@ -428,10 +428,10 @@
 	}
 }
 
-// TestSilence has machines fall silent. One is returned soon; many at once, or
+// TestSilentMachines has machines fall silent. One is returned soon; many at once, or
 // any while the leader is in doubt, are not: an isolated leader once had a
 // whole fleet returned by requests that were held back and carried out late.
-func TestSilence(t *testing.T) {
+func TestSilentMachines(t *testing.T) {
 	cases := []struct {
 		name   string
 		silent int // of six
@@ -447,8 +447,8 @@
 		{"half, their leases over for as long again", 3, true, 40 * micros.Second, true},
 	}
 	for _, c := range cases {
-		l, term := newTest(t)
-		term.held = c.held
+		l, term := newTestLeader(t)
+		term.holdsSession = c.held
 		b := l.intents["r-1"]
 		for _, id := range []string{"i-2", "i-3", "i-4", "i-5", "i-6"} {
 			l.addMachine(id, b, l.startedAt).instance.running = true
@@ -462,17 +462,17 @@
 			}
 		}
 		// An expired machine is noted first, and given up when that lasts.
-		l.checkMachines(now - 20*micros.Second)
-		l.checkMachines(now)
+		l.superviseMachines(now - 20*micros.Second)
+		l.superviseMachines(now)
 		if got := l.machines["i-1"].instance.terminating; got != c.leaves {
 			t.Errorf("%s: returned %v, want %v", c.name, got, c.leaves)
 		}
 	}
 }
 
-// TestNotice has a spot machine told that it will be taken: what can save is
+// TestInterruptionNotice has a spot machine told that it will be taken: what can save is
 // stopped in time to do so, the rest may still finish, and nothing starts there.
-func TestNotice(t *testing.T) {
+func TestInterruptionNotice(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		checkpoint float64
@@ -481,23 +481,23 @@
 		{"tasks that save", 20, []string{"stop j-000001/0"}},
 		{"tasks that do not", 0, []string{}},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		l.jobs["j-000001"].spec.CheckpointIntervalS = c.checkpoint
-		r := report(11, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
+		r := heartbeat(11, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
 		notice := 15.0
 		r.InterruptionNoticeS = &notice
 		a, err := l.HandleHeartbeat(r)
-		if got := verbs(a); err != nil || !slices.Equal(got, c.want) {
+		if got := commandNames(a); err != nil || !slices.Equal(got, c.want) {
 			t.Errorf("%s: told %v (%v), want %v", c.name, got, err, c.want)
 		}
 	}
 }
 
-// TestCancelledBefore has a machine show tasks of a job that was cancelled before this
+// TestTasksOfJobsCancelledBeforeTerm has a machine show tasks of a job that was cancelled before this
 // term. Whatever else is thought of a report, its answer renews the lease, so it must have
 // them stopped; and they count against their team's limit until they are gone.
-func TestCancelledBefore(t *testing.T) {
-	l, _ := newTest(t)
+func TestTasksOfJobsCancelledBeforeTerm(t *testing.T) {
+	l, _ := newTestLeader(t)
 	l.teams["blue"] = settings.Team{Name: "blue", MaxCPUs: 3}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000002", replica.Job{State: wire.JobCancelled, Spec: &wire.Job{
 		ID: "j-000002", Team: "blue", Kind: wire.KindArray, Tasks: 8, CPUs: 1, MemoryGB: 1, CheckpointDurationS: 5, CheckpointIntervalS: 1, AllowSpot: true}}, 2)
@@ -510,9 +510,9 @@
 		return w
 	}
 	started := func(n int) wire.TaskStatus {
-		return wire.TaskStatus{TaskID: taskID("j-000001", n), Attempt: token<<32 | uint64(n+1), State: wire.TaskRunning}
+		return wire.TaskStatus{TaskID: taskID("j-000001", n), Attempt: testToken<<32 | uint64(n+1), State: wire.TaskRunning}
 	}
-	stranger := report(1, 0, task(0, wire.TaskRunning))
+	stranger := heartbeat(1, 0, task(0, wire.TaskRunning))
 	stranger.MachineID = "i-2"
 	steps := []struct {
 		name   string
@@ -520,19 +520,19 @@
 		want   []string
 	}{
 		{"an unknown machine", stranger, []string{"stop j-000002/0"}},
-		{"a report from before this term", report(1, 3, task(0, wire.TaskRunning), task(1, wire.TaskCheckpointing)),
+		{"a report from before this term", heartbeat(1, 3, task(0, wire.TaskRunning), task(1, wire.TaskCheckpointing)),
 			[]string{"stop j-000002/0", "stop j-000002/1"}},
-		{"two of the team's three", report(2, token, task(0, wire.TaskRunning), task(1, wire.TaskCheckpointing)),
+		{"two of the team's three", heartbeat(2, testToken, task(0, wire.TaskRunning), task(1, wire.TaskCheckpointing)),
 			[]string{"start j-000001/0", "stop j-000002/0", "stop j-000002/1"}},
-		{"one is gone", report(3, token, started(0), task(0, wire.TaskExited), task(1, wire.TaskCheckpointing)),
+		{"one is gone", heartbeat(3, testToken, started(0), task(0, wire.TaskExited), task(1, wire.TaskCheckpointing)),
 			[]string{"clear j-000002/0", "start j-000001/1", "stop j-000002/1"}},
-		{"the other too", report(4, token, started(0), started(1), task(1, wire.TaskExited)),
+		{"the other too", heartbeat(4, testToken, started(0), started(1), task(1, wire.TaskExited)),
 			[]string{"clear j-000002/1", "start j-000001/2"}},
 	}
 	for _, s := range steps {
 		l.replan, l.plannedAt = true, 0
 		answer, err := l.HandleHeartbeat(s.report)
-		if got := verbs(answer); err != nil || !slices.Equal(got, s.want) {
+		if got := commandNames(answer); err != nil || !slices.Equal(got, s.want) {
 			t.Errorf("%s: %v, %v, want %v", s.name, got, err, s.want)
 		}
 	}
@@ -541,8 +541,8 @@
 	}
 }
 
-// TestAllowed checks what binds a start at the moment it is sent, whatever was planned.
-func TestAllowed(t *testing.T) {
+// TestCanStartTask checks what binds a start at the moment it is sent, whatever was planned.
+func TestCanStartTask(t *testing.T) {
 	cases := []struct {
 		name string
 		set  func(l *Leader, j *job, m *machine)
@@ -572,22 +572,22 @@
 		{"one of three is here", func(_ *Leader, j *job, m *machine) { j.spec.SpreadZones, j.attemptsPerZone["a"] = true, 1 }, true},
 	}
 	for _, c := range cases {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		j, m := l.jobs["j-000001"], l.machines["i-1"]
 		c.set(l, j, m)
-		if got := l.startAllowed(j, m); got != c.want {
+		if got := l.canStartTask(j, m); got != c.want {
 			t.Errorf("%s: %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// TestContradictions has a machine report what cannot be. Nothing of that may upset the
+// TestContradictoryHeartbeats has a machine report what cannot be. Nothing of that may upset the
 // counts of what is in use, or keep the tasks from running once it reports sense again.
-func TestContradictions(t *testing.T) {
+func TestContradictoryHeartbeats(t *testing.T) {
 	task := func(name string, n uint64, state, cause string) wire.TaskStatus {
 		return wire.TaskStatus{TaskID: name, Attempt: n, State: state, ExitReason: cause}
 	}
-	const own, other = token<<32 | 1, 3<<32 | 9
+	const own, other = testToken<<32 | 1, 3<<32 | 9
 	cases := []struct {
 		name  string
 		tasks []wire.TaskStatus
@@ -603,8 +603,8 @@
 			task("j-000001", own, wire.TaskRunning, ""), task("", 0, "", ""), task("j-999999/0", own, wire.TaskRunning, "")}},
 	}
 	for _, c := range cases {
-		l, _ := newTest(t)
-		for i, r := range []*wire.Heartbeat{report(1, token), report(2, token, c.tasks...), report(3, token, c.tasks...), report(4, token)} {
+		l, _ := newTestLeader(t)
+		for i, r := range []*wire.Heartbeat{heartbeat(1, testToken), heartbeat(2, testToken, c.tasks...), heartbeat(3, testToken, c.tasks...), heartbeat(4, testToken)} {
 			l.replan, l.plannedAt = true, 0
 			if _, err := l.HandleHeartbeat(r); err != nil {
 				t.Errorf("%s: report %d: %v", c.name, i, err)
@@ -617,31 +617,31 @@
 	}
 }
 
-// TestSupersede has a leader be told tokens. Once one is higher than its own it answers no
+// TestSupersededLeaderDoesNotRespond has a leader be told tokens. Once one is higher than its own it answers no
 // report, though its proofs hold: its successor counts on that from the moment it was told.
-func TestSupersede(t *testing.T) {
+func TestSupersededLeaderDoesNotRespond(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		told    []uint64
 		answers bool
 	}{
-		{"its own", []uint64{token}, true},
-		{"an earlier one", []uint64{token - 1}, true},
-		{"a higher one", []uint64{token + 1}, false},
-		{"a higher one, and then its own by one who is behind", []uint64{token + 1, token}, false},
+		{"its own", []uint64{testToken}, true},
+		{"an earlier one", []uint64{testToken - 1}, true},
+		{"a higher one", []uint64{testToken + 1}, false},
+		{"a higher one, and then its own by one who is behind", []uint64{testToken + 1, testToken}, false},
 	} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		for _, told := range c.told {
 			l.Supersede(told)
 		}
-		if _, err := l.HandleHeartbeat(report(10, token)); (err == nil) != c.answers {
+		if _, err := l.HandleHeartbeat(heartbeat(10, testToken)); (err == nil) != c.answers {
 			t.Errorf("%s: error %v, answers wanted: %t", c.name, err, c.answers)
 		}
 	}
 }
 
-// knowledge is that of a machine that has confirmed its tasks in this term, or has not.
-func knowledge(confirmed bool) taskKnowledge {
+// taskKnowledge is that of a machine that has confirmed its tasks in this term, or has not.
+func taskKnowledge(confirmed bool) taskKnowledge {
 	if confirmed {
 		return tasksConfirmed
 	}
--- a/internal/leader/limits_test.go
+++ b/internal/leader/limits_test.go
@@ -13,11 +13,11 @@
 	"caperlatch/internal/wire"
 )
 
-// TestSplitUp takes over a list of machines that is larger than the state service will
+// TestSplitOversizedMachineList takes over a list of machines that is larger than the state service will
 // take. No write may leave a machine in no stored list, whether it is answered or not:
 // the old list is written only once every machine taken off it is known to stand in
 // another.
-func TestSplitUp(t *testing.T) {
+func TestSplitOversizedMachineList(t *testing.T) {
 	cases := []struct {
 		name     string
 		answered func(n int) bool // whether the nth write is
@@ -32,7 +32,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 1, ValueKB: 2, TxnOps: 3}, nil)
 			l.machineLists = nil
 			var entries []string
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestFlushRefused has the state service refuse transactions as they are. None is sent
+// TestRejectedTransactions has the state service refuse transactions as they are. None is sent
 // again with the same content, and what can be stored is.
-func TestFlushRefused(t *testing.T) {
+func TestRejectedTransactions(t *testing.T) {
 	cases := []struct {
 		name    string
 		refuses func(ws []pendingWrite) bool
@@ -120,7 +120,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			l.Store = statestore.New("unused", settings.State{RPS: 1, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, nil)
 			l.maxOps = l.Store.MaxLeaderOps()
 			clear(l.dirty)
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -205,8 +205,8 @@
 	return now - max(m.heartbeat.receivedAt, l.startedAt)
 }
 
-// checkMachines acts on silence, notices and stops that take too long.
-func (l *Leader) checkMachines(now micros.Micros) {
+// superviseMachines acts on silence, notices and stops that take too long.
+func (l *Leader) superviseMachines(now micros.Micros) {
 	l.observeZones(now)
 	l.markLateCohorts(now)
 	l.replaceLateSample(now)
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -186,10 +186,10 @@
 	return out.Elem().Interface()
 }
 
-// TestOldVersionsStored reads all that was captured from earlier versions. Their frozen
+// TestReadsValuesOfOldVersions reads all that was captured from earlier versions. Their frozen
 // layouts say all of it, and stored again by either version after the other it says the
 // same.
-func TestOldVersionsStored(t *testing.T) {
+func TestReadsValuesOfOldVersions(t *testing.T) {
 	for _, v := range oldVersions {
 		t.Run(v.name, func(t *testing.T) {
 			met := map[string]int{}
@@ -264,11 +264,11 @@
 	}
 }
 
-// TestOldVersionsKeep has the frozen layout of each earlier version rewrite what this
+// TestOldVersionsPreserveFields has the frozen layout of each earlier version rewrite what this
 // version stores, with every field set. A new field that an earlier version drops fails
 // here: either it does not matter, then say why where it is declared and take it out of
 // the comparison, or it must wait until every node speaks the new version.
-func TestOldVersionsKeep(t *testing.T) {
+func TestOldVersionsPreserveFields(t *testing.T) {
 	for _, v := range oldVersions {
 		for _, l := range v.layouts {
 			n := 0
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, w := range waiting {
-		need += int64(w.Waiting) * w.Need.CPU
+		need += int64(w.WaitingTasks) * w.Need.CPU
 	}
 	return room >= spareRoomFactor*need
 }
@@ -84,7 +84,7 @@
 	pressing := 0
 	for _, w := range q.waiting {
 		if w.AtRisk || w.PreemptsBestEffort {
-			pressing += w.Waiting
+			pressing += w.WaitingTasks
 		}
 	}
 	// Where so many tasks end by themselves that their room serves what presses
@@ -97,11 +97,11 @@
 	machines, ms := l.machinesWithVictims(now)
 	stops, gatherings := placement.Preempt(machines, q.waiting, q.teams, maxPreemptJobs)
 	for _, g := range gatherings {
-		l.reserveMachineFor(g.For, ms[g.Machine], now)
+		l.reserveMachineFor(g.ForJobID, ms[g.Machine], now)
 	}
 	for _, s := range stops {
 		if a := ms[s.Machine].attempts[taskID(s.Victim.JobID, s.Victim.Task)]; a != nil {
-			l.preemptVictim(a, s.For, now)
+			l.preemptVictim(a, s.ForJobID, now)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 func (q *queue) drop() {
 	n := 0
 	for i, w := range q.waiting {
-		if w.Waiting > 0 {
+		if w.WaitingTasks > 0 {
 			q.waiting[n], q.jobs[n] = w, q.jobs[i]
 			n++
 		}
@@ -180,7 +180,7 @@
 	starts := placement.Fill(&p, q.waiting, q.teams)
 	gone := false
 	for _, s := range starts {
-		gone = gone || q.waiting[s.Job].Waiting == 0
+		gone = gone || q.waiting[s.Job].WaitingTasks == 0
 		if j := q.jobs[s.Job]; !j.isGang() || !j.ended && s.Count == j.startableTasks(now) {
 			l.planStarts(m, j, s.Count, now)
 		}
@@ -242,7 +242,7 @@
 		waiting[i] = e.waiting
 	}
 	placement.DeferLateJobs(waiting, l.schedulableCPUs(now), wall)
-	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.Compare(a.waiting, b.waiting) })
+	slices.SortFunc(entries, func(a, b queueEntry) int { return placement.CompareJobs(a.waiting, b.waiting) })
 	q := queue{teams: teams, waiting: waiting, jobs: make([]*job, len(entries))}
 	for i, e := range entries {
 		q.waiting[i], q.jobs[i] = e.waiting, e.job
@@ -257,14 +257,14 @@
 	w := &placement.Job{
 		ID:              s.ID,
 		Team:            s.Team,
-		Image:           j.image,
+		ImageIndex:      j.image,
 		Priority:        j.priority,
 		EvacuationRank:  l.evacuationRank(j),
 		OnlyZone:        l.onlyZone(j),
 		WithinGuarantee: covered,
 		Need:            j.need,
-		Waiting:         n,
-		Total:           s.Tasks,
+		WaitingTasks:    n,
+		TotalTasks:      s.Tasks,
 		InstanceTypes:   s.InstanceTypes,
 		Zone:            s.Zone,
 		SingleZone:      s.SingleZone,
@@ -273,18 +273,18 @@
 		AllowSpot:       s.AllowSpot,
 		ImageSizeGB:     s.ImageSizeGB,
 	}
-	w.StartBy, w.LaterStartBys, w.Late = l.startDeadlines(j, covered, wall)
-	w.AtRisk = w.StartBy-wall < 4*l.heartbeatInterval && !j.isProbing()
+	w.StartDeadline, w.LaterStartDeadlines, w.Late = l.startDeadlines(j, covered, wall)
+	w.AtRisk = w.StartDeadline-wall < 4*l.heartbeatInterval && !j.isProbing()
 	w.PreemptsBestEffort = j.priority > 0 && !j.isProbing()
 	w.DelayTolerant = l.isDelayTolerant(j)
 	if j.isGang() && len(j.attempts) > 0 {
-		w.StartBy, w.Late, w.AtRisk = wall, false, !j.isProbing() // the others of its tasks wait for these
+		w.StartDeadline, w.Late, w.AtRisk = wall, false, !j.isProbing() // the others of its tasks wait for these
 	}
 	if j.isGang() {
 		w.FailedOn = j.failures.byMachine
 		w.MaxStartDelay = max(immediateStartLimit, wall-j.submittedAt)
 	}
-	w.Work = float64(n) * s.CPUs * l.expectedRuntime(s)
+	w.WaitingCPUSeconds = float64(n) * s.CPUs * l.expectedRuntime(s)
 	if s.SingleZone || s.SpreadZones {
 		w.TasksPerZone = maps.Clone(j.attemptsPerZone)
 	}
@@ -303,13 +303,13 @@
 // splitAged has a part of a job go before all others; the rest, if any, waits as before.
 func (l *Leader) splitAged(w *placement.Job, j *job) (rest *placement.Job) {
 	w.Aged, w.Late, w.DelayTolerant = true, false, false
-	part := 1 + w.Waiting/agingDivisor
-	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.Waiting {
+	part := 1 + w.WaitingTasks/agingDivisor
+	if w.SingleZone || w.SpreadZones || w.Gang || part >= w.WaitingTasks {
 		return nil
 	}
 	other := *w
 	other.Aged, other.DelayTolerant = false, l.isDelayTolerant(j)
-	w.Waiting, other.Waiting = part, w.Waiting-part
+	w.WaitingTasks, other.WaitingTasks = part, w.WaitingTasks-part
 	return &other
 }
 
@@ -413,7 +413,7 @@
 }
 
 func guarantee(t settings.Team) placement.Resources {
-	return placement.Resources{CPU: floor(t.GuaranteedCPUs), GPU: floor(t.GuaranteedGPUs), Mem: 1 << 60}
+	return placement.Resources{CPU: floor(t.GuaranteedCPUs), GPU: floor(t.GuaranteedGPUs), Memory: 1 << 60}
 }
 
 // worstCaseTeamUse counts what each team's tasks may be using at worst: what is known
@@ -453,7 +453,7 @@
 		RejectsDelayTolerant: m.rejectsDelayTolerant,
 		Images:               m.imageSet,
 		ImagePullGBPerS:      t.ImagePullGBPerS,
-		Penalty:              micros.FromSeconds(l.priceRatio(t, m.offering.Spot) - 1),
+		StartPenalty:         micros.FromSeconds(l.priceRatio(t, m.offering.Spot) - 1),
 	}
 	if late := now - m.heartbeat.receivedAt - l.heartbeatInterval - l.heartbeatInterval/4; late > 0 {
 		p.CommandDelay = l.heartbeatInterval + late // it has missed a report, and may be gone
@@ -462,7 +462,7 @@
 		p.CommandDelay = 0
 	}
 	if m.surplus {
-		p.Penalty += 30 * micros.Second
+		p.StartPenalty += 30 * micros.Second
 	}
 	if k := m.reservation; k != nil {
 		p.ReservedFor = k.waiting
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -134,7 +134,7 @@
 	l.responding = m
 	defer func() { l.responding = nil }()
 	l.planIfNeeded(now)
-	return l.commandsFor(m, now)
+	return l.commandsForMachine(m, now)
 }
 
 // reconcile compares a report with what should be on the machine. The report
@@ -190,7 +190,7 @@
 }
 
 // recordLostResponse counts an answer that did not reach a machine. One may get lost; from the
-// second in a row on, starts wait longer each time. See checkMachines for what
+// second in a row on, starts wait longer each time. See superviseMachines for what
 // becomes of a machine that hears nothing at all.
 func (l *Leader) recordLostResponse(m *machine, now micros.Micros) {
 	if m.delivery.lostResponses == 0 {
@@ -425,8 +425,8 @@
 	return wire.Command{Verb: wire.VerbClear, TaskID: t.TaskID, Attempt: t.Attempt}
 }
 
-// commandsFor are the commands for a machine that has just reported.
-func (l *Leader) commandsFor(m *machine, now micros.Micros) (orders []wire.Command) {
+// commandsForMachine are the commands for a machine that has just reported.
+func (l *Leader) commandsForMachine(m *machine, now micros.Micros) (orders []wire.Command) {
 	// Stops first, and all of them: an answer that renews the lease must not leave one out.
 	// There are no more than tasks on the machine.
 	orders = make([]wire.Command, 0, len(m.delivery.followUps)+m.stoppingCount+len(m.planned))
@@ -448,13 +448,13 @@
 			}
 		}
 	}()
-	if !l.canStart(m, now) {
+	if !l.canReceiveStarts(m, now) {
 		return orders
 	}
 	l.fillMachine(m, now)
 	orders = l.commandReservedStarts(m, orders)
 	for _, j := range m.planned {
-		if len(orders) >= maxCommands || j.ended || j.startableTasks(now) == 0 || !m.free.Fits(j.need) || !l.startAllowed(j, m) {
+		if len(orders) >= maxCommands || j.ended || j.startableTasks(now) == 0 || !m.free.Fits(j.need) || !l.canStartTask(j, m) {
 			continue
 		}
 		task, ok := j.takeWaitingTask()
@@ -473,13 +473,13 @@
 	return orders
 }
 
-// startAllowed tells whether a task of a job may begin on a machine as things are at this
+// canStartTask tells whether a task of a job may begin on a machine as things are at this
 // moment. Plans see to all this, but are older: since then a machine may have shown tasks
 // that nobody knew of, or jobs may have lost the tasks that bound them to a zone.
-func (l *Leader) startAllowed(j *job, m *machine) bool { return l.startAllowedWith(j, m, 1) }
+func (l *Leader) canStartTask(j *job, m *machine) bool { return l.canStartTasks(j, m, 1) }
 
-// startAllowedWith tells it of so many more tasks; none more: of one that has its place there.
-func (l *Leader) startAllowedWith(j *job, m *machine, more int) bool {
+// canStartTasks tells it of so many more tasks; none more: of one that has its place there.
+func (l *Leader) canStartTasks(j *job, m *machine, more int) bool {
 	s := j.spec
 	if len(s.InstanceTypes) > 0 && !slices.Contains(s.InstanceTypes, m.offering.Type) || s.Zone != "" && s.Zone != m.offering.Zone || m.offering.Spot && !s.AllowSpot {
 		return false
@@ -504,8 +504,8 @@
 	return l.FencingToken<<32 | l.attempts
 }
 
-// canStart tells whether tasks may be started on a machine now.
-func (l *Leader) canStart(m *machine, now micros.Micros) bool {
+// canReceiveStarts tells whether tasks may be started on a machine now.
+func (l *Leader) canReceiveStarts(m *machine, now micros.Micros) bool {
 	return m.isSchedulable(now) && l.Term.IsExclusive()
 }
 
--- a/internal/leader/staff.go
+++ b/internal/leader/staff.go
@@ -34,7 +34,7 @@
 		return // adopted: nobody here saw it start
 	}
 	t.finishedTasks++
-	t.service.Finished(machineFraction(t, j.need), (now - a.startedAt).Seconds(), j.spec.Tasks)
+	t.service.ObserveFinished(machineFraction(t, j.need), (now - a.startedAt).Seconds(), j.spec.Tasks)
 	if a.runningSince != 0 && (j.spec.CheckpointIntervalS == 0 || !j.ranBefore[a.index]) {
 		e := l.estimates[j.spec.Class]
 		if e == nil {
@@ -51,7 +51,7 @@
 // machineFraction is the part of a machine that a task holds.
 func machineFraction(t *scaledType, need placement.Resources) float64 {
 	f := 0.0
-	for _, p := range [...][2]int64{{need.CPU, t.capacity.CPU}, {need.GPU, t.capacity.GPU}, {need.Mem, t.capacity.Mem}} {
+	for _, p := range [...][2]int64{{need.CPU, t.capacity.CPU}, {need.GPU, t.capacity.GPU}, {need.Memory, t.capacity.Memory}} {
 		if p[1] > 0 {
 			f = math.Max(f, float64(p[0])/float64(p[1]))
 		}
@@ -136,7 +136,7 @@
 			t.bestEffortDemand.Add(now, work)
 		}
 	}
-	t.service.Estimate(work, l.expectedRuntime(j.spec)+j.spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
+	t.service.ObserveEstimate(work, l.expectedRuntime(j.spec)+j.spec.ImageSizeGB/math.Max(t.ImagePullGBPerS, 0.01))
 }
 
 // isDelayTolerant tells whether a job can do without ordinary machines: it is of the lowest
@@ -375,7 +375,7 @@
 				return 0 // formula (4) would keep a machine for nothing
 			}
 			z := staffing.ZForPrice(l.Tuning.Z, l.priceRatio(t, spot))
-			return float64(staffing.Servers(mean, t.batches.Peakedness()*mean, z))
+			return float64(staffing.RequiredServers(mean, t.batches.Peakedness()*mean, z))
 		}
 		if want := servers(true); l.meansRaised && now >= t.heldUntil || want > t.wanted {
 			t.wanted, t.wantedOnDemand = want, servers(false)
@@ -418,7 +418,7 @@
 		switch {
 		case l.hasOpenIntent(o):
 			return n // its answer comes first
-		case l.policy.Decide(zone).Rent == 0:
+		case l.policy.Decide(zone).MaxMachines == 0:
 		case s == nil || now >= s.until:
 			open = append(open, o)
 		}
@@ -468,14 +468,14 @@
 		kinds[m.offering] = n
 	}
 	for _, j := range l.jobs {
-		if l.mustAwaitReconciliation(j, unresolved) || teams[j.spec.Team].Room(j.need, 1) == 0 {
+		if l.mustAwaitReconciliation(j, unresolved) || teams[j.spec.Team].CountAllowed(j.need, 1) == 0 {
 			continue // not for want of machines
 		}
 		if j.startableTasks(now) <= 0 || now-j.seenAt < constrainedLaunchDelay || wall-j.lastStart < constrainedLaunchDelay {
 			continue
 		}
 		probe := placement.Job{InstanceTypes: j.spec.InstanceTypes, Zone: j.spec.Zone, AllowSpot: j.spec.AllowSpot,
-			SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones, Total: j.spec.Tasks, TasksPerZone: j.attemptsPerZone}
+			SingleZone: j.spec.SingleZone, SpreadZones: j.spec.SpreadZones, TotalTasks: j.spec.Tasks, TasksPerZone: j.attemptsPerZone}
 		closed, coming := 0, 0
 		for o, n := range kinds {
 			if placement.ConstraintsAdmitNow(&probe, o.Type, o.Zone, o.Spot) {
@@ -547,7 +547,7 @@
 func (l *Leader) idleTimeout(t *scaledType, spot bool) micros.Micros {
 	tight, types := 0.0, 0.0
 	for _, x := range l.types {
-		tight += x.batches.TightShare()
+		tight += x.batches.ImmediateShare()
 		types++
 	}
 	keep := micros.FromSeconds(t.BootTimeS / l.priceRatio(t, spot) * tight / types)
@@ -614,7 +614,7 @@
 		t.wanted, t.wantedOnDemand = x.Want, x.Want
 		if x.Mu > 0 {
 			// As if what is held had just ended: what ends first now are short tasks.
-			t.service.Finished(math.Max(1, x.M), 1/x.Mu, 1)
+			t.service.ObserveFinished(math.Max(1, x.M), 1/x.Mu, 1)
 			t.finishedTasks = x.Finished
 		}
 	}
--- a/internal/leader/standby.go
+++ b/internal/leader/standby.go
@@ -19,10 +19,10 @@
 	Publish(e standby.Entry)
 	// Position is that of the newest entry.
 	Position() uint64
-	// Furthest is the follower that has applied most, of those heard within a time.
-	Furthest(within micros.Micros) standby.FollowerState
-	// Applied tells whether a follower has applied all up to a position.
-	Applied(member string, position uint64) bool
+	// FurthestFollower is the follower that has applied most, of those heard within a time.
+	FurthestFollower(within micros.Micros) standby.FollowerState
+	// HasApplied tells whether a follower has applied all up to a position.
+	HasApplied(member string, position uint64) bool
 }
 
 // FailoverProgress is told how far the take-over is.
@@ -116,7 +116,7 @@
 		if l.handedOver && known.TasksKnown && !m.tasksKnown() {
 			l.adoptHandedOver(m, known)
 		}
-		if known.Terminating && v.Token+1 == l.FencingToken && l.Term.HoldsSession() {
+		if known.Terminating && v.FencingToken+1 == l.FencingToken && l.Term.HoldsSession() {
 			// A return is never taken back; the term before may not have had its answer. A
 			// leader in between may have used the machine, not knowing of it.
 			l.terminate(m, "an earlier leader was returning it")
@@ -125,7 +125,7 @@
 	if l.handedOver {
 		l.terminateDropped()
 	}
-	slog.Info("standby: the term before", "token", v.Token, "handed_over", l.handedOver, "machines", len(v.Machines), "tasks", v.Tasks())
+	slog.Info("standby: the term before", "token", v.FencingToken, "handed_over", l.handedOver, "machines", len(v.Machines), "tasks", v.CountTasks())
 }
 
 // terminateDropped returns the machines that the term before had dropped, which it does only
@@ -310,10 +310,10 @@
 		handoverPollInterval.Sleep()
 	}
 	position, to := l.publishHandover()
-	for to != "" && micros.Now() < began+limit && !l.Followers.Applied(to, position) {
+	for to != "" && micros.Now() < began+limit && !l.Followers.HasApplied(to, position) {
 		handoverPollInterval.Sleep()
 	}
-	slog.Info("handing over", "token", l.FencingToken, "to", to, "applied", to != "" && l.Followers.Applied(to, position), "took", (micros.Now() - began).Duration())
+	slog.Info("handing over", "token", l.FencingToken, "to", to, "applied", to != "" && l.Followers.HasApplied(to, position), "took", (micros.Now() - began).Duration())
 	l.termLostOnce.Do(func() { close(l.termLost) })
 	return to, nil
 }
@@ -335,7 +335,7 @@
 func (l *Leader) publishHandover() (position uint64, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	to = l.Followers.Furthest(followerFreshWithin).Member
+	to = l.Followers.FurthestFollower(followerFreshWithin).Member
 	l.publish(standby.Entry{Handover: &standby.Handover{To: to, Complete: l.countUnknownMachines()+l.countUnconfirmed() == 0}})
 	return l.Followers.Position(), to
 }
--- a/internal/leader/standby_test.go
+++ b/internal/leader/standby_test.go
@@ -16,7 +16,7 @@
 // handedView is a view of the term before, whose leader has handed over: machine i-1 has the
 // task j-000001/0.
 func handedView() *standby.View {
-	v := standby.NewView(token - 1)
+	v := standby.NewView(testToken - 1)
 	v.Machines["i-1"] = &standby.Machine{
 		MachineState: standby.MachineState{Incarnation: 4, TasksKnown: true},
 		Tasks:        map[string]standby.TaskState{"j-000001/0": {Attempt: 5}},
@@ -34,8 +34,8 @@
 	return m
 }
 
-func reportOf(machine string, seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	r := report(seq, token, tasks...)
+func heartbeatOf(machine string, seq uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	r := heartbeat(seq, testToken, tasks...)
 	r.MachineID = machine
 	return r
 }
@@ -52,7 +52,7 @@
 		{"complete", func(*standby.View) {}, []string{"start j-000001/1", "start j-000001/2"}},
 		{"not complete", func(v *standby.View) { v.Handover.Complete = false }, nil},
 		{"no handover, a crash", func(v *standby.View) { v.Handover = nil }, nil},
-		{"another term led in between", func(v *standby.View) { v.Token-- }, nil},
+		{"another term led in between", func(v *standby.View) { v.FencingToken-- }, nil},
 		{"the machine's tasks were not known", func(v *standby.View) { v.Machines["i-1"].TasksKnown = false }, nil},
 		{"the machine is not in the view", func(v *standby.View) { delete(v.Machines, "i-1") }, nil},
 		{"the start was never sent", func(v *standby.View) {
@@ -70,17 +70,17 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			withSecond(l)
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
 			l.usePreviousTerm()
-			a, err := l.HandleHeartbeat(reportOf("i-2", 1))
+			a, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := verbs(a); !slices.Equal(got, tc.want) {
+			if got := commandNames(a); !slices.Equal(got, tc.want) {
 				t.Errorf("told %v, want %v", got, tc.want)
 			}
 		})
@@ -98,14 +98,14 @@
 	}{
 		{"being returned", func(v *standby.View) { v.Machines["i-1"].Terminating = true }, []string{"i-1"}},
 		{"after a crash", func(v *standby.View) { v.Machines["i-1"].Terminating, v.Handover = true, nil }, []string{"i-1"}},
-		{"another term led in between", func(v *standby.View) { v.Machines["i-1"].Terminating = true; v.Token-- }, nil},
+		{"another term led in between", func(v *standby.View) { v.Machines["i-1"].Terminating = true; v.FencingToken-- }, nil},
 		{"not being returned", func(*standby.View) {}, nil},
 		{"dropped", func(v *standby.View) { delete(v.Machines, "i-1") }, []string{"i-1"}},
 		{"not known after a crash", func(v *standby.View) { delete(v.Machines, "i-1"); v.Handover = nil }, nil},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			v := handedView()
 			tc.edit(v)
 			l.PreviousTerm = v
@@ -121,7 +121,7 @@
 // elsewhere only once the lease is over that the leader before may have renewed until this
 // term began.
 func TestHandedOverLease(t *testing.T) {
-	l, term := newTest(t)
+	l, term := newTestLeader(t)
 	withSecond(l)
 	l.PreviousTerm = handedView()
 	l.usePreviousTerm()
@@ -129,12 +129,12 @@
 	if over := l.leaseExpiry(m); over < l.startedAt+l.leaseDuration {
 		t.Errorf("the lease is over %v after the term began, want %v at least", (over - l.startedAt).Duration(), l.leaseDuration.Duration())
 	}
-	l.checkMachines(l.startedAt + l.leaseDuration)
+	l.superviseMachines(l.startedAt + l.leaseDuration)
 	if l.jobs["j-000001"].attempts[0] == nil {
 		t.Error("the task is given up within the lease")
 	}
-	term.confirmed = l.leaseExpiry(m)
-	l.checkMachines(l.leaseExpiry(m) + 1)
+	term.lastConfirmed = l.leaseExpiry(m)
+	l.superviseMachines(l.leaseExpiry(m) + 1)
 	if l.jobs["j-000001"].attempts[0] != nil || m.reconciliation.knowledge == tasksHandedOver {
 		t.Error("the task is kept after the lease")
 	}
@@ -157,7 +157,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			l.PreviousTerm = handedView()
 			l.usePreviousTerm()
 			m := l.machines["i-1"]
@@ -165,7 +165,7 @@
 				t.Errorf("it is asked in session %d", m.likelyIncarnation())
 			}
 			m.startBackoffUntil = l.startedAt + 100*micros.Second // no starts here
-			if _, err := l.HandleHeartbeat(reportOf("i-1", 3, tc.tasks...)); err != nil {
+			if _, err := l.HandleHeartbeat(heartbeatOf("i-1", 3, tc.tasks...)); err != nil {
 				t.Fatal(err)
 			}
 			var on []int
@@ -184,25 +184,25 @@
 // whether its attempt runs, waits or ends, and a task completed under an attempt that runs
 // would be one too many.
 func TestHandedOverGang(t *testing.T) {
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	m := withSecond(l)
 	l.jobs["j-000001"].spec.Kind = wire.KindGang
 	l.PreviousTerm = handedView()
 	l.usePreviousTerm()
-	a, err := l.HandleHeartbeat(reportOf("i-2", 1))
+	a, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 	if err != nil || len(a.Commands) > 0 {
-		t.Errorf("told %v (%v) before the gang's machine has confirmed", verbs(a), err)
+		t.Errorf("told %v (%v) before the gang's machine has confirmed", commandNames(a), err)
 	}
 	if l.jobs["j-000001"].gang.number != 5 {
 		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].gang.number)
 	}
 	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
 	l.machines["i-1"].startBackoffUntil = l.startedAt + 100*micros.Second
-	if _, err := l.HandleHeartbeat(reportOf("i-1", 3, waiting)); err != nil {
+	if _, err := l.HandleHeartbeat(heartbeatOf("i-1", 3, waiting)); err != nil {
 		t.Fatal(err)
 	}
 	l.plannedAt, m.startBackoffUntil = 0, 0
-	if a, err = l.HandleHeartbeat(reportOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
+	if a, err = l.HandleHeartbeat(heartbeatOf("i-2", 2)); err != nil || len(a.Commands) != 2 || a.Commands[0].Attempt != 5 {
 		t.Errorf("told %v (%v), want the other two under attempt 5", a.Commands, err)
 	}
 }
@@ -226,10 +226,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			m := l.machines["i-1"]
 			m.offering.Spot = true
-			m.reconciliation.knowledge = knowledge(tc.allResolved)
+			m.reconciliation.knowledge = taskKnowledge(tc.allResolved)
 			j := l.jobs["j-000001"]
 			tc.edit(j)
 			if got := l.mustAwaitReconciliation(j, l.unknownMachinesNow()); got != tc.cold {
@@ -263,27 +263,27 @@
 	return uint64(len(f.entries))
 }
 
-func (f *fakeFollowers) Furthest(micros.Micros) standby.FollowerState {
+func (f *fakeFollowers) FurthestFollower(micros.Micros) standby.FollowerState {
 	return standby.FollowerState{Member: f.follower}
 }
 
-func (f *fakeFollowers) Applied(string, uint64) bool { return f.applies }
+func (f *fakeFollowers) HasApplied(string, uint64) bool { return f.applies }
 
 // TestPublished has tasks start, run, stop and end: a follower's view shows at each step what
 // the leader counts on the machine, before the answer leaves.
 func TestPublished(t *testing.T) {
-	l, _ := newTest(t)
-	p := standby.NewPublisher(token, 1000)
+	l, _ := newTestLeader(t)
+	p := standby.NewPublisher(testToken, 1000)
 	l.Followers = p
 	steps := []struct {
 		name   string
 		report *wire.Heartbeat
 	}{
-		{"the first", report(11, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"starts lost", report(12, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"one is done", report(13, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskExited, ExitReason: wire.ExitDone},
-			wire.TaskStatus{TaskID: "j-000001/1", Attempt: token<<32 | 3, State: wire.TaskRunning})},
-		{"nothing is left", report(14, token)},
+		{"the first", heartbeat(11, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"starts lost", heartbeat(12, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"one is done", heartbeat(13, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskExited, ExitReason: wire.ExitDone},
+			wire.TaskStatus{TaskID: "j-000001/1", Attempt: testToken<<32 | 3, State: wire.TaskRunning})},
+		{"nothing is left", heartbeat(14, testToken)},
 	}
 	for _, s := range steps {
 		l.plannedAt = 0
@@ -292,11 +292,11 @@
 		}
 		f := standby.NewFollower("host-1")
 		for !f.Progress().Complete || f.Progress().Position < p.Position() {
-			if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
+			if err := f.ApplyPage(p.HandleQuery(f.NextQuery(testToken)), micros.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		known := f.View().Machines["i-1"]
+		known := f.TakeView().Machines["i-1"]
 		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.machines["i-1"].attempts) {
 			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.machines["i-1"].attempts))
 		}
@@ -312,18 +312,18 @@
 // started with the answer that carries the starts. A place that was still published as
 // reserved then would be taken for a start that was never sent.
 func TestPublishedReserved(t *testing.T) {
-	l, _ := newTest(t)
-	p := standby.NewPublisher(token, 1000)
+	l, _ := newTestLeader(t)
+	p := standby.NewPublisher(testToken, 1000)
 	l.Followers = p
 	l.jobs["j-000001"].spec.Kind = wire.KindGang
 	m := l.machines["i-1"]
 	m.reconciliation.knowledge = tasksConfirmed
 	view := func() map[string]standby.TaskState {
 		f := standby.NewFollower("host-1")
-		if err := f.Apply(p.HandleQuery(f.Query(token)), micros.Now()); err != nil {
+		if err := f.ApplyPage(p.HandleQuery(f.NextQuery(testToken)), micros.Now()); err != nil {
 			t.Fatal(err)
 		}
-		return f.View().Machines["i-1"].Tasks
+		return f.TakeView().Machines["i-1"].Tasks
 	}
 	l.plan(micros.Now())
 	l.planStarts(m, l.jobs["j-000001"], 3, micros.Now())
@@ -332,9 +332,9 @@
 			t.Errorf("%s is published as started before any answer", task)
 		}
 	}
-	answer, err := l.HandleHeartbeat(report(11, token))
+	answer, err := l.HandleHeartbeat(heartbeat(11, testToken))
 	if err != nil || len(answer.Commands) != 3 {
-		t.Fatalf("told %v (%v)", verbs(answer), err)
+		t.Fatalf("told %v (%v)", commandNames(answer), err)
 	}
 	for task, state := range view() {
 		if state.Reserved {
@@ -359,10 +359,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, _ := newTest(t)
+			l, _ := newTestLeader(t)
 			f := &fakeFollowers{follower: tc.follower, applies: tc.applies}
 			l.Followers = f
-			l.machines["i-1"].reconciliation.knowledge = knowledge(tc.resolved)
+			l.machines["i-1"].reconciliation.knowledge = taskKnowledge(tc.resolved)
 			const limit = 300 * micros.Millisecond
 			begun := time.Now()
 			to, err := l.HandOver(limit)
@@ -381,7 +381,7 @@
 			if last == nil || last.To != tc.follower || last.Complete != tc.resolved {
 				t.Errorf("the last entry is %+v", last)
 			}
-			if _, err := l.HandleHeartbeat(report(12, token)); !errors.Is(err, ErrCannotRespond) {
+			if _, err := l.HandleHeartbeat(heartbeat(12, testToken)); !errors.Is(err, ErrCannotRespond) {
 				t.Errorf("a report is answered after the handover: %v", err)
 			}
 			if len(f.entries) > 0 && f.entries[len(f.entries)-1].Handover == nil {
@@ -397,7 +397,7 @@
 // TestAskOrder has a new leader order the machines that it asks.
 func TestAskOrder(t *testing.T) {
 	for _, urgent := range []bool{false, true} {
-		l, _ := newTest(t)
+		l, _ := newTestLeader(t)
 		ms := []*machine{{id: "unknown"}, {id: "idle"}, {id: "busy"}, {id: "busiest"}}
 		tasks := func(names ...string) *standby.Machine {
 			m := &standby.Machine{Tasks: map[string]standby.TaskState{}}
@@ -427,16 +427,16 @@
 // TestHandedOverCancelled has a handover tell of a task whose job was cancelled, and which the
 // term before had not told to stop: the next report is answered with the stop.
 func TestHandedOverCancelled(t *testing.T) {
-	l, _ := newTest(t)
+	l, _ := newTestLeader(t)
 	spec := &wire.Job{ID: "j-000009", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
 	l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
 	l.PreviousTerm = handedView()
 	l.PreviousTerm.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
 	l.usePreviousTerm()
-	r := report(1, token, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
+	r := heartbeat(1, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
 	r.Incarnation = 4
 	a, err := l.HandleHeartbeat(r)
-	if err != nil || !slices.Contains(verbs(a), "stop j-000009/0") {
-		t.Errorf("told %v (%v), want a stop of j-000009/0", verbs(a), err)
+	if err != nil || !slices.Contains(commandNames(a), "stop j-000009/0") {
+		t.Errorf("told %v (%v), want a stop of j-000009/0", commandNames(a), err)
 	}
 }
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -39,7 +39,7 @@
 // newZoneState begins a term with a policy, the default one if there is none.
 func newZoneState(p zone.Policy) zoneState {
 	if p == nil {
-		p = zone.NewThreshold()
+		p = zone.NewThresholdPolicy()
 	}
 	return zoneState{policy: p, counters: map[string]*zoneCounters{}}
 }
@@ -87,7 +87,7 @@
 // observeZones shows the policy the machines as they are, and carries out what it decides.
 func (l *Leader) observeZones(now micros.Micros) {
 	evidence := l.zoneEvidence(now)
-	changes := l.policy.Observe(now, zone.Observation{Zones: evidence, Isolated: l.IsIsolated != nil && l.IsIsolated()})
+	changes := l.policy.Observe(now, zone.Observation{Zones: evidence, ObserverIsolated: l.IsIsolated != nil && l.IsIsolated()})
 	for _, t := range changes {
 		l.recordZoneTransition(t)
 	}
@@ -103,8 +103,8 @@
 func (l *Leader) recordZoneTransition(t zone.Transition) {
 	e := t.Evidence
 	slog.Info("zone", "zone", t.Zone, "from", t.From.String(), "to", t.To.String(), "step", t.Step, "why", string(t.Reason),
-		"up", e.Up, "late", e.Late, "silent", e.Silent, "deaf", e.Deaf, "vanished", e.Vanished, "failing", e.Failing, "back", e.Back)
-	if t.To != zone.Lost || t.From == zone.Lost {
+		"up", e.Running, "late", e.Late, "silent", e.Silent, "deaf", e.LostResponses, "vanished", e.Unlisted, "failing", e.Quarantined, "back", e.Recovered)
+	if t.To != zone.FullDisruption || t.From == zone.FullDisruption {
 		return
 	}
 	for _, m := range l.sorted {
@@ -126,13 +126,13 @@
 	for _, m := range l.sorted {
 		if m.instance.running && !m.instance.terminating {
 			e := of(m.offering.Zone)
-			e.Up++
+			e.Running++
 			l.addEvidence(m, e, now)
 		}
 	}
 	for name, c := range l.counters {
 		e := of(name)
-		e.Relapses, e.Sent, e.Started = c.relapses, c.startsSent, c.startsSeen
+		e.Relapses, e.StartsSent, e.StartsSeen = c.relapses, c.startsSent, c.startsSeen
 	}
 	zones := make(map[string]zone.Evidence, len(counted))
 	for name, e := range counted {
@@ -149,17 +149,17 @@
 	case silent > 2*l.heartbeatInterval+micros.Second:
 		e.Silent++
 	case m.delivery.lostResponses >= maxLostResponses:
-		e.Deaf++
+		e.LostResponses++
 	case late && m.instance.listed && m.instance.missingLists >= 2:
-		e.Vanished++
+		e.Unlisted++
 	default:
 		if late {
 			e.Late++
 		} else if m.drainReason == drainFaulty {
-			e.Failing++
+			e.Quarantined++
 		}
 		if m.zoneReturn.returned {
-			e.Back++
+			e.Recovered++
 		}
 		return
 	}
@@ -205,16 +205,16 @@
 	l.anyClosed, l.anyReplaced = false, false
 	for name, e := range evidence {
 		d := l.policy.Decide(name)
-		quota[name] = int(math.Ceil(d.Open * float64(e.Up)))
-		l.anyClosed = l.anyClosed || e.Up > 0 && d.Open < 1
-		l.anyReplaced = l.anyReplaced || e.Up > 0 && d.Replace > 0
+		quota[name] = int(math.Ceil(d.OpenShare * float64(e.Running)))
+		l.anyClosed = l.anyClosed || e.Running > 0 && d.OpenShare < 1
+		l.anyReplaced = l.anyReplaced || e.Running > 0 && d.ReplacementShare > 0
 	}
 	if !l.anyClosed && !before {
 		return
 	}
 	for _, m := range l.sorted {
 		closed := false
-		if name := m.offering.Zone; l.policy.Decide(name).Open < 1 {
+		if name := m.offering.Zone; l.policy.Decide(name).OpenShare < 1 {
 			closed = !m.zoneReturn.returned || quota[name] == 0
 			if !closed {
 				quota[name]--
@@ -259,7 +259,7 @@
 	}
 	quota := map[string]int{}
 	for name, n := range unusable {
-		quota[name] = int(math.Round(l.policy.Decide(name).Replace * float64(n)))
+		quota[name] = int(math.Round(l.policy.Decide(name).ReplacementShare * float64(n)))
 	}
 	picked := map[*machine]bool{}
 	for _, m := range l.sorted {
@@ -273,8 +273,8 @@
 
 // launchAllowance is how many more machines may be rented in a zone.
 func (l *Leader) launchAllowance(name string) int {
-	most := l.policy.Decide(name).Rent
-	if most == zone.AnyNumber {
+	most := l.policy.Decide(name).MaxMachines
+	if most == zone.Unlimited {
 		return most
 	}
 	for _, m := range l.sorted {
@@ -292,7 +292,7 @@
 
 // evacuationRank is a job's place in the order in which work leaves a lost zone.
 func (l *Leader) evacuationRank(j *job) int {
-	return l.policy.Band(j.spec.Class, j.priority >= wire.PriorityRank(wire.PriorityUrgent))
+	return l.policy.EvacuationRank(j.spec.Class, j.priority >= wire.PriorityRank(wire.PriorityUrgent))
 }
 
 // onlyZone is the only zone in which a job may start tasks now, empty if there are others. It
@@ -380,10 +380,10 @@
 			continue
 		}
 		if m.zoneReturn.closed {
-			s.Work.Closed++
+			s.Work.ClosedMachines++
 		}
 		if replaced[m] {
-			s.Work.Replaced++
+			s.Work.ReplacedMachines++
 		}
 		if ends := (l.leaseExpiry(m) - now).Seconds(); l.isUnusable(m, now) && len(m.attempts) > 0 && ends > 0 {
 			s.Work.AddLease(len(m.attempts), ends)
@@ -399,7 +399,7 @@
 	now := micros.Now()
 	bound := l.onlyZone(j)
 	for _, s := range l.policy.Status(now) {
-		if s.OpenPart == 1 {
+		if s.OpenShare == 1 {
 			continue
 		}
 		if bound == s.Zone && j.waiting() > 0 {
@@ -414,19 +414,19 @@
 
 // zoneLeaseReason says why tasks in a zone that is not all there do not move, empty if none does.
 func (l *Leader) zoneLeaseReason(j *job, s zone.Status, now micros.Micros) string {
-	var held zone.Work
+	var held zone.WorkStatus
 	for _, a := range j.attempts {
 		if a.machine.offering.Zone == s.Zone && l.isUnusable(a.machine, now) {
 			held.AddLease(1, max(0, (l.leaseExpiry(a.machine)-now).Seconds()))
 		}
 	}
 	switch {
-	case held.Tasks == 0:
+	case held.LeasedTasks == 0:
 		return ""
 	case j.isGang():
 		return fmt.Sprintf("%d of its gang's tasks are in zone %s, which is %s: the gang starts elsewhere only as a whole, once all are gone (leases end in %.0f s at the latest)",
-			held.Tasks, s.Zone, s.State, held.LastEndS)
+			held.LeasedTasks, s.Zone, s.State, held.LastLeaseEndS)
 	}
 	return fmt.Sprintf("%d of its tasks are in zone %s, which is %s: each may run on until its machine's lease ends, in %.0f to %.0f s",
-		held.Tasks, s.Zone, s.State, held.NextEndS, held.LastEndS)
+		held.LeasedTasks, s.Zone, s.State, held.NextLeaseEndS, held.LastLeaseEndS)
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -17,14 +17,14 @@
 // have just reported.
 func newZonesTest(t *testing.T) (l *Leader, now micros.Micros) {
 	t.Helper()
-	l, term := newTest(t)
+	l, term := newTestLeader(t)
 	c := zone.DefaultConfig(l.heartbeatInterval)
-	c.Confirm = 0
-	l.zoneState = newZoneState(zone.NewManager(c))
+	c.ConfirmationTime = 0
+	l.zoneState = newZoneState(zone.NewLifecyclePolicy(c))
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.sorted, l.machines = nil, map[string]*machine{}
 	now = micros.Now() + 1000*micros.Second
-	term.confirmed = now
+	term.lastConfirmed = now
 	for i := range 20 {
 		m := l.addMachine(fmt.Sprintf("i-%02d", i), &launchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, At: micros.Wall()}, now)
 		m.instance.running, m.instance.intentStored, m.instance.listStored, m.heartbeat.ofThisTerm, m.delivery.respondedThisTerm = true, true, true, true, true
@@ -53,30 +53,30 @@
 		edit func(m *machine, now micros.Micros)
 		want zone.Evidence
 	}{
-		{"heard", func(*machine, micros.Micros) {}, zone.Evidence{Up: 10}},
-		{"late", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - overdueFor }, zone.Evidence{Up: 10, Late: 1}},
-		{"silent", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - silentEnough }, zone.Evidence{Up: 10, Silent: 1}},
+		{"heard", func(*machine, micros.Micros) {}, zone.Evidence{Running: 10}},
+		{"late", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - overdueFor }, zone.Evidence{Running: 10, Late: 1}},
+		{"silent", func(m *machine, now micros.Micros) { m.heartbeat.receivedAt = now - silentEnough }, zone.Evidence{Running: 10, Silent: 1}},
 		{"late and gone from the list", func(m *machine, now micros.Micros) {
 			m.heartbeat.receivedAt, m.instance.listed, m.instance.missingLists = now-overdueFor, true, 2
-		}, zone.Evidence{Up: 10, Vanished: 1}},
-		{"gone from the list and heard", func(m *machine, _ micros.Micros) { m.instance.listed, m.instance.missingLists = true, 9 }, zone.Evidence{Up: 10}},
-		{"deaf", func(m *machine, _ micros.Micros) { m.delivery.lostResponses = maxLostResponses }, zone.Evidence{Up: 10, Deaf: 1}},
+		}, zone.Evidence{Running: 10, Unlisted: 1}},
+		{"gone from the list and heard", func(m *machine, _ micros.Micros) { m.instance.listed, m.instance.missingLists = true, 9 }, zone.Evidence{Running: 10}},
+		{"deaf", func(m *machine, _ micros.Micros) { m.delivery.lostResponses = maxLostResponses }, zone.Evidence{Running: 10, LostResponses: 1}},
 		{"silent and deaf", func(m *machine, now micros.Micros) {
 			m.heartbeat.receivedAt, m.delivery.lostResponses = now-silentEnough, maxLostResponses
-		}, zone.Evidence{Up: 10, Silent: 1}},
-		{"faulty", func(m *machine, _ micros.Micros) { m.drainReason = drainFaulty }, zone.Evidence{Up: 10, Failing: 1}},
-		{"being returned", func(m *machine, _ micros.Micros) { m.instance.terminating = true }, zone.Evidence{Up: 9}},
-		{"booting", func(m *machine, _ micros.Micros) { m.instance.running = false }, zone.Evidence{Up: 9}},
-		{"back", func(m *machine, _ micros.Micros) { m.zoneReturn.returned = true }, zone.Evidence{Up: 10, Back: 1}},
+		}, zone.Evidence{Running: 10, Silent: 1}},
+		{"faulty", func(m *machine, _ micros.Micros) { m.drainReason = drainFaulty }, zone.Evidence{Running: 10, Quarantined: 1}},
+		{"being returned", func(m *machine, _ micros.Micros) { m.instance.terminating = true }, zone.Evidence{Running: 9}},
+		{"booting", func(m *machine, _ micros.Micros) { m.instance.running = false }, zone.Evidence{Running: 9}},
+		{"back", func(m *machine, _ micros.Micros) { m.zoneReturn.returned = true }, zone.Evidence{Running: 10, Recovered: 1}},
 		{"back and silent anew", func(m *machine, now micros.Micros) {
 			m.zoneReturn.returned, m.heartbeat.receivedAt = true, now-silentEnough
-		}, zone.Evidence{Up: 10, Silent: 1, Relapses: 1}},
+		}, zone.Evidence{Running: 10, Silent: 1, Relapses: 1}},
 	}
 	for _, c := range cases {
 		l, now := newZonesTest(t)
 		c.edit(l.machines["i-15"], now)
 		l.zoneEvidence(now)
-		if got := l.zoneEvidence(now); got["b"] != c.want || got["a"] != (zone.Evidence{Up: 10}) {
+		if got := l.zoneEvidence(now); got["b"] != c.want || got["a"] != (zone.Evidence{Running: 10}) {
 			t.Errorf("%s: %+v, want %+v, and the other zone well", c.name, got, c.want)
 		}
 	}
@@ -96,14 +96,14 @@
 		back     bool
 	}{
 		{"nothing", nil, false},
-		{"a copy of the last", []arrival{{1, 1, 100, token}}, false},
-		{"one that was on its way", []arrival{{1, 1, 101, token}}, false},
-		{"two that were held back", []arrival{{1, 1, 101, token}, {0, 1, 102, token}}, true}, // its worker gave up the first
-		{"a later one", []arrival{{1, 1, 103, token}}, true},
-		{"a later session", []arrival{{1, 2, 105, token}}, true},
-		{"two in the usual time", []arrival{{1, 1, 101, token}, {2, 1, 102, token}}, true},
-		{"of a lower token", []arrival{{1, 1, 103, token - 1}}, false},
-		{"of an earlier session", []arrival{{1, 0, 300, token}}, false},
+		{"a copy of the last", []arrival{{1, 1, 100, testToken}}, false},
+		{"one that was on its way", []arrival{{1, 1, 101, testToken}}, false},
+		{"two that were held back", []arrival{{1, 1, 101, testToken}, {0, 1, 102, testToken}}, true}, // its worker gave up the first
+		{"a later one", []arrival{{1, 1, 103, testToken}}, true},
+		{"a later session", []arrival{{1, 2, 105, testToken}}, true},
+		{"two in the usual time", []arrival{{1, 1, 101, testToken}, {2, 1, 102, testToken}}, true},
+		{"of a lower token", []arrival{{1, 1, 103, testToken - 1}}, false},
+		{"of an earlier session", []arrival{{1, 0, 300, testToken}}, false},
 	}
 	for _, c := range cases {
 		l, now := newZonesTest(t)
@@ -145,12 +145,12 @@
 			t.Errorf("%s: %d closed, %d replaced, supply %d, %d to rent, bound to %q and %q", state, closed, len(replaced), supply, l.launchAllowance("b"), ofBound, ofTogether)
 		}
 	}
-	expect("well", 0, 0, zone.AnyNumber, "")
+	expect("well", 0, 0, zone.Unlimited, "")
 	silence(l, now, overdueFor)
 	expect("suspected", 0, 5, 0, "")
 	silence(l, now, silentEnough)
 	expect("lost", 10, 5, 0, "b")
-	if w, ok := l.encodeZones(pendingWrite{key: replica.ZonesKey}); !ok || w.value.(*zone.Record).Zones["b"].State != zone.Lost || !l.dirty[replica.ZonesKey] {
+	if w, ok := l.encodeZones(pendingWrite{key: replica.ZonesKey}); !ok || w.value.(*zone.Record).Zones["b"].State != zone.FullDisruption || !l.dirty[replica.ZonesKey] {
 		t.Errorf("stored is %+v (%v)", w.value, ok)
 	}
 	l.sorted[10].instance.running = false // half of the nine others, rounded
@@ -187,7 +187,7 @@
 		l.assign(&attempt{job: j, index: task, number: 2, machine: to, startSequence: 100})
 	}
 	s, class := l.ZoneStatus()[1], j.spec.Class
-	if w := s.Work; s.Zone != "b" || w.Displaced[class] != 2 || w.Moved[class] != 1 || w.Restarted[class] != 1 || w.Tasks != 2 || w.Machines != 2 || w.Closed != 10 || w.Replaced != 5 {
+	if w := s.Work; s.Zone != "b" || w.Displaced[class] != 2 || w.Moved[class] != 1 || w.Restarted[class] != 1 || w.LeasedTasks != 2 || w.LeasedMachines != 2 || w.ClosedMachines != 10 || w.ReplacedMachines != 5 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -199,7 +199,7 @@
 	m := l.sorted[0]
 	m.instance.firstHeartbeatAt = 0
 	for seq := uint64(101); seq < 104; seq++ {
-		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.id, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: token}, now)
+		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.id, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: testToken}, now)
 	}
 	told := slices.DeleteFunc(slices.Collect(maps.Keys(l.aggregatedLog)), func(line string) bool { return !strings.Contains(line, "booked in zone a, which counts") })
 	if len(told) != 1 || l.aggregatedLog[told[0]].count != 1 || m.offering.Zone != "a" {
@@ -210,7 +210,7 @@
 // TestZonesRestored has a term go on from what the one before stored, though its machines have
 // not been heard and are not silent for long; and begin anew where that cannot be read.
 func TestZonesRestored(t *testing.T) {
-	lost := zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.Stored{"b": {State: zone.Lost, Since: micros.Wall(), Flaps: 2}}}
+	lost := zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.RecordedZone{"b": {State: zone.FullDisruption, Since: micros.Wall(), Flaps: 2}}}
 	for want, stored := range map[string]any{"lost": lost, "healthy": "nonsense"} {
 		l, now := newZonesTest(t)
 		l.Replica.ApplyPut(replica.ZonesKey, stored, 3)
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -15,28 +15,28 @@
 	names       []string // of the others, in order
 	members     map[string]*member
 	health      health
-	around      Surroundings
+	around      Environment
 	transitions []Transition
 	counts      Counts
 }
 
 // Counts are how often things happened since the node started.
 type Counts struct {
-	Suspicions int `json:"suspicions"`
-	Failures   int `json:"failures"`
-	Refuted    int `json:"refuted"` // doubts of this node by others
+	Suspicions  int `json:"suspicions"`
+	Failures    int `json:"failures"`
+	Refutations int `json:"refuted"` // doubts of this node by others
 }
 
-// New makes a detector of a node that has just started. The incarnation should be later than
+// NewDetector makes a detector of a node that has just started. The incarnation should be later than
 // those of the node's earlier lives; where it is not, the others' answers correct it.
-func New(own string, others []string, config Config, incarnation uint64, now micros.Micros) *Detector {
+func NewDetector(own string, others []string, config Config, incarnation uint64, now micros.Micros) *Detector {
 	d := &Detector{
 		config:      config,
 		own:         own,
 		names:       slices.Sorted(slices.Values(others)),
 		incarnation: incarnation,
 		members:     map[string]*member{},
-		health:      newHealth(config.Interval, now),
+		health:      newHealth(config.HeartbeatInterval, now),
 	}
 	for _, name := range others {
 		d.members[name] = newMember(name, now)
@@ -49,7 +49,7 @@
 	h := Heartbeat{Member: d.own, Incarnation: d.incarnation, Leaving: d.leaving}
 	for _, name := range d.names {
 		m := d.members[name]
-		h.Opinions = append(h.Opinions, Opinion{
+		h.Views = append(h.Views, MemberView{
 			Member:      name,
 			State:       m.state,
 			Incarnation: m.incarnation,
@@ -62,15 +62,15 @@
 // Leave has the heartbeats from now on say that this node ends.
 func (d *Detector) Leave() { d.leaving = true }
 
-// Receive takes over a heartbeat, one that was sent here or the answer to one.
-func (d *Detector) Receive(now micros.Micros, h *Heartbeat) {
+// HandleHeartbeat takes over a heartbeat, one that was sent here or the answer to one.
+func (d *Detector) HandleHeartbeat(now micros.Micros, h *Heartbeat) {
 	sender := d.members[h.Member]
 	if sender == nil || h.Incarnation < sender.incarnation {
 		return // nobody of ours, or of an earlier life
 	}
 	d.heard(now, sender, h)
-	for i := range h.Opinions {
-		opinion := &h.Opinions[i]
+	for i := range h.Views {
+		opinion := &h.Views[i]
 		if opinion.Member == d.own {
 			d.refute(opinion)
 			continue
@@ -82,9 +82,9 @@
 	}
 }
 
-// Answered notes that a member answered a heartbeat that took so long there and back. One of a
+// HandleAck notes that a member answered a heartbeat that took so long there and back. One of a
 // version without heartbeats answers as well, and tells nothing in its answer.
-func (d *Detector) Answered(now micros.Micros, name string, took micros.Micros) {
+func (d *Detector) HandleAck(now micros.Micros, name string, took micros.Micros) {
 	m := d.members[name]
 	if m == nil {
 		return
@@ -93,10 +93,10 @@
 	m.heardAt = now
 	switch {
 	case m.state == Suspected:
-		d.change(now, m, Alive, ReasonHeard)
-	case m.state == Failed && now-took > m.since, m.state == Left && now-took > m.since+d.config.Suspect:
+		d.change(now, m, Alive, ReasonReachable)
+	case m.state == Failed && now-took > m.since, m.state == Left && now-took > m.since+d.config.SuspectAfter:
 		// It answered what was sent after the verdict: proof that it lived after it.
-		d.change(now, m, Alive, ReasonHeard)
+		d.change(now, m, Alive, ReasonReachable)
 	}
 }
 
@@ -110,7 +110,7 @@
 	case h.Leaving:
 		d.change(now, sender, Left, ReasonLeft)
 	case sender.state == Suspected:
-		d.change(now, sender, Alive, ReasonHeard)
+		d.change(now, sender, Alive, ReasonReachable)
 	case sender.state == Failed && later:
 		d.change(now, sender, Alive, ReasonRefuted)
 	case sender.state == Left && later:
@@ -122,17 +122,17 @@
 
 // refute answers a doubt of this node by a later incarnation, which overrides it everywhere. The
 // same holds where an earlier life of this node had a later one.
-func (d *Detector) refute(opinion *Opinion) {
+func (d *Detector) refute(opinion *MemberView) {
 	doubted := opinion.State.doubts() && opinion.Incarnation == d.incarnation
 	left := opinion.State == Left && !d.leaving && opinion.Incarnation == d.incarnation
 	if opinion.Incarnation > d.incarnation || doubted || left {
 		d.incarnation = opinion.Incarnation + 1
-		d.counts.Refuted++
+		d.counts.Refutations++
 	}
 }
 
 // told takes over what one member says of another.
-func (d *Detector) told(now micros.Micros, by, about *member, opinion *Opinion) {
+func (d *Detector) told(now micros.Micros, by, about *member, opinion *MemberView) {
 	if opinion.Incarnation < about.incarnation {
 		return // of an earlier life
 	}
@@ -147,9 +147,9 @@
 	if at := now - opinion.Silence; at > about.toldAt {
 		about.toldAt, about.toldBy = at, by.name
 	}
-	switch fresh := now-about.toldAt <= d.config.Suspect; {
+	switch fresh := now-about.toldAt <= d.config.SuspectAfter; {
 	case about.state == Suspected && fresh:
-		d.change(now, about, Alive, ReasonThrough)
+		d.change(now, about, Alive, ReasonIndirectlyReachable)
 	case (about.state == Failed || about.state == Left) && fresh && later:
 		d.change(now, about, Alive, ReasonRefuted)
 	}
@@ -157,7 +157,7 @@
 
 // Tick looks at all members; it is to be called once an interval. Time in which this node itself
 // stood still is not held against the others.
-func (d *Detector) Tick(now micros.Micros, around Surroundings) {
+func (d *Detector) Tick(now micros.Micros, around Environment) {
 	d.around = around
 	if paused := d.health.tick(now); paused > 0 {
 		for _, m := range d.members {
@@ -171,7 +171,7 @@
 
 // judge suspects a member that is silent, and confirms a suspicion whose timer is over.
 func (d *Detector) judge(now micros.Micros, m *member) {
-	if m.state == Alive && m.silence(now) > d.config.Suspect {
+	if m.state == Alive && m.silence(now) > d.config.SuspectAfter {
 		d.counts.Suspicions++
 		m.suspectedAt = now
 		d.change(now, m, Suspected, ReasonSilent)
@@ -185,7 +185,7 @@
 	}
 	if now-m.suspectedAt >= d.timeout(now, m) {
 		d.counts.Failures++
-		d.change(now, m, Failed, ReasonConfirmed)
+		d.change(now, m, Failed, ReasonSuspicionTimeout)
 	}
 }
 
@@ -198,7 +198,7 @@
 
 // isolated tells whether this node hears neither the state service nor any member.
 func (d *Detector) isolated() bool {
-	if d.around.StoreHeard {
+	if d.around.StateServiceReachable {
 		return false
 	}
 	for _, m := range d.members {
@@ -254,8 +254,8 @@
 	d.transitions = append(d.transitions, t)
 }
 
-// Transitions are the changes since they were last asked for.
-func (d *Detector) Transitions() []Transition {
+// TakeTransitions are the changes since they were last asked for.
+func (d *Detector) TakeTransitions() []Transition {
 	out := d.transitions
 	d.transitions = nil
 	return out
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -10,7 +10,7 @@
 // encodedTypes are those whose values members tell each other, and of each other.
 var encodedTypes = []golden.Type{
 	golden.Of[Heartbeat]("a heartbeat"),
-	golden.Of[Opinion]("an opinion of a member"),
+	golden.Of[MemberView]("an opinion of a member"),
 	golden.Of[Status]("what a member thinks of the others"),
 	golden.Of[MemberStatus]("what it thinks of one"),
 	golden.Of[Counts]("how often it was in doubt"),
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -13,15 +13,15 @@
 	// message's own way is not in it, so it is a little too late.
 	toldAt      micros.Micros
 	toldBy      string
-	suspectedAt micros.Micros      // since when the suspicion's timer runs
-	roundTrip   micros.Micros      // of the last heartbeat that was answered
-	opinions    map[string]Opinion // what it said last of others, by their names
+	suspectedAt micros.Micros         // since when the suspicion's timer runs
+	roundTrip   micros.Micros         // of the last heartbeat that was answered
+	opinions    map[string]MemberView // what it said last of others, by their names
 }
 
 // newMember is a member of which nothing is known. It counts as heard now, so that a node that
 // starts does not suspect all others at once.
 func newMember(name string, now micros.Micros) *member {
-	return &member{name: name, state: Alive, since: now, heardAt: now, opinions: map[string]Opinion{}}
+	return &member{name: name, state: Alive, since: now, heardAt: now, opinions: map[string]MemberView{}}
 }
 
 // silence is since anybody last heard the member, as far as it is known here.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -31,22 +31,22 @@
 
 // Config holds the times of a detector.
 type Config struct {
-	// Interval is between two heartbeats to a member.
-	Interval micros.Micros
-	// Suspect is after what silence a member is suspected.
-	Suspect micros.Micros
-	// ConfirmMost is how long a suspicion lasts that nobody else shares, ConfirmLeast one that
+	// HeartbeatInterval is between two heartbeats to a member.
+	HeartbeatInterval micros.Micros
+	// SuspectAfter is after what silence a member is suspected.
+	SuspectAfter micros.Micros
+	// MaxSuspicionTimeout is how long a suspicion lasts that nobody else shares, MinSuspicionTimeout one that
 	// all other members share.
-	ConfirmMost, ConfirmLeast micros.Micros
+	MaxSuspicionTimeout, MinSuspicionTimeout micros.Micros
 }
 
 // DefaultConfig tolerates two seconds of lag on a path and confirms a failure within ten.
 func DefaultConfig() Config {
 	return Config{
-		Interval:     500 * micros.Millisecond,
-		Suspect:      3 * micros.Second,
-		ConfirmMost:  5 * micros.Second,
-		ConfirmLeast: 1500 * micros.Millisecond,
+		HeartbeatInterval:   500 * micros.Millisecond,
+		SuspectAfter:        3 * micros.Second,
+		MaxSuspicionTimeout: 5 * micros.Second,
+		MinSuspicionTimeout: 1500 * micros.Millisecond,
 	}
 }
 
@@ -55,31 +55,31 @@
 
 // Errors of configurations.
 var (
-	ErrSuspectTooSoon = errors.New("suspect_ms must be at least three times heartbeat_ms")
-	ErrConfirmOrder   = errors.New("confirm_least_ms must be at most confirm_most_ms")
+	ErrSuspectTooSoon        = errors.New("suspect_ms must be at least three times heartbeat_ms")
+	ErrSuspicionTimeoutOrder = errors.New("confirm_least_ms must be at most confirm_most_ms")
 )
 
 // Check checks the times against each other.
 func (c *Config) Check() error {
-	if c.Suspect < minHeartbeats*c.Interval {
+	if c.SuspectAfter < minHeartbeats*c.HeartbeatInterval {
 		return ErrSuspectTooSoon
 	}
-	if c.ConfirmLeast > c.ConfirmMost {
-		return ErrConfirmOrder
+	if c.MinSuspicionTimeout > c.MaxSuspicionTimeout {
+		return ErrSuspicionTimeoutOrder
 	}
 	return nil
 }
 
 // Heartbeat is what one node tells another, in a request and in the answer to one.
 type Heartbeat struct {
-	Member      string    `json:"member"`
-	Incarnation uint64    `json:"incarnation"`
-	Leaving     bool      `json:"leaving,omitempty"` // the sender ends
-	Opinions    []Opinion `json:"opinions,omitempty"`
+	Member      string       `json:"member"`
+	Incarnation uint64       `json:"incarnation"`
+	Leaving     bool         `json:"leaving,omitempty"` // the sender ends
+	Views       []MemberView `json:"opinions,omitempty"`
 }
 
-// Opinion is what the sender of a heartbeat thinks of another member.
-type Opinion struct {
+// MemberView is what the sender of a heartbeat thinks of another member.
+type MemberView struct {
 	Member      string `json:"member"`
 	State       State  `json:"state"`
 	Incarnation uint64 `json:"incarnation"`
@@ -101,19 +101,19 @@
 
 // The reasons.
 const (
-	ReasonHeard     Reason = "it is heard"
-	ReasonThrough   Reason = "another member hears it"
-	ReasonRefuted   Reason = "it refuted with a later incarnation"
-	ReasonRestarted Reason = "it has restarted"
-	ReasonSilent    Reason = "it is not heard, nor does any other member hear it"
-	ReasonConfirmed Reason = "the suspicion was not refuted in time"
-	ReasonLeft      Reason = "it said that it ends"
+	ReasonReachable           Reason = "it is heard"
+	ReasonIndirectlyReachable Reason = "another member hears it"
+	ReasonRefuted             Reason = "it refuted with a later incarnation"
+	ReasonRestarted           Reason = "it has restarted"
+	ReasonSilent              Reason = "it is not heard, nor does any other member hear it"
+	ReasonSuspicionTimeout    Reason = "the suspicion was not refuted in time"
+	ReasonLeft                Reason = "it said that it ends"
 )
 
-// Surroundings is what the caller knows besides heartbeats.
-type Surroundings struct {
-	// StoreHeard tells whether the state service answered lately.
-	StoreHeard bool
+// Environment is what the caller knows besides heartbeats.
+type Environment struct {
+	// StateServiceReachable tells whether the state service answered lately.
+	StateServiceReachable bool
 	// Leader is the member whose session the state service held when it was last read, if that
 	// was lately; empty if nobody's is known to live.
 	Leader string
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -164,12 +164,12 @@
 }
 func slowVerdict(c *check) bool {
 	seen := slices.DeleteFunc(append(c.saw(0, Suspected, 1), c.saw(0, Failed, 1)...), func(o observation) bool { return o.by != "host-2" })
-	return c.state(2, 1).State == Failed && c.nodes[2].detector.Status(c.now).Slow && seen[1].at-seen[0].at >= slowFactor*DefaultConfig().ConfirmLeast
+	return c.state(2, 1).State == Failed && c.nodes[2].detector.Status(c.now).Slow && seen[1].at-seen[0].at >= slowFactor*DefaultConfig().MinSuspicionTimeout
 }
-func lateAnswer(c *check) { c.nodes[0].detector.Answered(c.now, "host-1", 15*micros.Second) }
+func lateAnswer(c *check) { c.nodes[0].detector.HandleAck(c.now, "host-1", 15*micros.Second) }
 func lateHeartbeat(c *check) {
 	before := c.state(0, 1).Incarnation
-	c.nodes[0].detector.Receive(c.now, &Heartbeat{Member: "host-1", Incarnation: 7, Leaving: true})
+	c.nodes[0].detector.HandleHeartbeat(c.now, &Heartbeat{Member: "host-1", Incarnation: 7, Leaving: true})
 	if after := c.state(0, 1); after.State != Alive || after.Incarnation != before {
 		c.t.Errorf("it counts: %+v", after)
 	}
@@ -205,10 +205,10 @@
 	{"a late heartbeat of an earlier life", nil, []step{wait(2), lateHeartbeat}},
 	{"failed, and then heard by one node alone", nil, []step{wait(2), freezes(1, 11), confirms(1), cuts(between(1, 2, false)), alive}},
 	{"a path that is cut, for long", nil, []step{cuts(between(1, 2, false)), wait(300), never(Suspected, -1),
-		that(func(c *check) bool { return c.state(1, 2).Through != "" }, "nobody is named as hearing the other")}},
+		that(func(c *check) bool { return c.state(1, 2).HeardThrough != "" }, "nobody is named as hearing the other")}},
 	{"a path that is cut one way", nil, []step{cuts(between(1, 2, true)), wait(300), never(Suspected, -1)}},
 	{"a path that is cut, and no third node", nil, []step{stops(2, 3, 4), wait(20), cuts(between(0, 1, false)), wait(60), never(Failed, 0),
-		that(func(c *check) bool { return c.state(1, 0).Withheld && c.state(0, 1).State == Failed },
+		that(func(c *check) bool { return c.state(1, 0).FailureWithheld && c.state(0, 1).State == Failed },
 			"a leader whose session lives is suspected alone; whom it can't hear has failed to it"), heals, alive}},
 	{"a node that is cut off from everything", nil, []step{func(c *check) { c.nodes[1].storeLost = true }, cuts(around(1)), confirms(1), wait(60),
 		neverOthers(Failed), that(isolated, "it does not know that it is cut off"),
@@ -250,7 +250,7 @@
 func TestSuspicionTimeout(t *testing.T) {
 	c := DefaultConfig()
 	for _, possible := range []int{0, 1, 3, 9} {
-		last := c.ConfirmMost + 1
+		last := c.MaxSuspicionTimeout + 1
 		saved := micros.Micros(0)
 		for confirmed := range possible + 1 {
 			got := suspicionTimeout(&c, confirmed, possible)
@@ -259,7 +259,7 @@
 			}
 			last, saved = got, last-got
 		}
-		if first := suspicionTimeout(&c, 0, possible); first != c.ConfirmMost || possible > 0 && last != c.ConfirmLeast {
+		if first := suspicionTimeout(&c, 0, possible); first != c.MaxSuspicionTimeout || possible > 0 && last != c.MinSuspicionTimeout {
 			t.Errorf("%d possible: from %v to %v", possible, first.Duration(), last.Duration())
 		}
 	}
@@ -273,8 +273,8 @@
 		want   error
 	}{
 		{"the default", func(*Config) {}, nil},
-		{"suspected after two heartbeats", func(c *Config) { c.Interval = 1500 * micros.Millisecond }, ErrSuspectTooSoon},
-		{"confirmed sooner alone", func(c *Config) { c.ConfirmLeast = c.ConfirmMost + 1 }, ErrConfirmOrder},
+		{"suspected after two heartbeats", func(c *Config) { c.HeartbeatInterval = 1500 * micros.Millisecond }, ErrSuspectTooSoon},
+		{"confirmed sooner alone", func(c *Config) { c.MinSuspicionTimeout = c.MaxSuspicionTimeout + 1 }, ErrSuspicionTimeoutOrder},
 	}
 	for _, tc := range cases {
 		c := DefaultConfig()
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -101,8 +101,8 @@
 			others = append(others, other.name)
 		}
 	}
-	n.detector = New(n.name, others, DefaultConfig(), incarnation, s.now)
-	s.after(i, micros.Micros(s.random.Int64N(int64(DefaultConfig().Interval))), func() { s.beat(i) })
+	n.detector = NewDetector(n.name, others, DefaultConfig(), incarnation, s.now)
+	s.after(i, micros.Micros(s.random.Int64N(int64(DefaultConfig().HeartbeatInterval))), func() { s.beat(i) })
 }
 
 // stop ends a node, if there is one of this number.
@@ -146,7 +146,7 @@
 	if n.detector == nil {
 		return
 	}
-	for _, t := range n.detector.Transitions() {
+	for _, t := range n.detector.TakeTransitions() {
 		s.observed = append(s.observed, observation{t, s.now, n.name})
 	}
 }
@@ -154,9 +154,9 @@
 // beat is what a node does once an interval.
 func (s *simulation) beat(i int) {
 	n := s.nodes[i]
-	s.after(i, DefaultConfig().Interval, func() { s.beat(i) })
-	around := Surroundings{StoreHeard: !s.storeDown && !n.storeLost}
-	if leader := s.nodes[s.leader]; around.StoreHeard && !leader.down && s.now >= leader.frozen {
+	s.after(i, DefaultConfig().HeartbeatInterval, func() { s.beat(i) })
+	around := Environment{StateServiceReachable: !s.storeDown && !n.storeLost}
+	if leader := s.nodes[s.leader]; around.StateServiceReachable && !leader.down && s.now >= leader.frozen {
 		around.Leader = leader.name
 	}
 	n.detector.Tick(s.now, around)
@@ -175,14 +175,14 @@
 		peer := s.nodes[to].detector
 		var answer *Heartbeat
 		if peer != nil {
-			peer.Receive(s.now, question)
+			peer.HandleHeartbeat(s.now, question)
 			h := peer.Heartbeat(s.now)
 			answer = &h
 		}
 		s.send(to, from, func() {
-			n.detector.Answered(s.now, s.nodes[to].name, s.now-asked)
+			n.detector.HandleAck(s.now, s.nodes[to].name, s.now-asked)
 			if answer != nil {
-				n.detector.Receive(s.now, answer)
+				n.detector.HandleHeartbeat(s.now, answer)
 			}
 		})
 	})
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -12,8 +12,8 @@
 // confirmed soon.
 func suspicionTimeout(c *Config, confirmed, possible int) micros.Micros {
 	if possible == 0 {
-		return c.ConfirmMost
+		return c.MaxSuspicionTimeout
 	}
 	part := math.Log(float64(min(confirmed, possible))+1) / math.Log(float64(possible)+1)
-	return c.ConfirmMost - micros.Micros(float64(c.ConfirmMost-c.ConfirmLeast)*part)
+	return c.MaxSuspicionTimeout - micros.Micros(float64(c.MaxSuspicionTimeout-c.MinSuspicionTimeout)*part)
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -33,8 +33,8 @@
 	return &Client{addr: addr, dial: dial, waiting: map[uint64]chan Response{}, sending: make(chan struct{}, 1)}
 }
 
-// Ask sends a request and waits for its answer.
-func (c *Client) Ask(ctx context.Context, q Request) (Response, error) {
+// Call sends a request and waits for its answer.
+func (c *Client) Call(ctx context.Context, q Request) (Response, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return Response{}, fmt.Errorf("peer %s: %w", c.addr, err)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -15,7 +15,7 @@
 	golden.Of[NodeState]("the state of a node"),
 	golden.Of[ForwardedResponse]("the answer to a report that was passed on"),
 	golden.Of[Versions]("versions"),
-	golden.Of[PeerVersion]("the version of a peer"),
+	golden.Of[MemberVersion]("the version of a peer"),
 }
 
 // TestEncoded has them be encoded as they were.
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -21,18 +21,18 @@
 
 // Request asks a peer one of these things.
 type Request struct {
-	ID         uint64     `json:"id"`
-	Probe      *Probe     `json:"probe,omitempty"`
-	Heartbeats []wire.Raw `json:"relay,omitempty"` // workers' reports
-	Explain    string     `json:"explain,omitempty"`
-	// Standby asks a leader what it has decided. One of a version before this one ignores
+	ID                  uint64     `json:"id"`
+	Probe               *Probe     `json:"probe,omitempty"`
+	ForwardedHeartbeats []wire.Raw `json:"relay,omitempty"` // workers' reports
+	ExplainJob          string     `json:"explain,omitempty"`
+	// StandbyQuery asks a leader what it has decided. One of a version before this one ignores
 	// the field, and its answer says nothing.
-	Standby *standby.Query `json:"standby,omitempty"`
-	// Zones asks a leader what it thinks of the zones; ignored by versions before this one.
-	Zones bool `json:"zones,omitempty"`
-	// Heartbeat is what the sender thinks of the members; the answer is the peer's. Versions
+	StandbyQuery *standby.Query `json:"standby,omitempty"`
+	// WantZones asks a leader what it thinks of the zones; ignored by versions before this one.
+	WantZones bool `json:"zones,omitempty"`
+	// MembershipHeartbeat is what the sender thinks of the members; the answer is the peer's. Versions
 	// before this one ignore it, and their answer says nothing but that they live.
-	Heartbeat *membership.Heartbeat `json:"heartbeat,omitempty"`
+	MembershipHeartbeat *membership.Heartbeat `json:"heartbeat,omitempty"`
 }
 
 // Probe tells a peer of its sender and asks for its state.
@@ -63,14 +63,14 @@
 
 // Response answers the request of the same id.
 type Response struct {
-	ID        uint64                `json:"id"`
-	State     *NodeState            `json:"state,omitempty"`
-	Forwarded []ForwardedResponse   `json:"relay,omitempty"`
-	Explain   *explain.Explanation  `json:"explain,omitempty"`
-	Standby   *standby.Page         `json:"standby,omitempty"`
-	Zones     []zone.Status         `json:"zones,omitempty"`
-	Heartbeat *membership.Heartbeat `json:"heartbeat,omitempty"`
-	Error     string                `json:"error,omitempty"`
+	ID                  uint64                `json:"id"`
+	NodeState           *NodeState            `json:"state,omitempty"`
+	ForwardedResponses  []ForwardedResponse   `json:"relay,omitempty"`
+	Explanation         *explain.Explanation  `json:"explain,omitempty"`
+	StandbyPage         *standby.Page         `json:"standby,omitempty"`
+	ZoneStatus          []zone.Status         `json:"zones,omitempty"`
+	MembershipHeartbeat *membership.Heartbeat `json:"heartbeat,omitempty"`
+	Error               string                `json:"error,omitempty"`
 }
 
 // ForwardedResponse is the leader's answer to one report that was passed on, or why there
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -411,19 +411,19 @@
 }
 
 func capturedHeartbeat() *membership.Heartbeat {
-	return &membership.Heartbeat{Member: "host-2", Incarnation: 3, Leaving: true, Opinions: []membership.Opinion{
+	return &membership.Heartbeat{Member: "host-2", Incarnation: 3, Leaving: true, Views: []membership.MemberView{
 		{Member: "host-1", State: membership.Suspected, Incarnation: 2, Silence: 3500 * micros.Millisecond},
 		{Member: "host-0", State: membership.Alive, Incarnation: 1, Silence: 200}}}
 }
 
 func capturedQuery() *standby.Query {
-	return &standby.Query{Version: 1, Member: "host-2", Token: 41, Position: 7, Snapshot: true, After: "i-000230"}
+	return &standby.Query{Version: 1, Member: "host-2", FencingToken: 41, Position: 7, Snapshot: true, AfterMachine: "i-000230"}
 }
 
 func capturedPage() *standby.Page {
 	state := standby.TaskState{Attempt: 7, Stopping: true, Urgent: true, Reserved: true}
 	machine := standby.MachineState{Incarnation: 3, TasksKnown: true}
-	return &standby.Page{Version: 1, Token: 41, Latest: 19, From: 12, Compacted: true,
+	return &standby.Page{Version: 1, FencingToken: 41, LatestPosition: 19, AfterPosition: 12, Compacted: true,
 		Entries: []standby.Entry{
 			{TaskAssigned: &standby.TaskAssigned{Machine: "i-000231", Task: "j-000412/3", TaskState: state}},
 			{TaskRemoved: &standby.TaskRemoved{Machine: "i-000231", Task: "j-000412/4"}},
@@ -435,7 +435,7 @@
 		},
 		Snapshot: &standby.SnapshotPage{
 			Machines:  []standby.MachineRecord{{Name: "i-000235", MachineState: machine, Terminating: true, Tasks: []standby.TaskRecord{{Task: "j-000413/0", TaskState: state}}}},
-			More:      true,
+			HasMore:   true,
 			Estimates: []standby.EstimateUpdated{{Class: "scan", Moments: []float64{1, 0.5}}},
 			Handover:  &standby.Handover{To: "host-1", Complete: true},
 		},
@@ -444,10 +444,10 @@
 }
 
 func capturedZones() []zone.Status {
-	return []zone.Status{{Zone: "b", State: "returning", Reason: zone.ReasonStepHeld, SinceS: 4.5, Step: 2, Steps: 4,
-		OpenPart: 0.25, HoldS: 1.5, Flaps: 1, Evidence: zone.Evidence{Up: 40, Late: 1, Silent: 2, Deaf: 3, Vanished: 4, Failing: 5, Back: 38, Relapses: 6, Sent: 70, Started: 69},
-		Work: zone.Work{Displaced: map[string]int{"scan": 30}, Moved: map[string]int{"scan": 20}, Restarted: map[string]int{"scan": 9},
-			Machines: 2, Tasks: 8, NextEndS: 1.25, LastEndS: 9.5, Closed: 30, Replaced: 15}}}
+	return []zone.Status{{Zone: "b", State: "returning", Reason: zone.ReasonStepSucceeded, SinceS: 4.5, Step: 2, Steps: 4,
+		OpenShare: 0.25, HoldDownS: 1.5, Flaps: 1, Evidence: zone.Evidence{Running: 40, Late: 1, Silent: 2, LostResponses: 3, Unlisted: 4, Quarantined: 5, Recovered: 38, Relapses: 6, StartsSent: 70, StartsSeen: 69},
+		Work: zone.WorkStatus{Displaced: map[string]int{"scan": 30}, Moved: map[string]int{"scan": 20}, Restarted: map[string]int{"scan": 9},
+			LeasedMachines: 2, LeasedTasks: 8, NextLeaseEndS: 1.25, LastLeaseEndS: 9.5, ClosedMachines: 30, ReplacedMachines: 15}}}
 }
 
 func capturedExplanation() *explain.Explanation {
@@ -468,13 +468,13 @@
 				got, want any
 			}{
 				{"probe", read[Request](t, said["probe"]).Probe, capturedProbe()},
-				{"state", read[Response](t, said["state"]).State, capturedState(v.version)},
-				{"a report passed on", read[wire.Heartbeat](t, read[Request](t, said["relay"]).Heartbeats[0]), capturedReport()},
-				{"its answer", read[wire.HeartbeatResponse](t, read[Response](t, said["relayed"]).Forwarded[0].Response), capturedAnswer()},
-				{"one that was not answered", read[Response](t, said["relayed"]).Forwarded[1].Error, "not entitled"},
-				{"a question", read[Request](t, said["explain"]).Explain, "j-000412"},
-				{"its answer's job", read[Response](t, said["explained"]).Explain.Job, "j-000412"},
-				{"its answer's reasons", read[Response](t, said["explained"]).Explain.Reasons, []string{"no room"}},
+				{"state", read[Response](t, said["state"]).NodeState, capturedState(v.version)},
+				{"a report passed on", read[wire.Heartbeat](t, read[Request](t, said["relay"]).ForwardedHeartbeats[0]), capturedReport()},
+				{"its answer", read[wire.HeartbeatResponse](t, read[Response](t, said["relayed"]).ForwardedResponses[0].Response), capturedAnswer()},
+				{"one that was not answered", read[Response](t, said["relayed"]).ForwardedResponses[1].Error, "not entitled"},
+				{"a question", read[Request](t, said["explain"]).ExplainJob, "j-000412"},
+				{"its answer's job", read[Response](t, said["explained"]).Explanation.Job, "j-000412"},
+				{"its answer's reasons", read[Response](t, said["explained"]).Explanation.Reasons, []string{"no room"}},
 				{"a failure", read[Response](t, said["failed"]).Error, "not leading"},
 			}
 			for _, c := range cases {
@@ -498,13 +498,13 @@
 				name      string
 				got, want any
 			}{
-				{"a query of the standby", read[Request](t, said["standby query"]).Standby, capturedQuery()},
-				{"its answer", read[Response](t, said["standby page"]).Standby, capturedPage()},
-				{"a question for the zones", read[Request](t, said["zones asked"]).Zones, true},
-				{"its answer", read[Response](t, said["zones told"]).Zones, capturedZones()},
-				{"a heartbeat", read[Request](t, said["heartbeat"]).Heartbeat, capturedHeartbeat()},
-				{"its answer", read[Response](t, said["heartbeat answered"]).Heartbeat, capturedHeartbeat()},
-				{"an explanation", read[Response](t, said["explained"]).Explain, capturedExplanation()},
+				{"a query of the standby", read[Request](t, said["standby query"]).StandbyQuery, capturedQuery()},
+				{"its answer", read[Response](t, said["standby page"]).StandbyPage, capturedPage()},
+				{"a question for the zones", read[Request](t, said["zones asked"]).WantZones, true},
+				{"its answer", read[Response](t, said["zones told"]).ZoneStatus, capturedZones()},
+				{"a heartbeat", read[Request](t, said["heartbeat"]).MembershipHeartbeat, capturedHeartbeat()},
+				{"its answer", read[Response](t, said["heartbeat answered"]).MembershipHeartbeat, capturedHeartbeat()},
+				{"an explanation", read[Response](t, said["explained"]).Explanation, capturedExplanation()},
 			} {
 				if !reflect.DeepEqual(c.got, c.want) {
 					t.Errorf("%s: %+v, want %+v", c.name, c.got, c.want)
@@ -574,10 +574,10 @@
 	grace := 10.0
 	answer.Commands = append(answer.Commands, wire.Command{Verb: wire.VerbStop, TaskID: "j-000377/1", Attempt: 1, GracePeriodS: &grace})
 	report.Tasks[1].Checkpointed = true
-	request := Request{ID: 7, Probe: capturedProbe(), Heartbeats: []wire.Raw{raw(t, report)}, Explain: "j-000412",
-		Standby: capturedQuery(), Zones: true, Heartbeat: capturedHeartbeat()}
-	response := Response{ID: 7, State: capturedState(Version), Forwarded: []ForwardedResponse{{Response: raw(t, answer)}, {Error: "not entitled"}}, Error: "not leading",
-		Explain: capturedExplanation(), Standby: capturedPage(), Zones: capturedZones(), Heartbeat: capturedHeartbeat()}
+	request := Request{ID: 7, Probe: capturedProbe(), ForwardedHeartbeats: []wire.Raw{raw(t, report)}, ExplainJob: "j-000412",
+		StandbyQuery: capturedQuery(), WantZones: true, MembershipHeartbeat: capturedHeartbeat()}
+	response := Response{ID: 7, NodeState: capturedState(Version), ForwardedResponses: []ForwardedResponse{{Response: raw(t, answer)}, {Error: "not entitled"}}, Error: "not leading",
+		Explanation: capturedExplanation(), StandbyPage: capturedPage(), ZoneStatus: capturedZones(), MembershipHeartbeat: capturedHeartbeat()}
 	set := map[string]bool{}
 	for _, message := range []any{request, response, report, answer} {
 		noteFields(reflect.ValueOf(message), set)
@@ -593,26 +593,26 @@
 			// publish: they ignore these.
 			wantRequest := request
 			if !v.zones {
-				wantRequest.Zones, wantRequest.Heartbeat = false, nil
+				wantRequest.WantZones, wantRequest.MembershipHeartbeat = false, nil
 			}
 			if !v.standby {
-				wantRequest.Standby = nil
+				wantRequest.StandbyQuery = nil
 			}
 			if got := read[Request](t, resaid(t, raw(t, request), v.request)); !reflect.DeepEqual(got, wantRequest) {
 				t.Errorf("request: %+v, want %+v", got, wantRequest)
 			}
 			want := response
 			if !v.zones {
-				want.Zones, want.Heartbeat = nil, nil
+				want.ZoneStatus, want.MembershipHeartbeat = nil, nil
 				// Of what is only shown to the duty team their frozen layouts have a part.
-				e := response.Explain
-				want.Explain = &explain.Explanation{Job: e.Job, Member: e.Member, Tasks: e.Tasks, Reasons: e.Reasons}
+				e := response.Explanation
+				want.Explanation = &explain.Explanation{Job: e.Job, Member: e.Member, Tasks: e.Tasks, Reasons: e.Reasons}
 			}
 			if !v.standby {
-				want.Standby = nil
+				want.StandbyPage = nil
 			}
 			if v.version == 0 {
-				want.State = capturedState(0) // it knows no versions, and does not pass them on
+				want.NodeState = capturedState(0) // it knows no versions, and does not pass them on
 			}
 			if got := read[Response](t, resaid(t, raw(t, response), v.response)); !reflect.DeepEqual(got, want) {
 				t.Errorf("response: %+v, want %+v", got, want)
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -73,15 +73,15 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	sent := micros.Now()
-	response, err := client.Ask(ctx, Request{Probe: p.makeProbe(told)})
-	if err != nil || response.State == nil {
+	response, err := client.Call(ctx, Request{Probe: p.makeProbe(told)})
+	if err != nil || response.NodeState == nil {
 		slog.Debug("probe", "peer", member, "error", err)
 		return
 	}
 	// What the peer tells is taken over before its answer counts: that stands for all
 	// cancellations that the peer knows of.
-	p.onState(response.State)
-	p.keep(member, sent, *response.State)
+	p.onState(response.NodeState)
+	p.keep(member, sent, *response.NodeState)
 }
 
 // keep notes what a peer answered to a probe.
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -79,14 +79,14 @@
 func (c *Client) forwardBatch(batch []*pendingHeartbeat) {
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout.Duration())
 	defer cancel()
-	q := Request{Heartbeats: make([]wire.Raw, len(batch))}
+	q := Request{ForwardedHeartbeats: make([]wire.Raw, len(batch))}
 	for i, r := range batch {
-		q.Heartbeats[i] = r.heartbeat
+		q.ForwardedHeartbeats[i] = r.heartbeat
 	}
-	a, err := c.Ask(ctx, q)
+	a, err := c.Call(ctx, q)
 	for i, r := range batch {
-		if err == nil && i < len(a.Forwarded) {
-			r.done <- a.Forwarded[i]
+		if err == nil && i < len(a.ForwardedResponses) {
+			r.done <- a.ForwardedResponses[i]
 		} else {
 			r.done <- ForwardedResponse{}
 		}
--- a/internal/peer/relay_test.go
+++ b/internal/peer/relay_test.go
@@ -44,16 +44,16 @@
 		here, there := net.Pipe()
 		go func() { _ = serveConn(there, h) }() // ends with the pipe
 		c := NewClient("leader", func(context.Context, string) (net.Conn, error) { return here, nil })
-		q := Request{Heartbeats: make([]wire.Raw, reports)}
-		for i := range q.Heartbeats {
-			q.Heartbeats[i] = wire.Raw{0xa0}
+		q := Request{ForwardedHeartbeats: make([]wire.Raw, reports)}
+		for i := range q.ForwardedHeartbeats {
+			q.ForwardedHeartbeats[i] = wire.Raw{0xa0}
 		}
-		a, err := c.Ask(t.Context(), q)
-		if err != nil || len(a.Forwarded) != reports {
-			t.Fatalf("%d reports: %d answers, error %v", reports, len(a.Forwarded), err)
+		a, err := c.Call(t.Context(), q)
+		if err != nil || len(a.ForwardedResponses) != reports {
+			t.Fatalf("%d reports: %d answers, error %v", reports, len(a.ForwardedResponses), err)
 		}
 		answered := 0
-		for _, r := range a.Forwarded {
+		for _, r := range a.ForwardedResponses {
 			if r.Response != nil {
 				answered++
 			}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -115,20 +115,20 @@
 	answer := Response{ID: q.ID}
 	switch {
 	case q.Probe != nil:
-		answer.State = h.HandleProbe(q.Probe)
-	case q.Heartbeats != nil:
-		answer.Forwarded = respondToForwarded(q.Heartbeats, h)
-	case q.Standby != nil:
-		answer.Standby = h.HandleStandbyQuery(q.Standby)
-	case q.Zones:
+		answer.NodeState = h.HandleProbe(q.Probe)
+	case q.ForwardedHeartbeats != nil:
+		answer.ForwardedResponses = respondToForwarded(q.ForwardedHeartbeats, h)
+	case q.StandbyQuery != nil:
+		answer.StandbyPage = h.HandleStandbyQuery(q.StandbyQuery)
+	case q.WantZones:
 		zones, err := h.HandleZones()
-		answer.Zones = zones
+		answer.ZoneStatus = zones
 		answer.fail(err)
-	case q.Heartbeat != nil:
-		answer.Heartbeat = h.HandleMembershipHeartbeat(q.Heartbeat)
-	case q.Explain != "":
-		explanation, err := h.HandleExplain(q.Explain)
-		answer.Explain = &explanation
+	case q.MembershipHeartbeat != nil:
+		answer.MembershipHeartbeat = h.HandleMembershipHeartbeat(q.MembershipHeartbeat)
+	case q.ExplainJob != "":
+		explanation, err := h.HandleExplain(q.ExplainJob)
+		answer.Explanation = &explanation
 		answer.fail(err)
 	}
 	return answer
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -12,18 +12,18 @@
 
 // Versions tells who serves with which version, as one node knows it.
 type Versions struct {
-	Member  string        `json:"member"`
-	Version int           `json:"version"`
-	Common  int           `json:"common"` // what all nodes are known to speak at least
-	Peers   []PeerVersion `json:"peers"`
+	Member  string          `json:"member"`
+	Version int             `json:"version"`
+	Common  int             `json:"common"` // what all nodes are known to speak at least
+	Peers   []MemberVersion `json:"peers"`
 }
 
-// PeerVersion is what a node knows of a peer. One that has not been heard lately may
+// MemberVersion is what a node knows of a peer. One that has not been heard lately may
 // have come back with any version, and counts as 0.
-type PeerVersion struct {
-	Member  string `json:"member"`
-	Heard   bool   `json:"heard"`
-	Version int    `json:"version"`
+type MemberVersion struct {
+	Member     string `json:"member"`
+	Responding bool   `json:"heard"`
+	Version    int    `json:"version"`
 }
 
 // Versions is what the nodes speak as far as it is known to member, which is this one. A
@@ -33,9 +33,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range slices.Sorted(maps.Keys(p.clients)) {
-		one := PeerVersion{Member: m}
+		one := MemberVersion{Member: m}
 		if last := p.last[m]; last.isFreshWithin(FreshWithin) {
-			one.Heard, one.Version = true, max(0, last.state.Version)
+			one.Responding, one.Version = true, max(0, last.state.Version)
 		}
 		all.Common = min(all.Common, one.Version)
 		all.Peers = append(all.Peers, one)
--- a/internal/peer/version_test.go
+++ b/internal/peer/version_test.go
@@ -17,16 +17,16 @@
 	cases := []struct {
 		name   string
 		last   map[string]*lastResponse
-		peers  []PeerVersion
+		peers  []MemberVersion
 		common int
 	}{
-		{"all ours", map[string]*lastResponse{"b": heard(Version), "c": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", true, Version}}, Version},
-		{"one of before there were versions", map[string]*lastResponse{"b": heard(0), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
-		{"one never heard", map[string]*lastResponse{"b": heard(Version)}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"all ours", map[string]*lastResponse{"b": heard(Version), "c": heard(Version)}, []MemberVersion{{"b", true, Version}, {"c", true, Version}}, Version},
+		{"one of before there were versions", map[string]*lastResponse{"b": heard(0), "c": heard(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one never heard", map[string]*lastResponse{"b": heard(Version)}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
 		// It may have come back with the old version meanwhile.
-		{"one not heard for long", map[string]*lastResponse{"b": heard(Version), "c": long}, []PeerVersion{{"b", true, Version}, {"c", false, 0}}, 0},
-		{"one of a later version", map[string]*lastResponse{"b": heard(Version + 7), "c": heard(Version)}, []PeerVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
-		{"nonsense", map[string]*lastResponse{"b": heard(-3), "c": heard(Version)}, []PeerVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"one not heard for long", map[string]*lastResponse{"b": heard(Version), "c": long}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"one of a later version", map[string]*lastResponse{"b": heard(Version + 7), "c": heard(Version)}, []MemberVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
+		{"nonsense", map[string]*lastResponse{"b": heard(-3), "c": heard(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/settings/features_test.go
+++ b/internal/settings/features_test.go
@@ -25,10 +25,10 @@
 	standby := defaultStandby()
 	plain := zone.DefaultConfig(8 * micros.Second)
 	changed := plain
-	changed.Classes, changed.Exempt = []string{"scan", "update"}, []string{"b"}
-	changed.Steps, changed.HoldDown, changed.Lose = []float64{0.5, 1}, 10*micros.Second, 0.6
+	changed.EvacuationOrder, changed.ExemptZones = []string{"scan", "update"}, []string{"b"}
+	changed.OpenShares, changed.InitialHoldDown, changed.FullDisruptionShare = []float64{0.5, 1}, 10*micros.Second, 0.6
 	members := membership.DefaultConfig()
-	members.Suspect, members.ConfirmMost = 4*micros.Second, 6500*micros.Millisecond
+	members.SuspectAfter, members.MaxSuspicionTimeout = 4*micros.Second, 6500*micros.Millisecond
 	cases := []struct {
 		name, text string
 		want       Features
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -25,25 +25,25 @@
 	return section{
 		check: func() error { return checkZones(c, params) },
 		fields: map[string]field{
-			"class":            p.names(&c.Classes),
-			"exempt":           p.names(&c.Exempt),
-			"suspect_percent":  p.percent(&c.Suspect),
-			"lost_percent":     p.percent(&c.Lose),
-			"clear_percent":    p.percent(&c.Clear),
-			"relapse_percent":  p.percent(&c.Relapse),
-			"replace_percent":  p.percent(&c.Replace),
-			"least_machines":   p.count(&c.Least, 1, maxLeastMachines),
-			"confirm_s":        p.seconds(&c.Confirm, maxConfirmS),
-			"step_s":           p.seconds(&c.StepHold, maxHoldDownS),
-			"hold_down_s":      p.seconds(&c.HoldDown, maxHoldDownS),
+			"class":            p.names(&c.EvacuationOrder),
+			"exempt":           p.names(&c.ExemptZones),
+			"suspect_percent":  p.percent(&c.PartialDisruptionShare),
+			"lost_percent":     p.percent(&c.FullDisruptionShare),
+			"clear_percent":    p.percent(&c.NormalShare),
+			"relapse_percent":  p.percent(&c.MaxRelapseShare),
+			"replace_percent":  p.percent(&c.ReplacementShare),
+			"least_machines":   p.count(&c.MinMachines, 1, maxLeastMachines),
+			"confirm_s":        p.seconds(&c.ConfirmationTime, maxConfirmS),
+			"step_s":           p.seconds(&c.MinStepTime, maxHoldDownS),
+			"hold_down_s":      p.seconds(&c.InitialHoldDown, maxHoldDownS),
 			"hold_down_most_s": p.seconds(&c.MaxHoldDown, maxHoldDownS),
-			"calm_s":           p.seconds(&c.Calm, maxCalmS),
+			"calm_s":           p.seconds(&c.FlapExpiry, maxCalmS),
 			"step_percent": many(numeric(func(name string, v float64) {
 				if !steps {
-					c.Steps, steps = nil, true
+					c.OpenShares, steps = nil, true
 				}
 				p.within(name, v, 1, 100)
-				c.Steps = append(c.Steps, v/100)
+				c.OpenShares = append(c.OpenShares, v/100)
 			})),
 		},
 	}
@@ -54,12 +54,12 @@
 	if err := c.Check(); err != nil {
 		return err
 	}
-	for _, name := range c.Exempt {
+	for _, name := range c.ExemptZones {
 		if !slices.Contains(p.Zones, name) {
 			return fmt.Errorf("exempt: there is no zone %s", name)
 		}
 	}
-	for _, name := range c.Classes {
+	for _, name := range c.EvacuationOrder {
 		if !slices.ContainsFunc(p.Objectives, func(o Objective) bool { return o.Class == name }) {
 			return fmt.Errorf("class: no objective names a class %s", name)
 		}
--- a/internal/standby/bench_test.go
+++ b/internal/standby/bench_test.go
@@ -30,7 +30,7 @@
 // exchange has a follower ask once, with the encoding both ways, and tells the answer's size.
 func exchange(b *testing.B, f *Follower, p *Publisher) (size int) {
 	b.Helper()
-	body, err := wire.Marshal(p.HandleQuery(f.Query(testToken)))
+	body, err := wire.Marshal(p.HandleQuery(f.NextQuery(testToken)))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	if err := wire.Unmarshal(body, &page); err != nil {
 		b.Fatal(err)
 	}
-	if err := f.Apply(&page, micros.Now()); err != nil {
+	if err := f.ApplyPage(&page, micros.Now()); err != nil {
 		b.Fatal(err)
 	}
 	return len(body)
--- a/internal/standby/entry.go
+++ b/internal/standby/entry.go
@@ -145,25 +145,25 @@
 
 // Query asks a leader for what comes after a position, or for a page of a snapshot.
 type Query struct {
-	Version  int    `json:"version"`
-	Member   string `json:"member"`
-	Token    uint64 `json:"token"`    // of the term whose view the follower keeps
-	Position uint64 `json:"position"` // that it has applied
+	Version      int    `json:"version"`
+	Member       string `json:"member"`
+	FencingToken uint64 `json:"token"`    // of the term whose view the follower keeps
+	Position     uint64 `json:"position"` // that it has applied
 	// Snapshot asks for the machines after a name instead; the first page comes after "".
-	Snapshot bool   `json:"snapshot,omitempty"`
-	After    string `json:"after,omitempty"`
+	Snapshot     bool   `json:"snapshot,omitempty"`
+	AfterMachine string `json:"after,omitempty"`
 }
 
 // Page answers a query.
 type Page struct {
-	Version int    `json:"version"`
-	Token   uint64 `json:"token"`
-	Latest  uint64 `json:"latest"` // position of the newest entry
+	Version        int    `json:"version"`
+	FencingToken   uint64 `json:"token"`
+	LatestPosition uint64 `json:"latest"` // position of the newest entry
 	// Entries follow position From. Too old a position gets none, and Compacted.
-	From      uint64        `json:"from"`
-	Entries   []Entry       `json:"entries,omitempty"`
-	Compacted bool          `json:"compacted,omitempty"`
-	Snapshot  *SnapshotPage `json:"snapshot,omitempty"`
+	AfterPosition uint64        `json:"from"`
+	Entries       []Entry       `json:"entries,omitempty"`
+	Compacted     bool          `json:"compacted,omitempty"`
+	Snapshot      *SnapshotPage `json:"snapshot,omitempty"`
 	// Followers is how far all followers are, so that they know whom to let go first.
 	Followers []FollowerState `json:"followers,omitempty"`
 }
@@ -172,7 +172,7 @@
 // need not be of one position: the entries since the first page's bring them together.
 type SnapshotPage struct {
 	Machines []MachineRecord `json:"machines"`
-	More     bool            `json:"more"`
+	HasMore  bool            `json:"more"`
 	// With the last page, which has no more.
 	Estimates []EstimateUpdated `json:"estimates,omitempty"`
 	Handover  *Handover         `json:"handover,omitempty"`
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -37,16 +37,16 @@
 	return &Follower{member: member, rejected: map[string]int{}}
 }
 
-// Query is what to ask the leader with a token next.
-func (f *Follower) Query(token uint64) *Query {
+// NextQuery is what to ask the leader with a token next.
+func (f *Follower) NextQuery(token uint64) *Query {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.view == nil || f.view.Token < token {
+	if f.view == nil || f.view.FencingToken < token {
 		f.restart(token)
 	}
-	q := &Query{Version: Version, Member: f.member, Token: f.view.Token, Position: f.view.Position}
+	q := &Query{Version: Version, Member: f.member, FencingToken: f.view.FencingToken, Position: f.view.Position}
 	if f.snapshot != nil && f.snapshot.completeAt == 0 {
-		q.Snapshot, q.After = true, f.snapshot.after
+		q.Snapshot, q.AfterMachine = true, f.snapshot.after
 	}
 	return q
 }
@@ -58,9 +58,9 @@
 	f.latest, f.caughtUp = 0, 0
 }
 
-// Apply takes over the answer to a query that was sent at an instant. A page that is refused
+// ApplyPage takes over the answer to a query that was sent at an instant. A page that is refused
 // changes nothing but that a snapshot may be taken anew.
-func (f *Follower) Apply(page *Page, sent micros.Micros) error {
+func (f *Follower) ApplyPage(page *Page, sent micros.Micros) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	err := f.apply(page, sent)
@@ -79,16 +79,16 @@
 	}
 	switch {
 	case page.Compacted:
-		f.restart(page.Token)
+		f.restart(page.FencingToken)
 		return nil
 	case page.Snapshot != nil:
 		f.takeSnapshot(page)
 		return nil
-	case page.From > f.view.Position:
-		f.restart(page.Token)
-		return fmt.Errorf("%w: between %d and %d", ErrGap, f.view.Position, page.From)
+	case page.AfterPosition > f.view.Position:
+		f.restart(page.FencingToken)
+		return fmt.Errorf("%w: between %d and %d", ErrGap, f.view.Position, page.AfterPosition)
 	}
-	known := f.view.Position - page.From // entries of a page that came before, in part or whole
+	known := f.view.Position - page.AfterPosition // entries of a page that came before, in part or whole
 	for i := range page.Entries {
 		if uint64(i) >= known {
 			f.view.apply(&page.Entries[i])
@@ -97,8 +97,8 @@
 	if f.snapshot != nil && f.view.Position >= f.snapshot.completeAt && f.snapshot.completeAt > 0 {
 		f.snapshot = nil
 	}
-	f.latest = max(f.latest, page.Latest)
-	if f.view.Position >= page.Latest && f.snapshot == nil {
+	f.latest = max(f.latest, page.LatestPosition)
+	if f.view.Position >= page.LatestPosition && f.snapshot == nil {
 		f.caughtUp = max(f.caughtUp, sent)
 	}
 	return nil
@@ -109,15 +109,15 @@
 	switch {
 	case page.Version != Version:
 		return fmt.Errorf("%w: %d, own %d", ErrVersion, page.Version, Version)
-	case f.view == nil || page.Token != f.view.Token:
-		return fmt.Errorf("%w: token %d", ErrTerm, page.Token)
-	case page.From+uint64(len(page.Entries)) > page.Latest && page.Snapshot == nil && !page.Compacted:
-		f.restart(page.Token)
+	case f.view == nil || page.FencingToken != f.view.FencingToken:
+		return fmt.Errorf("%w: token %d", ErrTerm, page.FencingToken)
+	case page.AfterPosition+uint64(len(page.Entries)) > page.LatestPosition && page.Snapshot == nil && !page.Compacted:
+		f.restart(page.FencingToken)
 		return fmt.Errorf("%w: entries beyond the newest", ErrMalformed)
 	}
 	for i := range page.Entries {
 		if err := page.Entries[i].check(); err != nil {
-			f.restart(page.Token)
+			f.restart(page.FencingToken)
 			return err
 		}
 	}
@@ -132,17 +132,17 @@
 		return // a late copy
 	}
 	if !s.started {
-		s.started, f.view.Position = true, page.Latest
+		s.started, f.view.Position = true, page.LatestPosition
 	}
 	f.view.add(page.Snapshot)
-	f.latest = max(f.latest, page.Latest)
+	f.latest = max(f.latest, page.LatestPosition)
 	if n := len(page.Snapshot.Machines); n > 0 {
 		s.after = page.Snapshot.Machines[n-1].Name
 	}
-	if page.Snapshot.More {
+	if page.Snapshot.HasMore {
 		return
 	}
-	if s.completeAt = page.Latest; f.view.Position >= s.completeAt {
+	if s.completeAt = page.LatestPosition; f.view.Position >= s.completeAt {
 		f.snapshot = nil
 	}
 }
@@ -164,9 +164,9 @@
 	}
 }
 
-// View is the follower's view if it is whole, else nil: the follower must not be asked to
+// TakeView is the follower's view if it is whole, else nil: the follower must not be asked to
 // apply anything to it any more.
-func (f *Follower) View() *View {
+func (f *Follower) TakeView() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view == nil || f.snapshot != nil {
@@ -188,23 +188,23 @@
 	return f.view.Handover.To, true
 }
 
-// HandedOverIn tells whether the leader with a token has handed over, as far as it is known here.
-func (f *Follower) HandedOverIn(token uint64) bool {
+// HasHandedOver tells whether the leader with a token has handed over, as far as it is known here.
+func (f *Follower) HasHandedOver(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.view != nil && f.view.Token == token && f.view.Handover != nil
+	return f.view != nil && f.view.FencingToken == token && f.view.Handover != nil
 }
 
 // Progress is how far a follower is.
 type Progress struct {
-	Token      uint64         `json:"token"`
-	Position   uint64         `json:"position"`
-	Complete   bool           `json:"whole"`
-	LagEntries uint64         `json:"lag_entries"`
-	LagS       float64        `json:"lag_s"` // since the view was known to lack nothing; -1: never
-	Machines   int            `json:"machines"`
-	Tasks      int            `json:"tasks"`
-	Rejected   map[string]int `json:"refused,omitempty"` // pages, by kind
+	FencingToken uint64         `json:"token"`
+	Position     uint64         `json:"position"`
+	Complete     bool           `json:"whole"`
+	LagEntries   uint64         `json:"lag_entries"`
+	LagS         float64        `json:"lag_s"` // since the view was known to lack nothing; -1: never
+	Machines     int            `json:"machines"`
+	Tasks        int            `json:"tasks"`
+	Rejected     map[string]int `json:"refused,omitempty"` // pages, by kind
 }
 
 // Progress tells how far the follower is.
@@ -218,8 +218,8 @@
 	if f.view == nil {
 		return p
 	}
-	p.Token, p.Position, p.Complete = f.view.Token, f.view.Position, f.snapshot == nil
-	p.Machines, p.Tasks = len(f.view.Machines), f.view.Tasks()
+	p.FencingToken, p.Position, p.Complete = f.view.FencingToken, f.view.Position, f.snapshot == nil
+	p.Machines, p.Tasks = len(f.view.Machines), f.view.CountTasks()
 	if f.latest > f.view.Position {
 		p.LagEntries = f.latest - f.view.Position
 	}
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -31,7 +31,7 @@
 	golden.Of[Progress]("how far a follower is"),
 	golden.Of[Evidence]("what a take-over rests on"),
 	golden.Of[PhaseTime]("a phase of a take-over"),
-	golden.Of[Record]("a take-over"),
+	golden.Of[FailoverRecord]("a take-over"),
 }
 
 // TestEncoded has them be encoded as they were.
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -63,7 +63,7 @@
 func (p *Publisher) HandleQuery(q *Query) *Page {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	page := &Page{Version: Version, Token: p.view.Token, Latest: p.view.Position, From: q.Position}
+	page := &Page{Version: Version, FencingToken: p.view.FencingToken, LatestPosition: p.view.Position, AfterPosition: q.Position}
 	if q.Version != Version {
 		return page
 	}
@@ -71,8 +71,8 @@
 	first := p.view.Position - uint64(len(p.entries)) // position before the oldest entry
 	switch {
 	case q.Snapshot:
-		page.Snapshot = p.view.page(q.After)
-	case q.Token != p.view.Token, q.Position < first, q.Position > p.view.Position:
+		page.Snapshot = p.view.page(q.AfterMachine)
+	case q.FencingToken != p.view.FencingToken, q.Position < first, q.Position > p.view.Position:
 		page.Compacted = true
 	default:
 		entries := p.entries[q.Position-first:]
@@ -84,7 +84,7 @@
 // noteFollower notes how far a follower says it is.
 func (p *Publisher) noteFollower(q *Query) {
 	state := FollowerState{Member: q.Member, At: micros.Now()}
-	if q.Token == p.view.Token && !q.Snapshot {
+	if q.FencingToken == p.view.FencingToken && !q.Snapshot {
 		state.Position, state.Complete = q.Position, true
 	}
 	p.followers[q.Member] = state
@@ -111,9 +111,9 @@
 	return list
 }
 
-// Furthest is the follower that has applied most, of those that asked lately; "" if none has
+// FurthestFollower is the follower that has applied most, of those that asked lately; "" if none has
 // a whole view.
-func (p *Publisher) Furthest(within micros.Micros) (furthest FollowerState) {
+func (p *Publisher) FurthestFollower(within micros.Micros) (furthest FollowerState) {
 	for _, f := range p.Followers() {
 		if f.Complete && micros.Now()-f.At <= within && (furthest.Member == "" || f.Position > furthest.Position) {
 			furthest = f
@@ -122,8 +122,8 @@
 	return furthest
 }
 
-// Applied tells whether a follower has applied all entries up to a position.
-func (p *Publisher) Applied(member string, position uint64) bool {
+// HasApplied tells whether a follower has applied all entries up to a position.
+func (p *Publisher) HasApplied(member string, position uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f := p.followers[member]
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -61,8 +61,8 @@
 // pull has a follower ask once.
 func pull(t *testing.T, f *Follower, p *Publisher) error {
 	t.Helper()
-	q := f.Query(testToken)
-	return f.Apply(carry(t, p.HandleQuery(carry(t, q))), micros.Now())
+	q := f.NextQuery(testToken)
+	return f.ApplyPage(carry(t, p.HandleQuery(carry(t, q))), micros.Now())
 }
 
 // catchUp has a follower ask until nothing is missing.
@@ -103,18 +103,18 @@
 			for range r.IntN(12) {
 				p.Publish(randomEntry(r))
 			}
-			page := carry(t, p.HandleQuery(f.Query(testToken)))
+			page := carry(t, p.HandleQuery(f.NextQuery(testToken)))
 			late = append(late, page)
 			switch r.IntN(6) {
 			case 0: // lost
 			case 1: // a late copy, before the present one
-				_ = f.Apply(late[r.IntN(len(late))], micros.Now()) // refused or of no effect
-				_ = f.Apply(page, micros.Now())
+				_ = f.ApplyPage(late[r.IntN(len(late))], micros.Now()) // refused or of no effect
+				_ = f.ApplyPage(page, micros.Now())
 			case 2: // twice
-				_ = f.Apply(page, micros.Now())
-				_ = f.Apply(page, micros.Now())
+				_ = f.ApplyPage(page, micros.Now())
+				_ = f.ApplyPage(page, micros.Now())
 			default:
-				_ = f.Apply(page, micros.Now())
+				_ = f.ApplyPage(page, micros.Now())
 			}
 			if progress := f.Progress(); progress.Complete && progress.Position == p.Position() {
 				checked++
@@ -145,11 +145,11 @@
 		if pages++; pages > 200 {
 			t.Fatal("the snapshot does not end")
 		}
-		page := p.HandleQuery(f.Query(testToken))
+		page := p.HandleQuery(f.NextQuery(testToken))
 		if b, err := wire.Marshal(page); err != nil || len(b) > messageBytes {
 			t.Fatalf("a page of %d bytes: %v", len(b), err)
 		}
-		if err := f.Apply(carry(t, page), micros.Now()); err != nil {
+		if err := f.ApplyPage(carry(t, page), micros.Now()); err != nil {
 			t.Fatal(err)
 		}
 		if pages < 10 { // decisions go on
@@ -158,7 +158,7 @@
 		}
 	}
 	sameView(t, f, p)
-	if progress := f.Progress(); progress.Tasks != p.view.Tasks() || progress.Machines != machines {
+	if progress := f.Progress(); progress.Tasks != p.view.CountTasks() || progress.Machines != machines {
 		t.Errorf("%+v", progress)
 	}
 }
@@ -174,15 +174,15 @@
 		want   error
 		rebase bool // a snapshot is taken
 	}{
-		{"a gap of one entry", func(p *Page) { p.From++; p.Latest++ }, ErrGap, true},
-		{"a large gap", func(p *Page) { p.From += 1000; p.Latest += 1000 }, ErrGap, true},
-		{"a lower token", func(p *Page) { p.Token-- }, ErrTerm, false},
-		{"a higher token that nobody told of", func(p *Page) { p.Token++ }, ErrTerm, false},
+		{"a gap of one entry", func(p *Page) { p.AfterPosition++; p.LatestPosition++ }, ErrGap, true},
+		{"a large gap", func(p *Page) { p.AfterPosition += 1000; p.LatestPosition += 1000 }, ErrGap, true},
+		{"a lower token", func(p *Page) { p.FencingToken-- }, ErrTerm, false},
+		{"a higher token that nobody told of", func(p *Page) { p.FencingToken++ }, ErrTerm, false},
 		{"another version", func(p *Page) { p.Version++ }, ErrVersion, false},
 		{"an entry that says nothing", func(p *Page) { p.Entries[0] = Entry{} }, ErrMalformed, true},
 		{"an entry that says two things", func(p *Page) { p.Entries[0] = both }, ErrMalformed, true},
 		{"an entry without a machine", func(p *Page) { p.Entries[0] = placed("", "j-1/1", 1) }, ErrMalformed, true},
-		{"entries beyond the newest", func(p *Page) { p.Latest = p.From }, ErrMalformed, true},
+		{"entries beyond the newest", func(p *Page) { p.LatestPosition = p.AfterPosition }, ErrMalformed, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -190,9 +190,9 @@
 			p.Publish(placed("i-0", "j-1/0", 1))
 			catchUp(t, f, p)
 			p.Publish(placed("i-1", "j-1/1", 2))
-			page := carry(t, p.HandleQuery(f.Query(testToken)))
+			page := carry(t, p.HandleQuery(f.NextQuery(testToken)))
 			tc.spoil(page)
-			if err := f.Apply(page, micros.Now()); !errors.Is(err, tc.want) {
+			if err := f.ApplyPage(page, micros.Now()); !errors.Is(err, tc.want) {
 				t.Fatalf("error %v, want %v", err, tc.want)
 			}
 			progress := f.Progress()
@@ -264,7 +264,7 @@
 			p, f := NewPublisher(testToken, 100), NewFollower("host-1")
 			p.Publish(placed("i-0", "j-1/0", 1))
 			tc.run(p, f)
-			v := f.View()
+			v := f.TakeView()
 			if (v != nil) != tc.view {
 				t.Fatalf("a view: %v, want %v", v != nil, tc.view)
 			}
@@ -278,7 +278,7 @@
 			if v.ProvesAssignments(testToken+2) || v.ProvesAssignments(testToken) {
 				t.Error("it proves to another term")
 			}
-			if f.View() != nil {
+			if f.TakeView() != nil {
 				t.Error("a view was given twice")
 			}
 		})
@@ -291,23 +291,23 @@
 	for i := range 10 {
 		p.Publish(placed("i-0", fmt.Sprintf("j-1/%d", i), 1))
 	}
-	ask := func(q Query) { q.Version, q.Token = Version, testToken; p.HandleQuery(&q) }
-	if f := p.Furthest(micros.Second); f.Member != "" {
+	ask := func(q Query) { q.Version, q.FencingToken = Version, testToken; p.HandleQuery(&q) }
+	if f := p.FurthestFollower(micros.Second); f.Member != "" {
 		t.Errorf("%q, and nobody follows", f.Member)
 	}
 	ask(Query{Member: "host-3", Snapshot: true})
-	if f := p.Furthest(micros.Second); f.Member != "" {
+	if f := p.FurthestFollower(micros.Second); f.Member != "" {
 		t.Errorf("%q, which takes a snapshot", f.Member)
 	}
 	ask(Query{Member: "host-1", Position: 4})
 	ask(Query{Member: "host-2", Position: 8})
-	if f := p.Furthest(micros.Second); f.Member != "host-2" {
+	if f := p.FurthestFollower(micros.Second); f.Member != "host-2" {
 		t.Errorf("%q, want host-2", f.Member)
 	}
-	if p.Applied("host-2", 9) || !p.Applied("host-2", 8) || p.Applied("host-3", 0) || p.Applied("host-4", 0) {
+	if p.HasApplied("host-2", 9) || !p.HasApplied("host-2", 8) || p.HasApplied("host-3", 0) || p.HasApplied("host-4", 0) {
 		t.Error("wrong about what was applied")
 	}
-	if f := p.Furthest(0); f.Member != "" {
+	if f := p.FurthestFollower(0); f.Member != "" {
 		t.Errorf("%q, which has not asked lately", f.Member)
 	}
 }
--- a/internal/standby/takeover.go
+++ b/internal/standby/takeover.go
@@ -25,13 +25,13 @@
 // String is the phase's name.
 func (p Phase) String() string { return phaseNames[p] }
 
-// MayDecide tells whether starts, stops, rentals, returns and ends may leave the node.
-func (p Phase) MayDecide() bool { return p >= Adopting }
+// CanDecide tells whether starts, stops, rentals, returns and ends may leave the node.
+func (p Phase) CanDecide() bool { return p >= Adopting }
 
 // Evidence is what proves that the leader before has stopped deciding.
 type Evidence struct {
-	// Token is the new term's, raised in the transaction that took the key.
-	Token uint64 `json:"token"`
+	// FencingToken is the new term's, raised in the transaction that took the key.
+	FencingToken uint64 `json:"token"`
 	// Revision is that transaction's. It succeeds only while there is no leader key, so the
 	// session of the leader before had ended or was released.
 	Revision uint64 `json:"revision"`
@@ -44,7 +44,7 @@
 
 // provesTermOver tells whether the evidence allows to decide.
 func (e Evidence) provesTermOver() bool {
-	return e.Token != 0 && e.Revision != 0 && e.ReadThrough >= e.Revision
+	return e.FencingToken != 0 && e.Revision != 0 && e.ReadThrough >= e.Revision
 }
 
 // PhaseTime is when a phase began.
@@ -54,8 +54,8 @@
 	TookS float64       `json:"took_s"` // from the phase before
 }
 
-// Record is a take-over.
-type Record struct {
+// FailoverRecord is a take-over.
+type FailoverRecord struct {
 	Evidence Evidence    `json:"evidence"`
 	Warm     bool        `json:"warm"` // there was a whole view of the term before
 	Phases   []PhaseTime `json:"phases"`
@@ -66,8 +66,8 @@
 	mu      sync.Mutex
 	phase   Phase
 	since   micros.Micros
-	current Record
-	last    *Record // that reached Active, or was given up after Confirming
+	current FailoverRecord
+	last    *FailoverRecord // that reached Active, or was given up after Confirming
 }
 
 // NewFailover is that of a node that follows.
@@ -80,8 +80,8 @@
 	return t.phase
 }
 
-// Last is the last take-over of this node, nil if it never led.
-func (t *Failover) Last() *Record {
+// LastRecord is the last take-over of this node, nil if it never led.
+func (t *Failover) LastRecord() *FailoverRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.last
@@ -112,7 +112,7 @@
 func (t *Failover) TermWon(token, revision uint64, warm bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.current.Evidence = Evidence{Token: token, Revision: revision}
+	t.current.Evidence = Evidence{FencingToken: token, Revision: revision}
 	t.current.Warm = warm
 	t.enter(Confirming)
 }
@@ -155,10 +155,10 @@
 func (t *Failover) enter(p Phase) {
 	now := micros.Now()
 	took := now - t.since
-	slog.Info("standby", "phase", p.String(), "after", t.phase.String(), "took", took.Duration(), "token", t.current.Evidence.Token)
+	slog.Info("standby", "phase", p.String(), "after", t.phase.String(), "took", took.Duration(), "token", t.current.Evidence.FencingToken)
 	t.phase, t.since = p, now
 	if p == Following {
-		t.current = Record{}
+		t.current = FailoverRecord{}
 		return
 	}
 	record := t.current
--- a/internal/standby/takeover_test.go
+++ b/internal/standby/takeover_test.go
@@ -40,7 +40,7 @@
 				if got := takeover.Phase(); got != s.want {
 					t.Fatalf("%s: %v, want %v", s.name, got, s.want)
 				}
-				if may := takeover.Phase().MayDecide(); may != (s.want == Adopting || s.want == Active) {
+				if may := takeover.Phase().CanDecide(); may != (s.want == Adopting || s.want == Active) {
 					t.Errorf("%s: may decide: %v", s.name, may)
 				}
 			}
@@ -51,7 +51,7 @@
 // TestRecord asks for the last take-over, with its evidence and phases.
 func TestRecord(t *testing.T) {
 	takeover := NewFailover()
-	if takeover.Last() != nil {
+	if takeover.LastRecord() != nil {
 		t.Error("a take-over before the first")
 	}
 	takeover.LeaderSuspected()
@@ -61,8 +61,8 @@
 	takeover.TasksKnown()
 	takeover.TermEnded()
 	takeover.LeaderSuspected()
-	last := takeover.Last()
-	if last == nil || last.Evidence != (Evidence{Token: 8, Revision: 100, ReadThrough: 104, HandedOver: true}) || !last.Warm {
+	last := takeover.LastRecord()
+	if last == nil || last.Evidence != (Evidence{FencingToken: 8, Revision: 100, ReadThrough: 104, HandedOver: true}) || !last.Warm {
 		t.Fatalf("%+v", last)
 	}
 	var names []string
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -7,10 +7,10 @@
 
 // View is what a term's leader is known to have decided and observed, up to a position.
 type View struct {
-	Token     uint64
-	Position  uint64
-	Machines  map[string]*Machine
-	Estimates map[string][]float64 // moments by class
+	FencingToken uint64
+	Position     uint64
+	Machines     map[string]*Machine
+	Estimates    map[string][]float64 // moments by class
 	// Handover is the term's last entry, nil unless the leader has handed over.
 	Handover *Handover
 }
@@ -24,7 +24,7 @@
 
 // NewView is a view of a term that knows nothing yet.
 func NewView(token uint64) *View {
-	return &View{Token: token, Machines: map[string]*Machine{}, Estimates: map[string][]float64{}}
+	return &View{FencingToken: token, Machines: map[string]*Machine{}, Estimates: map[string][]float64{}}
 }
 
 // machine is the machine with a name, which is made if it is not known.
@@ -71,7 +71,7 @@
 	tasks := 0
 	for _, name := range names[first:] {
 		if len(page.Machines) >= maxPageEntries || tasks >= maxPageTasks {
-			page.More = true
+			page.HasMore = true
 			return page
 		}
 		m := v.Machines[name]
@@ -106,8 +106,8 @@
 	}
 }
 
-// Tasks counts the tasks on all machines.
-func (v *View) Tasks() (n int) {
+// CountTasks counts the tasks on all machines.
+func (v *View) CountTasks() (n int) {
 	for _, m := range v.Machines {
 		n += len(m.Tasks)
 	}
@@ -117,5 +117,5 @@
 // ProvesAssignments tells whether the view says for sure, to the leader with a token, which tasks may be
 // on machines: the leader of the term before handed over complete, and nobody led since.
 func (v *View) ProvesAssignments(token uint64) bool {
-	return v.Handover != nil && v.Handover.Complete && v.Token+1 == token
+	return v.Handover != nil && v.Handover.Complete && v.FencingToken+1 == token
 }
--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -10,10 +10,10 @@
 // encodedTypes are those whose values are stored, and told of zones.
 var encodedTypes = []golden.Type{
 	golden.Of[Record]("the stored record"),
-	golden.Of[Stored]("a stored zone"),
+	golden.Of[RecordedZone]("a stored zone"),
 	golden.Of[Status]("a zone"),
 	golden.Of[Evidence]("what is known of machines"),
-	golden.Of[Work]("what is known of work"),
+	golden.Of[WorkStatus]("what is known of work"),
 }
 
 // TestEncoded has them be encoded as they were.
@@ -27,14 +27,14 @@
 // TestWords has what is said of zones be what it was.
 func TestWords(t *testing.T) {
 	var states []string
-	for s := Healthy; s <= Returning+1; s++ {
+	for s := Normal; s <= Reopening+1; s++ {
 		states = append(states, s.String())
 	}
 	golden.Check(t, "words.golden", []golden.Section{
 		{Name: "states", Text: golden.Values(states)},
-		{Name: "states as stored", Text: golden.Values([]State{Healthy, Suspected, Lost, HeldDown, Returning})},
-		{Name: "reasons", Text: golden.Values([]Reason{ReasonLate, ReasonWell, ReasonSilent, ReasonObserver, ReasonHeard, ReasonEmpty, ReasonHeldOut,
-			ReasonStepHeld, ReasonRelapse, ReasonStartsFailed, ReasonAllOpen})},
+		{Name: "states as stored", Text: golden.Values([]State{Normal, PartialDisruption, FullDisruption, HeldDown, Reopening})},
+		{Name: "reasons", Text: golden.Values([]Reason{ReasonHeartbeatsLate, ReasonHeartbeatsArrive, ReasonMostSilent, ReasonObserverAtFault, ReasonHeartbeatsResumed, ReasonNoMachines, ReasonHoldDownOver,
+			ReasonStepSucceeded, ReasonRelapse, ReasonStartsFailed, ReasonFullyOpen})},
 		{Name: "version of the record", Text: golden.Values(RecordVersion)},
 	})
 }
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -31,17 +31,17 @@
 	z.observerAtFault = observerAtFault
 	z = z.timeLoss(c, e, now)
 	switch z.state {
-	case Suspected:
+	case PartialDisruption:
 		return z.whileSuspected(c, e, now)
-	case Lost:
+	case FullDisruption:
 		return z.whileLost(c, e, now)
 	case HeldDown:
 		return z.whileHeldDown(c, e, now)
-	case Returning:
+	case Reopening:
 		return z.whileReturning(c, e, now)
 	}
 	if c.suspicious(e) {
-		return z.to(Suspected, ReasonLate, e, now)
+		return z.to(PartialDisruption, ReasonHeartbeatsLate, e, now)
 	}
 	return z
 }
@@ -60,28 +60,28 @@
 // confirmed tells whether the evidence has spoken for a loss for long enough, and the
 // observer can be trusted.
 func (z lifecycle) confirmed(c *Config, now micros.Micros) bool {
-	return z.lossSince != 0 && now-z.lossSince >= c.Confirm && !z.observerAtFault
+	return z.lossSince != 0 && now-z.lossSince >= c.ConfirmationTime && !z.observerAtFault
 }
 
 func (z lifecycle) whileSuspected(c *Config, e Evidence, now micros.Micros) lifecycle {
 	switch {
-	case e.Up == 0: // all were given up as single machines
-		return z.holdDown(c, ReasonEmpty, e, now)
+	case e.Running == 0: // all were given up as single machines
+		return z.holdDown(c, ReasonNoMachines, e, now)
 	case c.clear(e):
-		return z.to(Healthy, ReasonWell, e, now)
+		return z.to(Normal, ReasonHeartbeatsArrive, e, now)
 	case z.confirmed(c, now):
 		return z.lose(c, e, now)
 	case z.observerAtFault && z.lossSince != 0:
-		z.reason = ReasonObserver
+		z.reason = ReasonObserverAtFault
 	}
 	return z
 }
 
 func (z lifecycle) whileLost(c *Config, e Evidence, now micros.Micros) lifecycle {
-	reason := ReasonHeard
+	reason := ReasonHeartbeatsResumed
 	switch {
-	case e.Up == 0:
-		reason = ReasonEmpty
+	case e.Running == 0:
+		reason = ReasonNoMachines
 	case !c.heard(e) || c.lost(e):
 		return z
 	}
@@ -92,32 +92,32 @@
 	switch {
 	case z.confirmed(c, now):
 		return z.lose(c, e, now)
-	case now >= z.until && (c.heard(e) || e.Up == 0):
-		return z.toStep(0, ReasonHeldOut, e, now)
+	case now >= z.until && (c.heard(e) || e.Running == 0):
+		return z.toStep(0, ReasonHoldDownOver, e, now)
 	}
 	return z
 }
 
 func (z lifecycle) whileReturning(c *Config, e Evidence, now micros.Micros) lifecycle {
-	if e.Up == 0 {
+	if e.Running == 0 {
 		z.since = now // nothing can be tried before a machine comes up there
 		return z
 	}
 	held := now - z.since
-	tried, seen := e.Sent > z.sent, e.Started > z.started
+	tried, seen := e.StartsSent > z.sent, e.StartsSeen > z.started
 	switch {
 	case z.confirmed(c, now):
 		return z.lose(c, e, now)
-	case float64(e.Relapses-z.relapses) > c.Relapse*float64(e.Up):
+	case float64(e.Relapses-z.relapses) > c.MaxRelapseShare*float64(e.Running):
 		return z.back(c, ReasonRelapse, e, now)
-	case tried && !seen && held >= max(stepFailed*c.StepHold, failedReports*c.Report):
+	case tried && !seen && held >= max(stepFailed*c.MinStepTime, failedReports*c.HeartbeatInterval):
 		return z.back(c, ReasonStartsFailed, e, now)
-	case held < c.StepHold || tried && !seen || !tried && held < stepUntried*c.StepHold:
+	case held < c.MinStepTime || tried && !seen || !tried && held < stepUntried*c.MinStepTime:
 		return z
-	case z.step+1 < len(c.Steps):
-		return z.toStep(z.step+1, ReasonStepHeld, e, now)
+	case z.step+1 < len(c.OpenShares):
+		return z.toStep(z.step+1, ReasonStepSucceeded, e, now)
 	}
-	z = z.to(Healthy, ReasonAllOpen, e, now)
+	z = z.to(Normal, ReasonFullyOpen, e, now)
 	z.calm, z.keep = now, false
 	return z
 }
@@ -139,23 +139,23 @@
 
 // lose is the verdict. A loss soon after another is a flap; calm has made some forgotten.
 func (z lifecycle) lose(c *Config, e Evidence, now micros.Micros) lifecycle {
-	if z.state == Suspected && z.calm != 0 {
-		z.flaps -= min(z.flaps, int((now-z.calm)/c.Calm))
+	if z.state == PartialDisruption && z.calm != 0 {
+		z.flaps -= min(z.flaps, int((now-z.calm)/c.FlapExpiry))
 	}
 	z.flaps++
-	return z.to(Lost, ReasonSilent, e, now)
+	return z.to(FullDisruption, ReasonMostSilent, e, now)
 }
 
 // to enters a state.
 func (z lifecycle) to(s State, reason Reason, e Evidence, now micros.Micros) lifecycle {
 	z.state, z.reason, z.since, z.step = s, reason, now, 0
-	z.relapses, z.sent, z.started = e.Relapses, e.Sent, e.Started
+	z.relapses, z.sent, z.started = e.Relapses, e.StartsSent, e.StartsSeen
 	return z
 }
 
 // toStep enters a step of a return.
 func (z lifecycle) toStep(step int, reason Reason, e Evidence, now micros.Micros) lifecycle {
-	z = z.to(Returning, reason, e, now)
+	z = z.to(Reopening, reason, e, now)
 	z.step = step
 	return z
 }
