--- a/internal/zone/manager.go
+++ b/internal/zone/manager.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/micros"
 )
 
-// Manager is the policy with a state machine for each zone.
-type Manager struct {
+// LifecyclePolicy is the policy with a state machine for each zone.
+type LifecyclePolicy struct {
 	config   Config
 	zones    map[string]lifecycle
 	evidence map[string]Evidence
@@ -18,31 +18,31 @@
 	refuge   bool // some zone is left to move to
 }
 
-var _ Policy = (*Manager)(nil)
+var _ Policy = (*LifecyclePolicy)(nil)
 
-// NewManager makes the policy for a checked configuration.
-func NewManager(c Config) *Manager {
-	return &Manager{config: c, zones: map[string]lifecycle{}, evidence: map[string]Evidence{}, refuge: true}
+// NewLifecyclePolicy makes the policy for a checked configuration.
+func NewLifecyclePolicy(c Config) *LifecyclePolicy {
+	return &LifecyclePolicy{config: c, zones: map[string]lifecycle{}, evidence: map[string]Evidence{}, refuge: true}
 }
 
 // Observe implements Policy.
-func (m *Manager) Observe(now micros.Micros, o Observation) (changes []Transition) {
+func (m *LifecyclePolicy) Observe(now micros.Micros, o Observation) (changes []Transition) {
 	m.mass = massSilent(o)
 	m.evidence = o.Zones
 	// If no zone speaks against it, the observer is taken to be at fault.
-	atFault := o.Isolated || !m.hasRefuge()
+	atFault := o.ObserverIsolated || !m.hasRefuge()
 	m.moving = false
 	for _, name := range names(o, m.zones) {
 		before := m.zones[name]
 		after := before.next(&m.config, o.Zones[name], atFault, now)
-		if slices.Contains(m.config.Exempt, name) {
+		if slices.Contains(m.config.ExemptZones, name) {
 			after = lifecycle{}
 		}
-		if after.state == Lost && before.state != Lost {
+		if after.state == FullDisruption && before.state != FullDisruption {
 			after.keep = m.mass || before.keep
 		}
 		m.zones[name] = after
-		m.moving = m.moving || after.state >= Lost
+		m.moving = m.moving || after.state >= FullDisruption
 		if after.state != before.state || after.step != before.step || after.reason != before.reason {
 			changes = append(changes, transition(name, before, after, o.Zones[name]))
 		}
@@ -54,7 +54,7 @@
 // transition describes a change.
 func transition(name string, before, after lifecycle, e Evidence) Transition {
 	t := Transition{Zone: name, From: before.state, To: after.state, Reason: after.reason, Evidence: e}
-	if after.state == Returning {
+	if after.state == Reopening {
 		t.Step = after.step + 1
 	}
 	return t
@@ -62,9 +62,9 @@
 
 // hasRefuge tells whether a zone is left that is neither lost, nor on its way back, nor looks
 // lost. One with too few machines for a verdict counts all the same.
-func (m *Manager) hasRefuge() bool {
+func (m *LifecyclePolicy) hasRefuge() bool {
 	for name, e := range m.evidence {
-		if e.Up > 0 && m.zones[name].state < Lost && float64(e.troubled()) <= m.config.Suspect*float64(e.Up) {
+		if e.Running > 0 && m.zones[name].state < FullDisruption && float64(e.troubled()) <= m.config.PartialDisruptionShare*float64(e.Running) {
 			return true
 		}
 	}
@@ -83,69 +83,69 @@
 const rentFrom = 0.5
 
 // Decide implements Policy.
-func (m *Manager) Decide(name string) Decision {
+func (m *LifecyclePolicy) Decide(name string) Decision {
 	z := m.zones[name]
-	d := Decision{Rent: AnyNumber, Reachable: true, KeepSilent: m.mass || z.state == Suspected || z.keep, Open: 1}
+	d := Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: m.mass || z.state == PartialDisruption || z.keep, OpenShare: 1}
 	switch z.state {
-	case Suspected:
-		d.Rent, d.Reachable = 0, z.lossSince == 0
+	case PartialDisruption:
+		d.MaxMachines, d.Reachable = 0, z.lossSince == 0
 		if !z.observerAtFault {
-			d.Replace = m.config.Replace
+			d.ReplacementShare = m.config.ReplacementShare
 		}
-	case Lost:
-		d.Rent, d.Reachable, d.Open, d.Replace = 0, false, 0, m.config.Replace
+	case FullDisruption:
+		d.MaxMachines, d.Reachable, d.OpenShare, d.ReplacementShare = 0, false, 0, m.config.ReplacementShare
 	case HeldDown:
-		d.Rent, d.Open, d.Replace = 0, 0, m.config.Replace
-	case Returning:
-		d.Open, d.Replace = m.config.Steps[z.step], m.config.Replace
+		d.MaxMachines, d.OpenShare, d.ReplacementShare = 0, 0, m.config.ReplacementShare
+	case Reopening:
+		d.OpenShare, d.ReplacementShare = m.config.OpenShares[z.step], m.config.ReplacementShare
 		switch {
-		case m.evidence[name].Up == 0:
-			d.Rent = m.config.Least // to hear whether the zone is back
-		case d.Open < rentFrom:
-			d.Rent = 0
+		case m.evidence[name].Running == 0:
+			d.MaxMachines = m.config.MinMachines // to hear whether the zone is back
+		case d.OpenShare < rentFrom:
+			d.MaxMachines = 0
 		}
 	}
 	if !m.refuge {
-		d.Open = 1 // what is heard there is all that is left
+		d.OpenShare = 1 // what is heard there is all that is left
 	}
 	return d
 }
 
-// Band implements Policy: urgent work first, then the classes in the operators' order.
-func (m *Manager) Band(class string, urgent bool) int {
+// EvacuationRank implements Policy: urgent work first, then the classes in the operators' order.
+func (m *LifecyclePolicy) EvacuationRank(class string, urgent bool) int {
 	switch {
 	case !m.moving:
 		return 0
 	case urgent:
 		return 1
 	}
-	if i := slices.Index(m.config.Classes, class); i >= 0 {
+	if i := slices.Index(m.config.EvacuationOrder, class); i >= 0 {
 		return 2 + i
 	}
-	return 2 + len(m.config.Classes)
+	return 2 + len(m.config.EvacuationOrder)
 }
 
 // Status implements Policy.
-func (m *Manager) Status(now micros.Micros) []Status {
+func (m *LifecyclePolicy) Status(now micros.Micros) []Status {
 	out := []Status{}
 	for _, name := range slices.Sorted(maps.Keys(m.zones)) {
 		z := m.zones[name]
 		s := Status{
-			Zone:     name,
-			State:    z.state.String(),
-			Reason:   cmp.Or(z.reason, ReasonWell),
-			OpenPart: m.Decide(name).Open,
-			Flaps:    z.flaps,
-			Evidence: m.evidence[name],
+			Zone:      name,
+			State:     z.state.String(),
+			Reason:    cmp.Or(z.reason, ReasonHeartbeatsArrive),
+			OpenShare: m.Decide(name).OpenShare,
+			Flaps:     z.flaps,
+			Evidence:  m.evidence[name],
 		}
 		if z.since != 0 {
 			s.SinceS = (now - z.since).Seconds()
 		}
-		if z.state == Returning {
-			s.Step, s.Steps = z.step+1, len(m.config.Steps)
+		if z.state == Reopening {
+			s.Step, s.Steps = z.step+1, len(m.config.OpenShares)
 		}
 		if z.state == HeldDown {
-			s.HoldS = max(0, z.until-now).Seconds()
+			s.HoldDownS = max(0, z.until-now).Seconds()
 		}
 		out = append(out, s)
 	}
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -18,11 +18,11 @@
 
 // The states of a zone.
 const (
-	Healthy   State = iota // all of it is used
-	Suspected              // many machines are late: capacity elsewhere is rented ahead
-	Lost                   // its work moves to other zones
-	HeldDown               // it is heard again, and must stay so for a while before it is used
-	Returning              // its capacity opens in steps
+	Normal            State = iota // all of it is used
+	PartialDisruption              // many machines are late: capacity elsewhere is rented ahead
+	FullDisruption                 // its work moves to other zones
+	HeldDown                       // it is heard again, and must stay so for a while before it is used
+	Reopening                      // its capacity opens in steps
 )
 
 var stateNames = [...]string{"healthy", "suspected", "lost", "held down", "returning"}
@@ -40,61 +40,61 @@
 
 // The reasons of transitions.
 const (
-	ReasonLate         Reason = "many machines are late with their reports"
-	ReasonWell         Reason = "its machines are heard"
-	ReasonSilent       Reason = "most machines are silent, receive no answers, or have vanished from the cloud's list"
-	ReasonObserver     Reason = "no zone is left that does not look lost, or this node is cut off: the observer is taken to be at fault"
-	ReasonHeard        Reason = "machines have reported anew"
-	ReasonEmpty        Reason = "no machine is left there that could be heard"
-	ReasonHeldOut      Reason = "it was heard for as long as it had to be"
-	ReasonStepHeld     Reason = "starts succeed there, and no machine falls silent anew"
-	ReasonRelapse      Reason = "machines fell silent anew"
-	ReasonStartsFailed Reason = "starts there do not arrive"
-	ReasonAllOpen      Reason = "all of its capacity is open and held"
+	ReasonHeartbeatsLate    Reason = "many machines are late with their reports"
+	ReasonHeartbeatsArrive  Reason = "its machines are heard"
+	ReasonMostSilent        Reason = "most machines are silent, receive no answers, or have vanished from the cloud's list"
+	ReasonObserverAtFault   Reason = "no zone is left that does not look lost, or this node is cut off: the observer is taken to be at fault"
+	ReasonHeartbeatsResumed Reason = "machines have reported anew"
+	ReasonNoMachines        Reason = "no machine is left there that could be heard"
+	ReasonHoldDownOver      Reason = "it was heard for as long as it had to be"
+	ReasonStepSucceeded     Reason = "starts succeed there, and no machine falls silent anew"
+	ReasonRelapse           Reason = "machines fell silent anew"
+	ReasonStartsFailed      Reason = "starts there do not arrive"
+	ReasonFullyOpen         Reason = "all of its capacity is open and held"
 )
 
 // Evidence is what is known of one zone's machines. Each machine counts once, in the gravest
 // of the groups; Up counts all that have come up and are not being returned.
 type Evidence struct {
-	Up       int `json:"up"`
-	Late     int `json:"late"`     // with their reports, not yet silent
-	Silent   int `json:"silent"`   // for more than two reports
-	Deaf     int `json:"deaf"`     // reports come, and answers do not arrive
-	Vanished int `json:"vanished"` // silent, and no longer in the cloud's list
-	Failing  int `json:"failing"`  // found faulty; no sign of a lost zone
-	// Back counts the machines heard twice since the zone was lost: the second report was
+	Running       int `json:"up"`
+	Late          int `json:"late"`     // with their reports, not yet silent
+	Silent        int `json:"silent"`   // for more than two reports
+	LostResponses int `json:"deaf"`     // reports come, and answers do not arrive
+	Unlisted      int `json:"vanished"` // silent, and no longer in the cloud's list
+	Quarantined   int `json:"failing"`  // found faulty; no sign of a lost zone
+	// Recovered counts the machines heard twice since the zone was lost: the second report was
 	// made after that, by a worker that had this term's token.
-	Back int `json:"back"`
+	Recovered int `json:"back"`
 	// Relapses, Sent and Started only grow during a term: machines that were back and fell
 	// silent, starts sent to the zone, and starts that were seen there.
-	Relapses int `json:"relapses"`
-	Sent     int `json:"sent"`
-	Started  int `json:"started"`
+	Relapses   int `json:"relapses"`
+	StartsSent int `json:"sent"`
+	StartsSeen int `json:"started"`
 }
 
 // gone counts the machines that speak for a loss.
-func (e Evidence) gone() int { return e.Silent + e.Deaf + e.Vanished }
+func (e Evidence) gone() int { return e.Silent + e.LostResponses + e.Unlisted }
 
 // troubled counts those that speak for a suspicion.
 func (e Evidence) troubled() int { return e.gone() + e.Late }
 
 // Observation is all that is known at one moment.
 type Observation struct {
-	Zones    map[string]Evidence
-	Isolated bool // the observer hears neither the state service nor most of its peers
+	Zones            map[string]Evidence
+	ObserverIsolated bool // the observer hears neither the state service nor most of its peers
 }
 
 // Decision is what holds for one zone.
 type Decision struct {
-	Rent       int     // how many machines there may be that are booked, boot or are up; see AnyNumber
-	Reachable  bool    // orders can be expected to arrive
-	KeepSilent bool    // silent machines are kept for as long as their leases last, and again
-	Open       float64 // share of its machines that may start work which could run elsewhere
-	Replace    float64 // share of its unusable machines that do not count as supply
+	MaxMachines      int     // how many machines there may be that are booked, boot or are up; see Unlimited
+	Reachable        bool    // orders can be expected to arrive
+	KeepSilent       bool    // silent machines are kept for as long as their leases last, and again
+	OpenShare        float64 // share of its machines that may start work which could run elsewhere
+	ReplacementShare float64 // share of its unusable machines that do not count as supply
 }
 
-// AnyNumber is no limit on rentals.
-const AnyNumber = math.MaxInt
+// Unlimited is no limit on rentals.
+const Unlimited = math.MaxInt
 
 // Transition is a change of a zone's state or step.
 type Transition struct {
@@ -111,8 +111,8 @@
 	Observe(now micros.Micros, o Observation) []Transition
 	// Decide tells what holds for a zone since the last observation.
 	Decide(zone string) Decision
-	// Band is the place of a job in the order in which work moves, 0 if there is none now.
-	Band(class string, urgent bool) int
+	// EvacuationRank is the place of a job in the order in which work moves, 0 if there is none now.
+	EvacuationRank(class string, urgent bool) int
 	// Status describes all zones that are known; nil if the policy has nothing to tell.
 	Status(now micros.Micros) []Status
 	// Record is what a next leader needs, nil if nothing is to be stored.
@@ -123,39 +123,39 @@
 
 // Status describes a zone for operators. The leader adds what it knows of its tasks.
 type Status struct {
-	Zone     string   `json:"zone"`
-	State    string   `json:"state"`
-	Reason   Reason   `json:"reason"`
-	SinceS   float64  `json:"since_s"`
-	Step     int      `json:"step,omitempty"` // of a return, from 1
-	Steps    int      `json:"steps,omitempty"`
-	OpenPart float64  `json:"open"`
-	HoldS    float64  `json:"hold_s,omitempty"` // what is left of a hold-down
-	Flaps    int      `json:"flaps"`
-	Evidence Evidence `json:"evidence"`
-	Work     Work     `json:"work"`
+	Zone      string     `json:"zone"`
+	State     string     `json:"state"`
+	Reason    Reason     `json:"reason"`
+	SinceS    float64    `json:"since_s"`
+	Step      int        `json:"step,omitempty"` // of a return, from 1
+	Steps     int        `json:"steps,omitempty"`
+	OpenShare float64    `json:"open"`
+	HoldDownS float64    `json:"hold_s,omitempty"` // what is left of a hold-down
+	Flaps     int        `json:"flaps"`
+	Evidence  Evidence   `json:"evidence"`
+	Work      WorkStatus `json:"work"`
 }
 
-// Work is what became of a zone's work in this term, in tasks by class.
-type Work struct {
+// WorkStatus is what became of a zone's work in this term, in tasks by class.
+type WorkStatus struct {
 	Displaced map[string]int `json:"displaced,omitempty"` // lost with the zone
 	Moved     map[string]int `json:"moved,omitempty"`     // of these, begun in another zone
 	Restarted map[string]int `json:"restarted,omitempty"` // of these, begun in the zone itself
-	// Machines whose leases are not over yet hold tasks that may not start elsewhere.
-	Machines int     `json:"machines,omitempty"`
-	Tasks    int     `json:"tasks,omitempty"`
-	NextEndS float64 `json:"next_end_s,omitempty"`
-	LastEndS float64 `json:"last_end_s,omitempty"`
-	Closed   int     `json:"closed,omitempty"`   // machines that get no work which could run elsewhere
-	Replaced int     `json:"replaced,omitempty"` // machines that do not count as supply
+	// LeasedMachines whose leases are not over yet hold tasks that may not start elsewhere.
+	LeasedMachines   int     `json:"machines,omitempty"`
+	LeasedTasks      int     `json:"tasks,omitempty"`
+	NextLeaseEndS    float64 `json:"next_end_s,omitempty"`
+	LastLeaseEndS    float64 `json:"last_end_s,omitempty"`
+	ClosedMachines   int     `json:"closed,omitempty"`   // machines that get no work which could run elsewhere
+	ReplacedMachines int     `json:"replaced,omitempty"` // machines that do not count as supply
 }
 
 // AddLease counts a machine whose tasks have to wait for the end of its lease.
-func (w *Work) AddLease(tasks int, endS float64) {
-	if w.Machines == 0 || endS < w.NextEndS {
-		w.NextEndS = endS
+func (w *WorkStatus) AddLease(tasks int, endS float64) {
+	if w.LeasedMachines == 0 || endS < w.NextLeaseEndS {
+		w.NextLeaseEndS = endS
 	}
-	w.LastEndS = max(w.LastEndS, endS)
-	w.Machines++
-	w.Tasks += tasks
+	w.LastLeaseEndS = max(w.LastLeaseEndS, endS)
+	w.LeasedMachines++
+	w.LeasedTasks += tasks
 }
--- a/membership.go
+++ b/membership.go
@@ -41,9 +41,9 @@
 	var others []string
 	for _, p := range n.settings.Peers {
 		others = append(others, p.Member)
-		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.dialPeer)
+		m.clients[p.Member] = peer.NewClient(p.Addr, n.network.DialPeer)
 	}
-	m.detector = membership.New(n.settings.Member, others, config, uint64(micros.Wall()), micros.Now())
+	m.detector = membership.NewDetector(n.settings.Member, others, config, uint64(micros.Wall()), micros.Now())
 	return m
 }
 
@@ -53,7 +53,7 @@
 	for member, client := range m.clients {
 		wg.Go(func() { m.sendHeartbeats(ctx, member, client) })
 	}
-	micros.Every(ctx, m.config.Interval, m.tick)
+	micros.Every(ctx, m.config.HeartbeatInterval, m.tick)
 	wg.Wait()
 }
 
@@ -63,7 +63,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	open := make(chan struct{}, maxHeartbeats)
-	micros.Every(ctx, m.config.Interval, func() {
+	micros.Every(ctx, m.config.HeartbeatInterval, func() {
 		select {
 		case open <- struct{}{}:
 		default:
@@ -82,15 +82,15 @@
 	defer cancel()
 	sent := micros.Now()
 	heartbeat := m.heartbeat()
-	response, err := client.Ask(ctx, peer.Request{Heartbeat: &heartbeat})
+	response, err := client.Call(ctx, peer.Request{MembershipHeartbeat: &heartbeat})
 	if err != nil {
 		slog.Debug("heartbeat", "peer", member, "error", err)
 		return
 	}
 	m.update(func(d *membership.Detector, now micros.Micros) {
-		d.Answered(now, member, now-sent)
-		if response.Heartbeat != nil {
-			d.Receive(now, response.Heartbeat)
+		d.HandleAck(now, member, now-sent)
+		if response.MembershipHeartbeat != nil {
+			d.HandleHeartbeat(now, response.MembershipHeartbeat)
 		}
 	})
 }
@@ -109,9 +109,9 @@
 }
 
 // surroundings is what the state service tells of the members.
-func (m *membershipNode) surroundings() membership.Surroundings {
+func (m *membershipNode) surroundings() membership.Environment {
 	n := m.node
-	around := membership.Surroundings{StoreHeard: n.store.SinceLastResponse() < peer.FreshWithin}
+	around := membership.Environment{StateServiceReachable: n.store.SinceLastResponse() < peer.FreshWithin}
 	if micros.Now()-n.replica.CurrentAsOf() < peer.FreshWithin {
 		if l, stamp := n.election.Leader(); stamp != 0 {
 			around.Leader = l.Member
@@ -124,7 +124,7 @@
 func (m *membershipNode) update(f func(*membership.Detector, micros.Micros)) {
 	m.mu.Lock()
 	f(m.detector, micros.Now())
-	transitions := m.detector.Transitions()
+	transitions := m.detector.TakeTransitions()
 	m.mu.Unlock()
 	for _, t := range transitions {
 		slog.Info("member", "member", t.Member, "from", t.From, "to", t.To, "reason", t.Reason,
@@ -156,13 +156,13 @@
 	if n.membership == nil {
 		return nil
 	}
-	n.membership.update(func(d *membership.Detector, now micros.Micros) { d.Receive(now, h) })
+	n.membership.update(func(d *membership.Detector, now micros.Micros) { d.HandleHeartbeat(now, h) })
 	answer := n.membership.heartbeat()
 	return &answer
 }
 
-// Members tells what this node thinks of the other nodes.
-func (n *Node) Members() (membership.Status, error) {
+// MembershipStatus tells what this node thinks of the other nodes.
+func (n *Node) MembershipStatus() (membership.Status, error) {
 	if n.membership == nil {
 		return membership.Status{}, api.ErrMembershipOff
 	}
--- a/membership_test.go
+++ b/membership_test.go
@@ -28,7 +28,7 @@
 // checkState returns an error if a node with membership finds another state of a node than wanted.
 func (c *memberCluster) checkState(node int, want membership.State) error {
 	for i, n := range c.nodes {
-		status, err := n.Members()
+		status, err := n.MembershipStatus()
 		if err != nil && !c.without[i] {
 			return err
 		}
@@ -76,7 +76,7 @@
 	c.t.Helper()
 	time.Sleep(period)
 	for i, n := range c.nodes {
-		if status, err := n.Members(); err != nil || status.Counts.Failures > 0 {
+		if status, err := n.MembershipStatus(); err != nil || status.Counts.Failures > 0 {
 			c.t.Errorf("host-%d: %v, %+v", i, err, status)
 		}
 	}
@@ -130,7 +130,7 @@
 			c.refuseState(isolated)
 			c.awaitState(detectionTimeout, isolated, membership.Failed)
 			c.checkStateStays(isolated, membership.Failed)
-			if status, err := c.nodes[isolated].Members(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
+			if status, err := c.nodes[isolated].MembershipStatus(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
 				c.t.Errorf("the isolated node finds others failed: %v, %+v", err, status)
 			}
 			c.setFault(nil)
@@ -186,7 +186,7 @@
 			c.checkNoFailures(10 * time.Minute)
 			slow := 0
 			for range 60 { // single messages may be fast
-				status, err := c.nodes[0].Members()
+				status, err := c.nodes[0].MembershipStatus()
 				if err == nil && status.Slow {
 					slow++
 				}
--- a/node.go
+++ b/node.go
@@ -39,7 +39,7 @@
 	replica  *replica.Replica
 	election *election.Election
 	peers    *peer.Peers
-	network  network
+	network  Network
 	times    *api.RequestTimes
 	features settings.Features
 
@@ -53,12 +53,12 @@
 	taskCountsAt        micros.Micros
 }
 
-// network is how a node reaches what is around it.
-type network struct {
-	serviceTransport http.RoundTripper
-	workerTransport  http.RoundTripper
-	dialPeer         peer.Dial
-	listenForPeers   func() (net.Listener, error) // for peers
+// Network is how a node reaches what is around it.
+type Network struct {
+	ServiceTransport http.RoundTripper
+	WorkerTransport  http.RoundTripper
+	DialPeer         peer.Dial
+	ListenForPeers   func() (net.Listener, error) // for peers
 }
 
 var (
@@ -76,23 +76,23 @@
 // NewNode makes a node from checked settings; what has none in features is off.
 func NewNode(s *settings.Settings, t settings.Tuning, features settings.Features) *Node {
 	var dialer net.Dialer
-	return newNode(s, t, features, network{
-		serviceTransport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true},
-		workerTransport:  &http.Transport{DisableKeepAlives: true, DisableCompression: true},
-		dialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
-		listenForPeers:   func() (net.Listener, error) { return net.Listen("tcp", s.PeerListen) },
+	return NewNodeOn(s, t, features, Network{
+		ServiceTransport: &http.Transport{MaxIdleConnsPerHost: 8, DisableCompression: true},
+		WorkerTransport:  &http.Transport{DisableKeepAlives: true, DisableCompression: true},
+		DialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) },
+		ListenForPeers:   func() (net.Listener, error) { return net.Listen("tcp", s.PeerListen) },
 	})
 }
 
-// newNode makes a node that reaches everything around it through o.
-func newNode(s *settings.Settings, t settings.Tuning, features settings.Features, o network) *Node {
+// NewNodeOn makes a node that reaches everything around it through o.
+func NewNodeOn(s *settings.Settings, t settings.Tuning, features settings.Features, o Network) *Node {
 	n := &Node{settings: s, tuning: t, features: features, network: o, times: api.NewRequestTimes()}
-	n.store = statestore.New(s.External.State, s.Params.State, o.serviceTransport)
-	n.cloud = cloud.New(s.External.Cloud, s.Params.Cloud, o.serviceTransport)
+	n.store = statestore.New(s.External.State, s.Params.State, o.ServiceTransport)
+	n.cloud = cloud.New(s.External.Cloud, s.Params.Cloud, o.ServiceTransport)
 	n.replica = replica.New(n.store)
 	clients := map[string]*peer.Client{}
 	for _, p := range s.Peers {
-		clients[p.Member] = peer.NewClient(p.Addr, o.dialPeer)
+		clients[p.Member] = peer.NewClient(p.Addr, o.DialPeer)
 	}
 	n.peers = peer.NewPeers(clients, n.makeProbe, n.handlePeerState)
 	config := election.Config{
@@ -139,14 +139,14 @@
 		return fmt.Errorf("client_listen: %w", err)
 	}
 	server := &http.Server{
-		Handler:           n.handler(),
+		Handler:           n.Handler(),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		ConnState:         api.NewConnLimiter(limits.MaxSockets).State,
+		ConnState:         api.NewConnLimiter(limits.MaxSockets).ConnState,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { n.runBackground(ctx) })
+	wg.Go(func() { n.RunBackground(ctx) })
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	slog.Info("node started", "member", n.settings.Member, "listen", ln.Addr().String())
@@ -158,21 +158,21 @@
 	return nil
 }
 
-// handler answers users, workers and health checks.
-func (n *Node) handler() http.Handler {
+// Handler answers users, workers and health checks.
+func (n *Node) Handler() http.Handler {
 	return api.New(&api.Handler{
-		Node:          n,
-		Settings:      n.settings,
-		Store:         n.store,
-		Batcher:       statestore.NewBatcher(n.store),
-		Replica:       n.replica,
-		RequestTimes:  n.times,
-		HeartbeatHold: n.heartbeatHoldTime(),
+		Node:           n,
+		Settings:       n.settings,
+		Store:          n.store,
+		Batcher:        statestore.NewBatcher(n.store),
+		Replica:        n.replica,
+		RequestTimes:   n.times,
+		ForwardTimeout: n.heartbeatHoldTime(),
 	})
 }
 
-// runBackground does all that is not an answer to a request, until ctx ends.
-func (n *Node) runBackground(ctx context.Context) {
+// RunBackground does all that is not an answer to a request, until ctx ends.
+func (n *Node) RunBackground(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { n.replica.Run(ctx) })
 	wg.Go(func() { n.election.Run(ctx) })
@@ -195,7 +195,7 @@
 	if c == nil {
 		return peer.Response{}, errNoLeader
 	}
-	return c.Ask(ctx, q)
+	return c.Call(ctx, q)
 }
 
 // ForwardHeartbeat asks the leader for its answer to a report.
@@ -218,7 +218,7 @@
 // connections by rendezvous hashing, and the leader's part is its own work.
 func (n *Node) ForwarderFor(machine string) string {
 	best, bestWeight := "", uint32(0)
-	for _, member := range n.peers.Forwarders(n.election.HighestKnown().FencingToken) {
+	for _, member := range n.peers.Forwarders(n.election.HighestKnownLeader().FencingToken) {
 		hash := fnv.New32a()
 		hash.Write([]byte(machine + " " + member))
 		if weight := hash.Sum32(); best == "" || weight > bestWeight {
@@ -239,8 +239,8 @@
 		Term:              t,
 		FencingToken:      t.FencingToken,
 		LeaderKeyRevision: t.LeaderKeyRevision,
-		WorkerClient:      &http.Client{Transport: n.network.workerTransport},
-		Zones:             n.newZonePolicy(),
+		WorkerClient:      &http.Client{Transport: n.network.WorkerTransport},
+		ZonePolicy:        n.newZonePolicy(),
 		IsIsolated:        n.isIsolated,
 	}
 	if n.standby != nil {
@@ -280,7 +280,7 @@
 // LeaderMember names the leader as known here: by the state service or, when
 // that cannot be reached, by a peer that knows of a higher token.
 func (n *Node) LeaderMember() string {
-	return n.election.HighestKnown().Member
+	return n.election.HighestKnownLeader().Member
 }
 
 // IsReady tells whether the node can take requests. Without the state service it
@@ -318,12 +318,12 @@
 		e, _ := l.Explain(id)
 		return e, nil
 	}
-	a, err := n.askLeader(ctx, peer.Request{Explain: id})
-	if err == nil && a.Explain == nil {
+	a, err := n.askLeader(ctx, peer.Request{ExplainJob: id})
+	if err == nil && a.Explanation == nil {
 		err = errNoExplanation
 	}
 	if err != nil {
 		return explain.Explanation{}, err
 	}
-	return *a.Explain, nil
+	return *a.Explanation, nil
 }
--- a/peers.go
+++ b/peers.go
@@ -15,7 +15,7 @@
 // listenToPeers serves the other nodes. A node whose peers cannot reach it
 // still works, so a failure is only told.
 func (n *Node) listenToPeers(ctx context.Context) {
-	l, err := n.network.listenForPeers()
+	l, err := n.network.ListenForPeers()
 	if err != nil {
 		slog.Error("peer_bind", "error", err)
 		return
@@ -27,7 +27,7 @@
 // as encoding them for every probe took the leader a tenth of its processor.
 func (n *Node) makeProbe(told *micros.Micros) *peer.Probe {
 	p := &peer.Probe{Member: n.settings.Member, CancellationsSince: n.replica.CancelledThrough()}
-	highest := n.election.HighestKnown()
+	highest := n.election.HighestKnownLeader()
 	p.HighestToken, p.Leader = highest.FencingToken, highest.Member
 	if l := n.LocalLeader(); l != nil {
 		p.LeadershipInDoubt = !l.Term.HoldsSession()
@@ -63,7 +63,7 @@
 		SinceStateService:  n.store.SinceLastResponse(),
 		ForwardsHeartbeats: n.peers.IsReachable(p.Member),
 	}
-	highest := n.election.HighestKnown()
+	highest := n.election.HighestKnownLeader()
 	s.HighestToken, s.Leader = highest.FencingToken, highest.Member
 	if l := n.LocalLeader(); l != nil {
 		l.Supersede(s.HighestToken)
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -17,8 +17,8 @@
 
 // Reservation tells to gather a machine's room for a whole job.
 type Reservation struct {
-	Machine int
-	For     string
+	Machine  int
+	ForJobID string
 }
 
 // machineSkew is what each further machine costs a whole job: it starts when its last task
@@ -73,7 +73,7 @@
 // that report soonest. A fetch counts as a late report does, so that machines with the
 // image and without it meet only when no others have room.
 func placeGang(machines []Machine, open []int, index int, j *Job, team *Team) (starts []Start) {
-	if team.Room(j.Need, j.Waiting) < j.Waiting {
+	if team.CountAllowed(j.Need, j.WaitingTasks) < j.WaitingTasks {
 		return nil
 	}
 	p := gangPlacement{machines: machines, job: j}
@@ -106,7 +106,7 @@
 // distribute shares all waiting tasks among a set of machines, by their free room.
 func (p *gangPlacement) distribute(set []int) []allocation {
 	free := func(k int) Resources { return p.machines[k].Free }
-	return distribute(p.machines, set, p.job, p.job.Waiting, free)
+	return distribute(p.machines, set, p.job, p.job.WaitingTasks, free)
 }
 
 // considerOne considers the first machine of a set that has room for all tasks.
@@ -127,7 +127,7 @@
 	}
 	n := sort.Search(len(set), func(n int) bool { return p.distribute(set[:n]) != nil })
 	soonest := slices.Clone(set[:n])
-	count := func(k int) int { return p.machines[k].Free.CountFitting(p.job.Need, p.job.Waiting) }
+	count := func(k int) int { return p.machines[k].Free.CountFitting(p.job.Need, p.job.WaitingTasks) }
 	slices.SortStableFunc(soonest, func(a, b int) int { return cmp.Compare(count(b), count(a)) })
 	if shares := p.distribute(soonest); shares != nil {
 		p.consider(shares)
@@ -163,7 +163,7 @@
 // of it failed, and if fetching its image takes no longer than another machine's report.
 func takesGang(m *Machine, j *Job, count int) bool {
 	_, failed := j.FailedOn[m.ID]
-	return count >= j.Waiting && !failed && (j.EarliestStart == 0 || imagePullTime(m, j) <= j.EarliestStart)
+	return count >= j.WaitingTasks && !failed && (j.EarliestStart == 0 || imagePullTime(m, j) <= j.EarliestStart)
 }
 
 // EarliestGangStart is when a whole job should start that is taken by the first to report of
@@ -173,7 +173,7 @@
 	var fetches []micros.Micros
 	for k := range machines {
 		m := &machines[k]
-		if admits(m, j) && m.Free.CountFitting(j.Need, min(j.Waiting, remainingInZone(j, m.Zone))) == j.Waiting {
+		if admits(m, j) && m.Free.CountFitting(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone))) == j.WaitingTasks {
 			fetches = append(fetches, imagePullTime(m, j))
 		}
 	}
@@ -191,7 +191,7 @@
 // until enough of what is on them has ended by itself: the fewest of those where that
 // takes least. It picks none if it takes longer than within.
 func PickReservation(machines []Machine, j *Job, team *Team, within micros.Micros) []int {
-	if team.Room(j.Need, j.Waiting) < j.Waiting {
+	if team.CountAllowed(j.Need, j.WaitingTasks) < j.WaitingTasks {
 		return nil
 	}
 	for by := 2 * micros.Second; by <= within; by *= 2 {
@@ -208,9 +208,9 @@
 		var best []allocation
 		for _, set := range candidateSets(machines, j, func(*Machine) bool { return true }) {
 			slices.SortStableFunc(set, func(a, b int) int {
-				return cmp.Compare(room[b].CountFitting(j.Need, j.Waiting), room[a].CountFitting(j.Need, j.Waiting))
+				return cmp.Compare(room[b].CountFitting(j.Need, j.WaitingTasks), room[a].CountFitting(j.Need, j.WaitingTasks))
 			})
-			shares := distribute(machines, set, j, j.Waiting, func(k int) Resources { return room[k] })
+			shares := distribute(machines, set, j, j.WaitingTasks, func(k int) Resources { return room[k] })
 			if shares != nil && (best == nil || len(shares) < len(best)) {
 				best = shares
 			}
@@ -230,17 +230,17 @@
 // whole job get room there at once, and what to stop on it. Nothing is stopped where a
 // gang runs, as all its tasks would have to stop.
 func PreemptOnSingleMachine(machines []Machine, j *Job, team *Team) (stops []Preemption, machine int) {
-	if team.Room(j.Need, j.Waiting) < j.Waiting {
+	if team.CountAllowed(j.Need, j.WaitingTasks) < j.WaitingTasks {
 		return nil, -1
 	}
 	all := *j
-	all.Need = Resources{}.Add(j.Need, int64(j.Waiting))
+	all.Need = Resources{}.Add(j.Need, int64(j.WaitingTasks))
 	var best []int
 	var bestLost micros.Micros
 	machine = -1
 	for k := range machines {
 		m := &machines[k]
-		if !admits(m, j) || remainingInZone(j, m.Zone) < j.Waiting || slices.ContainsFunc(m.Victims, func(v Victim) bool { return v.Gang }) {
+		if !admits(m, j) || remainingInZone(j, m.Zone) < j.WaitingTasks || slices.ContainsFunc(m.Victims, func(v Victim) bool { return v.Gang }) {
 			continue
 		}
 		if _, failed := j.FailedOn[m.ID]; failed {
@@ -257,7 +257,7 @@
 	}
 	m := &machines[machine]
 	for _, v := range slices.Backward(best) {
-		stops = append(stops, Preemption{Machine: machine, Victim: m.Victims[v], For: j.ID})
+		stops = append(stops, Preemption{Machine: machine, Victim: m.Victims[v], ForJobID: j.ID})
 		m.Releasing = m.Releasing.Add(m.Victims[v].Need, 1)
 		m.Victims = slices.Delete(m.Victims, v, v+1)
 	}
@@ -267,7 +267,7 @@
 
 // preemptForGang stops what loses least for all tasks of a job, or nothing.
 func preemptForGang(machines []Machine, j *Job, team *Team) (stops []Preemption, gatherings []Reservation) {
-	if team.Room(j.Need, j.Waiting) < j.Waiting {
+	if team.CountAllowed(j.Need, j.WaitingTasks) < j.WaitingTasks {
 		return nil, nil
 	}
 	var best []Preemption
@@ -285,7 +285,7 @@
 	stops = carryOut(machines, bestSet, best, j.ID)
 	slices.Sort(bestRoom)
 	for _, i := range slices.Compact(bestRoom) {
-		gatherings = append(gatherings, Reservation{Machine: bestSet[i], For: j.ID})
+		gatherings = append(gatherings, Reservation{Machine: bestSet[i], ForJobID: j.ID})
 		machines[bestSet[i]].ReservedFor = j
 	}
 	return stops, gatherings
@@ -341,7 +341,7 @@
 			if !v.Gang || !gangs[v.JobID] {
 				return false
 			}
-			stops = append(stops, Preemption{Machine: k, Victim: v, For: by})
+			stops = append(stops, Preemption{Machine: k, Victim: v, ForJobID: by})
 			m.Releasing = m.Releasing.Add(v.Need, 1)
 			return true
 		})
--- a/placement/gang_test.go
+++ b/placement/gang_test.go
@@ -62,7 +62,7 @@
 		{"together, and no zone has room", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
 			[]*Job{whole(4, func(j *Job) { j.SingleZone = true })}, nil, nil},
 		{"a replacement where the others are", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
-			[]*Job{whole(1, func(j *Job) { j.SingleZone, j.Total, j.TasksPerZone = true, 4, map[string]int{"z": 3} })}, nil, []string{"g@b*1"}},
+			[]*Job{whole(1, func(j *Job) { j.SingleZone, j.TotalTasks, j.TasksPerZone = true, 4, map[string]int{"z": 3} })}, nil, []string{"g@b*1"}},
 		{"scattered: at most 2 of 4 in a zone", []Machine{machine("a", "y", 4), machine("b", "z", 2)},
 			[]*Job{whole(4, func(j *Job) { j.SpreadZones = true })}, nil, []string{"g@a*2", "g@b*2"}},
 		{"scattered, with one zone", []Machine{machine("a", "y", 4)}, []*Job{whole(4, func(j *Job) { j.SpreadZones = true })}, nil, nil},
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -10,17 +10,17 @@
 )
 
 // Resources are in thousandths, so that sums are exact.
-type Resources struct{ CPU, GPU, Mem int64 }
+type Resources struct{ CPU, GPU, Memory int64 }
 
 // Add adds n times o.
 func (r Resources) Add(o Resources, n int64) Resources {
-	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Mem + n*o.Mem}
+	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Memory + n*o.Memory}
 }
 
 // CountFitting tells how often need fits into r, at most limit times.
 func (r Resources) CountFitting(need Resources, limit int) int {
 	n := int64(limit)
-	for _, p := range [...][2]int64{{r.CPU, need.CPU}, {r.GPU, need.GPU}, {r.Mem, need.Mem}} {
+	for _, p := range [...][2]int64{{r.CPU, need.CPU}, {r.GPU, need.GPU}, {r.Memory, need.Memory}} {
 		if p[1] > 0 {
 			n = min(n, p[0]/p[1])
 		}
@@ -61,7 +61,7 @@
 	Idle                   bool          // no task is on it
 	Images                 ImageSet      // cached or being fetched
 	ImagePullGBPerS        float64       // image fetch
-	Penalty                micros.Micros // wait that is put up with to leave it idle
+	StartPenalty           micros.Micros // wait that is put up with to leave it idle
 	RejectsDelayTolerant   bool          // to patient work: costly, and wanted by no other
 	Victims                []Victim      // running tasks that could be stopped
 	Completions            []Completion  // when what is on it should end by itself
@@ -86,22 +86,22 @@
 // Job is a job with waiting tasks.
 type Job struct {
 	ID, Team                string
-	Image                   int
+	ImageIndex              int
 	Priority                int
 	EvacuationRank          int             // in the order in which work leaves a lost zone; 0 for all without one
 	OnlyZone                string          // the only zone that it can run in now, empty if there are others
 	Aged                    bool            // has waited for its first start so long that it goes before all others
 	WithinGuarantee         bool            // within its team's guarantee
-	StartBy                 micros.Micros   // latest good start of its last task
-	LaterStartBys           []micros.Micros // the same by what else is expected of it, rising
-	Work                    float64         // CPU seconds that wait, as estimated
+	StartDeadline           micros.Micros   // latest good start of its last task
+	LaterStartDeadlines     []micros.Micros // the same by what else is expected of it, rising
+	WaitingCPUSeconds       float64         // CPU seconds that wait, as estimated
 	Late                    bool            // cannot be in time any more, or set aside
 	AtRisk                  bool            // would be late if it waited for others to end
 	PreemptsBestEffort      bool            // need not wait for best-effort tasks to end
 	DelayTolerant           bool            // not worth costly machines
 	Need                    Resources
-	Waiting                 int
-	Total                   int
+	WaitingTasks            int
+	TotalTasks              int
 	InstanceTypes           []string
 	Zone                    string
 	SingleZone, SpreadZones bool
@@ -123,19 +123,19 @@
 
 // Preemption tells to stop a victim.
 type Preemption struct {
-	Machine int
-	Victim  Victim
-	For     string // job that needs the room
+	Machine  int
+	Victim   Victim
+	ForJobID string // job that needs the room
 }
 
-// Compare is the queue's order: what has waited too long to begin, the bands while a zone is
+// CompareJobs is the queue's order: what has waited too long to begin, the bands while a zone is
 // lost, guarantees, then priorities, then what can still be in time, and of that what is due first.
-func Compare(a, b *Job) int {
+func CompareJobs(a, b *Job) int {
 	if c := compareClaim(a, b); c != 0 {
 		return c
 	}
-	if a.StartBy != b.StartBy {
-		return cmp.Compare(a.StartBy, b.StartBy)
+	if a.StartDeadline != b.StartDeadline {
+		return cmp.Compare(a.StartDeadline, b.StartDeadline)
 	}
 	return cmp.Compare(a.ID, b.ID)
 }
@@ -173,7 +173,7 @@
 // overload puts off once waits until the end.
 func DeferLateJobs(jobs []*Job, cpus float64, now micros.Micros) {
 	order := slices.Clone(jobs)
-	slices.SortFunc(order, func(a, b *Job) int { return Compare(a, b) })
+	slices.SortFunc(order, func(a, b *Job) int { return CompareJobs(a, b) })
 	if cpus <= 0 {
 		return
 	}
@@ -193,24 +193,24 @@
 		if j.Late {
 			continue
 		}
-		ahead += j.Work
+		ahead += j.WaitingCPUSeconds
 		at, _ := slices.BinarySearchFunc(onTime, j, func(a, b *Job) int {
-			return cmp.Or(cmp.Compare(a.Work, b.Work), cmp.Compare(a.ID, b.ID))
+			return cmp.Or(cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
 		})
 		onTime = slices.Insert(onTime, at, j)
-		if now+micros.FromSeconds(ahead/cpus) > j.StartBy {
+		if now+micros.FromSeconds(ahead/cpus) > j.StartDeadline {
 			strained = true
 			most := onTime[len(onTime)-1]
-			ahead -= most.Work
+			ahead -= most.WaitingCPUSeconds
 			onTime = onTime[:len(onTime)-1]
-			for len(most.LaterStartBys) > 0 && most.StartBy <= j.StartBy {
-				most.StartBy, most.LaterStartBys = most.LaterStartBys[0], most.LaterStartBys[1:]
+			for len(most.LaterStartDeadlines) > 0 && most.StartDeadline <= j.StartDeadline {
+				most.StartDeadline, most.LaterStartDeadlines = most.LaterStartDeadlines[0], most.LaterStartDeadlines[1:]
 			}
-			if most.StartBy <= j.StartBy {
+			if most.StartDeadline <= j.StartDeadline {
 				most.Late = true
 				continue
 			}
-			at, _ := slices.BinarySearchFunc(order[i+1:], most, Compare)
+			at, _ := slices.BinarySearchFunc(order[i+1:], most, CompareJobs)
 			order = slices.Insert(order, i+1+at, most)
 		}
 	}
@@ -231,13 +231,13 @@
 		}
 	}
 	slices.SortFunc(same, func(a, b *Job) int {
-		return cmp.Or(cmp.Compare(boolRank(!a.Late), boolRank(!b.Late)), cmp.Compare(a.Work, b.Work), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(boolRank(!a.Late), boolRank(!b.Late)), cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
 	})
 	same = slices.Compact(same)
 	ahead := 0.0
 	for _, j := range same {
-		ahead += j.Work
-		j.StartBy = now + micros.FromSeconds(ahead/cpus)
+		ahead += j.WaitingCPUSeconds
+		j.StartDeadline = now + micros.FromSeconds(ahead/cpus)
 	}
 }
 
@@ -282,9 +282,9 @@
 		}
 	}
 	if j.SpreadZones {
-		return max(0, (j.Total+1)/2-j.TasksPerZone[zone])
+		return max(0, (j.TotalTasks+1)/2-j.TasksPerZone[zone])
 	}
-	return j.Total
+	return j.TotalTasks
 }
 
 // MinNeed is what any of the jobs needs at least, of each resource. A machine with
@@ -292,7 +292,7 @@
 func MinNeed(jobs []*Job) Resources {
 	least := Resources{1 << 60, 1 << 60, 1 << 60}
 	for _, j := range jobs {
-		least = Resources{min(least.CPU, j.Need.CPU), min(least.GPU, j.Need.GPU), min(least.Mem, j.Need.Mem)}
+		least = Resources{min(least.CPU, j.Need.CPU), min(least.GPU, j.Need.GPU), min(least.Memory, j.Need.Memory)}
 	}
 	return least
 }
@@ -314,12 +314,12 @@
 		free = Resources{}
 		for _, k := range open {
 			f := machines[k].Free
-			free = Resources{max(free.CPU, f.CPU), max(free.GPU, f.GPU), max(free.Mem, f.Mem)}
+			free = Resources{max(free.CPU, f.CPU), max(free.GPU, f.GPU), max(free.Memory, f.Memory)}
 		}
 	}
 	measure()
 	for i, j := range jobs {
-		if j.Waiting == 0 || !free.Fits(j.Need) || teams[j.Team].Room(j.Need, 1) == 0 {
+		if j.WaitingTasks == 0 || !free.Fits(j.Need) || teams[j.Team].CountAllowed(j.Need, 1) == 0 {
 			continue
 		}
 		choose := place
@@ -344,7 +344,7 @@
 		if limit == 0 {
 			break
 		}
-		if j.Waiting > 0 && (j.AtRisk || j.PreemptsBestEffort) {
+		if j.WaitingTasks > 0 && (j.AtRisk || j.PreemptsBestEffort) {
 			limit--
 			if j.Gang {
 				s, k := preemptForGang(machines, j, teams[j.Team])
@@ -371,7 +371,7 @@
 		var bestDue micros.Micros
 		seen := 0
 		for i, j := range jobs {
-			if j.Waiting == 0 {
+			if j.WaitingTasks == 0 {
 				continue
 			}
 			if best >= 0 && (seen == lookahead || compareClaim(jobs[best], j) != 0) {
@@ -380,12 +380,12 @@
 			if !m.Free.Fits(j.Need) || !admits(m, j) {
 				continue
 			}
-			n := m.Free.CountFitting(j.Need, teams[j.Team].Room(j.Need, min(j.Waiting, remainingInZone(j, m.Zone))))
+			n := m.Free.CountFitting(j.Need, teams[j.Team].CountAllowed(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone))))
 			if n == 0 || j.Gang && !takesGang(m, j, n) {
 				continue
 			}
 			seen++
-			if due := j.StartBy + 2*imagePullTime(m, j); best < 0 || due < bestDue {
+			if due := j.StartDeadline + 2*imagePullTime(m, j); best < 0 || due < bestDue {
 				best, bestCount, bestDue = i, n, due
 			}
 		}
@@ -401,7 +401,7 @@
 func assign(m *Machine, j *Job, team *Team, n int) {
 	m.Free = m.Free.Add(j.Need, -int64(n))
 	m.Idle = false
-	m.Images = m.Images.With(j.Image)
+	m.Images = m.Images.With(j.ImageIndex)
 	if team != nil {
 		team.Used = team.Used.Add(j.Need, int64(n))
 	}
@@ -409,12 +409,12 @@
 		j.TasksPerZone = map[string]int{}
 	}
 	j.TasksPerZone[m.Zone] += n
-	j.Waiting -= n
+	j.WaitingTasks -= n
 }
 
 // imagePullTime is how long m would fetch the image of j.
 func imagePullTime(m *Machine, j *Job) micros.Micros {
-	if m.ImagePullGBPerS <= 0 || m.Images.Has(j.Image) {
+	if m.ImagePullGBPerS <= 0 || m.Images.Has(j.ImageIndex) {
 		return 0
 	}
 	return micros.FromSeconds(j.ImageSizeGB / m.ImagePullGBPerS)
@@ -435,7 +435,7 @@
 		c += failedMachinePenalty
 	}
 	left := m.Free.CPU - j.Need.CPU
-	return c + m.Penalty + micros.Micros(left)*micros.Millisecond/1000*10
+	return c + m.StartPenalty + micros.Micros(left)*micros.Millisecond/1000*10
 }
 
 // isWorthWaitingFor tells whether a start on m may be planned ahead. What presses is
@@ -443,15 +443,15 @@
 // fetch: any machine that reports sooner takes it, see Fill.
 func isWorthWaitingFor(m *Machine, j *Job) bool {
 	return !j.AtRisk || m.CommandDelay <= micros.Second/2 ||
-		m.Images.Has(j.Image) && m.ImagePullGBPerS > 0 && m.CommandDelay < micros.FromSeconds(j.ImageSizeGB/m.ImagePullGBPerS)
+		m.Images.Has(j.ImageIndex) && m.ImagePullGBPerS > 0 && m.CommandDelay < micros.FromSeconds(j.ImageSizeGB/m.ImagePullGBPerS)
 }
 
-// Room is how many tasks of a need, at most limit, the team may still start.
-func (t *Team) Room(need Resources, limit int) int {
+// CountAllowed is how many tasks of a need, at most limit, the team may still start.
+func (t *Team) CountAllowed(need Resources, limit int) int {
 	if t == nil {
 		return limit
 	}
-	left := Resources{CPU: 1 << 60, GPU: 1 << 60, Mem: 1 << 60}
+	left := Resources{CPU: 1 << 60, GPU: 1 << 60, Memory: 1 << 60}
 	if t.Limit.CPU > 0 {
 		left.CPU = t.Limit.CPU - t.Used.CPU
 	}
@@ -478,14 +478,14 @@
 	})
 	for _, c := range candidates {
 		m := &machines[c.machine]
-		n := team.Room(j.Need, min(j.Waiting, remainingInZone(j, m.Zone)))
+		n := team.CountAllowed(j.Need, min(j.WaitingTasks, remainingInZone(j, m.Zone)))
 		n = m.Free.CountFitting(j.Need, n)
 		if n == 0 {
 			continue
 		}
 		assign(m, j, team, n)
 		starts = append(starts, Start{Job: index, Machine: c.machine, Count: n})
-		if j.Waiting == 0 {
+		if j.WaitingTasks == 0 {
 			break
 		}
 	}
@@ -507,7 +507,7 @@
 // preempt also tells on which machines there is room, or will be, and how many tasks
 // found none.
 func preempt(machines []Machine, j *Job, team *Team) (stops []Preemption, room []int, want int) {
-	p := preemption{machines: machines, job: j, want: team.Room(j.Need, j.Waiting)}
+	p := preemption{machines: machines, job: j, want: team.CountAllowed(j.Need, j.WaitingTasks)}
 	// What is being freed already will serve the first in the queue.
 	p.useFreeRoom()
 	if p.want > 0 {
@@ -614,7 +614,7 @@
 	for _, v := range slices.Backward(c.take) {
 		victim := m.Victims[v]
 		gangs[victim.JobID] = victim.Gang
-		p.stops = append(p.stops, Preemption{Machine: c.machine, Victim: victim, For: p.job.ID})
+		p.stops = append(p.stops, Preemption{Machine: c.machine, Victim: victim, ForJobID: p.job.ID})
 		m.Releasing = m.Releasing.Add(victim.Need, 1)
 		m.Victims = slices.Delete(m.Victims, v, v+1)
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -16,7 +16,7 @@
 }
 
 func job(id string, waiting int, edit func(*Job)) *Job {
-	j := &Job{ID: id, Team: "t", Image: 70, Priority: 1, Need: cpus(1), Waiting: waiting, Total: waiting, AllowSpot: true, AtRisk: true}
+	j := &Job{ID: id, Team: "t", ImageIndex: 70, Priority: 1, Need: cpus(1), WaitingTasks: waiting, TotalTasks: waiting, AllowSpot: true, AtRisk: true}
 	if edit != nil {
 		edit(j)
 	}
@@ -53,7 +53,7 @@
 		{"a guarantee before a priority", []Machine{machine("a", "z", 1)},
 			[]*Job{job("cov", 1, func(j *Job) { j.WithinGuarantee = true }), job("high", 1, func(j *Job) { j.Priority = 2 })}, nil, []string{"cov@a*1"}, nil},
 		{"due first", []Machine{machine("a", "z", 1)},
-			[]*Job{job("b", 1, func(j *Job) { j.StartBy = 5 }), job("c", 1, func(j *Job) { j.StartBy = 3 })}, nil, []string{"c@a*1"}, nil},
+			[]*Job{job("b", 1, func(j *Job) { j.StartDeadline = 5 }), job("c", 1, func(j *Job) { j.StartDeadline = 3 })}, nil, []string{"c@a*1"}, nil},
 		{"the team's limit", []Machine{machine("a", "z", 10)},
 			[]*Job{job("j", 9, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, []string{"j@a*3"}, nil},
 		{"not on spot machines", []Machine{func() Machine { m := machine("a", "z", 4); m.Spot = true; return m }(), machine("b", "z", 4)},
@@ -68,7 +68,7 @@
 		{"scatter: at most 3 of 5 in a zone", []Machine{machine("a", "z", 9), machine("b", "y", 1)},
 			[]*Job{job("j", 5, func(j *Job) { j.SpreadZones = true })}, nil, []string{"j@b*1", "j@a*3"}, nil},
 		{"whole or not at all", []Machine{machine("a", "z", 2), machine("b", "z", 1)},
-			[]*Job{job("j", 4, func(j *Job) { j.Gang = true }), job("k", 2, func(j *Job) { j.StartBy = 1 })}, nil, []string{"k@b*1", "k@a*1"}, nil},
+			[]*Job{job("j", 4, func(j *Job) { j.Gang = true }), job("k", 2, func(j *Job) { j.StartDeadline = 1 })}, nil, []string{"k@b*1", "k@a*1"}, nil},
 		{"stops lower work for higher, what loses least", []Machine{func() Machine {
 			m := machine("a", "z", 0)
 			m.Victims = []Victim{{JobID: "x", Task: 0, Priority: 1, Need: cpus(1), LostWork: 9}, {JobID: "x", Task: 1, Priority: 1, Need: cpus(1), LostWork: 4}}
@@ -113,7 +113,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			slices.SortFunc(c.jobs, Compare)
+			slices.SortFunc(c.jobs, CompareJobs)
 			teams := map[string]*Team{"t": c.team}
 			starts := Plan(c.machines, c.jobs, teams)
 			stops, _ := Preempt(c.machines, c.jobs, teams, 8)
@@ -139,10 +139,10 @@
 func TestSetAside(t *testing.T) {
 	s := micros.Second
 	jobs := []*Job{
-		job("big", 1, func(j *Job) { j.StartBy, j.Work = 10*s, 9 }),
-		job("mid", 1, func(j *Job) { j.StartBy, j.Work = 11*s, 5 }),
-		job("small", 1, func(j *Job) { j.StartBy, j.Work = 12*s, 4 }),
-		job("urgent", 1, func(j *Job) { j.Priority, j.StartBy, j.Work = 2, 1*s, 1 }),
+		job("big", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 9 }),
+		job("mid", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 11*s, 5 }),
+		job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 12*s, 4 }),
+		job("urgent", 1, func(j *Job) { j.Priority, j.StartDeadline, j.WaitingCPUSeconds = 2, 1*s, 1 }),
 	}
 	DeferLateJobs(jobs, 1, 0)
 	for _, j := range jobs {
@@ -165,10 +165,10 @@
 		{"none can", []micros.Micros{11 * s, 12 * s}, true},
 		{"there is none", nil, true},
 	} {
-		big := job("big", 1, func(j *Job) { j.StartBy, j.LaterStartBys, j.Work = 10*s, c.later, 9 })
-		small := job("small", 1, func(j *Job) { j.StartBy, j.Work = 10*s, 4 })
+		big := job("big", 1, func(j *Job) { j.StartDeadline, j.LaterStartDeadlines, j.WaitingCPUSeconds = 10*s, c.later, 9 })
+		small := job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 4 })
 		DeferLateJobs([]*Job{big, small}, 1, 0)
-		if small.Late || big.Late != c.late || !(Compare(small, big) < 0) {
+		if small.Late || big.Late != c.late || !(CompareJobs(small, big) < 0) {
 			t.Errorf("%s: small late %v, big late %v", c.name, small.Late, big.Late)
 		}
 	}
@@ -188,14 +188,14 @@
 		{"too few", 1, []string{"urgent", "small", "middle", "early", "huge"}},
 	} {
 		jobs := []*Job{
-			job("early", 1, func(j *Job) { j.StartBy, j.Work = 10*s, 6 }),
-			job("middle", 1, func(j *Job) { j.StartBy, j.Work = 20*s, 4 }),
-			job("small", 1, func(j *Job) { j.StartBy, j.Work = 30*s, 2 }),
-			job("huge", 1, func(j *Job) { j.StartBy, j.Work = 40*s, 50 }),
-			job("urgent", 1, func(j *Job) { j.Priority, j.StartBy, j.Work = 2, 60*s, 7 }),
+			job("early", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 6 }),
+			job("middle", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 20*s, 4 }),
+			job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 30*s, 2 }),
+			job("huge", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 40*s, 50 }),
+			job("urgent", 1, func(j *Job) { j.Priority, j.StartDeadline, j.WaitingCPUSeconds = 2, 60*s, 7 }),
 		}
 		DeferLateJobs(jobs, c.cpus, 0)
-		slices.SortFunc(jobs, Compare)
+		slices.SortFunc(jobs, CompareJobs)
 		var got []string
 		for _, j := range jobs {
 			got = append(got, j.ID)
--- a/placement/zones_test.go
+++ b/placement/zones_test.go
@@ -11,12 +11,12 @@
 		{ID: "late", EvacuationRank: 1, Late: true, Priority: 2},
 		{ID: "aged", EvacuationRank: 3, Aged: true},
 		{ID: "guaranteed", EvacuationRank: 3, WithinGuarantee: true, Priority: 1},
-		{ID: "urgent", EvacuationRank: 1, Priority: 2, StartBy: 9},
-		{ID: "due sooner", EvacuationRank: 2, Priority: 1, StartBy: 1},
-		{ID: "first class", EvacuationRank: 2, Priority: 1, WithinGuarantee: true, StartBy: 5},
+		{ID: "urgent", EvacuationRank: 1, Priority: 2, StartDeadline: 9},
+		{ID: "due sooner", EvacuationRank: 2, Priority: 1, StartDeadline: 1},
+		{ID: "first class", EvacuationRank: 2, Priority: 1, WithinGuarantee: true, StartDeadline: 5},
 		{ID: "another", EvacuationRank: 3, Priority: 1},
 	}
-	slices.SortFunc(jobs, Compare)
+	slices.SortFunc(jobs, CompareJobs)
 	for i, want := range []string{"aged", "urgent", "late", "first class", "due sooner", "guaranteed", "another"} {
 		if jobs[i].ID != want {
 			t.Errorf("number %d is %s, want %s", i, jobs[i].ID, want)
@@ -34,13 +34,13 @@
 	}{{"", false, 2}, {"", true, 0}, {"b", true, 0}, {"a", true, 2}, {"a", false, 2}}
 	for _, c := range cases {
 		for _, whole := range []bool{false, true} {
-			machine := []Machine{{ID: "i-1", Zone: "a", Free: Resources{CPU: 4000, Mem: 4000}, ZoneBoundOnly: c.closed}}
-			job := Job{ID: "j", OnlyZone: c.bound, Need: Resources{CPU: 1000, Mem: 1000}, Waiting: 2, Total: 2, Gang: whole}
+			machine := []Machine{{ID: "i-1", Zone: "a", Free: Resources{CPU: 4000, Memory: 4000}, ZoneBoundOnly: c.closed}}
+			job := Job{ID: "j", OnlyZone: c.bound, Need: Resources{CPU: 1000, Memory: 1000}, WaitingTasks: 2, TotalTasks: 2, Gang: whole}
 			planned, filled := job, job
 			Plan(slices.Clone(machine), []*Job{&planned}, nil)
 			Fill(&slices.Clone(machine)[0], []*Job{&filled}, nil)
-			if planned.Waiting != 2-c.starts || filled.Waiting != 2-c.starts {
-				t.Errorf("%+v, whole %v: %d and %d wait still", c, whole, planned.Waiting, filled.Waiting)
+			if planned.WaitingTasks != 2-c.starts || filled.WaitingTasks != 2-c.starts {
+				t.Errorf("%+v, whole %v: %d and %d wait still", c, whole, planned.WaitingTasks, filled.WaitingTasks)
 			}
 		}
 	}
--- a/random_failovers_test.go
+++ b/random_failovers_test.go
@@ -112,7 +112,7 @@
 	}
 	<-done
 	switch {
-	case err != nil && way != 6: // rejected: the process ends without, as HandOverAtEnd has it
+	case err != nil && way != 6: // rejected: the process ends without, as HandOverOnShutdown has it
 		if !errors.Is(err, errNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
 			r.t.Errorf("handover: %v", err)
 		}
--- a/staffing/backlog.go
+++ b/staffing/backlog.go
@@ -4,7 +4,7 @@
 
 // WaitingWork is waiting work: CPU seconds that should have been served within Due
 // seconds from now.
-type WaitingWork struct{ Work, DueInS float64 }
+type WaitingWork struct{ CPUSeconds, DueInS float64 }
 
 // RunningWork is a running task: the GuaranteedCPUs that it holds, and for how many seconds
 // more by estimate.
@@ -22,7 +22,7 @@
 		work, all := 0.0, true
 		for _, d := range waiting {
 			if d.DueInS <= h {
-				work += d.Work
+				work += d.CPUSeconds
 			} else {
 				all = false
 			}
--- a/staffing/staffing.go
+++ b/staffing/staffing.go
@@ -21,9 +21,9 @@
 	return rest + (m-rest)*math.Exp(-mu*dt)
 }
 
-// Servers is the paper's formula (4), ⌈m + 0.5 + z√v⌉, where ⌈x⌉ is the least
+// RequiredServers is the paper's formula (4), ⌈m + 0.5 + z√v⌉, where ⌈x⌉ is the least
 // integer greater than x.
-func Servers(m, v, z float64) int {
+func RequiredServers(m, v, z float64) int {
 	return int(math.Floor(m+0.5+z*math.Sqrt(math.Max(0, v)))) + 1
 }
 
@@ -143,8 +143,8 @@
 	m.sum = m.sum*keep + weight*seconds
 }
 
-// Estimate counts what owners say of work that came in.
-func (s *ServiceTime) Estimate(weight, seconds float64) { s.estimate.add(weight, seconds, 1) }
+// ObserveEstimate counts what owners say of work that came in.
+func (s *ServiceTime) ObserveEstimate(weight, seconds float64) { s.estimate.add(weight, seconds, 1) }
 
 // BatchSizes counts what jobs bring at once, for the peakedness.
 type BatchSizes struct{ sum, squares, tasks, tight float64 }
@@ -173,17 +173,17 @@
 	return Peakedness(l.squares/l.sum, l.tasks/l.sum)
 }
 
-// TightShare is the share of the work whose jobs cannot wait; all of it while
+// ImmediateShare is the share of the work whose jobs cannot wait; all of it while
 // nothing has come in.
-func (l *BatchSizes) TightShare() float64 {
+func (l *BatchSizes) ImmediateShare() float64 {
 	if l.sum <= 0 {
 		return 1
 	}
 	return l.tight / l.sum
 }
 
-// Finished counts a finished task of a job of tasks tasks.
-func (s *ServiceTime) Finished(weight, seconds float64, tasks int) {
+// ObserveFinished counts a finished task of a job of tasks tasks.
+func (s *ServiceTime) ObserveFinished(weight, seconds float64, tasks int) {
 	s.measured.add(weight, seconds, 1/math.Max(1, float64(tasks)))
 }
 
--- a/staffing/staffing_test.go
+++ b/staffing/staffing_test.go
@@ -13,7 +13,7 @@
 	m := 0.0
 	for k, want := range []int{77, 103, 112, 115, 117, 117, 117} {
 		m = StepMean(m, 100, 1, 1)
-		if got := Servers(m, m, 1.645); got != want {
+		if got := RequiredServers(m, m, 1.645); got != want {
 			t.Errorf("interval %d: %d servers, the paper has %d", k+1, got, want)
 		}
 	}
@@ -28,7 +28,7 @@
 		{"twice the variance", 100, 200, 1.645, 124},
 	}
 	for _, c := range cases {
-		if got := Servers(c.m, c.v, c.z); got != c.want {
+		if got := RequiredServers(c.m, c.v, c.z); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
@@ -120,8 +120,8 @@
 
 func TestService(t *testing.T) {
 	var s ServiceTime
-	s.Estimate(1, 50)
-	s.Finished(1, 20, 1)
+	s.ObserveEstimate(1, 50)
+	s.ObserveFinished(1, 20, 1)
 	for _, c := range []struct {
 		finished int
 		want     float64
@@ -165,11 +165,11 @@
 		want    float64
 	}{
 		{"nothing waits", nil, []RunningWork{{100, 100}}, 0, 1, 0},
-		{"no machines yet", []WaitingWork{{Work: 400, DueInS: 10}}, nil, 0, 0, 20}, // within a boot of 20 s
-		{"what ends soon makes room", []WaitingWork{{Work: 100, DueInS: 20}}, []RunningWork{{10, 5}}, 0, 10, 0},
-		{"what runs long does not", []WaitingWork{{Work: 100, DueInS: 20}}, []RunningWork{{10, 500}}, 0, 10, 5},
-		{"nor where more comes in", []WaitingWork{{Work: 100, DueInS: 20}}, []RunningWork{{10, 5}}, 8, 10, 3},
-		{"time enough", []WaitingWork{{Work: 400, DueInS: 600}}, nil, 0, 10, 0},
+		{"no machines yet", []WaitingWork{{CPUSeconds: 400, DueInS: 10}}, nil, 0, 0, 20}, // within a boot of 20 s
+		{"what ends soon makes room", []WaitingWork{{CPUSeconds: 100, DueInS: 20}}, []RunningWork{{10, 5}}, 0, 10, 0},
+		{"what runs long does not", []WaitingWork{{CPUSeconds: 100, DueInS: 20}}, []RunningWork{{10, 500}}, 0, 10, 5},
+		{"nor where more comes in", []WaitingWork{{CPUSeconds: 100, DueInS: 20}}, []RunningWork{{10, 5}}, 8, 10, 3},
+		{"time enough", []WaitingWork{{CPUSeconds: 400, DueInS: 600}}, nil, 0, 10, 0},
 	}
 	for _, c := range cases {
 		if got := BacklogShortage(c.waiting, c.running, c.mean, c.supply, 20); !near(got, c.want) {
--- a/standby.go
+++ b/standby.go
@@ -68,25 +68,25 @@
 
 // query asks the leader once, and tells whether it has more to tell at once.
 func (s *standbyNode) query(ctx context.Context) (more bool) {
-	highest := s.node.election.HighestKnown()
+	highest := s.node.election.HighestKnownLeader()
 	client := s.node.peers.Client(highest.Member)
 	if client == nil {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout.Duration())
 	defer cancel()
-	q, sent := s.follower.Query(highest.FencingToken), micros.Now()
-	response, err := client.Ask(ctx, peer.Request{Standby: q})
+	q, sent := s.follower.NextQuery(highest.FencingToken), micros.Now()
+	response, err := client.Call(ctx, peer.Request{StandbyQuery: q})
 	if err != nil {
 		s.suspect()
 		slog.Debug("standby: query", "leader", highest.Member, "error", err)
 		return false
 	}
-	page := response.Standby
+	page := response.StandbyPage
 	if page == nil {
 		return false // it does not publish, or no longer leads
 	}
-	if err := s.follower.Apply(page, sent); err != nil {
+	if err := s.follower.ApplyPage(page, sent); err != nil {
 		return false
 	}
 	s.mu.Lock()
@@ -97,7 +97,7 @@
 		return false
 	}
 	s.trust()
-	return page.Snapshot != nil || page.From+uint64(len(page.Entries)) < page.Latest
+	return page.Snapshot != nil || page.AfterPosition+uint64(len(page.Entries)) < page.LatestPosition
 }
 
 // suspect has this node follow the state service closely once the leader has not answered
@@ -142,7 +142,7 @@
 // beginTerm has a term's leader publish, and go on from the view of the term before.
 func (s *standbyNode) beginTerm(t *election.Term, config *leader.Config) {
 	publisher := standby.NewPublisher(t.FencingToken, s.settings.MaxLogEntries)
-	config.PreviousTerm = s.follower.View()
+	config.PreviousTerm = s.follower.TakeView()
 	config.Followers = publisher
 	config.FailoverProgress = s.failover
 	s.failover.TermWon(t.FencingToken, t.LeaderKeyRevision, config.PreviousTerm != nil)
@@ -217,14 +217,14 @@
 
 // between tells whether the known leader has handed over and nobody is known to lead yet.
 func (s *standbyNode) between() bool {
-	highest := s.node.election.HighestKnown()
+	highest := s.node.election.HighestKnownLeader()
 	s.mu.Lock()
 	handedAt := s.handedOverAt
 	s.mu.Unlock()
 	if highest.Member == s.node.settings.Member {
 		return handedAt != 0 && micros.Now()-handedAt < yieldAfterHandover
 	}
-	return s.follower.HandedOverIn(highest.FencingToken)
+	return s.follower.HasHandedOver(highest.FencingToken)
 }
 
 // AwaitHandover waits, for a moment at most, while leadership is being handed over.
@@ -254,8 +254,8 @@
 	return heartbeatHoldForSuccessor
 }
 
-// ExpectsLeader tells whether a leader that does not answer now should have a successor soon.
-func (n *Node) ExpectsLeader() bool {
+// ExpectsSuccessor tells whether a leader that does not answer now should have a successor soon.
+func (n *Node) ExpectsSuccessor() bool {
 	return n.standby != nil && n.standby.expectsLeader()
 }
 
@@ -269,9 +269,9 @@
 // the leader before may still answer goes nowhere. A worker that was refused instead came
 // back a second later, and one whose report was with a leader that stood still after 2.5 s.
 func (s *standbyNode) forwardHeartbeat(ctx context.Context, report wire.Raw) (wire.Raw, error) {
-	first := s.node.election.HighestKnown().FencingToken
+	first := s.node.election.HighestKnownLeader().FencingToken
 	for {
-		now := s.node.election.HighestKnown()
+		now := s.node.election.HighestKnownLeader()
 		answer, err := s.forwardTo(ctx, now, report)
 		if err == nil || ctx.Err() != nil {
 			return answer, err
@@ -297,7 +297,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		for ctx.Err() == nil && s.node.election.HighestKnown().FencingToken <= leader.FencingToken {
+		for ctx.Err() == nil && s.node.election.HighestKnownLeader().FencingToken <= leader.FencingToken {
 			select {
 			case <-ctx.Done():
 			case <-s.node.replica.Changed():
@@ -315,8 +315,8 @@
 // releasePollInterval is how often a node that hands over as it ends looks whether it still leads.
 const releasePollInterval = 20 * micros.Millisecond
 
-// HandOverAtEnd hands over, if this node leads, and waits until its session is let go of.
-func (n *Node) HandOverAtEnd() {
+// HandOverOnShutdown hands over, if this node leads, and waits until its session is let go of.
+func (n *Node) HandOverOnShutdown() {
 	to, err := n.HandOver()
 	if err != nil {
 		slog.Info("ending without a handover", "why", err)
@@ -334,19 +334,19 @@
 	return stamp == 0 || l.Member != n.settings.Member
 }
 
-// Standby tells how far the warm standby is, as this node knows it.
-func (n *Node) Standby() (api.StandbyStatus, error) {
+// StandbyStatus tells how far the warm standby is, as this node knows it.
+func (n *Node) StandbyStatus() (api.StandbyStatus, error) {
 	if n.standby == nil {
 		return api.StandbyStatus{}, api.ErrStandbyOff
 	}
 	s := n.standby
-	highest := n.election.HighestKnown()
+	highest := n.election.HighestKnownLeader()
 	status := api.StandbyStatus{
-		Member: n.settings.Member,
-		Leader: highest.Member,
-		Token:  highest.FencingToken,
-		Phase:  s.failover.Phase().String(),
-		Last:   s.failover.Last(),
+		Member:       n.settings.Member,
+		Leader:       highest.Member,
+		FencingToken: highest.FencingToken,
+		Phase:        s.failover.Phase().String(),
+		LastFailover: s.failover.LastRecord(),
 	}
 	if p := s.currentPublisher(); p != nil {
 		status.Leading, status.Position, status.Followers = true, p.Position(), p.Followers()
--- a/standby_test.go
+++ b/standby_test.go
@@ -33,7 +33,7 @@
 	for range 200 {
 		complete := 0
 		for _, n := range c.nodes {
-			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.Token == c.fencingToken() {
+			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.FencingToken == c.fencingToken() {
 				complete++
 			}
 		}
@@ -224,7 +224,7 @@
 		inject func(c *cluster, leader int) // before the handover
 	}{
 		{"the named node crashes", func(c *cluster, leader int) {
-			named := c.nodes[leader].standby.currentPublisher().Furthest(micros.Second).Member
+			named := c.nodes[leader].standby.currentPublisher().FurthestFollower(micros.Second).Member
 			for i, n := range c.nodes {
 				if n.settings.Member == named {
 					c.kill(i)
--- a/zone_loss_test.go
+++ b/zone_loss_test.go
@@ -74,8 +74,8 @@
 // some 6 s; steps must show beside that.
 func zoneSettings() *zone.Config {
 	c := zone.DefaultConfig(micros.FromSeconds(zoneHeartbeatS))
-	c.Classes = []string{"scan", "update"}
-	c.StepHold, c.HoldDown = 4*micros.Second, 2*micros.Second
+	c.EvacuationOrder = []string{"scan", "update"}
+	c.MinStepTime, c.InitialHoldDown = 4*micros.Second, 2*micros.Second
 	return &c
 }
 
@@ -101,9 +101,9 @@
 	// Shorter than two leases: none of the zone's machines is terminated for being silent.
 	cutAndRestored = zoneScenario{name: "zone isolated and healed", machines: fullMachines, load: fullLoad, steps: []zoneStep{loseZone(14), heal(), checkOrder, waitFor(15), checkSteps}}
 	// Most machines are heard between the losses, or nothing would be left there to be lost again.
-	threeFlaps = zoneScenario{name: "three losses, as leases expire and as a step opens", nodes: 3, steps: []zoneStep{loseZone(14), heal(zone.Returning), waitFor(2), loseZone(zoneLeaseS - 6),
-		heal(zone.HeldDown, zone.Returning), loseZone(5), checkFlaps, heal(), checkHoldDown}}
-	killedWhenLost = zoneScenario{name: "failover when the zone is lost", nodes: 3, steps: []zoneStep{loseZone(0.3), killLeaders(1, zone.Lost), awaitZone(zone.Lost), waitFor(10)}}
+	threeFlaps = zoneScenario{name: "three losses, as leases expire and as a step opens", nodes: 3, steps: []zoneStep{loseZone(14), heal(zone.Reopening), waitFor(2), loseZone(zoneLeaseS - 6),
+		heal(zone.HeldDown, zone.Reopening), loseZone(5), checkFlaps, heal(), checkHoldDown}}
+	killedWhenLost = zoneScenario{name: "failover when the zone is lost", nodes: 3, steps: []zoneStep{loseZone(0.3), killLeaders(1, zone.FullDisruption), awaitZone(zone.FullDisruption), waitFor(10)}}
 )
 
 // zoneScenarios are all scenarios. At the end of each the zone returns.
@@ -117,15 +117,15 @@
 	}}},
 	// Two of three nodes are in zone a.
 	{name: "the leader is in the zone, and renews leases", nodes: 3, steps: []zoneStep{func(r *zoneRun) { r.makeLeaderIn("a"); r.lostZone = "a" }, loseZone(20), checkOutlivesLease}},
-	{name: "failover when the zone is suspected", steps: []zoneStep{isolate, awaitZone(zone.Suspected), killLeaders(1), awaitZone(zone.Lost), waitFor(10)}},
-	{name: "failover when the zone is held down", steps: []zoneStep{loseZone(15), heal(zone.HeldDown), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
-	{name: "failover when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Returning)}},
-	{name: "two failovers when the zone is lost", steps: []zoneStep{loseZone(0.3), killLeaders(2, zone.Lost), awaitZone(zone.Lost), waitFor(10)}},
-	{name: "two failovers when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Returning), waitFor(0.3), killLeaders(2, zone.HeldDown, zone.Returning)}},
-	{name: "all nodes restart at once", steps: []zoneStep{loseZone(10), restartAll, checkNextLeader(zone.Lost)}},
+	{name: "failover when the zone is suspected", steps: []zoneStep{isolate, awaitZone(zone.PartialDisruption), killLeaders(1), awaitZone(zone.FullDisruption), waitFor(10)}},
+	{name: "failover when the zone is held down", steps: []zoneStep{loseZone(15), heal(zone.HeldDown), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Reopening)}},
+	{name: "failover when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Reopening), waitFor(0.3), killLeaders(1, zone.HeldDown, zone.Reopening)}},
+	{name: "two failovers when the zone is lost", steps: []zoneStep{loseZone(0.3), killLeaders(2, zone.FullDisruption), awaitZone(zone.FullDisruption), waitFor(10)}},
+	{name: "two failovers when the zone returns", steps: []zoneStep{loseZone(15), heal(zone.Reopening), waitFor(0.3), killLeaders(2, zone.HeldDown, zone.Reopening)}},
+	{name: "all nodes restart at once", steps: []zoneStep{loseZone(10), restartAll, checkNextLeader(zone.FullDisruption)}},
 	{name: "state service unavailable to the leader, then to all, during the evacuation", steps: []zoneStep{loseZone(5), stateRefusals}},
-	{name: "state service unavailable to the leader, then to all, during the return", steps: []zoneStep{loseZone(20), heal(zone.Returning), stateRefusals}},
-	{name: "two zones are partitioned from each other", steps: []zoneStep{func(r *zoneRun) { r.lostZone = r.zoneByLeader(false); r.SplitZones() }, awaitZone(zone.Lost), waitFor(20)}},
+	{name: "state service unavailable to the leader, then to all, during the return", steps: []zoneStep{loseZone(20), heal(zone.Reopening), stateRefusals}},
+	{name: "two zones are partitioned from each other", steps: []zoneStep{func(r *zoneRun) { r.lostZone = r.zoneByLeader(false); r.SplitZones() }, awaitZone(zone.FullDisruption), waitFor(20)}},
 	{name: "the cloud is unavailable meanwhile", steps: []zoneStep{func(r *zoneRun) {
 		go r.InjectFor(40*time.Second, fake.ServiceUnavailable, func(_ string, q *http.Request) bool { return q.URL.Host == "cloud" })
 	}, loseZone(25)}},
@@ -152,7 +152,7 @@
 		leads := r.zoneByLeader(true)
 		lost := slices.DeleteFunc(slices.Clone(fourZones), func(name string) bool { return name == leads })[:2]
 		r.Isolate(lost...)
-		for _, want := range []zone.State{zone.Lost, zone.Healthy} {
+		for _, want := range []zone.State{zone.FullDisruption, zone.Normal} {
 			r.awaitState(lost[0], want)
 			r.awaitState(lost[1], want)
 			time.Sleep(20 * time.Second)
@@ -166,9 +166,9 @@
 		r.without = nil
 		r.Heal()
 	}, restartAll}},
-	cutAndRestored.withGuardOff(orderProblem, func(c *zone.Config) { c.Classes = nil }),
-	cutAndRestored.withGuardOff(stepsProblem, func(c *zone.Config) { c.Steps = []float64{1} }),
-	threeFlaps.withGuardOff(holdDownProblem, func(c *zone.Config) { c.HoldDown, c.MaxHoldDown = 0, 0 }),
+	cutAndRestored.withGuardOff(orderProblem, func(c *zone.Config) { c.EvacuationOrder = nil }),
+	cutAndRestored.withGuardOff(stepsProblem, func(c *zone.Config) { c.OpenShares = []float64{1} }),
+	threeFlaps.withGuardOff(holdDownProblem, func(c *zone.Config) { c.InitialHoldDown, c.MaxHoldDown = 0, 0 }),
 	killedWhenLost.withGuardOff(stateProblem, func(*zone.Config) {}),
 }
 
@@ -420,7 +420,7 @@
 func loseZone(seconds float64) zoneStep {
 	return func(r *zoneRun) {
 		isolate(r)
-		r.awaitState(r.lostZone, zone.Lost)
+		r.awaitState(r.lostZone, zone.FullDisruption)
 		r.lostAt = r.Elapsed()
 		waitFor(seconds)(r)
 		r.launched = cmp.Or(r.launched, r.cloud.Launched())
@@ -432,7 +432,7 @@
 	return func(r *zoneRun) {
 		r.healsAt = r.Elapsed()
 		r.Heal()
-		r.awaitState(r.lostZone, append(states, zone.Healthy)...)
+		r.awaitState(r.lostZone, append(states, zone.Normal)...)
 	}
 }
 
@@ -549,17 +549,17 @@
 		r.t.Errorf("%d machines got tasks again, too few to tell", len(at))
 		return
 	}
-	soon, _ := slices.BinarySearch(at, at[0]+c.StepHold.Duration()/2)
-	most := 1 + int(c.Steps[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
+	soon, _ := slices.BinarySearch(at, at[0]+c.MinStepTime.Duration()/2)
+	most := 1 + int(c.OpenShares[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
 	r.reportProblem(soon > most, stepsProblem, "%d machines got tasks within the first step, want at most %d", soon, most)
 	half := at[len(at)*6/10] - at[0]
-	r.reportProblem(half < 5*c.StepHold.Duration()/2, stepsProblem, "more than half of the machines got tasks after %v", half)
+	r.reportProblem(half < 5*c.MinStepTime.Duration()/2, stepsProblem, "more than half of the machines got tasks after %v", half)
 }
 
 // checkHoldDown checks when the zone's first machine got a task that could run elsewhere, after a
 // third loss.
 func checkHoldDown(r *zoneRun) {
-	least := r.healsAt + 4*zoneSettings().HoldDown.Duration()
+	least := r.healsAt + 4*zoneSettings().InitialHoldDown.Duration()
 	at := append(r.FirstStarts(r.lostZone, r.healsAt), least)[0]
 	r.reportProblem(at < least, holdDownProblem, "a task started %v after the zone was heard again", at-r.healsAt)
 }
--- a/zones.go
+++ b/zones.go
@@ -11,9 +11,9 @@
 // newZonePolicy is the policy on zones of a new term.
 func (n *Node) newZonePolicy() zone.Policy {
 	if n.features.Zones == nil {
-		return zone.NewThreshold()
+		return zone.NewThresholdPolicy()
 	}
-	return zone.NewManager(*n.features.Zones)
+	return zone.NewLifecyclePolicy(*n.features.Zones)
 }
 
 // isIsolated tells whether this node hears neither the state service nor most of its peers. What
@@ -31,19 +31,19 @@
 	return 2*reachable < len(n.settings.Peers)
 }
 
-// Zones tells what the leader thinks of the zones.
-func (n *Node) Zones(ctx context.Context) ([]zone.Status, error) {
+// ZoneStatus tells what the leader thinks of the zones.
+func (n *Node) ZoneStatus(ctx context.Context) ([]zone.Status, error) {
 	if n.LocalLeader() != nil {
 		return n.HandleZones()
 	}
-	answer, err := n.askLeader(ctx, peer.Request{Zones: true})
+	answer, err := n.askLeader(ctx, peer.Request{WantZones: true})
 	switch {
 	case err != nil:
 		return nil, err
-	case answer.Zones == nil:
+	case answer.ZoneStatus == nil:
 		return nil, api.ErrZonesOff // also by a version before this one, which says nothing
 	}
-	return answer.Zones, nil
+	return answer.ZoneStatus, nil
 }
 
 // HandleZones tells a peer what the leader here thinks of the zones.
