--- a/cancel_test.go
+++ b/cancellation_test.go
@@ -13,9 +13,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestAbort cancels a job whose tasks run and whose starts are on their way:
-// they are gone within cancel_s, and the job stays cancelled everywhere.
-func TestAbort(t *testing.T) {
+// TestCancellation cancels a job whose tasks run and whose starts are on their way: they are gone
+// within the cancellation timeout, and every node says that the job is cancelled.
+func TestCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -25,31 +25,31 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		if c.cloud.Starts() == 0 {
-			t.Fatal("nothing was started")
+			t.Fatal("no task started")
 		}
 		if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.State != wire.JobCancelled {
-			t.Fatalf("abort answered %d %q", code, s.State)
+			t.Fatalf("cancellation answered %d %q", code, s.State)
 		}
 		for i := range 3 {
 			if _, s := c.request(http.MethodGet, i, "/v1/jobs/j-000001", nil); s.State != wire.JobCancelled {
-				t.Errorf("node %d says %q right after the abort", i, s.State)
+				t.Errorf("node %d says %q right after the cancellation", i, s.State)
 			}
 		}
-		time.Sleep(time.Duration(cancelS) * time.Second)
+		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 			t.Errorf("still on machines: %v", on)
 		}
-		c.await("j-000001", wire.JobCancelled, 5*time.Second)
+		c.awaitStatus("j-000001", wire.JobCancelled, 5*time.Second)
 	})
 }
 
-// TestUnseenAbort cancels a job while the leader's session lives but its watch hangs
+// TestCancellationUnseenByLeader cancels a job while the leader's session lives but its watch hangs
 // and no peer can tell it: it must stop renewing leases in time.
-func TestUnseenAbort(t *testing.T) {
+func TestCancellationUnseenByLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
-		for i := range 3 { // a new life has no streams yet
+		for i := range 3 { // a new incarnation has no streams yet
 			c.kill(i)
 		}
 		c.pipes.SetPartition(func(string, string) bool { return true })
@@ -69,43 +69,44 @@
 			}
 			return fake.NoFault
 		})
-		time.Sleep(12 * time.Second) // until no watch that was open before is left
+		time.Sleep(12 * time.Second) // until all watches that were open before have ended
 		if code, _ := c.request(http.MethodPost, (leading+1)%3, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK {
-			t.Fatalf("abort answered %d", code)
+			t.Fatalf("cancellation answered %d", code)
 		}
 		if on := c.cloud.TasksOnMachines(); len(on) != 2 {
-			t.Fatalf("on machines before the test begins: %v", on)
+			t.Fatalf("on machines before the cancellation could take effect: %v", on)
 		}
-		time.Sleep(time.Duration(cancelS) * time.Second)
+		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
 			t.Errorf("still on machines: %v", on)
 		}
 	})
 }
 
-// TestCancelAtEnd has users cancel, ask and repeat submissions at the very moment at which
-// a job's last task ends, at different nodes: whichever is decided, all say the same.
-func TestCancelAtEnd(t *testing.T) {
+// TestCancellationAtCompletion has users cancel, query and repeat submissions just as a job's last
+// task completes, at different nodes: whichever comes first, all nodes say the same.
+func TestCancellationAtCompletion(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newClusterOf(t, nodes)
 			defer c.close()
 			c.cloud.RuntimeOf = func(string) float64 { return 3 }
 			c.submit("j-000009", 1)
-			c.await("j-000009", wire.JobDone, time.Minute)
+			c.awaitStatus("j-000009", wire.JobDone, time.Minute)
 			results := map[string]int{}
-			var seen tally
+			var seen counter
 			for n := range 30 {
 				job := testJob(fmt.Sprintf("j-%06d", 100+n), 1)
 				c.runJob(job)
 				id := job["id"].(string)
-				for c.running(id) > 0 {
+				for c.runningTasks(id) > 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
-				// Its end is reported half a second later at most, and stored after that.
+				// Its completion is in a heartbeat half a second later at most, and stored after
+				// that.
 				time.Sleep(time.Duration(n) * 40 * time.Millisecond)
 				var wg sync.WaitGroup
-				wg.Go(func() { c.lookClosely(job, false, 600*time.Millisecond, &seen) })
+				wg.Go(func() { c.queryAllNodes(job, false, 600*time.Millisecond, &seen) })
 				for node := range nodes {
 					wg.Go(func() { c.cancelJob(id, node) })
 				}
@@ -114,9 +115,9 @@
 				results[s.State]++
 			}
 			if results[wire.JobDone] < 3 || results[wire.JobCancelled] < 3 {
-				t.Errorf("%d nodes: ended as %v, want some of both", nodes, results)
+				t.Errorf("%d nodes: final statuses %v, want some of both", nodes, results)
 			}
-			c.broken()
+			c.checkRules()
 		})
 	}
 }
--- a/cluster_test.go
+++ b/cluster_test.go
@@ -1,7 +1,6 @@
 package caperlatch
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"net"
@@ -14,6 +13,7 @@
 
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
+	"caperlatch/internal/sim/checker"
 	"caperlatch/internal/sim/fake"
 	"caperlatch/internal/sim/harness"
 	"caperlatch/internal/wire"
@@ -21,12 +21,12 @@
 
 // Times of the clusters' workers, in seconds.
 const (
-	reportS = 1.0
-	leaseS  = 8.0
-	cancelS = 25.0
+	heartbeatIntervalS   = 1.0
+	leaseDurationS       = 8.0
+	cancellationTimeoutS = 25.0
 )
 
-// cluster is some nodes with stand-ins for all around them.
+// cluster is some nodes among fakes of all that surrounds them, under the checker of the rules.
 type cluster struct {
 	*harness.InProcessCluster // nil where the nodes are processes
 	t                         *testing.T
@@ -34,19 +34,19 @@
 	pipes                     *fake.PeerNetwork
 	state                     *fake.StateService
 	cloud                     *fake.Cloud
-	rules                     *fake.Rules
+	rules                     *checker.Rules
 	user                      *http.Client
 	size                      int // nodes
 
 	mu    sync.Mutex
 	tune  func(*settings.Settings)
-	nodes []*Node // in their present lives
-	// features are those of all nodes but the ones without.
+	nodes []*Node // in their present incarnations
+	// features are the optional parts of all nodes but those in without.
 	features settings.Features
 	without  map[int]bool
 }
 
-// nodeSettings are the settings of node i of a cluster.
+// nodeSettings returns the settings of node i of a cluster.
 func nodeSettings(i, nodes int) *settings.Settings {
 	s := &settings.Settings{Member: fmt.Sprintf("host-%d", i), ClientListen: "unused"}
 	s.External.State, s.External.Cloud = "state", "cloud"
@@ -54,9 +54,9 @@
 		Zones: []string{"a"},
 		Teams: []settings.Team{{Name: "blue"}, {Name: "small", GuaranteedCPUs: 2, MaxCPUs: 4}},
 		Workers: settings.Workers{
-			HeartbeatIntervalS:   reportS,
-			LeaseDurationS:       leaseS,
-			CancellationTimeoutS: cancelS,
+			HeartbeatIntervalS:   heartbeatIntervalS,
+			LeaseDurationS:       leaseDurationS,
+			CancellationTimeoutS: cancellationTimeoutS,
 			GangAssemblyTimeoutS: fake.GangAssemblyTimeoutS,
 			GangLossTimeoutS:     fake.GangLossTimeoutS,
 		},
@@ -85,7 +85,7 @@
 	return newStandbyCluster(t, size, tune, nil)
 }
 
-// newStandbyCluster starts a cluster with a warm standby, or without if it has no settings.
+// newStandbyCluster starts a cluster with a warm standby, or without one if standby is nil.
 func newStandbyCluster(t *testing.T, size int, tune func(*settings.Settings), standby *settings.Standby) *cluster {
 	return newFeaturesCluster(t, size, tune, settings.Features{Standby: standby})
 }
@@ -109,16 +109,16 @@
 		features:         features,
 		nodes:            make([]*Node, size),
 	}
-	w.StartNode = c.newLife
-	c.state.InspectTxn = c.conditioned
+	w.StartNode = c.newNode
+	c.state.InspectTxn = c.checkTxn
 	for i := range size {
 		c.start(i)
 	}
 	return c
 }
 
-// newLife makes a node for a new life.
-func (c *cluster) newLife(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
+// NewNodeOn makes a node for a new incarnation; it serves as StartNode.
+func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
 	n := NewNodeOn(s, settings.DefaultTuning(), c.featuresOf(life.Node), Network{
@@ -131,10 +131,10 @@
 	return n.Handler(), n.RunBackground
 }
 
-// start begins a new life of a node.
+// start starts a new incarnation of a node.
 func (c *cluster) start(i int) { c.Start(i) }
 
-// featuresOf is what node i has of optional parts.
+// featuresOf returns the optional parts of node i.
 func (c *cluster) featuresOf(i int) settings.Features {
 	if c.without[i] {
 		return settings.Features{}
@@ -145,16 +145,16 @@
 // kill ends a node as a crash would: nothing that it sends arrives any more.
 func (c *cluster) kill(i int) { c.Kill(i) }
 
-// setFault decides what messages meet from now on; nil lets all pass.
+// setFault has f choose the faults of messages from now on; nil: no faults.
 func (c *cluster) setFault(f func(from string, r *http.Request) fake.Fault) { c.SetFault(f) }
 
-// troubled counts what went wrong so far.
-func (c *cluster) troubled() int { return c.FaultCount() }
+// faultCount counts the faults so far, with restarts of nodes.
+func (c *cluster) faultCount() int { return c.FaultCount() }
 
-// close ends all nodes and stand-ins and waits until nothing of them runs.
+// close ends all nodes and fakes and waits until nothing of them runs.
 func (c *cluster) close() { c.Close() }
 
-// leader is the index of the node that the state service names.
+// leader waits until a node leads, and returns its index.
 func (c *cluster) leader() int {
 	c.t.Helper()
 	node, err := harness.Leadership{State: c.state}.AwaitLeader()
@@ -162,8 +162,8 @@
 	return node
 }
 
-// token is the highest token given out, as stored.
-func (c *cluster) token() uint64 {
+// fencingToken returns the highest fencing token that was given out, as stored.
+func (c *cluster) fencingToken() uint64 {
 	c.t.Helper()
 	token := harness.Leadership{State: c.state}.FencingToken()
 	if token == 0 {
@@ -172,24 +172,24 @@
 	return token
 }
 
-// conditioned checks that no write can be carried out late to harm: each is conditioned
-// on its key's version, and the leader's on its leader key.
-func (c *cluster) conditioned(conditions []wire.Compare, keys []string) {
-	someoneLeads := slices.ContainsFunc(conditions, func(x wire.Compare) bool {
+// checkTxn checks that no write can do harm when it is carried out late: each compares its key's
+// mod revision, and each of the leader's its leader key.
+func (c *cluster) checkTxn(conditions []wire.Compare, keys []string) {
+	comparesLeader := slices.ContainsFunc(conditions, func(x wire.Compare) bool {
 		return x.Key == replica.LeaderKey && x.ModRevision != 0
 	})
 	for _, key := range keys {
 		if !slices.ContainsFunc(conditions, func(x wire.Compare) bool { return x.Key == key }) {
-			c.t.Errorf("%s is written whatever its version", key)
+			c.t.Errorf("%s is written without a compare of its revision", key)
 		}
-		if ofLeader(key) && !someoneLeads {
-			c.t.Errorf("%s is written whoever leads", key)
+		if isLeaderKey(key) && !comparesLeader {
+			c.t.Errorf("%s is written without a compare of the leader key", key)
 		}
 	}
 }
 
-// ofLeader tells whether only the leader may write a key.
-func ofLeader(key string) bool {
+// isLeaderKey reports whether only the leader may write a key.
+func isLeaderKey(key string) bool {
 	if key == replica.AutoscalerKey || key == replica.InstanceTypesKey || key == replica.ZonesKey {
 		return true
 	}
@@ -197,18 +197,18 @@
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// users sends users' requests to the nodes.
+// users returns the users of the cluster.
 func (c *cluster) users() *harness.Users {
 	return &harness.Users{Client: c.user, Rules: c.rules, Nodes: c.size}
 }
 
-// request sends a user's request to a node and shows the answer to the checker of the
-// rules. The code is 0 if there was no answer.
+// request sends a user's request to a node, with the checker of the rules watching. The code is 0
+// if there was no response.
 func (c *cluster) request(method string, node int, path string, body any) (int, wire.JobStatus) {
 	return c.users().Request(method, node, path, body)
 }
 
-// testJob is a submission of a job of small tasks, as the wire has it.
+// testJob returns the submission of a job of small tasks, with the protocol's names.
 func testJob(id string, tasks int) map[string]any {
 	return map[string]any{
 		"id":           id,
@@ -233,32 +233,33 @@
 	}
 }
 
-// accepts submits a job to a node and tells whether it is accepted now or was before.
-func (c *cluster) accepts(node int, job map[string]any) bool { return c.users().Submit(node, job) }
+// accept submits a job to a node and reports whether it is accepted now or was before.
+func (c *cluster) accept(node int, job map[string]any) bool { return c.users().Submit(node, job) }
 
-// submit repeats a submission, each time at the next node, until it is taken.
+// submit submits a job of small tasks, each time to the next node, until it is accepted.
 func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
 
-// submitJob is submit for any job.
+// submitJob submits any job, each time to the next node, until it is accepted.
 func (c *cluster) submitJob(job map[string]any) {
 	c.t.Helper()
-	if !c.submitFrom(0, time.Second, job) {
+	if !c.submitWithRetries(0, time.Second, job) {
 		c.t.Fatalf("%s was not accepted", job["id"])
 	}
 }
 
-// submitFrom repeats a submission, each time at the next node, and tells whether it was taken.
-func (c *cluster) submitFrom(first int, pause time.Duration, job map[string]any) bool {
+// submitWithRetries repeats a submission, each time to the next node, and reports whether it was
+// accepted.
+func (c *cluster) submitWithRetries(first int, pause time.Duration, job map[string]any) bool {
 	return c.users().SubmitWithRetries(first, pause, job)
 }
 
-// await polls, each time at the next node, until a job has a status.
-func (c *cluster) await(id, status string, within time.Duration) {
+// awaitStatus polls, each time at the next node, until a job has a status.
+func (c *cluster) awaitStatus(id, status string, within time.Duration) {
 	c.t.Helper()
 	c.must(c.users().AwaitStatus(id, status, within))
 }
 
-// must ends the test if something went wrong.
+// must ends the test if there is an error.
 func (c *cluster) must(err error) {
 	c.t.Helper()
 	if err != nil {
@@ -266,11 +267,11 @@
 	}
 }
 
-// isState tells whether a request goes to the state service.
-func isState(r *http.Request) bool { return r.URL.Host == "state" }
+// isStateRequest reports whether a request goes to the state service.
+func isStateRequest(r *http.Request) bool { return r.URL.Host == "state" }
 
-// nth lets every nth request of a kind meet a fault.
-func nth(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
+// everyNth gives every nth request of the nodes that matches a fault.
+func everyNth(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 	count := 0
 	return func(from string, r *http.Request) fake.Fault {
 		if strings.HasPrefix(from, "host") && match(r) {
@@ -282,18 +283,18 @@
 	}
 }
 
-// answersAll asks every node that calls itself ready about every job. A job about
-// which no question is answered for 75 s counts as forgotten.
-func (c *cluster) answersAll(ids []string) {
+// checkAnswers checks that every node that is ready answers queries of every job. A job none of
+// whose queries is answered for 30 s counts as forgotten.
+func (c *cluster) checkAnswers(ids []string) {
 	c.t.Helper()
 	for i := range c.size {
 		if code, _ := c.request(http.MethodGet, i, "/ready", nil); code != http.StatusOK {
 			continue
 		}
 		for _, id := range ids {
-			for begun, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
-				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(begun) > 30*time.Second {
-					c.t.Errorf("node %d does not answer about %s (%d)", i, id, code)
+			for startedAt, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
+				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(startedAt) > 30*time.Second {
+					c.t.Errorf("node %d does not answer queries of %s (%d)", i, id, code)
 					break
 				}
 			}
@@ -301,54 +302,55 @@
 	}
 }
 
-// back restarts nodes within a fraction of a second.
-func (c *cluster) back(nodes ...int) { c.Restart(nodes...) }
+// restartNodes kills nodes and starts them within a fraction of a second.
+func (c *cluster) restartNodes(nodes ...int) { c.Restart(nodes...) }
 
-// cutPeers cuts a node off from the other nodes.
-func (c *cluster) cutPeers(node int) {
+// partitionPeer cuts a node off from the other nodes.
+func (c *cluster) partitionPeer(node int) {
 	host := fmt.Sprintf("host-%d", node)
 	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
 
-// healPeers has all nodes reach each other again.
+// healPeers ends the partitions between nodes.
 func (c *cluster) healPeers() { c.pipes.SetPartition(func(string, string) bool { return false }) }
 
-// fromNode tells whether a sender is a node, in any of its lives.
-func fromNode(from string, node int) bool {
+// isFromNode reports whether a sender is a node, in any of its incarnations.
+func isFromNode(from string, node int) bool {
 	return strings.HasPrefix(from, fmt.Sprintf("host-%d/", node))
 }
 
-// tally counts what happened by name, so that a test can show that its troubles met.
-type tally struct {
-	mu sync.Mutex
-	n  map[string]int
+// counter counts events by name, so that a test can show that its faults occurred. It is safe for
+// concurrent use.
+type counter struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (c *tally) add(name string) int {
+func (c *counter) add(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.n == nil {
-		c.n = map[string]int{}
+	if c.counts == nil {
+		c.counts = map[string]int{}
 	}
-	c.n[name]++
-	return c.n[name]
+	c.counts[name]++
+	return c.counts[name]
 }
 
-func (c *tally) of(name string) int {
+func (c *counter) count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.n[name]
+	return c.counts[name]
 }
 
-// broken reports the rules that were broken.
-func (c *cluster) broken() {
+// checkRules fails the test for each violation of the rules.
+func (c *cluster) checkRules() {
 	c.t.Helper()
 	for _, rule := range c.rules.Violations() {
 		c.t.Error(rule)
 	}
 }
 
-// machineOf is the machine's name in a sender or a host, empty if it is none.
+// machineOf returns the machine that a sender or host is, empty if it is none.
 func machineOf(name string) string {
 	id, _, _ := strings.Cut(name, ":")
 	if strings.HasPrefix(id, "i-") {
@@ -357,18 +359,18 @@
 	return ""
 }
 
-// ledAfter waits until another leader leads than the one with this token.
-func (c *cluster) ledAfter(token uint64) {
+// awaitLeaderAfter waits until a node leads in a later term than the one with this fencing token.
+func (c *cluster) awaitLeaderAfter(token uint64) {
 	c.t.Helper()
 	c.must(harness.Leadership{State: c.state}.AwaitLeaderAfter(token))
 }
 
-// runJob submits a job of long tasks to the cluster until all of them run.
+// runJob submits a job of long tasks, and waits until all of them run.
 func (c *cluster) runJob(job map[string]any) {
 	c.t.Helper()
-	c.submitFrom(0, 500*time.Millisecond, job)
+	c.submitWithRetries(0, 500*time.Millisecond, job)
 	for range 120 {
-		if c.running(job["id"].(string)) == job["pieces"] {
+		if c.runningTasks(job["id"].(string)) == job["pieces"] {
 			return
 		}
 		time.Sleep(250 * time.Millisecond)
@@ -376,9 +378,10 @@
 	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.TasksOnMachines())
 }
 
-// runInNextSession loses the machines' messages for some time, in which their leases end,
-// and then has a job run anew on the machines' next sessions. Other messages meet fault.
-func (c *cluster) runInNextSession(job map[string]any, lost time.Duration, fault func(string, *http.Request) fake.Fault) {
+// runInNextIncarnation drops the machines' messages for some time, in which their leases expire,
+// and then has a job run again on the machines' next incarnations. Other messages have the given
+// fault.
+func (c *cluster) runInNextIncarnation(job map[string]any, dropFor time.Duration, fault func(string, *http.Request) fake.Fault) {
 	c.t.Helper()
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if machineOf(from) != "" {
@@ -386,32 +389,19 @@
 		}
 		return fault(from, r)
 	})
-	time.Sleep(lost)
+	time.Sleep(dropFor)
 	c.setFault(fault)
 	c.runJob(job)
 	time.Sleep(2 * time.Second)
 }
 
-// running counts the tasks of a job that are on machines.
-func (c *cluster) running(id string) (n int) {
-	for _, task := range c.cloud.TasksOnMachines() {
-		if strings.HasPrefix(task, id+"/") {
-			n++
-		}
-	}
-	return n
+// tasksOn lists the tasks with a prefix that are on machines.
+func (c *cluster) tasksOn(prefix string) []string {
+	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
 }
 
-// holders are the machines that have tasks of a job.
-func (c *cluster) holders(id string) (ws []*fake.Worker) {
-	for _, w := range c.cloud.Workers() {
-		if slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, id+"/") }) {
-			ws = append(ws, w)
-		}
-	}
-	slices.SortFunc(ws, func(a, b *fake.Worker) int { return cmp.Compare(a.ID, b.ID) })
-	return ws
-}
+// runningTasks counts the tasks of a job that are on machines.
+func (c *cluster) runningTasks(id string) int { return len(c.tasksOn(id + "/")) }
 
 // cancelJob repeats a cancellation until it is confirmed.
 func (c *cluster) cancelJob(id string, first int) {
@@ -426,12 +416,12 @@
 	c.t.Fatalf("%s could not be cancelled", id)
 }
 
-// cutMachines has nothing pass between these machines and the nodes; the cloud takes
-// nothing back, or its answer would prove the machines gone.
-func cutMachines(ids map[string]bool, cut *tally) func(string, *http.Request) fake.Fault {
+// isolateMachines drops all messages between these machines and the nodes. The cloud terminates
+// nothing meanwhile, as its response would prove that the machines are gone.
+func isolateMachines(ids map[string]bool, dropped *counter) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if ids[machineOf(from)] || ids[machineOf(r.URL.Host)] {
-			cut.add("cut")
+			dropped.add("dropped")
 			return fake.DroppedRequest
 		}
 		if r.URL.Path == "/hosts/return" {
--- a/membership_process_test.go
+++ b/membership_measurement_test.go
@@ -25,17 +25,17 @@
 	membersOutVariable = "CAPERLATCH_MEMBERS_OUT"
 )
 
-// Times of measuring.
+// Times of the measurement.
 const (
-	membersPoll  = 20 * time.Millisecond
-	shortFreeze  = time.Second // too short for a suspicion
-	settledAfter = 2 * time.Second
+	membersPollInterval = 20 * time.Millisecond
+	shortFreeze         = time.Second // too short for a suspicion
+	settlePause         = 2 * time.Second
 )
 
-// TestDetectionTimes ends and freezes nodes of real processes on loopback at random moments while
+// TestDetectionTimes kills and freezes nodes of real processes on loopback at random times while
 // jobs run, and measures until each of the others suspects the node and confirms its failure. No
-// other node may be found failed, nor may one that froze for a second be suspected. The checker of
-// rules watches all of it.
+// other node may be found failed, nor may one that froze for a second be suspected. All of it runs
+// under the checker of the rules.
 func TestDetectionTimes(t *testing.T) {
 	failures := intVariable(t, membersVariable, 0)
 	if failures == 0 {
@@ -65,24 +65,24 @@
 
 // measure measures some failures.
 func (r *detectionRun) measure(failures int) (verdicts []detection.Verdict) {
-	defer r.end()
+	defer r.close()
 	r.Args = []string{"--features", "deploy/membership.xml"}
 	for i := range r.size {
 		r.run(i, r.program)
 	}
 	r.leader()
-	time.Sleep(settledAfter)
+	time.Sleep(settlePause)
 	for n := range failures {
 		id := fmt.Sprintf("j-%06d", n+1)
 		r.submit(id, 8)
 		verdicts = append(verdicts, r.fail(n)...)
-		r.await(id, "done", time.Minute)
+		r.awaitStatus(id, "done", time.Minute)
 	}
-	r.broken()
+	r.checkRules()
 	return verdicts
 }
 
-// fail has one node fail, the leader and another in turn, killed or frozen, and come back.
+// fail has one node fail, the leader and a follower in turn, killed or frozen, and recover.
 func (r *detectionRun) fail(n int) (verdicts []detection.Verdict) {
 	time.Sleep(time.Duration(r.random.Int64N(int64(time.Second))))
 	leader := r.leader()
@@ -96,15 +96,15 @@
 		r.signal(node, syscall.SIGSTOP)
 		time.Sleep(shortFreeze)
 		r.signal(node, syscall.SIGCONT)
-		r.allAlive(node, 0)
+		r.awaitAlive(node, 0)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	if cause == failover.Frozen {
 		r.signal(node, syscall.SIGSTOP)
 	} else {
 		r.kill(node)
 	}
-	verdicts = r.observe(node, begun)
+	verdicts = r.observe(node, startedAt)
 	for i := range verdicts {
 		verdicts[i].Nodes, verdicts[i].Cause, verdicts[i].Leader = r.size, cause, node == leader
 	}
@@ -113,7 +113,7 @@
 	} else {
 		r.run(node, r.program)
 	}
-	r.allAlive(node, verdictWithin)
+	r.awaitAlive(node, detectionTimeout)
 	return verdicts
 }
 
@@ -123,65 +123,67 @@
 }
 
 // observe waits until all others have confirmed that a node failed.
-func (r *detectionRun) observe(node int, begun time.Time) (verdicts []detection.Verdict) {
+func (r *detectionRun) observe(node int, startedAt time.Time) (verdicts []detection.Verdict) {
 	seen := map[int]*detection.Verdict{}
-	for time.Since(begun) < verdictWithin && len(verdicts) < r.size-1 {
+	for time.Since(startedAt) < detectionTimeout && len(verdicts) < r.size-1 {
 		for i := range r.size {
 			if i != node && (seen[i] == nil || seen[i].Confirmed == 0) {
-				r.look(i, node, begun, seen)
+				r.observeNode(i, node, startedAt, seen)
 				if v := seen[i]; v != nil && v.Confirmed != 0 {
 					verdicts = append(verdicts, *v)
 				}
 			}
 		}
-		time.Sleep(membersPoll)
+		time.Sleep(membersPollInterval)
 	}
 	if len(verdicts) < r.size-1 {
-		r.t.Errorf("host-%d: %d nodes have confirmed its failure within %v", node, len(verdicts), verdictWithin)
+		r.t.Errorf("host-%d: %d nodes have confirmed its failure within %v", node, len(verdicts), detectionTimeout)
 	}
 	return verdicts
 }
 
-// look asks one node what it thinks of the one that failed; no other may have failed to it.
-func (r *detectionRun) look(by, node int, begun time.Time, seen map[int]*detection.Verdict) {
-	status, err := r.members(by)
+// observeNode queries one node about the one that failed, and checks that it finds no other node
+// failed.
+func (r *detectionRun) observeNode(observer, node int, startedAt time.Time, seen map[int]*detection.Verdict) {
+	status, err := r.members(observer)
 	if err != nil {
-		return // it is asked again
+		return // it is queried again
 	}
 	for _, m := range status.Members {
-		doubts := m.State == membership.Suspected || m.State == membership.Failed
-		if !doubts {
+		doubted := m.State == membership.Suspected || m.State == membership.Failed
+		if !doubted {
 			continue
 		}
 		if m.Member != fmt.Sprintf("host-%d", node) {
-			r.t.Errorf("host-%d finds %s %s, which runs", by, m.Member, m.State)
+			r.t.Errorf("host-%d finds %s %s, which runs", observer, m.Member, m.State)
 			continue
 		}
-		if seen[by] == nil {
-			seen[by] = &detection.Verdict{Suspected: since(begun)}
+		if seen[observer] == nil {
+			seen[observer] = &detection.Verdict{Suspected: microsSince(startedAt)}
 		}
 		if m.State == membership.Failed {
-			seen[by].Confirmed = since(begun)
+			seen[observer].Confirmed = microsSince(startedAt)
 		}
 	}
 }
 
-// allAlive waits until all nodes find a node alive, and it them.
-func (r *detectionRun) allAlive(node int, within time.Duration) {
-	for begun := time.Now(); ; time.Sleep(membersPoll) {
-		doubted := r.doubted(node)
-		if doubted == nil {
+// awaitAlive waits until all nodes find a node alive, and it finds all of them alive.
+func (r *detectionRun) awaitAlive(node int, timeout time.Duration) {
+	for startedAt := time.Now(); ; time.Sleep(membersPollInterval) {
+		err := r.checkAlive(node)
+		if err == nil {
 			return
 		}
-		if time.Since(begun) >= within {
-			r.t.Errorf("host-%d: %v", node, doubted)
+		if time.Since(startedAt) >= timeout {
+			r.t.Errorf("host-%d: %v", node, err)
 			return
 		}
 	}
 }
 
-// doubted tells who does not find a node alive, or whom it does not.
-func (r *detectionRun) doubted(node int) error {
+// checkAlive returns an error if some node does not find a node alive, or it does not find some
+// node alive.
+func (r *detectionRun) checkAlive(node int) error {
 	for i := range r.size {
 		status, err := r.members(i)
 		if err != nil {
@@ -196,12 +198,12 @@
 	return nil
 }
 
-// members asks a node what it thinks of the others.
+// members returns a node's view of the others.
 func (r *detectionRun) members(node int) (status membership.Status, err error) {
 	return status, fetch(r.Addresses[node].Client, "/members", &status)
 }
 
-// fetch asks a node's process for a value.
+// fetch gets a value from a node's process.
 func fetch(address, path string, value any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -215,7 +217,7 @@
 	return wire.Unmarshal(body, value)
 }
 
-// writeReport writes a report to the file that a variable names, if it does.
+// writeReport writes a report to the file that an environment variable names, if it does.
 func writeReport(t *testing.T, variable string, write func(io.Writer) error) {
 	t.Helper()
 	out := os.Getenv(variable)
--- a/placing_test.go
+++ b/placement_test.go
@@ -14,30 +14,30 @@
 	"caperlatch/internal/wire"
 )
 
-// TestOrdinaryOnly has a job that may not use spot machines come to a fleet of
-// idle spot machines: it must get an ordinary one, not starve beside them.
-func TestOrdinaryOnly(t *testing.T) {
+// TestOnDemandOnly submits a job that may not use spot machines to a fleet of idle spot machines:
+// it must get an on-demand one, not starve.
+func TestOnDemandOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
 		c.submit("j-000001", 4)
-		c.await("j-000001", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		job := testJob("j-000002", 2)
 		job["standby"] = false
 		if code, _ := c.request(http.MethodPost, 0, "/v1/jobs", job); code != http.StatusCreated {
 			t.Fatalf("submission answered %d", code)
 		}
-		c.await("j-000002", wire.JobDone, 2*time.Minute)
+		c.awaitStatus("j-000002", wire.JobDone, 2*time.Minute)
 	})
 }
 
-// TestTeamLimit has a team with room for four GuaranteedCPUs and a job of more.
+// TestTeamLimit submits a job of twelve CPUs of a team with a limit of four.
 func TestTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
 		c.submit("j-000009", 1)
-		time.Sleep(time.Second) // until every node knows the catalog
+		time.Sleep(time.Second) // until every node knows the instance types
 		job := testJob("j-000001", 12)
 		job["desk"] = "small"
 		if code, _ := c.request(http.MethodPost, 0, "/v1/jobs", job); code != http.StatusCreated {
@@ -49,28 +49,28 @@
 			own := slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, "j-000001/") })
 			most = max(most, len(own))
 		}
-		c.await("j-000001", wire.JobDone, time.Minute)
+		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 		if most > 4 {
-			t.Errorf("%d tasks of a team with a limit of 4 at once", most)
+			t.Errorf("%d tasks at once of a team with a limit of 4", most)
 		}
 	})
 }
 
-// TestFullTeams has a team at its limit whose job is cancelled while its machines cannot
-// be reached, or hang, and the leader changes, once and again. The team's next job waits
-// until what may still run there is surely gone.
-func TestFullTeams(t *testing.T) {
+// TestTeamLimitAcrossFailover has a team at its limit whose job is cancelled while its machines are
+// isolated or hang, across one or two failovers. The team's next job waits until what may still run
+// there is certainly gone.
+func TestTeamLimitAcrossFailover(t *testing.T) {
 	cases := []struct {
-		name    string
-		hang    bool // else cut off
-		changes []time.Duration
-		before  bool // cancelled before the first change
+		name        string
+		hang        bool            // else they are isolated
+		pauses      []time.Duration // before each failover
+		cancelFirst bool            // before the first failover
 	}{
-		{"cut off, one change", false, []time.Duration{0}, true},
-		{"cut off, two changes", false, []time.Duration{0, 2 * time.Second}, true},
-		{"cut off, cancelled after the change", false, []time.Duration{0, 3 * time.Second}, false},
-		{"hang, one change", true, []time.Duration{0}, true},
-		{"hang, two changes", true, []time.Duration{0, 300 * time.Millisecond}, false},
+		{"isolated, one failover", false, []time.Duration{0}, true},
+		{"isolated, two failovers", false, []time.Duration{0, 2 * time.Second}, true},
+		{"isolated, cancelled after the failover", false, []time.Duration{0, 3 * time.Second}, false},
+		{"hang, one failover", true, []time.Duration{0}, true},
+		{"hang, two failovers", true, []time.Duration{0, 300 * time.Millisecond}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 					}
 					return 300
 				}
-				idle := testJob("j-000009", 8) // machines that stay in reach
+				idle := testJob("j-000009", 8) // its machines stay reachable
 				idle["expect_s"] = 200.0
 				c.runJob(idle)
 				full := testJob("j-000001", 4)
@@ -91,67 +91,67 @@
 				c.runJob(full)
 				time.Sleep(2 * time.Second)
 				ids := map[string]bool{}
-				for _, w := range c.holders("j-000001") {
+				for _, w := range c.cloud.WorkersOf("j-000001") {
 					ids[w.ID] = true
 				}
-				var cut tally
+				var dropped counter
 				stillOn := 0
 				if tc.hang {
-					c.setFault(cutMachines(nil, &cut))
-					for _, w := range c.holders("j-000001") {
+					c.setFault(isolateMachines(nil, &dropped))
+					for _, w := range c.cloud.WorkersOf("j-000001") {
 						w.Hang(7 * time.Second)
 					}
 				} else {
-					c.setFault(cutMachines(ids, &cut))
+					c.setFault(isolateMachines(ids, &dropped))
 				}
-				if tc.before {
+				if tc.cancelFirst {
 					c.cancelJob("j-000001", 0)
 				}
-				for i, pause := range tc.changes {
+				for i, pause := range tc.pauses {
 					time.Sleep(pause)
-					before := c.token()
-					c.back(c.leader())
-					if i == 0 && !tc.before {
+					before := c.fencingToken()
+					c.restartNodes(c.leader())
+					if i == 0 && !tc.cancelFirst {
 						c.cancelJob("j-000001", 1)
 					}
 					next := testJob(fmt.Sprintf("j-00000%d", 2+i), 4)
 					next["desk"] = "small"
 					for try := range 40 {
-						if c.accepts(try%5, next) {
+						if c.accept(try%5, next) {
 							break
 						}
 						time.Sleep(100 * time.Millisecond)
 					}
-					c.ledAfter(before)
-					stillOn += c.running("j-000001")
+					c.awaitLeaderAfter(before)
+					stillOn += c.runningTasks("j-000001")
 				}
 				time.Sleep(4 * time.Second)
 				c.setFault(nil)
-				if stillOn < 4*len(tc.changes) {
-					t.Errorf("only %d tasks still ran under the new leaders", stillOn)
+				if stillOn < 4*len(tc.pauses) {
+					t.Errorf("only %d tasks still ran under the next leaders", stillOn)
 				}
-				if !tc.hang && cut.of("cut") == 0 {
-					t.Error("nothing was cut")
+				if !tc.hang && dropped.count("dropped") == 0 {
+					t.Error("no message was dropped")
 				}
 				for range 120 {
-					if c.running("j-000002") == 4 {
+					if c.runningTasks("j-000002") == 4 {
 						break
 					}
 					time.Sleep(time.Second)
 				}
-				if c.running("j-000002") != 4 {
+				if c.runningTasks("j-000002") != 4 {
 					t.Errorf("the team's next job does not run: %v", c.cloud.TasksOnMachines())
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
 }
 
-// TestZoneBound has jobs whose tasks bind each other to zones, or keep each other out, run
-// where the other zone has room: machines must be rented in the zone where the next task may
-// start. Once they came up in the other one, one after the other, for up to 150 s.
-func TestZoneBound(t *testing.T) {
+// TestZoneConstraints submits a job whose tasks must be in one zone, or spread over zones, beside a
+// job that is in one zone: machines must be launched in the zone where the next task may start.
+// They once came up in the other one, one after the other, for up to 150 s.
+func TestZoneConstraints(t *testing.T) {
 	for _, bind := range []string{"together", "scatter"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newTunedCluster(t, 3, func(s *settings.Settings) { s.Params.Zones = []string{"a", "b"} })
@@ -165,12 +165,12 @@
 			c.submitJob(first)
 			time.Sleep(5 * time.Second)
 			c.submitJob(second)
-			begun := time.Now()
-			for len(c.on("j-000002/")) < 6 && time.Since(begun) < 2*time.Minute {
+			startedAt := time.Now()
+			for len(c.tasksOn("j-000002/")) < 6 && time.Since(startedAt) < 2*time.Minute {
 				time.Sleep(200 * time.Millisecond)
 			}
-			if took := time.Since(begun); took > 30*time.Second {
-				t.Errorf("%s: %d of 6 tasks run after %v", bind, len(c.on("j-000002/")), took)
+			if duration := time.Since(startedAt); duration > 30*time.Second {
+				t.Errorf("%s: %d of 6 tasks run after %v", bind, len(c.tasksOn("j-000002/")), duration)
 			}
 			if broken := c.cloud.Violations(); broken != nil {
 				t.Error(broken)
@@ -179,17 +179,17 @@
 	}
 }
 
-// TestZones has jobs that are bound to one zone, or spread over zones, lose machines as a
-// zone with a node is cut off for longer than lease_s, and the leader is in it or not.
-func TestZones(t *testing.T) {
+// TestZoneConstraintsUnderPartition has jobs with all kinds of zone constraints lose machines as a
+// zone with a node is isolated for longer than a lease, with the leader in it or not.
+func TestZoneConstraintsUnderPartition(t *testing.T) {
 	cases := []struct {
-		name    string
-		leads   bool // the leader is in the zone that is cut off
-		returns bool // the cloud takes machines back meanwhile
+		name         string
+		leaderInside bool // in the isolated zone
+		terminations bool // answered meanwhile
 	}{
-		{"the leader is cut off with its zone", true, true},
-		{"a follower is cut off with its zone", false, true},
-		{"a follower is cut off with its zone, and no return is answered", false, false},
+		{"the zone of the leader is isolated", true, true},
+		{"the zone of a follower is isolated", false, true},
+		{"the zone of a follower is isolated, and terminations are not answered", false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -211,7 +211,7 @@
 				}
 				time.Sleep(15 * time.Second)
 				inside := c.leader()
-				if !tc.leads {
+				if !tc.leaderInside {
 					inside = (inside + 1) % 5
 				}
 				p, host := fake.NewZonePartition(), fmt.Sprintf("host-%d", inside)
@@ -222,19 +222,19 @@
 					return c.rules.ZoneOf(machineOf(name))
 				}
 				p.OnChange = func() { c.pipes.SetPartition(p.Blocks) }
-				var cut tally
+				var dropped counter
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					fault := p.FaultOf(from, r)
 					if fault != fake.NoFault {
-						cut.add("cut")
-					} else if r.URL.Path == "/hosts/return" && !tc.returns {
+						dropped.add("dropped")
+					} else if r.URL.Path == "/hosts/return" && !tc.terminations {
 						fault = fake.ServiceUnavailable
 					}
 					return fault
 				})
 				p.Isolate("a")
 				held := 0
-				for i := 0; i < int(leaseS)+10; i++ {
+				for i := 0; i < int(leaseDurationS)+10; i++ {
 					time.Sleep(time.Second)
 					for _, w := range c.cloud.Workers() {
 						if w.Zone() == "a" {
@@ -244,13 +244,13 @@
 				}
 				c.setFault(nil)
 				c.healPeers()
-				if cut.of("cut") == 0 || held == 0 {
-					t.Errorf("%d messages were cut, %d tasks seen in the zone", cut.of("cut"), held)
+				if dropped.count("dropped") == 0 || held == 0 {
+					t.Errorf("%d messages were dropped, %d tasks seen in the zone", dropped.count("dropped"), held)
 				}
 				for n := range 5 {
-					c.await(fmt.Sprintf("j-00000%d", n+1), wire.JobDone, 5*time.Minute)
+					c.awaitStatus(fmt.Sprintf("j-00000%d", n+1), wire.JobDone, 5*time.Minute)
 				}
-				c.broken()
+				c.checkRules()
 			})
 		})
 	}
--- a/rolling_test.go
+++ b/rolling_upgrade_test.go
@@ -21,12 +21,12 @@
 // minutes of real time.
 const upgradeVariable = "CAPERLATCH_UPGRADE"
 
-// TestRollingUpgrade runs processes of each earlier version, built from the repository's
-// history, and of this version side by side on loopback, against the stand-ins: the old
-// ones are killed one after the other and come back with this version; one comes back old
-// first, and one goes back to the old one; meanwhile the state service is down for a
-// while. Then it lowers its limits. Gangs are submitted as soon as all nodes that serve
-// know them. Each submission is repeated at every node. All under the checker of rules.
+// TestRollingUpgrade runs processes of each earlier version, built from the repository's history,
+// and of this version side by side on loopback, against the fakes: the old ones are killed one
+// after the other and come back with this version; one comes back old first, and one goes back to
+// the old version; meanwhile the state service has an outage. Then it lowers its limits. Gangs are
+// submitted as soon as all nodes that serve know them. Each submission is repeated at every node.
+// All runs under the checker of the rules.
 func TestRollingUpgrade(t *testing.T) {
 	if os.Getenv(upgradeVariable) == "" {
 		t.Skip(upgradeVariable + " is not set")
@@ -38,11 +38,12 @@
 			old := filepath.Join(t.TempDir(), "old")
 			shell(t, `mkdir "$1.src"; git archive "$2" | tar -x -C "$1.src"; cd "$1.src"
 				go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, old, v.commit(t))
-			rollOut(t, old, now, v)
+			runRollout(t, old, now, v)
 		})
 	}
 }
 
+// shell runs a script with bash, and fails the test if it fails.
 func shell(t *testing.T, script string, args ...string) {
 	t.Helper()
 	cmd := exec.Command("bash", append([]string{"-euo", "pipefail", "-c", script, "bash"}, args...)...)
@@ -51,77 +52,77 @@
 	}
 }
 
-// rollOut upgrades three nodes from the old program to the one of now.
-func rollOut(t *testing.T, old, now string, v oldVersion) {
+// runRollout upgrades three nodes from the old program to the new one.
+func runRollout(t *testing.T, old, now string, v oldVersion) {
 	gangs := v.gangs
-	r := &rollout{processes: newProcesses(t, 3, t.TempDir()), begun: time.Now(), gangs: gangs, newArgs: v.args, ends: map[string]string{},
+	r := &rollout{processes: newProcesses(t, 3, t.TempDir()), startedAt: time.Now(), gangsSupported: gangs, newArgs: v.args, finalStatuses: map[string]string{},
 		programs: make([]string, 3), accepted: map[string]int{}}
-	defer r.end()
+	defer r.close()
 	for i := range r.size {
-		r.begin(i, old)
+		r.startNode(i, old)
 	}
 	r.leader()
 	r.submit(3)
 	time.Sleep(3 * time.Second)
 	r.cancel(r.jobs[1])
 	if gangs {
-		r.stopGang()
+		r.interruptGang()
 	}
 	leader := r.leader()
-	r.swap(leader, old, time.Second) // comes back old before its turn
-	r.swap((leader+1)%3, now, time.Second)
+	r.replaceProgram(leader, old, time.Second) // comes back old at first
+	r.replaceProgram((leader+1)%3, now, time.Second)
 	r.submit(2)
 	if gangs {
-		r.lead(old)
-		r.stopGang()
-		r.lead(now)
-		r.stopGang()
+		r.leadWith(old)
+		r.interruptGang()
+		r.leadWith(now)
+		r.interruptGang()
 	}
-	r.swap(r.leader(), now, time.Second) // old or new, it ends
+	r.replaceProgram(r.leader(), now, time.Second) // whichever version it has
 	r.submit(2)
-	r.state.SetOutage(true) // while both serve
+	r.state.SetOutage(true) // while both versions serve
 	time.Sleep(4 * time.Second)
 	r.state.SetOutage(false)
-	r.swap((leader+1)%3, old, 300*time.Millisecond) // and back
+	r.replaceProgram((leader+1)%3, old, 300*time.Millisecond) // back to the old version
 	r.submit(1)
-	for i := range r.size { // now all
-		r.swap(i, now, 500*time.Millisecond)
+	for i := range r.size { // all of them
+		r.replaceProgram(i, now, 500*time.Millisecond)
 	}
-	r.gangs = true
+	r.gangsSupported = true
 	r.submit(2)
-	r.stopGang()
-	r.state.SetLimits(lowered)
-	r.swap(r.leader(), now, 300*time.Millisecond)
+	r.interruptGang()
+	r.state.SetLimits(loweredLimits)
+	r.replaceProgram(r.leader(), now, 300*time.Millisecond)
 	r.submit(2)
 	r.cancel(r.jobs[len(r.jobs)-1])
 	r.awaitAll()
-	t.Logf("%v: all jobs are over", time.Since(r.begun).Round(time.Second))
+	t.Logf("%v: all jobs have ended", time.Since(r.startedAt).Round(time.Second))
 	t.Logf("gangs accepted by nodes of each program: %v", r.accepted)
 	if gangs && (r.accepted["old"] == 0 || r.accepted["now"] == 0) {
-		t.Errorf("not every version has accepted gangs: %v", r.accepted)
+		t.Errorf("not every version accepted gangs: %v", r.accepted)
 	}
 	if n := r.state.RejectedTxns(); n != 0 {
-		t.Errorf("%d transactions were refused for their size", n)
+		t.Errorf("%d transactions were rejected for their size", n)
 	}
 	if broken := r.cloud.Violations(); broken != nil {
 		t.Error(broken)
 	}
 }
 
-// rollout is processes of two versions with the jobs that they were given.
+// rollout is a cluster of processes of two versions, with the jobs that were submitted to it.
 type rollout struct {
 	*processes
-	begun    time.Time
-	gangs    bool     // all that serve know gangs
-	newArgs  []string // of new processes
-	programs []string
-	jobs     []map[string]any
-	ends     map[string]string // the state that each job must end in
-	accepted map[string]int    // gangs, by the program (old, now) of the node that accepted them
+	startedAt      time.Time
+	gangsSupported bool     // by all nodes that serve
+	newArgs        []string // of new processes
+	programs       []string
+	jobs           []map[string]any
+	finalStatuses  map[string]string // that each job must reach
+	accepted       map[string]int    // gangs, by the program (old, now) of the node that accepted them
 }
 
-// begin begins a life of a node with a program.
-func (r *rollout) begin(i int, program string) {
+// startNode starts a new incarnation of a node with a program.
+func (r *rollout) startNode(i int, program string) {
 	r.programs[i], r.Args = program, nil
 	if filepath.Base(program) == "now" {
 		r.Args = r.newArgs
@@ -129,17 +130,17 @@
 	r.run(i, program)
 }
 
-// swap ends a node and has it come back with a program.
-func (r *rollout) swap(i int, program string, down time.Duration) {
+// replaceProgram kills a node and starts it with a program after a while.
+func (r *rollout) replaceProgram(i int, program string, down time.Duration) {
 	r.kill(i)
 	time.Sleep(down)
-	r.begin(i, program)
+	r.startNode(i, program)
 	time.Sleep(2500 * time.Millisecond)
-	r.t.Logf("%v: node %d is back with %s", time.Since(r.begun).Round(time.Second), i, filepath.Base(program))
+	r.t.Logf("%v: node %d is back with %s", time.Since(r.startedAt).Round(time.Second), i, filepath.Base(program))
 }
 
-// lead has a node of a program lead, by ending all others for a while.
-func (r *rollout) lead(program string) {
+// leadWith makes a node with a program the leader, by killing all others for a while.
+func (r *rollout) leadWith(program string) {
 	for i, p := range r.programs {
 		if p != program {
 			r.kill(i)
@@ -153,41 +154,42 @@
 	}
 	for i, p := range r.programs {
 		if p != program {
-			r.begin(i, p)
+			r.startNode(i, p)
 		}
 	}
 	time.Sleep(2500 * time.Millisecond)
 }
 
-// submit gives jobs of independent tasks and, if all know them, as many gangs.
+// submit submits jobs of independent tasks and, if all nodes know them, as many gangs.
 func (r *rollout) submit(n int) {
 	for range n {
-		if r.gangs {
+		if r.gangsSupported {
 			r.submitGang()
 		}
-		r.give(testJob(r.nextID(), 8))
+		r.submitAndRepeat(testJob(r.nextID(), 8))
 	}
 }
 
-// submitGang gives a gang on three machines, and returns its name.
+// submitGang submits a gang for three machines, and returns its ID.
 func (r *rollout) submitGang() string {
 	id := r.nextID()
-	node := r.give(gangJob(id, 3, 3, nil))
+	node := r.submitAndRepeat(gangJob(id, 3, 3, nil))
 	r.accepted[filepath.Base(r.programs[node])]++
 	return id
 }
 
+// nextID returns the ID of the next job.
 func (r *rollout) nextID() string { return fmt.Sprintf("j-%06d", len(r.jobs)+1) }
 
-// give submits a job, first at one node and then at the next, until one accepts it, which
-// it returns; and repeats the submission at all.
-func (r *rollout) give(job map[string]any) (node int) {
+// submitAndRepeat submits a job, first to one node and then to the next, until one accepts it,
+// whose index it returns; and repeats the submission at all nodes.
+func (r *rollout) submitAndRepeat(job map[string]any) (node int) {
 	r.t.Helper()
 	id := job["id"].(string)
 	for try := range 60 {
 		node = (len(r.jobs) + try) % r.size
 		if code, _ := r.request(http.MethodPost, node, "/v1/jobs", job); code == http.StatusCreated || code == http.StatusOK {
-			r.jobs, r.ends[id] = append(r.jobs, job), wire.JobDone
+			r.jobs, r.finalStatuses[id] = append(r.jobs, job), wire.JobDone
 			r.repeat(job)
 			return node
 		}
@@ -197,9 +199,9 @@
 	return -1
 }
 
-// repeat submits a job that was accepted again, at each node until it answers, and returns
-// the statuses told. That none goes back the checker of rules sees to.
-func (r *rollout) repeat(job map[string]any) (told []string) {
+// repeat submits an accepted job again, to each node until it answers, and returns the statuses of
+// the responses. That none goes back is checked by the checker of the rules.
+func (r *rollout) repeat(job map[string]any) (statuses []string) {
 	r.t.Helper()
 	for node := range r.size {
 		code, status := 0, wire.JobStatus{}
@@ -212,15 +214,15 @@
 		if code != http.StatusOK || status.State == "" {
 			r.t.Errorf("%s submitted again at node %d: %d, %q", job["id"], node, code, status.State)
 		}
-		told = append(told, status.State)
+		statuses = append(statuses, status.State)
 	}
-	return told
+	return statuses
 }
 
-// cancel cancels a job.
+// cancel cancels a job, each time at the next node until it is confirmed.
 func (r *rollout) cancel(job map[string]any) {
 	id := job["id"].(string)
-	r.ends[id] = wire.JobCancelled
+	r.finalStatuses[id] = wire.JobCancelled
 	for try := range 30 {
 		if code, _ := r.request(http.MethodPost, try%3, "/v1/jobs/"+id+"/abort", nil); code == http.StatusOK {
 			return
@@ -230,34 +232,35 @@
 	r.t.Errorf("%s could not be cancelled", id)
 }
 
-// stopGangIfReachable has the cloud take a machine from a gang that runs, with enough time to stop it
-// and save. It must run again.
-func (r *rollout) stopGang() {
+// interruptGang has the cloud interrupt a machine of a running gang, with enough notice to stop the
+// gang with a checkpoint. It must run again.
+func (r *rollout) interruptGang() {
 	r.t.Helper()
-	leader, begun := r.programs[r.leader()], time.Now()
+	leader, startedAt := r.programs[r.leader()], time.Now()
 	id := r.submitGang()
-	r.until(id, map[string]int{wire.TaskRunning: 3})
+	r.awaitTaskStates(id, map[string]int{wire.TaskRunning: 3})
 	time.Sleep(time.Second)
 	r.cloud.WorkersOf(id)[0].Interrupt(5 * time.Second)
-	r.await(id, wire.JobDone, time.Minute)
+	r.awaitStatus(id, wire.JobDone, time.Minute)
 	if runs := r.cloud.GangRuns(id); runs < 2 {
-		r.t.Errorf("%s ran %d times, although it lost a machine", id, runs)
+		r.t.Errorf("%s has %d full runs, although it lost a machine", id, runs)
 	}
-	r.t.Logf("%s, led by %s: attempts that ran %d, progress saved %v, done after %v",
-		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangProgress(id), time.Since(begun).Round(time.Second))
+	r.t.Logf("%s, led by %s: %d full runs, progress kept %v, done after %v",
+		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangProgress(id), time.Since(startedAt).Round(time.Second))
 }
 
-// awaitAll awaits the ends of all jobs. A submission that is repeated then is told of them.
+// awaitAll waits for the final statuses of all jobs. A submission that is repeated then is answered
+// with them.
 func (r *rollout) awaitAll() {
 	for _, job := range r.jobs {
 		id := job["id"].(string)
-		r.await(id, r.ends[id], 30*time.Second)
+		r.awaitStatus(id, r.finalStatuses[id], 30*time.Second)
 	}
 	for _, job := range r.jobs {
 		id := job["id"].(string)
-		for node, told := range r.repeat(job) {
-			if told != r.ends[id] {
-				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, told, r.ends[id])
+		for node, status := range r.repeat(job) {
+			if status != r.finalStatuses[id] {
+				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, status, r.finalStatuses[id])
 			}
 		}
 	}
@@ -269,34 +272,37 @@
 	*harness.ProcessCluster
 }
 
-// processScale is how large the world of the processes is.
-type processScale struct {
-	reportS, leaseS, cancelS float64 // of the workers
-	sockets                  int     // of a node
+// clusterScale is how large the deployment of a cluster of processes is.
+type clusterScale struct {
+	heartbeatIntervalS, leaseDurationS, cancellationTimeoutS float64 // of the workers, in seconds
+	sockets                                                  int     // of a node
 }
 
-// smallScale is that of few machines.
-func smallScale() processScale { return processScale{reportS, leaseS, cancelS, 1000} }
+// smallFleetScale is that of few machines.
+func smallFleetScale() clusterScale {
+	return clusterScale{heartbeatIntervalS, leaseDurationS, cancellationTimeoutS, 1000}
+}
 
-// settings are those of a node of a world of this scale.
-func (p processScale) settings(node, nodes int) *settings.Settings {
+// settings returns the settings of a node of a deployment of this scale.
+func (p clusterScale) settings(node, nodes int) *settings.Settings {
 	s := nodeSettings(node, nodes)
-	tellNext(s)
+	announceLimits(s)
 	s.Zone = "a"
 	s.Params.Nodes, s.Params.ClockErrorMS = nodes, 5
 	s.Params.Teams = []settings.Team{{Name: "blue"}}
-	s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = p.reportS, p.leaseS, p.cancelS
+	s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = p.heartbeatIntervalS, p.leaseDurationS, p.cancellationTimeoutS
 	s.Params.State.WriteRPS = 60
 	s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 500, MaxSockets: p.sockets}
 	return s
 }
 
+// newProcesses prepares a cluster of processes with few machines.
 func newProcesses(t *testing.T, nodes int, dir string) *processes {
-	return newScaledProcesses(t, nodes, dir, smallScale())
+	return newScaledProcesses(t, nodes, dir, smallFleetScale())
 }
 
-// newScaledProcesses prepares processes for a world of a scale.
-func newScaledProcesses(t *testing.T, nodes int, dir string, scale processScale) *processes {
+// newScaledProcesses prepares a cluster of processes for a deployment of a scale.
+func newScaledProcesses(t *testing.T, nodes int, dir string, scale clusterScale) *processes {
 	c := &cluster{t: t, size: nodes}
 	var p *harness.ProcessCluster
 	p, err := harness.NewProcessCluster(harness.ProcessConfig{
@@ -321,14 +327,14 @@
 // kill ends a node's process.
 func (c *processes) kill(i int) { c.ProcessCluster.Kill(i) }
 
-// run begins a new life of a node with a program.
+// run starts a new incarnation of a node with a program.
 func (c *processes) run(i int, program string) {
 	c.t.Helper()
 	c.must(c.StartNode(i, program))
 }
 
-// end ends all and, of a test that failed, shows what the processes logged.
-func (c *processes) end() {
+// close ends all processes and, if the test failed, logs what they logged.
+func (c *processes) close() {
 	c.Close()
 	if !c.t.Failed() {
 		return
