--- a/handover.go
+++ b/handover.go
@@ -85,11 +85,11 @@
 }
 
 // handOver has this node, if it leads, hand over to the follower that is furthest. It returns
-// the member that was named; empty: any. The error is errNotLeading without a leader here.
+// the member that was named; empty: any. The error is ErrNotLeading without a leader here.
 func (h *handover) handOver() (to string, err error) {
 	local := h.leadership.local()
 	if local == nil {
-		return "", errNotLeading
+		return "", ErrNotLeading
 	}
 	h.setHandedOverAt(micros.Now())
 	to, err = local.HandOver(h.timeout)
--- a/jobs.go
+++ b/jobs.go
@@ -63,12 +63,12 @@
 	return *response.Explanation, nil
 }
 
-// explainAsLeader returns what this node's leader knows of a job. The error is errNotLeading
+// explainAsLeader returns what this node's leader knows of a job. The error is ErrNotLeading
 // without a leader here.
 func (v *jobView) explainAsLeader(id string) (explain.Explanation, error) {
 	local := v.leadership.local()
 	if local == nil {
-		return explain.Explanation{}, errNotLeading
+		return explain.Explanation{}, ErrNotLeading
 	}
 	e, _ := local.Explain(id)
 	return e, nil
--- a/leadership.go
+++ b/leadership.go
@@ -15,7 +15,8 @@
 
 // Errors that users, operators or other nodes get as answers.
 var (
-	errNotLeading = errors.New("not leading")
+	// ErrNotLeading is returned for what only the leader can do.
+	ErrNotLeading = errors.New("not leading")
 	errNoLeader   = errors.New("no leader known")
 )
 
--- a/cluster_test.go
+++ b/tests/cluster/cluster_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"context"
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"caperlatch"
 	"caperlatch/internal/replica"
 	"caperlatch/internal/settings"
 	"caperlatch/internal/sim/checker"
@@ -40,7 +41,7 @@
 
 	mu    sync.Mutex
 	tune  func(*settings.Settings)
-	nodes []*Node // in their present incarnations
+	nodes []*caperlatch.Node // in their present incarnations
 	// features are the optional parts of all nodes but those in without.
 	features settings.Features
 	without  map[int]bool
@@ -48,7 +49,7 @@
 
 // nodeSettings returns the settings of node i of a cluster.
 func nodeSettings(i, nodes int) *settings.Settings {
-	s := &settings.Settings{Member: fmt.Sprintf("host-%d", i), ClientListen: "unused"}
+	s := &settings.Settings{Member: memberName(i), ClientListen: "unused"}
 	s.External.State, s.External.Cloud = "state", "cloud"
 	s.Params = settings.Params{
 		Zones: []string{"a"},
@@ -66,7 +67,7 @@
 	}
 	for p := range nodes {
 		if p != i {
-			s.Peers = append(s.Peers, settings.Peer{Member: fmt.Sprintf("host-%d", p), Addr: fmt.Sprintf("host-%d", p)})
+			s.Peers = append(s.Peers, settings.Peer{Member: memberName(p), Addr: memberName(p)})
 		}
 	}
 	return s
@@ -107,7 +108,7 @@
 		size:             size,
 		tune:             tune,
 		features:         features,
-		nodes:            make([]*Node, size),
+		nodes:            make([]*caperlatch.Node, size),
 	}
 	w.StartNode = c.newNode
 	c.state.InspectTxn = c.checkTxn
@@ -121,7 +122,7 @@
 func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
-	n := NewNodeOn(s, settings.DefaultTuning(), c.featuresOf(life.Node), Network{
+	n := caperlatch.NewNodeOn(s, settings.DefaultTuning(), c.featuresOf(life.Node), caperlatch.Network{
 		ServiceTransport: c.net.From(life.Sender),
 		WorkerTransport:  c.net.From(life.Sender),
 		DialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
@@ -154,6 +155,9 @@
 // close ends all nodes and fakes and waits until nothing of them runs.
 func (c *cluster) close() { c.Close() }
 
+// memberName returns the member that is the node of an index.
+func memberName(node int) string { return fmt.Sprintf("host-%d", node) }
+
 // leader waits until a node leads, and returns its index.
 func (c *cluster) leader() int {
 	c.t.Helper()
@@ -307,7 +311,7 @@
 
 // partitionPeer cuts a node off from the other nodes.
 func (c *cluster) partitionPeer(node int) {
-	host := fmt.Sprintf("host-%d", node)
+	host := memberName(node)
 	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
 
--- a/combined_faults_test.go
+++ b/tests/cluster/combined_faults_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"bytes"
@@ -244,7 +244,7 @@
 		}},
 		{"leader partitioned from state service and peers, not from workers and users", 5, func(c *cluster, cancel func()) {
 			time.Sleep(8 * time.Second)
-			member := fmt.Sprintf("host-%d", c.leader())
+			member := memberName(c.leader())
 			c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if strings.HasPrefix(from, member+"/") && isStateRequest(r) {
--- a/explain_test.go
+++ b/tests/cluster/explain_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"context"
@@ -89,7 +89,7 @@
 			t.Errorf("unknown job: %d %q", status, text)
 		}
 		// The other nodes cannot reach the leader.
-		member := fmt.Sprintf("host-%d", lead)
+		member := memberName(lead)
 		c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 		time.Sleep(2 * time.Second)
 		check("leader unreachable", (lead+1)%3, "j-000002", wire.JobPending, "the leader does not say more")
--- a/failover_guards_test.go
+++ b/tests/cluster/failover_guards_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"fmt"
@@ -209,7 +209,7 @@
 					ids[w.ID] = true
 				}
 				first, before := c.leader(), c.fencingToken()
-				host := fmt.Sprintf("host-%d", first)
+				host := memberName(first)
 				var noted counter
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					if isFromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0") {
@@ -279,7 +279,7 @@
 					ids[w.ID] = i%2 == 0
 				}
 				first, before := c.leader(), c.fencingToken()
-				host := fmt.Sprintf("host-%d", first)
+				host := memberName(first)
 				var noted counter
 				fault := func(changes bool) func(string, *http.Request) fake.Fault {
 					return func(from string, r *http.Request) fake.Fault {
--- a/failover_test.go
+++ b/tests/cluster/failover_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"bytes"
@@ -40,7 +40,7 @@
 		}},
 		{name: "state service unavailable to the leader, peers partitioned", end: func(c *cluster) {
 			i := c.leader()
-			host := fmt.Sprintf("host-%d", i)
+			host := memberName(i)
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 			c.setFault(func(from string, r *http.Request) fake.Fault {
 				if isFromNode(from, i) && isStateRequest(r) {
--- a/membership_measurement_test.go
+++ b/tests/cluster/membership_measurement_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"context"
@@ -154,7 +154,7 @@
 		if !doubted {
 			continue
 		}
-		if m.Member != fmt.Sprintf("host-%d", node) {
+		if m.Member != memberName(node) {
 			r.t.Errorf("host-%d finds %s %s, which runs", observer, m.Member, m.State)
 			continue
 		}
@@ -190,7 +190,7 @@
 			return err
 		}
 		for _, m := range status.Members {
-			if (i == node || m.Member == fmt.Sprintf("host-%d", node)) && m.State != membership.Alive {
+			if (i == node || m.Member == memberName(node)) && m.State != membership.Alive {
 				return fmt.Errorf("%s finds %s %s", status.Member, m.Member, m.State)
 			}
 		}
--- a/membership_test.go
+++ b/tests/cluster/membership_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"fmt"
@@ -33,7 +33,7 @@
 			return err
 		}
 		for _, m := range status.Members {
-			if m.Member == fmt.Sprintf("host-%d", node) && m.State != want {
+			if m.Member == memberName(node) && m.State != want {
 				return fmt.Errorf("%s finds %s %s, not %s", status.Member, m.Member, m.State, want)
 			}
 		}
--- a/placement_test.go
+++ b/tests/cluster/placement_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"fmt"
@@ -214,7 +214,7 @@
 				if !tc.leaderInside {
 					inside = (inside + 1) % 5
 				}
-				p, host := fake.NewZonePartition(), fmt.Sprintf("host-%d", inside)
+				p, host := fake.NewZonePartition(), memberName(inside)
 				p.MachineOf, p.ZoneOf = machineOf, func(name string) string {
 					if strings.HasPrefix(name, host+"/") || strings.HasPrefix(name, host+":") || name == host {
 						return "a"
--- a/random_failovers_test.go
+++ b/tests/cluster/random_failovers_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"errors"
@@ -10,6 +10,7 @@
 	"testing/synctest"
 	"time"
 
+	"caperlatch"
 	leadership "caperlatch/internal/leader"
 	"caperlatch/internal/settings"
 	"caperlatch/internal/wire"
@@ -113,7 +114,7 @@
 	<-done
 	switch {
 	case err != nil && way != 6: // rejected: the process ends without, as HandOverOnShutdown has it
-		if !errors.Is(err, errNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
+		if !errors.Is(err, caperlatch.ErrNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
 			r.t.Errorf("handover: %v", err)
 		}
 		r.crash(leader, 100*time.Millisecond)
@@ -125,8 +126,8 @@
 
 // crashNamed kills the node that a handover names, within half a second.
 func (r *randomFailoverRun) crashNamed(member string) {
-	for i, n := range r.nodes {
-		if n.settings.Member == member {
+	for i := range r.nodes {
+		if memberName(i) == member {
 			time.Sleep(time.Duration(r.random.IntN(500)) * time.Millisecond)
 			r.crash(i, 200*time.Millisecond)
 		}
--- a/single_faults_test.go
+++ b/tests/cluster/single_faults_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"fmt"
@@ -292,7 +292,7 @@
 				if who == "follower" {
 					partitioned = (partitioned + 1) % size
 				}
-				member := fmt.Sprintf("host-%d", partitioned)
+				member := memberName(partitioned)
 				c.pipes.SetPartition(func(from, to string) bool { return from == member || to == member })
 				c.setFault(func(from string, r *http.Request) fake.Fault {
 					switch {
--- a/standby_combined_faults_test.go
+++ b/tests/cluster/standby_combined_faults_test.go
@@ -1,7 +1,6 @@
-package caperlatch
+package cluster
 
 import (
-	"fmt"
 	"net/http"
 	"strings"
 	"testing"
@@ -24,8 +23,8 @@
 
 // indexOf returns the index of a member; -1 if there is none.
 func (c *cluster) indexOf(member string) int {
-	for i, n := range c.nodes {
-		if n.settings.Member == member {
+	for i := range c.nodes {
+		if memberName(i) == member {
 			return i
 		}
 	}
@@ -172,7 +171,7 @@
 			c.handover()
 		}},
 		{"the leader is partitioned from the nodes as it hands over", 3, nil, func(c *cluster) {
-			host := fmt.Sprintf("host-%d", c.leader())
+			host := memberName(c.leader())
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 			c.handover()
 			time.Sleep(5 * time.Second)
--- a/standby_commands_test.go
+++ b/tests/cluster/standby_commands_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"os"
--- a/standby_test.go
+++ b/tests/cluster/standby_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"fmt"
@@ -11,6 +11,7 @@
 
 	"caperlatch/internal/micros"
 	"caperlatch/internal/settings"
+	"caperlatch/internal/standby"
 	"caperlatch/internal/wire"
 )
 
@@ -33,7 +34,11 @@
 	for range 200 {
 		complete := 0
 		for _, n := range c.nodes {
-			if p := n.standby.follower.Progress(); n.LocalLeader() == nil && p.Complete && p.LagEntries == 0 && p.FencingToken == c.fencingToken() {
+			status, err := n.StandbyStatus()
+			if err != nil {
+				c.t.Fatal(err)
+			}
+			if p := status.Progress; n.LocalLeader() == nil && p != nil && p.Complete && p.LagEntries == 0 && p.FencingToken == c.fencingToken() {
 				complete++
 			}
 		}
@@ -42,12 +47,32 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	for _, n := range c.nodes {
-		c.t.Logf("%s: %+v", n.settings.Member, n.standby.follower.Progress())
+	for i, n := range c.nodes {
+		status, err := n.StandbyStatus()
+		c.t.Logf("%s: %+v, %v", memberName(i), status.Progress, err)
 	}
 	c.t.Fatal("not all followers are complete")
 }
 
+// furthestFollower returns the member that a handover of the leader would name now.
+func (c *cluster) furthestFollower(leader int) string {
+	c.t.Helper()
+	status, err := c.nodes[leader].StandbyStatus()
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	var furthest standby.FollowerState
+	for _, f := range status.Followers {
+		if f.Complete && f.AgeS <= 1 && (furthest.Member == "" || f.Position > furthest.Position) {
+			furthest = f
+		}
+	}
+	if furthest.Member == "" {
+		c.t.Fatal("no node follows")
+	}
+	return furthest.Member
+}
+
 // TestFailoverWithUnreachableMachine ends the term of the leader while an array is in progress and
 // one of its machines is isolated. The rest of the array must wait for that machine, as after any
 // crash; after a complete handover it is known that the machine has none of these tasks.
@@ -198,7 +223,7 @@
 			if duration := time.Since(startedAt); duration > 2500*time.Millisecond {
 				t.Errorf("handover %d took %v", n, duration)
 			}
-			if leader := fmt.Sprintf("host-%d", c.leader()); leader != to {
+			if leader := memberName(c.leader()); leader != to {
 				t.Errorf("handover %d: %s leads, %s was named", n, leader, to)
 			}
 			if n%5 == 4 {
@@ -224,15 +249,10 @@
 		inject func(c *cluster, leader int) // before the handover
 	}{
 		{"the named node crashes", func(c *cluster, leader int) {
-			named := c.nodes[leader].standby.currentPublisher().FurthestFollower(micros.Second).Member
-			for i, n := range c.nodes {
-				if n.settings.Member == named {
-					c.kill(i)
-				}
-			}
+			c.kill(c.indexOf(c.furthestFollower(leader)))
 		}},
 		{"the leader is partitioned from all nodes", func(c *cluster, leader int) {
-			host := fmt.Sprintf("host-%d", leader)
+			host := memberName(leader)
 			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
 		}},
 	}
--- a/versions_test.go
+++ b/tests/cluster/versions_test.go
@@ -1,7 +1,6 @@
-package caperlatch
+package cluster
 
 import (
-	"fmt"
 	"net/http"
 	"testing"
 	"testing/synctest"
@@ -28,7 +27,7 @@
 				t.Fatalf("%s: %d, %+v, %v", step, code, v, err)
 			}
 			for i, p := range v.Peers {
-				if p.Member != fmt.Sprintf("host-%d", i+1) || p.Responding != heard[i] || p.Responding != (p.Version == peer.Version) {
+				if p.Member != memberName(i+1) || p.Responding != heard[i] || p.Responding != (p.Version == peer.Version) {
 					t.Errorf("%s: %+v", step, p)
 				}
 			}
--- a/zone_loss_test.go
+++ b/tests/cluster/zone_loss_test.go
@@ -1,4 +1,4 @@
-package caperlatch
+package cluster
 
 import (
 	"cmp"
@@ -382,7 +382,7 @@
 
 // zoneByLeader returns a zone that the leader is in, or one that it is not in.
 func (r *zoneRun) zoneByLeader(leads bool) string {
-	inside := r.zoneOfName(fmt.Sprintf("host-%d", r.leader()))
+	inside := r.zoneOfName(memberName(r.leader()))
 	return r.zones[slices.IndexFunc(r.zones, func(name string) bool { return (name == inside) == leads })]
 }
 
--- a/zones.go
+++ b/zones.go
@@ -39,12 +39,12 @@
 	return response.ZoneStatus, nil
 }
 
-// statusAsLeader returns the view of this node's leader. The error is errNotLeading without a
+// statusAsLeader returns the view of this node's leader. The error is ErrNotLeading without a
 // leader here.
 func (v zoneView) statusAsLeader() ([]zone.Status, error) {
 	local := v.leadership.local()
 	if local == nil {
-		return nil, errNotLeading
+		return nil, ErrNotLeading
 	}
 	zones := local.ZoneStatus()
 	if zones == nil {
