--- a/tests/cluster/standby_combined_faults_test.go
+++ b/tests/cluster/standby_combined_faults_test.go
@@ -31,31 +31,6 @@
 	return -1
 }
 
-// stateRefusal returns the fault that makes the state service unavailable to a node, or to all if
-// it is negative.
-func stateRefusal(node int) func(string, *http.Request) fake.Fault {
-	return func(from string, r *http.Request) fake.Fault {
-		if isStateRequest(r) && (node < 0 || isFromNode(from, node)) {
-			return fake.ServiceUnavailable
-		}
-		return fake.NoFault
-	}
-}
-
-// dropResponsesTo returns the fault that drops all responses and commands to these machines; what
-// they send arrives.
-func dropResponsesTo(ids map[string]bool) func(string, *http.Request) fake.Fault {
-	return func(from string, r *http.Request) fake.Fault {
-		switch {
-		case ids[machineOf(from)]:
-			return fake.DroppedResponse
-		case ids[machineOf(r.URL.Host)]:
-			return fake.DroppedRequest
-		}
-		return fake.NoFault
-	}
-}
-
 // TestStandbyCombinedFaults combines faults with failovers of nodes with a standby, while an array,
 // a gang and a cancelled job are on machines. No rule is violated, and all jobs complete once the
 // faults are over.
