--- a/tests/cluster/gang_combined_faults_test.go
+++ b/tests/cluster/gang_combined_faults_test.go
@@ -25,19 +25,8 @@
 
 var faultGangs = []string{waitingGang, runningGang, stoppingGang, cancelledGang}
 
-// taskStateCounts counts the tasks of a job that machines have by their states.
-func (c *cluster) taskStateCounts(id string) map[string]int {
-	have := map[string]int{}
-	for task, state := range c.cloud.TaskStates() {
-		if strings.HasPrefix(task, id+"/") {
-			have[state]++
-		}
-	}
-	return have
-}
-
-// gangFaultCase is a combination of faults that affects gangs.
-type gangFaultCase struct {
+// gangCombinedFaultCase is a combination of faults that affects gangs.
+type gangCombinedFaultCase struct {
 	name      string
 	nodes     int
 	inject    func(c *cluster, noted *counter)
@@ -46,7 +35,7 @@
 
 // prepare brings the gangs into their states: all but the first run, the first waits for a machine
 // that hangs, and a machine of the third has an interruption notice.
-func (m *gangFaultCase) prepare(c *cluster) {
+func (m *gangCombinedFaultCase) prepare(c *cluster) {
 	for _, id := range faultGangs[1:] {
 		c.submitJob(gangJob(id, 3, 3, nil))
 	}
@@ -63,7 +52,7 @@
 
 // run injects the faults, under the checker of the rules. All gangs but the cancelled one must
 // complete, and nothing may be left on machines.
-func (m *gangFaultCase) run(t *testing.T) {
+func (m *gangCombinedFaultCase) run(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, m.nodes)
 		defer c.close()
@@ -118,8 +107,7 @@
 // TestGangCombinedFaults has nodes fail and restart, and messages delayed, while gangs wait, run,
 // are being stopped and are cancelled.
 func TestGangCombinedFaults(t *testing.T) {
-	isHeartbeat := func(r *http.Request) bool { return r.URL.Path == "/hello" }
-	cases := []gangFaultCase{
+	cases := []gangCombinedFaultCase{
 		{"the leader restarts within a fraction of a second, twice", 5, func(c *cluster, noted *counter) {
 			for range 2 {
 				before := c.fencingToken()
