--- /dev/null
+++ b/tests/cluster/standby_combined_cases_test.go
@@ -0,0 +1,155 @@
+package cluster
+
+import (
+	"net/http"
+	"time"
+
+	"caperlatch/internal/sim/fake"
+)
+
+// restartNamedNodeAtOnce restarts the node that the leader hands over to, before it can lead: the
+// handover must not leave the cluster without a leader.
+func restartNamedNodeAtOnce(c *cluster) {
+	to := c.handover()
+	c.restartNodes(c.indexOf(to))
+}
+
+// restartNamedNodeAsItLeads restarts the node that the leader has handed over to as soon as a new
+// term has begun.
+func restartNamedNodeAsItLeads(c *cluster) {
+	token := c.fencingToken()
+	to := c.handover()
+	c.awaitLeaderAfter(token)
+	c.restartNodes(c.indexOf(to))
+}
+
+// crashLeaderOfNewFollowers crashes the leader 1.6 s after both followers restarted, so that their
+// views are new.
+func crashLeaderOfNewFollowers(c *cluster) {
+	leader := c.leader()
+	c.restartNodes((leader+1)%3, (leader+2)%3)
+	time.Sleep(1600 * time.Millisecond)
+	c.kill(leader)
+	time.Sleep(time.Second)
+	c.start(leader)
+}
+
+// handOverSixTimes hands over again 0.3 s after each new term began.
+func handOverSixTimes(c *cluster) {
+	for range 6 {
+		token := c.fencingToken()
+		c.handover()
+		c.awaitLeaderAfter(token)
+		time.Sleep(300 * time.Millisecond)
+	}
+}
+
+// handOverWithoutState makes the state service unavailable to the leader before it hands over.
+func handOverWithoutState(c *cluster) {
+	c.setFault(stateRefusal(c.leader()))
+	c.handover()
+	time.Sleep(5 * time.Second)
+	c.setFault(nil)
+}
+
+// refuseStateDuringHandover makes the state service unavailable to all nodes 0.1 s after a handover
+// begins.
+func refuseStateDuringHandover(c *cluster) {
+	time.AfterFunc(100*time.Millisecond, func() { c.setFault(stateRefusal(-1)) })
+	c.handover()
+	time.Sleep(10 * time.Second)
+	c.setFault(nil)
+}
+
+// refuseStateToStandbyLeaderThenToAll makes the state service unavailable to the leader, and to all
+// nodes before another one can be sure to lead.
+func refuseStateToStandbyLeaderThenToAll(c *cluster) {
+	c.setFault(stateRefusal(c.leader()))
+	time.Sleep(2 * time.Second)
+	c.setFault(stateRefusal(-1))
+	time.Sleep(12 * time.Second)
+	c.setFault(nil)
+}
+
+// firstMachinesOf returns the IDs of the first two machines that have tasks of a job.
+func (c *cluster) firstMachinesOf(id string) map[string]bool {
+	ids := map[string]bool{}
+	for _, w := range c.cloud.WorkersOf(id)[:2] {
+		ids[w.ID] = true
+	}
+	return ids
+}
+
+// handOverWithUnreachableMachines hands over while two machines get neither responses nor commands:
+// their leases expire although the next leader has their heartbeats.
+func handOverWithUnreachableMachines(c *cluster) {
+	c.setFault(dropResponsesTo(c.firstMachinesOf(standbyArray)))
+	c.handover()
+	time.Sleep(20 * time.Second)
+	c.setFault(nil)
+}
+
+// handOverWithIsolatedMachines hands over while two machines are isolated. What the next leader knows
+// of them from its standby may not outlive their leases.
+func handOverWithIsolatedMachines(c *cluster) {
+	var dropped counter
+	c.setFault(isolateMachines(c.firstMachinesOf(standbyArray), &dropped))
+	c.handover()
+	time.Sleep(20 * time.Second)
+	c.setFault(nil)
+}
+
+// handOverWithStartsOnTheirWay drops the responses to heartbeats from before a handover until after
+// it, while there are tasks to start: the next leader must know which starts may have been sent.
+func handOverWithStartsOnTheirWay(c *cluster) {
+	c.setFault(func(from string, r *http.Request) fake.Fault {
+		if machineOf(from) != "" && isHeartbeat(r) {
+			return fake.DroppedResponse
+		}
+		return fake.NoFault
+	})
+	c.submit("j-000007", 8)
+	time.Sleep(700 * time.Millisecond)
+	c.handover()
+	time.Sleep(2 * time.Second)
+	c.setFault(nil)
+}
+
+// crashAllNodesButOneFollower crashes four of five nodes, the leader last, for 15 s: the one that is
+// left must lead.
+func crashAllNodesButOneFollower(c *cluster) {
+	leader := c.leader()
+	for i := range c.nodes {
+		if i != leader && i != (leader+1)%5 {
+			c.kill(i)
+		}
+	}
+	c.kill(leader)
+	time.Sleep(15 * time.Second)
+	for i := range c.nodes {
+		if i != (leader+1)%5 {
+			c.start(i)
+		}
+	}
+}
+
+// restartLeaderWithoutStandby restarts a leader that publishes nothing: its successor has a standby,
+// but no view.
+func restartLeaderWithoutStandby(c *cluster) {
+	c.makeLeader(0)
+	c.restartNodes(0)
+}
+
+// handOverToNodesWithoutStandby hands over to nodes that keep no view.
+func handOverToNodesWithoutStandby(c *cluster) {
+	c.makeLeader(0)
+	c.handover()
+}
+
+// handOverUnderPartition hands over while the leader is partitioned from all other nodes.
+func handOverUnderPartition(c *cluster) {
+	c.partitionPeer(c.leader())
+	c.handover()
+	time.Sleep(5 * time.Second)
+	c.healPeers()
+}
