--- /dev/null
+++ b/tests/cluster/five_node_faults_test.go
@@ -0,0 +1,143 @@
+package cluster
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/wire"
+)
+
+var fiveNodeFaultCases = []singleFaultCase{
+	{"four of five nodes crash", crashFourOfFiveNodes},
+	{"nodes restart at once, also during elections", restartNodesDuringElections},
+	{"nodes restart at once, with duplicates of their requests delayed", restartNodesWithDelayedDuplicates},
+	{"delayed duplicates of heartbeats", duplicateHeartbeats},
+	{"delayed duplicates of heartbeats reach the next leader", duplicateHeartbeatsToNextLeader},
+	{"a machine's heartbeats are dropped during a failover", failOverWithSilentMachine},
+	{"responses and commands to a machine are dropped", dropAllToMachine},
+}
+
+// TestFiveNodeFaults runs clusters of five nodes through faults of larger deployments: several
+// nodes at once, interrupted elections, duplicates of messages that arrive well over a lease
+// duration late.
+func TestFiveNodeFaults(t *testing.T) {
+	for _, tc := range fiveNodeFaultCases {
+		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 5, tc.inject) })
+	}
+}
+
+// crashFourOfFiveNodes kills the leader and three followers: the one that is left must lead.
+func crashFourOfFiveNodes(c *cluster) {
+	leader := c.leader()
+	time.Sleep(2 * time.Second)
+	for k := range 4 {
+		c.kill((leader + k) % 5)
+	}
+	time.Sleep(12 * time.Second)
+	for k := range 4 {
+		c.start((leader + k) % 5)
+	}
+}
+
+// restartNodesDuringElections restarts the leader and a follower, and two other followers during
+// the election, six times. A restarted node must still abstain as in its earlier incarnation, whose
+// session goes on.
+func restartNodesDuringElections(c *cluster) {
+	time.Sleep(2 * time.Second)
+	for range 6 {
+		leader := c.leader()
+		c.restartNodes(leader, (leader+1)%5)
+		time.Sleep(700 * time.Millisecond)
+		c.restartNodes((leader+2)%5, (leader+3)%5)
+		time.Sleep(time.Second)
+	}
+}
+
+// restartNodesWithDelayedDuplicates restarts the leader and a follower four times, with a late
+// duplicate of every second of the nodes' transactions and POST requests to workers and the cloud.
+// Those of earlier incarnations arrive, too.
+func restartNodesWithDelayedDuplicates(c *cluster) {
+	c.setFault(everyNth(2, fake.DuplicatedRequest, func(r *http.Request) bool {
+		return isTxn(r) || r.Host != "state" && r.Method == http.MethodPost
+	}))
+	time.Sleep(2 * time.Second)
+	for range 4 {
+		leader := c.leader()
+		c.restartNodes(leader, (leader+1)%5)
+		time.Sleep(1500 * time.Millisecond)
+	}
+	time.Sleep(20 * time.Second)
+}
+
+// duplicateHeartbeats has a late duplicate of every second heartbeat.
+func duplicateHeartbeats(c *cluster) {
+	c.setFault(everyNthMessage(2, fake.DuplicatedRequest, isHeartbeat))
+	time.Sleep(30 * time.Second)
+}
+
+// duplicateHeartbeatsToNextLeader has a late duplicate of every heartbeat, and crashes the leader:
+// the next one gets duplicates of heartbeats that it has never had.
+func duplicateHeartbeatsToNextLeader(c *cluster) {
+	c.setFault(everyNthMessage(1, fake.DuplicatedRequest, isHeartbeat))
+	time.Sleep(6 * time.Second)
+	leader := c.leader()
+	c.kill(leader)
+	time.Sleep(15 * time.Second)
+	c.start(leader)
+}
+
+// failOverWithSilentMachine crashes the leader while nothing that one machine sends arrives, and the
+// cloud answers nobody. Its tasks must not start elsewhere while nobody knows whether they run.
+func failOverWithSilentMachine(c *cluster) {
+	c.cloud.RuntimeOf = func(string) float64 { return 25 }
+	job := testJob("j-000004", 9)
+	job["expect_s"] = 90.0 // for a fleet with room
+	c.request(http.MethodPost, 0, "/v1/jobs", job)
+	for i := 0; i < 80 && c.cloud.Starts() < 19; i++ {
+		time.Sleep(500 * time.Millisecond)
+	}
+	workers := c.cloud.Workers()
+	if len(workers) < 4 {
+		c.t.Fatalf("%d machines", len(workers))
+	}
+	silentID := workers[0].ID
+	c.setFault(func(from string, r *http.Request) fake.Fault {
+		if from == silentID || r.URL.Host == "cloud" {
+			return fake.DroppedRequest
+		}
+		return fake.NoFault
+	})
+	leader := c.leader()
+	c.kill(leader)
+	time.Sleep(7 * time.Second)
+	c.setFault(nil)
+	time.Sleep(10 * time.Second)
+	c.start(leader)
+}
+
+// dropAllToMachine drops all responses and commands to one machine. Its heartbeats make it look
+// healthy; its lease expires all the same, and its tasks must run on other machines while the fault
+// lasts.
+func dropAllToMachine(c *cluster) {
+	time.Sleep(3 * time.Second)
+	isolated := ""
+	if workers := c.cloud.Workers(); len(workers) > 0 {
+		isolated = workers[0].ID
+	}
+	c.setFault(func(from string, r *http.Request) fake.Fault {
+		switch {
+		case from == isolated && isHeartbeat(r):
+			return fake.DroppedResponse
+		case strings.HasPrefix(r.URL.Host, isolated+":"):
+			return fake.DroppedRequest
+		}
+		return fake.NoFault
+	})
+	for i := 1; i <= 2; i++ { // on other machines while it lasts
+		c.awaitStatus(fmt.Sprintf("j-%06d", i), wire.JobDone, 90*time.Second)
+	}
+}
