--- a/tests/cluster/membership_test.go
+++ b/tests/cluster/membership_test.go
@@ -11,6 +11,7 @@
 	"caperlatch/internal/membership"
 	"caperlatch/internal/settings"
 	"caperlatch/internal/sim/fake"
+	"caperlatch/internal/wire"
 )
 
 // Bounds of the detection of failures.
@@ -95,123 +96,163 @@
 	})
 }
 
+// membershipCase is a fault of nodes, or of paths between them; run checks what the others find.
+type membershipCase struct {
+	name string
+	run  func(c *memberCluster)
+}
+
+var membershipCases = []membershipCase{
+	{"a follower crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.follower()) }},
+	{"the leader crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.leader()) }},
+	{"the leader restarts at once, again and again", (*memberCluster).restartLeaders},
+	{"the leader is partitioned from all nodes, its session lives", (*memberCluster).partitionLeader},
+	{"a node is partitioned from all nodes and the state service", (*memberCluster).isolateNode},
+	{"two nodes are partitioned from each other", (*memberCluster).partitionTwoNodes},
+	{"the state service is unavailable to one node", (*memberCluster).refuseStateToFollower},
+	{"a node crashes while the state service is unavailable", (*memberCluster).crashWithoutState},
+	{"a node leaves", (*memberCluster).leaveAndReturn},
+	{"a node without membership crashes and comes back", (*memberCluster).crashNodeWithoutMembership},
+	{"all paths have high latency with jitter", (*memberCluster).slowAllPaths},
+}
+
 // TestMembership has nodes fail, be partitioned, leave and come back while jobs run, under the
 // checker of the rules.
 func TestMembership(t *testing.T) {
-	cases := []struct {
-		name string
-		run  func(*memberCluster)
-	}{
-		{"a follower crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.follower()) }},
-		{"the leader crashes and comes back", func(c *memberCluster) { c.crashAndRecover(c.leader()) }},
-		{"the leader restarts at once, again and again", func(c *memberCluster) {
-			for range 5 {
-				leader := c.leader()
-				c.kill(leader)
-				time.Sleep(300 * time.Millisecond)
-				c.start(leader)
-				c.checkNoFailures(4 * time.Second)
-			}
-		}},
-		{"the leader is partitioned from all nodes, its session lives", func(c *memberCluster) {
-			leader := c.leader()
-			c.partitionPeer(leader)
-			c.awaitState(detectionTimeout, leader, membership.Suspected)
-			c.checkStateStays(leader, membership.Suspected)
-			if c.leader() != leader {
-				c.t.Error("another node leads")
-			}
-			c.healPeers()
-			c.awaitState(recoveryTimeout, leader, membership.Alive)
-		}},
-		{"a node is partitioned from all nodes and the state service", func(c *memberCluster) {
-			isolated := c.follower()
-			c.partitionPeer(isolated)
-			c.refuseState(isolated)
-			c.awaitState(detectionTimeout, isolated, membership.Failed)
-			c.checkStateStays(isolated, membership.Failed)
-			if status, err := c.nodes[isolated].MembershipStatus(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
-				c.t.Errorf("the isolated node finds others failed: %v, %+v", err, status)
-			}
-			c.setFault(nil)
-			c.healPeers()
-			for i := range c.size {
-				c.awaitState(recoveryTimeout, i, membership.Alive)
-			}
-		}},
-		{"two nodes are partitioned from each other", func(c *memberCluster) {
-			c.pipes.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
-			c.checkNoFailures(time.Minute)
-		}},
-		{"the state service is unavailable to one node", func(c *memberCluster) {
-			c.refuseState(c.follower())
-			c.checkNoFailures(time.Minute)
-		}},
-		{"a node crashes while the state service is unavailable", func(c *memberCluster) {
-			down := c.follower()
-			c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
-			c.checkNoFailures(20 * time.Second)
-			c.kill(down)
-			c.awaitState(detectionTimeout, down, membership.Failed)
-			c.setFault(nil)
-			c.start(down)
-			c.awaitState(recoveryTimeout, down, membership.Alive)
-		}},
-		{"a node leaves", func(c *memberCluster) {
-			leaves := c.follower()
-			c.nodes[leaves].Leave()
-			c.kill(leaves)
-			c.awaitState(time.Second, leaves, membership.Left)
-			c.checkStateStays(leaves, membership.Left)
-			c.start(leaves)
-			c.awaitState(recoveryTimeout, leaves, membership.Alive)
-		}},
-		{"a node without membership crashes and comes back", func(c *memberCluster) {
-			without := c.follower()
-			c.without = map[int]bool{without: true}
-			c.restartNodes(without)
-			c.awaitState(recoveryTimeout, without, membership.Alive)
-			c.checkStateStays(without, membership.Alive)
-			c.crashAndRecover(without)
-		}},
-		{"all paths have high latency with jitter", func(c *memberCluster) {
-			random := rand.New(rand.NewPCG(uint64(c.size), 32))
-			c.pipes.SetLatency(func(string, string) time.Duration {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				return time.Duration(random.Int64N(int64(maxPathLatency)))
-			})
-			c.pipes.SetPartition(func(string, string) bool { return true }) // so that all streams are opened anew
-			c.healPeers()
-			c.checkNoFailures(10 * time.Minute)
-			slow := 0
-			for range 60 { // single messages may be fast
-				status, err := c.nodes[0].MembershipStatus()
-				if err == nil && status.Slow {
-					slow++
-				}
-				time.Sleep(time.Second)
-			}
-			if slow == 0 {
-				c.t.Error("the paths are not slow")
-			}
-		}},
-	}
 	for _, size := range []int{3, 5} {
-		for _, tc := range cases {
+		for _, tc := range membershipCases {
 			t.Run(fmt.Sprintf("%s, %d nodes", tc.name, size), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					config := membership.DefaultConfig()
-					c := &memberCluster{newFeaturesCluster(t, size, func(*settings.Settings) {}, settings.Features{Membership: &config})}
+					c := &memberCluster{newFeaturesCluster(t, size, noTuning, settings.Features{Membership: &config})}
 					defer c.close()
 					time.Sleep(3 * time.Second)
 					c.submit("j-000001", 20)
 					tc.run(c)
-					c.awaitStatus("j-000001", "done", 2*time.Minute)
+					c.awaitStatus("j-000001", wire.JobDone, 2*time.Minute)
 					c.checkRules()
 				})
 			})
 		}
 	}
 }
+
+// restartLeaders restarts five leaders within the time that a suspicion takes: none may be found
+// failed.
+func (c *memberCluster) restartLeaders() {
+	for range 5 {
+		leader := c.leader()
+		c.kill(leader)
+		time.Sleep(300 * time.Millisecond)
+		c.start(leader)
+		c.checkNoFailures(4 * time.Second)
+	}
+}
+
+// partitionLeader cuts the leader off from all nodes. As its session with the state service lives,
+// it must be suspected, never found failed, and go on leading.
+func (c *memberCluster) partitionLeader() {
+	leader := c.leader()
+	c.partitionPeer(leader)
+	c.awaitState(detectionTimeout, leader, membership.Suspected)
+	c.checkStateStays(leader, membership.Suspected)
+	if c.leader() != leader {
+		c.t.Error("another node leads")
+	}
+	c.healPeers()
+	c.awaitState(recoveryTimeout, leader, membership.Alive)
+}
+
+// isolateNode cuts a follower off from all nodes and the state service. The others must find it
+// failed; it must know that it is isolated, and find nobody failed.
+func (c *memberCluster) isolateNode() {
+	isolated := c.follower()
+	c.partitionPeer(isolated)
+	c.refuseState(isolated)
+	c.awaitState(detectionTimeout, isolated, membership.Failed)
+	c.checkStateStays(isolated, membership.Failed)
+	if status, err := c.nodes[isolated].MembershipStatus(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
+		c.t.Errorf("the isolated node finds others failed: %v, %+v", err, status)
+	}
+	c.setFault(nil)
+	c.healPeers()
+	for i := range c.size {
+		c.awaitState(recoveryTimeout, i, membership.Alive)
+	}
+}
+
+// partitionTwoNodes cuts the path between two nodes, in both directions. As the others still have
+// heartbeats of both, none may be found failed.
+func (c *memberCluster) partitionTwoNodes() {
+	c.pipes.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
+	c.checkNoFailures(time.Minute)
+}
+
+// refuseStateToFollower drops the requests of a follower to the state service. Its heartbeats to the
+// other nodes arrive, so it may not be found failed.
+func (c *memberCluster) refuseStateToFollower() {
+	c.refuseState(c.follower())
+	c.checkNoFailures(time.Minute)
+}
+
+// crashWithoutState makes the state service unavailable to all, and then kills a follower: it alone
+// must be found failed, without an answer of the state service.
+func (c *memberCluster) crashWithoutState() {
+	crashed := c.follower()
+	c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
+	c.checkNoFailures(20 * time.Second)
+	c.kill(crashed)
+	c.awaitState(detectionTimeout, crashed, membership.Failed)
+	c.setFault(nil)
+	c.start(crashed)
+	c.awaitState(recoveryTimeout, crashed, membership.Alive)
+}
+
+// leaveAndReturn has a follower announce that it leaves: within a second the others must find that it
+// left, and never that it failed, until it comes back.
+func (c *memberCluster) leaveAndReturn() {
+	leaving := c.follower()
+	c.nodes[leaving].Leave()
+	c.kill(leaving)
+	c.awaitState(time.Second, leaving, membership.Left)
+	c.checkStateStays(leaving, membership.Left)
+	c.start(leaving)
+	c.awaitState(recoveryTimeout, leaving, membership.Alive)
+}
+
+// crashNodeWithoutMembership restarts a follower as an earlier version, which has no membership: the
+// others must find it alive, and failed only while it is down.
+func (c *memberCluster) crashNodeWithoutMembership() {
+	without := c.follower()
+	c.without = map[int]bool{without: true}
+	c.restartNodes(without)
+	c.awaitState(recoveryTimeout, without, membership.Alive)
+	c.checkStateStays(without, membership.Alive)
+	c.crashAndRecover(without)
+}
+
+// slowAllPaths gives each message between nodes a random latency up to maxPathLatency. For ten
+// minutes none may be found failed, and a node must notice that the paths are slow.
+func (c *memberCluster) slowAllPaths() {
+	random := rand.New(rand.NewPCG(uint64(c.size), 32))
+	c.pipes.SetLatency(func(string, string) time.Duration {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return time.Duration(random.Int64N(int64(maxPathLatency)))
+	})
+	c.pipes.SetPartition(func(string, string) bool { return true }) // so that all streams are opened anew
+	c.healPeers()
+	c.checkNoFailures(10 * time.Minute)
+	slow := 0
+	for range 60 { // single messages may be fast
+		status, err := c.nodes[0].MembershipStatus()
+		if err == nil && status.Slow {
+			slow++
+		}
+		time.Sleep(time.Second)
+	}
+	if slow == 0 {
+		c.t.Error("the paths are not slow")
+	}
+}
