--- a/tests/cluster/combined_faults_test.go
+++ b/tests/cluster/combined_faults_test.go
@@ -86,12 +86,10 @@
 // delayWritesAcrossFailovers delays two thirds of the writes of a kind while the leader restarts
 // twice. Each write compares the revision that it was decided on, so none may undo a newer one.
 func delayWritesAcrossFailovers(c *cluster, cancel func(), write delayedWrite) {
-	count := 0
+	var noted counter // written beside the test's goroutine
 	c.setFault(func(_ string, r *http.Request) fake.Fault {
-		if write.matches(r) {
-			if count++; count%3 != 0 {
-				return fake.DelayedRequest
-			}
+		if write.matches(r) && noted.add("write")%3 != 0 {
+			return fake.DelayedRequest
 		}
 		return fake.NoFault
 	})
@@ -101,7 +99,7 @@
 	time.Sleep(15 * time.Second)
 	c.restartNodes(c.leader())
 	time.Sleep(15 * time.Second)
-	if count < 3 {
+	if count := noted.count("write"); count < 3 {
 		c.t.Errorf("only %d such writes occurred", count)
 	}
 }
