--- /dev/null
+++ b/tests/cluster/cluster_jobs_test.go
@@ -0,0 +1,153 @@
+package cluster
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"caperlatch/internal/sim/harness"
+	"caperlatch/internal/wire"
+)
+
+// users returns the users of the cluster.
+func (c *cluster) users() *harness.Users {
+	return &harness.Users{Client: c.user, Rules: c.rules, Nodes: c.size}
+}
+
+// request sends a user's request to a node, with the checker of the rules watching. The code is 0
+// if there was no response.
+func (c *cluster) request(method string, node int, path string, body any) (int, wire.JobStatus) {
+	return c.users().Request(method, node, path, body)
+}
+
+// testJob returns the submission of a job of small tasks, with the protocol's names.
+func testJob(id string, tasks int) map[string]any {
+	return map[string]any{
+		"id":           id,
+		"lane":         "l",
+		"desk":         "blue",
+		"shape":        wire.KindArray,
+		"rank":         "normal",
+		"pieces":       tasks,
+		"vcpus":        1.0,
+		"cards":        0.0,
+		"memory_gb":    1.0,
+		"bundle":       "img",
+		"pull_gb":      1.0,
+		"builds":       nil,
+		"hall":         nil,
+		"together":     false,
+		"scatter":      false,
+		"standby":      true,
+		"expect_s":     5.0,
+		"save_every_s": 0.0,
+		"store_s":      0.0,
+	}
+}
+
+// accept submits a job to a node and reports whether it is accepted now or was before.
+func (c *cluster) accept(node int, job map[string]any) bool { return c.users().Submit(node, job) }
+
+// submit submits a job of small tasks, each time to the next node, until it is accepted.
+func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
+
+// submitJob submits any job, each time to the next node, until it is accepted.
+func (c *cluster) submitJob(job map[string]any) {
+	c.t.Helper()
+	if !c.submitWithRetries(0, time.Second, job) {
+		c.t.Fatalf("%s was not accepted", job["id"])
+	}
+}
+
+// submitWithRetries repeats a submission, each time to the next node, and reports whether it was
+// accepted.
+func (c *cluster) submitWithRetries(first int, pause time.Duration, job map[string]any) bool {
+	return c.users().SubmitWithRetries(first, pause, job)
+}
+
+// awaitStatus polls, each time at the next node, until a job has a status.
+func (c *cluster) awaitStatus(id, status string, within time.Duration) {
+	c.t.Helper()
+	c.must(c.users().AwaitStatus(id, status, within))
+}
+
+// checkAnswers checks that every node that is ready answers queries of every job. A job none of
+// whose queries is answered for 30 s counts as forgotten.
+func (c *cluster) checkAnswers(ids []string) {
+	c.t.Helper()
+	for i := range c.size {
+		if code, _ := c.request(http.MethodGet, i, "/ready", nil); code != http.StatusOK {
+			continue
+		}
+		for _, id := range ids {
+			for startedAt, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
+				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(startedAt) > 30*time.Second {
+					c.t.Errorf("node %d does not answer queries of %s (%d)", i, id, code)
+					break
+				}
+			}
+		}
+	}
+}
+
+// runJob submits a job of long tasks, and waits until all of them run.
+func (c *cluster) runJob(job map[string]any) {
+	c.t.Helper()
+	c.submitWithRetries(0, 500*time.Millisecond, job)
+	for range 120 {
+		if c.runningTasks(job["id"].(string)) == job["pieces"] {
+			return
+		}
+		time.Sleep(250 * time.Millisecond)
+	}
+	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.TasksOnMachines())
+}
+
+// tasksOn lists the tasks with a prefix that are on machines.
+func (c *cluster) tasksOn(prefix string) []string {
+	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
+}
+
+// runningTasks counts the tasks of a job that are on machines.
+func (c *cluster) runningTasks(id string) int { return len(c.tasksOn(id + "/")) }
+
+// cancelJob repeats a cancellation until it is confirmed.
+func (c *cluster) cancelJob(id string, first int) {
+	c.t.Helper()
+	for try := range 200 {
+		code, _ := c.request(http.MethodPost, (first+try)%c.size, "/v1/jobs/"+id+"/abort", nil)
+		if code == http.StatusOK {
+			return
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	c.t.Fatalf("%s could not be cancelled", id)
+}
+
+// queryAllNodes queries all nodes about a job again and again within milliseconds, and repeats its
+// submission and, if it is to be cancelled, its cancellation.
+func (c *cluster) queryAllNodes(job map[string]any, cancel bool, within time.Duration, seen *counter) {
+	id := job["id"].(string)
+	var wg sync.WaitGroup
+	for startedAt, n := time.Now(), 0; time.Since(startedAt) < within; n++ {
+		for node := range c.size {
+			wg.Go(func() {
+				code := 0
+				switch {
+				case n%4 == 3:
+					code, _ = c.request(http.MethodPost, node, "/v1/jobs", job)
+				case n%4 == 1 && cancel:
+					code, _ = c.request(http.MethodPost, node, "/v1/jobs/"+id+"/abort", nil)
+				default:
+					code, _ = c.request(http.MethodGet, node, "/v1/jobs/"+id, nil)
+				}
+				seen.add(fmt.Sprintf("node %d: %d", node, code))
+			})
+		}
+		time.Sleep(7 * time.Millisecond)
+	}
+	wg.Wait()
+}
--- a/tests/cluster/cluster_test.go
+++ b/tests/cluster/cluster_test.go
@@ -9,7 +9,6 @@
 	"strings"
 	"sync"
 	"testing"
-	"time"
 
 	"caperlatch"
 	"caperlatch/internal/replica"
@@ -146,12 +145,6 @@
 // kill ends a node as a crash would: nothing that it sends arrives any more.
 func (c *cluster) kill(i int) { c.Kill(i) }
 
-// setFault has f choose the faults of messages from now on; nil: no faults.
-func (c *cluster) setFault(f func(from string, r *http.Request) fake.Fault) { c.SetFault(f) }
-
-// faultCount counts the faults so far, with restarts of nodes.
-func (c *cluster) faultCount() int { return c.FaultCount() }
-
 // close ends all nodes and fakes and waits until nothing of them runs.
 func (c *cluster) close() { c.Close() }
 
@@ -201,68 +194,6 @@
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// users returns the users of the cluster.
-func (c *cluster) users() *harness.Users {
-	return &harness.Users{Client: c.user, Rules: c.rules, Nodes: c.size}
-}
-
-// request sends a user's request to a node, with the checker of the rules watching. The code is 0
-// if there was no response.
-func (c *cluster) request(method string, node int, path string, body any) (int, wire.JobStatus) {
-	return c.users().Request(method, node, path, body)
-}
-
-// testJob returns the submission of a job of small tasks, with the protocol's names.
-func testJob(id string, tasks int) map[string]any {
-	return map[string]any{
-		"id":           id,
-		"lane":         "l",
-		"desk":         "blue",
-		"shape":        wire.KindArray,
-		"rank":         "normal",
-		"pieces":       tasks,
-		"vcpus":        1.0,
-		"cards":        0.0,
-		"memory_gb":    1.0,
-		"bundle":       "img",
-		"pull_gb":      1.0,
-		"builds":       nil,
-		"hall":         nil,
-		"together":     false,
-		"scatter":      false,
-		"standby":      true,
-		"expect_s":     5.0,
-		"save_every_s": 0.0,
-		"store_s":      0.0,
-	}
-}
-
-// accept submits a job to a node and reports whether it is accepted now or was before.
-func (c *cluster) accept(node int, job map[string]any) bool { return c.users().Submit(node, job) }
-
-// submit submits a job of small tasks, each time to the next node, until it is accepted.
-func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
-
-// submitJob submits any job, each time to the next node, until it is accepted.
-func (c *cluster) submitJob(job map[string]any) {
-	c.t.Helper()
-	if !c.submitWithRetries(0, time.Second, job) {
-		c.t.Fatalf("%s was not accepted", job["id"])
-	}
-}
-
-// submitWithRetries repeats a submission, each time to the next node, and reports whether it was
-// accepted.
-func (c *cluster) submitWithRetries(first int, pause time.Duration, job map[string]any) bool {
-	return c.users().SubmitWithRetries(first, pause, job)
-}
-
-// awaitStatus polls, each time at the next node, until a job has a status.
-func (c *cluster) awaitStatus(id, status string, within time.Duration) {
-	c.t.Helper()
-	c.must(c.users().AwaitStatus(id, status, within))
-}
-
 // must ends the test if there is an error.
 func (c *cluster) must(err error) {
 	c.t.Helper()
@@ -271,81 +202,9 @@
 	}
 }
 
-// isStateRequest reports whether a request goes to the state service.
-func isStateRequest(r *http.Request) bool { return r.URL.Host == "state" }
-
-// everyNth gives every nth request of the nodes that matches a fault.
-func everyNth(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
-	count := 0
-	return func(from string, r *http.Request) fake.Fault {
-		if strings.HasPrefix(from, "host") && match(r) {
-			if count++; count%n == 0 {
-				return fault
-			}
-		}
-		return fake.NoFault
-	}
-}
-
-// checkAnswers checks that every node that is ready answers queries of every job. A job none of
-// whose queries is answered for 30 s counts as forgotten.
-func (c *cluster) checkAnswers(ids []string) {
-	c.t.Helper()
-	for i := range c.size {
-		if code, _ := c.request(http.MethodGet, i, "/ready", nil); code != http.StatusOK {
-			continue
-		}
-		for _, id := range ids {
-			for startedAt, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
-				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(startedAt) > 30*time.Second {
-					c.t.Errorf("node %d does not answer queries of %s (%d)", i, id, code)
-					break
-				}
-			}
-		}
-	}
-}
-
 // restartNodes kills nodes and starts them within a fraction of a second.
 func (c *cluster) restartNodes(nodes ...int) { c.Restart(nodes...) }
 
-// partitionPeer cuts a node off from the other nodes.
-func (c *cluster) partitionPeer(node int) {
-	host := memberName(node)
-	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
-}
-
-// healPeers ends the partitions between nodes.
-func (c *cluster) healPeers() { c.pipes.SetPartition(func(string, string) bool { return false }) }
-
-// isFromNode reports whether a sender is a node, in any of its incarnations.
-func isFromNode(from string, node int) bool {
-	return strings.HasPrefix(from, fmt.Sprintf("host-%d/", node))
-}
-
-// counter counts events by name, so that a test can show that its faults occurred. It is safe for
-// concurrent use.
-type counter struct {
-	mu     sync.Mutex
-	counts map[string]int
-}
-
-func (c *counter) add(name string) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.counts == nil {
-		c.counts = map[string]int{}
-	}
-	c.counts[name]++
-	return c.counts[name]
-}
-
-func (c *counter) count(name string) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.counts[name]
-}
-
 // checkRules fails the test for each violation of the rules.
 func (c *cluster) checkRules() {
 	c.t.Helper()
@@ -354,83 +213,8 @@
 	}
 }
 
-// machineOf returns the machine that a sender or host is, empty if it is none.
-func machineOf(name string) string {
-	id, _, _ := strings.Cut(name, ":")
-	if strings.HasPrefix(id, "i-") {
-		return id
-	}
-	return ""
-}
-
 // awaitLeaderAfter waits until a node leads in a later term than the one with this fencing token.
 func (c *cluster) awaitLeaderAfter(token uint64) {
 	c.t.Helper()
 	c.must(harness.Leadership{State: c.state}.AwaitLeaderAfter(token))
 }
-
-// runJob submits a job of long tasks, and waits until all of them run.
-func (c *cluster) runJob(job map[string]any) {
-	c.t.Helper()
-	c.submitWithRetries(0, 500*time.Millisecond, job)
-	for range 120 {
-		if c.runningTasks(job["id"].(string)) == job["pieces"] {
-			return
-		}
-		time.Sleep(250 * time.Millisecond)
-	}
-	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.TasksOnMachines())
-}
-
-// runInNextIncarnation drops the machines' messages for some time, in which their leases expire,
-// and then has a job run again on the machines' next incarnations. Other messages have the given
-// fault.
-func (c *cluster) runInNextIncarnation(job map[string]any, dropFor time.Duration, fault func(string, *http.Request) fake.Fault) {
-	c.t.Helper()
-	c.setFault(func(from string, r *http.Request) fake.Fault {
-		if machineOf(from) != "" {
-			return fake.DroppedRequest
-		}
-		return fault(from, r)
-	})
-	time.Sleep(dropFor)
-	c.setFault(fault)
-	c.runJob(job)
-	time.Sleep(2 * time.Second)
-}
-
-// tasksOn lists the tasks with a prefix that are on machines.
-func (c *cluster) tasksOn(prefix string) []string {
-	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
-}
-
-// runningTasks counts the tasks of a job that are on machines.
-func (c *cluster) runningTasks(id string) int { return len(c.tasksOn(id + "/")) }
-
-// cancelJob repeats a cancellation until it is confirmed.
-func (c *cluster) cancelJob(id string, first int) {
-	c.t.Helper()
-	for try := range 200 {
-		code, _ := c.request(http.MethodPost, (first+try)%c.size, "/v1/jobs/"+id+"/abort", nil)
-		if code == http.StatusOK {
-			return
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-	c.t.Fatalf("%s could not be cancelled", id)
-}
-
-// isolateMachines drops all messages between these machines and the nodes. The cloud terminates
-// nothing meanwhile, as its response would prove that the machines are gone.
-func isolateMachines(ids map[string]bool, dropped *counter) func(string, *http.Request) fake.Fault {
-	return func(from string, r *http.Request) fake.Fault {
-		if ids[machineOf(from)] || ids[machineOf(r.URL.Host)] {
-			dropped.add("dropped")
-			return fake.DroppedRequest
-		}
-		if r.URL.Path == "/hosts/return" {
-			return fake.ServiceUnavailable
-		}
-		return fake.NoFault
-	}
-}
--- a/tests/cluster/failover_guards_test.go
+++ b/tests/cluster/failover_guards_test.go
@@ -49,15 +49,6 @@
 	return n
 }
 
-// isolateMachinesOf returns the fault that isolates the machines with tasks of a job.
-func (c *cluster) isolateMachinesOf(job string, dropped *counter) func(string, *http.Request) fake.Fault {
-	ids := map[string]bool{}
-	for _, w := range c.cloud.Workers() {
-		ids[w.ID] = ids[w.ID] || slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, job+"/") })
-	}
-	return isolateMachines(ids, dropped)
-}
-
 // TestMachineListWithoutLaunchIntent has the state service store machine lists, but not the launch
 // intents with the IDs of these machines: their transactions are rejected, dropped or delayed. Then
 // a failover follows. The next leader finds machines that are listed and have no launch intent, and
--- a/tests/cluster/user_requests_test.go
+++ b/tests/cluster/user_requests_test.go
@@ -401,28 +401,3 @@
 		c.checkRules()
 	})
 }
-
-// queryAllNodes queries all nodes about a job again and again within milliseconds, and repeats its
-// submission and, if it is to be cancelled, its cancellation.
-func (c *cluster) queryAllNodes(job map[string]any, cancel bool, within time.Duration, seen *counter) {
-	id := job["id"].(string)
-	var wg sync.WaitGroup
-	for startedAt, n := time.Now(), 0; time.Since(startedAt) < within; n++ {
-		for node := range c.size {
-			wg.Go(func() {
-				code := 0
-				switch {
-				case n%4 == 3:
-					code, _ = c.request(http.MethodPost, node, "/v1/jobs", job)
-				case n%4 == 1 && cancel:
-					code, _ = c.request(http.MethodPost, node, "/v1/jobs/"+id+"/abort", nil)
-				default:
-					code, _ = c.request(http.MethodGet, node, "/v1/jobs/"+id, nil)
-				}
-				seen.add(fmt.Sprintf("node %d: %d", node, code))
-			})
-		}
-		time.Sleep(7 * time.Millisecond)
-	}
-	wg.Wait()
-}
