--- a/tests/cluster/cluster_faults_test.go
+++ b/tests/cluster/cluster_faults_test.go
@@ -70,6 +70,32 @@
 	}
 }
 
+// isCloudRequest reports whether a request goes to the cloud.
+func isCloudRequest(r *http.Request) bool { return r.URL.Host == "cloud" }
+
+// isOpenWatch reports whether a request waits for changes at the state service; other watches are
+// reads, which are answered at once.
+func isOpenWatch(r *http.Request) bool {
+	return r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0")
+}
+
+// refuseCloud is the fault that makes the cloud unavailable.
+func refuseCloud(_ string, r *http.Request) fake.Fault {
+	if isCloudRequest(r) {
+		return fake.ServiceUnavailable
+	}
+	return fake.NoFault
+}
+
+// refuseTerminations is the fault that has the cloud terminate nothing: its response would prove
+// that the machines are gone.
+func refuseTerminations(_ string, r *http.Request) fake.Fault {
+	if r.URL.Path == "/hosts/return" {
+		return fake.ServiceUnavailable
+	}
+	return fake.NoFault
+}
+
 // isolateMachines drops all messages between these machines and the nodes. The cloud terminates
 // nothing meanwhile, as its response would prove that the machines are gone.
 func isolateMachines(ids map[string]bool, dropped *counter) func(string, *http.Request) fake.Fault {
@@ -78,10 +104,7 @@
 			dropped.add("dropped")
 			return fake.DroppedRequest
 		}
-		if r.URL.Path == "/hosts/return" {
-			return fake.ServiceUnavailable
-		}
-		return fake.NoFault
+		return refuseTerminations(from, r)
 	}
 }
 
--- a/tests/cluster/cluster_jobs_test.go
+++ b/tests/cluster/cluster_jobs_test.go
@@ -48,6 +48,21 @@
 	}
 }
 
+// submitTo submits a job to a node, once.
+func (c *cluster) submitTo(node int, job map[string]any) (code int, status wire.JobStatus) {
+	return c.request(http.MethodPost, node, "/v1/jobs", job)
+}
+
+// queryJob queries a node about a job, once.
+func (c *cluster) queryJob(node int, id string) (code int, status wire.JobStatus) {
+	return c.request(http.MethodGet, node, "/v1/jobs/"+id, nil)
+}
+
+// requestCancellation asks a node to cancel a job, once.
+func (c *cluster) requestCancellation(node int, id string) (code int, status wire.JobStatus) {
+	return c.request(http.MethodPost, node, "/v1/jobs/"+id+"/abort", nil)
+}
+
 // accept submits a job to a node and reports whether it is accepted now or was before.
 func (c *cluster) accept(node int, job map[string]any) bool { return c.users().Submit(node, job) }
 
@@ -84,7 +99,7 @@
 		}
 		for _, id := range ids {
 			for startedAt, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
-				if code, _ = c.request(http.MethodGet, i, "/v1/jobs/"+id, nil); time.Since(startedAt) > 30*time.Second {
+				if code, _ = c.queryJob(i, id); time.Since(startedAt) > 30*time.Second {
 					c.t.Errorf("node %d does not answer queries of %s (%d)", i, id, code)
 					break
 				}
@@ -118,8 +133,7 @@
 func (c *cluster) cancelJob(id string, first int) {
 	c.t.Helper()
 	for try := range 200 {
-		code, _ := c.request(http.MethodPost, (first+try)%c.size, "/v1/jobs/"+id+"/abort", nil)
-		if code == http.StatusOK {
+		if code, _ := c.requestCancellation((first+try)%c.size, id); code == http.StatusOK {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -127,8 +141,8 @@
 	c.t.Fatalf("%s could not be cancelled", id)
 }
 
-// queryAllNodes queries all nodes about a job again and again within milliseconds, and repeats its
-// submission and, if it is to be cancelled, its cancellation.
+// queryAllNodes queries all nodes about a job every few milliseconds, and repeats its submission
+// and, if cancel is set, its cancellation, for so long. The nodes' responses are counted in seen.
 func (c *cluster) queryAllNodes(job map[string]any, cancel bool, within time.Duration, seen *counter) {
 	id := job["id"].(string)
 	var wg sync.WaitGroup
@@ -138,11 +152,11 @@
 				code := 0
 				switch {
 				case n%4 == 3:
-					code, _ = c.request(http.MethodPost, node, "/v1/jobs", job)
+					code, _ = c.submitTo(node, job)
 				case n%4 == 1 && cancel:
-					code, _ = c.request(http.MethodPost, node, "/v1/jobs/"+id+"/abort", nil)
+					code, _ = c.requestCancellation(node, id)
 				default:
-					code, _ = c.request(http.MethodGet, node, "/v1/jobs/"+id, nil)
+					code, _ = c.queryJob(node, id)
 				}
 				seen.add(fmt.Sprintf("node %d: %d", node, code))
 			})
