--- a/tests/cluster/cluster_faults_test.go
+++ b/tests/cluster/cluster_faults_test.go
@@ -96,6 +96,15 @@
 	return fake.NoFault
 }
 
+// machinesOf returns the IDs of the machines that have tasks of a job.
+func (c *cluster) machinesOf(job string) map[string]bool {
+	ids := map[string]bool{}
+	for _, w := range c.cloud.WorkersOf(job) {
+		ids[w.ID] = true
+	}
+	return ids
+}
+
 // isolateMachines drops all messages between these machines and the nodes. The cloud terminates
 // nothing meanwhile, as its response would prove that the machines are gone.
 func isolateMachines(ids map[string]bool, dropped *counter) func(string, *http.Request) fake.Fault {
--- a/tests/cluster/cluster_jobs_test.go
+++ b/tests/cluster/cluster_jobs_test.go
@@ -48,6 +48,13 @@
 	}
 }
 
+// longJob returns the submission of a job of small tasks that are expected to take 200 s.
+func longJob(id string, tasks int) map[string]any {
+	job := testJob(id, tasks)
+	job["expect_s"] = 200.0
+	return job
+}
+
 // submitTo submits a job to a node, once.
 func (c *cluster) submitTo(node int, job map[string]any) (code int, status wire.JobStatus) {
 	return c.request(http.MethodPost, node, "/v1/jobs", job)
