--- a/tests/cluster/cluster_jobs_test.go
+++ b/tests/cluster/cluster_jobs_test.go
@@ -55,6 +55,13 @@
 	return job
 }
 
+// jobWithRoomLeft returns the submission of a long job that leaves one CPU of each machine free.
+func jobWithRoomLeft(tasks int) map[string]any {
+	job := longJob("j-000009", tasks)
+	job["vcpus"] = 3.0
+	return job
+}
+
 // submitTo submits a job to a node, once.
 func (c *cluster) submitTo(node int, job map[string]any) (code int, status wire.JobStatus) {
 	return c.request(http.MethodPost, node, "/v1/jobs", job)
@@ -90,6 +97,18 @@
 	return c.users().SubmitWithRetries(first, pause, job)
 }
 
+// submitWithin repeats a submission every 100 ms for so long, each time to the next node, until it
+// is accepted. Whether it was shows in what the test checks later.
+func (c *cluster) submitWithin(within time.Duration, job map[string]any) {
+	const pause = 100 * time.Millisecond
+	for try := range int(within / pause) {
+		if c.accept(try%c.size, job) {
+			return
+		}
+		time.Sleep(pause)
+	}
+}
+
 // awaitStatus polls, each time at the next node, until a job has a status.
 func (c *cluster) awaitStatus(id, status string, within time.Duration) {
 	c.t.Helper()
