--- a/tests/cluster/cluster_test.go
+++ b/tests/cluster/cluster_test.go
@@ -145,6 +145,20 @@
 // kill ends a node as a crash would: nothing that it sends arrives any more.
 func (c *cluster) kill(i int) { c.Kill(i) }
 
+// killAll kills all nodes.
+func (c *cluster) killAll() {
+	for i := range c.size {
+		c.kill(i)
+	}
+}
+
+// startAll starts a new incarnation of each node.
+func (c *cluster) startAll() {
+	for i := range c.size {
+		c.start(i)
+	}
+}
+
 // close ends all nodes and fakes and waits until nothing of them runs.
 func (c *cluster) close() { c.Close() }
 
--- a/tests/cluster/fleet_failover_test.go
+++ b/tests/cluster/fleet_failover_test.go
@@ -99,12 +99,8 @@
 // restartAllNodes restarts all nodes at once: the next leader must call all machines within 2 s.
 func (r *fleetRun) restartAllNodes() {
 	before := r.fencingToken()
-	for i := range r.size {
-		r.kill(i)
-	}
-	for i := range r.size {
-		r.start(i)
-	}
+	r.killAll()
+	r.startAll()
 	if called := r.countCalled(before, 2*time.Second); called != len(r.machines) {
 		r.t.Errorf("all nodes restart at once: %d of %d machines called after 2 s", called, len(r.machines))
 	}
