--- a/tests/cluster/failover_guards_test.go
+++ b/tests/cluster/failover_guards_test.go
@@ -49,39 +49,31 @@
 	return n
 }
 
+// launchIntentFaults are faults of the transactions with the IDs of launched machines.
+var launchIntentFaults = []struct {
+	name  string
+	fault fake.TxnFault
+}{
+	{"rejected", fake.TxnUnavailable},
+	{"dropped", fake.TxnDropped},
+	{"delayed", fake.TxnDelayed},
+}
+
 // TestMachineListWithoutLaunchIntent has the state service store machine lists, but not the launch
 // intents with the IDs of these machines: their transactions are rejected, dropped or delayed. Then
 // a failover follows. The next leader finds machines that are listed and have no launch intent, and
-// takes them for gone: none of them may have got a task (the guard is `stored` in machine.open).
+// takes them for gone: none of them may have got a task (the guard is `InstanceState.IntentStored`).
 func TestMachineListWithoutLaunchIntent(t *testing.T) {
-	faults := []struct {
-		name  string
-		fault fake.TxnFault
-	}{{"rejected", fake.TxnUnavailable}, {"dropped", fake.TxnDropped}, {"delayed", fake.TxnDelayed}}
-	for _, f := range faults {
-		t.Run(f.name, func(t *testing.T) {
+	for _, intent := range launchIntentFaults {
+		t.Run(intent.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 40 }
 				c.submit("j-000009", 4) // fills a machine that stays reachable
 				time.Sleep(3 * time.Second)
-				// A transaction that changes both is too large, and comes again in parts.
-				c.state.SetTxnFault(func(x fake.Transaction) fake.TxnFault {
-					namesMachines := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
-						return strings.HasPrefix(k.Key, replica.LaunchIntentPrefix) && k.ModRevision != 0
-					})
-					switch {
-					case namesMachines && len(x.Keys) > 1:
-						return fake.TxnTooLarge
-					case namesMachines:
-						return f.fault
-					}
-					return fake.TxnCommitted
-				})
-				long := testJob("j-000001", 12)
-				long["expect_s"] = 200.0
-				c.submitJob(long)
+				c.state.SetTxnFault(failNamedMachines(intent.fault))
+				c.submitJob(longJob("j-000001", 12))
 				for i := 0; c.machinesWithoutIntent() == 0 && i < 200; i++ {
 					time.Sleep(50 * time.Millisecond)
 				}
@@ -104,6 +96,23 @@
 	}
 }
 
+// failNamedMachines gives the transactions that add the IDs of machines to a launch intent a fault. A
+// transaction that changes a machine list as well is too large, and comes again in parts.
+func failNamedMachines(fault fake.TxnFault) func(fake.Transaction) fake.TxnFault {
+	return func(x fake.Transaction) fake.TxnFault {
+		namesMachines := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
+			return strings.HasPrefix(k.Key, replica.LaunchIntentPrefix) && k.ModRevision != 0
+		})
+		switch {
+		case namesMachines && len(x.Keys) > 1:
+			return fake.TxnTooLarge
+		case namesMachines:
+			return fault
+		}
+		return fake.TxnCommitted
+	}
+}
+
 // TestStalePagesAtStart has a node start whose pages of all keys are of different times: the launch
 // intents from before the leader launched machines, the leader key from after its session ended. It
 // leads at once, with its watch delayed. Without the read barrier at the failover it does not know
@@ -115,44 +124,17 @@
 		})
 		defer c.close()
 		c.cloud.RuntimeOf = func(string) float64 { return 60 }
-		const between = 45 // keys of jobs, in order between the launch intents and the leader key
-		for n := range between {
-			id := fmt.Sprintf("j-%06d", n+1)
-			c.submit(id, 1)
-			c.cancelJob(id, 0)
-		}
-		filler := testJob("j-800000", 8) // the next job needs other machines
-		filler["expect_s"] = 200.0
-		c.runJob(filler)
+		c.storeKeysBetween()
+		c.runJob(longJob("j-800000", 8)) // the next job needs other machines
 		first := c.leader()
 		next := (first + 1) % 3
 		c.kill(next)
 		c.kill((first + 2) % 3)
 		var pages, watches counter
-		c.setFault(func(from string, r *http.Request) fake.Fault {
-			switch {
-			case isFromNode(from, next) && r.URL.Path == "/store":
-				pages.add("read")
-				return fake.HighLatency
-			case isFromNode(from, next) && r.URL.Path == "/watch":
-				watches.add("dropped")
-				return fake.DroppedRequest
-			}
-			return fake.NoFault
-		})
+		c.setFault(delayPages(next, &pages, &watches))
 		c.start(next)
 		time.Sleep(2 * time.Second) // until the launch intents are read
-		job := testJob("j-900000", 8)
-		job["expect_s"] = 200.0
-		for range 40 {
-			if code, _ := c.request(http.MethodPost, first, "/v1/jobs", job); code == http.StatusCreated {
-				break
-			}
-			time.Sleep(100 * time.Millisecond)
-		}
-		for i := 0; c.runningTasks("j-900000") < 8 && i < 100; i++ {
-			time.Sleep(50 * time.Millisecond)
-		}
+		c.runLastJob(first)
 		ran, read, before := c.runningTasks("j-900000"), pages.count("read"), c.fencingToken()
 		var dropped counter
 		isolated := c.isolateMachinesOf("j-900000", &dropped)
@@ -176,11 +158,113 @@
 	})
 }
 
+// storeKeysBetween stores jobs whose keys are, in order, between the launch intents and the leader
+// key, so that a node reads these two in different pages.
+func (c *cluster) storeKeysBetween() {
+	c.t.Helper()
+	const between = 45
+	for n := range between {
+		id := fmt.Sprintf("j-%06d", n+1)
+		c.submit(id, 1)
+		c.cancelJob(id, 0)
+	}
+}
+
+// delayPages is the fault that has a node read its keys slowly, and drops its watches.
+func delayPages(node int, pages, watches *counter) func(string, *http.Request) fake.Fault {
+	return func(from string, r *http.Request) fake.Fault {
+		switch {
+		case isFromNode(from, node) && r.URL.Path == "/store":
+			pages.add("read")
+			return fake.HighLatency
+		case isFromNode(from, node) && r.URL.Path == "/watch":
+			watches.add("dropped")
+			return fake.DroppedRequest
+		}
+		return fake.NoFault
+	}
+}
+
+// runLastJob submits a job to a node, and waits for some seconds until all of its tasks run.
+func (c *cluster) runLastJob(node int) {
+	c.t.Helper()
+	job := longJob("j-900000", 8)
+	for range 40 {
+		if code, _ := c.submitTo(node, job); code == http.StatusCreated {
+			break
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	for i := 0; c.runningTasks("j-900000") < 8 && i < 100; i++ {
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// oldLeaderRun is a cluster whose first leader loses the state service, while some machines reach
+// only that leader.
+type oldLeaderRun struct {
+	*cluster
+	first int             // the node that leads at first
+	token uint64          // its fencing token
+	ids   map[string]bool // the machines that reach only it
+	noted counter
+}
+
+// newOldLeaderRun has the first leader and its fencing token noted. The IDs are those of the machines
+// that will reach only this leader.
+func newOldLeaderRun(c *cluster, ids map[string]bool) *oldLeaderRun {
+	return &oldLeaderRun{cluster: c, first: c.leader(), token: c.fencingToken(), ids: ids}
+}
+
+// isFirst reports whether a host is the first leader, as users and workers reach it.
+func (r *oldLeaderRun) isFirst(host string) bool { return host == memberName(r.first)+":8080" }
+
+// isMisdirected reports whether a request is from a machine to a node that the machine does not reach.
+// The old leader would learn of the next one's fencing token from the heartbeats of the others.
+func (r *oldLeaderRun) isMisdirected(from string, q *http.Request) bool {
+	machine := machineOf(from)
+	return machine != "" && r.ids[machine] != r.isFirst(q.URL.Host)
+}
+
+// isCallFromOthers reports whether a request is from any but the first leader to a machine that only
+// this leader reaches.
+func (r *oldLeaderRun) isCallFromOthers(from string, q *http.Request) bool {
+	return r.ids[machineOf(q.URL.Host)] && !isFromNode(from, r.first)
+}
+
+// dropWatches drops the open watches of the first leader.
+func (r *oldLeaderRun) dropWatches(from string, q *http.Request) fake.Fault {
+	if isFromNode(from, r.first) && isOpenWatch(q) {
+		return fake.DroppedRequest
+	}
+	return fake.NoFault
+}
+
+// supersede is the fault by which the first leader loses the state service. The other nodes have it
+// only if others is set.
+func (r *oldLeaderRun) supersede(others bool) func(string, *http.Request) fake.Fault {
+	return func(from string, q *http.Request) fake.Fault {
+		switch {
+		case isStateRequest(q) && isFromNode(from, r.first):
+			return fake.DroppedRequest
+		case isStateRequest(q) && !others || q.URL.Path == "/hosts/return":
+			return fake.ServiceUnavailable
+		case r.isMisdirected(from, q):
+			return fake.ServiceUnavailable
+		case r.ids[machineOf(from)] && others && r.fencingToken() > r.token:
+			r.noted.add("heartbeat to the old leader")
+		case r.isCallFromOthers(from, q):
+			return fake.DroppedRequest
+		}
+		return fake.NoFault
+	}
+}
+
 // TestSupersededLeader has a leader lose the state service, and then learn from its peers that
 // another node leads, while half of the machines reach only the old leader. It told the next leader
 // that it knows its fencing token, so the next leader counts the leases of these machines as
 // expired a lease duration later: the old leader must answer none of them from then on
-// (`superseded`), not even until its request to the state service has failed.
+// (`Leader.Supersede`), not even until its request to the state service has failed.
 func TestSupersededLeader(t *testing.T) {
 	for phase := range 8 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
@@ -188,72 +272,73 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 60 }
-				base := testJob("j-000009", 8) // leaves one CPU of each machine free
-				base["vcpus"], base["expect_s"] = 3.0, 200.0
-				c.runJob(base)
-				job := testJob("j-000001", 3)
-				job["expect_s"] = 200.0
-				c.runJob(job)
+				c.runJob(jobWithRoomLeft(8))
+				c.runJob(longJob("j-000001", 3))
 				time.Sleep(2 * time.Second)
-				ids := map[string]bool{}
-				for _, w := range c.cloud.WorkersOf("j-000001") {
-					ids[w.ID] = true
-				}
-				first, before := c.leader(), c.fencingToken()
-				host := memberName(first)
-				var noted counter
-				c.setFault(func(from string, r *http.Request) fake.Fault {
-					if isFromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0") {
-						return fake.DroppedRequest
-					}
-					return fake.NoFault
-				})
+				r := newOldLeaderRun(c, c.machinesOf("j-000001"))
+				r.setFault(r.dropWatches)
 				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
-				fault := func(others bool) func(string, *http.Request) fake.Fault {
-					return func(from string, r *http.Request) fake.Fault {
-						switch {
-						case isStateRequest(r) && isFromNode(from, first):
-							return fake.DroppedRequest
-						case isStateRequest(r) && !others || r.URL.Path == "/hosts/return":
-							return fake.ServiceUnavailable
-						case machineOf(from) != "" && ids[machineOf(from)] != (r.URL.Host == host+":8080"):
-							return fake.ServiceUnavailable // the old leader would learn of the token from their heartbeats
-						case ids[machineOf(from)] && others && c.fencingToken() > before:
-							noted.add("heartbeat to the old leader")
-						case ids[machineOf(r.URL.Host)] && !isFromNode(from, first):
-							return fake.DroppedRequest
-						}
-						return fake.NoFault
-					}
-				}
-				isolateLeader := func() { c.pipes.SetPartition(func(from, to string) bool { return (from == host) != (to == host) }) }
-				isolateLeader()
-				c.setFault(fault(false))
+				r.partitionPeer(r.first)
+				r.setFault(r.supersede(false))
 				time.Sleep(7*time.Second + time.Duration(phase)*210*time.Millisecond)
-				c.healPeers()
-				c.setFault(fault(true))
-				c.awaitLeaderAfter(before)
-				ran := c.runningTasks("j-000001")
+				r.healPeers()
+				r.setFault(r.supersede(true))
+				r.awaitLeaderAfter(r.token)
+				ran := r.runningTasks("j-000001")
 				time.Sleep(600 * time.Millisecond) // until the nodes have exchanged their tokens
-				isolateLeader()
+				r.partitionPeer(r.first)
 				time.Sleep(time.Duration(leaseDurationS+4) * time.Second)
-				c.setFault(nil)
-				c.healPeers()
-				if ran != 3 || noted.count("heartbeat to the old leader") == 0 {
-					t.Errorf("%d tasks ran, noted %v", ran, noted.counts)
+				r.setFault(nil)
+				r.healPeers()
+				if ran != 3 || r.noted.count("heartbeat to the old leader") == 0 {
+					t.Errorf("%d tasks ran, noted %v", ran, r.noted.counts)
 				}
-				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
-				c.checkRules()
+				r.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+				r.checkRules()
 			})
 		})
 	}
 }
 
+// isolateFromWatches is the fault that drops the open watches of the first leader, and keeps the
+// machines that will reach only this leader from reaching the others.
+func (r *oldLeaderRun) isolateFromWatches(from string, q *http.Request) fake.Fault {
+	switch {
+	case isFromNode(from, r.first) && isOpenWatch(q):
+		return fake.DroppedRequest
+	case r.ids[machineOf(from)] && !r.isFirst(q.URL.Host):
+		return fake.ServiceUnavailable
+	}
+	return fake.NoFault
+}
+
+// endSession is the fault by which the first leader loses the state service; if changes is set, it
+// gets the changes all the same.
+func (r *oldLeaderRun) endSession(changes bool) func(string, *http.Request) fake.Fault {
+	return func(from string, q *http.Request) fake.Fault {
+		switch {
+		case isStateRequest(q) && isFromNode(from, r.first) && (!changes || q.URL.Path != "/watch"):
+			return fake.DroppedRequest
+		case isStateRequest(q) && isFromNode(from, r.first):
+			r.noted.add("changes")
+		case q.URL.Path == "/hosts/return":
+			return fake.ServiceUnavailable
+		case r.isMisdirected(from, q):
+			return fake.ServiceUnavailable
+		case changes && r.ids[machineOf(from)]:
+			r.noted.add("heartbeat to the old leader")
+		case r.isCallFromOthers(from, q):
+			return fake.DroppedRequest
+		}
+		return fake.NoFault
+	}
+}
+
 // TestDelayedChangesAfterSessionEnd has a leader whose session has ended learn of a job that was
 // accepted under the next leader, before it notices that its own term is over: changes reach it
 // late, all at once, while it waits for the response to the renewal of its session. The next leader
 // starts new jobs without waiting for anybody; so the old one may start nothing unless its session
-// lasts or all peers promise not to lead (`Term.Sure`).
+// lasts or all peers promise not to lead (`Term.IsExclusive`).
 func TestDelayedChangesAfterSessionEnd(t *testing.T) {
 	for phase := range 6 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
@@ -261,73 +346,45 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 40 }
-				base := testJob("j-000009", 8) // leaves one CPU of each machine free
-				base["vcpus"], base["expect_s"] = 3.0, 200.0
-				c.runJob(base)
+				c.runJob(jobWithRoomLeft(8))
 				time.Sleep(2 * time.Second)
 				ids := map[string]bool{} // machines that reach only the old leader
 				for i, w := range c.cloud.WorkersOf("j-000009") {
 					ids[w.ID] = i%2 == 0
 				}
-				first, before := c.leader(), c.fencingToken()
-				host := memberName(first)
-				var noted counter
-				fault := func(changes bool) func(string, *http.Request) fake.Fault {
-					return func(from string, r *http.Request) fake.Fault {
-						switch {
-						case isStateRequest(r) && isFromNode(from, first) && (!changes || r.URL.Path != "/watch"):
-							return fake.DroppedRequest
-						case isStateRequest(r) && isFromNode(from, first):
-							noted.add("changes")
-						case r.URL.Path == "/hosts/return":
-							return fake.ServiceUnavailable
-						case machineOf(from) != "" && ids[machineOf(from)] != (r.URL.Host == host+":8080"):
-							return fake.ServiceUnavailable
-						case changes && ids[machineOf(from)]:
-							noted.add("heartbeat to the old leader")
-						case ids[machineOf(r.URL.Host)] && !isFromNode(from, first):
-							return fake.DroppedRequest
-						}
-						return fake.NoFault
-					}
-				}
-				c.pipes.SetPartition(func(from, to string) bool { return (from == host) != (to == host) })
-				c.setFault(func(from string, r *http.Request) fake.Fault {
-					switch {
-					case isFromNode(from, first) && r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0"):
-						return fake.DroppedRequest
-					case ids[machineOf(from)] && r.URL.Host != host+":8080":
-						return fake.ServiceUnavailable
-					}
-					return fake.NoFault
-				})
+				r := newOldLeaderRun(c, ids)
+				r.partitionPeer(r.first)
+				r.setFault(r.isolateFromWatches)
 				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
-				c.setFault(fault(false))
-				c.awaitLeaderAfter(before)
+				r.setFault(r.endSession(false))
+				r.awaitLeaderAfter(r.token)
 				time.Sleep(500 * time.Millisecond) // a job that it finds at its failover does not count as new
-				job := testJob("j-000001", 4)
-				job["expect_s"] = 200.0
-				for try := range 20 {
-					if code, _ := c.request(http.MethodPost, (first+1+try%2)%3, "/v1/jobs", job); code == http.StatusCreated || code == http.StatusOK {
-						break
-					}
-					time.Sleep(100 * time.Millisecond)
-				}
+				r.submitToOthers(longJob("j-000001", 4))
 				time.Sleep(time.Duration(phase) * 270 * time.Millisecond)
-				c.setFault(fault(true))
+				r.setFault(r.endSession(true))
 				time.Sleep(4 * time.Second)
-				for i := 0; c.runningTasks("j-000001") == 0 && i < 100; i++ {
+				for i := 0; r.runningTasks("j-000001") == 0 && i < 100; i++ {
 					time.Sleep(50 * time.Millisecond) // the machines try the next leader first
 				}
-				ran := c.runningTasks("j-000001")
-				if ran == 0 || noted.count("changes") == 0 || noted.count("heartbeat to the old leader") == 0 {
-					t.Errorf("%d tasks of the new job ran, noted %v", ran, noted.counts)
+				ran := r.runningTasks("j-000001")
+				if ran == 0 || r.noted.count("changes") == 0 || r.noted.count("heartbeat to the old leader") == 0 {
+					t.Errorf("%d tasks of the new job ran, noted %v", ran, r.noted.counts)
 				}
-				c.setFault(nil)
-				c.healPeers()
-				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
-				c.checkRules()
+				r.setFault(nil)
+				r.healPeers()
+				r.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
+				r.checkRules()
 			})
 		})
 	}
 }
+
+// submitToOthers submits a job to the nodes other than the first leader, in turn.
+func (r *oldLeaderRun) submitToOthers(job map[string]any) {
+	for try := range 20 {
+		if r.accept((r.first+1+try%2)%3, job) {
+			break
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
