--- a/tests/cluster/standby_commands_test.go
+++ b/tests/cluster/standby_commands_test.go
@@ -10,6 +10,9 @@
 	"time"
 )
 
+// optionalParts are the arguments of a node with a standby and a policy on zones.
+var optionalParts = []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}
+
 // TestStandbyCommands runs the commands of docs/operations-standby.md and docs/operations-zones.md
 // with real processes: against leaders, followers and nodes without a standby. It runs with
 // TestFailoverTimes.
@@ -21,9 +24,37 @@
 	shell(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
 	c := newProcesses(t, 3, t.TempDir())
 	defer c.close()
-	withParts := []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}
-	c.run(2, program) // without optional parts
-	c.Args = withParts
+	c.runWithAndWithoutParts(program)
+	leader := c.leader()
+	follower := 1 - leader
+	invalid := filepath.Join(t.TempDir(), "wrong.xml")
+	if err := os.WriteFile(invalid, []byte("<caperlatch><standby><pull>1</pull></standby></caperlatch>"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	token := c.fencingToken()
+	for _, command := range c.operatorCommands(leader, follower, invalid) {
+		command.check(t, program)
+	}
+	c.awaitLeaderAfter(token)
+	if next := c.leader(); next != follower {
+		t.Errorf("node %d leads, want %d", next, follower)
+	}
+	time.Sleep(2 * time.Second)
+	out, err := exec.Command(program, "standby", "--node", c.Addresses[follower].Client).CombinedOutput()
+	if t.Logf("after the handover (%v)\n%s", err, out); !strings.Contains(string(out), "handed over") {
+		t.Error("the failover is not shown as handed over")
+	}
+	c.terminateLeader(follower)
+	c.awaitStatus("j-000001", "done", time.Minute)
+	c.checkRules()
+}
+
+// runWithAndWithoutParts runs nodes 0 and 1 with optional parts and node 2 without, and lets one of
+// the first two lead.
+func (c *processes) runWithAndWithoutParts(program string) {
+	c.t.Helper()
+	c.run(2, program)
+	c.Args = optionalParts
 	c.run(0, program)
 	c.run(1, program)
 	c.submit("j-000001", 6)
@@ -33,70 +64,70 @@
 		c.awaitLeaderAfter(token)
 		c.Args = nil
 		c.run(2, program)
-		c.Args = withParts
+		c.Args = optionalParts
 	}
 	time.Sleep(3 * time.Second)
-	leader := c.leader()
-	follower := 1 - leader
-	address := func(node int) string { return c.Addresses[node].Client }
-	invalid := filepath.Join(t.TempDir(), "wrong.xml")
-	if err := os.WriteFile(invalid, []byte("<caperlatch><standby><pull>1</pull></standby></caperlatch>"), 0o644); err != nil {
-		t.Fatal(err)
-	}
+}
+
+// operatorCommand is a command of the program, and what it must print.
+type operatorCommand struct {
+	name  string
+	args  []string
+	fails bool
+	want  []string // parts of the output
+}
+
+// operatorCommands returns the commands for a cluster whose node 2 has no optional parts. The last one
+// has the leader hand over to the follower. The invalid settings are in a file.
+func (c *processes) operatorCommands(leader, follower int, invalid string) []operatorCommand {
 	settingsFile := c.SettingsFile(0)
-	cases := []struct {
-		name  string
-		args  []string
-		fails bool
-		want  []string // parts of the output
-	}{
+	byLeader, byFollower := c.Addresses[leader].Client, c.Addresses[follower].Client
+	without := c.Addresses[2].Client
+	return []operatorCommand{
 		{"check", []string{"check", "--standby", "deploy/standby.xml", settingsFile}, false, []string{"ok: member host-0"}},
 		{"check of invalid settings", []string{"check", "--standby", invalid, settingsFile}, true, []string{"element pull is unknown"}},
-		{"the leader", []string{"standby", "--node", address(leader)}, false, []string{"active", "0 entries behind", "last take-over here"}},
-		{"a follower", []string{"standby", "--node", address(follower)}, false, []string{"following", "whole"}},
-		{"a node without", []string{"standby", "--node", address(2)}, true, []string{"the warm standby is off"}},
+		{"the leader", []string{"standby", "--node", byLeader}, false, []string{"active", "0 entries behind", "last take-over here"}},
+		{"a follower", []string{"standby", "--node", byFollower}, false, []string{"following", "whole"}},
+		{"a node without", []string{"standby", "--node", without}, true, []string{"the warm standby is off"}},
 		{"a node that does not run", []string{"standby", "--node", "127.0.0.1:1"}, true, []string{"refused"}},
 		{"check of zones", []string{"check", "--features", "deploy/zones.xml", settingsFile}, false, []string{"ok: member host-0"}},
-		{"zones, by the leader", []string{"zones", "--node", address(leader)}, false, []string{"as host-", "sees them", "healthy: its machines are heard"}},
-		{"zones, by a follower", []string{"zones", "--node", address(follower)}, false, []string{"as host-", "healthy: its machines are heard"}},
-		{"zones, by a node without", []string{"zones", "--node", address(2)}, false, []string{"healthy: its machines are heard"}},
-		{"handover by a follower", []string{"handover", "--node", address(follower)}, true, []string{"not leading"}},
-		{"handover by a node without", []string{"handover", "--node", address(2)}, true, []string{"the warm standby is off"}},
-		{"handover by the leader", []string{"handover", "--node", address(leader)}, false, []string{"handed over to host-"}},
+		{"zones, by the leader", []string{"zones", "--node", byLeader}, false, []string{"as host-", "sees them", "healthy: its machines are heard"}},
+		{"zones, by a follower", []string{"zones", "--node", byFollower}, false, []string{"as host-", "healthy: its machines are heard"}},
+		{"zones, by a node without", []string{"zones", "--node", without}, false, []string{"healthy: its machines are heard"}},
+		{"handover by a follower", []string{"handover", "--node", byFollower}, true, []string{"not leading"}},
+		{"handover by a node without", []string{"handover", "--node", without}, true, []string{"the warm standby is off"}},
+		{"handover by the leader", []string{"handover", "--node", byLeader}, false, []string{"handed over to host-"}},
 	}
-	token := c.fencingToken()
-	for _, tc := range cases {
-		out, err := exec.Command(program, tc.args...).CombinedOutput()
-		t.Logf("%s: caperlatch %s\n%s", tc.name, strings.Join(tc.args, " "), out)
-		if (err != nil) != tc.fails {
-			t.Errorf("%s: %v", tc.name, err)
-		}
-		for _, want := range tc.want {
-			if !strings.Contains(string(out), want) {
-				t.Errorf("the output of %s lacks %q", tc.name, want)
-			}
-		}
-		if tc.fails && strings.Count(strings.TrimSpace(string(out)), "\n") > 0 {
-			t.Errorf("%s: more than one line", tc.name)
-		}
+}
+
+// check runs the command. What fails must say why in one line.
+func (o operatorCommand) check(t *testing.T, program string) {
+	t.Helper()
+	out, err := exec.Command(program, o.args...).CombinedOutput()
+	t.Logf("%s: caperlatch %s\n%s", o.name, strings.Join(o.args, " "), out)
+	if (err != nil) != o.fails {
+		t.Errorf("%s: %v", o.name, err)
 	}
-	c.awaitLeaderAfter(token)
-	if next := c.leader(); next != follower {
-		t.Errorf("node %d leads, want %d", next, follower)
+	for _, want := range o.want {
+		if !strings.Contains(string(out), want) {
+			t.Errorf("the output of %s lacks %q", o.name, want)
+		}
 	}
-	time.Sleep(2 * time.Second)
-	out, err := exec.Command(program, "standby", "--node", address(follower)).CombinedOutput()
-	if t.Logf("after the handover (%v)\n%s", err, out); !strings.Contains(string(out), "handed over") {
-		t.Error("the failover is not shown as handed over")
+	if o.fails && strings.Count(strings.TrimSpace(string(out)), "\n") > 0 {
+		t.Errorf("%s: more than one line", o.name)
 	}
-	token = c.fencingToken()
-	c.ExpectExit(follower)
-	c.must(c.Signal(follower, syscall.SIGTERM))
+}
+
+// terminateLeader sends the leader a SIGTERM. It hands over as it ends, so the next one must lead
+// sooner than a session ends.
+func (c *processes) terminateLeader(leader int) {
+	c.t.Helper()
+	token := c.fencingToken()
+	c.ExpectExit(leader)
+	c.must(c.Signal(leader, syscall.SIGTERM))
 	startedAt := time.Now()
 	c.awaitLeaderAfter(token)
 	if duration := time.Since(startedAt); duration > 2500*time.Millisecond {
-		t.Errorf("after SIGTERM no node led for %v", duration)
+		c.t.Errorf("after SIGTERM no node led for %v", duration)
 	}
-	c.awaitStatus("j-000001", "done", time.Minute)
-	c.checkRules()
 }
