--- a/tests/cluster/cluster_test.go
+++ b/tests/cluster/cluster_test.go
@@ -117,7 +117,7 @@
 	return c
 }
 
-// NewNodeOn makes a node for a new incarnation; it serves as StartNode.
+// newNode makes a node for a new incarnation; it serves as StartNode.
 func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
--- a/tests/cluster/failover_guards_test.go
+++ b/tests/cluster/failover_guards_test.go
@@ -143,7 +143,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if ran < 8 || c.fencingToken() == before || pages.count("read") <= read+4 || watches.count("dropped") == 0 {
-			t.Errorf("%d tasks ran, fencing token %d after %d, pages %d after %d, %d watches dropped", ran, c.fencingToken(), before, pages.count("read"), read, watches.count("dropped"))
+			t.Errorf("%d tasks ran, fencing token %d after %d, pages %d after %d, %d watches dropped",
+				ran, c.fencingToken(), before, pages.count("read"), read, watches.count("dropped"))
 		}
 		time.Sleep(500 * time.Millisecond)
 		c.setFault(isolated)
--- a/tests/cluster/failover_stale_messages_test.go
+++ b/tests/cluster/failover_stale_messages_test.go
@@ -142,7 +142,7 @@
 
 // noteAttemptsToLead notes, as nodes try to lead after a term, whether starts are on their way and
 // whether tasks run already. Messages have another fault.
-func (c *cluster) noteAttemptsToLead(token uint64, noted *counter, other func(string, *http.Request) fake.Fault) func(string, *http.Request) fake.Fault {
+func (c *cluster) noteAttemptsToLead(token uint64, noted *counter, other fake.FaultFunc) fake.FaultFunc {
 	return func(from string, r *http.Request) fake.Fault {
 		if r.URL.Path == "/txn" && bodyContains(r, replica.TokenKey) && c.fencingToken() == token {
 			noted.add("attempt to lead")
--- a/tests/cluster/zone_loss_checks_test.go
+++ b/tests/cluster/zone_loss_checks_test.go
@@ -22,7 +22,7 @@
 
 // checkOutlivesLease checks that tasks in the zone completed after a lease from its isolation.
 func checkOutlivesLease(r *zoneRun) {
-	if r.CompletionsIn(r.lostZone, r.cutAt+zoneLeaseS*time.Second) == 0 {
+	if r.CompletionsIn(r.lostZone, r.isolatedAt+zoneLeaseS*time.Second) == 0 {
 		r.t.Error("no task in the zone completed after a lease")
 	}
 }
@@ -43,34 +43,34 @@
 
 // checkOrder checks the order in which tasks started from the loss until the zone was healed.
 func checkOrder(r *zoneRun) {
-	scansWait := checker.Contention{Class: "scan", Waiting: minWaiting, From: r.lostAt, To: r.healsAt}
+	scansWait := checker.Contention{Class: "scan", Waiting: minWaiting, From: r.lostAt, To: r.healedAt}
 	scans, updates := r.StartsUnder(scansWait, "scan"), r.StartsUnder(scansWait, "update")
 	if scans+updates < minMeasuredStarts {
-		r.t.Errorf("%d tasks started while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healsAt)
+		r.t.Errorf("%d tasks started while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healedAt)
 	}
 	r.reportProblem(updates*maxOrderRatio > scans, orderProblem, "%d updates started beside %d scans while scans waited", updates, scans)
 }
 
 // checkSteps checks how fast the zone's machines got tasks again.
 func checkSteps(r *zoneRun) {
-	at, c := r.FirstStarts(r.lostZone, r.healsAt), zoneSettings()
-	if len(at) < fullMachines/2 {
-		r.t.Errorf("%d machines got tasks again, too few to tell", len(at))
+	starts, policy := r.FirstStarts(r.lostZone, r.healedAt), zoneSettings()
+	if len(starts) < fullMachines/2 {
+		r.t.Errorf("%d machines got tasks again, too few to tell", len(starts))
 		return
 	}
-	soon, _ := slices.BinarySearch(at, at[0]+c.MinStepTime.Duration()/2)
-	most := 1 + int(c.OpenShares[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
+	soon, _ := slices.BinarySearch(starts, starts[0]+policy.MinStepTime.Duration()/2)
+	most := 1 + int(policy.OpenShares[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
 	r.reportProblem(soon > most, stepsProblem, "%d machines got tasks within the first step, want at most %d", soon, most)
-	half := at[len(at)*6/10] - at[0]
-	r.reportProblem(half < 5*c.MinStepTime.Duration()/2, stepsProblem, "more than half of the machines got tasks after %v", half)
+	half := starts[len(starts)*6/10] - starts[0]
+	r.reportProblem(half < 5*policy.MinStepTime.Duration()/2, stepsProblem, "more than half of the machines got tasks after %v", half)
 }
 
 // checkHoldDown checks when the zone's first machine got a task that could run elsewhere, after a
 // third loss.
 func checkHoldDown(r *zoneRun) {
-	least := r.healsAt + 4*zoneSettings().InitialHoldDown.Duration()
-	at := append(r.FirstStarts(r.lostZone, r.healsAt), least)[0]
-	r.reportProblem(at < least, holdDownProblem, "a task started %v after the zone was heard again", at-r.healsAt)
+	least := r.healedAt + 4*zoneSettings().InitialHoldDown.Duration()
+	firstAt := append(r.FirstStarts(r.lostZone, r.healedAt), least)[0]
+	r.reportProblem(firstAt < least, holdDownProblem, "a task started %v after the zone was heard again", firstAt-r.healedAt)
 }
 
 // checkNextLeader checks that a leader that has just begun finds the zone in one of some states.
--- a/tests/cluster/zone_loss_cluster_test.go
+++ b/tests/cluster/zone_loss_cluster_test.go
@@ -23,18 +23,20 @@
 
 // zoneClass is a class of the jobs that are submitted all the time in runs of lost zones.
 type zoneClass struct {
-	name, rank  string
-	first       int // number of its first job
-	every       time.Duration
-	tasks       int
-	runS, saveS float64 // saveS is the checkpoint interval; 0: no checkpoints
+	name     string
+	priority string
+	first    int           // number of its first job
+	every    time.Duration // between two submissions
+	tasks    int           // of a job at a load of 1
+	runS     float64       // how long a task runs
+	saveS    float64       // the checkpoint interval; 0: no checkpoints
 }
 
 // zoneClasses need some 410 CPUs in all, which is more than one of two zones has.
 var zoneClasses = []zoneClass{
-	{"urgent", "urgent", 100_000, time.Second, 10, 8, 0},
-	{"scan", "normal", 200_000, 2 * time.Second, 24, 20, 5},
-	{"update", "normal", 300_000, 2 * time.Second, 12, 15, 5},
+	{name: "urgent", priority: "urgent", first: 100_000, every: time.Second, tasks: 10, runS: 8},
+	{name: "scan", priority: "normal", first: 200_000, every: 2 * time.Second, tasks: 24, runS: 20, saveS: 5},
+	{name: "update", priority: "normal", first: 300_000, every: 2 * time.Second, tasks: 12, runS: 15, saveS: 5},
 }
 
 // zoneClassOf returns the class of a task by its job's number; one without a name for jobs that a
@@ -55,10 +57,11 @@
 // zoneSettings returns the policy of the runs. Workers that were isolated are heard again within
 // some 6 s; steps must show beside that.
 func zoneSettings() *zone.Config {
-	c := zone.DefaultConfig(micros.FromSeconds(zoneHeartbeatS))
-	c.EvacuationOrder = []string{"scan", "update"}
-	c.MinStepTime, c.InitialHoldDown = 4*micros.Second, 2*micros.Second
-	return &c
+	policy := zone.DefaultConfig(micros.FromSeconds(zoneHeartbeatS))
+	policy.EvacuationOrder = []string{"scan", "update"}
+	policy.MinStepTime = 4 * micros.Second
+	policy.InitialHoldDown = 2 * micros.Second
+	return &policy
 }
 
 // zoneRun is a cluster over some zones with a steady load, some of which are isolated.
@@ -70,13 +73,15 @@
 	load       float64 // of the jobs' sizes, 1: as the classes say
 	seed       uint64  // of the jobs' sizes; 0: all of a class have one size
 	dropRecord bool    // each leader finds no usable record of zones
-	// What the steps did: the zone that is isolated, when it was isolated, declared lost and
-	// healed, machines launched until it was first lost, jobs added, and problems that checks
-	// found.
-	lostZone               string
-	cutAt, lostAt, healsAt time.Duration
-	launched               int
-	added, problems        []string
+
+	// What the steps did.
+	lostZone   string        // the zone that is isolated
+	isolatedAt time.Duration // when it was isolated last
+	lostAt     time.Duration // when it was declared lost
+	healedAt   time.Duration // when its isolation ended
+	launched   int           // machines until it was first lost
+	added      []string      // IDs of jobs that steps submitted
+	problems   []string      // what checks found, each by its kind
 }
 
 // newZoneRun starts nodes in turn in the zones, each zone with so many machines at most.
@@ -84,17 +89,26 @@
 	r := &zoneRun{zones: zones, History: checker.NewHistory(), ZonePartition: fake.NewZonePartition()}
 	r.cluster = newFeaturesCluster(t, nodes, func(s *settings.Settings) {
 		s.Params.Zones = zones
-		s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = zoneHeartbeatS, zoneLeaseS, zoneCancelS
+		s.Params.Workers.HeartbeatIntervalS = zoneHeartbeatS
+		s.Params.Workers.LeaseDurationS = zoneLeaseS
+		s.Params.Workers.CancellationTimeoutS = zoneCancelS
 	}, features)
-	r.cloud.Zones, r.rules.InstanceTypes[0].Zones, r.cloud.MaxMachinesByZone = zones, zones, map[string]int{}
+	r.cloud.Zones = zones
+	r.rules.InstanceTypes[0].Zones = zones
+	r.cloud.MaxMachinesByZone = map[string]int{}
 	for _, name := range zones {
 		r.cloud.MaxMachinesByZone[name] = machines
 	}
 	r.cloud.RuntimeOf = func(task string) float64 { return zoneClassOf(task).runS }
 	r.ClassOf = func(task string) string { return zoneClassOf(task).name }
-	r.History.Affected, r.UnreportedFor, r.rules.OnTaskEvent = r.ZonePartition.Affects, 2*zoneHeartbeatS*time.Second, r.ObserveTask
+	r.History.Affected = r.ZonePartition.Affects
+	r.UnreportedFor = 2 * zoneHeartbeatS * time.Second
+	r.rules.OnTaskEvent = r.ObserveTask
 	r.ZoneOf, r.MachineOf = r.zoneOfName, machineOf
-	r.OnChange = func() { r.ObserveFault(); r.pipes.SetPartition(r.Blocks) }
+	r.OnChange = func() {
+		r.ObserveFault()
+		r.pipes.SetPartition(r.Blocks)
+	}
 	r.setFault(r.FaultOf)
 	return r
 }
@@ -109,24 +123,25 @@
 }
 
 // submitAll submits jobs of a class until ctx ends.
-func (r *zoneRun) submitAll(ctx context.Context, c zoneClass) {
+func (r *zoneRun) submitAll(ctx context.Context, class zoneClass) {
 	var users sync.WaitGroup
-	random := rand.New(rand.NewPCG(r.seed, uint64(c.first)))
+	random := rand.New(rand.NewPCG(r.seed, uint64(class.first)))
 	for n := 0; ctx.Err() == nil; n++ {
-		size := r.load * float64(c.tasks)
+		size := r.load * float64(class.tasks)
 		if r.seed != 0 {
 			size *= 0.5 + random.Float64()
 		}
-		id, tasks := fmt.Sprintf("j-%06d", c.first+n), max(1, int(math.Round(size)))
+		id, tasks := fmt.Sprintf("j-%06d", class.first+n), max(1, int(math.Round(size)))
 		job := testJob(id, tasks)
-		job["lane"], job["rank"], job["expect_s"], job["save_every_s"] = c.name, c.rank, c.runS, c.saveS
+		job["lane"], job["rank"] = class.name, class.priority
+		job["expect_s"], job["save_every_s"] = class.runS, class.saveS
 		users.Go(func() {
 			if !r.submitWithRetries(n%r.size, time.Second, job) {
 				r.t.Errorf("%s was not accepted", id)
 			}
-			r.ObserveAccepted(id, c.name, tasks)
+			r.ObserveAccepted(id, class.name, tasks)
 		})
-		time.Sleep(c.every)
+		time.Sleep(class.every)
 	}
 	users.Wait()
 }
@@ -135,8 +150,8 @@
 func (r *zoneRun) play(script func()) {
 	var users sync.WaitGroup
 	ctx, stop := context.WithCancel(context.Background())
-	for _, c := range zoneClasses {
-		users.Go(func() { r.submitAll(ctx, c) })
+	for _, class := range zoneClasses {
+		users.Go(func() { r.submitAll(ctx, class) })
 	}
 	users.Go(func() {
 		for ctx.Err() == nil {
--- a/tests/cluster/zone_loss_steps_test.go
+++ b/tests/cluster/zone_loss_steps_test.go
@@ -32,7 +32,7 @@
 	if r.lostZone == "" {
 		r.lostZone = r.zoneByLeader(false)
 	}
-	r.cutAt = r.Elapsed()
+	r.isolatedAt = r.Elapsed()
 	r.Isolate(r.lostZone)
 }
 
@@ -50,7 +50,7 @@
 // heal ends all isolation, and waits until the zone is in one of some states, or healthy.
 func heal(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
-		r.healsAt = r.Elapsed()
+		r.healedAt = r.Elapsed()
 		r.Heal()
 		r.awaitState(r.lostZone, append(states, zone.Normal)...)
 	}
--- a/tests/cluster/zone_loss_test.go
+++ b/tests/cluster/zone_loss_test.go
@@ -249,7 +249,8 @@
 // withGuardOff returns the scenario with a guard off: a check must then find the problem that the
 // guard prevents.
 func (s zoneScenario) withGuardOff(problem string, off func(c *zone.Config)) zoneScenario {
-	s.name, s.wantProblem, s.guardOff = "without "+strings.TrimSuffix(problem, ":")+", "+s.name, problem, off
+	s.name = "without " + strings.TrimSuffix(problem, ":") + ", " + s.name
+	s.wantProblem, s.guardOff = problem, off
 	return s
 }
 
@@ -278,16 +279,17 @@
 
 // run runs a scenario, and returns the problems that its checks found.
 func (s zoneScenario) run(t *testing.T) (problems []string) {
-	c := zoneSettings()
+	policy := zoneSettings()
 	if s.guardOff != nil {
-		s.guardOff(c)
+		s.guardOff(policy)
 	}
 	if s.zones == nil {
 		s.zones = twoZones
 	}
-	r := newZoneRun(t, cmp.Or(s.nodes, 5), s.zones, cmp.Or(s.machines, halfMachines), settings.Features{Zones: c})
+	r := newZoneRun(t, cmp.Or(s.nodes, 5), s.zones, cmp.Or(s.machines, halfMachines), settings.Features{Zones: policy})
 	defer r.close()
-	r.load, r.dropRecord = cmp.Or(s.load, halfLoad), s.wantProblem == stateProblem
+	r.load = cmp.Or(s.load, halfLoad)
+	r.dropRecord = s.wantProblem == stateProblem
 	r.play(func() {
 		for _, step := range s.steps {
 			step(r)
