--- a/tests/cluster/capture_situations_test.go
+++ b/tests/cluster/capture_situations_test.go
@@ -21,8 +21,8 @@
 	s.Params.State = settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 12}
 }
 
-// longJob returns the submission of a job whose tasks run for 300 s.
-func longJob(id string, tasks int) map[string]any {
+// captureJob returns the submission of a job whose tasks run for 300 s.
+func captureJob(id string, tasks int) map[string]any {
 	job := testJob(id, tasks)
 	job["expect_s"] = 300.0
 	return job
@@ -36,20 +36,6 @@
 	}
 }
 
-// killAllNodes kills all nodes.
-func (c *cluster) killAllNodes() {
-	for i := range c.size {
-		c.kill(i)
-	}
-}
-
-// startAllNodes starts all nodes after killAllNodes.
-func (c *cluster) startAllNodes() {
-	for i := range c.size {
-		c.start(i)
-	}
-}
-
 // untilScaleOut is how long a job waits that has no room, at most, until the autoscaler launches machines for it: not at
 // once, as many of its class have run shorter than estimated.
 const untilScaleOut = 60 * time.Second
@@ -73,7 +59,7 @@
 	time.Sleep(40 * time.Second)
 	all.add(c, "running")
 
-	c.mustAccept(longJob("j-000007", 500))
+	c.mustAccept(captureJob("j-000007", 500))
 	time.Sleep(25 * time.Second)
 	all.add(c, "large")
 
@@ -84,15 +70,15 @@
 		}
 		return fake.NoFault
 	})
-	c.mustAccept(longJob("j-000008", 100))
+	c.mustAccept(captureJob("j-000008", 100))
 	time.Sleep(untilScaleOut)
-	c.killAllNodes()
+	c.killAll()
 	time.Sleep(5 * time.Second)
 	all.add(c, "renting")
 	if all.unansweredIntents(t, "renting") == 0 {
 		t.Error("no launch intent without a response is stored")
 	}
-	c.startAllNodes()
+	c.startAll()
 }
 
 // submitJobsOfAllKinds submits jobs of which one is done, one is cancelled, one has every field and a description of
@@ -110,10 +96,10 @@
 	}
 	c.mustAccept(complete)
 	c.submit("j-000004", 4)
-	gang := longJob("j-000005", 3)
+	gang := captureJob("j-000005", 3)
 	gang["shape"] = "gang"
 	c.mustAccept(gang)
-	overLimit := longJob("j-000006", 40)
+	overLimit := captureJob("j-000006", 40)
 	overLimit["desk"] = "small"
 	c.mustAccept(overLimit)
 }
@@ -137,7 +123,7 @@
 		return 300
 	}
 	time.Sleep(3 * time.Second)
-	c.mustAccept(longJob("j-000001", 500))
+	c.mustAccept(captureJob("j-000001", 500))
 	return c
 }
 
@@ -169,7 +155,7 @@
 		}
 		return 300
 	}
-	c.submitJob(longJob("j-000001", 4))
+	c.submitJob(captureJob("j-000001", 4))
 	time.Sleep(15 * time.Second)
 
 	// On three machines of four CPUs, with another image.
@@ -220,8 +206,8 @@
 	}
 	announced = true
 	c.state.SetLimits(loweredLimits)
-	c.killAllNodes()
-	c.startAllNodes()
+	c.killAll()
+	c.startAll()
 	for try := 0; !c.hasMachineInTwoLists(); try++ {
 		if try == 1000 {
 			t.Fatal("no machine is in two lists")
@@ -259,7 +245,7 @@
 		}
 		return 300
 	}
-	c.submitJob(longJob("j-000001", 120))
+	c.submitJob(captureJob("j-000001", 120))
 	time.Sleep(60 * time.Second)
 
 	lost := c.zoneWithFewestMachines(twoZones)
