--- a/internal/sim/checker/history_test.go
+++ b/internal/sim/checker/history_test.go
@@ -121,3 +121,20 @@
 		}
 	})
 }
+
+// TestLongestStallFromStart has a class stall from the first sample on: the time before that sample counts as well.
+// It was lost, as no stall and one since the history began were both a time of 0.
+func TestLongestStallFromStart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h, _ := newTestHistory()
+		machines := []Machine{{Zone: "a", CPUs: 1}}
+		h.ObserveAccepted("scan1", "scan", 1)
+		for range 3 {
+			time.Sleep(2 * time.Second)
+			h.RecordSample(machines)
+		}
+		if got := h.LongestStall("scan"); got != 6*time.Second {
+			t.Errorf("stalled for %v, want 6 s", got)
+		}
+	})
+}
--- a/internal/sim/checker/queries.go
+++ b/internal/sim/checker/queries.go
@@ -15,17 +15,18 @@
 // LongestStall returns the longest time for which tasks of a class waited and none of them started,
 // although there was room for them in zones that no fault affected.
 func (h *History) LongestStall(class string) (longest time.Duration) {
-	var stalledSince time.Duration
-	samples := h.Samples()
-	for i, s := range samples {
-		if s.Waiting[class] <= 0 || s.FreeCPUs == 0 || s.Starts[class] > 0 {
-			stalledSince = 0
-			continue
+	var previousAt, stalledSince time.Duration
+	isStalled := false
+	for _, s := range h.Samples() {
+		wasStalled := isStalled
+		isStalled = s.Waiting[class] > 0 && s.FreeCPUs != 0 && s.Starts[class] == 0
+		if isStalled && !wasStalled {
+			stalledSince = previousAt
 		}
-		if stalledSince == 0 && i > 0 {
-			stalledSince = samples[i-1].At
+		if isStalled {
+			longest = max(longest, s.At-stalledSince)
 		}
-		longest = max(longest, s.At-stalledSince)
+		previousAt = s.At
 	}
 	return longest
 }
