--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -12,7 +12,7 @@
 )
 
 // CloudConfig is what a cloud and its workers are like. Tests may change it while nothing that it
-// bears on is in progress.
+// bears on is in progress; see SetMaxMachines.
 type CloudConfig struct {
 	Net   *Network
 	Rules *checker.Rules // is passed what workers do
@@ -132,6 +132,13 @@
 // machineFormat is the form of machines' IDs.
 const machineFormat = "i-%06d"
 
+// SetMaxMachines changes MaxMachines while the cloud serves.
+func (c *Cloud) SetMaxMachines(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.MaxMachines = n
+}
+
 // isFull reports whether a zone has no room for a further machine; the caller holds the lock.
 func (c *Cloud) isFull(zone string) bool {
 	inZone := 0
--- a/tests/cluster/combined_machine_faults_test.go
+++ b/tests/cluster/combined_machine_faults_test.go
@@ -193,7 +193,8 @@
 // priorities, while all messages but the users' have a high latency. The fleet must be in use, and
 // the jobs complete once the latency is over.
 func overloadWithHighLatency(c *cluster, cancel func()) {
-	c.cloud.MaxMachines = max(5, len(c.cloud.Workers()))
+	maxMachines := max(5, len(c.cloud.Workers()))
+	c.cloud.SetMaxMachines(maxMachines)
 	time.Sleep(8 * time.Second)
 	c.setFault(func(from string, _ *http.Request) fake.Fault {
 		if from == "user" {
@@ -210,7 +211,7 @@
 		}
 	}
 	time.Sleep(5 * time.Second)
-	if on, room := len(c.cloud.TasksOnMachines()), maxTasksPerMachine*c.cloud.MaxMachines; on < room/2 {
+	if on, room := len(c.cloud.TasksOnMachines()), maxTasksPerMachine*maxMachines; on < room/2 {
 		c.t.Errorf("%d tasks ran where %d have room", on, room)
 	}
 	cancel()
@@ -220,7 +221,7 @@
 	for n := range 6 {
 		c.awaitStatus(overloadJob(n), wire.JobDone, 3*time.Minute)
 	}
-	c.cloud.MaxMachines = 0
+	c.cloud.SetMaxMachines(0)
 }
 
 // mixMessageFaultsAcrossFailovers delays transactions, duplicates heartbeats and drops responses to
