--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -150,6 +150,7 @@
 	{"1f14824", v3a714abLayouts}, // the last without a standby
 	{"d052fb0", v3a714abLayouts}, // the last without a policy on zones
 	{"01da0cf", v01da0cfLayouts},
+	{"d64cbaf", v01da0cfLayouts}, // the last before identifiers and messages were reworded
 }
 
 // layoutOf finds the layout of a key.
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -337,6 +337,8 @@
 	// The last without a policy on zones.
 	{name: "d052fb0", version: 1, gangs: true, standby: true, layouts: layoutsOf[vd052fb0Request, vd052fb0Response]()},
 	{name: "01da0cf", version: 1, gangs: true, standby: true, zones: true, layouts: layoutsOf[v01da0cfRequest, v01da0cfResponse]()},
+	// The last before identifiers and messages were reworded.
+	{name: "d64cbaf", version: 1, gangs: true, standby: true, zones: true, layouts: layoutsOf[v01da0cfRequest, v01da0cfResponse]()},
 }
 
 // messages are those captured from the version (testdata/versions/capture), by name.
--- a/tests/cluster/upgrade_failover_test.go
+++ b/tests/cluster/upgrade_failover_test.go
@@ -30,6 +30,7 @@
 	{"1f14824", true, []string{"--standby", "deploy/standby.xml", "--features", "deploy/membership.xml"}},
 	{"d052fb0", true, []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}},
 	{"01da0cf", true, []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}},
+	{"d64cbaf", true, []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}},
 }
 
 // path returns the path of a file that was captured from the version.
