--- a/internal/leader/assignments.go
+++ b/internal/leader/assignments.go
@@ -20,7 +20,7 @@
 		l.release(a, reason)
 	}
 	m.Reconciliation.Knowledge = state.TasksConfirmed
-	m.Planned = nil
+	m.PlannedStarts = nil
 	l.scheduler.RequestPlan()
 	l.publishMachine(m)
 }
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -42,7 +42,7 @@
 	l.scaler.Step(now)
 	l.scheduler.Consolidate(now)
 	if interval := int64(l.Tuning.RecordInterval / micros.Second); interval < 1 || int64(now/micros.Second)%interval == 0 {
-		l.writes.Mark(replica.AutoscalerKey)
+		l.writes.Enqueue(replica.AutoscalerKey)
 		l.publishEstimates()
 		l.deleteLeftovers()
 		l.writes.Wake()
@@ -52,7 +52,7 @@
 // autoscalerRecord is what is stored for a next leader.
 func (l *Leader) autoscalerRecord(now micros.Micros) autoscaler.Record {
 	r := l.scaler.Record(now)
-	r.Quarantined = l.quarantine.Record()
+	r.Quarantined = l.quarantine.Snapshot()
 	if !l.Store.ValueAlwaysFits(r) {
 		r.Quarantined = nil // a next leader will find them again
 	}
--- a/internal/leader/autoscaler/backlog.go
+++ b/internal/leader/autoscaler/backlog.go
@@ -54,7 +54,7 @@
 	mean, meanOnDemand := 0.0, 0.0 // CPUs
 	for _, t := range s.types {
 		mean += t.Mean * t.CPUs
-		meanOnDemand += (t.Mean - t.MeanBestEffort) * t.CPUs
+		meanOnDemand += (t.Mean - t.MeanDelayTolerant) * t.CPUs
 	}
 	short := staffing.BacklogShortage(b.waiting, b.running, mean, b.supplyCPUs, b.minBootS)
 	shortOnDemand := staffing.BacklogShortage(b.notDelayTolerant, b.nonPreemptible, meanOnDemand, b.supplyCPUs, b.minBootS)
@@ -82,7 +82,7 @@
 		if !m.TasksKnown() {
 			b.unknownCPUs += t.CPUs
 		}
-		for _, j := range m.Planned {
+		for _, j := range m.PlannedStarts {
 			b.planned[j]++
 		}
 		for _, a := range m.Attempts {
@@ -145,7 +145,7 @@
 const lateDueBoots = 2
 
 // addJob counts n waiting tasks of a job, for a type.
-func (s *Scaler) addJob(b *backlog, j *state.Job, t *Type, n int, wall micros.Micros) {
+func (s *Scaler) addJob(b *backlog, j *state.Job, t *TypeModel, n int, wall micros.Micros) {
 	b.minBootS = math.Min(b.minBootS, t.BootTimeS)
 	runtime := s.Workload.ExpectedRuntime(j.Spec)
 	work := float64(n) * j.Spec.CPUs * runtime
--- a/internal/leader/autoscaler/gangs.go
+++ b/internal/leader/autoscaler/gangs.go
@@ -23,18 +23,18 @@
 		}
 		wanted := j.StartableTasks(now)
 		if wanted == 0 || teams[j.Spec.Team].CountAllowed(j.Need, wanted) < wanted {
-			j.Gang.ShortSince = 0
+			j.Gang.NoCapacitySince = 0
 			continue
 		}
 		room := s.gangRoom(j, wanted)
 		if room.total >= wanted {
-			j.Gang.ShortSince = 0
+			j.Gang.NoCapacitySince = 0
 			continue
 		}
-		if j.Gang.ShortSince == 0 {
-			j.Gang.ShortSince = now
+		if j.Gang.NoCapacitySince == 0 {
+			j.Gang.NoCapacitySince = now
 		}
-		if len(j.Attempts) == 0 || now-j.Gang.ShortSince >= launchDelayWhenShort {
+		if len(j.Attempts) == 0 || now-j.Gang.NoCapacitySince >= launchDelayWhenShort {
 			s.launchForGang(j, wanted, room, now)
 		}
 	}
--- a/internal/leader/autoscaler/helpers_test.go
+++ b/internal/leader/autoscaler/helpers_test.go
@@ -79,7 +79,7 @@
 	for range count {
 		m := s.Fleet.Add(fmt.Sprintf("i-%04d", len(s.Fleet.Sorted)), intent, now)
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
-		m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, now
+		m.Heartbeat.FromCurrentTerm, m.Heartbeat.ReceivedAt = true, now
 	}
 }
 
--- a/internal/leader/autoscaler/model.go
+++ b/internal/leader/autoscaler/model.go
@@ -19,7 +19,7 @@
 // RaiseMeans raises the types' means once to what is really held, when after a failover the tasks of
 // all machines are known.
 func (s *Scaler) RaiseMeans() {
-	if s.meansRaised || s.Fleet.CountUnknown() > 0 {
+	if s.meansRaised || s.Fleet.CountWithUnknownTasks() > 0 {
 		return
 	}
 	s.meansRaised = true
@@ -49,25 +49,25 @@
 
 // stepModel steps each type's mean and sets what the formula wants, which holds for an interval
 // unless it rises.
-func (s *Scaler) stepModel(types []*Type, now micros.Micros) {
+func (s *Scaler) stepModel(types []*TypeModel, now micros.Micros) {
 	interval := s.Tuning.ReviewInterval
 	for _, t := range types {
 		lambda, mu := t.Demand.Rate(now), t.service.Rate(t.finishedTasks)
 		t.Mean = staffing.StepMean(t.Mean, lambda, mu, stepS)
 		// The same equation for the part that is not worth on-demand machines.
 		bestEffort := t.bestEffortDemand.Rate(now)
-		t.MeanBestEffort = math.Min(t.Mean, staffing.StepMean(t.MeanBestEffort, bestEffort, mu, stepS))
+		t.MeanDelayTolerant = math.Min(t.Mean, staffing.StepMean(t.MeanDelayTolerant, bestEffort, mu, stepS))
 		peak := staffing.PeakMean(t.Mean, lambda, mu, interval.Seconds())
-		peakOnDemand := staffing.PeakMean(t.Mean-t.MeanBestEffort, math.Max(0, lambda-bestEffort), mu, interval.Seconds())
-		if wanted := s.servers(t, peak, true); s.meansRaised && now >= t.heldUntil || wanted > t.Wanted {
-			t.Wanted, t.WantedOnDemand = wanted, s.servers(t, peakOnDemand, false)
+		peakOnDemand := staffing.PeakMean(t.Mean-t.MeanDelayTolerant, math.Max(0, lambda-bestEffort), mu, interval.Seconds())
+		if wanted := s.servers(t, peak, true); s.meansRaised && now >= t.heldUntil || wanted > t.Required {
+			t.Required, t.RequiredOnDemand = wanted, s.servers(t, peakOnDemand, false)
 			t.heldUntil = now + interval
 		}
 	}
 }
 
 // servers is how many machines of a type the formula requires at a mean.
-func (s *Scaler) servers(t *Type, mean float64, spot bool) float64 {
+func (s *Scaler) servers(t *TypeModel, mean float64, spot bool) float64 {
 	if mean < minMean {
 		return 0
 	}
--- a/internal/leader/autoscaler/record.go
+++ b/internal/leader/autoscaler/record.go
@@ -19,7 +19,7 @@
 	M        float64 `json:"m"`
 	Mu       float64 `json:"mu"`
 	Finished int     `json:"finished"`
-	Want     float64 `json:"want"`
+	Required float64 `json:"want"`
 	Target   int     `json:"target"`
 	InFlight int     `json:"in_flight"` // machines whose launch is in progress
 }
@@ -33,7 +33,7 @@
 			M:        t.Mean,
 			Mu:       t.service.Rate(t.finishedTasks),
 			Finished: t.finishedTasks,
-			Want:     t.Wanted,
+			Required: t.Required,
 			Target:   t.Target,
 		}
 	}
@@ -56,7 +56,7 @@
 		t.Demand.Seed(now, stored.Lambda)
 		// The target is taken anew as soon as the means are known: how long it was to hold is
 		// not stored, and held anew by each of several leaders it outlasted its peak by minutes.
-		t.Wanted, t.WantedOnDemand = stored.Want, stored.Want
+		t.Required, t.RequiredOnDemand = stored.Required, stored.Required
 		if stored.Mu > 0 {
 			// As if what is held had just ended: what ends first now are short tasks.
 			t.service.ObserveFinished(math.Max(1, stored.M), 1/stored.Mu, 1)
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -12,7 +12,7 @@
 // markSurplus picks the n machines of a type that the formula does not want, the dearest and
 // emptiest. They get tasks only when no other has room: spread over all machines, a few tasks would keep every
 // one of them busy for ever.
-func (s *Scaler) markSurplus(t *Type, n int, now micros.Micros) {
+func (s *Scaler) markSurplus(t *TypeModel, n int, now micros.Micros) {
 	var candidates []*state.Machine
 	for _, m := range s.Fleet.Sorted {
 		if m.Offering.Type == t.Name {
@@ -39,7 +39,7 @@
 // use. They get none of these, and so are terminated when they are idle: once launched for others,
 // best-effort work kept them for the rest of the day. wanted is how many machines are to be there for other
 // jobs, and need how many on-demand machines these need beyond the fleet: then none is picked.
-func (s *Scaler) RejectDelayTolerant(t *Type, wanted, need float64) {
+func (s *Scaler) RejectDelayTolerant(t *TypeModel, wanted, need float64) {
 	left := ceilMachines(wanted)
 	var candidates []*state.Machine
 	for _, m := range s.Fleet.Sorted {
@@ -85,7 +85,7 @@
 
 // terminateIdle terminates up to n idle machines, the dearest first, but none before the time is
 // used that is paid for.
-func (s *Scaler) terminateIdle(t *Type, n int, now micros.Micros) {
+func (s *Scaler) terminateIdle(t *TypeModel, n int, now micros.Micros) {
 	if !s.Term.HoldsSession() {
 		// That a machine is terminated could not be stored, and a next leader would
 		// have to wait for its lease.
@@ -106,8 +106,8 @@
 }
 
 // isIdle reports whether a machine has been without use for so long that it may be terminated.
-func (s *Scaler) isIdle(m *state.Machine, t *Type, now micros.Micros) bool {
-	return len(m.Attempts) == 0 && len(m.Planned) == 0 && !m.Pool.IsSet() &&
+func (s *Scaler) isIdle(m *state.Machine, t *TypeModel, now micros.Micros) bool {
+	return len(m.Attempts) == 0 && len(m.PlannedStarts) == 0 && !m.Pool.IsSet() &&
 		m.TasksKnown() && !m.Instance.Terminating && m.DrainReason == "" &&
 		now-m.Instance.LaunchedAt > minBilledTime-billingMargin &&
 		now-m.Instance.IdleSince > s.IdleTimeout(t, m.Offering.Spot)
@@ -116,7 +116,7 @@
 // IdleTimeout is how long an idle machine is kept in case it is needed again. As much time as a new
 // one takes to boot costs about what terminating it in error would, to jobs that cannot wait; an expensive one
 // is not worth that while spot machines can be had.
-func (s *Scaler) IdleTimeout(t *Type, spot bool) micros.Micros {
+func (s *Scaler) IdleTimeout(t *TypeModel, spot bool) micros.Micros {
 	immediate, types := 0.0, 0.0
 	for _, other := range s.types {
 		immediate += other.batches.ImmediateShare()
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -20,7 +20,7 @@
 
 // scaleType launches or terminates spot machines of one type toward its target, and returns what
 // is short with it.
-func (s *Scaler) scaleType(t *Type, supply Supply, need machineNeed, short shortage, now micros.Micros) shortage {
+func (s *Scaler) scaleType(t *TypeModel, supply Supply, need machineNeed, short shortage, now micros.Micros) shortage {
 	size := math.Max(t.CPUs, minCPUs)
 	floor, onDemandFloor := float64(supply.Busy), float64(supply.Busy)
 	if need.any > traceOfMachine {
@@ -30,10 +30,10 @@
 		onDemandFloor = float64(supply.Total) + ceilMachines(need.onDemand)
 	}
 	pooled := s.pooledBeyondMean(t.Name)
-	wanted := t.Wanted + pooled + short.any/size
-	wantedOnDemand := t.WantedOnDemand + pooled + short.onDemand/size
+	wanted := t.Required + pooled + short.any/size
+	wantedOnDemand := t.RequiredOnDemand + pooled + short.onDemand/size
 	t.Target = int(math.Max(ceilMachines(wanted), floor))
-	slog.Debug("scaling instance type", "instance_type", t.Name, "mean", t.Mean, "wanted", t.Wanted, "wanted_on_demand", t.WantedOnDemand,
+	slog.Debug("scaling instance type", "instance_type", t.Name, "mean", t.Mean, "wanted", t.Required, "wanted_on_demand", t.RequiredOnDemand,
 		"busy", supply.Busy, "need", need.any, "short_cpus", short.any, "short_on_demand_cpus", short.onDemand, "total", supply.Total)
 	launched := 0
 	if missing := t.Target - supply.Total; missing > 0 {
@@ -56,8 +56,8 @@
 
 // launchOnDemand launches on-demand machines for so many CPUs, the cheapest first. They cost about
 // three times as much: it is what no type had as spot machines.
-func (s *Scaler) launchOnDemand(types []*Type, cpus float64, now micros.Micros) {
-	slices.SortStableFunc(types, func(a, b *Type) int { return cmp.Compare(a.OnDemandPrice/a.CPUs, b.OnDemandPrice/b.CPUs) })
+func (s *Scaler) launchOnDemand(types []*TypeModel, cpus float64, now micros.Micros) {
+	slices.SortStableFunc(types, func(a, b *TypeModel) int { return cmp.Compare(a.OnDemandPrice/a.CPUs, b.OnDemandPrice/b.CPUs) })
 	for _, t := range types {
 		size := math.Max(t.CPUs, minCPUs)
 		if n := int(ceilMachines(cpus / size)); n > 0 {
@@ -72,7 +72,7 @@
 
 // launch has up to n machines of a type launched, spread over the zones, and returns how many are
 // on their way.
-func (s *Scaler) launch(t *Type, spot bool, n int, now micros.Micros) (launched int) {
+func (s *Scaler) launch(t *TypeModel, spot bool, n int, now micros.Micros) (launched int) {
 	if !s.Term.IsExclusive() {
 		return n
 	}
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -52,7 +52,7 @@
 // Scaler is the autoscaler of one term.
 type Scaler struct {
 	Config
-	types   map[string]*Type
+	types   map[string]*TypeModel
 	order   []string // names of the types, as the cloud lists them
 	version int      // raised with each list of types
 
@@ -65,7 +65,7 @@
 func New(c Config) *Scaler {
 	return &Scaler{
 		Config: c,
-		types:  map[string]*Type{},
+		types:  map[string]*TypeModel{},
 		pools:  map[state.PoolKind]*Pool{},
 	}
 }
@@ -106,7 +106,7 @@
 		}
 		of := supply[m.Offering.Type]
 		of.Total++
-		if len(m.Attempts) > 0 || len(m.Planned) > 0 || m.Pool.IsSet() {
+		if len(m.Attempts) > 0 || len(m.PlannedStarts) > 0 || m.Pool.IsSet() {
 			of.Busy++
 		}
 		supply[m.Offering.Type] = of
--- a/internal/leader/autoscaler/types.go
+++ b/internal/leader/autoscaler/types.go
@@ -12,25 +12,25 @@
 	"caperlatch/staffing"
 )
 
-// Type is an instance type with its staffing model, in machines of that type.
-type Type struct {
+// TypeModel is an instance type with its staffing model, in machines of that type.
+type TypeModel struct {
 	wire.InstanceType
 	Capacity placement.Resources
 	// Mean is the infinite-server mean m, and MeanBestEffort the part of it that delay-tolerant jobs bring.
-	Mean           float64
-	MeanBestEffort float64
+	Mean              float64
+	MeanDelayTolerant float64
 	// Demand measures the rate λ at which work comes in, and bestEffortDemand that of delay-tolerant jobs.
 	Demand           *staffing.DemandWindow
 	bestEffortDemand *staffing.DemandWindow
 	service          staffing.ServiceTime
 	batches          staffing.BatchSizes
 	finishedTasks    int
-	// Wanted is what the formula requires, held for an interval, and WantedOnDemand the same with the z
+	// Required is what the formula requires, held for an interval, and WantedOnDemand the same with the z
 	// of on-demand machines.
-	Wanted         float64
-	WantedOnDemand float64
-	Target         int // toward which the fleet is scaled
-	heldUntil      micros.Micros
+	Required         float64
+	RequiredOnDemand float64
+	Target           int // toward which the fleet is scaled
+	heldUntil        micros.Micros
 }
 
 // unlimited is more tasks than any machine takes.
@@ -50,7 +50,7 @@
 		s.order = append(s.order, offered.Name)
 		t := s.types[offered.Name]
 		if t == nil {
-			t = &Type{
+			t = &TypeModel{
 				Demand:           staffing.NewDemandWindow(s.Tuning.Window),
 				bestEffortDemand: staffing.NewDemandWindow(s.Tuning.Window),
 			}
@@ -66,13 +66,13 @@
 }
 
 // Type is the instance type with a name, nil if it is not known.
-func (s *Scaler) Type(name string) *Type { return s.types[name] }
+func (s *Scaler) Type(name string) *TypeModel { return s.types[name] }
 
 // Types are the known instance types by name. The map must not be changed.
-func (s *Scaler) Types() map[string]*Type { return s.types }
+func (s *Scaler) Types() map[string]*TypeModel { return s.types }
 
 // Fraction is the part of a machine of the type that a task holds.
-func (t *Type) Fraction(need placement.Resources) float64 {
+func (t *TypeModel) Fraction(need placement.Resources) float64 {
 	fraction := 0.0
 	for _, r := range [...]struct{ need, capacity int64 }{{need.CPU, t.Capacity.CPU}, {need.GPU, t.Capacity.GPU}, {need.Memory, t.Capacity.Memory}} {
 		if r.capacity > 0 {
@@ -83,7 +83,7 @@
 }
 
 // Price is the price of a machine of the type per hour.
-func (t *Type) Price(spot bool) float64 {
+func (t *TypeModel) Price(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
 	}
@@ -91,12 +91,12 @@
 }
 
 // PullTimeS is how long a machine of the type pulls an image, in seconds.
-func (t *Type) PullTimeS(imageSizeGB float64) float64 {
+func (t *TypeModel) PullTimeS(imageSizeGB float64) float64 {
 	return imageSizeGB / math.Max(t.ImagePullGBPerS, minPullGBPerS)
 }
 
 // PriceRatio is a type's price per CPU over the cheapest that there is.
-func (s *Scaler) PriceRatio(t *Type, spot bool) float64 {
+func (s *Scaler) PriceRatio(t *TypeModel, spot bool) float64 {
 	least := math.Inf(1)
 	for _, other := range s.types {
 		least = math.Min(least, math.Min(other.OnDemandPrice, other.SpotPrice)/other.CPUs)
@@ -105,12 +105,12 @@
 }
 
 // typesBySpotPrice orders the types by what a CPU costs as spot instance.
-func (s *Scaler) typesBySpotPrice() []*Type {
-	types := make([]*Type, 0, len(s.order))
+func (s *Scaler) typesBySpotPrice() []*TypeModel {
+	types := make([]*TypeModel, 0, len(s.order))
 	for _, name := range s.order {
 		types = append(types, s.types[name])
 	}
-	slices.SortStableFunc(types, func(a, b *Type) int {
+	slices.SortStableFunc(types, func(a, b *TypeModel) int {
 		return cmp.Compare(a.SpotPrice/a.CPUs, b.SpotPrice/b.CPUs)
 	})
 	return types
@@ -155,7 +155,7 @@
 
 // preferredType is the type that a job's demand is counted for: the cheapest of which the cloud had
 // capacity lately, else the cheapest; nil if none takes its tasks.
-func (s *Scaler) preferredType(j *state.Job, now micros.Micros) *Type {
+func (s *Scaler) preferredType(j *state.Job, now micros.Micros) *TypeModel {
 	offerings := s.OfferingsFor(j)
 	for _, o := range offerings {
 		if s.Fleet.HasCapacity(o, now) {
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -27,7 +27,7 @@
 // first, and all of them: a response that renews the lease must not leave one out. There are no more than
 // tasks on the machine.
 func stopsAndFollowUps(m *state.Machine) []wire.Command {
-	commands := make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.Planned))
+	commands := make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.PlannedStarts))
 	for name, a := range m.Attempts {
 		if a.StopRequestedAt != 0 && a.Number != 0 {
 			commands = append(commands, wire.Command{Verb: wire.VerbStop, TaskID: name, Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)})
@@ -43,7 +43,7 @@
 
 // commandPlannedStarts adds the starts that are planned for a machine to its commands.
 func (l *Leader) commandPlannedStarts(m *state.Machine, commands []wire.Command, now micros.Micros) []wire.Command {
-	for _, j := range m.Planned {
+	for _, j := range m.PlannedStarts {
 		if len(commands) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.canStartTask(j, m) {
 			continue
 		}
@@ -66,7 +66,7 @@
 		l.assign(a)
 		commands = append(commands, wire.Command{Verb: wire.VerbStart, TaskID: a.TaskID(), Attempt: a.Number})
 	}
-	m.Planned = m.Planned[:0]
+	m.PlannedStarts = m.PlannedStarts[:0]
 	return commands
 }
 
--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -81,7 +81,7 @@
 	if a != nil {
 		l.scaler.ObserveCompletion(a, o.at)
 	}
-	l.writes.Mark(state.ProgressKey(j.Spec.ID, o.index/state.ChunkTasks))
+	l.writes.Enqueue(state.ProgressKey(j.Spec.ID, o.index/state.ChunkTasks))
 	l.scheduler.CountCompletion()
 	l.gangs.Complete(j)
 }
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -50,7 +50,7 @@
 	} else if f := j.DescribeFailures(micros.Now()); f != "" {
 		e.Reasons = append(e.Reasons, f)
 	}
-	e.Reasons = append(e.Reasons, l.zones.Reasons(j)...)
+	e.Reasons = append(e.Reasons, l.zones.DisruptionReasons(j)...)
 	if _, finishing := l.finalJobs[id]; finishing {
 		e.Reasons = append(e.Reasons, "all its tasks are done, which is not stored yet")
 	}
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -175,7 +175,7 @@
 
 // areAllTasksConfirmed reports whether each machine itself has confirmed which tasks it holds.
 func (l *Leader) areAllTasksConfirmed() bool {
-	return l.fleet.CountUnknown()+l.countUnconfirmed() == 0
+	return l.fleet.CountWithUnknownTasks()+l.countUnconfirmed() == 0
 }
 
 // recordTasksKnown records once that the tasks of all machines are known: the failover is complete.
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -171,7 +171,7 @@
 				on = append(on, task)
 			}
 			slices.Sort(on)
-			if !slices.Equal(on, tc.on) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.fleet.CountUnknown() > 0 {
+			if !slices.Equal(on, tc.on) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.fleet.CountWithUnknownTasks() > 0 {
 				t.Errorf("on machines %v, want %v; unconfirmed %v", on, tc.on, m.Reconciliation.Knowledge == state.TasksHandedOver)
 			}
 		})
--- a/internal/leader/fleet/fleet.go
+++ b/internal/leader/fleet/fleet.go
@@ -144,8 +144,8 @@
 // WasTerminated reports whether a machine's termination was answered in this term.
 func (f *Fleet) WasTerminated(id string) bool { return f.terminated[id] }
 
-// CountUnknown counts the machines that may hold tasks of earlier terms which are not known.
-func (f *Fleet) CountUnknown() int {
+// CountWithUnknownTasks counts the machines that may hold tasks of earlier terms which are not known.
+func (f *Fleet) CountWithUnknownTasks() int {
 	n := 0
 	for _, m := range f.Machines {
 		if !m.TasksKnown() {
--- a/internal/leader/fleet/intents.go
+++ b/internal/leader/fleet/intents.go
@@ -136,7 +136,7 @@
 
 // storeIntent has an intent stored as it is now.
 func (f *Fleet) storeIntent(i *LaunchIntent) {
-	f.Writes.Mark(replica.LaunchIntentPrefix + i.id)
+	f.Writes.Enqueue(replica.LaunchIntentPrefix + i.id)
 	f.Writes.Wake()
 }
 
@@ -185,7 +185,7 @@
 	i := f.intents[m.IntentID]
 	i.Machines = slices.DeleteFunc(i.Machines, func(id string) bool { return id == m.ID })
 	i.abandoned = i.Answered && len(i.Machines) == 0
-	f.Writes.MarkLazily(replica.LaunchIntentPrefix + i.id)
+	f.Writes.EnqueueLowPriority(replica.LaunchIntentPrefix + i.id)
 }
 
 // mayAct reports whether this term may still launch instances. It takes the lock.
--- a/internal/leader/fleet/lists.go
+++ b/internal/leader/fleet/lists.go
@@ -27,8 +27,8 @@
 // maxLists bounds the index of a list that is read. It only refuses what is no list of this service.
 const maxLists = 1 << 20
 
-// ErrNoMachineList is returned for a stored key with the prefix of machine lists that is none.
-var ErrNoMachineList = errors.New("no list of machines")
+// ErrInvalidListKey is returned for a stored key with the prefix of machine lists that is none.
+var ErrInvalidListKey = errors.New("no list of machines")
 
 // listEntry is a machine's entry in its list.
 func listEntry(m *state.Machine) string { return m.ID + " " + m.Instance.Address }
@@ -46,7 +46,7 @@
 func parseListKey(key string) (index int, err error) {
 	index, err = strconv.Atoi(strings.TrimPrefix(key, replica.MachineListPrefix))
 	if err != nil || index < 0 || index > maxLists {
-		return 0, fmt.Errorf("stored %s: %w", key, ErrNoMachineList)
+		return 0, fmt.Errorf("stored %s: %w", key, ErrInvalidListKey)
 	}
 	return index, nil
 }
@@ -72,7 +72,7 @@
 	for index, list := range f.lists {
 		// A leader that ended while it split a list left machines in two.
 		if before := len(list.Entries); f.dropForeignEntries(index) < before {
-			f.Writes.MarkLazily(ListKey(index))
+			f.Writes.EnqueueLowPriority(ListKey(index))
 		}
 	}
 	for index := range f.lists {
@@ -87,7 +87,7 @@
 		id, address, _ := strings.Cut(entry, " ")
 		if m := f.Machines[id]; m != nil {
 			i := &m.Instance
-			i.Running, i.ListStored, i.List, i.Address = true, true, index, address
+			i.Running, i.ListStored, i.StoredListIndex, i.Address = true, true, index, address
 			m.Reconciliation.Knowledge = state.TasksUnknown
 		}
 	}
@@ -99,7 +99,7 @@
 	list := f.lists[index]
 	list.Entries = slices.DeleteFunc(list.Entries, func(entry string) bool {
 		m := f.Machines[entryID(entry)]
-		return m != nil && m.Instance.List != index || f.terminated[entryID(entry)]
+		return m != nil && m.Instance.StoredListIndex != index || f.terminated[entryID(entry)]
 	})
 	return len(list.Entries)
 }
@@ -116,10 +116,10 @@
 		f.lists = append(f.lists, &MachineList{Entries: slices.Clone(part), splitFrom: &index})
 		for _, entry := range part {
 			if m := f.Machines[entryID(entry)]; m != nil {
-				m.Instance.List = len(f.lists) - 1
+				m.Instance.StoredListIndex = len(f.lists) - 1
 			}
 		}
-		f.Writes.Mark(ListKey(len(f.lists) - 1))
+		f.Writes.Enqueue(ListKey(len(f.lists) - 1))
 	}
 }
 
@@ -142,7 +142,7 @@
 	if from := f.lists[index].splitFrom; from != nil {
 		f.lists[index].splitFrom = nil
 		f.dropForeignEntries(*from)
-		f.Writes.MarkLazily(ListKey(*from))
+		f.Writes.EnqueueLowPriority(ListKey(*from))
 	}
 }
 
@@ -155,17 +155,17 @@
 		f.lists = append(f.lists, &MachineList{})
 		last++
 	}
-	m.Instance.List = last
+	m.Instance.StoredListIndex = last
 	f.lists[last].Entries = append(f.lists[last].Entries, listEntry(m))
-	f.Writes.Mark(ListKey(last))
+	f.Writes.Enqueue(ListKey(last))
 	f.Writes.Wake()
 }
 
 // removeFromList takes a terminated machine off its list.
 func (f *Fleet) removeFromList(m *state.Machine) {
-	list := f.lists[m.Instance.List]
+	list := f.lists[m.Instance.StoredListIndex]
 	list.Entries = slices.DeleteFunc(list.Entries, func(entry string) bool { return entryID(entry) == m.ID })
-	f.Writes.MarkLazily(ListKey(m.Instance.List))
+	f.Writes.EnqueueLowPriority(ListKey(m.Instance.StoredListIndex))
 }
 
 // EncodeList makes the write of a machine list's key.
--- a/internal/leader/fleet/termination.go
+++ b/internal/leader/fleet/termination.go
@@ -26,7 +26,7 @@
 	}
 	f.Events.Add("terminating", reason, m.ID)
 	m.Instance.Terminating = true
-	m.Planned = nil
+	m.PlannedStarts = nil
 	for _, a := range m.Attempts {
 		a.StopReason = "its machine is returned: " + reason
 	}
@@ -116,12 +116,12 @@
 	}
 	listed := map[string]bool{} // of those that are unexplained
 	for _, m := range f.Machines {
-		m.Instance.MissingLists++
+		m.Instance.MissedCloudLists++
 	}
 	for _, instance := range list {
 		m := f.Machines[instance.ID]
 		if m != nil {
-			m.Instance.Listed, m.Instance.MissingLists = true, 0
+			m.Instance.SeenInCloudList, m.Instance.MissedCloudLists = true, 0
 		}
 		switch {
 		case m != nil && instance.State == wire.InstanceFailed && !m.Instance.Terminating:
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -37,7 +37,7 @@
 		l.fleet.Add(id, l.fleet.Intent("r-1"), l.startedAt)
 	}
 	for _, m := range l.fleet.Sorted {
-		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
+		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.FromCurrentTerm = true, true, true, true
 		m.Reconciliation.Knowledge = taskKnowledge(!earlierTerm)
 		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
 	}
@@ -124,7 +124,7 @@
 func addSchedulable(l *Leader, id, zone string) {
 	m := l.fleet.Add(id, l.fleet.Intent("r-1"), micros.Now())
 	m.Offering.Zone = zone
-	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
+	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.FromCurrentTerm = true, true, true, true
 	m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = id+":9000", 1, micros.Now(), micros.Now()
 }
 
--- a/internal/leader/gang_pool_test.go
+++ b/internal/leader/gang_pool_test.go
@@ -30,7 +30,7 @@
 		l.fleet.Add(fmt.Sprintf("i-%d", 10+i), l.fleet.Intent("r-1"), l.startedAt)
 	}
 	for _, m := range l.fleet.Sorted {
-		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm = true, true, true, true
+		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.FromCurrentTerm = true, true, true, true
 		m.Reconciliation.Knowledge = state.TasksConfirmed
 		m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = m.ID+":9000", 1, l.startedAt, l.startedAt
 	}
--- a/internal/leader/gangs/helpers_test.go
+++ b/internal/leader/gangs/helpers_test.go
@@ -44,7 +44,7 @@
 	for i := range 3 {
 		m := &state.Machine{ID: fmt.Sprintf("i-%d", i+1), Attempts: map[string]*state.Attempt{}, Free: placement.Resources{CPU: 4000}}
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
-		m.Instance.Address, m.Heartbeat.OfThisTerm, m.Heartbeat.Sequence = m.ID+":9000", true, 5
+		m.Instance.Address, m.Heartbeat.FromCurrentTerm, m.Heartbeat.Sequence = m.ID+":9000", true, 5
 		m.Reconciliation.Knowledge = state.TasksConfirmed
 		f.machines = append(f.machines, m)
 	}
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -119,12 +119,12 @@
 // reconcileIfCurrent reconciles the tasks of a heartbeat that is a snapshot of its machine in this term.
 func (l *Leader) reconcileIfCurrent(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
 	// One that is older than the machine's response to a task query says nothing new.
-	m.Heartbeat.OfThisTerm = h.FencingToken == l.FencingToken && h.Sequence > m.Reconciliation.QueriedSequence
-	if !m.Heartbeat.OfThisTerm && m.Delivery.RespondedThisTerm {
+	m.Heartbeat.FromCurrentTerm = h.FencingToken == l.FencingToken && h.Sequence > m.Reconciliation.QueriedSequence
+	if !m.Heartbeat.FromCurrentTerm && m.Delivery.RespondedThisTerm {
 		l.liveness.RecordLostResponse(m, now)
 	}
 	m.Delivery.RespondedThisTerm = true
-	if m.Heartbeat.OfThisTerm {
+	if m.Heartbeat.FromCurrentTerm {
 		l.zones.ObserveReturn(m, now)
 		l.reconcile(m, h, now)
 	} else {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -52,10 +52,10 @@
 	intent := l.fleet.AddIntent("r-1", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-1"}})
 	m := l.fleet.Add("i-1", intent, now)
 	l.fleet.RegisterRunning(m)
-	l.writes.Unmark(fleet.ListKey(0))
+	l.writes.Remove(fleet.ListKey(0))
 	m.Instance.IntentStored, m.Instance.ListStored = true, true
 	m.Reconciliation.Knowledge = state.TasksUnknown
-	m.Heartbeat.OfThisTerm = true
+	m.Heartbeat.FromCurrentTerm = true
 	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
 		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -40,12 +40,12 @@
 	j.Ended = true
 	delete(l.jobs, j.Spec.ID)
 	delete(l.finalJobs, j.Spec.ID)
-	l.writes.Unmark(replica.JobPrefix + j.Spec.ID)
-	for chunk := range j.Chunks() {
+	l.writes.Remove(replica.JobPrefix + j.Spec.ID)
+	for chunk := range j.ProgressChunks() {
 		key := state.ProgressKey(j.Spec.ID, chunk)
-		l.writes.Unmark(key)
+		l.writes.Remove(key)
 		if l.Replica.ModRevision(key) != 0 {
-			l.writes.Mark(key)
+			l.writes.Enqueue(key)
 		}
 	}
 	reason := "job is " + finalState
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -19,7 +19,7 @@
 		LeaseRenewalWindow:      workers.LeaseRenewalWindow(),
 		CancellationTimeout:     workers.CancellationTimeout(),
 		EarlierTermsFencedSince: l.Term.EarlierTermsFencedSince,
-		KeepsSilent:             func(zone string) bool { return l.zones.Policy.Decide(zone).KeepSilent },
+		RetainsSilentMachines:   func(zone string) bool { return l.zones.Policy.Decide(zone).KeepSilent },
 		Fleet:                   l.fleet,
 		Queries:                 l.taskQueries,
 	})
@@ -52,7 +52,7 @@
 		}
 		l.releaseAll(m, "its lease ended")
 	}
-	l.liveness.RecordLease(m, expired, now)
+	l.liveness.RecordLeaseExpiry(m, expired, now)
 	return expired
 }
 
--- a/internal/leader/liveness/delivery.go
+++ b/internal/leader/liveness/delivery.go
@@ -39,7 +39,7 @@
 func (o *Monitor) RecordLostResponse(m *state.Machine, now micros.Micros) {
 	d := &m.Delivery
 	if d.LostResponses == 0 {
-		d.LosingSince = now
+		d.FirstLostAt = now
 	}
 	d.LostResponses++
 	if d.LostResponses >= backoffLostResponses {
--- a/internal/leader/liveness/liveness.go
+++ b/internal/leader/liveness/liveness.go
@@ -24,11 +24,11 @@
 	CancellationTimeout micros.Micros
 	// EarlierTermsFencedSince is since when nobody responds with a lower fencing token, 0 if that is not known.
 	EarlierTermsFencedSince func() micros.Micros
-	// KeepsSilent reports whether silent machines of a zone are kept for as long as their leases last, and as
+	// RetainsSilentMachines reports whether silent machines of a zone are kept for as long as their leases last, and as
 	// long again: where many are silent at once, the network is more likely at fault than they are.
-	KeepsSilent func(zone string) bool
-	Fleet       *fleet.Fleet
-	Queries     *taskquery.Queries
+	RetainsSilentMachines func(zone string) bool
+	Fleet                 *fleet.Fleet
+	Queries               *taskquery.Queries
 }
 
 // Monitor judges the machines of a fleet for one term.
@@ -41,7 +41,7 @@
 func New(c Config) *Monitor { return &Monitor{Config: c} }
 
 // CountUnknown counts the machines whose tasks are not known, which the limits of silence depend on.
-func (o *Monitor) CountUnknown() { o.unknownCount = o.Fleet.CountUnknown() }
+func (o *Monitor) CountUnknown() { o.unknownCount = o.Fleet.CountWithUnknownTasks() }
 
 // Silence is for how long a machine has sent no heartbeat in this term.
 func (o *Monitor) Silence(m *state.Machine, now micros.Micros) micros.Micros {
@@ -76,8 +76,8 @@
 	return now > o.LeaseExpiry(m)
 }
 
-// RecordLease notes since when the lease of a running machine has expired, or that it has not.
-func (o *Monitor) RecordLease(m *state.Machine, expired bool, now micros.Micros) {
+// RecordLeaseExpiry notes since when the lease of a running machine has expired, or that it has not.
+func (o *Monitor) RecordLeaseExpiry(m *state.Machine, expired bool, now micros.Micros) {
 	if !expired || !m.Instance.Running {
 		m.Lease.ExpiredSince = 0
 	} else if m.Lease.ExpiredSince == 0 {
--- a/internal/leader/liveness/liveness_test.go
+++ b/internal/leader/liveness/liveness_test.go
@@ -25,7 +25,7 @@
 		LeaseRenewalWindow:      testWorkers.LeaseRenewalWindow(),
 		CancellationTimeout:     testWorkers.CancellationTimeout(),
 		EarlierTermsFencedSince: func() micros.Micros { return fencedSince },
-		KeepsSilent:             func(string) bool { return false },
+		RetainsSilentMachines:   func(string) bool { return false },
 		Fleet:                   &fleet.Fleet{},
 		Queries:                 taskquery.New(taskquery.Config{}),
 	})
@@ -75,7 +75,7 @@
 	}
 	for _, c := range cases {
 		m := &state.Machine{Instance: state.InstanceState{Running: c.running}, Lease: state.LeaseState{ExpiredSince: c.before}}
-		newTestMonitor(0).RecordLease(m, c.expired, 50)
+		newTestMonitor(0).RecordLeaseExpiry(m, c.expired, 50)
 		if got := m.Lease.ExpiredSince; got != c.want {
 			t.Errorf("%s: expired since %d, want %d", c.name, got, c.want)
 		}
@@ -143,8 +143,8 @@
 		if want != 0 {
 			want = now + want*micros.Second
 		}
-		if m.StartBackoffUntil != want || m.Delivery.LosingSince != termStart {
-			t.Errorf("after %d: no starts until %v, losing since %v; want %v, %v", i+1, m.StartBackoffUntil, m.Delivery.LosingSince, want, termStart)
+		if m.StartBackoffUntil != want || m.Delivery.FirstLostAt != termStart {
+			t.Errorf("after %d: no starts until %v, losing since %v; want %v, %v", i+1, m.StartBackoffUntil, m.Delivery.FirstLostAt, want, termStart)
 		}
 	}
 }
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -52,21 +52,21 @@
 // silent, and was listed before and is so no longer. That proves nothing, as lists lag; but it is a reason to
 // terminate it now, which does.
 func (o *Monitor) seemsReclaimed(m *state.Machine, now micros.Micros) bool {
-	return m.Instance.Listed && m.Instance.MissingLists >= minMissingLists && o.IsHeartbeatLate(m, now)
+	return m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissingLists && o.IsHeartbeatLate(m, now)
 }
 
 // TerminationReason is why a machine should be terminated as it is silent, gets no response or does not come
 // up; empty if it should not. Where many are silent at once the network is more likely at fault than they
 // are: they are kept as long as their leases last, and as long again.
 func (o *Monitor) TerminationReason(m *state.Machine, leaseExpired bool, now micros.Micros) string {
-	kept := func() bool { return o.KeepsSilent(m.Offering.Zone) }
+	kept := func() bool { return o.RetainsSilentMachines(m.Offering.Zone) }
 	i := &m.Instance
 	switch {
 	case i.Running && o.Silence(m, now) > o.silenceLimit(m) && (!kept() || m.Lease.ExpiredSince != 0 && now-m.Lease.ExpiredSince > o.LeaseDuration):
 		return "silent"
 	case i.Running && o.seemsReclaimed(m, now):
 		return "silent and no longer listed"
-	case m.LosesResponses() && now-m.Delivery.LosingSince > o.silenceLimit(m) && (!kept() || leaseExpired):
+	case m.LosesResponses() && now-m.Delivery.FirstLostAt > o.silenceLimit(m) && (!kept() || leaseExpired):
 		return "it hears nothing"
 	case o.isStuckInBoot(m, now):
 		o.Fleet.RecordStuckBoot()
--- a/internal/leader/machine_lists_test.go
+++ b/internal/leader/machine_lists_test.go
@@ -40,7 +40,7 @@
 	if responds {
 		w.OnStored()
 	} else {
-		s.leader.writes.Mark(w.Key)
+		s.leader.writes.Enqueue(w.Key)
 	}
 }
 
@@ -110,7 +110,7 @@
 					if c.responds(n) || c.carriedOut {
 						s.carryOut(t, w, c.responds(n))
 					} else {
-						l.writes.Mark(w.Key)
+						l.writes.Enqueue(w.Key)
 					}
 				}
 				if listed := s.countMachines(); listed != len(entries) {
--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -72,18 +72,18 @@
 	}
 }
 
-// Mark has a key written soon.
-func (q *Queue) Mark(key string) { q.dirty[key] = true }
+// Enqueue has a key written soon.
+func (q *Queue) Enqueue(key string) { q.dirty[key] = true }
 
-// MarkLazily has a key written when nothing more urgent is.
-func (q *Queue) MarkLazily(key string) {
+// EnqueueLowPriority has a key written when nothing more urgent is.
+func (q *Queue) EnqueueLowPriority(key string) {
 	if _, ok := q.dirty[key]; !ok {
 		q.dirty[key] = false
 	}
 }
 
-// Unmark takes a key back that need not be written any more.
-func (q *Queue) Unmark(key string) { delete(q.dirty, key) }
+// Remove takes a key back that need not be written any more.
+func (q *Queue) Remove(key string) { delete(q.dirty, key) }
 
 // IsUrgent reports whether a key is marked to be written soon.
 func (q *Queue) IsUrgent(key string) bool { return q.dirty[key] }
@@ -166,7 +166,7 @@
 	case errors.Is(err, statestore.ErrRejected):
 		q.Lock.Lock()
 		defer q.Lock.Unlock()
-		q.Reject(writes, err)
+		q.HandleRejection(writes, err)
 		return true
 	}
 	slog.Debug("leader's transaction failed", "error", err)
@@ -228,11 +228,11 @@
 	q.Wake()
 }
 
-// Reject makes a transaction smaller that the state service will never carry out as it is.
+// HandleRejection makes a transaction smaller that the state service will never carry out as it is.
 // Halves show whether the number of changes is at fault, which then stays lower, or a value: one
 // that is rejected alone is given up until it is smaller, while the others go on. Without that it was
 // sent again for ever, with all the writes beside it.
-func (q *Queue) Reject(writes []Write, err error) {
+func (q *Queue) HandleRejection(writes []Write, err error) {
 	if len(writes) == 1 {
 		w := writes[0]
 		q.rejectedSizes[w.Key] = wire.JSONSize(w.Value)
--- a/internal/leader/persist/queue_test.go
+++ b/internal/leader/persist/queue_test.go
@@ -58,7 +58,7 @@
 // mark has a value written under a key.
 func (q *testQueue) mark(key string, value any) {
 	q.values[key] = value
-	q.Mark(key)
+	q.Enqueue(key)
 }
 
 // transport is a state service that only takes transactions.
@@ -124,12 +124,12 @@
 					t.Fatalf("sent again as it was rejected: %s", keys)
 				}
 				sent[keys] = true
-				q.Reject(writes, errors.New("rejected"))
+				q.HandleRejection(writes, errors.New("rejected"))
 			}
 			want := 8
 			if c.lost != "" {
 				want--
-				q.Mark(c.lost)
+				q.Enqueue(c.lost)
 				if writes, _ := q.Collect(); len(writes) != 0 {
 					t.Errorf("a value as large as the one rejected is sent")
 				}
@@ -162,9 +162,9 @@
 	q := newTestQueue(t, nil)
 	for _, key := range slices.Backward(want) {
 		if q.values[key] = 1; key != lazy {
-			q.Mark(key)
+			q.Enqueue(key)
 		}
-		q.MarkLazily(key) // what is urgent stays so
+		q.EnqueueLowPriority(key) // what is urgent stays so
 		if q.IsUrgent(key) == (key == lazy) {
 			t.Errorf("%s is urgent: %t", key, q.IsUrgent(key))
 		}
@@ -188,8 +188,8 @@
 		{"nothing marked", func(*testQueue) {}, nil, false},
 		{"one key", func(q *testQueue) { q.mark("c/a", 1) }, []string{"c/a"}, false},
 		{"marked twice", func(q *testQueue) { q.mark("c/a", 1); q.mark("c/a", 2) }, []string{"c/a"}, false},
-		{"unmarked", func(q *testQueue) { q.mark("c/a", 1); q.Unmark("c/a") }, nil, false},
-		{"without a value any more", func(q *testQueue) { q.Mark("c/a"); q.mark("c/b", 1) }, []string{"c/b"}, false},
+		{"unmarked", func(q *testQueue) { q.mark("c/a", 1); q.Remove("c/a") }, nil, false},
+		{"without a value any more", func(q *testQueue) { q.Enqueue("c/a"); q.mark("c/b", 1) }, []string{"c/b"}, false},
 		{"to be deleted", func(q *testQueue) { q.mark("c/a", nil) }, []string{"c/a"}, false},
 		{"too large for one transaction", func(q *testQueue) { q.mark("c/a", large); q.mark("c/b", large) }, []string{"c/a"}, true},
 	}
--- a/internal/leader/quarantine/quarantine.go
+++ b/internal/leader/quarantine/quarantine.go
@@ -105,7 +105,7 @@
 	m.Quarantine.Failures = 0
 	clear(m.Quarantine.SuspectJobs)
 	if a != nil && a.StartSequence != 0 {
-		m.Quarantine.ProvenAt = max(m.Quarantine.ProvenAt, a.StartedAt)
+		m.Quarantine.LatestSuccessStartedAt = max(m.Quarantine.LatestSuccessStartedAt, a.StartedAt)
 	}
 	if j.DoneCount != 1 || len(j.Failures.ByMachine) == 0 {
 		return
@@ -119,7 +119,7 @@
 	j.Failures.ByMachine = map[string]micros.Micros{}
 	clearBackoff(j)
 	for id, failedAt := range failures {
-		if failed := q.Fleet.Machines[id]; failed != nil && failed.Quarantine.ProvenAt <= failedAt {
+		if failed := q.Fleet.Machines[id]; failed != nil && failed.Quarantine.LatestSuccessStartedAt <= failedAt {
 			delete(failed.Quarantine.SuspectJobs, j.Spec.ID)
 			failed.Quarantine.Failures++
 			q.evaluateMachine(failed, now)
@@ -196,7 +196,7 @@
 		machines++
 	}
 	for id, failedAt := range j.Failures.ByMachine {
-		if m := q.Fleet.Machines[id]; m != nil && m.Quarantine.ProvenAt > failedAt {
+		if m := q.Fleet.Machines[id]; m != nil && m.Quarantine.LatestSuccessStartedAt > failedAt {
 			proven = true
 		}
 	}
@@ -289,9 +289,9 @@
 	}
 }
 
-// Record names the quarantined jobs and how often each was probed, for the next leader: if that started from
+// Snapshot names the quarantined jobs and how often each was probed, for the next leader: if that started from
 // nothing, all of them would fail at once again.
-func (q *Quarantine) Record() map[string]int {
+func (q *Quarantine) Snapshot() map[string]int {
 	rounds := map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(q.Jobs)) {
 		if j := q.Jobs[id]; j.Failures.Quarantined && len(rounds) < maxRecorded {
--- a/internal/leader/quarantine/quarantine_test.go
+++ b/internal/leader/quarantine/quarantine_test.go
@@ -158,7 +158,7 @@
 	next, _ := newTest(t)
 	restored := state.NewJob(replica.Job{Spec: j.Spec}, true)
 	next.Jobs[j.Spec.ID] = restored
-	next.Restore(q.Record(), now)
+	next.Restore(q.Snapshot(), now)
 	if !restored.Failures.Quarantined || restored.StartableTasks(now) != 0 || restored.StartableTasks(restored.BackoffUntil) != state.ProbeTasks {
 		t.Errorf("the next leader tries %d tasks at once", restored.StartableTasks(now))
 	}
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -37,7 +37,7 @@
 	l.scaler.StepPools(now)
 	l.ready = true
 	l.scheduler.RequestPlan()
-	slog.Info("stored state restored", "fencing_token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.fleet.Machines), "tasks_unknown", l.fleet.CountUnknown())
+	slog.Info("stored state restored", "fencing_token", l.FencingToken, "jobs", len(l.jobs), "machines", len(l.fleet.Machines), "tasks_unknown", l.fleet.CountWithUnknownTasks())
 	return nil
 }
 
@@ -49,14 +49,14 @@
 	}
 	j := l.jobs[id]
 	if j == nil {
-		l.writes.Mark(key) // the job has ended
+		l.writes.Enqueue(key) // the job has ended
 		return nil
 	}
 	var progress state.TaskProgress
 	if _, err := l.Replica.Get(key, &progress); err != nil {
 		return err
 	}
-	if err := j.Restore(chunk, progress); err != nil {
+	if err := j.RestoreProgress(chunk, progress); err != nil {
 		return fmt.Errorf("stored %s: %w", key, err)
 	}
 	if j.DoneCount > 0 {
--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -25,7 +25,7 @@
 // fleet running for minutes after everybody else had left. It acts only while nothing waits, so that a moved task
 // finds its room at once.
 func (s *Scheduler) Consolidate(now micros.Micros) {
-	if len(s.queue.jobs) > 0 || !s.Term.HoldsSession() || !s.Term.IsExclusive() || s.Fleet.CountUnknown() > 0 {
+	if len(s.queue.jobs) > 0 || !s.Term.HoldsSession() || !s.Term.IsExclusive() || s.Fleet.CountWithUnknownTasks() > 0 {
 		return
 	}
 	machines := s.consolidationOrder(now)
--- a/internal/leader/scheduler/deferrals.go
+++ b/internal/leader/scheduler/deferrals.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		slog.Debug("job deferred", "job", d.Job.ID, "team", d.Job.Team, "late", d.Late, "start_deadline", (d.StartDeadline - wall).Duration(),
-			"for_job", d.For.ID, "missed_deadline", (d.MissedDeadline - wall).Duration())
+			"for_job", d.ForJob.ID, "missed_deadline", (d.MissedDeadline - wall).Duration())
 	}
 	s.deferred = deferred
 }
--- a/internal/leader/scheduler/helpers_test.go
+++ b/internal/leader/scheduler/helpers_test.go
@@ -67,7 +67,7 @@
 		Jobs:                 jobs,
 		HeartbeatInterval:    testHeartbeatInterval,
 		TermStartedAt:        micros.Wall(),
-		TeamUse:              func() map[string]*placement.Team { return map[string]*placement.Team{"blue": {}} },
+		TeamUsage:            func() map[string]*placement.Team { return map[string]*placement.Team{"blue": {}} },
 		AwaitsReconciliation: func() func(*state.Job) bool { return func(*state.Job) bool { return false } },
 		ReviewQuarantine:     func(*state.Job, micros.Micros) {},
 		OnlyZone:             func(*state.Job) string { return "" },
@@ -87,7 +87,7 @@
 		Free:     s.Scaler.Type("m4").Capacity,
 	}
 	m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
-	m.Heartbeat.OfThisTerm, m.Heartbeat.ReceivedAt = true, now
+	m.Heartbeat.FromCurrentTerm, m.Heartbeat.ReceivedAt = true, now
 	m.Reconciliation.Knowledge = state.TasksConfirmed
 	s.Fleet.Machines[id] = m
 	s.Fleet.Sorted = append(s.Fleet.Sorted, m)
--- a/internal/leader/scheduler/queue.go
+++ b/internal/leader/scheduler/queue.go
@@ -58,7 +58,7 @@
 // newQueue lists the jobs that may start tasks now. A job that an earlier term may have started waits until
 // no machine's tasks are unknown.
 func (s *Scheduler) newQueue(now micros.Micros) queue {
-	teams := s.TeamUse()
+	teams := s.TeamUsage()
 	awaitsReconciliation := s.AwaitsReconciliation()
 	withinGuarantee := s.Workload.JobsWithinGuarantee(s.Jobs)
 	wall := micros.Wall()
@@ -76,7 +76,7 @@
 			}
 		}
 		if r := s.reservations[j.Spec.ID]; r != nil {
-			r.Waiting = w
+			r.QueuedJob = w
 		}
 		entries = append(entries, queueEntry{w, j})
 	}
@@ -101,7 +101,7 @@
 		ID:       spec.ID,
 		Team:     spec.Team,
 		OnlyZone: s.OnlyZone(j),
-		Standing: placement.Standing{
+		QueueKey: placement.QueueKey{
 			EvacuationRank:  s.EvacuationRank(j),
 			WithinGuarantee: withinGuarantee,
 			Priority:        j.Priority,
--- a/internal/leader/scheduler/reservation.go
+++ b/internal/leader/scheduler/reservation.go
@@ -71,7 +71,7 @@
 		s.reservations[jobID] = reservation
 		for _, w := range s.queue.waiting {
 			if w.ID == jobID {
-				reservation.Waiting = w
+				reservation.QueuedJob = w
 			}
 		}
 	}
--- a/internal/leader/scheduler/reservation_test.go
+++ b/internal/leader/scheduler/reservation_test.go
@@ -63,13 +63,13 @@
 	s.Plan(now)
 	lifetime := reservationHorizon + testHeartbeatInterval
 	r := s.reservations[j.Spec.ID]
-	if r == nil || len(r.Machines) != 2 || r.ExpiresAt != now+lifetime || r.RetryAt != now+2*lifetime || r.Waiting == nil {
+	if r == nil || len(r.Machines) != 2 || r.ExpiresAt != now+lifetime || r.RetryAt != now+2*lifetime || r.QueuedJob == nil {
 		t.Fatalf("%+v", r)
 	}
 	if s.ExpireReservation(j, now+lifetime-1); s.ReservedMachines(j.Spec.ID) != 2 {
 		t.Error("it expires too soon")
 	}
-	if s.Plan(now); s.queue.waiting[0].ID != j.Spec.ID || r.Waiting != s.queue.waiting[0] {
+	if s.Plan(now); s.queue.waiting[0].ID != j.Spec.ID || r.QueuedJob != s.queue.waiting[0] {
 		t.Error("the reservation is for the gang as of an earlier queue")
 	}
 	s.planRequested = false
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -49,8 +49,8 @@
 	// TermStartedAt is when the term started, as time of day.
 	TermStartedAt micros.Micros
 
-	// TeamUse is what each team may be using at worst, and its limit.
-	TeamUse func() map[string]*placement.Team
+	// TeamUsage is what each team may be using at worst, and its limit.
+	TeamUsage func() map[string]*placement.Team
 	// AwaitsReconciliation makes a function that reports whether a job must start nothing yet, as
 	// machines whose tasks are not known may hold some of its tasks.
 	AwaitsReconciliation func() func(*state.Job) bool
@@ -125,7 +125,7 @@
 // again: only sent starts bind.
 func (s *Scheduler) Plan(now micros.Micros) {
 	for _, m := range s.Fleet.Sorted {
-		m.Planned = m.Planned[:0]
+		m.PlannedStarts = m.PlannedStarts[:0]
 	}
 	s.queue = s.newQueue(now)
 	q := &s.queue
@@ -159,7 +159,7 @@
 		return
 	}
 	for range count {
-		m.Planned = append(m.Planned, j)
+		m.PlannedStarts = append(m.PlannedStarts, j)
 	}
 }
 
--- a/internal/leader/scheduler/scheduler_test.go
+++ b/internal/leader/scheduler/scheduler_test.go
@@ -40,7 +40,7 @@
 		}
 		s.PlannedAt, s.planDuration, s.planRequested = now-c.since, c.took, c.requested
 		plans := 0
-		s.TeamUse = func() map[string]*placement.Team {
+		s.TeamUsage = func() map[string]*placement.Team {
 			plans++
 			return map[string]*placement.Team{"blue": {}}
 		}
@@ -68,7 +68,7 @@
 			s.Fleet.Sorted[0].Heartbeat.ReceivedAt -= 4 * testHeartbeatInterval
 		}, 4},
 		{"the team is at its limit", func(s *Scheduler, _ *fakeTerm) {
-			s.TeamUse = func() map[string]*placement.Team {
+			s.TeamUsage = func() map[string]*placement.Team {
 				return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPU: 2000}}}
 			}
 		}, 2},
@@ -84,7 +84,7 @@
 		}
 		planned := 0
 		for _, m := range s.Fleet.Sorted {
-			planned += len(m.Planned)
+			planned += len(m.PlannedStarts)
 		}
 		if planned != c.planned {
 			t.Errorf("%s: %d starts are planned, want %d", c.name, planned, c.planned)
@@ -103,7 +103,7 @@
 	}{
 		{"more tasks than room", 6, func(*Scheduler, *state.Machine) {}, 4, 1},
 		{"room for all tasks", 3, func(*Scheduler, *state.Machine) {}, 3, 0},
-		{"a start is planned already", 6, func(s *Scheduler, m *state.Machine) { m.Planned = append(m.Planned, s.queue.jobs[0]) }, 4, 1},
+		{"a start is planned already", 6, func(s *Scheduler, m *state.Machine) { m.PlannedStarts = append(m.PlannedStarts, s.queue.jobs[0]) }, 4, 1},
 		{"surplus, and the others have spare room", 6, func(s *Scheduler, m *state.Machine) { m.Surplus, s.queue.hasSpareRoom = true, true }, 0, 1},
 		{"surplus, and the others have no spare room", 6, func(_ *Scheduler, m *state.Machine) { m.Surplus = true }, 4, 1},
 	} {
@@ -114,8 +114,8 @@
 		m := addMachine(s, "i-1", now)
 		c.set(s, m)
 		s.FillMachine(m, now)
-		if len(m.Planned) != c.planned || len(s.queue.jobs) != c.queued {
-			t.Errorf("%s: %d starts are planned, %d jobs wait", c.name, len(m.Planned), len(s.queue.jobs))
+		if len(m.PlannedStarts) != c.planned || len(s.queue.jobs) != c.queued {
+			t.Errorf("%s: %d starts are planned, %d jobs wait", c.name, len(m.PlannedStarts), len(s.queue.jobs))
 		}
 	}
 }
--- a/internal/leader/scheduler/view.go
+++ b/internal/leader/scheduler/view.go
@@ -97,7 +97,7 @@
 		machine.StartPenalty += surplusPenalty
 	}
 	if r := m.Reservation; r != nil {
-		machine.ReservedFor = r.Waiting
+		machine.ReservedFor = r.QueuedJob
 	}
 	machine.GangsOnly = m.Pool.IsSet()
 	machine.ZoneBoundOnly = m.ZoneReturn.Closed
@@ -106,7 +106,7 @@
 
 // subtractPlanned takes off what a machine has free what is planned on it.
 func subtractPlanned(p *placement.Machine, m *state.Machine) {
-	for _, j := range m.Planned {
+	for _, j := range m.PlannedStarts {
 		p.Free = p.Free.Add(j.Need, -1)
 	}
 }
@@ -150,7 +150,7 @@
 		LostWork:        workload.LostWork(a, now),
 	}
 	if victim.BestEffort {
-		victim.LostWork += s.Workload.PreemptionSetback(a, now)
+		victim.LostWork += s.Workload.PreemptionPenalty(a, now)
 	}
 	if a.Job.IsGang() {
 		victim.Gang, victim.LostWork = true, victim.LostWork*micros.Micros(len(a.Job.Attempts))
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -28,7 +28,7 @@
 		Stop:                 l.stopTask,
 		MarkStopping:         l.markStopping,
 		SendStops:            l.sendStops,
-		StoreProgress:        func(j *state.Job, chunk int) { l.writes.Mark(state.ProgressKey(j.Spec.ID, chunk)) },
+		StoreProgress:        func(j *state.Job, chunk int) { l.writes.Enqueue(state.ProgressKey(j.Spec.ID, chunk)) },
 		ExpireReservation:    func(j *state.Job, now micros.Micros) { l.scheduler.ExpireReservation(j, now) },
 	})
 }
@@ -44,7 +44,7 @@
 		Jobs:                 l.jobs,
 		HeartbeatInterval:    l.heartbeatInterval,
 		TermStartedAt:        l.startedAtWall,
-		TeamUse:              l.worstCaseTeamUse,
+		TeamUsage:            l.worstCaseTeamUse,
 		AwaitsReconciliation: l.awaitsReconciliation,
 		ReviewQuarantine:     l.quarantine.ReviewJob,
 		OnlyZone:             l.zones.OnlyZone,
--- a/internal/leader/state/gang.go
+++ b/internal/leader/state/gang.go
@@ -8,11 +8,11 @@
 // GangAttempt is the present attempt of a gang's tasks, all of which have its number. The
 // number changes only when every task of the last attempt is known to have left.
 type GangAttempt struct {
-	Number       uint64        // 0 if there is no attempt
-	WaitingSince micros.Micros // when a task was first seen waiting for the others, 0 if none was
-	Started      bool          // all tasks have been running at once
-	Ending       bool          // all tasks are to stop
-	ShortSince   micros.Micros // since when no machine has room for its missing tasks, 0 if there is room
+	Number          uint64        // 0 if there is no attempt
+	WaitingSince    micros.Micros // when a task was first seen waiting for the others, 0 if none was
+	Started         bool          // all tasks have been running at once
+	Ending          bool          // all tasks are to stop
+	NoCapacitySince micros.Micros // since when no machine has room for its missing tasks, 0 if there is room
 }
 
 // CheckpointGrace is enough time for a gang's tasks to save a checkpoint.
@@ -25,7 +25,7 @@
 // work that goes before the gang may start there. It expires, and the gang then waits as long for the
 // next one, so no room is held for ever.
 type GangReservation struct {
-	Waiting   *placement.Job // the gang, as of the latest queue
+	QueuedJob *placement.Job // the gang, as of the latest queue
 	Machines  []*Machine
 	ExpiresAt micros.Micros
 	RetryAt   micros.Micros // no other reservation before
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -35,7 +35,7 @@
 	Attempts      map[string]*Attempt // by task ID
 	StoppingCount int                 // attempts whose stop was sent
 	Free          placement.Resources
-	Planned       []*Job // one entry a start that the next response carries
+	PlannedStarts []*Job // one entry a start that the next response carries
 
 	Images   ImageCache
 	ImageSet placement.ImageSet // cached images, and those that are being pulled
@@ -61,10 +61,10 @@
 	Running          bool          // it has sent a heartbeat, or is stored as running
 	IntentStored     bool          // its launch intent is stored with its ID
 	ListStored       bool          // the machine list that names it is stored
-	List             int           // index of that list
+	StoredListIndex  int           // index of that list
 	FirstHeartbeatAt micros.Micros // in this term, 0 if there was none
-	Listed           bool          // it has been in the cloud's list
-	MissingLists     int           // consecutive lists without it since
+	SeenInCloudList  bool          // it has been in the cloud's list
+	MissedCloudLists int           // consecutive lists without it since
 	LateWithCohort   bool          // it boots late, as most that were launched with it
 	Terminating      bool          // its termination was requested, which is never revoked
 	IdleSince        micros.Micros // when its last task ended
@@ -73,11 +73,11 @@
 // HeartbeatState is what a machine's latest heartbeat said of the worker itself. incarnation
 // and sequence only grow.
 type HeartbeatState struct {
-	Incarnation    uint64
-	Sequence       uint64        // within the incarnation
-	ReceivedAt     micros.Micros // of the latest heartbeat that was newer than the one before
-	OfThisTerm     bool          // the worker made it after it had seen this term's fencing token
-	InterruptionAt micros.Micros // when the cloud takes the machine back, 0 without a notice
+	Incarnation     uint64
+	Sequence        uint64        // within the incarnation
+	ReceivedAt      micros.Micros // of the latest heartbeat that was newer than the one before
+	FromCurrentTerm bool          // the worker made it after it had seen this term's fencing token
+	InterruptionAt  micros.Micros // when the cloud takes the machine back, 0 without a notice
 }
 
 // LeaseState is what decides when a silent worker has ended its tasks; see liveness.Monitor.LeaseExpiry.
@@ -92,7 +92,7 @@
 	RespondedThisTerm bool
 	Sent              []wire.Command // starts and clears of the latest response
 	LostResponses     int            // in a row
-	LosingSince       micros.Micros  // of the first of these
+	FirstLostAt       micros.Micros  // of the first of these
 	FollowUps         []wire.Command // clears and stops that the latest heartbeat calls for
 }
 
@@ -122,10 +122,10 @@
 
 // QuarantineState is the evidence for a machine being at fault when tasks fail; see package quarantine.
 type QuarantineState struct {
-	Since       micros.Micros   // when it was quarantined, 0 if it was not
-	Failures    int             // of jobs that succeed elsewhere, since its last success
-	SuspectJobs map[string]bool // other jobs that failed on it since then
-	ProvenAt    micros.Micros   // start of the latest task that succeeded on it
+	Since                  micros.Micros   // when it was quarantined, 0 if it was not
+	Failures               int             // of jobs that succeed elsewhere, since its last success
+	SuspectJobs            map[string]bool // other jobs that failed on it since then
+	LatestSuccessStartedAt micros.Micros   // start of the latest task that succeeded on it
 }
 
 // ZoneReturn is a machine's part in the return of its zone.
@@ -172,7 +172,7 @@
 func (m *Machine) IsSchedulable(now micros.Micros) bool {
 	i := &m.Instance
 	return i.Running && i.IntentStored && i.ListStored && !i.Terminating &&
-		m.TasksKnown() && m.Heartbeat.OfThisTerm && m.Heartbeat.InterruptionAt == 0 &&
+		m.TasksKnown() && m.Heartbeat.FromCurrentTerm && m.Heartbeat.InterruptionAt == 0 &&
 		m.DrainReason == "" && now >= m.StartBackoffUntil
 }
 
--- a/internal/leader/state/progress.go
+++ b/internal/leader/state/progress.go
@@ -41,18 +41,18 @@
 // ErrProgressMismatch is returned for stored progress that does not fit its job.
 var ErrProgressMismatch = errors.New("does not fit the job")
 
-// Chunks is how many progress keys the job has at most.
-func (j *Job) Chunks() int { return (j.Spec.Tasks + ChunkTasks - 1) / ChunkTasks }
+// ProgressChunks is how many progress keys the job has at most.
+func (j *Job) ProgressChunks() int { return (j.Spec.Tasks + ChunkTasks - 1) / ChunkTasks }
 
 // Progress is what is to be stored of a chunk of the job's tasks.
 func (j *Job) Progress(chunk int) TaskProgress {
 	return TaskProgress{base64.RawStdEncoding.EncodeToString(j.Done.Chunk(chunk))}
 }
 
-// Restore takes over what is stored of a chunk.
-func (j *Job) Restore(chunk int, p TaskProgress) error {
+// RestoreProgress takes over what is stored of a chunk.
+func (j *Job) RestoreProgress(chunk int, p TaskProgress) error {
 	bits, err := base64.RawStdEncoding.DecodeString(p.Done)
-	if err != nil || chunk >= j.Chunks() || len(bits) != len(j.Done.Chunk(chunk)) {
+	if err != nil || chunk >= j.ProgressChunks() || len(bits) != len(j.Done.Chunk(chunk)) {
 		return fmt.Errorf("progress of %s %w", j.Spec.ID, ErrProgressMismatch)
 	}
 	copy(j.Done.Chunk(chunk), bits)
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -33,7 +33,7 @@
 	}
 	targets := map[string]string{}
 	for _, t := range l.scaler.Types() {
-		targets[t.Name] = fmt.Sprintf("mean=%.1f wanted=%.1f target=%d", t.Mean, t.Wanted, t.Target)
+		targets[t.Name] = fmt.Sprintf("mean=%.1f wanted=%.1f target=%d", t.Mean, t.Required, t.Target)
 	}
 	slog.Debug("summary",
 		"jobs", len(l.jobs),
@@ -43,6 +43,6 @@
 		"used_cpus", usedCPU/1000,
 		"schedulable_cpus", schedulableCPU/1000,
 		"machines", len(l.fleet.Machines),
-		"tasks_unknown", l.fleet.CountUnknown(),
+		"tasks_unknown", l.fleet.CountWithUnknownTasks(),
 		"targets", targets)
 }
--- a/internal/leader/task_queries_test.go
+++ b/internal/leader/task_queries_test.go
@@ -55,7 +55,7 @@
 	for _, c := range cases {
 		l, _ := newTestLeader(t)
 		m := l.fleet.Machines["i-1"]
-		m.Instance.Address, m.Heartbeat.OfThisTerm = "i-1:9000", false
+		m.Instance.Address, m.Heartbeat.FromCurrentTerm = "i-1:9000", false
 		useWorkers(l, fakeWorkers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if d.FencingToken != testToken || len(d.Commands) != 0 {
 				t.Errorf("%s: asked with fencing token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
--- a/internal/leader/taskquery/taskquery.go
+++ b/internal/leader/taskquery/taskquery.go
@@ -93,7 +93,7 @@
 	defer q.Lock.Unlock()
 	slog.Info("queried machines for their tasks",
 		"machines", len(machines),
-		"tasks_unknown", q.Fleet.CountUnknown(),
+		"tasks_unknown", q.Fleet.CountWithUnknownTasks(),
 		"duration", (micros.Now() - q.TermStartedAt).Duration())
 }
 
--- a/internal/leader/workload/runtimes.go
+++ b/internal/leader/workload/runtimes.go
@@ -109,10 +109,10 @@
 	startedWeightS = 10 // of a job all of whose tasks have started
 )
 
-// PreemptionSetback is what preempting a best-effort task costs its job beside the lost work. It is
+// PreemptionPenalty is what preempting a best-effort task costs its job beside the lost work. It is
 // least for the job that has most yet to start, so that the others end and are out of the way: taken from
 // all alike, none of six had ended when the day was over. And what is nearly done frees its room by itself.
-func (w *Workload) PreemptionSetback(a *state.Attempt, now micros.Micros) micros.Micros {
+func (w *Workload) PreemptionPenalty(a *state.Attempt, now micros.Micros) micros.Micros {
 	started := 1 - float64(a.Job.WaitingTasks())/float64(a.Job.Spec.Tasks)
 	remaining := w.ExpectedRuntime(a.Job.Spec) - (now - a.StartedAt).Seconds()
 	return micros.FromSeconds(startedWeightS*started + max(0, nearlyDoneS-max(0, remaining)))
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -31,12 +31,12 @@
 func (l *Leader) deleteLeftovers() {
 	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
 		if l.fleet.Intent(strings.TrimPrefix(key, replica.LaunchIntentPrefix)) == nil {
-			l.writes.MarkLazily(key)
+			l.writes.EnqueueLowPriority(key)
 		}
 	}
 	for _, key := range l.Replica.Keys(replica.ProgressPrefix) {
 		if id, _, err := state.ParseProgressKey(key); err == nil && l.jobs[id] == nil {
-			l.writes.MarkLazily(key)
+			l.writes.EnqueueLowPriority(key)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 		return
 	}
 	l.finalJobs[id] = replica.Job{SubmittedAt: j.SubmittedAt, State: wire.JobDone, Reason: "all tasks done", EndedAt: micros.Wall()}
-	l.writes.Mark(replica.JobPrefix + id)
+	l.writes.Enqueue(replica.JobPrefix + id)
 	l.writes.Wake()
 }
 
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -21,14 +21,14 @@
 		m := l.fleet.Add(fmt.Sprintf("i-9%02d", i), b, l.startedAt)
 		l.fleet.Remove(m)
 	}
-	l.writes.Mark(replica.AutoscalerKey)
+	l.writes.Enqueue(replica.AutoscalerKey)
 	l.fleet.RegisterRunning(l.fleet.Add("i-2", l.fleet.Intent("r-1"), l.startedAt))
 	j := l.jobs["j-000001"]
 	for i := range j.Spec.Tasks {
 		j.Done.Set(i)
 		j.DoneCount++
 	}
-	l.writes.Mark(state.ProgressKey("j-000002", 0))
+	l.writes.Enqueue(state.ProgressKey("j-000002", 0))
 	l.finishIfDone(j)
 	writes, more := l.writes.Collect()
 	// The autoscaler's record goes before progress: behind it, a busy leader's was never written, and
@@ -81,7 +81,7 @@
 	if writes, _ := l.writes.Collect(); len(writes) != 1 || writes[0].ModRevision != 1 {
 		t.Fatalf("the end is written as %+v, want under the mod revision decided on", writes)
 	}
-	l.writes.Mark(replica.JobPrefix + "j-000001")
+	l.writes.Enqueue(replica.JobPrefix + "j-000001")
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
 	if writes, _ := l.writes.Collect(); len(writes) != 0 {
 		t.Errorf("a cancelled job is written as %+v", writes)
--- a/internal/leader/zoning/evidence.go
+++ b/internal/leader/zoning/evidence.go
@@ -56,7 +56,7 @@
 		e.Silent++
 	case m.LosesResponses():
 		e.LostResponses++
-	case late && m.Instance.Listed && m.Instance.MissingLists >= minMissingLists:
+	case late && m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissingLists:
 		e.Unlisted++
 	default:
 		if late {
--- a/internal/leader/zoning/status.go
+++ b/internal/leader/zoning/status.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Reasons says what a job's tasks have to do with zones that are disrupted. The texts are shown to users.
-func (z *Zones) Reasons(j *state.Job) (reasons []string) {
+// DisruptionReasons says what a job's tasks have to do with zones that are disrupted. The texts are shown to users.
+func (z *Zones) DisruptionReasons(j *state.Job) (reasons []string) {
 	if !z.anyClosed {
 		return nil
 	}
--- a/internal/leader/zoning/status_test.go
+++ b/internal/leader/zoning/status_test.go
@@ -47,7 +47,7 @@
 			for index, machine := range c.on {
 				(&state.Attempt{Job: j, Index: index, Machine: z.Fleet.Sorted[machine]}).Attach()
 			}
-			if got := z.Reasons(j); !slices.Equal(got, c.want) {
+			if got := z.DisruptionReasons(j); !slices.Equal(got, c.want) {
 				t.Errorf("%s: %q, want %q", c.name, got, c.want)
 			}
 		})
@@ -59,7 +59,7 @@
 	z, _, now := newTest(t)
 	z.Observe(now)
 	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 5, CPUs: 1, Zone: "b", AllowSpot: true}}, false)
-	if got := z.Reasons(j); got != nil {
+	if got := z.DisruptionReasons(j); got != nil {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/leader/zoning/zones.go
+++ b/internal/leader/zoning/zones.go
@@ -88,7 +88,7 @@
 	}
 	z.applyDecisions(evidence)
 	if len(transitions) > 0 && z.Policy.Record(now, micros.Wall()) != nil {
-		z.Writes.Mark(replica.ZonesKey)
+		z.Writes.Enqueue(replica.ZonesKey)
 		z.Writes.Wake()
 	}
 }
@@ -140,6 +140,6 @@
 		return
 	}
 	m.ZoneReturn.Closed = closed
-	m.Planned = m.Planned[:0]
+	m.PlannedStarts = m.PlannedStarts[:0]
 	z.OnChange()
 }
--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -61,7 +61,7 @@
 	for i := range 20 {
 		intent := z.Fleet.AddIntent(fmt.Sprintf("r-1%02d", i), fleet.LaunchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, Answered: true, At: micros.Wall()})
 		m := z.Fleet.Add(fmt.Sprintf("i-%02d", i), intent, now)
-		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.OfThisTerm, m.Delivery.RespondedThisTerm = true, true, true, true, true
+		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.FromCurrentTerm, m.Delivery.RespondedThisTerm = true, true, true, true, true
 		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt, m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = now, now, 1, 100, m.ID+":9000"
 	}
 	return z, scaler, now
@@ -88,9 +88,11 @@
 		{"late", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - lateSilence }, zone.Evidence{Running: 10, Late: 1}},
 		{"silent", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - fullSilence }, zone.Evidence{Running: 10, Silent: 1}},
 		{"late and no longer listed", func(m *state.Machine, now micros.Micros) {
-			m.Heartbeat.ReceivedAt, m.Instance.Listed, m.Instance.MissingLists = now-lateSilence, true, 2
+			m.Heartbeat.ReceivedAt, m.Instance.SeenInCloudList, m.Instance.MissedCloudLists = now-lateSilence, true, 2
 		}, zone.Evidence{Running: 10, Unlisted: 1}},
-		{"no longer listed, with heartbeats", func(m *state.Machine, _ micros.Micros) { m.Instance.Listed, m.Instance.MissingLists = true, 9 }, zone.Evidence{Running: 10}},
+		{"no longer listed, with heartbeats", func(m *state.Machine, _ micros.Micros) {
+			m.Instance.SeenInCloudList, m.Instance.MissedCloudLists = true, 9
+		}, zone.Evidence{Running: 10}},
 		{"loses responses", func(m *state.Machine, _ micros.Micros) { m.Delivery.LostResponses = state.MaxLostResponses }, zone.Evidence{Running: 10, LostResponses: 1}},
 		{"silent and loses responses", func(m *state.Machine, now micros.Micros) {
 			m.Heartbeat.ReceivedAt, m.Delivery.LostResponses = now-fullSilence, state.MaxLostResponses
@@ -204,10 +206,10 @@
 	z.OnChange = func() { changes++ }
 	planned := []*state.Job{state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 1}}, false)}
 	elsewhere, m := z.Fleet.Sorted[0], z.Fleet.Sorted[10]
-	elsewhere.Planned, m.Planned = planned, planned
+	elsewhere.PlannedStarts, m.PlannedStarts = planned, planned
 	silence(z, now, fullSilence)
-	if changes != 10 || len(m.Planned) != 0 || len(elsewhere.Planned) != 1 {
-		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one", changes, len(m.Planned), len(elsewhere.Planned))
+	if changes != 10 || len(m.PlannedStarts) != 0 || len(elsewhere.PlannedStarts) != 1 {
+		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one", changes, len(m.PlannedStarts), len(elsewhere.PlannedStarts))
 	}
 }
 
--- a/placement/deferral.go
+++ b/placement/deferral.go
@@ -54,7 +54,7 @@
 // Deferral says that a job was deferred, so that another one can be in time.
 type Deferral struct {
 	Job            *Job
-	For            *Job          // would have been late
+	ForJob         *Job          // would have been late
 	MissedDeadline micros.Micros // of For; the job is to be in time after it
 	StartDeadline  micros.Micros // the job's next one
 	Late           bool          // the job can meet none
--- a/placement/helpers_test.go
+++ b/placement/helpers_test.go
@@ -19,7 +19,7 @@
 	j := &Job{
 		ID:          id,
 		Team:        "t",
-		Standing:    Standing{Priority: 1},
+		QueueKey:    QueueKey{Priority: 1},
 		Request:     Request{Need: cpus(1), WaitingTasks: waiting, TotalTasks: waiting, ImageIndex: 70},
 		Constraints: Constraints{AllowSpot: true},
 		Urgency:     Urgency{AtRisk: true},
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -66,7 +66,7 @@
 type Job struct {
 	ID, Team string
 
-	Standing
+	QueueKey
 	Request
 	Constraints
 	Urgency
@@ -76,8 +76,8 @@
 	OnlyZone     string         // the only zone where it can run now; empty if there are others
 }
 
-// Standing is a job's place in the queue. See CompareJobs.
-type Standing struct {
+// QueueKey is a job's place in the queue. See CompareJobs.
+type QueueKey struct {
 	Aged            bool // has waited for its first start for so long that it goes before all others
 	EvacuationRank  int  // in the order in which work leaves a lost zone; 0 for all without one
 	WithinGuarantee bool // within its team's guarantee
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -8,13 +8,13 @@
 // TestEvacuationRankOrder has evacuation ranks come after aging and before all else.
 func TestEvacuationRankOrder(t *testing.T) {
 	jobs := []*Job{
-		{ID: "late", Standing: Standing{EvacuationRank: 1, Late: true, Priority: 2}},
-		{ID: "aged", Standing: Standing{EvacuationRank: 3, Aged: true}},
-		{ID: "guaranteed", Standing: Standing{EvacuationRank: 3, WithinGuarantee: true, Priority: 1}},
-		{ID: "urgent", Standing: Standing{EvacuationRank: 1, Priority: 2, StartDeadline: 9}},
-		{ID: "due sooner", Standing: Standing{EvacuationRank: 2, Priority: 1, StartDeadline: 1}},
-		{ID: "first class", Standing: Standing{EvacuationRank: 2, Priority: 1, WithinGuarantee: true, StartDeadline: 5}},
-		{ID: "another", Standing: Standing{EvacuationRank: 3, Priority: 1}},
+		{ID: "late", QueueKey: QueueKey{EvacuationRank: 1, Late: true, Priority: 2}},
+		{ID: "aged", QueueKey: QueueKey{EvacuationRank: 3, Aged: true}},
+		{ID: "guaranteed", QueueKey: QueueKey{EvacuationRank: 3, WithinGuarantee: true, Priority: 1}},
+		{ID: "urgent", QueueKey: QueueKey{EvacuationRank: 1, Priority: 2, StartDeadline: 9}},
+		{ID: "due sooner", QueueKey: QueueKey{EvacuationRank: 2, Priority: 1, StartDeadline: 1}},
+		{ID: "first class", QueueKey: QueueKey{EvacuationRank: 2, Priority: 1, WithinGuarantee: true, StartDeadline: 5}},
+		{ID: "another", QueueKey: QueueKey{EvacuationRank: 3, Priority: 1}},
 	}
 	slices.SortFunc(jobs, CompareJobs)
 	for i, want := range []string{"aged", "urgent", "late", "first class", "due sooner", "guaranteed", "another"} {
