--- a/placement/constraints.go
+++ b/placement/constraints.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Admit reports whether the constraints that do not depend on a job's other tasks admit a machine.
+// Admit reports whether the constraints that do not depend on the job's other tasks admit a machine.
 func (c *Constraints) Admit(instanceType, zone string, spot bool) bool {
 	return (len(c.InstanceTypes) == 0 || slices.Contains(c.InstanceTypes, instanceType)) &&
 		(c.Zone == "" || c.Zone == zone) && (c.AllowSpot || !spot)
 }
 
-// CanStartOn reports whether all constraints admit a machine as things are now: where a job's other
-// tasks are may bind the next one to their zone, or keep it out.
+// CanStartOn reports whether all constraints currently admit a machine. Where the job's other tasks run may bind
+// the next task to their zone, or exclude that zone.
 func (j *Job) CanStartOn(instanceType, zone string, spot bool) bool {
 	return j.Admit(instanceType, zone, spot) && j.remainingInZone(zone) > 0
 }
 
-// remainingInZone is how many more tasks of the job may be in a zone.
+// remainingInZone returns how many more tasks of the job the zone may take.
 func (j *Job) remainingInZone(zone string) int {
 	if j.SingleZone {
 		for other, n := range j.TasksPerZone {
@@ -29,10 +29,10 @@
 	return j.TotalTasks
 }
 
-// accepts reports whether the machine may start tasks of a job, by the job's constraints and its
-// own restrictions, whatever room it has.
+// accepts reports whether the machine may start tasks of a job under the job's constraints and the machine's own
+// restrictions, regardless of free capacity.
 func (m *Machine) accepts(j *Job) bool {
-	if m.ReservedFor != nil && m.ReservedFor.ID != j.ID && compareStanding(j, m.ReservedFor) >= 0 {
+	if m.ReservedFor != nil && m.ReservedFor.ID != j.ID && comparePrecedence(j, m.ReservedFor) >= 0 {
 		return false
 	}
 	if m.GangsOnly && !j.Gang || m.ZoneBoundOnly && j.OnlyZone != m.Zone {
--- a/placement/deferral.go
+++ b/placement/deferral.go
@@ -7,34 +7,38 @@
 	"caperlatch/internal/micros"
 )
 
-// DeferLateJobs defers the jobs that too much work keeps from being in time, as few as possible,
-// by Moore's algorithm: going through the queue, whenever the work so far would take a job past its
-// start deadline, the job with the most work of the same entitlement is deferred. Without it,
-// serving by start deadline alone makes every job of an overload a little late.
+// DeferLateJobs defers as few jobs as possible so that the other jobs can start on time despite an overload. It
+// uses Moore's algorithm: it walks the queue, and whenever the accumulated work would make a job miss its start
+// deadline, it defers the job with the most work among those of equal entitlement. Without deferral, serving jobs
+// by start deadline alone makes every job of an overload slightly late.
 //
-// cpus is what the machines have. What runs already is not counted: its room is freed bit by bit,
-// and counting it deferred jobs that were in time after all.
+// cpus is the total number of CPUs of the machines. Running tasks are not subtracted: the CPUs that they hold are
+// freed gradually, and subtracting them deferred jobs that were on time after all.
 //
-// A deferred job gets its next start deadline after the one that is missed, and is judged again in its place by that;
-// it is marked as late only if there is none: else all that an overload defers once would wait until the end.
+// A deferred job gets its next start deadline after the missed one, and is considered again at the queue position
+// of that deadline. It is marked late only if it has no such deadline: otherwise, every job that an overload
+// defers once would wait until the end of the queue.
 //
-// What is promised, of the jobs of one entitlement and of what goes ahead of them:
-//   - Those on time could all be, each by the deadline that it has been given, if they were served in the order of these.
-//   - No late job could be on time besides, by any of its deadlines.
-//   - No more are late than if each had its first deadline alone, which is the least possible then.
+// The following holds for the jobs of each entitlement, after the work that precedes them:
+//   - All jobs that are on time can meet the deadlines assigned to them if they are served in the order of these
+//     deadlines.
+//   - No late job could meet any of its deadlines in addition to the jobs that are on time.
+//   - No more jobs are late than if each job had only its first deadline, for which Moore's algorithm gives the
+//     minimum.
 //
-// With several deadlines it is a heuristic: fewer might be late if a job that can meet an early deadline were deferred to
-// a later one, and one that was deferred may have got room at an early deadline again. As soon as a job is deferred, those
-// of its entitlement are served by their work, so that the deadlines are what they are judged by, not when they start.
+// With several deadlines per job the algorithm is a heuristic. Fewer jobs might be late if a job that can meet an
+// early deadline were deferred to a later one, and a deferred job might fit at an early deadline again after
+// further deferrals. As soon as a job is deferred, the jobs of its entitlement are served in ascending order of
+// their work, so the deadlines decide which jobs are late, not when the jobs start.
 //
-// It returns what it deferred, in the order in which it did.
+// DeferLateJobs returns the deferrals in the order in which it made them.
 func DeferLateJobs(jobs []*Job, cpus float64, now micros.Micros) []Deferral {
 	queue := slices.Clone(jobs)
 	slices.SortFunc(queue, CompareJobs)
 	if cpus <= 0 {
 		return nil
 	}
-	d := deferral{queue: queue, cpus: cpus, now: now}
+	d := deferralPass{queue: queue, cpus: cpus, now: now}
 	for i := 0; i < len(d.queue); i++ {
 		j := d.queue[i]
 		if j.Aged {
@@ -44,36 +48,37 @@
 			d.endEntitlement(i)
 		}
 		if !j.Late {
-			d.serve(i)
+			d.schedule(i)
 		}
 	}
 	d.endEntitlement(len(d.queue))
 	return d.deferrals
 }
 
-// Deferral says that a job was deferred, so that another one can be in time.
+// Deferral records that a job was deferred so that another job can start on time.
 type Deferral struct {
 	Job            *Job
-	ForJob         *Job          // would have been late
-	MissedDeadline micros.Micros // of For; the job is to be in time after it
-	StartDeadline  micros.Micros // the job's next one
-	Late           bool          // the job can meet none
+	ForJob         *Job          // the job that would have been late
+	MissedDeadline micros.Micros // the deadline that ForJob would have missed; Job's next deadline must be later
+	StartDeadline  micros.Micros // Job's start deadline after the deferral
+	Late           bool          // Job can meet none of its deadlines
 }
 
-// deferral is the state of Moore's algorithm on its way through the queue.
-type deferral struct {
+// deferralPass is the state of one run of Moore's algorithm over the queue.
+type deferralPass struct {
 	queue []*Job
 	cpus  float64
 	now   micros.Micros
 
-	workAhead  float64 // CPU seconds of the jobs so far that are in time
-	overloaded bool    // a job of the present entitlement had to be deferred
-	onTime     []*Job  // of the present entitlement, in the order of their work
+	workAhead  float64 // CPU seconds of the jobs so far that are on time
+	overloaded bool    // a job of the current entitlement was deferred
+	onTime     []*Job  // jobs of the current entitlement, in ascending order of work
 	deferrals  []Deferral
 }
 
-// serve takes the job at i as in time, and defers one if that is too late.
-func (d *deferral) serve(i int) {
+// schedule adds the job at index i to the jobs that are on time, and defers one of them if the job would miss its
+// start deadline.
+func (d *deferralPass) schedule(i int) {
 	j := d.queue[i]
 	d.workAhead += j.WaitingCPUSeconds
 	position, _ := slices.BinarySearchFunc(d.onTime, j, compareWork)
@@ -83,15 +88,15 @@
 	}
 }
 
-// deferLargest defers the job with the most work, as that at i would be late otherwise. If it has a
-// start deadline after the missed one, it takes its place in the queue by that.
-func (d *deferral) deferLargest(i int) {
+// deferLargest defers the job with the most work so that the job at index i is not late. If the deferred job has a
+// start deadline after the missed one, it is reinserted into the queue at the position of that deadline.
+func (d *deferralPass) deferLargest(i int) {
 	j := d.queue[i]
 	largest := d.onTime[len(d.onTime)-1]
 	d.onTime = d.onTime[:len(d.onTime)-1]
 	d.workAhead -= largest.WaitingCPUSeconds
 	d.overloaded = true
-	missed := j.StartDeadline // read before the loop: the largest may be j itself, whose deadline the loop moves
+	missed := j.StartDeadline // read before the loop, which changes it if largest is j itself
 	for len(largest.LaterStartDeadlines) > 0 && largest.StartDeadline <= missed {
 		largest.StartDeadline, largest.LaterStartDeadlines = largest.LaterStartDeadlines[0], largest.LaterStartDeadlines[1:]
 	}
@@ -104,18 +109,18 @@
 	d.queue = slices.Insert(d.queue, i+1+position, largest)
 }
 
-// endEntitlement ends the jobs of one entitlement; those of the next begin at end.
-func (d *deferral) endEntitlement(end int) {
+// endEntitlement completes the jobs of one entitlement; the jobs of the next entitlement begin at index end.
+func (d *deferralPass) endEntitlement(end int) {
 	if d.overloaded {
 		setDeadlinesByWork(d.queue[:end], d.queue[end-1], d.cpus, d.now)
 	}
 	d.onTime, d.overloaded = d.onTime[:0], false
 }
 
-// setDeadlinesByWork gives the jobs of sample's entitlement start deadlines in the order of their
-// work, as there is too much of it. By their own, each would start just in time, and the first
-// surprise, a longer run or a lost machine, would make all of them late; in this order most of them
-// are done by then.
+// setDeadlinesByWork replaces the start deadlines of the jobs that have the same entitlement as sample, so that
+// they are served in ascending order of work. It is used in an overload. With the jobs' own deadlines, each would
+// start just in time, and the first disturbance, such as a longer run or a lost machine, would make all of them
+// late; in ascending order of work, most of them are already done by then.
 func setDeadlinesByWork(jobs []*Job, sample *Job, cpus float64, now micros.Micros) {
 	var peers []*Job
 	for _, j := range jobs {
@@ -134,7 +139,7 @@
 	}
 }
 
-// compareWork orders jobs by their work, the least first.
+// compareWork orders jobs by their work, least first.
 func compareWork(a, b *Job) int {
 	return cmp.Or(cmp.Compare(a.WaitingCPUSeconds, b.WaitingCPUSeconds), cmp.Compare(a.ID, b.ID))
 }
--- a/placement/deferral_promises_test.go
+++ b/placement/deferral_properties_test.go
@@ -9,21 +9,21 @@
 	"caperlatch/internal/micros"
 )
 
-// A late job whose work was the largest of all lost its later start deadlines: deferLargest compared the job's own
-// deadline with itself, so that each later one counted as missed too, and marked the job late, behind everything of
-// its entitlement. TestDeferLateLargestJob is that case by itself. Here random small queues are compared with a plain
-// enumeration, which shares no code with the algorithm; of its 3,000 queues 1,576 broke a promise
-// before the mend.
+// These tests guard against the loss of later start deadlines in deferLargest: if the late job itself had the most work,
+// its deadline was compared with itself while the loop changed it, so each later deadline counted as missed too, and the
+// job was marked late, behind all other jobs of its entitlement. TestDeferralOfLargestJobKeepsLaterDeadlines covers that
+// single case. The tests here compare small random queues with a plain enumeration that shares no code with the
+// algorithm; before the fix, 1,576 of the 3,000 queues of TestDeferLateJobsProperties violated a property.
 
 // deferralCase is a random queue of a few jobs, as it was before the deferral.
 type deferralCase struct {
 	cpus      float64
 	jobs      []*Job
-	deadlines map[*Job][]micros.Micros // all of each job, rising
-	wasLate   map[*Job]bool            // could meet none from the start
+	deadlines map[*Job][]micros.Micros // all deadlines of each job, ascending
+	wasLate   map[*Job]bool            // jobs that could meet no deadline before the deferral
 }
 
-// newDeferralCase makes the queue of a seed. Equal seeds give equal queues.
+// newDeferralCase creates the queue of a seed. Equal seeds give equal queues.
 func newDeferralCase(seed uint64) *deferralCase {
 	r := rand.New(rand.NewPCG(seed, 37))
 	c := &deferralCase{cpus: float64(1 + r.IntN(2)), deadlines: map[*Job][]micros.Micros{}, wasLate: map[*Job]bool{}}
@@ -45,13 +45,14 @@
 	return c
 }
 
-// dueWork is work with the deadline by which it is to be done.
+// dueWork is work with the deadline by which it must be done.
 type dueWork struct {
 	cpuSeconds float64
 	deadline   micros.Micros
 }
 
-// canMeetAll reports whether work is done in time if it is done in the order of its deadlines, after what goes ahead.
+// canMeetAll reports whether all work meets its deadlines if it is done in deadline order, after the work ahead of
+// it.
 func canMeetAll(work []dueWork, ahead, cpus float64) bool {
 	work = slices.Clone(work)
 	slices.SortStableFunc(work, func(a, b dueWork) int { return int(a.deadline - b.deadline) })
@@ -63,13 +64,14 @@
 	return true
 }
 
-// assignedDeadline is the deadline of its own that a job has after the deferral: the one before those left to it.
+// assignedDeadline returns the job's own deadline that is assigned to it after the deferral, which is the one
+// before its remaining later deadlines.
 func (c *deferralCase) assignedDeadline(j *Job) micros.Micros {
 	all := c.deadlines[j]
 	return all[len(all)-1-len(j.LaterStartDeadlines)]
 }
 
-// fewestLate enumerates how many of the jobs must be late if each has its first deadline alone.
+// fewestLate enumerates all choices to find how few of the jobs must be late if each has only its first deadline.
 func (c *deferralCase) fewestLate(jobs []*Job) int {
 	fewest := len(jobs)
 	for chosen := range 1 << len(jobs) {
@@ -86,8 +88,9 @@
 	return fewest
 }
 
-// brokenPromise returns what DeferLateJobs promised and did not keep, empty if it kept all.
-func (c *deferralCase) brokenPromise() string {
+// violatedProperty returns a description of a property in the doc comment of DeferLateJobs that does not hold, or
+// an empty string if all hold.
+func (c *deferralCase) violatedProperty() string {
 	ahead := 0.0
 	for priority := 1; priority >= 0; priority-- {
 		var onTime []dueWork
@@ -97,7 +100,7 @@
 			case j.Priority != priority:
 			case c.wasLate[j]:
 				if !j.Late {
-					return j.ID + " could meet no deadline, and is not late"
+					return j.ID + " could meet no deadline before the deferral, but is not marked late"
 				}
 			case j.Late:
 				candidates, late = append(candidates, j), append(late, j)
@@ -107,17 +110,17 @@
 			}
 		}
 		if !canMeetAll(onTime, ahead, c.cpus) {
-			return fmt.Sprintf("not all jobs of priority %d that are on time can be", priority)
+			return fmt.Sprintf("not all jobs of priority %d that are not marked late can meet their deadlines", priority)
 		}
 		for _, j := range late {
 			for _, deadline := range c.deadlines[j] {
 				if canMeetAll(append(slices.Clone(onTime), dueWork{j.WaitingCPUSeconds, deadline}), ahead, c.cpus) {
-					return fmt.Sprintf("%s is late, and could meet %v beside the others", j.ID, deadline.Duration())
+					return fmt.Sprintf("%s is marked late, but could meet deadline %v in addition to the jobs that are on time", j.ID, deadline.Duration())
 				}
 			}
 		}
 		if fewest := c.fewestLate(candidates); ahead == 0 && len(late) > fewest {
-			return fmt.Sprintf("%d jobs are late, %d would do", len(late), fewest)
+			return fmt.Sprintf("%d jobs are late, want at most %d", len(late), fewest)
 		}
 		for _, w := range onTime {
 			ahead += w.cpuSeconds
@@ -126,34 +129,36 @@
 	return ""
 }
 
-// describe lists the jobs, for a failure.
+// describe lists the jobs for a failure message.
 func (c *deferralCase) describe() (text string) {
 	for _, j := range c.jobs {
-		text += fmt.Sprintf("\n%s: priority %d, work %v, deadlines %v, now late %v, later %v", j.ID, j.Priority, j.WaitingCPUSeconds, c.deadlines[j], j.Late, j.LaterStartDeadlines)
+		text += fmt.Sprintf("\n%s: priority %d, work %v, deadlines %v; after deferral: late %v, later deadlines %v", j.ID, j.Priority, j.WaitingCPUSeconds, c.deadlines[j], j.Late, j.LaterStartDeadlines)
 	}
 	return text
 }
 
-// TestDeferralPromises checks what the doc comment of DeferLateJobs promises, for random queues of fixed seeds.
-func TestDeferralPromises(t *testing.T) {
+// TestDeferLateJobsProperties checks the properties in the doc comment of DeferLateJobs on random queues with
+// fixed seeds.
+func TestDeferLateJobsProperties(t *testing.T) {
 	const queues = 3000
-	broken := 0
+	violations := 0
 	for seed := range uint64(queues) {
 		c := newDeferralCase(seed)
 		DeferLateJobs(c.jobs, c.cpus, 0)
-		if promise := c.brokenPromise(); promise != "" {
-			if broken++; broken <= 3 {
-				t.Errorf("seed %d, %v CPUs: %s%s", seed, c.cpus, promise, c.describe())
+		if violation := c.violatedProperty(); violation != "" {
+			if violations++; violations <= 3 {
+				t.Errorf("seed %d, %v CPUs: %s%s", seed, c.cpus, violation, c.describe())
 			}
 		}
 	}
-	if broken > 0 {
-		t.Errorf("%d of %d queues", broken, queues)
+	if violations > 0 {
+		t.Errorf("%d of %d queues violated a property, want none", violations, queues)
 	}
 }
 
-// TestDeferralIsDeterministic gives the same jobs in another order: each gets the same place.
-func TestDeferralIsDeterministic(t *testing.T) {
+// TestDeferralIndependentOfInputOrder checks that each job gets the same queue position, lateness and start
+// deadline if the same jobs are passed in another order.
+func TestDeferralIndependentOfInputOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		first, second := newDeferralCase(seed), newDeferralCase(seed)
 		r := rand.New(rand.NewPCG(seed, 41))
@@ -164,14 +169,15 @@
 		}
 		for i, j := range first.jobs {
 			if other := second.jobs[i]; j.ID != other.ID || j.Late != other.Late || j.StartDeadline != other.StartDeadline {
-				t.Fatalf("seed %d: %s at %d, late %v, by %v; shuffled %s, %v, %v", seed, j.ID, i, j.Late, j.StartDeadline, other.ID, other.Late, other.StartDeadline)
+				t.Fatalf("seed %d: job %s at position %d, late %v, start deadline %v; with shuffled input %s, late %v, start deadline %v", seed, j.ID, i, j.Late, j.StartDeadline, other.ID, other.Late, other.StartDeadline)
 			}
 		}
 	}
 }
 
-// TestDeferralCountsJobsOnce checks the start deadlines of an overloaded entitlement: a deferred job that goes back into
-// the queue must not be counted at its old place too, so the last job's work ends when all work is done.
+// TestDeferralCountsJobsOnce checks the start deadlines of an overloaded entitlement: a deferred job that is
+// reinserted into the queue must not also be counted at its old position, so the last start deadline is when all
+// work is done.
 func TestDeferralCountsJobsOnce(t *testing.T) {
 	overloaded := 0
 	for seed := range uint64(1000) {
@@ -201,6 +207,6 @@
 		}
 	}
 	if overloaded < 300 {
-		t.Errorf("only %d queues were overloaded", overloaded)
+		t.Errorf("%d queues were overloaded, want at least 300", overloaded)
 	}
 }
--- a/placement/deferral_test.go
+++ b/placement/deferral_test.go
@@ -7,9 +7,9 @@
 	"caperlatch/internal/micros"
 )
 
-// TestDeferLargestJob has three jobs of which only two can be in time: the largest is deferred, not
-// the one with the last start deadline.
-func TestDeferLargestJob(t *testing.T) {
+// TestDeferralPicksLargestJob has three jobs of which only two can be on time: the largest is deferred, not the
+// one with the last start deadline.
+func TestDeferralPicksLargestJob(t *testing.T) {
 	s := micros.Second
 	jobs := []*Job{
 		job("big", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 9 }),
@@ -20,14 +20,14 @@
 	DeferLateJobs(jobs, 1, 0)
 	for _, j := range jobs {
 		if j.Late != (j.ID == "big") {
-			t.Errorf("%s: late is %v", j.ID, j.Late)
+			t.Errorf("%s: late %v, want %v", j.ID, j.Late, j.ID == "big")
 		}
 	}
 }
 
-// TestDeferToLaterDeadline has two jobs that cannot both meet their first start deadlines: the larger
-// one is deferred to its next one that can be met, and not for ever.
-func TestDeferToLaterDeadline(t *testing.T) {
+// TestDeferralToLaterDeadline has two jobs that cannot both meet their first start deadlines: the larger one is
+// deferred to its next deadline that can be met, and is marked late only if there is none.
+func TestDeferralToLaterDeadline(t *testing.T) {
 	s := micros.Second
 	for _, c := range []struct {
 		name  string
@@ -42,15 +42,15 @@
 		small := job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 4 })
 		DeferLateJobs([]*Job{big, small}, 1, 0)
 		if small.Late || big.Late != c.late || !(CompareJobs(small, big) < 0) {
-			t.Errorf("%s: small late %v, big late %v", c.name, small.Late, big.Late)
+			t.Errorf("%s: small late %v, want false; big late %v, want %v; small must precede big", c.name, small.Late, big.Late, c.late)
 		}
 	}
 }
 
-// TestOverloadShortestFirst has more or less work than can be done in time. Too much of it is served
-// shortest first: by start deadlines each job started just in time, and with 91 machines lost and an
-// hour's work waiting nearly all of them were late.
-func TestOverloadShortestFirst(t *testing.T) {
+// TestOverloadServedShortestJobFirst compares sufficient with insufficient capacity. In an overload, jobs must be
+// served shortest first: in start-deadline order, each job started just in time, and nearly all of them were late
+// when 91 machines were lost with an hour's work waiting.
+func TestOverloadServedShortestJobFirst(t *testing.T) {
 	s := micros.Second
 	for _, c := range []struct {
 		name string
@@ -58,7 +58,7 @@
 		want []string
 	}{
 		{"enough machines", 10, []string{"urgent", "early", "middle", "small", "huge"}},
-		{"too few", 1, []string{"urgent", "small", "middle", "early", "huge"}},
+		{"too few machines", 1, []string{"urgent", "small", "middle", "early", "huge"}},
 	} {
 		jobs := []*Job{
 			job("early", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 6 }),
@@ -74,14 +74,14 @@
 			got = append(got, j.ID)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: queue order %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestDeferLateLargestJob has the job with the most work be the one that would be late. It is to get its next start
-// deadline that can be met, as any deferred job does.
-func TestDeferLateLargestJob(t *testing.T) {
+// TestDeferralOfLargestJobKeepsLaterDeadlines checks the case in which the job that would be late is also the one
+// with the most work. It must get its next start deadline that can be met, as any deferred job does.
+func TestDeferralOfLargestJobKeepsLaterDeadlines(t *testing.T) {
 	s := micros.Second
 	small := job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 5*s, 4 })
 	big := job("big", 1, func(j *Job) {
@@ -89,6 +89,6 @@
 	})
 	DeferLateJobs([]*Job{small, big}, 1, 0)
 	if small.Late || big.Late {
-		t.Errorf("late: small %v, big %v; both can meet a deadline", small.Late, big.Late)
+		t.Errorf("small late %v, big late %v, want false for both, as each can meet a deadline", small.Late, big.Late)
 	}
 }
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -2,11 +2,11 @@
 
 import "caperlatch/internal/micros"
 
-// fillLookahead is how many jobs of one standing Fill compares.
+// fillLookahead is the number of jobs of equal precedence that Fill compares.
 const fillLookahead = 24
 
-// Fill picks tasks for a machine that has just sent a heartbeat, so can start them at once, from
-// jobs in the queue's order that found no room before. In the starts, Machine is not set.
+// Fill picks tasks for a machine that has just sent a heartbeat and can therefore start them at once. jobs are in
+// queue order, and found no capacity before. Machine is not set in the returned starts.
 func Fill(m *Machine, jobs []*Job, teams map[string]*Team) (starts []Start) {
 	for {
 		next, ok := pickNext(m, jobs, teams)
@@ -19,10 +19,9 @@
 	}
 }
 
-// pickNext picks the job that a machine starts tasks of next; ok is false if there is none. Of the
-// first jobs of one standing it takes the one with the next start deadline, but an image pull counts
-// as if the deadline were later by twice its time: it delays the task, and keeps its room from
-// others.
+// pickNext picks the job of which a machine starts tasks next; ok is false if there is none. Of the first jobs of
+// equal precedence it picks the one with the earliest start deadline, after adding twice the time of the image
+// pull to each deadline, because a pull both delays the task and keeps the capacity from other tasks.
 func pickNext(m *Machine, jobs []*Job, teams map[string]*Team) (best Start, ok bool) {
 	var bestDeadline micros.Micros
 	compared := 0
@@ -30,7 +29,7 @@
 		if j.WaitingTasks == 0 {
 			continue
 		}
-		if ok && (compared == fillLookahead || compareStanding(jobs[best.Job], j) != 0) {
+		if ok && (compared == fillLookahead || comparePrecedence(jobs[best.Job], j) != 0) {
 			break
 		}
 		if !m.Free.Fits(j.Need) || !m.accepts(j) {
@@ -48,9 +47,10 @@
 	return best, ok
 }
 
-// shouldTakeGang reports whether a machine that has sent a heartbeat, with room for count tasks of a
-// gang, should take it: all of it, as then no other machine's heartbeat is waited for; where no task
-// of it failed; and if pulling its image takes no longer than waiting for another machine.
+// shouldTakeGang reports whether a machine that has sent a heartbeat and has room for count tasks of a gang should
+// start the gang. It must have room for all waiting tasks, so that the start does not depend on another machine's
+// heartbeat; no task of the gang may have failed on it; and pulling the image must take no longer than waiting for
+// another machine.
 func shouldTakeGang(m *Machine, j *Job, count int) bool {
 	_, failed := j.FailedOn[m.ID]
 	return count >= j.WaitingTasks && !failed && (j.EarliestStart == 0 || imagePullTime(m, j) <= j.EarliestStart)
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -9,16 +9,16 @@
 	"caperlatch/internal/micros"
 )
 
-// perMachinePenalty is what each further machine costs a gang: it starts when its last task does,
-// and one more heartbeat may be late or lost.
+// perMachinePenalty is the cost of each additional machine for a gang. A gang starts when its last task does, and
+// each machine adds a heartbeat that may be late or lost.
 const perMachinePenalty = micros.Second / 2
 
-// placeGang places all waiting tasks of a gang or none, so that the last of them starts as soon as
-// possible: on one machine with room for all, or else on the fewest of those with the next
-// heartbeats. An image pull counts as a late heartbeat does, so that machines with the image and
-// without it are used together only when no others have room. index is the job's in the queue.
+// placeGang places all waiting tasks of a gang or none, so that the last of them starts as soon as possible: on
+// one machine with room for all, or else on the fewest of the machines whose heartbeats come next. An image pull
+// counts as much as an equally late heartbeat, so machines with and without the image are combined only if no
+// other machines have room. index is the job's index in the queue.
 func placeGang(machines []Machine, available []int, index int, j *Job, team *Team) (starts []Start) {
-	if !team.canStartWhole(j) {
+	if !team.canStartGang(j) {
 		return nil
 	}
 	search := gangSearch{machines: machines, job: j}
@@ -45,7 +45,7 @@
 	job        *Job
 	best       []allocation
 	bestCost   micros.Micros
-	startDelay micros.Micros // until the last task starts on the best machines
+	startDelay micros.Micros // time until the last task starts on the best machines
 }
 
 // considerSingleMachine considers the first machine of a set that has room for all tasks.
@@ -58,8 +58,8 @@
 	}
 }
 
-// considerSeveralMachines considers the fewest first machines of a set that have room, and of these
-// the ones with most room.
+// considerSeveralMachines considers the shortest prefix of a set that has room for all tasks, and within it
+// prefers the machines with the most room.
 func (s *gangSearch) considerSeveralMachines(set []int) {
 	if s.allocateFree(set) == nil {
 		return
@@ -73,13 +73,13 @@
 	}
 }
 
-// allocateFree distributes the job's waiting tasks over a set of machines by their free room.
+// allocateFree distributes the job's waiting tasks over a set of machines according to their free resources.
 func (s *gangSearch) allocateFree(set []int) []allocation {
 	free := func(k int) Resources { return s.machines[k].Free }
 	return allocate(s.machines, set, s.job, free)
 }
 
-// consider keeps allocations if they are better than the best so far.
+// consider keeps the allocations if they cost less than the best so far.
 func (s *gangSearch) consider(allocations []allocation) {
 	cost := micros.Micros(0)
 	for _, a := range allocations {
@@ -96,17 +96,17 @@
 	}
 }
 
-// isDecidedByHeartbeat reports whether the best machine is one of the gang pool, whose next
-// heartbeat is not due yet. The first of the pool that sends one takes the job (Fill); to choose one
-// beforehand would be to wait for its heartbeat alone.
+// isDecidedByHeartbeat reports whether the best allocation is a single machine of the gang pool whose next
+// heartbeat is not due yet. The first machine of the pool that sends a heartbeat takes the job in Fill; choosing a
+// machine in advance would mean waiting for the heartbeat of that machine alone.
 func isDecidedByHeartbeat(machines []Machine, best []allocation) bool {
 	return len(best) == 1 && machines[best[0].machine].GangsOnly && machines[best[0].machine].CommandDelay > 0
 }
 
-// EarliestGangStart is the expected delay until a gang starts that is taken by the first machine to
-// send a heartbeat of those with room for all of it; 0 if there are none. Each sends one at an
-// independent time within the interval, so the first of n is expected after 1/(n+1) of it. To wait
-// for the machines that pull its image fast takes longer, as they are fewer.
+// EarliestGangStart returns the expected delay until a gang starts on whichever machine with room for all of it
+// sends a heartbeat first; 0 if no machine has room. Each machine sends its heartbeat at an independent time
+// within the interval, so the first of n heartbeats is expected after 1/(n+1) of the interval. Waiting only for
+// the machines that pull the image quickly takes longer, as there are fewer of them.
 func EarliestGangStart(machines []Machine, j *Job, heartbeatInterval micros.Micros) (earliest micros.Micros) {
 	var pullTimes []micros.Micros
 	for k := range machines {
@@ -125,8 +125,9 @@
 	return earliest
 }
 
-// candidateMachineSets lists the sets of machines over which a gang may be distributed: those of
-// each zone if it must be in a single one, else all.
+// candidateMachineSets returns the sets of machines over which a gang may be distributed: one set for each zone if
+// the gang must be in a single zone, otherwise one set of all machines. It skips machines for which hasRoom
+// returns false.
 func candidateMachineSets(machines []Machine, j *Job, hasRoom func(m *Machine) bool) (sets [][]int) {
 	byZone := map[string][]int{}
 	for k := range machines {
@@ -146,14 +147,15 @@
 	return sets
 }
 
-// anyMachine is for candidateMachineSets: room that is not free yet may become so.
+// anyMachine is a hasRoom function for candidateMachineSets that accepts every machine, for callers that also
+// count resources that are not free yet.
 func anyMachine(*Machine) bool { return true }
 
-// allocation is how many of a gang's tasks a machine takes.
+// allocation is the number of a gang's tasks that a machine takes.
 type allocation struct{ machine, count int }
 
-// allocate distributes a job's waiting tasks over a set of machines in its order, by the room that
-// each has; nil if they have too little.
+// allocate distributes a job's waiting tasks over a set of machines, in the order of the set, according to the
+// room on each machine. It returns nil if the machines do not have enough room for all tasks.
 func allocate(machines []Machine, set []int, j *Job, room func(k int) Resources) (allocations []allocation) {
 	unplaced := j.WaitingTasks
 	inZone := map[string]int{}
--- a/placement/gang_preemption.go
+++ b/placement/gang_preemption.go
@@ -7,18 +7,18 @@
 	"caperlatch/internal/micros"
 )
 
-// PreemptOnSingleMachine finds the machine where the least is lost if all waiting tasks of a gang
-// get room there at once, and stops what is in the way; machine is -1 if there is none. Nothing is
-// stopped where another gang runs, as all its tasks would have to stop.
+// PreemptOnSingleMachine preempts tasks on a single machine so that it has room for all waiting tasks of a gang,
+// and reserves the machine for the gang. It picks the machine where the least work is lost; machine is -1 if there
+// is none. It preempts nothing on machines that run another gang, as all tasks of that gang would have to stop.
 func PreemptOnSingleMachine(machines []Machine, j *Job, team *Team) (preemptions []Preemption, machine int) {
-	if !team.canStartWhole(j) {
+	if !team.canStartGang(j) {
 		return nil, -1
 	}
 	need := Resources{}.Add(j.Need, int64(j.WaitingTasks))
 	var best preemptionCandidate
 	for k := range machines {
 		m := &machines[k]
-		if !canFreeForGang(m, j) {
+		if !canPreemptForGang(m, j) {
 			continue
 		}
 		victims, lost := pickVictims(m, j, need)
@@ -35,17 +35,17 @@
 	return preemptions, best.machine
 }
 
-// canFreeForGang reports whether tasks on a machine may be stopped for a whole gang.
-func canFreeForGang(m *Machine, j *Job) bool {
+// canPreemptForGang reports whether tasks on a machine may be preempted to make room for a whole gang.
+func canPreemptForGang(m *Machine, j *Job) bool {
 	_, failed := j.FailedOn[m.ID]
 	return !failed && m.accepts(j) && j.remainingInZone(m.Zone) >= j.WaitingTasks &&
 		!slices.ContainsFunc(m.Victims, func(v Victim) bool { return v.Gang })
 }
 
-// preemptForGang stops what loses least so that all waiting tasks of a gang find room, or nothing.
-// Their room is reserved for it.
+// preemptForGang preempts tasks so that all waiting tasks of a gang find room, with the least lost work, or
+// preempts nothing if that is impossible. It reserves the machines with that room for the gang.
 func preemptForGang(machines []Machine, j *Job, team *Team) (preemptions []Preemption, reservations []Reservation) {
-	if !team.canStartWhole(j) {
+	if !team.canStartGang(j) {
 		return nil, nil
 	}
 	var best preemptionSearch
@@ -69,8 +69,8 @@
 	return preemptions, reservations
 }
 
-// simulatePreemptions is findPreemptions on copies of a set of the machines. Its results refer to
-// machines by their places in the set.
+// simulatePreemptions runs findPreemptions on copies of a set of the machines. Its results refer to machines by
+// their indexes in the set.
 func simulatePreemptions(machines []Machine, set []int, j *Job, team *Team) preemptionSearch {
 	copies := make([]Machine, len(set))
 	for i, k := range set {
@@ -85,7 +85,7 @@
 	return findPreemptions(copies, &trial, team)
 }
 
-// totalLostWork is the work that preemptions lose.
+// totalLostWork returns the work that preemptions lose.
 func totalLostWork(preemptions []Preemption) micros.Micros {
 	sum := lostWorkSum{}
 	for i := range preemptions {
@@ -94,8 +94,8 @@
 	return sum.lost
 }
 
-// applyPreemptions stops in machines what a simulation found to stop in a set of them, and all other
-// tasks of the gangs among that.
+// applyPreemptions applies to machines the preemptions that a simulation found for a set of them, and preempts all
+// other tasks of the gangs that these belong to.
 func applyPreemptions(machines []Machine, set []int, found []Preemption, forJobID string) (preemptions []Preemption) {
 	for _, p := range found {
 		p.Machine = set[p.Machine]
@@ -104,5 +104,5 @@
 		m.Releasing = m.Releasing.Add(p.Victim.Need, 1)
 		m.Victims = slices.DeleteFunc(m.Victims, func(v Victim) bool { return v.JobID == p.Victim.JobID && v.Task == p.Victim.Task })
 	}
-	return append(preemptions, preemptGangMates(machines, found, forJobID)...)
+	return append(preemptions, preemptRestOfGangs(machines, found, forJobID)...)
 }
--- a/placement/gang_preemption_test.go
+++ b/placement/gang_preemption_test.go
@@ -8,7 +8,7 @@
 	"caperlatch/internal/micros"
 )
 
-// TestPreemptOnSingleMachine picks what to stop for a gang on one machine.
+// TestPreemptOnSingleMachine checks which tasks are preempted for a gang, and on which machine.
 func TestPreemptOnSingleMachine(t *testing.T) {
 	const s = micros.Second
 	full := func(id string, lost ...micros.Micros) Machine {
@@ -25,14 +25,14 @@
 		stops    []string
 		machine  int
 	}{
-		{"where least is lost", []Machine{full("x", 3*s, 3*s), full("y", s, 2*s, s)}, nil, []string{"y/0", "y/2"}, 1},
+		{"machine with the least lost work", []Machine{full("x", 3*s, 3*s), full("y", s, 2*s, s)}, nil, []string{"y/0", "y/2"}, 1},
 		{"room on two machines only", []Machine{full("x", s), full("y", s)}, nil, nil, -1},
 		{"image pull counts as lost work", []Machine{full("x", s, s), with(full("y", 3*s, 3*s), func(m *Machine) { m.Images = m.Images.With(70) })},
 			func(j *Job) { j.ImageSizeGB = 9 }, []string{"y/0", "y/1"}, 1},
-		{"another gang runs there", []Machine{with(full("x", s, s), func(m *Machine) { m.Victims = append(m.Victims, Victim{JobID: "v", Gang: true}) })}, nil, nil, -1},
-		{"a task failed there", []Machine{full("x", s, s)}, func(j *Job) { j.FailedOn = map[string]micros.Micros{"x": s} }, nil, -1},
+		{"another gang runs on the machine", []Machine{with(full("x", s, s), func(m *Machine) { m.Victims = append(m.Victims, Victim{JobID: "v", Gang: true}) })}, nil, nil, -1},
+		{"a task of the gang failed on the machine", []Machine{full("x", s, s)}, func(j *Job) { j.FailedOn = map[string]micros.Micros{"x": s} }, nil, -1},
 		{"equal priority", []Machine{full("x", s, s)}, func(j *Job) { j.Priority = 0 }, nil, -1},
-		{"single zone elsewhere", []Machine{full("x", s, s)},
+		{"single zone: bound to another zone", []Machine{full("x", s, s)},
 			func(j *Job) { j.SingleZone, j.TasksPerZone = true, map[string]int{"y": 1} }, nil, -1},
 	} {
 		j := gang(3, func(j *Job) { j.Priority = 2 })
@@ -46,16 +46,16 @@
 		}
 		slices.Sort(stops)
 		if !slices.Equal(stops, c.stops) || machine != c.machine {
-			t.Errorf("%s: stops %v on %d, want %v on %d", c.name, stops, machine, c.stops, c.machine)
+			t.Errorf("%s: preempted %v on machine %d, want %v on machine %d", c.name, stops, machine, c.stops, c.machine)
 		}
 	}
 	if _, machine := PreemptOnSingleMachine([]Machine{full("x", s, s)}, gang(3, func(j *Job) { j.Priority = 2 }), &Team{Limit: cpus(2)}); machine != -1 {
-		t.Error("preempted beyond the team's limit")
+		t.Errorf("preempted on machine %d beyond the team's quota, want no preemption", machine)
 	}
 }
 
-// TestPreemptForGang has gangs at risk take room from others, and gangs be stopped: all that is
-// needed or nothing, where least is lost, and a gang's loss is that of all its tasks.
+// TestPreemptForGang checks preemption for gangs at risk and preemption of gangs: everything that is needed is
+// preempted or nothing, the least work is lost, and the lost work of a gang is that of all its tasks.
 func TestPreemptForGang(t *testing.T) {
 	s := micros.Second
 	victim := func(job string, task int, lost micros.Micros) Victim {
@@ -76,14 +76,14 @@
 		stops        []string
 		reservations []int
 	}{
-		{"all tasks", []Machine{full("a", "z", victim("x", 0, s), victim("x", 1, s)), full("b", "z", victim("y", 0, s))}, gang(3, nil),
+		{"room for all tasks is freed", []Machine{full("a", "z", victim("x", 0, s), victim("x", 1, s)), full("b", "z", victim("y", 0, s))}, gang(3, nil),
 			[]string{"x/0", "x/1", "y/0"}, []int{0, 1}},
-		{"not enough to preempt: nothing is", []Machine{full("a", "z", victim("x", 0, s), victim("x", 1, s))}, gang(3, nil), nil, nil},
-		{"single zone where least is lost", []Machine{full("a", "y", victim("x", 0, 3*s), victim("x", 1, 3*s)), full("b", "z", victim("y", 0, s), victim("y", 1, s))},
+		{"too little to preempt: nothing is preempted", []Machine{full("a", "z", victim("x", 0, s), victim("x", 1, s))}, gang(3, nil), nil, nil},
+		{"single zone with the least lost work", []Machine{full("a", "y", victim("x", 0, 3*s), victim("x", 1, 3*s)), full("b", "z", victim("y", 0, s), victim("y", 1, s))},
 			gang(2, func(j *Job) { j.SingleZone = true }), []string{"y/0", "y/1"}, []int{1}},
-		{"with free room", []Machine{machine("a", "z", 1), full("b", "z", victim("y", 0, s), victim("y", 1, 2*s))}, gang(2, nil), []string{"y/0"}, []int{0, 1}},
+		{"free room is used as well", []Machine{machine("a", "z", 1), full("b", "z", victim("y", 0, s), victim("y", 1, 2*s))}, gang(2, nil), []string{"y/0"}, []int{0, 1}},
 		{"all tasks of a gang stop", []Machine{full("a", "z", gangOf("x", 0, 4*s)), full("b", "z", gangOf("x", 1, 4*s))}, job("k", 1, nil), []string{"x/0", "x/1"}, nil},
-		{"a single task rather than a gang", []Machine{full("a", "z", gangOf("x", 0, 4*s), victim("y", 0, 3*s)), full("b", "z", gangOf("x", 1, 4*s))}, job("k", 1, nil), []string{"y/0"}, nil},
+		{"a single task is preempted rather than a gang", []Machine{full("a", "z", gangOf("x", 0, 4*s), victim("y", 0, 3*s)), full("b", "z", gangOf("x", 1, 4*s))}, job("k", 1, nil), []string{"y/0"}, nil},
 		{"a gang's lost work counts once", []Machine{full("a", "z", gangOf("x", 0, 4*s), gangOf("x", 1, 4*s)), full("b", "z", victim("y", 0, 3*s)), full("c", "z", victim("y", 1, 3*s))},
 			job("k", 2, nil), []string{"y/0", "y/1"}, nil},
 		{"room that a gang frees elsewhere is used", []Machine{full("a", "z", gangOf("x", 0, s)), full("b", "z", gangOf("x", 1, s), victim("y", 0, 9*s))}, job("k", 2, nil), []string{"x/0", "x/1"}, nil},
@@ -100,7 +100,7 @@
 		}
 		slices.Sort(stops)
 		if !slices.Equal(stops, c.stops) || !slices.Equal(machines, c.reservations) {
-			t.Errorf("%s: preempts %v and reserves %v, want %v and %v", c.name, stops, machines, c.stops, c.reservations)
+			t.Errorf("%s: preempted %v and reserved %v, want %v and %v", c.name, stops, machines, c.stops, c.reservations)
 		}
 	}
 }
--- a/placement/gang_reservation.go
+++ b/placement/gang_reservation.go
@@ -7,17 +7,18 @@
 	"caperlatch/internal/micros"
 )
 
-// firstHorizon is within what time PickReservation looks for room at first; it doubles from there.
-const firstHorizon = 2 * micros.Second
+// initialHorizon is the first horizon for which PickReservation computes the free capacity; it doubles the horizon
+// from there.
+const initialHorizon = 2 * micros.Second
 
-// PickReservation picks the machines whose room should be held for a gang that found none, until
-// enough tasks on them have ended by themselves: the fewest machines of those where that takes
-// least. It picks none if it takes longer than maxWait.
+// PickReservation picks the machines to reserve for a gang that found no capacity, until enough of their tasks
+// have ended by themselves. It picks the fewest machines that have enough capacity within the shortest horizon,
+// and none if that horizon exceeds maxWait.
 func PickReservation(machines []Machine, j *Job, team *Team, maxWait micros.Micros) []int {
-	if !team.canStartWhole(j) {
+	if !team.canStartGang(j) {
 		return nil
 	}
-	for horizon := firstHorizon; horizon <= maxWait; horizon *= 2 {
+	for horizon := initialHorizon; horizon <= maxWait; horizon *= 2 {
 		if best := allocateToFewest(machines, j, roomWithin(machines, horizon)); best != nil {
 			chosen := make([]int, len(best))
 			for i, a := range best {
@@ -29,7 +30,8 @@
 	return nil
 }
 
-// roomWithin is the room that each machine should have after some time, if it starts nothing.
+// roomWithin returns the resources that each machine is expected to have free at the horizon if it starts nothing
+// until then.
 func roomWithin(machines []Machine, horizon micros.Micros) []Resources {
 	room := make([]Resources, len(machines))
 	for k := range machines {
@@ -44,8 +46,8 @@
 	return room
 }
 
-// allocateToFewest distributes a gang over the fewest machines that have the room; nil if all have
-// too little.
+// allocateToFewest distributes a gang over the fewest machines that have enough room; it returns nil if all
+// machines together do not.
 func allocateToFewest(machines []Machine, j *Job, room []Resources) (best []allocation) {
 	for _, set := range candidateMachineSets(machines, j, anyMachine) {
 		slices.SortStableFunc(set, func(a, b int) int {
--- a/placement/gang_test.go
+++ b/placement/gang_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/micros"
 )
 
-// TestPlaceGang places gangs: on one machine if one has room, else on the fewest of those with the
-// next heartbeats, where their zones allow, or not at all.
+// TestPlaceGang checks the placement of gangs: on one machine if one has room, otherwise on the fewest of the
+// machines whose heartbeats come next, within the job's zone constraints; or not at all.
 func TestPlaceGang(t *testing.T) {
 	s := micros.Second
 	noImage := func(id string, free int64) Machine { return machine(id, "z", free) }
@@ -35,43 +35,43 @@
 			[]*Job{gang(5, nil)}, nil, []string{"g@d*3", "g@c*2"}},
 		{"machines that have the image", []Machine{noImage("a", 2), withImage("b", 2), noImage("c", 2), withImage("d", 2)},
 			[]*Job{gang(4, func(j *Job) { j.ImageSizeGB = 5 })}, nil, []string{"g@b*2", "g@d*2"}},
-		{"one machine without the image, as two of which one has it start no sooner", []Machine{withImage("a", 2), noImage("b", 4)},
+		{"one machine without the image, as two machines of which one has it start no sooner", []Machine{withImage("a", 2), noImage("b", 4)},
 			[]*Job{gang(4, func(j *Job) { j.ImageSizeGB = 5 })}, nil, []string{"g@b*4"}},
-		{"late start: waits for other machines", []Machine{late("a", 4, 3*s)}, []*Job{gang(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, nil},
-		{"late start: after waiting for others", []Machine{late("a", 4, 3*s)}, []*Job{gang(4, func(j *Job) { j.MaxStartDelay = 3 * s })}, nil, []string{"g@a*4"}},
+		{"start later than MaxStartDelay: not placed", []Machine{late("a", 4, 3*s)}, []*Job{gang(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, nil},
+		{"start within MaxStartDelay: placed", []Machine{late("a", 4, 3*s)}, []*Job{gang(4, func(j *Job) { j.MaxStartDelay = 3 * s })}, nil, []string{"g@a*4"}},
 		{"no room for one task", []Machine{noImage("a", 2), noImage("b", 1)}, []*Job{gang(4, nil)}, nil, nil},
-		{"room that it cannot use is for others", []Machine{noImage("a", 2), noImage("b", 1)}, []*Job{gang(4, nil), other}, nil, []string{"k@b*1", "k@a*1"}},
-		{"single zone: the one that has room", []Machine{machine("a", "y", 3), machine("b", "z", 2), machine("c", "z", 2)},
+		{"room that the gang cannot use goes to other jobs", []Machine{noImage("a", 2), noImage("b", 1)}, []*Job{gang(4, nil), other}, nil, []string{"k@b*1", "k@a*1"}},
+		{"single zone: the only one with room", []Machine{machine("a", "y", 3), machine("b", "z", 2), machine("c", "z", 2)},
 			[]*Job{gang(4, func(j *Job) { j.SingleZone = true })}, nil, []string{"g@b*2", "g@c*2"}},
 		{"single zone: none has room", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
 			[]*Job{gang(4, func(j *Job) { j.SingleZone = true })}, nil, nil},
-		{"single zone: of the running tasks", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
+		{"single zone: that of the running tasks", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
 			[]*Job{gang(1, func(j *Job) { j.SingleZone, j.TotalTasks, j.TasksPerZone = true, 4, map[string]int{"z": 3} })}, nil, []string{"g@b*1"}},
 		{"spread over zones: at most 2 of 4 in a zone", []Machine{machine("a", "y", 4), machine("b", "z", 2)},
 			[]*Job{gang(4, func(j *Job) { j.SpreadZones = true })}, nil, []string{"g@a*2", "g@b*2"}},
-		{"spread over zones: only one has room", []Machine{machine("a", "y", 4)}, []*Job{gang(4, func(j *Job) { j.SpreadZones = true })}, nil, nil},
-		{"team limit allows a part", []Machine{noImage("a", 9)}, []*Job{gang(4, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, nil},
-		{"reserved for it", []Machine{with(noImage("a", 4), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{gang(4, nil)}, nil, []string{"g@a*4"}},
-		{"reserved for another", []Machine{with(noImage("a", 4), func(m *Machine) { m.ReservedFor = job("x", 4, nil) })}, []*Job{gang(4, nil)}, nil, nil},
-		{"gang pool: no other jobs", []Machine{with(noImage("a", 4), func(m *Machine) { m.GangsOnly = true })}, []*Job{gang(3, nil), other}, nil, []string{"g@a*3"}},
+		{"spread over zones: only one zone has room", []Machine{machine("a", "y", 4)}, []*Job{gang(4, func(j *Job) { j.SpreadZones = true })}, nil, nil},
+		{"team quota allows only a part", []Machine{noImage("a", 9)}, []*Job{gang(4, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, nil},
+		{"machine reserved for the gang", []Machine{with(noImage("a", 4), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{gang(4, nil)}, nil, []string{"g@a*4"}},
+		{"machine reserved for another job", []Machine{with(noImage("a", 4), func(m *Machine) { m.ReservedFor = job("x", 4, nil) })}, []*Job{gang(4, nil)}, nil, nil},
+		{"gang pool: closed to other jobs", []Machine{with(noImage("a", 4), func(m *Machine) { m.GangsOnly = true })}, []*Job{gang(3, nil), other}, nil, []string{"g@a*3"}},
 		{"gang pool: the next heartbeat decides", []Machine{with(late("a", 4, s/2), func(m *Machine) { m.GangsOnly = true })},
 			[]*Job{gang(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, nil},
-		{"gang pool: on the heartbeat", []Machine{with(noImage("a", 4), func(m *Machine) { m.GangsOnly = true })},
+		{"gang pool: placed on the heartbeat", []Machine{with(noImage("a", 4), func(m *Machine) { m.GangsOnly = true })},
 			[]*Job{gang(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, []string{"g@a*4"}},
-		{"reserved for another of lower standing", []Machine{with(noImage("a", 2), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{job("k", 2, func(j *Job) { j.Priority = 2 })}, nil, []string{"k@a*2"}},
+		{"machine reserved for a job of lower precedence", []Machine{with(noImage("a", 2), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{job("k", 2, func(j *Job) { j.Priority = 2 })}, nil, []string{"k@a*2"}},
 	} {
 		var got []string
 		for _, x := range Plan(c.machines, c.jobs, map[string]*Team{"t": c.team}) {
 			got = append(got, fmt.Sprintf("%s@%s*%d", c.jobs[x.Job].ID, c.machines[x.Machine].ID, x.Count))
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: starts %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestFillGang has a machine send a heartbeat that could take a gang, or a part of it, at once or
-// with an image pull of 5 s.
+// TestFillGang checks when a machine that sends a heartbeat starts a gang, if it has room for a part or all of it,
+// and starts tasks at once or after an image pull of 5 s.
 func TestFillGang(t *testing.T) {
 	const s = micros.Second
 	for _, c := range []struct {
@@ -80,7 +80,7 @@
 		edit   func(m *Machine, j *Job)
 		starts int
 	}{
-		{"room for a part", 3, nil, 0},
+		{"room for only a part", 3, nil, 0},
 		{"room for all", 4, nil, 4},
 		{"room for more than all", 9, nil, 4},
 		{"another machine starts it sooner", 4, func(_ *Machine, j *Job) { j.ImageSizeGB, j.EarliestStart = 5, 4*s }, 0},
@@ -97,13 +97,13 @@
 			n += x.Count
 		}
 		if n != c.starts {
-			t.Errorf("%s: %d start, want %d", c.name, n, c.starts)
+			t.Errorf("%s: %d tasks started, want %d", c.name, n, c.starts)
 		}
 	}
 }
 
-// TestEarliestGangStart expects the first heartbeat of those machines that could take a gang, which
-// send one in 8 s.
+// TestEarliestGangStart checks the expected delay until the first heartbeat of the machines that could start a
+// gang, with a heartbeat interval of 8 s.
 func TestEarliestGangStart(t *testing.T) {
 	const s = micros.Second
 	noImage := func(id string) Machine { return machine(id, "z", 4) }
@@ -115,19 +115,19 @@
 		machines []Machine
 		want     micros.Micros
 	}{
-		{"none has room", []Machine{machine("a", "z", 3)}, 0},
+		{"no machine has room", []Machine{machine("a", "z", 3)}, 0},
 		{"one machine", []Machine{withImage("a")}, 4 * s},
 		{"three machines", []Machine{withImage("a"), withImage("b"), withImage("c")}, 2 * s},
-		{"one that has the image rather than one without", []Machine{withImage("a"), noImage("b")}, 4 * s},
-		{"many without the image, one of which has a heartbeat much sooner", []Machine{withImage("a"), noImage("b"), noImage("c"), noImage("d"), noImage("e"), noImage("f"), noImage("g")}, 3 * s},
+		{"waiting for the machine that has the image is faster", []Machine{withImage("a"), noImage("b")}, 4 * s},
+		{"many without the image, of which the first heartbeat comes much sooner", []Machine{withImage("a"), noImage("b"), noImage("c"), noImage("d"), noImage("e"), noImage("f"), noImage("g")}, 3 * s},
 	} {
 		if got := EarliestGangStart(c.machines, gang(4, func(j *Job) { j.ImageSizeGB = 2 }), 8*s); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: earliest start %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestPickReservation picks machines whose room is to be held for a gang until it is enough.
+// TestPickReservation checks which machines are reserved for a gang until they have enough room for it.
 func TestPickReservation(t *testing.T) {
 	s := micros.Second
 	busy := func(id, zone string, free int64, left ...micros.Micros) Machine {
@@ -143,14 +143,14 @@
 		job      *Job
 		want     []int
 	}{
-		{"where room is freed soonest", []Machine{busy("a", "z", 0, 9*s, 9*s, 9*s, 9*s), busy("b", "z", 2, s, s)}, gang(4, nil), []int{1}},
+		{"machines that free room soonest", []Machine{busy("a", "z", 0, 9*s, 9*s, 9*s, 9*s), busy("b", "z", 2, s, s)}, gang(4, nil), []int{1}},
 		{"the fewest machines", []Machine{busy("a", "z", 1, s), busy("b", "z", 1, s), busy("c", "z", 0, s, s, s, s)}, gang(4, nil), []int{2}},
 		{"several machines", []Machine{busy("a", "z", 1, s), busy("b", "z", 1, s)}, gang(4, nil), []int{0, 1}},
 		{"single zone", []Machine{busy("a", "y", 1, s), busy("b", "z", 1, s), busy("c", "z", 0, 5*s, 5*s)}, gang(4, func(j *Job) { j.SingleZone = true }), []int{1, 2}},
-		{"none in time", []Machine{busy("a", "z", 3, 100*s)}, gang(4, nil), nil},
+		{"no machine frees enough room in time", []Machine{busy("a", "z", 3, 100*s)}, gang(4, nil), nil},
 	} {
 		if got := PickReservation(c.machines, c.job, nil, 16*s); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: reserved machines %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/placement/helpers_test.go
+++ b/placement/helpers_test.go
@@ -1,20 +1,20 @@
 package placement
 
-// cpus is n CPUs.
+// cpus returns Resources of n CPUs.
 func cpus(n int64) Resources { return Resources{CPU: n * 1000} }
 
-// machine is an on-demand machine with free CPUs that pulls 1 GB a second.
+// machine returns an on-demand machine with the given number of free CPUs that pulls images at 1 GB per second.
 func machine(id, zone string, free int64) Machine {
 	return Machine{ID: id, InstanceType: "m", Zone: zone, Free: cpus(free), StartFactors: StartFactors{ImagePullGBPerS: 1}}
 }
 
-// with is a machine with changes.
+// with returns m after applying edit to it.
 func with(m Machine, edit func(*Machine)) Machine {
 	edit(&m)
 	return m
 }
 
-// job is a job at risk of tasks with one CPU each, with changes if there are any.
+// job returns a job at risk whose tasks need one CPU each, after applying edit to it if edit is not nil.
 func job(id string, waiting int, edit func(*Job)) *Job {
 	j := &Job{
 		ID:          id,
@@ -30,7 +30,7 @@
 	return j
 }
 
-// gang is a job all of whose tasks start, or none does.
+// gang returns a gang job, after applying edit to it if edit is not nil.
 func gang(tasks int, edit func(*Job)) *Job {
 	return job("g", tasks, func(j *Job) {
 		j.Gang = true
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,13 +1,13 @@
-// Package placement decides which waiting tasks start on which machines, and which running tasks
-// are preempted for them.
+// Package placement decides which waiting tasks start on which machines, and which running tasks are preempted for
+// them.
 //
-// It owns the order of the queue, the deferral of jobs that cannot be in time, bin packing,
-// preemption, and the placement of gangs. It is pure and deterministic: it does no I/O, reads no
-// clock, and equal input gives equal output. Its caller sends what it decides. It must never be
-// what allows a task to run twice: the caller passes as waiting only tasks that may be started.
+// It owns the queue order, the deferral of jobs that cannot be on time, bin packing, preemption, and the placement
+// of gangs. It is pure and deterministic: it does no I/O, reads no clock, and returns equal output for equal
+// input. The caller carries out the decisions. This package must never be what allows a task to run twice: the
+// caller passes as waiting only tasks that may be started.
 //
-// Functions update the machines, jobs and teams that they are given, so that each decision sees
-// the ones before it. Machines and jobs are referred to by their indexes in the input.
+// Functions update the machines, jobs and teams that are passed to them, so that each decision takes the earlier
+// ones into account. Results refer to machines and jobs by their indexes in the input.
 package placement
 
 import "caperlatch/internal/micros"
@@ -17,30 +17,30 @@
 	ID, InstanceType, Zone string
 	Spot                   bool
 
-	Free        Resources    // used by no task
+	Free        Resources    // not used by any task
 	Releasing   Resources    // used by tasks that are being stopped
 	Victims     []Victim     // running tasks that may be preempted
-	Completions []Completion // when tasks on it should end by themselves
+	Completions []Completion // expected ends of running tasks
 
 	StartFactors
 	Restrictions
 }
 
-// StartFactors are what makes a start on a machine late or costly.
+// StartFactors determine how late or costly a start on a machine is.
 type StartFactors struct {
-	CommandDelay    micros.Micros // until a command reaches it
-	Images          ImageSet      // cached, or being pulled
-	ImagePullGBPerS float64       // rate at which it pulls images; 0: at once
-	Idle            bool          // no task is on it
-	StartPenalty    micros.Micros // how much longer a task may wait elsewhere before this one is used
+	CommandDelay    micros.Micros // time until a command reaches the machine
+	Images          ImageSet      // images that are cached or being pulled
+	ImagePullGBPerS float64       // rate at which the machine pulls images; 0 means instantly
+	Idle            bool          // no task is assigned to the machine
+	StartPenalty    micros.Micros // extra delay that is accepted on other machines before this one is used
 }
 
-// Restrictions are which jobs may start tasks on a machine, besides the jobs' own constraints.
+// Restrictions limit which jobs may start tasks on a machine, in addition to the jobs' own constraints.
 type Restrictions struct {
-	RejectsDelayTolerant bool // it is costly, and only delay-tolerant jobs would use it
-	ReservedFor          *Job // a reservation holds its room for this job; nil: for none
-	GangsOnly            bool // it belongs to the gang pool
-	ZoneBoundOnly        bool // its zone is disrupted: only jobs that can run nowhere else
+	RejectsDelayTolerant bool // the machine is costly, and only delay-tolerant jobs would use it
+	ReservedFor          *Job // the job for which the machine is reserved; nil if it is not
+	GangsOnly            bool // the machine belongs to the gang pool
+	ZoneBoundOnly        bool // the zone is disrupted, so only jobs that can run nowhere else may start
 }
 
 // Victim is a running task that may be preempted.
@@ -50,16 +50,16 @@
 	Team            string
 	Priority        int
 	Need            Resources
-	WithinGuarantee bool          // within its team's guarantee
-	BestEffort      bool          // lowest priority, and not within a guarantee
-	LostWork        micros.Micros // work that is lost if it is stopped
-	Gang            bool          // all tasks of its job stop with it, and LostWork is that of all
+	WithinGuarantee bool          // covered by its team's guarantee
+	BestEffort      bool          // lowest priority, and not covered by a guarantee
+	LostWork        micros.Micros // work that is lost if the task is stopped
+	Gang            bool          // all tasks of its job stop with it; LostWork is that of all of them
 }
 
-// Completion is a task that should end by itself.
+// Completion is the expected end of a running task.
 type Completion struct {
-	Remaining micros.Micros // until then
-	Need      Resources     // what it frees
+	Remaining micros.Micros // time until the end
+	Need      Resources     // resources that the task frees
 }
 
 // Job is a job with waiting tasks.
@@ -72,64 +72,64 @@
 	Urgency
 	GangScheduling
 
-	TasksPerZone map[string]int // its tasks on machines, by zone
-	OnlyZone     string         // the only zone where it can run now; empty if there are others
+	TasksPerZone map[string]int // number of tasks on machines, by zone
+	OnlyZone     string         // the only zone where the job can currently run; empty if there are several
 }
 
-// QueueKey is a job's place in the queue. See CompareJobs.
+// QueueKey determines a job's position in the queue; see CompareJobs.
 type QueueKey struct {
-	Aged            bool // has waited for its first start for so long that it goes before all others
-	EvacuationRank  int  // in the order in which work leaves a lost zone; 0 for all without one
-	WithinGuarantee bool // within its team's guarantee
-	Priority        int  // a higher one goes first
-	Late            bool // can meet no objective any more, or is deferred
+	Aged            bool // has waited so long for a start that it precedes all other jobs
+	EvacuationRank  int  // order in which work is moved out of a lost zone, lowest first; 0 for all jobs while none is lost
+	WithinGuarantee bool // covered by its team's guarantee
+	Priority        int  // higher values come first
+	Late            bool // can no longer meet any objective, or was deferred past its last start deadline
 
-	StartDeadline       micros.Micros   // when its last task should have started
-	LaterStartDeadlines []micros.Micros // the same by objectives that can be met later, rising
+	StartDeadline       micros.Micros   // time by which the last task should have started
+	LaterStartDeadlines []micros.Micros // start deadlines of objectives that can be met later, ascending
 }
 
-// Request is what a job's waiting tasks need.
+// Request is what a job's waiting tasks require.
 type Request struct {
 	Need              Resources // of each task
-	WaitingTasks      int       // to be started
-	TotalTasks        int       // of the whole job
+	WaitingTasks      int       // tasks to be started
+	TotalTasks        int       // tasks of the whole job
 	WaitingCPUSeconds float64   // estimated work of the waiting tasks
-	ImageIndex        int       // see ImageSet
+	ImageIndex        int       // the image as an element of ImageSet
 	ImageSizeGB       float64
 }
 
-// Constraints are where the owner of a job lets it run.
+// Constraints limit where a job may run, as set by its owner.
 type Constraints struct {
-	InstanceTypes []string // empty: all
-	Zone          string   // empty: all
+	InstanceTypes []string // empty means all
+	Zone          string   // empty means all
 	AllowSpot     bool
-	SingleZone    bool // all tasks in one zone
-	SpreadZones   bool // at most half of the tasks, rounded up, in one zone
+	SingleZone    bool // all tasks must be in one zone
+	SpreadZones   bool // at most half of the tasks, rounded up, may be in one zone
 }
 
-// Urgency is what a job's waiting justifies.
+// Urgency determines which measures a waiting job justifies.
 type Urgency struct {
-	AtRisk             bool // would be late if it waited until other tasks end
-	PreemptsBestEffort bool // need not wait until best-effort tasks end
-	DelayTolerant      bool // not worth costly machines
+	AtRisk             bool // would be late if it waited for other tasks to end
+	PreemptsBestEffort bool // may preempt best-effort tasks even when not at risk
+	DelayTolerant      bool // does not justify costly machines
 }
 
-// GangScheduling is what holds for a gang alone.
+// GangScheduling holds the scheduling parameters of gangs.
 type GangScheduling struct {
-	Gang          bool                     // all waiting tasks start, or none does
-	MaxStartDelay micros.Micros            // waits for better machines than ones that start it later; 0: any will do
-	EarliestStart micros.Micros            // expected delay until a suitable machine sends a heartbeat and starts it; 0: unknown
-	FailedOn      map[string]micros.Micros // IDs of machines on which its tasks failed, and when
+	Gang          bool                     // either all waiting tasks start or none does
+	MaxStartDelay micros.Micros            // rejects machines on which the gang would start later than this; 0 accepts any
+	EarliestStart micros.Micros            // expected delay until the heartbeat of a suitable machine starts it; 0 if unknown
+	FailedOn      map[string]micros.Micros // times at which tasks failed, by machine ID
 }
 
-// Team is the quota of a team.
+// Team is a team's resource usage and quota.
 type Team struct {
 	Used  Resources
-	Limit Resources // 0: none
+	Limit Resources // 0 means unlimited
 }
 
-// CountAllowed is how many tasks with a need, at most limit, the team may still start. A nil team
-// has no limit.
+// CountAllowed returns how many tasks that each need the given resources the team may still start, at most limit.
+// A nil team has no quota.
 func (t *Team) CountAllowed(need Resources, limit int) int {
 	if t == nil {
 		return limit
@@ -144,8 +144,8 @@
 	return remaining.CountFitting(need, limit)
 }
 
-// canStartWhole reports whether the team may still start all waiting tasks of a gang.
-func (t *Team) canStartWhole(j *Job) bool {
+// canStartGang reports whether the team's quota allows all waiting tasks of a gang.
+func (t *Team) canStartGang(j *Job) bool {
 	return t.CountAllowed(j.Need, j.WaitingTasks) >= j.WaitingTasks
 }
 
@@ -156,10 +156,10 @@
 type Preemption struct {
 	Machine  int
 	Victim   Victim
-	ForJobID string // the job that needs its room
+	ForJobID string // the job for which the task is stopped
 }
 
-// Reservation is a decision to hold a machine's room for a gang.
+// Reservation is a decision to reserve a machine's capacity for a gang.
 type Reservation struct {
 	Machine  int
 	ForJobID string
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -7,9 +7,9 @@
 	"caperlatch/internal/micros"
 )
 
-// Plan places what it can of jobs that are in the queue's order, and leaves in WaitingTasks what
-// finds no room. Waiting tasks cost nothing here: the work grows with the jobs, and with the
-// machines that have room.
+// Plan places as many tasks of jobs in queue order as it can; those that find no capacity remain counted in
+// WaitingTasks. Individual waiting tasks cost no time: the run time grows with the number of jobs and the number
+// of machines with free capacity.
 func Plan(machines []Machine, jobs []*Job, teams map[string]*Team) (starts []Start) {
 	minNeed := MinNeed(jobs)
 	available := make([]int, 0, len(machines))
@@ -37,8 +37,8 @@
 	return starts
 }
 
-// largestFree is the most that any machine has free of each resource. A job that needs more is
-// passed over quickly.
+// largestFree returns, for each resource, the most that any machine has free. Plan uses it to skip jobs that need
+// more without looking at every machine.
 func largestFree(machines []Machine, available []int) (largest Resources) {
 	for _, k := range available {
 		free := machines[k].Free
@@ -47,8 +47,8 @@
 	return largest
 }
 
-// placeTasks places what it can of a job that is no gang, where its tasks start soonest. index is
-// the job's in the queue.
+// placeTasks places as many tasks of a non-gang job as possible, on the machines with the lowest start cost. index
+// is the job's index in the queue.
 func placeTasks(machines []Machine, available []int, index int, j *Job, team *Team) (starts []Start) {
 	type candidate struct {
 		machine int
@@ -80,7 +80,7 @@
 	return starts
 }
 
-// assign counts some of a job's waiting tasks as being on a machine.
+// assign records that count of a job's waiting tasks are assigned to a machine.
 func assign(m *Machine, j *Job, team *Team, count int) {
 	m.Free = m.Free.Add(j.Need, -int64(count))
 	m.Idle = false
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -9,7 +9,7 @@
 	"caperlatch/internal/micros"
 )
 
-// TestPlanAndPreempt plans, and preempts for what found no room.
+// TestPlanAndPreempt checks which tasks Plan starts, and which tasks Preempt stops for those that found no room.
 func TestPlanAndPreempt(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -21,10 +21,10 @@
 	}{
 		{"bin packing: the fuller machine", []Machine{machine("a", "z", 8), machine("b", "z", 3)},
 			[]*Job{job("j", 2, nil)}, nil, []string{"j@b*2"}, nil},
-		{"the machine that has the image", []Machine{machine("a", "z", 4), with(machine("b", "z", 8), func(m *Machine) {
+		{"image pull: the machine that has the image", []Machine{machine("a", "z", 4), with(machine("b", "z", 8), func(m *Machine) {
 			m.Images = m.Images.With(70)
 		})}, []*Job{job("j", 1, func(j *Job) { j.ImageSizeGB = 5 })}, nil, []string{"j@b*1"}, nil},
-		{"a job at risk waits for no late heartbeat", []Machine{with(machine("a", "z", 1), func(m *Machine) { m.CommandDelay = 8 * micros.Second })},
+		{"a job at risk does not wait for a late heartbeat", []Machine{with(machine("a", "z", 1), func(m *Machine) { m.CommandDelay = 8 * micros.Second })},
 			[]*Job{job("j", 1, nil)}, nil, nil, nil},
 		{"a job at risk waits if that saves a longer image pull", []Machine{with(machine("a", "z", 1), func(m *Machine) {
 			m.CommandDelay, m.Images = 8*micros.Second, m.Images.With(70)
@@ -35,30 +35,30 @@
 			[]*Job{job("low", 1, nil), job("high", 1, func(j *Job) { j.Priority = 2 })}, nil, []string{"high@a*1"}, nil},
 		{"guarantee before priority", []Machine{machine("a", "z", 1)},
 			[]*Job{job("guaranteed", 1, func(j *Job) { j.WithinGuarantee = true }), job("high", 1, func(j *Job) { j.Priority = 2 })}, nil, []string{"guaranteed@a*1"}, nil},
-		{"next start deadline first", []Machine{machine("a", "z", 1)},
+		{"earliest start deadline first", []Machine{machine("a", "z", 1)},
 			[]*Job{job("b", 1, func(j *Job) { j.StartDeadline = 5 }), job("c", 1, func(j *Job) { j.StartDeadline = 3 })}, nil, []string{"c@a*1"}, nil},
-		{"team limit", []Machine{machine("a", "z", 10)},
+		{"team quota", []Machine{machine("a", "z", 10)},
 			[]*Job{job("j", 9, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, []string{"j@a*3"}, nil},
-		{"no spot machines", []Machine{with(machine("a", "z", 4), func(m *Machine) { m.Spot = true }), machine("b", "z", 4)},
+		{"spot machines not allowed", []Machine{with(machine("a", "z", 4), func(m *Machine) { m.Spot = true }), machine("b", "z", 4)},
 			[]*Job{job("j", 1, func(j *Job) { j.AllowSpot = false })}, nil, []string{"j@b*1"}, nil},
 		{"instance types and zone", []Machine{machine("a", "z", 4), machine("b", "y", 4)},
 			[]*Job{job("j", 1, func(j *Job) { j.Zone, j.InstanceTypes = "y", []string{"m"} }), job("k", 1, func(j *Job) { j.InstanceTypes = []string{"x"} })},
 			nil, []string{"j@b*1"}, nil},
 		{"single zone", []Machine{machine("a", "z", 2), machine("b", "y", 2)},
 			[]*Job{job("j", 4, func(j *Job) { j.SingleZone = true })}, nil, []string{"j@a*2"}, nil},
-		{"single zone of the running tasks", []Machine{machine("a", "z", 2), machine("b", "y", 2)},
+		{"single zone: that of the running tasks", []Machine{machine("a", "z", 2), machine("b", "y", 2)},
 			[]*Job{job("j", 4, func(j *Job) { j.SingleZone, j.TasksPerZone = true, map[string]int{"y": 1} })}, nil, []string{"j@b*2"}, nil},
 		{"spread over zones: at most 3 of 5 in a zone", []Machine{machine("a", "z", 9), machine("b", "y", 1)},
 			[]*Job{job("j", 5, func(j *Job) { j.SpreadZones = true })}, nil, []string{"j@b*1", "j@a*3"}, nil},
-		{"gang: all tasks or none", []Machine{machine("a", "z", 2), machine("b", "z", 1)},
+		{"gang without room for all tasks is not started", []Machine{machine("a", "z", 2), machine("b", "z", 1)},
 			[]*Job{job("j", 4, func(j *Job) { j.Gang = true }), job("k", 2, func(j *Job) { j.StartDeadline = 1 })}, nil, []string{"k@b*1", "k@a*1"}, nil},
-		{"preempts lower priority, the least lost work", []Machine{with(machine("a", "z", 0), func(m *Machine) {
+		{"preempts the lower-priority task with the least lost work", []Machine{with(machine("a", "z", 0), func(m *Machine) {
 			m.Victims = []Victim{{JobID: "x", Task: 0, Priority: 1, Need: cpus(1), LostWork: 9}, {JobID: "x", Task: 1, Priority: 1, Need: cpus(1), LostWork: 4}}
 		})}, []*Job{job("j", 1, func(j *Job) { j.Priority = 2 })}, nil, nil, []string{"x/1"}},
 		{"no preemption while the job is not at risk", []Machine{with(machine("a", "z", 0), func(m *Machine) {
 			m.Victims = []Victim{{JobID: "x", Priority: 1, Need: cpus(1)}}
 		})}, []*Job{job("j", 1, func(j *Job) { j.Priority, j.AtRisk = 2, false })}, nil, nil, nil},
-		{"preempts best-effort tasks alone for a job not at risk", []Machine{with(machine("a", "z", 0), func(m *Machine) {
+		{"preempts only best-effort tasks for a job not at risk", []Machine{with(machine("a", "z", 0), func(m *Machine) {
 			m.Victims = []Victim{{JobID: "x", Priority: 0, Need: cpus(1), LostWork: 9, BestEffort: true}, {JobID: "y", Priority: 0, Need: cpus(1), LostWork: 4}}
 		})}, []*Job{job("j", 2, func(j *Job) { j.AtRisk, j.PreemptsBestEffort = false, true })}, nil, nil, []string{"x/0"}},
 		{"preempts on the machine that has the image", []Machine{with(machine("a", "z", 0), func(m *Machine) {
@@ -73,7 +73,7 @@
 		{"preempts what another team uses beyond its guarantee", []Machine{with(machine("a", "z", 0), func(m *Machine) {
 			m.Victims = []Victim{{JobID: "x", Team: "u", Priority: 2, Need: cpus(1)}}
 		})}, []*Job{job("j", 1, func(j *Job) { j.WithinGuarantee = true })}, nil, nil, []string{"x/0"}},
-		{"no preemption while enough is being released", []Machine{with(machine("a", "z", 0), func(m *Machine) {
+		{"no preemption while enough resources are being released", []Machine{with(machine("a", "z", 0), func(m *Machine) {
 			m.Releasing = cpus(1)
 			m.Victims = []Victim{{JobID: "x", Priority: 0, Need: cpus(1)}}
 		})}, []*Job{job("j", 1, nil)}, nil, nil, nil},
@@ -92,17 +92,18 @@
 				stopped = append(stopped, fmt.Sprintf("%s/%d", s.Victim.JobID, s.Victim.Task))
 			}
 			if !slices.Equal(got, c.starts) {
-				t.Errorf("starts %v, want %v", got, c.starts)
+				t.Errorf("started %v, want %v", got, c.starts)
 			}
 			if !slices.Equal(stopped, c.stops) {
-				t.Errorf("stops %v, want %v", stopped, c.stops)
+				t.Errorf("stopped %v, want %v", stopped, c.stops)
 			}
 		})
 	}
 }
 
-// TestPlanCost has 100,000 tasks wait on full machines and on some with room.
-func TestPlanCost(t *testing.T) {
+// TestPlanLargeBacklogWithinOneSecond checks the run time of Plan with 100,000 waiting tasks and 40 machines, some
+// of which have room.
+func TestPlanLargeBacklogWithinOneSecond(t *testing.T) {
 	var machines []Machine
 	for i := range 40 {
 		machines = append(machines, machine(fmt.Sprint("i-", i), "z", int64(i%3)*2))
@@ -114,12 +115,12 @@
 	started := time.Now()
 	Plan(machines, jobs, nil)
 	if took := time.Since(started); took > time.Second {
-		t.Errorf("planning took %v", took)
+		t.Errorf("Plan took %v, want at most 1 s", took)
 	}
 }
 
-// TestZoneBoundOnlyMachine has a machine of a disrupted zone take only jobs that can run nowhere
-// else, by each way of placing.
+// TestZoneBoundOnlyMachine checks that a machine in a disrupted zone starts only jobs that can run nowhere else,
+// both in Plan and in Fill.
 func TestZoneBoundOnlyMachine(t *testing.T) {
 	cases := []struct {
 		onlyZone      string
@@ -139,7 +140,7 @@
 			Plan(slices.Clone(machine), []*Job{&planned}, nil)
 			Fill(&slices.Clone(machine)[0], []*Job{&filled}, nil)
 			if planned.WaitingTasks != 2-c.starts || filled.WaitingTasks != 2-c.starts {
-				t.Errorf("%+v, gang %v: %d and %d still wait", c, isGang, planned.WaitingTasks, filled.WaitingTasks)
+				t.Errorf("%+v, gang %v: %d tasks wait after Plan and %d after Fill, want %d", c, isGang, planned.WaitingTasks, filled.WaitingTasks, 2-c.starts)
 			}
 		}
 	}
--- a/placement/preemption.go
+++ b/placement/preemption.go
@@ -7,9 +7,9 @@
 	"caperlatch/internal/micros"
 )
 
-// Preempt looks for running tasks to stop for jobs that are at risk and found no room, and for
-// best-effort tasks to stop for any other job; for at most limit jobs. What it frees for a gang, and
-// the room that was there, is to be reserved for it.
+// Preempt preempts running tasks for jobs that are at risk and found no capacity, and best-effort tasks for any
+// job that may preempt these. It considers at most limit jobs. Capacity that it frees for a gang, and the free
+// capacity that the gang uses along with it, is returned as reservations.
 func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (preemptions []Preemption, reservations []Reservation) {
 	for _, j := range jobs {
 		if limit == 0 {
@@ -30,8 +30,8 @@
 	return preemptions, reservations
 }
 
-// isPreemptibleFor reports whether a task may be stopped for a job: for a higher priority, or to
-// give the job's team its guarantee out of what another team uses beyond its own.
+// isPreemptibleFor reports whether a task may be preempted for a job: for a higher priority, or to give the job's
+// team its guarantee from what another team uses beyond its own guarantee.
 func isPreemptibleFor(v *Victim, j *Job) bool {
 	if v.JobID == j.ID || !j.AtRisk && !v.BestEffort {
 		return false
@@ -42,12 +42,12 @@
 	return v.Priority < j.Priority && (j.WithinGuarantee || !v.WithinGuarantee)
 }
 
-// findPreemptions searches for what to stop so that the waiting tasks of a job find room, and stops
-// it in machines. Tasks that find none all the same are left in unplaced.
+// findPreemptions finds the tasks to preempt so that the waiting tasks of a job find room, and marks them as
+// stopped in machines. The number of tasks that still find no room remains in unplaced.
 func findPreemptions(machines []Machine, j *Job, team *Team) preemptionSearch {
 	s := preemptionSearch{machines: machines, job: j, unplaced: team.CountAllowed(j.Need, j.WaitingTasks)}
-	// What is being freed already will serve the first in the queue.
-	s.useRoom()
+	// Resources that are already being released go to the first job in the queue.
+	s.claimAvailableRoom()
 	if s.unplaced > 0 {
 		s.findCandidates()
 	}
@@ -57,29 +57,31 @@
 	return s
 }
 
-// preemptionSearch is the state of a search for what to stop for one job.
+// preemptionSearch is the state of a search for the tasks to preempt for one job.
 type preemptionSearch struct {
 	machines         []Machine
 	job              *Job
-	unplaced         int // tasks that have no room yet
+	unplaced         int // number of tasks that have no room yet
 	preemptions      []Preemption
-	machinesWithRoom []int                 // for tasks of a gang; a machine may be there repeatedly
-	candidates       []preemptionCandidate // the least cost first
+	machinesWithRoom []int                 // for tasks of a gang; may contain duplicates
+	candidates       []preemptionCandidate // in ascending order of cost
 }
 
-// preemptionCandidate is a machine with the tasks that must stop there for one task of the job.
+// preemptionCandidate is a machine with the tasks that must be preempted there to make room for the job: for one
+// of its tasks, or for the whole gang in PreemptOnSingleMachine.
 type preemptionCandidate struct {
 	machine int
-	victims []int         // indexes into the machine's Victims, rising
-	cost    micros.Micros // work that is lost, and the time to pull the image
+	victims []int         // indexes into the machine's Victims, ascending
+	cost    micros.Micros // lost work plus the time to pull the image
 }
 
+// compareCandidates orders candidates by cost, lowest first.
 func compareCandidates(a, b preemptionCandidate) int {
 	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.machine, b.machine))
 }
 
-// useRoom takes the room that is free or is being freed.
-func (s *preemptionSearch) useRoom() {
+// claimAvailableRoom claims, for the job's tasks, resources that are free or being released.
+func (s *preemptionSearch) claimAvailableRoom() {
 	for k := range s.machines {
 		m := &s.machines[k]
 		if s.unplaced == 0 || !m.accepts(s.job) {
@@ -87,13 +89,13 @@
 		}
 		count := m.Free.Add(m.Releasing, 1).CountFitting(s.job.Need, min(s.unplaced, s.job.remainingInZone(m.Zone)))
 		if count > 0 {
-			s.takeRoom(k, count)
+			s.claimRoom(k, count)
 		}
 	}
 }
 
-// takeRoom counts some tasks as having room on a machine.
-func (s *preemptionSearch) takeRoom(machine, count int) {
+// claimRoom records that count tasks of the job have room on a machine.
+func (s *preemptionSearch) claimRoom(machine, count int) {
 	m := &s.machines[machine]
 	m.Releasing = m.Releasing.Add(s.job.Need, -int64(count))
 	s.unplaced -= count
@@ -103,8 +105,8 @@
 	}
 }
 
-// findCandidates looks at each machine once. It is looked at again only after something on it is to
-// be stopped.
+// findCandidates computes the candidate on each machine. A machine's candidate is computed again only after tasks
+// on it were preempted.
 func (s *preemptionSearch) findCandidates() {
 	s.candidates = s.candidates[:0]
 	for k := range s.machines {
@@ -115,28 +117,29 @@
 	slices.SortFunc(s.candidates, compareCandidates)
 }
 
-// candidateOn is what must stop on a machine for one task; ok is false if that is not possible.
+// candidateOn returns what must be preempted on a machine to make room for one task; ok is false if that is
+// impossible.
 func (s *preemptionSearch) candidateOn(machine int) (c preemptionCandidate, ok bool) {
 	m := &s.machines[machine]
 	if !m.accepts(s.job) || s.job.remainingInZone(m.Zone) == 0 {
 		return preemptionCandidate{}, false
 	}
 	victims, lost := pickVictims(m, s.job, s.job.Need)
-	// The image must be pulled there as well before the task starts.
+	// The task starts only after its image has been pulled there.
 	return preemptionCandidate{machine, victims, lost + imagePullTime(m, s.job)}, victims != nil
 }
 
-// preemptFirstCandidate stops the victims of the first candidate.
+// preemptFirstCandidate preempts the victims of the first candidate.
 func (s *preemptionSearch) preemptFirstCandidate() {
 	c := s.candidates[0]
 	s.candidates = s.candidates[1:]
 	stopped := preemptVictims(s.machines, c.machine, c.victims, s.job.ID)
 	s.preemptions = append(s.preemptions, stopped...)
-	s.takeRoom(c.machine, 1)
-	if freed := preemptGangMates(s.machines, stopped, s.job.ID); len(freed) > 0 {
-		// Their room serves as well, before anything more is stopped.
+	s.claimRoom(c.machine, 1)
+	if freed := preemptRestOfGangs(s.machines, stopped, s.job.ID); len(freed) > 0 {
+		// Use the capacity that these free elsewhere before preempting more.
 		s.preemptions = append(s.preemptions, freed...)
-		s.useRoom()
+		s.claimAvailableRoom()
 		s.findCandidates()
 		return
 	}
@@ -146,9 +149,10 @@
 	}
 }
 
-// pickVictims picks the tasks to stop on a machine so that it has room for need, as indexes into its
-// Victims, rising: what is entitled to least and loses least work first. victims is nil if nothing
-// needs to be stopped, or stopping all that may be stopped is not enough.
+// pickVictims picks the tasks to preempt on a machine so that it has room for need, in the order of
+// compareVictims: those with the lowest entitlement and the least lost work first. It returns them as ascending
+// indexes into Victims. victims is nil if nothing needs to be preempted, or if preempting all eligible tasks does
+// not free enough.
 func pickVictims(m *Machine, j *Job, need Resources) (victims []int, lost micros.Micros) {
 	order := make([]int, 0, len(m.Victims))
 	for i := range m.Victims {
@@ -174,17 +178,17 @@
 	return victims, sum.lost
 }
 
-// compareVictims is the order in which tasks are stopped.
+// compareVictims orders tasks by which is preempted first.
 func compareVictims(a, b *Victim) int {
 	return cmp.Or(cmp.Compare(boolRank(b.WithinGuarantee), boolRank(a.WithinGuarantee)), cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Task, b.Task))
 }
 
-// lostWorkSum adds up the work that preemptions lose. A gang's, which is that of all its tasks,
-// counts once.
+// lostWorkSum adds up the work that preemptions lose. The lost work of a gang, which covers all its tasks, is
+// counted once.
 type lostWorkSum struct {
 	lost    micros.Micros
-	counted map[string]bool // by IDs of jobs
+	counted map[string]bool // by job ID
 }
 
 func (s *lostWorkSum) add(v *Victim) {
@@ -198,7 +202,7 @@
 	s.counted[v.JobID] = true
 }
 
-// preemptVictims stops tasks of a machine, given by rising indexes into its Victims, for a job.
+// preemptVictims preempts tasks of a machine for a job. victims are ascending indexes into the machine's Victims.
 func preemptVictims(machines []Machine, machine int, victims []int, forJobID string) (preemptions []Preemption) {
 	m := &machines[machine]
 	for _, i := range slices.Backward(victims) {
@@ -210,8 +214,9 @@
 	return preemptions
 }
 
-// preemptGangMates stops the other tasks of the gangs of which tasks were stopped, wherever they are.
-func preemptGangMates(machines []Machine, stopped []Preemption, forJobID string) (preemptions []Preemption) {
+// preemptRestOfGangs preempts, on all machines, the remaining tasks of each gang that has a task among the stopped
+// ones.
+func preemptRestOfGangs(machines []Machine, stopped []Preemption, forJobID string) (preemptions []Preemption) {
 	gangs := map[string]bool{}
 	for i := range stopped {
 		gangs[stopped[i].Victim.JobID] = stopped[i].Victim.Gang
--- a/placement/queue.go
+++ b/placement/queue.go
@@ -2,11 +2,11 @@
 
 import "cmp"
 
-// CompareJobs is the order of the queue: first jobs that have aged, then by evacuation rank while a
-// zone is lost, by guarantee, by priority, then what can still be in time, and of that the next
-// start deadline.
+// CompareJobs defines the queue order. Aged jobs come first; then jobs are ordered by evacuation rank while a zone
+// is lost, by guarantee, and by priority; then jobs that can still be on time precede late ones; then the earliest
+// start deadline comes first.
 func CompareJobs(a, b *Job) int {
-	if c := compareStanding(a, b); c != 0 {
+	if c := comparePrecedence(a, b); c != 0 {
 		return c
 	}
 	if a.StartDeadline != b.StartDeadline {
@@ -15,8 +15,9 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// compareStanding compares what goes before start deadlines. Plans sort thousands of jobs by it.
-func compareStanding(a, b *Job) int {
+// comparePrecedence compares the criteria that come before the start deadline. It is written for speed: each plan
+// sorts thousands of jobs with it.
+func comparePrecedence(a, b *Job) int {
 	if a.Aged != b.Aged {
 		return boolRank(a.Aged) - boolRank(b.Aged)
 	}
@@ -26,8 +27,8 @@
 	return boolRank(!a.Late) - boolRank(!b.Late)
 }
 
-// compareEntitlement compares what jobs are entitled to, however long they wait and whatever their
-// start deadlines are.
+// compareEntitlement compares what jobs are entitled to, regardless of how long they have waited and of their
+// start deadlines.
 func compareEntitlement(a, b *Job) int {
 	if a.EvacuationRank != b.EvacuationRank {
 		return cmp.Compare(a.EvacuationRank, b.EvacuationRank)
@@ -38,7 +39,7 @@
 	return cmp.Compare(b.Priority, a.Priority)
 }
 
-// boolRank sorts what is true before what is false.
+// boolRank returns a sort key that orders true before false.
 func boolRank(first bool) int {
 	if first {
 		return 0
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestEvacuationRankOrder has evacuation ranks come after aging and before all else.
+// TestEvacuationRankOrder checks that the evacuation rank is compared after aging and before all other criteria.
 func TestEvacuationRankOrder(t *testing.T) {
 	jobs := []*Job{
 		{ID: "late", QueueKey: QueueKey{EvacuationRank: 1, Late: true, Priority: 2}},
@@ -19,7 +19,7 @@
 	slices.SortFunc(jobs, CompareJobs)
 	for i, want := range []string{"aged", "urgent", "late", "first class", "due sooner", "guaranteed", "another"} {
 		if jobs[i].ID != want {
-			t.Errorf("number %d is %s, want %s", i, jobs[i].ID, want)
+			t.Errorf("job at position %d is %s, want %s", i, jobs[i].ID, want)
 		}
 	}
 }
--- a/placement/resources.go
+++ b/placement/resources.go
@@ -1,17 +1,18 @@
 package placement
 
-// unlimited is more than any machine or team has of a resource, and small enough to be added up.
+// unlimited exceeds what any machine or team has of a resource, and is small enough to be added up without
+// overflow.
 const unlimited = 1 << 60
 
-// Resources are CPUs, GPUs and GB of memory, each in thousandths, so that sums are exact.
+// Resources are CPUs, GPUs and GB of memory. Each is in thousandths, so that sums are exact.
 type Resources struct{ CPU, GPU, Memory int64 }
 
-// Add is r with n times o added.
+// Add returns r plus n times o.
 func (r Resources) Add(o Resources, n int64) Resources {
 	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Memory + n*o.Memory}
 }
 
-// CountFitting is how often need fits into r, at most limit times.
+// CountFitting returns how many times need fits into r, at most limit.
 func (r Resources) CountFitting(need Resources, limit int) int {
 	n := int64(limit)
 	for _, p := range [...][2]int64{{r.CPU, need.CPU}, {r.GPU, need.GPU}, {r.Memory, need.Memory}} {
@@ -25,8 +26,8 @@
 // Fits reports whether o fits into r.
 func (r Resources) Fits(o Resources) bool { return r.CountFitting(o, 1) == 1 }
 
-// MinNeed is the least that any of the jobs' tasks needs of each resource. A machine with less
-// room can start none of them.
+// MinNeed returns, for each resource, the least that a task of any of the jobs needs. A machine with less free can
+// start none of them.
 func MinNeed(jobs []*Job) Resources {
 	least := Resources{unlimited, unlimited, unlimited}
 	for _, j := range jobs {
@@ -35,16 +36,16 @@
 	return least
 }
 
-// ImageSet is a set of images, which are small numbers here, as bits: whether a machine has an
-// image is what planning asks most often.
+// ImageSet is a bit set of images, which are identified by small numbers. Planning checks very often whether a
+// machine has an image, so the check must be cheap.
 type ImageSet []uint64
 
-// Has reports whether an image is in the set.
+// Has reports whether the set contains an image.
 func (s ImageSet) Has(image int) bool {
 	return image/64 < len(s) && s[image/64]&(1<<(image%64)) != 0
 }
 
-// With is the set with an image added. s itself stays as it is.
+// With returns the set with an image added; s is not changed.
 func (s ImageSet) With(image int) ImageSet {
 	if s.Has(image) {
 		return s
--- a/placement/start_cost.go
+++ b/placement/start_cost.go
@@ -2,22 +2,22 @@
 
 import "caperlatch/internal/micros"
 
-// What is added to the expected delay of a start, as a delay that is accepted instead.
+// Penalties that are added to the expected delay of a start. Each is the additional delay on another machine that is
+// accepted to avoid the penalized start.
 const (
-	// idleMachinePenalty leaves machines idle that may then be terminated.
+	// idleMachinePenalty keeps idle machines unused, so that they can be terminated.
 	idleMachinePenalty = micros.Second / 2
-	// freeCPUPenalty is for each CPU that stays free: it leaves machines with much room as they are.
+	// freeCPUPenalty applies per CPU that would stay free; it keeps machines with much free capacity available.
 	freeCPUPenalty = 10 * micros.Millisecond
-	// failedMachinePenalty is for starting a gang again where a task of it failed: one that fails
-	// keeps all waiting.
+	// failedMachinePenalty applies to restarting a gang on a machine where one of its tasks failed: one failing
+	// task keeps all others waiting.
 	failedMachinePenalty = 10 * micros.Second
 )
 
-// shortCommandDelay is how long any task may wait for a machine's next heartbeat.
-const shortCommandDelay = micros.Second / 2
+// acceptableCommandDelay is the wait for a machine's next heartbeat that is acceptable for any task.
+const acceptableCommandDelay = micros.Second / 2
 
-// startCost is the delay until a task of a job starts on a machine, with the penalties for starting
-// it there.
+// startCost returns the delay until a task of a job starts on a machine, plus the penalties for starting it there.
 func startCost(m *Machine, j *Job) micros.Micros {
 	cost := m.CommandDelay + imagePullTime(m, j)
 	if m.Idle {
@@ -30,7 +30,7 @@
 	return cost + m.StartPenalty + micros.Micros(leftCPU)*freeCPUPenalty/1000
 }
 
-// imagePullTime is how long a machine takes to pull a job's image.
+// imagePullTime returns how long a machine takes to pull a job's image.
 func imagePullTime(m *Machine, j *Job) micros.Micros {
 	if m.ImagePullGBPerS <= 0 || m.Images.Has(j.ImageIndex) {
 		return 0
@@ -38,10 +38,10 @@
 	return micros.FromSeconds(j.ImageSizeGB / m.ImagePullGBPerS)
 }
 
-// isWorthWaitingFor reports whether a start on a machine may be planned before its next heartbeat. A
-// job at risk does not wait for a heartbeat that is far off, unless that saves a longer image pull:
-// any machine that sends one sooner takes it, see Fill.
+// isWorthWaitingFor reports whether a start on a machine may be planned before its next heartbeat. A job at risk
+// does not wait for a distant heartbeat unless that saves a longer image pull, because any machine that sends a
+// heartbeat sooner can take the job; see Fill.
 func isWorthWaitingFor(m *Machine, j *Job) bool {
-	return !j.AtRisk || m.CommandDelay <= shortCommandDelay ||
+	return !j.AtRisk || m.CommandDelay <= acceptableCommandDelay ||
 		m.Images.Has(j.ImageIndex) && m.ImagePullGBPerS > 0 && m.CommandDelay < micros.FromSeconds(j.ImageSizeGB/m.ImagePullGBPerS)
 }
