--- a/staffing/backlog.go
+++ b/staffing/backlog.go
@@ -2,26 +2,25 @@
 
 import "math"
 
-// Horizons, in seconds, within which a backlog is compared with supply: each is horizonGrowth times
-// the one before.
+// Range of the horizons, in seconds, within which a backlog is compared with the supply. Each horizon is horizonGrowth
+// times the previous one.
 const (
 	minHorizonS   = 1
 	maxHorizonS   = 3600
 	horizonGrowth = 1.5
 )
 
-// WaitingWork is work that waits: CPU seconds that should be served within DueInS seconds from now.
+// WaitingWork is waiting work of CPUSeconds that should be served within DueInS seconds from now.
 type WaitingWork struct{ CPUSeconds, DueInS float64 }
 
-// RunningWork is a running task: the CPUs that it holds, and for how many more seconds by estimate.
+// RunningWork is a running task: the CPUs that it holds, and its estimated remaining run time in seconds.
 type RunningWork struct{ CPUs, RemainingS float64 }
 
-// BacklogShortage is how many CPUs beyond supplyCPUs are needed to serve all waiting work in time.
-// It is no formula of the paper: by formula (12) m decays for waiting work as well, so a backlog must
-// be added. Within any horizon of h seconds the work due by then takes up CPUSeconds/h CPUs on
-// average, besides what running tasks still hold or, if that is more, what m says that new arrivals
-// will: meanCPUs. No machine launched now helps within the bootS seconds of a boot, so no horizon is
-// shorter.
+// BacklogShortage returns how many CPUs beyond supplyCPUs are needed to serve all waiting work in time. It is not
+// a formula of the paper: by formula (12), the mean m decays for waiting work as well, so a backlog must be added.
+// Within a horizon of h seconds, the work due by then takes CPUSeconds/h CPUs on average, in addition to the CPUs
+// that running tasks still hold or, if that is more, meanCPUs, which is what m predicts for new arrivals. A
+// machine launched now does not help until it has booted, so no horizon is shorter than bootS seconds.
 func BacklogShortage(waiting []WaitingWork, running []RunningWork, meanCPUs, supplyCPUs, bootS float64) float64 {
 	shortage := 0.0
 	for horizonS := math.Max(minHorizonS, bootS); horizonS < maxHorizonS; horizonS *= horizonGrowth {
@@ -37,8 +36,8 @@
 	return shortage
 }
 
-// workDueWithin is the waiting work, in CPU seconds, that is due within a time, and whether that is
-// all.
+// workDueWithin returns the waiting work, in CPU seconds, that is due within a horizon, and whether that is all of
+// it.
 func workDueWithin(waiting []WaitingWork, horizonS float64) (cpuSeconds float64, all bool) {
 	all = true
 	for _, w := range waiting {
@@ -51,7 +50,7 @@
 	return cpuSeconds, all
 }
 
-// cpusHeldWithin is how many CPUs running tasks hold on average over a time.
+// cpusHeldWithin returns how many CPUs running tasks hold on average over a horizon.
 func cpusHeldWithin(running []RunningWork, horizonS float64) float64 {
 	cpus := 0.0
 	for _, r := range running {
--- a/staffing/batch_sizes.go
+++ b/staffing/batch_sizes.go
@@ -1,18 +1,18 @@
 package staffing
 
-// batchDecay is what older jobs count for after each newer one.
+// batchDecay is the factor by which the weight of older jobs decreases with each new job.
 const batchDecay = 0.98
 
-// BatchSizes keeps how much work jobs bring at once, for formulas (18) and (19). The sums decay.
+// BatchSizes tracks how much work jobs bring at once, for formulas (18) and (19). Its sums decay with each job.
 type BatchSizes struct {
-	total        float64 // of the jobs' weights w, in machines
-	batchSquares float64 // of w², of jobs that cannot wait
-	taskSquares  float64 // of w times the weight of one task, of jobs that cannot wait
-	immediate    float64 // of w, of jobs that cannot wait
+	total        float64 // sum of the jobs' weights w, in machines
+	batchSquares float64 // sum of w² over jobs that cannot wait
+	taskSquares  float64 // sum of w times the weight of one task, over jobs that cannot wait
+	immediate    float64 // sum of w over jobs that cannot wait
 }
 
-// Add counts a job that brings weight machines' worth of work in a number of tasks. Spare machines
-// are for jobs that cannot wait until one has booted; a job that can counts in the mean alone.
+// Add counts a job that brings weight machines' worth of work, divided into a number of tasks. Spare machines are
+// kept for jobs that cannot wait until a machine has booted; a job that can wait counts only toward the mean.
 func (b *BatchSizes) Add(weight float64, tasks int, canWait bool) {
 	if tasks <= 0 {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// Peakedness is formula (18) for the jobs that came in; 1, the paper's default, while none has.
+// Peakedness returns formula (18) for the observed jobs, or 1, the default of the paper, if there are none.
 func (b *BatchSizes) Peakedness() float64 {
 	if b.total <= 0 {
 		return 1
@@ -34,7 +34,7 @@
 	return Peakedness(b.batchSquares/b.total, b.taskSquares/b.total)
 }
 
-// ImmediateShare is the share of the work whose jobs cannot wait; 1 while none has come in.
+// ImmediateShare returns the share of the work whose jobs cannot wait, or 1 if no jobs were observed.
 func (b *BatchSizes) ImmediateShare() float64 {
 	if b.total <= 0 {
 		return 1
--- a/staffing/demand_window.go
+++ b/staffing/demand_window.go
@@ -7,34 +7,35 @@
 	"caperlatch/internal/micros"
 )
 
-// DemandWindow measures the arrival rate λ of formula (12): the weight that came in over the last
-// length, or over as much of it as has enough entries. The rate of a busy deployment is known
-// sooner, and one that lags behind launches machines for a wave that has passed.
+// DemandWindow measures the arrival rate λ of formula (12): the weight that arrived within the window, or within
+// as much of it as contains enough entries. The shorter span measures the rate of a busy deployment sooner; a rate
+// that lags behind launches machines for a peak that has already passed.
 type DemandWindow struct {
 	length    micros.Micros
-	startedAt micros.Micros // first entry, 0 if there is none
-	entries   []demandEntry // within the length, by time
-	sum       float64       // of the entries' weights
+	startedAt micros.Micros // time of the first entry; 0 if there is none
+	entries   []demandEntry // within the window, in time order
+	sum       float64       // sum of the entries' weights
 }
 
 const (
-	// minRateEntries is how many of the newest entries are enough for a rate.
+	// minRateEntries is the number of newest entries that suffices to compute a rate.
 	minRateEntries = 20
-	// minWindowFraction is over what part of the length, one in so many, a rate is measured at least.
-	minWindowFraction = 3
+	// minWindowDivisor limits how short the span is over which a rate is measured: the window length divided by
+	// it.
+	minWindowDivisor = 3
 )
 
-// demandEntry is work that came in.
+// demandEntry is work that arrived.
 type demandEntry struct {
 	at     micros.Micros
 	weight float64 // in machines
 }
 
-// NewDemandWindow makes a window of a length.
+// NewDemandWindow returns a window of the given length.
 func NewDemandWindow(length micros.Micros) *DemandWindow { return &DemandWindow{length: length} }
 
-// Add counts work of a weight, in machines, at a time not before the last one. A negative weight
-// takes back what turned out to be no demand.
+// Add counts work of a weight, in machines, that arrived at a time not before that of the last entry. A negative
+// weight cancels work that turned out not to be demand.
 func (w *DemandWindow) Add(at micros.Micros, weight float64) {
 	if w.startedAt == 0 {
 		w.startedAt = at
@@ -43,14 +44,15 @@
 	w.sum += weight
 }
 
-// Rate is the weight that comes in per second. Until the length has passed since the first entry,
-// it is that over the whole length: what waits at the start is no sign of a high rate.
+// Rate returns the weight that arrives per second. Until the length of the window has passed since the first
+// entry, it is averaged over the whole window, because work that was already waiting at the start does not
+// indicate a high rate.
 func (w *DemandWindow) Rate(now micros.Micros) float64 {
 	w.expire(now)
 	if len(w.entries) < minRateEntries || now-w.startedAt < w.length {
 		return math.Max(0, w.sum) / w.length.Seconds()
 	}
-	span := max(now-w.entries[len(w.entries)-minRateEntries].at, w.length/minWindowFraction)
+	span := max(now-w.entries[len(w.entries)-minRateEntries].at, w.length/minWindowDivisor)
 	sum := 0.0
 	for _, e := range slices.Backward(w.entries) {
 		if e.at < now-span {
@@ -61,7 +63,7 @@
 	return math.Max(0, sum) / span.Seconds()
 }
 
-// expire drops the entries that are older than the length.
+// expire drops the entries that are older than the window.
 func (w *DemandWindow) expire(now micros.Micros) {
 	expired := 0
 	for expired < len(w.entries) && w.entries[expired].at <= now-w.length {
@@ -74,12 +76,12 @@
 	}
 }
 
-// EarlyRate is Rate for a stream that starts long after the deployment did: nothing waited for it,
-// so what came in is evidence of its rate as soon as a part of the length has passed. Until all of
-// it has, few entries are weak evidence, and z standard deviations of their number are added.
+// EarlyRate is Rate for a stream that begins long after the deployment started. No work was waiting for it, so
+// arrivals indicate its rate as soon as part of the window has passed. Until all of it has passed, the rate is
+// raised by z standard deviations of the number of entries, because few entries are weak evidence.
 func (w *DemandWindow) EarlyRate(now micros.Micros, z float64) float64 {
 	rate := w.Rate(now)
-	span := max(now-w.startedAt, w.length/minWindowFraction)
+	span := max(now-w.startedAt, w.length/minWindowDivisor)
 	if span >= w.length || len(w.entries) == 0 {
 		return rate
 	}
@@ -87,8 +89,7 @@
 	return rate * (1 + margin) * w.length.Seconds() / span.Seconds()
 }
 
-// Seed starts the window anew with a rate that was measured before, as if the work had come in
-// evenly.
+// Seed resets the window to a rate that was measured before, as if the work had arrived evenly.
 func (w *DemandWindow) Seed(now micros.Micros, rate float64) {
 	const parts = 10
 	w.entries, w.sum, w.startedAt = nil, 0, now
--- a/staffing/demand_window_test.go
+++ b/staffing/demand_window_test.go
@@ -7,7 +7,8 @@
 	"caperlatch/internal/micros"
 )
 
-// TestDemandWindowRate measures streams that go on, end, are dense, and have just begun.
+// TestDemandWindowRate checks the rate of streams that continue, end, are dense, or have just begun, and of a
+// seeded window.
 func TestDemandWindowRate(t *testing.T) {
 	s := micros.Second
 	w := NewDemandWindow(60 * s)
@@ -19,10 +20,10 @@
 		want float64
 	}{{160 * s, 2}, {190 * s, 0.8}, {300 * s, 0}} {
 		if got := w.Rate(c.at); math.Abs(got-c.want) > 0.05 {
-			t.Errorf("rate at %v: %v, want %v", c.at, got, c.want)
+			t.Errorf("sparse stream, rate at %v: %v, want %v", c.at, got, c.want)
 		}
 	}
-	// Five a second, then none for 10 s: a third of the length is enough.
+	// Five entries per second, then none for 10 s: a third of the window suffices to measure the rate.
 	w = NewDemandWindow(60 * s)
 	for i := range 600 {
 		w.Add(s+micros.Micros(i)*s/5, 1)
@@ -38,27 +39,27 @@
 	w = NewDemandWindow(60 * s)
 	w.Add(s, 30)
 	if got := w.Rate(s); got != 0.5 {
-		t.Errorf("right after the start: %v, want 30 over the whole window", got)
+		t.Errorf("rate right after the first entry: %v, want 0.5, which is 30 over the whole window", got)
 	}
 	w.Seed(500*s, 3)
 	if got := w.Rate(500 * s); !near(got, 3) {
-		t.Errorf("seeded: %v, want 3", got)
+		t.Errorf("rate of the seeded window: %v, want 3", got)
 	}
 }
 
-// TestEarlyRate has entries of weight 2 come in every 5 s from some time on.
+// TestEarlyRate checks the rate of a stream that begins at some time, with an entry of weight 2 every 5 s.
 func TestEarlyRate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		after int64 // seconds since the first
+		after int64 // seconds since the first entry
 		z     float64
 		want  float64
 	}{
-		{"first entry, over a third of the window", 0, 0, 0.1},
+		{"first entry, measured over a third of the window", 0, 0, 0.1},
 		{"first entry, with two standard deviations", 0, 2, 0.3},
-		{"after a third", 20, 0, 0.5},
-		{"after two thirds", 40, 0, 0.45},
-		{"with a standard deviation", 40, 1, 0.6},
+		{"after a third of the window", 20, 0, 0.5},
+		{"after two thirds of the window", 40, 0, 0.45},
+		{"after two thirds of the window, with one standard deviation", 40, 1, 0.6},
 		{"after the whole window", 100, 1, 0.4},
 	} {
 		w := NewDemandWindow(60 * micros.Second)
@@ -67,7 +68,7 @@
 			w.Add(startedAt+micros.Micros(at)*micros.Second, 2)
 		}
 		if got := w.EarlyRate(startedAt+micros.Micros(c.after)*micros.Second, c.z); !near(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: rate %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/staffing/runtime_estimator.go
+++ b/staffing/runtime_estimator.go
@@ -3,26 +3,25 @@
 import "math"
 
 const (
-	// estimateDecay is what older jobs count for after each newer one.
+	// estimateDecay is the factor by which the weight of older jobs decreases with each new job.
 	estimateDecay = 0.98
-	// estimateTrust is the belief that estimates are right before any were compared, in jobs.
-	estimateTrust = 2
-	// estimateTrustVariance is the variance of the logarithms of those jobs' estimates.
-	estimateTrustVariance = 0.1
+	// priorJobs is the weight of the prior belief that estimates are right, as a number of jobs.
+	priorJobs = 2
+	// priorVariance is the variance of the logarithms of the estimates of the priorJobs jobs.
+	priorVariance = 0.1
 )
 
-// RuntimeEstimator corrects a class's estimated run times by measured ones. Owners are wrong by a
-// factor, so it is a line through the logarithms of both: a slope below one draws extreme estimates
-// toward the class's middle, and the line's height removes a bias that a day's estimates have in
-// common.
+// RuntimeEstimator corrects the estimated run times of a class by measured ones. Owners are wrong by a factor, so
+// the estimator fits a line through the logarithms of both: a slope below one draws extreme estimates toward the
+// middle of the class, and the intercept removes a bias that the estimates of a day have in common.
 type RuntimeEstimator struct {
 	// Decayed sums over jobs, with x and y the logarithms of estimated and measured seconds.
 	weight, sumX, sumY, sumXX, sumXY float64
 }
 
-// Observe counts a task that ran without interruption, of a job of jobTasks tasks. They have one
-// estimate, so all of them are about as much evidence as one: counted one by one, two arrays of 50
-// were all that the line went through.
+// Observe counts an uninterrupted run of a task that belongs to a job of jobTasks tasks. The tasks of a job share
+// one estimate, so all of them together count about as much as one job: when each task counted as much as a job,
+// two arrays of 50 tasks alone determined the line.
 func (e *RuntimeEstimator) Observe(estimatedS, measuredS float64, jobTasks int) {
 	if estimatedS <= 0 || measuredS <= 0 {
 		return
@@ -37,27 +36,27 @@
 	e.sumXY = e.sumXY*decay + x*y*jobShare
 }
 
-// Predict is the expected run time, in seconds, for an owner's estimate. With few jobs observed the
-// owner is trusted nearly in full.
+// Predict returns the expected run time, in seconds, for an owner's estimate. While few jobs have been observed,
+// it is close to the estimate.
 func (e *RuntimeEstimator) Predict(estimatedS float64) float64 {
 	if estimatedS <= 0 || e.weight == 0 {
 		return estimatedS
 	}
 	meanX, meanY := e.sumX/e.weight, e.sumY/e.weight
 	varianceX, covarianceXY := e.sumXX/e.weight-meanX*meanX, e.sumXY/e.weight-meanX*meanY
-	const prior = estimateTrust * estimateTrustVariance
+	const prior = priorJobs * priorVariance
 	slope := math.Max(0, math.Min(1, (covarianceXY*e.weight+prior)/(varianceX*e.weight+prior)))
-	bias := (meanY - meanX) * e.weight / (e.weight + estimateTrust)
+	bias := (meanY - meanX) * e.weight / (e.weight + priorJobs)
 	return math.Exp(meanX + bias + slope*(math.Log(estimatedS)-meanX))
 }
 
-// Moments is what the estimator has learned, for Restore of another one. They are stored.
+// Moments returns the state of the estimator in the form in which it is stored and passed to Restore.
 func (e *RuntimeEstimator) Moments() []float64 {
 	return []float64{e.weight, e.sumX, e.sumY, e.sumXX, e.sumXY}
 }
 
-// Restore continues from another estimator's moments, and reports whether they are valid; if not,
-// nothing changes.
+// Restore sets the estimator to the moments of another one, and reports whether they are valid; if not, nothing
+// changes.
 func (e *RuntimeEstimator) Restore(moments []float64) bool {
 	if len(moments) != len(e.Moments()) || moments[0] < 0 {
 		return false
--- a/staffing/service_time.go
+++ b/staffing/service_time.go
@@ -2,31 +2,32 @@
 
 import "math"
 
-// MinFinishedTasks is how many tasks must have finished before measured run times are used instead
-// of the owners' estimates.
+// MinFinishedTasks is the number of tasks that must have finished before measured run times replace the owners'
+// estimates.
 const MinFinishedTasks = 20
 
-// serviceTimeDecay is what older work counts for after each newer job, of however many tasks.
+// serviceTimeDecay is the factor by which the weight of older work decreases with each new job, regardless of its
+// number of tasks.
 const serviceTimeDecay = 0.99
 
-// ServiceTime keeps the mean time that work holds its share of a machine, whose inverse is the
-// service rate μ of formula (12).
+// ServiceTime tracks the mean time for which work holds its share of a machine. Its inverse is the service rate μ
+// of formula (12).
 type ServiceTime struct {
 	estimated, measured decayingMean
 }
 
-// ObserveEstimate counts a job's service time, in seconds, by its owner's estimate. weight is the
-// job's work, in machines.
+// ObserveEstimate counts a job's service time, in seconds, as estimated by its owner. weight is the job's work, in
+// machines.
 func (s *ServiceTime) ObserveEstimate(weight, seconds float64) { s.estimated.add(weight, seconds, 1) }
 
-// ObserveFinished counts the service time, in seconds, of a finished task. weight is the share of a
-// machine that it took; jobTasks is how many tasks its job has.
+// ObserveFinished counts the service time, in seconds, of a finished task. weight is the share of a machine that
+// the task took, and jobTasks is the number of tasks of its job.
 func (s *ServiceTime) ObserveFinished(weight, seconds float64, jobTasks int) {
 	s.measured.add(weight, seconds, 1/math.Max(1, float64(jobTasks)))
 }
 
-// Rate is the service rate μ, per second; 0 if nothing is known of it. finished is how many tasks
-// have finished.
+// Rate returns the service rate μ, per second, or 0 if it is unknown. finished is the number of tasks that have
+// finished.
 func (s *ServiceTime) Rate(finished int) float64 {
 	m := s.estimated
 	if finished >= MinFinishedTasks && s.measured.weight > 0 || m.weight == 0 {
@@ -38,13 +39,13 @@
 	return m.weight / m.sum
 }
 
-// decayingMean is a weighted mean in which older values count for less and less, so that it follows
+// decayingMean is a weighted mean in which older values count progressively less, so that it follows changes over
 // the day.
 type decayingMean struct{ weight, sum float64 }
 
-// add counts a value of a share of a job. Decay is by jobs: when each task counted as much as a job,
-// arrays of 50 left the mean of the last second, and a target that holds the peak of 30 s took the
-// worst of these.
+// add counts a value that represents jobShare of a job. The decay is per job, not per task: when each task counted
+// as much as a job, arrays of 50 tasks reduced the mean to that of the last second, and a target that is held at
+// its peak over 30 s took the worst of these values.
 func (m *decayingMean) add(weight, value, jobShare float64) {
 	decay := math.Pow(serviceTimeDecay, jobShare)
 	m.weight = m.weight*decay + weight
--- a/staffing/service_time_test.go
+++ b/staffing/service_time_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestServiceTimeRate has measured times be used from enough finished tasks on.
+// TestServiceTimeRate checks that measured times replace estimates once enough tasks have finished.
 func TestServiceTimeRate(t *testing.T) {
 	var s ServiceTime
 	s.ObserveEstimate(1, 50)
@@ -12,7 +12,7 @@
 		want     float64
 	}{{MinFinishedTasks - 1, 1.0 / 50}, {MinFinishedTasks, 1.0 / 20}} {
 		if got := s.Rate(c.finished); !near(got, c.want) {
-			t.Errorf("after %d tasks: μ %v, want %v", c.finished, got, c.want)
+			t.Errorf("after %d finished tasks: service rate %v, want %v", c.finished, got, c.want)
 		}
 	}
 }
--- a/staffing/staffing_test.go
+++ b/staffing/staffing_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// near reports whether two values differ by less than a thousandth.
+// near reports whether two values differ by less than a thousandth, relative to b if b exceeds 1.
 func near(a, b float64) bool { return math.Abs(a-b) < 1e-3*math.Max(1, math.Abs(b)) }
 
-// TestRequiredServers checks formula (4) against the paper's start-up example (its section 7):
-// λ = 100, μ = 1, α = 0.05, so m(t) = 100(1 - e^-t).
+// TestRequiredServers checks formula (4) against the start-up example in section 7 of the paper: λ = 100, μ = 1, α
+// = 0.05, so m(t) = 100(1 - e^-t).
 func TestRequiredServers(t *testing.T) {
 	m := 0.0
 	for k, want := range []int{77, 103, 112, 115, 117, 117, 117} {
 		m = StepMean(m, 100, 1, 1)
 		if got := RequiredServers(m, m, 1.645); got != want {
-			t.Errorf("interval %d: %d servers, the paper has %d", k+1, got, want)
+			t.Errorf("interval %d: %d servers, want %d as in the paper", k+1, got, want)
 		}
 	}
 	cases := []struct {
@@ -24,31 +24,31 @@
 		want              int
 	}{
 		{"steady state of the example", 100, 100, 1.645, 117},
-		{"an integer is not the least integer above itself", 9.5, 0, 1, 11},
+		{"m + 0.5 + z√v is an integer: the next one is used", 9.5, 0, 1, 11},
 		{"no demand", 0, 0, 1.282, 1},
 		{"twice the variance", 100, 200, 1.645, 124},
 	}
 	for _, c := range cases {
 		if got := RequiredServers(c.mean, c.variance, c.z); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d servers, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// TestStepMean checks the closed form of formula (12), and its peak over an interval.
+// TestStepMean checks the closed form of formula (12) and its peak over an interval.
 func TestStepMean(t *testing.T) {
 	cases := []struct {
 		name                                           string
 		mean, arrivalRate, serviceRate, elapsedS, want float64
 	}{
-		{"rises to the offered load", 0, 2, 0.1, 1e4, 20},
-		{"decay", 10, 0, 0.1, 10, 10 / math.E},
+		{"mean rises to the offered load", 0, 2, 0.1, 1e4, 20},
+		{"mean decays without arrivals", 10, 0, 0.1, 10, 10 / math.E},
 		{"small steps equal a large one", StepMean(StepMean(3, 1, 0.5, 1), 1, 0.5, 1), 1, 0.5, 0, StepMean(3, 1, 0.5, 2)},
 		{"service rate 0", 1, 2, 0, 3, 7},
 	}
 	for _, c := range cases {
 		if got := StepMean(c.mean, c.arrivalRate, c.serviceRate, c.elapsedS); !near(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: mean %v, want %v", c.name, got, c.want)
 		}
 	}
 	if got := PeakMean(5, 10, 1, 30); !near(got, 10) {
@@ -59,11 +59,11 @@
 	}
 }
 
-// TestZForPrice has α grow with the price, up to an even chance.
+// TestZForPrice checks that α grows with the price, up to a probability of one half.
 func TestZForPrice(t *testing.T) {
 	for _, c := range []struct{ z, priceRatio, want float64 }{{1.282, 1, 1.282}, {1.282, 3, 0.524}, {1.282, 5, 0}, {1.282, 50, 0}} {
 		if got := ZForPrice(c.z, c.priceRatio); math.Abs(got-c.want) > 2e-3 {
-			t.Errorf("z %v at %v times the price: %v, want %v", c.z, c.priceRatio, got, c.want)
+			t.Errorf("z %v at price ratio %v: got %v, want %v", c.z, c.priceRatio, got, c.want)
 		}
 	}
 }
