--- a/internal/leader/state/attempt.go
+++ b/internal/leader/state/attempt.go
@@ -8,46 +8,46 @@
 	"caperlatch/internal/micros"
 )
 
-// Attempt is one start of a task, counted as being on a machine from when the start is
-// planned for the next response (or, of a gang, its place is reserved) until the task is known to have left.
+// Attempt is one start of a task on a machine. It occupies the machine from the time when the start is planned for
+// the next heartbeat response, or a gang task's place is reserved, until the task is known to have left the machine.
 type Attempt struct {
 	Job     *Job
-	Index   int    // of the task within its job
-	Number  uint64 // no later start of the task repeats it
+	Index   int    // index of the task within its job
+	Number  uint64 // attempt number, never reused by a later start of the task
 	Machine *Machine
 
-	// ReportedState is the wire.Task... state that the worker reported last; empty: the start was
-	// sent, and no heartbeat shows it yet.
+	// ReportedState is the state that the worker reported last, one of the wire.Task... constants. It is empty
+	// until a heartbeat lists the task.
 	ReportedState string
-	// StartSequence is the sequence of the heartbeat whose response carried the start; 0 if this
-	// term did not send it.
+	// StartSequence is the sequence number of the heartbeat whose response carried the start; 0 if the start was
+	// not sent in this term.
 	StartSequence uint64
 	StartedAt     micros.Micros
-	RunningSince  micros.Micros // when it was first seen running, 0 if it was not
+	RunningSince  micros.Micros // when a heartbeat first showed the task running, 0 if none has
 
-	// A stop is repeated in every response until the task has left.
-	StopRequestedAt micros.Micros // when its stop was first sent, 0 if it was not
-	GracePeriod     micros.Micros // for saving a checkpoint
+	// The stop command is repeated in every heartbeat response until the task has left the machine.
+	StopRequestedAt micros.Micros // when the stop was first sent, 0 if no stop was sent
+	GracePeriod     micros.Micros // time for saving a checkpoint
 	StopReason      string
 
-	// Protected marks one of the first of its job, which are not preempted until
-	// their starts count for the service-level objectives.
+	// Protected marks one of the first attempts of a job. These are not preempted until their starts count towards
+	// the service-level objectives.
 	Protected bool
-	// Reserved marks a gang's task that has its place: the machine's next response
-	// carries its start.
+	// Reserved marks a gang task whose place on the machine is reserved: the next heartbeat response to the machine
+	// carries the start.
 	Reserved bool
 }
 
-// TaskID is the attempt's task as the protocol names it.
+// TaskID returns the protocol's identifier of the attempt's task.
 func (a *Attempt) TaskID() string { return TaskID(a.Job.Spec.ID, a.Index) }
 
-// Attach counts an attempt on its machine and in its job. An earlier attempt of the same task
-// that is still on another machine leaves the job, and stays on its machine until it is detached.
+// Attach adds the attempt to its machine and its job. An earlier attempt of the same task that is still on another
+// machine is removed from the job, but stays on its machine until it is detached.
 func (a *Attempt) Attach() {
 	job, machine := a.Job, a.Machine
 	machine.Attempts[a.TaskID()] = a
-	if other := job.Attempts[a.Index]; other != nil {
-		job.AttemptsPerZone[other.Machine.Offering.Zone]--
+	if earlier := job.Attempts[a.Index]; earlier != nil {
+		job.AttemptsPerZone[earlier.Machine.Offering.Zone]--
 	}
 	job.Attempts[a.Index] = a
 	job.AttemptsPerZone[machine.Offering.Zone]++
@@ -55,8 +55,8 @@
 	machine.ImageSet = machine.ImageSet.With(job.Image)
 }
 
-// Detach frees an attempt that is known to have left its machine. It reports whether the
-// attempt was the one that its job counted; then the task waits again unless it is done.
+// Detach removes an attempt that is known to have left its machine from the machine and the job. It reports whether
+// it was the attempt that the job counted for the task. If so, the task waits for a start again unless it is done.
 func (a *Attempt) Detach(now micros.Micros) (wasCounted bool) {
 	job, machine := a.Job, a.Machine
 	delete(machine.Attempts, a.TaskID())
@@ -85,8 +85,8 @@
 	return true
 }
 
-// MarkStopping notes that an attempt is to stop within a grace period. It reports whether its
-// worker must get the command: not if it got one before with as little time.
+// MarkStopping records that the attempt is to stop within a grace period. It reports whether the stop command must be
+// sent: it need not be if an earlier one allowed the same time or less.
 func (a *Attempt) MarkStopping(grace micros.Micros, reason string, now micros.Micros) (mustSend bool) {
 	if a.StopRequestedAt != 0 && grace >= a.GracePeriod {
 		return false
@@ -99,18 +99,18 @@
 	return true
 }
 
-// TaskID is the protocol's name of a job's task, numbered from 0.
+// TaskID returns the protocol's identifier of a job's task. Task indexes start at 0.
 func TaskID(jobID string, index int) string { return jobID + "/" + strconv.Itoa(index) }
 
-// ParseTaskID splits what TaskID made.
+// ParseTaskID splits a task ID made by TaskID into the job's ID and the task's index.
 func ParseTaskID(taskID string) (jobID string, index int, err error) {
 	jobID, number, ok := strings.Cut(taskID, "/")
 	if !ok {
-		return "", 0, fmt.Errorf("task %q has no number", taskID)
+		return "", 0, fmt.Errorf("%q is not a job ID followed by a slash and a number", taskID)
 	}
 	index, err = strconv.Atoi(number)
 	if err != nil || index < 0 {
-		return "", 0, fmt.Errorf("task %q has no number", taskID)
+		return "", 0, fmt.Errorf("%q is not a job ID followed by a slash and a number", taskID)
 	}
 	return jobID, index, nil
 }
--- a/internal/leader/state/doc.go
+++ b/internal/leader/state/doc.go
@@ -1,7 +1,7 @@
-// Package state holds the leader's records of machines, jobs and attempts, and the assignments
-// between them.
+// Package state holds the leader's records of machines, jobs and attempts, and the assignments between them.
 //
-// It owns the invariants of the records: an attempt is in its machine's and in its job's Attempts, or
-// in neither, and what a machine has free and a job has in each zone are counted as attempts are attached
-// and detached. It decides nothing, does no I/O and takes no lock: the leader calls it with its own held.
+// The package maintains two invariants. An attached attempt is in the Attempts of both its machine and its job, and a
+// detached one is in neither. A machine's free resources and a job's number of attempts per zone are updated whenever
+// an attempt is attached or detached. The package makes no decisions, does no I/O and takes no lock: the leader calls
+// it with the leader's lock held.
 package state
--- a/internal/leader/state/gang.go
+++ b/internal/leader/state/gang.go
@@ -5,42 +5,42 @@
 	"caperlatch/placement"
 )
 
-// GangAttempt is the present attempt of a gang's tasks, all of which have its number. The
-// number changes only when every task of the last attempt is known to have left.
+// GangAttempt is the current attempt of a gang. All of its tasks carry the attempt's number, which changes only when
+// every task of the previous attempt is known to have left its machine.
 type GangAttempt struct {
-	Number          uint64        // 0 if there is no attempt
-	WaitingSince    micros.Micros // when a task was first seen waiting for the others, 0 if none was
-	Started         bool          // all tasks have been running at once
-	Ending          bool          // all tasks are to stop
-	NoCapacitySince micros.Micros // since when no machine has room for its missing tasks, 0 if there is room
+	Number          uint64        // 0 if there is no current attempt
+	WaitingSince    micros.Micros // when a task was first seen waiting for the others, 0 if none has been
+	Started         bool          // all tasks have been running at the same time
+	Ending          bool          // all tasks are being stopped
+	NoCapacitySince micros.Micros // since when no machine has room for the missing tasks, 0 if one has
 }
 
-// CheckpointGrace is enough time for a gang's tasks to save a checkpoint.
+// CheckpointGrace returns the grace period that lets a gang's tasks save a checkpoint.
 func CheckpointGrace(j *Job) micros.Micros {
-	// The wire's amount may be a trace more than whole microseconds.
+	// The duration in the job's specification may be a fraction of a microsecond longer than the converted value.
 	return micros.FromSeconds(j.Spec.CheckpointDurationS) + micros.Millisecond
 }
 
-// GangReservation is the room of some machines that is held for a gang that found none: only
-// work that goes before the gang may start there. It expires, and the gang then waits as long for the
-// next one, so no room is held for ever.
+// GangReservation reserves the free resources of some machines for a gang that could not be placed: only work ranked
+// before the gang may start there. The reservation expires, and the gang then waits for the same time before its next
+// one, so that no resources are reserved indefinitely.
 type GangReservation struct {
-	QueuedJob *placement.Job // the gang, as of the latest queue
+	QueuedJob *placement.Job // the gang's entry in the latest queue
 	Machines  []*Machine
 	ExpiresAt micros.Micros
-	RetryAt   micros.Micros // no other reservation before
+	RetryAt   micros.Micros // earliest time of the next reservation
 }
 
-// PoolKind names the pool of machines that are held ready for gangs by the instance type that it consists of.
+// PoolKind identifies a pool of machines that are kept for gangs, by the instance type of its machines.
 type PoolKind struct {
 	Type     string
-	OnDemand bool // no spot machines
+	OnDemand bool // the pool has no spot machines
 }
 
-// Admits reports whether a pool of the kind may have machines of an offering.
+// Admits reports whether machines of an offering may be in a pool of this kind.
 func (k PoolKind) Admits(o Offering) bool {
 	return o.Type == k.Type && !(k.OnDemand && o.Spot)
 }
 
-// IsSet reports whether the kind names a pool.
+// IsSet reports whether k identifies a pool.
 func (k PoolKind) IsSet() bool { return k.Type != "" }
--- a/internal/leader/state/images.go
+++ b/internal/leader/state/images.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// ImageCache guesses which images a machine has cached, from what ran on it: the protocol states
-// that the most recently used ones stay.
+// ImageCache estimates which container images a machine has cached, from the tasks that ran on it. The protocol
+// specifies that workers keep the most recently used images.
 type ImageCache struct {
-	Names  []string           // least recently used first
-	sizeGB map[string]float64 // by name
+	Names  []string           // image names, least recently used first
+	sizeGB map[string]float64 // by image name
 }
 
-// Use notes that a task ran from an image, and drops the least recently used ones beyond the cache's size.
+// Use records that a task used an image, and evicts the least recently used images that exceed the cache size limitGB.
 func (c *ImageCache) Use(name string, sizeGB, limitGB float64) {
 	if c.sizeGB == nil {
 		c.sizeGB = map[string]float64{}
@@ -19,12 +19,12 @@
 	}
 	c.Names = append(c.Names, name)
 	c.sizeGB[name] = sizeGB
-	sum := 0.0
+	totalGB := 0.0
 	for _, n := range c.Names {
-		sum += c.sizeGB[n]
+		totalGB += c.sizeGB[n]
 	}
-	for sum > limitGB && len(c.Names) > 1 {
-		sum -= c.sizeGB[c.Names[0]]
+	for totalGB > limitGB && len(c.Names) > 1 {
+		totalGB -= c.sizeGB[c.Names[0]]
 		delete(c.sizeGB, c.Names[0])
 		c.Names = c.Names[1:]
 	}
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -11,78 +11,80 @@
 	"caperlatch/placement"
 )
 
-// ProbeTasks is how many tasks of a quarantined job are tried at a time.
+// ProbeTasks is the maximum number of tasks of a quarantined job that run at the same time.
 const ProbeTasks = 2
 
-// Job is the leader's record of an accepted job that has not ended, or of a cancelled one
-// that still has tasks on machines.
+// Job is the leader's record of an accepted job that has not ended, or of a cancelled job that still has tasks on
+// machines.
 type Job struct {
 	Spec        *wire.Job
 	SubmittedAt micros.Micros // time of day
-	SeenAt      micros.Micros // when this term saw it
+	SeenAt      micros.Micros // when this term created the record
 	Need        placement.Resources
 	Priority    int
-	Image       int // index of its image, as machines' ImageSet has it
-	// Offerings are those that its tasks may run on, the cheapest first, as of a version of the instance types.
+	Image       int // index of the job's image in Machine.ImageSet
+	// Offerings lists the offerings that the job's tasks may run on, cheapest first. OfferingsVersion is the version of
+	// the instance types that the list was made from.
 	Offerings        []Offering
 	OfferingsVersion int
-	// MayHaveEarlierTasks is set if an earlier term may have started tasks of it.
+	// MayHaveEarlierTasks is set if an earlier term may have started tasks of the job.
 	MayHaveEarlierTasks bool
 	Ended               bool // done or cancelled
 
-	// Completed tasks. StoredDone is the subset that is stored.
+	// Completed tasks. StoredDone is the subset that is already in the state service.
 	Done       Bitset
 	StoredDone Bitset
 	DoneCount  int
 
-	// Tasks on machines. An attempt is here and in its machine's attempts, or in neither.
+	// Tasks on machines. An attempt is both in Attempts and in its machine's Attempts, or in neither.
 	Attempts        map[int]*Attempt // by task index
 	AttemptsPerZone map[string]int
-	RunningCount    int // attempts that were seen running
-	ProtectedTasks  int // see Attempt.Protected
-	// Displaced are tasks that were lost with a zone, and where they were.
+	RunningCount    int // number of attempts that a heartbeat has shown running
+	ProtectedTasks  int // number of attempts with Attempt.Protected set
+	// Displaced maps the index of each task that was lost with a zone to the machine that the task was on.
 	Displaced map[int]*Machine
 
-	// Tasks that wait: those requeued, and all from nextUnstarted on.
+	// Waiting tasks: those in requeued, and all with an index of nextUnstarted or higher.
 	requeued      []int
 	nextUnstarted int
-	RanBefore     map[int]bool // tasks that ran before, whose next run is shorter
+	RanBefore     map[int]bool // tasks that have run before; their next run is shorter
 
-	Gang GangAttempt // its present attempt, if the job is a gang
-	// LastEndedAttempt is the highest number of a gang's attempt that its tasks' exits show to
-	// have ended. A new leader may learn of these before it learns of what is left of the attempt.
+	Gang GangAttempt // the current attempt, if the job is a gang
+	// LastEndedAttempt is the highest number of a gang attempt that has ended according to the exits of its tasks. A new
+	// leader may learn of the exits before it learns which tasks of the attempt are still on machines.
 	LastEndedAttempt uint64
 
 	Failures      FailureRecord
-	BackoffUntil  micros.Micros // no starts before
+	BackoffUntil  micros.Micros // no task is started before this time
 	BackoffReason string
 	Demand        DemandRecord
 
-	// When a task was first and last seen running in this term, as time of day.
+	// FirstStart and LastStart are the times of day when a task of the job was first and last seen to start running in
+	// this term.
 	FirstStart, LastStart micros.Micros
-	LongestRun            micros.Micros // of a task
+	LongestRun            micros.Micros // longest run time of a task
 }
 
-// FailureRecord is how a job's tasks failed, and what follows from that. ByMachine is empty once a task
-// of the job has succeeded.
+// FailureRecord holds the failures of a job's tasks and the resulting backoff and quarantine. ByMachine is empty once
+// a task of the job has succeeded.
 type FailureRecord struct {
-	ByMachine        map[string]micros.Micros // when a task last failed on a machine
-	Count            int                      // in this term
+	ByMachine        map[string]micros.Micros // time of the latest failure on each machine, by machine ID
+	Count            int                      // failed runs in this term
 	LastMachine      string
-	LongestRun       micros.Micros // of a task that failed
-	SoleMachineTries int           // on the only machine that was tried
+	LongestRun       micros.Micros // longest run time of a failed task
+	SoleMachineTries int           // failed tries while only one machine has been tried
 	BackoffRounds    int
-	Quarantined      bool // the job is taken to be at fault, and not its machines
+	Quarantined      bool // the job, not its machines, is considered faulty
 }
 
-// DemandRecord is what a job added to the autoscaler's demand.
+// DemandRecord is the demand that the autoscaler counts for a job.
 type DemandRecord struct {
 	InstanceType string
-	Machines     float64 // of that type; 0 if an earlier term counted it
+	Machines     float64 // number of machines of that type; 0 if an earlier term counted the job
 }
 
-// NewJob makes the record of a stored job. mayHaveEarlierTasks is set if an earlier term may have
-// started tasks of it.
+// NewJob returns the record of a stored job. mayHaveEarlierTasks is set if an earlier term may have started tasks of
+// the job.
 func NewJob(r replica.Job, mayHaveEarlierTasks bool) *Job {
 	s := r.Spec
 	return &Job{
@@ -101,11 +103,11 @@
 	}
 }
 
-// WaitingTasks counts the tasks that are neither done nor on a machine. A gang's are all done
-// when one is, while the others are still there.
+// WaitingTasks returns the number of tasks that are neither done nor on a machine. The count is limited to 0, because
+// all tasks of a gang are marked done when the first one is, while the others are still on machines.
 func (j *Job) WaitingTasks() int { return max(0, j.Spec.Tasks-j.DoneCount-len(j.Attempts)) }
 
-// TakeWaitingTask takes the index of a waiting task, if there is one.
+// TakeWaitingTask removes a waiting task from the queue and returns its index. ok is false if no task waits.
 func (j *Job) TakeWaitingTask() (index int, ok bool) {
 	for n := len(j.requeued); n > 0; n = len(j.requeued) {
 		t := j.requeued[n-1]
@@ -123,22 +125,22 @@
 	return 0, false
 }
 
-// requeue has a task wait again.
+// requeue returns a task to the waiting tasks.
 func (j *Job) requeue(index int) {
 	if index < j.nextUnstarted {
 		j.requeued = append(j.requeued, index)
 	}
 }
 
-// HasSucceeded reports whether any task of the job has been done.
+// HasSucceeded reports whether any task of the job has succeeded.
 func (j *Job) HasSucceeded() bool { return j.DoneCount > 0 }
 
-// IsProbing reports whether only a few tasks of the job are tried at a time, as its tasks have failed.
+// IsProbing reports whether at most ProbeTasks tasks of the job may run at a time because its tasks have failed.
 func (j *Job) IsProbing() bool {
 	return !j.HasSucceeded() && (j.Failures.Quarantined || j.Failures.BackoffRounds > 0)
 }
 
-// StartableTasks is how many of the waiting tasks may be started.
+// StartableTasks returns how many of the waiting tasks may be started now.
 func (j *Job) StartableTasks(now micros.Micros) int {
 	switch {
 	case now < j.BackoffUntil:
@@ -151,7 +153,8 @@
 	return j.WaitingTasks()
 }
 
-// OutlivesFailures reports whether a heartbeat shows a task of the job to run well beyond what failed.
+// OutlivesFailures reports whether, according to the heartbeats, a task of the job has run much longer than any of the
+// tasks that failed.
 func (j *Job) OutlivesFailures() bool {
 	for _, a := range j.Attempts {
 		if a.RunningSince != 0 && a.Machine.Heartbeat.ReceivedAt-a.RunningSince > 3*micros.Second+2*j.Failures.LongestRun {
@@ -161,11 +164,11 @@
 	return false
 }
 
-// IsGang reports whether the job's tasks run at the same time or not at all.
+// IsGang reports whether the job is a gang: its tasks run all at the same time or not at all.
 func (j *Job) IsGang() bool { return j.Spec.Kind == wire.KindGang }
 
-// startableGangTasks is how many tasks may be started: all of a new attempt, or those that are
-// missing in one that has not started.
+// startableGangTasks returns how many tasks of a gang may be started: all tasks of a new attempt, or the missing tasks
+// of an attempt that has not started.
 func (j *Job) startableGangTasks() int {
 	if j.Gang.Started || j.Gang.Ending {
 		return 0
@@ -173,7 +176,7 @@
 	return j.WaitingTasks()
 }
 
-// DescribeFailures describes for operators how the job's tasks fail, empty if none has.
+// DescribeFailures describes the failures of the job's tasks for operators. It returns an empty string if none failed.
 func (j *Job) DescribeFailures(now micros.Micros) string {
 	if j.Failures.Count == 0 && !j.Failures.Quarantined {
 		return ""
@@ -191,7 +194,7 @@
 	return s
 }
 
-// Gangs lists the gangs among jobs, by ID.
+// Gangs returns the gangs among jobs, sorted by ID.
 func Gangs(jobs map[string]*Job) (gangs []*Job) {
 	for _, j := range jobs {
 		if j.IsGang() {
@@ -202,7 +205,7 @@
 	return gangs
 }
 
-// Constraints are where the job's tasks may run, whatever its other tasks do.
+// Constraints returns where the job's tasks may run, regardless of where its other tasks are.
 func (j *Job) Constraints() placement.Constraints {
 	return placement.Constraints{
 		InstanceTypes: j.Spec.InstanceTypes,
@@ -213,7 +216,7 @@
 	}
 }
 
-// MayRunOn reports whether the job's constraints admit an offering, whatever its other tasks do.
+// MayRunOn reports whether the job's constraints admit an offering, regardless of where its other tasks are.
 func (j *Job) MayRunOn(o Offering) bool {
 	constraints := j.Constraints()
 	return constraints.Admit(o.Type, o.Zone, o.Spot)
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -7,7 +7,7 @@
 	"caperlatch/placement"
 )
 
-// Offering is what can be launched: an instance type, in a zone, as spot instance or on demand.
+// Offering is a kind of instance that can be launched: an instance type in a zone, as a spot or on-demand instance.
 type Offering struct {
 	Type, Zone string
 	Spot       bool
@@ -15,11 +15,11 @@
 
 // Machine is the leader's record of one machine.
 //
-// Its parts are grouped by what changes them. A task may start on the machine only while
-// IsSchedulable reports so.
+// Its fields are grouped by what changes them. A task may be started on the machine only while IsSchedulable returns
+// true.
 type Machine struct {
 	ID       string
-	IntentID string // of the launch that it came from
+	IntentID string // launch intent that the machine was launched for
 	Offering Offering
 
 	Instance       InstanceState
@@ -30,135 +30,136 @@
 	Quarantine     QuarantineState
 	ZoneReturn     ZoneReturn
 
-	// Assignments. Free is the capacity less the needs of all attempts, so it changes only as these
-	// are attached and detached.
+	// Assignments. Free is the machine's capacity less the needs of all attempts, so it changes only when an attempt is
+	// attached or detached.
 	Attempts      map[string]*Attempt // by task ID
-	StoppingCount int                 // attempts whose stop was sent
+	StoppingCount int                 // number of attempts whose stop was sent
 	Free          placement.Resources
-	PlannedStarts []*Job // one entry a start that the next response carries
+	PlannedStarts []*Job // one entry for each start that the next heartbeat response carries
 
 	Images   ImageCache
-	ImageSet placement.ImageSet // cached images, and those that are being pulled
-
-	// Who may use its room.
-	Reservation          *GangReservation     // its room is reserved for one gang
-	Pool                 PoolKind             // only gangs start on it; the zero value: all jobs may
-	Surplus              bool                 // the staffing formula does not ask for it
-	SurplusSince         micros.Micros        // 0 if it is not
-	RejectsDelayTolerant bool                 // an on-demand machine that only delay-tolerant jobs would use
-	DrainReason          string               // why it gets no more tasks, empty if it does
-	StartBackoffUntil    micros.Micros        // no starts before
-	Published            standby.MachineState // what was published last to followers
+	ImageSet placement.ImageSet // images that are cached or being pulled
+
+	// Restrictions on the work that may start on the machine.
+	Reservation          *GangReservation // reservation of the machine for one gang, nil if there is none
+	Pool                 PoolKind         // if set, only gangs may start on the machine
+	Surplus              bool             // the machine exceeds what the staffing formula requires
+	SurplusSince         micros.Micros    // since when Surplus is set, 0 if it is not
+	RejectsDelayTolerant bool             // set on an on-demand machine that only delay-tolerant jobs would use
+	DrainReason          string           // why the machine gets no more tasks, empty if it does
+	StartBackoffUntil    micros.Micros    // no task is started before this time
+
+	Published standby.MachineState // the state that was last published to followers
 }
 
-// InstanceState is what is known of a machine as the cloud's instance.
+// InstanceState is the state of a machine as a cloud instance.
 //
-// IntentStored and ListStored are both needed before a task may be placed: a leader that
-// takes over must find every machine that may hold tasks.
+// A task may be placed on a machine only when both IntentStored and ListStored are set: a leader that takes over must
+// find every machine that may hold tasks.
 type InstanceState struct {
 	Address          string
 	LaunchedAt       micros.Micros
-	Running          bool          // it has sent a heartbeat, or is stored as running
-	IntentStored     bool          // its launch intent is stored with its ID
-	ListStored       bool          // the machine list that names it is stored
-	StoredListIndex  int           // index of that list
-	FirstHeartbeatAt micros.Micros // in this term, 0 if there was none
-	SeenInCloudList  bool          // it has been in the cloud's list
-	MissedCloudLists int           // consecutive lists without it since
-	LateWithCohort   bool          // it boots late, as most that were launched with it
-	Terminating      bool          // its termination was requested, which is never revoked
-	IdleSince        micros.Micros // when its last task ended
+	Running          bool          // the machine has sent a heartbeat or is stored as running
+	IntentStored     bool          // the launch intent is stored with the machine's ID
+	ListStored       bool          // the machine list that contains the machine is stored
+	StoredListIndex  int           // index of the stored list that contains the machine
+	FirstHeartbeatAt micros.Micros // time of the first heartbeat in this term, 0 if there was none
+	SeenInCloudList  bool          // the cloud's list has contained the machine
+	MissedCloudLists int           // number of consecutive lists without the machine, once a list has contained it
+	LateWithCohort   bool          // the boot is late, like that of most machines launched with it
+	Terminating      bool          // termination was requested; this is never revoked
+	IdleSince        micros.Micros // when the last task left the machine
 }
 
-// HeartbeatState is what a machine's latest heartbeat said of the worker itself. incarnation
-// and sequence only grow.
+// HeartbeatState is what a machine's latest heartbeat says about the worker itself. Incarnation only grows, and Sequence
+// only grows within an incarnation.
 type HeartbeatState struct {
 	Incarnation     uint64
-	Sequence        uint64        // within the incarnation
-	ReceivedAt      micros.Micros // of the latest heartbeat that was newer than the one before
-	FromCurrentTerm bool          // the worker made it after it had seen this term's fencing token
-	InterruptionAt  micros.Micros // when the cloud takes the machine back, 0 without a notice
+	Sequence        uint64        // sequence number within the incarnation
+	ReceivedAt      micros.Micros // when the latest heartbeat that was newer than its predecessor arrived
+	FromCurrentTerm bool          // the worker sent it after receiving this term's fencing token
+	InterruptionAt  micros.Micros // when the cloud reclaims the machine, 0 without an interruption notice
 }
 
-// LeaseState is what decides when a silent worker has ended its tasks; see liveness.Monitor.LeaseExpiry.
+// LeaseState determines when a silent worker must have ended its tasks; see liveness.Monitor.LeaseExpiry.
 type LeaseState struct {
-	RenewedAt    micros.Micros // of the latest response that may have renewed it
-	ExpiredSince micros.Micros // 0 while it has not expired
+	RenewedAt    micros.Micros // time of the latest response that may have renewed the lease
+	ExpiredSince micros.Micros // 0 while the lease has not expired
 	DeferredAt   micros.Micros // when a heartbeat was last refused while leadership was in doubt
 }
 
-// DeliveryState is whether responses reach the worker.
+// DeliveryState tracks whether heartbeat responses reach the worker.
 type DeliveryState struct {
-	RespondedThisTerm bool
-	Sent              []wire.Command // starts and clears of the latest response
-	LostResponses     int            // in a row
-	FirstLostAt       micros.Micros  // of the first of these
-	FollowUps         []wire.Command // clears and stops that the latest heartbeat calls for
+	RespondedThisTerm bool           // a heartbeat has been answered in this term
+	Sent              []wire.Command // start and clear commands in the latest response
+	LostResponses     int            // number of consecutive lost responses
+	FirstLostAt       micros.Micros  // when the first of these was found to be lost
+	FollowUps         []wire.Command // clear and stop commands required by the latest heartbeat
 }
 
-// MaxLostResponses is how many responses in a row must have been lost before a machine counts as one that
-// receives none.
+// MaxLostResponses is the number of consecutive lost responses from which on a machine is considered to receive none.
 const MaxLostResponses = 3
 
-// TaskKnowledge is how the leader knows which tasks are on a machine.
+// TaskKnowledge is the leader's source of information about which tasks are on a machine.
 type TaskKnowledge int
 
 const (
-	// TasksUnknown is of a machine that may hold tasks of earlier terms that this one has not seen.
+	// TasksUnknown means that the machine may hold tasks of earlier terms that this term has not seen.
 	TasksUnknown TaskKnowledge = iota
-	// TasksHandedOver is of a machine whose tasks the leader before named in a complete handover.
+	// TasksHandedOver means that the previous leader listed the machine's tasks in a complete handover.
 	TasksHandedOver
-	// TasksConfirmed is of a machine whose worker has shown its tasks in this term, or can hold none of an earlier one.
+	// TasksConfirmed means that the worker has listed its tasks in this term, or cannot hold tasks of an earlier term.
 	TasksConfirmed
 )
 
-// ReconciliationState is how far a machine's tasks are known after a failover.
+// ReconciliationState is the progress of finding out a machine's tasks after a failover.
 type ReconciliationState struct {
 	Knowledge       TaskKnowledge
-	QueriedSequence uint64 // of the worker's response to a task query; see package taskquery
+	QueriedSequence uint64 // sequence number of the worker's response to a task query; see package taskquery
 	FailedQueries   int
-	PreviousTerm    *standby.Machine // what the term before was seen to know of it, nil if nothing
+	PreviousTerm    *standby.Machine // the state of the machine as published in the previous term, nil if unknown
 }
 
-// QuarantineState is the evidence for a machine being at fault when tasks fail; see package quarantine.
+// QuarantineState is the evidence that a machine is faulty when tasks fail on it; see package quarantine.
 type QuarantineState struct {
-	Since                  micros.Micros   // when it was quarantined, 0 if it was not
-	Failures               int             // of jobs that succeed elsewhere, since its last success
-	SuspectJobs            map[string]bool // other jobs that failed on it since then
-	LatestSuccessStartedAt micros.Micros   // start of the latest task that succeeded on it
+	Since                  micros.Micros   // when the machine was quarantined, 0 if it is not
+	Failures               int             // failures of jobs that succeed elsewhere, since the last success on the machine
+	SuspectJobs            map[string]bool // IDs of other jobs that failed on the machine since then
+	LatestSuccessStartedAt micros.Micros   // start time of the most recently started task that succeeded on the machine
 }
 
-// ZoneReturn is a machine's part in the return of its zone.
+// ZoneReturn tracks whether a machine is reachable again after its zone was lost.
 type ZoneReturn struct {
-	FirstHeartbeatAt  micros.Micros // since the zone was lost, or the machine fell silent; 0 if there was none
-	IncarnationBefore uint64        // of the last heartbeat before that
-	SequenceBefore    uint64
-	Returned          bool // its heartbeats prove that it was reached again
-	Closed            bool // to work that is not bound to the zone
+	FirstHeartbeatAt  micros.Micros // first heartbeat since the zone was lost or the machine fell silent; 0 if there was none
+	IncarnationBefore uint64        // incarnation in the last heartbeat before that
+	SequenceBefore    uint64        // sequence number of that heartbeat
+	Returned          bool          // the heartbeats prove that the machine is reachable again
+	Closed            bool          // closed to work that is not bound to the zone
 }
 
-// Silence is for how long the machine has sent no heartbeat, counted from the start of the term at the earliest.
+// Silence returns the time since the machine's latest heartbeat, or since the start of the term if that is shorter.
 func (m *Machine) Silence(termStartedAt, now micros.Micros) micros.Micros {
 	return now - max(m.Heartbeat.ReceivedAt, termStartedAt)
 }
 
-// HeartbeatTimeout is after what silence a heartbeat is overdue, where the usual time between them is interval.
-// A live worker sends one within five quarters of that; a second is for the network and a busy node.
+// HeartbeatTimeout returns the silence after which a heartbeat is overdue, given the usual interval between heartbeats.
+// A live worker sends a heartbeat within five quarters of the interval; one second is added for delays in the network
+// and on a busy node.
 func HeartbeatTimeout(interval micros.Micros) micros.Micros {
 	return interval + interval/4 + micros.Second
 }
 
-// LosesResponses reports whether the machine is taken to receive no responses, though its heartbeats arrive.
+// LosesResponses reports whether the machine is considered to receive no responses although its heartbeats arrive.
 func (m *Machine) LosesResponses() bool { return m.Delivery.LostResponses >= MaxLostResponses }
 
-// TasksConfirmed reports whether the machine itself has shown its tasks in this term, or cannot
-// have any of an earlier one.
+// TasksConfirmed reports whether the machine's worker has listed its tasks in this term, or cannot have tasks of an
+// earlier term.
 func (m *Machine) TasksConfirmed() bool { return m.Reconciliation.Knowledge == TasksConfirmed }
 
-// TasksKnown reports whether the tasks on the machine are known, if only by a handover.
+// TasksKnown reports whether the tasks on the machine are known, from its worker or from a handover.
 func (m *Machine) TasksKnown() bool { return m.Reconciliation.Knowledge != TasksUnknown }
 
-// LikelyIncarnation is the incarnation that the worker is probably in.
+// LikelyIncarnation returns the incarnation that the worker most likely has.
 func (m *Machine) LikelyIncarnation() uint64 {
 	if m.Heartbeat.Incarnation == 0 && m.Reconciliation.PreviousTerm != nil {
 		return max(1, m.Reconciliation.PreviousTerm.Incarnation)
@@ -166,9 +167,9 @@
 	return max(1, m.Heartbeat.Incarnation)
 }
 
-// IsSchedulable reports whether the machine may get tasks, as far as that depends on it. Its latest
-// heartbeat must have been made in this term: a late copy of an older one, perhaps of a machine that was
-// terminated long ago, must not draw tasks.
+// IsSchedulable reports whether the state of the machine allows it to get tasks. Its latest heartbeat must have been
+// sent in this term: a delayed heartbeat from before, possibly of a machine that was terminated long ago, must not
+// cause tasks to be placed.
 func (m *Machine) IsSchedulable(now micros.Micros) bool {
 	i := &m.Instance
 	return i.Running && i.IntentStored && i.ListStored && !i.Terminating &&
@@ -176,13 +177,14 @@
 		m.DrainReason == "" && now >= m.StartBackoffUntil
 }
 
-// IsOpenToAllZones reports whether the machine may get tasks of any job that its offering allows.
+// IsOpenToAllZones reports whether the machine may get tasks of any job that allows its offering, not only of jobs that
+// are bound to its zone.
 func (m *Machine) IsOpenToAllZones(now micros.Micros) bool {
 	return m.IsSchedulable(now) && !m.ZoneReturn.Closed
 }
 
-// ResetZoneReturn forgets the machine's heartbeats since its zone was lost: its latest one is no evidence of a
-// return later.
+// ResetZoneReturn discards the evidence that the machine has returned. Only heartbeats newer than the latest one count
+// as evidence from now on.
 func (m *Machine) ResetZoneReturn() {
 	m.ZoneReturn = ZoneReturn{IncarnationBefore: m.Heartbeat.Incarnation, SequenceBefore: m.Heartbeat.Sequence, Closed: m.ZoneReturn.Closed}
 }
--- a/internal/leader/state/progress.go
+++ b/internal/leader/state/progress.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/replica"
 )
 
-// Bitset is a set of a job's tasks, a bit for each.
+// Bitset is a set of a job's tasks, with one bit for each task.
 type Bitset []byte
 
 const bitsPerByte = 8
@@ -23,37 +23,37 @@
 // Set adds task i.
 func (b Bitset) Set(i int) { b[i/bitsPerByte] |= 1 << (i % bitsPerByte) }
 
-// Chunk is the part of the set that is stored under one progress key.
+// Chunk returns the part of the set that is stored under one progress key.
 func (b Bitset) Chunk(chunk int) []byte {
-	const bytes = ChunkTasks / bitsPerByte
-	return b[chunk*bytes : min(len(b), (chunk+1)*bytes)]
+	const chunkBytes = ChunkTasks / bitsPerByte
+	return b[chunk*chunkBytes : min(len(b), (chunk+1)*chunkBytes)]
 }
 
-// ChunkTasks is how many tasks' progress is kept under one key: 8192 bits are
-// 1368 characters, within the least value_kb that the settings admit.
+// ChunkTasks is the number of tasks whose progress is stored under one key. 8192 bits are 1368 characters, which fits
+// the smallest value_kb that the settings allow.
 const ChunkTasks = 8192
 
-// TaskProgress is the stored content of a progress key: which tasks are done, as base64.
+// TaskProgress is the value stored under a progress key: the set of done tasks, encoded as base64.
 type TaskProgress struct {
 	Done string `json:"done"`
 }
 
-// ErrProgressMismatch is returned for stored progress that does not fit its job.
-var ErrProgressMismatch = errors.New("does not fit the job")
+// ErrProgressMismatch is returned if stored progress does not match its job.
+var ErrProgressMismatch = errors.New("the stored set of done tasks does not match the job")
 
-// ProgressChunks is how many progress keys the job has at most.
+// ProgressChunks returns the maximum number of progress keys of the job.
 func (j *Job) ProgressChunks() int { return (j.Spec.Tasks + ChunkTasks - 1) / ChunkTasks }
 
-// Progress is what is to be stored of a chunk of the job's tasks.
+// Progress returns the value to store for a chunk of the job's tasks.
 func (j *Job) Progress(chunk int) TaskProgress {
 	return TaskProgress{base64.RawStdEncoding.EncodeToString(j.Done.Chunk(chunk))}
 }
 
-// RestoreProgress takes over what is stored of a chunk.
+// RestoreProgress sets the done tasks of a chunk from the stored progress.
 func (j *Job) RestoreProgress(chunk int, p TaskProgress) error {
 	bits, err := base64.RawStdEncoding.DecodeString(p.Done)
 	if err != nil || chunk >= j.ProgressChunks() || len(bits) != len(j.Done.Chunk(chunk)) {
-		return fmt.Errorf("progress of %s %w", j.Spec.ID, ErrProgressMismatch)
+		return fmt.Errorf("restore progress of job %s: %w", j.Spec.ID, ErrProgressMismatch)
 	}
 	copy(j.Done.Chunk(chunk), bits)
 	copy(j.StoredDone.Chunk(chunk), bits)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// MarkDone notes that a task is done, unless it was before.
+// MarkDone marks a task as done. It has no effect if the task is done already.
 func (j *Job) MarkDone(index int) {
 	if !j.Done.Has(index) {
 		j.Done.Set(index)
@@ -74,12 +74,12 @@
 	}
 }
 
-// ProgressKey is the key under which a chunk of a job's progress is stored.
+// ProgressKey returns the key under which a chunk of a job's progress is stored.
 func ProgressKey(jobID string, chunk int) string {
 	return replica.ProgressPrefix + jobID + "/" + strconv.Itoa(chunk)
 }
 
-// ParseProgressKey splits what ProgressKey made.
+// ParseProgressKey splits a key made by ProgressKey into the job's ID and the chunk's index.
 func ParseProgressKey(key string) (jobID string, chunk int, err error) {
 	return ParseTaskID(strings.TrimPrefix(key, replica.ProgressPrefix))
 }
