--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -1,8 +1,8 @@
-// Package dispatch sends commands straight to workers, beside those in the responses to their heartbeats.
+// Package dispatch sends commands directly to workers, in addition to the commands in heartbeat responses.
 //
-// It owns how many such calls are in progress, and their timeouts. It decides nothing, and must never send a
-// command while another node may lead: every call carries the term's fencing token, and none begins
-// unless the term is exclusive.
+// The package limits how many such calls are in progress, and sets their timeouts. It makes no scheduling decisions. It
+// must never send a command while another node may lead: every call carries the term's fencing token, and commands are
+// sent only while the term is exclusive.
 package dispatch
 
 import (
@@ -16,58 +16,56 @@
 	"caperlatch/internal/wire"
 )
 
-// Limits of the calls in progress. After a whole zone was cut off, each of them holds a socket
-// until it times out.
+// Limits on the calls in progress. After a whole zone is cut off, each call holds a socket until it times out.
 const (
-	socketShare = 16 // part of the node's sockets that calls may take
-	minCalls    = 8
+	socketsPerCall = 16 // one call may be in progress for this many sockets of the node
+	minCalls       = 8
 )
 
-// Times of the calls.
+// Timeouts and delays of the calls.
 const (
-	queryTimeout   = 1500 * micros.Millisecond
-	sendTimeout    = 3 * micros.Second
-	attemptTimeout = micros.Second // of one attempt of SendUntilDelivered
-	attemptPause   = 200 * micros.Millisecond
+	queryTimeout     = 1500 * micros.Millisecond
+	sendTimeout      = 3 * micros.Second
+	retrySendTimeout = micros.Second            // timeout of each call of SendUntilDelivered
+	retryDelay       = 200 * micros.Millisecond // delay between calls of SendUntilDelivered
 )
 
-// ErrWrongMachine is returned if another machine responds at a machine's address.
-var ErrWrongMachine = errors.New("another machine answers")
+// ErrWrongMachine is returned if the response from a machine's address comes from a different machine.
+var ErrWrongMachine = errors.New("response is from a different machine")
 
-// Target is a worker as it was known when a call began. Its commands are executed only in that
-// incarnation.
+// Target identifies the worker that a call is sent to. The worker executes the commands only in the given incarnation.
 type Target struct {
 	MachineID   string
-	Address     string // "host:port"; empty if it is not known
+	Address     string // "host:port", empty if unknown
 	Incarnation uint64
 }
 
-// Dispatcher calls workers for one term. It is safe for concurrent use.
+// Dispatcher calls workers on behalf of one term. It is safe for concurrent use.
 type Dispatcher struct {
 	client       *http.Client
 	fencingToken uint64
 	isExclusive  func() bool
-	inProgress   chan struct{} // one element a call
+	inProgress   chan struct{} // semaphore with one element for each call
 }
 
-// New makes a dispatcher for a term of a node that may have so many sockets. isExclusive reports
-// whether no other node can lead now.
+// New returns a dispatcher for one term. sockets is the maximum number of sockets of the node. isExclusive reports
+// whether it is certain that no other node leads now.
 func New(client *http.Client, fencingToken uint64, isExclusive func() bool, sockets int) *Dispatcher {
 	return &Dispatcher{
 		client:       client,
 		fencingToken: fencingToken,
 		isExclusive:  isExclusive,
-		inProgress:   make(chan struct{}, max(minCalls, sockets/socketShare)),
+		inProgress:   make(chan struct{}, max(minCalls, sockets/socketsPerCall)),
 	}
 }
 
-// MaxCalls is how many calls may be in progress.
+// MaxCalls returns the maximum number of calls in progress.
 func (d *Dispatcher) MaxCalls() int { return cap(d.inProgress) }
 
-// Send sends a command once, in the background, if a call is free. Whatever becomes of it, the
-// command is to be repeated in the responses to the worker's heartbeats; so nobody waits for the call,
-// which ends by itself within its timeout. Its response is not used: a status that the worker gives there may
-// be newer than its last heartbeat and still lack a start that is on its way.
+// Send sends a command once, in the background. It drops the command if MaxCalls calls are in progress, if the worker's
+// address is unknown, or if another node may lead. The caller repeats the command in the responses to the worker's
+// heartbeats in any case, so it does not wait for the call, which ends within its timeout. The response is ignored: the
+// status in it may be newer than the worker's latest heartbeat and still lack a start that is on its way.
 func (d *Dispatcher) Send(to Target, command wire.Command) {
 	if to.Address == "" || !d.isExclusive() {
 		return
@@ -87,42 +85,43 @@
 	}()
 }
 
-// SendUntilDelivered sends commands in the background until the worker responds, for as long as
-// within. They are also repeated in the responses to its heartbeats; nobody waits for the calls.
-func (d *Dispatcher) SendUntilDelivered(to Target, commands []wire.Command, within micros.Micros) {
+// SendUntilDelivered sends commands in the background until the worker responds, the timeout has passed, or another node
+// may lead. The caller also repeats the commands in the responses to the worker's heartbeats, so it does not wait for
+// the calls.
+func (d *Dispatcher) SendUntilDelivered(to Target, commands []wire.Command, timeout micros.Micros) {
 	if to.Address == "" {
 		return
 	}
-	until := micros.Now() + within
+	deadline := micros.Now() + timeout
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), (until - micros.Now()).Duration())
+		ctx, cancel := context.WithTimeout(context.Background(), (deadline - micros.Now()).Duration())
 		defer cancel()
 		for ctx.Err() == nil && d.isExclusive() {
-			err := d.attempt(ctx, to, commands)
+			err := d.sendOnce(ctx, to, commands)
 			if err == nil || ctx.Err() != nil {
 				return
 			}
 			slog.Debug("direct commands failed", "machine", to.MachineID, "address", to.Address, "count", len(commands), "error", err)
-			time.Sleep(attemptPause.Duration())
+			time.Sleep(retryDelay.Duration())
 		}
 	}()
 }
 
-// attempt sends commands once, after a call has come free.
-func (d *Dispatcher) attempt(ctx context.Context, to Target, commands []wire.Command) error {
+// sendOnce sends commands once. It first waits until fewer than MaxCalls calls are in progress.
+func (d *Dispatcher) sendOnce(ctx context.Context, to Target, commands []wire.Command) error {
 	select {
 	case d.inProgress <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	defer func() { <-d.inProgress }()
-	ctx, cancel := context.WithTimeout(ctx, attemptTimeout.Duration())
+	ctx, cancel := context.WithTimeout(ctx, retrySendTimeout.Duration())
 	defer cancel()
 	_, err := d.call(ctx, to, commands)
 	return err
 }
 
-// Query sends a worker the term's fencing token without commands, and returns its status.
+// Query sends the term's fencing token, without commands, to a worker and returns the status in its response.
 func (d *Dispatcher) Query(ctx context.Context, to Target) (*wire.Heartbeat, error) {
 	d.inProgress <- struct{}{}
 	defer func() { <-d.inProgress }()
@@ -142,7 +141,7 @@
 	return &status, nil
 }
 
-// call sends commands and returns the body of the response.
+// call sends commands to a worker and returns the body of the response.
 func (d *Dispatcher) call(ctx context.Context, to Target, commands []wire.Command) ([]byte, error) {
 	request := wire.CommandRequest{FencingToken: d.fencingToken, Incarnation: to.Incarnation, Commands: commands}
 	_, body, err := wire.Call(ctx, d.client, http.MethodPost, "http://"+to.Address+wire.PathCommands, request)
--- a/internal/leader/dispatch/dispatch_test.go
+++ b/internal/leader/dispatch/dispatch_test.go
@@ -16,10 +16,10 @@
 
 const fencingToken = 7
 
-// errNoResponse is the error of a call that gets no response.
+// errNoResponse is returned by calls that get no response.
 var errNoResponse = errors.New("no response")
 
-// fakeWorker responds to commands with a status; with nil there is no response.
+// fakeWorker returns the status that responds to commands, or nil for no response.
 type fakeWorker func(ctx context.Context, c *wire.CommandRequest) *wire.Heartbeat
 
 // RoundTrip implements http.RoundTripper.
@@ -40,15 +40,15 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(response))}, err
 }
 
-// target is the worker of the tests.
+// target is the worker that the tests call.
 var target = Target{MachineID: "i-1", Address: "i-1:9000", Incarnation: 4}
 
-// newTestDispatcher makes a dispatcher for a node that may have as few sockets as there are.
+// newTestDispatcher returns a dispatcher that allows minCalls calls in progress.
 func newTestDispatcher(exclusive bool, worker fakeWorker) *Dispatcher {
 	return New(&http.Client{Transport: worker}, fencingToken, func() bool { return exclusive }, 0)
 }
 
-// TestQuery asks workers for their status.
+// TestQuery checks that a query returns the status only if the intended machine responds.
 func TestQuery(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -63,19 +63,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := newTestDispatcher(true, func(_ context.Context, r *wire.CommandRequest) *wire.Heartbeat {
 				if r.FencingToken != fencingToken || r.Incarnation != target.Incarnation || r.Commands == nil || len(r.Commands) != 0 {
-					t.Errorf("asked with %+v", r)
+					t.Errorf("query sent %+v, want fencing token, incarnation and an empty list of commands", r)
 				}
 				return c.status
 			})
 			status, err := d.Query(t.Context(), target)
 			if !errors.Is(err, c.want) || (status != nil) != (c.want == nil) || status != nil && status.Sequence != 9 {
-				t.Errorf("%+v, %v; want error %v", status, err, c.want)
+				t.Errorf("Query returned %+v, error %v; want error %v", status, err, c.want)
 			}
 		})
 	}
 }
 
-// TestSend sends a command at once, or not at all.
+// TestSend checks that a command is sent at most once, and not while another node may lead or no call is free.
 func TestSend(t *testing.T) {
 	unaddressed := target
 	unaddressed.Address = ""
@@ -98,7 +98,7 @@
 				d := newTestDispatcher(c.exclusive, func(_ context.Context, r *wire.CommandRequest) *wire.Heartbeat {
 					calls.Add(1)
 					if len(r.Commands) != 1 || r.Commands[0].TaskID != "j-000001/0" || r.FencingToken != fencingToken || r.Incarnation != c.to.Incarnation {
-						t.Errorf("sent %+v", r)
+						t.Errorf("sent %+v, want the one stop command with fencing token and incarnation", r)
 					}
 					return nil
 				})
@@ -110,30 +110,31 @@
 				d.Send(c.to, wire.Command{Verb: wire.VerbStop, TaskID: "j-000001/0", Attempt: 5})
 				synctest.Wait()
 				if got := calls.Load(); got != c.want {
-					t.Errorf("%d calls, want %d: a failed one is not repeated", got, c.want)
+					t.Errorf("%d calls, want %d; a failed call must not be repeated", got, c.want)
 				}
 				if busy := len(d.inProgress); (busy > 0) != c.busy {
-					t.Errorf("%d calls stay in progress", busy)
+					t.Errorf("%d calls in progress afterwards, want only those that the test case started", busy)
 				}
 			})
 		})
 	}
 }
 
-// TestSendUntilDelivered repeats commands until the worker responds, the time is over, or another node may lead.
+// TestSendUntilDelivered checks that commands are repeated until the worker responds, the timeout has passed, or another
+// node may lead.
 func TestSendUntilDelivered(t *testing.T) {
-	const within = 50*attemptPause - attemptPause/2 // ends between two calls
+	const timeout = 50*retryDelay - retryDelay/2 // ends between two calls
 	cases := []struct {
 		name        string
-		respondsAt  int32 // the call that gets a response
+		respondsAt  int32 // number of the first call that gets a response
 		isExclusive func(calls int32) bool
-		want        int32 // calls
-		ended       micros.Micros
+		want        int32         // number of calls
+		lastCall    micros.Micros // latest time of the last call
 	}{
-		{"the first is delivered", 1, func(int32) bool { return true }, 1, 0},
-		{"the third is delivered", 3, func(int32) bool { return true }, 3, 2 * attemptPause},
-		{"none is", 1000, func(int32) bool { return true }, 50, 49 * attemptPause},
-		{"another node may lead after two", 1000, func(calls int32) bool { return calls < 2 }, 2, 2 * attemptPause},
+		{"the first call is delivered", 1, func(int32) bool { return true }, 1, 0},
+		{"the third call is delivered", 3, func(int32) bool { return true }, 3, 2 * retryDelay},
+		{"no call is delivered", 1000, func(int32) bool { return true }, 50, 49 * retryDelay},
+		{"another node may lead after two calls", 1000, func(calls int32) bool { return calls < 2 }, 2, 2 * retryDelay},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -148,28 +149,28 @@
 					return nil
 				})
 				d.isExclusive = func() bool { return c.isExclusive(calls.Load()) }
-				d.SendUntilDelivered(target, []wire.Command{{Verb: wire.VerbStop, TaskID: "j-000001/0"}}, within)
-				(2 * within).Sleep()
+				d.SendUntilDelivered(target, []wire.Command{{Verb: wire.VerbStop, TaskID: "j-000001/0"}}, timeout)
+				(2 * timeout).Sleep()
 				synctest.Wait()
-				if got := calls.Load(); got != c.want || last > c.ended {
-					t.Errorf("%d calls, the last after %v; want %d, within %v", got, last.Duration(), c.want, c.ended.Duration())
+				if got := calls.Load(); got != c.want || last > c.lastCall {
+					t.Errorf("%d calls, the last after %v; want %d, the last after %v at most", got, last.Duration(), c.want, c.lastCall.Duration())
 				}
 			})
 		})
 	}
 }
 
-// TestMaxCalls gives a part of the node's sockets to calls.
+// TestMaxCalls checks that the limit on calls is proportional to the node's sockets, with a minimum.
 func TestMaxCalls(t *testing.T) {
 	for _, c := range []struct{ sockets, want int }{{0, minCalls}, {16 * minCalls, minCalls}, {1600, 100}} {
 		if got := New(nil, fencingToken, nil, c.sockets).MaxCalls(); got != c.want {
-			t.Errorf("%d calls of %d sockets, want %d", got, c.sockets, c.want)
+			t.Errorf("%d calls for %d sockets, want %d", got, c.sockets, c.want)
 		}
 	}
 }
 
-// TestTimeout has a worker hang: a query ends within its timeout, and its call is free again.
-func TestTimeout(t *testing.T) {
+// TestQueryTimeout checks that a query to a worker that does not respond ends after its timeout and frees its call.
+func TestQueryTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(true, func(ctx context.Context, _ *wire.CommandRequest) *wire.Heartbeat {
 			<-ctx.Done()
@@ -178,7 +179,7 @@
 		began := micros.Now()
 		_, err := d.Query(t.Context(), target)
 		if took := micros.Now() - began; err == nil || took != queryTimeout || len(d.inProgress) != 0 {
-			t.Errorf("%v after %v, %d calls in progress; want an error after %v", err, took.Duration(), len(d.inProgress), queryTimeout.Duration())
+			t.Errorf("error %v after %v, %d calls in progress; want an error after %v and no call in progress", err, took.Duration(), len(d.inProgress), queryTimeout.Duration())
 		}
 	})
 }
--- a/internal/leader/liveness/delivery.go
+++ b/internal/leader/liveness/delivery.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	// backoffLostResponses is from how many lost responses in a row on starts are held back. One may get lost.
-	backoffLostResponses = 2
-	// maxBackoffDoublings bounds how often the backoff doubles, which is also never longer than a lease.
+	// minLostResponsesForBackoff is the number of consecutive lost responses from which on starts are delayed. A single
+	// lost response is tolerated.
+	minLostResponsesForBackoff = 2
+	// maxBackoffDoublings limits how often the backoff doubles. The backoff is also never longer than a lease.
 	maxBackoffDoublings = 10
 )
 
-// CheckDelivery compares the tasks that a heartbeat lists, by ID, with what the response before it commanded. A
-// machine whose heartbeats arrive while responses don't reach it looks healthy: given work, it would lose
-// every start until its lease expires.
-func (o *Monitor) CheckDelivery(m *state.Machine, listed map[string]bool, now micros.Micros) {
-	obeyed, missed := false, false
+// CheckDelivery detects lost responses by comparing the task IDs that a heartbeat lists with the commands in the previous
+// response. A machine whose heartbeats arrive but which receives no responses looks healthy: if it were given work, every
+// start would be lost until its lease expires.
+func (mon *Monitor) CheckDelivery(m *state.Machine, listed map[string]bool, now micros.Micros) {
+	executed, notExecuted := false, false
 	for _, c := range m.Delivery.Sent {
 		if listed[c.TaskID] == (c.Verb == wire.VerbStart) {
-			obeyed = true
+			executed = true
 		} else {
-			missed = true
+			notExecuted = true
 		}
 	}
 	m.Delivery.Sent = m.Delivery.Sent[:0]
 	switch {
-	case obeyed:
+	case executed:
 		m.Delivery.LostResponses = 0
-	case missed:
-		o.RecordLostResponse(m, now)
+	case notExecuted:
+		mon.RecordLostResponse(m, now)
 	}
 }
 
-// RecordLostResponse counts a response that did not reach a machine. From the second in a row on, starts wait
-// longer each time. See TerminationReason for what becomes of a machine that no response reaches.
-func (o *Monitor) RecordLostResponse(m *state.Machine, now micros.Micros) {
+// RecordLostResponse counts a response that did not reach a machine. From the second consecutive one on, it delays starts
+// on the machine, for longer each time. TerminationReason decides when a machine that receives no responses is
+// terminated.
+func (mon *Monitor) RecordLostResponse(m *state.Machine, now micros.Micros) {
 	d := &m.Delivery
 	if d.LostResponses == 0 {
 		d.FirstLostAt = now
 	}
 	d.LostResponses++
-	if d.LostResponses >= backoffLostResponses {
-		backoff := min(o.LeaseDuration, micros.Second<<min(d.LostResponses, maxBackoffDoublings))
+	if d.LostResponses >= minLostResponsesForBackoff {
+		backoff := min(mon.LeaseDuration, micros.Second<<min(d.LostResponses, maxBackoffDoublings))
 		m.StartBackoffUntil = max(m.StartBackoffUntil, now+backoff)
 	}
 }
--- a/internal/leader/liveness/liveness.go
+++ b/internal/leader/liveness/liveness.go
@@ -1,8 +1,8 @@
-// Package liveness judges from a machine's heartbeats whether it is there: whether they are late, whether
-// responses reach its worker, when the lease of a silent one has expired, and when it is to be terminated.
+// Package liveness determines the state of machines from their heartbeats: whether a heartbeat is late, whether
+// responses reach the worker, when the lease of a silent machine has expired, and when a machine should be terminated.
 //
-// It owns the limits of silence and the counts of lost responses. It must never release a task or terminate a
-// machine: it judges, and the leader acts. Its methods are called with the leader's lock held.
+// The package defines the limits of silence and counts lost responses. It must never release a task or terminate a
+// machine itself: that is left to the leader, which calls its methods with the leader's lock held.
 package liveness
 
 import (
@@ -12,72 +12,72 @@
 	"caperlatch/internal/micros"
 )
 
-// Config is what a monitor works with. The functions are called with the lock held.
+// Config holds the parameters and dependencies of a Monitor. Its functions are called with the leader's lock held.
 type Config struct {
 	TermStartedAt micros.Micros
-	// HeartbeatInterval is the workers' usual time between heartbeats.
+	// HeartbeatInterval is the usual time between a worker's heartbeats.
 	HeartbeatInterval micros.Micros
-	LeaseDuration     micros.Micros // of workers
-	// LeaseRenewalWindow is for how long after its last proof of leadership a node may respond.
+	LeaseDuration     micros.Micros // duration of a worker's lease
+	// LeaseRenewalWindow is how long after its last proof of leadership a node may respond to heartbeats.
 	LeaseRenewalWindow micros.Micros
-	// CancellationTimeout is how soon a cancelled job's tasks must have left all machines.
+	// CancellationTimeout is the time within which a cancelled job's tasks must have left all machines.
 	CancellationTimeout micros.Micros
-	// EarlierTermsFencedSince is since when nobody responds with a lower fencing token, 0 if that is not known.
+	// EarlierTermsFencedSince returns the time since when no node responds with a lower fencing token, 0 if unknown.
 	EarlierTermsFencedSince func() micros.Micros
-	// RetainsSilentMachines reports whether silent machines of a zone are kept for as long as their leases last, and as
-	// long again: where many are silent at once, the network is more likely at fault than they are.
+	// RetainsSilentMachines reports whether silent machines of a zone are kept until their leases have expired and for
+	// another lease duration after that: when many machines are silent at once, a network fault is more likely than
+	// faults of the machines.
 	RetainsSilentMachines func(zone string) bool
 	Fleet                 *fleet.Fleet
 	Queries               *taskquery.Queries
 }
 
-// Monitor judges the machines of a fleet for one term.
+// Monitor determines the liveness of the machines of a fleet for one term.
 type Monitor struct {
 	Config
-	unknownCount int // machines whose tasks are not known, as of the last CountUnknown
+	unknownCount int // number of machines whose tasks are not known, as of the last CountUnknown
 }
 
-// New makes a monitor.
+// New returns a monitor with the configuration c.
 func New(c Config) *Monitor { return &Monitor{Config: c} }
 
-// CountUnknown counts the machines whose tasks are not known, which the limits of silence depend on.
-func (o *Monitor) CountUnknown() { o.unknownCount = o.Fleet.CountWithUnknownTasks() }
+// CountUnknown updates the count of machines whose tasks are not known, on which the limits of silence depend.
+func (mon *Monitor) CountUnknown() { mon.unknownCount = mon.Fleet.CountWithUnknownTasks() }
 
-// Silence is for how long a machine has sent no heartbeat in this term.
-func (o *Monitor) Silence(m *state.Machine, now micros.Micros) micros.Micros {
-	return m.Silence(o.TermStartedAt, now)
+// Silence returns how long a machine has sent no heartbeat in this term.
+func (mon *Monitor) Silence(m *state.Machine, now micros.Micros) micros.Micros {
+	return m.Silence(mon.TermStartedAt, now)
 }
 
 // IsHeartbeatLate reports whether a machine's heartbeat is overdue.
-func (o *Monitor) IsHeartbeatLate(m *state.Machine, now micros.Micros) bool {
-	return o.Silence(m, now) > state.HeartbeatTimeout(o.HeartbeatInterval)
+func (mon *Monitor) IsHeartbeatLate(m *state.Machine, now micros.Micros) bool {
+	return mon.Silence(m, now) > state.HeartbeatTimeout(mon.HeartbeatInterval)
 }
 
-// leaseMargin is kept free beside the drift of clocks.
+// leaseMargin is the safety margin that is added to the maximum clock drift when lease expiries are computed.
 const leaseMargin = micros.Second
 
-// LeaseExpiry is when a silent machine has ended its tasks for certain.
-func (o *Monitor) LeaseExpiry(m *state.Machine) micros.Micros {
+// LeaseExpiry returns the time at which a silent machine is certain to have ended its tasks.
+func (mon *Monitor) LeaseExpiry(m *state.Machine) micros.Micros {
 	if m.TasksKnown() {
-		return m.Lease.RenewedAt + o.LeaseDuration + micros.MaxClockDrift(o.LeaseDuration) + leaseMargin
+		return m.Lease.RenewedAt + mon.LeaseDuration + micros.MaxClockDrift(mon.LeaseDuration) + leaseMargin
 	}
-	// Another node may have renewed the lease until LeaseRenewalWindow after its last proof of
-	// leadership, which was before this term started, unless all are known to have seen this term's
-	// fencing token sooner.
-	lastRenewal := o.TermStartedAt + o.LeaseRenewalWindow
-	if fenced := o.EarlierTermsFencedSince(); fenced != 0 {
+	// An earlier leader may have renewed the lease until LeaseRenewalWindow after its last proof of leadership, which was
+	// before this term started, unless all nodes are known to have seen this term's fencing token sooner.
+	lastRenewal := mon.TermStartedAt + mon.LeaseRenewalWindow
+	if fenced := mon.EarlierTermsFencedSince(); fenced != 0 {
 		lastRenewal = min(lastRenewal, fenced)
 	}
-	return max(lastRenewal, m.Lease.RenewedAt) + o.LeaseDuration + micros.MaxClockDrift(o.CancellationTimeout) + leaseMargin
+	return max(lastRenewal, m.Lease.RenewedAt) + mon.LeaseDuration + micros.MaxClockDrift(mon.CancellationTimeout) + leaseMargin
 }
 
-// HasLeaseExpired reports whether a machine's lease has expired.
-func (o *Monitor) HasLeaseExpired(m *state.Machine, now micros.Micros) bool {
-	return now > o.LeaseExpiry(m)
+// HasLeaseExpired reports whether a machine's lease has expired, so that its tasks have ended.
+func (mon *Monitor) HasLeaseExpired(m *state.Machine, now micros.Micros) bool {
+	return now > mon.LeaseExpiry(m)
 }
 
-// RecordLeaseExpiry notes since when the lease of a running machine has expired, or that it has not.
-func (o *Monitor) RecordLeaseExpiry(m *state.Machine, expired bool, now micros.Micros) {
+// RecordLeaseExpiry records since when the lease of a running machine has been expired, or that it is not expired.
+func (mon *Monitor) RecordLeaseExpiry(m *state.Machine, expired bool, now micros.Micros) {
 	if !expired || !m.Instance.Running {
 		m.Lease.ExpiredSince = 0
 	} else if m.Lease.ExpiredSince == 0 {
--- a/internal/leader/liveness/liveness_test.go
+++ b/internal/leader/liveness/liveness_test.go
@@ -15,8 +15,8 @@
 
 const termStart = 1000 * micros.Second
 
-// newTestMonitor makes a monitor of a fleet without machines. Earlier terms have been fenced since an instant, 0 if
-// that is not known.
+// newTestMonitor returns a monitor of a fleet without machines. Earlier terms have been fenced since fencedSince, 0 if
+// unknown.
 func newTestMonitor(fencedSince micros.Micros) *Monitor {
 	return New(Config{
 		TermStartedAt:           termStart,
@@ -31,47 +31,47 @@
 	})
 }
 
-// TestLeaseExpiry checks when a silent machine's tasks have ended for certain.
+// TestLeaseExpiry checks the time at which a silent machine's tasks are certain to have ended.
 func TestLeaseExpiry(t *testing.T) {
 	w := testWorkers
 	cases := []struct {
 		name                 string
 		knowledge            state.TaskKnowledge
 		fencedSince, renewed micros.Micros
-		after, notAfter      micros.Micros // since the term began
+		after, notAfter      micros.Micros // bounds of the expiry, relative to the start of the term
 	}{
-		{"an earlier leader may renew it", state.TasksUnknown, 0, 0, w.LeaseRenewalWindow() + w.LeaseDuration(), w.CancellationTimeout()},
-		{"all peers know of this term", state.TasksUnknown, termStart + micros.Second, 0, w.LeaseDuration() + micros.Second, w.LeaseDuration() + 3*micros.Second},
+		{"an earlier leader may renew the lease", state.TasksUnknown, 0, 0, w.LeaseRenewalWindow() + w.LeaseDuration(), w.CancellationTimeout()},
+		{"all peers know this term", state.TasksUnknown, termStart + micros.Second, 0, w.LeaseDuration() + micros.Second, w.LeaseDuration() + 3*micros.Second},
 		{"renewed in this term", state.TasksConfirmed, 0, termStart + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
-		{"renewed, and its tasks unknown", state.TasksUnknown, termStart + micros.Second, termStart + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
+		{"renewed in this term, with unknown tasks", state.TasksUnknown, termStart + micros.Second, termStart + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m := &state.Machine{Lease: state.LeaseState{RenewedAt: c.renewed}, Reconciliation: state.ReconciliationState{Knowledge: c.knowledge}}
-			o := newTestMonitor(c.fencedSince)
-			expiry := o.LeaseExpiry(m)
+			mon := newTestMonitor(c.fencedSince)
+			expiry := mon.LeaseExpiry(m)
 			if got := expiry - termStart; got <= c.after || got > c.notAfter {
-				t.Errorf("expires after %v s, want within (%v, %v]", got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
+				t.Errorf("lease expires %v s after the start of the term, want a time in (%v, %v]", got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
 			}
-			if o.HasLeaseExpired(m, expiry) || !o.HasLeaseExpired(m, expiry+1) {
-				t.Error("it must count as expired after its expiry, and not before")
+			if mon.HasLeaseExpired(m, expiry) || !mon.HasLeaseExpired(m, expiry+1) {
+				t.Error("HasLeaseExpired must be false at the expiry and true after it")
 			}
 		})
 	}
 }
 
-// TestRecordLease notes since when a lease has expired.
-func TestRecordLease(t *testing.T) {
+// TestRecordLeaseExpiry checks since when a lease is recorded as expired.
+func TestRecordLeaseExpiry(t *testing.T) {
 	cases := []struct {
 		name             string
 		running, expired bool
-		before, want     micros.Micros // ExpiredSince
+		before, want     micros.Micros // values of ExpiredSince
 	}{
 		{"not expired", true, false, 0, 0},
 		{"expired", true, true, 0, 50},
-		{"expired before", true, true, 40, 40},
+		{"expired since earlier", true, true, 40, 40},
 		{"renewed", true, false, 40, 0},
-		{"of a machine that has not come up", false, true, 0, 0},
+		{"expired, of a machine that has not booted", false, true, 0, 0},
 	}
 	for _, c := range cases {
 		m := &state.Machine{Instance: state.InstanceState{Running: c.running}, Lease: state.LeaseState{ExpiredSince: c.before}}
@@ -82,44 +82,44 @@
 	}
 }
 
-// TestIsHeartbeatLate counts silence from the latest heartbeat, or from the start of the term.
+// TestIsHeartbeatLate checks that silence counts from the latest heartbeat, or from the start of the term.
 func TestIsHeartbeatLate(t *testing.T) {
 	cases := []struct {
 		name     string
 		received micros.Micros
-		silent   micros.Micros // since then
+		silent   micros.Micros // time since then
 		want     bool
 	}{
-		{"within the usual delay", termStart + 10*micros.Second, 3500 * micros.Millisecond, false},
-		{"beyond it", termStart + 10*micros.Second, 3501 * micros.Millisecond, true},
-		{"none in this term, which has just begun", 0, termStart + 3500*micros.Millisecond, false},
-		{"none in this term", 0, termStart + 3501*micros.Millisecond, true},
+		{"within the timeout", termStart + 10*micros.Second, 3500 * micros.Millisecond, false},
+		{"beyond the timeout", termStart + 10*micros.Second, 3501 * micros.Millisecond, true},
+		{"no heartbeat in this term, within the timeout", 0, termStart + 3500*micros.Millisecond, false},
+		{"no heartbeat in this term, beyond the timeout", 0, termStart + 3501*micros.Millisecond, true},
 	}
 	for _, c := range cases {
 		m := &state.Machine{Heartbeat: state.HeartbeatState{ReceivedAt: c.received}}
 		if got := newTestMonitor(0).IsHeartbeatLate(m, c.received+c.silent); got != c.want {
-			t.Errorf("%s: %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: late is %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// TestCheckDelivery compares heartbeats with the commands of the responses before them.
+// TestCheckDelivery checks which heartbeats show that the previous response was lost.
 func TestCheckDelivery(t *testing.T) {
-	start := wire.Command{Verb: wire.VerbStart, TaskID: "j-000001/0"}
-	clearing := wire.Command{Verb: wire.VerbClear, TaskID: "j-000001/1"}
+	startCommand := wire.Command{Verb: wire.VerbStart, TaskID: "j-000001/0"}
+	clearCommand := wire.Command{Verb: wire.VerbClear, TaskID: "j-000001/1"}
 	cases := []struct {
 		name   string
 		sent   []wire.Command
 		listed []string
-		before int // lost responses in a row
+		before int // consecutive lost responses
 		want   int
 	}{
 		{"no commands", nil, nil, 2, 2},
-		{"a start that shows", []wire.Command{start}, []string{"j-000001/0"}, 2, 0},
-		{"a start that does not", []wire.Command{start}, nil, 2, 3},
-		{"a clear that was obeyed", []wire.Command{clearing}, nil, 2, 0},
-		{"a clear that was not", []wire.Command{clearing}, []string{"j-000001/1"}, 0, 1},
-		{"one of two was obeyed", []wire.Command{start, clearing}, []string{"j-000001/0", "j-000001/1"}, 1, 0},
+		{"the started task is listed", []wire.Command{startCommand}, []string{"j-000001/0"}, 2, 0},
+		{"the started task is not listed", []wire.Command{startCommand}, nil, 2, 3},
+		{"the cleared task is not listed", []wire.Command{clearCommand}, nil, 2, 0},
+		{"the cleared task is still listed", []wire.Command{clearCommand}, []string{"j-000001/1"}, 0, 1},
+		{"one of two commands was executed", []wire.Command{startCommand, clearCommand}, []string{"j-000001/0", "j-000001/1"}, 1, 0},
 	}
 	for _, c := range cases {
 		m := &state.Machine{Delivery: state.DeliveryState{Sent: c.sent, LostResponses: c.before}}
@@ -129,39 +129,40 @@
 		}
 		newTestMonitor(0).CheckDelivery(m, listed, termStart)
 		if got := m.Delivery.LostResponses; got != c.want || len(m.Delivery.Sent) != 0 {
-			t.Errorf("%s: %d lost responses in a row, %d commands kept; want %d, none", c.name, got, len(m.Delivery.Sent), c.want)
+			t.Errorf("%s: %d consecutive lost responses, %d commands kept; want %d lost responses, no commands", c.name, got, len(m.Delivery.Sent), c.want)
 		}
 	}
 }
 
-// TestLostResponseBackoff holds starts back for longer with each response that is lost, and for a lease at most.
+// TestLostResponseBackoff checks that starts are delayed for longer with each consecutive lost response, and for one
+// lease duration at most.
 func TestLostResponseBackoff(t *testing.T) {
-	o, m := newTestMonitor(0), &state.Machine{}
+	mon, m := newTestMonitor(0), &state.Machine{}
 	for i, want := range []micros.Micros{0, 4, 8, 16, 16} {
 		now := termStart + micros.Micros(i)*micros.Second
-		o.RecordLostResponse(m, now)
+		mon.RecordLostResponse(m, now)
 		if want != 0 {
 			want = now + want*micros.Second
 		}
 		if m.StartBackoffUntil != want || m.Delivery.FirstLostAt != termStart {
-			t.Errorf("after %d: no starts until %v, losing since %v; want %v, %v", i+1, m.StartBackoffUntil, m.Delivery.FirstLostAt, want, termStart)
+			t.Errorf("after %d lost responses: starts delayed until %v, first lost at %v; want %v, %v", i+1, m.StartBackoffUntil, m.Delivery.FirstLostAt, want, termStart)
 		}
 	}
 }
 
-// TestIgnoresStop finds machines that do not stop tasks of jobs that have ended.
+// TestIgnoresStop checks that machines which do not stop the tasks of ended jobs are detected.
 func TestIgnoresStop(t *testing.T) {
 	limit := (testWorkers.CancellationTimeout() - testWorkers.LeaseDuration()) / 2
 	cases := []struct {
 		name    string
 		ended   bool
-		stopped micros.Micros // since its stop was first requested, 0 if it was not
+		stopped micros.Micros // time since the stop was first requested, 0 if it was not
 		want    bool
 	}{
-		{"not stopped", true, 0, false},
-		{"stopped lately", true, limit, false},
-		{"stopped long ago", true, limit + 1, true},
-		{"stopped long ago, of a job that goes on", false, limit + 1, false},
+		{"no stop requested", true, 0, false},
+		{"stop requested within the limit", true, limit, false},
+		{"stop requested longer ago than the limit", true, limit + 1, true},
+		{"stop requested longer ago than the limit, of a job that has not ended", false, limit + 1, false},
 	}
 	for _, c := range cases {
 		m := &state.Machine{Attempts: map[string]*state.Attempt{}}
@@ -171,7 +172,7 @@
 			a.StopRequestedAt, m.StoppingCount = termStart, 1
 		}
 		if got := newTestMonitor(0).IgnoresStop(m, termStart+c.stopped); got != c.want {
-			t.Errorf("%s: %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: IgnoresStop is %t, want %t", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -7,88 +7,91 @@
 
 // Limits of silence.
 const (
-	// UnresponsiveLimit is for a machine that twice gave no response to a query for its tasks.
+	// UnresponsiveLimit is the limit for a machine that did not respond to minFailedQueries queries for its tasks.
 	UnresponsiveLimit = 4 * micros.Second
-	// minFailedQueries is after how many queries in vain a machine counts as unresponsive.
+	// minFailedQueries is the number of failed queries after which a machine counts as unresponsive.
 	minFailedQueries = 2
-	// heartbeatMargin is allowed beside the timeout of a live worker's heartbeat, and nodeChangeTime where the
-	// worker may have to give a node up before (4 s, and a pause of 1 s).
+	// heartbeatMargin is added to the heartbeat timeout of a live worker.
 	heartbeatMargin = micros.Second
-	nodeChangeTime  = 5 * micros.Second
-	// Parts of the fleet whose tasks are unknown: one in mostDivisor at most is little enough for
-	// UnresponsiveLimit, one in fewDivisor for no allowance of nodeChangeTime.
-	mostDivisor = 10
-	fewDivisor  = 50
+	// nodeFailoverTime is added if the worker may first have to give up another node: a timeout of 4 s and a pause of
+	// 1 s.
+	nodeFailoverTime = 5 * micros.Second
+	// UnresponsiveLimit applies while the tasks of at most one machine in unresponsiveLimitDivisor are unknown.
+	unresponsiveLimitDivisor = 10
+	// nodeFailoverTime is not added while the tasks of at most one machine in noFailoverTimeDivisor are unknown.
+	noFailoverTimeDivisor = 50
 
-	missedHeartbeats = 3                  // that a machine with known tasks may miss
-	silenceMargin    = 4 * micros.Second  // beside them
-	maxSilence       = 20 * micros.Second // of such a machine, unless missedHeartbeats take longer
-	// minMissingLists is from how many of the cloud's lists in a row a machine is missing that seems to be
-	// taken back.
-	minMissingLists = 2
+	allowedMissedHeartbeats = 3                  // heartbeats that a machine with known tasks may miss
+	silenceMargin           = 4 * micros.Second  // added to the time of these heartbeats
+	maxSilence              = 20 * micros.Second // limit for such a machine, unless allowedMissedHeartbeats take longer
+	// minMissedLists is the number of consecutive lists from the cloud that must lack a machine for it to count as
+	// reclaimed.
+	minMissedLists = 2
 )
 
-// silenceLimit is how long a machine may be silent before it is terminated, which proves that its tasks have ended and
-// stops its cost.
-func (o *Monitor) silenceLimit(m *state.Machine) micros.Micros {
+// silenceLimit returns how long a machine may be silent before it is terminated. Termination proves that its tasks have
+// ended, and stops its cost.
+func (mon *Monitor) silenceLimit(m *state.Machine) micros.Micros {
 	if m.TasksKnown() {
-		return max(missedHeartbeats*o.HeartbeatInterval+silenceMargin, min(o.LeaseDuration, maxSilence))
+		return max(allowedMissedHeartbeats*mon.HeartbeatInterval+silenceMargin, min(mon.LeaseDuration, maxSilence))
 	}
-	// Jobs of earlier terms wait for these, so a machine or two is the smaller loss. A live worker sends a
-	// heartbeat within five quarters of the usual time; it may have to give a node up before.
-	late := state.HeartbeatTimeout(o.HeartbeatInterval) + heartbeatMargin
+	// Jobs of earlier terms wait for machines whose tasks are unknown, so terminating one or two live machines is the
+	// smaller loss. A live worker sends a heartbeat within five quarters of the usual interval, but it may first have to
+	// give up another node.
+	lateLimit := state.HeartbeatTimeout(mon.HeartbeatInterval) + heartbeatMargin
 	unresponsive := m.Reconciliation.FailedQueries >= minFailedQueries
-	fleetSize := len(o.Fleet.Sorted)
-	if unresponsive && o.Queries.MostOfZoneRespond(m.Offering.Zone) && mostDivisor*o.unknownCount <= fleetSize {
-		return min(late, UnresponsiveLimit)
+	fleetSize := len(mon.Fleet.Sorted)
+	if unresponsive && mon.Queries.MostOfZoneRespond(m.Offering.Zone) && unresponsiveLimitDivisor*mon.unknownCount <= fleetSize {
+		return min(lateLimit, UnresponsiveLimit)
 	}
-	if fewDivisor*o.unknownCount <= fleetSize || unresponsive && o.Queries.MostRespond() {
-		return late
+	if noFailoverTimeDivisor*mon.unknownCount <= fleetSize || unresponsive && mon.Queries.MostRespond() {
+		return lateLimit
 	}
-	return late + nodeChangeTime
+	return lateLimit + nodeFailoverTime
 }
 
-// seemsReclaimed reports whether the cloud seems to have taken a machine back without a notice: it is
-// silent, and was listed before and is so no longer. That proves nothing, as lists lag; but it is a reason to
-// terminate it now, which does.
-func (o *Monitor) seemsReclaimed(m *state.Machine, now micros.Micros) bool {
-	return m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissingLists && o.IsHeartbeatLate(m, now)
+// seemsReclaimed reports whether the cloud has probably reclaimed a machine without an interruption notice: its heartbeat
+// is late, and the cloud's list no longer contains it. This does not prove that its tasks have ended, because lists lag
+// behind, but it justifies terminating the machine now, which does prove it.
+func (mon *Monitor) seemsReclaimed(m *state.Machine, now micros.Micros) bool {
+	return m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissedLists && mon.IsHeartbeatLate(m, now)
 }
 
-// TerminationReason is why a machine should be terminated as it is silent, gets no response or does not come
-// up; empty if it should not. Where many are silent at once the network is more likely at fault than they
-// are: they are kept as long as their leases last, and as long again.
-func (o *Monitor) TerminationReason(m *state.Machine, leaseExpired bool, now micros.Micros) string {
-	kept := func() bool { return o.RetainsSilentMachines(m.Offering.Zone) }
+// TerminationReason returns why a machine should be terminated: because it is silent, receives no responses or does not
+// boot. It returns an empty string if the machine should not be terminated. When many machines of a zone are silent at
+// once, a network fault is more likely than faults of the machines, so silent machines are kept until their leases have
+// expired and for another lease duration after that.
+func (mon *Monitor) TerminationReason(m *state.Machine, leaseExpired bool, now micros.Micros) string {
+	retained := func() bool { return mon.RetainsSilentMachines(m.Offering.Zone) }
 	i := &m.Instance
 	switch {
-	case i.Running && o.Silence(m, now) > o.silenceLimit(m) && (!kept() || m.Lease.ExpiredSince != 0 && now-m.Lease.ExpiredSince > o.LeaseDuration):
+	case i.Running && mon.Silence(m, now) > mon.silenceLimit(m) && (!retained() || m.Lease.ExpiredSince != 0 && now-m.Lease.ExpiredSince > mon.LeaseDuration):
 		return "silent"
-	case i.Running && o.seemsReclaimed(m, now):
+	case i.Running && mon.seemsReclaimed(m, now):
 		return "silent and no longer listed"
-	case m.LosesResponses() && now-m.Delivery.FirstLostAt > o.silenceLimit(m) && (!kept() || leaseExpired):
+	case m.LosesResponses() && now-m.Delivery.FirstLostAt > mon.silenceLimit(m) && (!retained() || leaseExpired):
 		return "it hears nothing"
-	case o.isStuckInBoot(m, now):
-		o.Fleet.RecordStuckBoot()
+	case mon.isStuckInBoot(m, now):
+		mon.Fleet.RecordStuckBoot()
 		return "did not boot"
 	}
 	return ""
 }
 
-// isStuckInBoot reports whether a machine has not come up in time. A new leader waits for its heartbeat for a
-// while.
-func (o *Monitor) isStuckInBoot(m *state.Machine, now micros.Micros) bool {
+// isStuckInBoot reports whether a machine has not booted in time. A new leader first waits two heartbeat intervals for
+// the machine's heartbeat.
+func (mon *Monitor) isStuckInBoot(m *state.Machine, now micros.Micros) bool {
 	i := &m.Instance
-	return !i.Running && i.FirstHeartbeatAt == 0 && now-i.LaunchedAt > o.Fleet.BootTimeout(m) && now-o.TermStartedAt > 2*o.HeartbeatInterval
+	return !i.Running && i.FirstHeartbeatAt == 0 && now-i.LaunchedAt > mon.Fleet.BootTimeout(m) && now-mon.TermStartedAt > 2*mon.HeartbeatInterval
 }
 
-// IgnoresStop reports whether a machine has not stopped a task of a job that has ended. It is terminated well
-// before the task must have ended.
-func (o *Monitor) IgnoresStop(m *state.Machine, now micros.Micros) bool {
+// IgnoresStop reports whether a machine has not stopped a task of an ended job in time. The time limit is well below
+// CancellationTimeout, so that the machine can be terminated before the task must have ended.
+func (mon *Monitor) IgnoresStop(m *state.Machine, now micros.Micros) bool {
 	if m.StoppingCount == 0 {
 		return false
 	}
-	limit := (o.CancellationTimeout - o.LeaseDuration) / 2
+	limit := (mon.CancellationTimeout - mon.LeaseDuration) / 2
 	for _, a := range m.Attempts {
 		if a.StopRequestedAt != 0 && a.Job.Ended && now-a.StopRequestedAt > limit {
 			return true
