--- a/internal/leader/quarantine/quarantine.go
+++ b/internal/leader/quarantine/quarantine.go
@@ -1,16 +1,17 @@
-// Package quarantine decides whether failed tasks speak against their machine or against their job, and puts
-// the one at fault into quarantine: a machine is drained, and a job is tried seldom and a few tasks at a time.
+// Package quarantine decides whether task failures are caused by the machine or by the job, and quarantines the cause.
+// A quarantined machine is drained. A quarantined job is probed: only a few of its tasks are started at a time, with a
+// growing backoff between probes.
 //
-// It owns the evidence in state.Machine.Quarantine and state.Job.Failures, but for what the heartbeats count
-// there, and what is stored of it for the next leader. Only a task that exited with an error is evidence: one
-// that was lost, stopped or refused must never be recorded as failed here. Nothing here proves that a task
-// has ended.
+// The package maintains the evidence in state.Machine.Quarantine and state.Job.Failures, except for the counts that are
+// taken from heartbeats, and the part of it that is stored for the next leader. Only a task that exited with an error
+// is evidence: a task that was lost, stopped or refused must never be recorded as failed here. Nothing in this package
+// proves that a task has ended.
 //
-// A task fails because its machine is faulty or because its job was submitted with a mistake, and then it
-// fails on every machine. So a job of which any task has ever succeeded is good, and a machine on which a
-// task succeeded that started after a failure was not at fault for that failure.
+// A task fails either because its machine is faulty, or because its job was submitted with a mistake and fails on every
+// machine. A job of which any task has ever succeeded is therefore good. A machine on which a task started after a
+// failure and succeeded was not the cause of that failure.
 //
-// Its methods are called with the leader's lock held.
+// The package's methods are called with the leader's lock held.
 package quarantine
 
 import (
@@ -23,84 +24,85 @@
 	"caperlatch/internal/micros"
 )
 
-// DrainReason is why a machine in quarantine is drained. It is shown to operators.
+// DrainReason is the drain reason of a quarantined machine. It is shown to operators.
 const DrainReason = "tasks fail on it"
 
-// stopReason is why tasks are stopped on a machine in quarantine. It is shown to users.
+// stopReason is the reason for stopping tasks on a quarantined machine. It is shown to users.
 const stopReason = "its machine is faulty"
 
-// Why the starts of a job are put off. The reasons are shown to users.
+// Reasons for delaying the starts of a job. They are shown to users.
 const (
 	probeBackoffReason       = "put off: its tasks fail"
 	soleMachineBackoffReason = "its tasks failed on the only machine tried"
 )
 
-// How much evidence a quarantine takes.
+// Evidence required for a quarantine.
 const (
-	// minGoodJobFailures is how many failures of good jobs since its last success show a machine to be
-	// faulty.
+	// minGoodJobFailures is the number of failures of good jobs, since the last success on a machine, that show the
+	// machine to be faulty.
 	minGoodJobFailures = 2
-	// minSuspectJobs is how many jobs, not known to be good, must have failed on a machine and on no
-	// other, since its last success. A few in a hundred jobs have a mistake: that three different ones
-	// in a row meet on one machine is rarer than a faulty machine.
+	// minSuspectJobs is the number of jobs, not known to be good, that must have failed on a machine and on no other
+	// since the last success on the machine. A few in a hundred jobs have a mistake, so three different such jobs in a
+	// row on one machine are less likely than a faulty machine.
 	minSuspectJobs = 3
-	// minJobMachines is on how many machines a job must have failed of which nothing succeeded.
+	// minJobMachines is the number of machines on which a job must have failed before it is quarantined, if none of its
+	// tasks has succeeded.
 	minJobMachines = 3
-	// maxSoleMachineTries is how often a job is tried on one machine, when there is no other to show
-	// which of them is at fault, until the machine is replaced.
+	// maxSoleMachineTries is the number of tries of a job on a machine after which the machine is replaced, if there is
+	// no other machine to show whether the job or the machine is at fault.
 	maxSoleMachineTries = 5
 )
 
-// Pauses after failures.
+// Backoffs after failures.
 const (
-	// The pause between probes of a quarantined job doubles from firstProbeBackoff on.
-	firstProbeBackoff        = 2 * micros.Second
+	// The backoff between probes of a quarantined job starts at initialProbeBackoff and doubles with each probe.
+	initialProbeBackoff      = 2 * micros.Second
 	maxProbeBackoff          = 60 * micros.Second
 	maxProbeBackoffDoublings = 10
-	// So does that between tries of a job on the only machine.
-	firstSoleMachineBackoff        = micros.Second
+	// The backoff between tries of a job on the only machine also doubles with each try.
+	initialSoleMachineBackoff      = micros.Second
 	maxSoleMachineBackoffDoublings = 4
-	// machineBackoff is for how long a machine gets no starts, for each failure of a good job.
+	// machineBackoff is how long a machine gets no starts, per failure of a good job.
 	machineBackoff = micros.Second
-	// suspectBackoff is the same for each suspect job, up to maxSuspectBackoffs of them.
+	// suspectBackoff is how long a machine gets no starts, per suspect job. At most maxSuspectBackoffs jobs count.
 	suspectBackoff     = micros.Second / 2
 	maxSuspectBackoffs = 3
 )
 
-// maxRecorded bounds how many quarantined jobs the record for the next leader names.
-const maxRecorded = 50
+// maxSnapshotJobs limits the number of quarantined jobs in a snapshot.
+const maxSnapshotJobs = 50
 
-// Demand is the part of the autoscaler that counts a job's work as demand for machines.
+// Demand is the part of the autoscaler that counts jobs as demand for machines.
 type Demand interface {
 	RemoveDemand(j *state.Job, now micros.Micros)
 	RestoreDemand(j *state.Job, now micros.Micros)
 }
 
-// Config is what a quarantine works with. The functions are called with the lock held.
+// Config holds the dependencies of a Quarantine. Its functions are called with the leader's lock held.
 type Config struct {
 	Fleet *fleet.Fleet
-	// Jobs are the jobs that have not ended, by ID; the leader keeps them.
+	// Jobs are the jobs that have not ended, by ID. The leader maintains the map.
 	Jobs map[string]*state.Job
-	// Demand is that of jobs: a quarantined job has none, as machines are no help to it.
+	// Demand counts the demand of jobs. A quarantined job has none, because more machines would not help it.
 	Demand Demand
-	// StopTask stops a task, which may save a checkpoint within the grace period.
+	// StopTask stops a task, with a grace period for saving a checkpoint.
 	StopTask func(a *state.Attempt, grace micros.Micros, reason string)
-	// EvictGangTask has a gang's task leave its machine.
+	// EvictGangTask removes a gang's task from its machine, with a grace period for saving a checkpoint.
 	EvictGangTask func(a *state.Attempt, grace micros.Micros, reason string, now micros.Micros)
-	// OnChange is called when jobs may start tasks that could not before.
+	// OnChange is called when jobs may have become able to start tasks.
 	OnChange func()
 }
 
-// Quarantine attributes the failures of one term.
+// Quarantine attributes the task failures of one term to machines or jobs.
 type Quarantine struct {
 	Config
 }
 
-// New makes a quarantine without evidence.
+// New returns a quarantine without evidence.
 func New(c Config) *Quarantine { return &Quarantine{Config: c} }
 
-// RecordSuccess notes that a task of a job has succeeded on a machine, after the job counted it. The attempt
-// is nil if this term does not know it.
+// RecordSuccess records that a task of a job has succeeded on a machine. It is called after the job has counted the
+// success. The attempt is nil if it is not known in this term.
 func (q *Quarantine) RecordSuccess(m *state.Machine, j *state.Job, a *state.Attempt, now micros.Micros) {
 	m.Quarantine.Failures = 0
 	clear(m.Quarantine.SuspectJobs)
@@ -110,7 +112,7 @@
 	if j.DoneCount != 1 || len(j.Failures.ByMachine) == 0 {
 		return
 	}
-	// So the job is good: its failures speak against the machines.
+	// This is the first success of the job, so the job is good and its failures count against the machines.
 	if j.Failures.Quarantined {
 		slog.Info("job released from quarantine", "job", j.Spec.ID)
 		q.Demand.RestoreDemand(j, now)
@@ -128,7 +130,7 @@
 	q.OnChange()
 }
 
-// AttributeFailure decides whether the failure of a task speaks against its machine or its job.
+// AttributeFailure decides whether the failure of a task counts against its machine or its job.
 func (q *Quarantine) AttributeFailure(m *state.Machine, j *state.Job, now micros.Micros) {
 	if j.HasSucceeded() {
 		m.Quarantine.Failures++
@@ -142,16 +144,16 @@
 	}
 	j.Failures.ByMachine[m.ID] = now
 	if j.Failures.Quarantined {
-		// What fails everywhere is no evidence against its machines; it is tried ever more seldom. Tasks
-		// that failed at the same time are one probe.
+		// A job that fails everywhere is no evidence against its machines. It is probed with a growing backoff. Tasks
+		// that fail at the same time count as one probe.
 		if now >= j.BackoffUntil {
 			j.Failures.BackoffRounds++
 			deferProbe(j, now)
 		}
 		return
 	}
-	// It is not known yet which is at fault: the job is tried on other machines, and the machine with other
-	// jobs. If there is no other machine, both wait a little longer each time.
+	// It is not known yet whether the job or the machine is at fault: the job is tried on other machines, and the
+	// machine with other jobs. If there is no other machine, the backoffs of both grow with each failure.
 	deferStarts(m, now+micros.Micros(min(maxSuspectBackoffs, len(m.Quarantine.SuspectJobs)))*suspectBackoff)
 	if len(j.Failures.ByMachine) == 1 && now >= j.BackoffUntil {
 		deferSoleMachineTry(j, now)
@@ -159,48 +161,48 @@
 	q.evaluateMachine(m, now)
 }
 
-// deferStarts has a machine get no starts until then, or later.
+// deferStarts delays starts on a machine until the given time, unless they are already delayed for longer.
 func deferStarts(m *state.Machine, until micros.Micros) {
 	m.StartBackoffUntil = max(m.StartBackoffUntil, until)
 }
 
-// deferProbe has a quarantined job wait for its next probe, the longer the more there were.
+// deferProbe delays the next probe of a quarantined job. The backoff grows with the number of earlier probes.
 func deferProbe(j *state.Job, now micros.Micros) {
-	j.BackoffUntil = now + min(maxProbeBackoff, firstProbeBackoff<<min(j.Failures.BackoffRounds, maxProbeBackoffDoublings))
+	j.BackoffUntil = now + min(maxProbeBackoff, initialProbeBackoff<<min(j.Failures.BackoffRounds, maxProbeBackoffDoublings))
 	j.BackoffReason = probeBackoffReason
 }
 
-// deferSoleMachineTry counts a try on the only machine on which a job failed, and has the job wait after any
-// but the first.
+// deferSoleMachineTry counts a try of a job on the only machine on which it has failed, and delays the next try after
+// every try but the first.
 func deferSoleMachineTry(j *state.Job, now micros.Micros) {
 	j.Failures.SoleMachineTries++
 	if j.Failures.SoleMachineTries == 1 {
 		return
 	}
 	j.Failures.BackoffRounds++
-	j.BackoffUntil = now + firstSoleMachineBackoff<<min(j.Failures.BackoffRounds, maxSoleMachineBackoffDoublings)
+	j.BackoffUntil = now + initialSoleMachineBackoff<<min(j.Failures.BackoffRounds, maxSoleMachineBackoffDoublings)
 	j.BackoffReason = soleMachineBackoffReason
 }
 
-// clearBackoff ends a job's quarantine, if it is in one, and its pauses.
+// clearBackoff ends a job's quarantine, if there is one, and its backoff.
 func clearBackoff(j *state.Job) {
 	j.Failures.Quarantined, j.Failures.BackoffRounds, j.Failures.SoleMachineTries, j.BackoffUntil = false, 0, 0, 0
 }
 
-// evaluateJob quarantines a job that failed on several machines, or on one on which a task succeeded
-// afterwards, unless some task of it runs longer than those that failed. The latest failure, on failedOn,
-// need not be in the job's record yet.
+// evaluateJob quarantines a job that failed on minJobMachines machines, or on a machine on which a task that started
+// after the failure succeeded, unless a task of the job has run much longer than those that failed. The latest failure,
+// on failedOn, need not be in the job's record yet.
 func (q *Quarantine) evaluateJob(j *state.Job, failedOn *state.Machine, now micros.Micros) {
-	proven, machines := false, len(j.Failures.ByMachine)
+	machineWorks, machines := false, len(j.Failures.ByMachine)
 	if _, recorded := j.Failures.ByMachine[failedOn.ID]; !recorded {
 		machines++
 	}
 	for id, failedAt := range j.Failures.ByMachine {
 		if m := q.Fleet.Machines[id]; m != nil && m.Quarantine.LatestSuccessStartedAt > failedAt {
-			proven = true
+			machineWorks = true
 		}
 	}
-	if machines < minJobMachines && !proven {
+	if machines < minJobMachines && !machineWorks {
 		return
 	}
 	if j.OutlivesFailures() {
@@ -217,8 +219,8 @@
 	slog.Info("job quarantined", "job", j.Spec.ID, "class", j.Spec.Class, "machines", machines)
 }
 
-// ReviewJob releases a job from quarantine if its running tasks show that it is not at fault: when many
-// machines are faulty at once, a good job may fail on three of them in its first second.
+// ReviewJob releases a job from quarantine if its running tasks show that it is not at fault. When many machines are
+// faulty at once, a good job may fail on three of them in its first second.
 func (q *Quarantine) ReviewJob(j *state.Job, now micros.Micros) {
 	if j.Failures.Quarantined && j.OutlivesFailures() {
 		slog.Info("job released from quarantine", "job", j.Spec.ID)
@@ -227,26 +229,27 @@
 	}
 }
 
-// evaluateMachine quarantines a machine on which tasks fail that should succeed.
+// evaluateMachine quarantines a machine if there is enough evidence that it is faulty.
 func (q *Quarantine) evaluateMachine(m *state.Machine, now micros.Micros) {
-	suspects, isSoleMachine := q.countSuspects(m)
-	proven := m.Quarantine.Failures >= minGoodJobFailures
-	if m.DrainReason != "" || !proven && m.Quarantine.Failures+suspects < minSuspectJobs && !isSoleMachine {
+	suspects, triesExhausted := q.countSuspects(m)
+	provenFaulty := m.Quarantine.Failures >= minGoodJobFailures
+	if m.DrainReason != "" || !provenFaulty && m.Quarantine.Failures+suspects < minSuspectJobs && !triesExhausted {
 		return
 	}
 	q.drain(m, now)
 	slog.Info("machine quarantined", "machine", m.ID, "failures", m.Quarantine.Failures, "jobs", suspects)
-	if !proven {
-		// Quarantined on suspicion only, it still counts as evidence where its jobs are judged: else jobs
-		// with mistakes would drain one machine after another.
+	if !provenFaulty {
+		// The fault of the machine is not proven, so failures on it still count as evidence against its jobs. Otherwise
+		// jobs with mistakes would drain one machine after another.
 		return
 	}
 	q.discardFailuresOn(m, now)
 }
 
-// countSuspects counts the jobs, not known to be good, that failed on a machine and on no other, and forgets
-// those that no longer are such jobs. isSoleMachine: one was tried there in vain for long enough.
-func (q *Quarantine) countSuspects(m *state.Machine) (suspects int, isSoleMachine bool) {
+// countSuspects counts the jobs, not known to be good, that failed on a machine and on no other, and removes the jobs
+// to which this no longer applies from SuspectJobs. triesExhausted reports whether one of the jobs has failed there
+// maxSoleMachineTries times.
+func (q *Quarantine) countSuspects(m *state.Machine) (suspects int, triesExhausted bool) {
 	for id := range m.Quarantine.SuspectJobs {
 		j := q.Jobs[id]
 		if j == nil || j.HasSucceeded() || j.Failures.Quarantined || len(j.Failures.ByMachine) != 1 {
@@ -254,12 +257,12 @@
 			continue
 		}
 		suspects++
-		isSoleMachine = isSoleMachine || j.Failures.SoleMachineTries >= maxSoleMachineTries
+		triesExhausted = triesExhausted || j.Failures.SoleMachineTries >= maxSoleMachineTries
 	}
-	return suspects, isSoleMachine
+	return suspects, triesExhausted
 }
 
-// drain has the tasks leave a machine that can save a checkpoint; the others run on for now.
+// drain drains a machine. It stops the tasks that can save a checkpoint, and all gang tasks; the others run on for now.
 func (q *Quarantine) drain(m *state.Machine, now micros.Micros) {
 	m.DrainReason = DrainReason
 	m.Quarantine.Since = now
@@ -272,8 +275,7 @@
 	}
 }
 
-// discardFailuresOn takes the failures on a machine that is proven to be faulty out of the evidence against
-// jobs.
+// discardFailuresOn removes the failures on a machine that is proven to be faulty from the evidence against jobs.
 func (q *Quarantine) discardFailuresOn(m *state.Machine, now micros.Micros) {
 	for _, j := range q.Jobs {
 		if _, failed := j.Failures.ByMachine[m.ID]; !failed {
@@ -281,7 +283,8 @@
 		}
 		delete(j.Failures.ByMachine, m.ID)
 		if j.Failures.Quarantined && len(j.Failures.ByMachine) < minJobMachines {
-			// It may have run on faulty machines only: it is judged anew, at once.
+			// The job may have failed only because its machines are faulty, so it is released at once and evaluated
+			// again.
 			clearBackoff(j)
 			q.Demand.RestoreDemand(j, now)
 			q.OnChange()
@@ -289,19 +292,19 @@
 	}
 }
 
-// Snapshot names the quarantined jobs and how often each was probed, for the next leader: if that started from
-// nothing, all of them would fail at once again.
+// Snapshot returns the IDs of the quarantined jobs with the number of backoff rounds of each. It is stored for the next
+// leader: without it, the tasks of all these jobs would be started, and fail, at once again.
 func (q *Quarantine) Snapshot() map[string]int {
 	rounds := map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(q.Jobs)) {
-		if j := q.Jobs[id]; j.Failures.Quarantined && len(rounds) < maxRecorded {
+		if j := q.Jobs[id]; j.Failures.Quarantined && len(rounds) < maxSnapshotJobs {
 			rounds[id] = j.Failures.BackoffRounds
 		}
 	}
 	return rounds
 }
 
-// Restore goes on from what an earlier leader recorded.
+// Restore quarantines the jobs in the snapshot of an earlier leader.
 func (q *Quarantine) Restore(rounds map[string]int, now micros.Micros) {
 	for id, n := range rounds {
 		if j := q.Jobs[id]; j != nil && !j.HasSucceeded() {
--- a/internal/leader/quarantine/quarantine_test.go
+++ b/internal/leader/quarantine/quarantine_test.go
@@ -16,8 +16,9 @@
 	"caperlatch/placement"
 )
 
-// newTest makes a quarantine over the machines i-1 to i-4, with the autoscaler that counts its jobs' demand.
-func newTest(t *testing.T) (*Quarantine, *autoscaler.Scaler) {
+// newTestQuarantine returns a quarantine of the machines i-1 to i-4, and the autoscaler that counts the demand of its
+// jobs.
+func newTestQuarantine(t *testing.T) (*Quarantine, *autoscaler.Scaler) {
 	t.Helper()
 	jobs := map[string]*state.Job{}
 	f := fleet.New(fleet.Config{InstanceType: func(string) (fleet.InstanceType, bool) {
@@ -48,38 +49,39 @@
 	}), scaler
 }
 
-// TestAttributeFailure has tasks fail and succeed, step by step. A job that was submitted with a mistake fails
-// on every machine and must cost none; a machine on which everything fails is found all the same, also among
-// such jobs. Steps: "2x1" is a failure of job 2 on machine 1, "2+1" a success there of a task that started
-// after all before.
+// TestAttributeFailure checks which machines and jobs are quarantined after a sequence of failures and successes. A job
+// that was submitted with a mistake fails on every machine and must not cause any machine to be drained. A machine on
+// which all tasks fail must be detected nevertheless, also among such jobs. The step "2x1" is a failure of job 2 on
+// machine 1. "2+1" is a success of job 2 on machine 1, of a task that started after all earlier steps. "wait" lets
+// every backoff expire.
 func TestAttributeFailure(t *testing.T) {
 	cases := []struct {
 		name        string
 		steps       []string
-		drained     []int // machines
-		quarantined []int // jobs
+		drained     []int // numbers of the machines
+		quarantined []int // numbers of the jobs
 	}{
 		{"one failure", []string{"0x1"}, nil, nil},
-		{"a job on one machine, again and again within a second", []string{"0x1", "0x1", "0x1", "0x1"}, nil, nil},
-		{"a job on three machines", []string{"0x1", "0x2", "0x3"}, nil, []int{0}},
-		{"many such jobs on the same machines", []string{"0x1", "1x2", "2x3", "0x2", "1x3", "2x1", "0x3", "1x1", "2x2", "0x1", "1x1", "2x1"}, nil, []int{0, 1, 2}},
+		{"a job fails on one machine repeatedly within a second", []string{"0x1", "0x1", "0x1", "0x1"}, nil, nil},
+		{"a job fails on three machines", []string{"0x1", "0x2", "0x3"}, nil, []int{0}},
+		{"three such jobs on the same machines", []string{"0x1", "1x2", "2x3", "0x2", "1x3", "2x1", "0x3", "1x1", "2x2", "0x1", "1x1", "2x1"}, nil, []int{0, 1, 2}},
 		{"such jobs before and after good ones on one machine", []string{"0x1", "1x1", "2+1", "3x1", "4x1", "2+1"}, nil, nil},
-		{"a machine on which a task succeeds afterwards proves the job wrong", []string{"0x1", "1+1", "wait", "0x1"}, nil, []int{0}},
-		{"one on which a task had succeeded before proves nothing", []string{"1+1", "0x1", "wait", "0x1"}, nil, nil},
+		{"a later success on the machine proves the job to be faulty", []string{"0x1", "1+1", "wait", "0x1"}, nil, []int{0}},
+		{"an earlier success on the machine proves nothing", []string{"1+1", "0x1", "wait", "0x1"}, nil, nil},
 		{"a good job fails on a machine twice", []string{"0+2", "0x1", "0x1"}, []int{1}, nil},
 		{"a job succeeds elsewhere after its failures", []string{"0x1", "1x1", "0+2", "1+2"}, []int{1}, nil},
-		{"three jobs fail there and nowhere else", []string{"0x1", "1x1", "2x1"}, []int{1}, nil},
-		// It must not stay in quarantine for what three faulty machines did to it.
+		{"three jobs fail on one machine and no other", []string{"0x1", "1x1", "2x1"}, []int{1}, nil},
+		// The job must not stay quarantined for failures on three faulty machines.
 		{"a good job runs on faulty machines only", []string{"9+4", "0x1", "0x2", "0x3", "9x1", "9x1", "9x2", "9x2"}, []int{1, 2}, nil},
-		{"a quarantined job succeeds after all", []string{"0x1", "0x2", "0x3", "0+4"}, nil, nil},
-		// Nothing else shows which is at fault: it costs one machine to find out, not one after another.
+		{"a quarantined job succeeds later", []string{"0x1", "0x2", "0x3", "0+4"}, nil, nil},
+		// Nothing else shows whether the job or the machine is at fault. Only one machine may be drained to find out.
 		{"the only machine and the only job", []string{"0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1"}, []int{1}, nil},
-		{"and on the next one", []string{"0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "0x2", "wait", "0x2", "wait", "0x2", "wait", "0x2"}, []int{1}, nil},
-		{"three jobs with mistakes on one machine and then on others", []string{"0x1", "1x1", "2x1", "0x2", "1x2", "2x2", "0x3", "1x3", "2x3"}, []int{1}, []int{0, 1, 2}},
+		{"the only job, on the only machine and then on the next one", []string{"0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "0x2", "wait", "0x2", "wait", "0x2", "wait", "0x2"}, []int{1}, nil},
+		{"three jobs with mistakes on one machine and then on two others", []string{"0x1", "1x1", "2x1", "0x2", "1x2", "2x2", "0x3", "1x3", "2x3"}, []int{1}, []int{0, 1, 2}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			q, _ := newTest(t)
+			q, _ := newTestQuarantine(t)
 			var jobs []*state.Job
 			for i := range 10 {
 				j := state.NewJob(replica.Job{Spec: &wire.Job{ID: fmt.Sprintf("j-00010%d", i), Tasks: 20}}, false)
@@ -117,10 +119,10 @@
 	}
 }
 
-// TestProbes has a job quarantined: it is probed ever more seldom, a few tasks at a time, also by the next
-// leader; it brings no demand; and a success ends all that.
+// TestProbes checks that a quarantined job is probed a few tasks at a time with a growing backoff, also by the next
+// leader, that it adds no demand, and that a success ends the quarantine.
 func TestProbes(t *testing.T) {
-	q, scaler := newTest(t)
+	q, scaler := newTestQuarantine(t)
 	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
 	q.Jobs[j.Spec.ID] = j
 	scaler.AddDemand(j)
@@ -131,56 +133,57 @@
 		q.AttributeFailure(q.Fleet.Machines[fmt.Sprintf("i-%d", i)], j, now)
 	}
 	if after := demand.Rate(now); before <= 0 || after >= before/2 {
-		t.Errorf("demand %v before and %v after it was quarantined", before, after)
+		t.Errorf("demand is %v before and %v after the job was quarantined, want it positive before and less than half of that after", before, after)
 	}
-	var pauses []micros.Micros
+	var backoffs []micros.Micros
 	for range 6 {
-		pauses = append(pauses, j.BackoffUntil-now)
+		backoffs = append(backoffs, j.BackoffUntil-now)
 		if n := j.StartableTasks(j.BackoffUntil - 1); n != 0 {
-			t.Errorf("%d tasks are tried in the pause", n)
+			t.Errorf("%d tasks may start during the backoff, want none", n)
 		}
 		now = j.BackoffUntil
 		if n := j.StartableTasks(now); n != state.ProbeTasks {
-			t.Errorf("%d tasks are tried, want %d", n, state.ProbeTasks)
+			t.Errorf("%d tasks may start after the backoff, want %d", n, state.ProbeTasks)
 		}
-		for range state.ProbeTasks { // one probe
+		for range state.ProbeTasks { // failures of one probe
 			q.AttributeFailure(q.Fleet.Machines["i-1"], j, now)
 		}
 	}
-	if pauses[0] <= 0 {
-		t.Errorf("the first probe is %v after the quarantine", pauses[0].Duration())
+	if backoffs[0] <= 0 {
+		t.Errorf("the first probe is %v after the quarantine, want a positive backoff", backoffs[0].Duration())
 	}
-	for i := 1; i < len(pauses); i++ {
-		if pauses[i] < min(maxProbeBackoff, 2*pauses[i-1]) || pauses[i] > maxProbeBackoff {
-			t.Errorf("pauses %v", pauses)
+	for i := 1; i < len(backoffs); i++ {
+		if backoffs[i] < min(maxProbeBackoff, 2*backoffs[i-1]) || backoffs[i] > maxProbeBackoff {
+			t.Errorf("backoffs are %v, want each at least twice the previous one, up to the maximum", backoffs)
 		}
 	}
-	next, _ := newTest(t)
+	next, _ := newTestQuarantine(t)
 	restored := state.NewJob(replica.Job{Spec: j.Spec}, true)
 	next.Jobs[j.Spec.ID] = restored
 	next.Restore(q.Snapshot(), now)
 	if !restored.Failures.Quarantined || restored.StartableTasks(now) != 0 || restored.StartableTasks(restored.BackoffUntil) != state.ProbeTasks {
-		t.Errorf("the next leader tries %d tasks at once", restored.StartableTasks(now))
+		t.Errorf("the next leader may start %d tasks at once, want none before the backoff and a probe after it", restored.StartableTasks(now))
 	}
 	j.DoneCount++
 	q.RecordSuccess(q.Fleet.Machines["i-2"], j, nil, now)
 	if n := j.StartableTasks(now); n != 499 {
-		t.Errorf("%d tasks may start after a success", n)
+		t.Errorf("%d tasks may start after a success, want 499", n)
 	}
 }
 
-// TestOutlivingTaskPreventsQuarantine has a job fail on three machines while a task of it runs on elsewhere.
+// TestOutlivingTaskPreventsQuarantine checks that a job that fails on three machines is not quarantined while another
+// of its tasks has run for longer than the failed ones.
 func TestOutlivingTaskPreventsQuarantine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		ran         micros.Micros // how long the running task has run, as of its machine's latest heartbeat
+		ran         micros.Micros // run time of the running task, as of the latest heartbeat of its machine
 		quarantined bool
 	}{
-		{"it runs no longer than those that failed", 3 * micros.Second, true},
-		{"it runs well beyond those that failed", 3*micros.Second + 1, false},
+		{"runs not much longer than the failed tasks", 3 * micros.Second, true},
+		{"runs much longer than the failed tasks", 3*micros.Second + 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			q, _ := newTest(t)
+			q, _ := newTestQuarantine(t)
 			now := micros.Now()
 			j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Tasks: 50}}, false)
 			q.Jobs[j.Spec.ID] = j
@@ -191,16 +194,16 @@
 				q.AttributeFailure(q.Fleet.Machines[fmt.Sprintf("i-%d", i)], j, now)
 			}
 			if j.Failures.Quarantined != c.quarantined {
-				t.Errorf("quarantined %v, want %v", j.Failures.Quarantined, c.quarantined)
+				t.Errorf("job quarantined: %v, want %v", j.Failures.Quarantined, c.quarantined)
 			}
 		})
 	}
 }
 
-// TestDrain has a machine quarantined with several kinds of tasks on it: those that can save a checkpoint leave
-// with the time for that, and the others run on.
+// TestDrain checks that the tasks on a quarantined machine are stopped with a grace period if they can save a
+// checkpoint, and run on otherwise.
 func TestDrain(t *testing.T) {
-	q, _ := newTest(t)
+	q, _ := newTestQuarantine(t)
 	m, now := q.Fleet.Machines["i-1"], micros.Now()
 	newJob := func(spec wire.Job) *state.Job {
 		j := state.NewJob(replica.Job{Spec: &spec}, false)
@@ -222,7 +225,7 @@
 	good.DoneCount = 1
 	q.AttributeFailure(m, good, now)
 	if m.DrainReason != "" || len(got) > 0 {
-		t.Errorf("drained for %q after one failure: %q", m.DrainReason, got)
+		t.Errorf("after one failure: drain reason %q, stopped tasks %q; want neither", m.DrainReason, got)
 	}
 	q.AttributeFailure(m, good, now)
 	want := []string{
@@ -230,9 +233,9 @@
 		"stop j-000002/0 4s its machine is faulty",
 	}
 	if slices.Sort(got); !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("stopped tasks %q, want %q", got, want)
 	}
 	if m.DrainReason != "tasks fail on it" || m.Quarantine.Since != now {
-		t.Errorf("drained for %q, since %v, want %v", m.DrainReason, m.Quarantine.Since, now)
+		t.Errorf("drained for %q since %v, want \"tasks fail on it\" since %v", m.DrainReason, m.Quarantine.Since, now)
 	}
 }
