--- a/internal/leader/zoning/evidence.go
+++ b/internal/leader/zoning/evidence.go
@@ -9,21 +9,22 @@
 	"caperlatch/internal/zone"
 )
 
-// When a machine speaks for the loss of its zone.
+// Thresholds for a machine to count as evidence of the loss of its zone.
 const (
-	// silentIntervals is for how many heartbeat intervals, and silentMargin beyond these, a machine must
-	// have sent no heartbeat to count as silent.
+	// A machine counts as silent if it has sent no heartbeat for more than silentIntervals heartbeat intervals plus
+	// silentMargin.
 	silentIntervals = 2
 	silentMargin    = micros.Second
-	// minMissingLists is in how many of the cloud's lists in a row a machine that was listed before must be
-	// missing.
-	minMissingLists = 2
+	// minMissedLists is the number of consecutive lists from the cloud that must lack a machine which was listed
+	// before.
+	minMissedLists = 2
 )
 
-// evidence counts the machines by zone. Each counts in one group, the gravest.
+// evidence counts the machines of each zone by their condition. A machine with several conditions counts only under the
+// most severe one.
 func (z *Zones) evidence(now micros.Micros) map[string]zone.Evidence {
 	counted := map[string]*zone.Evidence{}
-	of := func(name string) *zone.Evidence {
+	forZone := func(name string) *zone.Evidence {
 		if counted[name] == nil {
 			counted[name] = &zone.Evidence{}
 		}
@@ -31,13 +32,13 @@
 	}
 	for _, m := range z.Fleet.Sorted {
 		if m.Instance.Running && !m.Instance.Terminating {
-			e := of(m.Offering.Zone)
+			e := forZone(m.Offering.Zone)
 			e.Running++
 			z.addEvidence(m, e, now)
 		}
 	}
 	for name, c := range z.counters {
-		e := of(name)
+		e := forZone(name)
 		e.Relapses, e.StartsSent, e.StartsSeen = c.relapses, c.startsSent, c.startsSeen
 	}
 	zones := make(map[string]zone.Evidence, len(counted))
@@ -47,7 +48,8 @@
 	return zones
 }
 
-// addEvidence counts a machine in its group. One that speaks for a loss has not returned, or no longer.
+// addEvidence counts a machine under its condition. If the machine is evidence of a loss, its evidence of return is
+// reset, and a relapse is counted if it had returned.
 func (z *Zones) addEvidence(m *state.Machine, e *zone.Evidence, now micros.Micros) {
 	silence := m.Silence(z.TermStartedAt, now)
 	late := silence > state.HeartbeatTimeout(z.HeartbeatInterval)
@@ -56,7 +58,7 @@
 		e.Silent++
 	case m.LosesResponses():
 		e.LostResponses++
-	case late && m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissingLists:
+	case late && m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissedLists:
 		e.Unlisted++
 	default:
 		if late {
@@ -70,17 +72,20 @@
 		return
 	}
 	if m.ZoneReturn.Returned {
-		z.countersOf(m).relapses++
+		z.countersFor(m).relapses++
 	}
 	m.ResetZoneReturn()
 }
 
-// ObserveReturn notes a heartbeat that its worker made in this term, as evidence that its zone has returned. A
-// single one that was on its way when the zone was cut off, and was held back, is no such evidence. One of a
-// later incarnation is, and one that skips a sequence number: its worker has given up the one between, so made
-// it during the cut or after, and what is held back arrives when the cut ends. So is a second heartbeat half an
-// interval later, and the first of a machine of which none had arrived in this term: its worker has had a
-// response of this term.
+// ObserveReturn records a heartbeat that the worker sent in this term, as evidence that the machine's zone has
+// returned. A single heartbeat is not evidence in general: it may have been in flight when the zone was cut off, and
+// delayed until now. The following heartbeats are evidence:
+//   - A heartbeat of a later incarnation.
+//   - A heartbeat that skips a sequence number. The worker gave up the heartbeat in between, so it sent this one during
+//     the cut or after it, and a delayed heartbeat arrives only when the cut ends.
+//   - A second heartbeat at least half an interval after the first.
+//   - The first heartbeat of a machine of which none had arrived in this term: its worker has received a response of
+//     this term.
 func (z *Zones) ObserveReturn(m *state.Machine, now micros.Micros) {
 	r := &m.ZoneReturn
 	switch {
@@ -94,10 +99,10 @@
 	}
 }
 
-// CheckReportedZone logs that a worker's first heartbeat, which is not recorded yet, names another zone than
-// its launch. That of the launch counts.
+// CheckReportedZone adds an event if a worker's first heartbeat, which is not recorded yet, reports a different zone
+// than the one that its machine was launched in. The zone of the launch is used.
 func (z *Zones) CheckReportedZone(m *state.Machine, reported string) {
 	if reported != m.Offering.Zone && m.Instance.FirstHeartbeatAt == 0 {
-		z.Events.Add("worker names another zone than its launch, which counts", fmt.Sprintf("%.40q, launched in %s", reported, m.Offering.Zone), m.ID)
+		z.Events.Add("worker reports a different zone than its launch; using the zone of the launch", fmt.Sprintf("%.40q, launched in %s", reported, m.Offering.Zone), m.ID)
 	}
 }
--- a/internal/leader/zoning/jobs.go
+++ b/internal/leader/zoning/jobs.go
@@ -5,13 +5,13 @@
 	"caperlatch/internal/wire"
 )
 
-// EvacuationRank is a job's place in the order in which work leaves a lost zone.
+// EvacuationRank returns a job's rank in the order in which work is restarted outside a lost zone.
 func (z *Zones) EvacuationRank(j *state.Job) int {
 	return z.Policy.EvacuationRank(j.Spec.Class, j.Priority >= wire.PriorityRank(wire.PriorityUrgent))
 }
 
-// OnlyZone is the only zone in which a job may start tasks now, empty if there are others. It matters only
-// while machines are closed, and is empty otherwise.
+// OnlyZone returns the zone in which a job may start tasks now if there is only one, and an empty string otherwise. It
+// is needed only while machines are closed, and returns an empty string while none is.
 func (z *Zones) OnlyZone(j *state.Job) string {
 	if !z.anyClosed {
 		return ""
@@ -26,44 +26,45 @@
 			}
 		}
 	}
-	only := ""
+	onlyZone := ""
 	for _, o := range z.Offerings(j) {
-		if only != "" && o.Zone != only {
+		if onlyZone != "" && o.Zone != onlyZone {
 			return ""
 		}
-		only = o.Zone
+		onlyZone = o.Zone
 	}
-	return only
+	return onlyZone
 }
 
-// RecordDisplaced counts a task that was lost on a closed machine.
+// RecordDisplaced counts a task that was lost, if its machine is closed.
 func (z *Zones) RecordDisplaced(a *state.Attempt) {
 	if !a.Machine.ZoneReturn.Closed {
 		return
 	}
-	z.countersOf(a.Machine).displaced[a.Job.Spec.Class]++
+	z.countersFor(a.Machine).displaced[a.Job.Spec.Class]++
 	if a.Job.Displaced == nil {
 		a.Job.Displaced = map[int]*state.Machine{}
 	}
 	a.Job.Displaced[a.Index] = a.Machine
 }
 
-// RecordAssigned counts a start that is sent, and in which zone a displaced task starts again.
+// RecordAssigned counts a start that is sent to a machine. If the task was displaced, it also counts whether the task
+// is restarted in its zone or moved to another one.
 func (z *Zones) RecordAssigned(a *state.Attempt) {
 	if a.StartSequence != 0 || a.Reserved {
-		z.countersOf(a.Machine).startsSent++
+		z.countersFor(a.Machine).startsSent++
 	}
-	from := a.Job.Displaced[a.Index]
-	if from == nil {
+	lostOn := a.Job.Displaced[a.Index]
+	if lostOn == nil {
 		return
 	}
 	delete(a.Job.Displaced, a.Index)
-	if from.Offering.Zone == a.Machine.Offering.Zone {
-		z.countersOf(from).restarted[a.Job.Spec.Class]++
+	if lostOn.Offering.Zone == a.Machine.Offering.Zone {
+		z.countersFor(lostOn).restarted[a.Job.Spec.Class]++
 	} else {
-		z.countersOf(from).moved[a.Job.Spec.Class]++
+		z.countersFor(lostOn).moved[a.Job.Spec.Class]++
 	}
 }
 
-// RecordStartSeen counts a start that a machine's heartbeat shows to have arrived.
-func (z *Zones) RecordStartSeen(m *state.Machine) { z.countersOf(m).startsSeen++ }
+// RecordStartSeen counts a start whose arrival is shown by a machine's heartbeat.
+func (z *Zones) RecordStartSeen(m *state.Machine) { z.countersFor(m).startsSeen++ }
--- a/internal/leader/zoning/record.go
+++ b/internal/leader/zoning/record.go
@@ -9,12 +9,13 @@
 	"caperlatch/internal/zone"
 )
 
-// Restore goes on from what an earlier term stored of zones. What cannot be read is derived anew.
+// Restore restores the policy's state from the record of zones that an earlier term stored. If the record cannot be
+// read, the state is derived from new observations.
 func (z *Zones) Restore(now micros.Micros) {
 	var r zone.Record
 	modRevision, err := z.Replica.Get(replica.ZonesKey, &r)
 	if err != nil {
-		slog.Error("stored record of zones unreadable", "key", replica.ZonesKey, "error", err)
+		slog.Error("stored record of zones could not be read; zone states are derived from new observations", "key", replica.ZonesKey, "error", err)
 		return
 	}
 	if modRevision != 0 {
@@ -23,8 +24,8 @@
 	}
 }
 
-// EncodeRecord makes the record of zones for the next leader. Its second result says whether there is
-// anything to write.
+// EncodeRecord encodes the record of zones for the next leader. Its second result reports whether the record must be
+// written.
 func (z *Zones) EncodeRecord(w persist.Write) (persist.Write, bool) {
 	r := z.Policy.Record(micros.Now(), micros.Wall())
 	if r == nil || len(r.Zones) == 0 {
--- a/internal/leader/zoning/status.go
+++ b/internal/leader/zoning/status.go
@@ -9,7 +9,7 @@
 	"caperlatch/internal/zone"
 )
 
-// Status describes all zones for operators; nil if the policy describes none.
+// Status returns the status of all zones for operators, nil if the policy reports none.
 func (z *Zones) Status(now micros.Micros) []zone.Status {
 	all := z.Policy.Status(now)
 	replaced := z.ReplacedMachines(now)
@@ -19,7 +19,8 @@
 	return all
 }
 
-// addWork adds to a zone's status what is known of its machines' work.
+// addWork adds the displaced tasks, the closed and replaced machines and the tasks that await lease expiry to a zone's
+// status.
 func (z *Zones) addWork(s *zone.Status, replaced map[*state.Machine]bool, now micros.Micros) {
 	if c := z.counters[s.Zone]; c != nil {
 		s.Work.Displaced, s.Work.Moved, s.Work.Restarted = maps.Clone(c.displaced), maps.Clone(c.moved), maps.Clone(c.restarted)
@@ -40,7 +41,7 @@
 	}
 }
 
-// DisruptionReasons says what a job's tasks have to do with zones that are disrupted. The texts are shown to users.
+// DisruptionReasons describes how disrupted zones affect a job's tasks. The texts are shown to users.
 func (z *Zones) DisruptionReasons(j *state.Job) (reasons []string) {
 	if !z.anyClosed {
 		return nil
@@ -61,7 +62,8 @@
 	return reasons
 }
 
-// leaseReason says why tasks in a disrupted zone do not move, empty if there are none.
+// leaseReason describes why a job's tasks in a disrupted zone are not started elsewhere yet. It returns an empty string
+// if the job has no such tasks.
 func (z *Zones) leaseReason(j *state.Job, s zone.Status, now micros.Micros) string {
 	var leased zone.WorkStatus
 	for _, a := range j.Attempts {
--- a/internal/leader/zoning/status_test.go
+++ b/internal/leader/zoning/status_test.go
@@ -11,17 +11,18 @@
 	"caperlatch/internal/wire"
 )
 
-// TestReasons has the reasons that users are shown be what they were, in a bubble whose clock stands still.
-func TestReasons(t *testing.T) {
+// TestDisruptionReasons checks the texts shown to users. It runs in a synctest bubble, whose clock stands still, so
+// that the times in the texts are exact.
+func TestDisruptionReasons(t *testing.T) {
 	cases := []struct {
 		name string
 		spec wire.Job
-		on   []int // machines with a task of the job, by their place in the fleet
+		on   []int // machines with a task of the job, as indexes in the sorted fleet
 		want []string
 	}{
-		{"of no zone", wire.Job{}, nil, nil},
-		{"on machines of the other zone", wire.Job{}, []int{0, 1}, nil},
-		{"on one that is open and two that are not", wire.Job{}, []int{0, 11, 12},
+		{"not bound to a zone, without tasks on machines", wire.Job{}, nil, nil},
+		{"tasks in the other zone", wire.Job{}, []int{0, 1}, nil},
+		{"tasks on one open and two closed machines", wire.Job{}, []int{0, 11, 12},
 			[]string{"2 of its tasks are in zone b, which is lost: each may run on until its machine's lease ends, in 1000 to 1020 s"}},
 		{"a gang", wire.Job{Kind: wire.KindGang}, []int{11, 12},
 			[]string{"2 of its gang's tasks are in zone b, which is lost: the gang starts elsewhere only as a whole, once all are gone (leases end in 1020 s at the latest)"}},
@@ -29,12 +30,12 @@
 			"it can run in zone b only, which is lost",
 			"1 of its tasks are in zone b, which is lost: each may run on until its machine's lease ends, in 1000 to 1000 s",
 		}},
-		{"bound to the other zone", wire.Job{Zone: "a"}, nil, nil},
+		{"bound to the other zone, without tasks on machines", wire.Job{Zone: "a"}, nil, nil},
 	}
 	for _, c := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			z, _, now := newTest(t)
-			silence(z, now, fullSilence)
+			z, _, now := newTestZones(t)
+			silenceZoneB(z, now, fullSilence)
 			start := micros.Now()
 			z.LeaseExpiry = func(m *state.Machine) micros.Micros {
 				if m == z.Fleet.Sorted[12] {
@@ -48,18 +49,18 @@
 				(&state.Attempt{Job: j, Index: index, Machine: z.Fleet.Sorted[machine]}).Attach()
 			}
 			if got := z.DisruptionReasons(j); !slices.Equal(got, c.want) {
-				t.Errorf("%s: %q, want %q", c.name, got, c.want)
+				t.Errorf("%s: reasons %q, want %q", c.name, got, c.want)
 			}
 		})
 	}
 }
 
-// TestReasonsOfHealthyZones has no reasons be given while all zones are open.
-func TestReasonsOfHealthyZones(t *testing.T) {
-	z, _, now := newTest(t)
+// TestNoDisruptionReasonsInHealthyZones checks that no reasons are given while all zones are open.
+func TestNoDisruptionReasonsInHealthyZones(t *testing.T) {
+	z, _, now := newTestZones(t)
 	z.Observe(now)
 	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 5, CPUs: 1, Zone: "b", AllowSpot: true}}, false)
 	if got := z.DisruptionReasons(j); got != nil {
-		t.Errorf("%q", got)
+		t.Errorf("reasons %q, want none", got)
 	}
 }
--- a/internal/leader/zoning/supply.go
+++ b/internal/leader/zoning/supply.go
@@ -8,14 +8,15 @@
 	"caperlatch/internal/zone"
 )
 
-// isUnusable reports whether the room of a running machine can't be used now. One that boots counts as supply:
-// it is open once it sends heartbeats, and was launched for that.
+// isUnusable reports whether the capacity of a running machine cannot be used now. A booting machine is not unusable:
+// it was launched to add capacity, and is open once it sends heartbeats.
 func (z *Zones) isUnusable(m *state.Machine, now micros.Micros) bool {
 	return m.Instance.Running && (m.ZoneReturn.Closed || m.Silence(z.TermStartedAt, now) > state.HeartbeatTimeout(z.HeartbeatInterval) || m.LosesResponses())
 }
 
-// ReplacedMachines picks the machines that do not count as supply, since their zone is disrupted: a share of
-// those that can't be used. It is nil if there are none.
+// ReplacedMachines returns the machines that do not count as supply because their zone is disrupted. In each zone,
+// these are the policy's replacement share of the unusable machines. The result is nil if no machines are to be
+// replaced.
 func (z *Zones) ReplacedMachines(now micros.Micros) map[*state.Machine]bool {
 	if !z.anyReplaced {
 		return nil
@@ -26,21 +27,21 @@
 			unusable[m.Offering.Zone]++
 		}
 	}
-	quota := map[string]int{}
+	replacementQuota := map[string]int{}
 	for name, n := range unusable {
-		quota[name] = int(math.Round(z.Policy.Decide(name).ReplacementShare * float64(n)))
+		replacementQuota[name] = int(math.Round(z.Policy.Decide(name).ReplacementShare * float64(n)))
 	}
 	replaced := map[*state.Machine]bool{}
 	for _, m := range z.Fleet.Sorted {
-		if quota[m.Offering.Zone] > 0 && !m.Instance.Terminating && z.isUnusable(m, now) {
+		if replacementQuota[m.Offering.Zone] > 0 && !m.Instance.Terminating && z.isUnusable(m, now) {
 			replaced[m] = true
-			quota[m.Offering.Zone]--
+			replacementQuota[m.Offering.Zone]--
 		}
 	}
 	return replaced
 }
 
-// LaunchAllowance is how many more machines may be launched in a zone, or zone.Unlimited.
+// LaunchAllowance returns how many more machines may be launched in a zone, or zone.Unlimited.
 func (z *Zones) LaunchAllowance(name string) int {
 	allowance := z.Policy.Decide(name).MaxMachines
 	if allowance == zone.Unlimited {
--- a/internal/leader/zoning/zones.go
+++ b/internal/leader/zoning/zones.go
@@ -1,11 +1,12 @@
-// Package zoning carries out the policy on zones: it gathers the evidence, closes and opens machines, and says
-// what the policy comes to for launches, for jobs, and for what operators and users are shown.
+// Package zoning applies the zone policy: it gathers the evidence about zones, closes and opens machines, and derives
+// the consequences of the policy's decisions for launches, for jobs, and for the status shown to operators and users.
 //
-// It owns the counters of what happened in each zone during the term, which machines are closed, and what is
-// stored of zones. The policy itself is zone.Policy. Nothing here proves that a task has ended: a decision
-// orders, paces and launches, and must never allow a start elsewhere. What runs on a closed machine runs on.
+// The package maintains the event counters of each zone in the term, the set of closed machines, and the stored record
+// of zones. The policy itself is zone.Policy. Nothing in this package proves that a task has ended: a decision affects
+// the order and the rate of starts and the launches, and must never allow a task that may still be running to be
+// started elsewhere. Tasks on a closed machine keep running.
 //
-// Its methods are called with the leader's lock held.
+// The package's methods are called with the leader's lock held.
 package zoning
 
 import (
@@ -21,9 +22,9 @@
 	"caperlatch/internal/zone"
 )
 
-// Config is what the zones of a term work with. The functions are called with the lock held.
+// Config holds the parameters and dependencies of Zones. Its functions are called with the leader's lock held.
 type Config struct {
-	// Policy decides on zones; nil: the default policy.
+	// Policy decides on zones. If it is nil, the default policy is used.
 	Policy  zone.Policy
 	Fleet   *fleet.Fleet
 	Replica *replica.Replica
@@ -31,36 +32,36 @@
 	Events  *eventlog.Log
 	// ValueFits reports whether a value may be stored under one key at any time.
 	ValueFits func(v any) bool
-	// TermStartedAt is when the term started: a machine's silence counts from then at the earliest.
+	// TermStartedAt is the start of the term. A machine's silence counts from then at the earliest.
 	TermStartedAt micros.Micros
 	// HeartbeatInterval is the usual time between a worker's heartbeats.
 	HeartbeatInterval micros.Micros
-	// LeaseExpiry is when a machine's lease has expired if no response renews it.
+	// LeaseExpiry returns when a machine's lease will have expired if no response renews it.
 	LeaseExpiry func(m *state.Machine) micros.Micros
-	// Offerings lists what could be launched for a job.
+	// Offerings returns the offerings that could be launched for a job.
 	Offerings func(j *state.Job) []state.Offering
-	// IsIsolated reports whether this node reaches neither the state service nor most of its peers;
-	// nil: it is not known.
+	// IsIsolated reports whether this node reaches neither the state service nor most of its peers. It is nil if that
+	// is not known.
 	IsIsolated func() bool
-	// OnChange is called when a machine was closed or opened.
+	// OnChange is called after a machine was closed or opened.
 	OnChange func()
 }
 
-// Zones are the zones of one term.
+// Zones applies the zone policy during one term.
 type Zones struct {
 	Config
-	counters    map[string]*counters // by zone
+	counters    map[string]*counters // by name of the zone
 	anyClosed   bool                 // some machines are closed to work that is not bound to their zone
 	anyReplaced bool                 // some machines are to be replaced in other zones
 }
 
-// counters counts what happened in a zone during this term. See zone.Evidence and zone.WorkStatus.
+// counters counts the events in a zone during this term. See zone.Evidence and zone.WorkStatus for their meaning.
 type counters struct {
 	relapses, startsSent, startsSeen int
-	displaced, moved, restarted      map[string]int // tasks by class
+	displaced, moved, restarted      map[string]int // number of tasks by job class
 }
 
-// New makes the zones of a term, of which nothing has been observed yet.
+// New returns the zones of a term without any observations.
 func New(c Config) *Zones {
 	if c.Policy == nil {
 		c.Policy = zone.NewThresholdPolicy()
@@ -68,8 +69,8 @@
 	return &Zones{Config: c, counters: map[string]*counters{}}
 }
 
-// countersOf are those of a machine's zone.
-func (z *Zones) countersOf(m *state.Machine) *counters {
+// countersFor returns the counters of a machine's zone.
+func (z *Zones) countersFor(m *state.Machine) *counters {
 	name := m.Offering.Zone
 	c := z.counters[name]
 	if c == nil {
@@ -79,7 +80,8 @@
 	return c
 }
 
-// Observe shows the policy the machines as they are, carries out what it decides, and has a change stored.
+// Observe passes the current state of the machines to the policy and applies its decisions. If a zone changes state,
+// the record of zones is queued for writing.
 func (z *Zones) Observe(now micros.Micros) {
 	evidence := z.evidence(now)
 	transitions := z.Policy.Observe(now, zone.Observation{Zones: evidence, ObserverIsolated: z.IsIsolated != nil && z.IsIsolated()})
@@ -93,7 +95,8 @@
 	}
 }
 
-// applyTransition logs a transition. After a loss, no earlier heartbeat is evidence of a return.
+// applyTransition logs a transition. If the zone is lost, it resets the evidence of return of the zone's machines,
+// because no heartbeat from before the loss is evidence of a return.
 func (z *Zones) applyTransition(t zone.Transition) {
 	e := t.Evidence
 	slog.Info("zone changed state", "zone", t.Zone, "from", t.From.String(), "to", t.To.String(), "step", t.Step, "reason", string(t.Reason),
@@ -108,14 +111,14 @@
 	}
 }
 
-// applyDecisions closes and opens machines as the policy decides. Of a zone that reopens, as many machines as
-// it says are open, of those that send heartbeats again.
+// applyDecisions closes and opens machines as decided by the policy. While a zone is reopened in steps, the share of
+// its machines given by the policy is open, chosen among the machines that have returned.
 func (z *Zones) applyDecisions(evidence map[string]zone.Evidence) {
-	quota, wereClosed := map[string]int{}, z.anyClosed
+	openQuota, wereClosed := map[string]int{}, z.anyClosed
 	z.anyClosed, z.anyReplaced = false, false
 	for name, e := range evidence {
 		d := z.Policy.Decide(name)
-		quota[name] = int(math.Ceil(d.OpenShare * float64(e.Running)))
+		openQuota[name] = int(math.Ceil(d.OpenShare * float64(e.Running)))
 		z.anyClosed = z.anyClosed || e.Running > 0 && d.OpenShare < 1
 		z.anyReplaced = z.anyReplaced || e.Running > 0 && d.ReplacementShare > 0
 	}
@@ -125,9 +128,9 @@
 	for _, m := range z.Fleet.Sorted {
 		closed := false
 		if name := m.Offering.Zone; z.Policy.Decide(name).OpenShare < 1 {
-			closed = !m.ZoneReturn.Returned || quota[name] == 0
+			closed = !m.ZoneReturn.Returned || openQuota[name] == 0
 			if !closed {
-				quota[name]--
+				openQuota[name]--
 			}
 		}
 		z.setClosed(m, closed)
--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -20,8 +20,8 @@
 	"caperlatch/placement"
 )
 
-// Workers' times, and how long a machine must have sent no heartbeat to count as late but not silent, and as
-// silent.
+// Time settings of the workers, a silence after which a machine counts as late but not as silent (lateSilence),
+// and one after which it counts as silent (fullSilence).
 const (
 	heartbeatInterval = 2 * micros.Second
 	leaseDuration     = 16 * micros.Second
@@ -29,8 +29,9 @@
 	fullSilence       = 6 * micros.Second
 )
 
-// newTest makes zones with the lifecycle policy, a and b, of ten machines each that have just sent a heartbeat.
-func newTest(t *testing.T) (z *Zones, scaler *autoscaler.Scaler, now micros.Micros) {
+// newTestZones returns the zones a and b under the lifecycle policy. Each has ten machines that have just sent a
+// heartbeat.
+func newTestZones(t *testing.T) (z *Zones, scaler *autoscaler.Scaler, now micros.Micros) {
 	t.Helper()
 	c := zone.DefaultConfig(heartbeatInterval)
 	c.ConfirmationTime = 0
@@ -67,22 +68,22 @@
 	return z, scaler, now
 }
 
-// silence has the machines of zone b have sent their last heartbeat so long ago, and the policy observe that.
-func silence(z *Zones, now, ago micros.Micros) {
+// silenceZoneB sets the time since the last heartbeat of the machines of zone b, and lets the policy observe it.
+func silenceZoneB(z *Zones, now, silence micros.Micros) {
 	for _, m := range z.Fleet.Sorted[10:] {
-		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-ago, now-ago
+		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-silence, now-silence
 	}
 	for range 3 {
 		z.Observe(now)
 	}
 }
 
-// TestEvidence counts machines in several states, each in the gravest group.
+// TestEvidence checks that each machine counts only under its most severe condition.
 func TestEvidence(t *testing.T) {
 	cases := []struct {
-		name string
-		edit func(m *state.Machine, now micros.Micros)
-		want zone.Evidence
+		name   string
+		modify func(m *state.Machine, now micros.Micros)
+		want   zone.Evidence
 	}{
 		{"healthy", func(*state.Machine, micros.Micros) {}, zone.Evidence{Running: 10}},
 		{"late", func(m *state.Machine, now micros.Micros) { m.Heartbeat.ReceivedAt = now - lateSilence }, zone.Evidence{Running: 10, Late: 1}},
@@ -101,42 +102,42 @@
 		{"being terminated", func(m *state.Machine, _ micros.Micros) { m.Instance.Terminating = true }, zone.Evidence{Running: 9}},
 		{"booting", func(m *state.Machine, _ micros.Micros) { m.Instance.Running = false }, zone.Evidence{Running: 9}},
 		{"returned", func(m *state.Machine, _ micros.Micros) { m.ZoneReturn.Returned = true }, zone.Evidence{Running: 10, Recovered: 1}},
-		{"returned and silent anew", func(m *state.Machine, now micros.Micros) {
+		{"returned and silent again", func(m *state.Machine, now micros.Micros) {
 			m.ZoneReturn.Returned, m.Heartbeat.ReceivedAt = true, now-fullSilence
 		}, zone.Evidence{Running: 10, Silent: 1, Relapses: 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			z, _, now := newTest(t)
-			c.edit(z.Fleet.Machines["i-15"], now)
+			z, _, now := newTestZones(t)
+			c.modify(z.Fleet.Machines["i-15"], now)
 			z.evidence(now)
 			if got := z.evidence(now); got["b"] != c.want || got["a"] != (zone.Evidence{Running: 10}) {
-				t.Errorf("%+v, want %+v, and the other zone healthy", got, c.want)
+				t.Errorf("evidence %+v, want %+v for zone b, and zone a healthy", got, c.want)
 			}
 		})
 	}
 }
 
-// TestStartsAsEvidence has starts be sent to a zone and be seen there: both are counted for as long as the term
-// lasts, and adopted tasks are not.
+// TestStartsAsEvidence checks that starts sent to a zone and starts seen there are counted for as long as the term
+// lasts, and that adopted tasks are not counted.
 func TestStartsAsEvidence(t *testing.T) {
-	z, _, now := newTest(t)
+	z, _, now := newTestZones(t)
 	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 4}}, false)
 	m := z.Fleet.Sorted[15]
 	z.RecordAssigned(&state.Attempt{Job: j, Machine: m, StartSequence: 100})
 	z.RecordAssigned(&state.Attempt{Job: j, Index: 1, Machine: m, Reserved: true})
-	z.RecordAssigned(&state.Attempt{Job: j, Index: 2, Machine: m}) // adopted
+	z.RecordAssigned(&state.Attempt{Job: j, Index: 2, Machine: m}) // an adopted task, whose start was not sent in this term
 	z.RecordStartSeen(m)
 	want := zone.Evidence{Running: 10, StartsSent: 2, StartsSeen: 1}
 	if got := z.evidence(now); got["b"] != want || got["a"] != (zone.Evidence{Running: 10}) {
-		t.Errorf("%+v, want %+v, and nothing of the other zone", got, want)
+		t.Errorf("evidence %+v, want %+v for zone b, and no starts in zone a", got, want)
 	}
 }
 
-// TestLossResetsReturns has a zone be lost while one of its machines still sends heartbeats: what was seen of
-// it before is no evidence of a return.
+// TestLossResetsReturns checks that, when a zone is lost while one of its machines still sends heartbeats, the
+// heartbeats from before the loss are no evidence of a return.
 func TestLossResetsReturns(t *testing.T) {
-	z, _, now := newTest(t)
+	z, _, now := newTestZones(t)
 	elsewhere, m := z.Fleet.Sorted[0], z.Fleet.Sorted[19]
 	elsewhere.ZoneReturn.Returned, m.ZoneReturn.Returned = true, true
 	for _, other := range z.Fleet.Sorted[10:19] {
@@ -146,16 +147,16 @@
 		z.Observe(now)
 	}
 	if s := z.Policy.Status(now)[1]; s.State != "lost" || m.ZoneReturn.Returned || m.ZoneReturn.SequenceBefore != 100 || !elsewhere.ZoneReturn.Returned {
-		t.Errorf("%s, %+v, elsewhere %+v", s.State, m.ZoneReturn, elsewhere.ZoneReturn)
+		t.Errorf("zone is %s, machine in it %+v, machine elsewhere %+v; want a lost zone and only the first machine reset", s.State, m.ZoneReturn, elsewhere.ZoneReturn)
 	}
 }
 
-// TestDecisionsCarriedOut has what the policy decides be carried out: which machines are closed, for which
-// jobs, which do not count as supply, and what is launched there.
-func TestDecisionsCarriedOut(t *testing.T) {
-	z, scaler, now := newTest(t)
+// TestApplyDecisions checks which machines are closed, which jobs are bound to the zone, which machines do not count as
+// supply, and how many may be launched in each state of the zone.
+func TestApplyDecisions(t *testing.T) {
+	z, scaler, now := newTestZones(t)
 	newJob := func(spec wire.Job) *state.Job { return state.NewJob(replica.Job{Spec: &spec}, false) }
-	free := newJob(wire.Job{ID: "j-000001", Team: "blue", Tasks: 3, CPUs: 1, MemoryGB: 1, AllowSpot: true})
+	unbound := newJob(wire.Job{ID: "j-000001", Team: "blue", Tasks: 3, CPUs: 1, MemoryGB: 1, AllowSpot: true})
 	bound := newJob(wire.Job{ID: "j-000002", Team: "blue", Zone: "b", Tasks: 1, AllowSpot: true})
 	singleZone := newJob(wire.Job{ID: "j-000003", Team: "blue", SingleZone: true, Tasks: 2, AllowSpot: true})
 	singleZone.AttemptsPerZone["b"] = 1
@@ -170,24 +171,24 @@
 		replaced := z.ReplacedMachines(now)
 		supply, ofBound, ofSingleZone := scaler.CountSupply(replaced, now)["m4"].Total, z.OnlyZone(bound), z.OnlyZone(singleZone)
 		if closed != wantClosed || len(replaced) != wantReplaced || supply != 20-wantReplaced || z.LaunchAllowance("b") != wantAllowance ||
-			ofBound != wantOnlyZone || ofSingleZone != wantOnlyZone || z.OnlyZone(free) != "" {
-			t.Errorf("%s: %d closed, %d replaced, supply %d, %d may be launched, bound to %q and %q", state, closed, len(replaced), supply, z.LaunchAllowance("b"), ofBound, ofSingleZone)
+			ofBound != wantOnlyZone || ofSingleZone != wantOnlyZone || z.OnlyZone(unbound) != "" {
+			t.Errorf("%s: %d closed, %d replaced, supply %d, %d may be launched, only zone is %q for the bound and %q for the single-zone job", state, closed, len(replaced), supply, z.LaunchAllowance("b"), ofBound, ofSingleZone)
 		}
 	}
 	expect("normal", 0, 0, zone.Unlimited, "")
-	silence(z, now, lateSilence)
+	silenceZoneB(z, now, lateSilence)
 	expect("partial disruption", 0, 5, 0, "")
-	silence(z, now, fullSilence)
+	silenceZoneB(z, now, fullSilence)
 	expect("full disruption", 10, 5, 0, "b")
 	if w, ok := z.EncodeRecord(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.FullDisruption || !z.Writes.IsUrgent(replica.ZonesKey) {
-		t.Errorf("stored is %+v (%v)", w.Value, ok)
+		t.Errorf("record %+v, to be written %v; want zone b lost and an urgent write", w.Value, ok)
 	}
-	z.Fleet.Sorted[10].Instance.Running = false // half of the nine others, rounded
-	if expect("one boots", 10, 5, 0, "b"); z.ReplacedMachines(now)[z.Fleet.Sorted[10]] {
-		t.Error("a machine that boots is replaced")
+	z.Fleet.Sorted[10].Instance.Running = false // five replaced: half of the nine others, rounded
+	if expect("one machine boots", 10, 5, 0, "b"); z.ReplacedMachines(now)[z.Fleet.Sorted[10]] {
+		t.Error("a booting machine must not be replaced")
 	}
 	z.Fleet.Sorted[10].Instance.Running = true
-	for range 4 { // held down, and then the first step
+	for range 4 { // the hold-down passes, then the first step of reopening begins
 		now += 2 * micros.Second
 		for _, m := range z.Fleet.Sorted {
 			m.Heartbeat.ReceivedAt, m.ZoneReturn.Returned = now, true
@@ -196,40 +197,41 @@
 			break
 		}
 	}
-	expect("first step", 9, 5, 0, "b")
+	expect("first step of reopening", 9, 5, 0, "b")
 }
 
-// TestClosingDropsPlans has a zone be lost: what is planned for its machines is planned anew.
-func TestClosingDropsPlans(t *testing.T) {
-	z, _, now := newTest(t)
+// TestClosingDropsPlannedStarts checks that the starts planned on the machines of a lost zone are dropped, so that they
+// are planned again elsewhere.
+func TestClosingDropsPlannedStarts(t *testing.T) {
+	z, _, now := newTestZones(t)
 	changes := 0
 	z.OnChange = func() { changes++ }
 	planned := []*state.Job{state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 1}}, false)}
 	elsewhere, m := z.Fleet.Sorted[0], z.Fleet.Sorted[10]
 	elsewhere.PlannedStarts, m.PlannedStarts = planned, planned
-	silence(z, now, fullSilence)
+	silenceZoneB(z, now, fullSilence)
 	if changes != 10 || len(m.PlannedStarts) != 0 || len(elsewhere.PlannedStarts) != 1 {
-		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one", changes, len(m.PlannedStarts), len(elsewhere.PlannedStarts))
+		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one; want 10, 0, 1", changes, len(m.PlannedStarts), len(elsewhere.PlannedStarts))
 	}
 }
 
-// TestLaunchAllowance has the policy limit a zone's machines: those that are launched or on their way count
-// against the limit, and those that are being terminated do not.
+// TestLaunchAllowance checks that running machines and open launch intents count against the policy's limit of machines
+// in a zone, and that machines being terminated do not.
 func TestLaunchAllowance(t *testing.T) {
 	cases := []struct {
 		name             string
 		running, pending int
 		want             int
 	}{
-		{"none", 0, 0, 5},
+		{"no machines", 0, 0, 5},
 		{"some machines", 2, 0, 3},
-		{"and an open launch intent", 2, 2, 1},
-		{"more than allowed", 2, 9, 0},
+		{"some machines and an open launch intent", 2, 2, 1},
+		{"more machines than allowed", 2, 9, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			z, _, now := newTest(t)
-			z.Policy = limitedPolicy{Policy: z.Policy, machines: 5}
+			z, _, now := newTestZones(t)
+			z.Policy = limitedPolicy{Policy: z.Policy, maxMachines: 5}
 			for _, m := range z.Fleet.Sorted[10+c.running:] {
 				m.Instance.Terminating = true
 			}
@@ -237,26 +239,26 @@
 			z.Fleet.AddIntent("r-201", fleet.LaunchIntent{Type: "m4", Zone: "a", Count: 1})
 			z.Observe(now)
 			if got := z.LaunchAllowance("b"); got != c.want {
-				t.Errorf("%d may be launched, want %d", got, c.want)
+				t.Errorf("%d machines may be launched, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// limitedPolicy limits the machines of each zone.
+// limitedPolicy is a policy that limits the number of machines in each zone.
 type limitedPolicy struct {
 	zone.Policy
-	machines int
+	maxMachines int
 }
 
 func (p limitedPolicy) Decide(name string) zone.Decision {
 	d := p.Policy.Decide(name)
-	d.MaxMachines = p.machines
+	d.MaxMachines = p.maxMachines
 	return d
 }
 
-// TestRestore has a term go on from what the one before stored, though its machines have sent no heartbeats and
-// are not silent for long; and start anew where that cannot be read.
+// TestRestore checks that a term restores the zone states stored by the previous term, although its machines have sent
+// no heartbeats and have not been silent for long, and that all zones are healthy if the record cannot be read.
 func TestRestore(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -264,20 +266,20 @@
 		want   string
 	}{
 		{"a lost zone", zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.RecordedZone{"b": {State: zone.FullDisruption, Since: micros.Wall(), Flaps: 2}}}, "lost"},
-		{"not readable", "nonsense", "healthy"},
+		{"an unreadable record", "nonsense", "healthy"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			z, _, now := newTest(t)
+			z, _, now := newTestZones(t)
 			z.Replica.ApplyPut(replica.ZonesKey, c.stored, 3)
 			z.Restore(now)
 			if closed := z.Fleet.Sorted[15].ZoneReturn.Closed; closed != (c.want == "lost") {
-				t.Errorf("closed %v before anything is observed", closed)
+				t.Errorf("machine of zone b closed: %v before the first observation, want it closed only if the zone was lost", closed)
 			}
 			for range 3 {
 				z.Observe(now)
 			}
 			if s := z.Policy.Status(now)[1]; s.Zone != "b" || s.State != c.want || z.Fleet.Sorted[15].ZoneReturn.Closed != (c.want == "lost") || z.Fleet.Sorted[5].ZoneReturn.Closed {
-				t.Errorf("%+v, want %s", s, c.want)
+				t.Errorf("status of zone b %+v, want state %s and only its machines closed accordingly", s, c.want)
 			}
 		})
 	}
