--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -85,9 +85,9 @@
 	}()
 }
 
-// SendUntilDelivered sends commands in the background until the worker responds, the timeout has passed, or another node
-// may lead. The caller also repeats the commands in the responses to the worker's heartbeats, so it does not wait for
-// the calls.
+// SendUntilDelivered sends commands in the background until the worker responds, the timeout has passed, or another
+// node may lead. The caller also repeats the commands in the responses to the worker's heartbeats, so it does not wait
+// for the calls.
 func (d *Dispatcher) SendUntilDelivered(to Target, commands []wire.Command, timeout micros.Micros) {
 	if to.Address == "" {
 		return
--- a/internal/leader/dispatch/dispatch_test.go
+++ b/internal/leader/dispatch/dispatch_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestSendUntilDelivered checks that commands are repeated until the worker responds, the timeout has passed, or another
-// node may lead.
+// TestSendUntilDelivered checks that commands are repeated until the worker responds, the timeout has passed, or
+// another node may lead.
 func TestSendUntilDelivered(t *testing.T) {
 	const timeout = 50*retryDelay - retryDelay/2 // ends between two calls
 	cases := []struct {
--- a/internal/leader/liveness/delivery.go
+++ b/internal/leader/liveness/delivery.go
@@ -14,9 +14,9 @@
 	maxBackoffDoublings = 10
 )
 
-// CheckDelivery detects lost responses by comparing the task IDs that a heartbeat lists with the commands in the previous
-// response. A machine whose heartbeats arrive but which receives no responses looks healthy: if it were given work, every
-// start would be lost until its lease expires.
+// CheckDelivery detects lost responses by comparing the task IDs that a heartbeat lists with the commands in the
+// previous response. A machine whose heartbeats arrive but which receives no responses looks healthy: if it were given
+// work, every start would be lost until its lease expires.
 func (mon *Monitor) CheckDelivery(m *state.Machine, listed map[string]bool, now micros.Micros) {
 	executed, notExecuted := false, false
 	for _, c := range m.Delivery.Sent {
@@ -35,8 +35,8 @@
 	}
 }
 
-// RecordLostResponse counts a response that did not reach a machine. From the second consecutive one on, it delays starts
-// on the machine, for longer each time. TerminationReason decides when a machine that receives no responses is
+// RecordLostResponse counts a response that did not reach a machine. From the second consecutive one on, it delays
+// starts on the machine, for longer each time. TerminationReason decides when a machine that receives no responses is
 // terminated.
 func (mon *Monitor) RecordLostResponse(m *state.Machine, now micros.Micros) {
 	d := &m.Delivery
--- a/internal/leader/liveness/liveness.go
+++ b/internal/leader/liveness/liveness.go
@@ -62,8 +62,8 @@
 	if m.TasksKnown() {
 		return m.Lease.RenewedAt + mon.LeaseDuration + micros.MaxClockDrift(mon.LeaseDuration) + leaseMargin
 	}
-	// An earlier leader may have renewed the lease until LeaseRenewalWindow after its last proof of leadership, which was
-	// before this term started, unless all nodes are known to have seen this term's fencing token sooner.
+	// An earlier leader may have renewed the lease until LeaseRenewalWindow after its last proof of leadership, which
+	// was before this term started, unless all nodes are known to have seen this term's fencing token sooner.
 	lastRenewal := mon.TermStartedAt + mon.LeaseRenewalWindow
 	if fenced := mon.EarlierTermsFencedSince(); fenced != 0 {
 		lastRenewal = min(lastRenewal, fenced)
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -36,8 +36,8 @@
 		return max(allowedMissedHeartbeats*mon.HeartbeatInterval+silenceMargin, min(mon.LeaseDuration, maxSilence))
 	}
 	// Jobs of earlier terms wait for machines whose tasks are unknown, so terminating one or two live machines is the
-	// smaller loss. A live worker sends a heartbeat within five quarters of the usual interval, but it may first have to
-	// give up another node.
+	// smaller loss. A live worker sends a heartbeat within five quarters of the usual interval, but it may first have
+	// to give up another node.
 	lateLimit := state.HeartbeatTimeout(mon.HeartbeatInterval) + heartbeatMargin
 	unresponsive := m.Reconciliation.FailedQueries >= minFailedQueries
 	fleetSize := len(mon.Fleet.Sorted)
@@ -50,9 +50,9 @@
 	return lateLimit + nodeFailoverTime
 }
 
-// seemsReclaimed reports whether the cloud has probably reclaimed a machine without an interruption notice: its heartbeat
-// is late, and the cloud's list no longer contains it. This does not prove that its tasks have ended, because lists lag
-// behind, but it justifies terminating the machine now, which does prove it.
+// seemsReclaimed reports whether the cloud has probably reclaimed a machine without an interruption notice: its
+// heartbeat is late, and the cloud's list no longer contains it. This does not prove that its tasks have ended, because
+// lists lag behind, but it justifies terminating the machine now, which does prove it.
 func (mon *Monitor) seemsReclaimed(m *state.Machine, now micros.Micros) bool {
 	return m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissedLists && mon.IsHeartbeatLate(m, now)
 }
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -50,8 +50,8 @@
 	RanBefore     map[int]bool // tasks that have run before; their next run is shorter
 
 	Gang GangAttempt // the current attempt, if the job is a gang
-	// LastEndedAttempt is the highest number of a gang attempt that has ended according to the exits of its tasks. A new
-	// leader may learn of the exits before it learns which tasks of the attempt are still on machines.
+	// LastEndedAttempt is the highest number of a gang attempt that has ended according to the exits of its tasks. A
+	// new leader may learn of the exits before it learns which tasks of the attempt are still on machines.
 	LastEndedAttempt uint64
 
 	Failures      FailureRecord
@@ -103,8 +103,8 @@
 	}
 }
 
-// WaitingTasks returns the number of tasks that are neither done nor on a machine. The count is limited to 0, because
-// all tasks of a gang are marked done when the first one is, while the others are still on machines.
+// WaitingTasks returns the number of tasks that are neither done nor on a machine. The difference may be negative, as
+// all tasks of a gang are marked done when the first one is, while the others are still on machines; 0 is returned then.
 func (j *Job) WaitingTasks() int { return max(0, j.Spec.Tasks-j.DoneCount-len(j.Attempts)) }
 
 // TakeWaitingTask removes a waiting task from the queue and returns its index. ok is false if no task waits.
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -71,8 +71,8 @@
 	IdleSince        micros.Micros // when the last task left the machine
 }
 
-// HeartbeatState is what a machine's latest heartbeat says about the worker itself. Incarnation only grows, and Sequence
-// only grows within an incarnation.
+// HeartbeatState is what a machine's latest heartbeat says about the worker itself. Incarnation only grows, and
+// Sequence only grows within an incarnation.
 type HeartbeatState struct {
 	Incarnation     uint64
 	Sequence        uint64        // sequence number within the incarnation
