--- a/internal/leader/workload/objectives.go
+++ b/internal/leader/workload/objectives.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// defaultWait is for how long a job may wait of which nothing is expected.
-	defaultWait = 60 * micros.Second
-	// never stands for the deadline of a job that can't meet any objective any more.
-	never = 365 * 24 * 3600 * micros.Second
+	// defaultStartLimit is how long a job without objectives or a deadline may wait for its start.
+	defaultStartLimit = 60 * micros.Second
+	// distantDeadline is the start deadline, counted from submission, of a job that can no longer meet any objective.
+	distantDeadline = 365 * 24 * 3600 * micros.Second
 )
 
-// IsDelayTolerant reports whether a job can do without on-demand machines: it is of the lowest
-// priority and nobody says when it should be done. At about three times the price its work would cost more
-// than it is worth.
+// IsDelayTolerant reports whether a job can do without on-demand machines: it has the lowest priority, and
+// neither a deadline nor an objective says when it should be done. On-demand machines cost about three times as
+// much, so the work would cost more than it is worth.
 func (w *Workload) IsDelayTolerant(j *state.Job) bool {
 	return j.Priority == 0 && j.Spec.AllowSpot && j.Spec.DeadlineS == nil &&
 		!slices.ContainsFunc(w.objectives, func(o settings.Objective) bool { return o.Class == j.Spec.Class })
 }
 
-// WaitObjectives lists the objectives on the start of a class's tasks.
+// WaitObjectives returns the objectives for the start of a class's tasks.
 func (w *Workload) WaitObjectives(class string) (objectives []settings.Objective) {
 	for _, o := range w.objectives {
 		if o.Kind == settings.ObjectiveWait && o.Class == class && o.WithinS > 0 {
@@ -33,19 +33,20 @@
 	return objectives
 }
 
-// Deadlines are instants, as time of day, by which the last of a job's tasks should have started.
+// Deadlines holds the times of day by which the last of a job's tasks should have started.
 type Deadlines struct {
-	Next  micros.Micros   // by the next objective that can still be met
-	Later []micros.Micros // by all others that can be met, rising
-	// Late says that no objective can be met any more. Next is then beyond all others'.
+	Next  micros.Micros   // deadline of the next objective that can still be met
+	Later []micros.Micros // deadlines of all other objectives that can still be met, in ascending order
+	// Late reports that no objective can be met any more. Next is then later than the deadlines of all other
+	// jobs.
 	Late bool
 }
 
-// StartDeadlines finds when a job's tasks should have started. withinGuarantee says that the job is
-// within its team's guarantee; wall is the time of day.
+// StartDeadlines returns the times by which a job's tasks should have started. withinGuarantee reports whether
+// the job is within its team's guarantee; wall is the current time of day.
 func (w *Workload) StartDeadlines(j *state.Job, withinGuarantee bool, wall micros.Micros) Deadlines {
 	limits := w.startLimits(j, withinGuarantee)
-	open := limits[:0] // in place: plans ask for every waiting job
+	open := limits[:0] // filtered in place, as plans call this for every waiting job
 	for _, limit := range limits {
 		if at := j.SubmittedAt + limit; at >= wall {
 			open = append(open, at)
@@ -56,12 +57,13 @@
 		slices.Sort(open)
 		return Deadlines{Next: open[0], Later: open[1:]}
 	case len(limits) > 0:
-		return Deadlines{Next: j.SubmittedAt + never, Late: true}
+		return Deadlines{Next: j.SubmittedAt + distantDeadline, Late: true}
 	}
-	return Deadlines{Next: j.SubmittedAt + defaultWait}
+	return Deadlines{Next: j.SubmittedAt + defaultStartLimit}
 }
 
-// startLimits lists within what times since its submission a job's tasks should start, one for each objective.
+// startLimits returns how soon after its submission a job's tasks should start, one limit for each objective
+// that applies.
 func (w *Workload) startLimits(j *state.Job, withinGuarantee bool) (limits []micros.Micros) {
 	s := j.Spec
 	runtime := micros.FromSeconds(w.ExpectedRuntime(s))
--- a/internal/leader/workload/runtimes.go
+++ b/internal/leader/workload/runtimes.go
@@ -1,8 +1,8 @@
-// Package workload says what is to be expected of jobs: how long their tasks run, by when they should
-// start, and what their teams are guaranteed and may use.
+// Package workload provides what is expected of jobs: how long their tasks run, by when they should start, and
+// what their teams are guaranteed and may use.
 //
-// It owns what has been learned of the classes' run times, the service-level objectives and the teams'
-// quotas. It decides nothing and does no I/O; the leader calls it with its lock held.
+// The package owns the learned run times of the job classes, the service-level objectives and the teams'
+// quotas. It makes no decisions and does no I/O. The leader calls it with its lock held.
 package workload
 
 import (
@@ -16,20 +16,20 @@
 	"caperlatch/staffing"
 )
 
-// Workload is what is known of the jobs' classes and teams.
+// Workload holds the objectives and learned run times of job classes, and the quotas of teams.
 type Workload struct {
 	objectives []settings.Objective
 	teams      map[string]Team
 	estimators map[string]*staffing.RuntimeEstimator // by class
 }
 
-// Team is a team's quotas; 0 in either means none.
+// Team holds a team's quotas. A CPU or GPU value of 0 means that there is no guarantee or no limit.
 type Team struct {
 	Guaranteed placement.Resources // Memory is not bounded
 	Limit      placement.Resources // Memory is not bounded
 }
 
-// New makes the workload of a deployment, of which nothing has been learned yet.
+// New returns the workload of a deployment, with no run times learned yet.
 func New(p settings.Params) *Workload {
 	w := &Workload{
 		objectives: p.Objectives,
@@ -42,8 +42,8 @@
 	return w
 }
 
-// ExpectedRuntime is how long a job's tasks should run, in seconds, by the owner's estimate and
-// what the class has taken so far.
+// ExpectedRuntime returns how long a job's tasks are expected to run, in seconds, from the owner's estimate and
+// the previous run times of the job's class.
 func (w *Workload) ExpectedRuntime(s *wire.Job) float64 {
 	if e := w.estimators[s.Class]; e != nil {
 		return e.Predict(s.EstimatedRuntimeS)
@@ -51,7 +51,7 @@
 	return s.EstimatedRuntimeS
 }
 
-// ObserveRuntime learns from a task that ran in one go.
+// ObserveRuntime updates the run time estimate of a class from a task that ran without interruption.
 func (w *Workload) ObserveRuntime(s *wire.Job, ran micros.Micros) {
 	e := w.estimators[s.Class]
 	if e == nil {
@@ -61,7 +61,7 @@
 	e.Observe(s.EstimatedRuntimeS, ran.Seconds(), s.Tasks)
 }
 
-// Moments is what has been learned of the classes' run times, by class, for RestoreMoments.
+// Moments returns the learned run time statistics by class, for RestoreMoments.
 func (w *Workload) Moments() map[string][]float64 {
 	moments := make(map[string][]float64, len(w.estimators))
 	for class, e := range w.estimators {
@@ -70,7 +70,8 @@
 	return moments
 }
 
-// RestoreMoments goes on from what an earlier leader learned of a class; what is malformed is passed over.
+// RestoreMoments restores what an earlier leader learned about a class's run times. Malformed moments are
+// ignored.
 func (w *Workload) RestoreMoments(class string, moments []float64) {
 	e := &staffing.RuntimeEstimator{}
 	if e.Restore(moments) {
@@ -78,11 +79,11 @@
 	}
 }
 
-// serviceRemainingS is how long a service is taken to run on: it ends only when it is cancelled.
+// serviceRemainingS is how long a service is assumed to run on, in seconds: it ends only when it is cancelled.
 const serviceRemainingS = 3600
 
-// RemainingRuntime is how many seconds a task should still take. The longer it has outlasted its
-// estimate, the longer it may go on.
+// RemainingRuntime returns the expected remaining run time of a task in seconds. The longer the task has
+// outlasted its estimate, the longer it is expected to run on.
 func (w *Workload) RemainingRuntime(a *state.Attempt, now micros.Micros) float64 {
 	if a.Job.Spec.Kind == wire.KindService {
 		return serviceRemainingS
@@ -91,7 +92,7 @@
 	return math.Max(expected-ran, math.Max(expected/4, (ran-expected)/2))
 }
 
-// LostWork is the run time that preempting a task would waste.
+// LostWork returns the run time that preempting a task would waste.
 func LostWork(a *state.Attempt, now micros.Micros) micros.Micros {
 	if a.RunningSince == 0 {
 		return 0
@@ -103,17 +104,19 @@
 	return ran
 }
 
-// What preempting a best-effort task costs its job beside the lost work, in seconds.
+// Costs to a job of preempting one of its best-effort tasks in addition to the lost work, in seconds.
 const (
-	nearlyDoneS    = 30 // how long before its end a task is left alone
-	startedWeightS = 10 // of a job all of whose tasks have started
+	nearCompletionS = 30 // how long before its expected end preempting a task costs more
+	startedPenaltyS = 10 // cost for a job whose tasks have all started
 )
 
-// PreemptionPenalty is what preempting a best-effort task costs its job beside the lost work. It is
-// least for the job that has most yet to start, so that the others end and are out of the way: taken from
-// all alike, none of six had ended when the day was over. And what is nearly done frees its room by itself.
+// PreemptionPenalty returns the cost to a job of preempting one of its best-effort tasks, in addition to the
+// lost work. The cost is least for the job with the largest part of its tasks left to start, so that the other
+// jobs end and free their resources. When tasks were preempted from all jobs equally, none of six jobs had
+// ended by the end of the day. The cost is higher for a task that is nearly done, as it will free its resources
+// by itself.
 func (w *Workload) PreemptionPenalty(a *state.Attempt, now micros.Micros) micros.Micros {
 	started := 1 - float64(a.Job.WaitingTasks())/float64(a.Job.Spec.Tasks)
 	remaining := w.ExpectedRuntime(a.Job.Spec) - (now - a.StartedAt).Seconds()
-	return micros.FromSeconds(startedWeightS*started + max(0, nearlyDoneS-max(0, remaining)))
+	return micros.FromSeconds(startedPenaltyS*started + max(0, nearCompletionS-max(0, remaining)))
 }
