--- a/internal/leader/gangs/gangs.go
+++ b/internal/leader/gangs/gangs.go
@@ -1,17 +1,21 @@
-// Package gangs keeps the attempts of gangs: jobs all of whose tasks run at the same time or not at all.
+// Package gangs manages the attempts of gangs. A gang is a job whose tasks run all at the same time or not at
+// all.
 //
-// The tasks of a gang find each other by their attempt number. So all tasks of an attempt have one number, and
-// it changes only when every task of the last attempt is known to have left its machine.
+// The tasks of a gang find each other by their attempt number. All tasks of an attempt therefore have the same
+// number, and the number changes only once every task of the previous attempt is known to have left its
+// machine.
 //
-// Launch. The tasks are assigned to machines all at once, as if they had started: they count in the machines'
-// room, in their team's use and in the zones. Nothing else can take that room, and no gang waits for
-// another's. Each start goes out with the next response to its machine. Until all tasks run, one that is lost
-// is replaced under the same number. From then on a lost task ends the attempt, and all others are stopped.
+// To launch a gang, all its tasks are assigned to machines together, as if they had started: they count towards
+// the machines' used resources, their team's usage and the tasks per zone. No other job can take these
+// resources, and no gang waits for resources that another one holds. Each start is sent with the next response
+// to its machine. Until all tasks run, a lost task is replaced under the same number. After that, a lost task
+// ends the attempt, and all other tasks are stopped.
 //
-// The package owns state.GangAttempt of every job: when an attempt begins, what heartbeats say of it, and when
-// it ends. It chooses no machines (that is the scheduler's part), does no I/O and takes no lock: its methods are
-// called with the leader's held. It must never start a task under a new number while a task of the last attempt
-// may be left, nor stop a part of a running gang where all of it could save its work.
+// The package owns the state.GangAttempt of every job: when an attempt begins, what heartbeats report about it,
+// and when it ends. It does not choose machines, which is the scheduler's part, does no I/O and takes no lock:
+// its methods must be called with the leader's lock held. It must never start a task under a new number while a
+// task of the previous attempt may be left, nor stop only a part of a running gang when all of the gang could
+// save its work.
 package gangs
 
 import (
@@ -24,58 +28,60 @@
 	"caperlatch/internal/wire"
 )
 
-// Term is what this package needs of the leader's term.
+// Term is the part of the leader's term that this package uses.
 type Term interface {
 	IsExclusive() bool
 }
 
-// Config is what a coordinator works with. The functions are called with the leader's lock held.
+// Config holds a coordinator's dependencies and parameters. The functions are called with the leader's lock
+// held.
 type Config struct {
 	Term Term
-	// Jobs are the jobs that have not ended, by ID; the leader keeps them.
+	// Jobs holds the jobs that have not ended, by ID. The leader maintains it.
 	Jobs map[string]*state.Job
-	// HeartbeatInterval is the usual time between a worker's heartbeats.
+	// HeartbeatInterval is the usual time between two heartbeats of a worker.
 	HeartbeatInterval micros.Micros
-	// AssemblyTimeout is how long a worker's task waits for the others of its gang before it exits.
+	// AssemblyTimeout is how long a worker lets a task wait for the other tasks of its gang before the task
+	// exits.
 	AssemblyTimeout micros.Micros
 
-	// NextAttemptNumber is a number that no earlier start has had, in this term or before.
+	// NextAttemptNumber returns a number that no earlier start has used, in this term or in an earlier one.
 	NextAttemptNumber func() uint64
-	// MayStayAssigned reports whether a task that is assigned to a machine may still start there.
+	// MayStayAssigned reports whether a task that is assigned to a machine may still be started there.
 	MayStayAssigned func(j *state.Job, m *state.Machine) bool
-	// AwaitsReconciliation makes a function that reports whether a job must start nothing yet, as
-	// machines whose tasks are not known may hold some of its tasks.
+	// AwaitsReconciliation returns a function that reports whether a job must not start tasks yet, because
+	// machines whose tasks are unknown may be running some of its tasks.
 	AwaitsReconciliation func() func(*state.Job) bool
-	// IsHeartbeatLate reports whether a machine should have sent a heartbeat by now.
+	// IsHeartbeatLate reports whether a machine's next heartbeat is overdue.
 	IsHeartbeatLate func(m *state.Machine, now micros.Micros) bool
-	// IsZoneReachable reports whether commands should reach the machines of a zone.
+	// IsZoneReachable reports whether commands are expected to reach the machines of a zone.
 	IsZoneReachable func(zone string) bool
 
-	// Assign counts an attempt on its machine, and Release one that is known to have left.
+	// Assign adds an attempt to its machine. Release removes an attempt that is known to have left its machine.
 	Assign  func(a *state.Attempt)
 	Release func(a *state.Attempt, reason string)
-	// PublishStarted publishes to followers that an assigned attempt's start is being sent.
+	// PublishStarted publishes to followers that the start of an assigned attempt is being sent.
 	PublishStarted func(a *state.Attempt)
-	// Stop has one attempt stopped within a grace period, and its worker called.
+	// Stop requests that a single attempt stop within a grace period, and calls its worker.
 	Stop func(a *state.Attempt, grace micros.Micros, reason string)
-	// MarkStopping notes that an attempt is to stop, and reports whether its worker must be called.
+	// MarkStopping marks an attempt as stopping, and reports whether its worker must be called.
 	MarkStopping func(a *state.Attempt, grace micros.Micros, reason string) (mustCall bool)
-	// SendStops calls a machine's worker, again and again, to stop attempts that are marked so.
+	// SendStops calls a machine's worker, repeatedly if needed, to stop attempts that are marked as stopping.
 	SendStops func(m *state.Machine, stops []*state.Attempt)
-	// StoreProgress has a chunk of a job's completed tasks stored.
+	// StoreProgress requests that a chunk of a job's completed tasks be stored.
 	StoreProgress func(j *state.Job, chunk int)
-	// ExpireReservation drops what is reserved for a gang if its time is over.
+	// ExpireReservation drops a gang's reservation if it has expired.
 	ExpireReservation func(j *state.Job, now micros.Micros)
 }
 
-// Coordinator begins, watches and ends the attempts of gangs for one term.
+// Coordinator starts, monitors and ends the attempts of gangs for one term.
 type Coordinator struct{ Config }
 
-// New makes a coordinator. All that is known of gangs stands in their jobs.
+// New returns a coordinator. It keeps no state of its own: the state of each gang is part of its job.
 func New(c Config) *Coordinator { return &Coordinator{c} }
 
-// AssignTasks assigns waiting tasks of a gang to a machine. Their starts go out with the next response to
-// it. The first tasks to be assigned begin an attempt.
+// AssignTasks assigns count waiting tasks of a gang to a machine. Their starts are sent with the next response
+// to the machine. The first assignment of a gang without tasks on machines begins a new attempt.
 func (c *Coordinator) AssignTasks(m *state.Machine, j *state.Job, count int, now micros.Micros) {
 	if len(j.Attempts) == 0 {
 		j.Gang = state.GangAttempt{Number: c.NextAttemptNumber()}
@@ -92,8 +98,8 @@
 	}
 }
 
-// AppendStarts adds the starts of a machine's assigned tasks to the commands of the response to its latest
-// heartbeat, as long as these are no more than limit.
+// AppendStarts appends the start commands of a machine's assigned tasks to the commands of the response to the
+// machine's latest heartbeat, up to limit commands in all.
 func (c *Coordinator) AppendStarts(m *state.Machine, commands []wire.Command, limit int) []wire.Command {
 	var starts []*state.Attempt
 	for _, a := range m.Attempts {
@@ -106,7 +112,7 @@
 	})
 	for _, a := range starts[:min(len(starts), max(0, limit-len(commands)))] {
 		if !c.MayStayAssigned(a.Job, m) {
-			// A task that nobody knew of has shown itself since the assignment.
+			// A previously unknown task has been reported since the assignment.
 			c.ReleaseUnsent(a, "it may not start there any more")
 			continue
 		}
@@ -123,8 +129,8 @@
 	c.Release(a, reason)
 }
 
-// Check expires reservations, releases tasks whose machines do not come for their starts, and ends attempts
-// that will not be complete in time.
+// Check expires reservations, releases assigned tasks whose machines send no heartbeat or are no longer
+// schedulable, and ends attempts that are ending, have lost a task, or will not be complete in time.
 func (c *Coordinator) Check(now micros.Micros) {
 	awaitsReconciliation := c.AwaitsReconciliation()
 	for _, j := range state.Gangs(c.Jobs) {
@@ -136,29 +142,29 @@
 			continue
 		}
 		for _, a := range j.Attempts {
-			if a.Reserved && (c.missedItsStart(a, now) || !a.Machine.IsSchedulable(now)) {
+			if a.Reserved && (c.missedStartHeartbeat(a, now) || !a.Machine.IsSchedulable(now)) {
 				c.ReleaseUnsent(a, "its machine did not come for it")
 			}
 		}
 		switch {
 		case j.Gang.Ending:
-			// What an adopted or repeated start brought is stopped as well.
+			// Tasks that have appeared since through an adopted or repeated start are stopped as well.
 			c.EndAttempt(j, state.CheckpointGrace(j), reasonBeingStopped)
 		case j.Gang.Started && j.WaitingTasks() > 0 && !awaitsReconciliation(j):
-			// Its task was lost in an earlier term, or between two.
+			// A task was lost in an earlier term or between two terms.
 			c.EndAttempt(j, 0, reasonTaskLost)
-		case !j.Gang.Started && j.Gang.WaitingSince != 0 && now-j.Gang.WaitingSince > assemblyLimit(c.AssemblyTimeout):
-			c.EndAttempt(j, state.CheckpointGrace(j), reasonIncomplete) // it may run unseen already
+		case !j.Gang.Started && j.Gang.WaitingSince != 0 && now-j.Gang.WaitingSince > maxAssemblyTime(c.AssemblyTimeout):
+			c.EndAttempt(j, state.CheckpointGrace(j), reasonIncomplete) // it may already run, not yet reported
 		}
 	}
 }
 
-// missedItsStart reports whether an assigned task's machine has sent no heartbeat in time whose response
-// would have carried the start.
-func (c *Coordinator) missedItsStart(a *state.Attempt, now micros.Micros) bool {
+// missedStartHeartbeat reports whether the machine of an assigned task has failed to send, in time, the
+// heartbeat whose response would have carried the start.
+func (c *Coordinator) missedStartHeartbeat(a *state.Attempt, now micros.Micros) bool {
 	return now-a.StartedAt > c.HeartbeatInterval+c.HeartbeatInterval/4+micros.Second && c.IsHeartbeatLate(a.Machine, now)
 }
 
-// assemblyLimit is how long a gang's tasks may wait for the last one: what is to be undone should be so
-// before the first of them gives up, which it does after timeout.
-func assemblyLimit(timeout micros.Micros) micros.Micros { return timeout * 2 / 3 }
+// maxAssemblyTime is how long a gang's tasks may wait for the last one. It is shorter than timeout, after which
+// waiting tasks exit by themselves, so that the attempt is ended before the first task gives up.
+func maxAssemblyTime(timeout micros.Micros) micros.Micros { return timeout * 2 / 3 }
--- a/internal/leader/gangs/helpers_test.go
+++ b/internal/leader/gangs/helpers_test.go
@@ -13,32 +13,32 @@
 
 const testHeartbeatInterval = 2 * micros.Second
 
-// fakeTerm is a term whose proof the tests set.
+// fakeTerm is a term whose state the tests set.
 type fakeTerm struct{ isExclusive bool }
 
 func (t *fakeTerm) IsExclusive() bool { return t.isExclusive }
 
-// fixture is a coordinator of one gang of three tasks and three machines, and a leader that does as it must
-// and keeps what it is called for.
+// fixture holds a coordinator with one gang of three tasks and three machines. It also acts as the leader and
+// records the calls that it receives.
 type fixture struct {
 	*Coordinator
 	job      *state.Job
 	machines []*state.Machine
 	term     *fakeTerm
 
-	// What the leader's functions return.
-	mayStay, awaits, late, zoneReachable bool
+	// Results of the leader's functions.
+	mayStay, awaitsReconciliation, heartbeatsLate, zoneReachable bool
 
-	numbers      uint64           // the latest attempt number
-	published    []*state.Attempt // by PublishStarted
-	sent         map[*state.Machine][]*state.Attempt
-	storedChunks []int
-	expirations  int
+	lastAttemptNumber uint64           // also the count of attempt numbers issued
+	published         []*state.Attempt // by PublishStarted
+	sentStops         map[*state.Machine][]*state.Attempt
+	storedChunks      []int
+	expirationChecks  int
 }
 
-func newTest(t *testing.T) *fixture {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	f := &fixture{term: &fakeTerm{isExclusive: true}, mayStay: true, zoneReachable: true, sent: map[*state.Machine][]*state.Attempt{}}
+	f := &fixture{term: &fakeTerm{isExclusive: true}, mayStay: true, zoneReachable: true, sentStops: map[*state.Machine][]*state.Attempt{}}
 	spec := &wire.Job{ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, CheckpointIntervalS: 20, CheckpointDurationS: 3}
 	f.job = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, false)
 	for i := range 3 {
@@ -53,19 +53,19 @@
 		Jobs:                 map[string]*state.Job{spec.ID: f.job},
 		HeartbeatInterval:    testHeartbeatInterval,
 		AssemblyTimeout:      30 * micros.Second,
-		NextAttemptNumber:    func() uint64 { f.numbers++; return f.numbers },
+		NextAttemptNumber:    func() uint64 { f.lastAttemptNumber++; return f.lastAttemptNumber },
 		MayStayAssigned:      func(*state.Job, *state.Machine) bool { return f.mayStay },
-		AwaitsReconciliation: func() func(*state.Job) bool { return func(*state.Job) bool { return f.awaits } },
-		IsHeartbeatLate:      func(*state.Machine, micros.Micros) bool { return f.late },
+		AwaitsReconciliation: func() func(*state.Job) bool { return func(*state.Job) bool { return f.awaitsReconciliation } },
+		IsHeartbeatLate:      func(*state.Machine, micros.Micros) bool { return f.heartbeatsLate },
 		IsZoneReachable:      func(string) bool { return f.zoneReachable },
 		Assign:               func(a *state.Attempt) { a.Attach() },
 		Release:              f.release,
 		PublishStarted:       func(a *state.Attempt) { f.published = append(f.published, a) },
 		Stop:                 func(a *state.Attempt, grace micros.Micros, reason string) { f.markStopping(a, grace, reason) },
 		MarkStopping:         f.markStopping,
-		SendStops:            func(m *state.Machine, stops []*state.Attempt) { f.sent[m] = append(f.sent[m], stops...) },
+		SendStops:            func(m *state.Machine, stops []*state.Attempt) { f.sentStops[m] = append(f.sentStops[m], stops...) },
 		StoreProgress:        func(_ *state.Job, chunk int) { f.storedChunks = append(f.storedChunks, chunk) },
-		ExpireReservation:    func(*state.Job, micros.Micros) { f.expirations++ },
+		ExpireReservation:    func(*state.Job, micros.Micros) { f.expirationChecks++ },
 	})
 	return f
 }
@@ -91,33 +91,33 @@
 	}
 }
 
-// launch has a task of the gang on each machine in a state.
+// launch assigns a task of the gang to each machine, sends its start, and reports it in the given state.
 func (f *fixture) launch(state string) {
 	f.assign()
 	for _, m := range f.machines {
 		f.AppendStarts(m, nil, 100)
 	}
 	for _, m := range f.machines {
-		f.show(f.on(m), state)
+		f.reportTask(f.taskOn(m), state)
 	}
 }
 
-// show has a heartbeat show a task in a state.
-func (f *fixture) show(a *state.Attempt, state string) {
+// reportTask makes a heartbeat report a task in the given state.
+func (f *fixture) reportTask(a *state.Attempt, state string) {
 	a.ReportedState = state
 	f.ObserveTask(a, micros.Now())
 }
 
-// on is the task of the gang that is on a machine, nil if there is none.
-func (f *fixture) on(m *state.Machine) *state.Attempt {
+// taskOn returns the task of the gang that is on a machine, nil if there is none.
+func (f *fixture) taskOn(m *state.Machine) *state.Attempt {
 	for _, a := range m.Attempts {
 		return a
 	}
 	return nil
 }
 
-// stopping counts the tasks that are to stop with so much time to save at least.
-func (f *fixture) stopping(grace micros.Micros) (count int) {
+// countStopping returns the number of tasks that are stopping with a grace period of at least grace.
+func (f *fixture) countStopping(grace micros.Micros) (count int) {
 	for _, a := range f.job.Attempts {
 		if a.StopRequestedAt != 0 && a.GracePeriod >= grace {
 			count++
--- a/internal/leader/gangs/observe.go
+++ b/internal/leader/gangs/observe.go
@@ -6,8 +6,8 @@
 	"caperlatch/internal/wire"
 )
 
-// ObserveTask takes over what a heartbeat says of a task that is on its machine. It does nothing for a task
-// that is of no gang.
+// ObserveTask updates the gang's attempt from what a heartbeat reports about a task that is on its machine. It
+// does nothing for a task that does not belong to a gang.
 func (c *Coordinator) ObserveTask(a *state.Attempt, now micros.Micros) {
 	j := a.Job
 	if !j.IsGang() || j.Ended {
@@ -15,7 +15,7 @@
 	}
 	g := &j.Gang
 	if a.Number > g.Number {
-		// Adopted from an earlier term, whose latest attempt has the highest number.
+		// The task was adopted from an earlier term, whose latest attempt has the highest number.
 		*g = state.GangAttempt{Number: a.Number}
 		for _, other := range j.Attempts {
 			if other.Number < a.Number {
@@ -33,7 +33,7 @@
 	case a.ReportedState == wire.TaskCheckpointing:
 		g.Started = true
 		if !g.Ending {
-			// An earlier leader was stopping the gang: all tasks must get that command in time.
+			// An earlier leader was stopping the gang: all tasks must receive the stop command in time.
 			c.EndAttempt(j, state.CheckpointGrace(j), reasonEarlierLeader)
 		}
 	}
@@ -43,28 +43,29 @@
 	c.endIfInconsistent(j)
 }
 
-// endIfInconsistent ends an attempt of which a heartbeat shows that it can't be complete, or that it is being
+// endIfInconsistent ends an attempt if a heartbeat shows that the attempt can't be complete or is being
 // stopped.
 func (c *Coordinator) endIfInconsistent(j *state.Job) {
 	g := &j.Gang
-	hasUnsent, isLeaving := false, false
+	hasUnsentStart, isStopping := false, false
 	for _, a := range j.Attempts {
-		hasUnsent = hasUnsent || a.Reserved
-		isLeaving = isLeaving || a.Number == g.Number && a.StopRequestedAt != 0
+		hasUnsentStart = hasUnsentStart || a.Reserved
+		isStopping = isStopping || a.Number == g.Number && a.StopRequestedAt != 0
 	}
 	switch {
 	case g.Ending:
-	case g.Number <= j.LastEndedAttempt || g.Started && hasUnsent:
-		// Its exits say so, or one of its starts was never sent.
+	case g.Number <= j.LastEndedAttempt || g.Started && hasUnsentStart:
+		// Task exits show that the attempt has ended, or one of its starts was never sent.
 		c.EndAttempt(j, 0, reasonTaskLost)
-	case g.Started && isLeaving:
-		// One that was to leave while it waited runs by now: all must get that command in time.
+	case g.Started && isStopping:
+		// A task that was told to stop while it waited is running by now: all tasks must receive the stop
+		// command in time.
 		c.EndAttempt(j, state.CheckpointGrace(j), reasonMachineDrained)
 	}
 }
 
-// ObserveExit has the other tasks of a gang stopped when one ended in a way that concerns the whole attempt.
-// a is nil if the task was not known to be on the machine.
+// ObserveExit stops the other tasks of a gang when a task's exit concerns the whole attempt. a is nil if the
+// task was not known to be on the machine.
 func (c *Coordinator) ObserveExit(j *state.Job, index int, a *state.Attempt, status *wire.TaskStatus) {
 	if !j.IsGang() || j.Ended || j.DoneCount > 0 {
 		return
@@ -81,16 +82,16 @@
 	case wire.ExitGangTimeout:
 		c.EndAttempt(j, 0, reasonIncomplete)
 	case wire.ExitStopped:
-		// An earlier leader's stop. Once one task has saved its checkpoint, so have all. One that waited is
-		// replaced, and its exit may be listed again beside its replacement.
+		// An earlier leader stopped the task. Once one task has saved its checkpoint, all have. A task that
+		// exited while it waited is replaced, and its exit may be reported again beside its replacement.
 		if j.Gang.Started && (a != nil || j.Attempts[index] == nil) {
 			c.EndAttempt(j, state.CheckpointGrace(j), reasonEarlierLeader)
 		}
 	}
 }
 
-// ObserveRelease takes note that an attempt which its job counted is no longer on its machine. It does
-// nothing for a task that is of no gang.
+// ObserveRelease updates the gang's attempt after a task's attempt has been removed from its machine. It does
+// nothing for a task that does not belong to a gang.
 func (c *Coordinator) ObserveRelease(a *state.Attempt) {
 	j := a.Job
 	if !j.IsGang() {
@@ -104,8 +105,8 @@
 	}
 }
 
-// Complete notes that all tasks of a gang are done, as one is: they complete together. It does nothing
-// for a job that is no gang.
+// Complete marks all tasks of a gang as done once one of them is, as they complete together. It does nothing
+// for a job that is not a gang.
 func (c *Coordinator) Complete(j *state.Job) {
 	if !j.IsGang() {
 		return
--- a/internal/leader/gangs/stop.go
+++ b/internal/leader/gangs/stop.go
@@ -8,7 +8,7 @@
 	"caperlatch/internal/micros"
 )
 
-// Reasons of stops. They are shown to users: their texts do not change.
+// Reasons for stopping tasks. They are shown to users, so their texts must not change.
 const (
 	reasonTaskLost       = "another task of its gang is gone"
 	reasonIncomplete     = "its gang was not complete in time"
@@ -18,9 +18,9 @@
 	reasonMachineDrained = "one of its gang's machines is given up"
 )
 
-// StopIfReachable stops all tasks of a gang, with time to save, and reports whether it did. It does so only if
-// all of them should get the command in time: a gang of which only a part is stopped falls back to its
-// last checkpoint, so one of which not all tasks can be reached is left alone, and loses no more.
+// StopIfReachable stops all tasks of a gang, with time to save a checkpoint, and reports whether it did. It
+// does so only if all of the tasks should receive the command in time: a gang of which only a part is stopped
+// falls back to its last checkpoint, so a gang with unreachable tasks is left alone and loses no further work.
 func (c *Coordinator) StopIfReachable(j *state.Job, grace micros.Micros, reason string, now micros.Micros) bool {
 	if !j.Gang.Ending && !c.areAllReachable(j, now) {
 		return false
@@ -29,9 +29,10 @@
 	return true
 }
 
-// EvictTask has a gang's task leave a machine that is drained. One that waits for the others is replaced; once
-// they run, all stop, if that saves their work. It may run unseen already: then it saves, and its
-// heartbeats show that. One that waits exits at once all the same.
+// EvictTask removes a gang's task from a machine that is being drained. A task that waits for the other tasks
+// exits at once and is replaced. Once the gang runs, all of its tasks are stopped, if that saves their work. If
+// the gang runs already and no heartbeat has shown it yet, the evicted task saves a checkpoint, and later
+// heartbeats show that.
 func (c *Coordinator) EvictTask(a *state.Attempt, grace micros.Micros, reason string, now micros.Micros) {
 	switch {
 	case !a.Job.Gang.Started && a.StopRequestedAt == 0:
@@ -41,7 +42,7 @@
 	}
 }
 
-// areAllReachable reports whether all tasks of a gang should get a command to stop in time.
+// areAllReachable reports whether all tasks of a gang should receive a stop command in time.
 func (c *Coordinator) areAllReachable(j *state.Job, now micros.Micros) bool {
 	if !c.Term.IsExclusive() {
 		return false
@@ -56,8 +57,8 @@
 	return true
 }
 
-// EndAttempt ends a gang's attempt: tasks whose start was not sent are released, and the machines of the
-// others are called at once. The next attempt begins when all tasks have left.
+// EndAttempt ends a gang's attempt: tasks whose start was not sent are released, and the machines of the other
+// tasks are called at once. The next attempt begins when all tasks have left their machines.
 func (c *Coordinator) EndAttempt(j *state.Job, grace micros.Micros, reason string) {
 	j.Gang.Ending = true
 	stops := map[*state.Machine][]*state.Attempt{}
@@ -74,8 +75,8 @@
 	}
 }
 
-// NonPreemptible finds the gangs that must not be stopped for other work: those not all of whose tasks run
-// yet, and those not all of whose tasks can be reached.
+// NonPreemptible returns the gangs that must not be stopped for other work: gangs that are done or not fully
+// running, and gangs with tasks that cannot be reached.
 func (c *Coordinator) NonPreemptible(now micros.Micros) map[*state.Job]bool {
 	nonPreemptible := map[*state.Job]bool{}
 	for _, j := range state.Gangs(c.Jobs) {
