--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -10,20 +10,21 @@
 	"caperlatch/placement"
 )
 
-// drainForConsolidation is why a machine is drained whose few tasks have room elsewhere. It is shown to
-// users: its text does not change.
-const drainForConsolidation = "its tasks have room elsewhere"
+// consolidationReason is the reason given for draining a machine whose few tasks have room elsewhere. It is
+// shown to users, so its text must not change.
+const consolidationReason = "its tasks have room elsewhere"
 
-// minRunBeforeMove is how long a task must have run before it is moved, and should have left to run.
-const minRunBeforeMove = minCountedRun
+// minRuntimeBeforeMove is how long a task must have run before it is moved, and how long it must be expected to
+// run on.
+const minRuntimeBeforeMove = minUsefulRuntime
 
-// minSlack is how many times the cost of moving a task must be left until the task would be late.
-const minSlack = 3
+// minSlackFactor is how many times the cost of moving a task must remain until the task would be late.
+const minSlackFactor = 3
 
-// Consolidate drains machines that the autoscaler does not want and that hold a few tasks which can save
-// checkpoints, when others have room for all of these: long best-effort tasks, spread thin, kept half of a
-// fleet running for minutes after everybody else had left. It acts only while nothing waits, so that a moved task
-// finds its room at once.
+// Consolidate drains machines that the autoscaler does not want and whose few tasks can save checkpoints, if
+// other machines have room for all of these tasks. Without it, long best-effort tasks that were spread thinly
+// kept half of a fleet running for minutes after all other work had ended. Consolidate acts only while no job
+// waits, so that a moved task finds its room at once.
 func (s *Scheduler) Consolidate(now micros.Micros) {
 	if len(s.queue.jobs) > 0 || !s.Term.HoldsSession() || !s.Term.IsExclusive() || s.Fleet.CountWithUnknownTasks() > 0 {
 		return
@@ -37,66 +38,68 @@
 		if !m.Surplus && !m.RejectsDelayTolerant || !s.canConsolidate(m, now) {
 			continue
 		}
-		freeAfter, ok := moveTasks(m, machines[i+1:], free[i+1:])
+		freeAfter, ok := planMoves(m, machines[i+1:], free[i+1:])
 		if !ok {
 			continue
 		}
 		copy(free[i+1:], freeAfter)
-		m.DrainReason = drainForConsolidation
-		slog.Debug("machine consolidated", "machine", m.ID, "instance_type", m.Offering.Type, "spot", m.Offering.Spot, "tasks", len(m.Attempts))
+		m.DrainReason = consolidationReason
+		slog.Debug("draining machine to consolidate its tasks on others", "machine", m.ID, "instance_type", m.Offering.Type, "spot", m.Offering.Spot, "tasks", len(m.Attempts))
 		for _, a := range m.Attempts {
-			s.Stop(a, micros.FromSeconds(a.Job.Spec.CheckpointDurationS), drainForConsolidation)
+			s.Stop(a, micros.FromSeconds(a.Job.Spec.CheckpointDurationS), consolidationReason)
 		}
 	}
 }
 
-// consolidationOrder lists the machines with tasks that are known to be in order, those first that cost most
-// for each CPU in use: these are drained, into the others from the end.
+// consolidationOrder returns the responsive machines with tasks, in descending order of the price per CPU in
+// use. Machines at the start are drained first, and their tasks are moved to machines at the end.
 func (s *Scheduler) consolidationOrder(now micros.Micros) []*state.Machine {
 	var machines []*state.Machine
 	for _, m := range s.Fleet.Sorted {
 		if s.Scaler.Type(m.Offering.Type) != nil && m.IsOpenToAllZones(now) && len(m.Attempts) > 0 &&
-			now-m.Heartbeat.ReceivedAt <= maxHeartbeatsSilentConsolidate*s.HeartbeatInterval {
+			now-m.Heartbeat.ReceivedAt <= maxHeartbeatAgeConsolidate*s.HeartbeatInterval {
 			machines = append(machines, m)
 		}
 	}
-	pricePerUsed := func(m *state.Machine) float64 {
+	pricePerUsedCPU := func(m *state.Machine) float64 {
 		instanceType := s.Scaler.Type(m.Offering.Type)
 		return instanceType.Price(m.Offering.Spot) / float64(max(1, instanceType.Capacity.CPU-m.Free.CPU))
 	}
 	slices.SortStableFunc(machines, func(a, b *state.Machine) int {
-		return cmp.Or(cmp.Compare(pricePerUsed(b), pricePerUsed(a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(pricePerUsedCPU(b), pricePerUsedCPU(a)), cmp.Compare(a.ID, b.ID))
 	})
 	return machines
 }
 
-// moveTasks finds room for all tasks of a machine on others, the last ones first, and returns what is free
-// there afterwards. It reports whether there is room.
-func moveTasks(m *state.Machine, others []*state.Machine, free []placement.Resources) (freeAfter []placement.Resources, ok bool) {
+// planMoves finds room on other machines for all tasks of a machine, trying the last machines first. It returns
+// the resources that would be free on the other machines after the moves, and reports whether there is room for
+// all tasks.
+func planMoves(m *state.Machine, others []*state.Machine, free []placement.Resources) (freeAfter []placement.Resources, ok bool) {
 	freeAfter = slices.Clone(free)
 	for _, a := range m.Attempts {
-		to := len(others) - 1
-		for to >= 0 && !canMoveTo(a, others[to], freeAfter[to]) {
-			to--
+		target := len(others) - 1
+		for target >= 0 && !canMoveTo(a, others[target], freeAfter[target]) {
+			target--
 		}
-		if to < 0 {
+		if target < 0 {
 			return nil, false
 		}
-		freeAfter[to] = freeAfter[to].Add(a.Job.Need, -1)
+		freeAfter[target] = freeAfter[target].Add(a.Job.Need, -1)
 	}
 	return freeAfter, true
 }
 
-// canMoveTo reports whether a task may start on another machine that has so much free.
+// canMoveTo reports whether a task may be moved to a machine that has the given free resources.
 func canMoveTo(a *state.Attempt, m *state.Machine, free placement.Resources) bool {
 	return m.DrainReason == "" && !m.RejectsDelayTolerant && free.Fits(a.Job.Need) && a.Job.MayRunOn(m.Offering)
 }
 
 // canConsolidate reports whether all tasks of a machine can save checkpoints and are worth moving.
 func (s *Scheduler) canConsolidate(m *state.Machine, now micros.Micros) bool {
-	// Its free room is worth as much as that of an idle machine, which is kept for a while: moved at once,
-	// what came next found less room (hoalan-grown, bagtag-reprint in 8 s 0.87 -> 0.78). Best-effort jobs
-	// never press so much.
+	// The free room of a surplus machine is worth as much as that of an idle machine, which is kept until its
+	// idle timeout. When tasks that are not delay-tolerant were moved at once, later jobs found less room
+	// (hoalan-grown: the share of bagtag-reprint within 8 s fell from 0.87 to 0.78). Best-effort jobs are never
+	// that urgent, so their tasks are moved at once.
 	longSurplus := m.SurplusSince != 0 && now-m.SurplusSince > s.Scaler.IdleTimeout(s.Scaler.Type(m.Offering.Type), m.Offering.Spot)
 	for _, a := range m.Attempts {
 		if !s.canMove(a, now) {
@@ -109,26 +112,27 @@
 	return true
 }
 
-// canMove reports whether a task can save a checkpoint, has run for long enough, and should run on for as long.
+// canMove reports whether a task can save a checkpoint, has run for long enough to be moved, and is expected to
+// run on for as long.
 func (s *Scheduler) canMove(a *state.Attempt, now micros.Micros) bool {
-	// All tasks of a gang would be stopped, wherever else its tasks are.
+	// Moving one task of a gang would stop all its tasks, also those on other machines.
 	spec := a.Job.Spec
 	if a.Job.IsGang() || spec.CheckpointIntervalS <= 0 || spec.SingleZone || spec.SpreadZones || a.Job.Ended || a.StopRequestedAt != 0 ||
-		a.RunningSince == 0 || now-a.RunningSince < minRunBeforeMove {
+		a.RunningSince == 0 || now-a.RunningSince < minRuntimeBeforeMove {
 		return false
 	}
-	// One that has outlasted its estimate may last for long.
-	left := s.Workload.ExpectedRuntime(spec) - (now - a.StartedAt).Seconds()
-	return left < 0 || left >= minRunBeforeMove.Seconds()
+	// A task that has run for longer than its estimate may run on for long.
+	remaining := s.Workload.ExpectedRuntime(spec) - (now - a.StartedAt).Seconds()
+	return remaining < 0 || remaining >= minRuntimeBeforeMove.Seconds()
 }
 
-// hasSlackToMove reports whether a task would not be late for being moved: on fleets whose images take 25 s
-// to pull, a fifth of the jobs with a deadline were.
+// hasSlackToMove reports whether a task could be moved without becoming late. Without this check, on fleets
+// whose images take 25 s to pull, a fifth of the jobs with a deadline became late.
 func (s *Scheduler) hasSlackToMove(a *state.Attempt, now micros.Micros) bool {
 	spec, instanceType := a.Job.Spec, s.Scaler.Type(a.Machine.Offering.Type)
 	wall := micros.Wall()
 	deadlines := s.Workload.StartDeadlines(a.Job, false, wall)
 	costS := spec.CheckpointDurationS + instanceType.PullTimeS(spec.ImageSizeGB) + 2*s.HeartbeatInterval.Seconds()
 	slackS := (deadlines.Next - wall).Seconds() + s.Workload.ExpectedRuntime(spec) - s.Workload.RemainingRuntime(a, now)
-	return !deadlines.Late && slackS >= minSlack*costS
+	return !deadlines.Late && slackS >= minSlackFactor*costS
 }
--- a/internal/leader/scheduler/deferrals.go
+++ b/internal/leader/scheduler/deferrals.go
@@ -8,20 +8,20 @@
 	"caperlatch/placement"
 )
 
-// logDeferrals logs, at level debug, which jobs a plan deferred, to which start deadline, and for which other job. What
-// the plan before deferred alike is not repeated, as there are several plans a second. Deadlines are logged as
-// what is left until them.
+// logDeferrals logs, at debug level, which jobs a plan deferred, to which start deadline, and in favor of which
+// other job. A deferral that is unchanged since the previous plan is not logged again, as there are several
+// plans a second. Deadlines are logged as the time left until them.
 func (s *Scheduler) logDeferrals(deferrals []placement.Deferral, wall micros.Micros) {
 	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
-		s.deferred = nil
+		s.loggedDeferrals = nil
 		return
 	}
 	deferred := make(map[string]placement.Deferral, len(deferrals))
 	for _, d := range deferrals {
-		deferred[d.Job.ID] = d // the last one of a job counts
+		deferred[d.Job.ID] = d // the last deferral of a job applies
 	}
 	for _, d := range deferrals {
-		last, wasDeferred := s.deferred[d.Job.ID]
+		last, wasDeferred := s.loggedDeferrals[d.Job.ID]
 		isLast := deferred[d.Job.ID] == d
 		if !isLast || wasDeferred && last.Late == d.Late && last.StartDeadline == d.StartDeadline {
 			continue
@@ -29,5 +29,5 @@
 		slog.Debug("job deferred", "job", d.Job.ID, "team", d.Job.Team, "late", d.Late, "start_deadline", (d.StartDeadline - wall).Duration(),
 			"for_job", d.ForJob.ID, "missed_deadline", (d.MissedDeadline - wall).Duration())
 	}
-	s.deferred = deferred
+	s.loggedDeferrals = deferred
 }
--- a/internal/leader/scheduler/deferrals_test.go
+++ b/internal/leader/scheduler/deferrals_test.go
@@ -12,18 +12,18 @@
 	"caperlatch/internal/wire"
 )
 
-// The jobs of the tests of deferrals. They need, on the machine of four CPUs, 5, 30 and 20 s.
+// The jobs of the deferral tests. On the machine of four CPUs they need 5, 30 and 20 s.
 const (
 	smallJob   = "j-000001" // can meet its first deadline
 	largeJob   = "j-000002" // can meet only its second deadline
-	overdueJob = "j-000003" // can meet no deadline any more
+	overdueJob = "j-000003" // can no longer meet any deadline
 )
 
-// newOverload makes a scheduler with one machine of four CPUs and the three jobs, which are of a class with two
-// objectives: done by the deadline, and by twice the deadline.
-func newOverload(t *testing.T, now micros.Micros) *Scheduler {
+// newOverloadedScheduler returns a scheduler with one machine of four CPUs and the three jobs. Their class has
+// two objectives: completion by the deadline, and completion by twice the deadline.
+func newOverloadedScheduler(t *testing.T, now micros.Micros) *Scheduler {
 	t.Helper()
-	s, _ := newTest(t)
+	s, _ := newTestScheduler(t)
 	s.Workload = workload.New(settings.Params{
 		Teams: []settings.Team{{Name: "blue"}},
 		Objectives: []settings.Objective{
@@ -37,47 +37,49 @@
 		addJob(s, spec).SubmittedAt = micros.Wall() - age
 	}
 	add(smallJob, 2, 25, 0)
-	add(largeJob, 12, 40, 0) // its last task is to start within 30 s, or 70 s
+	add(largeJob, 12, 40, 0) // its last task must start within 30 s or, for the second deadline, 70 s
 	add(overdueJob, 8, 20, 60*micros.Second)
 	return s
 }
 
-// TestLargestJobKeepsItsPlace has a large job miss its first deadline, and one that can meet none any more wait. The
-// large job went behind that one, and so missed its second deadline too, which it could have met: it started up to
-// 20 s later here, at a user's distance for as long as there were late jobs that are smaller. In the log it stood as
-// "job deferred" job=j-000002 late=true start_deadline=1m9.999995s for_job=j-000002 missed_deadline=29.999995s: the job that was to be
-// in time is itself, and it is late although its deadline lies after the one that it missed.
-func TestLargestJobKeepsItsPlace(t *testing.T) {
+// TestDeferredLargestJobUsesLaterDeadline guards against marking a large job as late when it misses its first
+// start deadline but can still meet its second. Such a job was queued behind a job that could meet no deadline,
+// started up to 20 s later here, and so missed its second deadline too; in a user's deployment the delay lasted
+// for as long as smaller late jobs were queued. The cause was visible in the log line msg="job deferred"
+// job=j-000002 late=true start_deadline=1m9.999995s for_job=j-000002 missed_deadline=29.999995s: the job was
+// deferred in favor of itself, and marked as late although its start deadline lies after the missed one.
+func TestDeferredLargestJobUsesLaterDeadline(t *testing.T) {
 	now := micros.Now()
-	s := newOverload(t, now)
+	s := newOverloadedScheduler(t, now)
 	q := s.newQueue(now)
 	var order []string
 	for _, j := range q.jobs {
 		order = append(order, j.Spec.ID)
 	}
 	if got, want := strings.Join(order, " "), smallJob+" "+largeJob+" "+overdueJob; got != want {
-		t.Errorf("the queue is %s, want %s", got, want)
+		t.Errorf("queue order: %s, want %s", got, want)
 	}
 	for _, w := range q.waiting {
 		if w.Late != (w.ID == overdueJob) {
-			t.Errorf("%s: late is %v", w.ID, w.Late)
+			t.Errorf("%s: late: %v, want %v", w.ID, w.Late, w.ID == overdueJob)
 		}
 	}
 }
 
-// TestDeferralsAreLogged checks that a deferral is logged at level debug, once as long as it stays.
-func TestDeferralsAreLogged(t *testing.T) {
+// TestDeferralIsLoggedOnce checks that a deferral is logged at debug level, and only once as long as it is
+// unchanged.
+func TestDeferralIsLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	before := slog.Default()
 	defer slog.SetDefault(before)
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	now := micros.Now()
-	s := newOverload(t, now)
+	s := newOverloadedScheduler(t, now)
 	for range 3 {
 		s.newQueue(now)
 	}
 	want := `msg="job deferred" job=` + largeJob + " team=blue late="
 	if n := strings.Count(log.String(), want); n != 1 {
-		t.Errorf("%d lines %q in\n%s", n, want, log.String())
+		t.Errorf("%d log lines contain %q, want 1; log:\n%s", n, want, log.String())
 	}
 }
--- a/internal/leader/scheduler/helpers_test.go
+++ b/internal/leader/scheduler/helpers_test.go
@@ -18,13 +18,13 @@
 
 const testHeartbeatInterval = 2 * micros.Second
 
-// fakeTerm is a term whose proofs the tests set.
+// fakeTerm is a term whose state the tests set.
 type fakeTerm struct{ holdsSession, isExclusive bool }
 
 func (t *fakeTerm) HoldsSession() bool { return t.holdsSession }
 func (t *fakeTerm) IsExclusive() bool  { return t.isExclusive }
 
-// fakeGangs keeps what it is called for.
+// fakeGangs records the calls that it receives.
 type fakeGangs struct {
 	assigned       map[*state.Machine]int
 	stopped        []*state.Job
@@ -42,8 +42,8 @@
 
 func (g *fakeGangs) NonPreemptible(micros.Micros) map[*state.Job]bool { return g.nonPreemptible }
 
-// newTestLeader makes a scheduler of no jobs and no machines, for machines of type m4 with four CPUs.
-func newTest(t *testing.T) (*Scheduler, *fakeTerm) {
+// newTestScheduler returns a scheduler without jobs or machines, whose only instance type m4 has four CPUs.
+func newTestScheduler(t *testing.T) (*Scheduler, *fakeTerm) {
 	t.Helper()
 	term := &fakeTerm{holdsSession: true, isExclusive: true}
 	machines := &fleet.Fleet{Machines: map[string]*state.Machine{}}
@@ -78,7 +78,7 @@
 	}), term
 }
 
-// addMachine adds an on-demand machine of type m4 that may get tasks.
+// addMachine adds an on-demand machine of type m4 that may receive tasks.
 func addMachine(s *Scheduler, id string, now micros.Micros) *state.Machine {
 	m := &state.Machine{
 		ID:       id,
@@ -95,14 +95,14 @@
 	return m
 }
 
-// addJob adds a job that was submitted just now.
+// addJob adds a job that has just been submitted.
 func addJob(s *Scheduler, spec wire.Job) *state.Job {
 	j := state.NewJob(replica.Job{Spec: &spec, SubmittedAt: micros.Wall()}, false)
 	s.Jobs[spec.ID] = j
 	return j
 }
 
-// runTask has the next waiting task of a job run on a machine since some time.
+// runTask makes the next waiting task of a job run on a machine, since the given time.
 func runTask(j *state.Job, m *state.Machine, since micros.Micros) *state.Attempt {
 	index, _ := j.TakeWaitingTask()
 	a := &state.Attempt{Job: j, Index: index, Number: 1, Machine: m, StartSequence: 1, StartedAt: since, RunningSince: since, ReportedState: wire.TaskRunning}
--- a/internal/leader/scheduler/preempt.go
+++ b/internal/leader/scheduler/preempt.go
@@ -6,18 +6,20 @@
 	"caperlatch/placement"
 )
 
-// Bounds of preemption.
+// Limits of preemption.
 const (
 	preemptInterval = micros.Second
-	maxPreemptJobs  = 8 // for which a plan stops others
-	// gangPreemptInterval bounds how often all running tasks are looked at for gangs.
+	maxPreemptJobs  = 8 // how many jobs a plan preempts tasks for
+	// gangPreemptInterval limits how often all running tasks are searched for victims for gangs.
 	gangPreemptInterval = micros.Second / 2
 )
 
-// preemptionReason is why a task is stopped for a job. It is shown to users: its text does not change.
+// preemptionReason returns the reason given for stopping a task to make room for a job. It is shown to users,
+// so its text must not change.
 func preemptionReason(forJobID string) string { return "stopped to make room for " + forJobID }
 
-// preempt stops running tasks for jobs that are at risk, or go before best-effort work, and found no room.
+// preempt stops running tasks to make room for jobs that found none and are at risk or take precedence over
+// best-effort work.
 func (s *Scheduler) preempt(now micros.Micros) {
 	q := &s.queue
 	count := 0
@@ -26,14 +28,14 @@
 			count += w.WaitingTasks
 		}
 	}
-	// Where so many tasks end by themselves that their room serves these jobs very soon, stopping
-	// others would only waste their checkpoints and image pulls.
-	soon := s.completions.perSecond(now) * preemptInterval.Seconds()
+	// If enough tasks end by themselves to make room for these jobs very soon, preempting others would only
+	// waste the others' checkpoints and image pulls.
+	expectedCompletions := s.completions.perSecond(now) * preemptInterval.Seconds()
 	s.preemptedAt = now
-	if count == 0 || float64(count) <= soon {
+	if count == 0 || float64(count) <= expectedCompletions {
 		return
 	}
-	view := s.withVictims(now)
+	view := s.viewWithVictims(now)
 	preemptions, reservations := placement.Preempt(view.placement, q.waiting, q.teams, maxPreemptJobs)
 	for _, r := range reservations {
 		s.reserve(r.ForJobID, view.machines[r.Machine], now)
@@ -45,18 +47,18 @@
 	}
 }
 
-// preemptVictim stops a task, or the gang that it is of, to make room for a job.
+// preemptVictim stops a task, or the whole gang that it belongs to, to make room for a job.
 func (s *Scheduler) preemptVictim(a *state.Attempt, forJobID string, now micros.Micros) {
 	if a.Job.IsGang() {
 		s.Gangs.StopIfReachable(a.Job, state.CheckpointGrace(a.Job), preemptionReason(forJobID), now)
 		return
 	}
-	s.Stop(a, graceIfWorthSaving(a, now), preemptionReason(forJobID))
+	s.Stop(a, checkpointGraceIfWorthwhile(a, now), preemptionReason(forJobID))
 }
 
-// graceIfWorthSaving is the time that a task gets to save a checkpoint, none if saving would take longer
-// than doing its work again.
-func graceIfWorthSaving(a *state.Attempt, now micros.Micros) micros.Micros {
+// checkpointGraceIfWorthwhile returns the time that a task gets to save a checkpoint, or 0 if saving would take
+// longer than repeating its work.
+func checkpointGraceIfWorthwhile(a *state.Attempt, now micros.Micros) micros.Micros {
 	grace := micros.FromSeconds(a.Job.Spec.CheckpointDurationS)
 	if a.RunningSince == 0 || now-a.RunningSince < grace {
 		return 0
@@ -64,36 +66,37 @@
 	return grace
 }
 
-// preemptForGangs stops work of less claim for gangs that would otherwise be late, for each on one machine:
-// its worker sends a heartbeat at once when tasks on it end, so the gang starts with the response to that, sooner
-// than on a machine with room whose heartbeat may come much later. A task that would take too long to save is
-// stopped at once; what it loses is little against a gang.
+// preemptForGangs stops lower-ranked tasks for gangs that would otherwise be late, on a single machine for each
+// gang. The worker sends a heartbeat at once when tasks on it end, so that the gang starts with the response to
+// that heartbeat, sooner than on a machine with room whose next heartbeat may come much later. A task that
+// would take too long to save a checkpoint is stopped without one: the work that it loses matters little
+// compared with a gang's delay.
 func (s *Scheduler) preemptForGangs(now micros.Micros) {
 	wall := micros.Wall()
-	var late []*placement.Job
+	var lateGangs []*placement.Job
 	for _, w := range s.queue.waiting {
 		if w.Gang && w.AtRisk && !w.Late && s.ReservedMachines(w.ID) == 0 && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartDeadline) {
-			late = append(late, w)
+			lateGangs = append(lateGangs, w)
 		}
 	}
-	if len(late) == 0 || now-s.preemptedForGangsAt < gangPreemptInterval {
+	if len(lateGangs) == 0 || now-s.preemptedForGangsAt < gangPreemptInterval {
 		return
 	}
 	s.preemptedForGangsAt = now
-	view := s.withVictims(now)
-	for _, w := range late[:min(len(late), maxReservationJobs)] {
-		preemptions, at := placement.PreemptOnSingleMachine(view.placement, w, s.queue.teams[w.Team])
+	view := s.viewWithVictims(now)
+	for _, w := range lateGangs[:min(len(lateGangs), maxReservationJobs)] {
+		preemptions, machineIndex := placement.PreemptOnSingleMachine(view.placement, w, s.queue.teams[w.Team])
 		if len(preemptions) == 0 {
 			continue
 		}
-		m := view.machines[at]
+		m := view.machines[machineIndex]
 		s.reserve(w.ID, m, now)
 		for _, p := range preemptions {
 			a := m.Attempts[state.TaskID(p.Victim.JobID, p.Victim.Task)]
 			if a == nil {
 				continue
 			}
-			grace := graceIfWorthSaving(a, now)
+			grace := checkpointGraceIfWorthwhile(a, now)
 			if wall+grace > w.StartDeadline {
 				grace = 0
 			}
@@ -102,20 +105,20 @@
 	}
 }
 
-// CountCompletion counts a task that was done.
+// CountCompletion counts a completed task.
 func (s *Scheduler) CountCompletion() { s.completions.count++ }
 
-// completionRate measures how many tasks end in a second, lately.
+// completionRate measures how many tasks have recently completed per second.
 type completionRate struct {
-	count int // tasks that were done since then
-	since micros.Micros
-	rate  float64
+	count int           // tasks completed since the measurement began
+	since micros.Micros // start of the measurement
+	rate  float64       // weighted mean of past measurements, per second
 }
 
-// completionRateInterval is how long a measurement takes at least.
+// completionRateInterval is the shortest duration of a measurement.
 const completionRateInterval = micros.Second
 
-// perSecond is the rate, in which the weight of each measurement halves with the next one.
+// perSecond returns the completion rate. The weight of each measurement halves with every later one.
 func (r *completionRate) perSecond(now micros.Micros) float64 {
 	if since := now - r.since; since >= completionRateInterval {
 		r.rate = r.rate/2 + float64(r.count)/since.Seconds()/2
--- a/internal/leader/scheduler/preempt_test.go
+++ b/internal/leader/scheduler/preempt_test.go
@@ -8,7 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestPreempt has an urgent job wait while best-effort tasks fill a machine.
+// TestPreempt checks when, and with which grace period, best-effort tasks that fill a machine are preempted for
+// a waiting urgent job.
 func TestPreempt(t *testing.T) {
 	const second = micros.Second
 	for _, c := range []struct {
@@ -18,9 +19,9 @@
 		stopping int
 		grace    micros.Micros
 	}{
-		{"its victims can save", 100 * second, func(*Scheduler, micros.Micros) {}, 2, 3 * second},
+		{"its victims can save a checkpoint", 100 * second, func(*Scheduler, micros.Micros) {}, 2, 3 * second},
 		{"its victims have run for less than saving takes", 2 * second, func(*Scheduler, micros.Micros) {}, 2, 0},
-		{"others were preempted in the last second", 100 * second, func(s *Scheduler, now micros.Micros) { s.preemptedAt = now - second/2 }, 0, 0},
+		{"preempt ran within the last second", 100 * second, func(s *Scheduler, now micros.Micros) { s.preemptedAt = now - second/2 }, 0, 0},
 		{"as many tasks end by themselves", 100 * second, func(s *Scheduler, now micros.Micros) {
 			s.completions = completionRate{count: 40, since: now - 10*second}
 		}, 0, 0},
@@ -28,16 +29,16 @@
 			s.completions = completionRate{count: 30, since: now - 10*second}
 		}, 2, 3 * second},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now() + 1000*second
 		m := addMachine(s, "i-1", now)
-		spec := arrayJob("j-000001", 4)
+		spec := arrayJobSpec("j-000001", 4)
 		spec.Priority, spec.EstimatedRuntimeS, spec.CheckpointIntervalS, spec.CheckpointDurationS = "idle", 300, 30, 3
 		victims := addJob(s, spec)
 		for range 4 {
 			runTask(victims, m, now-c.ran)
 		}
-		urgent := arrayJob("j-000002", 2)
+		urgent := arrayJobSpec("j-000002", 2)
 		urgent.Priority = "urgent"
 		addJob(s, urgent)
 		c.set(s, now)
@@ -47,44 +48,45 @@
 		}
 		for _, a := range m.Attempts {
 			if a.StopRequestedAt != 0 && (a.GracePeriod != c.grace || a.StopReason != "stopped to make room for j-000002") {
-				t.Errorf("%s: %v to save, %q", c.name, a.GracePeriod.Duration(), a.StopReason)
+				t.Errorf("%s: grace period %v, want %v; stop reason %q, want that for j-000002", c.name, a.GracePeriod.Duration(), c.grace.Duration(), a.StopReason)
 			}
 		}
 	}
 }
 
-// TestPreemptForGangs has a gang wait that would be late, while best-effort tasks fill a machine.
+// TestPreemptForGangs checks when, and with which grace period, best-effort tasks that fill a machine are
+// preempted for a waiting gang that would otherwise be late.
 func TestPreemptForGangs(t *testing.T) {
 	const second = micros.Second
 	for _, c := range []struct {
 		name     string
-		waited   micros.Micros // of the minute that a gang may wait
-		saving   float64       // how long a victim saves, in seconds
+		waited   micros.Micros // of the minute for which a gang may wait
+		saving   float64       // how long saving a victim's checkpoint takes, in seconds
 		set      func(s *Scheduler, m *state.Machine, now micros.Micros)
 		stopping int
 		grace    micros.Micros
 	}{
-		{"in time if its victims save", 53 * second, 3, func(*Scheduler, *state.Machine, micros.Micros) {}, 2, 3 * second},
-		{"in time if its victims don't save", 53 * second, 10, func(*Scheduler, *state.Machine, micros.Micros) {}, 2, 0},
+		{"in time if its victims save a checkpoint", 53 * second, 3, func(*Scheduler, *state.Machine, micros.Micros) {}, 2, 3 * second},
+		{"in time only if its victims save no checkpoint", 53 * second, 10, func(*Scheduler, *state.Machine, micros.Micros) {}, 2, 0},
 		{"its victims have run for less than saving takes", 53 * second, 3, func(_ *Scheduler, m *state.Machine, now micros.Micros) {
 			for _, a := range m.Attempts {
 				a.RunningSince = now - second
 			}
 		}, 2, 0},
-		{"it need not be served yet", 20 * second, 3, func(*Scheduler, *state.Machine, micros.Micros) {}, 0, 0},
-		{"victims were looked for just before", 53 * second, 3, func(s *Scheduler, _ *state.Machine, now micros.Micros) { s.preemptedForGangsAt = now - second/4 }, 0, 0},
+		{"not at risk yet", 20 * second, 3, func(*Scheduler, *state.Machine, micros.Micros) {}, 0, 0},
+		{"victims were searched for just before", 53 * second, 3, func(s *Scheduler, _ *state.Machine, now micros.Micros) { s.preemptedForGangsAt = now - second/4 }, 0, 0},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now() + 1000*second
 		m := addMachine(s, "i-1", now)
-		spec := arrayJob("j-000001", 4)
+		spec := arrayJobSpec("j-000001", 4)
 		spec.Priority, spec.EstimatedRuntimeS, spec.CheckpointIntervalS, spec.CheckpointDurationS = "idle", 300, 30, c.saving
 		victims := addJob(s, spec)
 		for range 4 {
 			runTask(victims, m, now-100*second)
 		}
-		gangSpec := arrayJob("j-000002", 2)
-		gangSpec.Kind, gangSpec.EstimatedRuntimeS = wire.KindGang, 1 // so little work is not set aside
+		gangSpec := arrayJobSpec("j-000002", 2)
+		gangSpec.Kind, gangSpec.EstimatedRuntimeS = wire.KindGang, 1 // little work, so that the gang is not deferred
 		gang := addJob(s, gangSpec)
 		gang.SubmittedAt -= c.waited
 		s.preemptedAt = now // so that preempt does nothing
@@ -94,17 +96,17 @@
 			t.Errorf("%s: %d tasks are stopping, want %d", c.name, m.StoppingCount, c.stopping)
 		}
 		if c.stopping > 0 && (m.Reservation == nil || s.ReservedMachines(gangSpec.ID) != 1) {
-			t.Errorf("%s: what comes free is not reserved", c.name)
+			t.Errorf("%s: machine reserved: %t, %d machines reserved for the gang; want true, 1", c.name, m.Reservation != nil, s.ReservedMachines(gangSpec.ID))
 		}
 		for _, a := range m.Attempts {
 			if a.StopRequestedAt != 0 && (a.GracePeriod != c.grace || a.StopReason != "stopped to make room for j-000002") {
-				t.Errorf("%s: %v to save, %q", c.name, a.GracePeriod.Duration(), a.StopReason)
+				t.Errorf("%s: grace period %v, want %v; stop reason %q, want that for j-000002", c.name, a.GracePeriod.Duration(), c.grace.Duration(), a.StopReason)
 			}
 		}
 	}
 }
 
-// TestCompletionRate measures tasks that are done.
+// TestCompletionRate checks the weighted rate over several measurements.
 func TestCompletionRate(t *testing.T) {
 	const second = micros.Second
 	r := completionRate{since: 100 * second}
@@ -120,7 +122,7 @@
 	} {
 		r.count += step.done
 		if got := r.perSecond(step.at); got != step.want {
-			t.Errorf("step %d: %v a second, want %v", i, got, step.want)
+			t.Errorf("step %d: %v completions per second, want %v", i, got, step.want)
 		}
 	}
 }
--- a/internal/leader/scheduler/queue.go
+++ b/internal/leader/scheduler/queue.go
@@ -9,17 +9,17 @@
 	"caperlatch/placement"
 )
 
-// queue is the jobs with waiting tasks, in order, less what is planned on machines.
+// queue holds the jobs with waiting tasks in scheduling order, without the tasks that are planned on machines.
 type queue struct {
 	waiting      []*placement.Job
-	jobs         []*state.Job // of these, with the same indexes
+	jobs         []*state.Job // the leader's records, with the same indexes as waiting
 	teams        map[string]*placement.Team
-	minNeed      placement.Resources // that any of the waiting tasks has
-	hasSpareRoom bool                // machines that are no surplus have room enough for all that waits
+	minNeed      placement.Resources // the least resources that any waiting task needs
+	hasSpareRoom bool                // the machines that are not surplus have ample room for all waiting tasks
 }
 
-// dropPlanned removes the jobs all of whose tasks are planned.
-func (q *queue) dropPlanned() {
+// removeFullyPlanned removes the jobs whose waiting tasks are all planned.
+func (q *queue) removeFullyPlanned() {
 	n := 0
 	for i, w := range q.waiting {
 		if w.WaitingTasks > 0 {
@@ -31,32 +31,34 @@
 	q.minNeed = placement.MinNeed(q.waiting)
 }
 
-// agingLimit is how long a job waits at most for a start, while none of its tasks is on a machine, before it
-// goes before all others: deferred, or delayed by a lasting overload of others, the largest
-// would never start, and one that is late already never end. agingDivisor is the part of its tasks that
-// goes first, so that aging stays an exception.
+// agingThreshold is how long a job waits for a start, while none of its tasks is on a machine, before part of
+// it goes before all other jobs. Without it, the largest jobs would never start when they are deferred or
+// delayed by a lasting overload of other jobs, and jobs that are already late would never end. 1/agingDivisor
+// of the waiting tasks goes first, so that aging remains an exception.
 const (
-	agingLimit   = 120 * micros.Second
-	agingDivisor = 16
+	agingThreshold = 120 * micros.Second
+	agingDivisor   = 16
 )
 
-// immediateStartLimit is how late assignments may start a gang that are made as soon as they are found.
-// Later ones are made only when it has waited for as long: of many machines some send a heartbeat soon, so it
-// starts at most twice as late as it could, and mostly sooner. Assignments to machines that had sent theirs just
-// before once cost gangs an entire heartbeat interval.
+// immediateStartLimit is the longest delay until a gang's start for which machines are assigned as soon as they
+// are found. Assignments with a longer delay are made only once the gang has waited for as long as that delay:
+// with many machines, some send a heartbeat soon. So a gang starts at most twice as late as it could, and
+// mostly sooner. Without this limit, assignments to machines that had just sent a heartbeat cost gangs an
+// entire heartbeat interval.
 const immediateStartLimit = micros.Second
 
-// atRiskHeartbeats is how many heartbeat intervals before its deadline a job is at risk of missing it.
+// atRiskHeartbeats is how many heartbeat intervals before its start deadline a job counts as at risk of missing
+// it.
 const atRiskHeartbeats = 4
 
-// queueEntry is a job of the queue, as placement sees it and as it is.
+// queueEntry is a queued job, both in placement's form and as the leader's record.
 type queueEntry struct {
 	waiting *placement.Job
 	job     *state.Job
 }
 
-// newQueue lists the jobs that may start tasks now. A job that an earlier term may have started waits until
-// no machine's tasks are unknown.
+// newQueue builds the queue of the jobs that may start tasks now. A job that an earlier term may have started
+// is left out until the tasks of all machines are known.
 func (s *Scheduler) newQueue(now micros.Micros) queue {
 	teams := s.TeamUsage()
 	awaitsReconciliation := s.AwaitsReconciliation()
@@ -71,7 +73,7 @@
 		}
 		w := s.placementJob(j, count, withinGuarantee[j], wall)
 		if s.hasAged(j, wall) {
-			if rest := s.splitAged(w, j); rest != nil {
+			if rest := s.splitAgedJob(w, j); rest != nil {
 				entries = append(entries, queueEntry{rest, j})
 			}
 		}
@@ -94,7 +96,7 @@
 	return q
 }
 
-// placementJob is a job with so many startable tasks as placement sees it.
+// placementJob converts a job with count startable tasks to placement's form.
 func (s *Scheduler) placementJob(j *state.Job, count int, withinGuarantee bool, wall micros.Micros) *placement.Job {
 	spec := j.Spec
 	waiting := &placement.Job{
@@ -123,7 +125,7 @@
 	waiting.DelayTolerant = s.Workload.IsDelayTolerant(j)
 	if j.IsGang() {
 		if len(j.Attempts) > 0 {
-			waiting.StartDeadline, waiting.Late, waiting.AtRisk = wall, false, !j.IsProbing() // the others of its tasks wait for these
+			waiting.StartDeadline, waiting.Late, waiting.AtRisk = wall, false, !j.IsProbing() // its other tasks wait for these
 		}
 		waiting.FailedOn = j.Failures.ByMachine
 		waiting.MaxStartDelay = max(immediateStartLimit, wall-j.SubmittedAt)
@@ -135,17 +137,18 @@
 	return waiting
 }
 
-// hasAged reports whether a job has waited for a start for so long that it goes before others.
+// hasAged reports whether a job has waited for a start for so long that part of it goes before other jobs.
 func (s *Scheduler) hasAged(j *state.Job, wall micros.Micros) bool {
 	since := max(j.SubmittedAt, j.LastStart)
 	if j.DoneCount > 0 {
-		since = max(since, s.TermStartedAt) // no earlier term's starts are known
+		since = max(since, s.TermStartedAt) // starts of earlier terms are unknown
 	}
-	return len(j.Attempts) == 0 && wall-since > agingLimit && !j.IsProbing()
+	return len(j.Attempts) == 0 && wall-since > agingThreshold && !j.IsProbing()
 }
 
-// splitAged has a part of a job's tasks go before all others; the rest, if any, waits as before.
-func (s *Scheduler) splitAged(waiting *placement.Job, j *state.Job) (rest *placement.Job) {
+// splitAgedJob marks a part of an aged job's waiting tasks to go before all other jobs. It returns the
+// remaining tasks, which keep the job's usual place, or nil if there are none.
+func (s *Scheduler) splitAgedJob(waiting *placement.Job, j *state.Job) (rest *placement.Job) {
 	waiting.Aged, waiting.Late, waiting.DelayTolerant = true, false, false
 	part := 1 + waiting.WaitingTasks/agingDivisor
 	if waiting.SingleZone || waiting.SpreadZones || waiting.Gang || part >= waiting.WaitingTasks {
@@ -157,7 +160,7 @@
 	return &other
 }
 
-// schedulableCPUs counts the CPUs of the machines that may get tasks.
+// schedulableCPUs returns the number of CPUs of the machines that may receive tasks.
 func (s *Scheduler) schedulableCPUs(now micros.Micros) float64 {
 	cpus := 0.0
 	for _, m := range s.Fleet.Sorted {
--- a/internal/leader/scheduler/queue_test.go
+++ b/internal/leader/scheduler/queue_test.go
@@ -8,15 +8,16 @@
 	"caperlatch/internal/wire"
 )
 
-// TestAgedJobGoesFirst has a large job late, and put off while others press: after two minutes without a start
-// a part of it goes before all others, so that it starts within four.
-func TestAgedJobGoesFirst(t *testing.T) {
+// TestAgedJobIsQueuedFirst checks that a part of a large late job goes before more urgent jobs once the job has
+// waited for two minutes without a start, so that it starts within four minutes also while urgent jobs keep
+// coming.
+func TestAgedJobIsQueuedFirst(t *testing.T) {
 	const second = micros.Second
 	const large, urgent = "j-000001", "j-000002"
 	for _, c := range []struct {
 		name      string
 		waited    micros.Micros // since its submission
-		sinceLast micros.Micros // since its latest start, 0 if there was none
+		sinceLast micros.Micros // since its latest start; 0: it never started
 		done      int
 		running   bool
 		termAge   micros.Micros
@@ -25,11 +26,11 @@
 		{"waited for a short time", 100 * second, 0, 0, false, 500 * second, urgent},
 		{"waited for long", 130 * second, 0, 0, false, 500 * second, large},
 		{"waited for long, but a task of it runs", 130 * second, 0, 0, true, 500 * second, urgent},
-		{"has a task done, and lately started one", 400 * second, 50 * second, 1, false, 500 * second, urgent},
-		{"has a task done, and started none for long", 400 * second, 130 * second, 1, false, 500 * second, large},
-		{"has a task done, and the term is young", 400 * second, 130 * second, 1, false, 50 * second, urgent},
+		{"has a completed task, and started one recently", 400 * second, 50 * second, 1, false, 500 * second, urgent},
+		{"has a completed task, and started none for long", 400 * second, 130 * second, 1, false, 500 * second, large},
+		{"has a completed task, and the term has just started", 400 * second, 130 * second, 1, false, 50 * second, urgent},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now, wall := micros.Now(), micros.Wall()
 		s.TermStartedAt = wall - c.termAge
 		m := addMachine(s, "i-1", now)
@@ -46,10 +47,10 @@
 		addJob(s, spec)
 		q := s.newQueue(now)
 		if got := q.jobs[0].Spec.ID; got != c.first {
-			t.Errorf("%s: %s goes first, want %s", c.name, got, c.first)
+			t.Errorf("%s: first job %s, want %s", c.name, got, c.first)
 		}
 		if n := q.waiting[0].WaitingTasks; c.first == large && n > 8 {
-			t.Errorf("%s: %d of its tasks go first, want a part", c.name, n)
+			t.Errorf("%s: %d tasks of the aged job go first, want at most 8 of 64", c.name, n)
 		}
 	}
 }
--- a/internal/leader/scheduler/reservation.go
+++ b/internal/leader/scheduler/reservation.go
@@ -6,15 +6,15 @@
 	"caperlatch/placement"
 )
 
-// Bounds of reservations for gangs.
+// Limits of reservations for gangs.
 const (
-	reservationHorizon = 16 * micros.Second // within what time the room of reserved machines must come free
-	reservationDivisor = 8                  // part of the machines
-	maxReservationJobs = 8                  // for which a plan looks for room
+	reservationHorizon = 16 * micros.Second // how soon the room on reserved machines must become free
+	reservationDivisor = 8                  // at most 1/reservationDivisor of the machines are reserved
+	maxReservationJobs = 8                  // how many gangs a plan seeks machines for
 )
 
-// reserveForGangs reserves machines for gangs that found no room, in the queue's order. A machine is held for one
-// gang, so none waits for another's.
+// reserveForGangs reserves machines for gangs that found no room, in queue order. A machine is reserved for one
+// gang only, so that no gang waits for the room of another.
 func (s *Scheduler) reserveForGangs(now micros.Micros) {
 	q := &s.queue
 	var view machineView
@@ -27,7 +27,7 @@
 			break
 		}
 		if view.placement == nil {
-			view = s.withCompletions(now)
+			view = s.viewWithCompletions(now)
 		}
 		for _, n := range placement.PickReservation(view.placement, w, q.teams[w.Team], reservationHorizon) {
 			view.placement[n].ReservedFor = w
@@ -37,7 +37,7 @@
 	}
 }
 
-// countReserved counts the machines that are reserved for gangs.
+// countReserved returns the number of machines that are reserved for gangs.
 func (s *Scheduler) countReserved() int {
 	n := 0
 	for _, m := range s.Fleet.Sorted {
@@ -48,8 +48,8 @@
 	return n
 }
 
-// canReserve reports whether machines may be reserved for a waiting job: a gang that has none, and has let
-// none go lately.
+// canReserve reports whether machines may be reserved for a waiting job: it must be a gang that has no reserved
+// machines and whose last reservation, if any, is past its retry time.
 func (s *Scheduler) canReserve(waiting *placement.Job, now micros.Micros) bool {
 	if !waiting.Gang || waiting.WaitingTasks == 0 {
 		return false
@@ -58,7 +58,7 @@
 	return reservation == nil || len(reservation.Machines) == 0 && now >= reservation.RetryAt
 }
 
-// reserve adds a machine to a gang's reservation.
+// reserve adds a machine to a job's reservation.
 func (s *Scheduler) reserve(jobID string, m *state.Machine, now micros.Micros) {
 	j := s.Jobs[jobID]
 	if j == nil || m.Reservation != nil {
@@ -79,7 +79,7 @@
 	reservation.Machines = append(reservation.Machines, m)
 }
 
-// ReservedMachines counts the machines that are reserved for a job.
+// ReservedMachines returns the number of machines that are reserved for a job.
 func (s *Scheduler) ReservedMachines(jobID string) int {
 	if r := s.reservations[jobID]; r != nil {
 		return len(r.Machines)
@@ -87,7 +87,7 @@
 	return 0
 }
 
-// DropReservation opens to all the machines that are reserved for a gang, if there are any.
+// DropReservation makes the machines that are reserved for a gang available to all jobs again.
 func (s *Scheduler) DropReservation(j *state.Job) {
 	reservation := s.reservations[j.Spec.ID]
 	if reservation == nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// ExpireReservation drops a gang's reservation if its time is over.
+// ExpireReservation drops a gang's reservation if it has expired.
 func (s *Scheduler) ExpireReservation(j *state.Job, now micros.Micros) {
 	if reservation := s.reservations[j.Spec.ID]; reservation != nil && now >= reservation.ExpiresAt && (len(reservation.Machines) > 0 || now >= reservation.RetryAt) {
 		s.DropReservation(j)
--- a/internal/leader/scheduler/reservation_test.go
+++ b/internal/leader/scheduler/reservation_test.go
@@ -9,16 +9,16 @@
 	"caperlatch/internal/wire"
 )
 
-// gangJob is a gang of which each task needs most of a machine of four CPUs.
-func gangJob(id string, tasks int) wire.Job {
-	spec := arrayJob(id, tasks)
+// gangJobSpec returns a gang job each of whose tasks needs three of a machine's four CPUs.
+func gangJobSpec(id string, tasks int) wire.Job {
+	spec := arrayJobSpec(id, tasks)
 	spec.Kind, spec.CPUs = wire.KindGang, 3
 	return spec
 }
 
-// fillMachines adds machines that are full of tasks which end within a few seconds.
-func fillMachines(s *Scheduler, count int, now micros.Micros) {
-	spec := arrayJob("j-000900", 4*count)
+// addFullMachines adds machines that are filled with tasks which end within a few seconds.
+func addFullMachines(s *Scheduler, count int, now micros.Micros) {
+	spec := arrayJobSpec("j-000900", 4*count)
 	spec.EstimatedRuntimeS = 5
 	j := addJob(s, spec)
 	for i := range count {
@@ -29,81 +29,84 @@
 	}
 }
 
-// TestReserveForGangs has gangs of two tasks find no room beside work that ends soon.
+// TestReserveForGangs checks how many machines are reserved for gangs of two tasks that find no room beside
+// tasks that end soon.
 func TestReserveForGangs(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		machines, gangs int
 		reserved        int
 	}{
-		{"the first gang has what it needs", 4, 1, 2},
-		{"others have an eighth of the fleet at most", 16, 3, 2},
+		{"the first gang gets all the machines that it needs", 4, 1, 2},
+		{"no further gang once an eighth of the fleet is reserved", 16, 3, 2},
 		{"a larger fleet", 17, 3, 4},
-		{"no more gangs than a plan looks for room for", 200, 12, 16},
+		{"at most maxReservationJobs gangs in a plan", 200, 12, 16},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now()
-		fillMachines(s, c.machines, now)
+		addFullMachines(s, c.machines, now)
 		for i := range c.gangs {
-			addJob(s, gangJob(fmt.Sprintf("j-00010%d", i), 2))
+			addJob(s, gangJobSpec(fmt.Sprintf("j-00010%d", i), 2))
 		}
 		s.Plan(now)
 		if got := s.countReserved(); got != c.reserved {
-			t.Errorf("%s: %d machines are reserved, want %d", c.name, got, c.reserved)
+			t.Errorf("%s: %d machines reserved, want %d", c.name, got, c.reserved)
 		}
 	}
 }
 
-// TestReservationExpires has a gang's reservation expire, and the gang then wait as long for the next one.
+// TestReservationExpires checks that a gang's reservation expires, and that the gang then waits for as long
+// again before it gets the next one.
 func TestReservationExpires(t *testing.T) {
-	s, _ := newTest(t)
+	s, _ := newTestScheduler(t)
 	now := micros.Now()
-	fillMachines(s, 4, now)
-	j := addJob(s, gangJob("j-000100", 2))
+	addFullMachines(s, 4, now)
+	j := addJob(s, gangJobSpec("j-000100", 2))
 	s.Plan(now)
 	lifetime := reservationHorizon + testHeartbeatInterval
 	r := s.reservations[j.Spec.ID]
 	if r == nil || len(r.Machines) != 2 || r.ExpiresAt != now+lifetime || r.RetryAt != now+2*lifetime || r.QueuedJob == nil {
-		t.Fatalf("%+v", r)
+		t.Fatalf("reservation %+v, want two machines, expiry after %v, retry after %v, and the queued job", r, lifetime.Duration(), (2 * lifetime).Duration())
 	}
 	if s.ExpireReservation(j, now+lifetime-1); s.ReservedMachines(j.Spec.ID) != 2 {
-		t.Error("it expires too soon")
+		t.Error("reservation expired before its lifetime had passed")
 	}
 	if s.Plan(now); s.queue.waiting[0].ID != j.Spec.ID || r.QueuedJob != s.queue.waiting[0] {
-		t.Error("the reservation is for the gang as of an earlier queue")
+		t.Error("reservation refers to a job of an earlier queue, want the job of the latest queue")
 	}
 	s.planRequested = false
 	if s.ExpireReservation(j, now+lifetime); s.ReservedMachines(j.Spec.ID) != 0 || s.countReserved() != 0 || !s.planRequested {
-		t.Error("it does not expire")
+		t.Error("reservation not dropped, or no plan requested, at its expiry")
 	}
 	if s.Plan(now); s.countReserved() != 0 {
-		t.Error("machines are reserved again at once")
+		t.Error("machines reserved again before the retry time")
 	}
 	r.RetryAt = now
 	if s.Plan(now); s.countReserved() != 2 {
-		t.Error("machines are not reserved again")
+		t.Error("machines not reserved again at the retry time")
 	}
 }
 
-// TestReservationEndsWithAssignment has a gang find room elsewhere than on the machines that are reserved for it.
-func TestReservationEndsWithAssignment(t *testing.T) {
-	s, _ := newTest(t)
+// TestAssignmentDropsReservation checks that a gang's reservation is dropped when the gang is assigned to other
+// machines.
+func TestAssignmentDropsReservation(t *testing.T) {
+	s, _ := newTestScheduler(t)
 	now := micros.Now()
-	fillMachines(s, 4, now)
-	addJob(s, gangJob("j-000100", 2))
+	addFullMachines(s, 4, now)
+	addJob(s, gangJobSpec("j-000100", 2))
 	s.Plan(now)
 	free := []*state.Machine{addMachine(s, "i-90", now), addMachine(s, "i-91", now)}
 	for _, m := range free {
-		m.Heartbeat.ReceivedAt = now - testHeartbeatInterval // their next ones come at once
+		m.Heartbeat.ReceivedAt = now - testHeartbeatInterval // their next heartbeats are due now
 	}
 	s.Plan(now)
 	assigned := s.Gangs.(*fakeGangs).assigned
 	if assigned[free[0]] != 1 || assigned[free[1]] != 1 || s.countReserved() != 0 {
-		t.Errorf("%d and %d tasks are assigned, %d machines are reserved", assigned[free[0]], assigned[free[1]], s.countReserved())
+		t.Errorf("%d and %d tasks assigned, %d machines reserved; want 1, 1 and 0", assigned[free[0]], assigned[free[1]], s.countReserved())
 	}
 }
 
-// TestReserve has a machine be reserved for a job.
+// TestReserve checks for which jobs and machines a reservation is made.
 func TestReserve(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -115,14 +118,14 @@
 		{"a job that has ended", "j-000101", func(*state.Machine) {}, 0},
 		{"a machine of another reservation", "j-000100", func(m *state.Machine) { m.Reservation = &state.GangReservation{} }, 0},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now()
 		m := addMachine(s, "i-1", now)
-		addJob(s, gangJob("j-000100", 2))
+		addJob(s, gangJobSpec("j-000100", 2))
 		c.set(m)
 		s.reserve(c.id, m, now)
 		if got := s.ReservedMachines(c.id); got != c.want {
-			t.Errorf("%s: %d machines are reserved, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d machines reserved, want %d", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -1,13 +1,13 @@
-// Package scheduler decides which waiting tasks start on which machines, which running tasks are stopped for
-// them, and which machines are reserved for gangs.
+// Package scheduler decides which waiting tasks start on which machines, which running tasks are stopped to
+// make room for them, and which machines are reserved for gangs.
 //
-// It owns the queue, when plans are made, and reservations; the choices themselves are the placement
-// package's, which it shows the leader's records in the form that placement takes. It does no I/O: a plan
-// is written into the machines' Planned lists, and becomes binding only as the response to a heartbeat
-// carries the starts. It must never plan while another node may lead, nor plan tasks of a job that may still
-// have them on machines whose tasks are not known.
+// The package owns the queue, the times at which plans are made, and the reservations. The placement package
+// makes the individual choices; the scheduler converts the leader's records into placement's types. The package
+// does no I/O: a plan is written to the machines' PlannedStarts and becomes binding only when the response to a
+// heartbeat carries the starts. The scheduler must never plan while another node may lead, nor plan tasks of a
+// job that may still have those tasks on machines whose tasks are unknown.
 //
-// Its methods are called with the leader's lock held.
+// The methods must be called with the leader's lock held.
 package scheduler
 
 import (
@@ -19,92 +19,94 @@
 	"caperlatch/placement"
 )
 
-// Term is what the scheduler needs of the leader's term.
+// Term is the part of the leader's term that the scheduler uses.
 type Term interface {
 	HoldsSession() bool
 	IsExclusive() bool
 }
 
-// Gangs is what the scheduler has done about the attempts of gangs.
+// Gangs manages the attempts of gangs for the scheduler.
 type Gangs interface {
-	// AssignTasks assigns waiting tasks of a gang to a machine.
+	// AssignTasks assigns count waiting tasks of a gang to a machine.
 	AssignTasks(m *state.Machine, j *state.Job, count int, now micros.Micros)
-	// StopIfReachable stops all tasks of a gang, with time to save, if all should get the command in time.
+	// StopIfReachable stops all tasks of a gang, with grace as the time to save a checkpoint, if all of them
+	// should receive the command in time. It reports whether it stopped them.
 	StopIfReachable(j *state.Job, grace micros.Micros, reason string, now micros.Micros) bool
-	// NonPreemptible finds the gangs that must not be stopped for other work.
+	// NonPreemptible returns the gangs that must not be preempted.
 	NonPreemptible(now micros.Micros) map[*state.Job]bool
 }
 
-// Config is what a scheduler works with. The functions are called with the leader's lock held.
+// Config holds a scheduler's dependencies and parameters. The functions are called with the leader's lock held.
 type Config struct {
 	Term     Term
 	Fleet    *fleet.Fleet
 	Scaler   *autoscaler.Scaler // for instance types and prices
 	Workload *workload.Workload
 	Gangs    Gangs
-	// Jobs are the jobs that have not ended, by ID; the leader keeps them.
+	// Jobs holds the jobs that have not ended, by ID. The leader maintains it.
 	Jobs map[string]*state.Job
-	// HeartbeatInterval is the usual time between a worker's heartbeats.
+	// HeartbeatInterval is the usual time between two heartbeats of a worker.
 	HeartbeatInterval micros.Micros
-	// TermStartedAt is when the term started, as time of day.
+	// TermStartedAt is the wall-clock time at which the term started.
 	TermStartedAt micros.Micros
 
-	// TeamUsage is what each team may be using at worst, and its limit.
+	// TeamUsage returns each team's limit and the most resources that its tasks may be using.
 	TeamUsage func() map[string]*placement.Team
-	// AwaitsReconciliation makes a function that reports whether a job must start nothing yet, as
-	// machines whose tasks are not known may hold some of its tasks.
+	// AwaitsReconciliation returns a function that reports whether a job must not start tasks yet, because
+	// machines whose tasks are unknown may be running some of its tasks.
 	AwaitsReconciliation func() func(*state.Job) bool
-	// ReviewQuarantine ends a job's quarantine if its tasks have proved not to be at fault since.
+	// ReviewQuarantine ends a job's quarantine if its tasks have since proved not to be at fault.
 	ReviewQuarantine func(j *state.Job, now micros.Micros)
-	// OnlyZone is the only zone in which a job may start tasks now, empty if there are others.
+	// OnlyZone returns the only zone in which a job may start tasks now, or "" if there is more than one.
 	OnlyZone func(j *state.Job) string
-	// EvacuationRank is a job's place in the order in which work leaves a lost zone, 0 without one.
+	// EvacuationRank returns a job's position in the order in which work leaves a lost zone, or 0 if it has
+	// none.
 	EvacuationRank func(j *state.Job) int
-	// Stop has an attempt stopped within a grace period, and its worker called.
+	// Stop requests that an attempt stop within a grace period, and calls its worker.
 	Stop func(a *state.Attempt, grace micros.Micros, reason string)
 }
 
-// Scheduler plans for one term.
+// Scheduler plans task starts, preemptions and reservations for one term.
 type Scheduler struct {
 	Config
 
-	// PlannedAt is when the latest plan was ready.
+	// PlannedAt is the time at which the latest plan was completed.
 	PlannedAt     micros.Micros
-	planDuration  micros.Micros // of that plan
-	planRequested bool          // something changed since then
+	planDuration  micros.Micros // how long the latest plan took
+	planRequested bool          // something has changed since the latest plan
 
-	queue        queue                         // as of the latest plan
-	responding   *state.Machine                // whose heartbeat is being responded to
-	deferred     map[string]placement.Deferral // by job ID, as logged; nil unless debugging
-	completions  completionRate
-	reservations map[string]*state.GangReservation // by job ID
+	queue           queue                         // as of the latest plan
+	respondingTo    *state.Machine                // machine whose heartbeat is being answered, nil if none
+	loggedDeferrals map[string]placement.Deferral // latest logged deferral by job ID; nil unless debug logging is on
+	completions     completionRate
+	reservations    map[string]*state.GangReservation // by job ID
 
 	preemptedAt         micros.Micros // when preempt last ran
-	preemptedForGangsAt micros.Micros // when preemptForGangs last looked for victims
+	preemptedForGangsAt micros.Micros // when preemptForGangs last searched for victims
 }
 
-// New makes a scheduler with an empty queue.
+// New returns a scheduler with an empty queue.
 func New(c Config) *Scheduler {
 	return &Scheduler{Config: c, reservations: map[string]*state.GangReservation{}}
 }
 
-// Times between plans. A machine that sends a heartbeat is filled from the queue at once, whenever the
-// latest plan was made; plans are for new jobs, for choosing among machines with room, and for the queue's order.
+// Times between plans. A machine that sends a heartbeat is filled from the queue at once, however old the
+// latest plan is. Plans serve new jobs, the choice among machines with room, and the order of the queue.
 const (
 	minPlanInterval = 100 * micros.Millisecond
 	maxPlanInterval = micros.Second
 )
 
-// planTimeDivisor is the part of the processor's time that plans may take.
+// planTimeDivisor limits planning to 1/planTimeDivisor of the time.
 const planTimeDivisor = 10
 
-// RequestPlan has a plan made soon, as something has changed.
+// RequestPlan requests a new plan because something has changed.
 func (s *Scheduler) RequestPlan() { s.planRequested = true }
 
-// PlanIfNeeded plans anew when something has changed or the queue has grown old, though it never takes more
-// than a small part of the processor's time. responding is the machine whose heartbeat is being responded to, nil
-// if there is none.
-func (s *Scheduler) PlanIfNeeded(responding *state.Machine, now micros.Micros) {
+// PlanIfNeeded makes a new plan if something has changed or if jobs are queued and the latest plan has become
+// old. Planning never takes more than a small part of the time. respondingTo is the machine whose heartbeat is
+// being answered, nil if there is none.
+func (s *Scheduler) PlanIfNeeded(respondingTo *state.Machine, now micros.Micros) {
 	since := now - s.PlannedAt
 	if since < planTimeDivisor*s.planDuration {
 		return
@@ -113,16 +115,16 @@
 	if !isDue {
 		return
 	}
-	s.responding = responding
+	s.respondingTo = respondingTo
 	s.planRequested = false
 	s.Plan(now)
-	s.responding = nil
+	s.respondingTo = nil
 	s.PlannedAt = micros.Now()
 	s.planDuration = s.PlannedAt - now
 }
 
-// Plan decides anew what the next response to every machine starts. Plans that were not sent yet are made
-// again: only sent starts bind.
+// Plan decides which tasks the next response to each machine starts. Planned starts that have not been sent are
+// discarded and planned again: only sent starts are binding.
 func (s *Scheduler) Plan(now micros.Micros) {
 	for _, m := range s.Fleet.Sorted {
 		m.PlannedStarts = m.PlannedStarts[:0]
@@ -132,11 +134,11 @@
 	if len(q.jobs) == 0 || !s.Term.IsExclusive() {
 		return
 	}
-	view := s.schedulable(now, q.minNeed)
+	view := s.schedulableMachines(now, q.minNeed)
 	for _, start := range placement.Plan(view.placement, q.waiting, q.teams) {
 		s.planStarts(view.machines[start.Machine], q.jobs[start.Job], start.Count, now)
 	}
-	q.dropPlanned()
+	q.removeFullyPlanned()
 	for _, w := range q.waiting {
 		if w.Gang {
 			w.EarliestStart = placement.EarliestGangStart(view.placement, w, s.HeartbeatInterval)
@@ -150,8 +152,8 @@
 	}
 }
 
-// planStarts has tasks of a job start with the next response to a machine. A gang's tasks are assigned from
-// now on; others' plans bind nobody.
+// planStarts plans the start of count tasks of a job with the next response to a machine. The tasks of a gang
+// are assigned to the machine immediately; planned starts of other jobs are not binding.
 func (s *Scheduler) planStarts(m *state.Machine, j *state.Job, count int, now micros.Micros) {
 	if j.IsGang() {
 		s.DropReservation(j)
@@ -163,37 +165,37 @@
 	}
 }
 
-// FillMachine adds to what is planned for a machine whose heartbeat is being responded to, from what found
-// no room in the latest plan.
+// FillMachine plans further starts on a machine whose heartbeat is being answered, from the tasks that found no
+// room in the latest plan.
 func (s *Scheduler) FillMachine(m *state.Machine, now micros.Micros) {
 	q := &s.queue
 	if len(q.jobs) == 0 || m.Surplus && q.hasSpareRoom {
-		// A few tasks on each machine would keep all of them busy for ever.
+		// A few tasks on each surplus machine would keep all of them busy forever.
 		return
 	}
-	s.responding = m
+	s.respondingTo = m
 	machine := s.placementMachine(m, now)
-	s.responding = nil
+	s.respondingTo = nil
 	subtractPlanned(&machine, m)
 	if !machine.Free.Fits(q.minNeed) {
 		return
 	}
-	hasPlannedAll := false // of some job
+	anyFullyPlanned := false // all tasks of at least one job are planned
 	for _, start := range placement.Fill(&machine, q.waiting, q.teams) {
-		hasPlannedAll = hasPlannedAll || q.waiting[start.Job].WaitingTasks == 0
+		anyFullyPlanned = anyFullyPlanned || q.waiting[start.Job].WaitingTasks == 0
 		if j := q.jobs[start.Job]; !j.IsGang() || !j.Ended && start.Count == j.StartableTasks(now) {
 			s.planStarts(m, j, start.Count, now)
 		}
-		// Else the gang was cancelled, or its attempt has ended, since the queue was made.
+		// Otherwise the gang was cancelled, or its attempt ended, after the queue was built.
 	}
-	if hasPlannedAll {
-		q.dropPlanned()
+	if anyFullyPlanned {
+		q.removeFullyPlanned()
 	}
 }
 
-// ProtectsNextStart reports whether the next task of a job to start is one of the first of the job, which
-// are protected from preemption until their starts count. They are the same part of the job that goes first when it
-// has aged.
+// ProtectsNextStart reports whether the next task of a job to start is among the job's first tasks, which are
+// protected from preemption until they have run for minUsefulRuntime. The protected part of a job is the same
+// part that goes first once the job has aged.
 func ProtectsNextStart(j *state.Job) bool {
 	return j.ProtectedTasks < 1+j.Spec.Tasks/agingDivisor
 }
--- a/internal/leader/scheduler/scheduler_test.go
+++ b/internal/leader/scheduler/scheduler_test.go
@@ -9,18 +9,19 @@
 	"caperlatch/placement"
 )
 
-// arrayJob is a job of tasks that need one CPU each.
-func arrayJob(id string, tasks int) wire.Job {
+// arrayJobSpec returns an array job whose tasks need one CPU each.
+func arrayJobSpec(id string, tasks int) wire.Job {
 	return wire.Job{ID: id, Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
 }
 
-// TestPlanIfNeeded has time pass since a plan.
+// TestPlanIfNeeded checks when a new plan is made, by the time since the latest plan and how long that plan
+// took.
 func TestPlanIfNeeded(t *testing.T) {
 	const ms = micros.Millisecond
 	for _, c := range []struct {
 		name      string
 		requested bool
-		queued    bool // jobs wait
+		queued    bool // jobs are waiting
 		since     micros.Micros
 		took      micros.Micros
 		plans     bool
@@ -30,13 +31,13 @@
 		{"something has changed, soon after the plan", true, false, 99 * ms, 0, false},
 		{"something has changed, and the plan took long", true, false, 999 * ms, 100 * ms, false},
 		{"something has changed, longer after a plan that took long", true, false, 1000 * ms, 100 * ms, true},
-		{"jobs wait", false, true, 999 * ms, 0, false},
-		{"jobs wait for long", false, true, 1000 * ms, 0, true},
+		{"jobs are waiting", false, true, 999 * ms, 0, false},
+		{"jobs have been waiting for long", false, true, 1000 * ms, 0, true},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now()
 		if c.queued {
-			s.queue.jobs = []*state.Job{addJob(s, arrayJob("j-000001", 1))}
+			s.queue.jobs = []*state.Job{addJob(s, arrayJobSpec("j-000001", 1))}
 		}
 		s.PlannedAt, s.planDuration, s.planRequested = now-c.since, c.took, c.requested
 		plans := 0
@@ -46,12 +47,12 @@
 		}
 		s.PlanIfNeeded(nil, now)
 		if plans != 0 != c.plans || s.PlannedAt >= now != c.plans || s.planRequested != (c.requested && !c.plans) {
-			t.Errorf("%s: %d plans, at %d", c.name, plans, s.PlannedAt-now)
+			t.Errorf("%s: %d plans made, planned %d µs after now, plan requested: %t; want planning: %t", c.name, plans, s.PlannedAt-now, s.planRequested, c.plans)
 		}
 	}
 }
 
-// TestPlan has a job of six tasks wait for two machines of four CPUs.
+// TestPlan checks how many of a job's six tasks are planned on two machines of four CPUs.
 func TestPlan(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -64,7 +65,7 @@
 			s.AwaitsReconciliation = func() func(*state.Job) bool { return func(*state.Job) bool { return true } }
 		}, 0},
 		{"a machine is drained", func(s *Scheduler, _ *fakeTerm) { s.Fleet.Sorted[0].DrainReason = "test" }, 4},
-		{"a machine is silent for three heartbeats", func(s *Scheduler, _ *fakeTerm) {
+		{"a machine has missed three heartbeats", func(s *Scheduler, _ *fakeTerm) {
 			s.Fleet.Sorted[0].Heartbeat.ReceivedAt -= 4 * testHeartbeatInterval
 		}, 4},
 		{"the team is at its limit", func(s *Scheduler, _ *fakeTerm) {
@@ -73,13 +74,13 @@
 			}
 		}, 2},
 	} {
-		s, term := newTest(t)
+		s, term := newTestScheduler(t)
 		now := micros.Now()
 		addMachine(s, "i-1", now)
 		addMachine(s, "i-2", now)
-		addJob(s, arrayJob("j-000001", 6))
+		addJob(s, arrayJobSpec("j-000001", 6))
 		c.set(s, term)
-		for range 2 { // what was not sent is planned again
+		for range 2 { // starts that were not sent are planned again
 			s.Plan(now)
 		}
 		planned := 0
@@ -87,55 +88,58 @@
 			planned += len(m.PlannedStarts)
 		}
 		if planned != c.planned {
-			t.Errorf("%s: %d starts are planned, want %d", c.name, planned, c.planned)
+			t.Errorf("%s: %d starts planned, want %d", c.name, planned, c.planned)
 		}
 	}
 }
 
-// TestFillMachine has a machine of four CPUs send a heartbeat after a plan in which a job with tasks found no room.
+// TestFillMachine checks what is planned on a machine of four CPUs that sends a heartbeat after a plan in which
+// a job's tasks found no room.
 func TestFillMachine(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		tasks   int // that wait
+		tasks   int // waiting tasks
 		set     func(s *Scheduler, m *state.Machine)
 		planned int
-		queued  int // jobs afterwards
+		queued  int // waiting jobs afterwards
 	}{
 		{"more tasks than room", 6, func(*Scheduler, *state.Machine) {}, 4, 1},
 		{"room for all tasks", 3, func(*Scheduler, *state.Machine) {}, 3, 0},
 		{"a start is planned already", 6, func(s *Scheduler, m *state.Machine) { m.PlannedStarts = append(m.PlannedStarts, s.queue.jobs[0]) }, 4, 1},
-		{"surplus, and the others have spare room", 6, func(s *Scheduler, m *state.Machine) { m.Surplus, s.queue.hasSpareRoom = true, true }, 0, 1},
-		{"surplus, and the others have no spare room", 6, func(_ *Scheduler, m *state.Machine) { m.Surplus = true }, 4, 1},
+		{"surplus, and the other machines have spare room", 6, func(s *Scheduler, m *state.Machine) { m.Surplus, s.queue.hasSpareRoom = true, true }, 0, 1},
+		{"surplus, and the other machines have no spare room", 6, func(_ *Scheduler, m *state.Machine) { m.Surplus = true }, 4, 1},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now()
-		addJob(s, arrayJob("j-000001", c.tasks))
-		s.Plan(now) // there are no machines
+		addJob(s, arrayJobSpec("j-000001", c.tasks))
+		s.Plan(now) // plans nothing: there are no machines
 		m := addMachine(s, "i-1", now)
 		c.set(s, m)
 		s.FillMachine(m, now)
 		if len(m.PlannedStarts) != c.planned || len(s.queue.jobs) != c.queued {
-			t.Errorf("%s: %d starts are planned, %d jobs wait", c.name, len(m.PlannedStarts), len(s.queue.jobs))
+			t.Errorf("%s: %d starts planned, want %d; %d jobs waiting, want %d", c.name, len(m.PlannedStarts), c.planned, len(s.queue.jobs), c.queued)
 		}
 	}
 }
 
-// TestFillMachineWithGang has a machine send a heartbeat that could take all tasks of a gang: it gets them at once.
+// TestFillMachineWithGang checks that a gang is assigned at once to a machine that sends a heartbeat and has
+// room for all tasks of the gang.
 func TestFillMachineWithGang(t *testing.T) {
-	s, _ := newTest(t)
+	s, _ := newTestScheduler(t)
 	now := micros.Now()
-	spec := arrayJob("j-000001", 2)
+	spec := arrayJobSpec("j-000001", 2)
 	spec.Kind = wire.KindGang
 	addJob(s, spec)
-	s.Plan(now) // there are no machines
+	s.Plan(now) // plans nothing: there are no machines
 	m := addMachine(s, "i-1", now)
 	s.FillMachine(m, now)
-	if n := s.Gangs.(*fakeGangs).assigned[m]; n != 2 || s.responding != nil {
-		t.Errorf("%d tasks are assigned", n)
+	if n := s.Gangs.(*fakeGangs).assigned[m]; n != 2 || s.respondingTo != nil {
+		t.Errorf("%d tasks assigned, want 2; machine still marked as being answered: %t, want false", n, s.respondingTo != nil)
 	}
 }
 
-// TestHasSpareRoom has tasks that need four CPUs in all wait beside two idle machines of four.
+// TestHasSpareRoom checks whether two idle machines of four CPUs have ample room for waiting tasks that need
+// four CPUs in all.
 func TestHasSpareRoom(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -147,18 +151,18 @@
 		{"one machine is closed to other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
 		{"one machine has less room", func(m *state.Machine) { m.Free.CPU-- }, false},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now()
 		c.set(addMachine(s, "i-1", now))
 		addMachine(s, "i-2", now)
 		waiting := []*placement.Job{{Request: placement.Request{WaitingTasks: 2, Need: placement.Resources{CPU: 2000}}}}
-		if got := s.schedulable(now, placement.Resources{}).hasSpareRoom(waiting); got != c.want {
+		if got := s.schedulableMachines(now, placement.Resources{}).hasSpareRoom(waiting); got != c.want {
 			t.Errorf("%s: %t, want %t", c.name, got, c.want)
 		}
 	}
 }
 
-// TestHasRoomFor asks for room of one CPU on a machine.
+// TestHasRoomFor checks which states of a machine leave room for a task of one CPU.
 func TestHasRoomFor(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -169,9 +173,9 @@
 		{"full", func(m *state.Machine) { m.Free.CPU = 999 }, false},
 		{"drained", func(m *state.Machine) { m.DrainReason = "test" }, false},
 		{"closed to other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
-		{"silent", func(m *state.Machine) { m.Heartbeat.ReceivedAt -= 4 * testHeartbeatInterval }, false},
+		{"has missed heartbeats", func(m *state.Machine) { m.Heartbeat.ReceivedAt -= 4 * testHeartbeatInterval }, false},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now()
 		c.set(addMachine(s, "i-1", now))
 		if got := s.HasRoomFor(placement.Resources{CPU: 1000}, now); got != c.want {
@@ -180,7 +184,7 @@
 	}
 }
 
-// TestCommandDelay looks at a machine whose heartbeats come every 2 s.
+// TestCommandDelay checks the expected delay of commands to a machine whose heartbeat interval is 2 s.
 func TestCommandDelay(t *testing.T) {
 	const second = micros.Second
 	for _, c := range []struct {
@@ -193,17 +197,17 @@
 		{"its heartbeat is due in half a second", 1500 * micros.Millisecond, false, second / 2},
 		{"its heartbeat is due", 2 * second, false, 0},
 		{"its heartbeat is a quarter of an interval late", 2500 * micros.Millisecond, false, 0},
-		{"its heartbeat is later", 3 * second, false, 2500 * micros.Millisecond},
-		{"its heartbeat is being responded to", 0, true, 0},
+		{"its heartbeat is later than that", 3 * second, false, 2500 * micros.Millisecond},
+		{"its heartbeat is being answered", 0, true, 0},
 	} {
-		s, _ := newTest(t)
+		s, _ := newTestScheduler(t)
 		now := micros.Now()
 		m := addMachine(s, "i-1", now-c.silent)
 		if c.responding {
-			s.responding = m
+			s.respondingTo = m
 		}
 		if got := s.placementMachine(m, now).CommandDelay; got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got.Duration(), c.want.Duration())
+			t.Errorf("%s: command delay %v, want %v", c.name, got.Duration(), c.want.Duration())
 		}
 	}
 }
--- a/internal/leader/scheduler/view.go
+++ b/internal/leader/scheduler/view.go
@@ -10,27 +10,27 @@
 	"caperlatch/placement"
 )
 
-// machineView is the machines that may get tasks, as placement sees them and as they are.
+// machineView holds the machines that may receive tasks, both in placement's form and as the leader's records.
 type machineView struct {
 	placement []placement.Machine
-	machines  []*state.Machine // of these, with the same indexes
+	machines  []*state.Machine // the leader's records, with the same indexes as placement
 }
 
-// Bounds of how long ago a machine's latest heartbeat may be, in intervals: for it to get tasks, and for
-// consolidation to count on it.
+// Limits of the age of a machine's latest heartbeat, in heartbeat intervals: maxHeartbeatAge for receiving
+// tasks, maxHeartbeatAgeConsolidate for being part of a consolidation.
 const (
-	maxHeartbeatsSilent            = 3
-	maxHeartbeatsSilentConsolidate = 2
+	maxHeartbeatAge            = 3
+	maxHeartbeatAgeConsolidate = 2
 )
 
-// surplusPenalty is how much longer a start may take elsewhere, for a surplus machine to be left idle.
+// surplusPenalty is how much longer a start may take on another machine for a surplus machine to be left idle.
 const surplusPenalty = 30 * micros.Second
 
-// schedulable views the machines that may get tasks and have room for need.
-func (s *Scheduler) schedulable(now micros.Micros, need placement.Resources) machineView {
+// schedulableMachines returns a view of the machines that may receive tasks and have room for need.
+func (s *Scheduler) schedulableMachines(now micros.Micros, need placement.Resources) machineView {
 	var view machineView
 	for _, m := range s.Fleet.Sorted {
-		if m.Free.Fits(need) && s.mayGetTasks(m, now) {
+		if m.Free.Fits(need) && s.canReceiveTasks(m, now) {
 			view.placement = append(view.placement, s.placementMachine(m, now))
 			view.machines = append(view.machines, m)
 		}
@@ -38,20 +38,21 @@
 	return view
 }
 
-// mayGetTasks reports whether a machine may get tasks, if it has room.
-func (s *Scheduler) mayGetTasks(m *state.Machine, now micros.Micros) bool {
+// canReceiveTasks reports whether a machine may receive tasks, regardless of its free resources.
+func (s *Scheduler) canReceiveTasks(m *state.Machine, now micros.Micros) bool {
 	return s.Scaler.Type(m.Offering.Type) != nil && m.IsSchedulable(now) &&
-		now-m.Heartbeat.ReceivedAt <= maxHeartbeatsSilent*s.HeartbeatInterval
+		now-m.Heartbeat.ReceivedAt <= maxHeartbeatAge*s.HeartbeatInterval
 }
 
-// HasRoomFor reports whether a machine that may get tasks of all zones has room for need.
+// HasRoomFor reports whether any machine that may receive tasks, and is not closed to jobs that can run in
+// other zones, has room for need.
 func (s *Scheduler) HasRoomFor(need placement.Resources, now micros.Micros) bool {
 	return slices.ContainsFunc(s.Fleet.Sorted, func(m *state.Machine) bool {
-		return m.Free.Fits(need) && s.mayGetTasks(m, now) && !m.ZoneReturn.Closed
+		return m.Free.Fits(need) && s.canReceiveTasks(m, now) && !m.ZoneReturn.Closed
 	})
 }
 
-// hasSpareRoom reports whether the machines that are no surplus have room enough for what waits.
+// hasSpareRoom reports whether the machines that are not surplus have ample room for all waiting tasks.
 func (view machineView) hasSpareRoom(waiting []*placement.Job) bool {
 	free, need := int64(0), int64(0)
 	for i, m := range view.machines {
@@ -65,11 +66,12 @@
 	return free >= spareRoomFactor*need
 }
 
-// spareRoomFactor is how much more room than what waits the machines that are no surplus must have, so
-// that it finds some soon: not all of it is where it fits, or on machines that send a heartbeat at once.
+// spareRoomFactor is how many times the CPUs of the waiting tasks must be free on machines that are not
+// surplus, so that the tasks soon find room: not all free room fits them or is on a machine that sends a
+// heartbeat at once.
 const spareRoomFactor = 2
 
-// placementMachine is a machine as placement sees it.
+// placementMachine converts a machine to placement's form.
 func (s *Scheduler) placementMachine(m *state.Machine, now micros.Micros) placement.Machine {
 	instanceType := s.Scaler.Type(m.Offering.Type)
 	machine := placement.Machine{
@@ -88,9 +90,9 @@
 		Restrictions: placement.Restrictions{RejectsDelayTolerant: m.RejectsDelayTolerant},
 	}
 	if late := now - m.Heartbeat.ReceivedAt - s.HeartbeatInterval - s.HeartbeatInterval/4; late > 0 {
-		machine.CommandDelay = s.HeartbeatInterval + late // it has missed a heartbeat, and may have ended
+		machine.CommandDelay = s.HeartbeatInterval + late // the machine has missed a heartbeat and may have ended
 	}
-	if m == s.responding {
+	if m == s.respondingTo {
 		machine.CommandDelay = 0
 	}
 	if m.Surplus {
@@ -104,17 +106,18 @@
 	return machine
 }
 
-// subtractPlanned takes off what a machine has free what is planned on it.
+// subtractPlanned subtracts the resources of the starts planned on m from the free resources of p.
 func subtractPlanned(p *placement.Machine, m *state.Machine) {
 	for _, j := range m.PlannedStarts {
 		p.Free = p.Free.Add(j.Need, -1)
 	}
 }
 
-// withVictims views the machines that may get tasks, with the tasks that could be preempted there.
-func (s *Scheduler) withVictims(now micros.Micros) machineView {
+// viewWithVictims returns a view of the machines that may receive tasks, with the tasks that could be preempted
+// there.
+func (s *Scheduler) viewWithVictims(now micros.Micros) machineView {
 	withinGuarantee, nonPreemptible := s.Workload.JobsWithinGuarantee(s.Jobs), s.Gangs.NonPreemptible(now)
-	view := s.schedulable(now, placement.Resources{})
+	view := s.schedulableMachines(now, placement.Resources{})
 	for i, m := range view.machines {
 		machine := &view.placement[i]
 		subtractPlanned(machine, m)
@@ -132,12 +135,14 @@
 	return view
 }
 
-// minCountedRun is how long a task must run before its start is worth anything. The part of a best-effort
-// job that starts first is protected for so long: what has just started loses least when it is stopped, so
-// a job let in after two minutes was stopped again within seconds, and had not started for six.
-const minCountedRun = 35 * micros.Second
+// minUsefulRuntime is how long a task must run before its start is useful to its job. The tasks of a
+// best-effort job that start first are protected from preemption for this long. Without the protection, tasks
+// that had just started were chosen as victims, as they lose the least work: a job that was started after
+// waiting for two minutes was stopped again within seconds, and had still made no lasting start after six
+// minutes.
+const minUsefulRuntime = 35 * micros.Second
 
-// placementVictim is a running task as placement sees it.
+// placementVictim converts a running task to placement's form of a preemption victim.
 func (s *Scheduler) placementVictim(a *state.Attempt, withinGuarantee bool, now micros.Micros) placement.Victim {
 	victim := placement.Victim{
 		JobID:           a.Job.Spec.ID,
@@ -155,15 +160,16 @@
 	if a.Job.IsGang() {
 		victim.Gang, victim.LostWork = true, victim.LostWork*micros.Micros(len(a.Job.Attempts))
 	}
-	if a.Protected && (a.RunningSince == 0 || now-a.RunningSince < minCountedRun) {
-		victim.BestEffort, victim.LostWork = false, victim.LostWork+minCountedRun
+	if a.Protected && (a.RunningSince == 0 || now-a.RunningSince < minUsefulRuntime) {
+		victim.BestEffort, victim.LostWork = false, victim.LostWork+minUsefulRuntime
 	}
 	return victim
 }
 
-// withCompletions views the machines that may get tasks, with when what runs there should end.
-func (s *Scheduler) withCompletions(now micros.Micros) machineView {
-	view := s.schedulable(now, placement.Resources{})
+// viewWithCompletions returns a view of the machines that may receive tasks, with the times at which their
+// running tasks are expected to end.
+func (s *Scheduler) viewWithCompletions(now micros.Micros) machineView {
+	view := s.schedulableMachines(now, placement.Resources{})
 	for i, m := range view.machines {
 		machine := &view.placement[i]
 		subtractPlanned(machine, m)
