--- a/internal/leader/taskquery/taskquery.go
+++ b/internal/leader/taskquery/taskquery.go
@@ -1,16 +1,16 @@
 // Package taskquery queries machines for their tasks after a failover.
 //
-// Waiting for their heartbeats took a heartbeat interval and more, and until the last one all jobs waited
-// that an earlier term may have started: in a fleet of a thousand that a busy hour filled, a fifth stood idle
-// for 20 s each time.
+// Waiting for the machines' heartbeats instead took a heartbeat interval or more, and until the last heartbeat
+// had come, all jobs that an earlier term might have started had to wait: in a fleet of a thousand machines
+// filled by a busy hour, a fifth of the machines stood idle for 20 s after each failover.
 //
-// A query carries this term's fencing token and no commands. What its response shows with that token was so
-// after the worker had seen this term's token, so no start of an earlier term can follow; and this term
-// starts nothing before it knows a machine's tasks.
+// A query carries this term's fencing token and no commands. The tasks in a response with that token are those
+// that the worker had after it had seen the token, so no start of an earlier term can follow. This term starts
+// nothing on a machine before it knows the machine's tasks.
 //
-// The package owns which machines are still to be queried and how the machines of each zone respond. It must
-// never send a command, nor query while another node may lead. It takes the leader's lock itself, and never
-// holds it over a call.
+// The package owns the list of machines that are still to be queried and the response counts of each zone. It
+// must never send a command, nor send a query while another node may lead. It takes the leader's lock itself,
+// and never holds it during a call.
 package taskquery
 
 import (
@@ -25,14 +25,15 @@
 	"caperlatch/internal/wire"
 )
 
-// retryInterval is for how long a machine is not asked again.
+// retryInterval is the time between two queries of the same machine.
 const retryInterval = 500 * micros.Millisecond
 
-// maxIncarnationTries is how often a machine is asked in a row: a worker whose lease expired is in an
-// incarnation that only its response shows.
-const maxIncarnationTries = 2
+// maxIncarnationAttempts is how many times in a row a machine is queried. A worker whose lease expired has a
+// new incarnation, which only its response reveals.
+const maxIncarnationAttempts = 2
 
-// Config is what queries work with. The functions are called with the lock held, but for Call and MaxCalls.
+// Config holds the dependencies of queries. The functions, except Call, MaxCalls and IsExclusive, are called
+// with the lock held.
 type Config struct {
 	Lock          sync.Locker // the leader's
 	Fleet         *fleet.Fleet
@@ -40,39 +41,40 @@
 	TermStartedAt micros.Micros
 	// IsExclusive reports whether no other node can lead now. It needs no lock.
 	IsExclusive func() bool
-	// Call asks a worker for its status; MaxCalls is how many such calls may be in progress.
+	// Call queries a worker for its status. MaxCalls returns how many such calls may be in progress at a time.
 	Call     func(ctx context.Context, to dispatch.Target) (*wire.Heartbeat, error)
 	MaxCalls func() int
-	// IsSuperseded reports whether a higher fencing token is known, IsHandingOver whether the term is
-	// handing over.
+	// IsSuperseded reports whether a higher fencing token is known. IsHandingOver reports whether the term is
+	// being handed over.
 	IsSuperseded  func() bool
 	IsHandingOver func() bool
-	// Prioritize sorts machines into the order in which they are to be asked.
+	// Prioritize sorts machines into the order in which they are queried.
 	Prioritize func(machines []*state.Machine)
-	// OnStatus takes a machine's tasks from its response.
+	// OnStatus records a machine's tasks from the worker's response.
 	OnStatus func(m *state.Machine, status *wire.Heartbeat, now micros.Micros)
 }
 
-// Counts counts the machines of a zone that were asked for their tasks.
+// Counts holds how many machines of a zone were queried for their tasks, and how many responded.
 type Counts struct{ Queried, Responded int }
 
-// mostRespond reports whether a machine that gives no response is the exception: if not, it is
-// this node that cannot reach the zone.
+// mostRespond reports whether machines that do not respond are the exception. If they are not, this node is
+// assumed to be unable to reach the zone.
 func (c Counts) mostRespond() bool { return 2*c.Responded >= c.Queried && c.Responded > 0 }
 
-// Queries asks the machines of a fleet for one term.
+// Queries queries the machines of a fleet for their tasks in one term.
 type Queries struct {
 	Config
 	ByZone map[string]Counts // by zone; guarded by the lock
 }
 
-// New makes queries of which none was sent.
+// New returns Queries that has sent no query yet.
 func New(c Config) *Queries { return &Queries{Config: c, ByZone: map[string]Counts{}} }
 
-// MostOfZoneRespond reports whether this node reaches most workers of a zone. It is called with the lock held.
+// MostOfZoneRespond reports whether most queried machines of a zone responded. It must be called with the lock
+// held.
 func (q *Queries) MostOfZoneRespond(zone string) bool { return q.ByZone[zone].mostRespond() }
 
-// MostRespond reports whether this node reaches most workers. It is called with the lock held.
+// MostRespond reports whether most queried machines responded. It must be called with the lock held.
 func (q *Queries) MostRespond() bool {
 	var all Counts
 	for _, c := range q.ByZone {
@@ -82,7 +84,7 @@
 	return all.mostRespond()
 }
 
-// Run asks all machines that may hold tasks of earlier terms, until their tasks are known or ctx ends.
+// Run queries all machines that may hold tasks of earlier terms, until their tasks are known or ctx ends.
 func (q *Queries) Run(ctx context.Context) {
 	machines := q.unconfirmedMachines()
 	if len(machines) == 0 {
@@ -97,8 +99,8 @@
 		"duration", (micros.Now() - q.TermStartedAt).Duration())
 }
 
-// unconfirmedMachines lists the machines that have not confirmed their tasks in this term, in the order in
-// which they are to be asked, and counts them by zone.
+// unconfirmedMachines returns the machines that have not confirmed their tasks in this term, in the order in
+// which they are to be queried. It also counts them by zone.
 func (q *Queries) unconfirmedMachines() (machines []*state.Machine) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
@@ -115,53 +117,54 @@
 	return machines
 }
 
-// scheduledQuery is a machine that is to be asked, not before an instant.
+// scheduledQuery is a query of a machine that must not be sent before a given time.
 type scheduledQuery struct {
 	machine   *state.Machine
 	notBefore micros.Micros
 }
 
-// queryAll asks machines, some at a time, each again and again until that is no longer needed.
+// queryAll queries machines concurrently, up to MaxCalls at a time, and each repeatedly until it needs no query
+// any more.
 func (q *Queries) queryAll(ctx context.Context, machines []*state.Machine) {
-	var open, callers sync.WaitGroup
-	open.Add(len(machines))
+	var pending, workers sync.WaitGroup
+	pending.Add(len(machines))
 	queue := make(chan scheduledQuery, len(machines))
 	for _, m := range machines {
 		queue <- scheduledQuery{m, 0}
 	}
 	for range min(len(machines), q.MaxCalls()) {
-		callers.Go(func() {
-			for due := range queue {
-				if now := micros.Now(); now < due.notBefore {
-					micros.Pause(ctx, due.notBefore-now)
+		workers.Go(func() {
+			for query := range queue {
+				if now := micros.Now(); now < query.notBefore {
+					micros.Pause(ctx, query.notBefore-now)
 				}
-				if ctx.Err() != nil || q.Query(ctx, due.machine) {
-					open.Done()
+				if ctx.Err() != nil || q.Query(ctx, query.machine) {
+					pending.Done()
 				} else {
-					queue <- scheduledQuery{due.machine, micros.Now() + retryInterval}
+					queue <- scheduledQuery{query.machine, micros.Now() + retryInterval}
 				}
 			}
 		})
 	}
-	open.Wait()
+	pending.Wait()
 	close(queue)
-	callers.Wait()
+	workers.Wait()
 }
 
-// Query asks a machine for its tasks, and reports whether that is no longer needed.
+// Query queries a machine for its tasks, and reports whether the machine needs no further query.
 func (q *Queries) Query(ctx context.Context, m *state.Machine) (done bool) {
-	for range maxIncarnationTries {
-		to, needed := q.target(m)
+	for range maxIncarnationAttempts {
+		target, needed := q.target(m)
 		if !needed {
 			return true
 		}
 		if !q.IsExclusive() {
 			return false
 		}
-		status, err := q.Call(ctx, to)
+		status, err := q.Call(ctx, target)
 		if err != nil {
 			q.recordFailure(m)
-			slog.Debug("querying a machine for its tasks failed", "machine", m.ID, "error", err)
+			slog.Debug("task query to machine failed", "machine", m.ID, "error", err)
 			return false
 		}
 		q.applyStatus(m, status)
@@ -171,7 +174,7 @@
 	return m.TasksConfirmed()
 }
 
-// target is where a machine is to be asked, if it still needs to be.
+// target returns the address of a query to a machine, and whether the machine still needs to be queried.
 func (q *Queries) target(m *state.Machine) (to dispatch.Target, needed bool) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
@@ -179,14 +182,14 @@
 	return dispatch.Target{MachineID: m.ID, Address: m.Instance.Address, Incarnation: m.LikelyIncarnation()}, needed
 }
 
-// recordFailure counts a query without a response.
+// recordFailure counts a query that got no response.
 func (q *Queries) recordFailure(m *state.Machine) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
 	m.Reconciliation.FailedQueries++
 }
 
-// applyStatus takes a machine's tasks from its response, unless a heartbeat came first.
+// applyStatus records a machine's tasks from its response, unless a heartbeat has already confirmed them.
 func (q *Queries) applyStatus(m *state.Machine, status *wire.Heartbeat) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
@@ -202,7 +205,7 @@
 	counts.Responded++
 	q.ByZone[m.Offering.Zone] = counts
 	m.Reconciliation.QueriedSequence = status.Sequence
-	// It is alive; and no response of an earlier term renews its lease from now on.
+	// The machine is alive, and from now on no response of an earlier term can renew its lease.
 	m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
 	q.OnStatus(m, status, now)
 }
--- a/internal/leader/taskquery/taskquery_test.go
+++ b/internal/leader/taskquery/taskquery_test.go
@@ -18,7 +18,7 @@
 
 const fencingToken = 7
 
-// TestMostRespond judges whether a machine that gives no response is the exception.
+// TestMostRespond checks when machines that do not respond count as the exception.
 func TestMostRespond(t *testing.T) {
 	cases := []struct {
 		counts Counts
@@ -34,20 +34,20 @@
 		q := New(Config{})
 		q.ByZone["a"] = c.counts
 		if got := q.MostOfZoneRespond("a"); got != c.want || q.MostRespond() != c.want || q.MostOfZoneRespond("b") {
-			t.Errorf("%+v: %t, of all %t, of another zone %t; want %t, %t, false", c.counts, got, q.MostRespond(), q.MostOfZoneRespond("b"), c.want, c.want)
+			t.Errorf("%+v: most respond in the zone: %t, in all zones: %t, in another zone: %t; want %t, %t, false", c.counts, got, q.MostRespond(), q.MostOfZoneRespond("b"), c.want, c.want)
 		}
 	}
 }
 
-// fakeMachines are machines of one zone, which respond to calls after some failures.
+// fakeMachines holds machines of one zone that respond to calls after a number of failures.
 type fakeMachines struct {
 	mu         sync.Mutex
 	fleet      fleet.Fleet
-	failures   int            // calls to each machine before it responds
-	supersedes bool           // a call shows a higher fencing token
-	calls      map[string]int // by machine
+	failures   int            // failed calls to each machine before it responds
+	supersedes bool           // a call reveals a higher fencing token
+	calls      map[string]int // number of calls by machine
 	superseded bool
-	order      []string // in which they are asked first
+	order      []string // order of the first queries
 }
 
 func newFakeMachines(count, failures int, supersedes bool) *fakeMachines {
@@ -61,7 +61,7 @@
 	return f
 }
 
-// call responds as a worker.
+// call responds like a worker.
 func (f *fakeMachines) call(_ context.Context, to dispatch.Target) (*wire.Heartbeat, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,7 +73,7 @@
 	return &wire.Heartbeat{MachineID: to.MachineID, Incarnation: to.Incarnation, FencingToken: fencingToken, Sequence: 20}, nil
 }
 
-// queries makes queries of the machines, three at a time.
+// queries returns Queries for the machines, with up to three calls at a time.
 func (f *fakeMachines) queries(t *testing.T) *Queries {
 	return New(Config{
 		Lock:          &f.mu,
@@ -98,7 +98,8 @@
 	})
 }
 
-// TestRun asks machines that respond at once, after some calls, or never.
+// TestRun checks which machines confirm their tasks, after how many calls and how long, if they respond at
+// once, after some calls, or never.
 func TestRun(t *testing.T) {
 	type outcome struct {
 		confirmed, calls int
@@ -108,16 +109,16 @@
 		name       string
 		machines   int
 		failures   int
-		ends       micros.Micros // when the term ends, 0: not
+		ends       micros.Micros // when the term ends; 0: it does not
 		supersedes bool
 		want       outcome
 	}{
 		{"no machine", 0, 0, 0, false, outcome{}},
 		{"all respond at once", 3, 0, 0, false, outcome{confirmed: 3, calls: 3}},
 		{"all respond to the third call", 3, 2, 0, false, outcome{confirmed: 3, calls: 9, took: 2 * retryInterval}},
-		{"more than calls at a time", 5, 0, 0, false, outcome{confirmed: 5, calls: 5}},
+		{"more machines than concurrent calls", 5, 0, 0, false, outcome{confirmed: 5, calls: 5}},
 		{"none responds until the term ends", 2, 100, retryInterval / 2, false, outcome{calls: 2, took: retryInterval / 2}},
-		{"superseded after a call in vain", 1, 100, 0, true, outcome{calls: 1, took: retryInterval}},
+		{"superseded after a failed call", 1, 100, 0, true, outcome{calls: 1, took: retryInterval}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -145,11 +146,11 @@
 					}
 				}
 				if got != c.want {
-					t.Errorf("%+v, want %+v", got, c.want)
+					t.Errorf("outcome %+v, want %+v", got, c.want)
 				}
 				counts := Counts{Queried: c.machines, Responded: c.want.confirmed}
 				if got := q.ByZone["a"]; got != counts || !slices.IsSorted(f.order) || len(f.order) != c.machines {
-					t.Errorf("counted %+v, asked in order %v; want %+v", got, f.order, counts)
+					t.Errorf("counts %+v, query order %v; want %+v and %d machines in ascending order", got, f.order, counts, c.machines)
 				}
 			})
 		})
