--- a/internal/leader/assignments.go
+++ b/internal/leader/assignments.go
@@ -5,7 +5,7 @@
 	"caperlatch/internal/micros"
 )
 
-// assign counts an attempt on its machine, in its job and in its team's use.
+// assign records an attempt on its machine and in its job, and adds its resources to its team's usage.
 func (l *Leader) assign(a *state.Attempt) {
 	l.zones.RecordAssigned(a)
 	a.Attach()
@@ -14,7 +14,7 @@
 	l.publishAssigned(a)
 }
 
-// releaseAll releases all tasks of a machine that are known to have left it.
+// releaseAll releases all attempts on a machine whose tasks are all known to have left it.
 func (l *Leader) releaseAll(m *state.Machine, reason string) {
 	for _, a := range m.Attempts {
 		l.release(a, reason)
@@ -25,8 +25,8 @@
 	l.publishMachine(m)
 }
 
-// release takes back the assignment of an attempt that is known to have left its machine. The reason is shown to
-// operators, unless the attempt was stopped for another.
+// release removes the assignment of an attempt that is known to have left its machine. Operators see reason, unless
+// the attempt was stopped for a reason of its own, which they see instead.
 func (l *Leader) release(a *state.Attempt, reason string) {
 	job := a.Job
 	l.publishRemoved(a)
@@ -43,18 +43,19 @@
 	if !job.Ended && !job.Done.Has(a.Index) {
 		l.zones.RecordDisplaced(a)
 		l.recordStop(a, reason)
-		l.scheduler.RequestPlan() // it waits again
+		l.scheduler.RequestPlan() // the task is waiting again
 	}
 }
 
-// stopTask has an attempt stopped within a grace period.
+// stopTask marks an attempt as stopping and sends its worker the stop command with a grace period.
 func (l *Leader) stopTask(a *state.Attempt, grace micros.Micros, reason string) {
 	if l.markStopping(a, grace, reason) {
 		l.dispatcher.Send(commandTarget(a.Machine), stopCommand(a))
 	}
 }
 
-// markStopping notes that an attempt is to stop, and reports whether its worker must get the command.
+// markStopping marks an attempt as stopping and reports whether the stop command must be sent to its worker. An
+// attempt whose start was never sent is released instead.
 func (l *Leader) markStopping(a *state.Attempt, grace micros.Micros, reason string) (mustSend bool) {
 	if a.Reserved {
 		l.gangs.ReleaseUnsent(a, reason)
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/wire"
 )
 
-// newScaler makes the autoscaler of this term.
-func (l *Leader) newScaler() *autoscaler.Scaler {
+// newAutoscaler returns the autoscaler for this term.
+func (l *Leader) newAutoscaler() *autoscaler.Scaler {
 	return autoscaler.New(autoscaler.Config{
 		Tuning:               l.Tuning,
 		Term:                 l.Term,
@@ -18,7 +18,7 @@
 		Workload:             l.workload,
 		Jobs:                 l.jobs,
 		HeartbeatInterval:    l.heartbeatInterval,
-		TeamUse:              l.worstCaseTeamUse,
+		TeamUse:              l.worstCaseTeamUsage,
 		AwaitsReconciliation: l.awaitsReconciliation,
 		ReplacedMachines:     l.zones.ReplacedMachines,
 		ZonePolicy:           l.zones.Policy,
@@ -27,14 +27,15 @@
 	})
 }
 
-// setInstanceTypes takes over the instance types that the cloud offers. It takes the lock.
+// setInstanceTypes passes the instance types that the cloud offers to the autoscaler. It acquires l.mu.
 func (l *Leader) setInstanceTypes(list wire.InstanceTypeList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.scaler.SetInstanceTypes(list)
 }
 
-// autoscale scales out and in, and once in each RecordInterval has stored what a next leader goes on from.
+// autoscale scales the fleet out and in. Once every RecordInterval it also queues the autoscaler's state, from which
+// the next leader continues, for storage.
 func (l *Leader) autoscale(now micros.Micros) {
 	if !l.ready {
 		return
@@ -44,22 +45,22 @@
 	if interval := int64(l.Tuning.RecordInterval / micros.Second); interval < 1 || int64(now/micros.Second)%interval == 0 {
 		l.writes.Enqueue(replica.AutoscalerKey)
 		l.publishEstimates()
-		l.deleteLeftovers()
+		l.deleteOrphanedKeys()
 		l.writes.Wake()
 	}
 }
 
-// autoscalerRecord is what is stored for a next leader.
+// autoscalerRecord returns the autoscaler state that is stored for the next leader.
 func (l *Leader) autoscalerRecord(now micros.Micros) autoscaler.Record {
 	r := l.scaler.Record(now)
 	r.Quarantined = l.quarantine.Snapshot()
 	if !l.Store.ValueAlwaysFits(r) {
-		r.Quarantined = nil // a next leader will find them again
+		r.Quarantined = nil // the next leader will detect them again
 	}
 	return r
 }
 
-// restoreAutoscaler goes on from what an earlier leader stored.
+// restoreAutoscaler restores the autoscaler and the quarantine from the state that an earlier leader stored.
 func (l *Leader) restoreAutoscaler(now micros.Micros) error {
 	var r autoscaler.Record
 	if _, err := l.Replica.Get(replica.AutoscalerKey, &r); err != nil {
@@ -67,6 +68,6 @@
 	}
 	l.quarantine.Restore(r.Quarantined, now)
 	l.scaler.Restore(r, now)
-	slog.Info("staffing model restored", "instance_types", len(r.Types), "quarantined_jobs", len(r.Quarantined))
+	slog.Info("autoscaler state restored", "instance_types", len(r.Types), "quarantined_jobs", len(r.Quarantined))
 	return nil
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -8,24 +8,24 @@
 	"caperlatch/internal/wire"
 )
 
-// maxCommands keeps a response to a worker well within wire.MaxBodyBytes.
+// maxCommands limits the commands in a response, to keep it well within wire.MaxBodyBytes. Stops are exempt.
 const maxCommands = 300
 
-// commandsForMachine are the commands in the response to a machine's heartbeat.
+// commandsForMachine returns the commands for the response to a machine's heartbeat.
 func (l *Leader) commandsForMachine(m *state.Machine, now micros.Micros) []wire.Command {
 	commands := stopsAndFollowUps(m)
 	if l.canReceiveStarts(m, now) {
 		l.scheduler.FillMachine(m, now)
 		commands = l.gangs.AppendStarts(m, commands, maxCommands)
-		commands = l.commandPlannedStarts(m, commands, now)
+		commands = l.appendPlannedStarts(m, commands, now)
 	}
-	recordSent(m, commands)
+	recordSentCommands(m, commands)
 	return commands
 }
 
-// stopsAndFollowUps are the stops of a machine's attempts, and what its latest heartbeat calls for. Stops come
-// first, and all of them: a response that renews the lease must not leave one out. There are no more than
-// tasks on the machine.
+// stopsAndFollowUps returns the stop commands for a machine's attempts, followed by the commands that its latest
+// heartbeat requires. No stop is ever left out, whatever maxCommands is, because the response renews the machine's
+// lease. There are at most as many stops as tasks on the machine.
 func stopsAndFollowUps(m *state.Machine) []wire.Command {
 	commands := make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.PlannedStarts))
 	for name, a := range m.Attempts {
@@ -41,8 +41,8 @@
 	return commands
 }
 
-// commandPlannedStarts adds the starts that are planned for a machine to its commands.
-func (l *Leader) commandPlannedStarts(m *state.Machine, commands []wire.Command, now micros.Micros) []wire.Command {
+// appendPlannedStarts assigns the tasks that are planned for a machine and appends their start commands.
+func (l *Leader) appendPlannedStarts(m *state.Machine, commands []wire.Command, now micros.Micros) []wire.Command {
 	for _, j := range m.PlannedStarts {
 		if len(commands) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.canStartTask(j, m) {
 			continue
@@ -70,8 +70,9 @@
 	return commands
 }
 
-// recordSent notes the starts and clears of a response, by which the next heartbeat shows whether it arrived.
-func recordSent(m *state.Machine, commands []wire.Command) {
+// recordSentCommands records the starts and clears of a response. The next heartbeat is compared with them to find out
+// whether the response arrived.
+func recordSentCommands(m *state.Machine, commands []wire.Command) {
 	m.Delivery.Sent = m.Delivery.Sent[:0]
 	for _, c := range commands {
 		if c.Verb != wire.VerbStop {
@@ -80,55 +81,57 @@
 	}
 }
 
-// canReceiveStarts reports whether tasks may be started on a machine now.
+// canReceiveStarts reports whether this leader may start tasks on a machine now.
 func (l *Leader) canReceiveStarts(m *state.Machine, now micros.Micros) bool {
 	return m.IsSchedulable(now) && l.Term.IsExclusive()
 }
 
-// canStartTask reports whether a task of a job may start on a machine as things are now. Plans see to all
-// this, but are older: since then a machine may have shown tasks that were not known, or jobs may have
-// lost the tasks that bound them to a zone.
+// canStartTask reports whether one more task of a job may start on a machine in the current state. Plans observe the
+// same rules, but may be out of date: a heartbeat may since have listed tasks that were not known, or a job may have
+// lost the tasks that bound it to a zone.
 func (l *Leader) canStartTask(j *state.Job, m *state.Machine) bool {
 	return l.canStartTasks(j, m, 1)
 }
 
-// canStartTasks reports it of so many more tasks; 0 stands for one that is assigned there already.
-func (l *Leader) canStartTasks(j *state.Job, m *state.Machine, more int) bool {
+// canStartTasks reports whether additional tasks of a job may start on a machine; see canStartTask. With 0, it reports
+// whether a task that is already assigned there may stay.
+func (l *Leader) canStartTasks(j *state.Job, m *state.Machine, additional int) bool {
 	s := j.Spec
 	if !j.MayRunOn(m.Offering) {
 		return false
 	}
-	if !l.workload.WithinLimit(s.Team, l.teamUsage[s.Team].Add(l.unknownUsage, 1).Add(j.Need, int64(more))) {
+	if !l.workload.WithinLimit(s.Team, l.teamUsage[s.Team].Add(l.unknownUsage, 1).Add(j.Need, int64(additional))) {
 		return false
 	}
 	if !s.SingleZone && !s.SpreadZones {
 		return true
 	}
 	inZone := j.AttemptsPerZone[m.Offering.Zone]
-	return (!s.SingleZone || inZone == len(j.Attempts)) && (!s.SpreadZones || 2*(inZone+more) <= s.Tasks+1)
+	return (!s.SingleZone || inZone == len(j.Attempts)) && (!s.SpreadZones || 2*(inZone+additional) <= s.Tasks+1)
 }
 
-// attemptNumberShift is by how many bits the fencing token stands above the count of a term's attempts.
+// attemptNumberShift is the number of low bits of an attempt number that hold the term's attempt counter. The fencing
+// token is in the bits above.
 const attemptNumberShift = 32
 
-// nextAttemptNumber is a new number for an attempt: rising across terms without a write, as the term's fencing
-// token stands above.
+// nextAttemptNumber returns a new attempt number. The numbers increase across terms without a write to the state
+// service, because the term's fencing token is in their high bits.
 func (l *Leader) nextAttemptNumber() uint64 {
 	l.attempts++
 	return l.FencingToken<<attemptNumberShift | l.attempts
 }
 
-// stopAtOnce stops a task that a heartbeat shows, without time to save a checkpoint.
-func stopAtOnce(t *wire.TaskStatus) wire.Command {
+// immediateStopCommand returns a command that stops a reported task without time to save a checkpoint.
+func immediateStopCommand(t *wire.TaskStatus) wire.Command {
 	return wire.Command{Verb: wire.VerbStop, TaskID: t.TaskID, Attempt: t.Attempt, GracePeriodS: secondsPtr(0)}
 }
 
-// stopCommand stops an attempt within its grace period.
+// stopCommand returns a command that stops an attempt within its grace period.
 func stopCommand(a *state.Attempt) wire.Command {
 	return wire.Command{Verb: wire.VerbStop, TaskID: a.TaskID(), Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)}
 }
 
-// clearCommand has the worker forget a task that has exited.
+// clearCommand returns a command that makes the worker discard a task that has exited.
 func clearCommand(t *wire.TaskStatus) wire.Command {
 	return wire.Command{Verb: wire.VerbClear, TaskID: t.TaskID, Attempt: t.Attempt}
 }
@@ -138,8 +141,8 @@
 	return &s
 }
 
-// commandTarget is where a machine takes direct commands. These are also part of the responses to
-// its heartbeats until they are obeyed, so a failure of a direct call needs no care.
+// commandTarget returns the target for direct calls to a machine's worker. Failures of direct calls need no handling,
+// because the same commands are part of the responses to the worker's heartbeats until it has carried them out.
 func commandTarget(m *state.Machine) dispatch.Target {
 	return dispatch.Target{MachineID: m.ID, Address: m.Instance.Address, Incarnation: m.Heartbeat.Incarnation}
 }
--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// jobNotFoundBackoff is for how long a job is not started that workers do not find.
+	// jobNotFoundBackoff is how long no tasks of a job are started after a worker did not find the job's description.
 	jobNotFoundBackoff = 5 * micros.Second
-	// noRoomHeartbeats is for how many heartbeat intervals a machine gets no starts that had no room for one.
-	noRoomHeartbeats = 2
+	// noRoomBackoffHeartbeats is how many heartbeat intervals a machine gets no starts after it lacked the resources
+	// for a task.
+	noRoomBackoffHeartbeats = 2
 )
 
-// observeExit takes over a task that has exited on its machine.
-func (l *Leader) observeExit(o observation) {
+// observeExit processes a heartbeat's report that a task has exited.
+func (l *Leader) observeExit(o taskObservation) {
 	m, j, a, t := o.machine, o.job, o.attempt, o.status
 	if t.ExitReason == wire.ExitDone && j.Spec.Kind != wire.KindService {
 		l.observeCompletion(o)
 		return
 	}
 	if !wire.IsKnownExitReason(t.ExitReason) {
-		l.events.Add("unknown exit reason of a task", fmt.Sprintf("%.40q", t.ExitReason), m.ID)
+		l.events.Add("unknown task exit reason", fmt.Sprintf("%.40q", t.ExitReason), m.ID)
 	}
-	followUp(m, clearCommand(t))
+	addFollowUp(m, clearCommand(t))
 	l.gangs.ObserveExit(j, o.index, a, t)
 	if a == nil {
 		return
@@ -39,20 +40,19 @@
 		}
 		l.quarantine.AttributeFailure(m, j, o.at)
 	case wire.ExitInsufficientResources:
-		// The count of what is free was wrong: wait for the next heartbeats.
-		m.StartBackoffUntil = o.at + noRoomHeartbeats*l.heartbeatInterval
+		// The leader's record of the machine's free resources was wrong: wait for the next heartbeats.
+		m.StartBackoffUntil = o.at + noRoomBackoffHeartbeats*l.heartbeatInterval
 	case wire.ExitJobNotFound:
-		// The worker cannot find the job yet.
 		j.BackoffUntil = o.at + jobNotFoundBackoff
 		j.BackoffReason = "the workers do not find its description"
 	case wire.ExitOtherAttemptPresent:
-		// Another attempt of the task is there; the heartbeat lists it too.
+		// Another attempt of the task is on the machine. The same heartbeat lists it, so nothing is done here.
 	}
 	l.release(a, "ended: "+t.ExitReason)
 }
 
-// observeCompletion takes over a task that is done.
-func (l *Leader) observeCompletion(o observation) {
+// observeCompletion processes a heartbeat's report that a task is done.
+func (l *Leader) observeCompletion(o taskObservation) {
 	m, j, a := o.machine, o.job, o.attempt
 	if !j.Done.Has(o.index) && !j.Ended {
 		l.recordCompletion(o)
@@ -66,15 +66,15 @@
 		l.stopTask(other, 0, "done elsewhere")
 	}
 	l.finishIfDone(j)
-	// The worker keeps the result until it is known to be stored.
+	// The worker keeps the result until the leader clears it, which it does only once the completion is stored.
 	if j.Ended || j.StoredDone.Has(o.index) {
-		followUp(m, clearCommand(o.status))
+		addFollowUp(m, clearCommand(o.status))
 	}
 	l.writes.Wake()
 }
 
-// recordCompletion notes that a task is done which was not before.
-func (l *Leader) recordCompletion(o observation) {
+// recordCompletion records the first completion of a task.
+func (l *Leader) recordCompletion(o taskObservation) {
 	j, a := o.job, o.attempt
 	j.MarkDone(o.index)
 	l.quarantine.RecordSuccess(o.machine, j, a, o.at)
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -12,14 +12,14 @@
 	"caperlatch/internal/wire"
 )
 
-// Bounds of the stops that are kept, and of what is shown of one job. A zone with half of 4,000 machines loses some
-// 16,000 tasks at once, and each is a stop; they take 4 MB at most.
+// Limits on the task stops that are kept, and on the entries that are returned for one job. When a zone with half of
+// 4,000 machines fails, some 16,000 tasks stop at once. The stops that are kept take at most 4 MB.
 const (
-	maxRecordedStops = 20000
-	maxShownEntries  = 50
+	maxRecordedStops    = 20000
+	maxExplainedEntries = 50
 )
 
-// recordStop keeps why a task was stopped, for Explain.
+// recordStop keeps the reason why a task stopped, for Explain. At the limit it first drops the oldest quarter.
 func (l *Leader) recordStop(a *state.Attempt, reason string) {
 	stop := explain.TaskStop{Task: a.TaskID(), Attempt: a.Number, Machine: a.Machine.ID, At: micros.Wall(), Reason: reason}
 	slog.Debug("task stopped", "task", stop.Task, "attempt", stop.Attempt, "machine", stop.Machine, "reason", reason)
@@ -29,8 +29,8 @@
 	l.recentStops = append(l.recentStops, stop)
 }
 
-// Explain explains why a job waits, where its tasks are and why they were stopped. It reports false if nothing is
-// known of the job. The texts are shown to users: they do not change.
+// Explain returns why a job waits, where its tasks are and why they were stopped. It reports false if nothing is known
+// about the job. The texts are shown to users and must not change.
 func (l *Leader) Explain(id string) (explain.Explanation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,24 +57,24 @@
 	return e, true
 }
 
-// explainStops adds the latest stops of the job's tasks.
+// explainStops adds the latest stops of the job's tasks to e.
 func (l *Leader) explainStops(e *explain.Explanation) {
 	for _, s := range l.recentStops {
 		if job, _, err := state.ParseTaskID(s.Task); err == nil && job == e.Job {
 			e.Stops = append(e.Stops, s)
 		}
 	}
-	if more := len(e.Stops) - maxShownEntries; more > 0 {
-		e.Notes = append(e.Notes, fmt.Sprintf("%d earlier stops are not shown", more))
-		e.Stops = e.Stops[more:]
+	if omitted := len(e.Stops) - maxExplainedEntries; omitted > 0 {
+		e.Notes = append(e.Notes, fmt.Sprintf("%d earlier stops are not shown", omitted))
+		e.Stops = e.Stops[omitted:]
 	}
 }
 
-// explainTasks adds where a job's tasks are.
+// explainTasks adds the machines and states of a job's tasks to e.
 func explainTasks(e *explain.Explanation, j *state.Job) {
 	for _, t := range slices.Sorted(maps.Keys(j.Attempts)) {
-		if len(e.Placements) == maxShownEntries {
-			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.Attempts)-maxShownEntries))
+		if len(e.Placements) == maxExplainedEntries {
+			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.Attempts)-maxExplainedEntries))
 			return
 		}
 		a := j.Attempts[t]
@@ -88,7 +88,7 @@
 	}
 }
 
-// describeAttempt describes what an attempt does.
+// describeAttempt returns the state of an attempt as users see it.
 func describeAttempt(a *state.Attempt) string {
 	switch {
 	case a.StopRequestedAt != 0:
@@ -105,10 +105,10 @@
 	return a.ReportedState
 }
 
-// waitReasons lists why tasks of a job wait.
+// waitReasons returns why tasks of a job wait.
 func (l *Leader) waitReasons(j *state.Job) (reasons []string) {
 	now := micros.Now()
-	if u := l.findUnknownMachines(); l.mustAwaitReconciliation(j, u) {
+	if u := l.findMachinesWithUnknownTasks(); l.mustAwaitReconciliation(j, u) {
 		reasons = append(reasons, fmt.Sprintf("%d machines' tasks are not known yet after the take-over", u.count+l.countUnconfirmed()))
 	}
 	if failures := j.DescribeFailures(now); failures != "" && !j.HasSucceeded() {
@@ -126,12 +126,12 @@
 	if len(reasons) > 0 {
 		return reasons
 	}
-	return []string{l.roomReason(j, now)}
+	return []string{l.capacityReason(j, now)}
 }
 
-// appendLimitReasons adds which limits of its team a job meets.
+// appendLimitReasons appends the limits of its team that keep a job's tasks from starting.
 func (l *Leader) appendLimitReasons(reasons []string, j *state.Job) []string {
-	team := l.worstCaseTeamUse()[j.Spec.Team]
+	team := l.worstCaseTeamUsage()[j.Spec.Team]
 	if team != nil && team.Limit.CPU > 0 && team.Used.CPU+j.Need.CPU > team.Limit.CPU {
 		reasons = append(reasons, "its team uses as many CPUs as it may")
 	}
@@ -144,7 +144,7 @@
 	return reasons
 }
 
-// appendGangReasons adds how far a gang's attempt is.
+// appendGangReasons appends the progress of a gang's attempt.
 func (l *Leader) appendGangReasons(reasons []string, j *state.Job) []string {
 	reserved := l.scheduler.ReservedMachines(j.Spec.ID)
 	switch {
@@ -158,8 +158,8 @@
 	return reasons
 }
 
-// roomReason is why a job waits that nothing but room keeps from starting.
-func (l *Leader) roomReason(j *state.Job, now micros.Micros) string {
+// capacityReason returns why a job waits that could start if there were enough capacity for it.
+func (l *Leader) capacityReason(j *state.Job, now micros.Micros) string {
 	switch hasRoom := l.scheduler.HasRoomFor(j.Need, now); {
 	case hasRoom && j.IsGang():
 		return "there is room for single tasks, not for the whole gang where it may run"
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -10,26 +10,26 @@
 	"caperlatch/internal/wire"
 )
 
-// FailoverProgress records how far the failover to this term is.
+// FailoverProgress records the progress of the failover to this term.
 type FailoverProgress interface {
-	// StateRead records that all that earlier terms stored was read, through a revision, and reports whether the
-	// leader may decide from then on.
+	// StateRead records that the leader has read everything that earlier terms stored, up to revision readThrough. It
+	// reports whether the leader may make decisions from then on.
 	StateRead(readThrough uint64, handedOver bool) bool
-	// TasksKnown records that the tasks of all machines are known.
+	// TasksKnown records that the leader knows the tasks of all machines.
 	TasksKnown()
 }
 
-// failoverState is what the leader keeps of the term before, and of its own end.
+// failoverState is the state of the failover from the previous term and of the handover to the next.
 type failoverState struct {
-	tasksKnownRecorded bool   // FailoverProgress.TasksKnown was called
-	handedOver         bool   // some machines' tasks are known by the handover of the term before
-	handingOver        bool   // this term is handed over: nothing more is decided
-	successor          string // the member that it is handed over to, "" if any may lead next
+	tasksKnownRecorded     bool   // FailoverProgress.TasksKnown was called
+	previousTermHandedOver bool   // the previous term's handover proves the tasks of some machines
+	handingOver            bool   // this term is being handed over, or was: the leader makes no more decisions
+	successor              string // the member that this term is handed over to, "" if any may lead next
 }
 
-// restoreFromPreviousTerm goes on from the view of the term before. It is a hint: which machines to query first
-// and in which incarnation, which terminations to repeat and how classes' run times turned out. Only a complete
-// handover proves more.
+// restoreFromPreviousTerm applies this node's view of the previous term, if it has one. The view is only a hint about
+// which machines to query first and in which incarnation, which terminations to repeat, and how the run times of job
+// classes compare with their estimates. Only a complete handover also proves which tasks are on the machines.
 func (l *Leader) restoreFromPreviousTerm() {
 	v := l.PreviousTerm
 	if v == nil {
@@ -38,32 +38,33 @@
 	for class, moments := range v.Estimates {
 		l.workload.RestoreMoments(class, moments)
 	}
-	l.handedOver = v.ProvesAssignments(l.FencingToken)
+	l.previousTermHandedOver = v.ProvesAssignments(l.FencingToken)
 	for id, known := range v.Machines {
 		m := l.fleet.Machines[id]
 		if m == nil {
 			continue
 		}
 		m.Reconciliation.PreviousTerm = known
-		if l.handedOver && known.TasksKnown && !m.TasksKnown() {
+		if l.previousTermHandedOver && known.TasksKnown && !m.TasksKnown() {
 			l.adoptHandedOver(m, known)
 		}
 		if known.Terminating && v.FencingToken+1 == l.FencingToken && l.Term.HoldsSession() {
-			// A termination is never revoked; the term before may not have had its response. A leader in
-			// between may have used the machine, not knowing of it.
+			// A termination is never revoked, so it is repeated: the previous leader may not have received the
+			// cloud's response. If another leader came in between, it may have used the machine without knowing
+			// of the termination, so then the termination is not repeated.
 			l.fleet.Terminate(m, "an earlier leader was returning it")
 		}
 	}
-	if l.handedOver {
-		l.terminateDropped()
+	if l.previousTermHandedOver {
+		l.terminateDroppedMachines()
 	}
-	slog.Info("view of the previous term used", "fencing_token", v.FencingToken, "handed_over", l.handedOver, "machines", len(v.Machines), "tasks", v.CountTasks())
+	slog.Info("previous term's view applied", "fencing_token", v.FencingToken, "handed_over", l.previousTermHandedOver, "machines", len(v.Machines), "tasks", v.CountTasks())
 }
 
-// terminateDropped terminates the machines that the term before had dropped, which it does only once the cloud
-// has responded to their termination: that they are terminated was not stored yet. The cloud's response to this
-// term's request proves it anew.
-func (l *Leader) terminateDropped() {
+// terminateDroppedMachines terminates again the stored machines that a handed-over view lacks. The previous leader
+// removes a machine from the view only after the cloud has responded to its termination, so it had terminated these
+// but not yet stored that. The cloud's response to this term's request proves the termination again.
+func (l *Leader) terminateDroppedMachines() {
 	for _, m := range l.fleet.Sorted {
 		if !m.TasksKnown() && m.Reconciliation.PreviousTerm == nil && l.Term.HoldsSession() {
 			l.fleet.Terminate(m, "an earlier leader had returned it")
@@ -71,19 +72,19 @@
 	}
 }
 
-// adoptHandedOver takes a machine's tasks from the view of a leader that has handed over: the machine holds none
-// but these. Which of them have ended by now, its next heartbeat shows.
+// adoptHandedOver assigns the tasks of a machine from the view of a leader that has handed over. The machine holds no
+// other tasks. Its next heartbeat shows which of them have ended since.
 //
-// The leader before made its last response before it released its session, so before this term started: the
-// machine's lease counts from then on, as if this term had responded to it.
+// The previous leader sent its last response before it released its session, and so before this term started. The
+// machine's lease is therefore counted from the start of this term, as if this term had sent that response.
 //
-// A machine with a task that cannot be counted, as its job is over and kept no description, stays one with
-// unknown tasks: the task may still take its team's CPUs.
+// If a job is over and its description was not kept, the resources of its tasks are not known, and such a task may
+// still use its team's CPUs. A machine with such a task remains a machine with unknown tasks.
 func (l *Leader) adoptHandedOver(m *state.Machine, known *standby.Machine) {
 	var attempts []*state.Attempt
 	for id, task := range known.Tasks {
 		if task.Reserved {
-			continue // its start was never sent
+			continue // the start was never sent
 		}
 		j, index := l.findTask(id)
 		if j == nil {
@@ -101,14 +102,15 @@
 	m.Lease.RenewedAt = l.startedAt
 	for _, a := range attempts {
 		if a.Job.Ended {
-			// The term before may not have sent its stop, and no heartbeat will show the task as news: once known
-			// to be there, it ran on for ever.
+			// The previous leader may not have sent the stop. Heartbeats will not report the task as a new one,
+			// since it is already known here: without this stop it would run forever.
 			l.stopTask(a, 0, "job is over")
 		}
 	}
 }
 
-// findTask finds the job of a task and the task's index. The job is nil if the task cannot be counted.
+// findTask returns the job of a task and the task's index in it. The job is nil if the task ID is invalid, if the
+// job's description is not known, or if the job has no task with that index.
 func (l *Leader) findTask(id string) (j *state.Job, index int) {
 	jobID, index, err := state.ParseTaskID(id)
 	if err != nil {
@@ -123,14 +125,14 @@
 	return j, index
 }
 
-// unknownMachines are the machines whose tasks are not known.
-type unknownMachines struct {
+// machinesWithUnknownTasks describes the machines whose tasks are not known.
+type machinesWithUnknownTasks struct {
 	count     int
-	offerings []state.Offering // of these, each once
+	offerings []state.Offering // distinct offerings of these machines
 }
 
-// findUnknownMachines finds the machines whose tasks are not known now.
-func (l *Leader) findUnknownMachines() (u unknownMachines) {
+// findMachinesWithUnknownTasks returns the number and the offerings of the machines whose tasks are not known now.
+func (l *Leader) findMachinesWithUnknownTasks() (u machinesWithUnknownTasks) {
 	for _, m := range l.fleet.Sorted {
 		if m.TasksKnown() {
 			continue
@@ -143,12 +145,11 @@
 	return u
 }
 
-// mustAwaitReconciliation reports whether a job must start nothing yet: it may have tasks on machines whose tasks
-// are not known. Every leader of any version starts a task only on a machine of an offering that its job allows,
-// so machines of other offerings have none of it; that is made use of with the standby on. A gang also waits
-// until all machines have confirmed what a handover says of them, since only their heartbeats show whether its
-// attempt runs or ends.
-func (l *Leader) mustAwaitReconciliation(j *state.Job, u unknownMachines) bool {
+// mustAwaitReconciliation reports whether no task of a job may start yet because some of its tasks may be on machines
+// whose tasks are not known. With the standby on, only machines of offerings that the job allows matter: leaders of
+// every version start a job's tasks only on those. A gang also waits until all machines have confirmed the tasks that
+// a handover names, because only their heartbeats show whether the gang's attempt is running or ending.
+func (l *Leader) mustAwaitReconciliation(j *state.Job, u machinesWithUnknownTasks) bool {
 	switch {
 	case !j.MayHaveEarlierTasks:
 		return false
@@ -160,9 +161,9 @@
 	return slices.ContainsFunc(u.offerings, j.MayRunOn)
 }
 
-// countUnconfirmed counts the machines whose tasks are known by a handover alone.
+// countUnconfirmed returns the number of machines whose tasks are known only from a handover.
 func (l *Leader) countUnconfirmed() (n int) {
-	if !l.handedOver {
+	if !l.previousTermHandedOver {
 		return 0
 	}
 	for _, m := range l.fleet.Machines {
@@ -173,12 +174,13 @@
 	return n
 }
 
-// areAllTasksConfirmed reports whether each machine itself has confirmed which tasks it holds.
+// areAllTasksConfirmed reports whether every machine itself has confirmed its tasks.
 func (l *Leader) areAllTasksConfirmed() bool {
 	return l.fleet.CountWithUnknownTasks()+l.countUnconfirmed() == 0
 }
 
-// recordTasksKnown records once that the tasks of all machines are known: the failover is complete.
+// recordTasksKnown records the completion of the failover, once per term: every machine itself has confirmed its
+// tasks.
 func (l *Leader) recordTasksKnown() {
 	if l.FailoverProgress == nil || l.tasksKnownRecorded || !l.ready || !l.areAllTasksConfirmed() {
 		return
@@ -187,10 +189,11 @@
 	l.FailoverProgress.TasksKnown()
 }
 
-// sortByQueryPriority sorts machines into the order in which they are queried for their tasks: while urgent work
-// waits, those that should have room for it come first, and then the busiest, which most jobs wait for.
+// sortByQueryPriority sorts machines into the order in which they are queried for their tasks. While urgent tasks wait,
+// machines without known tasks of the previous term come first, as they probably have room. The others follow by
+// descending number of tasks, because more jobs wait for the busier machines.
 func (l *Leader) sortByQueryPriority(machines []*state.Machine) {
-	const first = -1 << 20
+	const highestRank = -1 << 20
 	hasUrgentWork := false
 	for _, j := range l.jobs {
 		hasUrgentWork = hasUrgentWork || j.WaitingTasks() > 0 && j.Priority >= wire.PriorityRank(wire.PriorityUrgent)
@@ -201,7 +204,7 @@
 			tasks = len(m.Reconciliation.PreviousTerm.Tasks)
 		}
 		if hasUrgentWork && tasks == 0 {
-			return first
+			return highestRank
 		}
 		return -tasks
 	}
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -229,11 +229,11 @@
 			m.Reconciliation.Knowledge = taskKnowledge(tc.allKnown)
 			j := l.jobs["j-000001"]
 			tc.edit(j)
-			if got := l.mustAwaitReconciliation(j, l.findUnknownMachines()); got != tc.cold {
+			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.cold {
 				t.Errorf("without the standby it waits: %v", got)
 			}
 			l.Followers = &fakeFollowers{}
-			if got := l.mustAwaitReconciliation(j, l.findUnknownMachines()); got != tc.warm {
+			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.warm {
 				t.Errorf("with the standby it waits: %v", got)
 			}
 		})
--- a/internal/leader/fleet.go
+++ b/internal/leader/fleet.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/standby"
 )
 
-// newFleet makes the fleet of this term, still without machines.
+// newFleet returns the fleet for this term, without machines.
 func (l *Leader) newFleet() *fleet.Fleet {
 	return fleet.New(fleet.Config{
 		Lock:          &l.mu,
@@ -32,7 +32,8 @@
 	})
 }
 
-// fleetInstanceType is what the fleet knows of an instance type.
+// fleetInstanceType returns the capacity and the boot time of an instance type. It reports false if the type is
+// unknown.
 func (l *Leader) fleetInstanceType(name string) (fleet.InstanceType, bool) {
 	t := l.scaler.Type(name)
 	if t == nil {
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -12,25 +12,25 @@
 // ErrNotReady is returned when a leader cannot hand over now.
 var ErrNotReady = errors.New("the leader is still taking over, or is handing over already")
 
-// Times of a handover.
+// Timing of a handover.
 const (
 	handoverPollInterval = 20 * micros.Millisecond
-	// followerFreshWithin is how long ago a follower's last query may be for it to be handed to.
+	// followerFreshWithin is the maximum age of a follower's last query for the follower to be chosen as successor.
 	followerFreshWithin = micros.Second
-	// handoverFlushDivisor is the part of a handover's time that pending writes may take.
+	// handoverFlushDivisor divides the time limit of a handover: pending writes may take one part of it.
 	handoverFlushDivisor = 3
 )
 
-// HandOver ends the term as planned, within a limit: nothing more is decided, pending writes are stored if they
-// can be in time, the follower that has applied most gets the last entry, and then the term ends. It returns
-// that follower, or "" if there is none. Should the follower fail, any node may lead next. It returns
-// ErrNotReady where the term cannot be handed over now.
+// HandOver hands the term over to a follower, within a time limit, and ends the term. The leader stops making
+// decisions, stores pending writes as far as time allows, publishes the handover entry, and waits for the follower that
+// has applied the most entries to apply that one too. HandOver returns this follower, or "" if there is none. If the
+// follower fails, any node may lead next. HandOver returns ErrNotReady if the term cannot be handed over now.
 func (l *Leader) HandOver(limit micros.Micros) (to string, err error) {
 	if l.Followers == nil {
 		return "", fmt.Errorf("%w: the standby is off", ErrNotReady)
 	}
 	startedAt := micros.Now()
-	if !l.stopDeciding() {
+	if !l.beginHandover() {
 		return "", ErrNotReady
 	}
 	for micros.Now() < startedAt+limit/handoverFlushDivisor && !l.writes.IsDrained() {
@@ -39,13 +39,13 @@
 	}
 	position, to := l.publishHandover()
 	applied := to != "" && l.awaitApplied(to, position, startedAt+limit)
-	slog.Info("term handed over", "fencing_token", l.FencingToken, "to", to, "applied", applied, "duration", (micros.Now() - startedAt).Duration())
+	slog.Info("leadership handed over", "fencing_token", l.FencingToken, "to", to, "applied", applied, "duration", (micros.Now() - startedAt).Duration())
 	l.loseTerm()
 	return to, nil
 }
 
-// awaitApplied waits until a follower has applied all entries up to a position, and reports whether it has. It does not
-// say so once it leads: then this term is over.
+// awaitApplied waits until a follower has applied all entries up to a position, and reports whether that happened in
+// time. A follower that already leads no longer reports its position, so the end of this term counts as success.
 func (l *Leader) awaitApplied(follower string, position uint64, until micros.Micros) bool {
 	for !l.Followers.HasApplied(follower, position) {
 		select {
@@ -61,22 +61,23 @@
 	return true
 }
 
-// IsHandingOver reports whether the term is being handed over, or was.
+// IsHandingOver reports whether a handover of the term has begun. It still does so after the handover.
 func (l *Leader) IsHandingOver() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.handingOver
 }
 
-// Successor is the member that the term was handed over to; "" if it was not, or if any may lead next.
+// Successor returns the member that the term was handed over to, or "" if there was no handover or any may lead next.
 func (l *Leader) Successor() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.successor
 }
 
-// stopDeciding ends all decisions of the term for a handover. It reports whether one may begin.
-func (l *Leader) stopDeciding() bool {
+// beginHandover stops all decisions of the term. It reports false, and changes nothing, if the leader is not ready, is
+// handing over already, or has been superseded.
+func (l *Leader) beginHandover() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.ready || l.handingOver || l.superseded {
@@ -86,9 +87,10 @@
 	return true
 }
 
-// publishHandover publishes the term's last entry. All starts were published before it, since they are under the
-// same lock and none follows. The follower may replace the leader key as soon as it has read the entry, so the term
-// proves nothing from before then on.
+// publishHandover publishes the handover, the term's last entry, and returns its position and the follower that is to
+// lead next. All starts have been published before it, because they are published under the same lock and no more are
+// made. The term is relinquished first, because the follower may replace the leader key as soon as it has read the
+// entry.
 func (l *Leader) publishHandover() (position uint64, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -8,14 +8,14 @@
 	"caperlatch/internal/wire"
 )
 
-// ErrCannotRespond is returned when this node must not respond to a heartbeat now.
+// ErrCannotRespond is returned if this node must not respond to a heartbeat now.
 var ErrCannotRespond = errors.New("not entitled to answer")
 
-// deferralWindow is for how long a worker whose heartbeat was refused while leadership was in doubt may come
-// back for a response.
+// deferralWindow is how long a worker gets responses after one of its heartbeats was refused because leadership was in
+// doubt.
 const deferralWindow = 15 * micros.Second
 
-// HandleHeartbeat takes a worker's heartbeat, and returns the commands for it.
+// HandleHeartbeat processes a worker's heartbeat and returns the response with the commands for the worker.
 func (l *Leader) HandleHeartbeat(h *wire.Heartbeat) (wire.HeartbeatResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,8 +25,8 @@
 	if !l.canRespond(now) {
 		return response, ErrCannotRespond
 	}
-	// What this node has told a user in a response, or has got from a peer, holds for this response: no
-	// task of a job that is known here as cancelled may start.
+	// The response must reflect the job changes that this node has confirmed to a user or received from a peer: no
+	// task may start whose job is known here as cancelled.
 	l.applyJobChanges()
 	m := l.fleet.Machines[h.MachineID]
 	if m == nil {
@@ -53,41 +53,42 @@
 	}
 }
 
-// canRespond reports whether this node may respond to heartbeats now.
+// canRespond reports whether this leader may respond to heartbeats now.
 func (l *Leader) canRespond(now micros.Micros) bool {
 	return !l.superseded && l.ready && !l.handingOver && now < l.Term.LastConfirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
 }
 
-// acceptsHeartbeat reports whether a known machine's heartbeat is to be handled. One that is deferred is noted,
-// so that the next is not.
+// acceptsHeartbeat reports whether a known machine's heartbeat is processed. It records when a heartbeat is deferred,
+// so that the next one is not.
 func (l *Leader) acceptsHeartbeat(m *state.Machine, h *wire.Heartbeat, now micros.Micros) bool {
 	if l.mustDefer(m, now) {
 		m.Lease.DeferredAt = now
 		return false
 	}
-	return !isLateCopy(m, h)
+	return !isStaleHeartbeat(m, h)
 }
 
-// mustDefer reports whether a machine's heartbeat is to be refused once, as another node may lead by now. A
-// worker that finds no other leader comes back, and has its lease renewed.
+// mustDefer reports whether a machine's heartbeat is refused once because another node may lead by now. A worker that
+// finds no other leader retries here, and then its lease is renewed.
 func (l *Leader) mustDefer(m *state.Machine, now micros.Micros) bool {
 	return !l.Term.IsExclusive() && now-m.Lease.DeferredAt > deferralWindow
 }
 
-// isLateCopy reports whether a heartbeat is no newer than the machine's latest. Its worker gave up
-// waiting for the response.
-func isLateCopy(m *state.Machine, h *wire.Heartbeat) bool {
+// isStaleHeartbeat reports whether a heartbeat is no newer than the machine's latest one. The worker no longer waits
+// for the response to a stale heartbeat.
+func isStaleHeartbeat(m *state.Machine, h *wire.Heartbeat) bool {
 	latest := &m.Heartbeat
 	return h.Incarnation < latest.Incarnation || h.Incarnation == latest.Incarnation && h.Sequence <= latest.Sequence
 }
 
-// endEarlierIncarnation releases the tasks of a worker's incarnation when a later one sends a heartbeat.
+// endEarlierIncarnation releases the tasks of a worker's earlier incarnation if a heartbeat is from a later one.
 func (l *Leader) endEarlierIncarnation(m *state.Machine, h *wire.Heartbeat) {
 	if m.Heartbeat.Incarnation == 0 || h.Incarnation <= m.Heartbeat.Incarnation {
 		return
 	}
-	// That an earlier incarnation ended proves nothing of what earlier terms started in this one: a
-	// heartbeat held back from before a failover may be all that is known of it.
+	// The end of an earlier incarnation does not show which tasks earlier terms started in the new one: the only
+	// heartbeat received from it may be a delayed one from before a failover. So the machine's knowledge state stays
+	// as it was.
 	knowledge := m.Reconciliation.Knowledge
 	l.releaseAll(m, "the worker's session ended")
 	m.Reconciliation.Knowledge = knowledge
@@ -95,7 +96,8 @@
 	m.Delivery.Sent = m.Delivery.Sent[:0]
 }
 
-// recordHeartbeat records what a heartbeat says besides the status of tasks.
+// recordHeartbeat records the contents of a heartbeat other than the status of tasks. It counts the machine's lease as
+// renewed, since the response to the heartbeat may renew it.
 func (l *Leader) recordHeartbeat(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
 	m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = h.Incarnation, h.Sequence, h.Address
 	l.zones.CheckReportedZone(m, h.Zone)
@@ -116,9 +118,10 @@
 	}
 }
 
-// reconcileIfCurrent reconciles the tasks of a heartbeat that is a snapshot of its machine in this term.
+// reconcileIfCurrent reconciles the tasks that a heartbeat lists, if the worker sent it in this term and after its
+// latest response to a task query.
 func (l *Leader) reconcileIfCurrent(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
-	// One that is older than the machine's response to a task query says nothing new.
+	// A heartbeat that is older than the machine's response to a task query contains nothing new.
 	m.Heartbeat.FromCurrentTerm = h.FencingToken == l.FencingToken && h.Sequence > m.Reconciliation.QueriedSequence
 	if !m.Heartbeat.FromCurrentTerm && m.Delivery.RespondedThisTerm {
 		l.liveness.RecordLostResponse(m, now)
@@ -128,14 +131,14 @@
 		l.zones.ObserveReturn(m, now)
 		l.reconcile(m, h, now)
 	} else {
-		// The response may renew the machine's lease, whatever is thought of the heartbeat.
+		// The response may renew the machine's lease even if the heartbeat is not current.
 		m.Delivery.FollowUps = l.stopsForEndedJobs(h)
 	}
 }
 
-// stopsForEndedJobs are the stops for tasks of ended jobs in the response to a heartbeat that is not taken
-// for the machine's snapshot. Every response that renews a lease must have them: one that came first after a
-// failover, to a machine that got no other, kept cancelled tasks for a lease too long.
+// stopsForEndedJobs returns the stops for tasks of ended jobs, for the response to a heartbeat that is not reconciled.
+// Every response that renews a lease must contain them. Otherwise, if such a response is the only one that a machine
+// receives after a failover, its cancelled tasks run for one lease longer than they may.
 func (l *Leader) stopsForEndedJobs(h *wire.Heartbeat) (stops []wire.Command) {
 	for i := range h.Tasks {
 		t := &h.Tasks[i]
@@ -144,20 +147,21 @@
 			continue
 		}
 		if j, _, ok := l.Replica.Job(id); ok && j.IsFinal() {
-			stops = append(stops, stopAtOnce(t))
+			stops = append(stops, immediateStopCommand(t))
 		}
 	}
 	return stops
 }
 
-// planCommands plans anew if that is due, and returns the commands for the machine whose heartbeat is being
-// handled.
+// planCommands makes a new plan if one is due, and returns the commands for the machine whose heartbeat is being
+// processed.
 func (l *Leader) planCommands(m *state.Machine, now micros.Micros) []wire.Command {
 	l.scheduler.PlanIfNeeded(m, now)
 	return l.commandsForMachine(m, now)
 }
 
-// drainOnInterruption drains a machine that the cloud will take back.
+// drainOnInterruption drains a machine that the cloud is about to reclaim, and stops the tasks on it that can save a
+// checkpoint or belong to a gang.
 func (l *Leader) drainOnInterruption(m *state.Machine, now micros.Micros) {
 	if m.Heartbeat.InterruptionAt == 0 {
 		return
@@ -178,20 +182,20 @@
 	}
 }
 
-// adoptUnknownMachine takes a machine into the fleet that no launch intent with a response explains: a launch that
-// was carried out late.
+// adoptUnknownMachine adds a machine to the fleet that belongs to no launch intent with a response: the cloud carried
+// out its launch late.
 func (l *Leader) adoptUnknownMachine(h *wire.Heartbeat, now micros.Micros) error {
 	if l.fleet.WasTerminated(h.MachineID) {
 		return ErrCannotRespond
 	}
 	offering := state.Offering{Type: h.InstanceType, Zone: h.Zone, Spot: h.Spot}
 	if l.fleet.HasOpenIntent(offering) {
-		return nil // the response to its launch will name it
+		return nil // the response to the launch will name the machine
 	}
 	if h.FencingToken != l.FencingToken {
-		// It may be a late copy, and its machine terminated long ago: taken for a machine it would
-		// count as supply, and a next leader would wait for what it may hold. The response
-		// carries this term's fencing token to a live one, which sends its next heartbeat at once.
+		// The heartbeat may be delayed, and its machine terminated long ago. If it were adopted, it would count as
+		// supply, and the next leader would wait to learn its tasks. If the machine is alive, the response gives it
+		// this term's fencing token, and its worker sends the next heartbeat at once.
 		return nil
 	}
 	l.fleet.Adopt(h.MachineID, offering, now)
--- a/internal/leader/instance_types.go
+++ b/internal/leader/instance_types.go
@@ -12,19 +12,19 @@
 	"caperlatch/internal/wire"
 )
 
-// instanceTypesInterval is how often the cloud is queried for its instance types and their prices.
+// instanceTypesInterval is the interval at which the cloud is queried for its instance types and their prices.
 const instanceTypesInterval = 60 * micros.Second
 
-// instanceTypesLoop keeps the instance types as the cloud offers them.
+// instanceTypesLoop refreshes the instance types periodically until ctx ends.
 func (l *Leader) instanceTypesLoop(ctx context.Context) {
 	micros.Every(ctx, instanceTypesInterval, func() {
 		if err := l.refreshInstanceTypes(ctx); err != nil {
-			slog.Debug("instance types not refreshed", "error", err)
+			slog.Debug("refreshing the instance types failed, will retry", "error", err)
 		}
 	})
 }
 
-// loadInstanceTypes uses the stored instance types, or else those that the cloud offers.
+// loadInstanceTypes loads the stored instance types, or queries the cloud for them if none are stored.
 func (l *Leader) loadInstanceTypes(ctx context.Context) error {
 	var stored wire.InstanceTypeList
 	revision, err := l.Replica.Get(replica.InstanceTypesKey, &stored)
@@ -38,8 +38,8 @@
 	return l.refreshInstanceTypes(ctx)
 }
 
-// refreshInstanceTypes gets the instance types and their present prices from the cloud, and stores a list by which
-// submissions would be judged differently.
+// refreshInstanceTypes gets the instance types and their current prices from the cloud. It stores the list if it
+// changes which submissions are valid, unless the state service has rejected an equivalent list before.
 func (l *Leader) refreshInstanceTypes(ctx context.Context) error {
 	offered, err := l.Cloud.InstanceTypes(ctx)
 	if err != nil {
@@ -51,28 +51,29 @@
 		return err
 	}
 	l.setInstanceTypes(offered)
-	isStored := revision != 0 && offersSameRoom(stored, offered)
-	wasRejected := l.rejectedTypes != nil && offersSameRoom(*l.rejectedTypes, offered)
+	isStored := revision != 0 && equivalentForValidation(stored, offered)
+	wasRejected := l.rejectedTypes != nil && equivalentForValidation(*l.rejectedTypes, offered)
 	if isStored || wasRejected {
 		return nil
 	}
 	return l.storeInstanceTypes(ctx, offered, revision)
 }
 
-// storeInstanceTypes stores a list of instance types over the one of a revision.
-func (l *Leader) storeInstanceTypes(ctx context.Context, offered wire.InstanceTypeList, over uint64) error {
+// storeInstanceTypes stores a list of instance types, provided that the stored list still has the expected mod revision
+// and this term still holds the leader key.
+func (l *Leader) storeInstanceTypes(ctx context.Context, offered wire.InstanceTypeList, expectedRevision uint64) error {
 	revision, err := l.Store.Commit(ctx, wire.Txn{
 		If: []wire.Compare{
 			{Key: replica.LeaderKey, ModRevision: l.LeaderKeyRevision},
-			{Key: replica.InstanceTypesKey, ModRevision: over},
+			{Key: replica.InstanceTypesKey, ModRevision: expectedRevision},
 		},
 		Then: []wire.Op{{Put: replica.InstanceTypesKey, Value: offered}},
 	})
 	if errors.Is(err, statestore.ErrRejected) {
-		// The leader goes on with the list it has. Submissions are judged by the one stored before; a failover must
-		// not wait for what cannot be.
+		// This leader uses the rejected list all the same, and submissions are validated against the list stored
+		// before. It is no error for the caller: a failover must not wait for a write that can never succeed.
 		l.rejectedTypes = &offered
-		slog.Error("state service rejects the instance types", "count", len(offered.Types), "bytes", wire.JSONSize(offered), "error", err)
+		slog.Error("state service rejected the instance types, submissions are validated against the stored ones", "count", len(offered.Types), "bytes", wire.JSONSize(offered), "error", err)
 		return nil
 	}
 	if err != nil {
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// offersSameRoom reports whether two lists agree in what decides whether a job can ever run.
-func offersSameRoom(a, b wire.InstanceTypeList) bool {
+// equivalentForValidation reports whether two lists agree in all that decides whether a job can ever run.
+func equivalentForValidation(a, b wire.InstanceTypeList) bool {
 	return slices.EqualFunc(a.Types, b.Types, func(x, y wire.InstanceType) bool {
 		return x.Name == y.Name && x.CPUs == y.CPUs && x.GPUs == y.GPUs && x.MemoryGB == y.MemoryGB && slices.Equal(x.Zones, y.Zones)
 	})
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -5,15 +5,15 @@
 	"caperlatch/internal/replica"
 )
 
-// applyJobChanges takes over what the replica has seen since the last time.
+// applyJobChanges applies the job changes that the replica has received since the last call.
 func (l *Leader) applyJobChanges() {
 	for _, id := range l.Replica.TakeChangedJobs(false) {
 		l.applyJobChange(id, false)
 	}
 }
 
-// applyJobChange takes over a change of a job that the replica saw. An earlier term may have started tasks of it
-// where mayHaveEarlierTasks is set.
+// applyJobChange applies a job's state in the replica to this term's jobs. mayHaveEarlierTasks is set if an earlier
+// term may have started tasks of the job.
 func (l *Leader) applyJobChange(id string, mayHaveEarlierTasks bool) {
 	stored, _, ok := l.Replica.Job(id)
 	if !ok {
@@ -35,7 +35,7 @@
 	}
 }
 
-// dropJob drops a job that has ended; its tasks are stopped.
+// dropJob removes a job that has ended, deletes its stored progress and stops its tasks.
 func (l *Leader) dropJob(j *state.Job, finalState string) {
 	j.Ended = true
 	delete(l.jobs, j.Spec.ID)
@@ -59,7 +59,7 @@
 	l.scheduler.RequestPlan()
 }
 
-// imageIndex is the index that stands for an image in placement.
+// imageIndex returns the index that identifies an image in package placement. A new image gets the next free one.
 func (l *Leader) imageIndex(name string) int {
 	index, ok := l.images[name]
 	if !ok {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,10 +1,9 @@
-// Package leader is what the leading node does for one term: it reconciles workers' heartbeats with what should
-// run, gives workers their commands, decides what starts where, and has instances launched and terminated.
+// Package leader implements the leading node's work for one term: it reconciles workers' heartbeats with the assigned
+// tasks, sends workers their commands, decides which task starts where, and launches and terminates instances.
 //
-// A Leader holds the term and one lock over all of its state, and runs the loops. The concerns are packages below
-// this one, which are called with that lock held; this package joins them. It must never give a worker a command
-// while another node may lead, nor count a task as gone from a machine without one of the proofs that
-// docs/design.md lists.
+// A Leader holds the term and one lock over all of its state, and runs the loops. The subpackages implement one concern
+// each and are called with that lock held; this package connects them. It must never send a worker a command while
+// another node may lead, nor count a task as gone from a machine without one of the proofs that docs/design.md lists.
 package leader
 
 import (
@@ -41,23 +40,25 @@
 	"caperlatch/placement"
 )
 
-// Term is the part of an election's term that the leader needs.
+// Term is the part of election.Term that the leader needs.
 type Term interface {
-	// HoldsSession reports whether the session of the leader key has not ended, as far as this node knows.
+	// HoldsSession reports whether this node can prove that the session of the leader key has not ended.
 	HoldsSession() bool
 	// IsExclusive reports whether no other node can lead now.
 	IsExclusive() bool
-	// LastConfirmed is when that was last proved.
+	// LastConfirmed returns when this node last confirmed its leadership. Workers' leases may be renewed only for a
+	// bounded time after it.
 	LastConfirmed() micros.Micros
-	// Relinquish has the term prove nothing any more: another node may lead.
+	// Relinquish ends the term's proof of leadership: from now on another node may lead.
 	Relinquish()
-	// EarlierTermsFencedSince is since when no node responds with a lower fencing token; 0 if that is not known.
+	// EarlierTermsFencedSince returns the time since which no node has responded to workers with a lower fencing
+	// token, or 0 if that is not known.
 	EarlierTermsFencedSince() micros.Micros
 }
 
 var _ Term = (*election.Term)(nil)
 
-// Config is what a leader works with.
+// Config holds a leader's dependencies and settings.
 type Config struct {
 	Settings          *settings.Settings
 	Tuning            settings.Tuning
@@ -68,74 +69,74 @@
 	FencingToken      uint64
 	LeaderKeyRevision uint64 // the mod revision of the leader key
 	WorkerClient      *http.Client
-	// Of a node with a warm standby; nil without.
+	// The next three are nil if the node has no warm standby.
 	Followers        Followers
 	FailoverProgress FailoverProgress
-	PreviousTerm     *standby.View // of the term before, if this node followed it
-	// ZonePolicy decides on zones; nil: the default policy.
+	PreviousTerm     *standby.View // this node's view of the previous term, nil if it did not follow that term
+	// ZonePolicy decides what is done about disrupted zones. If it is nil, the default policy is used.
 	ZonePolicy zone.Policy
-	// IsIsolated reports whether this node reaches neither the state service nor most of its peers; nil: it is
-	// not known.
+	// IsIsolated reports whether this node reaches neither the state service nor most of its peers. It is nil if
+	// that is not known.
 	IsIsolated func() bool
 }
 
-// Leader acts for one term. It is safe for concurrent use.
+// Leader does the leading node's work for one term. It is safe for concurrent use.
 //
-// mu guards all that changes after New, also in the packages below, except rejectedTypes: the goroutine that
-// refreshes the instance types owns it.
+// mu guards all state that changes after New, including that of the subpackages. The exception is rejectedTypes, which
+// belongs to the goroutine that refreshes the instance types.
 type Leader struct {
 	Config
 
-	// The term and its times, as of New.
+	// The term's start and time settings, set by New.
 	startedAt         micros.Micros
-	startedAtWall     micros.Micros // time of day
-	heartbeatInterval micros.Micros // usual time between a worker's heartbeats
-	leaseDuration     micros.Micros // of workers
+	startedAtWall     micros.Micros // wall clock time
+	heartbeatInterval micros.Micros // expected time between a worker's heartbeats
+	leaseDuration     micros.Micros // of workers' leases
 
 	mu sync.Mutex
 
-	// How far the failover is, and whether the term is over.
-	ready        bool          // the state was restored from what is stored
+	// Progress of the failover, and whether the term is over.
+	ready        bool          // the stored state was restored
 	superseded   bool          // a node with a higher fencing token is known
-	termLost     chan struct{} // closed when a write proved that the term is over
+	termLost     chan struct{} // closed when the term is over, or may be
 	termLostOnce sync.Once
 	failoverState
 
 	jobState
-	fleet       *fleet.Fleet           // machines, and launches and terminations
+	fleet       *fleet.Fleet           // machines, launches and terminations
 	liveness    *liveness.Monitor      // which machines are silent, and since when
-	taskQueries *taskquery.Queries     // queries of machines for their tasks after a failover
-	zones       *zoning.Zones          // carries out the policy on zones
-	workload    *workload.Workload     // what is expected of jobs, and what teams may use
-	scaler      *autoscaler.Scaler     // how many machines there are to be
-	scheduler   *scheduler.Scheduler   // which task starts where
+	taskQueries *taskquery.Queries     // queries to machines for their tasks after a failover
+	zones       *zoning.Zones          // applies the zone policy
+	workload    *workload.Workload     // run time estimates of jobs, and quotas of teams
+	scaler      *autoscaler.Scaler     // target number of machines
+	scheduler   *scheduler.Scheduler   // assignment of tasks to machines
 	gangs       *gangs.Coordinator     // attempts of gangs
-	quarantine  *quarantine.Quarantine // whether failures speak against machines or jobs
+	quarantine  *quarantine.Quarantine // attribution of task failures to machines or jobs
 	dispatcher  *dispatch.Dispatcher   // direct calls to workers
-	writes      *persist.Queue         // what is to be stored
+	writes      *persist.Queue         // pending writes to the state service
 
-	// rejectedTypes is a list of instance types that the state service rejected: it is not sent again.
+	// rejectedTypes is the list of instance types that the state service rejected last. It is not sent again.
 	rejectedTypes *wire.InstanceTypeList
 
-	// What is shown to users and written to the log.
+	// Data that is shown to users or written to the log.
 	taskCounts   TaskCounts // see AllTaskCounts
 	taskCountsAt micros.Micros
 	recentStops  []explain.TaskStop
 	events       *eventlog.Log
 }
 
-// jobState is what is known of jobs and their tasks.
+// jobState is the state of jobs and their tasks.
 type jobState struct {
-	jobs          map[string]*state.Job          // that have not ended, by ID
-	cancelledJobs map[string]*state.Job          // cancelled before this term, with tasks still on machines
-	teamUsage     map[string]placement.Resources // of tasks that are known to be on machines, by team
-	unknownUsage  placement.Resources            // what machines with unknown tasks may hold, as of the latest plan
-	images        map[string]int                 // indexes that stand for images in placement, by name
-	attempts      uint64                         // how many attempts this term has numbered
+	jobs          map[string]*state.Job          // jobs that have not ended, by ID
+	cancelledJobs map[string]*state.Job          // jobs cancelled before this term with tasks still on machines, by ID
+	teamUsage     map[string]placement.Resources // used by tasks that are known to be on machines, by team
+	unknownUsage  placement.Resources            // capacity of machines with unknown tasks, at the last worstCaseTeamUsage
+	images        map[string]int                 // indexes that identify images in package placement, by name
+	attempts      uint64                         // number of attempts of this term so far
 	finalJobs     map[string]replica.Job         // final states that are not stored yet, by job ID
 }
 
-// New makes a leader for a term. It does nothing until Run.
+// New returns a leader for a term. It does nothing until Run is called.
 func New(c Config) *Leader {
 	workers := c.Settings.Params.Workers
 	l := &Leader{
@@ -160,30 +161,30 @@
 	l.fleet = l.newFleet()
 	l.taskQueries = l.newTaskQueries()
 	l.zones = l.newZones()
-	l.liveness = l.newMonitor()
-	l.scaler = l.newScaler()
+	l.liveness = l.newLivenessMonitor()
+	l.scaler = l.newAutoscaler()
 	l.gangs = l.newGangs()
 	l.quarantine = l.newQuarantine()
 	l.scheduler = l.newScheduler()
 	return l
 }
 
-// failoverRetryInterval is how long a new leader waits before it reads the stored state again.
+// failoverRetryInterval is how long a new leader waits before it tries again to read the stored state.
 const failoverRetryInterval = 200 * micros.Millisecond
 
-// errPreviousTermUnproven is returned if no proof was found that the term before has ended.
-var errPreviousTermUnproven = errors.New("there is no proof that the term before has ended")
+// errPreviousTermMayBeActive is returned if there is no proof that the previous term has ended.
+var errPreviousTermMayBeActive = errors.New("no proof that the previous term has ended")
 
-// Run leads until ctx ends or a write shows that the term is over. It returns once all its loops have ended.
+// Run leads until ctx ends or the term is over. It returns once all its loops have ended.
 func (l *Leader) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer l.loseTerm() // a handover that waits need not wait any more
+	defer l.loseTerm() // ends the wait of a handover in progress
 	if !l.awaitStoredState(ctx) {
 		return
 	}
 	if err := l.takeOver(); err != nil {
-		slog.Error("failover failed", "fencing_token", l.FencingToken, "error", err)
+		slog.Error("failover failed, ending the term", "fencing_token", l.FencingToken, "error", err)
 		return
 	}
 	var wg sync.WaitGroup
@@ -205,8 +206,8 @@
 	wg.Wait()
 }
 
-// awaitStoredState waits until all that earlier terms stored is in the replica: their writes fail from this term's
-// leader key on. It reports false if ctx ended before.
+// awaitStoredState waits until the replica has everything that earlier terms stored. Their writes have failed since
+// this term's leader key was written, so nothing is added later. It reports false if ctx ends first.
 func (l *Leader) awaitStoredState(ctx context.Context) bool {
 	for {
 		err := l.Replica.Barrier(ctx)
@@ -216,7 +217,7 @@
 		if err == nil {
 			return true
 		}
-		slog.Debug("failover waits for the stored state", "fencing_token", l.FencingToken, "error", err)
+		slog.Debug("reading the stored state failed, failover will retry", "fencing_token", l.FencingToken, "error", err)
 		micros.Pause(ctx, failoverRetryInterval)
 		if ctx.Err() != nil {
 			return false
@@ -224,16 +225,17 @@
 	}
 }
 
-// takeOver begins to decide, from what is stored and from what the term before handed over.
+// takeOver restores the state from the state service and from the previous term's handover. From then on the leader
+// makes decisions.
 func (l *Leader) takeOver() error {
 	handedOver := l.PreviousTerm != nil && l.PreviousTerm.ProvesAssignments(l.FencingToken)
 	if l.FailoverProgress != nil && !l.FailoverProgress.StateRead(l.Replica.Revision(), handedOver) {
-		return errPreviousTermUnproven
+		return errPreviousTermMayBeActive
 	}
 	return l.restoreState()
 }
 
-// Intervals of what the passing of time brings.
+// Intervals of the periodic work.
 const (
 	tickInterval      = 200 * micros.Millisecond
 	superviseInterval = 200 * micros.Millisecond
@@ -241,12 +243,12 @@
 	summaryInterval   = 5 * micros.Second
 )
 
-// tickTimes is when the parts of a tick were last done.
+// tickTimes holds the times at which the parts of a tick were last run.
 type tickTimes struct {
 	supervised, autoscaled, summarized micros.Micros
 }
 
-// tickLoop does what the passing of time and changes of the replica bring.
+// tickLoop calls tick periodically and whenever the replica changes.
 func (l *Leader) tickLoop(ctx context.Context) {
 	changed := l.Replica.Changed()
 	ticker := time.NewTicker(tickInterval.Duration())
@@ -264,7 +266,7 @@
 	}
 }
 
-// tick does those parts that are due.
+// tick applies job changes and runs the parts of the periodic work that are due.
 func (l *Leader) tick(last *tickTimes) {
 	now := micros.Now()
 	l.mu.Lock()
@@ -293,7 +295,7 @@
 	}
 }
 
-// Supersede ends all responses to workers if another node has a higher fencing token.
+// Supersede ends the term, and all responses to workers, if fencingToken of another node is higher than the term's.
 func (l *Leader) Supersede(fencingToken uint64) {
 	if fencingToken <= l.FencingToken {
 		return
@@ -304,5 +306,5 @@
 	l.loseTerm()
 }
 
-// loseTerm ends the term, as it is proved that a newer one has begun, or may begin.
+// loseTerm ends the term, because a newer one has begun or may begin.
 func (l *Leader) loseTerm() { l.termLostOnce.Do(func() { close(l.termLost) }) }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/micros"
 )
 
-// newMonitor makes what judges the machines of this term.
-func (l *Leader) newMonitor() *liveness.Monitor {
+// newLivenessMonitor returns the liveness monitor for this term's machines.
+func (l *Leader) newLivenessMonitor() *liveness.Monitor {
 	workers := l.Settings.Params.Workers
 	return liveness.New(liveness.Config{
 		TermStartedAt:           l.startedAt,
@@ -25,7 +25,8 @@
 	})
 }
 
-// superviseMachines acts on silence, interruption notices and stops that take too long.
+// superviseMachines updates the state of zones and boots, releases the tasks of machines whose leases have expired, and
+// terminates machines that are lost, drained, or do not carry out a stop in time.
 func (l *Leader) superviseMachines(now micros.Micros) {
 	l.zones.Observe(now)
 	l.fleet.CheckBoots(now)
@@ -56,10 +57,10 @@
 	return expired
 }
 
-// faultyDrainHeartbeats is for how many heartbeat intervals the tasks of a machine at fault may run on.
+// faultyDrainHeartbeats is how many heartbeat intervals tasks may keep running on a machine that is quarantined.
 const faultyDrainHeartbeats = 3
 
-// terminationReason is why a machine should be terminated, empty if it should not.
+// terminationReason returns why a machine should be terminated, or an empty string if it should not.
 func (l *Leader) terminationReason(m *state.Machine, leaseExpired bool, now micros.Micros) string {
 	if m.Instance.Terminating {
 		return ""
@@ -71,8 +72,8 @@
 	case m.DrainReason != "" && len(m.Attempts) == 0 && m.TasksKnown():
 		return m.DrainReason
 	case m.DrainReason == quarantine.DrainReason && now-m.Quarantine.Since > faultyDrainHeartbeats*l.Settings.Params.Workers.HeartbeatInterval():
-		// What still runs there had time to save a checkpoint and would fail as well. A next leader
-		// would have to find the fault anew.
+		// The tasks that still run there had time to save a checkpoint and would fail as well. If the machine were
+		// kept, the next leader would have to detect the fault again.
 		return m.DrainReason
 	}
 	return ""
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -7,27 +7,28 @@
 	"caperlatch/internal/wire"
 )
 
-// Followers are the nodes that keep a view of what this term decides. It is safe for concurrent use.
+// Followers is the stream of entries to the nodes that keep a view of this term's decisions. Implementations are safe
+// for concurrent use.
 type Followers interface {
-	// Publish appends an entry. It never blocks.
+	// Publish appends an entry to the stream. It never blocks.
 	Publish(e standby.Entry)
-	// Position is that of the newest entry.
+	// Position returns the position of the newest entry.
 	Position() uint64
-	// FurthestFollower is the follower that has applied most, of those that sent a query within a time; the
-	// zero value if there is none.
+	// FurthestFollower returns the follower that has applied the most entries, of those whose last query is no
+	// older than within. It returns the zero value if there is none.
 	FurthestFollower(within micros.Micros) standby.FollowerState
 	// HasApplied reports whether a follower has applied all entries up to a position.
 	HasApplied(member string, position uint64) bool
 }
 
-// publish appends an entry to what followers read.
+// publish publishes an entry to the followers, if the node has a warm standby.
 func (l *Leader) publish(e standby.Entry) {
 	if l.Followers != nil {
 		l.Followers.Publish(e)
 	}
 }
 
-// publishAssigned publishes that a task is assigned to a machine, and in which state.
+// publishAssigned publishes that a task is assigned to a machine, and the state of its attempt.
 func (l *Leader) publishAssigned(a *state.Attempt) {
 	if l.Followers == nil {
 		return
@@ -44,14 +45,14 @@
 	}})
 }
 
-// publishRemoved publishes that a task is proved to be no longer on a machine.
+// publishRemoved publishes that a task is proven to have left a machine.
 func (l *Leader) publishRemoved(a *state.Attempt) {
 	if l.Followers != nil {
 		l.publish(standby.Entry{TaskRemoved: &standby.TaskRemoved{Machine: a.Machine.ID, Task: a.TaskID()}})
 	}
 }
 
-// publishMachine publishes what has changed of a machine besides its tasks.
+// publishMachine publishes a machine's incarnation and whether its tasks are confirmed, if either has changed.
 func (l *Leader) publishMachine(m *state.Machine) {
 	current := standby.MachineState{Incarnation: m.Heartbeat.Incarnation, TasksKnown: m.TasksConfirmed()}
 	if l.Followers == nil || m.Published == current {
@@ -61,7 +62,8 @@
 	l.publish(standby.Entry{MachineObserved: &standby.MachineObserved{Machine: m.ID, MachineState: current}})
 }
 
-// publishEstimates publishes how the classes' run times compare with their estimates, which is not stored.
+// publishEstimates publishes how the run times of job classes compare with their estimates. These statistics are not
+// stored, so a follower has no other source for them.
 func (l *Leader) publishEstimates() {
 	if l.Followers == nil {
 		return
--- a/internal/leader/quarantine.go
+++ b/internal/leader/quarantine.go
@@ -2,7 +2,7 @@
 
 import "caperlatch/internal/leader/quarantine"
 
-// newQuarantine makes the quarantine of this term.
+// newQuarantine returns the quarantine for this term.
 func (l *Leader) newQuarantine() *quarantine.Quarantine {
 	return quarantine.New(quarantine.Config{
 		Fleet:         l.fleet,
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -9,9 +9,9 @@
 	"caperlatch/placement"
 )
 
-// reconcile compares a heartbeat with what should be on the machine. The heartbeat carries this term's fencing
-// token, so the worker made it after it had accepted a response of this term: starts of earlier terms can no
-// longer be executed.
+// reconcile compares the tasks that a heartbeat lists with those assigned to the machine. The heartbeat contains this
+// term's fencing token, so the worker sent it after it had accepted a response of this term, and can no longer execute
+// starts of earlier terms.
 func (l *Leader) reconcile(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
 	confirmed := m.TasksConfirmed()
 	if !confirmed {
@@ -28,8 +28,8 @@
 		l.observeTask(m, &h.Tasks[i], now)
 	}
 	for name, a := range m.Attempts {
-		// A worker has one heartbeat in flight, and drops late responses: if the start in the response
-		// to an earlier heartbeat does not show in a newer one, it never will.
+		// A worker has one heartbeat in flight and drops late responses. If a newer heartbeat does not list the
+		// task that the response to an earlier one started, the worker will never execute that start.
 		if !listed[name] && a.StartSequence < h.Sequence && !a.Reserved {
 			l.release(a, "the start was lost")
 		}
@@ -39,8 +39,8 @@
 	}
 }
 
-// observation is the status of a job's task in a heartbeat, with what was known of it before.
-type observation struct {
+// taskObservation is the status of a job's task in a heartbeat, with the attempt that was known before.
+type taskObservation struct {
 	machine *state.Machine
 	job     *state.Job
 	index   int            // of the task in its job
@@ -49,16 +49,16 @@
 	at      micros.Micros // when the heartbeat was received
 }
 
-// observeTask takes over the status of one task.
+// observeTask processes the status of one task in a heartbeat.
 func (l *Leader) observeTask(m *state.Machine, t *wire.TaskStatus, now micros.Micros) {
 	a := m.Attempts[t.TaskID]
 	if a != nil && t.State == wire.TaskExited && a.Number != t.Attempt && t.ExitReason != wire.ExitDone {
-		// An older attempt that was not cleared yet, or a refusal of a newer one that never ran;
-		// what should be on the machine is not it.
+		// The status is of an older attempt that was not cleared yet, or of a newer one that the worker refused to
+		// start, and not of the attempt that is assigned to the machine.
 		if t.Attempt > a.Number && t.ExitReason != wire.ExitOtherAttemptPresent {
 			l.release(a, "the worker shows another attempt")
 		}
-		followUp(m, clearCommand(t))
+		addFollowUp(m, clearCommand(t))
 		return
 	}
 	if a != nil && a.Number == t.Attempt && a.ReportedState == "" && a.StartSequence != 0 {
@@ -71,37 +71,37 @@
 	} else if j == nil {
 		j = l.cancelledJob(id)
 	}
-	o := observation{machine: m, job: j, index: index, attempt: a, status: t, at: now}
+	o := taskObservation{machine: m, job: j, index: index, attempt: a, status: t, at: now}
 	switch {
 	case err != nil || j == nil || index >= j.Spec.Tasks:
 		l.rejectTask(m, t)
 	case t.State != wire.TaskExited:
 		l.observePresentTask(o)
 	case a != nil && a.Reserved && t.ExitReason != wire.ExitDone:
-		// An earlier start of the same attempt, whose place is reserved for this one.
-		followUp(m, clearCommand(t))
+		// This was an earlier start of the same attempt, whose new start has not been sent yet.
+		addFollowUp(m, clearCommand(t))
 	default:
 		l.observeExit(o)
 	}
 }
 
-// followUp adds a command to the next response to a machine's heartbeat.
-func followUp(m *state.Machine, c wire.Command) {
+// addFollowUp adds a command to the next response to a machine's heartbeat.
+func addFollowUp(m *state.Machine, c wire.Command) {
 	m.Delivery.FollowUps = append(m.Delivery.FollowUps, c)
 }
 
-// rejectTask has a task of no known job stopped, or cleared if it has exited.
+// rejectTask stops a task that belongs to no known job, or clears it if it has exited.
 func (l *Leader) rejectTask(m *state.Machine, t *wire.TaskStatus) {
 	if t.State == wire.TaskExited {
-		followUp(m, clearCommand(t))
+		addFollowUp(m, clearCommand(t))
 		return
 	}
-	l.dispatcher.Send(commandTarget(m), stopAtOnce(t))
-	followUp(m, stopAtOnce(t))
+	l.dispatcher.Send(commandTarget(m), immediateStopCommand(t))
+	addFollowUp(m, immediateStopCommand(t))
 }
 
-// observePresentTask takes over a task that is on its machine.
-func (l *Leader) observePresentTask(o observation) {
+// observePresentTask processes the status of a task that has not exited.
+func (l *Leader) observePresentTask(o taskObservation) {
 	m, a, t := o.machine, o.attempt, o.status
 	if a == nil {
 		if a = l.adoptTask(o); a == nil {
@@ -116,21 +116,21 @@
 		l.recordRunning(a, o.at)
 	}
 	if t.State != a.ReportedState && !wire.IsKnownTaskState(t.State) {
-		l.events.Add("unknown task state, the task is taken to be present", fmt.Sprintf("%.40q", t.State), m.ID)
+		l.events.Add("unknown task state, the task is treated as present on its machine", fmt.Sprintf("%.40q", t.State), m.ID)
 	}
 	a.ReportedState = t.State
 	l.gangs.ObserveTask(a, o.at)
 }
 
-// adoptTask assigns a task to a machine that was not known to have it. If the task is done or on another
-// machine, it has the task stopped instead, and returns nil.
-func (l *Leader) adoptTask(o observation) *state.Attempt {
+// adoptTask assigns a task to a machine that was not known to hold it. If the task is done or assigned to another
+// machine, and its job has not ended, adoptTask stops it instead and returns nil.
+func (l *Leader) adoptTask(o taskObservation) *state.Attempt {
 	m, j := o.machine, o.job
 	if other := j.Attempts[o.index]; other != nil && other.Reserved {
 		l.gangs.ReleaseUnsent(other, "an earlier start of it is on "+m.ID)
 	}
 	if other := j.Attempts[o.index]; !j.Ended && (other != nil && other.Machine != m || j.Done.Has(o.index)) {
-		followUp(m, stopAtOnce(o.status))
+		addFollowUp(m, immediateStopCommand(o.status))
 		return nil
 	}
 	a := &state.Attempt{Job: j, Index: o.index, Number: o.status.Attempt, Machine: m, StartedAt: o.at}
@@ -141,10 +141,10 @@
 	return a
 }
 
-// cancelledJob is a job that was cancelled before this term saw it, but that a machine still has tasks of:
-// these were not stopped yet, or the machine hung. Until they have left they take their places, and
-// count against their team's limit; when they did not, a leader that succeeded one which had been cut off
-// filled the team up beside them. It is nil if there is no such job.
+// cancelledJob returns a job that was cancelled before this term knew it, while a machine still holds tasks of it:
+// the tasks have not been stopped yet, or the machine hung. It returns nil if there is no such job. Until these tasks
+// have left their machines, they use capacity there and count against their team's limit. If they were not counted, the
+// successor of a leader that was cut off would start other tasks of the team up to the full limit beside them.
 func (l *Leader) cancelledJob(id string) *state.Job {
 	if j := l.cancelledJobs[id]; j != nil {
 		return j
@@ -160,7 +160,7 @@
 	return j
 }
 
-// recordRunning notes that an attempt was seen running for the first time.
+// recordRunning records the first heartbeat that shows an attempt running.
 func (l *Leader) recordRunning(a *state.Attempt, now micros.Micros) {
 	j, m := a.Job, a.Machine
 	a.RunningSince = now
@@ -177,7 +177,7 @@
 	}
 }
 
-// refreshImageSet determines anew which images a machine has cached or is pulling.
+// refreshImageSet recomputes which images a machine has cached or is pulling.
 func (l *Leader) refreshImageSet(m *state.Machine) {
 	var images placement.ImageSet
 	for _, name := range m.Images.Names {
--- a/internal/leader/restore.go
+++ b/internal/leader/restore.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/replica"
 )
 
-// restoreState makes this term's state from what is stored. Which tasks a machine holds is not known until it has sent
-// a heartbeat, or responded to a query, with this term's fencing token.
+// restoreState restores this term's state from the state service. The tasks of a machine are not known until the
+// machine has sent a heartbeat, or responded to a query, with this term's fencing token, unless a handover proves them.
 func (l *Leader) restoreState() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,8 @@
 	return nil
 }
 
-// restoreProgress takes over which tasks of a job are done, from a stored chunk.
+// restoreProgress restores which tasks of a job are done from one stored chunk. If the job has ended, it queues the key
+// for deletion.
 func (l *Leader) restoreProgress(key string) error {
 	id, chunk, err := state.ParseProgressKey(key)
 	if err != nil {
@@ -57,7 +58,7 @@
 		return err
 	}
 	if err := j.RestoreProgress(chunk, progress); err != nil {
-		return fmt.Errorf("stored %s: %w", key, err)
+		return fmt.Errorf("restore job progress from %s: %w", key, err)
 	}
 	if j.DoneCount > 0 {
 		l.gangs.Complete(j)
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -9,7 +9,7 @@
 	"caperlatch/placement"
 )
 
-// newGangs makes what keeps the attempts of gangs in this term.
+// newGangs returns the coordinator of gang attempts for this term.
 func (l *Leader) newGangs() *gangs.Coordinator {
 	workers := l.Settings.Params.Workers
 	return gangs.New(gangs.Config{
@@ -33,7 +33,7 @@
 	})
 }
 
-// newScheduler makes the scheduler of this term.
+// newScheduler returns the scheduler for this term.
 func (l *Leader) newScheduler() *scheduler.Scheduler {
 	return scheduler.New(scheduler.Config{
 		Term:                 l.Term,
@@ -44,7 +44,7 @@
 		Jobs:                 l.jobs,
 		HeartbeatInterval:    l.heartbeatInterval,
 		TermStartedAt:        l.startedAtWall,
-		TeamUsage:            l.worstCaseTeamUse,
+		TeamUsage:            l.worstCaseTeamUsage,
 		AwaitsReconciliation: l.awaitsReconciliation,
 		ReviewQuarantine:     l.quarantine.ReviewJob,
 		OnlyZone:             l.zones.OnlyZone,
@@ -53,15 +53,15 @@
 	})
 }
 
-// awaitsReconciliation makes a function that reports whether a job must start nothing yet, as machines
-// whose tasks are not known now may hold some of its tasks.
+// awaitsReconciliation returns a function that reports whether no task of a job may start yet, because machines whose
+// tasks are not known at the time of this call may hold some of the job's tasks.
 func (l *Leader) awaitsReconciliation() func(*state.Job) bool {
-	unknown := l.findUnknownMachines()
+	unknown := l.findMachinesWithUnknownTasks()
 	return func(j *state.Job) bool { return l.mustAwaitReconciliation(j, unknown) }
 }
 
-// sendStops calls a machine's worker until it has the commands to stop some tasks of a gang, for as long as the
-// gang's other tasks do not notice that these are lost.
+// sendStops sends a machine's worker the commands to stop some tasks of a gang, and retries until they are delivered or
+// the gang's other tasks notice by themselves that these are lost.
 func (l *Leader) sendStops(m *state.Machine, stops []*state.Attempt) {
 	commands := make([]wire.Command, len(stops))
 	for i, a := range stops {
@@ -70,9 +70,9 @@
 	l.dispatcher.SendUntilDelivered(commandTarget(m), commands, l.Settings.Params.Workers.GangLossTimeout())
 }
 
-// worstCaseTeamUse counts what each team's tasks may be using at worst: what is known to be on machines and
-// all that machines with unknown tasks could hold.
-func (l *Leader) worstCaseTeamUse() map[string]*placement.Team {
+// worstCaseTeamUsage returns the most that each team's tasks may be using: the resources of the tasks that are known to
+// be on machines, plus the whole capacity of the machines whose tasks are not known.
+func (l *Leader) worstCaseTeamUsage() map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for name, t := range l.workload.Teams() {
 		teams[name] = &placement.Team{Used: l.teamUsage[name], Limit: t.Limit}
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, t := range teams {
-		// Not even a job that is over can be ruled out there, so all that these machines could hold
+		// Machines with unknown tasks may hold tasks of any job, even of one that is over, so their whole capacity
 		// counts for every team.
 		t.Used = t.Used.Add(l.unknownUsage, 1)
 	}
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -8,7 +8,7 @@
 	"caperlatch/internal/micros"
 )
 
-// logSummary logs now and then, at level debug, what the leader decides on.
+// logSummary logs the state that the leader's decisions are based on, at level debug.
 func (l *Leader) logSummary(now micros.Micros) {
 	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -21,7 +21,7 @@
 		}
 	}
 	tasksByState := map[string]int{}
-	usedCPU, schedulableCPU := int64(0), int64(0) // thousandths
+	usedCPU, schedulableCPU := int64(0), int64(0) // thousandths of a CPU
 	for _, m := range l.fleet.Machines {
 		for _, a := range m.Attempts {
 			tasksByState[a.ReportedState]++
--- a/internal/leader/task_counts.go
+++ b/internal/leader/task_counts.go
@@ -2,14 +2,14 @@
 
 import "caperlatch/internal/micros"
 
-// TaskCounts are how many tasks of jobs that have not ended are done, and how many run, by job ID.
+// TaskCounts holds the numbers of done and of running tasks of jobs that have not ended, by job ID.
 type TaskCounts map[string][2]int
 
-// taskCountsInterval is how often the counts are taken anew; they are for display only.
+// taskCountsInterval is the interval at which the counts are refreshed. They are for display only.
 const taskCountsInterval = 2 * micros.Second
 
-// AllTaskCounts are the counts of all jobs that have started, as of a time that is at most taskCountsInterval ago. The
-// map must not be changed.
+// AllTaskCounts returns the counts of all jobs that have started, and the time they are from, which is less than
+// taskCountsInterval ago. Callers must not change the map.
 func (l *Leader) AllTaskCounts() (counts TaskCounts, at micros.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -19,7 +19,8 @@
 	return l.taskCounts, l.taskCountsAt
 }
 
-// TaskCounts counts the tasks of a job. It reports false if the job has ended or is not known.
+// TaskCounts returns the numbers of done and of running tasks of a job. It reports false if the job has ended or is
+// unknown.
 func (l *Leader) TaskCounts(id string) (done, running int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,15 +31,15 @@
 	return j.DoneCount, j.RunningCount, true
 }
 
-// Bounds of the counts, which go into one message between nodes: all that fit maxTaskCountBytes, where each takes
-// its job's ID and taskCountBytes at most. A fleet of 4,000 machines that run single tasks has 16,000 jobs to count,
-// which take 400 KB.
+// Size limits of the counts, which are sent between nodes in one message: counts are included up to maxTaskCountBytes,
+// where each takes the length of its job's ID plus at most taskCountBytes. A fleet of 4,000 machines that runs
+// single-task jobs has 16,000 jobs to count, which take 400 KB.
 const (
 	maxTaskCountBytes = 1 << 19
 	taskCountBytes    = 16
 )
 
-// countTasks counts the tasks of the jobs that have started.
+// countTasks returns the counts of the jobs that have started, as many as the size limit allows.
 func (l *Leader) countTasks() TaskCounts {
 	counts, size := make(TaskCounts, len(l.jobs)), 0
 	for id, j := range l.jobs {
--- a/internal/leader/task_queries.go
+++ b/internal/leader/task_queries.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/wire"
 )
 
-// newTaskQueries makes this term's queries for the tasks of earlier terms.
+// newTaskQueries returns the queries with which this term learns the tasks that earlier terms started.
 func (l *Leader) newTaskQueries() *taskquery.Queries {
 	return taskquery.New(taskquery.Config{
 		Lock:          &l.mu,
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// newWriteQueue makes the queue of what this term writes to the state service.
+// newWriteQueue returns the queue of this term's writes to the state service.
 func (l *Leader) newWriteQueue() *persist.Queue {
 	return persist.NewQueue(persist.Config{
 		Lock:              &l.mu,
@@ -25,10 +25,11 @@
 	})
 }
 
-// deleteLeftovers has keys deleted that belong to nothing any more: a launch intent or a job's progress
-// whose first write got no response, was repeated, deleted when no longer needed, and then carried out
-// after all. The next leader would launch once more for such an intent.
-func (l *Leader) deleteLeftovers() {
+// deleteOrphanedKeys queues the deletion of stored launch intents and job progress that are no longer in use. Such a
+// key arises if its first write gets no response and is repeated, the key is deleted when it is no longer needed, and
+// the state service then carries out the first write after all. For an orphaned intent the next leader would launch
+// instances again.
+func (l *Leader) deleteOrphanedKeys() {
 	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
 		if l.fleet.Intent(strings.TrimPrefix(key, replica.LaunchIntentPrefix)) == nil {
 			l.writes.EnqueueLowPriority(key)
@@ -41,7 +42,7 @@
 	}
 }
 
-// encode makes the write of a marked key's present value. It reports whether there is anything to write.
+// encode returns the write of a queued key's current value. It reports whether there is anything to write.
 func (l *Leader) encode(key string) (persist.Write, bool) {
 	w := persist.Write{Key: key, ModRevision: l.Replica.ModRevision(key)}
 	switch {
@@ -62,22 +63,22 @@
 	return w, false
 }
 
-// encodeFinalJob makes the write of a job that has ended.
+// encodeFinalJob returns the write of the final state of a job.
 func (l *Leader) encodeFinalJob(w persist.Write) (persist.Write, bool) {
 	id := strings.TrimPrefix(w.Key, replica.JobPrefix)
 	final, ok := l.finalJobs[id]
-	// The mod revision and the state go together: were the mod revision read later,
-	// a cancellation that came in between would be overwritten.
+	// The mod revision must be read together with the state. If it were read later, a cancellation stored in between
+	// would be overwritten.
 	stored, revision, _ := l.Replica.Job(id)
 	if stored.IsFinal() {
 		return w, false
 	}
 	w.Value, w.ModRevision = final, revision
-	w.OnStored = func() { l.onFinalStored(id) }
+	w.OnStored = func() { l.onFinalStateStored(id) }
 	return w, ok
 }
 
-// encodeProgress makes the write of which tasks of a job are done.
+// encodeProgress returns the write of a chunk of a job's progress, or its deletion if the job has ended.
 func (l *Leader) encodeProgress(w persist.Write) (persist.Write, bool) {
 	id, chunk, err := state.ParseProgressKey(w.Key)
 	j := l.jobs[id]
@@ -85,7 +86,7 @@
 		return w, l.Replica.ModRevision(w.Key) != 0 // the job has ended
 	}
 	if _, finishing := l.finalJobs[id]; finishing {
-		return w, false // the final state implies it
+		return w, false // the final state implies that all tasks are done
 	}
 	w.Value = j.Progress(chunk)
 	snapshot := slices.Clone(j.Done.Chunk(chunk))
@@ -93,7 +94,7 @@
 	return w, true
 }
 
-// finishIfDone has a job's end stored once all its tasks are done.
+// finishIfDone queues the final state of a job for storage if all its tasks are done.
 func (l *Leader) finishIfDone(j *state.Job) {
 	if j.Ended || j.DoneCount < j.Spec.Tasks {
 		return
@@ -107,8 +108,8 @@
 	l.writes.Wake()
 }
 
-// onFinalStored drops a job once its end is stored.
-func (l *Leader) onFinalStored(id string) {
+// onFinalStateStored logs and drops a job whose final state has been stored.
+func (l *Leader) onFinalStateStored(id string) {
 	j := l.jobs[id]
 	if j == nil {
 		return
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -54,7 +54,7 @@
 	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", state.ProgressKey("j-000001", 0)) {
 		l.Replica.ApplyPut(key, map[string]any{}, 5)
 	}
-	l.deleteLeftovers()
+	l.deleteOrphanedKeys()
 	writes, _ := l.writes.Collect()
 	var deleted []string
 	for _, write := range writes {
--- a/internal/leader/zones.go
+++ b/internal/leader/zones.go
@@ -7,8 +7,8 @@
 	"caperlatch/internal/zone"
 )
 
-// newZones makes the zones of this term. The autoscaler and the monitor of
-// liveness are made after them, so they are reached through functions.
+// newZones returns the zone state for this term. The autoscaler and the liveness monitor are created later, so they are
+// called through functions.
 func (l *Leader) newZones() *zoning.Zones {
 	return zoning.New(zoning.Config{
 		Policy:            l.ZonePolicy,
@@ -26,7 +26,7 @@
 	})
 }
 
-// ZoneStatus describes all zones for operators; nil if the policy describes none.
+// ZoneStatus returns the status of all zones for operators. It is nil if the policy describes none.
 func (l *Leader) ZoneStatus() []zone.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
