--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -1,10 +1,10 @@
-// Package persist writes what the leader has decided to the state service, behind its decisions.
+// Package persist writes the leader's decisions to the state service asynchronously.
 //
-// It owns which keys are to be written, in which order, how many go into one transaction, and
-// what becomes of writes that the service rejects or whose outcome is not known. It does not
-// know what the values mean: whoever owns a value encodes it when its turn has come. It must
-// never write a key without a compare on the leader key and on the key's own mod revision, as a
-// transaction without a response may be carried out late, after newer ones.
+// It owns which keys are to be written, in which order, and how many go into one transaction, and it handles
+// writes that the service rejects or whose outcome is not known. It does not interpret the values: the owner
+// of a value encodes it when its key is due. It must never write a key without a compare on the leader key
+// and on the key's own mod revision, because a transaction that got no response may be carried out late,
+// after newer ones.
 package persist
 
 import (
@@ -23,78 +23,79 @@
 	"caperlatch/internal/wire"
 )
 
-// Write is one key's change on its way to the state service.
+// Write is a change to one key, to be sent to the state service.
 type Write struct {
 	Key         string
-	ModRevision uint64 // of the value that this one replaces
+	ModRevision uint64 // of the value that is replaced
 	Value       any    // nil deletes the key
 	OnStored    func() // called with the lock held once the write is known to be stored; may be nil
 }
 
-// Config is what a queue works with.
+// Config holds the dependencies of a queue.
 type Config struct {
-	// Lock is the leader's. It guards the queue and is held when Encode is called; it is
-	// never held over a request.
+	// Lock is the leader's lock. It guards the queue and is held when Encode is called. It is never held
+	// during a request.
 	Lock    sync.Locker
 	Store   *statestore.Client
 	Replica *replica.Replica
-	// LeaderKeyRevision is the mod revision of the leader key, on which every transaction is conditioned.
+	// LeaderKeyRevision is the mod revision of the leader key. Every transaction compares it.
 	LeaderKeyRevision uint64
-	// MayWrite reports whether no other node can lead now.
+	// MayWrite reports whether no other node can be the leader now.
 	MayWrite func() bool
-	// Encode makes the present write of a key. Its second result reports whether there is anything to write.
+	// Encode returns the write for the present value of a key, and whether there is anything to write.
 	Encode func(key string) (Write, bool)
 	// OnTermLost is called when a write proves that a newer term has begun.
 	OnTermLost func()
 }
 
-// Queue holds the keys that are to be written. Its methods are called with the lock held,
-// but for Run, Wake and IsDrained.
+// Queue holds the keys that are to be written. Its methods are called with the lock held, except for Run,
+// Wake and IsDrained.
 type Queue struct {
 	Config
-	dirty map[string]bool // keys to be written; false: only when nothing more urgent is
-	wake  chan struct{}
-	// maxOps is the most changes in a transaction. It is lower than the settings allow once
-	// the service has rejected that many.
+	pending map[string]bool // keys to be written, and whether each is urgent
+	wake    chan struct{}
+	// maxOps is the maximum number of changes in a transaction. It is lower than the settings allow once the
+	// service has rejected that many.
 	maxOps        int
-	rejectedSizes map[string]int // of values that the service rejected, by key
-	inFlight      bool           // a transaction is under way
+	rejectedSizes map[string]int // sizes of values that the service rejected, by key
+	inFlight      bool           // a transaction has been sent and not handled
 }
 
-// NewQueue makes an empty queue.
+// NewQueue returns an empty queue.
 func NewQueue(c Config) *Queue {
 	return &Queue{
 		Config:        c,
-		dirty:         map[string]bool{},
+		pending:       map[string]bool{},
 		wake:          make(chan struct{}, 1),
 		maxOps:        c.Store.MaxLeaderOps(),
 		rejectedSizes: map[string]int{},
 	}
 }
 
-// Enqueue has a key written soon.
-func (q *Queue) Enqueue(key string) { q.dirty[key] = true }
+// Enqueue schedules an urgent write of a key.
+func (q *Queue) Enqueue(key string) { q.pending[key] = true }
 
-// EnqueueLowPriority has a key written when nothing more urgent is.
+// EnqueueLowPriority schedules a write of a key for when no urgent key is pending. A key that is already
+// urgent remains so.
 func (q *Queue) EnqueueLowPriority(key string) {
-	if _, ok := q.dirty[key]; !ok {
-		q.dirty[key] = false
+	if _, ok := q.pending[key]; !ok {
+		q.pending[key] = false
 	}
 }
 
-// Remove takes a key back that need not be written any more.
-func (q *Queue) Remove(key string) { delete(q.dirty, key) }
+// Remove cancels the pending write of a key.
+func (q *Queue) Remove(key string) { delete(q.pending, key) }
 
-// IsUrgent reports whether a key is marked to be written soon.
-func (q *Queue) IsUrgent(key string) bool { return q.dirty[key] }
+// IsUrgent reports whether an urgent write of a key is pending.
+func (q *Queue) IsUrgent(key string) bool { return q.pending[key] }
 
-// Len is how many keys are to be written.
-func (q *Queue) Len() int { return len(q.dirty) }
+// Len returns the number of keys to be written.
+func (q *Queue) Len() int { return len(q.pending) }
 
-// MaxOps is the most changes that a transaction has now.
+// MaxOps returns the present maximum number of changes in a transaction.
 func (q *Queue) MaxOps() int { return q.maxOps }
 
-// Wake has the queue written now and not with the next tick.
+// Wake makes the queue write now instead of at the next tick.
 func (q *Queue) Wake() {
 	select {
 	case q.wake <- struct{}{}:
@@ -102,13 +103,12 @@
 	}
 }
 
-// IsDrained reports whether nothing waits to be written but what can wait for long, and no
-// transaction is under way. It takes the lock.
+// IsDrained reports whether no urgent write is pending and no transaction is in flight. It takes the lock.
 func (q *Queue) IsDrained() bool {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
-	for _, soon := range q.dirty {
-		if soon {
+	for _, urgent := range q.pending {
+		if urgent {
 			return false
 		}
 	}
@@ -116,14 +116,15 @@
 }
 
 const (
-	// flushInterval is the longest that a marked key waits for a Wake.
+	// flushInterval is the longest time for which a key is pending without a call of Wake.
 	flushInterval = micros.Second
-	// flushPause lets changes accumulate between transactions, since writes are scarce.
+	// flushPause is the pause after a series of transactions, in which changes accumulate, because the rate
+	// of writes is limited.
 	flushPause = 150 * micros.Millisecond
 )
 
-// Run writes what is marked until ctx ends. There is one transaction at a time, so a key's
-// writes cannot overtake each other.
+// Run writes the pending keys until ctx ends. It sends one transaction at a time, so the writes of a key
+// cannot overtake each other.
 func (q *Queue) Run(ctx context.Context) {
 	t := time.NewTicker(flushInterval.Duration())
 	defer t.Stop()
@@ -140,7 +141,7 @@
 	}
 }
 
-// flush writes one transaction and reports whether more is waiting.
+// flush writes one transaction and reports whether another one may follow at once.
 func (q *Queue) flush(ctx context.Context) (more bool) {
 	if !q.MayWrite() {
 		return false
@@ -160,7 +161,7 @@
 		q.applyStored(writes, revision)
 		return more
 	case errors.As(err, &conflict) && slices.Contains(conflict.Keys, replica.LeaderKey):
-		slog.Info("a newer term has begun")
+		slog.Info("a newer term has begun; this leader stops writing")
 		q.OnTermLost()
 		return false
 	case errors.Is(err, statestore.ErrRejected):
@@ -169,20 +170,20 @@
 		q.HandleRejection(writes, err)
 		return true
 	}
-	slog.Debug("leader's transaction failed", "error", err)
+	slog.Debug("transaction of the leader failed or got no response; its writes are sent again", "error", err)
 	q.retry(ctx, writes)
 	return false
 }
 
-// endFlush notes that no transaction is under way.
+// endFlush records that no transaction is in flight.
 func (q *Queue) endFlush() {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
 	q.inFlight = false
 }
 
-// transaction conditions each write on its key's mod revision as well as on the leadership: a
-// transaction that got no response may be carried out late, and must not undo a newer one.
+// transaction makes each write conditional on the mod revision of its key as well as on the leader key. A
+// transaction that got no response may be carried out late, and must not overwrite a newer one.
 func (q *Queue) transaction(writes []Write) wire.Txn {
 	t := wire.Txn{If: []wire.Compare{{Key: replica.LeaderKey, ModRevision: q.LeaderKeyRevision}}}
 	for _, w := range writes {
@@ -196,7 +197,8 @@
 	return t
 }
 
-// applyStored takes over writes that were stored with a revision.
+// applyStored applies writes that were stored at the given revision to the replica, and calls their OnStored
+// functions.
 func (q *Queue) applyStored(writes []Write, revision uint64) {
 	for _, w := range writes {
 		if w.Value == nil {
@@ -214,53 +216,54 @@
 	}
 }
 
-// retry has writes repeated whose outcome is not known, or of which a mod revision is not as
-// thought, once the replica has seen what is stored.
+// retry schedules writes again whose outcome is not known, or for which a key had another mod revision than
+// expected. It first waits until the replica is up to date with the state service.
 func (q *Queue) retry(ctx context.Context, writes []Write) {
 	q.Lock.Lock()
 	for _, w := range writes {
-		q.dirty[w.Key] = true
+		q.pending[w.Key] = true
 	}
 	q.Lock.Unlock()
 	if err := q.Replica.Barrier(ctx); err != nil {
-		slog.Debug("read barrier after a failed transaction failed", "error", err)
+		slog.Debug("read barrier after a failed transaction failed; the writes are sent again without it", "error", err)
 	}
 	q.Wake()
 }
 
-// HandleRejection makes a transaction smaller that the state service will never carry out as it is.
-// Halves show whether the number of changes is at fault, which then stays lower, or a value: one
-// that is rejected alone is given up until it is smaller, while the others go on. Without that it was
-// sent again for ever, with all the writes beside it.
+// HandleRejection schedules smaller transactions in place of one that the state service will never accept.
+// Halving it shows whether the number of changes is the problem, in which case the limit stays lower, or a
+// single value. A value that is rejected alone is not sent again until it is smaller, and the others are
+// written. Without this, the same transaction was sent forever, and none of its writes was stored.
 func (q *Queue) HandleRejection(writes []Write, err error) {
 	if len(writes) == 1 {
 		w := writes[0]
 		q.rejectedSizes[w.Key] = wire.JSONSize(w.Value)
 		q.maxOps = q.Store.MaxLeaderOps()
-		slog.Error("state service rejects a value, which is given up", "key", w.Key, "bytes", q.rejectedSizes[w.Key], "error", err)
+		slog.Error("state service rejected a value; it is not stored until it is smaller", "key", w.Key, "bytes", q.rejectedSizes[w.Key], "error", err)
 		return
 	}
 	q.maxOps = (len(writes) + 1) / 2
-	slog.Info("the state service rejects a transaction, which is sent in parts", "count", len(writes), "error", err)
+	slog.Info("state service rejected a transaction; its writes are sent in smaller ones", "count", len(writes), "error", err)
 	for _, w := range writes {
-		q.dirty[w.Key] = true
+		q.pending[w.Key] = true
 	}
 }
 
-// Sizes of a transaction as JSON, in bytes.
+// Upper bounds of the sizes in a JSON-encoded transaction, in bytes.
 const (
-	txnOverhead = 4096 // kept free for what stands beside the writes
-	opOverhead  = 128  // at most, of a write beside its keys and value
-	keysPerOp   = 3    // how often a key stands in the transaction at most
+	txnOverhead = 4096 // of everything except the writes
+	opOverhead  = 128  // of a write, without its keys and value
+	keysPerOp   = 3    // occurrences of the key of a write
 )
 
-// Collect takes the most urgent keys that fit into one transaction, and reports whether more are waiting.
+// Collect removes the most urgent keys that fit into one transaction from the queue. It returns their writes
+// and whether more keys are pending.
 func (q *Queue) Collect() (writes []Write, more bool) {
 	size := txnOverhead
 	for _, key := range q.byPriority() {
 		w, ok := q.Encode(key)
 		if !ok || q.isRejected(key, w.Value) {
-			delete(q.dirty, key)
+			delete(q.pending, key)
 			continue
 		}
 		opSize := wire.JSONSize(w.Value) + keysPerOp*len(key) + opOverhead
@@ -268,13 +271,13 @@
 			return writes, true
 		}
 		size += opSize
-		delete(q.dirty, key)
+		delete(q.pending, key)
 		writes = append(writes, w)
 	}
 	return writes, false
 }
 
-// isRejected reports whether a value is no smaller than the one of its key that was rejected.
+// isRejected reports whether a value is at least as large as one that was rejected for its key.
 func (q *Queue) isRejected(key string, value any) bool {
 	rejected, ok := q.rejectedSizes[key]
 	if !ok {
@@ -287,10 +290,10 @@
 	return false
 }
 
-// byPriority lists the keys that are to be written, the most urgent first.
+// byPriority returns the keys to be written, the most urgent first.
 func (q *Queue) byPriority() []string {
-	keys := make([]string, 0, len(q.dirty))
-	for key := range q.dirty {
+	keys := make([]string, 0, len(q.pending))
+	for key := range q.pending {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b string) int {
@@ -299,8 +302,8 @@
 	return keys
 }
 
-// urgentPrefixes are what is written first, in this order: users wait for the ends of their
-// jobs; then come machines that are to get tasks.
+// urgentPrefixes lists the prefixes of the keys that are written first, in this order. Jobs come first, as
+// users wait for the ends of their jobs, followed by machines that are to get tasks.
 var urgentPrefixes = [...]string{
 	replica.JobPrefix,
 	replica.MachineListPrefix,
@@ -309,18 +312,18 @@
 	replica.LaunchIntentPrefix,
 }
 
-// priority orders the keys, the lowest first. That machines were terminated can wait, since a
-// record that still names them only makes a next leader careful. When that came before the ends
-// of jobs, no user saw a job finish for a minute while a fleet was scaled in.
+// priority returns the rank of a key; the lowest rank is written first. The removal of terminated machines
+// can wait, because a record that still names them only makes the next leader more careful. When such writes
+// preceded the ends of jobs, no user saw a job finish for a minute while a fleet was being scaled in.
 func (q *Queue) priority(key string) int {
-	soon := q.dirty[key]
+	urgent := q.pending[key]
 	for i, prefix := range urgentPrefixes {
-		if soon && strings.HasPrefix(key, prefix) {
+		if urgent && strings.HasPrefix(key, prefix) {
 			return i
 		}
 	}
 	switch {
-	case !soon:
+	case !urgent:
 		return len(urgentPrefixes)
 	case strings.HasPrefix(key, replica.ProgressPrefix):
 		return len(urgentPrefixes) + 1
--- a/internal/leader/persist/queue_test.go
+++ b/internal/leader/persist/queue_test.go
@@ -20,10 +20,10 @@
 // leaderKeyRevision is the mod revision of the leader key in the tests.
 const leaderKeyRevision = 33
 
-// testQueue is a queue with what its callbacks have seen.
+// testQueue is a queue that records the calls of its callbacks.
 type testQueue struct {
 	*Queue
-	values       map[string]any // that Encode makes
+	values       map[string]any // values that Encode returns, by key
 	stored       []string       // keys whose OnStored was called
 	termLost     bool
 	exclusive    bool
@@ -31,11 +31,12 @@
 	transactions []wire.Txn
 }
 
-// newTestQueue makes a queue over a service that responds to its transactions with a status and a body.
+// newTestQueue returns a queue for a state service that answers each transaction with the status and body
+// that respond returns.
 func newTestQueue(t *testing.T, respond func(txn wire.Txn) (status int, body any)) *testQueue {
 	t.Helper()
 	q := &testQueue{values: map[string]any{}, exclusive: true}
-	store := statestore.New("state", settings.State{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 6}, transport(func(txn wire.Txn) (int, any) {
+	store := statestore.New("state", settings.State{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 6}, fakeStateService(func(txn wire.Txn) (int, any) {
 		q.transactions = append(q.transactions, txn)
 		return respond(txn)
 	}))
@@ -55,17 +56,17 @@
 	return q
 }
 
-// mark has a value written under a key.
-func (q *testQueue) mark(key string, value any) {
+// enqueueValue schedules an urgent write of a value under a key.
+func (q *testQueue) enqueueValue(key string, value any) {
 	q.values[key] = value
 	q.Enqueue(key)
 }
 
-// transport is a state service that only takes transactions.
-type transport func(txn wire.Txn) (status int, body any)
+// fakeStateService is a state service that accepts only transactions.
+type fakeStateService func(txn wire.Txn) (status int, body any)
 
 // RoundTrip implements http.RoundTripper.
-func (f transport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (f fakeStateService) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path != wire.PathTransactions {
 		return nil, errors.New("no response")
 	}
@@ -85,7 +86,7 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(response))}, err
 }
 
-// keysOf lists the keys of writes.
+// keysOf returns the keys of writes.
 func keysOf(writes []Write) (keys []string) {
 	for _, w := range writes {
 		keys = append(keys, w.Key)
@@ -93,13 +94,13 @@
 	return keys
 }
 
-// TestRejectedTransactions has the state service reject transactions as they are. None is sent
-// again with the same content, and what can be stored is.
+// TestRejectedTransactions checks that a transaction rejected by the state service is never sent again with
+// the same content, and that all of its values that can be stored are stored.
 func TestRejectedTransactions(t *testing.T) {
 	cases := []struct {
 		name    string
 		rejects func(writes []Write) bool
-		lost    string // the key that cannot be stored
+		lost    string // the key whose value cannot be stored
 		maxOps  int    // in a transaction afterwards
 	}{
 		{"nothing", func([]Write) bool { return false }, "", 6},
@@ -110,7 +111,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			q := newTestQueue(t, nil)
 			for i := range 8 {
-				q.mark(fmt.Sprintf("%sj-%06d", replica.JobPrefix, 101+i), replica.Job{State: wire.JobDone})
+				q.enqueueValue(fmt.Sprintf("%sj-%06d", replica.JobPrefix, 101+i), replica.Job{State: wire.JobDone})
 			}
 			sent, stored := map[string]bool{}, 0
 			for n := 0; q.Len() > 0; n++ {
@@ -121,7 +122,7 @@
 				}
 				keys := strings.Join(keysOf(writes), " ")
 				if sent[keys] || n > 50 {
-					t.Fatalf("sent again as it was rejected: %s", keys)
+					t.Fatalf("transaction %d repeats a rejected one or comes after more than 50: %s", n, keys)
 				}
 				sent[keys] = true
 				q.HandleRejection(writes, errors.New("rejected"))
@@ -131,23 +132,23 @@
 				want--
 				q.Enqueue(c.lost)
 				if writes, _ := q.Collect(); len(writes) != 0 {
-					t.Errorf("a value as large as the one rejected is sent")
+					t.Errorf("the next transaction has %v, want no value as large as the rejected one", keysOf(writes))
 				}
-				q.mark(c.lost, "")
+				q.enqueueValue(c.lost, "")
 				if writes, _ := q.Collect(); !slices.Equal(keysOf(writes), []string{c.lost}) {
-					t.Errorf("a smaller value than the one rejected is not sent, but %v", keysOf(writes))
+					t.Errorf("the next transaction has %v, want a value of %s that is smaller than the rejected one", keysOf(writes), c.lost)
 				}
 			}
 			if stored != want || q.MaxOps() != c.maxOps {
-				t.Errorf("%d stored, then %d changes at a time; want %d, %d", stored, q.MaxOps(), want, c.maxOps)
+				t.Errorf("%d values stored, at most %d changes per transaction; want %d, %d", stored, q.MaxOps(), want, c.maxOps)
 			}
 		})
 	}
 }
 
-// TestPriority has keys of all kinds wait, which are written by what waits for them and then by name.
-func TestPriority(t *testing.T) {
-	const lazy = replica.JobPrefix + "j-000009"
+// TestWritesOrderedByPriority checks that pending keys of all kinds are written by priority and then by name.
+func TestWritesOrderedByPriority(t *testing.T) {
+	const lowPriorityKey = replica.JobPrefix + "j-000009"
 	want := []string{
 		replica.JobPrefix + "j-000001",
 		replica.JobPrefix + "j-000002",
@@ -155,18 +156,18 @@
 		replica.ZonesKey,
 		replica.AutoscalerKey,
 		replica.LaunchIntentPrefix + "r-1",
-		lazy,
+		lowPriorityKey,
 		replica.ProgressPrefix + "j-000001/0",
 		"c/other",
 	}
 	q := newTestQueue(t, nil)
 	for _, key := range slices.Backward(want) {
-		if q.values[key] = 1; key != lazy {
+		if q.values[key] = 1; key != lowPriorityKey {
 			q.Enqueue(key)
 		}
-		q.EnqueueLowPriority(key) // what is urgent stays so
-		if q.IsUrgent(key) == (key == lazy) {
-			t.Errorf("%s is urgent: %t", key, q.IsUrgent(key))
+		q.EnqueueLowPriority(key) // an urgent key remains urgent
+		if q.IsUrgent(key) == (key == lowPriorityKey) {
+			t.Errorf("%s is urgent: %t, want %t", key, q.IsUrgent(key), key != lowPriorityKey)
 		}
 	}
 	first, more := q.Collect()
@@ -176,7 +177,7 @@
 	}
 }
 
-// TestCollect has keys marked of which not all are to be written.
+// TestCollect checks which of the enqueued keys are in the next transaction.
 func TestCollect(t *testing.T) {
 	large := strings.Repeat("x", wire.MaxBodyBytes/2)
 	cases := []struct {
@@ -185,13 +186,13 @@
 		want []string
 		more bool
 	}{
-		{"nothing marked", func(*testQueue) {}, nil, false},
-		{"one key", func(q *testQueue) { q.mark("c/a", 1) }, []string{"c/a"}, false},
-		{"marked twice", func(q *testQueue) { q.mark("c/a", 1); q.mark("c/a", 2) }, []string{"c/a"}, false},
-		{"unmarked", func(q *testQueue) { q.mark("c/a", 1); q.Remove("c/a") }, nil, false},
-		{"without a value any more", func(q *testQueue) { q.Enqueue("c/a"); q.mark("c/b", 1) }, []string{"c/b"}, false},
-		{"to be deleted", func(q *testQueue) { q.mark("c/a", nil) }, []string{"c/a"}, false},
-		{"too large for one transaction", func(q *testQueue) { q.mark("c/a", large); q.mark("c/b", large) }, []string{"c/a"}, true},
+		{"nothing enqueued", func(*testQueue) {}, nil, false},
+		{"one key", func(q *testQueue) { q.enqueueValue("c/a", 1) }, []string{"c/a"}, false},
+		{"enqueued twice", func(q *testQueue) { q.enqueueValue("c/a", 1); q.enqueueValue("c/a", 2) }, []string{"c/a"}, false},
+		{"removed", func(q *testQueue) { q.enqueueValue("c/a", 1); q.Remove("c/a") }, nil, false},
+		{"without a value", func(q *testQueue) { q.Enqueue("c/a"); q.enqueueValue("c/b", 1) }, []string{"c/b"}, false},
+		{"to be deleted", func(q *testQueue) { q.enqueueValue("c/a", nil) }, []string{"c/a"}, false},
+		{"too large for one transaction", func(q *testQueue) { q.enqueueValue("c/a", large); q.enqueueValue("c/b", large) }, []string{"c/a"}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -205,13 +206,14 @@
 	}
 }
 
-// TestFlush has the state service respond to a transaction in each way. The transaction depends on the leader
-// key and on the mod revision of its key, and its write counts as stored only after a response that says so.
-func TestFlush(t *testing.T) {
+// TestFlushOutcomes checks how each kind of response to a transaction is handled. The transaction must be
+// conditional on the leader key and on the mod revision of its key, and its write counts as stored only after
+// a response that says so.
+func TestFlushOutcomes(t *testing.T) {
 	const key = replica.JobPrefix + "j-000001"
 	type outcome struct {
 		sent, stored, termLost bool
-		waits                  bool // the key is still to be written
+		pending                bool // the key is still to be written
 		continues              bool // the next transaction may follow at once
 	}
 	cases := []struct {
@@ -222,22 +224,22 @@
 		want      outcome
 	}{
 		{"carried out", true, http.StatusOK, wire.TxnResponse{Revision: 60}, outcome{sent: true, stored: true}},
-		{"another node may lead", false, http.StatusOK, wire.TxnResponse{Revision: 60}, outcome{waits: true}},
+		{"another node may lead", false, http.StatusOK, wire.TxnResponse{Revision: 60}, outcome{pending: true}},
 		{"a newer term has begun", true, http.StatusConflict, wire.TxnResponse{FailedKeys: []string{replica.LeaderKey}}, outcome{sent: true, termLost: true}},
-		{"its key has changed", true, http.StatusConflict, wire.TxnResponse{FailedKeys: []string{key}}, outcome{sent: true, waits: true}},
+		{"its key has changed", true, http.StatusConflict, wire.TxnResponse{FailedKeys: []string{key}}, outcome{sent: true, pending: true}},
 		{"rejected", true, http.StatusBadRequest, wire.ErrorResponse{Message: "value too large"}, outcome{sent: true, continues: true}},
-		{"no response", true, 0, nil, outcome{sent: true, waits: true}},
+		{"no response", true, 0, nil, outcome{sent: true, pending: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			q := newTestQueue(t, func(wire.Txn) (int, any) { return c.status, c.body })
 			q.exclusive = c.exclusive
 			q.Replica.ApplyPut(key, replica.Job{State: wire.JobPending}, 44)
-			q.mark(key, replica.Job{State: wire.JobDone})
+			q.enqueueValue(key, replica.Job{State: wire.JobDone})
 			continues := q.flush(t.Context())
-			got := outcome{sent: len(q.transactions) == 1, stored: len(q.stored) == 1, termLost: q.termLost, waits: q.IsUrgent(key), continues: continues}
+			got := outcome{sent: len(q.transactions) == 1, stored: len(q.stored) == 1, termLost: q.termLost, pending: q.IsUrgent(key), continues: continues}
 			if got != c.want {
-				t.Fatalf("%+v, want %+v", got, c.want)
+				t.Fatalf("outcome %+v, want %+v", got, c.want)
 			}
 			if c.want.sent {
 				conditions := []wire.Compare{{Key: replica.LeaderKey, ModRevision: leaderKeyRevision}, {Key: key, ModRevision: 44}}
@@ -246,10 +248,10 @@
 				}
 			}
 			if revision := q.Replica.ModRevision(key); (revision == 60) != c.want.stored {
-				t.Errorf("the replica has revision %d", revision)
+				t.Errorf("the replica has revision %d, want 60 only if the write is stored: %t", revision, c.want.stored)
 			}
-			if q.IsDrained() == c.want.waits {
-				t.Errorf("drained %t with the key waiting %t", q.IsDrained(), c.want.waits)
+			if q.IsDrained() == c.want.pending {
+				t.Errorf("drained %t while the key is pending: %t", q.IsDrained(), c.want.pending)
 			}
 		})
 	}
