--- a/internal/leader/eventlog/eventlog.go
+++ b/internal/leader/eventlog/eventlog.go
@@ -1,6 +1,7 @@
-// Package eventlog writes what happens to many machines at once as one log line a second and kind.
+// Package eventlog aggregates events that affect many machines at once into one log line per second and kind
+// of event.
 //
-// It owns the counts until they are written. It takes no lock: the leader calls it with its own held.
+// It owns the counts until they are written. It takes no lock; the leader calls it with its own lock held.
 package eventlog
 
 import (
@@ -11,26 +12,27 @@
 	"strings"
 )
 
-// Log collects events by what happened. Without it the loss of a zone was a thousand lines, and
-// the log of a day could not be read.
+// Log aggregates events by message and detail. When each event was logged by itself, the loss of a zone
+// produced a thousand lines, and the log of a day was unreadable.
 type Log struct{ events map[event]*occurrences }
 
-// event is what happened, and to which of its kinds.
+// event identifies a kind of event.
 type event struct{ message, detail string }
 
-// occurrences counts an event, and names the first few machines.
+// occurrences counts the events of one kind, with the IDs of the first few machines.
 type occurrences struct {
 	count    int
 	machines []string
 }
 
-// maxNamedMachines is how many machines a line names.
+// maxNamedMachines is the maximum number of machines named in a line.
 const maxNamedMachines = 5
 
-// New makes a log without events.
+// New returns an empty log.
 func New() *Log { return &Log{events: map[event]*occurrences{}} }
 
-// Add counts an event of a machine. detail, which may be empty, distinguishes kinds of the event.
+// Add counts an event of a machine. detail distinguishes kinds of events with the same message, and may be
+// empty.
 func (l *Log) Add(message, detail, machine string) {
 	e := event{message, detail}
 	o := l.events[e]
@@ -44,7 +46,7 @@
 	}
 }
 
-// Counts is how often each event happened since the last Flush, by message and detail.
+// Counts returns the number of events since the last Flush, by message and detail.
 func (l *Log) Counts() map[string]int {
 	counts := make(map[string]int, len(l.events))
 	for e, o := range l.events {
@@ -53,7 +55,7 @@
 	return counts
 }
 
-// Flush writes the events since the last call.
+// Flush logs the events since the last call.
 func (l *Log) Flush() {
 	order := slices.SortedFunc(maps.Keys(l.events), func(a, b event) int {
 		return strings.Compare(a.message+a.detail, b.message+b.detail)
--- a/internal/leader/eventlog/eventlog_test.go
+++ b/internal/leader/eventlog/eventlog_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// captureLog has the default logger write to a buffer, without times, for the length of a test.
+// captureLog redirects the default logger to the returned buffer, without times and levels, until the test
+// ends.
 func captureLog(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	before := slog.Default()
@@ -22,8 +23,9 @@
 	return out
 }
 
-// TestFlush has events added, of which each kind becomes one line with a few of its machines.
-func TestFlush(t *testing.T) {
+// TestFlushWritesOneLinePerKind checks that each kind of event is logged once, as one line that names only a
+// few of its machines.
+func TestFlushWritesOneLinePerKind(t *testing.T) {
 	type event struct{ message, detail, machine string }
 	cases := []struct {
 		name   string
@@ -53,12 +55,12 @@
 			}
 			l.Flush()
 			if got := out.String(); got != c.lines {
-				t.Errorf("written %s, want %s", got, c.lines)
+				t.Errorf("logged %s, want %s", got, c.lines)
 			}
 			out.Reset()
 			l.Flush()
 			if got := out.String(); got != "" || len(l.Counts()) != 0 {
-				t.Errorf("written again: %s", got)
+				t.Errorf("second Flush logged %q with %d counts left, want none", got, len(l.Counts()))
 			}
 		})
 	}
