--- a/internal/leader/fleet/boots.go
+++ b/internal/leader/fleet/boots.go
@@ -5,33 +5,35 @@
 	"caperlatch/internal/micros"
 )
 
-// Machines that boot late. Most are up within one and a half times the nominal time. One that is
-// not costs as long as it is waited for; one that is given up costs what a new one takes to boot, and may
-// have come up the next second. So it depends on what late machines lately did, and on whether this one is
-// late alone. The factors are of the nominal boot time.
+// Thresholds for machines that boot slowly. Most machines are up within 1.5 times the nominal boot time.
+// Waiting for one that is not costs as much as the wait lasts. Giving it up costs the boot time of a new
+// machine, and the old one might have come up a second later. So the thresholds depend on how slow boots
+// ended recently, and on whether other machines of the same cohort are late too. The factors are multiples of
+// the nominal boot time.
 const (
-	lateBootFactor       = 1.6 // no longer counted on
-	stuckBootFactor      = 2.0 // terminated, where late machines mostly don't come up
-	slowCloudStuckFactor = 4.0 // terminated, where they do
+	lateBootFactor       = 1.6 // after this, the machine no longer counts as supply
+	stuckBootFactor      = 2.0 // after this, it is terminated if slow boots mostly fail
+	slowCloudStuckFactor = 4.0 // after this, it is terminated if slow boots mostly succeed
 	lateBootMargin       = 2 * micros.Second
 	stuckBootMargin      = 10 * micros.Second
-	// unknownBootTime is that of an instance type which the cloud no longer lists.
+	// unknownBootTime is the boot time assumed for an instance type that the cloud no longer lists.
 	unknownBootTime = 30 * micros.Second
-	// cohortWindow is within what time machines were launched together.
+	// cohortWindow is the largest difference between the launch times of machines in one cohort.
 	cohortWindow = 15 * micros.Second
-	// minCohort is how many machines a cohort must have to be judged.
+	// minCohort is the minimum number of machines from which the state of the cloud is inferred.
 	minCohort = 3
-	// lateSampleDivisor is which part of the machines that are late together is replaced to see.
+	// lateSampleDivisor determines how many of the machines that are late together are replaced: one in that
+	// many, rounded up.
 	lateSampleDivisor = 10
-	// bootMemory is by what factor an earlier outcome counts less with each later one.
-	bootMemory = 0.9
+	// bootOutcomeDecay is the factor by which the weight of earlier outcomes falls with each new one.
+	bootOutcomeDecay = 0.9
 )
 
-// bootOutcomes counts late machines by how they ended. Old ones count for less and less.
+// bootOutcomes counts slow boots by outcome. The weight of old outcomes decays.
 type bootOutcomes struct{ cameUp, failed float64 }
 
 func (b *bootOutcomes) add(cameUp bool) {
-	b.cameUp, b.failed = bootMemory*b.cameUp, bootMemory*b.failed
+	b.cameUp, b.failed = bootOutcomeDecay*b.cameUp, bootOutcomeDecay*b.failed
 	if cameUp {
 		b.cameUp++
 	} else {
@@ -39,10 +41,10 @@
 	}
 }
 
-// expectsArrival reports whether a late machine is as likely to come up as not.
-func (b *bootOutcomes) expectsArrival() bool { return b.cameUp >= b.failed }
+// mostlySucceed reports whether a slow boot is at least as likely to succeed as to fail.
+func (b *bootOutcomes) mostlySucceed() bool { return b.cameUp >= b.failed }
 
-// bootTime is a machine's nominal boot time.
+// bootTime returns the nominal boot time of a machine.
 func (f *Fleet) bootTime(m *state.Machine) micros.Micros {
 	if t, ok := f.InstanceType(m.Offering.Type); ok {
 		return t.BootTime
@@ -50,77 +52,78 @@
 	return unknownBootTime
 }
 
-// scaled is a duration times a factor.
-func scaled(m micros.Micros, factor float64) micros.Micros {
+// scaleDuration returns a duration multiplied by a factor.
+func scaleDuration(m micros.Micros, factor float64) micros.Micros {
 	return micros.FromSeconds(factor * m.Seconds())
 }
 
-// isBootLate reports whether a machine takes longer to boot than most do.
+// isBootLate reports whether a machine is taking longer to boot than most machines do.
 func (f *Fleet) isBootLate(m *state.Machine, now micros.Micros) bool {
-	return !m.Instance.Running && now-m.Instance.LaunchedAt > scaled(f.bootTime(m), lateBootFactor)+lateBootMargin
+	return !m.Instance.Running && now-m.Instance.LaunchedAt > scaleDuration(f.bootTime(m), lateBootFactor)+lateBootMargin
 }
 
-// IsOverdue reports whether a machine boots late, or is silent beyond its lease. It is no longer
-// counted on, though it may still come: another is launched for it. Not so when most that were launched with
-// it or after are late as well: the cloud is slow then, and a second fleet would be as late, and paid for
-// beside the first.
+// IsOverdue reports whether a machine is late to boot, or silent beyond its lease. An overdue machine no
+// longer counts as supply, so another one is launched for it, though it may still come up. A machine that
+// boots late is not overdue if most machines of its cohort or of later launches are late as well. In that
+// case the cloud is slow: replacements would be as late, and billed in addition to the first machines.
 func (f *Fleet) IsOverdue(m *state.Machine, now micros.Micros) bool {
 	return m.Lease.ExpiredSince != 0 || f.isBootLate(m, now) && !m.Instance.LateWithCohort
 }
 
-// BootTimeout is after what time since its launch a machine that has not come up counts as stuck.
+// BootTimeout returns how long after its launch a machine that has not come up counts as stuck.
 func (f *Fleet) BootTimeout(m *state.Machine) micros.Micros {
 	factor := stuckBootFactor
-	if m.Instance.LateWithCohort || f.boots.expectsArrival() {
+	if m.Instance.LateWithCohort || f.lateBoots.mostlySucceed() {
 		factor = slowCloudStuckFactor
 	}
-	return scaled(f.bootTime(m), factor) + stuckBootMargin
+	return scaleDuration(f.bootTime(m), factor) + stuckBootMargin
 }
 
-// RecordBoot notes that a machine came up.
+// RecordBoot records that a machine came up. Only late boots count.
 func (f *Fleet) RecordBoot(m *state.Machine, now micros.Micros) {
 	if f.isBootLate(m, now) {
-		f.boots.add(true)
+		f.lateBoots.add(true)
 	}
 }
 
-// RecordStuckBoot notes that a machine is given up before it came up.
-func (f *Fleet) RecordStuckBoot() { f.boots.add(false) }
+// RecordStuckBoot records that a machine was given up before it came up.
+func (f *Fleet) RecordStuckBoot() { f.lateBoots.add(false) }
 
-// CheckBoots finds machines that are late together, and replaces a few of them to see whether the
-// cloud is still slow.
+// CheckBoots finds machines that are late together, and replaces a few of them to test whether the cloud is
+// still slow.
 func (f *Fleet) CheckBoots(now micros.Micros) {
 	f.markLateCohorts(now)
 	f.replaceLateSample(now)
 }
 
-// markLateCohorts finds the machines that are late together: a machine is, if of those that were
-// launched with it, and should be up, most are not, and those launched later, which show how the cloud is
-// now, did no better.
+// markLateCohorts marks the machines that are late together. The machines launched later show the present
+// state of the cloud: if at least minCohort of them are running or late, a machine is marked if more of these
+// are late than running. Otherwise, it is marked if at least minCohort machines launched with it or later are
+// late, and more of these are late than running.
 func (f *Fleet) markLateCohorts(now micros.Micros) {
-	var with, after cohort
-	next, later := len(f.Sorted)-1, len(f.Sorted)-1 // IDs are in the order of creation
+	var peers, laterLaunches cohort
+	nextPeer, nextLater := len(f.Sorted)-1, len(f.Sorted)-1 // IDs are in the order of creation
 	for i := len(f.Sorted) - 1; i >= 0; i-- {
 		m := f.Sorted[i]
 		m.Instance.LateWithCohort = false
 		if m.Instance.Running || m.Instance.Terminating {
 			continue
 		}
-		for ; next >= 0 && f.Sorted[next].Instance.LaunchedAt >= m.Instance.LaunchedAt-cohortWindow; next-- {
-			with.add(f.Sorted[next], f.isBootLate(f.Sorted[next], now))
+		for ; nextPeer >= 0 && f.Sorted[nextPeer].Instance.LaunchedAt >= m.Instance.LaunchedAt-cohortWindow; nextPeer-- {
+			peers.add(f.Sorted[nextPeer], f.isBootLate(f.Sorted[nextPeer], now))
 		}
-		for ; later >= 0 && f.Sorted[later].Instance.LaunchedAt > m.Instance.LaunchedAt+cohortWindow; later-- {
-			after.add(f.Sorted[later], f.isBootLate(f.Sorted[later], now))
+		for ; nextLater >= 0 && f.Sorted[nextLater].Instance.LaunchedAt > m.Instance.LaunchedAt+cohortWindow; nextLater-- {
+			laterLaunches.add(f.Sorted[nextLater], f.isBootLate(f.Sorted[nextLater], now))
 		}
-		if after.running+after.late >= minCohort {
-			m.Instance.LateWithCohort = after.late > after.running
+		if laterLaunches.running+laterLaunches.late >= minCohort {
+			m.Instance.LateWithCohort = laterLaunches.late > laterLaunches.running
 		} else {
-			m.Instance.LateWithCohort = with.late >= minCohort && with.late > with.running
+			m.Instance.LateWithCohort = peers.late >= minCohort && peers.late > peers.running
 		}
 	}
 }
 
-// cohort counts machines that were launched at about the same time.
+// cohort counts the machines of a group by whether they run or are late.
 type cohort struct{ running, late int }
 
 func (c *cohort) add(m *state.Machine, late bool) {
@@ -133,18 +136,18 @@
 	}
 }
 
-// replaceLateSample terminates a few of the machines that are late together, so that new ones in
-// their place show whether the cloud is still slow. Nothing else would, where the fleet is at its limit: all
-// would be waited for long after a new one came up at once.
+// replaceLateSample terminates a few of the machines that are late together, so that their replacements show
+// whether the cloud is still slow. In a fleet that is at its limit nothing else would show it, and all late
+// machines would be waited for long after new ones came up at once again.
 func (f *Fleet) replaceLateSample(now micros.Micros) {
 	var late []*state.Machine
 	for _, m := range f.Sorted {
 		bootTime := f.bootTime(m)
 		sinceLaunch := now - m.Instance.LaunchedAt
 		if !m.Instance.Running && !m.Instance.Terminating && sinceLaunch < bootTime/2 {
-			return // the last ones are still on their way
+			return // the most recently launched machines may still come up in time
 		}
-		if m.Instance.LateWithCohort && sinceLaunch > scaled(bootTime, stuckBootFactor)+stuckBootMargin {
+		if m.Instance.LateWithCohort && sinceLaunch > scaleDuration(bootTime, stuckBootFactor)+stuckBootMargin {
 			late = append(late, m)
 		}
 	}
--- a/internal/leader/fleet/fleet.go
+++ b/internal/leader/fleet/fleet.go
@@ -1,12 +1,13 @@
-// Package fleet keeps the instances of the cloud, and launches and terminates them as the autoscaler decides.
+// Package fleet maintains the leader's view of the cloud's instances, and launches and terminates them for
+// the autoscaler.
 //
-// It owns the set of machines, launch intents, machine lists, the queue of terminations, the backoff after
-// the cloud had no capacity, and how long boots take. It does not decide how many machines there are to
-// be (that is the autoscaler's part), nor which tasks run on them. Two rules hold everywhere: an intent is
-// stored before the cloud gets its request, and a machine is in a stored list before it may get tasks, so that every
-// later leader finds all machines that may hold tasks.
+// It owns the set of machines, the launch intents, the machine lists, the queue of terminations, the backoff
+// after the cloud had no capacity, and the statistics of slow boots. It does not decide how many machines
+// there should be, which the autoscaler does, nor which tasks run on them. Two rules always hold, so that
+// every later leader finds all machines that may hold tasks: an intent is stored before its request is sent
+// to the cloud, and a machine is in a stored list before it may get tasks.
 //
-// Its methods are called with the leader's lock held, but for Run.
+// Its methods are called with the leader's lock held, except for Run.
 package fleet
 
 import (
@@ -24,49 +25,52 @@
 	"caperlatch/placement"
 )
 
-// Term is what the fleet needs of the leader's term.
+// Term tells the fleet whether the leader's term still allows it to launch and terminate machines.
 type Term interface {
 	HoldsSession() bool
 	IsExclusive() bool
 }
 
-// InstanceType is what the fleet knows of an instance type.
+// InstanceType holds the properties of an instance type that the fleet uses.
 type InstanceType struct {
 	Capacity placement.Resources
 	BootTime micros.Micros // nominal
 }
 
-// Config is what a fleet works with. The functions are called with the lock held.
+// Config holds the dependencies of a fleet. The functions are called with the lock held.
 type Config struct {
-	Lock    sync.Locker // the leader's; never held over a request
+	Lock    sync.Locker // the leader's lock; never held during a request
 	Cloud   *cloud.Client
 	Replica *replica.Replica
 	Writes  *persist.Queue
 	Term    Term
 	Events  *eventlog.Log
-	// FencingToken is part of the IDs of launch intents, which no other term may use.
+	// FencingToken makes the IDs of launch intents unique to the term.
 	FencingToken uint64
-	// ValueFits reports whether a value may be stored under one key at any time.
+	// ValueFits reports whether a value is within the size limit for one key at any time, including after an
+	// announced change of the limit.
 	ValueFits func(v any) bool
-	// ListLag is by how much the cloud's list may be late.
+	// ListLag is the maximum delay of the cloud's instance list.
 	ListLag micros.Micros
-	// InstanceType finds an instance type by its name.
+	// InstanceType returns the named instance type and whether it is known.
 	InstanceType func(name string) (InstanceType, bool)
-	// IsHandingOver reports whether the term is handing over: nothing more is launched or terminated then.
+	// IsHandingOver reports whether the term is being handed over. Nothing is launched or terminated from
+	// then on.
 	IsHandingOver func() bool
-	// OnChange is called when machines may get tasks that could not before.
+	// OnChange is called when machines may get tasks that could not get any before.
 	OnChange func()
-	// OnTerminating is called when a machine's termination is requested, with the reason.
+	// OnTerminating is called when the termination of a machine is requested, with the reason.
 	OnTerminating func(m *state.Machine, reason string)
-	// OnTerminated is called when the cloud has confirmed a machine's termination, before it is forgotten.
+	// OnTerminated is called when the cloud has confirmed the termination of a machine, before the machine is
+	// removed.
 	OnTerminated func(m *state.Machine)
 }
 
 // Fleet is the leader's view of the cloud's instances.
 type Fleet struct {
 	Config
-	// Machines are all that may exist, by ID. Sorted has the same ones by ID, which is the
-	// order of their creation.
+	// Machines holds all machines that may exist, by ID. Sorted holds the same machines in the order of their
+	// IDs, which is the order of their creation.
 	Machines map[string]*state.Machine
 	Sorted   []*state.Machine
 
@@ -74,27 +78,28 @@
 	intentSequence uint64
 	lists          []*MachineList
 	backoffs       map[state.Offering]*capacityBackoff
-	boots          bootOutcomes
+	lateBoots      bootOutcomes
 
-	terminationQueue []string        // machines to be terminated
-	terminated       map[string]bool // machines whose termination the cloud has confirmed
-	// unexplained are instances in the cloud's list that no launch intent has, and since when.
-	unexplained map[string]micros.Micros
+	terminationQueue []string        // IDs of machines to be terminated
+	terminated       map[string]bool // IDs of machines whose termination the cloud has confirmed
+	// orphans holds the IDs of instances in the cloud's list that belong to no launch intent, with the time
+	// when each was first seen.
+	orphans map[string]micros.Micros
 }
 
-// New makes a fleet without machines.
+// New returns a fleet without machines.
 func New(c Config) *Fleet {
 	return &Fleet{
-		Config:      c,
-		Machines:    map[string]*state.Machine{},
-		intents:     map[string]*LaunchIntent{},
-		backoffs:    map[state.Offering]*capacityBackoff{},
-		terminated:  map[string]bool{},
-		unexplained: map[string]micros.Micros{},
+		Config:     c,
+		Machines:   map[string]*state.Machine{},
+		intents:    map[string]*LaunchIntent{},
+		backoffs:   map[state.Offering]*capacityBackoff{},
+		terminated: map[string]bool{},
+		orphans:    map[string]micros.Micros{},
 	}
 }
 
-// Run launches and terminates instances and reads the cloud's list until ctx ends.
+// Run launches and terminates instances, and polls the cloud's instance list, until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){f.launchLoop, f.terminateLoop, f.listLoop} {
@@ -103,7 +108,7 @@
 	wg.Wait()
 }
 
-// Add takes a machine into the fleet that came from a launch intent.
+// Add adds a machine that a launch intent created to the fleet.
 func (f *Fleet) Add(id string, intent *LaunchIntent, now micros.Micros) *state.Machine {
 	m := &state.Machine{
 		ID:       id,
@@ -114,7 +119,7 @@
 	m.Instance.LaunchedAt = now - max(0, micros.Wall()-intent.At)
 	m.Instance.IdleSince = now
 	m.Quarantine.SuspectJobs = map[string]bool{}
-	// Unless it is stored as running, it cannot have got tasks from an earlier term.
+	// A machine that is not in a stored list cannot have got tasks from an earlier term.
 	m.Reconciliation.Knowledge = state.TasksConfirmed
 	if t, ok := f.InstanceType(intent.Type); ok {
 		m.Free = t.Capacity
@@ -127,7 +132,7 @@
 
 func compareID(m *state.Machine, id string) int { return cmp.Compare(m.ID, id) }
 
-// Remove forgets a machine that the cloud has terminated.
+// Remove removes a machine that the cloud has terminated from the fleet.
 func (f *Fleet) Remove(m *state.Machine) {
 	f.OnTerminated(m)
 	delete(f.Machines, m.ID)
@@ -141,10 +146,11 @@
 	f.removeFromIntent(m)
 }
 
-// WasTerminated reports whether a machine's termination was answered in this term.
+// WasTerminated reports whether the cloud confirmed the termination of a machine during this term.
 func (f *Fleet) WasTerminated(id string) bool { return f.terminated[id] }
 
-// CountWithUnknownTasks counts the machines that may hold tasks of earlier terms which are not known.
+// CountWithUnknownTasks returns the number of machines that may hold tasks of earlier terms that this leader
+// does not know yet.
 func (f *Fleet) CountWithUnknownTasks() int {
 	n := 0
 	for _, m := range f.Machines {
--- a/internal/leader/fleet/intents.go
+++ b/internal/leader/fleet/intents.go
@@ -18,55 +18,55 @@
 	"caperlatch/internal/wire"
 )
 
-// LaunchIntent is a launch of instances: stored before the cloud gets its request, and with its machines
-// afterwards. It is kept until all its machines are terminated, so that every later leader knows which
-// machines may hold tasks. The exported fields are what is stored.
+// LaunchIntent records a launch of instances. It is stored before the request is sent to the cloud, and again
+// with the IDs of its machines afterwards. It is kept until all its machines are terminated, so that every
+// later leader knows which machines may hold tasks. The exported fields are stored.
 type LaunchIntent struct {
 	Type     string        `json:"type"`
 	Zone     string        `json:"zone"`
 	Spot     bool          `json:"spot"`
 	Count    int           `json:"count"`
-	At       micros.Micros `json:"at"` // time of day
+	At       micros.Micros `json:"at"` // time of day of the intent, and later of the response
 	Answered bool          `json:"answered"`
 	Machines []string      `json:"machines"` // IDs
 
-	id         string // also the request ID of the launch
-	stored     bool   // its request may be sent
-	requesting bool   // a goroutine is asking it
-	abandoned  bool   // none of its machines is left
+	id        string // also the request ID of the launch
+	stored    bool   // the request may be sent
+	inFlight  bool   // a goroutine is sending the request
+	abandoned bool   // the response gave no machines, or all are gone
 }
 
-// ID is the intent's ID, which no other intent of any term has.
+// ID returns the ID of the intent, which is unique across all terms.
 func (i *LaunchIntent) ID() string { return i.id }
 
-// offering is what the intent launches.
+// offering returns the offering that the intent launches.
 func (i *LaunchIntent) offering() state.Offering {
 	return state.Offering{Type: i.Type, Zone: i.Zone, Spot: i.Spot}
 }
 
-// capacityBackoff is for how long no launch of an offering is requested, as the cloud had no capacity.
+// capacityBackoff delays further launch requests for an offering after the cloud had no capacity for it.
 type capacityBackoff struct {
 	refusals int
 	until    micros.Micros
 }
 
-// Times of the backoff, which doubles with each refusal.
+// Limits of the backoff, which doubles with each refusal.
 const (
 	firstCapacityBackoff = 5 * micros.Second
 	maxCapacityBackoff   = 40 * micros.Second
 	maxBackoffDoublings  = 4
 )
 
-// Times between two attempts of a request to the cloud, which double.
+// Delays between two attempts of a request to the cloud. They double with each attempt.
 const (
 	firstCloudRetry = 500 * micros.Millisecond
 	maxCloudRetry   = 8 * micros.Second
 )
 
-// launchInterval is how often intents are looked for whose requests are to be sent.
+// launchInterval is the time between two checks for intents whose requests are to be sent.
 const launchInterval = 100 * micros.Millisecond
 
-// Launch has up to cloud.MaxInstancesPerLaunch instances launched. The request is sent once the intent is stored.
+// Launch launches up to cloud.MaxInstancesPerLaunch instances. The request is sent once the intent is stored.
 func (f *Fleet) Launch(o state.Offering, count int) {
 	f.intentSequence++
 	i := f.AddIntent(fmt.Sprintf("r-%d-%d", f.FencingToken, f.intentSequence), LaunchIntent{
@@ -88,7 +88,8 @@
 	return i
 }
 
-// Adopt takes a machine into the fleet that no intent explains: a launch that was carried out late.
+// Adopt adds a machine that belongs to no launch intent to the fleet, together with an intent of its own.
+// Such a machine comes from a launch that was carried out late.
 func (f *Fleet) Adopt(machineID string, o state.Offering, now micros.Micros) {
 	i := f.AddIntent("x-"+machineID, LaunchIntent{
 		Type:     o.Type,
@@ -99,15 +100,15 @@
 		Answered: true,
 		Machines: []string{machineID},
 	})
-	slog.Info("adopting a machine of no launch intent", "machine", machineID)
+	slog.Info("adopting a machine that belongs to no launch intent", "machine", machineID)
 	f.Add(machineID, i, now)
 	f.storeIntent(i)
 }
 
-// Intent is the launch intent with an ID, nil if there is none.
+// Intent returns the launch intent with the given ID, or nil if there is none.
 func (f *Fleet) Intent(id string) *LaunchIntent { return f.intents[id] }
 
-// OpenIntents lists the intents without a response from the cloud.
+// OpenIntents returns an iterator over the intents that the cloud has not answered.
 func (f *Fleet) OpenIntents() iter.Seq[*LaunchIntent] {
 	return func(yield func(*LaunchIntent) bool) {
 		for _, i := range f.intents {
@@ -118,7 +119,7 @@
 	}
 }
 
-// HasOpenIntent reports whether an intent for an offering waits for its answer.
+// HasOpenIntent reports whether an intent for an offering has not been answered.
 func (f *Fleet) HasOpenIntent(o state.Offering) bool {
 	for i := range f.OpenIntents() {
 		if i.offering() == o {
@@ -128,19 +129,19 @@
 	return false
 }
 
-// HasCapacity reports whether an offering may be asked for, as the cloud has not refused it lately.
+// HasCapacity reports whether an offering may be requested, as the cloud has not refused it recently.
 func (f *Fleet) HasCapacity(o state.Offering, now micros.Micros) bool {
 	backoff := f.backoffs[o]
 	return backoff == nil || now >= backoff.until
 }
 
-// storeIntent has an intent stored as it is now.
+// storeIntent enqueues the write of an intent in its present state.
 func (f *Fleet) storeIntent(i *LaunchIntent) {
 	f.Writes.Enqueue(replica.LaunchIntentPrefix + i.id)
 	f.Writes.Wake()
 }
 
-// EncodeIntent makes the write of a launch intent's key.
+// EncodeIntent fills in the write of a launch intent's key, and reports whether there is anything to write.
 func (f *Fleet) EncodeIntent(w persist.Write) (persist.Write, bool) {
 	id := strings.TrimPrefix(w.Key, replica.LaunchIntentPrefix)
 	i := f.intents[id]
@@ -163,7 +164,7 @@
 	return w, true
 }
 
-// RestoreIntents reads the launch intents of earlier terms, and adds their machines.
+// RestoreIntents reads the launch intents of earlier terms and adds their machines to the fleet.
 func (f *Fleet) RestoreIntents(now micros.Micros) error {
 	for _, key := range f.Replica.Keys(replica.LaunchIntentPrefix) {
 		var content LaunchIntent
@@ -173,14 +174,14 @@
 		i := f.AddIntent(strings.TrimPrefix(key, replica.LaunchIntentPrefix), content)
 		i.stored = true
 		for _, id := range i.Machines {
-			// What is read here is stored: it may get tasks at once.
+			// The intent was read from the store, so the machine may get tasks at once.
 			f.Add(id, i, now).Instance.IntentStored = true
 		}
 	}
 	return nil
 }
 
-// removeFromIntent takes a machine off its intent, which is abandoned with its last one.
+// removeFromIntent removes a machine from its intent. An answered intent without machines is abandoned.
 func (f *Fleet) removeFromIntent(m *state.Machine) {
 	i := f.intents[m.IntentID]
 	i.Machines = slices.DeleteFunc(i.Machines, func(id string) bool { return id == m.ID })
@@ -188,8 +189,8 @@
 	f.Writes.EnqueueLowPriority(replica.LaunchIntentPrefix + i.id)
 }
 
-// mayAct reports whether this term may still launch instances. It takes the lock.
-func (f *Fleet) mayAct() bool {
+// mayLaunch reports whether this term may still launch instances. It takes the lock.
+func (f *Fleet) mayLaunch() bool {
 	f.Lock.Lock()
 	handingOver := f.IsHandingOver()
 	f.Lock.Unlock()
@@ -201,7 +202,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	micros.Every(ctx, launchInterval, func() {
-		if !f.mayAct() {
+		if !f.mayLaunch() {
 			return
 		}
 		for _, id := range f.claimIntents() {
@@ -210,29 +211,30 @@
 	})
 }
 
-// claimIntents takes the stored intents without a response whose requests no goroutine sends: new
-// ones, those of an earlier term, and those that were left while leadership was in doubt.
+// claimIntents returns the IDs of stored, unanswered intents whose requests no goroutine is sending, and
+// marks them as being sent. These are new intents, those of an earlier term, and those that were left while
+// the leadership was in doubt.
 func (f *Fleet) claimIntents() (ids []string) {
 	f.Lock.Lock()
 	defer f.Lock.Unlock()
 	for id, i := range f.intents {
-		if i.stored && !i.Answered && !i.requesting {
-			i.requesting = true
+		if i.stored && !i.Answered && !i.inFlight {
+			i.inFlight = true
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// requestLaunch sends the request of a stored intent until the cloud responds. The same request launches
-// once, however often it is sent.
+// requestLaunch sends the request of a stored intent until the cloud responds. The request ID makes the
+// request idempotent: the instances are launched once, however often it is sent.
 func (f *Fleet) requestLaunch(ctx context.Context, id string) {
 	for wait := firstCloudRetry; ; wait = min(2*wait, maxCloudRetry) {
 		request, ok := f.launchRequest(ctx, id)
 		if !ok {
 			return
 		}
-		machines, err := f.Cloud.Launch(ctx, request, f.mayAct)
+		machines, err := f.Cloud.Launch(ctx, request, f.mayLaunch)
 		if f.applyLaunchResponse(id, machines, err) {
 			return
 		}
@@ -240,7 +242,7 @@
 	}
 }
 
-// launchRequest is the request of an intent, if this term may still send it.
+// launchRequest returns the request of an intent, and whether this term may still send it.
 func (f *Fleet) launchRequest(ctx context.Context, id string) (r wire.LaunchRequest, ok bool) {
 	f.Lock.Lock()
 	defer f.Lock.Unlock()
@@ -249,13 +251,13 @@
 		return r, false
 	}
 	if ctx.Err() != nil || f.IsHandingOver() || !f.Term.IsExclusive() {
-		i.requesting = false
+		i.inFlight = false
 		return r, false
 	}
 	return wire.LaunchRequest{RequestID: id, InstanceType: i.Type, Zone: i.Zone, Spot: i.Spot, Count: i.Count}, true
 }
 
-// applyLaunchResponse takes over the outcome of a request, and reports whether the cloud has answered.
+// applyLaunchResponse applies the outcome of a request, and reports whether the cloud has answered it.
 func (f *Fleet) applyLaunchResponse(id string, machines []string, err error) (answered bool) {
 	f.Lock.Lock()
 	defer f.Lock.Unlock()
@@ -268,12 +270,13 @@
 		i.abandoned, i.Answered = true, true
 		f.storeIntent(i)
 	default:
-		slog.Debug("launch request failed", "intent", id, "error", err)
+		slog.Debug("launch request failed; it is sent again", "intent", id, "error", err)
 	}
 	return i.Answered
 }
 
-// RecordLaunch adds the machines that the cloud has launched for an intent.
+// RecordLaunch adds the machines that the cloud has launched for an intent. If these are fewer than
+// requested, further launch requests for the offering are delayed.
 func (f *Fleet) RecordLaunch(i *LaunchIntent, machines []string) {
 	now := micros.Now()
 	if len(machines) < i.Count {
@@ -281,10 +284,10 @@
 	} else {
 		delete(f.backoffs, i.offering())
 	}
-	i.Answered, i.requesting = true, false
-	// What was to be launched in an outage of the cloud was launched when it responded. Counted from
-	// the intent, machines were taken for late as soon as they were launched, and terminated before
-	// the time was over that is paid for at least.
+	i.Answered, i.inFlight = true, false
+	// Instances requested during an outage of the cloud were launched only when it responded. When the time
+	// counted from the creation of the intent, such machines were considered late as soon as they were
+	// launched, and were terminated before the minimum billed time had passed.
 	i.At = micros.Wall()
 	for _, id := range machines {
 		if f.Machines[id] != nil || f.terminated[id] {
@@ -298,7 +301,7 @@
 	i.abandoned = len(i.Machines) == 0
 }
 
-// backOff has no launch of an offering requested for a while.
+// backOff delays further launch requests for an offering.
 func (f *Fleet) backOff(o state.Offering) {
 	b := f.backoffs[o]
 	if b == nil {
--- a/internal/leader/fleet/lists.go
+++ b/internal/leader/fleet/lists.go
@@ -12,47 +12,49 @@
 	"caperlatch/internal/replica"
 )
 
-// MachineList is the stored list of machines that may have got tasks. The lists are apart from the
-// launch intents, so that all machines that come up at about the same time share a write: with an intent
-// written anew for each of its machines, a thousand that booted waited seconds for their first tasks. Each
-// machine stands with its address, so that a next leader can query its tasks.
+// MachineList is a stored list of machines that may have got tasks. The lists are separate from the launch
+// intents, so that all machines that come up at about the same time share one write. When the intent was
+// written again for each of its machines, a thousand booted machines waited seconds for their first tasks.
+// Each entry includes the address of the machine, so that the next leader can query its tasks.
 type MachineList struct {
 	Entries []string `json:"m"` // "id address"
 
-	// splitFrom is set while a list that is too large is being split: it is the index of the list
-	// that names these machines until this one is stored.
+	// splitFrom is set while a list that is too large is being split. It is the index of the list that names
+	// these machines until this list is stored.
 	splitFrom *int
 }
 
-// maxLists bounds the index of a list that is read. It only refuses what is no list of this service.
-const maxLists = 1 << 20
+// maxListIndex is the largest list index that is accepted. It only rejects keys that this service cannot have
+// written.
+const maxListIndex = 1 << 20
 
-// ErrInvalidListKey is returned for a stored key with the prefix of machine lists that is none.
-var ErrInvalidListKey = errors.New("no list of machines")
+// ErrInvalidListKey is returned for a stored key that has the prefix of machine lists but no valid list
+// index.
+var ErrInvalidListKey = errors.New("key has no valid machine list index")
 
-// listEntry is a machine's entry in its list.
+// listEntry returns the entry of a machine in its list.
 func listEntry(m *state.Machine) string { return m.ID + " " + m.Instance.Address }
 
-// entryID is the ID of the machine that an entry names.
+// entryID returns the ID of the machine in an entry.
 func entryID(entry string) string {
 	id, _, _ := strings.Cut(entry, " ")
 	return id
 }
 
-// ListKey is the key under which the list with an index is stored.
+// ListKey returns the key under which the list with the given index is stored.
 func ListKey(index int) string { return replica.MachineListPrefix + strconv.Itoa(index) }
 
-// parseListKey is the index of the list that is stored under a key.
+// parseListKey returns the index of the list that is stored under a key.
 func parseListKey(key string) (index int, err error) {
 	index, err = strconv.Atoi(strings.TrimPrefix(key, replica.MachineListPrefix))
-	if err != nil || index < 0 || index > maxLists {
-		return 0, fmt.Errorf("stored %s: %w", key, ErrInvalidListKey)
+	if err != nil || index < 0 || index > maxListIndex {
+		return 0, fmt.Errorf("parse stored key %q: %w", key, ErrInvalidListKey)
 	}
 	return index, nil
 }
 
-// RestoreLists reads which machines an earlier term may have given tasks. The launch intents must have
-// been read before.
+// RestoreLists reads the stored lists of machines to which an earlier term may have assigned tasks.
+// RestoreIntents must be called first.
 func (f *Fleet) RestoreLists() error {
 	for _, key := range f.Replica.Keys(replica.MachineListPrefix) {
 		index, err := parseListKey(key)
@@ -70,8 +72,8 @@
 		f.markListed(index, list)
 	}
 	for index, list := range f.lists {
-		// A leader that ended while it split a list left machines in two.
-		if before := len(list.Entries); f.dropForeignEntries(index) < before {
+		// A leader that ended while it was splitting a list left some machines in two lists.
+		if before := len(list.Entries); f.pruneEntries(index) < before {
 			f.Writes.EnqueueLowPriority(ListKey(index))
 		}
 	}
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// markListed notes of the machines of a stored list that they may hold tasks.
+// markListed records that the machines of a stored list may hold tasks.
 func (f *Fleet) markListed(index int, list *MachineList) {
 	for _, entry := range list.Entries {
 		id, address, _ := strings.Cut(entry, " ")
@@ -93,9 +95,9 @@
 	}
 }
 
-// dropForeignEntries takes machines off a list that are in another as well, or were
-// terminated, and returns how many are left.
-func (f *Fleet) dropForeignEntries(index int) (left int) {
+// pruneEntries removes from a list the machines that are in another list or were terminated, and returns the
+// number of remaining entries.
+func (f *Fleet) pruneEntries(index int) (remaining int) {
 	list := f.lists[index]
 	list.Entries = slices.DeleteFunc(list.Entries, func(entry string) bool {
 		m := f.Machines[entryID(entry)]
@@ -104,15 +106,15 @@
 	return len(list.Entries)
 }
 
-// splitIfTooLarge divides a list that an earlier version stored larger than the state service may
-// take now. The new lists are written first; the old one, which may not be written as it is, names their
-// machines until they are known to be stored. So whatever gets no response and whoever takes over, every
-// machine is in a stored list at any time.
+// splitIfTooLarge splits a list that an earlier version stored at a size that the state service no longer
+// accepts. The new lists are written first. The old list, which cannot be written as it is, names their
+// machines until they are known to be stored. So every machine is in a stored list at any time, even if a
+// request gets no response or another leader takes over.
 func (f *Fleet) splitIfTooLarge(index int) {
 	entries := f.lists[index].Entries
-	for rest := entries[min(len(entries), f.mostThatFit(entries)):]; len(rest) > 0; {
-		part := rest[:f.mostThatFit(rest)]
-		rest = rest[len(part):]
+	for remaining := entries[min(len(entries), f.maxEntriesThatFit(entries)):]; len(remaining) > 0; {
+		part := remaining[:f.maxEntriesThatFit(remaining)]
+		remaining = remaining[len(part):]
 		f.lists = append(f.lists, &MachineList{Entries: slices.Clone(part), splitFrom: &index})
 		for _, entry := range part {
 			if m := f.Machines[entryID(entry)]; m != nil {
@@ -123,8 +125,8 @@
 	}
 }
 
-// mostThatFit is how many of the entries fit into one list, one at least.
-func (f *Fleet) mostThatFit(entries []string) int {
+// maxEntriesThatFit returns how many of the entries fit into one list, and at least one.
+func (f *Fleet) maxEntriesThatFit(entries []string) int {
 	low, high := 1, len(entries)
 	for low < high {
 		if middle := (low + high + 1) / 2; f.ValueFits(MachineList{Entries: entries[:middle]}) {
@@ -136,21 +138,22 @@
 	return low
 }
 
-// finishSplit is called once a part of a list that was split is stored, or is empty: the list
-// that it was part of need not name its machines any more.
+// finishSplit removes the machines of a list from the list that it was split from. It is called once the new
+// list is stored or empty.
 func (f *Fleet) finishSplit(index int) {
 	if from := f.lists[index].splitFrom; from != nil {
 		f.lists[index].splitFrom = nil
-		f.dropForeignEntries(*from)
+		f.pruneEntries(*from)
 		f.Writes.EnqueueLowPriority(ListKey(*from))
 	}
 }
 
-// RegisterRunning has it stored that a machine may get tasks.
+// RegisterRunning adds a machine that has come up to a machine list and enqueues the write. Once the list is
+// stored, the machine may get tasks.
 func (f *Fleet) RegisterRunning(m *state.Machine) {
 	m.Instance.Running = true
 	last := len(f.lists) - 1
-	// Room for one entry more than is added, as the list may be written together with others.
+	// Leave room for one more entry than is added, because the list may be written together with others.
 	if last < 0 || !f.ValueFits(MachineList{Entries: append(f.lists[last].Entries, listEntry(m), listEntry(m))}) {
 		f.lists = append(f.lists, &MachineList{})
 		last++
@@ -161,14 +164,14 @@
 	f.Writes.Wake()
 }
 
-// removeFromList takes a terminated machine off its list.
+// removeFromList removes a terminated machine from its list.
 func (f *Fleet) removeFromList(m *state.Machine) {
 	list := f.lists[m.Instance.StoredListIndex]
 	list.Entries = slices.DeleteFunc(list.Entries, func(entry string) bool { return entryID(entry) == m.ID })
 	f.Writes.EnqueueLowPriority(ListKey(m.Instance.StoredListIndex))
 }
 
-// EncodeList makes the write of a machine list's key.
+// EncodeList fills in the write of a machine list's key, and reports whether there is anything to write.
 func (f *Fleet) EncodeList(w persist.Write) (persist.Write, bool) {
 	index, err := parseListKey(w.Key)
 	if err != nil || index >= len(f.lists) {
@@ -181,7 +184,7 @@
 	}
 	w.Value = MachineList{Entries: snapshot}
 	if w.ModRevision != 0 && len(snapshot) > 1 && !f.ValueFits(w.Value) {
-		return w, false // it is being split
+		return w, false // the list is being split
 	}
 	w.OnStored = func() {
 		f.finishSplit(index)
--- a/internal/leader/fleet/termination.go
+++ b/internal/leader/fleet/termination.go
@@ -12,14 +12,15 @@
 	"caperlatch/internal/wire"
 )
 
-// terminateInterval is how often queued terminations are sent.
+// terminateInterval is the time between two requests for queued terminations.
 const terminateInterval = 200 * micros.Millisecond
 
-// Terminate has a machine terminated. Its tasks count as being on it until the cloud has confirmed that.
+// Terminate queues the termination of a machine. The tasks of the machine count as being on it until the
+// cloud has confirmed the termination.
 //
-// A leader whose session is in doubt terminates nothing: its requests may be held back and carried out
-// minutes later, on machines that the next leader uses. An isolated leader to which all machines were silent
-// once lost a whole fleet that way.
+// A leader whose session is in doubt terminates nothing: its requests may be delayed and carried out minutes
+// later, on machines that the next leader uses. An isolated leader that heard from none of its machines once
+// terminated a whole fleet that way.
 func (f *Fleet) Terminate(m *state.Machine, reason string) {
 	if !f.Term.HoldsSession() {
 		return
@@ -34,11 +35,11 @@
 	f.OnTerminating(m, reason)
 }
 
-// TerminationQueue lists the machines whose termination was not sent yet.
+// TerminationQueue returns the IDs of the machines whose termination has not been requested yet.
 func (f *Fleet) TerminationQueue() []string { return f.terminationQueue }
 
-// terminateLoop has the cloud terminate machines, many with a request: requests are few, and a
-// fleet is scaled in faster than machine by machine.
+// terminateLoop sends requests that terminate several machines each, because the rate of requests is limited,
+// and one request per machine would scale a fleet in too slowly.
 func (f *Fleet) terminateLoop(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -49,7 +50,7 @@
 	})
 }
 
-// takeTerminations takes as many machines off the queue as one request may name.
+// takeTerminations takes as many machine IDs from the queue as one request may name.
 func (f *Fleet) takeTerminations() (ids []string) {
 	f.Lock.Lock()
 	defer f.Lock.Unlock()
@@ -62,7 +63,8 @@
 	return ids
 }
 
-// requestTermination sends the request until the cloud has confirmed it; then the machines and all tasks on them have ended.
+// requestTermination sends a termination request until the cloud has confirmed it. After that, the machines
+// and all tasks on them have ended.
 func (f *Fleet) requestTermination(ctx context.Context, ids []string) {
 	for wait := firstCloudRetry; ; wait = min(2*wait, maxCloudRetry) {
 		if f.Term.HoldsSession() {
@@ -70,7 +72,7 @@
 			if err == nil {
 				break
 			}
-			slog.Debug("termination request failed", "machines", len(ids), "error", err)
+			slog.Debug("termination request failed; it is sent again", "machines", len(ids), "error", err)
 		}
 		micros.Pause(ctx, wait)
 		if ctx.Err() != nil {
@@ -86,15 +88,15 @@
 	}
 }
 
-// minListInterval is how often the cloud's list is read at most.
+// minListInterval is the minimum time between two reads of the cloud's instance list.
 const minListInterval = 4 * micros.Second
 
-// listLoop compares the cloud's list with the known machines.
+// listLoop polls the cloud's instance list and compares it with the known machines.
 func (f *Fleet) listLoop(ctx context.Context) {
 	micros.Every(ctx, max(minListInterval, f.ListLag), func() {
 		list, err := f.Cloud.ListInstances(ctx)
 		if err != nil {
-			slog.Debug("listing instances failed", "error", err)
+			slog.Debug("listing the cloud's instances failed", "error", err)
 			return
 		}
 		f.Lock.Lock()
@@ -103,18 +105,19 @@
 	})
 }
 
-// unexplainedMargin is for how long an instance may be unexplained beside the lag of lists.
-const unexplainedMargin = 10 * micros.Second
+// orphanMargin is added to three times the list lag to get the time after which an orphaned instance is
+// terminated.
+const orphanMargin = 10 * micros.Second
 
-// ReconcileInstances terminates instances that no intent explains, and those that have failed. The
-// list is late, so it proves nothing about tasks.
+// ReconcileInstances terminates instances that belong to no launch intent, and instances that have failed.
+// The list may be out of date, so it proves nothing about tasks.
 func (f *Fleet) ReconcileInstances(list []wire.InstanceStatus) {
 	now := micros.Now()
 	hasOpenIntents := false
 	for range f.OpenIntents() {
 		hasOpenIntents = true
 	}
-	listed := map[string]bool{} // of those that are unexplained
+	listedOrphans := map[string]bool{} // IDs of orphaned instances in the list
 	for _, m := range f.Machines {
 		m.Instance.MissedCloudLists++
 	}
@@ -128,27 +131,28 @@
 			f.Terminate(m, "failed")
 		case m != nil || hasOpenIntents:
 		default:
-			listed[instance.ID] = true
-			f.watchUnexplained(instance.ID, now)
+			listedOrphans[instance.ID] = true
+			f.trackOrphan(instance.ID, now)
 		}
 	}
-	for id := range f.unexplained {
-		if !listed[id] {
-			delete(f.unexplained, id)
+	for id := range f.orphans {
+		if !listedOrphans[id] {
+			delete(f.orphans, id)
 		}
 	}
 }
 
-// watchUnexplained terminates an instance that nobody uses: a launch that was carried out late, or
-// a termination that was lost.
-func (f *Fleet) watchUnexplained(id string, now micros.Micros) {
-	since, known := f.unexplained[id]
+// trackOrphan records when an orphaned instance was first listed, and queues its termination once it has been
+// listed for long enough. Such an instance comes from a launch that was carried out late, or from a
+// termination that was lost.
+func (f *Fleet) trackOrphan(id string, now micros.Micros) {
+	since, known := f.orphans[id]
 	switch {
 	case !known:
-		f.unexplained[id] = now
-	case now-since > 3*f.ListLag+unexplainedMargin:
-		delete(f.unexplained, id)
-		slog.Info("terminating an instance of no launch intent", "machine", id)
+		f.orphans[id] = now
+	case now-since > 3*f.ListLag+orphanMargin:
+		delete(f.orphans, id)
+		slog.Info("terminating an instance that belongs to no launch intent", "machine", id)
 		f.terminationQueue = append(f.terminationQueue, id)
 	}
 }
