--- a/internal/leader/autoscaler/backlog.go
+++ b/internal/leader/autoscaler/backlog.go
@@ -11,33 +11,33 @@
 	"caperlatch/staffing"
 )
 
-// machineNeed is how many machines of one type waiting tasks need beyond the fleet.
+// machineNeed is how many machines of one type the waiting tasks need in addition to the fleet.
 type machineNeed struct {
-	any      float64
-	onDemand float64 // the part that may be on-demand machines
+	total    float64
+	onDemand float64 // the part that may be launched as on-demand machines
 }
 
-// backlog collects what decides how many machines the waiting tasks need.
+// backlog holds the input for computing how many machines the waiting tasks need.
 type backlog struct {
 	waiting          []staffing.WaitingWork
-	notDelayTolerant []staffing.WaitingWork // of waiting, what is worth on-demand machines
+	notDelayTolerant []staffing.WaitingWork // the part of waiting that is worth on-demand machines
 	running          []staffing.RunningWork
-	nonPreemptible   []staffing.RunningWork // of running, what gives its room to nobody
-	workByType       map[string]float64     // CPU seconds that wait, by the type that is best for them
-	totalWork        float64                // CPU seconds
+	nonPreemptible   []staffing.RunningWork // the part of running that is not preempted for other tasks
+	workByType       map[string]float64     // waiting CPU seconds, by the preferred type of the job
+	totalWork        float64                // in CPU seconds
 	supplyCPUs       float64
-	unknownCPUs      float64            // of machines whose tasks are not known
-	minBootS         float64            // of the type that boots soonest
-	planned          map[*state.Job]int // tasks that have a place
+	unknownCPUs      float64            // CPUs of machines whose tasks are not known
+	minBootS         float64            // the shortest boot time of the preferred types, in seconds
+	planned          map[*state.Job]int // tasks that are assigned to a machine but not started
 	displaced        map[*state.Job]int // tasks on machines that are to be replaced in other zones
 }
 
-// backlogNeed is how many machines beyond the fleet the waiting tasks need to be in time, by type.
-// What may be on-demand machines leaves out the delay-tolerant jobs, and what best-effort tasks hold, since
-// they give it back.
+// backlogNeed returns how many machines of each type are needed in addition to the fleet, so that the waiting
+// tasks start in time. The on-demand part leaves out the delay-tolerant jobs, and does not count the CPUs
+// that best-effort tasks occupy as taken, since these tasks can be preempted.
 //
-// Work on machines that are to be replaced in other zones is offered to these: it counts as waiting, and what
-// held it not as supply.
+// Tasks on machines that are to be replaced in other zones count as waiting, and their machines do not count
+// as supply, so that replacements for them are launched in the other zones.
 func (s *Scaler) backlogNeed(replaced map[*state.Machine]bool, now micros.Micros) map[string]machineNeed {
 	b := &backlog{
 		workByType: map[string]float64{},
@@ -51,21 +51,21 @@
 	if b.totalWork == 0 {
 		return need
 	}
-	mean, meanOnDemand := 0.0, 0.0 // CPUs
+	mean, meanOnDemand := 0.0, 0.0 // in CPUs
 	for _, t := range s.types {
 		mean += t.Mean * t.CPUs
 		meanOnDemand += (t.Mean - t.MeanDelayTolerant) * t.CPUs
 	}
-	short := staffing.BacklogShortage(b.waiting, b.running, mean, b.supplyCPUs, b.minBootS)
-	shortOnDemand := staffing.BacklogShortage(b.notDelayTolerant, b.nonPreemptible, meanOnDemand, b.supplyCPUs, b.minBootS)
+	missingCPUs := staffing.BacklogShortage(b.waiting, b.running, mean, b.supplyCPUs, b.minBootS)
+	missingOnDemandCPUs := staffing.BacklogShortage(b.notDelayTolerant, b.nonPreemptible, meanOnDemand, b.supplyCPUs, b.minBootS)
 	for name, work := range b.workByType {
-		part := work / b.totalWork / math.Max(s.types[name].CPUs, minCPUs)
-		need[name] = machineNeed{any: short * part, onDemand: math.Min(short, shortOnDemand) * part}
+		share := work / b.totalWork / math.Max(s.types[name].CPUs, minCPUs)
+		need[name] = machineNeed{total: missingCPUs * share, onDemand: math.Min(missingCPUs, missingOnDemandCPUs) * share}
 	}
 	return need
 }
 
-// addMachines counts what there is, and what runs on it.
+// addMachines adds the machines of the fleet to the supply, and the tasks on them to the running work.
 func (s *Scaler) addMachines(b *backlog, replaced map[*state.Machine]bool, now micros.Micros) {
 	for _, m := range s.Fleet.Machines {
 		t := s.types[m.Offering.Type]
@@ -100,7 +100,7 @@
 	}
 }
 
-// addWaitingJobs counts the tasks that wait for machines, in the order of their submission.
+// addWaitingJobs adds the tasks that wait for machines, in the order in which their jobs were submitted.
 func (s *Scaler) addWaitingJobs(b *backlog, now micros.Micros) {
 	wall := micros.Wall()
 	teams := s.TeamUse()
@@ -110,13 +110,13 @@
 	for _, j := range jobs {
 		t := s.preferredType(j, now)
 		if n := b.displaced[j]; n > 0 && t != nil {
-			s.addJob(b, j, t, n, wall) // its team's limit has them already
+			s.addJob(b, j, t, n, wall) // these tasks already count toward the team's limit
 		}
 		n := j.StartableTasks(now) - b.planned[j]
 		if n <= 0 || t == nil {
 			continue
 		}
-		// Machines are no help to what its team's limit keeps waiting.
+		// More machines do not help tasks that wait because of their team's limit.
 		if team := teams[j.Spec.Team]; team != nil {
 			n = team.CountAllowed(j.Need, n)
 			team.Used = team.Used.Add(j.Need, int64(n))
@@ -130,33 +130,35 @@
 	}
 }
 
-// countPossiblyRunning counts how many of n tasks may run on machines whose tasks are not known: most
-// likely they do. Counted as waiting, a fleet that was full had hundreds of machines launched at each failover.
+// countPossiblyRunning returns how many of n waiting tasks may be running on machines whose tasks are not
+// known, and counts these as running, which they most likely are. When they were counted as waiting, each
+// failover with a full fleet launched hundreds of machines.
 func (s *Scaler) countPossiblyRunning(b *backlog, j *state.Job, n int) int {
-	held := min(n, int(math.Ceil(b.unknownCPUs/math.Max(j.Spec.CPUs, minCPUs))))
-	b.unknownCPUs -= float64(held) * j.Spec.CPUs
-	r := staffing.RunningWork{CPUs: float64(held) * j.Spec.CPUs, RemainingS: s.Workload.ExpectedRuntime(j.Spec) / 2}
+	possiblyRunning := min(n, int(math.Ceil(b.unknownCPUs/math.Max(j.Spec.CPUs, minCPUs))))
+	b.unknownCPUs -= float64(possiblyRunning) * j.Spec.CPUs
+	r := staffing.RunningWork{CPUs: float64(possiblyRunning) * j.Spec.CPUs, RemainingS: s.Workload.ExpectedRuntime(j.Spec) / 2}
 	b.running = append(b.running, r)
 	b.nonPreemptible = append(b.nonPreemptible, r)
-	return held
+	return possiblyRunning
 }
 
-// lateDueBoots is within how many boot times a job is to be done that can't be in time any more.
-const lateDueBoots = 2
+// overdueHorizonBoots is the horizon, in boot times, within which a job is to be served that can no longer be
+// in time.
+const overdueHorizonBoots = 2
 
-// addJob counts n waiting tasks of a job, for a type.
+// addJob adds n waiting tasks of a job to the backlog, as work for the given type.
 func (s *Scaler) addJob(b *backlog, j *state.Job, t *TypeModel, n int, wall micros.Micros) {
 	b.minBootS = math.Min(b.minBootS, t.BootTimeS)
 	runtime := s.Workload.ExpectedRuntime(j.Spec)
 	work := float64(n) * j.Spec.CPUs * runtime
 	if perMachine := t.Capacity.CountFitting(j.Need, n+1); j.IsGang() && perMachine > 0 && perMachine <= n {
-		// It fills entire machines at once, with what its tasks leave unused there.
+		// The gang occupies entire machines at once, including the CPUs on them that its tasks leave unused.
 		work += float64(n/perMachine) * (t.CPUs - float64(perMachine)*j.Spec.CPUs) * runtime
 	}
 	deadlines := s.Workload.StartDeadlines(j, false, wall)
 	dueInS := (deadlines.Next - wall).Seconds()
 	if deadlines.Late {
-		dueInS = lateDueBoots * t.BootTimeS
+		dueInS = overdueHorizonBoots * t.BootTimeS
 	}
 	waiting := staffing.WaitingWork{CPUSeconds: work, DueInS: dueInS}
 	b.waiting = append(b.waiting, waiting)
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -5,7 +5,7 @@
 	"caperlatch/internal/micros"
 )
 
-// AddDemand counts a job that came in.
+// AddDemand adds the work of a newly seen job to the demand.
 func (s *Scaler) AddDemand(j *state.Job) {
 	now := micros.Now()
 	t := s.preferredType(j, now)
@@ -16,34 +16,34 @@
 	fraction := t.Fraction(j.Need)
 	work := float64(j.WaitingTasks()) * fraction
 	j.Demand.InstanceType, j.Demand.Machines = t.Name, work
-	startWithin := s.Workload.StartDeadlines(j, false, j.SubmittedAt).Next - j.SubmittedAt
-	t.batches.Add(float64(j.Spec.Tasks)*fraction, j.Spec.Tasks, startWithin.Seconds() > t.BootTimeS)
+	timeToStart := s.Workload.StartDeadlines(j, false, j.SubmittedAt).Next - j.SubmittedAt
+	t.batches.Add(float64(j.Spec.Tasks)*fraction, j.Spec.Tasks, timeToStart.Seconds() > t.BootTimeS)
 	if j.MayHaveEarlierTasks {
-		j.Demand.Machines = 0 // the stored rate has it
+		j.Demand.Machines = 0 // the rate restored from the earlier leader's record includes it
 	} else {
 		t.Demand.Add(now, work)
 		if s.Workload.IsDelayTolerant(j) {
-			t.bestEffortDemand.Add(now, work)
+			t.delayTolerantDemand.Add(now, work)
 		}
 	}
-	t.service.ObserveEstimate(work, s.Workload.ExpectedRuntime(j.Spec)+t.PullTimeS(j.Spec.ImageSizeGB))
+	t.serviceTime.ObserveEstimate(work, s.Workload.ExpectedRuntime(j.Spec)+t.PullTimeS(j.Spec.ImageSizeGB))
 }
 
-// RemoveDemand takes a quarantined job's work out of the demand: machines are no help to it.
+// RemoveDemand removes the work of a quarantined job from the demand, as more machines would not help it.
 func (s *Scaler) RemoveDemand(j *state.Job, now micros.Micros) {
 	if j.Demand.Machines > 0 {
 		s.types[j.Demand.InstanceType].Demand.Add(now, -j.Demand.Machines)
 	}
 }
 
-// RestoreDemand puts back what RemoveDemand took out.
+// RestoreDemand adds the work that RemoveDemand removed.
 func (s *Scaler) RestoreDemand(j *state.Job, now micros.Micros) {
 	if j.Demand.Machines > 0 {
 		s.types[j.Demand.InstanceType].Demand.Add(now, j.Demand.Machines)
 	}
 }
 
-// ObserveCompletion learns from a task that was done on a machine.
+// ObserveCompletion updates the measured service and run times with an attempt that has completed its task.
 func (s *Scaler) ObserveCompletion(a *state.Attempt, now micros.Micros) {
 	j := a.Job
 	if a.RunningSince != 0 {
@@ -51,10 +51,10 @@
 	}
 	t := s.types[a.Machine.Offering.Type]
 	if t == nil || a.StartSequence == 0 {
-		return // adopted: nobody here saw it start
+		return // started by an earlier term: its start time is not known
 	}
 	t.finishedTasks++
-	t.service.ObserveFinished(t.Fraction(j.Need), (now - a.StartedAt).Seconds(), j.Spec.Tasks)
+	t.serviceTime.ObserveFinished(t.Fraction(j.Need), (now - a.StartedAt).Seconds(), j.Spec.Tasks)
 	if a.RunningSince != 0 && (j.Spec.CheckpointIntervalS == 0 || !j.RanBefore[a.Index]) {
 		s.Workload.ObserveRuntime(j.Spec, now-a.RunningSince)
 	}
--- a/internal/leader/autoscaler/gangs.go
+++ b/internal/leader/autoscaler/gangs.go
@@ -8,13 +8,14 @@
 	"caperlatch/internal/zone"
 )
 
-// launchDelayWhenShort is how long a gang that lost a task before its start waits for another place to
-// come free, until a machine is launched for it.
-const launchDelayWhenShort = 2 * micros.Second
+// gangLaunchDelay is how long a gang that lost a task before it had started waits for free capacity, until a
+// machine is launched for it.
+const gangLaunchDelay = 2 * micros.Second
 
-// launchForGangs launches machines for gangs that not even an empty fleet could take: the types'
-// targets count machines, and a gang may need more of them at once, or more in one zone, than the work alone
-// would. One whose start is in progress needs room now: its other tasks hold theirs in vain until it comes.
+// launchForGangs launches machines for gangs that would not fit even if the fleet were empty. The targets of
+// the types count machines, and a gang may need more machines at once, or more in one zone, than its work
+// alone requires. A gang that is being started needs free capacity now, because its other tasks occupy theirs
+// in vain until it is complete.
 func (s *Scaler) launchForGangs(now micros.Micros) {
 	teams, awaitsReconciliation := s.TeamUse(), s.AwaitsReconciliation()
 	for _, j := range state.Gangs(s.Jobs) {
@@ -26,69 +27,69 @@
 			j.Gang.NoCapacitySince = 0
 			continue
 		}
-		room := s.gangRoom(j, wanted)
-		if room.total >= wanted {
+		capacity := s.countGangCapacity(j, wanted)
+		if capacity.total >= wanted {
 			j.Gang.NoCapacitySince = 0
 			continue
 		}
 		if j.Gang.NoCapacitySince == 0 {
 			j.Gang.NoCapacitySince = now
 		}
-		if len(j.Attempts) == 0 || now-j.Gang.NoCapacitySince >= launchDelayWhenShort {
-			s.launchForGang(j, wanted, room, now)
+		if len(j.Attempts) == 0 || now-j.Gang.NoCapacitySince >= gangLaunchDelay {
+			s.launchForGang(j, wanted, capacity, now)
 		}
 	}
 }
 
-// launchForGang launches machines of the best offering for what a gang has no room for.
-func (s *Scaler) launchForGang(j *state.Job, wanted int, room gangRoom, now micros.Micros) {
-	best, ok := s.bestOfferingForGang(j, room, now)
+// launchForGang launches machines of the best offering for the tasks of a gang that do not fit on the fleet.
+func (s *Scaler) launchForGang(j *state.Job, wanted int, capacity gangCapacity, now micros.Micros) {
+	best, ok := s.bestOfferingForGang(j, capacity, now)
 	t := s.types[best.Type]
 	if !ok || t == nil {
 		return
 	}
-	missing := min(wanted-room.total, room.mostIn(best.Zone)-room.perZone[best.Zone])
+	missing := min(wanted-capacity.total, capacity.maxInZone(best.Zone)-capacity.perZone[best.Zone])
 	if j.Spec.SingleZone {
-		missing = wanted - room.perZone[best.Zone]
+		missing = wanted - capacity.perZone[best.Zone]
 	}
 	perMachine := t.Capacity.CountFitting(j.Need, missing)
-	slog.Debug("launching for a gang", "job", j.Spec.ID, "tasks", wanted, "room", room.total, "instance_type", best.Type, "zone", best.Zone)
+	slog.Debug("launching machines for a gang", "job", j.Spec.ID, "tasks", wanted, "room", capacity.total, "instance_type", best.Type, "zone", best.Zone)
 	s.Fleet.Launch(best, (missing+perMachine-1)/max(1, perMachine))
 }
 
-// bestOfferingForGang finds the cheapest offering in a zone where a gang may have more tasks, or,
-// for one that must be in a single zone, where it has most room already. There is none while a launch that
-// would serve the gang waits for its response.
-func (s *Scaler) bestOfferingForGang(j *state.Job, room gangRoom, now micros.Micros) (best state.Offering, ok bool) {
+// bestOfferingForGang returns the cheapest offering in a zone where more tasks of a gang may run. For a gang
+// that must run in a single zone, it returns one in the zone that already has the most capacity for it. It
+// returns none while a launch that could serve the gang is waiting for its response.
+func (s *Scaler) bestOfferingForGang(j *state.Job, capacity gangCapacity, now micros.Micros) (best state.Offering, ok bool) {
 	for _, o := range s.OfferingsFor(j) {
 		if s.Fleet.HasOpenIntent(o) {
 			return state.Offering{}, false
 		}
-		if !s.Fleet.HasCapacity(o, now) || s.ZonePolicy.Decide(o.Zone).MaxMachines < zone.Unlimited || room.mostIn(o.Zone) <= room.perZone[o.Zone] {
+		if !s.Fleet.HasCapacity(o, now) || s.ZonePolicy.Decide(o.Zone).MaxMachines < zone.Unlimited || capacity.maxInZone(o.Zone) <= capacity.perZone[o.Zone] {
 			continue
 		}
-		if !ok || j.Spec.SingleZone && room.perZone[o.Zone] > room.perZone[best.Zone] {
+		if !ok || j.Spec.SingleZone && capacity.perZone[o.Zone] > capacity.perZone[best.Zone] {
 			best, ok = o, true
 		}
 	}
 	return best, ok
 }
 
-// gangRoom is for how many tasks of a gang its machines would have room.
-type gangRoom struct {
+// gangCapacity is the capacity of the fleet for one gang, in tasks.
+type gangCapacity struct {
 	job     *state.Job
 	wanted  int
-	held    map[string]int // tasks that it has in each zone
-	perZone map[string]int // further tasks for which there is room
-	total   int            // of all that may be used together
+	running map[string]int // tasks of the gang on machines, by zone
+	perZone map[string]int // further tasks that fit, by zone
+	total   int            // further tasks that fit on machines that the gang may use together
 }
 
-// gangRoom counts the tasks of a gang, up to wanted, for which its machines would have room: what is
-// free, once its start is in progress, and before that their whole capacity.
-func (s *Scaler) gangRoom(j *state.Job, wanted int) gangRoom {
-	room := gangRoom{job: j, wanted: wanted, held: map[string]int{}, perZone: map[string]int{}}
+// countGangCapacity counts how many tasks of a gang, up to wanted, fit on the fleet. While the gang is being
+// started, only free resources count; before that, the whole capacity of each machine does.
+func (s *Scaler) countGangCapacity(j *state.Job, wanted int) gangCapacity {
+	capacity := gangCapacity{job: j, wanted: wanted, running: map[string]int{}, perZone: map[string]int{}}
 	for _, a := range j.Attempts {
-		room.held[a.Machine.Offering.Zone]++
+		capacity.running[a.Machine.Offering.Zone]++
 	}
 	for _, m := range s.Fleet.Sorted {
 		o := m.Offering
@@ -100,27 +101,27 @@
 		if len(j.Attempts) > 0 {
 			free = m.Free
 		}
-		n := free.CountFitting(j.Need, room.mostIn(o.Zone)-room.perZone[o.Zone])
-		room.perZone[o.Zone] += n
-		room.total += n
+		n := free.CountFitting(j.Need, capacity.maxInZone(o.Zone)-capacity.perZone[o.Zone])
+		capacity.perZone[o.Zone] += n
+		capacity.total += n
 	}
 	if j.Spec.SingleZone {
-		room.total = 0
-		for _, n := range room.perZone {
-			room.total = max(room.total, n)
+		capacity.total = 0
+		for _, n := range capacity.perZone {
+			capacity.total = max(capacity.total, n)
 		}
 	}
-	return room
+	return capacity
 }
 
-// mostIn is how many further tasks may be in a zone.
-func (r *gangRoom) mostIn(zone string) int {
-	spec := r.job.Spec
+// maxInZone returns how many further tasks of the gang may run in a zone.
+func (c *gangCapacity) maxInZone(zone string) int {
+	spec := c.job.Spec
 	switch {
 	case spec.SpreadZones:
-		return max(0, min(r.wanted, (spec.Tasks+1)/2-r.held[zone]))
-	case spec.SingleZone && len(r.held) > 0 && r.held[zone] == 0:
+		return max(0, min(c.wanted, (spec.Tasks+1)/2-c.running[zone]))
+	case spec.SingleZone && len(c.running) > 0 && c.running[zone] == 0:
 		return 0
 	}
-	return r.wanted
+	return c.wanted
 }
--- a/internal/leader/autoscaler/helpers_test.go
+++ b/internal/leader/autoscaler/helpers_test.go
@@ -19,20 +19,20 @@
 	"caperlatch/placement"
 )
 
-// Types of instances with four and eight CPUs. Work on the larger one costs more.
+// Instance types with four and eight CPUs. A CPU of the larger type costs more.
 var (
 	typeM4 = wire.InstanceType{Name: "m4", CPUs: 4, MemoryGB: 16, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}}
 	typeM8 = wire.InstanceType{Name: "m8", CPUs: 8, MemoryGB: 32, ImagePullGBPerS: 1, OnDemandPrice: 3, SpotPrice: 3, Zones: []string{"a"}}
 )
 
-// exclusiveTerm is a term that is proved.
+// exclusiveTerm is a term in which no other node can lead.
 type exclusiveTerm struct{}
 
 func (exclusiveTerm) HoldsSession() bool { return true }
 func (exclusiveTerm) IsExclusive() bool  { return true }
 
-// newTestLeader makes an autoscaler of so many idle on-demand machines of type m4, and of no jobs. Heartbeats come every
-// 8 s, and a gang of class pairs is to start within 2 s with a chance of 0.85.
+// newTest returns an autoscaler with the given number of idle on-demand machines of type m4, and without
+// jobs. Heartbeats come every 8 s. A share of 0.85 of the gangs of class pairs should start within 2 s.
 func newTest(t *testing.T, machines int, types ...wire.InstanceType) *Scaler {
 	t.Helper()
 	params := settings.Params{
@@ -83,13 +83,13 @@
 	}
 }
 
-// newJob makes a job of class pairs that was submitted just now, whose tasks need one CPU each.
+// newJob returns a job of class pairs that was submitted just now. Its tasks need one CPU each.
 func newJob(id string, kind wire.JobKind, tasks int) *state.Job {
 	return state.NewJob(replica.Job{SubmittedAt: micros.Wall(), Spec: &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: kind,
 		Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}}, false)
 }
 
-// submit has a job come in.
+// submit adds a newly submitted job to the autoscaler.
 func submit(s *Scaler, j *state.Job) {
 	s.Jobs[j.Spec.ID] = j
 	s.AddDemand(j)
--- a/internal/leader/autoscaler/pools.go
+++ b/internal/leader/autoscaler/pools.go
@@ -13,33 +13,33 @@
 	"caperlatch/staffing"
 )
 
-// Arrays fill a fleet task by task, so a busy fleet seldom has room for an entire gang on
-// any machine. Gangs therefore have machines of their own: their demand is a stream apart,
-// measured in machines, with its mean stepped by the same equation as the fleet's
-// and its margin by the same formula. Only gangs start on these machines.
+// Array jobs fill a fleet task by task, so a busy fleet seldom has capacity for an entire gang on one
+// machine. Therefore gangs have machines of their own. Their demand is modeled separately, in machines: its
+// mean follows the same equation as that of the fleet, and its safety margin the same formula. Only gangs
+// start on these machines.
 
-// Pool is the machines of one kind that are held ready for gangs.
+// Pool is the set of machines of one kind that are kept available for gangs.
 type Pool struct {
 	kind          state.PoolKind
-	Demand        *staffing.DemandWindow // gangs that came in, in machines
-	service       staffing.ServiceTime
+	Demand        *staffing.DemandWindow // newly submitted gangs, in machines
+	serviceTime   staffing.ServiceTime
 	batches       staffing.BatchSizes
-	Mean          float64 // machines that gangs hold, by the equation
-	readyMachines int     // machines that must have room, for one to send a heartbeat in time
-	Target        int     // machines
-	heldUntil     micros.Micros
+	Mean          float64 // machines that gangs occupy, by the equation of the model
+	readyMachines int     // machines that must have free capacity, so that one sends a heartbeat in time
+	Target        int     // in machines
+	nextReviewAt  micros.Micros
 }
 
-// poolDivisor is which part of the fleet the pools may take at most.
-const poolDivisor = 8
+// poolFleetDivisor limits the target of each pool to the number of machines in the fleet divided by it.
+const poolFleetDivisor = 8
 
-// minPoolMean is the mean below which a pool has no machine: formula (4) would keep one for a gang
-// now and then.
+// minPoolMean is the mean below which a pool has no machine. Formula (4) would keep one for an occasional
+// gang.
 const minPoolMean = 0.05
 
-// poolFor is the pool that serves a gang: machines of the cheapest type that takes all of its tasks. It
-// is nil for a gang that no single machine may take, and for one that is bound to types or a zone, which most of
-// a pool could not serve.
+// poolFor returns the pool that serves a gang. The pool consists of machines of the cheapest type that holds
+// all of the gang's tasks. poolFor returns nil for a gang that no single machine can hold or may run, and for
+// a gang that is restricted to certain types or to a zone, as most machines of a pool could not serve it.
 func (s *Scaler) poolFor(j *state.Job) *Pool {
 	spec := j.Spec
 	if !j.IsGang() || spec.SpreadZones || spec.Zone != "" || len(spec.InstanceTypes) > 0 {
@@ -60,49 +60,52 @@
 	return nil
 }
 
-// addPoolDemand counts a gang that came in. Its size is the part of a machine that it
-// keeps from other gangs of its size: 12 of 16 CPUs count as one, 6 as half of one.
+// addPoolDemand adds a newly submitted gang to the demand of its pool. The size of a gang is the fraction of
+// a machine that it makes unavailable to other gangs of its size: 12 of 16 CPUs count as one machine, 6 as
+// half of one.
 func (s *Scaler) addPoolDemand(j *state.Job, now micros.Micros) {
 	p := s.poolFor(j)
 	if p == nil {
 		return
 	}
 	t := s.types[p.kind.Type]
-	perMachine := t.Capacity.CountFitting(j.Need, unlimited) / j.Spec.Tasks
+	perMachine := t.Capacity.CountFitting(j.Need, maxTasksPerMachine) / j.Spec.Tasks
 	size := 1 / float64(max(1, perMachine))
-	pullTime := t.PullTimeS(j.Spec.ImageSizeGB)
-	p.service.ObserveEstimate(size, s.Workload.ExpectedRuntime(j.Spec)+pullTime)
+	pullTimeS := t.PullTimeS(j.Spec.ImageSizeGB)
+	p.serviceTime.ObserveEstimate(size, s.Workload.ExpectedRuntime(j.Spec)+pullTimeS)
 	p.batches.Add(size, 1, false)
-	p.readyMachines = max(p.readyMachines, s.readyMachinesFor(j, pullTime))
+	p.readyMachines = max(p.readyMachines, s.readyMachinesFor(j, pullTimeS))
 	if j.MayHaveEarlierTasks {
-		// It may hold its machine already. The rate is what keeps the mean as it is.
+		// The gang may already occupy its machine. The seeded rate keeps the mean at its present value.
 		p.Mean += size
-		p.Demand.Seed(now, p.Mean*p.service.Rate(0))
+		p.Demand.Seed(now, p.Mean*p.serviceTime.Rate(0))
 		return
 	}
 	p.Demand.Add(now, size)
 }
 
-// readyMachinesFor is how many machines must have room for a gang, so that one of them sends a
-// heartbeat in time for the objectives of its class, after the image is pulled (pullTime, in seconds).
-func (s *Scaler) readyMachinesFor(j *state.Job, pullTime float64) int {
+// readyMachinesFor returns how many machines must have free capacity for a gang, so that one of them sends a
+// heartbeat in time for the objectives of the gang's class. The time to pull the image is deducted from
+// objectives that allow more than that.
+func (s *Scaler) readyMachinesFor(j *state.Job, pullTimeS float64) int {
 	ready := 1
 	for _, o := range s.Workload.WaitObjectives(j.Spec.Class) {
-		wait := o.WithinS
-		if wait > pullTime {
-			wait -= pullTime
+		waitS := o.WithinS
+		if waitS > pullTimeS {
+			waitS -= pullTimeS
 		}
-		ready = max(ready, staffing.IdleMachines(wait, s.HeartbeatInterval.Seconds(), 1-o.Share))
+		ready = max(ready, staffing.IdleMachines(waitS, s.HeartbeatInterval.Seconds(), 1-o.Share))
 	}
 	return ready
 }
 
-// StepPools steps the pools' means by a second and sets their targets, which hold for an interval unless they rise.
+// StepPools advances the means of the pools by one second and sets their targets. A target is kept for a
+// review interval unless it rises.
 func (s *Scaler) StepPools(now micros.Micros) {
 	for _, p := range s.pools {
-		lambda, mu := p.Demand.EarlyRate(now, s.Tuning.Z), p.service.Rate(0)
+		lambda, mu := p.Demand.EarlyRate(now, s.Tuning.Z), p.serviceTime.Rate(0)
 		p.Mean = staffing.StepMean(p.Mean, lambda, mu, stepS)
-		// What is launched now is up after a boot and should then do for an interval.
+		// A machine launched now is up after one boot time, and should then suffice for a review interval.
 		horizon := s.types[p.kind.Type].BootTimeS + s.Tuning.ReviewInterval.Seconds()
 		peak := staffing.PeakMean(p.Mean, lambda, mu, horizon)
 		target := 0
@@ -110,15 +113,15 @@
 			formula := staffing.RequiredServers(peak, p.batches.Peakedness()*peak, s.Tuning.Z)
 			target = max(formula, int(math.Ceil(peak))+p.readyMachines)
 		}
-		target = min(target, len(s.Fleet.Sorted)/poolDivisor)
-		if target > p.Target || now >= p.heldUntil {
+		target = min(target, len(s.Fleet.Sorted)/poolFleetDivisor)
+		if target > p.Target || now >= p.nextReviewAt {
 			p.Target = target
-			p.heldUntil = now + s.Tuning.ReviewInterval
+			p.nextReviewAt = now + s.Tuning.ReviewInterval
 		}
 	}
 }
 
-// resizePools picks the pools' machines, and launches what the fleet lacks.
+// resizePools adjusts the machines of each pool to its target, and launches the machines that are missing.
 func (s *Scaler) resizePools(now micros.Micros) {
 	for _, m := range s.Fleet.Sorted {
 		if m.Pool.IsSet() && (m.Instance.Terminating || m.DrainReason != "" || !m.Instance.Running) {
@@ -130,16 +133,17 @@
 	}
 }
 
-// sortedPools lists the pools in a fixed order.
+// sortedPools returns the pools in a fixed order.
 func (s *Scaler) sortedPools() []*Pool {
 	return slices.SortedFunc(maps.Values(s.pools), func(a, b *Pool) int {
 		return cmp.Or(cmp.Compare(a.kind.Type, b.kind.Type), cmp.Compare(strconv.FormatBool(a.kind.OnDemand), strconv.FormatBool(b.kind.OnDemand)))
 	})
 }
 
-// resizePool has a pool consist of as many machines as its target says.
+// resizePool adds machines to a pool or removes machines from it until it has as many as its target. It
+// launches machines if the fleet has too few suitable ones.
 func (s *Scaler) resizePool(p *Pool, now micros.Micros) {
-	var members, others []*state.Machine
+	var members, candidates []*state.Machine
 	booting := 0
 	for _, m := range s.Fleet.Sorted {
 		switch {
@@ -149,7 +153,7 @@
 		case !m.Instance.Running:
 			booting++
 		case !m.Pool.IsSet() && m.IsSchedulable(now):
-			others = append(others, m)
+			candidates = append(candidates, m)
 		}
 	}
 	if len(members) > p.Target {
@@ -161,43 +165,43 @@
 		return
 	}
 	t := s.types[p.kind.Type]
-	joined := s.addToPool(p, others, missing, t.BootTimeS, now)
-	missing -= joined
+	added := s.addToPool(p, candidates, missing, t.BootTimeS, now)
+	missing -= added
 	if n := missing - booting; n > 0 {
-		slog.Debug("gang pool is short", "instance_type", p.kind.Type, "target", p.Target, "missing", missing, "booting", booting)
+		slog.Debug("gang pool is below its target", "instance_type", p.kind.Type, "target", p.Target, "missing", missing, "booting", booting)
 		if s.launch(t, !p.kind.OnDemand, n, now) == 0 {
-			s.addToPool(p, others[joined:], n, math.Inf(1), now)
+			s.addToPool(p, candidates[added:], n, math.Inf(1), now)
 		}
 	}
 }
 
-// addToPool takes up to count machines into a pool, those first whose other work ends soonest, if it
-// does within so many seconds. It returns how many.
-func (s *Scaler) addToPool(p *Pool, machines []*state.Machine, count int, within float64, now micros.Micros) (joined int) {
-	clearIn := make(map[*state.Machine]float64, len(machines))
+// addToPool adds up to count machines to a pool, first those whose non-gang tasks end soonest. It adds none
+// on which such tasks remain for more than maxWaitS seconds. It returns how many machines it added.
+func (s *Scaler) addToPool(p *Pool, machines []*state.Machine, count int, maxWaitS float64, now micros.Micros) (added int) {
+	remainingS := make(map[*state.Machine]float64, len(machines))
 	for _, m := range machines {
 		for _, a := range m.Attempts {
 			if !a.Job.IsGang() {
-				clearIn[m] = math.Max(clearIn[m], s.Workload.RemainingRuntime(a, now))
+				remainingS[m] = math.Max(remainingS[m], s.Workload.RemainingRuntime(a, now))
 			}
 		}
 	}
-	slices.SortStableFunc(machines, func(a, b *state.Machine) int { return cmp.Compare(clearIn[a], clearIn[b]) })
+	slices.SortStableFunc(machines, func(a, b *state.Machine) int { return cmp.Compare(remainingS[a], remainingS[b]) })
 	for _, m := range machines[:min(count, len(machines))] {
-		if clearIn[m] > within {
+		if remainingS[m] > maxWaitS {
 			break
 		}
 		m.Pool = p.kind
 		s.OnChange()
-		joined++
+		added++
 	}
-	return joined
+	return added
 }
 
-// RestorePoolMembership takes a machine back into a pool, when after a failover its first heartbeat
-// shows nothing but gangs on it. Which machines were in a pool is not stored; in a fleet that arrays fill, those
-// with room for gangs are the ones. Without it the room that an earlier leader held was filled up with arrays
-// within a heartbeat interval.
+// RestorePoolMembership returns a machine to a pool if its first heartbeat after a failover shows no tasks
+// but those of gangs. Pool membership is not stored; in a fleet that array jobs fill, a machine without array
+// tasks was most likely in a pool. Without this, array tasks took only one heartbeat interval to fill the
+// capacity that an earlier leader had reserved for gangs.
 func (s *Scaler) RestorePoolMembership(m *state.Machine) {
 	for _, a := range m.Attempts {
 		if !a.Job.IsGang() {
@@ -205,14 +209,14 @@
 		}
 	}
 	for _, p := range s.sortedPools() {
-		if !m.Pool.IsSet() && p.kind.Admits(m.Offering) && s.poolMembers(p) < p.Target {
+		if !m.Pool.IsSet() && p.kind.Admits(m.Offering) && s.countPoolMachines(p) < p.Target {
 			m.Pool = p.kind
 		}
 	}
 }
 
-// poolMembers counts the machines of a pool.
-func (s *Scaler) poolMembers(p *Pool) (n int) {
+// countPoolMachines returns the number of machines in a pool.
+func (s *Scaler) countPoolMachines(p *Pool) (n int) {
 	for _, m := range s.Fleet.Sorted {
 		if m.Pool == p.kind {
 			n++
@@ -221,7 +225,7 @@
 	return n
 }
 
-// removeFromPool opens machines of a pool to all work, the emptiest first.
+// removeFromPool opens machines of a pool to all jobs, first those with the fewest tasks.
 func (s *Scaler) removeFromPool(members []*state.Machine, count int) {
 	slices.SortStableFunc(members, func(a, b *state.Machine) int { return cmp.Compare(len(a.Attempts), len(b.Attempts)) })
 	for _, m := range members[:count] {
@@ -230,16 +234,16 @@
 	}
 }
 
-// pooledBeyondMean is how many machines of a type the pools hold beyond their mean, which counts in
-// the type's own mean.
-func (s *Scaler) pooledBeyondMean(instanceType string) (beyond float64) {
+// pooledAboveMean returns by how many machines of a type the targets of the pools exceed the means of the
+// pools. The means themselves are already part of the mean of the type.
+func (s *Scaler) pooledAboveMean(instanceType string) (excess float64) {
 	for kind, p := range s.pools {
 		if kind.Type == instanceType {
-			beyond += math.Max(0, float64(p.Target)-p.Mean)
+			excess += math.Max(0, float64(p.Target)-p.Mean)
 		}
 	}
-	return beyond
+	return excess
 }
 
-// Pools are the pools by kind. The map must not be changed.
+// Pools returns the pools by kind. The caller must not change the map.
 func (s *Scaler) Pools() map[state.PoolKind]*Pool { return s.pools }
--- a/internal/leader/autoscaler/pools_test.go
+++ b/internal/leader/autoscaler/pools_test.go
@@ -9,23 +9,25 @@
 	"caperlatch/internal/wire"
 )
 
-// TestPoolSize has gangs come in and counts the machines that are then in a pool.
+// TestPoolSize checks how many machines are put into a pool when gangs are submitted.
 func TestPoolSize(t *testing.T) {
 	unchanged := func(*state.Job) {}
-	// Two CPUs of four: a gang is half of a machine. Four that came in now, over a third of a window at least and
-	// with 1.3 deviations of their number, are 3.9 machines in the mean by the end of an interval, rounded up.
-	// Seven machines that send a heartbeat every 8 s must have room: 0.75^7 = 0.13. The fleet's share bounds both.
+	// In the cases with gangs, each occupies two of four CPUs, which is half of a machine. The demand of four
+	// gangs that were just submitted is measured over at least a third of a window and raised by 1.3 standard
+	// deviations of their number. By the end of a review interval they occupy 3.9 machines on average, which
+	// is rounded up. In addition, seven machines that each send a heartbeat every 8 s must have free
+	// capacity, as 0.75^7 = 0.13. The pool's share of the fleet limits both.
 	for _, c := range []struct {
 		name     string
 		machines int
 		kind     wire.JobKind
 		jobs     int
 		tasks    int                // of each job
-		edit     func(j *state.Job) // each job
+		edit     func(j *state.Job) // applied to each job
 		want     int
 	}{
 		{"arrays alone", 32, wire.KindArray, 1, 40, unchanged, 0},
-		{"arrays that a machine could take", 32, wire.KindArray, 4, 2, unchanged, 0},
+		{"arrays that fit on one machine", 32, wire.KindArray, 4, 2, unchanged, 0},
 		{"gangs", 32, wire.KindGang, 4, 2, unchanged, 4},
 		{"gangs in a larger fleet", 232, wire.KindGang, 4, 2, unchanged, 11},
 		{"gangs known at a failover", 32, wire.KindGang, 4, 2, func(j *state.Job) { j.MayHaveEarlierTasks = true }, 4},
--- a/internal/leader/autoscaler/record.go
+++ b/internal/leader/autoscaler/record.go
@@ -6,14 +6,17 @@
 	"caperlatch/internal/micros"
 )
 
-// Record is what a new leader goes on from. It is stored under replica.AutoscalerKey.
+// Record is the state of the autoscaler from which a new leader continues. It is stored under
+// replica.AutoscalerKey.
 type Record struct {
 	Types map[string]TypeRecord `json:"types"`
-	// Quarantined are jobs that are taken to be at fault, and how often they were tried.
+	// Quarantined holds the jobs that are considered the cause of their tasks' failures, with the number of
+	// times that each was tried.
 	Quarantined map[string]int `json:"at_fault,omitempty"`
 }
 
-// TypeRecord is the model of one instance type, with the letters of the staffing formulas.
+// TypeRecord is the stored model of one instance type. Lambda, M and Mu are the symbols of the staffing
+// formulas.
 type TypeRecord struct {
 	Lambda   float64 `json:"lambda"`
 	M        float64 `json:"m"`
@@ -21,17 +24,17 @@
 	Finished int     `json:"finished"`
 	Required float64 `json:"want"`
 	Target   int     `json:"target"`
-	InFlight int     `json:"in_flight"` // machines whose launch is in progress
+	InFlight int     `json:"in_flight"` // machines whose launch has not been answered
 }
 
-// Record makes the record of the model as it is.
+// Record returns the record of the model in its present state.
 func (s *Scaler) Record(now micros.Micros) Record {
 	r := Record{Types: map[string]TypeRecord{}}
 	for _, t := range s.types {
 		r.Types[t.Name] = TypeRecord{
 			Lambda:   t.Demand.Rate(now),
 			M:        t.Mean,
-			Mu:       t.service.Rate(t.finishedTasks),
+			Mu:       t.serviceTime.Rate(t.finishedTasks),
 			Finished: t.finishedTasks,
 			Required: t.Required,
 			Target:   t.Target,
@@ -45,7 +48,7 @@
 	return r
 }
 
-// Restore goes on from an earlier leader's record.
+// Restore continues from the record of an earlier leader.
 func (s *Scaler) Restore(r Record, now micros.Micros) {
 	for name, t := range s.types {
 		stored, ok := r.Types[name]
@@ -54,12 +57,14 @@
 		}
 		t.Mean = stored.M
 		t.Demand.Seed(now, stored.Lambda)
-		// The target is taken anew as soon as the means are known: how long it was to hold is
-		// not stored, and held anew by each of several leaders it outlasted its peak by minutes.
+		// The requirement is computed anew as soon as the means are known. How long it was to be kept is not
+		// stored; when each of several leaders kept it for a whole interval again, it outlasted its peak by
+		// minutes.
 		t.Required, t.RequiredOnDemand = stored.Required, stored.Required
 		if stored.Mu > 0 {
-			// As if what is held had just ended: what ends first now are short tasks.
-			t.service.ObserveFinished(math.Max(1, stored.M), 1/stored.Mu, 1)
+			// This counts as if the load on the machines had just ended, because the tasks that end first now
+			// are short ones.
+			t.serviceTime.ObserveFinished(math.Max(1, stored.M), 1/stored.Mu, 1)
 			t.finishedTasks = stored.Finished
 		}
 	}
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -9,9 +9,10 @@
 	"caperlatch/internal/micros"
 )
 
-// markSurplus picks the n machines of a type that the formula does not want, the dearest and
-// emptiest. They get tasks only when no other has room: spread over all machines, a few tasks would keep every
-// one of them busy for ever.
+// markSurplus marks as surplus the n machines of a type that the formula does not require: the most expensive
+// ones, and of these the ones with the fewest tasks. A surplus machine gets tasks only when no other machine
+// has free capacity. If tasks were spread over all machines, a few tasks would keep each of them busy
+// forever.
 func (s *Scaler) markSurplus(t *TypeModel, n int, now micros.Micros) {
 	var candidates []*state.Machine
 	for _, m := range s.Fleet.Sorted {
@@ -35,36 +36,38 @@
 	}
 }
 
-// RejectDelayTolerant picks the on-demand machines of a type that only delay-tolerant jobs would
-// use. They get none of these, and so are terminated when they are idle: once launched for others,
-// best-effort work kept them for the rest of the day. wanted is how many machines are to be there for other
-// jobs, and need how many on-demand machines these need beyond the fleet: then none is picked.
-func (s *Scaler) RejectDelayTolerant(t *TypeModel, wanted, need float64) {
-	left := ceilMachines(wanted)
+// RejectDelayTolerant marks the on-demand machines of a type that only delay-tolerant jobs would use. No
+// further tasks of such jobs start on them, so they become idle and are terminated. Without this, best-effort
+// work kept machines that were launched for other jobs for the rest of the day. required is the number of
+// machines that other jobs require. need is the number of on-demand machines that they need in addition to
+// the fleet; if there is such a need, no machine is marked.
+func (s *Scaler) RejectDelayTolerant(t *TypeModel, required, need float64) {
+	remaining := ceilMachines(required)
 	var candidates []*state.Machine
 	for _, m := range s.Fleet.Sorted {
 		if m.Offering.Type != t.Name || m.Instance.Terminating || m.DrainReason != "" {
 			continue
 		}
 		m.RejectsDelayTolerant = false
-		if m.Offering.Spot || !s.servesDelayTolerantOnly(m) {
-			left--
+		if m.Offering.Spot || !s.runsOnlyDelayTolerant(m) {
+			remaining--
 			continue
 		}
 		candidates = append(candidates, m)
 	}
-	if need > traceOfMachine {
+	if need > roundingTolerance {
 		return
 	}
 	slices.SortStableFunc(candidates, func(a, b *state.Machine) int { return cmp.Compare(len(a.Attempts), len(b.Attempts)) })
-	picked := max(0, min(len(candidates), len(candidates)-int(math.Max(0, left))))
-	for _, m := range candidates[:picked] {
+	rejecting := max(0, min(len(candidates), len(candidates)-int(math.Max(0, remaining))))
+	for _, m := range candidates[:rejecting] {
 		m.RejectsDelayTolerant = true
 	}
 }
 
-// servesDelayTolerantOnly reports whether no other than delay-tolerant jobs have tasks on a machine.
-func (s *Scaler) servesDelayTolerantOnly(m *state.Machine) bool {
+// runsOnlyDelayTolerant reports whether all tasks on a machine are of delay-tolerant jobs and the machine is
+// in no pool.
+func (s *Scaler) runsOnlyDelayTolerant(m *state.Machine) bool {
 	if m.Pool.IsSet() {
 		return false
 	}
@@ -77,18 +80,18 @@
 }
 
 const (
-	// minBilledTime is how long a machine is paid for at least.
+	// minBilledTime is the shortest time for which the cloud bills a machine.
 	minBilledTime = 60 * micros.Second
-	// billingMargin is how long before its end a machine may be terminated.
+	// billingMargin is how long before the end of the minimum billed time a machine may be terminated.
 	billingMargin = 3 * micros.Second
 )
 
-// terminateIdle terminates up to n idle machines, the dearest first, but none before the time is
-// used that is paid for.
+// terminateIdle terminates up to n idle machines, the most expensive first. It terminates no machine before
+// its minimum billed time has almost passed.
 func (s *Scaler) terminateIdle(t *TypeModel, n int, now micros.Micros) {
 	if !s.Term.HoldsSession() {
-		// That a machine is terminated could not be stored, and a next leader would
-		// have to wait for its lease.
+		// The termination could not be stored, and the next leader would have to wait for the machine's lease
+		// to end.
 		return
 	}
 	var idle []*state.Machine
@@ -105,7 +108,7 @@
 	}
 }
 
-// isIdle reports whether a machine has been without use for so long that it may be terminated.
+// isIdle reports whether a machine has been unused for so long that it may be terminated.
 func (s *Scaler) isIdle(m *state.Machine, t *TypeModel, now micros.Micros) bool {
 	return len(m.Attempts) == 0 && len(m.PlannedStarts) == 0 && !m.Pool.IsSet() &&
 		m.TasksKnown() && !m.Instance.Terminating && m.DrainReason == "" &&
@@ -113,15 +116,15 @@
 		now-m.Instance.IdleSince > s.IdleTimeout(t, m.Offering.Spot)
 }
 
-// IdleTimeout is how long an idle machine is kept in case it is needed again. As much time as a new
-// one takes to boot costs about what terminating it in error would, to jobs that cannot wait; an expensive one
-// is not worth that while spot machines can be had.
+// IdleTimeout returns how long an idle machine is kept in case it is needed again. Keeping a machine for one
+// boot time costs about as much as terminating it by mistake costs the jobs that cannot wait. The timeout is
+// shorter for an expensive machine, which is not worth that much while spot machines are available.
 func (s *Scaler) IdleTimeout(t *TypeModel, spot bool) micros.Micros {
-	immediate, types := 0.0, 0.0
+	immediateShares, typeCount := 0.0, 0.0
 	for _, other := range s.types {
-		immediate += other.batches.ImmediateShare()
-		types++
+		immediateShares += other.batches.ImmediateShare()
+		typeCount++
 	}
-	keep := micros.FromSeconds(t.BootTimeS / s.PriceRatio(t, spot) * immediate / types)
-	return max(2*s.HeartbeatInterval, keep)
+	timeout := micros.FromSeconds(t.BootTimeS / s.PriceRatio(t, spot) * immediateShares / typeCount)
+	return max(2*s.HeartbeatInterval, timeout)
 }
--- a/internal/leader/autoscaler/scalein_test.go
+++ b/internal/leader/autoscaler/scalein_test.go
@@ -8,27 +8,27 @@
 	"caperlatch/internal/wire"
 )
 
-// TestRejectDelayTolerant has best-effort tasks on on-demand machines that no other work wants: no more of them
-// start there. What others use, or wait for, stays open to all.
+// TestRejectDelayTolerant checks that no further best-effort tasks start on on-demand machines that no other
+// work requires, and that machines which other work uses or waits for remain open to all jobs.
 func TestRejectDelayTolerant(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		priorities   []int // of a task on each machine
-		wanted, need float64
-		rejecting    int
+		name           string
+		priorities     []int // one task on each machine
+		required, need float64
+		rejecting      int
 	}{
 		{"no other work", []int{0, 0, 0}, 0, 0, 3},
-		{"one machine holds other work", []int{0, 1, 0}, 0, 0, 2},
-		{"the formula wants two machines", []int{0, 0, 0}, 2, 0, 1},
+		{"one machine runs other work", []int{0, 1, 0}, 0, 0, 2},
+		{"the formula requires two machines", []int{0, 0, 0}, 2, 0, 1},
 		{"other work waits", []int{0, 0, 0}, 0, 1, 0},
 	} {
 		s := newTest(t, len(c.priorities), typeM4)
 		for i, priority := range c.priorities {
 			j := newJob(fmt.Sprintf("j-00030%d", i), wire.KindArray, 1)
-			j.Spec.Class, j.Priority = "", priority // of no objective
+			j.Spec.Class, j.Priority = "", priority // a class without an objective
 			(&state.Attempt{Job: j, Machine: s.Fleet.Sorted[i]}).Attach()
 		}
-		s.RejectDelayTolerant(s.Type("m4"), c.wanted, c.need)
+		s.RejectDelayTolerant(s.Type("m4"), c.required, c.need)
 		rejecting := 0
 		for _, m := range s.Fleet.Sorted {
 			if m.RejectsDelayTolerant {
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -12,79 +12,81 @@
 	"caperlatch/placement"
 )
 
-// shortage is what the types so far could not give, in CPUs.
+// shortage is the number of CPUs that the types handled so far could not supply.
 type shortage struct {
-	any      float64
-	onDemand float64 // the part that may be on-demand machines
+	total    float64
+	onDemand float64 // the part that may be launched as on-demand machines
 }
 
-// scaleType launches or terminates spot machines of one type toward its target, and returns what
-// is short with it.
-func (s *Scaler) scaleType(t *TypeModel, supply Supply, need machineNeed, short shortage, now micros.Micros) shortage {
-	size := math.Max(t.CPUs, minCPUs)
-	floor, onDemandFloor := float64(supply.Busy), float64(supply.Busy)
-	if need.any > traceOfMachine {
-		floor = float64(supply.Total) + ceilMachines(need.any)
-	}
-	if need.onDemand > traceOfMachine {
-		onDemandFloor = float64(supply.Total) + ceilMachines(need.onDemand)
-	}
-	pooled := s.pooledBeyondMean(t.Name)
-	wanted := t.Required + pooled + short.any/size
-	wantedOnDemand := t.RequiredOnDemand + pooled + short.onDemand/size
-	t.Target = int(math.Max(ceilMachines(wanted), floor))
+// scaleType launches or terminates machines of one type to reach its target: it launches spot machines, and
+// terminates idle machines of either kind. It returns the shortage that remains.
+func (s *Scaler) scaleType(t *TypeModel, supply Supply, need machineNeed, uncovered shortage, now micros.Micros) shortage {
+	cpusPerMachine := math.Max(t.CPUs, minCPUs)
+	minTarget, minOnDemandTarget := float64(supply.Busy), float64(supply.Busy)
+	if need.total > roundingTolerance {
+		minTarget = float64(supply.Total) + ceilMachines(need.total)
+	}
+	if need.onDemand > roundingTolerance {
+		minOnDemandTarget = float64(supply.Total) + ceilMachines(need.onDemand)
+	}
+	pooled := s.pooledAboveMean(t.Name)
+	required := t.Required + pooled + uncovered.total/cpusPerMachine
+	requiredOnDemand := t.RequiredOnDemand + pooled + uncovered.onDemand/cpusPerMachine
+	t.Target = int(math.Max(ceilMachines(required), minTarget))
 	slog.Debug("scaling instance type", "instance_type", t.Name, "mean", t.Mean, "wanted", t.Required, "wanted_on_demand", t.RequiredOnDemand,
-		"busy", supply.Busy, "need", need.any, "short_cpus", short.any, "short_on_demand_cpus", short.onDemand, "total", supply.Total)
+		"busy", supply.Busy, "need", need.total, "short_cpus", uncovered.total, "short_on_demand_cpus", uncovered.onDemand, "total", supply.Total)
 	launched := 0
 	if missing := t.Target - supply.Total; missing > 0 {
 		launched = s.launch(t, true, missing, now)
 	} else {
 		s.terminateIdle(t, -missing, now)
 	}
-	lean := int(ceilMachines(wanted))
-	if need.any > 0 {
-		lean = supply.Total
+	needed := int(ceilMachines(required))
+	if need.total > 0 {
+		needed = supply.Total
 	}
-	s.markSurplus(t, supply.Total-lean, now)
-	s.RejectDelayTolerant(t, wantedOnDemand, need.onDemand)
-	given := float64(supply.Total + launched)
+	s.markSurplus(t, supply.Total-needed, now)
+	s.RejectDelayTolerant(t, requiredOnDemand, need.onDemand)
+	available := float64(supply.Total + launched)
 	return shortage{
-		any:      math.Max(0, math.Max(wanted, floor)-given) * size,
-		onDemand: math.Max(0, math.Max(wantedOnDemand, onDemandFloor)-given) * size,
+		total:    math.Max(0, math.Max(required, minTarget)-available) * cpusPerMachine,
+		onDemand: math.Max(0, math.Max(requiredOnDemand, minOnDemandTarget)-available) * cpusPerMachine,
 	}
 }
 
-// launchOnDemand launches on-demand machines for so many CPUs, the cheapest first. They cost about
-// three times as much: it is what no type had as spot machines.
+// launchOnDemand launches on-demand machines with the given number of CPUs in total, the cheapest first. They
+// cost about three times as much as spot machines, so they only cover what no type could supply as spot
+// machines.
 func (s *Scaler) launchOnDemand(types []*TypeModel, cpus float64, now micros.Micros) {
 	slices.SortStableFunc(types, func(a, b *TypeModel) int { return cmp.Compare(a.OnDemandPrice/a.CPUs, b.OnDemandPrice/b.CPUs) })
 	for _, t := range types {
-		size := math.Max(t.CPUs, minCPUs)
-		if n := int(ceilMachines(cpus / size)); n > 0 {
-			cpus -= float64(s.launch(t, false, n, now)) * size
+		cpusPerMachine := math.Max(t.CPUs, minCPUs)
+		if n := int(ceilMachines(cpus / cpusPerMachine)); n > 0 {
+			cpus -= float64(s.launch(t, false, n, now)) * cpusPerMachine
 		}
 	}
 }
 
-// maxIntentsPerOffering is how many launch intents of an offering are made at once: a fleet of a
-// thousand machines is to be on its way within seconds, with a few requests to the cloud a second.
+// maxIntentsPerOffering is how many launch intents are created for an offering at once. The requests for a
+// fleet of a thousand machines must be sent within seconds, at a few requests to the cloud per second.
 const maxIntentsPerOffering = 3
 
-// launch has up to n machines of a type launched, spread over the zones, and returns how many are
-// on their way.
+// launch requests up to n machines of a type, spread over the zones, and returns how many it has requested.
+// While an earlier request for the same kind of machine is unanswered, or another node may lead, it requests
+// nothing and returns n, so that nothing counts as short.
 func (s *Scaler) launch(t *TypeModel, spot bool, n int, now micros.Micros) (launched int) {
 	if !s.Term.IsExclusive() {
 		return n
 	}
-	var open []state.Offering
+	var available []state.Offering
 	for _, zone := range t.Zones {
 		o := state.Offering{Type: t.Name, Zone: zone, Spot: spot}
 		switch {
 		case s.Fleet.HasOpenIntent(o):
-			return n // the response to it comes first
+			return n // wait for the response first
 		case s.ZonePolicy.Decide(zone).MaxMachines == 0:
 		case s.Fleet.HasCapacity(o, now):
-			open = append(open, o)
+			available = append(available, o)
 		}
 	}
 	perZone := map[string]int{}
@@ -93,25 +95,25 @@
 			perZone[m.Offering.Zone]++
 		}
 	}
-	slices.SortStableFunc(open, func(a, b state.Offering) int { return cmp.Compare(perZone[a.Zone], perZone[b.Zone]) })
-	for i, o := range open {
-		left, offerings := n-launched, len(open)-i
-		count := min((left+offerings-1)/offerings, s.LaunchAllowance(o.Zone))
+	slices.SortStableFunc(available, func(a, b state.Offering) int { return cmp.Compare(perZone[a.Zone], perZone[b.Zone]) })
+	for i, o := range available {
+		remaining, offerings := n-launched, len(available)-i
+		count := min((remaining+offerings-1)/offerings, s.LaunchAllowance(o.Zone))
 		for range maxIntentsPerOffering {
 			if count <= 0 {
 				break
 			}
 			s.Fleet.Launch(o, count)
-			part := min(count, cloud.MaxInstancesPerLaunch)
-			launched, count = launched+part, count-part
+			batch := min(count, cloud.MaxInstancesPerLaunch)
+			launched, count = launched+batch, count-batch
 		}
 	}
 	return launched
 }
 
 const (
-	// constrainedLaunchDelay is how long a job may make no start before a machine is launched for
-	// it alone.
+	// constrainedLaunchDelay is how long no task of a job must have started before machines are launched for
+	// that job alone.
 	constrainedLaunchDelay = 10 * micros.Second
 	// maxConstrainedLaunch is how many machines are launched for one job at a time.
 	maxConstrainedLaunch = 4
@@ -120,16 +122,16 @@
 // offeringCount counts the machines of an offering.
 type offeringCount struct{ all, booting int }
 
-// launchForConstrainedJobs launches machines for jobs that some of the fleet is closed to, by
-// type, zone or kind, and that get nowhere: the types' targets count machines, not whom they serve, and such
-// a job would starve beside idle ones.
+// launchForConstrainedJobs launches machines for jobs that may not use part of the fleet, because of its
+// type, zone or kind, and whose tasks do not start. The targets of the types count machines regardless of
+// which jobs may use them, so such a job would starve while machines are idle.
 func (s *Scaler) launchForConstrainedJobs(now micros.Micros) {
 	wall := micros.Wall()
 	teams, awaitsReconciliation := s.TeamUse(), s.AwaitsReconciliation()
 	counts := s.countByOffering()
 	for _, j := range s.Jobs {
 		if awaitsReconciliation(j) || teams[j.Spec.Team].CountAllowed(j.Need, 1) == 0 {
-			continue // not for want of machines
+			continue // more machines would not help it
 		}
 		if j.StartableTasks(now) > 0 && now-j.SeenAt >= constrainedLaunchDelay && wall-j.LastStart >= constrainedLaunchDelay {
 			s.launchForConstrainedJob(j, counts, now)
@@ -137,7 +139,7 @@
 	}
 }
 
-// countByOffering counts the machines by what they were launched as.
+// countByOffering counts the machines of the fleet by offering.
 func (s *Scaler) countByOffering() map[state.Offering]offeringCount {
 	counts := map[state.Offering]offeringCount{}
 	for _, m := range s.Fleet.Sorted {
@@ -151,26 +153,26 @@
 	return counts
 }
 
-// launchForConstrainedJob launches machines for a job if some of the fleet is closed to it.
+// launchForConstrainedJob launches machines for a job if it may not use part of the fleet.
 func (s *Scaler) launchForConstrainedJob(j *state.Job, counts map[state.Offering]offeringCount, now micros.Micros) {
-	probe := placementProbe(j)
-	closed, booting := 0, 0
+	candidate := placementJob(j)
+	unusable, booting := 0, 0
 	for o, n := range counts {
-		if probe.CanStartOn(o.Type, o.Zone, o.Spot) {
+		if candidate.CanStartOn(o.Type, o.Zone, o.Spot) {
 			booting += n.booting
 		} else {
-			closed += n.all
+			unusable += n.all
 		}
 	}
-	if closed == 0 {
-		return // the targets serve it
+	if unusable == 0 {
+		return // the targets of the types cover the job
 	}
 	for _, o := range s.OfferingsFor(j) {
-		if !probe.CanStartOn(o.Type, o.Zone, o.Spot) {
-			continue // its other tasks bind it to another zone
+		if !candidate.CanStartOn(o.Type, o.Zone, o.Spot) {
+			continue // the job's other tasks restrict it to another zone
 		}
 		if s.Fleet.HasOpenIntent(o) {
-			return // the response to it comes first
+			return // wait for the response first
 		}
 		count := int(ceilMachines(float64(j.StartableTasks(now))*s.types[o.Type].Fraction(j.Need))) - booting
 		if count > 0 && s.Fleet.HasCapacity(o, now) && s.Term.IsExclusive() {
@@ -180,8 +182,8 @@
 	}
 }
 
-// placementProbe is what placement must know of a job to choose where its next task can start.
-func placementProbe(j *state.Job) placement.Job {
+// placementJob returns the part of a job that placement needs to decide where its next task can start.
+func placementJob(j *state.Job) placement.Job {
 	return placement.Job{
 		Constraints:  j.Constraints(),
 		Request:      placement.Request{TotalTasks: j.Spec.Tasks},
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -1,10 +1,10 @@
-// Package autoscaler decides how many machines of each instance type there are to be, and has the fleet
-// scaled out and in toward that.
+// Package autoscaler decides how many machines of each instance type the cluster needs, and scales the fleet
+// out and in toward these targets.
 //
-// It follows "Server Staffing To Meet Time-Varying Demand"; docs/design.md lists what was kept and changed. It
-// owns the staffing model of each instance type, the pools of machines for gangs, and what is stored of
-// both. It does no I/O: the fleet carries out. It must never launch while another node may lead, nor
-// terminate a machine that holds tasks.
+// It follows the paper "Server Staffing To Meet Time-Varying Demand"; docs/design.md lists what was kept and
+// what was changed. It owns the staffing model of each instance type, the pools of machines for gangs, and
+// the stored record of both. It does no I/O: package fleet sends the requests to the cloud. It must never
+// launch a machine while another node may lead, nor terminate a machine that holds tasks.
 //
 // Its methods are called with the leader's lock held.
 package autoscaler
@@ -19,49 +19,51 @@
 	"caperlatch/placement"
 )
 
-// Term is what the autoscaler needs of the leader's term.
+// Term tells the autoscaler whether the leader's term still allows it to launch and terminate machines.
 type Term interface {
 	HoldsSession() bool
 	IsExclusive() bool
 }
 
-// Config is what an autoscaler works with.
+// Config holds the settings and dependencies of an autoscaler.
 type Config struct {
 	Tuning   settings.Tuning
 	Term     Term
 	Fleet    *fleet.Fleet
 	Workload *workload.Workload
-	// Jobs are the jobs that have not ended, by ID; the leader keeps them.
+	// Jobs holds the jobs that have not ended, by ID. The leader maintains it.
 	Jobs map[string]*state.Job
-	// HeartbeatInterval is the usual time between a worker's heartbeats.
+	// HeartbeatInterval is the usual time between two heartbeats of a worker.
 	HeartbeatInterval micros.Micros
-	// TeamUse is what each team may be using at worst, and its limit.
+	// TeamUse returns, for each team, its limit and the most that it may be using now.
 	TeamUse func() map[string]*placement.Team
-	// AwaitsReconciliation makes a function that reports whether a job must start nothing yet, as
-	// machines whose tasks are not known may hold some of its tasks.
+	// AwaitsReconciliation returns a function that reports whether no task of a job may be started yet,
+	// because some of its tasks may be on machines whose tasks are not known.
 	AwaitsReconciliation func() func(*state.Job) bool
-	// ReplacedMachines are those that do not count as supply, since their zone is disrupted.
+	// ReplacedMachines returns the machines that do not count as supply because their zone is disrupted.
 	ReplacedMachines func(now micros.Micros) map[*state.Machine]bool
-	// ZonePolicy decides in which zones machines may be launched, and LaunchAllowance how many more.
+	// ZonePolicy decides in which zones machines may be launched. LaunchAllowance returns how many more may
+	// be launched in a zone.
 	ZonePolicy      zone.Policy
 	LaunchAllowance func(zone string) int
-	// OnChange is called when machines are open to other jobs than before.
+	// OnChange is called when the set of jobs that may use a machine changes.
 	OnChange func()
 }
 
-// Scaler is the autoscaler of one term.
+// Scaler is the autoscaler of one leader term.
 type Scaler struct {
 	Config
-	types   map[string]*TypeModel
-	order   []string // names of the types, as the cloud lists them
-	version int      // raised with each list of types
+	types        map[string]*TypeModel
+	typeNames    []string // names of the types, in the order of the cloud's list
+	typesVersion int      // incremented with each list of types
 
 	pools map[state.PoolKind]*Pool
-	// meansRaised is set once the means were raised to what machines really hold, once after a failover.
+	// meansRaised is set when RaiseMeans has compared the means with the load on the machines, once after a
+	// failover.
 	meansRaised bool
 }
 
-// New makes an autoscaler that knows no instance types yet.
+// New returns an autoscaler that knows no instance types yet.
 func New(c Config) *Scaler {
 	return &Scaler{
 		Config: c,
@@ -70,7 +72,7 @@
 	}
 }
 
-// Step steps the model by a second, and scales out or in toward the targets.
+// Step advances the model by one second and scales the fleet out or in toward the new targets.
 func (s *Scaler) Step(now micros.Micros) {
 	replaced := s.ReplacedMachines(now)
 	supply := s.CountSupply(replaced, now)
@@ -80,41 +82,41 @@
 	s.stepModel(types, now)
 	s.StepPools(now)
 	s.resizePools(now)
-	// What a type cannot give as spot machines passes on to the next dearer one.
-	var short shortage
+	// The next more expensive type makes up for what a type cannot supply as spot machines.
+	var uncovered shortage
 	for _, t := range types {
-		short = s.scaleType(t, supply[t.Name], need[t.Name], short, now)
+		uncovered = s.scaleType(t, supply[t.Name], need[t.Name], uncovered, now)
 	}
-	s.launchOnDemand(types, short.onDemand, now)
+	s.launchOnDemand(types, uncovered.onDemand, now)
 	s.launchForConstrainedJobs(now)
 	s.launchForGangs(now)
 }
 
-// Supply counts the machines of one type that can be counted on.
+// Supply counts the machines of one type that are expected to be available.
 type Supply struct {
-	Total int // with those that boot or are to be launched
-	Busy  int // in use, or in a pool
+	Total int // including those that are booting or are to be launched
+	Busy  int // with tasks or planned starts, or in a pool
 }
 
-// CountSupply counts the machines that can be counted on, by type; not those that are to be
-// replaced in other zones.
+// CountSupply returns the number of machines that are expected to be available, by type. It leaves out those
+// that are to be replaced by machines in other zones.
 func (s *Scaler) CountSupply(replaced map[*state.Machine]bool, now micros.Micros) map[string]Supply {
 	supply := map[string]Supply{}
 	for _, m := range s.Fleet.Machines {
 		if m.Instance.Terminating || m.DrainReason != "" || s.Fleet.IsOverdue(m, now) || replaced[m] {
 			continue
 		}
-		of := supply[m.Offering.Type]
-		of.Total++
+		count := supply[m.Offering.Type]
+		count.Total++
 		if len(m.Attempts) > 0 || len(m.PlannedStarts) > 0 || m.Pool.IsSet() {
-			of.Busy++
+			count.Busy++
 		}
-		supply[m.Offering.Type] = of
+		supply[m.Offering.Type] = count
 	}
 	for intent := range s.Fleet.OpenIntents() {
-		of := supply[intent.Type]
-		of.Total += intent.Count
-		supply[intent.Type] = of
+		count := supply[intent.Type]
+		count.Total += intent.Count
+		supply[intent.Type] = count
 	}
 	return supply
 }
--- a/internal/leader/autoscaler/types.go
+++ b/internal/leader/autoscaler/types.go
@@ -12,47 +12,49 @@
 	"caperlatch/staffing"
 )
 
-// TypeModel is an instance type with its staffing model, in machines of that type.
+// TypeModel is an instance type with its staffing model. The model counts in machines of that type.
 type TypeModel struct {
 	wire.InstanceType
 	Capacity placement.Resources
-	// Mean is the infinite-server mean m, and MeanBestEffort the part of it that delay-tolerant jobs bring.
+	// Mean is the infinite-server mean m, and MeanDelayTolerant the part of it that comes from delay-tolerant
+	// jobs.
 	Mean              float64
 	MeanDelayTolerant float64
-	// Demand measures the rate λ at which work comes in, and bestEffortDemand that of delay-tolerant jobs.
-	Demand           *staffing.DemandWindow
-	bestEffortDemand *staffing.DemandWindow
-	service          staffing.ServiceTime
-	batches          staffing.BatchSizes
-	finishedTasks    int
-	// Required is what the formula requires, held for an interval, and WantedOnDemand the same with the z
-	// of on-demand machines.
+	// Demand measures the arrival rate λ of work, and delayTolerantDemand that of the work of delay-tolerant
+	// jobs.
+	Demand              *staffing.DemandWindow
+	delayTolerantDemand *staffing.DemandWindow
+	serviceTime         staffing.ServiceTime
+	batches             staffing.BatchSizes
+	finishedTasks       int
+	// Required is the number of machines that the staffing formula requires, kept for one review interval.
+	// RequiredOnDemand is the same for work that is worth on-demand machines, with the z of on-demand prices.
 	Required         float64
 	RequiredOnDemand float64
-	Target           int // toward which the fleet is scaled
-	heldUntil        micros.Micros
+	Target           int // number of machines toward which the fleet is scaled
+	nextReviewAt     micros.Micros
 }
 
-// unlimited is more tasks than any machine takes.
-const unlimited = 1 << 20
+// maxTasksPerMachine is more tasks than fit on any machine.
+const maxTasksPerMachine = 1 << 20
 
-// minPullGBPerS keeps an image's pull time finite, and minCPUs a machine's share of work.
+// minPullGBPerS keeps the pull time of an image finite, and minCPUs the share of work per machine.
 const (
 	minPullGBPerS = 0.01
 	minCPUs       = 0.001
 )
 
-// SetInstanceTypes takes over the instance types that the cloud offers now.
+// SetInstanceTypes replaces the known instance types by those that the cloud offers now.
 func (s *Scaler) SetInstanceTypes(list wire.InstanceTypeList) {
-	s.order = s.order[:0]
-	s.version++
+	s.typeNames = s.typeNames[:0]
+	s.typesVersion++
 	for _, offered := range list.Types {
-		s.order = append(s.order, offered.Name)
+		s.typeNames = append(s.typeNames, offered.Name)
 		t := s.types[offered.Name]
 		if t == nil {
 			t = &TypeModel{
-				Demand:           staffing.NewDemandWindow(s.Tuning.Window),
-				bestEffortDemand: staffing.NewDemandWindow(s.Tuning.Window),
+				Demand:              staffing.NewDemandWindow(s.Tuning.Window),
+				delayTolerantDemand: staffing.NewDemandWindow(s.Tuning.Window),
 			}
 			s.types[offered.Name] = t
 		}
@@ -65,13 +67,13 @@
 	}
 }
 
-// Type is the instance type with a name, nil if it is not known.
+// Type returns the model of the named instance type, or nil if the type is not known.
 func (s *Scaler) Type(name string) *TypeModel { return s.types[name] }
 
-// Types are the known instance types by name. The map must not be changed.
+// Types returns the models of the known instance types by name. The caller must not change the map.
 func (s *Scaler) Types() map[string]*TypeModel { return s.types }
 
-// Fraction is the part of a machine of the type that a task holds.
+// Fraction returns the fraction of a machine of the type that one task occupies.
 func (t *TypeModel) Fraction(need placement.Resources) float64 {
 	fraction := 0.0
 	for _, r := range [...]struct{ need, capacity int64 }{{need.CPU, t.Capacity.CPU}, {need.GPU, t.Capacity.GPU}, {need.Memory, t.Capacity.Memory}} {
@@ -82,7 +84,7 @@
 	return fraction
 }
 
-// Price is the price of a machine of the type per hour.
+// Price returns the hourly price of a machine of the type.
 func (t *TypeModel) Price(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
@@ -90,24 +92,24 @@
 	return t.OnDemandPrice
 }
 
-// PullTimeS is how long a machine of the type pulls an image, in seconds.
+// PullTimeS returns how long a machine of the type takes to pull an image, in seconds.
 func (t *TypeModel) PullTimeS(imageSizeGB float64) float64 {
 	return imageSizeGB / math.Max(t.ImagePullGBPerS, minPullGBPerS)
 }
 
-// PriceRatio is a type's price per CPU over the cheapest that there is.
+// PriceRatio returns the price per CPU of a type, divided by the lowest price per CPU of all types.
 func (s *Scaler) PriceRatio(t *TypeModel, spot bool) float64 {
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, other := range s.types {
-		least = math.Min(least, math.Min(other.OnDemandPrice, other.SpotPrice)/other.CPUs)
+		lowest = math.Min(lowest, math.Min(other.OnDemandPrice, other.SpotPrice)/other.CPUs)
 	}
-	return math.Max(1, t.Price(spot)/t.CPUs/least)
+	return math.Max(1, t.Price(spot)/t.CPUs/lowest)
 }
 
-// typesBySpotPrice orders the types by what a CPU costs as spot instance.
+// typesBySpotPrice returns the types in ascending order of their spot price per CPU.
 func (s *Scaler) typesBySpotPrice() []*TypeModel {
-	types := make([]*TypeModel, 0, len(s.order))
-	for _, name := range s.order {
+	types := make([]*TypeModel, 0, len(s.typeNames))
+	for _, name := range s.typeNames {
 		types = append(types, s.types[name])
 	}
 	slices.SortStableFunc(types, func(a, b *TypeModel) int {
@@ -116,11 +118,11 @@
 	return types
 }
 
-// OfferingsFor lists what could be launched for a job, that on which its work is cheapest first.
-// It is kept with the job for as long as the instance types stay as they are.
+// OfferingsFor returns the offerings that a job's tasks may run on, in ascending order of the price per task.
+// The result is cached in the job until the list of instance types changes.
 func (s *Scaler) OfferingsFor(j *state.Job) []state.Offering {
-	if j.OfferingsVersion != s.version {
-		j.Offerings, j.OfferingsVersion = s.findOfferings(j), s.version
+	if j.OfferingsVersion != s.typesVersion {
+		j.Offerings, j.OfferingsVersion = s.findOfferings(j), s.typesVersion
 	}
 	return j.Offerings
 }
@@ -128,19 +130,19 @@
 func (s *Scaler) findOfferings(j *state.Job) []state.Offering {
 	type pricedOffering struct {
 		state.Offering
-		price float64 // of a task per hour
+		price float64 // per task and hour
 	}
 	var priced []pricedOffering
-	for _, name := range s.order {
+	for _, name := range s.typeNames {
 		t := s.types[name]
-		if t.Capacity.CountFitting(j.Need, unlimited) == 0 {
+		if t.Capacity.CountFitting(j.Need, maxTasksPerMachine) == 0 {
 			continue
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				o := state.Offering{Type: name, Zone: zone, Spot: spot}
-				if j.MayRunOn(o) {
-					priced = append(priced, pricedOffering{o, t.Price(spot) * t.Fraction(j.Need)})
+				offering := state.Offering{Type: name, Zone: zone, Spot: spot}
+				if j.MayRunOn(offering) {
+					priced = append(priced, pricedOffering{offering, t.Price(spot) * t.Fraction(j.Need)})
 				}
 			}
 		}
@@ -153,8 +155,9 @@
 	return offerings
 }
 
-// preferredType is the type that a job's demand is counted for: the cheapest of which the cloud had
-// capacity lately, else the cheapest; nil if none takes its tasks.
+// preferredType returns the type that a job's demand is counted for: the cheapest one for which the cloud has
+// not recently reported a lack of capacity, else the cheapest one. It returns nil if the job's tasks fit no
+// type.
 func (s *Scaler) preferredType(j *state.Job, now micros.Micros) *TypeModel {
 	offerings := s.OfferingsFor(j)
 	for _, o := range offerings {
