--- a/api.go
+++ b/api.go
@@ -44,7 +44,7 @@
 func (n *Node) CanForward() bool { return n.forwarding.canForward() }
 
 // ForwardHeartbeat has the leader answer an encoded heartbeat.
-func (n *Node) ForwardHeartbeat(ctx context.Context, heartbeat wire.Raw) (wire.Raw, error) {
+func (n *Node) ForwardHeartbeat(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	return n.forwarding.forward(ctx, heartbeat)
 }
 
@@ -66,7 +66,7 @@
 // StandbyStatus returns how far the warm standby is, as this node knows it.
 func (n *Node) StandbyStatus() (api.StandbyStatus, error) {
 	if n.standby == nil {
-		return api.StandbyStatus{}, api.ErrStandbyOff
+		return api.StandbyStatus{}, api.ErrStandbyDisabled
 	}
 	return n.standby.status(), nil
 }
@@ -75,7 +75,7 @@
 // the member that was named; empty: any.
 func (n *Node) HandOver() (to string, err error) {
 	if n.handover == nil {
-		return "", api.ErrStandbyOff
+		return "", api.ErrStandbyDisabled
 	}
 	return n.handover.handOver()
 }
@@ -84,7 +84,7 @@
 // that member once it leads.
 func (n *Node) HandOverAndConfirm(ctx context.Context) (to string, err error) {
 	if n.handover == nil {
-		return "", api.ErrStandbyOff
+		return "", api.ErrStandbyDisabled
 	}
 	return n.handover.handOverAndConfirm(ctx)
 }
@@ -95,7 +95,7 @@
 // MembershipStatus returns this node's view of the others.
 func (n *Node) MembershipStatus() (membership.Status, error) {
 	if n.membership == nil {
-		return membership.Status{}, api.ErrMembershipOff
+		return membership.Status{}, api.ErrMembershipDisabled
 	}
 	return n.membership.status(), nil
 }
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -69,6 +69,6 @@
 	fmt.Fprintf(w, "  last take-over here: token %d, %s; key taken at revision %d, read through %d\n",
 		r.Evidence.FencingToken, kind, r.Evidence.Revision, r.Evidence.ReadThrough)
 	for _, p := range r.Phases {
-		fmt.Fprintf(w, "    %s after %.3f s\n", p.Phase, p.TookS)
+		fmt.Fprintf(w, "    %s after %.3f s\n", p.Phase, p.PreviousPhaseS)
 	}
 }
--- a/cmd/caperlatch/status_commands_test.go
+++ b/cmd/caperlatch/status_commands_test.go
@@ -31,7 +31,7 @@
 		{"members", "members", 200, doubted, []string{"as host-0 sees them", "host-1: suspected for 1.2 s, heard 4.2 s ago\n  verdict in 2.1 s\n  doubted as well by host-2, host-3",
 			"host-2: alive for 60.0 s, heard 9.0 s ago, last answered in 0.5 ms\n  heard by host-3 alone", "no verdict: its session lives", "host-0 is slow itself",
 			"hears neither the state service nor any node", "3 suspicions, 1 verdicts, 0 doubts of itself refuted"}, ""},
-		{"members, off", "members", 404, wire.ErrorResponse{Message: api.ErrMembershipOff.Error()}, nil, "membership is off"},
+		{"members, off", "members", 404, wire.ErrorResponse{Message: api.ErrMembershipDisabled.Error()}, nil, "membership is off"},
 		{"members, by a version without them", "members", 404, nil, nil, "404 Not Found"},
 		{"zones, all healthy", "zones", 200, api.ZonesStatus{Leader: "host-1", Zones: []zone.Status{{Zone: "a", State: "healthy", Reason: zone.ReasonHeartbeatsArrive, OpenShare: 1}}},
 			[]string{"as host-1 sees them", "a: healthy: its machines are heard"}, ""},
@@ -39,7 +39,7 @@
 			[]string{"b: returning, step 2 of 4 for 4 s: starts succeed there", "40 up, 0 late, 2 silent", "losses not forgotten: 1", "25% open, 30 machines closed, 15 being replaced elsewhere",
 				"lost with the zone: news 4, scan 30", "begun again elsewhere: scan 20", "8 tasks on 2 machines wait for the ends of their leases, in 1 to 9 s"}, ""},
 		{"zones, one is held down", "zones", 200, api.ZonesStatus{Zones: []zone.Status{{Zone: "b", State: "held down", HoldDownS: 3}}}, []string{"held down for 3 s more"}, ""},
-		{"zones, off", "zones", 404, wire.ErrorResponse{Message: api.ErrZonesOff.Error()}, nil, "the policy on zones is off"},
+		{"zones, off", "zones", 404, wire.ErrorResponse{Message: api.ErrZonePolicyDisabled.Error()}, nil, "the policy on zones is off"},
 		{"zones, without a leader", "zones", 503, wire.ErrorResponse{Message: "no leader known"}, nil, "no leader known"},
 		{"zones, by a version without them", "zones", 404, nil, nil, "404 Not Found"},
 	}
--- a/contact.go
+++ b/contact.go
@@ -33,7 +33,7 @@
 }
 
 // hasStateService reports whether the state service answered this node lately.
-func (c *contact) hasStateService() bool { return c.store.SinceLastResponse() < peer.FreshWithin }
+func (c *contact) hasStateService() bool { return c.store.SinceLastResponse() < peer.ContactTimeout }
 
 // isReady reports whether this node can take requests. Without the state service it cannot, but
 // when no peer can either, being skipped would not help anyone. A node that has contact with
@@ -61,7 +61,7 @@
 // surroundings returns what the state service says of the members.
 func (c *contact) surroundings() membership.Environment {
 	around := membership.Environment{StateServiceReachable: c.hasStateService()}
-	if micros.Now()-c.replica.CurrentAsOf() < peer.FreshWithin {
+	if micros.Now()-c.replica.CurrentAsOf() < peer.ContactTimeout {
 		if l, modRevision := c.election.Leader(); modRevision != 0 {
 			around.Leader = l.Member
 		}
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -3,7 +3,7 @@
 
 import _ "embed"
 
-// Settings is an example of a node's settings, with every field explained.
+// ExampleSettings is an example of a node's settings, with every field explained.
 //
 //go:embed settings.example.toml
-var Settings []byte
+var ExampleSettings []byte
--- a/forwarding.go
+++ b/forwarding.go
@@ -42,7 +42,7 @@
 }
 
 // forward has the leader answer an encoded heartbeat.
-func (f *forwarding) forward(ctx context.Context, heartbeat wire.Raw) (wire.Raw, error) {
+func (f *forwarding) forward(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	if f.successor != nil {
 		return f.successor.forward(ctx, heartbeat)
 	}
@@ -77,7 +77,7 @@
 	replica          *replica.Replica
 	expectsSuccessor func() bool
 	// respondLocally has this node's own leader answer.
-	respondLocally func(heartbeat wire.Raw) (wire.Raw, error)
+	respondLocally func(heartbeat wire.RawMessage) (wire.RawMessage, error)
 }
 
 // forward has the leader answer a heartbeat, and if that one ends or stops answering, the next
@@ -85,7 +85,7 @@
 // returned here: what the earlier leader may still respond is dropped. A worker that was
 // rejected instead came back a second later, and one whose heartbeat was with a leader that
 // had stopped answering after 2.5 s.
-func (f *successorForwarding) forward(ctx context.Context, heartbeat wire.Raw) (wire.Raw, error) {
+func (f *successorForwarding) forward(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	firstToken := f.election.HighestKnownLeader().FencingToken
 	for {
 		known := f.election.HighestKnownLeader()
@@ -103,7 +103,7 @@
 }
 
 // forwardTo has one leader answer a heartbeat, and gives up once a later one is known.
-func (f *successorForwarding) forwardTo(ctx context.Context, to replica.Leader, heartbeat wire.Raw) (wire.Raw, error) {
+func (f *successorForwarding) forwardTo(ctx context.Context, to replica.Leader, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	if to.Member == f.member {
 		return f.respondLocally(heartbeat)
 	}
--- a/handover.go
+++ b/handover.go
@@ -168,7 +168,7 @@
 	next := h.awaitNextLeader(ctx, token)
 	slog.Info("handover confirmed", "to", to, "leader", next)
 	if to == "" || next != to {
-		return "", &api.HandoverError{Named: to, Leader: next}
+		return "", &api.HandoverError{Target: to, Leader: next}
 	}
 	return to, nil
 }
--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -52,7 +52,7 @@
 		SubmittedAt: job.SubmittedAt,
 		State:       wire.JobCancelled,
 		Reason:      "cancelled by its user",
-		EndedAt:     micros.Wall(),
+		EndedAt:     micros.WallTime(),
 	}
 	if !h.store.ValueAlwaysFits(cancelled) {
 		cancelled.Spec = nil
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -14,9 +14,9 @@
 
 // encodedTypes are those whose values answer questions about the state of the cluster.
 var encodedTypes = []golden.Type{
-	golden.Of[StandbyStatus]("the standby"),
-	golden.Of[HandoverResponse]("a handover"),
-	golden.Of[ZonesStatus]("the zones"),
+	golden.TypeOf[StandbyStatus]("the standby"),
+	golden.TypeOf[HandoverResponse]("a handover"),
+	golden.TypeOf[ZonesStatus]("the zones"),
 }
 
 // TestEncoded checks that they are encoded as they were.
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -33,7 +33,7 @@
 	// CanForward reports whether heartbeats can be forwarded to the leader.
 	CanForward() bool
 	// ForwardHeartbeat has the leader answer an encoded heartbeat and returns its encoded response.
-	ForwardHeartbeat(ctx context.Context, heartbeat wire.Raw) (wire.Raw, error)
+	ForwardHeartbeat(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error)
 	// AwaitHandover waits while leadership is being handed over, for a short and bounded time.
 	AwaitHandover(ctx context.Context)
 	// ExpectsSuccessor reports whether a leader that does not answer now should have a
--- a/internal/api/membership.go
+++ b/internal/api/membership.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/membership"
 )
 
-// ErrMembershipOff means that the node runs without membership.
-var ErrMembershipOff = errors.New("membership is off")
+// ErrMembershipDisabled means that the node runs without membership.
+var ErrMembershipDisabled = errors.New("membership is off")
 
 // MembershipObserver is the part of a node that questions about its peers need.
 type MembershipObserver interface {
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -12,8 +12,8 @@
 	"caperlatch/internal/standby"
 )
 
-// ErrStandbyOff means that the node runs without the warm standby.
-var ErrStandbyOff = errors.New("the warm standby is off")
+// ErrStandbyDisabled means that the node runs without the warm standby.
+var ErrStandbyDisabled = errors.New("the warm standby is off")
 
 // errNotLocal means that a request must come from the node's own machine.
 var errNotLocal = errors.New("only asked on the node's own machine")
@@ -31,13 +31,13 @@
 
 // HandoverError says that leadership was handed over, and not to a named member.
 type HandoverError struct {
-	Named  string // the member that was to lead next; empty: any, as none followed closely
+	Target string // the member that was to lead next; empty: any, as none followed closely
 	Leader string // the member that leads now; empty: none is known yet
 }
 
 // Error implements error. Operators are shown the text.
 func (e *HandoverError) Error() string {
-	to := cmp.Or(e.Named, "any node, as none follows closely")
+	to := cmp.Or(e.Target, "any node, as none follows closely")
 	if e.Leader == "" {
 		return "handed over to " + to + ", and nobody is known to lead yet"
 	}
@@ -85,7 +85,7 @@
 	}
 	to, err := h.node.HandOverAndConfirm(c.Request().Context())
 	switch {
-	case errors.Is(err, ErrStandbyOff):
+	case errors.Is(err, ErrStandbyDisabled):
 		return respondError(c, http.StatusNotFound, err)
 	case err != nil:
 		return respondError(c, http.StatusConflict, err)
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return replica.Job{}, &rejectionError{http.StatusBadRequest, err}
 	}
-	job := replica.Job{Spec: &spec, SubmittedAt: micros.Wall(), State: wire.JobPending}
+	job := replica.Job{Spec: &spec, SubmittedAt: micros.WallTime(), State: wire.JobPending}
 	if !h.store.ValueFitsNow(job) {
 		return replica.Job{}, &rejectionError{http.StatusBadRequest, errDescriptionTooLong}
 	}
--- a/internal/api/zones.go
+++ b/internal/api/zones.go
@@ -10,9 +10,9 @@
 	"caperlatch/internal/zone"
 )
 
-// ErrZonesOff means that the leader runs without the policy on zones, or with one that
+// ErrZonePolicyDisabled means that the leader runs without the policy on zones, or with one that
 // has no states to show.
-var ErrZonesOff = errors.New("the policy on zones is off")
+var ErrZonePolicyDisabled = errors.New("the policy on zones is off")
 
 // ZoneObserver is the part of a node that questions about zones need.
 type ZoneObserver interface {
@@ -38,7 +38,7 @@
 	defer cancel()
 	zones, err := h.node.ZoneStatus(ctx)
 	switch {
-	case errors.Is(err, ErrZonesOff):
+	case errors.Is(err, ErrZonePolicyDisabled):
 		return respondError(c, http.StatusNotFound, err)
 	case err != nil:
 		return respondError(c, http.StatusServiceUnavailable, err)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -82,15 +82,15 @@
 	MaxAbstention micros.Micros
 	// OnCampaign, if set, is called as this node begins to campaign.
 	OnCampaign func()
-	// YieldFor, if set, is for how long this node lets others campaign first, counted from when the leader key
+	// CampaignDelay, if set, is for how long this node lets others campaign first, counted from when the leader key
 	// was seen to be absent. It only saves time: a node that yields in vain leads a little later.
-	YieldFor func() micros.Micros
-	// TakesOver, if set, reports whether the leader that a leader key names has handed over to this node. That leader
+	CampaignDelay func() micros.Micros
+	// IsSuccessorOf, if set, reports whether the leader that a leader key names has handed over to this node. That leader
 	// must act no more: this node then replaces its key. Wake has the election ask again.
-	TakesOver func(replica.Leader) bool
-	// KeepKeyFor, if set, is for how long the leader key stays when OnElected has returned, so that the member that
+	IsSuccessorOf func(replica.Leader) bool
+	// HandoverGracePeriod, if set, is for how long the leader key stays when OnElected has returned, so that the member that
 	// the term was handed over to can replace it; 0: not at all.
-	KeepKeyFor func() micros.Micros
+	HandoverGracePeriod func() micros.Micros
 	// OnElected is called for each term, in a goroutine that the election waits for. It must return soon after
 	// its context ends; if it returns before, the term ends.
 	OnElected func(context.Context, *Term)
@@ -128,9 +128,9 @@
 		replica:         c.Replica,
 		peers:           c.Peers,
 		onCampaign:      c.OnCampaign,
-		yieldFor:        c.YieldFor,
-		takesOver:       c.TakesOver,
-		keepKeyFor:      c.KeepKeyFor,
+		yieldFor:        c.CampaignDelay,
+		takesOver:       c.IsSuccessorOf,
+		keepKeyFor:      c.HandoverGracePeriod,
 		wake:            make(chan struct{}, 1),
 		onElected:       c.OnElected,
 		campaignBackoff: retryInterval,
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -106,7 +106,7 @@
 		termStarts, termEnd := make(chan time.Time, 2), time.Time{}
 		var node *testNode
 		node = newTestNode(Config{
-			YieldFor: func() micros.Micros { return micros.Micros(yieldFor / time.Microsecond) },
+			CampaignDelay: func() micros.Micros { return micros.Micros(yieldFor / time.Microsecond) },
 			OnElected: func(ctx context.Context, _ *Term) {
 				termStarts <- time.Now()
 				if len(termStarts) == 1 {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -20,9 +20,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// UpdateVariable names the environment variable that has Check write the golden files. A test
+// UpdateEnvVar names the environment variable that has Check write the golden files. A test
 // that does so fails, so that no run with it passes.
-const UpdateVariable = "CAPERLATCH_GOLDEN_UPDATE"
+const UpdateEnvVar = "CAPERLATCH_GOLDEN_UPDATE"
 
 // Section is a part of a golden file.
 type Section struct {
@@ -38,7 +38,7 @@
 func Check(t *testing.T, file string, sections []Section) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
-	if os.Getenv(UpdateVariable) != "" {
+	if os.Getenv(UpdateEnvVar) != "" {
 		writeGolden(t, path, sections)
 		return
 	}
@@ -71,7 +71,7 @@
 	if err == nil {
 		err = os.WriteFile(path, []byte(fileContent(sections)), 0o644)
 	}
-	t.Errorf("%s was written, as %s is set: run the test without it (%v)", path, UpdateVariable, err)
+	t.Errorf("%s was written, as %s is set: run the test without it (%v)", path, UpdateEnvVar, err)
 }
 
 // fileContent returns the content of a golden file.
@@ -89,8 +89,8 @@
 	goType reflect.Type
 }
 
-// Of returns the type T with its name in golden files.
-func Of[T any](name string) Type { return Type{name, reflect.TypeFor[T]()} }
+// TypeOf returns the type T with its name in golden files.
+func TypeOf[T any](name string) Type { return Type{name, reflect.TypeFor[T]()} }
 
 // Codec is an encoding of values.
 type Codec struct {
@@ -215,9 +215,9 @@
 	}
 }
 
-// Values lists all values within v, one a line, in the order of the fields. It is for what is
+// FormatValues lists all values within v, one a line, in the order of the fields. It is for what is
 // encoded without names; Go names are left out.
-func Values(v any) string {
+func FormatValues(v any) string {
 	var b strings.Builder
 	listValues(&b, reflect.ValueOf(v))
 	return strings.TrimSuffix(b.String(), "\n")
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -64,7 +64,7 @@
 
 // TestValues checks that values are listed without Go names, those of embedded structs in place.
 func TestValues(t *testing.T) {
-	if got, want := Values(split{"x", within{2.5, []int{3, 4}}}), "\"x\"\n2.5\n2 elements\n3\n4"; got != want {
+	if got, want := FormatValues(split{"x", within{2.5, []int{3, 4}}}), "\"x\"\n2.5\n2 elements\n3\n4"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -18,7 +18,7 @@
 		Workload:             l.workload,
 		Jobs:                 l.jobs,
 		HeartbeatInterval:    l.heartbeatInterval,
-		TeamUse:              l.worstCaseTeamUsage,
+		TeamUsage:            l.worstCaseTeamUsage,
 		AwaitsReconciliation: l.awaitsReconciliation,
 		ReplacedMachines:     l.zones.ReplacedMachines,
 		ZonePolicy:           l.zones.Policy,
--- a/internal/leader/autoscaler/backlog.go
+++ b/internal/leader/autoscaler/backlog.go
@@ -102,8 +102,8 @@
 
 // addWaitingJobs adds the tasks that wait for machines, in the order in which their jobs were submitted.
 func (s *Scaler) addWaitingJobs(b *backlog, now micros.Micros) {
-	wall := micros.Wall()
-	teams := s.TeamUse()
+	wall := micros.WallTime()
+	teams := s.TeamUsage()
 	jobs := slices.SortedFunc(maps.Values(s.Jobs), func(x, y *state.Job) int {
 		return cmp.Or(cmp.Compare(x.SubmittedAt, y.SubmittedAt), cmp.Compare(x.Spec.ID, y.Spec.ID))
 	})
--- a/internal/leader/autoscaler/gangs.go
+++ b/internal/leader/autoscaler/gangs.go
@@ -17,7 +17,7 @@
 // alone requires. A gang that is being started needs free capacity now, because its other tasks occupy theirs
 // in vain until it is complete.
 func (s *Scaler) launchForGangs(now micros.Micros) {
-	teams, awaitsReconciliation := s.TeamUse(), s.AwaitsReconciliation()
+	teams, awaitsReconciliation := s.TeamUsage(), s.AwaitsReconciliation()
 	for _, j := range state.Gangs(s.Jobs) {
 		if awaitsReconciliation(j) || !s.Term.IsExclusive() {
 			continue
--- a/internal/leader/autoscaler/helpers_test.go
+++ b/internal/leader/autoscaler/helpers_test.go
@@ -47,7 +47,7 @@
 		Workload:             workload.New(params),
 		Jobs:                 map[string]*state.Job{},
 		HeartbeatInterval:    8 * micros.Second,
-		TeamUse:              func() map[string]*placement.Team { return map[string]*placement.Team{"blue": {}} },
+		TeamUsage:            func() map[string]*placement.Team { return map[string]*placement.Team{"blue": {}} },
 		AwaitsReconciliation: func() func(*state.Job) bool { return func(*state.Job) bool { return false } },
 		ReplacedMachines:     func(micros.Micros) map[*state.Machine]bool { return nil },
 		ZonePolicy:           zone.NewThresholdPolicy(),
@@ -85,7 +85,7 @@
 
 // newJob returns a job of class pairs that was submitted just now. Its tasks need one CPU each.
 func newJob(id string, kind wire.JobKind, tasks int) *state.Job {
-	return state.NewJob(replica.Job{SubmittedAt: micros.Wall(), Spec: &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: kind,
+	return state.NewJob(replica.Job{SubmittedAt: micros.WallTime(), Spec: &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: kind,
 		Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}}, false)
 }
 
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -126,8 +126,8 @@
 // type, zone or kind, and whose tasks do not start. The targets of the types count machines regardless of
 // which jobs may use them, so such a job would starve while machines are idle.
 func (s *Scaler) launchForConstrainedJobs(now micros.Micros) {
-	wall := micros.Wall()
-	teams, awaitsReconciliation := s.TeamUse(), s.AwaitsReconciliation()
+	wall := micros.WallTime()
+	teams, awaitsReconciliation := s.TeamUsage(), s.AwaitsReconciliation()
 	counts := s.countByOffering()
 	for _, j := range s.Jobs {
 		if awaitsReconciliation(j) || teams[j.Spec.Team].CountAllowed(j.Need, 1) == 0 {
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -35,8 +35,8 @@
 	Jobs map[string]*state.Job
 	// HeartbeatInterval is the usual time between two heartbeats of a worker.
 	HeartbeatInterval micros.Micros
-	// TeamUse returns, for each team, its limit and the most that it may be using now.
-	TeamUse func() map[string]*placement.Team
+	// TeamUsage returns, for each team, its limit and the most that it may be using now.
+	TeamUsage func() map[string]*placement.Team
 	// AwaitsReconciliation returns a function that reports whether no task of a job may be started yet,
 	// because some of its tasks may be on machines whose tasks are not known.
 	AwaitsReconciliation func() func(*state.Job) bool
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -49,10 +49,10 @@
 		s := &wire.Job{ID: id, Class: fmt.Sprintf("c%d", i%3), Team: []string{"blue", "red"}[i%2], Kind: wire.KindArray,
 			Priority: []wire.Priority{"normal", "urgent"}[i%2], Tasks: benchTasks, CPUs: 4, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%20),
 			ImageSizeGB: 2, EstimatedRuntimeS: float64(20 + i%50), AllowSpot: true}
-		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: s}, uint64(i+10))
+		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.WallTime(), Spec: s}, uint64(i+10))
 	}
 	for i := range machines / 50 {
-		intent := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.Wall() - 100*micros.Second}
+		intent := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.WallTime() - 100*micros.Second}
 		for k := range 50 {
 			intent.Machines = append(intent.Machines, benchMachine(i*50+k))
 		}
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -21,7 +21,7 @@
 
 // recordStop keeps the reason why a task stopped, for Explain. At the limit it first drops the oldest quarter.
 func (l *Leader) recordStop(a *state.Attempt, reason string) {
-	stop := explain.TaskStop{Task: a.TaskID(), Attempt: a.Number, Machine: a.Machine.ID, At: micros.Wall(), Reason: reason}
+	stop := explain.TaskStop{Task: a.TaskID(), Attempt: a.Number, Machine: a.Machine.ID, At: micros.WallTime(), Reason: reason}
 	slog.Debug("task stopped", "task", stop.Task, "attempt", stop.Attempt, "machine", stop.Machine, "reason", reason)
 	if len(l.recentStops) >= maxRecordedStops {
 		l.recentStops = slices.Delete(l.recentStops, 0, maxRecordedStops/4)
@@ -83,7 +83,7 @@
 			Attempt: a.Number,
 			Machine: a.Machine.ID,
 			State:   describeAttempt(a),
-			Since:   micros.Wall() - (micros.Now() - max(a.StartedAt, a.RunningSince)),
+			Since:   micros.WallTime() - (micros.Now() - max(a.StartedAt, a.RunningSince)),
 		})
 	}
 }
--- a/internal/leader/fleet/boots_test.go
+++ b/internal/leader/fleet/boots_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newTestFleet()
-			intent := f.AddIntent("r-5", LaunchIntent{Type: "m4", Zone: "a", Count: 2, At: micros.Wall() - c.sinceIntent})
+			intent := f.AddIntent("r-5", LaunchIntent{Type: "m4", Zone: "a", Count: 2, At: micros.WallTime() - c.sinceIntent})
 			f.RecordLaunch(intent, []string{"i-7", "i-8"})
 			now := micros.Now() + micros.Second
 			for _, id := range []string{"i-7", "i-8"} {
@@ -48,7 +48,7 @@
 					t.Errorf("%s counts as overdue 1s after the response to its launch", id)
 				}
 			}
-			if intent.At < micros.Wall()-2*micros.Second {
+			if intent.At < micros.WallTime()-2*micros.Second {
 				t.Error("the stored intent has the time of its creation, want the time of the response")
 			}
 		})
--- a/internal/leader/fleet/fleet.go
+++ b/internal/leader/fleet/fleet.go
@@ -116,7 +116,7 @@
 		Offering: intent.offering(),
 		Attempts: map[string]*state.Attempt{},
 	}
-	m.Instance.LaunchedAt = now - max(0, micros.Wall()-intent.At)
+	m.Instance.LaunchedAt = now - max(0, micros.WallTime()-intent.At)
 	m.Instance.IdleSince = now
 	m.Quarantine.SuspectJobs = map[string]bool{}
 	// A machine that is not in a stored list cannot have got tasks from an earlier term.
--- a/internal/leader/fleet/intents.go
+++ b/internal/leader/fleet/intents.go
@@ -74,7 +74,7 @@
 		Zone:  o.Zone,
 		Spot:  o.Spot,
 		Count: min(count, cloud.MaxInstancesPerLaunch),
-		At:    micros.Wall(),
+		At:    micros.WallTime(),
 	})
 	slog.Debug("launching instances", "intent", i.id, "instance_type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", i.Count)
 	f.storeIntent(i)
@@ -96,7 +96,7 @@
 		Zone:     o.Zone,
 		Spot:     o.Spot,
 		Count:    1,
-		At:       micros.Wall(),
+		At:       micros.WallTime(),
 		Answered: true,
 		Machines: []string{machineID},
 	})
@@ -288,7 +288,7 @@
 	// Instances requested during an outage of the cloud were launched only when it responded. When the time
 	// counted from the creation of the intent, such machines were considered late as soon as they were
 	// launched, and were terminated before the minimum billed time had passed.
-	i.At = micros.Wall()
+	i.At = micros.WallTime()
 	for _, id := range machines {
 		if f.Machines[id] != nil || f.terminated[id] {
 			continue
--- a/internal/leader/gang_assignment_test.go
+++ b/internal/leader/gang_assignment_test.go
@@ -135,7 +135,7 @@
 		l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 9})
 		c.before(t, l)
 		small := &wire.Job{ID: "j-000003", Team: "blue", Kind: wire.KindArray, Priority: "prod", Tasks: 4, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true}
-		l.jobs[small.ID] = state.NewJob(replica.Job{Spec: small, SubmittedAt: micros.Wall()}, false)
+		l.jobs[small.ID] = state.NewJob(replica.Job{Spec: small, SubmittedAt: micros.WallTime()}, false)
 		addSchedulable(l, "i-4", "a")
 		got := sendHeartbeat(t, l, "i-4")
 		if (len(got) > 0) != c.room || l.teamUsage["blue"].CPU > 9000 {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -32,7 +32,7 @@
 	l.applyJobChanges()
 	spec := &wire.Job{ID: gangID, Team: "blue", Kind: wire.KindGang, Priority: "normal", Tasks: 3, CPUs: 3, MemoryGB: 1,
 		EstimatedRuntimeS: 60, CheckpointIntervalS: 20, CheckpointDurationS: 3, AllowSpot: true}
-	l.jobs[spec.ID] = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall() - 5*micros.Second}, earlierTerm)
+	l.jobs[spec.ID] = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.WallTime() - 5*micros.Second}, earlierTerm)
 	for _, id := range []string{"i-2", "i-3"} {
 		l.fleet.Add(id, l.fleet.Intent("r-1"), l.startedAt)
 	}
--- a/internal/leader/gang_pool_test.go
+++ b/internal/leader/gang_pool_test.go
@@ -43,7 +43,7 @@
 	if edit != nil {
 		edit(spec)
 	}
-	j := state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, earlierTerm)
+	j := state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.WallTime()}, earlierTerm)
 	l.jobs[id] = j
 	l.scaler.AddDemand(j)
 	return j
--- a/internal/leader/gangs/helpers_test.go
+++ b/internal/leader/gangs/helpers_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	f := &fixture{term: &fakeTerm{isExclusive: true}, mayStay: true, zoneReachable: true, sentStops: map[*state.Machine][]*state.Attempt{}}
 	spec := &wire.Job{ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, CheckpointIntervalS: 20, CheckpointDurationS: 3}
-	f.job = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.Wall()}, false)
+	f.job = state.NewJob(replica.Job{Spec: spec, SubmittedAt: micros.WallTime()}, false)
 	for i := range 3 {
 		m := &state.Machine{ID: fmt.Sprintf("i-%d", i+1), Attempts: map[string]*state.Attempt{}, Free: placement.Resources{CPU: 4000}}
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored = true, true, true
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -13,14 +13,14 @@
 
 // encodedTypes are those whose values are stored by the leader, or explain a job, by their names in the golden file.
 var encodedTypes = []golden.Type{
-	golden.Of[fleet.LaunchIntent]("a booking"),
-	golden.Of[fleet.MachineList]("a list of machines that are up"),
-	golden.Of[state.TaskProgress]("the progress of a job"),
-	golden.Of[autoscaler.Record]("the staffing"),
-	golden.Of[autoscaler.TypeRecord]("the staffing of a type"),
-	golden.Of[explain.TaskStop]("a stop in an explanation"),
-	golden.Of[explain.TaskPlacement]("a task in an explanation"),
-	golden.Of[explain.Explanation]("an explanation"),
+	golden.TypeOf[fleet.LaunchIntent]("a booking"),
+	golden.TypeOf[fleet.MachineList]("a list of machines that are up"),
+	golden.TypeOf[state.TaskProgress]("the progress of a job"),
+	golden.TypeOf[autoscaler.Record]("the staffing"),
+	golden.TypeOf[autoscaler.TypeRecord]("the staffing of a type"),
+	golden.TypeOf[explain.TaskStop]("a stop in an explanation"),
+	golden.TypeOf[explain.TaskPlacement]("a task in an explanation"),
+	golden.TypeOf[explain.Explanation]("an explanation"),
 }
 
 // TestEncodedTypes checks that they are encoded as they were.
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -94,7 +94,7 @@
 func (l *Leader) publishHandover() (position uint64, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	to = l.Followers.FurthestFollower(followerFreshWithin).Member
+	to = l.Followers.MostUpToDateFollower(followerFreshWithin).Member
 	l.successor = to
 	l.Term.Relinquish()
 	l.publish(standby.Entry{Handover: &standby.Handover{To: to, Complete: l.areAllTasksConfirmed()}})
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -30,7 +30,7 @@
 	return uint64(len(f.entries))
 }
 
-func (f *fakeFollowers) FurthestFollower(micros.Micros) standby.FollowerState {
+func (f *fakeFollowers) MostUpToDateFollower(micros.Micros) standby.FollowerState {
 	return standby.FollowerState{Member: f.follower}
 }
 
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -56,7 +56,7 @@
 	m.Instance.IntentStored, m.Instance.ListStored = true, true
 	m.Reconciliation.Knowledge = state.TasksUnknown
 	m.Heartbeat.FromCurrentTerm = true
-	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{
+	job := replica.Job{State: wire.JobPending, SubmittedAt: micros.WallTime(), Spec: &wire.Job{
 		ID: "j-000001", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 3, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}}
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", job, 1)
 	l.applyJobChange("j-000001", true)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -142,7 +142,7 @@
 	l := &Leader{
 		Config:            c,
 		startedAt:         micros.Now(),
-		startedAtWall:     micros.Wall(),
+		startedAtWall:     micros.WallTime(),
 		heartbeatInterval: workers.HeartbeatInterval(),
 		leaseDuration:     workers.LeaseDuration(),
 		termLost:          make(chan struct{}),
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -19,7 +19,7 @@
 		LeaseRenewalWindow:      workers.LeaseRenewalWindow(),
 		CancellationTimeout:     workers.CancellationTimeout(),
 		EarlierTermsFencedSince: l.Term.EarlierTermsFencedSince,
-		RetainsSilentMachines:   func(zone string) bool { return l.zones.Policy.Decide(zone).KeepSilent },
+		RetainsSilentMachines:   func(zone string) bool { return l.zones.Policy.Decide(zone).RetainSilentMachines },
 		Fleet:                   l.fleet,
 		Queries:                 l.taskQueries,
 	})
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -164,7 +164,7 @@
 
 // captured is what the version was seen to store (testdata/versions/capture), by the moment of the capture and by
 // key.
-func (v oldVersion) captured(t *testing.T) (moments map[string]map[string]wire.Raw) {
+func (v oldVersion) captured(t *testing.T) (moments map[string]map[string]wire.RawMessage) {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "testdata", "versions", v.name, "stored.cbor"))
 	if err == nil {
@@ -217,7 +217,7 @@
 }
 
 // checkStored checks one value that an earlier version stored.
-func (l layout) checkStored(t *testing.T, what string, value wire.Raw) {
+func (l layout) checkStored(t *testing.T, what string, value wire.RawMessage) {
 	t.Helper()
 	now, old := reencode(t, value, l.now), reencode(t, value, l.old)
 	if got := reencode(t, now, l.old); !reflect.DeepEqual(got, old) {
--- a/internal/leader/publish.go
+++ b/internal/leader/publish.go
@@ -14,9 +14,9 @@
 	Publish(e standby.Entry)
 	// Position returns the position of the newest entry.
 	Position() uint64
-	// FurthestFollower returns the follower that has applied the most entries, of those whose last query is no
+	// MostUpToDateFollower returns the follower that has applied the most entries, of those whose last query is no
 	// older than within. It returns the zero value if there is none.
-	FurthestFollower(within micros.Micros) standby.FollowerState
+	MostUpToDateFollower(within micros.Micros) standby.FollowerState
 	// HasApplied reports whether a follower has applied all entries up to a position.
 	HasApplied(member string, position uint64) bool
 }
--- a/internal/leader/quarantine/quarantine_test.go
+++ b/internal/leader/quarantine/quarantine_test.go
@@ -123,7 +123,7 @@
 // leader, that it adds no demand, and that a success ends the quarantine.
 func TestProbes(t *testing.T) {
 	q, scaler := newTestQuarantine(t)
-	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.Wall()}, false)
+	j := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000200", Team: "blue", Tasks: 500, CPUs: 1, EstimatedRuntimeS: 10, AllowSpot: true}, SubmittedAt: micros.WallTime()}, false)
 	q.Jobs[j.Spec.ID] = j
 	scaler.AddDemand(j)
 	now := micros.Now()
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -167,7 +167,7 @@
 	if j.Attempts[a.Index] == a {
 		j.RunningCount++
 	}
-	j.LastStart = micros.Wall()
+	j.LastStart = micros.WallTime()
 	if j.FirstStart == 0 {
 		j.FirstStart = j.LastStart
 	}
--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -130,7 +130,7 @@
 // whose images take 25 s to pull, a fifth of the jobs with a deadline became late.
 func (s *Scheduler) hasSlackToMove(a *state.Attempt, now micros.Micros) bool {
 	spec, instanceType := a.Job.Spec, s.Scaler.Type(a.Machine.Offering.Type)
-	wall := micros.Wall()
+	wall := micros.WallTime()
 	deadlines := s.Workload.StartDeadlines(a.Job, false, wall)
 	costS := spec.CheckpointDurationS + instanceType.PullTimeS(spec.ImageSizeGB) + 2*s.HeartbeatInterval.Seconds()
 	slackS := (deadlines.Next - wall).Seconds() + s.Workload.ExpectedRuntime(spec) - s.Workload.RemainingRuntime(a, now)
--- a/internal/leader/scheduler/deferrals_test.go
+++ b/internal/leader/scheduler/deferrals_test.go
@@ -34,7 +34,7 @@
 	addMachine(s, "i-1", now)
 	add := func(id string, tasks int, deadlineS float64, age micros.Micros) {
 		spec := wire.Job{ID: id, Team: "blue", Class: "scan", Kind: wire.KindArray, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, DeadlineS: &deadlineS}
-		addJob(s, spec).SubmittedAt = micros.Wall() - age
+		addJob(s, spec).SubmittedAt = micros.WallTime() - age
 	}
 	add(smallJob, 2, 25, 0)
 	add(largeJob, 12, 40, 0) // its last task must start within 30 s or, for the second deadline, 70 s
--- a/internal/leader/scheduler/helpers_test.go
+++ b/internal/leader/scheduler/helpers_test.go
@@ -66,7 +66,7 @@
 		Gangs:                &fakeGangs{assigned: map[*state.Machine]int{}},
 		Jobs:                 jobs,
 		HeartbeatInterval:    testHeartbeatInterval,
-		TermStartedAt:        micros.Wall(),
+		TermStartedAt:        micros.WallTime(),
 		TeamUsage:            func() map[string]*placement.Team { return map[string]*placement.Team{"blue": {}} },
 		AwaitsReconciliation: func() func(*state.Job) bool { return func(*state.Job) bool { return false } },
 		ReviewQuarantine:     func(*state.Job, micros.Micros) {},
@@ -97,7 +97,7 @@
 
 // addJob adds a job that has just been submitted.
 func addJob(s *Scheduler, spec wire.Job) *state.Job {
-	j := state.NewJob(replica.Job{Spec: &spec, SubmittedAt: micros.Wall()}, false)
+	j := state.NewJob(replica.Job{Spec: &spec, SubmittedAt: micros.WallTime()}, false)
 	s.Jobs[spec.ID] = j
 	return j
 }
--- a/internal/leader/scheduler/preempt.go
+++ b/internal/leader/scheduler/preempt.go
@@ -72,7 +72,7 @@
 // would take too long to save a checkpoint is stopped without one: the work that it loses matters little
 // compared with a gang's delay.
 func (s *Scheduler) preemptForGangs(now micros.Micros) {
-	wall := micros.Wall()
+	wall := micros.WallTime()
 	var lateGangs []*placement.Job
 	for _, w := range s.queue.waiting {
 		if w.Gang && w.AtRisk && !w.Late && s.ReservedMachines(w.ID) == 0 && (w.EarliestStart == 0 || wall+w.EarliestStart > w.StartDeadline) {
--- a/internal/leader/scheduler/queue.go
+++ b/internal/leader/scheduler/queue.go
@@ -63,7 +63,7 @@
 	teams := s.TeamUsage()
 	awaitsReconciliation := s.AwaitsReconciliation()
 	withinGuarantee := s.Workload.JobsWithinGuarantee(s.Jobs)
-	wall := micros.Wall()
+	wall := micros.WallTime()
 	entries := make([]queueEntry, 0, len(s.Jobs))
 	for _, j := range s.Jobs {
 		s.ReviewQuarantine(j, now)
--- a/internal/leader/scheduler/queue_test.go
+++ b/internal/leader/scheduler/queue_test.go
@@ -31,7 +31,7 @@
 		{"has a completed task, and the term has just started", 400 * second, 130 * second, 1, false, 50 * second, urgent},
 	} {
 		s, _ := newTestScheduler(t)
-		now, wall := micros.Now(), micros.Wall()
+		now, wall := micros.Now(), micros.WallTime()
 		s.TermStartedAt = wall - c.termAge
 		m := addMachine(s, "i-1", now)
 		spec := wire.Job{ID: large, Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 64, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
--- a/internal/leader/task_counts_test.go
+++ b/internal/leader/task_counts_test.go
@@ -17,7 +17,7 @@
 	l, _ := newTestLeader(t)
 	for i := range jobs {
 		id := fmt.Sprintf("j-1%05d", i)
-		j := state.NewJob(replica.Job{State: wire.JobPending, SubmittedAt: micros.Wall(), Spec: &wire.Job{ID: id, Tasks: 1}}, false)
+		j := state.NewJob(replica.Job{State: wire.JobPending, SubmittedAt: micros.WallTime(), Spec: &wire.Job{ID: id, Tasks: 1}}, false)
 		j.RunningCount = 1
 		l.jobs[id] = j
 	}
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -103,7 +103,7 @@
 	if _, ok := l.finalJobs[id]; ok {
 		return
 	}
-	l.finalJobs[id] = replica.Job{SubmittedAt: j.SubmittedAt, State: wire.JobDone, Reason: "all tasks done", EndedAt: micros.Wall()}
+	l.finalJobs[id] = replica.Job{SubmittedAt: j.SubmittedAt, State: wire.JobDone, Reason: "all tasks done", EndedAt: micros.WallTime()}
 	l.writes.Enqueue(replica.JobPrefix + id)
 	l.writes.Wake()
 }
@@ -119,7 +119,7 @@
 		"class", j.Spec.Class,
 		"tasks", j.Spec.Tasks,
 		"estimated_runtime", micros.FromSeconds(j.Spec.EstimatedRuntimeS).Duration(),
-		"duration", (micros.Wall() - j.SubmittedAt).Duration(),
+		"duration", (micros.WallTime() - j.SubmittedAt).Duration(),
 		"first_start", (j.FirstStart - j.SubmittedAt).Duration(),
 		"last_start", (j.LastStart - j.SubmittedAt).Duration(),
 		"longest_run", j.LongestRun.Duration())
--- a/internal/leader/zone_cutoff_test.go
+++ b/internal/leader/zone_cutoff_test.go
@@ -42,7 +42,7 @@
 		// All of the only zone is most of the network, too.
 		want := zone.Decision{MaxMachines: zone.Unlimited, Reachable: true, OpenShare: 1}
 		if s.cutOff {
-			want = zone.Decision{KeepSilent: true, OpenShare: 1}
+			want = zone.Decision{RetainSilentMachines: true, OpenShare: 1}
 		}
 		if got := l.zones.Policy.Decide("a"); got != want {
 			t.Errorf("%s: %+v, want %+v", s.name, got, want)
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -28,7 +28,7 @@
 	now = micros.Now() + 1000*micros.Second
 	term.lastConfirmed = now
 	for i := range 20 {
-		m := l.fleet.Add(fmt.Sprintf("i-%02d", i), l.fleet.AddIntent(fmt.Sprintf("r-1%02d", i), fleet.LaunchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, Answered: true, At: micros.Wall()}), now)
+		m := l.fleet.Add(fmt.Sprintf("i-%02d", i), l.fleet.AddIntent(fmt.Sprintf("r-1%02d", i), fleet.LaunchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, Answered: true, At: micros.WallTime()}), now)
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.FromCurrentTerm, m.Delivery.RespondedThisTerm = true, true, true, true, true
 		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt, m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = now, now, 1, 100, m.ID+":9000"
 	}
--- a/internal/leader/zoning/record.go
+++ b/internal/leader/zoning/record.go
@@ -19,7 +19,7 @@
 		return
 	}
 	if modRevision != 0 {
-		z.Policy.Restore(&r, now, micros.Wall())
+		z.Policy.Restore(&r, now, micros.WallTime())
 		z.applyDecisions(z.evidence(now))
 	}
 }
@@ -27,7 +27,7 @@
 // EncodeRecord encodes the record of zones for the next leader. Its second result reports whether the record must be
 // written.
 func (z *Zones) EncodeRecord(w persist.Write) (persist.Write, bool) {
-	r := z.Policy.Record(micros.Now(), micros.Wall())
+	r := z.Policy.Record(micros.Now(), micros.WallTime())
 	if r == nil || len(r.Zones) == 0 {
 		return w, w.ModRevision != 0
 	}
--- a/internal/leader/zoning/zones.go
+++ b/internal/leader/zoning/zones.go
@@ -89,7 +89,7 @@
 		z.applyTransition(t)
 	}
 	z.applyDecisions(evidence)
-	if len(transitions) > 0 && z.Policy.Record(now, micros.Wall()) != nil {
+	if len(transitions) > 0 && z.Policy.Record(now, micros.WallTime()) != nil {
 		z.Writes.Enqueue(replica.ZonesKey)
 		z.Writes.Wake()
 	}
--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -60,7 +60,7 @@
 	scaler.SetInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	now = micros.Now() + 1000*micros.Second
 	for i := range 20 {
-		intent := z.Fleet.AddIntent(fmt.Sprintf("r-1%02d", i), fleet.LaunchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, Answered: true, At: micros.Wall()})
+		intent := z.Fleet.AddIntent(fmt.Sprintf("r-1%02d", i), fleet.LaunchIntent{Type: "m4", Zone: string("ab"[i/10]), Spot: true, Answered: true, At: micros.WallTime()})
 		m := z.Fleet.Add(fmt.Sprintf("i-%02d", i), intent, now)
 		m.Instance.Running, m.Instance.IntentStored, m.Instance.ListStored, m.Heartbeat.FromCurrentTerm, m.Delivery.RespondedThisTerm = true, true, true, true, true
 		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt, m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = now, now, 1, 100, m.ID+":9000"
@@ -265,7 +265,7 @@
 		stored any
 		want   string
 	}{
-		{"a lost zone", zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.RecordedZone{"b": {State: zone.FullDisruption, Since: micros.Wall(), Flaps: 2}}}, "lost"},
+		{"a lost zone", zone.Record{Version: zone.RecordVersion, Zones: map[string]zone.RecordedZone{"b": {State: zone.FullDisruption, Since: micros.WallTime(), Flaps: 2}}}, "lost"},
 		{"an unreadable record", "nonsense", "healthy"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,11 +9,11 @@
 
 // encodedTypes are those whose values are sent between nodes, or shown to operators.
 var encodedTypes = []golden.Type{
-	golden.Of[Heartbeat]("a heartbeat"),
-	golden.Of[MemberView]("an opinion of a member"),
-	golden.Of[Status]("what a member thinks of the others"),
-	golden.Of[MemberStatus]("what it thinks of one"),
-	golden.Of[Counts]("how often it was in doubt"),
+	golden.TypeOf[Heartbeat]("a heartbeat"),
+	golden.TypeOf[MemberView]("an opinion of a member"),
+	golden.TypeOf[Status]("what a member thinks of the others"),
+	golden.TypeOf[MemberStatus]("what it thinks of one"),
+	golden.TypeOf[Counts]("how often it was in doubt"),
 }
 
 // TestEncoded checks their encoding against the captured one.
@@ -26,5 +26,5 @@
 
 // TestStates checks the words of states against the captured ones.
 func TestStates(t *testing.T) {
-	golden.Check(t, "states.golden", []golden.Section{{Name: "states", Text: golden.Values([]State{Alive, Suspected, Failed, Left})}})
+	golden.Check(t, "states.golden", []golden.Section{{Name: "states", Text: golden.FormatValues([]State{Alive, Suspected, Failed, Left})}})
 }
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -30,8 +30,8 @@
 // Now reads the steady clock. Only differences of two readings in one process mean anything.
 func Now() Micros { return clockBase + Micros(time.Since(processStart)/time.Microsecond) }
 
-// Wall reads the time of day, counted from 1970. It may jump, and differs between machines.
-func Wall() Micros { return Micros(time.Now().UnixMicro()) }
+// WallTime reads the time of day, counted from 1970. It may jump, and differs between machines.
+func WallTime() Micros { return Micros(time.Now().UnixMicro()) }
 
 const (
 	perSecond = float64(Second)
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -9,7 +9,7 @@
 	"caperlatch/internal/wire"
 )
 
-func encode(t *testing.T, v any) wire.Raw {
+func encode(t *testing.T, v any) wire.RawMessage {
 	t.Helper()
 	b, err := wire.Marshal(v)
 	if err != nil {
@@ -18,7 +18,7 @@
 	return b
 }
 
-func decode[T any](t *testing.T, b wire.Raw) (v T) {
+func decode[T any](t *testing.T, b wire.RawMessage) (v T) {
 	t.Helper()
 	if err := wire.Unmarshal(b, &v); err != nil {
 		t.Fatalf("%T: %v", v, err)
@@ -27,7 +27,7 @@
 }
 
 // reencode decodes a message into a layout and encodes it again.
-func reencode(t *testing.T, b wire.Raw, layout reflect.Type) wire.Raw {
+func reencode(t *testing.T, b wire.RawMessage, layout reflect.Type) wire.RawMessage {
 	t.Helper()
 	v := reflect.New(layout)
 	if err := wire.Unmarshal(b, v.Interface()); err != nil {
@@ -152,7 +152,7 @@
 	grace := 10.0
 	heartbeatResponse.Commands = append(heartbeatResponse.Commands, wire.Command{Verb: wire.VerbStop, TaskID: "j-000377/1", Attempt: 1, GracePeriodS: &grace})
 	heartbeat.Tasks[1].Checkpointed = true
-	request := Request{ID: 7, Probe: capturedProbe(), ForwardedHeartbeats: []wire.Raw{encode(t, heartbeat)}, ExplainJob: "j-000412",
+	request := Request{ID: 7, Probe: capturedProbe(), ForwardedHeartbeats: []wire.RawMessage{encode(t, heartbeat)}, ExplainJob: "j-000412",
 		StandbyQuery: capturedStandbyQuery(), WantZones: true, MembershipHeartbeat: capturedMembershipHeartbeat()}
 	response := Response{ID: 7, NodeState: capturedNodeState(Version), ForwardedResponses: []ForwardedResponse{{Response: encode(t, heartbeatResponse)}, {Error: "not entitled"}}, Error: "not leading",
 		Explanation: capturedExplanation(), StandbyPage: capturedStandbyPage(), ZoneStatus: capturedZoneStatus(), MembershipHeartbeat: capturedMembershipHeartbeat()}
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -28,7 +28,7 @@
 
 // pendingHeartbeat is a heartbeat that waits for its response.
 type pendingHeartbeat struct {
-	heartbeat wire.Raw
+	heartbeat wire.RawMessage
 	result    chan ForwardedResponse // gets one; the zero value if nothing came from the peer
 }
 
@@ -60,7 +60,7 @@
 
 // ForwardHeartbeat has the peer respond to a worker's heartbeat. After an error other than
 // ErrRejected nobody knows whether the peer has seen it.
-func (c *Client) ForwardHeartbeat(ctx context.Context, heartbeat wire.Raw) (wire.Raw, error) {
+func (c *Client) ForwardHeartbeat(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	pending := &pendingHeartbeat{heartbeat, make(chan ForwardedResponse, 1)}
 	c.forwards.mu.Lock()
 	c.forwards.pending = append(c.forwards.pending, pending)
@@ -100,7 +100,7 @@
 func (c *Client) forwardBatch(batch []*pendingHeartbeat) {
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout.Duration())
 	defer cancel()
-	request := Request{ForwardedHeartbeats: make([]wire.Raw, len(batch))}
+	request := Request{ForwardedHeartbeats: make([]wire.RawMessage, len(batch))}
 	for i, pending := range batch {
 		request.ForwardedHeartbeats[i] = pending.heartbeat
 	}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -9,13 +9,13 @@
 
 // encodedTypes are those whose values are sent between nodes, or say which versions serve.
 var encodedTypes = []golden.Type{
-	golden.Of[Request]("a request"),
-	golden.Of[Response]("a response"),
-	golden.Of[Probe]("a probe"),
-	golden.Of[NodeState]("the state of a node"),
-	golden.Of[ForwardedResponse]("the answer to a report that was passed on"),
-	golden.Of[Versions]("versions"),
-	golden.Of[MemberVersion]("the version of a peer"),
+	golden.TypeOf[Request]("a request"),
+	golden.TypeOf[Response]("a response"),
+	golden.TypeOf[Probe]("a probe"),
+	golden.TypeOf[NodeState]("the state of a node"),
+	golden.TypeOf[ForwardedResponse]("the answer to a report that was passed on"),
+	golden.TypeOf[Versions]("versions"),
+	golden.TypeOf[MemberVersion]("the version of a peer"),
 }
 
 // TestEncoded compares their encodings with the golden file.
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -28,7 +28,7 @@
 	ID    uint64 `json:"id"` // of the request on its stream, set by Client.Call
 	Probe *Probe `json:"probe,omitempty"`
 	// ForwardedHeartbeats are workers' heartbeats, for the leader to respond to.
-	ForwardedHeartbeats []wire.Raw `json:"relay,omitempty"`
+	ForwardedHeartbeats []wire.RawMessage `json:"relay,omitempty"`
 	// ExplainJob is the ID of a job of which the leader is to say what it knows.
 	ExplainJob string `json:"explain,omitempty"`
 	// StandbyQuery asks a leader what it has decided. 3a714ab, 5fd93d5 and 1f14824 ignore the field, and their
@@ -93,8 +93,8 @@
 
 // ForwardedResponse is the leader's response to one forwarded heartbeat, or why there is none.
 type ForwardedResponse struct {
-	Response wire.Raw `json:"answer,omitempty"`
-	Error    string   `json:"error,omitempty"`
+	Response wire.RawMessage `json:"answer,omitempty"`
+	Error    string          `json:"error,omitempty"`
 }
 
 // maxMessageBytes bounds what a peer may send in one value.
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -15,10 +15,10 @@
 // a type of its own.
 type (
 	v3a714abRequest struct {
-		ID      uint64         `json:"id"`
-		Probe   *v3a714abProbe `json:"probe,omitempty"`
-		Relay   []wire.Raw     `json:"relay,omitempty"`
-		Explain string         `json:"explain,omitempty"`
+		ID      uint64            `json:"id"`
+		Probe   *v3a714abProbe    `json:"probe,omitempty"`
+		Relay   []wire.RawMessage `json:"relay,omitempty"`
+		Explain string            `json:"explain,omitempty"`
 	}
 	v3a714abProbe struct {
 		Member string            `json:"member"`
@@ -78,25 +78,25 @@
 	}
 	// What the warm standby sends is kept undecoded: it has a version of its own.
 	vd052fb0Request struct {
-		ID      uint64         `json:"id"`
-		Probe   *v3a714abProbe `json:"probe,omitempty"`
-		Relay   []wire.Raw     `json:"relay,omitempty"`
-		Explain string         `json:"explain,omitempty"`
-		Standby wire.Raw       `json:"standby,omitempty"`
+		ID      uint64            `json:"id"`
+		Probe   *v3a714abProbe    `json:"probe,omitempty"`
+		Relay   []wire.RawMessage `json:"relay,omitempty"`
+		Explain string            `json:"explain,omitempty"`
+		Standby wire.RawMessage   `json:"standby,omitempty"`
 	}
 	vd052fb0Response struct {
 		ID      uint64               `json:"id"`
 		State   *v5fd93d5State       `json:"state,omitempty"`
 		Relay   []v3a714abRelayed    `json:"relay,omitempty"`
 		Explain *v3a714abExplanation `json:"explain,omitempty"`
-		Standby wire.Raw             `json:"standby,omitempty"`
+		Standby wire.RawMessage      `json:"standby,omitempty"`
 		Error   string               `json:"error,omitempty"`
 	}
 	// What the warm standby, the policy on zones and the members send, and explanations, all complete.
 	v01da0cfRequest struct {
 		ID        uint64                `json:"id"`
 		Probe     *v3a714abProbe        `json:"probe,omitempty"`
-		Relay     []wire.Raw            `json:"relay,omitempty"`
+		Relay     []wire.RawMessage     `json:"relay,omitempty"`
 		Explain   string                `json:"explain,omitempty"`
 		Standby   *v01da0cfStandbyQuery `json:"standby,omitempty"`
 		Zones     bool                  `json:"zones,omitempty"`
@@ -265,8 +265,8 @@
 		} `json:"stops"`
 	}
 	v3a714abRelayed struct {
-		Answer wire.Raw `json:"answer,omitempty"`
-		Error  string   `json:"error,omitempty"`
+		Answer wire.RawMessage `json:"answer,omitempty"`
+		Error  string          `json:"error,omitempty"`
 	}
 	// Of what is only shown to the operators, the part that matters most.
 	v3a714abExplanation struct {
@@ -342,11 +342,11 @@
 }
 
 // messages are those captured from the version (testdata/versions/capture), by name.
-func (v oldVersion) messages(t *testing.T) map[string]wire.Raw {
+func (v oldVersion) messages(t *testing.T) map[string]wire.RawMessage {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "testdata", "versions", v.name, "messages.cbor"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return decode[map[string]wire.Raw](t, b)
+	return decode[map[string]wire.RawMessage](t, b)
 }
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -15,8 +15,8 @@
 	probeTimeout  = 1200 * micros.Millisecond
 	// AbstentionTTL is how long a node that abstains does not campaign.
 	AbstentionTTL = 1500 * micros.Millisecond
-	// FreshWithin is how old the last sign of the state service, or of a peer, may be for it to count as in contact.
-	FreshWithin = 3 * micros.Second
+	// ContactTimeout is how old the last sign of the state service, or of a peer, may be for it to count as in contact.
+	ContactTimeout = 3 * micros.Second
 	// forwarderFreshWithin is how old a peer's response may be for sending workers to the peer, or
 	// for forwarding heartbeats to it.
 	forwarderFreshWithin = 1500 * micros.Millisecond
@@ -173,7 +173,7 @@
 func (p *Peers) AnyReachesStateService() bool {
 	reaches := false
 	p.each(func(last *lastResponse) {
-		reaches = reaches || last.isFreshWithin(FreshWithin) && last.state.Loaded && last.state.SinceStateService < FreshWithin
+		reaches = reaches || last.isFreshWithin(ContactTimeout) && last.state.Loaded && last.state.SinceStateService < ContactTimeout
 	})
 	return reaches
 }
@@ -181,7 +181,7 @@
 // AnyResponds reports whether some peer has answered lately.
 func (p *Peers) AnyResponds() bool {
 	responds := false
-	p.each(func(last *lastResponse) { responds = responds || last.isFreshWithin(FreshWithin) })
+	p.each(func(last *lastResponse) { responds = responds || last.isFreshWithin(ContactTimeout) })
 	return responds
 }
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -28,7 +28,7 @@
 	// HandleProbe takes over what a peer sends of itself and returns the state of this node.
 	HandleProbe(p *Probe) *NodeState
 	// HandleForwardedHeartbeat responds to a worker's heartbeat that a peer forwards.
-	HandleForwardedHeartbeat(heartbeat wire.Raw) (wire.Raw, error)
+	HandleForwardedHeartbeat(heartbeat wire.RawMessage) (wire.RawMessage, error)
 	// HandleExplain returns what the leader here knows of a job.
 	HandleExplain(job string) (explain.Explanation, error)
 	// HandleStandbyQuery returns to a follower what the leader here has decided; nil if none publishes.
@@ -116,7 +116,7 @@
 // respondToForwarded responds to forwarded heartbeats, as many as one message holds. The rest
 // must not be shown to the leader at all: were the message too large, the starts in all
 // its responses would be lost, again and again while a whole fleet waits to be filled.
-func respondToForwarded(heartbeats []wire.Raw, h Handler) []ForwardedResponse {
+func respondToForwarded(heartbeats []wire.RawMessage, h Handler) []ForwardedResponse {
 	responses, size := make([]ForwardedResponse, len(heartbeats)), 0
 	for i, heartbeat := range heartbeats {
 		if size > maxForwardedResponseBytes {
--- a/internal/peer/server_test.go
+++ b/internal/peer/server_test.go
@@ -18,7 +18,7 @@
 
 func (*largeResponses) HandleProbe(*Probe) *NodeState { return &NodeState{} }
 
-func (h *largeResponses) HandleForwardedHeartbeat(wire.Raw) (wire.Raw, error) {
+func (h *largeResponses) HandleForwardedHeartbeat(wire.RawMessage) (wire.RawMessage, error) {
 	h.heartbeats++
 	return wire.Marshal(make([]byte, 20<<10))
 }
@@ -44,9 +44,9 @@
 		here, there := net.Pipe()
 		go func() { _ = serveConn(there, handler) }() // ends with the pipe
 		client := NewClient("leader", func(context.Context, string) (net.Conn, error) { return here, nil })
-		request := Request{ForwardedHeartbeats: make([]wire.Raw, heartbeats)}
+		request := Request{ForwardedHeartbeats: make([]wire.RawMessage, heartbeats)}
 		for i := range request.ForwardedHeartbeats {
-			request.ForwardedHeartbeats[i] = wire.Raw{0xa0}
+			request.ForwardedHeartbeats[i] = wire.RawMessage{0xa0}
 		}
 		response, err := client.Call(t.Context(), request)
 		if err != nil || len(response.ForwardedResponses) != heartbeats {
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -35,7 +35,7 @@
 	defer p.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(p.clients)) {
 		peer := MemberVersion{Member: name}
-		if last := p.last[name]; last.isFreshWithin(FreshWithin) {
+		if last := p.last[name]; last.isFreshWithin(ContactTimeout) {
 			peer.Responding, peer.Version = true, max(0, last.state.Version)
 		}
 		versions.Common = min(versions.Common, peer.Version)
--- a/internal/peer/version_test.go
+++ b/internal/peer/version_test.go
@@ -13,7 +13,7 @@
 // TestVersions goes through what peers may answer of their version.
 func TestVersions(t *testing.T) {
 	answering := func(version int) *lastResponse { return &lastResponse{state: NodeState{Version: version}} }
-	silent := &lastResponse{state: NodeState{Version: Version}, sentAt: -2 * FreshWithin}
+	silent := &lastResponse{state: NodeState{Version: Version}, sentAt: -2 * ContactTimeout}
 	cases := []struct {
 		name   string
 		last   map[string]*lastResponse // relative to now
--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -56,7 +56,7 @@
 }
 
 // put applies a value unless the one known is as new; mu must be held.
-func (r *Replica) put(key string, value wire.Raw, modRevision uint64) {
+func (r *Replica) put(key string, value wire.RawMessage, modRevision uint64) {
 	id, isJob := strings.CutPrefix(key, JobPrefix)
 	if !isJob {
 		if modRevision > r.values[key].modRevision {
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -9,10 +9,10 @@
 
 // encodedTypes are those whose values are stored or sent to other nodes.
 var encodedTypes = []golden.Type{
-	golden.Of[Job]("a stored job"),
-	golden.Of[Leader]("who leads"),
-	golden.Of[TokenRecord]("the highest token"),
-	golden.Of[Cancellation]("a cancellation told to another node"),
+	golden.TypeOf[Job]("a stored job"),
+	golden.TypeOf[Leader]("who leads"),
+	golden.TypeOf[TokenRecord]("the highest token"),
+	golden.TypeOf[Cancellation]("a cancellation told to another node"),
 }
 
 // TestEncoded compares their encodings with the golden file.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -24,7 +24,7 @@
 
 // storedValue is the value of a key other than a job's.
 type storedValue struct {
-	value       wire.Raw
+	value       wire.RawMessage
 	modRevision uint64
 }
 
--- a/internal/settings/elements_test.go
+++ b/internal/settings/elements_test.go
@@ -65,7 +65,7 @@
 
 // TestMissingFiles checks the errors for files that cannot be opened.
 func TestMissingFiles(t *testing.T) {
-	t.Setenv(TuningVariable, "missing.xml")
+	t.Setenv(TuningEnvVar, "missing.xml")
 	_, tuning := ReadTuning()
 	_, standby := ReadStandby("missing.xml")
 	_, features := ReadFeatures("missing.xml", testParams())
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -46,13 +46,13 @@
 	golden.Check(t, "settings.golden", []golden.Section{
 		{Name: "all fields", Text: text},
 		{Name: "the example", Text: asTOML(t, example)},
-		{Name: "its values", Text: golden.Values(example)},
+		{Name: "its values", Text: golden.FormatValues(example)},
 	})
 }
 
 // TestSettingsTags checks that tags name all fields of settings.
 func TestSettingsTags(t *testing.T) {
-	golden.CheckTags(t, "toml", golden.Of[Settings]("settings"))
+	golden.CheckTags(t, "toml", golden.TypeOf[Settings]("settings"))
 }
 
 // operatorsSections returns the sections of the operators' files, but for the tuning's.
@@ -70,7 +70,7 @@
 // TestElementNames checks the names of the elements of the operators' files.
 func TestElementNames(t *testing.T) {
 	sections := operatorsSections()
-	out := []golden.Section{{Name: "root", Text: rootElement}, {Name: "variable with the tuning", Text: TuningVariable}, {Name: "section of the tuning", Text: staffingElement}}
+	out := []golden.Section{{Name: "root", Text: rootElement}, {Name: "variable with the tuning", Text: TuningEnvVar}, {Name: "section of the tuning", Text: staffingElement}}
 	for _, name := range slices.Sorted(maps.Keys(sections)) {
 		var fields []string
 		for _, f := range slices.Sorted(maps.Keys(sections[name].fields)) {
@@ -143,8 +143,8 @@
 		t.Fatal(err)
 	}
 	sections := []golden.Section{
-		{Name: "tuning by default", Text: golden.Values(DefaultTuning())},
-		{Name: "all of the tuning", Text: golden.Values(tuning)},
+		{Name: "tuning by default", Text: golden.FormatValues(DefaultTuning())},
+		{Name: "all of the tuning", Text: golden.FormatValues(tuning)},
 	}
 	add := func(name, content string) {
 		features, err := ParseFeatures(strings.NewReader(content), &example.Params)
@@ -153,7 +153,7 @@
 			return
 		}
 		for part, values := range map[string]any{standbyElement: features.Standby, zonesElement: features.Zones, membershipElement: features.Membership} {
-			sections = append(sections, golden.Section{Name: fmt.Sprintf("%s: %s", name, part), Text: golden.Values(values)})
+			sections = append(sections, golden.Section{Name: fmt.Sprintf("%s: %s", name, part), Text: golden.FormatValues(values)})
 		}
 		slices.SortStableFunc(sections[2:], func(a, b golden.Section) int { return strings.Compare(a.Name, b.Name) })
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sections = append(sections, golden.Section{Name: "standby.xml, by itself", Text: golden.Values(b)})
+	sections = append(sections, golden.Section{Name: "standby.xml, by itself", Text: golden.FormatValues(b)})
 	golden.Check(t, "files.golden", sections)
 }
 
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -8,9 +8,9 @@
 	"caperlatch/internal/micros"
 )
 
-// TuningVariable names the environment variable that holds the path of the operators' file of
+// TuningEnvVar names the environment variable that holds the path of the operators' file of
 // tuned values.
-const TuningVariable = "CAPERLATCH_TUNING"
+const TuningEnvVar = "CAPERLATCH_TUNING"
 
 // staffingElement holds the tuned values.
 const staffingElement = "staffing"
@@ -42,7 +42,7 @@
 // ReadTuning reads the file whose path is in the environment; without one it returns the
 // defaults.
 func ReadTuning() (Tuning, error) {
-	path := os.Getenv(TuningVariable)
+	path := os.Getenv(TuningEnvVar)
 	if path == "" {
 		return DefaultTuning(), nil
 	}
--- a/internal/sim/fake/state_golden_test.go
+++ b/internal/sim/fake/state_golden_test.go
@@ -9,7 +9,7 @@
 
 // encodedTypes are those whose values the state service reads.
 var encodedTypes = []golden.Type{
-	golden.Of[transaction]("a transaction"),
+	golden.TypeOf[transaction]("a transaction"),
 }
 
 // TestTxnEncoding checks that they are encoded as they were.
--- a/internal/sim/fake/state_service.go
+++ b/internal/sim/fake/state_service.go
@@ -64,7 +64,7 @@
 }
 
 // Put stores a value, whatever the limits are.
-func (s *StateService) Put(key string, value wire.Raw) {
+func (s *StateService) Put(key string, value wire.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -73,7 +73,7 @@
 }
 
 // put stores a value at the present revision; the caller holds the lock.
-func (s *StateService) put(key string, value wire.Raw, sessionID uint64) {
+func (s *StateService) put(key string, value wire.RawMessage, sessionID uint64) {
 	s.keys[key] = wire.KeyValue{Key: key, Value: value, ModRevision: s.revision, SessionID: sessionID}
 	s.events = append(s.events, wire.Event{Put: key, Value: value, ModRevision: s.revision})
 }
--- a/internal/sim/fake/state_txn.go
+++ b/internal/sim/fake/state_txn.go
@@ -51,10 +51,10 @@
 type transaction struct {
 	Compares   []wire.Compare `json:"when"`
 	Operations []struct {
-		Put       string   `json:"write"`
-		Value     wire.Raw `json:"data"`
-		SessionID uint64   `json:"permit"`
-		Delete    string   `json:"remove"`
+		Put       string          `json:"write"`
+		Value     wire.RawMessage `json:"data"`
+		SessionID uint64          `json:"permit"`
+		Delete    string          `json:"remove"`
 	} `json:"then"`
 }
 
@@ -67,7 +67,7 @@
 }
 
 // values lists the values that a transaction stores.
-func (t *transaction) values() (values []wire.Raw) {
+func (t *transaction) values() (values []wire.RawMessage) {
 	for _, op := range t.Operations {
 		if op.Delete == "" {
 			values = append(values, op.Value)
--- a/internal/sim/lab/faults_golden_test.go
+++ b/internal/sim/lab/faults_golden_test.go
@@ -33,8 +33,8 @@
 	}
 	sections := []golden.Section{
 		{Name: "all fields", Text: strings.TrimSuffix(string(b), "\n")},
-		{Name: "the example", Text: golden.Values(faults)},
-		{Name: "kinds", Text: golden.Values([]Kind{Kill, Terminate, Freeze, StateDown, Silence})},
+		{Name: "the example", Text: golden.FormatValues(faults)},
+		{Name: "kinds", Text: golden.FormatValues([]Kind{Kill, Terminate, Freeze, StateDown, Silence})},
 	}
 	for _, c := range []struct{ name, content string }{
 		{"no number", "[[fault]]\nat_s = \"x\""},
@@ -50,7 +50,7 @@
 }
 
 // TestFaultTags checks that tags name all fields of a fault.
-func TestFaultTags(t *testing.T) { golden.CheckTags(t, "toml", golden.Of[Fault]("a fault")) }
+func TestFaultTags(t *testing.T) { golden.CheckTags(t, "toml", golden.TypeOf[Fault]("a fault")) }
 
 // TestSummaryText checks that a summary is printed as it was.
 func TestSummaryText(t *testing.T) {
--- a/internal/sim/lab/workload.go
+++ b/internal/sim/lab/workload.go
@@ -67,7 +67,7 @@
 
 // nodeSettings returns the settings of a node of the sample deployment, but for addresses.
 func nodeSettings(node, nodes int) (*settings.Settings, error) {
-	s, err := settings.Parse(deploy.Settings)
+	s, err := settings.Parse(deploy.ExampleSettings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sim/measure/failover/history_golden_test.go
+++ b/internal/sim/measure/failover/history_golden_test.go
@@ -54,13 +54,13 @@
 	golden.Check(t, "history.golden", []golden.Section{
 		{Name: "schema", Text: file.Schema().String()},
 		{Name: "a row", Text: strings.TrimSuffix(rows.String(), "\n")},
-		{Name: "causes", Text: golden.Values([]Cause{Killed, Frozen, Planned})},
-		{Name: "modes", Text: golden.Values([]Mode{Cold, Warm})},
-		{Name: "what did not happen", Text: golden.Values(Missing)},
+		{Name: "causes", Text: golden.FormatValues([]Cause{Killed, Frozen, Planned})},
+		{Name: "modes", Text: golden.FormatValues([]Mode{Cold, Warm})},
+		{Name: "what did not happen", Text: golden.FormatValues(Missing)},
 	})
 }
 
 // TestHistoryTags checks that tags name all columns.
 func TestHistoryTags(t *testing.T) {
-	golden.CheckTags(t, "parquet", golden.Of[Change]("a change of leader"))
+	golden.CheckTags(t, "parquet", golden.TypeOf[Change]("a change of leader"))
 }
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -49,9 +49,9 @@
 
 // PhaseTime is when a phase began.
 type PhaseTime struct {
-	Phase string        `json:"phase"`
-	At    micros.Micros `json:"at"`     // time of day
-	TookS float64       `json:"took_s"` // that the phase before lasted
+	Phase          string        `json:"phase"`
+	EnteredAt      micros.Micros `json:"at"`     // time of day
+	PreviousPhaseS float64       `json:"took_s"` // that the phase before lasted
 }
 
 // FailoverRecord is a failover, as it is shown to operators.
@@ -165,7 +165,7 @@
 	}
 	record := f.current
 	// The last record may be in a reader's hands: its phases are not appended to in place.
-	record.Phases = append(record.Phases[:len(record.Phases):len(record.Phases)], PhaseTime{to.String(), micros.Wall(), took.Seconds()})
+	record.Phases = append(record.Phases[:len(record.Phases):len(record.Phases)], PhaseTime{to.String(), micros.WallTime(), took.Seconds()})
 	f.current = record
 	if to >= Confirming {
 		f.last = &record
--- a/internal/standby/messages.go
+++ b/internal/standby/messages.go
@@ -62,11 +62,11 @@
 
 // FollowerState is how far a follower is, as its last query says.
 type FollowerState struct {
-	Member   string        `json:"member"`
-	Position uint64        `json:"position"`
-	Complete bool          `json:"whole"` // it is not taking a snapshot
-	At       micros.Micros `json:"-"`     // when it last asked
-	AgeS     float64       `json:"age_s"` // how long ago that is
+	Member      string        `json:"member"`
+	Position    uint64        `json:"position"`
+	Complete    bool          `json:"whole"` // it is not taking a snapshot
+	LastQueryAt micros.Micros `json:"-"`     // when it last asked
+	AgeS        float64       `json:"age_s"` // how long ago that is
 }
 
 // Progress is how far a follower is, as it is shown to operators.
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -72,7 +72,7 @@
 
 // noteFollower notes how far a follower says it is.
 func (p *Publisher) noteFollower(q *Query) {
-	state := FollowerState{Member: q.Member, At: micros.Now()}
+	state := FollowerState{Member: q.Member, LastQueryAt: micros.Now()}
 	if q.FencingToken == p.view.FencingToken && !q.Snapshot {
 		state.Position, state.Complete = q.Position, true
 	}
@@ -85,17 +85,17 @@
 	defer p.mu.Unlock()
 	list := slices.Collect(maps.Values(p.followers))
 	for i := range list {
-		list[i].AgeS = (micros.Now() - list[i].At).Seconds()
+		list[i].AgeS = (micros.Now() - list[i].LastQueryAt).Seconds()
 	}
 	slices.SortFunc(list, func(a, b FollowerState) int { return cmp.Compare(a.Member, b.Member) })
 	return list
 }
 
-// FurthestFollower is the follower that has applied most, of those that asked within a duration before now; the zero
+// MostUpToDateFollower is the follower that has applied most, of those that asked within a duration before now; the zero
 // value if none of these has a complete view.
-func (p *Publisher) FurthestFollower(within micros.Micros) (furthest FollowerState) {
+func (p *Publisher) MostUpToDateFollower(within micros.Micros) (furthest FollowerState) {
 	for _, f := range p.Followers() {
-		if f.Complete && micros.Now()-f.At <= within && (furthest.Member == "" || f.Position > furthest.Position) {
+		if f.Complete && micros.Now()-f.LastQueryAt <= within && (furthest.Member == "" || f.Position > furthest.Position) {
 			furthest = f
 		}
 	}
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -283,29 +283,29 @@
 	}
 }
 
-// TestFurthestFollower asks which follower is to lead next.
-func TestFurthestFollower(t *testing.T) {
+// TestMostUpToDateFollower asks which follower is to lead next.
+func TestMostUpToDateFollower(t *testing.T) {
 	p := NewPublisher(testToken, 100)
 	for i := range 10 {
 		p.Publish(taskAssigned("i-0", fmt.Sprintf("j-1/%d", i), 1))
 	}
 	ask := func(q Query) { q.Version, q.FencingToken = Version, testToken; p.HandleQuery(&q) }
-	if f := p.FurthestFollower(micros.Second); f.Member != "" {
+	if f := p.MostUpToDateFollower(micros.Second); f.Member != "" {
 		t.Errorf("%q, and nobody follows", f.Member)
 	}
 	ask(Query{Member: "host-3", Snapshot: true})
-	if f := p.FurthestFollower(micros.Second); f.Member != "" {
+	if f := p.MostUpToDateFollower(micros.Second); f.Member != "" {
 		t.Errorf("%q, which takes a snapshot", f.Member)
 	}
 	ask(Query{Member: "host-1", Position: 4})
 	ask(Query{Member: "host-2", Position: 8})
-	if f := p.FurthestFollower(micros.Second); f.Member != "host-2" {
+	if f := p.MostUpToDateFollower(micros.Second); f.Member != "host-2" {
 		t.Errorf("%q, want host-2", f.Member)
 	}
 	if p.HasApplied("host-2", 9) || !p.HasApplied("host-2", 8) || p.HasApplied("host-3", 0) || p.HasApplied("host-4", 0) {
 		t.Error("wrong about what was applied")
 	}
-	if f := p.FurthestFollower(0); f.Member != "" {
+	if f := p.MostUpToDateFollower(0); f.Member != "" {
 		t.Errorf("%q, which has not asked lately", f.Member)
 	}
 }
--- a/internal/wire/encoding.go
+++ b/internal/wire/encoding.go
@@ -55,8 +55,8 @@
 	return mode
 }
 
-// Raw is a value that has not been decoded yet.
-type Raw = cbor.RawMessage
+// RawMessage is a value that has not been decoded yet.
+type RawMessage = cbor.RawMessage
 
 // Marshal encodes a body or a stored value.
 func Marshal(v any) ([]byte, error) { return encoder.Marshal(v) }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -10,33 +10,33 @@
 // encodedTypes are the types whose values are sent to and received from users, workers, the cloud
 // and the state service. Their names are those of sections in the golden files, and so stay.
 var encodedTypes = []golden.Type{
-	golden.Of[Job]("a job"),
-	golden.Of[submission]("a submission"),
-	golden.Of[JobStatus]("the status of a job"),
-	golden.Of[Heartbeat]("a worker's report"),
-	golden.Of[TaskStatus]("a task in a report"),
-	golden.Of[Command]("an order to a worker"),
-	golden.Of[HeartbeatResponse]("the answer to a report"),
-	golden.Of[Redirect]("the answer that sends a worker to another node"),
-	golden.Of[CommandRequest]("a request to a worker's own address"),
-	golden.Of[InstanceType]("a type in the catalog"),
-	golden.Of[InstanceTypeList]("the catalog"),
-	golden.Of[LaunchRequest]("a request for machines"),
-	golden.Of[InstanceIDs]("names of machines"),
-	golden.Of[InstanceStatus]("a machine in the cloud's list"),
-	golden.Of[InstancePage]("a page of the cloud's list"),
-	golden.Of[KeyValue]("a key of the state service"),
-	golden.Of[KeyPage]("a page of keys"),
-	golden.Of[Compare]("a condition of a transaction"),
-	golden.Of[Op]("a change in a transaction"),
-	golden.Of[Txn]("a transaction"),
-	golden.Of[TxnResponse]("the answer to a transaction"),
-	golden.Of[Event]("a change seen by a watch"),
-	golden.Of[WatchResponse]("the answer to a watch"),
-	golden.Of[SessionRequest]("a request for a hold"),
-	golden.Of[SessionResponse]("the answer to it"),
-	golden.Of[ErrorResponse]("what was wrong"),
-	golden.Of[struct{}]("nothing"),
+	golden.TypeOf[Job]("a job"),
+	golden.TypeOf[submission]("a submission"),
+	golden.TypeOf[JobStatus]("the status of a job"),
+	golden.TypeOf[Heartbeat]("a worker's report"),
+	golden.TypeOf[TaskStatus]("a task in a report"),
+	golden.TypeOf[Command]("an order to a worker"),
+	golden.TypeOf[HeartbeatResponse]("the answer to a report"),
+	golden.TypeOf[Redirect]("the answer that sends a worker to another node"),
+	golden.TypeOf[CommandRequest]("a request to a worker's own address"),
+	golden.TypeOf[InstanceType]("a type in the catalog"),
+	golden.TypeOf[InstanceTypeList]("the catalog"),
+	golden.TypeOf[LaunchRequest]("a request for machines"),
+	golden.TypeOf[InstanceIDs]("names of machines"),
+	golden.TypeOf[InstanceStatus]("a machine in the cloud's list"),
+	golden.TypeOf[InstancePage]("a page of the cloud's list"),
+	golden.TypeOf[KeyValue]("a key of the state service"),
+	golden.TypeOf[KeyPage]("a page of keys"),
+	golden.TypeOf[Compare]("a condition of a transaction"),
+	golden.TypeOf[Op]("a change in a transaction"),
+	golden.TypeOf[Txn]("a transaction"),
+	golden.TypeOf[TxnResponse]("the answer to a transaction"),
+	golden.TypeOf[Event]("a change seen by a watch"),
+	golden.TypeOf[WatchResponse]("the answer to a watch"),
+	golden.TypeOf[SessionRequest]("a request for a hold"),
+	golden.TypeOf[SessionResponse]("the answer to it"),
+	golden.TypeOf[ErrorResponse]("what was wrong"),
+	golden.TypeOf[struct{}]("nothing"),
 }
 
 // TestEncoding checks that all messages are encoded as the golden file says.
@@ -66,7 +66,7 @@
 	}
 	var sections []golden.Section
 	for _, c := range constants {
-		sections = append(sections, golden.Section{Name: c.section, Text: golden.Values(c.values)})
+		sections = append(sections, golden.Section{Name: c.section, Text: golden.FormatValues(c.values)})
 	}
 	golden.Check(t, "words.golden", sections)
 }
--- a/internal/wire/statestore.go
+++ b/internal/wire/statestore.go
@@ -2,10 +2,10 @@
 
 // KeyValue is a key of the state service with its value.
 type KeyValue struct {
-	Key         string `json:"key"`
-	Value       Raw    `json:"data"`
-	ModRevision uint64 `json:"stamp"`            // of its last change
-	SessionID   uint64 `json:"permit,omitempty"` // the session that it is deleted with; 0: none
+	Key         string     `json:"key"`
+	Value       RawMessage `json:"data"`
+	ModRevision uint64     `json:"stamp"`            // of its last change
+	SessionID   uint64     `json:"permit,omitempty"` // the session that it is deleted with; 0: none
 }
 
 // KeyPage is a page of keys, in their order.
@@ -45,10 +45,10 @@
 
 // Event is a change of a key that a watch has seen: a put or a delete.
 type Event struct {
-	Put         string `json:"write,omitempty"`  // the key, if it is a put
-	Delete      string `json:"remove,omitempty"` // the key, if it is a delete
-	Value       Raw    `json:"data,omitempty"`
-	ModRevision uint64 `json:"stamp"`
+	Put         string     `json:"write,omitempty"`  // the key, if it is a put
+	Delete      string     `json:"remove,omitempty"` // the key, if it is a delete
+	Value       RawMessage `json:"data,omitempty"`
+	ModRevision uint64     `json:"stamp"`
 }
 
 // WatchResponse is the response to a watch: all changes up to a revision.
--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -9,11 +9,11 @@
 
 // encodedTypes are those whose values are stored, sent between nodes, or shown to operators.
 var encodedTypes = []golden.Type{
-	golden.Of[Record]("the stored record"),
-	golden.Of[RecordedZone]("a stored zone"),
-	golden.Of[Status]("a zone"),
-	golden.Of[Evidence]("what is known of machines"),
-	golden.Of[WorkStatus]("what is known of work"),
+	golden.TypeOf[Record]("the stored record"),
+	golden.TypeOf[RecordedZone]("a stored zone"),
+	golden.TypeOf[Status]("a zone"),
+	golden.TypeOf[Evidence]("what is known of machines"),
+	golden.TypeOf[WorkStatus]("what is known of work"),
 }
 
 // TestEncoded checks their encoding against the captured one.
@@ -31,10 +31,10 @@
 		states = append(states, s.String())
 	}
 	golden.Check(t, "words.golden", []golden.Section{
-		{Name: "states", Text: golden.Values(states)},
-		{Name: "states as stored", Text: golden.Values([]State{Normal, PartialDisruption, FullDisruption, HeldDown, Reopening})},
-		{Name: "reasons", Text: golden.Values([]Reason{ReasonHeartbeatsLate, ReasonHeartbeatsArrive, ReasonMostSilent, ReasonObserverAtFault, ReasonHeartbeatsResumed, ReasonNoMachines, ReasonHoldDownOver,
+		{Name: "states", Text: golden.FormatValues(states)},
+		{Name: "states as stored", Text: golden.FormatValues([]State{Normal, PartialDisruption, FullDisruption, HeldDown, Reopening})},
+		{Name: "reasons", Text: golden.FormatValues([]Reason{ReasonHeartbeatsLate, ReasonHeartbeatsArrive, ReasonMostSilent, ReasonObserverAtFault, ReasonHeartbeatsResumed, ReasonNoMachines, ReasonHoldDownOver,
 			ReasonStepSucceeded, ReasonRelapse, ReasonStartsFailed, ReasonFullyOpen})},
-		{Name: "version of the record", Text: golden.Values(RecordVersion)},
+		{Name: "version of the record", Text: golden.FormatValues(RecordVersion)},
 	})
 }
--- a/internal/zone/lifecycle_policy.go
+++ b/internal/zone/lifecycle_policy.go
@@ -86,7 +86,7 @@
 // Decide implements Policy.
 func (p *LifecyclePolicy) Decide(name string) Decision {
 	z := p.zones[name]
-	d := Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: p.massOutage || z.state == PartialDisruption || z.keepSilent, OpenShare: 1}
+	d := Decision{MaxMachines: Unlimited, Reachable: true, RetainSilentMachines: p.massOutage || z.state == PartialDisruption || z.keepSilent, OpenShare: 1}
 	switch z.state {
 	case PartialDisruption:
 		d.MaxMachines, d.Reachable = 0, z.disruptedSince == 0
--- a/internal/zone/lifecycle_policy_test.go
+++ b/internal/zone/lifecycle_policy_test.go
@@ -87,7 +87,7 @@
 		p, now := NewLifecyclePolicy(testConfig()), 100*micros.Second
 		observe(p, &now, 3, 2, mostSilent, Evidence{Running: others})
 		observe(p, &now, 0, 1, Evidence{Running: 20, Silent: 20}, Evidence{Running: others + 200})
-		if d := p.Decide("a"); p.zones["a"].state != FullDisruption || d.KeepSilent != want {
+		if d := p.Decide("a"); p.zones["a"].state != FullDisruption || d.RetainSilentMachines != want {
 			t.Errorf("beside %d machines: %v, %+v, want kept: %v", others, p.zones["a"].state, d, want)
 		}
 	}
@@ -103,14 +103,14 @@
 		want    Decision
 	}{
 		{"normal", lifecycle{}, 9, Decision{MaxMachines: Unlimited, Reachable: true, OpenShare: 1}},
-		{"partial disruption", lifecycle{state: PartialDisruption}, 9, Decision{Reachable: true, KeepSilent: true, OpenShare: 1, ReplacementShare: 0.5}},
-		{"observer at fault", lifecycle{state: PartialDisruption, observerAtFault: true, disruptedSince: 1}, 9, Decision{KeepSilent: true, OpenShare: 1}},
-		{"full disruption, silent machines kept", lifecycle{state: FullDisruption, keepSilent: true}, 9, Decision{KeepSilent: true, ReplacementShare: 0.5}},
+		{"partial disruption", lifecycle{state: PartialDisruption}, 9, Decision{Reachable: true, RetainSilentMachines: true, OpenShare: 1, ReplacementShare: 0.5}},
+		{"observer at fault", lifecycle{state: PartialDisruption, observerAtFault: true, disruptedSince: 1}, 9, Decision{RetainSilentMachines: true, OpenShare: 1}},
+		{"full disruption, silent machines kept", lifecycle{state: FullDisruption, keepSilent: true}, 9, Decision{RetainSilentMachines: true, ReplacementShare: 0.5}},
 		{"full disruption", lifecycle{state: FullDisruption}, 9, Decision{ReplacementShare: 0.5}},
-		{"held down", lifecycle{state: HeldDown, keepSilent: true}, 9, Decision{Reachable: true, KeepSilent: true, ReplacementShare: 0.5}},
-		{"reopening", lifecycle{state: Reopening, step: 1, keepSilent: true}, 9, Decision{Reachable: true, KeepSilent: true, OpenShare: 0.25, ReplacementShare: 0.5}},
-		{"reopening, half open", lifecycle{state: Reopening, step: 2, keepSilent: true}, 9, Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: true, OpenShare: 0.5, ReplacementShare: 0.5}},
-		{"reopening, no machine", lifecycle{state: Reopening, keepSilent: true}, 0, Decision{MaxMachines: 3, Reachable: true, KeepSilent: true, OpenShare: 0.1, ReplacementShare: 0.5}},
+		{"held down", lifecycle{state: HeldDown, keepSilent: true}, 9, Decision{Reachable: true, RetainSilentMachines: true, ReplacementShare: 0.5}},
+		{"reopening", lifecycle{state: Reopening, step: 1, keepSilent: true}, 9, Decision{Reachable: true, RetainSilentMachines: true, OpenShare: 0.25, ReplacementShare: 0.5}},
+		{"reopening, half open", lifecycle{state: Reopening, step: 2, keepSilent: true}, 9, Decision{MaxMachines: Unlimited, Reachable: true, RetainSilentMachines: true, OpenShare: 0.5, ReplacementShare: 0.5}},
+		{"reopening, no machine", lifecycle{state: Reopening, keepSilent: true}, 0, Decision{MaxMachines: 3, Reachable: true, RetainSilentMachines: true, OpenShare: 0.1, ReplacementShare: 0.5}},
 	}
 	for _, c := range cases {
 		p.zones[c.name], p.evidence[c.name] = c.z, Evidence{Running: c.running}
--- a/internal/zone/record.go
+++ b/internal/zone/record.go
@@ -15,14 +15,14 @@
 // RecordedZone is the stored lifecycle of a zone that is not normal, or was not lately. Times are of
 // day.
 type RecordedZone struct {
-	State         State         `json:"state"`
-	Reason        Reason        `json:"reason"`
-	Since         micros.Micros `json:"since"`
-	Step          int           `json:"step,omitempty"`
-	Flaps         int           `json:"flaps,omitempty"`
-	HoldDownUntil micros.Micros `json:"until,omitempty"`
-	KeepSilent    bool          `json:"keep,omitempty"`
-	NormalSince   micros.Micros `json:"calm,omitempty"`
+	State                State         `json:"state"`
+	Reason               Reason        `json:"reason"`
+	Since                micros.Micros `json:"since"`
+	Step                 int           `json:"step,omitempty"`
+	Flaps                int           `json:"flaps,omitempty"`
+	HoldDownUntil        micros.Micros `json:"until,omitempty"`
+	RetainSilentMachines bool          `json:"keep,omitempty"`
+	NormalSince          micros.Micros `json:"calm,omitempty"`
 }
 
 // maxRecordAge is how old a stored state may be. By then a zone has long been disrupted again, or has
@@ -43,14 +43,14 @@
 			continue
 		}
 		r.Zones[name] = RecordedZone{
-			State:         z.state,
-			Reason:        z.reason,
-			Since:         toWall(z.since),
-			Step:          z.step,
-			Flaps:         z.flaps,
-			HoldDownUntil: toWall(z.holdDownUntil),
-			KeepSilent:    z.keepSilent,
-			NormalSince:   toWall(z.normalSince),
+			State:                z.state,
+			Reason:               z.reason,
+			Since:                toWall(z.since),
+			Step:                 z.step,
+			Flaps:                z.flaps,
+			HoldDownUntil:        toWall(z.holdDownUntil),
+			RetainSilentMachines: z.keepSilent,
+			NormalSince:          toWall(z.normalSince),
 		}
 	}
 	return r
@@ -91,7 +91,7 @@
 		since:       toLocal(s.Since),
 		step:        s.Step,
 		flaps:       s.Flaps,
-		keepSilent:  s.KeepSilent,
+		keepSilent:  s.RetainSilentMachines,
 		normalSince: toLocal(s.NormalSince),
 	}
 	if s.State == HeldDown {
--- a/internal/zone/threshold_policy.go
+++ b/internal/zone/threshold_policy.go
@@ -61,9 +61,9 @@
 // Decide implements Policy.
 func (p *ThresholdPolicy) Decide(zone string) Decision {
 	if p.cutOff[zone] {
-		return Decision{KeepSilent: p.massOutage, OpenShare: 1}
+		return Decision{RetainSilentMachines: p.massOutage, OpenShare: 1}
 	}
-	return Decision{MaxMachines: Unlimited, Reachable: true, KeepSilent: p.massOutage, OpenShare: 1}
+	return Decision{MaxMachines: Unlimited, Reachable: true, RetainSilentMachines: p.massOutage, OpenShare: 1}
 }
 
 // EvacuationRank implements Policy.
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -94,11 +94,11 @@
 
 // Decision is what holds for one zone.
 type Decision struct {
-	MaxMachines      int     // how many machines there may be that are launched, boot or run; see Unlimited
-	Reachable        bool    // commands can be expected to arrive
-	KeepSilent       bool    // silent machines are kept for as long as their leases last, and once more as long
-	OpenShare        float64 // share of its machines that may start tasks which could run elsewhere
-	ReplacementShare float64 // share of its unusable machines that do not count as supply
+	MaxMachines          int     // how many machines there may be that are launched, boot or run; see Unlimited
+	Reachable            bool    // commands can be expected to arrive
+	RetainSilentMachines bool    // silent machines are kept for as long as their leases last, and once more as long
+	OpenShare            float64 // share of its machines that may start tasks which could run elsewhere
+	ReplacementShare     float64 // share of its unusable machines that do not count as supply
 }
 
 // Unlimited is no limit on machines.
--- a/leadership.go
+++ b/leadership.go
@@ -60,7 +60,7 @@
 }
 
 // respondToEncoded has this node's leader answer an encoded heartbeat.
-func (l *localLeadership) respondToEncoded(encoded wire.Raw) (wire.Raw, error) {
+func (l *localLeadership) respondToEncoded(encoded wire.RawMessage) (wire.RawMessage, error) {
 	local := l.local()
 	if local == nil {
 		return nil, leader.ErrCannotRespond
--- a/membership.go
+++ b/membership.go
@@ -43,7 +43,7 @@
 		others = append(others, p.Member)
 		a.clients[p.Member] = peer.NewClient(p.Addr, dial)
 	}
-	a.detector = membership.NewDetector(member, others, config, uint64(micros.Wall()), micros.Now())
+	a.detector = membership.NewDetector(member, others, config, uint64(micros.WallTime()), micros.Now())
 	return a
 }
 
--- a/node.go
+++ b/node.go
@@ -67,12 +67,12 @@
 
 // NewNode returns a node from checked settings; what has no settings in features is off.
 func NewNode(s *settings.Settings, t settings.Tuning, features settings.Features) *Node {
-	return NewNodeOn(s, t, features, newTCPNetwork(s))
+	return NewNodeWithNetwork(s, t, features, newTCPNetwork(s))
 }
 
-// NewNodeOn returns a node that reaches everything around it through network. The caller runs
+// NewNodeWithNetwork returns a node that reaches everything around it through network. The caller runs
 // RunBackground and serves Handler, or calls Run alone, which does both.
-func NewNodeOn(s *settings.Settings, t settings.Tuning, features settings.Features, network Network) *Node {
+func NewNodeWithNetwork(s *settings.Settings, t settings.Tuning, features settings.Features, network Network) *Node {
 	n := &Node{settings: s, tuning: t, features: features, network: network, requestTimes: api.NewRequestTimes()}
 	n.store = statestore.New(s.External.State, s.Params.State, network.ServiceTransport)
 	n.cloud = cloud.New(s.External.Cloud, s.Params.Cloud, network.ServiceTransport)
@@ -131,9 +131,9 @@
 	}
 	if n.features.Standby != nil {
 		config.OnCampaign = func() { n.standby.failover.CampaignStarted() }
-		config.YieldFor = func() micros.Micros { return n.handover.yieldFor() }
-		config.TakesOver = func(l replica.Leader) bool { return n.standby.follower.IsSuccessorOf(l.FencingToken) }
-		config.KeepKeyFor = func() micros.Micros { return n.handover.keepKeyFor() }
+		config.CampaignDelay = func() micros.Micros { return n.handover.yieldFor() }
+		config.IsSuccessorOf = func(l replica.Leader) bool { return n.standby.follower.IsSuccessorOf(l.FencingToken) }
+		config.HandoverGracePeriod = func() micros.Micros { return n.handover.keepKeyFor() }
 	}
 	return election.New(config)
 }
--- a/peers.go
+++ b/peers.go
@@ -97,7 +97,7 @@
 }
 
 // HandleForwardedHeartbeat has this node's leader answer a worker's heartbeat.
-func (h *peerHandler) HandleForwardedHeartbeat(heartbeat wire.Raw) (wire.Raw, error) {
+func (h *peerHandler) HandleForwardedHeartbeat(heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	return h.leadership.respondToEncoded(heartbeat)
 }
 
--- a/tests/cluster/capture_messages_test.go
+++ b/tests/cluster/capture_messages_test.go
@@ -14,9 +14,9 @@
 )
 
 // capturedMessages returns one of each message, with every field set. The tests of internal/peer know these values.
-func capturedMessages(t *testing.T) map[string]wire.Raw {
+func capturedMessages(t *testing.T) map[string]wire.RawMessage {
 	t.Helper()
-	encoded := map[string]wire.Raw{}
+	encoded := map[string]wire.RawMessage{}
 	for _, messages := range []map[string]any{
 		nodeMessages(), forwardingMessages(t), explanationMessages(), gangMessages(), standbyMessages(), zoneMessages(), membershipMessages(),
 	} {
@@ -50,7 +50,7 @@
 			{TaskID: "j-000398/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone}}}
 	response := wire.HeartbeatResponse{FencingToken: 41, Commands: []wire.Command{{Verb: wire.VerbStart, TaskID: "j-000412/4", Attempt: 2}}}
 	return map[string]any{
-		"relay":   peer.Request{ID: 2, ForwardedHeartbeats: []wire.Raw{encode(t, heartbeat)}},
+		"relay":   peer.Request{ID: 2, ForwardedHeartbeats: []wire.RawMessage{encode(t, heartbeat)}},
 		"relayed": peer.Response{ID: 2, ForwardedResponses: []peer.ForwardedResponse{{Response: encode(t, response)}, {Error: "not entitled"}}},
 	}
 }
--- a/tests/cluster/capture_test.go
+++ b/tests/cluster/capture_test.go
@@ -33,7 +33,7 @@
 	if directory == "" {
 		t.Skip(captureVariable + " is not set")
 	}
-	all := &captured{stored: map[string]map[string]wire.Raw{}, machines: map[string][]wire.Heartbeat{}}
+	all := &captured{stored: map[string]map[string]wire.RawMessage{}, machines: map[string][]wire.Heartbeat{}}
 	captures := []func(t *testing.T, all *captured){captureJobs, captureLargeList, captureGang, captureDividedList, captureZoneLoss}
 	for _, capture := range captures {
 		synctest.Test(t, func(t *testing.T) { capture(t, all) })
@@ -51,7 +51,7 @@
 }
 
 // encode returns a message or value as it is sent and stored.
-func encode(t *testing.T, value any) wire.Raw {
+func encode(t *testing.T, value any) wire.RawMessage {
 	t.Helper()
 	b, err := wire.Marshal(value)
 	if err != nil {
@@ -63,7 +63,7 @@
 // add captures the situation that a cluster is in.
 func (all *captured) add(c *cluster, situation string) {
 	c.t.Helper()
-	all.stored[situation] = map[string]wire.Raw{}
+	all.stored[situation] = map[string]wire.RawMessage{}
 	for _, entry := range c.state.Entries(replica.Prefix) {
 		all.stored[situation][entry.Key] = entry.Value
 	}
--- a/tests/cluster/cluster_test.go
+++ b/tests/cluster/cluster_test.go
@@ -121,7 +121,7 @@
 func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
 	s := nodeSettings(life.Node, c.size)
 	c.tune(s)
-	n := caperlatch.NewNodeOn(s, settings.DefaultTuning(), c.featuresOf(life.Node), caperlatch.Network{
+	n := caperlatch.NewNodeWithNetwork(s, settings.DefaultTuning(), c.featuresOf(life.Node), caperlatch.Network{
 		ServiceTransport: c.net.From(life.Sender),
 		WorkerTransport:  c.net.From(life.Sender),
 		DialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
--- a/tests/cluster/handover_answers_test.go
+++ b/tests/cluster/handover_answers_test.go
@@ -129,7 +129,7 @@
 	switch {
 	case err == nil && !seen.leaders[to]:
 		c.t.Errorf("the answer is %q, and %v led", to, seen.leaders)
-	case errors.As(err, &other) && (other.Named == other.Leader || other.Leader == "" && len(seen.leaders) > 0 || other.Leader != "" && !seen.leaders[other.Leader]):
+	case errors.As(err, &other) && (other.Target == other.Leader || other.Leader == "" && len(seen.leaders) > 0 || other.Leader != "" && !seen.leaders[other.Leader]):
 		c.t.Errorf("the answer is %q, and %v led", err, seen.leaders)
 	case err != nil && other == nil:
 		c.t.Errorf("the answer is %q", err)
@@ -235,7 +235,7 @@
 		if _, err := c.nodes[1-leader].HandOverAndConfirm(t.Context()); !errors.Is(err, caperlatch.ErrNotLeading) {
 			t.Errorf("a follower answers %v", err)
 		}
-		if _, err := c.nodes[2].HandOverAndConfirm(t.Context()); !errors.Is(err, api.ErrStandbyOff) {
+		if _, err := c.nodes[2].HandOverAndConfirm(t.Context()); !errors.Is(err, api.ErrStandbyDisabled) {
 			t.Errorf("a node without a standby answers %v", err)
 		}
 		c.checkTwoHandovers(leader)
@@ -316,7 +316,7 @@
 	time.Sleep(2 * time.Second)
 	to, err := c.nodes[leader].HandOverAndConfirm(c.t.Context())
 	var other *api.HandoverError
-	if !errors.As(err, &other) || other.Named != "" || other.Leader != memberName(c.leader()) {
+	if !errors.As(err, &other) || other.Target != "" || other.Leader != memberName(c.leader()) {
 		c.t.Errorf("handed over to %q: %v, and node %d leads", to, err, c.leader())
 	}
 	c.start(1 - leader)
--- a/tests/cluster/upgrade_failover_test.go
+++ b/tests/cluster/upgrade_failover_test.go
@@ -51,7 +51,7 @@
 // captured is what was captured from a version (testdata/versions/capture), by the situation in
 // which it was.
 type captured struct {
-	stored   map[string]map[string]wire.Raw // by key
+	stored   map[string]map[string]wire.RawMessage // by key
 	machines map[string][]wire.Heartbeat
 }
 
@@ -93,7 +93,7 @@
 
 // restoreRules passes on to the checker of the rules what happened before the stored values were
 // captured, and returns the jobs stored with the final status that each must reach.
-func (c *cluster) restoreRules(stored map[string]wire.Raw) map[string]string {
+func (c *cluster) restoreRules(stored map[string]wire.RawMessage) map[string]string {
 	const before = "before"
 	c.rules.ObserveLaunch(before, wire.LaunchRequest{InstanceType: "m4", Zone: "a"})
 	done := func(task string) {
@@ -220,7 +220,7 @@
 
 // restoreAndFinish starts a cluster with what was stored, and waits for the final statuses of all
 // jobs.
-func (c *cluster) restoreAndFinish(how failoverCase, stored map[string]wire.Raw, machines []wire.Heartbeat) {
+func (c *cluster) restoreAndFinish(how failoverCase, stored map[string]wire.RawMessage, machines []wire.Heartbeat) {
 	for i := range c.size {
 		c.kill(i)
 	}
--- a/zones.go
+++ b/zones.go
@@ -34,7 +34,7 @@
 	case err != nil:
 		return nil, err
 	case response.ZoneStatus == nil:
-		return nil, api.ErrZonesOff // also by an earlier version, which does not know the question
+		return nil, api.ErrZonePolicyDisabled // also by an earlier version, which does not know the question
 	}
 	return response.ZoneStatus, nil
 }
@@ -48,7 +48,7 @@
 	}
 	zones := local.ZoneStatus()
 	if zones == nil {
-		return nil, api.ErrZonesOff
+		return nil, api.ErrZonePolicyDisabled
 	}
 	return zones, nil
 }
