--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,11 +1,13 @@
-// Package api answers users, workers and operators over HTTP.
+// Package api serves the HTTP API for users, workers and operators.
 //
-// It owns the routes, the status codes and texts of answers, the limits on requests in
-// progress and on connections, and the choice of the node that takes a worker's heartbeats.
-// It keeps no state of jobs: it reads them from the replica, writes them through the client
-// of the state service, and has the leader answer heartbeats. It must never answer a worker
-// on its own, nor answer a user before what the answer says is stored; and it must not know
-// how a leader decides, so it imports no package of the leader.
+// It owns the routes, the status codes and texts of responses, the limits on concurrent requests and on
+// connections, and the rules by which a heartbeat is handled locally, forwarded or redirected.
+//
+// The package stores no jobs itself: it reads them from the replica, writes them through the state service
+// client, and passes heartbeats to the leader. Three rules hold:
+//   - Only the leader produces a response to a heartbeat; other nodes forward it or redirect the worker.
+//   - A user is not told of a change before the state service has stored it.
+//   - The package does not depend on how a leader makes decisions, so it imports no package of the leader.
 package api
 
 import (
@@ -20,8 +22,7 @@
 	"caperlatch/internal/wire"
 )
 
-// Node is the node that the API serves. Each part is declared beside the handlers that
-// need it.
+// Node is the node that the API serves. Each embedded interface is declared next to the handlers that use it.
 type Node interface {
 	Readiness
 	JobProgress
@@ -32,23 +33,23 @@
 	MembershipObserver
 }
 
-// Config is what the handlers work with. All of it belongs to the node, which outlives them.
+// Config holds the dependencies of the handlers. The node owns all of them and outlives the handlers.
 type Config struct {
 	Node         Node
 	Settings     *settings.Settings
 	Store        *statestore.Client
-	Batcher      *statestore.Batcher // writes to the state service, several in a transaction
+	Batcher      *statestore.Batcher // groups several writes to the state service into one transaction
 	Replica      *replica.Replica
-	RequestTimes *RequestTimes // New adds all requests to it; the caller has it log them
-	// ForwardTimeout is how long a forwarded heartbeat waits for the leader's response.
+	RequestTimes *RequestTimes // records all requests; the caller runs its periodic logging
+	// ForwardTimeout is the maximum time to wait for the leader's response to a forwarded heartbeat.
 	ForwardTimeout micros.Micros
 }
 
-// New returns the handler of all routes.
+// New returns an HTTP handler that serves all routes.
 func New(config Config) http.Handler {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.HTTPErrorHandler = respondToFailure
+	e.HTTPErrorHandler = handleError
 	e.Use(config.RequestTimes.middleware)
 
 	submissions, polls := newRequestLimiter(), newRequestLimiter()
@@ -57,7 +58,7 @@
 	e.GET("/v1/jobs/:id", jobs.poll, limitRequests(polls))
 	e.POST("/v1/jobs/:id/abort", jobs.cancel, limitRequests(submissions))
 
-	// Users who ask very often must not keep the engineer on call from asking why.
+	// Explanations have their own limiter, so that heavy polling by users cannot lock out operators.
 	explanations := newExplainHandler(config)
 	e.GET("/v1/jobs/:id/why", explanations.explain, limitRequests(newRequestLimiter()))
 
--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -14,7 +14,7 @@
 	"caperlatch/internal/wire"
 )
 
-// cancel cancels a job unless it has ended, and answers how it ended.
+// cancel cancels a job unless it has already ended, and responds with the job's final state.
 func (h *jobHandlers) cancel(c echo.Context) error {
 	id := c.Param("id")
 	ctx := c.Request().Context()
@@ -35,17 +35,17 @@
 	case err == nil:
 		return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: wire.JobCancelled})
 	case errors.Is(err, statestore.ErrConflict):
-		// A job's key changes once after its creation, when the job ends: a read shows how.
+		// A job's key changes only once after its creation, when the job ends. Reading it again shows how it ended.
 		if job, err = h.currentJob(ctx, id); err == nil && job.IsFinal() {
 			return respond(c, http.StatusOK, wire.JobStatus{ID: id, State: job.State})
 		}
 	}
-	slog.Debug("cancellation not stored", "job", id, "error", err)
+	slog.Debug("cancellation not confirmed as stored, client told to retry", "job", id, "error", err)
 	return respondUnavailable(c)
 }
 
-// storeCancellation writes that a job is cancelled, on the condition that it has not changed.
-// It leaves the description out if that does not fit: a cancellation must always be possible.
+// storeCancellation stores a job as cancelled, provided that its key has not changed. It omits the job
+// description if the value would be too large otherwise, since cancelling a job must always be possible.
 func (h *jobHandlers) storeCancellation(ctx context.Context, id string, job storedJob) error {
 	cancelled := replica.Job{
 		Spec:        job.Spec,
@@ -60,7 +60,7 @@
 	key := replica.JobPrefix + id
 	revision, err := h.putWithRetry(ctx, key, job.modRevision, cancelled)
 	if errors.Is(err, statestore.ErrRejected) && cancelled.Spec != nil {
-		// The service accepts less than the settings say.
+		// The state service's actual size limit is lower than the configured one.
 		cancelled.Spec = nil
 		revision, err = h.putWithRetry(ctx, key, job.modRevision, cancelled)
 	}
--- a/internal/api/connection_limit.go
+++ b/internal/api/connection_limit.go
@@ -7,38 +7,39 @@
 	"sync"
 )
 
-// ConnLimiter bounds the connections that users and workers hold open. Over the limit of
-// sockets new ones fail, also those to the state service, and a leader that cannot renew its
-// session no longer leads: one node that was left with the connections of two thousand
-// machines and their users came within a hundred of it. So a share of the sockets is reserved
-// for what the node opens itself, and the connection that has been idle for longest is closed
-// for a new one; workers and users open another when they need it.
+// ConnLimiter limits the number of connections that users and workers hold open.
+//
+// Once a node has used up its sockets, it cannot open any more, not even to the state service, and a leader
+// that cannot renew its session loses its leadership. A single node that served 2000 machines and their users
+// came within 100 sockets of its limit. The limiter therefore reserves a share of the sockets for connections
+// that the node opens itself. When the rest are used up, it closes the connection that has been idle longest
+// to make room for a new one; workers and users reconnect when they need to.
 type ConnLimiter struct {
 	limit int
 
 	mu   sync.Mutex
-	open map[net.Conn]*list.Element // its element in idle, nil while it is in use
-	idle list.List                  // of net.Conn, idle for longest first
+	open map[net.Conn]*list.Element // the connection's element in idle; nil while it is in use
+	idle list.List                  // of net.Conn, longest idle first
 }
 
-// reservedSocketShare is the share of a node's sockets that is reserved for what it opens
-// itself: one in so many.
-const reservedSocketShare = 8
+// reservedSocketDivisor sets how many sockets are reserved for connections that the node opens itself: the
+// node's sockets divided by this number.
+const reservedSocketDivisor = 8
 
-// NewConnLimiter returns a limiter for a node that may have so many sockets.
+// NewConnLimiter returns a limiter for a node that may open the given number of sockets in total.
 func NewConnLimiter(sockets int) *ConnLimiter {
-	return &ConnLimiter{limit: sockets - sockets/reservedSocketShare, open: map[net.Conn]*list.Element{}}
+	return &ConnLimiter{limit: sockets - sockets/reservedSocketDivisor, open: map[net.Conn]*list.Element{}}
 }
 
-// ConnState tracks a connection and closes one if there are too many. It is the ConnState
-// of an http.Server.
+// ConnState records a connection's new state, and closes a connection if too many are open. It is meant to be
+// used as the ConnState callback of an http.Server.
 func (l *ConnLimiter) ConnState(conn net.Conn, state http.ConnState) {
 	if evicted := l.track(conn, state); evicted != nil {
 		evicted.Close()
 	}
 }
 
-// track records a connection's state and returns one that is to be closed, or nil.
+// track records a connection's new state, and returns the connection that must be closed, or nil.
 func (l *ConnLimiter) track(conn net.Conn, state http.ConnState) (evicted net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +67,7 @@
 		return evicted
 	}
 	if state == http.StateNew {
-		return conn // all others are in use
+		return conn // no other connection is idle
 	}
 	return nil
 }
--- a/internal/api/connection_limit_test.go
+++ b/internal/api/connection_limit_test.go
@@ -7,9 +7,8 @@
 	"testing"
 )
 
-// TestConnLimiter opens more connections than a node's sockets allow: the one that has been
-// idle for longest must be closed, none that is in use, and some sockets are left for what the
-// node opens itself.
+// TestConnLimiter opens more connections than the limit allows. The limiter must close the one that has been
+// idle longest and none that is in use, and must leave the reserved sockets free.
 func TestConnLimiter(t *testing.T) {
 	type event struct {
 		conn  int
@@ -21,18 +20,18 @@
 		}
 		return out
 	}
-	const limit = 14 // of 16 sockets
+	const limit = 14 // of 16 sockets, 2 are reserved
 	cases := []struct {
 		name   string
 		events []event
-		want   []int // closed
+		want   []int // connections that are closed, in order
 	}{
-		{"as many as allowed", opened(limit), nil},
-		{"one more, all in use", opened(limit + 1), []int{limit}},
-		{"the one idle for longest is closed first", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{limit, http.StateNew}), []int{3}},
-		{"one in use again stays open", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{3, http.StateActive}, event{limit, http.StateNew}), []int{1}},
-		{"closed ones do not count", append(opened(limit), event{2, http.StateClosed}, event{limit, http.StateNew}), nil},
-		{"none is closed twice", append(opened(limit), event{3, http.StateIdle}, event{limit, http.StateNew}, event{3, http.StateClosed}, event{limit + 1, http.StateNew}), []int{3, limit + 1}},
+		{"as many connections as allowed", opened(limit), nil},
+		{"one too many, all in use: the new one is closed", opened(limit + 1), []int{limit}},
+		{"the longest idle connection is closed first", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{limit, http.StateNew}), []int{3}},
+		{"a connection that is in use again stays open", append(opened(limit), event{3, http.StateIdle}, event{1, http.StateIdle}, event{3, http.StateActive}, event{limit, http.StateNew}), []int{1}},
+		{"closed connections do not count", append(opened(limit), event{2, http.StateClosed}, event{limit, http.StateNew}), nil},
+		{"a connection is not closed twice", append(opened(limit), event{3, http.StateIdle}, event{limit, http.StateNew}, event{3, http.StateClosed}, event{limit + 1, http.StateNew}), []int{3, limit + 1}},
 	}
 	for _, c := range cases {
 		limiter := NewConnLimiter(16)
@@ -49,7 +48,7 @@
 			}
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: closed %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: closed connections %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/api/explain.go
+++ b/internal/api/explain.go
@@ -14,24 +14,24 @@
 	"caperlatch/internal/wire"
 )
 
-// explainBarrierTimeout is how long to wait for the state service; it leaves time to ask the
-// leader as well.
+// explainBarrierTimeout bounds the read barrier of an explanation. It is well below userTimeout, which leaves
+// time for the query to the leader.
 const explainBarrierTimeout = 700 * micros.Millisecond
 
-// errReplicaNotLoaded means that this node knows no jobs yet.
+// errReplicaNotLoaded means that this node's replica has not loaded the stored jobs yet.
 var errReplicaNotLoaded = errors.New("this node has not read the state service yet")
 
-// Explainer is the part of a node that explains jobs.
+// Explainer is the part of a node that explains the state of jobs.
 type Explainer interface {
 	JobProgress
-	// Explain asks the leader about a job.
+	// Explain asks the leader to explain the state of a job.
 	Explain(ctx context.Context, id string) (explain.Explanation, error)
 }
 
-// explainHandler answers operators' questions about jobs.
+// explainHandler serves explanations of jobs to operators.
 type explainHandler struct {
 	explainer Explainer
-	member    string // this node
+	member    string // name of this node
 	replica   *replica.Replica
 }
 
@@ -39,9 +39,9 @@
 	return &explainHandler{explainer: config.Node, member: config.Settings.Member, replica: config.Replica}
 }
 
-// explain answers what is known of a job. It answers during a failover, an outage of the state
-// service and while the leader is silent as well, when engineers on call need it most: then
-// with what this node has, and how old that is.
+// explain responds with an explanation of a job's state. Operators need it most during a failover, during an
+// outage of the state service, or while the leader does not respond. The response then holds what this node
+// knows, and how old that is.
 func (h *explainHandler) explain(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), userTimeout.Duration())
 	defer cancel()
@@ -52,9 +52,9 @@
 	if !h.replica.IsLoaded() {
 		return respondError(c, http.StatusServiceUnavailable, errReplicaNotLoaded)
 	}
-	barrierCtx, stop := context.WithTimeout(ctx, explainBarrierTimeout.Duration())
+	barrierCtx, cancelBarrier := context.WithTimeout(ctx, explainBarrierTimeout.Duration())
 	barrierErr := h.replica.Barrier(barrierCtx)
-	stop()
+	cancelBarrier()
 	job, _, ok := h.replica.Job(id)
 	ageS := (micros.Now() - h.replica.CurrentAsOf()).Seconds()
 	switch {
@@ -71,8 +71,8 @@
 	return respond(c, http.StatusOK, explanation)
 }
 
-// explanation returns the leader's explanation of a job or, if it does not answer, what is
-// known here and is ageS seconds old; both completed by the job's description and end.
+// explanation returns the leader's explanation of a job. If the leader does not respond, it returns what this
+// node knows, which is ageS seconds old. Both contain the job's description and, if it has ended, how it ended.
 func (h *explainHandler) explanation(ctx context.Context, id string, job replica.Job, ageS float64) explain.Explanation {
 	e, err := h.explainer.Explain(ctx, id)
 	if err != nil {
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -10,14 +10,16 @@
 	"caperlatch/internal/wire"
 )
 
-// Reasons why a job can never run.
+// Errors for jobs that can never run.
 var (
 	errNoInstanceTypeFits = errors.New("a task fits no allowed machine type")
 	errGangZones          = errors.New("the gang's tasks may not all run in the zones allowed")
 )
 
-// checkFeasible returns why a job can never run, or nil. What is rejected is lost, and what is
-// accepted must run: of a gang all tasks are checked together, as they run at the same time.
+// checkFeasible returns an error that says why a job can never run, or nil if it can.
+//
+// The check must be exact: a rejected job is lost, and an accepted job must eventually run. All tasks of a gang
+// are checked together, because they run at the same time.
 func checkFeasible(j *wire.Job, types []wire.InstanceType, teams []settings.Team) error {
 	if err := checkTeamLimits(j, teams); err != nil {
 		return err
@@ -26,7 +28,8 @@
 	if !fits {
 		return errNoInstanceTypeFits
 	}
-	// At most half of a spread gang's tasks may be in one zone, and all run at the same time.
+	// A gang that is spread over zones runs all its tasks at the same time, at most half of them in one zone, so
+	// it needs two zones.
 	spreadGang := j.Kind == wire.KindGang && j.SpreadZones && j.Tasks > 1
 	if spreadGang && (j.SingleZone || len(zones) < 2) {
 		return errGangZones
@@ -34,24 +37,25 @@
 	return nil
 }
 
-// checkTeamLimits returns why a job's team may never use what the job needs at one time, or nil.
+// checkTeamLimits returns an error if the job's team is unknown, or if the job needs more resources at the same
+// time than the team's limits allow.
 func checkTeamLimits(j *wire.Job, teams []settings.Team) error {
 	i := slices.IndexFunc(teams, func(t settings.Team) bool { return t.Name == j.Team })
 	if i < 0 {
 		return fmt.Errorf("team %s is unknown", j.Team)
 	}
-	needs, concurrentTasks := "a task needs", 1.0
+	requirement, concurrentTasks := "a task needs", 1.0
 	if j.Kind == wire.KindGang {
-		needs, concurrentTasks = "all tasks of the gang need", float64(max(1, j.Tasks))
+		requirement, concurrentTasks = "all tasks of the gang need", float64(max(1, j.Tasks))
 	}
 	if t := teams[i]; exceedsLimit(j.CPUs, concurrentTasks, t.MaxCPUs) || exceedsLimit(j.GPUs, concurrentTasks, t.MaxGPUs) {
-		return fmt.Errorf("%s more than team %s may use", needs, j.Team)
+		return fmt.Errorf("%s more than team %s may use", requirement, j.Team)
 	}
 	return nil
 }
 
-// feasibleZones returns the allowed zones in which some allowed instance type has room for a
-// task, and whether any type has.
+// feasibleZones returns the zones in which a task of the job can run: those that the job allows and where an
+// instance type that it allows is large enough. fits reports whether any allowed instance type is large enough.
 func feasibleZones(j *wire.Job, types []wire.InstanceType) (zones map[string]bool, fits bool) {
 	zones = map[string]bool{}
 	for _, t := range types {
@@ -69,17 +73,17 @@
 	return zones, fits
 }
 
-// exceedsLimit reports whether tasks that need so much each are over a limit; 0 is none. What
-// passes must fit as the leader counts, in thousandths: each task's need rounded up, the limit
-// down.
-func exceedsLimit(need, tasks, limit float64) bool {
+// exceedsLimit reports whether the given number of tasks, which need perTask each, exceeds a limit; a limit of 0
+// means no limit. A job that passes must also fit by the leader's accounting, which counts in thousandths and
+// rounds each task's need up and the limit down.
+func exceedsLimit(perTask, tasks, limit float64) bool {
 	if limit <= 0 {
 		return false
 	}
 	const (
-		perUnit  = 1000 // thousandths, in which the leader counts
-		rounding = 1e-6 // what binary fractions may be off
+		unitsPerWhole     = 1000 // the leader counts in thousandths
+		roundingTolerance = 1e-6 // error of decimal fractions in binary floating point
 	)
-	needs := tasks * math.Ceil(need*perUnit-rounding)
-	return need > limit || tasks > 1 && needs > math.Floor(limit*perUnit+rounding)
+	total := tasks * math.Ceil(perTask*unitsPerWhole-roundingTolerance)
+	return perTask > limit || tasks > 1 && total > math.Floor(limit*unitsPerWhole+roundingTolerance)
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -12,22 +12,22 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values answer questions about the state of the cluster.
+// encodedTypes are the types of this package that are sent as responses to operators' queries about the cluster.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[StandbyStatus]("the standby"),
 	golden.TypeOf[HandoverResponse]("a handover"),
 	golden.TypeOf[ZonesStatus]("the zones"),
 }
 
-// TestEncoded checks that they are encoded as they were.
-func TestEncoded(t *testing.T) {
+// TestEncoding checks that the encoding of these types has not changed.
+func TestEncoding(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags checks that tags name all their fields.
-func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
+// TestEncodingTags checks that every field of these types has a tag.
+func TestEncodingTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestRoutes checks that a node answers the same requests as before.
+// TestRoutes checks that the set of routes has not changed.
 func TestRoutes(t *testing.T) {
 	var routes []string
 	for _, r := range New(Config{Settings: &settings.Settings{}, RequestTimes: NewRequestTimes()}).(*echo.Echo).Routes() {
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -11,53 +11,55 @@
 	"caperlatch/internal/wire"
 )
 
-// errNoLeader means that no other node is known to lead.
+// errNoLeader means that this node knows no other node that leads.
 var errNoLeader = errors.New("no leader known")
 
-// Leader answers heartbeats at the node that leads.
+// Leader handles heartbeats on the node that leads.
 type Leader interface {
-	// HandleHeartbeat takes a heartbeat and returns the response for its worker. It fails
-	// while the leader must not answer.
+	// HandleHeartbeat processes a heartbeat and returns the response to its worker. It returns an error while the
+	// leader must not respond.
 	HandleHeartbeat(heartbeat *wire.Heartbeat) (wire.HeartbeatResponse, error)
 }
 
-// HeartbeatRouter is the part of a node that finds out who answers a heartbeat.
+// HeartbeatRouter is the part of a node that determines where a heartbeat is handled.
 type HeartbeatRouter interface {
-	// LocalLeader returns this node's leader if it leads, else nil.
+	// LocalLeader returns this node's leader, or nil if this node does not lead.
 	LocalLeader() Leader
-	// LeaderMember returns the member that leads as far as this node knows; empty: none known.
+	// LeaderMember returns the name of the member that leads according to this node, or "" if it knows none.
 	LeaderMember() string
-	// ForwarderFor returns the member that is to take a machine's heartbeats for this node,
-	// which leads; empty: this node itself.
+	// ForwarderFor returns the member that must receive a machine's heartbeats and forward them to this node, which
+	// leads. It returns "" if this node must receive them itself.
 	ForwarderFor(machine string) string
-	// CanForward reports whether heartbeats can be forwarded to the leader.
+	// CanForward reports whether the leader is reachable from this node, so that heartbeats can be forwarded to it.
 	CanForward() bool
-	// ForwardHeartbeat has the leader answer an encoded heartbeat and returns its encoded response.
+	// ForwardHeartbeat sends an encoded heartbeat to the leader and returns the encoded response.
 	ForwardHeartbeat(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error)
-	// AwaitHandover waits while leadership is being handed over, for a short and bounded time.
+	// AwaitHandover blocks while leadership is being handed over, for a short and bounded time.
 	AwaitHandover(ctx context.Context)
-	// ExpectsSuccessor reports whether a leader that does not answer now should have a
-	// successor soon, so that heartbeats are kept for that one.
+	// ExpectsSuccessor reports whether a leader that does not respond now should have a successor soon. Heartbeats
+	// are then held for the successor.
 	ExpectsSuccessor() bool
 }
 
-// heartbeatHandler answers workers. The leader has the other nodes take the heartbeats and
-// forward them: one node that took all of a large fleet's heartbeats would spend its
-// processor on connections. The leader alone makes the responses, so whichever node delivers
-// them, they are bound by the leader's fencing token and its contact with the state service.
+// heartbeatHandler serves heartbeats from workers.
+//
+// Workers send their heartbeats to different nodes, which forward them to the leader, because a single node that
+// received all heartbeats of a large fleet would spend its CPU time on connections. Only the leader produces
+// responses. Whichever node delivers a response, it therefore carries the leader's fencing token, and the leader
+// produces it only while its contact with the state service allows it to respond.
 type heartbeatHandler struct {
 	router         HeartbeatRouter
-	member         string // this node
+	member         string // name of this node
 	forwardTimeout micros.Micros
-	redirects      redirects
+	redirects      redirectTracker
 }
 
-// newHeartbeatHandler returns a handler without redirects.
+// newHeartbeatHandler returns a handler that has redirected no worker yet.
 func newHeartbeatHandler(config Config) *heartbeatHandler {
 	return &heartbeatHandler{router: config.Node, member: config.Settings.Member, forwardTimeout: config.ForwardTimeout}
 }
 
-// post answers a heartbeat, here or by the leader.
+// post responds to a heartbeat, which either this node's leader or the leader on another node handles.
 func (h *heartbeatHandler) post(c echo.Context) error {
 	body, err := wire.ReadBody(c.Request().Body)
 	if err != nil {
@@ -70,14 +72,13 @@
 	return h.forward(c, body)
 }
 
-// respondAsLeader answers a heartbeat at the node that leads, or sends the worker to its
-// forwarder.
+// respondAsLeader handles a heartbeat on the node that leads, or redirects the worker to its forwarder.
 func (h *heartbeatHandler) respondAsLeader(c echo.Context, leader Leader, body []byte) error {
 	var heartbeat wire.Heartbeat
 	if err := wire.Unmarshal(body, &heartbeat); err != nil {
 		return respondError(c, http.StatusBadRequest, err)
 	}
-	if forwarder := h.router.ForwarderFor(heartbeat.MachineID); forwarder != "" && !h.redirects.noteOrReturned(heartbeat.MachineID) {
+	if forwarder := h.router.ForwarderFor(heartbeat.MachineID); forwarder != "" && !h.redirects.recordUnlessReturned(heartbeat.MachineID) {
 		return respondRedirect(c, forwarder)
 	}
 	response, err := leader.HandleHeartbeat(&heartbeat)
@@ -87,7 +88,7 @@
 	return respond(c, http.StatusOK, response)
 }
 
-// forward has the leader answer a heartbeat, or sends the worker to it.
+// forward forwards a heartbeat to the leader, or redirects the worker to the leader if that is unreachable from here.
 func (h *heartbeatHandler) forward(c echo.Context, body []byte) error {
 	member := h.router.LeaderMember()
 	if member == "" || member == h.member {
@@ -98,8 +99,8 @@
 		if err := wire.Unmarshal(body, &heartbeat); err != nil {
 			return respondError(c, http.StatusBadRequest, err)
 		}
-		// A worker that is back cannot reach the leader either: forwarding is tried all the same.
-		if !h.redirects.noteOrReturned(heartbeat.MachineID) {
+		// A worker that has returned could not reach the leader either, so forwarding is tried nevertheless.
+		if !h.redirects.recordUnlessReturned(heartbeat.MachineID) {
 			return respondRedirect(c, member)
 		}
 	}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -12,20 +12,20 @@
 	"caperlatch/internal/wire"
 )
 
-// userTimeout is less than users wait for the answer to a poll.
+// userTimeout bounds the work on a user's query. It is shorter than the time that users wait for the response to a
+// poll.
 const userTimeout = 1800 * micros.Millisecond
 
-// errNoSuchJob means that no job has the ID that a user asked for.
+// errNoSuchJob means that no job has the requested ID.
 var errNoSuchJob = errors.New("no such job")
 
-// JobProgress is the part of a node that knows how far jobs are.
+// JobProgress is the part of a node that knows the progress of jobs.
 type JobProgress interface {
-	// TaskCounts returns how many tasks of a job are done and how many run, as well as it is
-	// known here.
+	// TaskCounts returns how many tasks of a job are done and how many are running, according to this node.
 	TaskCounts(id string) (done, running int)
 }
 
-// jobHandlers answer users' submissions, polls and cancellations.
+// jobHandlers holds the handlers of users' submissions, polls and cancellations.
 type jobHandlers struct {
 	progress JobProgress
 	settings *settings.Settings
@@ -44,14 +44,15 @@
 	}
 }
 
-// storedJob is a job with the mod revision of its key.
+// storedJob is a job together with the mod revision of its key.
 type storedJob struct {
 	replica.Job
 	modRevision uint64
 }
 
-// currentJob returns a job as it is stored now: a job that has ended stays so, anything else
-// is only known after a read barrier. The error is errNoSuchJob if there is none.
+// currentJob returns a job as it is currently stored. A job that has ended does not change any more, so this
+// node's copy is returned at once; in all other cases a read barrier is needed first. The error is errNoSuchJob
+// if the job does not exist.
 func (h *jobHandlers) currentJob(ctx context.Context, id string) (storedJob, error) {
 	if job, modRevision, ok := h.replica.Job(id); ok && job.IsFinal() {
 		return storedJob{job, modRevision}, nil
@@ -68,7 +69,7 @@
 	return storedJob{job, modRevision}, nil
 }
 
-// jobStatus returns what users are shown of a job.
+// jobStatus returns the status of a job that is sent to users.
 func (h *jobHandlers) jobStatus(id string, job replica.Job) wire.JobStatus {
 	s := wire.JobStatus{ID: id, State: job.State}
 	if !job.IsFinal() {
@@ -81,17 +82,17 @@
 	return s
 }
 
-// Retries of a write whose user waits for it.
+// Parameters for retrying a write while its user waits for the response.
 const (
-	putRetryPause  = 60 * micros.Millisecond // at least, and less than twice as long
+	putRetryPause  = 60 * micros.Millisecond // minimum; a random time below this is added
 	putRetryWindow = 1500 * micros.Millisecond
-	// maxUnansweredPuts is after how many attempts without an answer a write is given up.
+	// maxUnansweredPuts is the number of attempts without a response after which a write is abandoned.
 	maxUnansweredPuts = 2
 )
 
-// putWithRetry writes one key on the condition that its mod revision is modRevision. It tries
-// again after a rejection by the rate limit, as that passes soon, and once after a lost answer:
-// the second attempt shows whether the first was carried out, as both have the same condition.
+// putWithRetry writes one key, provided that its mod revision is modRevision. It retries when the write was
+// rejected by the rate limit, which is short-lived, and once after a lost response: both attempts have the same
+// condition, so the second one shows whether the first was executed.
 func (h *jobHandlers) putWithRetry(ctx context.Context, key string, modRevision uint64, value any) (revision uint64, err error) {
 	start, unanswered := micros.Now(), 0
 	for {
@@ -110,7 +111,7 @@
 	}
 }
 
-// isFinalPutError reports whether a failed write would fail again at once.
+// isFinalPutError reports whether an immediate retry of a failed write would fail again.
 func isFinalPutError(err error) bool {
 	return errors.Is(err, statestore.ErrConflict) ||
 		errors.Is(err, statestore.ErrUnavailable) ||
--- a/internal/api/membership.go
+++ b/internal/api/membership.go
@@ -9,20 +9,20 @@
 	"caperlatch/internal/membership"
 )
 
-// ErrMembershipDisabled means that the node runs without membership.
+// ErrMembershipDisabled means that the membership feature is disabled on the node.
 var ErrMembershipDisabled = errors.New("membership is off")
 
-// MembershipObserver is the part of a node that questions about its peers need.
+// MembershipObserver is the part of a node that reports the state of its peers.
 type MembershipObserver interface {
-	// MembershipStatus returns this node's view of the others. The error is ErrMembershipOff
-	// if there is none.
+	// MembershipStatus returns this node's view of the other nodes. The error is ErrMembershipDisabled if the node
+	// has no such view.
 	MembershipStatus() (membership.Status, error)
 }
 
-// membershipHandler answers questions about the nodes.
+// membershipHandler serves operators' queries about the nodes.
 type membershipHandler struct{ node MembershipObserver }
 
-// get answers with this node's view of the others.
+// get responds with this node's view of the other nodes.
 func (h membershipHandler) get(c echo.Context) error {
 	status, err := h.node.MembershipStatus()
 	if err != nil {
--- a/internal/api/polls.go
+++ b/internal/api/polls.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/wire"
 )
 
-// poll answers with a job's status.
+// poll responds with a job's status.
 func (h *jobHandlers) poll(c echo.Context) error {
 	id := c.Param("id")
 	if !wire.IsValidJobID(id) {
@@ -21,7 +21,7 @@
 	case errors.Is(err, errNoSuchJob):
 		return respondError(c, http.StatusNotFound, errNoSuchJob)
 	case err != nil:
-		slog.Debug("poll failed", "job", id, "error", err)
+		slog.Debug("poll failed, client told to retry", "job", id, "error", err)
 		return respondUnavailable(c)
 	}
 	return respond(c, http.StatusOK, h.jobStatus(id, job.Job))
--- a/internal/api/readiness.go
+++ b/internal/api/readiness.go
@@ -8,18 +8,19 @@
 	"caperlatch/internal/peer"
 )
 
-// Readiness is the part of a node that health checks need.
+// Readiness is the part of a node that health checks query.
 type Readiness interface {
-	// IsReady reports whether the node can take requests.
+	// IsReady reports whether the node can serve requests.
 	IsReady() bool
-	// Versions returns the versions that the nodes speak, as far as this one knows.
+	// Versions returns the protocol versions of all nodes, as far as this node knows them.
 	Versions() peer.Versions
 }
 
-// readinessHandler answers health checks.
+// readinessHandler serves health checks.
 type readinessHandler struct{ node Readiness }
 
-// get answers whether this node can take requests, by the status, and which versions serve.
+// get responds with status 200 if this node can serve requests and with 503 if it cannot. The body lists the
+// protocol versions of the nodes.
 func (h readinessHandler) get(c echo.Context) error {
 	status := http.StatusOK
 	if !h.node.IsReady() {
--- a/internal/api/redirects.go
+++ b/internal/api/redirects.go
@@ -11,49 +11,50 @@
 )
 
 const (
-	// redirectTTL is how long a redirect is remembered: a worker that is back within it cannot
-	// stay with the node that it was sent to.
+	// redirectTTL is how long a redirect is remembered. A worker that returns within this time evidently cannot use
+	// the node that it was redirected to.
 	redirectTTL = 15 * micros.Second
-	// redirectGracePeriod is how soon after its redirect a heartbeat does not show yet that the
-	// worker is back.
+	// redirectGracePeriod is the time after a redirect within which another heartbeat does not count as a return of
+	// the worker.
 	redirectGracePeriod = micros.Second
 )
 
-// redirects remembers for a while which workers were sent to other nodes. The zero value is
-// ready for use.
-type redirects struct {
-	mu       sync.Mutex
-	sentAt   map[string]micros.Micros // by machine
-	prunedAt micros.Micros            // when expired ones were last forgotten
+// redirectTracker records for a limited time which workers were redirected to other nodes. The zero value is ready
+// for use.
+type redirectTracker struct {
+	mu           sync.Mutex
+	redirectedAt map[string]micros.Micros // by machine ID
+	prunedAt     micros.Micros            // when expired entries were last removed
 }
 
-// noteOrReturned reports whether a machine was redirected a short while ago and is back; it is
-// then to be answered here. Otherwise the caller redirects it, which is noted now. A machine
-// that is back is redirected again once the note has expired.
-func (r *redirects) noteOrReturned(machine string) (returned bool) {
+// recordUnlessReturned reports whether a machine has returned after a recent redirect. The caller must then handle
+// its heartbeat instead of redirecting it again. Otherwise the caller is expected to redirect the machine, and the
+// redirect is recorded, unless one was recorded within the grace period. A machine that has returned may be
+// redirected again once its entry has expired.
+func (r *redirectTracker) recordUnlessReturned(machine string) (returned bool) {
 	now := micros.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.sentAt == nil || now-r.prunedAt > redirectTTL {
-		for id, at := range r.sentAt {
+	if r.redirectedAt == nil || now-r.prunedAt > redirectTTL {
+		for id, at := range r.redirectedAt {
 			if now-at > redirectTTL {
-				delete(r.sentAt, id)
+				delete(r.redirectedAt, id)
 			}
 		}
 		r.prunedAt = now
 	}
-	if r.sentAt == nil {
-		r.sentAt = map[string]micros.Micros{}
+	if r.redirectedAt == nil {
+		r.redirectedAt = map[string]micros.Micros{}
 	}
-	redirectedAt, ok := r.sentAt[machine]
+	redirectedAt, ok := r.redirectedAt[machine]
 	if !ok || now-redirectedAt > redirectTTL {
-		r.sentAt[machine] = now
+		r.redirectedAt[machine] = now
 		return false
 	}
 	return now-redirectedAt > redirectGracePeriod
 }
 
-// respondRedirect sends a worker to another node.
+// respondRedirect responds with a redirect of a worker to another node.
 func respondRedirect(c echo.Context, member string) error {
 	return respond(c, http.StatusMisdirectedRequest, wire.Redirect{Member: member})
 }
--- a/internal/api/redirects_test.go
+++ b/internal/api/redirects_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// TestRedirects has a worker come back after its redirect, sooner and later.
-func TestRedirects(t *testing.T) {
+// TestRedirectTracker checks after which times a worker that sends another heartbeat counts as having returned from
+// a redirect.
+func TestRedirectTracker(t *testing.T) {
 	cases := []struct {
 		name     string
-		after    time.Duration // of the redirect
+		after    time.Duration // time since the redirect
 		returned bool
 	}{
-		{"at the same time", 0, false},
+		{"at the time of the redirect", 0, false},
 		{"within the grace period", time.Second, false},
 		{"after the grace period", time.Second + time.Millisecond, true},
 		{"just before the redirect expires", 15 * time.Second, true},
@@ -22,16 +23,16 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var r redirects
-				if r.noteOrReturned("m-1") {
-					t.Error("returned before it was redirected")
+				var r redirectTracker
+				if r.recordUnlessReturned("m-1") {
+					t.Error("worker m-1 counts as returned before it was redirected, want a redirect")
 				}
 				time.Sleep(c.after)
-				if got := r.noteOrReturned("m-1"); got != c.returned {
-					t.Errorf("returned %v, want %v", got, c.returned)
+				if got := r.recordUnlessReturned("m-1"); got != c.returned {
+					t.Errorf("worker m-1 after %v: got returned %v, want %v", c.after, got, c.returned)
 				}
-				if r.noteOrReturned("m-2") {
-					t.Error("another worker counts as returned")
+				if r.recordUnlessReturned("m-2") {
+					t.Error("worker m-2 counts as returned after a redirect of m-1, want a redirect")
 				}
 			})
 		})
--- a/internal/api/request_limit.go
+++ b/internal/api/request_limit.go
@@ -7,22 +7,21 @@
 	"github.com/labstack/echo/v4"
 )
 
-// Bounds of the limit on requests in progress. It starts above what bursts of users bring
-// and never closes altogether.
+// Bounds and initial value of the adaptive limit on concurrent requests. The initial value is above the usual bursts
+// of user requests, and the lower bound ensures that some requests are always admitted.
 const (
 	minRequestLimit     = 16
 	maxRequestLimit     = 256
 	initialRequestLimit = 64
 )
 
-// newRequestLimiter returns a limit on requests in progress that adapts to the times that
-// they take.
+// newRequestLimiter returns a limiter of concurrent requests that adapts its limit to their latencies.
 func newRequestLimiter() adaptivelimiter.AdaptiveLimiter[any] {
 	return adaptivelimiter.NewBuilder[any]().WithLimits(minRequestLimit, maxRequestLimit, initialRequestLimit).Build()
 }
 
-// limitRequests sheds users' requests over the limit. Heartbeats and health checks
-// are not limited.
+// limitRequests returns middleware that rejects requests beyond the limiter's current limit with status 429. It is
+// used for users' requests, not for heartbeats or health checks.
 func limitRequests(limiter adaptivelimiter.AdaptiveLimiter[any]) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
@@ -31,7 +30,7 @@
 				return respondRetryLater(c, http.StatusTooManyRequests)
 			}
 			err := next(c)
-			// The time of a request that could not be served says nothing of how long work takes.
+			// The latency of a request that could not be served is not representative, so the limiter ignores it.
 			if c.Response().Status >= http.StatusInternalServerError {
 				permit.Drop()
 			} else {
--- a/internal/api/request_times.go
+++ b/internal/api/request_times.go
@@ -11,27 +11,27 @@
 	"caperlatch/internal/micros"
 )
 
-// RequestTimes records how long requests take, by route, and logs it every minute.
+// RequestTimes records the latencies of requests by route, and logs a summary every minute.
 type RequestTimes struct {
 	mu     sync.Mutex
-	routes map[string]*hdrhistogram.Histogram // of microseconds
+	routes map[string]*hdrhistogram.Histogram // by route; values in microseconds
 }
 
-// NewRequestTimes returns an empty record.
+// NewRequestTimes returns a RequestTimes without any recorded latencies.
 func NewRequestTimes() *RequestTimes {
 	return &RequestTimes{routes: map[string]*hdrhistogram.Histogram{}}
 }
 
 const (
-	// maxRecordedTime is the longest time told apart from longer ones.
+	// maxRecordedTime is the largest latency that is recorded; longer ones are recorded as this value.
 	maxRecordedTime = 60 * micros.Second
-	// significantDigits is the precision of the recorded times.
+	// significantDigits is the number of significant decimal digits of recorded latencies.
 	significantDigits = 2
-	// logInterval is the time between two log lines of a route.
+	// logInterval is the time between two log messages for a route.
 	logInterval = 60 * micros.Second
 )
 
-// record adds the duration of a request to a route.
+// record adds the latency of a request to its route's histogram.
 func (t *RequestTimes) record(route string, duration micros.Micros) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,11 +40,11 @@
 		h = hdrhistogram.New(1, int64(maxRecordedTime), significantDigits)
 		t.routes[route] = h
 	}
-	// A value in range cannot fail.
+	// RecordValue fails only for values out of range.
 	_ = h.RecordValue(int64(min(max(duration, 1), maxRecordedTime)))
 }
 
-// middleware records every request.
+// middleware records the latency of every request.
 func (t *RequestTimes) middleware(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		start := micros.Now()
@@ -54,10 +54,10 @@
 	}
 }
 
-// Run logs the times of each minute until ctx ends.
+// Run logs the latencies of each minute until ctx is done.
 func (t *RequestTimes) Run(ctx context.Context) { micros.Every(ctx, logInterval, t.log) }
 
-// log logs the times since the last call and forgets them.
+// log logs the latencies that were recorded since the last call, and resets the histograms.
 func (t *RequestTimes) log() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -12,30 +12,30 @@
 	"caperlatch/internal/standby"
 )
 
-// ErrStandbyDisabled means that the node runs without the warm standby.
+// ErrStandbyDisabled means that the warm standby is disabled on the node.
 var ErrStandbyDisabled = errors.New("the warm standby is off")
 
-// errNotLocal means that a request must come from the node's own machine.
+// errNotLocal means that a request was rejected because it did not come from the node's own machine.
 var errNotLocal = errors.New("only asked on the node's own machine")
 
-// Standby is the part of a node that questions about the warm standby need.
+// Standby is the part of a node that reports the state of the warm standby and hands leadership over.
 type Standby interface {
-	// StandbyStatus returns how far the warm standby is, as this node knows it. The error is
-	// ErrStandbyOff if there is none.
+	// StandbyStatus returns the state of the warm standby according to this node. The error is ErrStandbyDisabled if
+	// the warm standby is disabled.
 	StandbyStatus() (StandbyStatus, error)
-	// HandOverAndConfirm has this node, if it leads, hand leadership over to a member that it names, and returns
-	// that member once it leads. The error is ErrStandbyOff without a standby, and a *HandoverError if
-	// another member than the named one leads next, or none does for a while.
+	// HandOverAndConfirm hands leadership over from this node, if it leads, to a member that this node chooses, and
+	// returns that member once it leads. The error is ErrStandbyDisabled if the warm standby is disabled, and a
+	// *HandoverError if a member other than the chosen one leads next or if no member leads within a time-out.
 	HandOverAndConfirm(ctx context.Context) (to string, err error)
 }
 
-// HandoverError says that leadership was handed over, and not to a named member.
+// HandoverError means that leadership was handed over, but is not known to have passed to a chosen member.
 type HandoverError struct {
-	Target string // the member that was to lead next; empty: any, as none followed closely
-	Leader string // the member that leads now; empty: none is known yet
+	Target string // the member chosen to lead next; empty: any, because no follower was close enough
+	Leader string // the member that leads now; empty: no leader is known yet
 }
 
-// Error implements error. Operators are shown the text.
+// Error implements error. The text is shown to operators.
 func (e *HandoverError) Error() string {
 	to := cmp.Or(e.Target, "any node, as none follows closely")
 	if e.Leader == "" {
@@ -44,31 +44,33 @@
 	return "handed over to " + to + ", and " + e.Leader + " leads"
 }
 
-// StandbyStatus is the answer to a question about the warm standby.
+// StandbyStatus is the response to an operator's query about the warm standby.
 type StandbyStatus struct {
 	Member       string `json:"member"`
 	Leader       string `json:"leader"`
 	FencingToken uint64 `json:"token"`
 	Phase        string `json:"phase"`
 	Leading      bool   `json:"leading"`
-	// Of a leader.
+	// Position and Followers are set by a leader.
 	Position  uint64                  `json:"position,omitempty"`
 	Followers []standby.FollowerState `json:"followers,omitempty"`
-	// Of a follower.
+	// Progress is set by a follower.
 	Progress *standby.Progress `json:"progress,omitempty"`
-	// LastFailover is the last failover to this node, nil if it never led.
+	// LastFailover is the last failover to this node; nil if it never led.
 	LastFailover *standby.FailoverRecord `json:"last,omitempty"`
 }
 
-// HandoverResponse is the answer to a request to hand over.
+// HandoverResponse is the response to a handover request.
 type HandoverResponse struct {
-	To string `json:"to"` // the member that was named, and leads; versions up to 01da0cf say whom they named, empty: any
+	// To is the member that was chosen and now leads. In versions up to 01da0cf it is the chosen member, which need
+	// not lead; empty: any.
+	To string `json:"to"`
 }
 
-// standbyHandlers answer operators' questions and requests about the warm standby.
+// standbyHandlers holds the handlers of operators' queries and requests about the warm standby.
 type standbyHandlers struct{ node Standby }
 
-// get answers how far the warm standby is.
+// get responds with the state of the warm standby.
 func (h standbyHandlers) get(c echo.Context) error {
 	status, err := h.node.StandbyStatus()
 	if err != nil {
@@ -77,8 +79,8 @@
 	return respond(c, http.StatusOK, status)
 }
 
-// handOver hands leadership over. Users reach the same address, so the request is taken from
-// the node's own machine only.
+// handOver hands leadership over. Users can reach the same address, so it accepts requests from the node's own
+// machine only.
 func (h standbyHandlers) handOver(c echo.Context) error {
 	if !isFromSameMachine(c.Request()) {
 		return respondError(c, http.StatusForbidden, errNotLocal)
@@ -93,8 +95,8 @@
 	return respond(c, http.StatusOK, HandoverResponse{To: to})
 }
 
-// isFromSameMachine reports whether a request comes from the address that it was sent to, or
-// from a loopback address.
+// isFromSameMachine reports whether a request's source address is a loopback address or the address that the request
+// was sent to.
 func isFromSameMachine(r *http.Request) bool {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/api/standby_test.go
+++ b/internal/api/standby_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestIsFromSameMachine checks from which addresses a handover may be requested.
+// TestIsFromSameMachine checks from which source addresses a handover may be requested.
 func TestIsFromSameMachine(t *testing.T) {
 	cases := []struct {
 		name, from, local string
@@ -15,9 +15,9 @@
 	}{
 		{"loopback", "127.0.0.1:50000", "127.0.0.1", true},
 		{"IPv6 loopback", "[::1]:50000", "::1", true},
-		{"its own address", "10.0.0.1:50000", "10.0.0.1", true},
+		{"the address that the request was sent to", "10.0.0.1:50000", "10.0.0.1", true},
 		{"another machine", "10.0.0.2:50000", "10.0.0.1", false},
-		{"no address", "nobody", "10.0.0.1", false},
+		{"a malformed source address", "nobody", "10.0.0.1", false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			}
 			r.RemoteAddr = tc.from
 			if got := isFromSameMachine(r); got != tc.want {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("request from %s to %s: got %v, want %v", tc.from, tc.local, got, tc.want)
 			}
 		})
 	}
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -13,27 +13,27 @@
 	"caperlatch/internal/wire"
 )
 
-// Reasons why a submission is not accepted.
+// Errors for submissions that are not accepted.
 var (
 	errNoJobID              = errors.New("no map with a good id")
 	errDescriptionTooLong   = errors.New("the description is too long")
-	errInstanceTypesUnknown = errors.New("the catalog is not known yet") // it may be accepted later
+	errInstanceTypesUnknown = errors.New("the catalog is not known yet") // the submission may be accepted later
 )
 
-// rejectionError means that a submission can never be accepted as it is.
+// rejectionError means that a submission can never be accepted in its present form.
 type rejectionError struct {
-	status int // of HTTP
+	status int // HTTP status of the response
 	reason error
 }
 
-// Error returns the text that the user gets.
+// Error returns the text that is sent to the user.
 func (e *rejectionError) Error() string { return e.reason.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the reason of the rejection.
 func (e *rejectionError) Unwrap() error { return e.reason }
 
-// submit stores a new job. A job that is known is answered with its status, whatever else its
-// repeated submission says.
+// submit stores a new job. If the job ID is already in use, it responds with the status of that job, regardless of
+// the rest of the submission.
 func (h *jobHandlers) submit(c echo.Context) error {
 	body, err := wire.ReadBody(c.Request().Body)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return h.storeSubmission(c, id, job)
 }
 
-// checkSubmission returns the job to be stored. The error is a *rejectionError,
-// errInstanceTypesUnknown or a failure of this node.
+// checkSubmission validates a submission and returns the job to store. The error is a *rejectionError,
+// errInstanceTypesUnknown or an internal error of this node.
 func (h *jobHandlers) checkSubmission(body []byte) (replica.Job, error) {
 	spec, err := wire.ParseJob(body)
 	if err != nil {
@@ -87,19 +87,20 @@
 	return job, nil
 }
 
-// reject answers a submission that cannot be accepted, unless its ID is known.
+// reject responds to a submission that cannot be accepted with the reason, or with the status of the existing job if
+// its ID is already in use.
 func (h *jobHandlers) reject(c echo.Context, id string, rejection *rejectionError) error {
-	if answered, err := h.respondIfKnown(c, id); answered {
+	if responded, err := h.respondIfKnown(c, id); responded {
 		return err
 	}
 	slog.Debug("submission rejected", "job", id, "status", rejection.status, "error", rejection.reason)
 	return respondError(c, rejection.status, rejection.reason)
 }
 
-// respondIfKnown answers a submission whose ID was accepted at another node: such a job keeps
-// its status, whatever the repeated submission says. It answers as well, that the service is
-// unavailable, if this cannot be found out now.
-func (h *jobHandlers) respondIfKnown(c echo.Context, id string) (answered bool, err error) {
+// respondIfKnown responds to a submission if its job ID was already accepted, possibly by another node: the response
+// is then the status of that job, regardless of the rest of the submission. If the job's existence cannot be
+// determined now, it responds that the service is unavailable. It reports whether it has responded.
+func (h *jobHandlers) respondIfKnown(c echo.Context, id string) (responded bool, err error) {
 	_, err = h.currentJob(c.Request().Context(), id)
 	switch {
 	case errors.Is(err, errNoSuchJob):
@@ -110,7 +111,7 @@
 	return true, h.respondWithJobStatus(c, id)
 }
 
-// storeSubmission writes a checked job and answers with the outcome.
+// storeSubmission stores a validated job and responds with the outcome.
 func (h *jobHandlers) storeSubmission(c echo.Context, id string, job replica.Job) error {
 	key := replica.JobPrefix + id
 	revision, err := h.putWithRetry(c.Request().Context(), key, 0, job)
@@ -121,20 +122,19 @@
 	case errors.Is(err, statestore.ErrConflict):
 		return h.respondWithJobStatus(c, id)
 	case errors.Is(err, statestore.ErrRejected):
-		// The description is over a limit that has come into force. From then on no earlier
-		// attempt to store it that got no answer is carried out either, but one may have been
-		// before.
-		if answered, err := h.respondIfKnown(c, id); answered {
+		// The description exceeds a size limit that the state service has begun to enforce. No earlier attempt whose
+		// response was lost can be executed any more, but one may have been executed before the limit applied.
+		if responded, err := h.respondIfKnown(c, id); responded {
 			return err
 		}
 		slog.Info("submission rejected by the state service", "job", id, "error", err)
 		return respondError(c, http.StatusBadRequest, errDescriptionTooLong)
 	}
-	slog.Debug("submission not stored", "job", id, "error", err)
+	slog.Debug("submission not confirmed as stored, client told to retry", "job", id, "error", err)
 	return respondUnavailable(c)
 }
 
-// respondWithJobStatus answers a submission of a job that was accepted before.
+// respondWithJobStatus responds to a submission with the status of the existing job that has its ID.
 func (h *jobHandlers) respondWithJobStatus(c echo.Context, id string) error {
 	job, err := h.currentJob(c.Request().Context(), id)
 	if err != nil {
--- a/internal/api/zones.go
+++ b/internal/api/zones.go
@@ -10,29 +10,28 @@
 	"caperlatch/internal/zone"
 )
 
-// ErrZonePolicyDisabled means that the leader runs without the policy on zones, or with one that
-// has no states to show.
+// ErrZonePolicyDisabled means that the leader's zone policy is disabled, or does not expose the states of zones.
 var ErrZonePolicyDisabled = errors.New("the policy on zones is off")
 
-// ZoneObserver is the part of a node that questions about zones need.
+// ZoneObserver is the part of a node that reports the state of zones.
 type ZoneObserver interface {
-	// LeaderMember returns the member that leads as far as this node knows; empty: none known.
+	// LeaderMember returns the name of the member that leads according to this node, or "" if it knows none.
 	LeaderMember() string
-	// ZoneStatus returns the leader's view of the zones, whichever node is asked. The error
-	// is ErrZonesOff if there is none.
+	// ZoneStatus returns the leader's view of the zones, on whichever node it is called. The error is
+	// ErrZonePolicyDisabled if the leader has no such view.
 	ZoneStatus(ctx context.Context) ([]zone.Status, error)
 }
 
-// ZonesStatus is the answer to a question about the zones.
+// ZonesStatus is the response to an operator's query about the zones.
 type ZonesStatus struct {
 	Leader string        `json:"leader"`
 	Zones  []zone.Status `json:"zones"`
 }
 
-// zonesHandler answers questions about the zones.
+// zonesHandler serves operators' queries about the zones.
 type zonesHandler struct{ node ZoneObserver }
 
-// get answers with the leader's view of the zones.
+// get responds with the leader's view of the zones.
 func (h zonesHandler) get(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), userTimeout.Duration())
 	defer cancel()
