--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -8,9 +8,9 @@
 	"net/http"
 )
 
-// Call sends a request by client, with the encoded message as its body unless that is nil, and
-// returns the status and the whole body of the response. After an error it is unknown whether
-// the request was or will be carried out.
+// Call sends an HTTP request and returns the status and the complete body of the response. The request's body is the
+// encoded message, or empty if message is nil. After an error it is unknown whether the request was or will be
+// executed.
 func Call(ctx context.Context, client *http.Client, method, url string, message any) (status int, response []byte, err error) {
 	var body io.Reader
 	if message != nil {
@@ -36,7 +36,7 @@
 	return resp.StatusCode, response, err
 }
 
-// ErrorResponse is the body of a response whose status says that the request failed.
+// ErrorResponse is the body of a response with an error status.
 type ErrorResponse struct {
 	Message string `json:"error"`
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,6 +1,6 @@
 package wire
 
-// InstanceType is a type of instances that the cloud has: its resources, prices and zones.
+// InstanceType describes an instance type that the cloud offers: its resources, prices and zones.
 type InstanceType struct {
 	Name            string   `json:"name"`
 	CPUs            float64  `json:"vcpus"`
@@ -8,9 +8,9 @@
 	MemoryGB        float64  `json:"memory_gb"`
 	ImageCacheGB    float64  `json:"local_gb"`
 	ImagePullGBPerS float64  `json:"fetch_gb_per_s"`
-	OnDemandPrice   float64  `json:"price"`     // an hour
-	SpotPrice       float64  `json:"low_price"` // an hour, now
-	BootTimeS       float64  `json:"startup_s"` // nominal
+	OnDemandPrice   float64  `json:"price"`     // per hour
+	SpotPrice       float64  `json:"low_price"` // current price per hour
+	BootTimeS       float64  `json:"startup_s"` // nominal, in seconds
 	Zones           []string `json:"halls"`
 }
 
@@ -19,8 +19,8 @@
 	Types []InstanceType `json:"builds"`
 }
 
-// LaunchRequest asks the cloud to launch instances. A request ID that was granted gets the same
-// answer again and launches nothing, so none is used for two launches.
+// LaunchRequest asks the cloud to launch instances. The cloud answers a request ID that it has already granted with
+// the same response and launches nothing, so every launch needs a new ID.
 type LaunchRequest struct {
 	RequestID    string `json:"booking"`
 	InstanceType string `json:"build"`
@@ -29,7 +29,7 @@
 	Count        int    `json:"how_many"`
 }
 
-// InstanceIDs lists instances: those that were launched, or those to be terminated.
+// InstanceIDs lists the IDs of instances that were launched, or that are to be terminated.
 type InstanceIDs struct {
 	IDs []string `json:"hosts"`
 }
@@ -41,11 +41,11 @@
 const (
 	InstanceBooting InstanceState = "booting"
 	InstanceRunning InstanceState = "running"
-	// InstanceFailed is of an instance that stopped by itself and is not yet terminated.
+	// InstanceFailed is the state of an instance that stopped on its own and has not been terminated yet.
 	InstanceFailed InstanceState = "failed"
 )
 
-// InstanceStatus is an entry of the cloud's list of instances.
+// InstanceStatus is an entry in the cloud's list of instances.
 type InstanceStatus struct {
 	ID           string        `json:"id"`
 	Address      string        `json:"address"`
@@ -53,10 +53,10 @@
 	Zone         string        `json:"hall"`
 	Spot         bool          `json:"standby"`
 	State        InstanceState `json:"status"`
-	AgeS         float64       `json:"age_s"` // seconds from the launch request to when the list was true
+	AgeS         float64       `json:"age_s"` // seconds from the launch request to the time that the list describes
 }
 
-// InstancePage is a page of the cloud's list, in the order of IDs.
+// InstancePage is a page of the cloud's list of instances, ordered by ID.
 type InstancePage struct {
 	Instances []InstanceStatus `json:"hosts"`
 	HasMore   bool             `json:"has_next"`
--- a/internal/wire/encoding.go
+++ b/internal/wire/encoding.go
@@ -1,12 +1,14 @@
-// Package wire holds the messages of the protocol, their encoding and their limits. The words
-// of the protocol stand here alone, as field tags and string constants; Go names are the
-// terms of docs/glossary.md.
+// Package wire defines the messages of the protocol, their encoding and their limits.
 //
-// It owns how messages are encoded and decoded, the size limits of bodies, and which job
-// descriptions are well formed. It must not decide whether a job can run: that depends on the
-// instance types and the teams, and is internal/api's. It keeps no state, and logs nothing.
+// The protocol's own terms appear only in this package, as field tags and string constants. Go names use the terms of
+// docs/glossary.md.
 //
-// Order of fields, tags and constants are seen outside and are stored: golden files hold them.
+// The package owns the encoding and decoding of messages, the size limits of bodies, and the validation of job
+// descriptions. It does not decide whether a job can run: that depends on the instance types and the teams, and is
+// decided in internal/api. The package has no state and logs nothing.
+//
+// The order of fields, the tags and the constants are visible to other programs and part of stored data. Golden files
+// guard them against changes.
 package wire
 
 import (
@@ -20,13 +22,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBodyBytes is the largest size of a request's or response's body, measured as JSON.
+// MaxBodyBytes is the maximum size of a request's or response's body, measured as JSON.
 const MaxBodyBytes = 64 << 10
 
 // ContentType is the media type of every body.
 const ContentType = "application/cbor"
 
-// Limits of decoding, well above what any message of the protocol or between nodes needs.
+// Decoder limits. They are far above what any message of the protocol or between nodes needs.
 const (
 	maxNestedLevels  = 16
 	maxArrayElements = 1 << 18
@@ -38,16 +40,16 @@
 		MaxNestedLevels:  maxNestedLevels,
 		MaxArrayElements: maxArrayElements,
 		MaxMapPairs:      maxMapPairs,
-		// Maps in an untyped value must have a type that JSON knows: with the library's own,
-		// every larger body that held a list of maps, as a machine's heartbeat with 200 tasks
-		// does, measured as infinite.
+		// Maps in an untyped value must have a type that encoding/json supports. With the library's default type,
+		// JSONSize could not encode a list of maps, so ReadBody rejected every body with such a list that was large
+		// enough to be measured, for example a heartbeat with 200 tasks.
 		DefaultMapType: reflect.TypeFor[map[string]any](),
 	}.DecMode())
 	encoder = mustMode(cbor.EncOptions{}.EncMode())
 )
 
-// mustMode returns a mode of encoding or decoding. Making one can only fail by a mistake in its
-// options, which are constants, so it panics then.
+// mustMode returns an encoding or decoding mode, and panics if creating it failed. Creating it can fail only because of
+// invalid options, which are constants in this package.
 func mustMode[M any](mode M, err error) M {
 	if err != nil {
 		panic(err)
@@ -55,24 +57,24 @@
 	return mode
 }
 
-// RawMessage is a value that has not been decoded yet.
+// RawMessage is an encoded value that has not been decoded yet.
 type RawMessage = cbor.RawMessage
 
 // Marshal encodes a body or a stored value.
 func Marshal(v any) ([]byte, error) { return encoder.Marshal(v) }
 
-// Unmarshal decodes all of b into v. Unknown fields are ignored; a body that is no map is an
-// error if v points to a struct.
+// Unmarshal decodes all of b into v. It ignores unknown fields. If v points to a struct, a body that is not a map is an
+// error.
 func Unmarshal(b []byte, v any) error { return decoder.Unmarshal(b, v) }
 
-// NewEncoder returns an encoder of a stream of values to w.
+// NewEncoder returns an encoder that writes a stream of values to w.
 func NewEncoder(w io.Writer) *cbor.Encoder { return encoder.NewEncoder(w) }
 
-// NewDecoder returns a decoder of a stream of values from r.
+// NewDecoder returns a decoder that reads a stream of values from r.
 func NewDecoder(r io.Reader) *cbor.Decoder { return decoder.NewDecoder(r) }
 
-// JSONSize returns the size of v in bytes as the protocol's limits measure it. What JSON cannot
-// represent measures as over MaxBodyBytes.
+// JSONSize returns the size of v in bytes as JSON, by which the protocol's limits are defined. For a value that JSON
+// cannot represent, it returns a size greater than MaxBodyBytes.
 func JSONSize(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -81,15 +83,15 @@
 	return len(b)
 }
 
-// ErrBodyTooLarge reports that a body is larger than MaxBodyBytes.
+// ErrBodyTooLarge means that a body is larger than MaxBodyBytes.
 var ErrBodyTooLarge = errors.New("body over the limit")
 
-// maxJSONPerByte is how many JSON characters one CBOR byte can stand for. Only bodies that may
-// be too large by it need to be measured.
-const maxJSONPerByte = 6
+// maxJSONCharsPerByte is the maximum number of JSON characters that one byte of CBOR can represent. A body of at most
+// MaxBodyBytes/maxJSONCharsPerByte cannot be too large as JSON, so it need not be measured.
+const maxJSONCharsPerByte = 6
 
-// ReadBody reads all of r, which the caller closes, and returns ErrBodyTooLarge if it measures
-// more than MaxBodyBytes, as it is or as JSON.
+// ReadBody reads a complete body from r, which the caller must close. The error is ErrBodyTooLarge if the body is
+// larger than MaxBodyBytes, either as received or as JSON.
 func ReadBody(r io.Reader) ([]byte, error) {
 	var buf bytes.Buffer
 	if _, err := io.Copy(&buf, io.LimitReader(r, MaxBodyBytes+1)); err != nil {
@@ -98,7 +100,7 @@
 	if buf.Len() > MaxBodyBytes {
 		return nil, ErrBodyTooLarge
 	}
-	if buf.Len() > MaxBodyBytes/maxJSONPerByte {
+	if buf.Len() > MaxBodyBytes/maxJSONCharsPerByte {
 		var v map[string]any
 		if err := Unmarshal(buf.Bytes(), &v); err == nil && JSONSize(v) > MaxBodyBytes {
 			return nil, ErrBodyTooLarge
--- a/internal/wire/encoding_test.go
+++ b/internal/wire/encoding_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestReadBody checks which bodies are within the limit, as they are and as JSON.
+// TestReadBody checks which bodies are within the size limit, both as CBOR and as JSON.
 func TestReadBody(t *testing.T) {
 	text := func(n int) string {
 		b, err := Marshal(map[string]string{"x": strings.Repeat("a", n)})
@@ -38,16 +38,16 @@
 		name, body string
 		ok         bool
 	}{
-		{"small", text(100), true},
+		{"a small body", text(100), true},
 		{"a heartbeat with many tasks", heartbeat(1000), true},
-		{"a heartbeat with too many", heartbeat(2000), false},
-		{"just under", text(MaxBodyBytes - 100), true},
-		{"over", text(MaxBodyBytes), false},
-		{"over as JSON only", string(b), false},
+		{"a heartbeat with too many tasks", heartbeat(2000), false},
+		{"just under the limit as CBOR", text(MaxBodyBytes - 100), true},
+		{"over the limit as CBOR", text(MaxBodyBytes), false},
+		{"over the limit as JSON only", string(b), false},
 	}
 	for _, c := range cases {
 		if _, err := ReadBody(strings.NewReader(c.body)); (err == nil) != c.ok {
-			t.Errorf("%s: error %v, want ok %v", c.name, err, c.ok)
+			t.Errorf("%s: got error %v, want success %v", c.name, err, c.ok)
 		}
 	}
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -7,8 +7,8 @@
 	"caperlatch/internal/golden"
 )
 
-// encodedTypes are the types whose values are sent to and received from users, workers, the cloud
-// and the state service. Their names are those of sections in the golden files, and so stay.
+// encodedTypes are the types that are exchanged with users, workers, the cloud and the state service. The strings are
+// section names in the golden files and must not change.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[Job]("a job"),
 	golden.TypeOf[submission]("a submission"),
@@ -39,15 +39,15 @@
 	golden.TypeOf[struct{}]("nothing"),
 }
 
-// TestEncoding checks that all messages are encoded as the golden file says.
+// TestEncoding checks that the encoding of all messages matches the golden file.
 func TestEncoding(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: Marshal, Decode: Unmarshal}, encodedTypes...)
 }
 
-// TestEncodingTags checks that tags name all encoded fields.
+// TestEncodingTags checks that every encoded field has a tag.
 func TestEncodingTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestConstants checks the words and the limits of the protocol.
+// TestConstants checks that the string constants and limits of the protocol match the golden file.
 func TestConstants(t *testing.T) {
 	constants := []struct {
 		section string
@@ -71,8 +71,8 @@
 	golden.Check(t, "words.golden", sections)
 }
 
-// TestDecodingErrors checks the errors for bodies that are no submission or no heartbeat. They
-// name Go types and fields, which are so seen outside.
+// TestDecodingErrors checks the error texts for invalid submissions and heartbeats. These texts are sent to users and
+// workers, and contain the names of Go types and fields, which therefore must not change.
 func TestDecodingErrors(t *testing.T) {
 	var sections []golden.Section
 	for _, c := range []struct {
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// States of tasks in heartbeats. A gang's task waits when it has its image and others of its
-// attempt do not. One that loses its gang or is being stopped with it still reports running
-// until it exits.
+// States of tasks in heartbeats. A task of a gang that has pulled its image reports TaskWaitingForGang until the other
+// tasks of its attempt have pulled theirs. A task whose gang has lost another task, or which is being stopped together
+// with its gang, still reports TaskRunning until it exits.
 //
-// States of tasks, and reasons of their exits, are plain strings: the error of decoding
-// something else names the type, and is in the response to the worker.
+// Task states and exit reasons are plain strings without a Go type of their own, because the error for a value that
+// cannot be decoded contains the name of the type and is sent to the worker.
 const (
 	TaskPullingImage   = "pulling"
 	TaskWaitingForGang = "waiting"
@@ -16,7 +16,7 @@
 	TaskExited         = "ended"
 )
 
-// Exit reasons of tasks.
+// Reasons why tasks exited.
 const (
 	ExitDone                  = "done"
 	ExitStopped               = "stopped"
@@ -24,10 +24,9 @@
 	ExitInsufficientResources = "no_room"
 	ExitOtherAttemptPresent   = "busy"
 	ExitJobNotFound           = "no_such"
-	// ExitGangTaskLost is of a gang's task whose gang has lost another one.
+	// ExitGangTaskLost means that the task's gang has lost another task.
 	ExitGangTaskLost = "peers"
-	// ExitGangTimeout is of a gang's task whose gang was not complete within
-	// settings.Workers.GangAssemblyTimeout.
+	// ExitGangTimeout means that the task's gang was not complete within settings.Workers.GangAssemblyTimeout.
 	ExitGangTimeout = "incomplete"
 )
 
@@ -39,25 +38,26 @@
 	}
 )
 
-// IsKnownTaskState reports whether state is one of the protocol's states of tasks.
+// IsKnownTaskState reports whether state is one of the protocol's task states.
 func IsKnownTaskState(state string) bool { return slices.Contains(taskStates, state) }
 
 // IsKnownExitReason reports whether reason is one of the protocol's exit reasons.
 func IsKnownExitReason(reason string) bool { return slices.Contains(exitReasons, reason) }
 
-// Heartbeat is a worker's periodic message: what it is, and the status of its tasks. Of two
-// heartbeats of a machine, the one with the higher incarnation, then sequence, is the newer.
+// Heartbeat is the message that a worker sends periodically to describe its machine and the status of its tasks. Of two
+// heartbeats from a machine, the newer is the one with the higher incarnation or, if these are equal, the higher
+// sequence.
 type Heartbeat struct {
 	MachineID           string       `json:"host"`
-	Address             string       `json:"address"` // host and port of the worker's own server
+	Address             string       `json:"address"` // host and port of the worker's HTTP server
 	InstanceType        string       `json:"build"`
 	Zone                string       `json:"hall"`
 	Spot                bool         `json:"standby"`
-	Incarnation         uint64       `json:"shift"`    // raised each time the worker's lease expires
-	Sequence            uint64       `json:"tick"`     // within an incarnation
-	FencingToken        uint64       `json:"baton"`    // the highest that the worker has seen
-	InterruptionNoticeS *float64     `json:"recall_s"` // seconds until the cloud takes the machine; nil: no notice
-	Tasks               []TaskStatus `json:"pieces"`   // all on the machine, with exited ones until they are cleared
+	Incarnation         uint64       `json:"shift"`    // increases each time the worker's lease expires
+	Sequence            uint64       `json:"tick"`     // number of the heartbeat within the incarnation
+	FencingToken        uint64       `json:"baton"`    // highest token that the worker has seen
+	InterruptionNoticeS *float64     `json:"recall_s"` // seconds until the cloud takes the machine back; nil: no notice
+	Tasks               []TaskStatus `json:"pieces"`   // all tasks on the machine, including exited ones until they are cleared
 }
 
 // TaskStatus is the status of one task in a heartbeat.
@@ -65,19 +65,19 @@
 	TaskID       string `json:"piece"`
 	Attempt      uint64 `json:"try"`
 	State        string `json:"status"`
-	ExitReason   string `json:"cause,omitempty"`  // once it has exited
-	Checkpointed bool   `json:"stored,omitempty"` // once it was stopped: whether its progress is saved
+	ExitReason   string `json:"cause,omitempty"`  // set once the task has exited
+	Checkpointed bool   `json:"stored,omitempty"` // after a stop: whether the task's progress was saved
 }
 
-// HeartbeatResponse is the response to a heartbeat. It renews the worker's lease, unless its
-// fencing token is lower than the highest that the worker has seen.
+// HeartbeatResponse is the response to a heartbeat. It renews the worker's lease unless its fencing token is lower than
+// the highest one that the worker has seen.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect is the response that sends a worker to another node; without a member, to whichever
-// is the next that it knows.
+// Redirect is the response that redirects a worker to another node. If Member is empty, the worker uses the next node
+// that it knows.
 type Redirect struct {
 	Member string `json:"reports_to,omitempty"`
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// MaxTasks is the most tasks that a job may have.
+// MaxTasks is the maximum number of tasks in a job.
 const MaxTasks = 100000
 
-// Job is a checked job description, as it is also stored. Resources and the image are each
-// task's.
+// Job is a validated job description, which is also stored in this form. The resources and the image are those of each
+// task.
 type Job struct {
 	ID                  string   `json:"id"`
 	Class               string   `json:"lane"`
@@ -22,51 +22,50 @@
 	MemoryGB            float64  `json:"memory_gb"`
 	Image               string   `json:"bundle"`
 	ImageSizeGB         float64  `json:"pull_gb"`
-	InstanceTypes       []string `json:"builds,omitempty"` // that it may use; nil: any
-	Zone                string   `json:"hall,omitempty"`   // that it must use; empty: any
-	SingleZone          bool     `json:"together"`         // all tasks in the same zone
-	SpreadZones         bool     `json:"scatter"`          // the tasks over several zones
-	AllowSpot           bool     `json:"standby"`          // may use spot instances
-	EstimatedRuntimeS   float64  `json:"expect_s"`         // of a task, in seconds, by the job's owner
-	CheckpointIntervalS float64  `json:"save_every_s"`     // seconds; 0: it saves no checkpoints
-	CheckpointDurationS float64  `json:"store_s"`          // seconds that saving one takes
+	InstanceTypes       []string `json:"builds,omitempty"` // allowed instance types; nil: any
+	Zone                string   `json:"hall,omitempty"`   // required zone; empty: any
+	SingleZone          bool     `json:"together"`         // all tasks must run in the same zone
+	SpreadZones         bool     `json:"scatter"`          // tasks must be spread over several zones
+	AllowSpot           bool     `json:"standby"`          // tasks may run on spot instances
+	EstimatedRuntimeS   float64  `json:"expect_s"`         // seconds that a task takes, as estimated by the job's owner
+	CheckpointIntervalS float64  `json:"save_every_s"`     // seconds between checkpoints; 0: tasks save no checkpoints
+	CheckpointDurationS float64  `json:"store_s"`          // seconds that saving a checkpoint takes
 	DeadlineS           *float64 `json:"due_s,omitempty"`  // seconds after the submission; nil: none
 }
 
-// jobID is the protocol's form of a job's ID.
-var jobID = regexp.MustCompile(`^j-[0-9]{6,19}$`)
+// jobIDPattern matches job IDs that are valid in the protocol.
+var jobIDPattern = regexp.MustCompile(`^j-[0-9]{6,19}$`)
 
-// IsValidJobID reports whether id has the protocol's form.
-func IsValidJobID(id string) bool { return jobID.MatchString(id) }
+// IsValidJobID reports whether id is a valid job ID in the protocol.
+func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// Priority is the importance that a job's submission asks for.
+// Priority is the priority that a job's submission requests.
 type Priority string
 
-// PriorityUrgent is the lowest priority of urgent work.
+// PriorityUrgent is the lowest priority that counts as urgent.
 const PriorityUrgent Priority = "urgent"
 
-// priorities lists all priorities, the lowest first.
+// priorities lists all priorities, lowest first.
 var priorities = []Priority{"idle", "normal", PriorityUrgent, "prod"}
 
-// PriorityRank returns the place of a priority among all, from 0 for the lowest; it is -1 for
-// one that is unknown.
+// PriorityRank returns the rank of a priority, starting at 0 for the lowest. It returns -1 for an unknown priority.
 func PriorityRank(priority Priority) int { return slices.Index(priorities, priority) }
 
-// JobKind is how the tasks of a job belong together.
+// JobKind determines how the tasks of a job run in relation to each other.
 type JobKind string
 
-// Kinds of jobs. The protocol knows the first two alone; see docs/questions.md.
+// Kinds of jobs. The protocol defines only the first two; see docs/questions.md.
 const (
 	KindArray   JobKind = "sweep"   // independent tasks
-	KindGang    JobKind = "gang"    // tasks that run at the same time or not at all
+	KindGang    JobKind = "gang"    // tasks that run all at the same time, or not at all
 	KindService JobKind = "service" // tasks that run until the job is cancelled
 )
 
 // jobKinds lists all kinds of jobs.
 var jobKinds = []JobKind{KindArray, KindGang, KindService}
 
-// States of jobs as users see them. They are plain strings: the error of decoding something
-// else names the type, and commands print it.
+// States of jobs that are shown to users. They are plain strings without a Go type of their own, because the error for
+// a value that cannot be decoded contains the name of the type, and commands print that error.
 const (
 	JobPending   = "pending"
 	JobRunning   = "running"
@@ -74,8 +73,7 @@
 	JobCancelled = "withdrawn"
 )
 
-// JobStatus is the response to a submission, a poll or a cancellation. The counts of tasks are
-// nil where they are not known.
+// JobStatus is the response to a submission, a poll or a cancellation. The task counts are nil if they are not known.
 type JobStatus struct {
 	ID      string `json:"id"`
 	State   string `json:"status"`
--- a/internal/wire/paths.go
+++ b/internal/wire/paths.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// Paths between workers and nodes.
+// HTTP paths of nodes and workers.
 const (
-	PathHeartbeats = "/hello"    // of nodes, for heartbeats
-	PathCommands   = "/commands" // of workers, for commands that wait for no heartbeat
+	PathHeartbeats = "/hello"    // on nodes, for heartbeats
+	PathCommands   = "/commands" // on workers, for commands that are sent without waiting for a heartbeat
 )
 
-// Paths of the state service.
+// HTTP paths of the state service.
 const (
 	PathKeys         = "/store"
 	PathTransactions = "/txn"
@@ -16,29 +16,29 @@
 	PathSessions     = "/holds"
 )
 
-// PathSession is the path of a session, to end it.
+// PathSession returns the path of a session, which is used to end it.
 func PathSession(id uint64) string { return PathSessions + "/" + strconv.FormatUint(id, 10) }
 
-// PathSessionRenewal is the path to renew a session.
+// PathSessionRenewal returns the path that is used to renew a session.
 func PathSessionRenewal(id uint64) string { return PathSession(id) + "/extend" }
 
-// Paths of the cloud.
+// HTTP paths of the cloud.
 const (
 	PathInstanceTypes = "/catalog"
 	PathInstances     = "/hosts"
 	PathTerminations  = "/hosts/return"
 )
 
-// Parameters of queries for lists and watches.
+// Query parameters of list and watch requests.
 const (
-	QueryPrefix  = "starts"  // that keys must have
-	QueryAfter   = "after"   // the last key or ID, or the revision, of the answer before
-	QueryLimit   = "most"    // entries in a page
-	QueryTimeout = "wait_ms" // of a watch for a change
+	QueryPrefix  = "starts"  // prefix that the keys must have
+	QueryAfter   = "after"   // last key or ID, or the revision, of the previous response
+	QueryLimit   = "most"    // maximum number of entries in a page
+	QueryTimeout = "wait_ms" // maximum time that a watch waits for a change, in milliseconds
 )
 
-// Texts of error responses that stand for more than their status.
+// Texts of error responses that identify a specific error, which the status alone does not.
 const (
-	MessageSessionNotFound = "no such lease" // a put names a session that has ended
-	MessageNoCapacity      = "no capacity"   // the cloud has no such instance now
+	MessageSessionNotFound = "no such lease" // a put refers to a session that has ended
+	MessageNoCapacity      = "no capacity"   // the cloud currently has no such instance
 )
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -6,9 +6,11 @@
 	"slices"
 )
 
-// submission is a job description as it comes from a user. Fields that must be there are
-// pointers, so that one that is missing can be told from a zero. Fields are plain strings and
-// numbers, and the type keeps its name: both are in the errors of decoding, which users read.
+// submission is a job description as received from a user. Fields other than InstanceTypes are pointers, so that a
+// missing field can be distinguished from a zero value.
+//
+// The fields are plain strings and numbers, and the type must keep its name: decoding errors contain the names of types
+// and are shown to users.
 type submission struct {
 	ID                  *string  `json:"id"`
 	Class               *string  `json:"lane"`
@@ -32,9 +34,8 @@
 	DeadlineS           *float64 `json:"due_s"`
 }
 
-// ParseSubmissionID returns the job ID of a submission without a check of the rest, since a
-// known job is answered whatever else a repeated submission says. It is empty if there is no
-// valid one.
+// ParseSubmissionID returns the job ID of a submission, or "" if it has no valid one. It does not validate the rest,
+// because the response to a submission whose job ID is already in use does not depend on the rest.
 func ParseSubmissionID(body []byte) string {
 	var s struct {
 		ID string `json:"id"`
@@ -45,14 +46,13 @@
 	return s.ID
 }
 
-// A CBOR value's major type stands in the top three bits of its first byte.
+// The major type of a CBOR value is in the top three bits of its first byte.
 const (
 	cborMap        = 5
 	majorTypeShift = 5
 )
 
-// ParseJob decodes and checks a submission. Its errors are for the user, who gets them with a
-// status 400.
+// ParseJob decodes and validates a submission. Its error texts are sent to the user with status 400.
 func ParseJob(body []byte) (Job, error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
@@ -72,8 +72,8 @@
 	return job, nil
 }
 
-// job returns the described job without its number of tasks, or an error that names the first
-// field that is missing or out of range.
+// job returns the described job without its number of tasks. The error names the first field that is missing or out of
+// range.
 func (s *submission) job() (Job, error) {
 	var r fieldReader
 	job := Job{
@@ -105,7 +105,8 @@
 	return job, r.err
 }
 
-// check returns what the protocol does not allow in a job that has all its fields.
+// check returns an error if the protocol does not allow a value in the submission. All fields other than the number of
+// tasks must have been read into job.
 func (s *submission) check(job *Job) error {
 	switch {
 	case !IsValidJobID(job.ID):
@@ -124,22 +125,23 @@
 	return nil
 }
 
-// maxAmount is far beyond any real amount, and small enough that sums and products of
-// amounts stay in range.
+// maxAmount is the maximum value of a numeric field. It is far above any realistic amount, and small enough that sums
+// and products of amounts do not overflow.
 const maxAmount = 1e12
 
-// fieldReader reads fields that must be there, and keeps the first error. Once it has one, what
-// it returns is of no use.
+// fieldReader reads required fields and records the first error. The values that it returns after an error must not be
+// used.
 type fieldReader struct{ err error }
 
-// require records an error that names a field unless ok.
+// require records an error about a field if ok is false and no earlier error has been recorded.
 func (r *fieldReader) require(ok bool, name, problem string) {
 	if r.err == nil && !ok {
 		r.err = fmt.Errorf("%s %s", name, problem)
 	}
 }
 
-// required returns the value of a field that must be there, or the zero value without it.
+// required returns the value of a required field. If it is missing, required records an error and returns the zero
+// value.
 func required[T any](r *fieldReader, name string, value *T) T {
 	r.require(value != nil, name, "is missing")
 	if value == nil {
@@ -148,19 +150,19 @@
 	return *value
 }
 
-// text returns a text that must not be empty.
+// text returns the value of a string field, which must not be empty.
 func (r *fieldReader) text(name string, value *string) string {
 	text := required(r, name, value)
 	r.require(text != "", name, "is missing")
 	return text
 }
 
-// amount returns a number that must be finite, not negative and at most maxAmount.
+// amount returns the value of a numeric field, which must be between 0 and maxAmount and not NaN.
 func (r *fieldReader) amount(name string, value *float64) float64 {
 	amount := required(r, name, value)
 	r.require(amount >= 0 && amount <= maxAmount, name, "is out of range")
 	return amount
 }
 
-// flag returns a boolean.
+// flag returns the value of a boolean field.
 func (r *fieldReader) flag(name string, value *bool) bool { return required(r, name, value) }
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// validSubmission returns a submission with every field.
+// validSubmission returns a valid submission that contains every field.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"id": "j-000412", "lane": "train", "desk": "vision", "shape": "sweep", "rank": "urgent", "pieces": 16, "vcpus": 8.0,
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestParseJob checks which submissions are well formed.
+// TestParseJob checks which submissions are accepted as valid.
 func TestParseJob(t *testing.T) {
 	set := func(key string, v any) func(map[string]any) { return func(m map[string]any) { m[key] = v } }
 	drop := func(key string) func(map[string]any) { return func(m map[string]any) { delete(m, key) } }
@@ -27,17 +27,17 @@
 	}{
 		{"every field", func(map[string]any) {}, true},
 		{"an unknown field", set("colour", "red"), true},
-		{"whole numbers for amounts", set("vcpus", 8), true},
-		{"nulls left out", func(m map[string]any) { delete(m, "hall"); delete(m, "builds"); delete(m, "due_s") }, true},
+		{"an integer for an amount", set("vcpus", 8), true},
+		{"optional fields left out", func(m map[string]any) { delete(m, "hall"); delete(m, "builds"); delete(m, "due_s") }, true},
 		{"no id", drop("id"), false},
-		{"a bad id", set("id", "x-000412"), false},
-		{"an id with more behind it", set("id", "j-000412/3"), false},
+		{"a malformed id", set("id", "x-000412"), false},
+		{"a valid id with a suffix", set("id", "j-000412/3"), false},
 		{"an unknown shape", set("shape", "blob"), false},
 		{"an unknown rank", set("rank", "vip"), false},
 		{"no tasks", set("pieces", 0), false},
 		{"too many tasks", set("pieces", MaxTasks+1), false},
-		{"half a task", set("pieces", 1.5), false},
-		{"text for a number", set("vcpus", "8"), false},
+		{"a fractional number of tasks", set("pieces", 1.5), false},
+		{"a string for a number", set("vcpus", "8"), false},
 		{"a negative amount", set("memory_gb", -1.0), false},
 		{"NaN", set("expect_s", math.NaN()), false},
 		{"infinity", set("pull_gb", math.Inf(1)), false},
@@ -45,7 +45,7 @@
 		{"a missing flag", drop("together"), false},
 		{"null for a flag", set("scatter", nil), false},
 		{"no team", drop("desk"), false},
-		{"an empty list of types", set("builds", []string{}), false},
+		{"an empty list of instance types", set("builds", []string{}), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ParseJob(b); (err == nil) != c.ok {
-				t.Errorf("error %v, want ok %v", err, c.ok)
+				t.Errorf("got error %v, want success %v", err, c.ok)
 			}
 		})
 	}
@@ -66,42 +66,42 @@
 			t.Fatal(err)
 		}
 		if _, err := ParseJob(b); err == nil {
-			t.Errorf("%v was parsed as a job", raw)
+			t.Errorf("%v was parsed as a job, want an error", raw)
 		}
 	}
 	if _, err := ParseJob([]byte(`{"id":"j-000001"}`)); err == nil {
-		t.Error("JSON was parsed as CBOR")
+		t.Error("a JSON body was parsed as a job, want an error")
 	}
 }
 
-// TestSubmissionErrors checks the texts that users get, and which one they get if several fields
-// are wrong: the first in the order of job, then of check.
+// TestSubmissionErrors checks the error texts for invalid submissions. If several fields are invalid, the text must be
+// about the first one, in the order of submission.job and then of submission.check.
 func TestSubmissionErrors(t *testing.T) {
 	cases := []struct {
 		name   string
-		fields map[string]any // instead of the valid ones; nil: missing
+		fields map[string]any // replace the valid values; nil: missing
 		want   string
 	}{
-		{"a missing text", map[string]any{"lane": nil}, "lane is missing"},
-		{"an empty text", map[string]any{"bundle": ""}, "bundle is missing"},
+		{"a missing string", map[string]any{"lane": nil}, "lane is missing"},
+		{"an empty string", map[string]any{"bundle": ""}, "bundle is missing"},
 		{"an empty zone", map[string]any{"hall": ""}, "hall is missing"},
 		{"a missing number", map[string]any{"cards": nil}, "cards is missing"},
 		{"a negative number", map[string]any{"cards": -1.0}, "cards is out of range"},
-		{"the largest number", map[string]any{"expect_s": 1e12}, "<nil>"},
+		{"the maximum number", map[string]any{"expect_s": 1e12}, "<nil>"},
 		{"a number that is too large", map[string]any{"expect_s": 1.1e12}, "expect_s is out of range"},
 		{"NaN", map[string]any{"due_s": math.NaN()}, "due_s is out of range"},
 		{"a missing flag", map[string]any{"scatter": nil}, "scatter is missing"},
-		{"a wrong ID", map[string]any{"id": "j-1"}, "id is not in the form j-000000"},
+		{"an invalid ID", map[string]any{"id": "j-1"}, "id is not in the form j-000000"},
 		{"an unknown kind", map[string]any{"shape": "blob"}, "shape is unknown"},
 		{"an unknown priority", map[string]any{"rank": "vip"}, "rank is unknown"},
 		{"no number of tasks", map[string]any{"pieces": nil}, "pieces is missing"},
 		{"no tasks", map[string]any{"pieces": 0}, "pieces is out of range"},
 		{"no instance types", map[string]any{"builds": []string{}}, "builds is empty"},
-		{"two missing texts", map[string]any{"rank": nil, "desk": nil}, "desk is missing"},
-		{"a missing flag and a wrong number before it", map[string]any{"together": nil, "pull_gb": -1.0}, "pull_gb is out of range"},
-		{"a wrong zone and a wrong number after it", map[string]any{"hall": "", "store_s": -1.0}, "store_s is out of range"},
-		{"a wrong ID and a missing field", map[string]any{"id": "j-1", "standby": nil}, "standby is missing"},
-		{"a wrong deadline and no number of tasks", map[string]any{"pieces": nil, "due_s": -1.0}, "due_s is out of range"},
+		{"two missing strings", map[string]any{"rank": nil, "desk": nil}, "desk is missing"},
+		{"a missing flag and an invalid number before it", map[string]any{"together": nil, "pull_gb": -1.0}, "pull_gb is out of range"},
+		{"an invalid zone and an invalid number after it", map[string]any{"hall": "", "store_s": -1.0}, "store_s is out of range"},
+		{"an invalid ID and a missing field", map[string]any{"id": "j-1", "standby": nil}, "standby is missing"},
+		{"an invalid deadline and no number of tasks", map[string]any{"pieces": nil, "due_s": -1.0}, "due_s is out of range"},
 		{"an unknown kind and an unknown priority", map[string]any{"shape": "blob", "rank": "vip"}, "shape is unknown"},
 	}
 	for _, c := range cases {
@@ -113,7 +113,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ParseJob(body); fmt.Sprint(err) != c.want {
-				t.Errorf("error %v, want %s", err, c.want)
+				t.Errorf("got error %v, want %s", err, c.want)
 			}
 		})
 	}
