--- a/internal/api/redirects.go
+++ b/internal/api/redirects.go
@@ -22,9 +22,9 @@
 // redirectTracker records for a limited time which workers were redirected to other nodes. The zero value is ready
 // for use.
 type redirectTracker struct {
-	mu           sync.Mutex
-	redirectedAt map[string]micros.Micros // by machine ID
-	prunedAt     micros.Micros            // when expired entries were last removed
+	mu             sync.Mutex
+	lastRedirectAt map[string]micros.Micros // by machine ID
+	prunedAt       micros.Micros            // when expired entries were last removed
 }
 
 // recordUnlessReturned reports whether a machine has returned after a recent redirect. The caller must then handle
@@ -35,20 +35,20 @@
 	now := micros.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.redirectedAt == nil || now-r.prunedAt > redirectTTL {
-		for id, at := range r.redirectedAt {
+	if r.lastRedirectAt == nil || now-r.prunedAt > redirectTTL {
+		for id, at := range r.lastRedirectAt {
 			if now-at > redirectTTL {
-				delete(r.redirectedAt, id)
+				delete(r.lastRedirectAt, id)
 			}
 		}
 		r.prunedAt = now
 	}
-	if r.redirectedAt == nil {
-		r.redirectedAt = map[string]micros.Micros{}
+	if r.lastRedirectAt == nil {
+		r.lastRedirectAt = map[string]micros.Micros{}
 	}
-	redirectedAt, ok := r.redirectedAt[machine]
+	redirectedAt, ok := r.lastRedirectAt[machine]
 	if !ok || now-redirectedAt > redirectTTL {
-		r.redirectedAt[machine] = now
+		r.lastRedirectAt[machine] = now
 		return false
 	}
 	return now-redirectedAt > redirectGracePeriod
--- a/internal/api/redirects_test.go
+++ b/internal/api/redirects_test.go
@@ -29,7 +29,7 @@
 				}
 				time.Sleep(c.after)
 				if got := r.recordUnlessReturned("m-1"); got != c.returned {
-					t.Errorf("worker m-1 after %v: got returned %v, want %v", c.after, got, c.returned)
+					t.Errorf("worker m-1: got returned %v, want %v", got, c.returned)
 				}
 				if r.recordUnlessReturned("m-2") {
 					t.Error("worker m-2 counts as returned after a redirect of m-1, want a redirect")
