--- a/docs_imports_test.go
+++ b/docs_imports_test.go
@@ -11,59 +11,60 @@
 	"testing"
 )
 
-// importRule is what a row of docs/architecture.md lets a package import of this module.
+// importRule states which packages of this module a package may import, as read from a row of docs/architecture.md.
 type importRule struct {
-	all    bool     // all but those listed, else those listed
-	listed []string // packages, with all below them
-	ofPart bool     // of a package below internal/leader: lists only others of these
+	allButListed       bool     // all packages except the listed ones are allowed; otherwise only the listed ones
+	listed             []string // packages, each including its subpackages
+	isLeaderSubpackage bool     // the rule is of a subpackage of internal/leader, and lists only such subpackages
 }
 
-// Rows of the two tables of packages: their packages, what these own, what they may import.
+// A row of the two tables of packages (columns: packages, what they own, what they may import), and a package in it.
 var (
-	packageRow  = regexp.MustCompile("(?m)^\\| (`[^|]*) \\|[^|]*\\|([^|]*)\\|$")
-	packageName = regexp.MustCompile("`([a-z/]+)`")
+	packageTableRow = regexp.MustCompile("(?m)^\\| (`[^|]*) \\|[^|]*\\|([^|]*)\\|$")
+	quotedPackage   = regexp.MustCompile("`([a-z/]+)`")
 )
 
-// importRules reads the rows of the page's tables of packages, by package.
+// importRules parses the two tables of packages on the page and returns the rule of each package.
 func importRules(page string) map[string]importRule {
 	rules := map[string]importRule{}
 	_, tables, _ := strings.Cut(page, "## Packages")
 	tables, _, _ = strings.Cut(tables, "## State")
-	for _, row := range packageRow.FindAllStringSubmatch(tables, -1) {
-		rule := importRule{all: strings.Contains(row[2], "all but")}
-		for _, name := range packageName.FindAllStringSubmatch(row[2], -1) {
+	for _, row := range packageTableRow.FindAllStringSubmatch(tables, -1) {
+		rule := importRule{allButListed: strings.Contains(row[2], "all but")}
+		for _, name := range quotedPackage.FindAllStringSubmatch(row[2], -1) {
 			rule.listed = append(rule.listed, name[1])
 		}
-		for _, name := range packageName.FindAllStringSubmatch(row[1], -1) {
-			rule.ofPart = strings.HasPrefix(name[1], "internal/leader/")
+		for _, name := range quotedPackage.FindAllStringSubmatch(row[1], -1) {
+			rule.isLeaderSubpackage = strings.HasPrefix(name[1], "internal/leader/")
 			rules[name[1]] = rule
 		}
 	}
 	return rules
 }
 
-// allows reports whether the rule lets its package import another one.
+// allows reports whether the list of the rule permits the import of a package.
 func (r importRule) allows(imported string) bool {
 	isListed := slices.ContainsFunc(r.listed, func(name string) bool {
 		return imported == name || strings.HasPrefix(imported, name+"/")
 	})
-	return isListed != r.all
+	return isListed != r.allButListed
 }
 
-// forbiddenImports lists what a package imports against the rules; the first element is the package itself if it has
-// no rule.
-func forbiddenImports(rules map[string]importRule, name string, imports []string) (forbidden []string) {
-	key := name
-	if strings.HasPrefix(name, "internal/sim/") {
-		key = "internal/sim"
+// forbiddenImports returns the imports of a package that the rules do not allow. Packages below internal/sim follow the
+// rule of internal/sim. A subpackage of internal/leader follows its own rule for imports from internal/leader, and the
+// rule of internal/leader for all others. For a package without a rule, the result is the package itself.
+func forbiddenImports(rules map[string]importRule, importer string, imports []string) (forbidden []string) {
+	ruleName := importer
+	if strings.HasPrefix(importer, "internal/sim/") {
+		ruleName = "internal/sim"
 	}
-	rule, ok := rules[key]
-	if !ok {
-		return []string{name}
+	rule, found := rules[ruleName]
+	if !found {
+		return []string{importer}
 	}
 	for _, imported := range imports {
 		allowed := rule.allows(imported)
-		if rule.ofPart && !strings.HasPrefix(imported, "internal/leader") {
+		if rule.isLeaderSubpackage && !strings.HasPrefix(imported, "internal/leader") {
 			allowed = rules["internal/leader"].allows(imported)
 		}
 		if !allowed {
@@ -73,7 +74,7 @@
 	return forbidden
 }
 
-// moduleImports finds what each package of the module imports of the module, without its tests.
+// moduleImports returns, for each package of the module, the module's packages that it imports outside its tests.
 func moduleImports(t *testing.T) map[string][]string {
 	t.Helper()
 	imports := map[string][]string{}
@@ -108,8 +109,8 @@
 	return imports
 }
 
-// TestImports holds the packages to the rows of docs/architecture.md.
-func TestImports(t *testing.T) {
+// TestImportsFollowArchitecture checks that each package imports only what docs/architecture.md allows.
+func TestImportsFollowArchitecture(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("docs", "architecture.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -117,17 +118,18 @@
 	rules := importRules(string(page))
 	imports := moduleImports(t)
 	if len(rules) < 25 || len(imports) < len(rules) {
-		t.Fatalf("%d rules for %d packages", len(rules), len(imports))
+		t.Fatalf("got %d import rules for %d packages, want at least 25 rules and no fewer packages than rules", len(rules), len(imports))
 	}
 	for name, imported := range imports {
 		if forbidden := forbiddenImports(rules, name, imported); len(forbidden) > 0 {
-			t.Errorf("%s imports %q, which docs/architecture.md does not list", name, forbidden)
+			t.Errorf("%s imports %q, which docs/architecture.md does not allow", name, forbidden)
 		}
 	}
 }
 
-// TestImportRules has packages import what a page allows and what it does not.
-func TestImportRules(t *testing.T) {
+// TestForbiddenImports checks that exactly the imports that break a rule are reported, and that a package without a
+// rule is reported itself.
+func TestForbiddenImports(t *testing.T) {
 	rules := importRules("## Packages\n" +
 		"| package | owns | may import |\n| --- | --- | --- |\n" +
 		"| `cmd/x` | the program | all but `internal/leader` |\n" +
@@ -137,23 +139,23 @@
 		"| `internal/leader/fleet` | machines | `internal/leader/state` |\n" +
 		"## State\n| `internal/late` | | `internal/wire` |\n")
 	for _, c := range []struct {
-		name, of  string
-		imports   []string
-		forbidden []string
+		name, importer string
+		imports        []string
+		forbidden      []string
 	}{
-		{"all but one", "cmd/x", []string{"internal/peer", "internal/wire"}, nil},
-		{"the one", "cmd/x", []string{"internal/leader"}, []string{"internal/leader"}},
-		{"below the one", "cmd/x", []string{"internal/leader/fleet"}, []string{"internal/leader/fleet"}},
-		{"nothing", "internal/micros", []string{"internal/wire"}, []string{"internal/wire"}},
-		{"what is listed", "internal/peer", []string{"internal/wire", "internal/leader"}, []string{"internal/leader"}},
-		{"a part of the leader", "internal/leader/fleet", []string{"internal/leader/state", "internal/wire"}, nil},
-		{"another part", "internal/leader/fleet", []string{"internal/leader/gangs"}, []string{"internal/leader/gangs"}},
-		{"the leader itself", "internal/leader/fleet", []string{"internal/leader"}, []string{"internal/leader"}},
-		{"what the leader may not", "internal/leader/fleet", []string{"internal/peer"}, []string{"internal/peer"}},
-		{"a package without a row", "internal/late", nil, []string{"internal/late"}},
+		{"all but one allowed", "cmd/x", []string{"internal/peer", "internal/wire"}, nil},
+		{"excepted package", "cmd/x", []string{"internal/leader"}, []string{"internal/leader"}},
+		{"subpackage of the excepted package", "cmd/x", []string{"internal/leader/fleet"}, []string{"internal/leader/fleet"}},
+		{"nothing allowed", "internal/micros", []string{"internal/wire"}, []string{"internal/wire"}},
+		{"listed and unlisted package", "internal/peer", []string{"internal/wire", "internal/leader"}, []string{"internal/leader"}},
+		{"leader subpackage: listed sibling and import allowed to the leader", "internal/leader/fleet", []string{"internal/leader/state", "internal/wire"}, nil},
+		{"leader subpackage: unlisted sibling", "internal/leader/fleet", []string{"internal/leader/gangs"}, []string{"internal/leader/gangs"}},
+		{"leader subpackage: leader itself", "internal/leader/fleet", []string{"internal/leader"}, []string{"internal/leader"}},
+		{"leader subpackage: import forbidden to the leader", "internal/leader/fleet", []string{"internal/peer"}, []string{"internal/peer"}},
+		{"package without a rule", "internal/late", nil, []string{"internal/late"}},
 	} {
-		if got := forbiddenImports(rules, c.of, c.imports); !slices.Equal(got, c.forbidden) {
-			t.Errorf("%s: %q are forbidden, want %q", c.name, got, c.forbidden)
+		if got := forbiddenImports(rules, c.importer, c.imports); !slices.Equal(got, c.forbidden) {
+			t.Errorf("%s: got forbidden imports %q, want %q", c.name, got, c.forbidden)
 		}
 	}
 }
--- a/docs_index_test.go
+++ b/docs_index_test.go
@@ -11,19 +11,19 @@
 	"testing"
 )
 
-// sourceIndex holds what pages may name of the module's Go files.
+// sourceIndex holds the names, paths and log calls of the module's source that documentation pages may refer to.
 type sourceIndex struct {
-	names    map[string]bool // declared: Name, package.Name, Type.Member, package.Type.Member
-	packages map[string]bool // imported from elsewhere, by the last part of their path
-	paths    map[string]bool // directories and .go files, by each suffix of their path
-	calls    []*ast.CallExpr // of the running program: not of tests or the simulator
+	names            map[string]bool // declared names, as Name, package.Name, Type.Member and package.Type.Member
+	importedPackages map[string]bool // packages imported from outside the module, by the last element of their path
+	paths            map[string]bool // paths of directories and .go files, and each suffix that begins at a path element
+	calls            []*ast.CallExpr // all calls in the program, which excludes its tests and the simulator
 }
 
 func newSourceIndex() *sourceIndex {
-	return &sourceIndex{names: map[string]bool{}, packages: map[string]bool{}, paths: map[string]bool{}}
+	return &sourceIndex{names: map[string]bool{}, importedPackages: map[string]bool{}, paths: map[string]bool{}}
 }
 
-// indexSources parses the Go files below the module's root.
+// indexSources indexes the Go files and directories below the root of the module.
 func indexSources(t *testing.T) *sourceIndex {
 	t.Helper()
 	index := newSourceIndex()
@@ -53,15 +53,15 @@
 	return index
 }
 
-// addPath adds a directory or file by each suffix of its path.
+// addPath adds the path of a directory or file, and each suffix that begins at a path element.
 func (x *sourceIndex) addPath(path string) {
 	for rest, found := path, true; found; _, rest, found = strings.Cut(rest, "/") {
 		x.paths[rest] = true
 	}
 }
 
-// addFile adds the declarations of a file, and its calls if it is of the running program.
-func (x *sourceIndex) addFile(file *ast.File, running bool) {
+// addFile adds the imported packages and the declared names of a file, and its calls if collectCalls is set.
+func (x *sourceIndex) addFile(file *ast.File, collectCalls bool) {
 	add := func(typeName, name string) {
 		for _, qualified := range []string{name, typeName + "." + name} {
 			x.names[qualified], x.names[file.Name.Name+"."+qualified] = true, true
@@ -69,7 +69,7 @@
 	}
 	for _, spec := range file.Imports {
 		if path := strings.Trim(spec.Path.Value, `"`); !strings.HasPrefix(path, "caperlatch") {
-			x.packages[path[strings.LastIndex(path, "/")+1:]] = true
+			x.importedPackages[path[strings.LastIndex(path, "/")+1:]] = true
 		}
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -77,7 +77,7 @@
 		case *ast.FuncDecl:
 			receiver := ""
 			if n.Recv != nil {
-				receiver = strings.Trim(baseName(n.Recv.List[0].Type), "*")
+				receiver = strings.Trim(receiverTypeName(n.Recv.List[0].Type), "*")
 			}
 			add(receiver, n.Name.Name)
 		case *ast.ValueSpec:
@@ -86,8 +86,8 @@
 			}
 		case *ast.TypeSpec:
 			add("", n.Name.Name)
-			ast.Inspect(n.Type, func(part ast.Node) bool {
-				if field, ok := part.(*ast.Field); ok {
+			ast.Inspect(n.Type, func(child ast.Node) bool {
+				if field, ok := child.(*ast.Field); ok {
 					for _, name := range field.Names {
 						add(n.Name.Name, name.Name)
 					}
@@ -95,7 +95,7 @@
 				return true
 			})
 		case *ast.CallExpr:
-			if running {
+			if collectCalls {
 				x.calls = append(x.calls, n)
 			}
 		}
@@ -103,44 +103,45 @@
 	})
 }
 
-// baseName is the name of a receiver's type.
-func baseName(expr ast.Expr) string {
+// receiverTypeName returns the name of a method receiver's type without pointer and type parameter, or "" if the
+// expression has another form.
+func receiverTypeName(expr ast.Expr) string {
 	switch e := expr.(type) {
 	case *ast.StarExpr:
-		return baseName(e.X)
+		return receiverTypeName(e.X)
 	case *ast.IndexExpr:
-		return baseName(e.X)
+		return receiverTypeName(e.X)
 	case *ast.Ident:
 		return e.Name
 	}
 	return ""
 }
 
-// logCall finds the level and the message of a call that logs: level is empty if it does not, and a message that is
-// no literal is "?".
+// logCall returns the level and message of a call that logs. The level is empty if the call does not log, and the
+// message is "?" if it is not a string literal.
 func logCall(call *ast.CallExpr) (level, message string) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
 		return "", ""
 	}
-	switch of := method.X.(type) {
+	switch receiver := method.X.(type) {
 	case *ast.Ident:
-		if of.Name == "slog" {
+		if receiver.Name == "slog" {
 			level = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}[method.Sel.Name]
 		}
 	case *ast.SelectorExpr:
-		if strings.EqualFold(of.Sel.Name, "events") && method.Sel.Name == "Add" {
-			level = "info" // of eventlog.Log, a line a second
+		if strings.EqualFold(receiver.Sel.Name, "events") && method.Sel.Name == "Add" {
+			level = "info" // eventlog.Log, which aggregates events into one log line per second
 		}
 	}
-	if message, ok = literal(call.Args[0]); !ok {
+	if message, ok = stringLiteral(call.Args[0]); !ok {
 		message = "?"
 	}
 	return level, message
 }
 
-// literal is the value of a string literal.
-func literal(expr ast.Expr) (text string, ok bool) {
+// stringLiteral returns the value of a string literal; ok is false if the expression is not one.
+func stringLiteral(expr ast.Expr) (text string, ok bool) {
 	if basic, isBasic := expr.(*ast.BasicLit); isBasic && basic.Kind == token.STRING {
 		text, err := strconv.Unquote(basic.Value)
 		return text, err == nil
@@ -148,34 +149,34 @@
 	return "", false
 }
 
-// logLines are the messages that the running program logs, with the keys of each.
-func (x *sourceIndex) logLines() map[string]map[string]bool {
-	lines := map[string]map[string]bool{}
+// logMessageKeys returns the attribute keys that the program logs with each message, by message.
+func (x *sourceIndex) logMessageKeys() map[string]map[string]bool {
+	keysByMessage := map[string]map[string]bool{}
 	for _, call := range x.calls {
 		level, message := logCall(call)
 		if level == "" {
 			continue
 		}
-		keys := lines[message]
+		keys := keysByMessage[message]
 		if keys == nil {
 			keys = map[string]bool{}
-			lines[message] = keys
+			keysByMessage[message] = keys
 		}
 		if method := call.Fun.(*ast.SelectorExpr); method.Sel.Name == "Add" {
 			keys["count"], keys["example_machines"], keys["reason"] = true, true, true
 			continue
 		}
 		for i := 1; i < len(call.Args); i += 2 {
-			if key, ok := literal(call.Args[i]); ok {
+			if key, ok := stringLiteral(call.Args[i]); ok {
 				keys[key] = true
 			}
 		}
 	}
-	return lines
+	return keysByMessage
 }
 
-// warnings are the messages of the levels warn and error, after their level.
-func (x *sourceIndex) warnings() map[string]bool {
+// warningsAndErrors returns the set of messages that the program logs at level warn or error, each as "level message".
+func (x *sourceIndex) warningsAndErrors() map[string]bool {
 	messages := map[string]bool{}
 	for _, call := range x.calls {
 		if level, message := logCall(call); level == "warn" || level == "error" {
--- a/docs_test.go
+++ b/docs_test.go
@@ -11,29 +11,30 @@
 )
 
 var (
-	quotedText  = regexp.MustCompile("`([^`\n]+)`")
-	goFile      = regexp.MustCompile(`^[\w./-]+\.go$`)
+	codeSpan    = regexp.MustCompile("`([^`\n]+)`")
+	goFilePath  = regexp.MustCompile(`^[\w./-]+\.go$`)
 	packagePath = regexp.MustCompile(`^(internal|cmd)/[\w/.-]+$`)
 	testName    = regexp.MustCompile(`^(Test[A-Z]\w*)(/.*)?$`)
-	// Qualified by a package or a type, or a name by its case: keys of settings are neither.
+	// A name qualified by a package or type, or one recognizable as a Go name by its capital letters. Keys of settings
+	// match neither form.
 	goName = regexp.MustCompile(`^([a-z]\w*\.[A-Z]\w*(\.\w+)?|[A-Z]\w*\.[A-Za-z]\w*|[a-z]+[A-Z][A-Za-z]*|[A-Z][a-z]+[A-Za-z]*)$`)
-	// What a page says of a log line: its message, and some of its keys with values.
-	logLine = regexp.MustCompile("`msg=(\"[^\"]+\"|[^\\s`]+)([^`]*)`")
-	logKey  = regexp.MustCompile(`(\w+)=`)
-	// A row of the table of messages of operations.md.
-	levelRow = regexp.MustCompile("(?m)^\\| (warn|error) \\| `msg=(\"[^\"]+\"|[^\\s`]+)[^`]*` \\|")
+	// A log line as a page quotes it: its message, and some of its attributes.
+	quotedLogLine = regexp.MustCompile("`msg=(\"[^\"]+\"|[^\\s`]+)([^`]*)`")
+	logKey        = regexp.MustCompile(`(\w+)=`)
+	// A row of the table of warnings and errors in docs/operations.md.
+	messageTableRow = regexp.MustCompile("(?m)^\\| (warn|error) \\| `msg=(\"[^\"]+\"|[^\\s`]+)[^`]*` \\|")
 )
 
-// staleNames are the Go names, tests, files and packages that a page quotes and the module lacks.
+// staleNames returns the Go names, tests, files and packages that a page quotes but that do not exist in the module.
 func (x *sourceIndex) staleNames(page string) (stale []string) {
-	for _, match := range quotedText.FindAllStringSubmatch(page, -1) {
+	for _, match := range codeSpan.FindAllStringSubmatch(page, -1) {
 		name, known := match[1], true
 		qualifier, _, _ := strings.Cut(name, ".")
 		if test := testName.FindStringSubmatch(name); test != nil {
 			known = x.names[test[1]]
-		} else if goFile.MatchString(name) || packagePath.MatchString(name) {
+		} else if goFilePath.MatchString(name) || packagePath.MatchString(name) {
 			known = x.paths[strings.Trim(name, "/")]
-		} else if goName.MatchString(name) && !x.packages[qualifier] {
+		} else if goName.MatchString(name) && !x.importedPackages[qualifier] {
 			known = x.names[name]
 		}
 		if !known && !slices.Contains(stale, name) {
@@ -43,13 +44,13 @@
 	return stale
 }
 
-// unknownLogLines are the log lines that a page quotes and the running program does not write:
-// messages that it lacks, and keys that no line of the message has.
+// unknownLogLines returns the parts of the log lines quoted on a page that the program never writes. An unknown message
+// is returned as such, an unknown key of a known message as "message: key".
 func (x *sourceIndex) unknownLogLines(page string) (unknown []string) {
-	lines := x.logLines()
-	for _, match := range logLine.FindAllStringSubmatch(page, -1) {
+	keysByMessage := x.logMessageKeys()
+	for _, match := range quotedLogLine.FindAllStringSubmatch(page, -1) {
 		message := strings.Trim(match[1], `"`)
-		keys, ok := lines[message]
+		keys, ok := keysByMessage[message]
 		if !ok {
 			unknown = append(unknown, message)
 		}
@@ -62,12 +63,12 @@
 	return unknown
 }
 
-// readPages returns the pages of docs/ that match a pattern, by their file names.
+// readPages returns the contents of the pages in docs/ that match a pattern, by file name.
 func readPages(t *testing.T, pattern string) map[string]string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("docs", pattern))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no pages like %s: %v", pattern, err)
+		t.Fatalf("no pages match docs/%s (error: %v)", pattern, err)
 	}
 	pages := map[string]string{}
 	for _, file := range files {
@@ -80,8 +81,9 @@
 	return pages
 }
 
-// TestDocs finds on the pages what the code no longer has. Pages of what was measured, seen and asked
-// at some time may have names of then.
+// TestDocs checks that the pages in docs/ name only code, files and log lines that exist, and that docs/operations.md
+// explains exactly the warnings and errors that the program logs. results.md and questions.md are exempt from the check
+// of names: they record past measurements, observations and questions, and may use the names of that time.
 func TestDocs(t *testing.T) {
 	index := indexSources(t)
 	for file, page := range readPages(t, "*.md") {
@@ -92,14 +94,14 @@
 			t.Errorf("docs/%s names `%s`, which does not exist", file, name)
 		}
 		for _, line := range index.unknownLogLines(page) {
-			t.Errorf("docs/%s quotes the log line %q, which nothing writes", file, line)
+			t.Errorf("docs/%s quotes the log line %q, which the program does not write", file, line)
 		}
 	}
-	listed := map[string]bool{}
-	for _, row := range levelRow.FindAllStringSubmatch(readPages(t, "operations.md")["operations.md"], -1) {
-		listed[row[1]+" "+strings.Trim(row[2], `"`)] = true
+	documented := map[string]bool{}
+	for _, row := range messageTableRow.FindAllStringSubmatch(readPages(t, "operations.md")["operations.md"], -1) {
+		documented[row[1]+" "+strings.Trim(row[2], `"`)] = true
 	}
-	if written := index.warnings(); !maps.Equal(listed, written) {
-		t.Errorf("docs/operations.md explains %q, the program writes %q", slices.Sorted(maps.Keys(listed)), slices.Sorted(maps.Keys(written)))
+	if logged := index.warningsAndErrors(); !maps.Equal(documented, logged) {
+		t.Errorf("docs/operations.md explains the messages %q, want those that the program logs: %q", slices.Sorted(maps.Keys(documented)), slices.Sorted(maps.Keys(logged)))
 	}
 }
