--- a/internal/leader/gang_assignment_test.go
+++ b/internal/leader/gang_assignment_test.go
@@ -12,21 +12,21 @@
 	"caperlatch/internal/wire"
 )
 
-// TestGangAssignments has the tasks of a gang that is starting count as if they ran, in their team's use and on
-// their machines, and all released if the gang waits too long.
+// TestGangAssignments checks that the tasks of a gang that is being launched count towards their team's usage and their
+// machines' used resources as if they ran. If the gang waits too long, all of its tasks are released or stopped.
 func TestGangAssignments(t *testing.T) {
 	l := newGangTest(t, false)
 	gangHeartbeat(t, l, "i-1")
 	j := l.jobs[gangID]
 	if len(j.Attempts) != 3 || l.teamUsage["blue"].CPU != 9000 {
-		t.Fatalf("%d tasks assigned, %+v used", len(j.Attempts), l.teamUsage["blue"])
+		t.Fatalf("%d tasks assigned, want 3; team usage %+v, want CPU 9000", len(j.Attempts), l.teamUsage["blue"])
 	}
 	for _, m := range l.fleet.Sorted {
 		if m.Free.CPU != 1000 {
-			t.Errorf("%s has %d free", m.ID, m.Free.CPU)
+			t.Errorf("%s: free CPU %d, want 1000", m.ID, m.Free.CPU)
 		}
 	}
-	// A machine that sends no heartbeat in time gets no start.
+	// The assignment to a machine that sends no heartbeat in time is released.
 	late := l.startedAt - 10*micros.Second
 	setTermStart(l, late)
 	l.fleet.Machines["i-3"].Heartbeat.ReceivedAt = late
@@ -35,40 +35,41 @@
 	}
 	l.gangs.Check(micros.Now())
 	if j.WaitingTasks() != 1 || j.Gang.Number != testToken<<32|1 {
-		t.Errorf("%d tasks wait for another machine, attempt %d", j.WaitingTasks(), j.Gang.Number)
+		t.Errorf("%d tasks wait for another machine, want 1; attempt number %d, want %d", j.WaitingTasks(), j.Gang.Number, uint64(testToken<<32|1))
 	}
-	// It waits too long: all tasks are released or stopped.
+	// The gang waits too long, so all of its tasks are released or stopped.
 	j.Gang.WaitingSince = micros.Now() - 15*micros.Second
 	l.gangs.Check(micros.Now())
-	n := 0
+	stopping := 0
 	for _, a := range j.Attempts {
-		if a.StopRequestedAt != 0 && !a.Reserved && a.GracePeriod >= state.CheckpointGrace(j) { // it may run unseen
-			n++
+		// The task may already run before a heartbeat shows it, so it gets time to save a checkpoint.
+		if a.StopRequestedAt != 0 && !a.Reserved && a.GracePeriod >= state.CheckpointGrace(j) {
+			stopping++
 		}
 	}
-	if n != len(j.Attempts) || n != 1 || l.teamUsage["blue"].CPU != 3000 {
-		t.Errorf("%d of %d tasks are stopped, %+v used", n, len(j.Attempts), l.teamUsage["blue"])
+	if stopping != len(j.Attempts) || stopping != 1 || l.teamUsage["blue"].CPU != 3000 {
+		t.Errorf("%d of %d remaining tasks are stopping, want 1 of 1; team usage %+v, want CPU 3000", stopping, len(j.Attempts), l.teamUsage["blue"])
 	}
 }
 
-// TestGangSingleZone has a gang that must be in one zone lose a task. As long as one of the old attempt is left
-// anywhere, nothing starts in another zone, and no new attempt begins.
+// TestGangSingleZone checks what starts after a gang that must run in a single zone has lost a task. As long as a task
+// of the old attempt is left on any machine, nothing starts in another zone and no new attempt begins.
 func TestGangSingleZone(t *testing.T) {
 	cases := []struct {
 		name   string
-		state  string
-		event  func(t *testing.T, l *Leader) // after a task of it was lost
-		starts int                           // on other machines, three in the other zone and one in its own
-		same   bool                          // the attempt is
+		state  string                        // of the gang's tasks when one of them is lost
+		event  func(t *testing.T, l *Leader) // follows the loss
+		starts int                           // on four more machines: three in the other zone, one in the gang's zone
+		same   bool                          // the gang still has the same attempt
 	}{
-		{"it waits, and a replacement must be in its zone", wire.TaskWaitingForGang, func(*testing.T, *Leader) {}, 1, true},
-		{"it runs, and the others have not left", wire.TaskRunning, func(*testing.T, *Leader) {}, 0, true},
-		{"one is left", wire.TaskRunning, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1", here.exited(wire.ExitStopped)) }, 0, true},
-		{"one is left on a machine whose termination is requested", wire.TaskRunning, func(t *testing.T, l *Leader) {
+		{"the gang waits, so the task is replaced in its zone", wire.TaskWaitingForGang, func(*testing.T, *Leader) {}, 1, true},
+		{"the gang runs, and its other tasks are still on their machines", wire.TaskRunning, func(*testing.T, *Leader) {}, 0, true},
+		{"the gang runs, and one task is still on its machine", wire.TaskRunning, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1", here.exited(wire.ExitStopped)) }, 0, true},
+		{"the gang runs, and one task is still on a machine whose termination was requested", wire.TaskRunning, func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-1", here.exited(wire.ExitGangTaskLost))
 			l.fleet.Terminate(l.fleet.Machines["i-3"], "test")
 		}, 0, true},
-		{"all have left", wire.TaskRunning, func(t *testing.T, l *Leader) {
+		{"the gang ran, and all its tasks have left", wire.TaskRunning, func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-1", here.exited(wire.ExitGangTaskLost))
 			l.fleet.Remove(l.fleet.Machines["i-3"])
 		}, 3, false},
@@ -78,7 +79,7 @@
 		j := l.jobs[gangID]
 		j.Spec.SingleZone = true
 		launchGang(t, l, c.state)
-		n := j.Gang.Number
+		before := j.Gang.Number
 		l.fleet.Remove(l.fleet.Machines["i-2"])
 		for i, zone := range []string{"b", "b", "b", "a"} {
 			addSchedulable(l, fmt.Sprintf("i-%d", i+4), zone)
@@ -86,7 +87,7 @@
 		c.event(t, l)
 		for _, id := range []string{"i-1", "i-3"} {
 			if m := l.fleet.Machines[id]; m != nil {
-				m.StartBackoffUntil = micros.Now() + 100*micros.Second // the others alone may take tasks
+				m.StartBackoffUntil = micros.Now() + 100*micros.Second // only the four other machines may get tasks
 			}
 		}
 		starts, zones := 0, map[string]bool{}
@@ -96,34 +97,34 @@
 				zones[l.fleet.Machines[id].Offering.Zone] = true
 			}
 		}
-		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == n) != c.same || zones["b"] && c.same {
-			t.Errorf("%s: %d starts in zones %v, attempt %d after %d", c.name, starts, zones, j.Gang.Number, n)
+		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == before) != c.same || zones["b"] && c.same {
+			t.Errorf("%s: %d starts in zones %v, want %d; attempt number %d after %d, want the same: %t", c.name, starts, zones, c.starts, j.Gang.Number, before, c.same)
 		}
 	}
 }
 
-// TestGangCountsAgainstTeamLimit has a gang use all that its team may, in each of its states: other jobs of the team
-// wait until its tasks have left, those that wait for each other too.
+// TestGangCountsAgainstTeamLimit checks that a gang that uses all of its team's limit blocks the team's other jobs in
+// each of its states, also while its tasks wait for each other, until tasks of it have left their machines.
 func TestGangCountsAgainstTeamLimit(t *testing.T) {
 	cases := []struct {
 		name   string
 		before func(t *testing.T, l *Leader)
-		room   bool
+		starts bool // tasks of the other job start
 	}{
-		{"its tasks are assigned", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, false},
-		{"its starts are sent", func(t *testing.T, l *Leader) { launchGang(t, l, "") }, false},
-		{"it pulls its image", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskPullingImage) }, false},
-		{"it waits", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskWaitingForGang) }, false},
-		{"it runs", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskRunning) }, false},
-		{"it is stopped", func(t *testing.T, l *Leader) {
+		{"assigned", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, false},
+		{"starts sent", func(t *testing.T, l *Leader) { launchGang(t, l, "") }, false},
+		{"pulling the image", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskPullingImage) }, false},
+		{"waiting for each other", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskWaitingForGang) }, false},
+		{"running", func(t *testing.T, l *Leader) { launchGang(t, l, wire.TaskRunning) }, false},
+		{"stopping", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.gangs.EndAttempt(l.jobs[gangID], 0, "test")
 		}, false},
-		{"it is cancelled, and has not left", func(t *testing.T, l *Leader) {
+		{"cancelled, and all tasks are still on their machines", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			l.dropJob(l.jobs[gangID], wire.JobCancelled)
 		}, false},
-		{"it is cancelled, and one task has left", func(t *testing.T, l *Leader) {
+		{"cancelled, and one task has left", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			j := l.jobs[gangID]
 			l.dropJob(j, wire.JobCancelled)
@@ -138,8 +139,8 @@
 		l.jobs[small.ID] = state.NewJob(replica.Job{Spec: small, SubmittedAt: micros.WallTime()}, false)
 		addSchedulable(l, "i-4", "a")
 		got := sendHeartbeat(t, l, "i-4")
-		if (len(got) > 0) != c.room || l.teamUsage["blue"].CPU > 9000 {
-			t.Errorf("%s: another job of its team has commands %v; %d used", c.name, got, l.teamUsage["blue"].CPU)
+		if (len(got) > 0) != c.starts || l.teamUsage["blue"].CPU > 9000 {
+			t.Errorf("%s: commands %v for another job of the team, want any: %t; CPU usage of the team %d, want at most 9000", c.name, got, c.starts, l.teamUsage["blue"].CPU)
 		}
 	}
 }
--- a/internal/leader/gang_attempt_test.go
+++ b/internal/leader/gang_attempt_test.go
@@ -8,8 +8,7 @@
 	"caperlatch/internal/wire"
 )
 
-// TestGangAttempt goes step by step through the heartbeats of machines with a gang's tasks, and the commands
-// of the responses.
+// TestGangAttempt checks the commands in the responses to a sequence of heartbeats of machines with a gang's tasks.
 func TestGangAttempt(t *testing.T) {
 	type step struct {
 		machine string
@@ -25,13 +24,13 @@
 		step{"i-1", gangStatuses{here.running()}, nil}, step{"i-2", gangStatuses{here.running()}, nil}, step{"i-3", gangStatuses{here.running()}, nil})
 	for _, c := range []struct {
 		name        string
-		earlierTerm bool // may have started tasks
+		earlierTerm bool // an earlier term may have started tasks of the gang
 		steps       []step
-		attempt     uint64 // its number at the end, less the number before the term's first; 0: none
+		attempt     uint64 // the attempt number at the end, without this term's fencing token; 0 if there is no attempt
 		done        bool
 	}{
-		{"it starts", false, started, 1, false},
-		{"a start is lost, and sent again under the same number", false, append(slices.Clone(launched),
+		{"the gang starts", false, started, 1, false},
+		{"a start is lost and sent again under the same number", false, append(slices.Clone(launched),
 			step{"i-2", nil, []string{"start"}}), 1, false},
 		{"a waiting task that exits is replaced under the same number", false, append(slices.Clone(launched),
 			step{"i-1", gangStatuses{here.waiting()}, nil},
@@ -43,19 +42,19 @@
 			step{"i-2", nil, nil},
 			step{"i-1", gangStatuses{here.running()}, []string{"stop"}},
 			step{"i-3", gangStatuses{here.running()}, []string{"stop"}}), 1, false},
-		{"the next attempt begins when all tasks have left", false, append(slices.Clone(started),
+		{"the next attempt begins once all tasks have left", false, append(slices.Clone(started),
 			step{"i-2", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
 			step{"i-1", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear"}},
 			step{"i-2", nil, nil},
 			step{"i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear", "start"}}), 2, false},
-		{"one task gives up waiting, and all stop", false, append(slices.Clone(launched),
+		{"a task gives up waiting, and all stop", false, append(slices.Clone(launched),
 			step{"i-2", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
 			step{"i-1", gangStatuses{here.waiting()}, []string{"stop"}}), 1, false},
-		{"one task is done, and so are all", false, append(slices.Clone(started), step{"i-2", gangStatuses{here.exited(wire.ExitDone)}, nil}), 1, true},
-		{"unknown states and exit reasons do no harm", false, append(slices.Clone(launched),
+		{"once a task is done, all are", false, append(slices.Clone(started), step{"i-2", gangStatuses{here.exited(wire.ExitDone)}, nil}), 1, true},
+		{"unknown states and exit reasons have no other effect", false, append(slices.Clone(launched),
 			step{"i-1", gangStatuses{here.inState(unknownTaskState)}, nil},
 			step{"i-2", gangStatuses{here.exited(unknownExitReason)}, []string{"clear", "start"}}), 1, false},
-		// After a failover.
+		// The following cases are after a failover.
 		{"a waiting gang is adopted and completed under its number", true, []step{
 			{"i-1", gangStatuses{gangTask(0).waiting().ofAttempt(5)}, nil},
 			{"i-2", gangStatuses{gangTask(1).waiting().ofAttempt(5)}, nil},
@@ -66,25 +65,25 @@
 			{"i-1", gangStatuses{gangTask(0).waiting().ofAttempt(4)}, []string{"stop"}},
 			{"i-3", gangStatuses{gangTask(2).waiting().ofAttempt(4)}, []string{"stop"}},
 			{"i-3", gangStatuses{gangTask(2).exited(wire.ExitStopped).ofAttempt(4)}, []string{"clear", "start"}}}, 5, false},
-		{"a running gang is adopted and left alone", true, []step{
+		{"a running gang is adopted and not changed", true, []step{
 			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}, {"i-2", gangStatuses{gangTask(1).running().ofAttempt(5)}, nil}, {"i-3", gangStatuses{gangTask(2).running().ofAttempt(5)}, nil},
 			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}}, 5, false},
-		{"a gang that an earlier leader was stopping is stopped whole", true, []step{
+		{"all tasks of a gang that an earlier leader was stopping are stopped", true, []step{
 			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}, {"i-2", gangStatuses{gangTask(1).checkpointing().ofAttempt(5)}, []string{"stop"}},
 			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}},
 			{"i-3", gangStatuses{gangTask(2).running().ofAttempt(5)}, []string{"stop"}}}, 5, false},
-		{"a gang that an earlier leader had stopped in part is stopped whole", true, []step{
+		{"all tasks of a gang that an earlier leader had stopped in part are stopped", true, []step{
 			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil}, {"i-2", gangStatuses{gangTask(1).exited(wire.ExitStopped).ofAttempt(5)}, []string{"clear"}},
 			{"i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}}}, 5, false},
-		{"a result was lost with its machine, all start again, and one has it at once", true, []step{
+		{"a result was lost with its machine, all start again, and one is done at once", true, []step{
 			{"i-1", nil, nil}, {"i-2", nil, nil}, {"i-3", nil, []string{"start"}},
 			{"i-1", nil, []string{"start"}}, {"i-2", nil, []string{"start"}},
 			{"i-1", gangStatuses{here.pulling()}, nil}, {"i-2", gangStatuses{here.exited(wire.ExitDone)}, nil}}, 1, true},
-		{"a result was lost with its machine, and is not known yet", true, []step{
+		{"a result was lost with its machine, and no task is done yet", true, []step{
 			{"i-1", nil, nil}, {"i-2", nil, nil}, {"i-3", nil, []string{"start"}},
 			{"i-1", nil, []string{"start"}}, {"i-2", nil, []string{"start"}},
 			{"i-1", gangStatuses{here.pulling()}, nil}, {"i-2", gangStatuses{here.waiting()}, nil}}, 1, false},
-		{"a result that an earlier leader did not store counts for all tasks", true, []step{{"i-2", gangStatuses{gangTask(1).exited(wire.ExitDone).ofAttempt(5)}, nil}}, 0, true},
+		{"a result that an earlier leader did not store completes all tasks", true, []step{{"i-2", gangStatuses{gangTask(1).exited(wire.ExitDone).ofAttempt(5)}, nil}}, 0, true},
 	} {
 		l := newGangTest(t, c.earlierTerm)
 		j := l.jobs[gangID]
@@ -97,23 +96,23 @@
 				t.Fatalf("%s: step %d: commands %v, want %v", c.name, i, got, s.want)
 			}
 		}
-		n := j.Gang.Number
-		if n > testToken<<32 {
-			n -= testToken << 32
+		attempt := j.Gang.Number
+		if attempt > testToken<<32 {
+			attempt -= testToken << 32
 		}
-		if _, final := l.finalJobs[j.Spec.ID]; n != c.attempt || (j.DoneCount == 3) != c.done || final != c.done {
-			t.Errorf("%s: attempt %d, %d done", c.name, n, j.DoneCount)
+		if _, final := l.finalJobs[j.Spec.ID]; attempt != c.attempt || (j.DoneCount == 3) != c.done || final != c.done {
+			t.Errorf("%s: attempt number %d, want %d; %d tasks done, final state queued: %t; want all done and queued: %t", c.name, attempt, c.attempt, j.DoneCount, final, c.done)
 		}
-		for name, m := range l.fleet.Machines {
+		for id, m := range l.fleet.Machines {
 			if m.Quarantine.Failures > 0 || len(m.Quarantine.SuspectJobs) > 0 && !strings.Contains(c.name, "failed") {
-				t.Errorf("%s: %s has failures: %d, %v", c.name, name, m.Quarantine.Failures, m.Quarantine.SuspectJobs)
+				t.Errorf("%s: %s has %d failures and suspect jobs %v, want none", c.name, id, m.Quarantine.Failures, m.Quarantine.SuspectJobs)
 			}
 		}
 	}
 }
 
-// TestAttemptNumberByKind has jobs of each kind start: a gang's tasks share a number, for others it only tells one
-// start from another.
+// TestAttemptNumberByKind checks that the tasks of a gang share an attempt number, while each start of a task of any
+// other kind of job has a number of its own.
 func TestAttemptNumberByKind(t *testing.T) {
 	for kind, numbers := range map[wire.JobKind]int{wire.KindGang: 1, wire.KindArray: 3, wire.KindService: 3} {
 		l := newGangTest(t, false)
@@ -125,7 +124,7 @@
 			seen[a.Number] = true
 		}
 		if len(seen) != numbers {
-			t.Errorf("%s: numbers %v", kind, seen)
+			t.Errorf("%s: attempt numbers %v, want %d distinct ones", kind, seen, numbers)
 		}
 	}
 }
--- a/internal/leader/gang_heartbeat_test.go
+++ b/internal/leader/gang_heartbeat_test.go
@@ -10,15 +10,16 @@
 	"caperlatch/internal/wire"
 )
 
-// TestGangHeartbeatsCross has heartbeats with a gang's tasks cross each other and the commands to them.
-func TestGangHeartbeatsCross(t *testing.T) {
+// TestGangHeartbeatRaces checks the commands in the responses when heartbeats with a gang's tasks race with each other
+// and with earlier commands.
+func TestGangHeartbeatRaces(t *testing.T) {
 	type step struct {
-		before  func(l *Leader) // the heartbeat
+		before  func(l *Leader) // runs before the heartbeat, unless nil
 		machine string
 		tasks   gangStatuses
 		want    []string
 	}
-	// The task on the second machine leaves it, and a fourth machine is there.
+	// The task on the second machine leaves it, and a fourth machine is added.
 	moved := []step{
 		{func(l *Leader) { evictGangTask(l, "i-2"); addSchedulable(l, "i-4", "a") }, "i-2", gangStatuses{here.waiting()}, []string{"stop"}},
 		{nil, "i-2", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear"}},
@@ -26,61 +27,62 @@
 	replaced := append(slices.Clone(moved), step{nil, "i-4", nil, []string{"start"}})
 	cases := []struct {
 		name        string
-		launch      string // state that its tasks have at first, empty if none has started in this term
-		earlierTerm bool   // an earlier leader may have started them
+		launch      string // initial state of the gang's tasks, empty if none was started in this term
+		earlierTerm bool   // an earlier term may have started tasks of the gang
 		steps       []step
 	}{
-		{"a task that was replaced is listed again as stopped", wire.TaskWaitingForGang, false, append(slices.Clone(replaced),
+		{"the exit of a replaced task is listed again", wire.TaskWaitingForGang, false, append(slices.Clone(replaced),
 			step{nil, "i-4", gangStatuses{here.running()}, nil},
 			step{nil, "i-1", gangStatuses{here.running()}, nil},
 			step{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitStopped)}, []string{"clear"}},
 			step{nil, "i-1", gangStatuses{here.running()}, nil})},
-		{"the others run, so the one whose start was not sent is too late", wire.TaskWaitingForGang, false, append(slices.Clone(moved),
+		{"the others run before the start of the replacement is sent", wire.TaskWaitingForGang, false, append(slices.Clone(moved),
 			step{nil, "i-1", gangStatuses{here.running()}, []string{"stop"}},
 			step{nil, "i-4", nil, nil})},
-		{"one is evicted while they wait, and another shows that they run", wire.TaskWaitingForGang, false, []step{
+		{"one is evicted while all wait, and then another is listed as running", wire.TaskWaitingForGang, false, []step{
 			{func(l *Leader) { evictGangTask(l, "i-2") }, "i-1", gangStatuses{here.running()}, []string{"stop"}},
 			{nil, "i-3", gangStatuses{here.running()}, []string{"stop"}},
 			{nil, "i-2", gangStatuses{here.checkpointing()}, []string{"stop"}}}},
-		{"one of a lower attempt is stopped, which does not stop the others", "", true, []step{
+		{"a task of a lower attempt is stopped without the others", "", true, []step{
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(6)}, nil},
 			{nil, "i-3", gangStatuses{gangTask(2).waiting().ofAttempt(5)}, []string{"stop"}},
 			{nil, "i-2", gangStatuses{gangTask(1).running().ofAttempt(6)}, nil}}},
-		{"others run, and no heartbeat has shown the last start yet", "", false, []step{
+		{"the others run before a heartbeat shows the last start", "", false, []step{
 			{func(l *Leader) { addSchedulable(l, "i-4", "a") }, "i-1", nil, []string{"start"}},
 			{nil, "i-2", nil, []string{"start"}},
 			{nil, "i-3", nil, []string{"start"}},
 			{nil, "i-1", gangStatuses{here.running()}, nil},
 			{nil, "i-3", gangStatuses{here.running()}, nil}}},
-		{"a start is carried out when the others have given up waiting", wire.TaskWaitingForGang, false, append(slices.Clone(replaced),
+		{"a start is executed after the others have given up waiting", wire.TaskWaitingForGang, false, append(slices.Clone(replaced),
 			step{nil, "i-1", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
 			step{nil, "i-3", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
 			step{nil, "i-4", gangStatuses{here.waiting()}, []string{"stop"}},
 			step{nil, "i-1", nil, nil},
 			step{nil, "i-3", nil, nil},
 			step{nil, "i-4", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear", "start"}})},
-		{"one has lost its gang before any was seen running", wire.TaskWaitingForGang, false, []step{
+		{"one exits because its gang lost a task, before any is listed as running", wire.TaskWaitingForGang, false, []step{
 			{nil, "i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{here.waiting()}, []string{"stop"}}}},
-		{"a task that runs without the others exits", wire.TaskRunning, false, []step{
+		{"the gang loses a task, and one that still runs exits", wire.TaskRunning, false, []step{
 			{func(l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, "i-1", gangStatuses{here.running()}, []string{"stop"}},
 			{nil, "i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{here.running()}, []string{"stop"}},
 			{nil, "i-3", nil, nil}}},
-		// A new leader gets heartbeats first of what has ended, then of what is left.
-		{"one had lost its gang, then another shows to run", "", true, []step{
+		// In the following cases, a new leader receives heartbeats that list tasks that have exited before those that
+		// list the remaining tasks.
+		{"one has exited because its gang lost a task, then another is listed as running", "", true, []step{
 			{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitGangTaskLost).ofAttempt(5)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}}}},
-		{"one had given up waiting, then another shows to wait", "", true, []step{
+		{"one has given up waiting, then another is listed as waiting", "", true, []step{
 			{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitGangTimeout).ofAttempt(5)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{gangTask(0).waiting().ofAttempt(5)}, []string{"stop"}}}},
-		{"one task is nowhere, which is known once the tasks of all machines are", "", true, []step{
+		{"one task is on no machine, which is known once the tasks of all machines are", "", true, []step{
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil},
 			{nil, "i-2", gangStatuses{gangTask(1).running().ofAttempt(5)}, nil},
 			{func(l *Leader) { l.gangs.Check(micros.Now()) }, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil},
 			{nil, "i-3", nil, nil},
 			{func(l *Leader) { l.gangs.Check(micros.Now()) }, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}}}},
-		{"one had lost the gang of an earlier attempt", "", true, []step{
+		{"one of an earlier attempt has exited because its gang lost a task", "", true, []step{
 			{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitGangTaskLost).ofAttempt(5)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(6)}, nil},
 			{nil, "i-3", gangStatuses{gangTask(2).running().ofAttempt(5)}, []string{"stop"}},
@@ -103,19 +105,19 @@
 	}
 }
 
-// TestUnknownTaskStates has heartbeats use words that the protocol does not have. Each is logged once, and the task
-// counts as being on its machine, or as exited.
+// TestUnknownTaskStates checks that a heartbeat with a task state or exit reason that the protocol does not define is
+// logged once, and that the task counts as present on its machine or as exited.
 func TestUnknownTaskStates(t *testing.T) {
 	cases := []struct {
-		name  string
-		tasks gangStatuses
-		lines int
-		there bool
+		name    string
+		tasks   gangStatuses
+		events  int
+		present bool
 	}{
 		{"known state", gangStatuses{here.waiting()}, 0, true},
 		{"unknown state", gangStatuses{here.inState(unknownTaskState)}, 1, true},
 		{"unknown exit reason", gangStatuses{here.exited(unknownExitReason)}, 1, false},
-		{"exit reason of gangs", gangStatuses{here.exited(wire.ExitGangTaskLost)}, 0, false},
+		{"exit reason of gang tasks", gangStatuses{here.exited(wire.ExitGangTaskLost)}, 0, false},
 		{"unknown state with an unknown exit reason", gangStatuses{{index: here, state: unknownTaskState, exitReason: unknownExitReason}}, 1, true},
 	}
 	for _, c := range cases {
@@ -126,23 +128,24 @@
 		for range 3 {
 			gangHeartbeat(t, l, "i-2", c.tasks...)
 		}
-		lines := 0
-		for what, count := range l.events.Counts() {
-			if strings.Contains(what, "unknown") {
-				lines += count
+		events := 0
+		for message, count := range l.events.Counts() {
+			if strings.Contains(message, "unknown") {
+				events += count
 			}
 		}
-		if there := l.fleet.Machines["i-2"].Attempts[state.TaskID(gangID, a.Index)] == a; lines != c.lines || there != c.there {
-			t.Errorf("%s: %d lines, its task counts as being there: %t", c.name, lines, there)
+		if present := l.fleet.Machines["i-2"].Attempts[state.TaskID(gangID, a.Index)] == a; events != c.events || present != c.present {
+			t.Errorf("%s: %d events, want %d; the task counts as present: %t, want %t", c.name, events, c.events, present, c.present)
 		}
 	}
 }
 
-// TestGangLateHeartbeatCopy has a task of a gang be refused, cleared and started again on the same machine, under the
-// same number: while a gang waits, an attempt does not tell its starts apart. A late copy of the refusal, made in
-// this term, must not count for the second start: the leader would take the task for gone and start it on another
-// machine as well. What guards is the order of heartbeats within an incarnation.
-func TestGangLateHeartbeatCopy(t *testing.T) {
+// TestGangDelayedDuplicateHeartbeat guards against a task of a gang being started on two machines because of a delayed
+// duplicate of a heartbeat. The task's start is refused, and the task is cleared and started again on the same machine
+// under the same number, because the tasks of a waiting gang keep their attempt number. If a duplicate of the refusal
+// from this term counted for the second start, the leader would consider the task gone and start it on another machine
+// as well. The order of heartbeats within an incarnation prevents that.
+func TestGangDelayedDuplicateHeartbeat(t *testing.T) {
 	l := newGangTest(t, false)
 	for _, machine := range []string{"i-1", "i-2", "i-3"} {
 		gangHeartbeat(t, l, machine)
@@ -153,21 +156,21 @@
 		Tasks: []wire.TaskStatus{{TaskID: a.TaskID(), Attempt: number, State: wire.TaskExited, ExitReason: wire.ExitStopped}}}
 	l.scheduler.PlannedAt = 0
 	if response, err := l.HandleHeartbeat(refusal); err != nil || !slices.Contains(commandNames(response), "start "+a.TaskID()) {
-		t.Fatalf("commands %v (%v), want the start again", response.Commands, err)
+		t.Fatalf("commands %v (error %v), want the start again", response.Commands, err)
 	}
 	next := *refusal
 	next.Sequence, next.Tasks = refusal.Sequence+1, []wire.TaskStatus{{TaskID: a.TaskID(), Attempt: number, State: wire.TaskWaitingForGang}}
 	if _, err := l.HandleHeartbeat(&next); err != nil || j.Gang.Number != number {
-		t.Fatalf("attempt %d (%v), want %d", j.Gang.Number, err, number)
+		t.Fatalf("attempt number %d (error %v), want %d", j.Gang.Number, err, number)
 	}
 	if _, err := l.HandleHeartbeat(refusal); err == nil {
-		t.Error("a late copy got a response")
+		t.Error("the delayed duplicate got a response, want an error")
 	}
 	addSchedulable(l, "i-4", "a")
 	if commands := gangHeartbeat(t, l, "i-4"); len(commands) > 0 {
-		t.Errorf("another machine has commands %v", commands)
+		t.Errorf("commands for another machine: %v, want none", commands)
 	}
-	if counted := j.Attempts[a.Index]; counted == nil || counted.Machine != m {
-		t.Errorf("the task is not counted on %s any more", m.ID)
+	if current := j.Attempts[a.Index]; current == nil || current.Machine != m {
+		t.Errorf("the task no longer counts as present on %s", m.ID)
 	}
 }
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -12,18 +12,19 @@
 	"caperlatch/internal/wire"
 )
 
-// acceptingWorkers responds to every call of a worker.
+// acceptingWorkers is a transport on which every call to a worker succeeds.
 type acceptingWorkers struct{}
 
 func (acceptingWorkers) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: http.NoBody}, nil
 }
 
-// gangID is the ID of the gang.
+// gangID is the ID of the gang in the tests of gangs.
 const gangID = "j-000002"
 
-// newGangTest makes a leader of a gang of three tasks, each of which needs most of a machine, and of three running
-// machines. If an earlier term may have started tasks, none of the machines' tasks are known yet.
+// newGangTest returns a leader with a gang of three tasks, each of which needs most of a machine, and with three
+// running machines. If earlierTerm is set, an earlier term may have started tasks, and the tasks of no machine are
+// known yet.
 func newGangTest(t *testing.T, earlierTerm bool) *Leader {
 	t.Helper()
 	l, _ := newTestLeader(t)
@@ -44,24 +45,24 @@
 	return l
 }
 
-// gangTask is the index of a task of the gang, or here.
+// gangTask is the index of a task of the gang, or the constant here.
 type gangTask int
 
 // here stands for the task of the gang that the leader has on the machine that sends the heartbeat.
 const here gangTask = -1
 
-// gangStatus is what a heartbeat says of a task of the gang.
+// gangStatus is the status of a task of the gang in a heartbeat.
 type gangStatus struct {
 	index      gangTask
-	attempt    uint64 // 0: the gang's present one
+	attempt    uint64 // attempt number; 0 stands for the gang's current attempt
 	state      string
 	exitReason string
 }
 
-// gangStatuses are what a heartbeat says of tasks of the gang.
+// gangStatuses is the list of statuses of the gang's tasks in a heartbeat.
 type gangStatuses []gangStatus
 
-// Words that the protocol does not have.
+// A task state and an exit reason that the protocol does not define.
 const (
 	unknownTaskState  = "pondering"
 	unknownExitReason = "boredom"
@@ -76,13 +77,13 @@
 	return gangStatus{index: n, state: wire.TaskExited, exitReason: reason}
 }
 
-// ofAttempt is the status for another attempt than the present one.
+// ofAttempt returns the status with the given attempt number in place of the current one.
 func (s gangStatus) ofAttempt(number uint64) gangStatus {
 	s.attempt = number
 	return s
 }
 
-// onWire is the status in the form of a heartbeat of a machine.
+// onWire returns the status as the machine m sends it in a heartbeat.
 func (s gangStatus) onWire(j *state.Job, m *state.Machine) wire.TaskStatus {
 	if s.index == here {
 		for index, a := range j.Attempts {
@@ -97,30 +98,30 @@
 	return wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, int(s.index)), Attempt: s.attempt, State: s.state, ExitReason: s.exitReason}
 }
 
-// gangHeartbeat has a machine send a heartbeat with tasks of the gang, and returns the commands of the response, by
-// a new plan if one is needed.
+// gangHeartbeat sends a heartbeat of a machine with tasks of the gang, and returns the commands of the response. The
+// leader makes a new plan first if one is needed.
 func gangHeartbeat(t *testing.T, l *Leader, machine string, tasks ...gangStatus) []string {
 	t.Helper()
 	l.scheduler.PlannedAt = 0
 	return gangHeartbeatBetweenPlans(t, l, machine, tasks...)
 }
 
-// gangHeartbeatBetweenPlans is the same without a new plan, unless one is due.
+// gangHeartbeatBetweenPlans is like gangHeartbeat, but the leader makes a new plan only if one is due.
 func gangHeartbeatBetweenPlans(t *testing.T, l *Leader, machine string, tasks ...gangStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
-	r := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
+	h := &wire.Heartbeat{MachineID: machine, Address: machine + ":9000", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
 	for _, status := range tasks {
-		r.Tasks = append(r.Tasks, status.onWire(l.jobs[gangID], m))
+		h.Tasks = append(h.Tasks, status.onWire(l.jobs[gangID], m))
 	}
-	response, err := l.HandleHeartbeat(r)
+	response, err := l.HandleHeartbeat(h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return commandNames(response)
 }
 
-// addSchedulable adds a running machine that may get tasks.
+// addSchedulable adds a running machine that is schedulable.
 func addSchedulable(l *Leader, id, zone string) {
 	m := l.fleet.Add(id, l.fleet.Intent("r-1"), micros.Now())
 	m.Offering.Zone = zone
@@ -128,7 +129,7 @@
 	m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = id+":9000", 1, micros.Now(), micros.Now()
 }
 
-// gangAttemptOn is the attempt of the gang that the leader has on a machine, nil if there is none.
+// gangAttemptOn returns the gang's attempt that the leader has assigned to a machine, or nil if there is none.
 func gangAttemptOn(l *Leader, machine string) *state.Attempt {
 	for _, a := range l.fleet.Machines[machine].Attempts {
 		if a.Job.Spec.ID == gangID {
@@ -138,8 +139,8 @@
 	return nil
 }
 
-// sendHeartbeat has a machine send a heartbeat with tasks as they are given, and returns the commands of the response,
-// by a new plan.
+// sendHeartbeat sends a heartbeat of a machine with the given tasks, and returns the commands of the response. The
+// leader makes a new plan first.
 func sendHeartbeat(t *testing.T, l *Leader, machine string, tasks ...wire.TaskStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
@@ -152,15 +153,15 @@
 	return commandNames(response)
 }
 
-// evictGangTask drains a machine of the gang's task there.
+// evictGangTask drains a machine and evicts the gang's task from it.
 func evictGangTask(l *Leader, machine string) {
 	a := gangAttemptOn(l, machine)
 	a.Machine.DrainReason = "test"
 	l.gangs.EvictTask(a, state.CheckpointGrace(a.Job), "test", micros.Now())
 }
 
-// launchGang has the gang's tasks started on three machines, whose heartbeats then show them in a state unless it is
-// empty.
+// launchGang starts the gang's tasks on three machines. Unless state is empty, the machines' next heartbeats list the
+// tasks in that state.
 func launchGang(t *testing.T, l *Leader, state string) {
 	t.Helper()
 	machines := []string{"i-1", "i-2", "i-3"}
@@ -173,21 +174,21 @@
 		}
 	}
 	if len(l.jobs[gangID].Attempts) != len(machines) {
-		t.Fatalf("%d tasks of the gang are on machines", len(l.jobs[gangID].Attempts))
+		t.Fatalf("%d tasks of the gang are on machines, want %d", len(l.jobs[gangID].Attempts), len(machines))
 	}
 }
 
-// commandVerbs are the verbs of commands.
+// commandVerbs returns the verbs of commands that have the form "verb task".
 func commandVerbs(commands []string) []string {
-	all := []string{}
+	verbs := []string{}
 	for _, c := range commands {
 		verb, _, _ := strings.Cut(c, " ")
-		all = append(all, verb)
+		verbs = append(verbs, verb)
 	}
-	return all
+	return verbs
 }
 
-// useWorkers has a leader's direct calls reach workers by a transport.
+// useWorkers makes a leader call workers through the given transport.
 func useWorkers(l *Leader, transport http.RoundTripper) {
 	l.dispatcher = dispatch.New(&http.Client{Transport: transport}, l.FencingToken, l.Term.IsExclusive, 0)
 }
--- a/internal/leader/gang_loss_test.go
+++ b/internal/leader/gang_loss_test.go
@@ -9,14 +9,15 @@
 	"caperlatch/internal/wire"
 )
 
-// TestGangTaskReplacedOnlyWhenGone has the machine of a task that is about to run fall silent, and more. The task may
-// be started elsewhere, under the same number, only when it is known to have left.
+// TestGangTaskReplacedOnlyWhenGone checks that a waiting task of a gang is started on another machine, with the same
+// attempt number, only once the task is known to have left its machine. Each case is an event that does or does not
+// prove that, such as silence of the machine or a heartbeat without the task.
 func TestGangTaskReplacedOnlyWhenGone(t *testing.T) {
-	sends := func(edit func(r *wire.Heartbeat)) func(t *testing.T, l *Leader, m *state.Machine) {
+	sends := func(edit func(h *wire.Heartbeat)) func(t *testing.T, l *Leader, m *state.Machine) {
 		return func(_ *testing.T, l *Leader, m *state.Machine) {
-			r := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
-			edit(r)
-			if _, err := l.HandleHeartbeat(r); err != nil && r.Sequence > m.Heartbeat.Sequence {
+			h := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
+			edit(h)
+			if _, err := l.HandleHeartbeat(h); err != nil && h.Sequence > m.Heartbeat.Sequence {
 				t.Error(err)
 			}
 		}
@@ -36,27 +37,27 @@
 		event func(t *testing.T, l *Leader, m *state.Machine)
 		gone  bool
 	}{
-		{"it is silent for a while", silent(10), false},
-		{"it is silent for its lease", silent(16), false},
-		{"its lease has expired", silent(18), true},
-		{"its termination is requested", func(_ *testing.T, l *Leader, m *state.Machine) { l.fleet.Terminate(m, "test") }, false},
-		{"its termination was answered", func(_ *testing.T, l *Leader, m *state.Machine) { l.fleet.Remove(m) }, true},
-		{"the cloud lists it as failed", func(_ *testing.T, l *Leader, m *state.Machine) {
+		{"the machine is silent for 10 s", silent(10), false},
+		{"the machine is silent for as long as its lease", silent(16), false},
+		{"the machine's lease has expired", silent(18), true},
+		{"termination of the machine is requested", func(_ *testing.T, l *Leader, m *state.Machine) { l.fleet.Terminate(m, "test") }, false},
+		{"the cloud has responded to the termination", func(_ *testing.T, l *Leader, m *state.Machine) { l.fleet.Remove(m) }, true},
+		{"the cloud lists the machine as failed", func(_ *testing.T, l *Leader, m *state.Machine) {
 			l.fleet.ReconcileInstances([]wire.InstanceStatus{{ID: m.ID, State: wire.InstanceFailed}})
 		}, false},
-		{"the cloud does not list it", func(_ *testing.T, l *Leader, _ *state.Machine) {
+		{"the cloud does not list the machine", func(_ *testing.T, l *Leader, _ *state.Machine) {
 			for range 3 {
 				l.fleet.ReconcileInstances(nil)
 			}
 		}, false},
-		{"a heartbeat of a later incarnation", sends(func(r *wire.Heartbeat) { r.Incarnation = 2 }), true},
-		{"a late copy of a heartbeat from before the start", sends(func(r *wire.Heartbeat) { r.Sequence = 1 }), false},
-		{"a heartbeat of an earlier term", sends(func(r *wire.Heartbeat) { r.FencingToken = testToken - 1 }), false},
-		{"a heartbeat of a later incarnation and an earlier term", sends(func(r *wire.Heartbeat) { r.Incarnation, r.FencingToken = 2, testToken-1 }), true},
+		{"a heartbeat of a later incarnation", sends(func(h *wire.Heartbeat) { h.Incarnation = 2 }), true},
+		{"a delayed heartbeat from before the start", sends(func(h *wire.Heartbeat) { h.Sequence = 1 }), false},
+		{"a heartbeat of an earlier term", sends(func(h *wire.Heartbeat) { h.FencingToken = testToken - 1 }), false},
+		{"a heartbeat of a later incarnation and an earlier term", sends(func(h *wire.Heartbeat) { h.Incarnation, h.FencingToken = 2, testToken-1 }), true},
 		{"a heartbeat without the task", shows(), true},
-		{"a heartbeat with another attempt, which is to be cleared", shows(gangTask(1).exited(wire.ExitStopped).ofAttempt(3), here.waiting()), false},
-		{"it still pulls its image", shows(here.pulling()), false},
-		{"an unknown state", shows(here.inState(unknownTaskState)), false},
+		{"a heartbeat with the task and another attempt that has exited", shows(gangTask(1).exited(wire.ExitStopped).ofAttempt(3), here.waiting()), false},
+		{"the task pulls its image", shows(here.pulling()), false},
+		{"the task is in an unknown state", shows(here.inState(unknownTaskState)), false},
 		{"the task has exited", shows(here.exited(wire.ExitStopped)), true},
 		{"the task has exited for an unknown reason", shows(here.exited(unknownExitReason)), true},
 		{"the start was refused", shows(here.exited(wire.ExitInsufficientResources)), true},
@@ -65,20 +66,20 @@
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskWaitingForGang)
 		j, m := l.jobs[gangID], l.fleet.Machines["i-2"]
-		n, a := j.Gang.Number, gangAttemptOn(l, "i-2")
+		number, a := j.Gang.Number, gangAttemptOn(l, "i-2")
 		c.event(t, l, m)
-		if held := m.Attempts[state.TaskID(j.Spec.ID, a.Index)] == a; held == c.gone {
-			t.Errorf("%s: its task counts as being there: %t", c.name, held)
+		if present := m.Attempts[state.TaskID(j.Spec.ID, a.Index)] == a; present == c.gone {
+			t.Errorf("%s: the task counts as present: %t, want %t", c.name, present, !c.gone)
 		}
 		m.StartBackoffUntil = micros.Now() + 100*micros.Second
 		l.scheduler.RequestPlan()
 		l.scheduler.PlannedAt = 0
-		if b := j.Attempts[a.Index]; b != a && b != nil && b.Machine == m {
-			continue // it is started on the same machine again
+		if replacement := j.Attempts[a.Index]; replacement != a && replacement != nil && replacement.Machine == m {
+			continue // the task was started on the same machine again
 		}
 		addSchedulable(l, "i-4", "a")
-		if got := commandVerbs(gangHeartbeat(t, l, "i-4")); slices.Contains(got, "start") != c.gone || j.Gang.Number != n {
-			t.Errorf("%s: another machine has commands %v, attempt %d after %d", c.name, got, j.Gang.Number, n)
+		if got := commandVerbs(gangHeartbeat(t, l, "i-4")); slices.Contains(got, "start") != c.gone || j.Gang.Number != number {
+			t.Errorf("%s: commands for another machine: %v, want a start: %t; attempt number %d, want %d", c.name, got, c.gone, j.Gang.Number, number)
 		}
 	}
 }
--- a/internal/leader/gang_plan_test.go
+++ b/internal/leader/gang_plan_test.go
@@ -12,8 +12,8 @@
 	"caperlatch/placement"
 )
 
-// TestGangReservation has a gang find no room beside work that ends soon: machines are reserved for it for a
-// time, then for as long not again.
+// TestGangReservation checks that machines are reserved for a gang that finds no room while other tasks will end soon.
+// The reservation expires, and is not made again for the same length of time.
 func TestGangReservation(t *testing.T) {
 	const s = micros.Second
 	l := newGangTest(t, false)
@@ -36,7 +36,7 @@
 	}
 	l.scheduler.Plan(now)
 	if reserved() != 3 {
-		t.Fatalf("%d machines are reserved", reserved())
+		t.Fatalf("%d machines are reserved, want 3", reserved())
 	}
 	m := l.fleet.Machines["i-1"]
 	for _, a := range m.Attempts {
@@ -45,20 +45,20 @@
 	}
 	l.jobs[small.Spec.ID] = small
 	if small.Spec.Priority = "normal"; len(gangHeartbeat(t, l, "i-1")) != 0 {
-		t.Error("reserved room went to another job")
+		t.Error("another job got the resources of a reserved machine")
 	}
 	m.Reservation.ExpiresAt = micros.Now()
 	l.gangs.Check(micros.Now())
 	if reserved() != 0 {
-		t.Error("the reservation does not expire")
+		t.Errorf("%d machines are reserved after the reservation expired, want 0", reserved())
 	}
 	if l.scheduler.Plan(micros.Now()); reserved() != 0 {
-		t.Error("machines are reserved again at once")
+		t.Errorf("%d machines are reserved again at once, want 0", reserved())
 	}
 }
 
-// TestGangChangesAfterPlan has a gang change between two plans. A machine that sends a heartbeat is filled from the
-// queue of the latest plan, which must not start what has ended meanwhile.
+// TestGangChangesAfterPlan checks the commands for a machine when a gang has changed since the latest plan. The machine
+// gets tasks from the queue of that plan, but none of an attempt or a job that has ended since.
 func TestGangChangesAfterPlan(t *testing.T) {
 	cancel := func(l *Leader) {
 		spec := l.jobs[gangID].Spec
@@ -66,22 +66,22 @@
 	}
 	cases := []struct {
 		name    string
-		cpus    float64 // of each task; a machine has four
-		before  func(t *testing.T, l *Leader)
-		between func(l *Leader)
-		machine string
-		tasks   gangStatuses // of its heartbeat
+		cpus    float64                       // CPUs of each task; a machine has four
+		before  func(t *testing.T, l *Leader) // runs before the plan, unless nil
+		between func(l *Leader)               // runs between the plan and the heartbeat
+		machine string                        // sends the heartbeat
+		tasks   gangStatuses                  // in the heartbeat
 		want    []string
 	}{
-		{"it still waits", 1, nil, func(*Leader) {}, "i-1", nil, []string{"start", "start", "start"}},
-		{"it is cancelled", 1, nil, cancel, "i-1", nil, nil},
-		{"a task of it is assigned to the machine", 3, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, func(*Leader) {}, "i-2", nil, []string{"start"}},
-		{"a task of it is assigned to the machine, and its team is at its limit by now", 3, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, func(l *Leader) {
+		{"the gang still waits", 1, nil, func(*Leader) {}, "i-1", nil, []string{"start", "start", "start"}},
+		{"the gang is cancelled", 1, nil, cancel, "i-1", nil, nil},
+		{"a task of the gang is assigned to the machine", 3, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, func(*Leader) {}, "i-2", nil, []string{"start"}},
+		{"a task of the gang is assigned to the machine, and the team has reached its limit since", 3, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, func(l *Leader) {
 			l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 9.5})
 			l.teamUsage["blue"] = l.teamUsage["blue"].Add(placement.Resources{CPU: 1000}, 1)
 		}, "i-2", nil, nil},
-		{"one of its tasks is done", 1, nil, func(*Leader) {}, "i-1", gangStatuses{gangTask(0).exited(wire.ExitDone).ofAttempt(5)}, nil},
-		{"its attempt ends while another task of it waits for a machine", 3, func(t *testing.T, l *Leader) {
+		{"a task of the gang is done", 1, nil, func(*Leader) {}, "i-1", gangStatuses{gangTask(0).exited(wire.ExitDone).ofAttempt(5)}, nil},
+		{"the attempt ends while another of its tasks waits for a machine", 3, func(t *testing.T, l *Leader) {
 			for _, id := range []string{"i-1", "i-2", "i-3"} {
 				gangHeartbeat(t, l, id)
 			}
@@ -89,7 +89,7 @@
 			gangHeartbeat(t, l, "i-3", here.waiting())
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitError))
 		}, func(*Leader) {}, "i-1", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
-		{"all tasks of its attempt have left, and one waited for a machine", 1, func(t *testing.T, l *Leader) {
+		{"all tasks of the attempt have left while one waited for a machine", 1, func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-1")
 			for _, id := range []string{"i-2", "i-3"} {
 				l.fleet.Machines[id].StartBackoffUntil = micros.Now() + micros.Second
@@ -104,16 +104,16 @@
 		if c.before != nil {
 			c.before(t, l)
 		}
-		later := micros.Now() + micros.Second
+		backoffUntil := micros.Now() + micros.Second
 		for _, m := range l.fleet.Sorted {
-			m.StartBackoffUntil = later
+			m.StartBackoffUntil = backoffUntil
 		}
 		l.scheduler.Plan(micros.Now())
 		for _, m := range l.fleet.Sorted {
 			m.StartBackoffUntil = 0
 		}
 		c.between(l)
-		l.scheduler.PlannedAt = micros.Now() + 3600*micros.Second // no other plan for long
+		l.scheduler.PlannedAt = micros.Now() + 3600*micros.Second // no other plan is due
 		got := commandVerbs(gangHeartbeatBetweenPlans(t, l, c.machine, c.tasks...))
 		if !slices.Equal(got, c.want) && len(got)+len(c.want) > 0 {
 			t.Errorf("%s: commands %v, want %v", c.name, got, c.want)
--- a/internal/leader/gang_pool_test.go
+++ b/internal/leader/gang_pool_test.go
@@ -12,8 +12,8 @@
 	"caperlatch/internal/wire"
 )
 
-// newPoolTest makes a leader of 32 idle machines of four CPUs, and of no jobs. A gang is to start within 2 s with a
-// chance of 0.85.
+// newPoolTest returns a leader with 32 idle machines of four CPUs and no jobs. Its objective is that 85 % of the gangs
+// of class pairs start within 2 s.
 func newPoolTest(t *testing.T) *Leader {
 	t.Helper()
 	l, _ := newTestLeader(t)
@@ -37,7 +37,7 @@
 	return l
 }
 
-// addPairsJob has a job of class pairs come in, or be known at a failover.
+// addPairsJob adds a job of class pairs. If earlierTerm is set, the job was submitted before this term.
 func addPairsJob(l *Leader, id string, kind wire.JobKind, tasks int, earlierTerm bool, edit func(*wire.Job)) *state.Job {
 	spec := &wire.Job{ID: id, Class: "pairs", Team: "blue", Kind: kind, Priority: "normal", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 60, AllowSpot: true}
 	if edit != nil {
@@ -49,7 +49,7 @@
 	return j
 }
 
-// countPooled counts the machines on which only gangs start.
+// countPooled returns the number of machines that are in a pool, on which only gangs start.
 func countPooled(l *Leader) (n int) {
 	for _, m := range l.fleet.Sorted {
 		if m.Pool.IsSet() {
@@ -59,14 +59,14 @@
 	return n
 }
 
-// TestGangPoolUse has work start beside a pool: gangs start there and arrays don't, its machines are not terminated
-// while they are wanted, and are open to all when they are not.
+// TestGangPoolUse checks that gangs start on the machines of a pool and tasks of arrays do not. Machines are not
+// terminated while the pool needs them, and are open to all jobs once it does not.
 func TestGangPoolUse(t *testing.T) {
 	l := newPoolTest(t)
 	addPairsJob(l, "j-000100", wire.KindGang, 2, false, nil)
 	l.autoscale(micros.Now())
 	if countPooled(l) == 0 {
-		t.Fatal("no machine is in a pool")
+		t.Fatal("no machine is in a pool, want at least one")
 	}
 	addPairsJob(l, "j-000200", wire.KindArray, 1000, false, nil)
 	l.scheduler.PlannedAt = 0
@@ -82,12 +82,12 @@
 			case a.Job.IsGang() && m.Pool.IsSet():
 				gangs++
 			case !a.Job.IsGang() && m.Pool.IsSet():
-				t.Errorf("a task of an array starts on %s, which is in a pool", m.ID)
+				t.Errorf("a task of an array started on %s, which is in a pool", m.ID)
 			}
 		}
 	}
 	if gangs != 2 {
-		t.Errorf("%d tasks of the gang start on machines of the pool, want 2", gangs)
+		t.Errorf("%d tasks of the gang started on machines of the pool, want 2", gangs)
 	}
 	before := countPooled(l)
 	for _, m := range l.fleet.Sorted {
@@ -96,11 +96,11 @@
 	l.autoscale(micros.Now())
 	for _, m := range l.fleet.Sorted {
 		if m.Instance.Terminating && m.Pool.IsSet() {
-			t.Errorf("%s is terminated, and is in a pool", m.ID)
+			t.Errorf("%s is terminated while it is in a pool", m.ID)
 		}
 	}
 	if countPooled(l) != before {
-		t.Errorf("%d machines are in a pool, were %d", countPooled(l), before)
+		t.Errorf("%d machines are in a pool after idle machines were terminated, want %d", countPooled(l), before)
 	}
 	for _, p := range l.scaler.Pools() {
 		p.Mean = 0
@@ -108,23 +108,23 @@
 	}
 	l.autoscale(micros.Now() + l.Tuning.ReviewInterval)
 	if n := countPooled(l); n != 0 {
-		t.Errorf("%d machines stay in a pool for gangs that do not come", n)
+		t.Errorf("%d machines are in a pool without any demand by gangs, want 0", n)
 	}
 }
 
-// TestGangPoolAfterFailover has a new leader know two gangs, and get heartbeats of machines whose tasks are not known
-// yet: full of an array, idle, or with a gang.
+// TestGangPoolAfterFailover checks which machines join a pool after a failover with two known gangs, when their first
+// heartbeats list tasks of an array, no tasks, or tasks of a gang.
 func TestGangPoolAfterFailover(t *testing.T) {
 	l := newPoolTest(t)
 	gang := addPairsJob(l, "j-000100", wire.KindGang, 2, true, nil)
 	addPairsJob(l, "j-000101", wire.KindGang, 2, true, nil)
 	array := addPairsJob(l, "j-000200", wire.KindArray, 1000, true, nil)
 	l.scaler.StepPools(micros.Now())
-	running := func(j *state.Job, tasks ...int) (out []wire.TaskStatus) {
+	running := func(j *state.Job, tasks ...int) (statuses []wire.TaskStatus) {
 		for _, n := range tasks {
-			out = append(out, wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, n), Attempt: 5, State: wire.TaskRunning})
+			statuses = append(statuses, wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, n), Attempt: 5, State: wire.TaskRunning})
 		}
-		return out
+		return statuses
 	}
 	for _, c := range []struct {
 		name    string
@@ -134,10 +134,10 @@
 	}{
 		{"tasks of an array", "i-10", running(array, 0, 1), false},
 		{"idle", "i-11", nil, true},
-		{"a gang", "i-12", running(gang, 0, 1), true},
-		{"idle as well", "i-13", nil, true},
-		{"a fourth", "i-14", nil, true},
-		{"beyond an eighth of the fleet", "i-15", nil, false},
+		{"tasks of a gang", "i-12", running(gang, 0, 1), true},
+		{"a second idle machine", "i-13", nil, true},
+		{"a fourth machine in the pool", "i-14", nil, true},
+		{"more than an eighth of the fleet", "i-15", nil, false},
 	} {
 		m := l.fleet.Machines[c.machine]
 		m.Reconciliation.Knowledge = state.TasksUnknown
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -13,22 +13,22 @@
 	"caperlatch/internal/zone"
 )
 
-// TestGangStoppedWholeOrNotAtAll has a running gang stopped for other work while its machines are in several
-// states: all tasks, with time to save, or none.
-func TestGangStoppedWholeOrNotAtAll(t *testing.T) {
+// TestGangStopsAllTasksOrNone checks that when a running gang is stopped for other work, either all of its tasks are
+// stopped with time to save a checkpoint, or none, depending on the state of its machines.
+func TestGangStopsAllTasksOrNone(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		edit  func(l *Leader, m *state.Machine)
 		stops int
 	}{
-		{"all can be reached", func(*Leader, *state.Machine) {}, 3},
-		{"one is silent", func(l *Leader, m *state.Machine) {
+		{"all machines can be reached", func(*Leader, *state.Machine) {}, 3},
+		{"one machine is silent", func(l *Leader, m *state.Machine) {
 			m.Heartbeat.ReceivedAt = micros.Now() - 10*micros.Second
 			setTermStart(l, m.Heartbeat.ReceivedAt)
 		}, 0},
-		{"one loses responses", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
-		{"one is being terminated", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
-		{"one is in a disrupted zone", func(l *Leader, _ *state.Machine) {
+		{"one machine loses responses", func(_ *Leader, m *state.Machine) { m.Delivery.LostResponses = 1 }, 0},
+		{"one machine is being terminated", func(_ *Leader, m *state.Machine) { m.Instance.Terminating = true }, 0},
+		{"the zone is disrupted", func(l *Leader, _ *state.Machine) {
 			l.zones.Policy.Observe(micros.Now(), zone.Observation{Zones: map[string]zone.Evidence{"a": {Running: 4, Silent: 3}}})
 		}, 0},
 		{"another node may lead", func(l *Leader, _ *state.Machine) { l.Term.(*fakeTerm).exclusive = false }, 0},
@@ -43,36 +43,37 @@
 		}
 		c.edit(l, l.fleet.Machines["i-2"])
 		stopped := l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
-		n := 0
+		stopping := 0
 		for _, a := range j.Attempts {
 			if a.StopRequestedAt != 0 && a.GracePeriod >= 3*micros.Second {
-				n++
+				stopping++
 			}
 		}
-		if n != c.stops || stopped != (n > 0) {
-			t.Errorf("%s: %d tasks are stopped with time to save (%v), want %d", c.name, n, stopped, c.stops)
+		if stopping != c.stops || stopped != (stopping > 0) {
+			t.Errorf("%s: %d tasks are stopping with time to save a checkpoint, want %d; StopIfReachable returned %v", c.name, stopping, c.stops, stopped)
 		}
 	}
 }
 
-// TestGangEvictedOnInterruption has the cloud take a machine with a task of a gang back after a notice. A gang that
-// runs stops whole, with time to save; of one that waits only that task stops. As it may run unseen by then, that
-// task has time to save too: to stop it at once would cost what the gang did since its last checkpoint.
+// TestGangEvictedOnInterruption checks what an interruption notice for a machine with a task of a gang stops. All tasks
+// of a running gang are stopped, with time to save a checkpoint. Of a waiting gang, only that task is stopped. The gang
+// may already run before a heartbeat shows it, so that task gets time to save a checkpoint too: if it were stopped at
+// once, the gang would lose its work since its last checkpoint.
 func TestGangEvictedOnInterruption(t *testing.T) {
 	cases := []struct {
 		name                string
-		states              []string // of the three, empty: no heartbeat has shown its start; none: it was not sent
+		states              []string // of the three tasks; empty if no heartbeat has listed the task; nil if no start was sent to i-2
 		checkpointIntervalS float64
-		stops               int
+		stops               int // tasks that are stopping
 	}{
-		{"its start is not sent", nil, 20, 0},
-		{"its start is sent", []string{"", "", ""}, 20, 1},
-		{"it pulls its image", []string{wire.TaskPullingImage, wire.TaskPullingImage, wire.TaskPullingImage}, 20, 1},
-		{"it waits", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskPullingImage}, 20, 1},
-		{"it runs, which is not known", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 1},
-		{"it runs", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 20, 3},
-		{"it runs, which only another has shown", []string{wire.TaskRunning, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 3},
-		{"it runs and can't save", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 0, 0},
+		{"start not sent", nil, 20, 0},
+		{"starts sent", []string{"", "", ""}, 20, 1},
+		{"pulling the image", []string{wire.TaskPullingImage, wire.TaskPullingImage, wire.TaskPullingImage}, 20, 1},
+		{"waiting for each other", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskPullingImage}, 20, 1},
+		{"running, but listed as waiting", []string{wire.TaskWaitingForGang, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 1},
+		{"running", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 20, 3},
+		{"running, but only another task is listed as running", []string{wire.TaskRunning, wire.TaskWaitingForGang, wire.TaskWaitingForGang}, 20, 3},
+		{"running without checkpoints", []string{wire.TaskRunning, wire.TaskRunning, wire.TaskRunning}, 0, 0},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
@@ -95,93 +96,94 @@
 				stops++
 			}
 			if a.StopRequestedAt != 0 && a.GracePeriod < 3*micros.Second {
-				t.Errorf("%s: task %d has %v to save", c.name, a.Index, a.GracePeriod.Duration())
+				t.Errorf("%s: task %d has a grace period of %v, want at least 3s", c.name, a.Index, a.GracePeriod.Duration())
 			}
 		}
 		if stops != c.stops {
-			t.Errorf("%s: %d tasks are stopped, want %d", c.name, stops, c.stops)
+			t.Errorf("%s: %d tasks are stopping, want %d", c.name, stops, c.stops)
 		}
 	}
 }
 
-// TestGangGracePeriodIsKept has more happen to a gang that is saving checkpoints. None of it may cut its time.
-func TestGangGracePeriodIsKept(t *testing.T) {
+// TestGangGracePeriodNotShortened checks that no further event shortens the grace period of a gang that is saving
+// checkpoints, except cancellation.
+func TestGangGracePeriodNotShortened(t *testing.T) {
 	cases := []struct {
 		name  string
 		event func(t *testing.T, l *Leader)
-		least micros.Micros // time that each task which is left has to save
+		least micros.Micros // minimum grace period of each remaining task
 	}{
-		{"nothing", func(*testing.T, *Leader) {}, 3 * micros.Second},
-		{"it is stopped again for other work", func(_ *testing.T, l *Leader) {
+		{"no event", func(*testing.T, *Leader) {}, 3 * micros.Second},
+		{"the gang is stopped again for other work", func(_ *testing.T, l *Leader) {
 			l.gangs.StopIfReachable(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test", micros.Now())
 		}, 3 * micros.Second},
-		{"one of its machines has a short interruption notice", func(_ *testing.T, l *Leader) {
+		{"a machine gets a short interruption notice", func(_ *testing.T, l *Leader) {
 			l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
 			l.drainOnInterruption(l.fleet.Machines["i-2"], micros.Now())
 		}, 3 * micros.Second},
-		{"one of its machines is quarantined", func(t *testing.T, l *Leader) {
-			m, good := l.fleet.Machines["i-2"], state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000100", Tasks: 20}}, false)
-			good.DoneCount = 1
+		{"a machine is quarantined", func(t *testing.T, l *Leader) {
+			m, job := l.fleet.Machines["i-2"], state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000100", Tasks: 20}}, false)
+			job.DoneCount = 1
 			for range 2 {
-				l.quarantine.AttributeFailure(m, good, micros.Now())
+				l.quarantine.AttributeFailure(m, job, micros.Now())
 			}
 			if m.DrainReason != quarantine.DrainReason {
-				t.Fatalf("drained for %q", m.DrainReason)
+				t.Fatalf("drain reason %q, want %q", m.DrainReason, quarantine.DrainReason)
 			}
 		}, 3 * micros.Second},
-		{"one has saved", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped)) }, 3 * micros.Second},
-		{"one has saved, and another's machine is terminated", func(t *testing.T, l *Leader) {
+		{"a task has saved its checkpoint", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped)) }, 3 * micros.Second},
+		{"a task has saved its checkpoint, and another task's machine is terminated", func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 			l.fleet.Remove(l.fleet.Machines["i-1"])
 		}, 3 * micros.Second},
-		{"one has lost its gang", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
-		{"one has lost its gang, and is listed again", func(t *testing.T, l *Leader) {
+		{"a task exits because its gang lost a task", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
+		{"a task exits because its gang lost a task, and is listed again", func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost))
 			gangHeartbeat(t, l, "i-2", gangTask(1).exited(wire.ExitGangTaskLost))
 		}, 3 * micros.Second},
 		{"a machine is terminated", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
-		{"one still shows to run", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.running()) }, 3 * micros.Second},
-		{"it is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs[gangID], wire.JobCancelled) }, 0},
+		{"a task is still listed as running", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.running()) }, 3 * micros.Second},
+		{"the gang is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs[gangID], wire.JobCancelled) }, 0},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
 		launchGang(t, l, wire.TaskRunning)
 		j := l.jobs[gangID]
 		if !l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now()) {
-			t.Fatalf("%s: it can't be stopped", c.name)
+			t.Fatalf("%s: StopIfReachable returned false, want true", c.name)
 		}
 		c.event(t, l)
 		l.gangs.Check(micros.Now())
 		for _, a := range j.Attempts {
 			if a.StopRequestedAt == 0 || a.GracePeriod < c.least || c.least == 0 && a.GracePeriod != 0 {
-				t.Errorf("%s: task %d has %v to save, want %v", c.name, a.Index, a.GracePeriod.Duration(), c.least.Duration())
+				t.Errorf("%s: task %d has a grace period of %v (stop requested: %t), want at least %v", c.name, a.Index, a.GracePeriod.Duration(), a.StopRequestedAt != 0, c.least.Duration())
 			}
 		}
 		if c.least > 0 && (j.Gang.Number == 0 || !j.Gang.Ending) {
-			t.Errorf("%s: attempt %d is not ending", c.name, j.Gang.Number)
+			t.Errorf("%s: attempt number %d, ending: %t; want an attempt that is ending", c.name, j.Gang.Number, j.Gang.Ending)
 		}
 	}
 }
 
-// TestGangCancelledInEachState has a gang cancelled in each of its states: no start follows, tasks whose start was not
-// sent are released, and all the others have the command to stop at once until they have left.
+// TestGangCancelledInEachState checks the cancellation of a gang in each of its states: no start follows, tasks whose
+// start was not sent are released, and every response commands the other tasks to stop at once until they have left.
 func TestGangCancelledInEachState(t *testing.T) {
 	launched := func(state string) func(t *testing.T, l *Leader) {
 		return func(t *testing.T, l *Leader) { launchGang(t, l, state) }
 	}
 	cases := []struct {
 		name        string
-		before      func(t *testing.T, l *Leader)
-		stops       int
-		earlierTerm bool // may have started tasks
+		before      func(t *testing.T, l *Leader) // brings the gang into the state
+		stops       int                           // tasks that are stopping after the cancellation
+		earlierTerm bool                          // an earlier term may have started tasks of the gang
 	}{
-		{"none of its tasks is assigned", func(*testing.T, *Leader) {}, 0, false},
-		{"one start is sent", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, 1, false},
+		{"no task is assigned", func(*testing.T, *Leader) {}, 0, false},
+		{"one start is sent, and the other tasks are assigned", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1") }, 1, false},
 		{"all starts are sent", launched(""), 3, false},
-		{"it pulls its image", launched(wire.TaskPullingImage), 3, false},
-		{"it waits", launched(wire.TaskWaitingForGang), 3, false},
-		{"it runs", launched(wire.TaskRunning), 3, false},
-		{"it waits for a replacement", func(t *testing.T, l *Leader) {
+		{"pulling the image", launched(wire.TaskPullingImage), 3, false},
+		{"waiting for each other", launched(wire.TaskWaitingForGang), 3, false},
+		{"running", launched(wire.TaskRunning), 3, false},
+		{"a task waits for a machine as a replacement", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			evictGangTask(l, "i-2")
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
@@ -192,24 +194,24 @@
 			addSchedulable(l, "i-4", "a")
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
 		}, 2, false},
-		{"it saves", func(t *testing.T, l *Leader) {
+		{"saving checkpoints", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.gangs.EndAttempt(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test")
 			gangHeartbeat(t, l, "i-1", here.checkpointing())
 		}, 3, false},
-		{"one task is lost, and its attempt ends", func(t *testing.T, l *Leader) {
+		{"a task is lost, and the attempt ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Remove(l.fleet.Machines["i-2"])
 		}, 2, false},
-		{"one machine hangs, and its termination is requested", func(t *testing.T, l *Leader) {
+		{"a machine hangs, and its termination is requested", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.fleet.Terminate(l.fleet.Machines["i-2"], "test")
 		}, 3, false},
-		{"it is done, which is not stored", func(t *testing.T, l *Leader) {
+		{"done, which is not stored", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitDone))
 		}, 2, false},
-		{"a new leader knows of one task", func(t *testing.T, l *Leader) {
+		{"a new leader knows one task", func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-1", gangTask(0).waiting().ofAttempt(5))
 		}, 1, true},
 	}
@@ -224,27 +226,27 @@
 			a := gangAttemptOn(l, m.ID)
 			if a == nil {
 				if got := sendHeartbeat(t, l, m.ID); len(got) > 0 {
-					t.Errorf("%s: %s has commands %v", c.name, m.ID, got)
+					t.Errorf("%s: commands for %s without a task: %v, want none", c.name, m.ID, got)
 				}
 				continue
 			}
 			stopping++
 			if a.StopRequestedAt == 0 || a.GracePeriod != 0 || a.Reserved {
-				t.Errorf("%s: task %d is not stopping, or has %v to save", c.name, a.Index, a.GracePeriod.Duration())
+				t.Errorf("%s: task %d: stop requested: %t, grace period %v, reserved: %t; want a stop without grace period", c.name, a.Index, a.StopRequestedAt != 0, a.GracePeriod.Duration(), a.Reserved)
 			}
 			task := wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, a.Index), Attempt: a.Number}
 			for _, task.State = range []string{wire.TaskPullingImage, wire.TaskWaitingForGang, wire.TaskRunning, wire.TaskCheckpointing} {
 				if got := sendHeartbeat(t, l, m.ID, task); !slices.Equal(got, []string{"stop " + task.TaskID}) {
-					t.Errorf("%s: %s has commands %v while its task is %s", c.name, m.ID, got, task.State)
+					t.Errorf("%s: commands for %s: %v while its task is %s, want its stop", c.name, m.ID, got, task.State)
 				}
 			}
 			task.State, task.ExitReason = wire.TaskExited, wire.ExitStopped
 			if got := sendHeartbeat(t, l, m.ID, task); !slices.Equal(got, []string{"clear " + task.TaskID}) {
-				t.Errorf("%s: %s has commands %v when its task has exited", c.name, m.ID, got)
+				t.Errorf("%s: commands for %s: %v after its task has exited, want the clear", c.name, m.ID, got)
 			}
 		}
 		if stopping != c.stops || len(j.Attempts) > 0 || l.teamUsage["blue"].CPU != 0 {
-			t.Errorf("%s: %d tasks are stopping, want %d; %d are left, %+v used", c.name, stopping, c.stops, len(j.Attempts), l.teamUsage["blue"])
+			t.Errorf("%s: %d tasks are stopping, want %d; %d tasks are left at the end, want 0; team usage %+v, want none", c.name, stopping, c.stops, len(j.Attempts), l.teamUsage["blue"])
 		}
 	}
 }
