--- a/internal/leader/delivery_test.go
+++ b/internal/leader/delivery_test.go
@@ -7,17 +7,17 @@
 	"caperlatch/internal/wire"
 )
 
-// TestLostResponses has a machine's heartbeats arrive while responses don't reach it: it is not taken for healthy and
-// given work for ever, and in the end it is terminated.
+// TestLostResponses guards against a machine that sends heartbeats but receives no responses being considered healthy
+// and given tasks forever. Its starts are paused, and it is terminated in the end.
 func TestLostResponses(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		obeys      bool
-		starts     []int // in each response; the backoff for starts ends before the fifth
+		executes   bool  // the worker executes the commands in the responses
+		starts     []int // number of starts in each response; the backoff for starts ends before the fifth
 		terminated bool
 	}{
-		{"it receives no response", false, []int{3, 3, 0, 0, 3, 0}, true},
-		{"it obeys", true, []int{3, 0, 0, 0, 0, 0}, false},
+		{"the machine receives no responses", false, []int{3, 3, 0, 0, 3, 0}, true},
+		{"the machine receives all responses", true, []int{3, 0, 0, 0, 0, 0}, false},
 	} {
 		l, _ := newTestLeader(t)
 		m := l.fleet.Machines["i-1"]
@@ -27,21 +27,21 @@
 			if i == 4 {
 				m.StartBackoffUntil = 0
 			}
-			a, err := l.HandleHeartbeat(heartbeat(uint64(11+i), testToken, tasks...))
-			if err != nil || len(a.Commands) != want {
-				t.Fatalf("%s: response %d has %v (%v), want %d starts", c.name, i, a.Commands, err, want)
+			response, err := l.HandleHeartbeat(heartbeat(uint64(11+i), testToken, tasks...))
+			if err != nil || len(response.Commands) != want {
+				t.Fatalf("%s: response %d: commands %v (error %v), want %d starts", c.name, i, response.Commands, err, want)
 			}
-			for _, command := range a.Commands {
-				if c.obeys {
+			for _, command := range response.Commands {
+				if c.executes {
 					tasks = append(tasks, wire.TaskStatus{TaskID: command.TaskID, Attempt: command.Attempt, State: wire.TaskRunning})
 				}
 			}
 		}
 		now := micros.Now() + 30*micros.Second
-		m.Heartbeat.ReceivedAt = now // its heartbeats go on
+		m.Heartbeat.ReceivedAt = now // its heartbeats still arrive
 		l.superviseMachines(now)
 		if m.Instance.Terminating != c.terminated {
-			t.Errorf("%s: terminated %v, want %v", c.name, m.Instance.Terminating, c.terminated)
+			t.Errorf("%s: terminated: %v, want %v", c.name, m.Instance.Terminating, c.terminated)
 		}
 	}
 }
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// handedOverView is a view of the term before, whose leader has handed over: machine i-1 has the task
+// handedOverView returns a view of the previous term, whose leader has handed over. In it, machine i-1 has the task
 // j-000001/0.
 func handedOverView() *standby.View {
 	v := standby.NewView(testToken - 1)
@@ -24,7 +24,7 @@
 	return v
 }
 
-// addSecondMachine adds a machine that this term knows to be empty and that may get tasks.
+// addSecondMachine adds machine i-2, which is known to have no tasks and is schedulable.
 func addSecondMachine(l *Leader) *state.Machine {
 	intent := l.fleet.AddIntent("r-2", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}})
 	m := l.fleet.Add("i-2", intent, l.startedAt)
@@ -32,38 +32,38 @@
 	return m
 }
 
-// heartbeatOf makes a heartbeat of a machine in this term.
+// heartbeatOf returns a heartbeat that a machine sends in this term.
 func heartbeatOf(machine string, sequence uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	h := heartbeat(sequence, testToken, tasks...)
 	h.MachineID = machine
 	return h
 }
 
-// TestRestoreFromPreviousTerm has a leader start with the view of the term before. Only a complete handover by the
-// very term before, of which all was applied, lets an old job go on while a machine has sent no heartbeat; and then
-// only with the tasks that the machine cannot have.
+// TestRestoreFromPreviousTerm checks which tasks of an earlier job a new leader starts before a machine that may have
+// tasks of the job has sent a heartbeat. It may start tasks only if its view contains a complete handover by the
+// immediately preceding term, and then only tasks that are not on the machine according to the view.
 func TestRestoreFromPreviousTerm(t *testing.T) {
 	cases := []struct {
 		name string
 		edit func(v *standby.View)
-		want []string // commands to the second machine before the first sends a heartbeat
+		want []string // commands for the second machine before the first has sent a heartbeat
 	}{
-		{"complete", func(*standby.View) {}, []string{"start j-000001/1", "start j-000001/2"}},
-		{"not complete", func(v *standby.View) { v.Handover.Complete = false }, nil},
-		{"no handover, a crash", func(v *standby.View) { v.Handover = nil }, nil},
-		{"another term led in between", func(v *standby.View) { v.FencingToken-- }, nil},
-		{"the machine's tasks were not known", func(v *standby.View) { v.Machines["i-1"].TasksKnown = false }, nil},
+		{"complete handover", func(*standby.View) {}, []string{"start j-000001/1", "start j-000001/2"}},
+		{"incomplete handover", func(v *standby.View) { v.Handover.Complete = false }, nil},
+		{"no handover because the leader crashed", func(v *standby.View) { v.Handover = nil }, nil},
+		{"another term in between", func(v *standby.View) { v.FencingToken-- }, nil},
+		{"the machine's tasks are unknown in the view", func(v *standby.View) { v.Machines["i-1"].TasksKnown = false }, nil},
 		{"the machine is not in the view", func(v *standby.View) { delete(v.Machines, "i-1") }, nil},
 		{"the start was never sent", func(v *standby.View) {
 			v.Machines["i-1"].Tasks["j-000001/0"] = standby.TaskState{Attempt: 5, Reserved: true}
 		}, []string{"start j-000001/0", "start j-000001/1", "start j-000001/2"}},
-		{"a task of a job that is over", func(v *standby.View) {
+		{"a task of an ended job whose description is not stored", func(v *standby.View) {
 			v.Machines["i-1"].Tasks["j-000777/0"] = standby.TaskState{Attempt: 9}
 		}, nil},
-		{"a task that the job does not have", func(v *standby.View) {
+		{"a task index that the job does not have", func(v *standby.View) {
 			v.Machines["i-1"].Tasks["j-000001/9"] = standby.TaskState{Attempt: 9}
 		}, nil},
-		{"an ID that is none", func(v *standby.View) {
+		{"an invalid task ID", func(v *standby.View) {
 			v.Machines["i-1"].Tasks["j-000001"] = standby.TaskState{Attempt: 9}
 		}, nil},
 	}
@@ -75,32 +75,32 @@
 			tc.edit(v)
 			l.PreviousTerm = v
 			l.restoreFromPreviousTerm()
-			a, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
+			response, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := commandNames(a); !slices.Equal(got, tc.want) {
+			if got := commandNames(response); !slices.Equal(got, tc.want) {
 				t.Errorf("commands %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestTerminationsGoOn has a leader start with a view in which a machine was being terminated: it is terminated again,
-// unless another leader may have used it since. One that the term before had dropped before a complete handover is
-// terminated as well.
-func TestTerminationsGoOn(t *testing.T) {
+// TestRepeatTerminations checks that a new leader terminates a machine again whose termination the previous leader had
+// requested, unless a leader in between may have used the machine. It also terminates a machine that the view of a
+// complete handover lacks.
+func TestRepeatTerminations(t *testing.T) {
 	cases := []struct {
 		name string
 		edit func(v *standby.View)
 		want []string
 	}{
-		{"being terminated", func(v *standby.View) { v.Machines["i-1"].Terminating = true }, []string{"i-1"}},
-		{"after a crash", func(v *standby.View) { v.Machines["i-1"].Terminating, v.Handover = true, nil }, []string{"i-1"}},
-		{"another term led in between", func(v *standby.View) { v.Machines["i-1"].Terminating = true; v.FencingToken-- }, nil},
-		{"not being terminated", func(*standby.View) {}, nil},
-		{"dropped", func(v *standby.View) { delete(v.Machines, "i-1") }, []string{"i-1"}},
-		{"not known after a crash", func(v *standby.View) { delete(v.Machines, "i-1"); v.Handover = nil }, nil},
+		{"terminating", func(v *standby.View) { v.Machines["i-1"].Terminating = true }, []string{"i-1"}},
+		{"terminating, and no handover", func(v *standby.View) { v.Machines["i-1"].Terminating, v.Handover = true, nil }, []string{"i-1"}},
+		{"another term in between", func(v *standby.View) { v.Machines["i-1"].Terminating = true; v.FencingToken-- }, nil},
+		{"not terminating", func(*standby.View) {}, nil},
+		{"not in the view of a complete handover", func(v *standby.View) { delete(v.Machines, "i-1") }, []string{"i-1"}},
+		{"not in the view, and no handover", func(v *standby.View) { delete(v.Machines, "i-1"); v.Handover = nil }, nil},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -110,48 +110,48 @@
 			l.PreviousTerm = v
 			l.restoreFromPreviousTerm()
 			if !slices.Equal(l.fleet.TerminationQueue(), tc.want) {
-				t.Errorf("to be terminated: %v, want %v", l.fleet.TerminationQueue(), tc.want)
+				t.Errorf("termination queue: %v, want %v", l.fleet.TerminationQueue(), tc.want)
 			}
 		})
 	}
 }
 
-// TestHandedOverLease has the machine of a handover stay silent: its task starts elsewhere only once the lease has
-// expired that the leader before may have renewed until this term started.
-func TestHandedOverLease(t *testing.T) {
+// TestHandedOverMachineLease checks that the task of a handed-over machine that stays silent is released only once the
+// machine's lease has expired. The previous leader may have renewed that lease until this term started.
+func TestHandedOverMachineLease(t *testing.T) {
 	l, term := newTestLeader(t)
 	addSecondMachine(l)
 	l.PreviousTerm = handedOverView()
 	l.restoreFromPreviousTerm()
 	m := l.fleet.Machines["i-1"]
 	if expiry := l.liveness.LeaseExpiry(m); expiry < l.startedAt+l.leaseDuration {
-		t.Errorf("the lease expires %v after the term started, want %v at least", (expiry - l.startedAt).Duration(), l.leaseDuration.Duration())
+		t.Errorf("the lease expires %v after the start of the term, want at least %v", (expiry - l.startedAt).Duration(), l.leaseDuration.Duration())
 	}
 	l.superviseMachines(l.startedAt + l.leaseDuration)
 	if l.jobs["j-000001"].Attempts[0] == nil {
-		t.Error("the task is released within the lease")
+		t.Error("the task was released before the lease expired")
 	}
 	term.lastConfirmed = l.liveness.LeaseExpiry(m)
 	l.superviseMachines(l.liveness.LeaseExpiry(m) + 1)
 	if l.jobs["j-000001"].Attempts[0] != nil || m.Reconciliation.Knowledge == state.TasksHandedOver {
-		t.Error("the task is kept after the lease")
+		t.Error("the task was not released, or the machine still counts as handed over, after the lease expired")
 	}
 }
 
-// TestHandedOverConfirmed has the machine send a heartbeat after a handover: what it does not show is lost, what it
-// shows is kept, and what the handover did not name is adopted.
-func TestHandedOverConfirmed(t *testing.T) {
+// TestReconcileHandedOverMachine checks the first heartbeat of a machine after a handover: tasks that the heartbeat
+// lists are kept, tasks that it does not list are released, and tasks that the handover did not name are adopted.
+func TestReconcileHandedOverMachine(t *testing.T) {
 	running := func(task string) wire.TaskStatus {
 		return wire.TaskStatus{TaskID: task, Attempt: 5, State: wire.TaskRunning}
 	}
 	cases := []struct {
 		name  string
 		tasks []wire.TaskStatus
-		on    []int
+		want  []int // indexes of the tasks that are on machines afterwards
 	}{
-		{"as handed over", []wire.TaskStatus{running("j-000001/0")}, []int{0}},
-		{"its start was lost", nil, nil},
-		{"another task", []wire.TaskStatus{running("j-000001/0"), running("j-000001/2")}, []int{0, 2}},
+		{"the task of the handover", []wire.TaskStatus{running("j-000001/0")}, []int{0}},
+		{"no task, because its start was lost", nil, nil},
+		{"a task that the handover does not name", []wire.TaskStatus{running("j-000001/0"), running("j-000001/2")}, []int{0, 2}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -160,27 +160,29 @@
 			l.restoreFromPreviousTerm()
 			m := l.fleet.Machines["i-1"]
 			if m.LikelyIncarnation() != 4 {
-				t.Errorf("it is queried in incarnation %d", m.LikelyIncarnation())
+				t.Errorf("likely incarnation %d, want 4", m.LikelyIncarnation())
 			}
-			m.StartBackoffUntil = l.startedAt + 100*micros.Second // no starts here
+			m.StartBackoffUntil = l.startedAt + 100*micros.Second // no starts on this machine
 			if _, err := l.HandleHeartbeat(heartbeatOf("i-1", 3, tc.tasks...)); err != nil {
 				t.Fatal(err)
 			}
-			var on []int
+			var assigned []int
 			for task := range l.jobs["j-000001"].Attempts {
-				on = append(on, task)
+				assigned = append(assigned, task)
 			}
-			slices.Sort(on)
-			if !slices.Equal(on, tc.on) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.fleet.CountWithUnknownTasks() > 0 {
-				t.Errorf("on machines %v, want %v; unconfirmed %v", on, tc.on, m.Reconciliation.Knowledge == state.TasksHandedOver)
+			slices.Sort(assigned)
+			if !slices.Equal(assigned, tc.want) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.fleet.CountWithUnknownTasks() > 0 {
+				t.Errorf("tasks %v on machines, want %v; the machine is unconfirmed: %v, want false; %d machines with unknown tasks, want 0",
+					assigned, tc.want, m.Reconciliation.Knowledge == state.TasksHandedOver, l.fleet.CountWithUnknownTasks())
 			}
 		})
 	}
 }
 
-// TestHandedOverGang has a gang wait until its machine has confirmed: the view does not show whether its attempt runs,
-// waits or ends, and a task that is added to an attempt that runs would be one too many.
-func TestHandedOverGang(t *testing.T) {
+// TestHandedOverGangAwaitsConfirmation checks that no task of a gang starts after a handover until the gang's machine
+// has confirmed its tasks. The view does not show whether the gang's attempt is waiting, running or ending, and no task
+// may be added to an attempt that runs.
+func TestHandedOverGangAwaitsConfirmation(t *testing.T) {
 	l, _ := newTestLeader(t)
 	m := addSecondMachine(l)
 	l.jobs["j-000001"].Spec.Kind = wire.KindGang
@@ -188,10 +190,10 @@
 	l.restoreFromPreviousTerm()
 	response, err := l.HandleHeartbeat(heartbeatOf("i-2", 1))
 	if err != nil || len(response.Commands) > 0 {
-		t.Errorf("commands %v (%v) before the gang's machine has confirmed", commandNames(response), err)
+		t.Errorf("commands %v (error %v) before the gang's machine has confirmed its tasks, want none", commandNames(response), err)
 	}
 	if l.jobs["j-000001"].Gang.Number != 5 {
-		t.Errorf("the gang's attempt is %d, want 5", l.jobs["j-000001"].Gang.Number)
+		t.Errorf("attempt number of the gang: %d, want 5", l.jobs["j-000001"].Gang.Number)
 	}
 	waiting := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskWaitingForGang}
 	l.fleet.Machines["i-1"].StartBackoffUntil = l.startedAt + 100*micros.Second
@@ -200,26 +202,26 @@
 	}
 	l.scheduler.PlannedAt, m.StartBackoffUntil = 0, 0
 	if response, err = l.HandleHeartbeat(heartbeatOf("i-2", 2)); err != nil || len(response.Commands) != 2 || response.Commands[0].Attempt != 5 {
-		t.Errorf("commands %v (%v), want the other two under attempt 5", response.Commands, err)
+		t.Errorf("commands %v (error %v), want the starts of the other two tasks with attempt number 5", response.Commands, err)
 	}
 }
 
-// TestMustAwaitReconciliation checks which old jobs wait for a machine whose tasks are not known. With the standby,
-// those need not that may not be on a machine of its offering.
+// TestMustAwaitReconciliation checks which jobs of earlier terms wait for a machine whose tasks are not known. With the
+// standby on, a job that does not allow the machine's offering need not wait.
 func TestMustAwaitReconciliation(t *testing.T) {
 	cases := []struct {
-		name       string
-		edit       func(j *state.Job)
-		cold, warm bool // it waits, without and with the standby
-		allKnown   bool
+		name                        string
+		edit                        func(j *state.Job)
+		withoutStandby, withStandby bool // whether the job waits while the standby is off, and while it is on
+		allKnown                    bool // the machine's tasks are known
 	}{
-		{"any machine will do", func(*state.Job) {}, true, true, false},
-		{"it is new", func(j *state.Job) { j.MayHaveEarlierTasks = false }, false, false, false},
-		{"no machine is unknown", func(*state.Job) {}, false, false, true},
-		{"it may be there", func(j *state.Job) { j.Spec.Zone, j.Spec.InstanceTypes = "a", []string{"m4", "m8"} }, true, true, false},
-		{"only in another zone", func(j *state.Job) { j.Spec.Zone = "b" }, true, false, false},
-		{"only on another type", func(j *state.Job) { j.Spec.InstanceTypes = []string{"m8"} }, true, false, false},
-		{"only on on-demand machines", func(j *state.Job) { j.Spec.AllowSpot = false }, true, false, false},
+		{"the job allows any machine", func(*state.Job) {}, true, true, false},
+		{"the job is new", func(j *state.Job) { j.MayHaveEarlierTasks = false }, false, false, false},
+		{"the tasks of all machines are known", func(*state.Job) {}, false, false, true},
+		{"the job allows the machine's zone and type", func(j *state.Job) { j.Spec.Zone, j.Spec.InstanceTypes = "a", []string{"m4", "m8"} }, true, true, false},
+		{"the job allows only another zone", func(j *state.Job) { j.Spec.Zone = "b" }, true, false, false},
+		{"the job allows only another instance type", func(j *state.Job) { j.Spec.InstanceTypes = []string{"m8"} }, true, false, false},
+		{"the job allows only on-demand machines", func(j *state.Job) { j.Spec.AllowSpot = false }, true, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -229,22 +231,23 @@
 			m.Reconciliation.Knowledge = taskKnowledge(tc.allKnown)
 			j := l.jobs["j-000001"]
 			tc.edit(j)
-			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.cold {
-				t.Errorf("without the standby it waits: %v", got)
+			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.withoutStandby {
+				t.Errorf("waits without the standby: %v, want %v", got, tc.withoutStandby)
 			}
 			l.Followers = &fakeFollowers{}
-			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.warm {
-				t.Errorf("with the standby it waits: %v", got)
+			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.withStandby {
+				t.Errorf("waits with the standby: %v, want %v", got, tc.withStandby)
 			}
 		})
 	}
 }
 
-// TestQueryPriority has a new leader sort the machines that it queries.
+// TestQueryPriority checks the order in which a new leader queries machines for their tasks, with and without waiting
+// urgent work.
 func TestQueryPriority(t *testing.T) {
 	for _, urgent := range []bool{false, true} {
 		l, _ := newTestLeader(t)
-		ms := []*state.Machine{{ID: "unknown"}, {ID: "idle"}, {ID: "busy"}, {ID: "busiest"}}
+		machines := []*state.Machine{{ID: "unknown"}, {ID: "idle"}, {ID: "busy"}, {ID: "busiest"}}
 		tasks := func(names ...string) *standby.Machine {
 			m := &standby.Machine{Tasks: map[string]standby.TaskState{}}
 			for _, name := range names {
@@ -252,37 +255,37 @@
 			}
 			return m
 		}
-		ms[1].Reconciliation.PreviousTerm, ms[2].Reconciliation.PreviousTerm, ms[3].Reconciliation.PreviousTerm = tasks(), tasks("a"), tasks("a", "b")
+		machines[1].Reconciliation.PreviousTerm, machines[2].Reconciliation.PreviousTerm, machines[3].Reconciliation.PreviousTerm = tasks(), tasks("a"), tasks("a", "b")
 		want := []string{"busiest", "busy", "unknown", "idle"}
 		if urgent {
 			spec := &wire.Job{ID: "j-000002", Tasks: 1, Priority: wire.PriorityUrgent}
 			l.jobs["j-000002"] = state.NewJob(replica.Job{Spec: spec}, true)
 			want = []string{"unknown", "idle", "busiest", "busy"}
 		}
-		l.sortByQueryPriority(ms)
+		l.sortByQueryPriority(machines)
 		var got []string
-		for _, m := range ms {
+		for _, m := range machines {
 			got = append(got, m.ID)
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("urgent work waits: %v: queried %v, want %v", urgent, got, want)
+			t.Errorf("urgent work waits: %v: query order %v, want %v", urgent, got, want)
 		}
 	}
 }
 
-// TestHandedOverCancelled has a handover name a task whose job was cancelled, and whose stop the term before had not
-// sent: the response to the next heartbeat carries the stop.
-func TestHandedOverCancelled(t *testing.T) {
+// TestHandedOverTaskOfCancelledJob checks that a task of a cancelled job that a handover names is stopped by the
+// response to the machine's next heartbeat, in case the previous leader had not sent the stop.
+func TestHandedOverTaskOfCancelledJob(t *testing.T) {
 	l, _ := newTestLeader(t)
 	spec := &wire.Job{ID: "j-000009", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
 	l.Replica.ApplyPut(replica.JobPrefix+spec.ID, replica.Job{State: wire.JobCancelled, Spec: spec}, 2)
 	l.PreviousTerm = handedOverView()
 	l.PreviousTerm.Machines["i-1"].Tasks["j-000009/0"] = standby.TaskState{Attempt: 9}
 	l.restoreFromPreviousTerm()
-	r := heartbeat(1, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
-	r.Incarnation = 4
-	a, err := l.HandleHeartbeat(r)
-	if err != nil || !slices.Contains(commandNames(a), "stop j-000009/0") {
-		t.Errorf("commands %v (%v), want a stop of j-000009/0", commandNames(a), err)
+	h := heartbeat(1, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}, wire.TaskStatus{TaskID: "j-000009/0", Attempt: 9, State: wire.TaskRunning})
+	h.Incarnation = 4
+	response, err := l.HandleHeartbeat(h)
+	if err != nil || !slices.Contains(commandNames(response), "stop j-000009/0") {
+		t.Errorf("commands %v (error %v), want a stop of j-000009/0", commandNames(response), err)
 	}
 }
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/standby"
 )
 
-// fakeFollowers keeps what is published.
+// fakeFollowers records the published entries. Its fields set which member follows and whether it applies all entries.
 type fakeFollowers struct {
 	mu       sync.Mutex
 	entries  []standby.Entry
@@ -36,8 +36,9 @@
 
 func (f *fakeFollowers) HasApplied(string, uint64) bool { return f.applies }
 
-// TestHandOver has a leader hand over: from then on it does not respond, and its last entry says whether the tasks of
-// all machines were known. It ends within its limit, whether or not a follower has applied that.
+// TestHandOver checks that a leader that has handed over responds to no heartbeat, that its last entry says whether the
+// tasks of all machines were known, and that the handover ends within its time limit whether or not a follower has
+// applied that entry.
 func TestHandOver(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -45,9 +46,9 @@
 		follower string
 		applies  bool
 	}{
-		{"applied", true, "host-1", true},
+		{"applied in time", true, "host-1", true},
 		{"not applied in time", true, "host-1", false},
-		{"nobody follows", true, "", false},
+		{"no follower", true, "", false},
 		{"a machine's tasks are not known", false, "host-1", true},
 	}
 	for _, tc := range cases {
@@ -60,67 +61,69 @@
 			startedAt := time.Now()
 			to, err := l.HandOver(limit)
 			if err != nil || to != tc.follower {
-				t.Errorf("handed over to %q (%v)", to, err)
+				t.Errorf("handed over to %q (error %v), want %q", to, err, tc.follower)
 			}
 			if took := time.Since(startedAt); took > 2*limit.Duration() {
-				t.Errorf("it took %v", took)
+				t.Errorf("the handover took %v, want at most %v", took, 2*limit.Duration())
 			}
 			select {
 			case <-l.termLost:
 			default:
-				t.Error("the term goes on")
+				t.Error("the term is not over after the handover")
 			}
 			last := f.entries[len(f.entries)-1].Handover
 			if last == nil || last.To != tc.follower || last.Complete != tc.allKnown {
-				t.Errorf("the last entry is %+v", last)
+				t.Errorf("handover in the last entry: %+v, want one to %q that is complete: %v", last, tc.follower, tc.allKnown)
 			}
 			if _, err := l.HandleHeartbeat(heartbeat(12, testToken)); !errors.Is(err, ErrCannotRespond) {
-				t.Errorf("a heartbeat gets a response after the handover: %v", err)
+				t.Errorf("heartbeat after the handover: error %v, want %v", err, ErrCannotRespond)
 			}
 			if len(f.entries) > 0 && f.entries[len(f.entries)-1].Handover == nil {
-				t.Error("something was decided after the handover")
+				t.Errorf("an entry was published after the handover: %+v", f.entries[len(f.entries)-1])
 			}
 			if _, err := l.HandOver(limit); !errors.Is(err, ErrNotReady) {
-				t.Errorf("handed over twice: %v", err)
+				t.Errorf("second handover: error %v, want %v", err, ErrNotReady)
 			}
 		})
 	}
 }
 
-// TestHandOverRelinquishesFirst checks that the term proves nothing any more when its last entry is published: the named
-// follower may replace the leader key as soon as it has read that entry, while the session still lasts.
+// TestHandOverRelinquishesFirst checks that the term no longer proves leadership when its last entry is published: the
+// follower named in that entry may replace the leader key as soon as it has read the entry, although the session has
+// not ended.
 func TestHandOverRelinquishesFirst(t *testing.T) {
 	l, term := newTestLeader(t)
-	f := &publishedProofs{fakeFollowers: fakeFollowers{follower: "host-1", applies: true}, term: term}
+	f := &handoverObserver{fakeFollowers: fakeFollowers{follower: "host-1", applies: true}, term: term}
 	l.Followers = f
 	if _, err := l.HandOver(300 * micros.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	if !f.handedOver || f.provesAny {
-		t.Errorf("handed over: %v; the term still proved something: %v", f.handedOver, f.provesAny)
+	if !f.handedOver || f.provesLeadership {
+		t.Errorf("handover published: %v, want true; the term still proved leadership: %v, want false", f.handedOver, f.provesLeadership)
 	}
 	if l.Successor() != "host-1" || !l.IsHandingOver() {
-		t.Errorf("the successor is %q", l.Successor())
+		t.Errorf("successor %q, want host-1; handing over: %v, want true", l.Successor(), l.IsHandingOver())
 	}
 }
 
-// publishedProofs notes whether the term proves anything as the handover is published.
-type publishedProofs struct {
+// handoverObserver records whether the term still proves leadership when the handover is published.
+type handoverObserver struct {
 	fakeFollowers
-	term                  *fakeTerm
-	handedOver, provesAny bool
+	term                         *fakeTerm
+	handedOver, provesLeadership bool
 }
 
-func (p *publishedProofs) Publish(e standby.Entry) {
+func (o *handoverObserver) Publish(e standby.Entry) {
 	if e.Handover != nil {
-		p.handedOver, p.provesAny = true, p.term.HoldsSession() || p.term.IsExclusive()
+		o.handedOver, o.provesLeadership = true, o.term.HoldsSession() || o.term.IsExclusive()
 	}
-	p.fakeFollowers.Publish(e)
+	o.fakeFollowers.Publish(e)
 }
 
-// TestHandOverEndsWithItsTerm has the named follower lead before it has said that it applied everything: from then on it
-// asks no more, and the handover must not wait for that until its limit.
-func TestHandOverEndsWithItsTerm(t *testing.T) {
+// TestHandOverEndsWithTerm checks that a handover does not wait until its time limit if the term ends first. This
+// happens when the named follower leads before it has reported that it applied all entries: from then on it sends no
+// queries.
+func TestHandOverEndsWithTerm(t *testing.T) {
 	l, _ := newTestLeader(t)
 	l.Followers = &fakeFollowers{follower: "host-1"}
 	const limit = 20 * micros.Second
@@ -128,6 +131,6 @@
 	startedAt := time.Now()
 	to, err := l.HandOver(limit)
 	if took := time.Since(startedAt); err != nil || to != "host-1" || took > limit.Duration()/4 {
-		t.Errorf("handed over to %q in %v: %v", to, took, err)
+		t.Errorf("handed over to %q in %v (error %v), want host-1 in at most %v", to, took, err, limit.Duration()/4)
 	}
 }
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -9,127 +9,130 @@
 	"caperlatch/internal/wire"
 )
 
-// TestFirstHeartbeatOfMachine has a machine send its first heartbeat of a term. It may be a late copy, and its
-// machine terminated long ago: it draws no tasks until a heartbeat shows that a response of this term was received.
+// TestFirstHeartbeatOfMachine checks that the first heartbeat of a machine in a term causes no starts. The heartbeat
+// may be delayed, and its machine terminated long ago. Tasks start only once a heartbeat shows that the worker has
+// received a response of this term.
 func TestFirstHeartbeatOfMachine(t *testing.T) {
 	l, _ := newTestLeader(t)
 	l.fleet.Machines["i-1"].StartBackoffUntil = l.startedAt + 3600*micros.Second
-	b := l.fleet.AddIntent("r-2", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}})
-	m := l.fleet.Add("i-2", b, l.startedAt)
+	intent := l.fleet.AddIntent("r-2", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-2"}})
+	m := l.fleet.Add("i-2", intent, l.startedAt)
 	m.Instance.IntentStored = true
 	l.jobs["j-000001"].MayHaveEarlierTasks = false
 	for i, c := range []struct {
-		seq, token uint64
-		listStored bool
-		starts     int
+		sequence, fencingToken uint64
+		listStored             bool
+		starts                 int
 	}{{1, 0, true, 0}, {2, testToken - 1, true, 0}, {3, testToken, false, 0}, {4, testToken, true, 3}} {
 		m.Instance.ListStored, l.scheduler.PlannedAt = c.listStored, 0
-		r := heartbeat(c.seq, c.token)
-		r.MachineID = "i-2"
-		if a, err := l.HandleHeartbeat(r); err != nil || len(a.Commands) != c.starts {
-			t.Errorf("heartbeat %d: commands %v (%v), want %d starts", i, a.Commands, err, c.starts)
+		h := heartbeat(c.sequence, c.fencingToken)
+		h.MachineID = "i-2"
+		if response, err := l.HandleHeartbeat(h); err != nil || len(response.Commands) != c.starts {
+			t.Errorf("heartbeat %d: commands %v (error %v), want %d starts", i, response.Commands, err, c.starts)
 		}
 	}
 }
 
-// TestHeartbeatOfUnknownMachine has heartbeats of machines that no launch intent explains. One is adopted when
-// it shows that it receives this term's responses; a late copy of one that was terminated never does.
+// TestHeartbeatOfUnknownMachine checks the handling of heartbeats of a machine that belongs to no launch intent. The
+// machine is adopted once a heartbeat shows that it receives this term's responses. A delayed heartbeat of a terminated
+// machine never shows that.
 func TestHeartbeatOfUnknownMachine(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		tokens     []uint64 // of its heartbeats
-		terminated bool
+		tokens     []uint64 // fencing tokens of its heartbeats
+		terminated bool     // the machine was terminated in this term
 		adopted    bool
 	}{
-		{"a late copy", []uint64{testToken - 1}, false, false},
-		{"copies", []uint64{testToken - 2, testToken - 1}, false, false},
-		{"launched late", []uint64{0, testToken}, false, true},
-		{"terminated in this term", []uint64{testToken}, true, false},
+		{"a delayed heartbeat", []uint64{testToken - 1}, false, false},
+		{"two delayed heartbeats", []uint64{testToken - 2, testToken - 1}, false, false},
+		{"a machine that was launched late", []uint64{0, testToken}, false, true},
+		{"a machine that was terminated in this term", []uint64{testToken}, true, false},
 	} {
 		l, _ := newTestLeader(t)
 		if c.terminated {
 			l.fleet.Remove(l.fleet.Add("i-7", l.fleet.Intent("r-1"), l.startedAt))
 		}
-		for i, n := range c.tokens {
-			r := heartbeat(uint64(i+1), n)
-			r.MachineID = "i-7"
-			if a, err := l.HandleHeartbeat(r); (err != nil) != c.terminated || err == nil && (a.FencingToken != testToken || len(a.Commands) > 0) {
-				t.Errorf("%s: response %+v, %v", c.name, a, err)
+		for i, fencingToken := range c.tokens {
+			h := heartbeat(uint64(i+1), fencingToken)
+			h.MachineID = "i-7"
+			if response, err := l.HandleHeartbeat(h); (err != nil) != c.terminated || err == nil && (response.FencingToken != testToken || len(response.Commands) > 0) {
+				t.Errorf("%s: heartbeat %d: response %+v (error %v), want an error: %t, or else no commands and fencing token %d", c.name, i, response, err, c.terminated, uint64(testToken))
 			}
 		}
 		if got := l.fleet.Machines["i-7"] != nil; got != c.adopted {
-			t.Errorf("%s: adopted %v, want %v", c.name, got, c.adopted)
+			t.Errorf("%s: adopted: %v, want %v", c.name, got, c.adopted)
 		}
 	}
 }
 
-// TestCanRespond has the proofs of leadership run out one after another.
+// TestCanRespond checks how a leader responds to heartbeats as its proofs of leadership expire one after another.
 func TestCanRespond(t *testing.T) {
 	l, term := newTestLeader(t)
-	seq := uint64(10)
+	sequence := uint64(10)
 	respond := func() (wire.HeartbeatResponse, error) {
-		seq++
+		sequence++
 		l.scheduler.PlannedAt = 0
-		return l.HandleHeartbeat(heartbeat(seq, testToken))
+		return l.HandleHeartbeat(heartbeat(sequence, testToken))
 	}
-	if a, err := respond(); err != nil || len(a.Commands) == 0 {
-		t.Fatalf("nobody else can lead: %v, %v", a, err)
+	if response, err := respond(); err != nil || len(response.Commands) == 0 {
+		t.Fatalf("while no other node can lead: response %v (error %v), want commands", response, err)
 	}
 	term.exclusive, term.holdsSession = false, false
 	if _, err := respond(); err == nil {
-		t.Error("while another node may lead, a worker must be refused once")
+		t.Error("the first heartbeat while another node may lead got a response, want an error")
 	}
-	if a, err := respond(); err != nil || len(a.Commands) > 0 {
-		t.Errorf("a worker that came back must get its lease and no start: %v, %v", a, err)
+	if response, err := respond(); err != nil || len(response.Commands) > 0 {
+		t.Errorf("the second heartbeat while another node may lead: response %v (error %v), want one without commands, which renews the lease", response, err)
 	}
 	term.lastConfirmed = micros.Now() - l.Settings.Params.Workers.LeaseRenewalWindow()
 	if _, err := respond(); err == nil {
-		t.Error("responded although a cancellation could not be seen in time")
+		t.Error("a heartbeat after the lease renewal window got a response, though the leader may miss a cancellation; want an error")
 	}
 }
 
-// TestSupersededLeaderDoesNotRespond gives a leader fencing tokens. Once one is higher than its own it responds to no
-// heartbeat, though its proofs hold: its successor counts on that as soon as the leader has got the token.
+// TestSupersededLeaderDoesNotRespond checks that a leader that has learned of a higher fencing token than its own
+// responds to no heartbeat, even if its own proofs of leadership are valid: its successor relies on that as soon as the
+// leader has received the token.
 func TestSupersededLeaderDoesNotRespond(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		tokens   []uint64
 		responds bool
 	}{
-		{"its own", []uint64{testToken}, true},
-		{"an earlier one", []uint64{testToken - 1}, true},
-		{"a higher one", []uint64{testToken + 1}, false},
-		{"a higher one, and then its own by a node that is behind", []uint64{testToken + 1, testToken}, false},
+		{"its own token", []uint64{testToken}, true},
+		{"a lower token", []uint64{testToken - 1}, true},
+		{"a higher token", []uint64{testToken + 1}, false},
+		{"a higher token, and then its own token from a node that lags", []uint64{testToken + 1, testToken}, false},
 	} {
 		l, _ := newTestLeader(t)
 		for _, fencingToken := range c.tokens {
 			l.Supersede(fencingToken)
 		}
 		if _, err := l.HandleHeartbeat(heartbeat(10, testToken)); (err == nil) != c.responds {
-			t.Errorf("%s: error %v, want a response: %t", c.name, err, c.responds)
+			t.Errorf("%s: error %v, want a response without error: %t", c.name, err, c.responds)
 		}
 	}
 }
 
-// TestInterruptionNotice has a spot machine get an interruption notice: what can save a checkpoint is
-// stopped in time to do so, the rest may still finish, and nothing starts there.
+// TestInterruptionNotice checks the response to a heartbeat with an interruption notice: tasks that can save a
+// checkpoint are stopped in time to do so, the others may still finish, and nothing starts on the machine.
 func TestInterruptionNotice(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		checkpoint float64
-		want       []string
+		name                string
+		checkpointIntervalS float64
+		want                []string
 	}{
 		{"tasks with checkpoints", 20, []string{"stop j-000001/0"}},
-		{"tasks without", 0, []string{}},
+		{"tasks without checkpoints", 0, []string{}},
 	} {
 		l, _ := newTestLeader(t)
-		l.jobs["j-000001"].Spec.CheckpointIntervalS = c.checkpoint
-		r := heartbeat(11, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
-		notice := 15.0
-		r.InterruptionNoticeS = &notice
-		a, err := l.HandleHeartbeat(r)
-		if got := commandNames(a); err != nil || !slices.Equal(got, c.want) {
-			t.Errorf("%s: commands %v (%v), want %v", c.name, got, err, c.want)
+		l.jobs["j-000001"].Spec.CheckpointIntervalS = c.checkpointIntervalS
+		h := heartbeat(11, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})
+		noticeS := 15.0
+		h.InterruptionNoticeS = &noticeS
+		response, err := l.HandleHeartbeat(h)
+		if got := commandNames(response); err != nil || !slices.Equal(got, c.want) {
+			t.Errorf("%s: commands %v (error %v), want %v", c.name, got, err, c.want)
 		}
 	}
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -17,7 +17,7 @@
 	"caperlatch/internal/wire"
 )
 
-// fakeTerm is a term whose proofs of leadership the tests set.
+// fakeTerm is a Term whose proofs of leadership are set by the tests.
 type fakeTerm struct {
 	holdsSession, exclusive                bool
 	lastConfirmed, earlierTermsFencedSince micros.Micros
@@ -36,8 +36,8 @@
 // testToken is the fencing token of the term.
 const testToken = 7
 
-// newTestLeader makes a leader of one job of three tasks and one machine that an earlier leader had
-// launched, and whose tasks are unknown.
+// newTestLeader returns a leader, and its term, with one job of three tasks and one machine, i-1, that an earlier
+// leader launched and whose tasks are unknown.
 func newTestLeader(t *testing.T) (*Leader, *fakeTerm) {
 	t.Helper()
 	now := micros.Now()
@@ -65,12 +65,12 @@
 	return l, term
 }
 
-// heartbeat is one of machine i-1, in its first incarnation.
+// heartbeat returns a heartbeat of machine i-1 in its first incarnation.
 func heartbeat(sequence, fencingToken uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{MachineID: "i-1", Address: "", InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: sequence, FencingToken: fencingToken, Tasks: tasks}
 }
 
-// commandNames lists the commands of a response as "verb task", sorted.
+// commandNames returns the commands of a response in the form "verb task", sorted.
 func commandNames(response wire.HeartbeatResponse) (names []string) {
 	for _, c := range response.Commands {
 		names = append(names, string(c.Verb)+" "+c.TaskID)
@@ -79,7 +79,7 @@
 	return names
 }
 
-// taskKnowledge is the knowledge of the tasks of a machine that has confirmed its tasks in this term, or has not.
+// taskKnowledge returns TasksConfirmed if a machine has confirmed its tasks in this term, and TasksUnknown if not.
 func taskKnowledge(confirmed bool) state.TaskKnowledge {
 	if confirmed {
 		return state.TasksConfirmed
@@ -87,7 +87,8 @@
 	return state.TasksUnknown
 }
 
-// fakeWorkers responds to calls to workers' addresses with an HTTP status and the worker's status; nil: there is no response.
+// fakeWorkers is a transport that responds to calls to workers with an HTTP status and the worker's status. If the
+// worker's status is nil, the call fails without a response.
 type fakeWorkers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
 
 // RoundTrip implements http.RoundTripper.
@@ -108,7 +109,7 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(response)), Request: r}, err
 }
 
-// setTermStart has the term have begun at an instant, for all parts that go by it.
+// setTermStart sets the start time of the term, in the leader and in its parts that depend on it.
 func setTermStart(l *Leader, at micros.Micros) {
 	l.startedAt, l.liveness.TermStartedAt, l.taskQueries.TermStartedAt = at, at, at
 }
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -10,7 +10,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestLeaseExpiry checks by a leader's settings when a silent machine's tasks have ended for certain.
+// TestLeaseExpiry checks, with the settings of a leader, the time at which a silent machine's tasks are certain to have
+// ended.
 func TestLeaseExpiry(t *testing.T) {
 	l, term := newTestLeader(t)
 	m, w := l.fleet.Machines["i-1"], l.Settings.Params.Workers
@@ -18,77 +19,78 @@
 		name                 string
 		confirmed            bool
 		fencedSince, renewed micros.Micros
-		after, notAfter      micros.Micros // since the term began
+		after, notAfter      micros.Micros // bounds of the lease expiry, since the start of the term
 	}{
-		{"an earlier leader may renew it", false, 0, 0, w.LeaseRenewalWindow() + w.LeaseDuration(), w.CancellationTimeout()},
-		{"all peers know of this term", false, l.startedAt + micros.Second, 0, w.LeaseDuration() + micros.Second, w.LeaseDuration() + 3*micros.Second},
-		{"renewed in this term", true, 0, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
-		{"renewed, and its tasks unknown", false, l.startedAt + micros.Second, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
+		{"an earlier leader may have renewed the lease", false, 0, 0, w.LeaseRenewalWindow() + w.LeaseDuration(), w.CancellationTimeout()},
+		{"all peers know this term's fencing token", false, l.startedAt + micros.Second, 0, w.LeaseDuration() + micros.Second, w.LeaseDuration() + 3*micros.Second},
+		{"the lease was renewed in this term", true, 0, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
+		{"the lease was renewed, and the machine's tasks are unknown", false, l.startedAt + micros.Second, l.startedAt + 5*micros.Second, w.LeaseDuration() + 5*micros.Second, w.LeaseDuration() + 7*micros.Second},
 	}
 	for _, c := range cases {
 		m.Lease.RenewedAt, term.earlierTermsFencedSince = c.renewed, c.fencedSince
 		m.Reconciliation.Knowledge = taskKnowledge(c.confirmed)
 		if got := l.liveness.LeaseExpiry(m) - l.startedAt; got <= c.after || got > c.notAfter {
-			t.Errorf("%s: expires after %v s, want within (%v, %v]", c.name, got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
+			t.Errorf("%s: the lease expires %v s after the start of the term, want a time in (%v, %v]", c.name, got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
 		}
 	}
 }
 
-// TestSilentMachines has machines fall silent. One is terminated soon; many at once, or any while the leader's
-// session is in doubt, are not: an isolated leader once had a whole fleet terminated by requests that were
-// held back and carried out late.
-func TestSilentMachines(t *testing.T) {
+// TestSilentMachineTermination checks when silent machines are terminated. A single one is terminated soon, but not
+// many at once, and none while the leader's session may have ended. The test guards against the termination of a whole
+// fleet: an isolated leader once requested that, and the delayed requests were carried out late.
+func TestSilentMachineTermination(t *testing.T) {
 	cases := []struct {
 		name         string
-		silent       int // of six
+		silent       int // silent machines, of six
 		holdsSession bool
-		since        micros.Micros
+		silence      micros.Micros
 		terminated   bool
 	}{
-		{"one", 1, true, 17 * micros.Second, true},
-		{"one, for a short time", 1, true, 5 * micros.Second, false},
-		{"one, while the session is in doubt", 1, false, 17 * micros.Second, false},
-		{"half", 3, true, 17 * micros.Second, false},
-		{"half, their leases expired", 3, true, 20 * micros.Second, false},
-		{"half, their leases expired for as long again", 3, true, 40 * micros.Second, true},
+		{"one machine", 1, true, 17 * micros.Second, true},
+		{"one machine, for a short time", 1, true, 5 * micros.Second, false},
+		{"one machine, while the session may have ended", 1, false, 17 * micros.Second, false},
+		{"half of the machines", 3, true, 17 * micros.Second, false},
+		{"half of the machines, with expired leases", 3, true, 20 * micros.Second, false},
+		{"half of the machines, with leases expired for another lease duration", 3, true, 40 * micros.Second, true},
 	}
 	for _, c := range cases {
 		l, term := newTestLeader(t)
 		term.holdsSession = c.holdsSession
-		b := l.fleet.Intent("r-1")
+		intent := l.fleet.Intent("r-1")
 		for _, id := range []string{"i-2", "i-3", "i-4", "i-5", "i-6"} {
-			l.fleet.Add(id, b, l.startedAt).Instance.Running = true
+			l.fleet.Add(id, intent, l.startedAt).Instance.Running = true
 		}
 		now := l.startedAt + 100*micros.Second
 		for i, m := range l.fleet.Sorted {
 			m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now, now
 			m.Reconciliation.Knowledge = state.TasksConfirmed
 			if i < c.silent {
-				m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.since, now-c.since
+				m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.silence, now-c.silence
 			}
 		}
-		// An expired machine is noted first, and given up when that lasts.
+		// The expiry of a lease is recorded first. The machine is terminated if the lease is still expired later.
 		l.superviseMachines(now - 20*micros.Second)
 		l.superviseMachines(now)
 		if got := l.fleet.Machines["i-1"].Instance.Terminating; got != c.terminated {
-			t.Errorf("%s: terminated %v, want %v", c.name, got, c.terminated)
+			t.Errorf("%s: terminated: %v, want %v", c.name, got, c.terminated)
 		}
 	}
 }
 
-// TestReclaimedWithoutNotice has machines silent that the cloud's list still names, or no longer does.
-func TestReclaimedWithoutNotice(t *testing.T) {
+// TestUnlistedMachineTermination checks when a machine is terminated that the cloud's list no longer contains, as
+// happens when the cloud reclaims it without notice. The machine must also be silent.
+func TestUnlistedMachineTermination(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		lists      []bool // whether it was in each
-		silent     micros.Micros
+		lists      []bool // whether each of the cloud's lists contains the machine
+		silence    micros.Micros
 		terminated bool
 	}{
 		{"silent and no longer listed", []bool{true, false, false}, 5 * micros.Second, true},
-		{"missing in one list, which may be an old one", []bool{true, false}, 5 * micros.Second, false},
-		{"never listed yet", []bool{false, false, false}, 5 * micros.Second, false},
+		{"missing from one list, which may be out of date", []bool{true, false}, 5 * micros.Second, false},
+		{"never listed", []bool{false, false, false}, 5 * micros.Second, false},
 		{"listed again", []bool{true, false, false, true}, 5 * micros.Second, false},
-		{"no longer listed, and its heartbeats go on", []bool{true, false, false}, micros.Second, false},
+		{"no longer listed, but its heartbeats still arrive", []bool{true, false, false}, micros.Second, false},
 	} {
 		l, _ := newTestLeader(t)
 		m := l.fleet.Machines["i-1"]
@@ -100,32 +102,33 @@
 			l.fleet.ReconcileInstances(list)
 		}
 		now := l.startedAt + 100*micros.Second
-		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.silent, now-c.silent
+		m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.silence, now-c.silence
 		m.Reconciliation.Knowledge = state.TasksConfirmed
 		l.superviseMachines(now)
 		if m.Instance.Terminating != c.terminated {
-			t.Errorf("%s: terminated %v, want %v", c.name, m.Instance.Terminating, c.terminated)
+			t.Errorf("%s: terminated: %v, want %v", c.name, m.Instance.Terminating, c.terminated)
 		}
 	}
 }
 
-// TestUnresponsiveMachineTermination has a machine give no response to queries after a failover. All
-// jobs of earlier terms wait for it, so it is terminated soon; but not where this node may be cut off.
+// TestUnresponsiveMachineTermination checks when a machine is terminated that does not respond to task queries after a
+// failover. All jobs of earlier terms wait for the machine, so it is terminated soon, unless this node may be cut off
+// from the machine's zone.
 func TestUnresponsiveMachineTermination(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		queried, responded int // of its zone
-		tasksUnknown       int
+		queried, responded int // machines of the zone
+		tasksUnknown       int // unresponsive machines with unknown tasks, of 20
 		terminated         bool
 	}{
-		{"the only one", 20, 19, 1, true},
-		{"its whole zone is silent", 20, 0, 1, false},
-		{"many are", 20, 12, 8, false},
+		{"the only unresponsive machine", 20, 19, 1, true},
+		{"no machine of the zone has responded", 20, 0, 1, false},
+		{"many machines have not responded", 20, 12, 8, false},
 	} {
 		l, _ := newTestLeader(t)
-		b := l.fleet.Intent("r-1")
+		intent := l.fleet.Intent("r-1")
 		for i := range 19 {
-			l.fleet.Add(string(rune('a'+i)), b, l.startedAt).Instance.Running = true
+			l.fleet.Add(string(rune('a'+i)), intent, l.startedAt).Instance.Running = true
 		}
 		now := l.startedAt + liveness.UnresponsiveLimit + 100*micros.Millisecond
 		for i, m := range l.fleet.Sorted {
@@ -139,7 +142,7 @@
 		l.taskQueries.ByZone["a"] = taskquery.Counts{Queried: c.queried, Responded: c.responded}
 		l.superviseMachines(now)
 		if got := l.fleet.Sorted[0].Instance.Terminating; got != c.terminated {
-			t.Errorf("%s: terminated %v, want %v", c.name, got, c.terminated)
+			t.Errorf("%s: terminated: %v, want %v", c.name, got, c.terminated)
 		}
 	}
 }
--- a/internal/leader/publish_test.go
+++ b/internal/leader/publish_test.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestPublish has tasks start, run, stop and end: a follower's view shows at each step what the leader counts on the
-// machine, before the response leaves.
+// TestPublish checks that a follower's view matches the attempts that the leader has assigned to a machine at each step
+// while tasks start, run and end. Entries must be published before the response is sent.
 func TestPublish(t *testing.T) {
 	l, _ := newTestLeader(t)
 	p := standby.NewPublisher(testToken, 1000)
@@ -19,9 +19,9 @@
 		name      string
 		heartbeat *wire.Heartbeat
 	}{
-		{"the first", heartbeat(11, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"starts lost", heartbeat(12, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
-		{"one is done", heartbeat(13, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskExited, ExitReason: wire.ExitDone},
+		{"the first heartbeat", heartbeat(11, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"the response with the starts was lost", heartbeat(12, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning})},
+		{"a task is done", heartbeat(13, testToken, wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskExited, ExitReason: wire.ExitDone},
 			wire.TaskStatus{TaskID: "j-000001/1", Attempt: testToken<<32 | 3, State: wire.TaskRunning})},
 		{"no task is left", heartbeat(14, testToken)},
 	}
@@ -36,21 +36,21 @@
 				t.Fatal(err)
 			}
 		}
-		known := f.TakeView().Machines["i-1"]
-		if !known.TasksKnown || known.Incarnation != 1 || len(known.Tasks) != len(l.fleet.Machines["i-1"].Attempts) {
-			t.Errorf("%s: the view has %+v, the leader %d tasks", s.name, known, len(l.fleet.Machines["i-1"].Attempts))
+		view := f.TakeView().Machines["i-1"]
+		if !view.TasksKnown || view.Incarnation != 1 || len(view.Tasks) != len(l.fleet.Machines["i-1"].Attempts) {
+			t.Errorf("%s: the view of the machine is %+v, want incarnation 1 and %d known tasks", s.name, view, len(l.fleet.Machines["i-1"].Attempts))
 		}
-		for name, a := range l.fleet.Machines["i-1"].Attempts {
-			if known.Tasks[name].Attempt != a.Number {
-				t.Errorf("%s: %s: attempt %d, want %d", s.name, name, known.Tasks[name].Attempt, a.Number)
+		for id, a := range l.fleet.Machines["i-1"].Attempts {
+			if view.Tasks[id].Attempt != a.Number {
+				t.Errorf("%s: task %s in the view has attempt number %d, want %d", s.name, id, view.Tasks[id].Attempt, a.Number)
 			}
 		}
 	}
 }
 
-// TestPublishReserved has a gang get its places: they are published as reserved, and as started with the response that
-// carries the starts. A place that was still published as reserved then would be taken for a start that was never
-// sent.
+// TestPublishReserved checks that assigned tasks of a gang are published as reserved, and as started once the response
+// carries their starts. If a task were still published as reserved then, the next leader would assume that its start
+// was never sent.
 func TestPublishReserved(t *testing.T) {
 	l, _ := newTestLeader(t)
 	p := standby.NewPublisher(testToken, 1000)
@@ -69,16 +69,16 @@
 	l.gangs.AssignTasks(m, l.jobs["j-000001"], 3, micros.Now())
 	for task, state := range view() {
 		if !state.Reserved {
-			t.Errorf("%s is published as started before any response", task)
+			t.Errorf("%s is published as started before any response, want it reserved", task)
 		}
 	}
 	response, err := l.HandleHeartbeat(heartbeat(11, testToken))
 	if err != nil || len(response.Commands) != 3 {
-		t.Fatalf("commands %v (%v)", commandNames(response), err)
+		t.Fatalf("commands %v (error %v), want 3 starts", commandNames(response), err)
 	}
 	for task, state := range view() {
 		if state.Reserved {
-			t.Errorf("%s is published as reserved after its start was sent", task)
+			t.Errorf("%s is published as reserved after its start was sent, want it started", task)
 		}
 	}
 }
--- a/internal/leader/task_queries_test.go
+++ b/internal/leader/task_queries_test.go
@@ -8,47 +8,47 @@
 	"caperlatch/internal/wire"
 )
 
-// TestTaskQuery has a new leader ask a machine for its tasks. Only a response made after the worker has seen this
-// term's fencing token proves them: until then a start of an earlier term may still be carried out, and a
-// task that is started elsewhere would run twice.
+// TestTaskQuery checks what a new leader learns from querying a machine for its tasks. Only a response that the worker
+// sends after it has received this term's fencing token proves which tasks it has. Until then, the worker may still
+// execute a start of an earlier term, and a task that the leader starts elsewhere would run twice.
 func TestTaskQuery(t *testing.T) {
 	running := wire.TaskStatus{TaskID: "j-000001/0", Attempt: 5, State: wire.TaskRunning}
 	status := func(incarnation, sequence, fencingToken uint64) *wire.Heartbeat {
-		r := heartbeat(sequence, fencingToken, running)
-		r.Incarnation = incarnation
-		return r
+		h := heartbeat(sequence, fencingToken, running)
+		h.Incarnation = incarnation
+		return h
 	}
-	other := status(1, 20, testToken)
-	other.MachineID = "i-9"
-	rest := []string{"start j-000001/1", "start j-000001/2"}
+	statusOfOtherMachine := status(1, 20, testToken)
+	statusOfOtherMachine.MachineID = "i-9"
+	otherStarts := []string{"start j-000001/1", "start j-000001/2"}
 	cases := []struct {
 		name   string
 		worker fakeWorkers
-		during *wire.Heartbeat // comes while the worker is asked
-		done   bool
-		after  *wire.Heartbeat // comes afterwards
-		want   []string
+		during *wire.Heartbeat // arrives while the query is in progress, unless nil
+		done   bool            // the query proves the machine's tasks
+		after  *wire.Heartbeat // arrives after the query
+		want   []string        // commands in the response to the heartbeat after the query
 	}{
-		{"it responds", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, status(1, 20, testToken) }, nil, true,
-			heartbeat(21, testToken, running), rest},
-		{"in a later incarnation", func(c *wire.CommandRequest) (int, *wire.Heartbeat) {
+		{"the worker responds", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, status(1, 20, testToken) }, nil, true,
+			heartbeat(21, testToken, running), otherStarts},
+		{"the worker is in a later incarnation", func(c *wire.CommandRequest) (int, *wire.Heartbeat) {
 			if c.Incarnation != 3 {
 				return 409, status(3, 20, testToken-1)
 			}
 			return 200, status(3, 21, testToken)
-		}, nil, true, status(3, 22, testToken), rest},
-		// It is older than the response: what it shows may have ended since, and what
-		// was started since does not show.
+		}, nil, true, status(3, 22, testToken), otherStarts},
+		// The heartbeat is older than the response: tasks that it lists may have exited since, and it does not list
+		// tasks that were started since.
 		{"a heartbeat from before the response", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, status(1, 20, testToken) }, nil, true,
 			heartbeat(19, testToken, running), []string{}},
-		{"it has not seen the fencing token", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 409, status(1, 20, testToken-1) }, nil, false,
+		{"the worker has not received this term's fencing token", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 409, status(1, 20, testToken-1) }, nil, false,
 			heartbeat(21, testToken-1, running), []string{}},
-		{"another machine has its address", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, other }, nil, false,
+		{"another machine has the address", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, statusOfOtherMachine }, nil, false,
 			heartbeat(21, testToken-1, running), []string{}},
 		{"no response", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 0, nil }, nil, false,
 			heartbeat(21, testToken-1, running), []string{}},
-		// The heartbeat drew starts that the response cannot show.
-		{"a heartbeat is faster", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, status(1, 20, testToken) }, heartbeat(21, testToken, running), true,
+		// The response to the heartbeat carries starts that the worker's response to the query does not list.
+		{"a heartbeat arrives before the worker's response", func(*wire.CommandRequest) (int, *wire.Heartbeat) { return 200, status(1, 20, testToken) }, heartbeat(21, testToken, running), true,
 			heartbeat(22, testToken, running, wire.TaskStatus{TaskID: "j-000001/1", Attempt: testToken<<32 | 1, State: wire.TaskRunning},
 				wire.TaskStatus{TaskID: "j-000001/2", Attempt: testToken<<32 | 2, State: wire.TaskRunning}), []string{}},
 	}
@@ -56,30 +56,30 @@
 		l, _ := newTestLeader(t)
 		m := l.fleet.Machines["i-1"]
 		m.Instance.Address, m.Heartbeat.FromCurrentTerm = "i-1:9000", false
-		useWorkers(l, fakeWorkers(func(d *wire.CommandRequest) (int, *wire.Heartbeat) {
-			if d.FencingToken != testToken || len(d.Commands) != 0 {
-				t.Errorf("%s: asked with fencing token %d and %d commands", c.name, d.FencingToken, len(d.Commands))
+		useWorkers(l, fakeWorkers(func(request *wire.CommandRequest) (int, *wire.Heartbeat) {
+			if request.FencingToken != testToken || len(request.Commands) != 0 {
+				t.Errorf("%s: query with fencing token %d and %d commands, want token %d and no commands", c.name, request.FencingToken, len(request.Commands), uint64(testToken))
 			}
 			if c.during != nil {
 				if _, err := l.HandleHeartbeat(c.during); err != nil {
-					t.Errorf("%s: %v", c.name, err)
+					t.Errorf("%s: heartbeat during the query: %v", c.name, err)
 				}
 			}
-			return c.worker(d)
+			return c.worker(request)
 		}))
 		if done := l.taskQueries.Query(t.Context(), m); done != c.done || m.TasksKnown() != c.done {
-			t.Errorf("%s: done %v, tasks known %v", c.name, done, m.TasksKnown())
+			t.Errorf("%s: query done: %v, tasks known: %v, want %v", c.name, done, m.TasksKnown(), c.done)
 		}
 		if c.done && m.Attempts["j-000001/0"] == nil {
-			t.Errorf("%s: the running task is not known", c.name)
+			t.Errorf("%s: the running task is not known after the query", c.name)
 		}
 		if now := micros.Now(); c.done && now > l.liveness.LeaseExpiry(m) {
-			t.Errorf("%s: its lease counts as expired", c.name)
+			t.Errorf("%s: the machine's lease counts as expired after the query", c.name)
 		}
 		l.scheduler.PlannedAt = 0
-		a, err := l.HandleHeartbeat(c.after)
-		if got := commandNames(a); err != nil || !slices.Equal(got, c.want) {
-			t.Errorf("%s: commands %v (%v), want %v", c.name, got, err, c.want)
+		response, err := l.HandleHeartbeat(c.after)
+		if got := commandNames(response); err != nil || !slices.Equal(got, c.want) {
+			t.Errorf("%s: commands %v (error %v), want %v", c.name, got, err, c.want)
 		}
 	}
 }
