--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -11,7 +11,8 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values are stored by the leader, or explain a job, by their names in the golden file.
+// encodedTypes lists the types whose values the leader stores or uses to explain a job, with their section names in the
+// golden file.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[fleet.LaunchIntent]("a booking"),
 	golden.TypeOf[fleet.MachineList]("a list of machines that are up"),
@@ -23,15 +24,15 @@
 	golden.TypeOf[explain.Explanation]("an explanation"),
 }
 
-// TestEncodedTypes checks that they are encoded as they were.
+// TestEncodedTypes checks that the encoding of each of these types matches the golden file.
 func TestEncodedTypes(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags checks that all their fields are named by tags.
+// TestEncodedTags checks that all fields of these types have a tag with their encoded name.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestStoredKeys checks that the keys which the leader makes are what they were.
+// TestStoredKeys checks that the keys that the leader generates match the golden file.
 func TestStoredKeys(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
 		{Name: "a task", Text: state.TaskID("j-000412", 3)},
--- a/internal/leader/machine_lists_test.go
+++ b/internal/leader/machine_lists_test.go
@@ -11,10 +11,10 @@
 	"caperlatch/internal/statestore"
 )
 
-// storedLists are the machine lists in the state service, by key, as a leader's writes make them.
+// storedLists holds the machine lists that the writes of a leader have left in the state service.
 type storedLists struct {
 	leader   *Leader
-	entries  map[string][]string
+	entries  map[string][]string // by key
 	revision uint64
 }
 
@@ -25,15 +25,15 @@
 	s.leader.Replica.ApplyPut(key, list, s.revision)
 }
 
-// carryOut stores one write of the leader's. Without a response the leader repeats it.
-func (s *storedLists) carryOut(t *testing.T, w persist.Write, responds bool) {
+// apply applies a write of the leader to the stored lists. If the leader gets no response, it repeats the write.
+func (s *storedLists) apply(t *testing.T, w persist.Write, responds bool) {
 	t.Helper()
 	switch {
 	case w.Value == nil:
 		delete(s.entries, w.Key)
 		s.leader.Replica.ApplyDelete(w.Key, s.revision+1)
 	case !s.leader.Store.ValueAlwaysFits(w.Value):
-		t.Fatalf("%s is written too large", w.Key)
+		t.Fatalf("the value written to %s is too large for the state service", w.Key)
 	default:
 		s.put(w.Key, w.Value.(fleet.MachineList))
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-// countMachines counts the machines that are in a list.
+// countMachines returns the number of machines that are in at least one list.
 func (s *storedLists) countMachines() int {
 	listed := map[string]bool{}
 	for _, list := range s.entries {
@@ -55,7 +55,8 @@
 	return len(listed)
 }
 
-// newMachineListsTest makes a leader of machines, by their entries, whose values may have 2 KB.
+// newMachineListsTest returns a leader with machines and stored values of at most 2 KB, and the list entries of the
+// machines. The lists themselves are not stored yet.
 func newMachineListsTest(t *testing.T, machines int) (s *storedLists, entries []string) {
 	t.Helper()
 	l, _ := newTestLeader(t)
@@ -71,24 +72,24 @@
 	return &storedLists{leader: l, entries: map[string][]string{}, revision: 100}, entries
 }
 
-// TestSplitOversizedMachineList takes over a machine list that is larger than the state service will take. No
-// write may leave a machine in no stored list, whether it gets a response or not: the old list is written only
-// once every machine taken off it is known to be in another.
+// TestSplitOversizedMachineList checks that a leader splits a stored machine list that is larger than the state service
+// accepts. After every write, with or without a response, every machine must be in a stored list: the old list may be
+// written only once each machine removed from it is known to be in another stored list.
 func TestSplitOversizedMachineList(t *testing.T) {
 	all := func(int) bool { return true }
-	first := func(n int) bool { return n%2 == 0 }
-	second := func(n int) bool { return n%2 == 1 }
+	evenRounds := func(n int) bool { return n%2 == 0 }
+	oddRounds := func(n int) bool { return n%2 == 1 }
 	cases := []struct {
-		name       string
-		responds   func(n int) bool // whether the nth write gets a response
-		carriedOut bool             // those without a response are
-		begun      bool             // an earlier leader ended while it split the list
+		name     string
+		responds func(n int) bool // whether the writes of round n get responses
+		applied  bool             // writes without a response are applied
+		begun    bool             // an earlier leader ended while it was splitting the list
 	}{
-		{name: "all get responses", responds: all},
-		{name: "every other lost", responds: second},
-		{name: "every other response lost", responds: second, carriedOut: true},
-		{name: "begun by an earlier leader", responds: all, begun: true},
-		{name: "begun by an earlier leader, every other lost", responds: first, begun: true},
+		{name: "all writes get responses", responds: all},
+		{name: "every other request is lost", responds: oddRounds},
+		{name: "every other response is lost", responds: oddRounds, applied: true},
+		{name: "split begun by an earlier leader", responds: all, begun: true},
+		{name: "split begun by an earlier leader, every other request is lost", responds: evenRounds, begun: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,29 +104,29 @@
 			}
 			for n := 0; l.writes.Len() > 0; n++ {
 				if n == 100 {
-					t.Fatalf("%d keys are still to be written", l.writes.Len())
+					t.Fatalf("%d keys are still to be written after %d rounds of writes, want 0", l.writes.Len(), n)
 				}
 				writes, _ := l.writes.Collect()
 				for _, w := range writes {
-					if c.responds(n) || c.carriedOut {
-						s.carryOut(t, w, c.responds(n))
+					if c.responds(n) || c.applied {
+						s.apply(t, w, c.responds(n))
 					} else {
 						l.writes.Enqueue(w.Key)
 					}
 				}
 				if listed := s.countMachines(); listed != len(entries) {
-					t.Fatalf("after write %d %d of %d machines are in a list", n, listed, len(entries))
+					t.Fatalf("after round %d of the writes, %d of %d machines are in a stored list, want all", n, listed, len(entries))
 				}
 			}
 			total := 0
 			for key, list := range s.entries {
 				total += len(list)
 				if !l.Store.ValueAlwaysFits(fleet.MachineList{Entries: list}) {
-					t.Errorf("%s stays too large", key)
+					t.Errorf("the list stored under %s is still too large", key)
 				}
 			}
 			if total != len(entries) {
-				t.Errorf("%d entries for %d machines", total, len(entries))
+				t.Errorf("%d stored entries for %d machines, want one per machine", total, len(entries))
 			}
 		})
 	}
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -17,9 +17,9 @@
 	"caperlatch/internal/zone"
 )
 
-// What earlier versions store, frozen: not to be changed along with the code. A type is
-// named after the first version that has it; those after it share it until one differs,
-// which then gets a type of its own.
+// Frozen layouts of the values that earlier versions store. They must not be changed along with the code. A type is
+// named after the first version that has the layout. Later versions share the type until one has a different layout,
+// which then gets its own type.
 type (
 	v3a714abJob struct {
 		Spec        *v3a714abSpec `json:"job,omitempty"`
@@ -114,20 +114,19 @@
 	}
 )
 
-// layout is what is stored under keys of a prefix, as it is now and as an earlier version
-// has it.
+// layout is the type of the values that are stored under keys with a prefix, in this version and in an earlier one.
 type layout struct {
-	prefix   string
-	now, old reflect.Type
+	prefix       string
+	current, old reflect.Type
 }
 
-// oldVersion is an earlier version that may serve beside this one.
+// oldVersion is an earlier version whose nodes may run in a cluster together with nodes of this version.
 type oldVersion struct {
-	name    string // its directory in testdata/versions
+	name    string // name of the version's directory in testdata/versions
 	layouts []layout
 }
 
-// v3a714abLayouts are those of 3a714ab.
+// v3a714abLayouts lists the layouts of version 3a714ab.
 var v3a714abLayouts = []layout{
 	{replica.JobPrefix, reflect.TypeFor[replica.Job](), reflect.TypeFor[v3a714abJob]()},
 	{replica.ProgressPrefix, reflect.TypeFor[state.TaskProgress](), reflect.TypeFor[v3a714abProgress]()},
@@ -139,21 +138,21 @@
 	{replica.LeaderKey, reflect.TypeFor[replica.Leader](), reflect.TypeFor[v3a714abLeader]()},
 }
 
-// v01da0cfLayouts are those of 01da0cf, which stores what it knows of zones.
+// v01da0cfLayouts lists the layouts of version 01da0cf, the first that stores the state of zones.
 var v01da0cfLayouts = append(slices.Clip(v3a714abLayouts),
 	layout{replica.ZonesKey, reflect.TypeFor[zone.Record](), reflect.TypeFor[v01da0cfZones]()})
 
 var oldVersions = []oldVersion{
 	{"3a714ab", v3a714abLayouts},
-	// It stores gangs as all other jobs, and split lists as all other lists.
+	// This version stores gangs like all other jobs, and split machine lists like all other lists.
 	{"5fd93d5", v3a714abLayouts},
-	{"1f14824", v3a714abLayouts}, // the last without a standby
-	{"d052fb0", v3a714abLayouts}, // the last without a policy on zones
+	{"1f14824", v3a714abLayouts}, // the last version without a standby
+	{"d052fb0", v3a714abLayouts}, // the last version without a zone policy
 	{"01da0cf", v01da0cfLayouts},
-	{"d64cbaf", v01da0cfLayouts}, // the last before identifiers and messages were reworded
+	{"d64cbaf", v01da0cfLayouts}, // the last version before identifiers and messages were reworded
 }
 
-// layoutOf finds the layout of a key.
+// layoutOf returns the layout of the value stored under a key.
 func (v oldVersion) layoutOf(key string) (layout, bool) {
 	i := slices.IndexFunc(v.layouts, func(l layout) bool { return strings.HasPrefix(key, l.prefix) })
 	if i < 0 {
@@ -162,77 +161,79 @@
 	return v.layouts[i], true
 }
 
-// captured is what the version was seen to store (testdata/versions/capture), by the moment of the capture and by
-// key.
-func (v oldVersion) captured(t *testing.T) (moments map[string]map[string]wire.RawMessage) {
+// captured returns the values that testdata/versions/capture recorded in the state service while the version ran, by
+// the situation in which they were captured and by key.
+func (v oldVersion) captured(t *testing.T) (situations map[string]map[string]wire.RawMessage) {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "testdata", "versions", v.name, "stored.cbor"))
 	if err == nil {
-		err = wire.Unmarshal(b, &moments)
+		err = wire.Unmarshal(b, &situations)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return moments
+	return situations
 }
 
-// reencode encodes a value and decodes it as another type.
+// reencode encodes a value, decodes the result as another type, and returns the decoded value.
 func reencode(t *testing.T, v any, as reflect.Type) any {
 	t.Helper()
 	b, err := wire.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := reflect.New(as)
-	if err := wire.Unmarshal(b, out.Interface()); err != nil {
-		t.Fatalf("%v as %v: %v", reflect.TypeOf(v), as, err)
+	decoded := reflect.New(as)
+	if err := wire.Unmarshal(b, decoded.Interface()); err != nil {
+		t.Fatalf("decode encoded %v as %v: %v", reflect.TypeOf(v), as, err)
 	}
-	return out.Elem().Interface()
+	return decoded.Elem().Interface()
 }
 
-// TestReadsValuesOfOldVersions reads all that was captured from earlier versions. Their frozen layouts decode all of
-// it, and stored again by either version after the other it is the same.
+// TestReadsValuesOfOldVersions checks all values that were captured from earlier versions. The frozen layouts must
+// decode all fields of the values, and a value must stay the same when either version reads what the other has written
+// and writes it again.
 func TestReadsValuesOfOldVersions(t *testing.T) {
 	for _, v := range oldVersions {
 		t.Run(v.name, func(t *testing.T) {
 			checked := map[string]int{}
-			for moment, keys := range v.captured(t) {
+			for situation, keys := range v.captured(t) {
 				for key, value := range keys {
 					l, ok := v.layoutOf(key)
 					if !ok {
-						t.Errorf("%s: no layout for %s", moment, key)
+						t.Errorf("%s: no layout for key %s", situation, key)
 						continue
 					}
 					checked[l.prefix]++
-					l.checkStored(t, moment+", "+key, value)
+					l.checkStored(t, situation+", "+key, value)
 				}
 			}
 			for _, l := range v.layouts {
 				if checked[l.prefix] == 0 {
-					t.Errorf("nothing captured of %s", l.prefix)
+					t.Errorf("no value with key prefix %s was captured", l.prefix)
 				}
 			}
 		})
 	}
 }
 
-// checkStored checks one value that an earlier version stored.
-func (l layout) checkStored(t *testing.T, what string, value wire.RawMessage) {
+// checkStored checks one value that an earlier version stored. Failures are reported under the given name.
+func (l layout) checkStored(t *testing.T, name string, value wire.RawMessage) {
 	t.Helper()
-	now, old := reencode(t, value, l.now), reencode(t, value, l.old)
-	if got := reencode(t, now, l.old); !reflect.DeepEqual(got, old) {
-		t.Errorf("%s: rewritten here it is %+v, was %+v", what, got, old)
+	current, old := reencode(t, value, l.current), reencode(t, value, l.old)
+	if got := reencode(t, current, l.old); !reflect.DeepEqual(got, old) {
+		t.Errorf("%s: rewritten by this version: %+v, want %+v", name, got, old)
 	}
-	if got := reencode(t, old, l.now); !reflect.DeepEqual(got, now) {
-		t.Errorf("%s: rewritten by the earlier version it is %+v, was %+v", what, got, now)
+	if got := reencode(t, old, l.current); !reflect.DeepEqual(got, current) {
+		t.Errorf("%s: rewritten by the earlier version: %+v, want %+v", name, got, current)
 	}
-	anything := reflect.TypeFor[any]()
-	if got, want := reencode(t, old, anything), reencode(t, value, anything); !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the frozen layout decodes %+v of %+v", what, got, want)
+	untyped := reflect.TypeFor[any]()
+	if got, want := reencode(t, old, untyped), reencode(t, value, untyped); !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: decoded by the frozen layout: %+v, want %+v", name, got, want)
 	}
 }
 
-// fill gives every stored field of a value a content of its own.
+// fill sets every exported field of a value, recursively, to a non-zero value, different for each field where the type
+// allows that. n counts the values that were set.
 func fill(v reflect.Value, n *int) {
 	*n++
 	switch v.Kind() {
@@ -251,9 +252,9 @@
 		fill(v.Index(1), n)
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
-		e := reflect.New(v.Type().Elem()).Elem()
-		fill(e, n)
-		v.SetMapIndex(reflect.ValueOf(fmt.Sprint("k", *n)).Convert(v.Type().Key()), e)
+		element := reflect.New(v.Type().Elem()).Elem()
+		fill(element, n)
+		v.SetMapIndex(reflect.ValueOf(fmt.Sprint("k", *n)).Convert(v.Type().Key()), element)
 	case reflect.String:
 		v.SetString(fmt.Sprint("s", *n))
 	case reflect.Bool:
@@ -267,18 +268,18 @@
 	}
 }
 
-// TestOldVersionsPreserveFields has the frozen layout of each earlier version rewrite what this
-// version stores, with every field set. A new field that an earlier version drops fails
-// here: either it does not matter, then say why where it is declared and take it out of
-// the comparison, or it must wait until every node speaks the new version.
+// TestOldVersionsPreserveFields checks that every field that this version stores is kept when an earlier version, by
+// its frozen layout, reads the value and writes it again. The test fails for a new field that an earlier version drops.
+// If the loss does not matter, say why where the field is declared and exclude it from the comparison. Otherwise, the
+// field must not be stored until every node runs the new version.
 func TestOldVersionsPreserveFields(t *testing.T) {
 	for _, v := range oldVersions {
 		for _, l := range v.layouts {
 			n := 0
-			ours := reflect.New(l.now).Elem()
-			fill(ours, &n)
-			if got := reencode(t, reencode(t, ours.Interface(), l.old), l.now); !reflect.DeepEqual(got, ours.Interface()) {
-				t.Errorf("%s: rewritten by %s it is %+v, was %+v", l.prefix, v.name, got, ours.Interface())
+			stored := reflect.New(l.current).Elem()
+			fill(stored, &n)
+			if got := reencode(t, reencode(t, stored.Interface(), l.old), l.current); !reflect.DeepEqual(got, stored.Interface()) {
+				t.Errorf("%s: rewritten by %s: %+v, want %+v", l.prefix, v.name, got, stored.Interface())
 			}
 		}
 	}
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -12,13 +12,13 @@
 	"caperlatch/internal/wire"
 )
 
-// TestWritePriority has the end of a job, a machine that came up and many terminated machines
-// wait to be written: the many must not keep users from the ends of their jobs.
+// TestWritePriority checks the order of pending writes for a job that is done, a machine that came up and many
+// terminated machines. The many writes for the terminated machines must not delay the final states of users' jobs.
 func TestWritePriority(t *testing.T) {
 	l, _ := newTestLeader(t)
 	for i := range 40 {
-		b := l.fleet.AddIntent(fmt.Sprintf("r-0-%d", i), fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}})
-		m := l.fleet.Add(fmt.Sprintf("i-9%02d", i), b, l.startedAt)
+		intent := l.fleet.AddIntent(fmt.Sprintf("r-0-%d", i), fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true, Machines: []string{"i-x", "i-y"}})
+		m := l.fleet.Add(fmt.Sprintf("i-9%02d", i), intent, l.startedAt)
 		l.fleet.Remove(m)
 	}
 	l.writes.Enqueue(replica.AutoscalerKey)
@@ -31,27 +31,27 @@
 	l.writes.Enqueue(state.ProgressKey("j-000002", 0))
 	l.finishIfDone(j)
 	writes, more := l.writes.Collect()
-	// The autoscaler's record goes before progress: behind it, a busy leader's was never written, and
-	// the next one knew nothing of the quarantined jobs.
+	// The autoscaler's record is written before job progress. When it was written after progress, a busy leader never
+	// wrote it, and the next leader did not know the quarantined jobs.
 	if len(writes) < 3 || !more || writes[0].Key != replica.JobPrefix+"j-000001" || writes[1].Key != fleet.ListKey(0) || writes[2].Key != replica.AutoscalerKey {
-		t.Fatalf("written first: %+v", writes)
+		t.Fatalf("first writes %+v, more pending: %t; want the job, the machine list and the autoscaler's record first, and more pending", writes, more)
 	}
 	if writes, _ = l.writes.Collect(); len(writes) == 0 {
-		t.Error("nothing is written after them")
+		t.Error("no writes after the first ones, want those for the terminated machines")
 	}
 	for _, write := range writes {
 		if !strings.HasPrefix(write.Key, replica.LaunchIntentPrefix) {
-			t.Errorf("%s is written before terminated machines", write.Key)
+			t.Errorf("the second writes include %s, want only the launch intents of terminated machines", write.Key)
 		}
 	}
 }
 
-// TestDeleteLeftovers has writes carried out late, when what they were for is no longer needed: these keys
-// are deleted, and what is in use is not.
-func TestDeleteLeftovers(t *testing.T) {
+// TestDeleteOrphanedKeys checks that the keys of writes that the state service carried out after the keys were no
+// longer needed are deleted, and that keys in use are not.
+func TestDeleteOrphanedKeys(t *testing.T) {
 	l, _ := newTestLeader(t)
-	leftovers := []string{replica.LaunchIntentPrefix + "r-9", state.ProgressKey("j-000009", 0)}
-	for _, key := range append(leftovers, replica.LaunchIntentPrefix+"r-1", state.ProgressKey("j-000001", 0)) {
+	orphaned := []string{replica.LaunchIntentPrefix + "r-9", state.ProgressKey("j-000009", 0)}
+	for _, key := range append(orphaned, replica.LaunchIntentPrefix+"r-1", state.ProgressKey("j-000001", 0)) {
 		l.Replica.ApplyPut(key, map[string]any{}, 5)
 	}
 	l.deleteOrphanedKeys()
@@ -59,17 +59,18 @@
 	var deleted []string
 	for _, write := range writes {
 		if write.Value != nil || write.ModRevision != 5 {
-			t.Errorf("written: %+v", write)
+			t.Errorf("write %+v, want a deletion at mod revision 5", write)
 		}
 		deleted = append(deleted, write.Key)
 	}
-	if !slices.Equal(deleted, leftovers) {
-		t.Errorf("deleted %v, want %v", deleted, leftovers)
+	if !slices.Equal(deleted, orphaned) {
+		t.Errorf("deleted %v, want %v", deleted, orphaned)
 	}
 }
 
-// TestFinalStateKeepsCancellation guards against a rule once broken (went_back): a cancellation that the replica saw after the
-// leader had decided that the job is done must not be overwritten.
+// TestFinalStateKeepsCancellation checks that the final state of a job that the leader has found done does not
+// overwrite a cancellation that the replica received after that decision. This once happened, in violation of the
+// rule went_back.
 func TestFinalStateKeepsCancellation(t *testing.T) {
 	l, _ := newTestLeader(t)
 	j := l.jobs["j-000001"]
@@ -79,11 +80,11 @@
 	}
 	l.finishIfDone(j)
 	if writes, _ := l.writes.Collect(); len(writes) != 1 || writes[0].ModRevision != 1 {
-		t.Fatalf("the end is written as %+v, want under the mod revision decided on", writes)
+		t.Fatalf("writes %+v, want the final state at the mod revision at which the job was found done", writes)
 	}
 	l.writes.Enqueue(replica.JobPrefix + "j-000001")
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
 	if writes, _ := l.writes.Collect(); len(writes) != 0 {
-		t.Errorf("a cancelled job is written as %+v", writes)
+		t.Errorf("writes %+v after the job was cancelled, want none", writes)
 	}
 }
