--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -12,24 +12,24 @@
 	"caperlatch/internal/wire"
 )
 
-// benchFleets are the fleets of the benchmarks, in machines. What grows with the fleet shows
-// as the ratio of the two.
+// benchFleets lists the fleet sizes of the benchmarks, in machines. The ratio of the results for the two sizes shows
+// how the cost grows with the fleet.
 var benchFleets = []int{2050, 4100}
 
-// What waits in the benchmarks is much more than either fleet can take.
+// Waiting work of the benchmarks, which is much more than either fleet has room for.
 const (
 	benchJobs  = 1000
-	benchTasks = 100 // a job
+	benchTasks = 100 // per job
 )
 
-// benchEach runs a benchmark for each fleet.
+// benchEach runs a benchmark for each fleet size.
 func benchEach(b *testing.B, run func(b *testing.B, machines int)) {
 	for _, machines := range benchFleets {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) { run(b, machines) })
 	}
 }
 
-// benchSettings describe a deployment of the larger kind.
+// benchSettings returns the settings of a large deployment.
 func benchSettings() *settings.Settings {
 	return &settings.Settings{Params: settings.Params{
 		Teams:   []settings.Team{{Name: "blue"}, {Name: "red", GuaranteedCPUs: 500, MaxCPUs: 5000}},
@@ -41,15 +41,15 @@
 	}}
 }
 
-// benchReplica has the jobs and machines of a large fleet as they are stored.
+// benchReplica returns a replica of the stored jobs and machines of a large fleet.
 func benchReplica(machines int) *replica.Replica {
 	r := replica.New(nil)
 	for i := range benchJobs {
 		id := fmt.Sprintf("j-%06d", i+1)
-		s := &wire.Job{ID: id, Class: fmt.Sprintf("c%d", i%3), Team: []string{"blue", "red"}[i%2], Kind: wire.KindArray,
+		spec := &wire.Job{ID: id, Class: fmt.Sprintf("c%d", i%3), Team: []string{"blue", "red"}[i%2], Kind: wire.KindArray,
 			Priority: []wire.Priority{"normal", "urgent"}[i%2], Tasks: benchTasks, CPUs: 4, MemoryGB: 12, Image: fmt.Sprintf("img-%d", i%20),
 			ImageSizeGB: 2, EstimatedRuntimeS: float64(20 + i%50), AllowSpot: true}
-		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.WallTime(), Spec: s}, uint64(i+10))
+		r.ApplyPut(replica.JobPrefix+id, replica.Job{State: wire.JobPending, SubmittedAt: micros.WallTime(), Spec: spec}, uint64(i+10))
 	}
 	for i := range machines / 50 {
 		intent := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.WallTime() - 100*micros.Second}
@@ -62,10 +62,10 @@
 	return r
 }
 
-// benchMachine is the ID of a machine.
+// benchMachine returns the ID of the machine with the given index.
 func benchMachine(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// newBenchLeader makes a leader just after a failover.
+// newBenchLeader returns a leader that has just restored the stored state after a failover.
 func newBenchLeader(b *testing.B, r *replica.Replica) *Leader {
 	b.Helper()
 	now := micros.Now()
@@ -80,43 +80,44 @@
 	return l
 }
 
-// fillMachines has every machine send heartbeats until all run tasks, and returns the latest ones by machine.
+// fillMachines sends three heartbeats of every machine, after which all of them run tasks, and returns the latest
+// heartbeats by machine ID.
 func fillMachines(b *testing.B, l *Leader, machines int) map[string]*wire.Heartbeat {
 	b.Helper()
 	heartbeats := map[string]*wire.Heartbeat{}
 	for round := range 3 {
 		for i := range machines {
 			id := benchMachine(i)
-			r := heartbeats[id]
-			if r == nil {
-				r = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: testToken}
-				heartbeats[id] = r
+			h := heartbeats[id]
+			if h == nil {
+				h = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: testToken}
+				heartbeats[id] = h
 			}
 			if round == 2 && i == 0 {
 				l.scheduler.Plan(micros.Now())
 			}
 			l.scheduler.PlannedAt = micros.Now() + micros.Second
-			benchHeartbeat(b, l, r)
+			benchHeartbeat(b, l, h)
 		}
 	}
 	return heartbeats
 }
 
-// benchHeartbeat has a worker send its next heartbeat, and start the tasks that the response commands.
-func benchHeartbeat(b *testing.B, l *Leader, r *wire.Heartbeat) {
-	r.Sequence++
-	response, err := l.HandleHeartbeat(r)
+// benchHeartbeat sends a worker's next heartbeat, and adds the tasks that the response starts to the heartbeat.
+func benchHeartbeat(b *testing.B, l *Leader, h *wire.Heartbeat) {
+	h.Sequence++
+	response, err := l.HandleHeartbeat(h)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for _, c := range response.Commands {
 		if c.Verb == wire.VerbStart {
-			r.Tasks = append(r.Tasks, wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning})
+			h.Tasks = append(h.Tasks, wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning})
 		}
 	}
 }
 
-// BenchmarkFailover rebuilds a leader's state from what is stored.
+// BenchmarkFailover measures restoring a leader's state from the stored state.
 func BenchmarkFailover(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		r := benchReplica(machines)
@@ -127,7 +128,7 @@
 	})
 }
 
-// BenchmarkHeartbeat handles heartbeats of machines with tasks, without a plan.
+// BenchmarkHeartbeat measures handling a heartbeat of a machine with tasks, without planning.
 func BenchmarkHeartbeat(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
@@ -143,7 +144,7 @@
 	})
 }
 
-// BenchmarkPlan plans with each machine full but for a twentieth of them.
+// BenchmarkPlan measures planning while all machines are full except every twentieth, which is empty.
 func BenchmarkPlan(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
@@ -162,7 +163,7 @@
 	})
 }
 
-// BenchmarkMachineSupervision checks all machines once.
+// BenchmarkMachineSupervision measures one check of all machines.
 func BenchmarkMachineSupervision(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
@@ -175,12 +176,12 @@
 	})
 }
 
-// BenchmarkAutoscale sizes the fleet once, without launches and terminations.
+// BenchmarkAutoscale measures one run of the autoscaler without launches and terminations.
 func BenchmarkAutoscale(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
 		fillMachines(b, l, machines)
-		l.Term.(*fakeTerm).exclusive = false // launch nothing
+		l.Term.(*fakeTerm).exclusive = false // no launches
 		l.Term.(*fakeTerm).holdsSession = false
 		b.ResetTimer()
 		b.ReportAllocs()
@@ -190,7 +191,7 @@
 	})
 }
 
-// BenchmarkTaskCounts reads the counts of all jobs' tasks.
+// BenchmarkTaskCounts measures reading the task counts of all jobs.
 func BenchmarkTaskCounts(b *testing.B) {
 	benchEach(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
--- a/internal/leader/boots_test.go
+++ b/internal/leader/boots_test.go
@@ -8,28 +8,29 @@
 	"caperlatch/internal/micros"
 )
 
-// TestLateBoots has machines come up late or never. One that is late alone is replaced, and terminated in the
-// end; when most are late there is no second fleet beside the first. It goes through the leader's check of all
-// machines, which also terminates those that did not boot.
+// TestLateBoots checks what happens to machines that boot late or never. A machine that is late while others are not
+// counts as overdue, so it is replaced, and is terminated in the end. If most machines are late, they are not replaced:
+// the replacements would be a second fleet beside the first. The test uses superviseMachines, which also terminates the
+// machines that did not boot.
 func TestLateBoots(t *testing.T) {
 	const s = micros.Second
 	cases := []struct {
 		name                string
-		running             int // of ten launched together
-		age                 micros.Micros
-		cameUp, failed      int // late ones before
-		newer               int // launched 20 s later, and running; less than 0: and late
+		running             int           // running machines among ten that were launched together
+		age                 micros.Micros // time since the launch of the ten
+		cameUp, failed      int           // earlier late boots, by outcome
+		newer               int           // machines launched 20 s later, all running, or all late if negative
 		overdue, terminated bool
 	}{
 		{"in time", 0, 30 * s, 0, 0, 0, false, false},
-		{"late alone", 9, 40 * s, 0, 0, 0, true, false},
-		{"late with most", 2, 40 * s, 0, 0, 0, false, false},
-		{"late with most for long", 2, 85 * s, 0, 0, 0, false, false},
-		{"late with most, and so are newer ones", 2, 60 * s, 0, 0, -3, false, false},
-		{"late with most for too long", 2, 95 * s, 0, 0, 0, false, true},
-		{"late with most, but newer ones are running", 2, 60 * s, 0, 0, 9, true, false},
-		{"late alone, where late ones came up", 9, 60 * s, 1, 0, 0, true, false},
-		{"late alone, where they never did", 9, 60 * s, 0, 2, 0, true, true},
+		{"the only late machine", 9, 40 * s, 0, 0, 0, true, false},
+		{"most are late", 2, 40 * s, 0, 0, 0, false, false},
+		{"most are late, just before the timeout", 2, 85 * s, 0, 0, 0, false, false},
+		{"most are late, and so are newer machines", 2, 60 * s, 0, 0, -3, false, false},
+		{"most are late, after the timeout", 2, 95 * s, 0, 0, 0, false, true},
+		{"most are late, but newer machines are running", 2, 60 * s, 0, 0, 9, true, false},
+		{"the only late machine, and earlier late boots succeeded", 9, 60 * s, 1, 0, 0, true, false},
+		{"the only late machine, and earlier late boots failed", 9, 60 * s, 0, 2, 0, true, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,19 +61,19 @@
 			l.superviseMachines(now)
 			m := l.fleet.Machines["i-109"]
 			sample := 0
-			for _, o := range l.fleet.Sorted {
-				if o.Instance.Terminating && o.Instance.LateWithCohort && o != m {
+			for _, other := range l.fleet.Sorted {
+				if other.Instance.Terminating && other.Instance.LateWithCohort && other != m {
 					sample++
 				}
 			}
 			if want := c.age > 50*s && m.Instance.LateWithCohort && !c.terminated; (sample == 1) != want {
-				t.Errorf("%d replaced to see whether others boot sooner", sample)
+				t.Errorf("%d machines replaced to test whether others boot sooner, want one: %v", sample, want)
 			}
 			if got := l.fleet.IsOverdue(m, now); got != c.overdue {
-				t.Errorf("overdue %v, want %v", got, c.overdue)
+				t.Errorf("overdue: %v, want %v", got, c.overdue)
 			}
 			if m.Instance.Terminating != c.terminated {
-				t.Errorf("terminated %v, want %v", m.Instance.Terminating, c.terminated)
+				t.Errorf("terminated: %v, want %v", m.Instance.Terminating, c.terminated)
 			}
 		})
 	}
--- a/internal/leader/quarantine_test.go
+++ b/internal/leader/quarantine_test.go
@@ -10,19 +10,20 @@
 	"caperlatch/internal/wire"
 )
 
-// TestRunningTaskEndsQuarantine has a good job fail on three faulty machines in its first second: it does not
-// stay in quarantine for long, as a heartbeat shows its other tasks to run on.
+// TestRunningTaskEndsQuarantine checks that a job without fault does not stay quarantined for long after its tasks have
+// failed on three faulty machines in its first second. It leaves the quarantine once a heartbeat shows that another of
+// its tasks has run for more than 3 s plus twice the longest run time of a failed task.
 func TestRunningTaskEndsQuarantine(t *testing.T) {
 	const s = micros.Second
 	for _, c := range []struct {
 		name        string
-		failureTook micros.Micros
-		heartbeatAt micros.Micros // of the machine of a running task, since that began
+		failureTook micros.Micros // longest run time of a failed task
+		heartbeatAt micros.Micros // time of the latest heartbeat of the running task's machine, since the task began to run
 		quarantined bool
 	}{
-		{"no heartbeat since", 0, s, true},
-		{"it runs on", 0, 4 * s, false},
-		{"it runs no longer than what failed", 10 * s, 15 * s, true},
+		{"no new heartbeat", 0, s, true},
+		{"the task still runs", 0, 4 * s, false},
+		{"the task has run for less than twice as long as a failed task", 10 * s, 15 * s, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, _ := newTestLeader(t)
@@ -35,12 +36,12 @@
 				l.quarantine.AttributeFailure(l.fleet.Add(fmt.Sprintf("i-%d", i), l.fleet.Intent("r-1"), now), j, now)
 			}
 			if !j.Failures.Quarantined {
-				t.Fatal("not quarantined")
+				t.Fatal("the job is not quarantined after failures on three machines")
 			}
 			l.fleet.Machines["i-1"].Heartbeat.ReceivedAt = now + c.heartbeatAt
 			l.scheduler.Plan(now + c.heartbeatAt)
 			if j.Failures.Quarantined != c.quarantined {
-				t.Errorf("quarantined %v, want %v", j.Failures.Quarantined, c.quarantined)
+				t.Errorf("quarantined: %v, want %v", j.Failures.Quarantined, c.quarantined)
 			}
 		})
 	}
--- a/internal/leader/task_counts_test.go
+++ b/internal/leader/task_counts_test.go
@@ -10,8 +10,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestTaskCountsOfLargeFleet has 16,000 jobs run, as single tasks on 4,000 machines do: the
-// counts of all go to the other nodes, in one message. Beyond 2,000 they were left out.
+// TestTaskCountsOfLargeFleet checks that the task counts of 16,000 running jobs are all published to the other nodes
+// and fit into one message. Single-task jobs on 4,000 machines can be that many. The counts of jobs beyond the first
+// 2,000 were once left out.
 func TestTaskCountsOfLargeFleet(t *testing.T) {
 	const jobs, messageBytes = 16000, 1 << 20
 	l, _ := newTestLeader(t)
@@ -27,6 +28,6 @@
 		t.Fatal(err)
 	}
 	if len(counts) != jobs || len(message) > messageBytes {
-		t.Errorf("%d of %d jobs are counted, in %d bytes", len(counts), jobs, len(message))
+		t.Errorf("counts of %d of %d jobs in a message of %d bytes, want all jobs in at most 1 MiB", len(counts), jobs, len(message))
 	}
 }
--- a/internal/leader/queue_test.go
+++ b/internal/leader/team_usage_test.go
@@ -6,14 +6,15 @@
 	"caperlatch/internal/leader/state"
 )
 
-// TestWorstCaseTeamUse counts what machines with unknown tasks could hold.
-func TestWorstCaseTeamUse(t *testing.T) {
+// TestWorstCaseTeamUsage checks that the worst-case usage of a team includes the capacity of machines with unknown
+// tasks.
+func TestWorstCaseTeamUsage(t *testing.T) {
 	l, _ := newTestLeader(t)
 	if teams, unknown := l.worstCaseTeamUsage(), l.findMachinesWithUnknownTasks().count; unknown != 1 || teams["blue"].Used.CPU != 4000 {
-		t.Errorf("%d machines with unknown tasks, used %+v; want all 4 CPUs of the one machine", unknown, teams["blue"].Used)
+		t.Errorf("%d machines with unknown tasks, team usage %+v; want 1 machine and all of its 4 CPUs", unknown, teams["blue"].Used)
 	}
 	l.fleet.Machines["i-1"].Reconciliation.Knowledge = state.TasksConfirmed
 	if teams := l.worstCaseTeamUsage(); teams["blue"].Used.CPU != 0 {
-		t.Errorf("used %+v with nothing running", teams["blue"].Used)
+		t.Errorf("team usage %+v while no task runs, want none", teams["blue"].Used)
 	}
 }
--- a/internal/leader/zone_cutoff_test.go
+++ b/internal/leader/zone_cutoff_test.go
@@ -9,9 +9,9 @@
 	"caperlatch/internal/zone"
 )
 
-// TestZoneCutOff counts silent machines of a zone, which are terminated in the end. While a zone is cut off
-// nothing is launched in it; once its machines are terminated, none of them can show that it is not cut off
-// any more.
+// TestZoneCutOff checks when a zone counts as cut off because its machines are silent. While it does, nothing is
+// launched in it. Once its silent machines have been terminated, it no longer counts as cut off, because no machine is
+// left that could show that it is reachable again.
 func TestZoneCutOff(t *testing.T) {
 	steps := []struct {
 		name     string
@@ -19,11 +19,11 @@
 		silent   bool
 		cutOff   bool
 	}{
-		{"none silent", 4, false, false},
-		{"all silent", 4, true, true},
-		{"too few to tell", 2, true, false},
-		{"all silent again", 4, true, true},
-		{"all terminated", 0, true, false},
+		{"no machine is silent", 4, false, false},
+		{"all machines are silent", 4, true, true},
+		{"too few machines to tell", 2, true, false},
+		{"all machines are silent again", 4, true, true},
+		{"all machines are terminated", 0, true, false},
 	}
 	l, _ := newTestLeader(t)
 	intent := l.fleet.Intent("r-1")
@@ -39,13 +39,13 @@
 			}
 		}
 		l.zones.Observe(now)
-		// All of the only zone is most of the network, too.
+		// The leader has machines only in this zone, so most of the whole network is silent as well.
 		want := zone.Decision{MaxMachines: zone.Unlimited, Reachable: true, OpenShare: 1}
 		if s.cutOff {
 			want = zone.Decision{RetainSilentMachines: true, OpenShare: 1}
 		}
 		if got := l.zones.Policy.Decide("a"); got != want {
-			t.Errorf("%s: %+v, want %+v", s.name, got, want)
+			t.Errorf("%s: decision %+v, want %+v", s.name, got, want)
 		}
 	}
 }
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -14,14 +14,14 @@
 	"caperlatch/internal/zone"
 )
 
-// newZonesTest makes a leader with the lifecycle policy over two zones of ten machines that have just sent a
-// heartbeat.
+// newZonesTest returns a leader with the lifecycle policy and two zones, a and b, of ten machines each, which sent
+// their latest heartbeat at the returned time.
 func newZonesTest(t *testing.T) (l *Leader, now micros.Micros) {
 	t.Helper()
 	l, term := newTestLeader(t)
-	c := zone.DefaultConfig(l.heartbeatInterval)
-	c.ConfirmationTime = 0
-	l.zones.Policy = zone.NewLifecyclePolicy(c)
+	config := zone.DefaultConfig(l.heartbeatInterval)
+	config.ConfirmationTime = 0
+	l.zones.Policy = zone.NewLifecyclePolicy(config)
 	l.scaler.ZonePolicy = l.zones.Policy
 	l.setInstanceTypes(wire.InstanceTypeList{Types: []wire.InstanceType{{Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}})
 	l.fleet.Sorted, l.fleet.Machines = nil, map[string]*state.Machine{}
@@ -35,7 +35,7 @@
 	return l, now
 }
 
-// loseZone has the machines of zone b be silent for long enough that it is lost.
+// loseZone makes the machines of zone b silent for so long that the zone is lost.
 func loseZone(l *Leader, now micros.Micros) {
 	const silence = 6 * micros.Second
 	for _, m := range l.fleet.Sorted[10:] {
@@ -46,11 +46,11 @@
 	}
 }
 
-// TestZoneReturn has heartbeats of a machine arrive after its zone was lost. What it made before the cut is no
-// evidence of a return.
+// TestZoneReturn checks which heartbeats of a machine are evidence that its lost zone has returned. Heartbeats that the
+// worker sent before the zone was cut off are not.
 func TestZoneReturn(t *testing.T) {
 	type arrival struct {
-		afterS       float64
+		afterS       float64 // seconds since the previous arrival
 		incarnation  uint64
 		sequence     uint64
 		fencingToken uint64
@@ -60,15 +60,16 @@
 		arrivals []arrival
 		returned bool
 	}{
-		{"nothing", nil, false},
-		{"a copy of the last", []arrival{{1, 1, 100, testToken}}, false},
-		{"one that was on its way", []arrival{{1, 1, 101, testToken}}, false},
-		{"two that were held back", []arrival{{1, 1, 101, testToken}, {0, 1, 102, testToken}}, true}, // its worker gave up the first
-		{"a later one", []arrival{{1, 1, 103, testToken}}, true},
+		{"no heartbeat", nil, false},
+		{"a duplicate of the latest heartbeat", []arrival{{1, 1, 100, testToken}}, false},
+		{"a heartbeat that was in flight", []arrival{{1, 1, 101, testToken}}, false},
+		// The worker gave up the first heartbeat before it sent the second.
+		{"two that arrive at once", []arrival{{1, 1, 101, testToken}, {0, 1, 102, testToken}}, true},
+		{"a skipped sequence number", []arrival{{1, 1, 103, testToken}}, true},
 		{"a later incarnation", []arrival{{1, 2, 105, testToken}}, true},
-		{"two in the usual time", []arrival{{1, 1, 101, testToken}, {2, 1, 102, testToken}}, true},
-		{"of a lower fencing token", []arrival{{1, 1, 103, testToken - 1}}, false},
-		{"of an earlier incarnation", []arrival{{1, 0, 300, testToken}}, false},
+		{"two at the usual interval", []arrival{{1, 1, 101, testToken}, {2, 1, 102, testToken}}, true},
+		{"a lower fencing token", []arrival{{1, 1, 103, testToken - 1}}, false},
+		{"an earlier incarnation", []arrival{{1, 0, 300, testToken}}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,13 +85,13 @@
 				}
 			}
 			if m.ZoneReturn.Returned != c.returned {
-				t.Errorf("returned is %v", m.ZoneReturn.Returned)
+				t.Errorf("returned: %v, want %v", m.ZoneReturn.Returned, c.returned)
 			}
 		})
 	}
 }
 
-// TestDisplacedTasks has tasks be lost with a zone, and start again: what is shown of them.
+// TestDisplacedTasks checks the job explanation and the zone status when tasks are lost with a zone and start again.
 func TestDisplacedTasks(t *testing.T) {
 	l, now := newZonesTest(t)
 	j := l.jobs["j-000001"]
@@ -100,36 +101,36 @@
 	}
 	loseZone(l, now)
 	if e, _ := l.Explain("j-000001"); len(e.Reasons) != 1 || !strings.Contains(e.Reasons[0], "3 of its tasks are in zone b, which is lost") {
-		t.Errorf("reasons: %q", e.Reasons)
+		t.Errorf("reasons %q, want one that 3 tasks are in zone b, which is lost", e.Reasons)
 	}
-	for task, to := range []*state.Machine{l.fleet.Sorted[0], l.fleet.Sorted[19]} {
+	for task, target := range []*state.Machine{l.fleet.Sorted[0], l.fleet.Sorted[19]} {
 		l.releaseAll(l.fleet.Sorted[10+task], "its lease ended")
-		l.assign(&state.Attempt{Job: j, Index: task, Number: 2, Machine: to, StartSequence: 100})
+		l.assign(&state.Attempt{Job: j, Index: task, Number: 2, Machine: target, StartSequence: 100})
 	}
 	s, class := l.ZoneStatus()[1], j.Spec.Class
 	if w := s.Work; s.Zone != "b" || w.Displaced[class] != 2 || w.Moved[class] != 1 || w.Restarted[class] != 1 || w.LeasedTasks != 2 || w.LeasedMachines != 2 || w.ClosedMachines != 10 || w.ReplacedMachines != 5 {
-		t.Errorf("%+v", s)
+		t.Errorf("status of the second zone: %+v, want zone b with 2 tasks displaced, 1 moved and 1 restarted, 2 leased tasks on 2 machines, 10 machines closed and 5 replaced", s)
 	}
 }
 
-// TestReportedZone has a worker name another zone than its launch: that of the launch counts, and one line
-// is logged.
+// TestReportedZone checks that the zone of a machine's launch is used if its worker reports a different one, and that
+// one event is logged.
 func TestReportedZone(t *testing.T) {
 	l, now := newZonesTest(t)
 	m := l.fleet.Sorted[0]
 	m.Instance.FirstHeartbeatAt = 0
-	for seq := uint64(101); seq < 104; seq++ {
-		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.ID, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: seq, FencingToken: testToken}, now)
+	for sequence := uint64(101); sequence < 104; sequence++ {
+		l.recordHeartbeat(m, &wire.Heartbeat{MachineID: m.ID, InstanceType: "m4", Zone: "c", Incarnation: 1, Sequence: sequence, FencingToken: testToken}, now)
 	}
 	events := l.events.Counts()
-	logged := slices.DeleteFunc(slices.Collect(maps.Keys(events)), func(line string) bool { return !strings.Contains(line, "launched in a") })
+	logged := slices.DeleteFunc(slices.Collect(maps.Keys(events)), func(event string) bool { return !strings.Contains(event, "launched in a") })
 	if len(logged) != 1 || events[logged[0]] != 1 || m.Offering.Zone != "a" {
-		t.Errorf("logged %q, the machine is in zone %s", logged, m.Offering.Zone)
+		t.Errorf("logged %q, want one event once; the machine is in zone %s, want a", logged, m.Offering.Zone)
 	}
 }
 
-// TestHeartbeatLate has a machine be late once its heartbeat is overdue by a quarter of the interval and a
-// second; before this term saw one, that counts from the term's start.
+// TestHeartbeatLate checks that a machine's heartbeat is late if it is overdue by more than a quarter of the interval
+// plus one second. Before the first heartbeat of a term, this is counted from the start of the term.
 func TestHeartbeatLate(t *testing.T) {
 	l, _ := newTestLeader(t)
 	m, now := l.fleet.Machines["i-1"], l.startedAt+100*micros.Second
@@ -138,15 +139,15 @@
 		silence micros.Micros
 		late    bool
 	}{
-		{"just sent", 0, false},
-		{"not overdue yet", 3500 * micros.Millisecond, false},
-		{"overdue", 3500*micros.Millisecond + 1, true},
+		{"no silence", 0, false},
+		{"not late yet", 3500 * micros.Millisecond, false},
+		{"late", 3500*micros.Millisecond + 1, true},
 	} {
 		if m.Heartbeat.ReceivedAt = now - c.silence; l.liveness.IsHeartbeatLate(m, now) != c.late {
-			t.Errorf("%s: late %v, want %v", c.name, !c.late, c.late)
+			t.Errorf("%s: late: %v, want %v", c.name, !c.late, c.late)
 		}
 		if m.Heartbeat.ReceivedAt = 0; l.liveness.IsHeartbeatLate(m, l.startedAt+c.silence) != c.late {
-			t.Errorf("%s, since the term started: late %v, want %v", c.name, !c.late, c.late)
+			t.Errorf("%s, since the start of the term: late: %v, want %v", c.name, !c.late, c.late)
 		}
 	}
 }
