--- a/internal/leader/gang_heartbeat_test.go
+++ b/internal/leader/gang_heartbeat_test.go
@@ -39,7 +39,7 @@
 		{"the others run before the start of the replacement is sent", wire.TaskWaitingForGang, false, append(slices.Clone(moved),
 			step{nil, "i-1", gangStatuses{here.running()}, []string{"stop"}},
 			step{nil, "i-4", nil, nil})},
-		{"one is evicted while all wait, and then another is listed as running", wire.TaskWaitingForGang, false, []step{
+		{"a task is evicted while all wait, and then another is listed as running", wire.TaskWaitingForGang, false, []step{
 			{func(l *Leader) { evictGangTask(l, "i-2") }, "i-1", gangStatuses{here.running()}, []string{"stop"}},
 			{nil, "i-3", gangStatuses{here.running()}, []string{"stop"}},
 			{nil, "i-2", gangStatuses{here.checkpointing()}, []string{"stop"}}}},
@@ -60,7 +60,7 @@
 			step{nil, "i-1", nil, nil},
 			step{nil, "i-3", nil, nil},
 			step{nil, "i-4", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear", "start"}})},
-		{"one exits because its gang lost a task, before any is listed as running", wire.TaskWaitingForGang, false, []step{
+		{"a task exits because its gang lost a task, before any is listed as running", wire.TaskWaitingForGang, false, []step{
 			{nil, "i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{here.waiting()}, []string{"stop"}}}},
 		{"the gang loses a task, and one that still runs exits", wire.TaskRunning, false, []step{
@@ -70,19 +70,19 @@
 			{nil, "i-3", nil, nil}}},
 		// In the following cases, a new leader receives heartbeats that list tasks that have exited before those that
 		// list the remaining tasks.
-		{"one has exited because its gang lost a task, then another is listed as running", "", true, []step{
+		{"a task has exited because its gang lost a task, then another is listed as running", "", true, []step{
 			{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitGangTaskLost).ofAttempt(5)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}}}},
-		{"one has given up waiting, then another is listed as waiting", "", true, []step{
+		{"a task has given up waiting, then another is listed as waiting", "", true, []step{
 			{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitGangTimeout).ofAttempt(5)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{gangTask(0).waiting().ofAttempt(5)}, []string{"stop"}}}},
-		{"one task is on no machine, which is known once the tasks of all machines are", "", true, []step{
+		{"a task is on no machine, which is known once the tasks of all machines are", "", true, []step{
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil},
 			{nil, "i-2", gangStatuses{gangTask(1).running().ofAttempt(5)}, nil},
 			{func(l *Leader) { l.gangs.Check(micros.Now()) }, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, nil},
 			{nil, "i-3", nil, nil},
 			{func(l *Leader) { l.gangs.Check(micros.Now()) }, "i-1", gangStatuses{gangTask(0).running().ofAttempt(5)}, []string{"stop"}}}},
-		{"one of an earlier attempt has exited because its gang lost a task", "", true, []step{
+		{"a task of an earlier attempt has exited because its gang lost a task", "", true, []step{
 			{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitGangTaskLost).ofAttempt(5)}, []string{"clear"}},
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(6)}, nil},
 			{nil, "i-3", gangStatuses{gangTask(2).running().ofAttempt(5)}, []string{"stop"}},
--- a/internal/leader/gang_loss_test.go
+++ b/internal/leader/gang_loss_test.go
@@ -35,7 +35,7 @@
 	cases := []struct {
 		name  string
 		event func(t *testing.T, l *Leader, m *state.Machine)
-		gone  bool
+		gone  bool // the event proves that the task has left the machine
 	}{
 		{"the machine is silent for 10 s", silent(10), false},
 		{"the machine is silent for as long as its lease", silent(16), false},
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -137,10 +137,10 @@
 	}
 	for _, c := range cases {
 		l, _ := newTestLeader(t)
-		for i, r := range []*wire.Heartbeat{heartbeat(1, testToken), heartbeat(2, testToken, c.tasks...), heartbeat(3, testToken, c.tasks...), heartbeat(4, testToken)} {
+		for i, h := range []*wire.Heartbeat{heartbeat(1, testToken), heartbeat(2, testToken, c.tasks...), heartbeat(3, testToken, c.tasks...), heartbeat(4, testToken)} {
 			l.scheduler.RequestPlan()
 			l.scheduler.PlannedAt = 0
-			if _, err := l.HandleHeartbeat(r); err != nil {
+			if _, err := l.HandleHeartbeat(h); err != nil {
 				t.Errorf("%s: heartbeat %d: unexpected error: %v", c.name, i, err)
 			}
 		}
