--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,10 +1,10 @@
-// Package golden is test support: it compares what is encoded, stored and printed with golden
-// files under testdata, byte for byte.
+// Package golden supports tests that compare encoded, stored or printed output with golden files in testdata, byte for
+// byte.
 //
-// It owns the form of the golden files, and how a value is filled so that every field shows. The
-// files hold no Go names, but where these are seen outside, as in errors of decoding, so that a
-// type or field may be renamed without a change of its encoding. It must import no other package
-// of caperlatch, so that each of them may use it.
+// It owns the format of the golden files, and the generation of values in which every field is set. Golden files
+// contain Go names only where these are visible outside the process, as in decoding errors, so that types and fields
+// can be renamed without changing their encoding. It must not import any other package of caperlatch, so that all of
+// them can use it.
 package golden
 
 import (
@@ -20,21 +20,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// UpdateEnvVar names the environment variable that has Check write the golden files. A test
-// that does so fails, so that no run with it passes.
+// UpdateEnvVar is the environment variable that makes Check write the golden files. The test then fails, so that no
+// test run passes while it writes files.
 const UpdateEnvVar = "CAPERLATCH_GOLDEN_UPDATE"
 
-// Section is a part of a golden file.
+// Section is a named part of a golden file.
 type Section struct {
-	Name string // in the file; not a Go name
+	Name string // name in the file, which does not depend on Go names
 	Text string
 }
 
-// sectionMark begins the line with the name of a section.
-const sectionMark = "== "
+// sectionPrefix begins the line that contains the name of a section.
+const sectionPrefix = "== "
 
-// Check compares sections with those of a file in the test's directory testdata, and reports each
-// one that differs as an error of the test.
+// Check compares sections with those of a golden file in the directory testdata of the test, and reports each section
+// that differs as a test error.
 func Check(t *testing.T, file string, sections []Section) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -50,46 +50,46 @@
 		return
 	}
 	want := map[string]string{}
-	for part := range strings.SplitSeq("\n"+string(content), "\n"+sectionMark) {
+	for part := range strings.SplitSeq("\n"+string(content), "\n"+sectionPrefix) {
 		name, wantText, _ := strings.Cut(part, "\n")
 		want[name] = strings.TrimSuffix(wantText, "\n")
 	}
 	for _, s := range sections {
-		if wantText, known := want[s.Name]; !known || wantText != s.Text {
+		if wantText, found := want[s.Name]; !found || wantText != s.Text {
 			t.Errorf("%s, %s: got\n%s\nwant\n%s", path, s.Name, s.Text, wantText)
 		}
 	}
 	if !t.Failed() {
-		t.Errorf("%s has other sections, or has them in another order", path)
+		t.Errorf("%s contains additional sections, or the sections in a different order", path)
 	}
 }
 
-// writeGolden writes a golden file, and has the test fail.
+// writeGolden writes a golden file and makes the test fail.
 func writeGolden(t *testing.T, path string, sections []Section) {
 	t.Helper()
 	err := os.MkdirAll(filepath.Dir(path), 0o755)
 	if err == nil {
 		err = os.WriteFile(path, []byte(fileContent(sections)), 0o644)
 	}
-	t.Errorf("%s was written, as %s is set: run the test without it (%v)", path, UpdateEnvVar, err)
+	t.Errorf("wrote %s because %s is set (error %v): run the test without it", path, UpdateEnvVar, err)
 }
 
-// fileContent returns the content of a golden file.
+// fileContent returns the content of a golden file with the given sections.
 func fileContent(sections []Section) string {
 	var b strings.Builder
 	for _, s := range sections {
-		fmt.Fprintf(&b, "%s%s\n%s\n", sectionMark, s.Name, s.Text)
+		fmt.Fprintf(&b, "%s%s\n%s\n", sectionPrefix, s.Name, s.Text)
 	}
 	return b.String()
 }
 
-// Type is a type whose values are encoded.
+// Type is a Go type whose encoding is checked.
 type Type struct {
-	name   string // in golden files
+	name   string // name in golden files
 	goType reflect.Type
 }
 
-// TypeOf returns the type T with its name in golden files.
+// TypeOf returns the type T with the given name in golden files.
 func TypeOf[T any](name string) Type { return Type{name, reflect.TypeFor[T]()} }
 
 // Codec is an encoding of values.
@@ -98,9 +98,9 @@
 	Decode func(b []byte, v any) error
 }
 
-// CheckEncoded compares the encodings of values of these types, by codec, which is of CBOR, and as
-// JSON, with those of a golden file: of a value with nothing set, and of one with every field set
-// to a value of its own. It checks that both are decoded to the same again.
+// CheckEncoded compares the encodings of values of the given types with those in a golden file, as CBOR by the codec
+// and as JSON. For each type it encodes the zero value, and a value with every field set to a distinct value. It also
+// checks that the CBOR encoding of both is decoded without loss.
 func CheckEncoded(t *testing.T, file string, codec Codec, types ...Type) {
 	t.Helper()
 	var sections []Section
@@ -110,7 +110,7 @@
 	Check(t, file, sections)
 }
 
-// encoded returns the text of a type's section.
+// encoded returns the text of the section for a type.
 func (typ Type) encoded(t *testing.T, codec Codec) string {
 	t.Helper()
 	var b strings.Builder
@@ -133,8 +133,8 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// checkDecoded checks that an encoded value, decoded and encoded again, gives the same bytes, and
-// that the decoded value equals the original one if anything is set in that.
+// checkDecoded checks that an encoded value, decoded and encoded again, gives the same bytes. It also checks that the
+// decoded value equals the original value, unless that is the zero value.
 func (typ Type) checkDecoded(t *testing.T, codec Codec, encoded []byte, original reflect.Value) {
 	t.Helper()
 	decoded := reflect.New(typ.goType)
@@ -144,25 +144,25 @@
 	}
 	again, err := codec.Encode(decoded.Elem().Interface())
 	if err != nil || !bytes.Equal(again, encoded) || !original.IsZero() && !reflect.DeepEqual(decoded.Elem().Interface(), original.Interface()) {
-		t.Errorf("%s: decoded %+v, want %+v (%v)", typ.name, decoded.Elem(), original, err)
+		t.Errorf("%s: decoded %+v, want %+v and the same bytes when encoded again (error %v)", typ.name, decoded.Elem(), original, err)
 	}
 }
 
-// Filled returns a value of a type with each exported field set to a value of its own, in the
-// order of the fields; booleans are all true. Slices get two elements and maps one. A field that
-// is not encoded, by the tag json:"-", stays unset.
+// Filled returns a value of a type in which each exported field is set to a distinct value, in the order of the fields.
+// Booleans are all true, slices have two elements and maps have one. A field that is excluded from the encoding by the
+// tag json:"-" stays unset.
 func Filled(goType reflect.Type) reflect.Value {
 	v, count := reflect.New(goType).Elem(), 0
 	fill(v, &count)
 	return v
 }
 
-// fill sets all within a value. It counts the values that it sets and makes each from the count,
-// so that moving fields to an embedded struct changes none of them.
+// fill sets all fields and elements of a value, recursively. It counts the values that it sets and derives each value
+// from the count, so that moving fields to an embedded struct does not change the values.
 func fill(v reflect.Value, count *int) {
 	if v.Type() == reflect.TypeFor[cbor.RawMessage]() {
 		*count++
-		v.SetBytes([]byte{0x62, 'r', 'a' + byte(*count%26)}) // CBOR of a text of two letters
+		v.SetBytes([]byte{0x62, 'r', 'a' + byte(*count%26)}) // CBOR encoding of a string of two letters
 		return
 	}
 	switch v.Kind() {
@@ -191,12 +191,12 @@
 		v.SetMapIndex(key, element)
 	default:
 		*count++
-		fillLeaf(v, *count)
+		fillScalar(v, *count)
 	}
 }
 
-// fillLeaf sets a value that holds no others to one made from a number.
-func fillLeaf(v reflect.Value, number int) {
+// fillScalar sets a value of a scalar or interface type to a value derived from a number.
+func fillScalar(v reflect.Value, number int) {
 	switch v.Kind() {
 	case reflect.String:
 		v.SetString(fmt.Sprint("s", number))
@@ -211,19 +211,19 @@
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		v.SetInt(int64(number))
 	default:
-		panic(fmt.Sprintf("no value for a %v", v.Type()))
+		panic(fmt.Sprintf("golden: cannot generate a value of type %v", v.Type()))
 	}
 }
 
-// FormatValues lists all values within v, one a line, in the order of the fields. It is for what is
-// encoded without names; Go names are left out.
+// FormatValues lists all values in v, recursively, one per line and in the order of the fields. It is used for values
+// that have no encoding with names, and omits Go names.
 func FormatValues(v any) string {
 	var b strings.Builder
 	listValues(&b, reflect.ValueOf(v))
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// listValues writes the values within v.
+// listValues writes all values in v to b, recursively.
 func listValues(b *strings.Builder, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -252,6 +252,6 @@
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
 		fmt.Fprintln(b, v.Int())
 	default:
-		panic(fmt.Sprintf("no text for a %v", v.Type()))
+		panic(fmt.Sprintf("golden: cannot format a value of type %v", v.Type()))
 	}
 }
--- a/internal/golden/tags.go
+++ b/internal/golden/tags.go
@@ -7,25 +7,25 @@
 	"testing"
 )
 
-// CheckTags reports exported fields that are not named by a tag of this key, in these types and
-// all types within them, as errors of the test: such a field would be encoded by its Go name.
+// CheckTags checks that every exported field of the given types, and of all types nested in them, is named by a struct
+// tag with the given key. A field without a name in its tag would be encoded under its Go name.
 func CheckTags(t *testing.T, key string, types ...Type) {
 	t.Helper()
 	for _, typ := range types {
-		for _, field := range untagged(typ.goType, key, map[reflect.Type]bool{}) {
-			t.Errorf("%s: %s has no name in a tag %s", typ.name, field, key)
+		for _, field := range untaggedFields(typ.goType, key, map[reflect.Type]bool{}) {
+			t.Errorf("%s: field %s has no name in a struct tag %s", typ.name, field, key)
 		}
 	}
 }
 
-// untagged returns the fields without a name in the structs within a type; seen holds the structs
-// that were looked at.
-func untagged(goType reflect.Type, key string, seen map[reflect.Type]bool) (fields []string) {
+// untaggedFields returns the fields without a name in their tag, in a type and all types nested in it. Structs in seen
+// are skipped, and visited structs are added to it.
+func untaggedFields(goType reflect.Type, key string, seen map[reflect.Type]bool) (fields []string) {
 	switch goType.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		return untagged(goType.Elem(), key, seen)
+		return untaggedFields(goType.Elem(), key, seen)
 	case reflect.Map:
-		return append(untagged(goType.Key(), key, seen), untagged(goType.Elem(), key, seen)...)
+		return append(untaggedFields(goType.Key(), key, seen), untaggedFields(goType.Elem(), key, seen)...)
 	case reflect.Struct:
 	default:
 		return nil
@@ -45,18 +45,18 @@
 				continue
 			}
 		case f.Anonymous && isEmbedded(f.Type):
-			// Its fields are encoded as if they were the outer struct's.
+			// The fields of an embedded struct are encoded as fields of the outer struct.
 		case f.IsExported():
 			fields = append(fields, fmt.Sprintf("%v.%s", goType, f.Name))
 		default:
 			continue
 		}
-		fields = append(fields, untagged(f.Type, key, seen)...)
+		fields = append(fields, untaggedFields(f.Type, key, seen)...)
 	}
 	return fields
 }
 
-// isEmbedded reports whether the fields of an embedded field of a type are encoded in its place.
+// isEmbedded reports whether the fields of an embedded field of this type are encoded as fields of the outer struct.
 func isEmbedded(goType reflect.Type) bool {
 	if goType.Kind() == reflect.Pointer {
 		goType = goType.Elem()
