--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -2,18 +2,17 @@
 
 import "fmt"
 
-// The least that the checks allow.
+// Lower bounds of settings.
 const (
-	minPositive = 1e-3 // of rates and times, which must not be 0
+	minPositive = 1e-3 // for rates and durations, which must not be 0
 	minMemoryMB = 16
 	minSockets  = 16
 	minTxnOps   = 3
-	// minValueKB is what the largest value needs that cannot be split: the progress of
-	// 8192 tasks.
+	// minValueKB is the size of the largest value that cannot be split: the progress of 8192 tasks.
 	minValueKB = 2
 )
 
-// check returns an error that names the first field that is wrong.
+// check returns an error that names the first invalid field.
 func (s *Settings) check() error {
 	c := &checker{}
 	c.notEmpty("member", s.Member)
@@ -26,14 +25,14 @@
 	return c.err
 }
 
-// checkPeers checks the other nodes.
+// checkPeers checks the addresses and names of the other nodes.
 func (c *checker) checkPeers(s *Settings) {
 	members, addrs := map[string]bool{s.Member: true}, map[string]bool{s.PeerListen: true}
 	for i, peer := range s.Peers {
 		field := fmt.Sprintf("seeds[%d].", i)
 		c.notEmpty(field+"member", peer.Member)
 		c.unique(members, field+"member", peer.Member)
-		// One peer under two names would pass for two that agree.
+		// One peer listed under two names would be counted as two peers that agree.
 		c.hostPort(field+"addr", peer.Addr)
 		c.unique(addrs, field+"addr", peer.Addr)
 	}
@@ -55,7 +54,7 @@
 	c.atLeastInt("params.limits.max_sockets", p.Limits.MaxSockets, minSockets)
 }
 
-// checkTeams checks the guarantees and limits of the teams.
+// checkTeams checks the names, guarantees and limits of the teams.
 func (c *checker) checkTeams(teams []Team) {
 	names := map[string]bool{}
 	for i, team := range teams {
@@ -66,22 +65,22 @@
 		c.atLeast(field+"cpus_max", team.MaxCPUs, 0)
 		c.atLeast(field+"gpus", team.GuaranteedGPUs, 0)
 		c.atLeast(field+"gpus_max", team.MaxGPUs, 0)
-		c.require(team.MaxCPUs == 0 || team.GuaranteedCPUs <= team.MaxCPUs, field+"cpus", "is over cpus_max")
-		c.require(team.MaxGPUs == 0 || team.GuaranteedGPUs <= team.MaxGPUs, field+"gpus", "is over gpus_max")
+		c.require(team.MaxCPUs == 0 || team.GuaranteedCPUs <= team.MaxCPUs, field+"cpus", "must not exceed cpus_max")
+		c.require(team.MaxGPUs == 0 || team.GuaranteedGPUs <= team.MaxGPUs, field+"gpus", "must not exceed gpus_max")
 	}
 }
 
-// checkWorkers checks the times that workers keep.
+// checkWorkers checks the intervals and timeouts of workers.
 func (c *checker) checkWorkers(w Workers) {
 	c.atLeast("params.workers.report_s", w.HeartbeatIntervalS, minPositive)
 	c.atLeast("params.workers.lease_s", w.LeaseDurationS, minPositive)
 	c.atLeast("params.workers.cancel_s", w.CancellationTimeoutS, minPositive)
-	c.require(w.CancellationTimeoutS > w.LeaseDurationS, "params.workers.cancel_s", "must be over lease_s")
+	c.require(w.CancellationTimeoutS > w.LeaseDurationS, "params.workers.cancel_s", "must be greater than lease_s")
 	c.atLeast("params.workers.gang_wait_s", w.GangAssemblyTimeoutS, 0)
 	c.atLeast("params.workers.gang_peer_s", w.GangLossTimeoutS, 0)
 }
 
-// checkState checks limits of the state service; table is the TOML table that they are in.
+// checkState checks limits of the state service. The table is the prefix of the fields' names in the TOML file.
 func (c *checker) checkState(table string, s State) {
 	c.atLeast(table+"rps", s.RPS, minPositive)
 	c.atLeast(table+"write_rps", s.WriteRPS, minPositive)
--- a/internal/settings/elements.go
+++ b/internal/settings/elements.go
@@ -14,24 +14,24 @@
 	"caperlatch/internal/micros"
 )
 
-// rootElement is the outermost element of the operators' XML files.
+// rootElement is the root element of the optional XML files.
 const rootElement = "caperlatch"
 
-// section is an element within the root element that holds fields.
+// section describes an element below the root element, which contains fields.
 type section struct {
-	fields map[string]field // by the element's name
-	check  func() error     // of the values against each other, once the file is read; nil: none
+	fields map[string]field // by element name
+	check  func() error     // checks the values against each other once the file is read; may be nil
 }
 
-// field is an element that holds a value.
+// field describes an element that contains a single value.
 type field struct {
-	// store parses the element's text and stores the value. Its error is of a text that cannot
-	// be parsed; of a value out of bounds it tells the checker.
+	// store parses the text of the element and stores the value. It returns an error if the text cannot be parsed,
+	// and reports a value out of range to the checker.
 	store      func(c *checker, name, text string) error
-	repeatable bool // whether it may stand any number of times
+	repeatable bool // whether the element may occur more than once
 }
 
-// readFile reads the file at path; subject is what its errors begin with.
+// readFile opens the file at path and parses it. Errors of opening the file begin with subject.
 func readFile[T any](subject, path string, parse func(io.Reader) (T, error)) (T, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -41,10 +41,9 @@
 	return parse(f)
 }
 
-// parseElements reads a whole file of these sections, by their elements' names, and returns
-// which of them it has. Of several things that are wrong its error is of the first one that
-// cannot be read, else of the first value out of bounds, else of values that contradict each
-// other, by the sections' names.
+// parseElements reads a whole file that may contain the given sections, by element name, and returns which of them
+// are present. If several things are wrong, the error reports the first element that cannot be parsed, else the first
+// value out of range, else the first contradiction between values, in the order of section names.
 func parseElements(r io.Reader, sections map[string]section) (present map[string]bool, err error) {
 	p := &elementParser{
 		decoder:  xml.NewDecoder(r),
@@ -68,15 +67,15 @@
 	return p.present, nil
 }
 
-// elementParser reads a file of sections.
+// elementParser reads a file that consists of sections.
 type elementParser struct {
 	decoder  *xml.Decoder
 	checker  checker
 	sections map[string]section
-	depth    int             // how many elements are open
-	section  string          // that is open, or was last
-	present  map[string]bool // sections that the file has
-	seen     map[string]bool // fields that were read, by section/field
+	depth    int             // number of open elements
+	section  string          // the open section, or the last one
+	present  map[string]bool // sections found so far
+	seen     map[string]bool // fields read so far, as section/field
 }
 
 // parse reads the whole file.
@@ -115,16 +114,16 @@
 	case p.depth == 2:
 		return p.readField(element)
 	}
-	return unknownElement(name)
+	return unexpectedElement(name)
 }
 
-// readField reads a field of the open section, up to its end.
+// readField reads a field of the open section, including its end tag.
 func (p *elementParser) readField(element *xml.StartElement) error {
 	name := element.Name.Local
 	key := p.section + "/" + name
 	f, known := p.sections[p.section].fields[name]
 	if !known || p.seen[key] && !f.repeatable {
-		return unknownElement(name)
+		return unexpectedElement(name)
 	}
 	p.seen[key] = true
 	var text string
@@ -134,66 +133,70 @@
 	return f.store(&p.checker, name, strings.TrimSpace(text))
 }
 
-// unknownElement returns the error of an element that must not stand where it does.
-func unknownElement(name string) error { return fmt.Errorf("element %s is unknown here", name) }
+// unexpectedElement returns the error for an element that is unknown, misplaced, or repeated though not repeatable.
+func unexpectedElement(name string) error {
+	return fmt.Errorf("element %s is unknown, misplaced or repeated", name)
+}
 
-// numeric is a field that holds a number within bounds, as the element has it.
-func numeric(least, most float64, store func(c *checker, name string, value float64)) field {
+// numberField returns a field that contains a number in a range, and passes the number to store without converting it.
+func numberField(minimum, maximum float64, store func(c *checker, name string, value float64)) field {
 	return field{store: func(c *checker, name, text string) error {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		c.within(name, value, least, most)
+		c.inRange(name, value, minimum, maximum)
 		store(c, name, value)
 		return nil
 	}}
 }
 
-// repeatable makes a field one whose element may stand any number of times.
-func repeatable(f field) field {
+// asRepeatable returns the field with its element allowed any number of times.
+func asRepeatable(f field) field {
 	f.repeatable = true
 	return f
 }
 
-// names is a repeatable field that adds its text, which must not be empty, to a list.
-func names(to *[]string) field {
-	return repeatable(field{store: func(c *checker, name, text string) error {
+// namesField returns a repeatable field that appends its text, which must not be empty, to a list.
+func namesField(target *[]string) field {
+	return asRepeatable(field{store: func(c *checker, name, text string) error {
 		c.notEmpty(name, text)
-		*to = append(*to, text)
+		*target = append(*target, text)
 		return nil
 	}})
 }
 
-// number is a field that holds a number without a unit, from 0 to most.
-func number(to *float64, most float64) field {
-	return numeric(0, most, func(_ *checker, _ string, value float64) { *to = value })
+// plainNumberField returns a field that contains a number without a unit, from 0 to maximum.
+func plainNumberField(target *float64, maximum float64) field {
+	return numberField(0, maximum, func(_ *checker, _ string, value float64) { *target = value })
 }
 
-// wholeNumber is a field that holds a whole number within bounds.
-func wholeNumber(to *int, least, most int) field {
-	return numeric(float64(least), float64(most), func(c *checker, name string, value float64) {
+// integerField returns a field that contains an integer in a range.
+func integerField(target *int, minimum, maximum int) field {
+	return numberField(float64(minimum), float64(maximum), func(c *checker, name string, value float64) {
 		c.require(value == float64(int(value)), name, "must be a whole number")
-		*to = int(value)
+		*target = int(value)
 	})
 }
 
-// percent is a field that holds a share in percent, from least to 100.
-func percent(least float64, store func(share float64)) field {
-	return numeric(least, 100, func(_ *checker, _ string, value float64) { store(value / 100) })
+// percentField returns a field that contains a percentage, from minimum to 100, and stores it as a share of 1.
+func percentField(minimum float64, store func(share float64)) field {
+	return numberField(minimum, 100, func(_ *checker, _ string, value float64) { store(value / 100) })
 }
 
-// share is a field that holds a share in percent, from 0 to 100.
-func share(to *float64) field { return percent(0, func(value float64) { *to = value }) }
+// shareField returns a field that contains a percentage, from 0 to 100, and sets target to it as a share of 1.
+func shareField(target *float64) field {
+	return percentField(0, func(share float64) { *target = share })
+}
 
-// seconds is a field that holds a time in seconds, from 1 to most.
-func seconds(to *micros.Micros, most float64) field {
-	return numeric(1, most, func(_ *checker, _ string, value float64) { *to = micros.FromSeconds(value) })
+// secondsField returns a field that contains a duration in seconds, from 1 to maximum.
+func secondsField(target *micros.Micros, maximum float64) field {
+	return numberField(1, maximum, func(_ *checker, _ string, value float64) { *target = micros.FromSeconds(value) })
 }
 
-// milliseconds is a field that holds a time in milliseconds within bounds.
-func milliseconds(to *micros.Micros, least, most float64) field {
-	return numeric(least, most, func(_ *checker, _ string, value float64) {
-		*to = micros.Micros(value * float64(micros.Millisecond))
+// millisecondsField returns a field that contains a duration in milliseconds, in a range.
+func millisecondsField(target *micros.Micros, minimum, maximum float64) field {
+	return numberField(minimum, maximum, func(_ *checker, _ string, value float64) {
+		*target = micros.Micros(value * float64(micros.Millisecond))
 	})
 }
--- a/internal/settings/features.go
+++ b/internal/settings/features.go
@@ -9,28 +9,28 @@
 	"caperlatch/internal/zone"
 )
 
-// Features holds the settings of the optional parts; a part whose settings are nil is off.
+// Features holds the settings of the optional features. A feature whose settings are nil is disabled.
 type Features struct {
 	Standby    *Standby
 	Zones      *zone.Config
 	Membership *membership.Config
 }
 
-// ErrStandbyEnabledTwice reports that the warm standby is turned on in two files, of which it is
-// unknown which one should hold.
-var ErrStandbyEnabledTwice = errors.New("standby is turned on by both files, one is enough")
+// ErrStandbyEnabledTwice reports that the warm standby is configured in two files, so that it is ambiguous whose
+// settings apply.
+var ErrStandbyEnabledTwice = errors.New("the standby is enabled in both files; enable it in only one")
 
-// ReadFeatures reads the file at path for a deployment.
+// ReadFeatures reads the XML file of optional features at path, and checks it against the deployment p.
 func ReadFeatures(path string, p *Params) (Features, error) {
 	return readFile("features", path, func(r io.Reader) (Features, error) { return ParseFeatures(r, p) })
 }
 
-// ParseFeatures reads
+// ParseFeatures reads the settings of optional features from XML of the form
 //
 //	<caperlatch><standby>...</standby><zones>...</zones><membership>...</membership></caperlatch>
 //
-// where each section turns a part on and may be left out, but not all of them. Elements that are
-// left out have their defaults.
+// Each section enables a feature. At least one section must be present, and elements that are left out of a section
+// have their default values.
 func ParseFeatures(r io.Reader, p *Params) (Features, error) {
 	standby, zones, members := defaultStandby(), zone.DefaultConfig(p.Workers.HeartbeatInterval()), membership.DefaultConfig()
 	present, err := parseElements(r, map[string]section{
@@ -39,7 +39,7 @@
 		membershipElement: membershipSection(&members),
 	})
 	if err == nil && len(present) == 0 {
-		err = errors.New("the file turns nothing on: element standby, zones or membership is missing")
+		err = errors.New("the file enables no feature: element standby, zones or membership is missing")
 	}
 	if err != nil {
 		return Features{}, fmt.Errorf("features: %w", err)
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -20,8 +20,8 @@
 	"caperlatch/internal/zone"
 )
 
-// asTOML returns a value as TOML, in which nothing but its tags names its fields.
-func asTOML(t *testing.T, v any) string {
+// marshalTOML returns a value as TOML, in which the fields are named by their tags only.
+func marshalTOML(t *testing.T, v any) string {
 	t.Helper()
 	b, err := toml.Marshal(v)
 	if err != nil {
@@ -30,14 +30,14 @@
 	return strings.TrimSuffix(string(b), "\n")
 }
 
-// TestSettingsFields checks that settings with every field set are written as the golden file says
-// and read again as they were, and that the example is read as it says.
-func TestSettingsFields(t *testing.T) {
+// TestSettingsEncoding checks that settings with every field set are encoded as in the golden file and decoded without
+// loss, and that the example file is decoded as in the golden file.
+func TestSettingsEncoding(t *testing.T) {
 	all := golden.Filled(reflect.TypeFor[Settings]()).Interface().(Settings)
-	text := asTOML(t, all)
-	var read Settings
-	if err := toml.Unmarshal([]byte(text), &read); err != nil || !reflect.DeepEqual(read, all) {
-		t.Errorf("read %+v, %v, want %+v", read, err, all)
+	text := marshalTOML(t, all)
+	var decoded Settings
+	if err := toml.Unmarshal([]byte(text), &decoded); err != nil || !reflect.DeepEqual(decoded, all) {
+		t.Errorf("decoded %+v, error %v; want %+v", decoded, err, all)
 	}
 	example, err := Read(filepath.Join("..", "..", "deploy", "settings.example.toml"))
 	if err != nil {
@@ -45,18 +45,18 @@
 	}
 	golden.Check(t, "settings.golden", []golden.Section{
 		{Name: "all fields", Text: text},
-		{Name: "the example", Text: asTOML(t, example)},
+		{Name: "the example", Text: marshalTOML(t, example)},
 		{Name: "its values", Text: golden.FormatValues(example)},
 	})
 }
 
-// TestSettingsTags checks that tags name all fields of settings.
+// TestSettingsTags checks that every field of the settings is named by a tag.
 func TestSettingsTags(t *testing.T) {
 	golden.CheckTags(t, "toml", golden.TypeOf[Settings]("settings"))
 }
 
-// operatorsSections returns the sections of the operators' files, but for the tuning's.
-func operatorsSections() map[string]section {
+// featureSections returns the sections of the XML files, except that of the tuning file.
+func featureSections() map[string]section {
 	var standby Standby
 	var zones zone.Config
 	var members membership.Config
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestElementNames checks the names of the elements of the operators' files.
+// TestElementNames checks the names of the elements in the XML files.
 func TestElementNames(t *testing.T) {
-	sections := operatorsSections()
+	sections := featureSections()
 	out := []golden.Section{{Name: "root", Text: rootElement}, {Name: "variable with the tuning", Text: TuningEnvVar}, {Name: "section of the tuning", Text: staffingElement}}
 	for _, name := range slices.Sorted(maps.Keys(sections)) {
 		var fields []string
@@ -84,7 +84,7 @@
 	golden.Check(t, "elements.golden", out)
 }
 
-// Files of operators with every element, each set to a value of its own.
+// XML files and sections that contain every element, each with a distinct value.
 const (
 	allTuning = `<caperlatch><staffing><z>1.5</z><review_s>31</review_s><window_s>62</window_s><record_s>7</record_s></staffing></caperlatch>`
 
@@ -99,8 +99,8 @@
 		<calm_s>320</calm_s><step_percent>11</step_percent><step_percent>26</step_percent><step_percent>100</step_percent></zones>`
 )
 
-// elementsOf lists the elements of a file with the sections that they stand in.
-func elementsOf(t *testing.T, file string) map[string]bool {
+// elementPaths returns the paths of all elements in an XML file, each with the elements that enclose it.
+func elementPaths(t *testing.T, file string) map[string]bool {
 	t.Helper()
 	var path []string
 	found := map[string]bool{}
@@ -122,19 +122,19 @@
 	}
 }
 
-// TestOperatorsFiles checks what the operators' files are read as: those in deploy, and some with
-// every element set.
-func TestOperatorsFiles(t *testing.T) {
+// TestXMLFiles checks the settings that XML files are parsed to: those in deploy, files with every element, and a file
+// with empty sections.
+func TestXMLFiles(t *testing.T) {
 	example, err := Read(filepath.Join("..", "..", "deploy", "settings.example.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	all := "<caperlatch>" + allStandby + allMembership + allZones + "</caperlatch>"
-	present := elementsOf(t, all)
-	for name, s := range operatorsSections() {
+	present := elementPaths(t, all)
+	for name, s := range featureSections() {
 		for f := range s.fields {
 			if !present["caperlatch/"+name+"/"+f] {
-				t.Errorf("%s/%s is not set here", name, f)
+				t.Errorf("the test file with all elements lacks %s/%s", name, f)
 			}
 		}
 	}
@@ -174,8 +174,8 @@
 	golden.Check(t, "files.golden", sections)
 }
 
-// TestDecodingErrors checks the errors for files that cannot be decoded. They name Go types and
-// fields, which are so seen outside.
+// TestDecodingErrors checks the error messages for files that cannot be decoded. The messages contain names of Go
+// types and fields, which are therefore visible to operators.
 func TestDecodingErrors(t *testing.T) {
 	var sections []golden.Section
 	for _, c := range []struct{ name, content string }{
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -1,16 +1,16 @@
 package settings
 
-// State holds the state service's limits, which all nodes share: the present ones and, in
-// Upcoming, those that come into force some time later without notice.
+// State holds the limits of the state service, which all nodes share: the current limits and, in Upcoming, the limits
+// that take effect at a later time, without notice.
 type State struct {
-	RPS      float64        `toml:"rps"`       // requests a second
-	WriteRPS float64        `toml:"write_rps"` // operations of transactions a second
-	ValueKB  float64        `toml:"value_kb"`  // KiB of a value
-	TxnOps   int            `toml:"txn_ops"`   // operations in a transaction
+	RPS      float64        `toml:"rps"`       // requests per second
+	WriteRPS float64        `toml:"write_rps"` // operations in transactions per second
+	ValueKB  float64        `toml:"value_kb"`  // size of a value in KiB
+	TxnOps   int            `toml:"txn_ops"`   // operations per transaction
 	Upcoming UpcomingLimits `toml:"next"`
 }
 
-// UpcomingLimits holds the limits after a change; what is nil does not change.
+// UpcomingLimits holds the limits after the change. A limit that is nil does not change.
 type UpcomingLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -18,7 +18,7 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// AfterChange returns the limits after the change; without one they are the present ones.
+// AfterChange returns the limits that apply after the change, which are the current limits if there is no change.
 func (s State) AfterChange() State {
 	return State{
 		RPS:      upcomingOr(s.Upcoming.RPS, s.RPS),
@@ -28,17 +28,17 @@
 	}
 }
 
-// upcomingOr returns a limit's upcoming value, or the present one if it does not change.
-func upcomingOr[T any](upcoming *T, present T) T {
+// upcomingOr returns the upcoming value of a limit, or the current value if the limit does not change.
+func upcomingOr[T any](upcoming *T, current T) T {
 	if upcoming == nil {
-		return present
+		return current
 	}
 	return *upcoming
 }
 
-// Strictest returns the limits that hold at any time, before the change and after it: the
-// smaller of each two. The change comes without notice, so a node that kept to the present ones
-// would learn of it by refusals, in the middle of whatever it does.
+// Strictest returns limits that are safe both before and after the change: the smaller value of each limit. The change
+// happens without notice, so a node that relied on the current limits would learn of it from rejected requests, in the
+// middle of an operation.
 func (s State) Strictest() State {
 	after := s.AfterChange()
 	return State{
@@ -49,13 +49,13 @@
 	}
 }
 
-// Cloud holds the cloud's limits.
+// Cloud holds the limits of the cloud API.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`        // requests a second
-	ListLagS float64 `toml:"list_lag_s"` // seconds by which its list of instances is usually late
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // usual delay of the list of instances, in seconds
 }
 
-// Limits is what the process may take of its machine.
+// Limits holds the resources of its machine that the node process may use.
 type Limits struct {
 	CPU        float64 `toml:"cpu"` // CPUs
 	MemoryMB   float64 `toml:"mem_mb"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,12 +1,11 @@
-// Package settings reads and checks the platform's TOML file and the operators' optional XML
-// files.
+// Package settings reads and validates the platform's TOML file and the operators' optional XML files.
 //
-// It owns the fields of these files, their defaults and checks, and what follows from a setting
-// alone, as the limits that always hold. It must not watch the files: a node keeps the settings
-// that it started with.
+// It owns the fields of these files, their defaults and validation, and values that are derived from settings alone,
+// such as the limits that are safe at any time. It must not watch the files: a node keeps the settings that it
+// started with.
 //
-// Names of files' fields and elements are older than the glossary and stay, as do names of types
-// and fields that errors of decoding show. The order of fields is held by golden files.
+// The names of fields and elements in the files predate the glossary and must not change. The names of Go types and
+// fields that appear in decoding errors must not change either. Golden files also check the order of fields.
 package settings
 
 import (
@@ -17,12 +16,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the checked content of the platform's file. Addresses are hosts with ports.
+// Settings is the validated content of the platform's TOML file. Addresses have the form host:port.
 type Settings struct {
-	Member       string `toml:"member"` // this node's name
+	Member       string `toml:"member"` // name of this node
 	Zone         string `toml:"zone"`
-	ClientListen string `toml:"client_listen"` // where users and workers reach it
-	PeerListen   string `toml:"peer_bind"`     // where other nodes reach it
+	ClientListen string `toml:"client_listen"` // address at which users and workers reach this node
+	PeerListen   string `toml:"peer_bind"`     // address at which other nodes reach this node
 	Peers        []Peer `toml:"seeds"`         // all other nodes
 	External     struct {
 		Cloud string `toml:"cloud"`
@@ -40,9 +39,9 @@
 
 // Params describes the deployment.
 type Params struct {
-	Nodes        int         `toml:"initial_size"` // how many controller nodes
+	Nodes        int         `toml:"initial_size"` // number of controller nodes
 	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms"` // by how much clocks may be off
+	ClockErrorMS float64     `toml:"clock_error_ms"` // maximum error of clocks, in milliseconds
 	Teams        []Team      `toml:"teams"`
 	Objectives   []Objective `toml:"objectives"`
 	Workers      Workers     `toml:"workers"`
@@ -51,7 +50,7 @@
 	Limits       Limits      `toml:"limits"`
 }
 
-// Team has a guarantee and a limit on each resource; 0 means none.
+// Team holds the guaranteed amount and the limit of each resource for a team; 0 means that there is none.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
@@ -60,24 +59,24 @@
 	MaxGPUs        float64 `toml:"gpus_max"`
 }
 
-// Kinds of objectives.
+// Kinds of service-level objectives.
 const (
 	ObjectiveWait      = "wait"      // jobs start within WithinS
-	ObjectiveGuarantee = "guarantee" // jobs within their team's guarantee start within WithinS, whatever their class
+	ObjectiveGuarantee = "guarantee" // jobs within the guarantee of their team start within WithinS, in any class
 	ObjectiveFinished  = "finished"  // jobs finish within WithinS
-	ObjectiveDeadline  = "deadline"  // jobs finish within Times their deadline
+	ObjectiveDeadline  = "deadline"  // jobs finish within their deadline multiplied by Times
 )
 
-// Objective is a service-level objective: what is expected of a share of a class's jobs.
+// Objective is a service-level objective that a share of the jobs in a class must meet.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
-	Share   float64 `toml:"share"` // of the jobs, up to 1
+	Share   float64 `toml:"share"` // share of the jobs, up to 1
 	Times   float64 `toml:"times"`
-	WithinS float64 `toml:"within_s"` // seconds since the submission
+	WithinS float64 `toml:"within_s"` // in seconds since submission
 }
 
-// Read reads and checks the file at path.
+// Read reads and validates the TOML file at path.
 func Read(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -86,14 +85,14 @@
 	return Parse(content)
 }
 
-// Parse reads and checks a file's content. Unknown fields are ignored.
+// Parse decodes and validates the content of a TOML file. Unknown fields are ignored.
 func Parse(content []byte) (*Settings, error) {
 	var s Settings
 	if err := toml.Unmarshal(content, &s); err != nil {
-		var decoding *toml.DecodeError
-		if errors.As(err, &decoding) {
-			row, _ := decoding.Position()
-			return nil, fmt.Errorf("settings: %v (line %d): %w", decoding.Key(), row, err)
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			row, _ := decodeErr.Position()
+			return nil, fmt.Errorf("settings: %v (line %d): %w", decodeErr.Key(), row, err)
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -8,28 +8,27 @@
 	"caperlatch/internal/micros"
 )
 
-// TuningEnvVar names the environment variable that holds the path of the operators' file of
-// tuned values.
+// TuningEnvVar is the environment variable that contains the path of the operators' tuning file.
 const TuningEnvVar = "CAPERLATCH_TUNING"
 
-// staffingElement holds the tuned values.
+// staffingElement contains the tuned values.
 const staffingElement = "staffing"
 
-// The most that may be tuned.
+// Upper bounds of tuned values.
 const (
 	maxZ       = 10
 	maxSeconds = 3600
 )
 
-// Tuning holds what operators may tune of the autoscaler.
+// Tuning holds the parameters of the autoscaler that operators may tune.
 type Tuning struct {
-	Z              float64       // of the paper's formula (4): how many deviations of demand spare machines cover
-	ReviewInterval micros.Micros // for which a target holds
-	Window         micros.Micros // over which the demand rate is measured
-	RecordInterval micros.Micros // between two stored staffing records
+	Z              float64       // z in formula (4) of the paper: standard deviations of demand that spare machines cover
+	ReviewInterval micros.Micros // time for which a target applies
+	Window         micros.Micros // time over which the demand rate is measured
+	RecordInterval micros.Micros // time between two stored staffing records
 }
 
-// DefaultTuning returns the values of docs/design.md, which hold for elements that are left out.
+// DefaultTuning returns the values given in docs/design.md, which are used for elements that are left out.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Z:              1.282,
@@ -39,8 +38,8 @@
 	}
 }
 
-// ReadTuning reads the file whose path is in the environment; without one it returns the
-// defaults.
+// ReadTuning reads the file whose path is in the environment variable TuningEnvVar. It returns the default values if
+// the variable is not set.
 func ReadTuning() (Tuning, error) {
 	path := os.Getenv(TuningEnvVar)
 	if path == "" {
@@ -49,12 +48,12 @@
 	return readFile("tuning", path, ParseTuning)
 }
 
-// ParseTuning reads
+// ParseTuning reads the tuned values from XML of the form
 //
 //	<caperlatch><staffing><z>1.282</z><review_s>30</review_s>
 //	<window_s>60</window_s><record_s>5</record_s></staffing></caperlatch>
 //
-// where every element may be left out and no other may stand.
+// Any element below the root may be left out, and no other element is allowed.
 func ParseTuning(r io.Reader) (Tuning, error) {
 	tuning := DefaultTuning()
 	if _, err := parseElements(r, map[string]section{staffingElement: staffingSection(&tuning)}); err != nil {
@@ -63,12 +62,12 @@
 	return tuning, nil
 }
 
-// staffingSection returns the section that sets t.
+// staffingSection returns the section whose fields are stored in t.
 func staffingSection(t *Tuning) section {
 	return section{fields: map[string]field{
-		"z":        number(&t.Z, maxZ),
-		"review_s": seconds(&t.ReviewInterval, maxSeconds),
-		"window_s": seconds(&t.Window, maxSeconds),
-		"record_s": seconds(&t.RecordInterval, maxSeconds),
+		"z":        plainNumberField(&t.Z, maxZ),
+		"review_s": secondsField(&t.ReviewInterval, maxSeconds),
+		"window_s": secondsField(&t.Window, maxSeconds),
+		"record_s": secondsField(&t.RecordInterval, maxSeconds),
 	}}
 }
--- a/internal/settings/zones.go
+++ b/internal/settings/zones.go
@@ -7,20 +7,20 @@
 	"caperlatch/internal/zone"
 )
 
-// zonesElement turns the policy on zones on and holds its settings.
+// zonesElement enables the zone lifecycle policy and contains its settings.
 const zonesElement = "zones"
 
-// Bounds of the settings of zones.
+// Bounds of the zone settings.
 const (
-	maxLeastMachines = 1000
-	maxConfirmS      = 60
-	maxHoldDownS     = 600
-	maxCalmS         = 86_400
-	minStepPercent   = 1
+	maxMinMachines          = 1000
+	maxConfirmationTimeS    = 60
+	maxHoldDownS            = 600
+	maxFlapExpiryS          = 86_400
+	minReopeningStepPercent = 1
 )
 
-// zonesSection returns the section that sets c for a deployment. Steps that are given replace
-// all the default ones.
+// zonesSection returns the section whose fields are stored in c, for a deployment. Steps in the file replace all
+// default steps.
 func zonesSection(c *zone.Config, params *Params) section {
 	hasSteps := false
 	addStep := func(share float64) {
@@ -32,25 +32,25 @@
 	return section{
 		check: func() error { return checkZones(c, params) },
 		fields: map[string]field{
-			"class":            names(&c.EvacuationOrder),
-			"exempt":           names(&c.ExemptZones),
-			"suspect_percent":  share(&c.PartialDisruptionShare),
-			"lost_percent":     share(&c.FullDisruptionShare),
-			"clear_percent":    share(&c.NormalShare),
-			"relapse_percent":  share(&c.MaxRelapseShare),
-			"replace_percent":  share(&c.ReplacementShare),
-			"least_machines":   wholeNumber(&c.MinMachines, 1, maxLeastMachines),
-			"confirm_s":        seconds(&c.ConfirmationTime, maxConfirmS),
-			"step_s":           seconds(&c.MinStepTime, maxHoldDownS),
-			"hold_down_s":      seconds(&c.InitialHoldDown, maxHoldDownS),
-			"hold_down_most_s": seconds(&c.MaxHoldDown, maxHoldDownS),
-			"calm_s":           seconds(&c.FlapExpiry, maxCalmS),
-			"step_percent":     repeatable(percent(minStepPercent, addStep)),
+			"class":            namesField(&c.EvacuationOrder),
+			"exempt":           namesField(&c.ExemptZones),
+			"suspect_percent":  shareField(&c.PartialDisruptionShare),
+			"lost_percent":     shareField(&c.FullDisruptionShare),
+			"clear_percent":    shareField(&c.NormalShare),
+			"relapse_percent":  shareField(&c.MaxRelapseShare),
+			"replace_percent":  shareField(&c.ReplacementShare),
+			"least_machines":   integerField(&c.MinMachines, 1, maxMinMachines),
+			"confirm_s":        secondsField(&c.ConfirmationTime, maxConfirmationTimeS),
+			"step_s":           secondsField(&c.MinStepTime, maxHoldDownS),
+			"hold_down_s":      secondsField(&c.InitialHoldDown, maxHoldDownS),
+			"hold_down_most_s": secondsField(&c.MaxHoldDown, maxHoldDownS),
+			"calm_s":           secondsField(&c.FlapExpiry, maxFlapExpiryS),
+			"step_percent":     asRepeatable(percentField(minReopeningStepPercent, addStep)),
 		},
 	}
 }
 
-// checkZones checks the settings of zones against each other and the deployment.
+// checkZones checks the zone settings against each other and against the deployment.
 func checkZones(c *zone.Config, params *Params) error {
 	if err := c.Check(); err != nil {
 		return err
