--- a/cmd/caperlatch/check.go
+++ b/cmd/caperlatch/check.go
@@ -8,12 +8,12 @@
 	"caperlatch/internal/settings"
 )
 
-// checkCommand returns the command that checks settings without running anything.
+// checkCommand returns the command that validates settings files without starting a node.
 func checkCommand() *cobra.Command {
 	var files featureFiles
 	cmd := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a settings file, and those of tuning and of optional parts, if they are named",
+		Short: "Check a settings file, and the tuning and feature files if they are given",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Read(args[0])
--- a/cmd/caperlatch/client.go
+++ b/cmd/caperlatch/client.go
@@ -12,23 +12,23 @@
 	"caperlatch/internal/wire"
 )
 
-// defaultNode is the address of a node on this machine that listens where the example of settings says.
+// defaultNode is the address of a node on this machine that uses the client_listen port of the example settings.
 const defaultNode = "127.0.0.1:8080"
 
 const (
-	// requestTimeout is longer than a node takes to answer, also when it cannot reach the leader.
+	// requestTimeout is longer than a node takes to respond, even when it cannot reach the leader.
 	requestTimeout = 5 * time.Second
-	// maxResponseBytes is how much of a response's body is read.
+	// maxResponseBytes is the maximum length that is read of a response body.
 	maxResponseBytes = 1 << 20
 )
 
-// response is what a node answered.
+// response is the HTTP response of a node.
 type response struct {
-	status int // of HTTP
+	status int // HTTP status code
 	body   []byte
 }
 
-// errorText returns the text of an error response, empty if it holds none.
+// errorText returns the message of an error response, or an empty string if the body contains none.
 func (r *response) errorText() string {
 	var decoded wire.ErrorResponse
 	if err := wire.Unmarshal(r.body, &decoded); err != nil {
@@ -37,19 +37,19 @@
 	return decoded.Message
 }
 
-// statusText returns the status for people, as in "404 Not Found".
+// statusText returns the status in readable form, as in "404 Not Found".
 func (r *response) statusText() string {
 	return fmt.Sprintf("%d %s", r.status, http.StatusText(r.status))
 }
 
-// request sends a request to a running node, with in as its body unless that is nil. Any status
-// is a response and no error.
+// request sends a request to a running node, with in as its body unless in is nil. A response of any status is not an
+// error.
 func request(ctx context.Context, method, node, path string, in any) (*response, error) {
-	return requestWithin(ctx, requestTimeout, method, node, path, in)
+	return requestWithTimeout(ctx, requestTimeout, method, node, path, in)
 }
 
-// requestWithin is request with a time limit of the caller's.
-func requestWithin(ctx context.Context, timeout time.Duration, method, node, path string, in any) (*response, error) {
+// requestWithTimeout is request with a timeout chosen by the caller.
+func requestWithTimeout(ctx context.Context, timeout time.Duration, method, node, path string, in any) (*response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var content io.Reader
@@ -79,20 +79,20 @@
 	return &response{status: resp.StatusCode, body: body}, nil
 }
 
-// ask sends a request without a body to a node and decodes the response; any status but 200 is
-// an error.
-func ask(ctx context.Context, method, node, path string, out any) error {
-	return askWithin(ctx, requestTimeout, method, node, path, out)
+// call sends a request without a body to a node and decodes the response into out. Any status other than 200 is an
+// error.
+func call(ctx context.Context, method, node, path string, out any) error {
+	return callWithTimeout(ctx, requestTimeout, method, node, path, out)
 }
 
-// askWithin is ask with a time limit of the caller's.
-func askWithin(ctx context.Context, timeout time.Duration, method, node, path string, out any) error {
-	resp, err := requestWithin(ctx, timeout, method, node, path, nil)
+// callWithTimeout is call with a timeout chosen by the caller.
+func callWithTimeout(ctx context.Context, timeout time.Duration, method, node, path string, out any) error {
+	resp, err := requestWithTimeout(ctx, timeout, method, node, path, nil)
 	if err != nil {
 		return err
 	}
 	if resp.status == http.StatusOK {
 		return wire.Unmarshal(resp.body, out)
 	}
-	return fmt.Errorf("%s answers: %s", node, cmp.Or(resp.errorText(), resp.statusText()+" (a version without it?)"))
+	return fmt.Errorf("%s responded: %s", node, cmp.Or(resp.errorText(), resp.statusText()+" (its version may not support this request)"))
 }
--- a/cmd/caperlatch/feature_files.go
+++ b/cmd/caperlatch/feature_files.go
@@ -6,19 +6,19 @@
 	"caperlatch/internal/settings"
 )
 
-// featureFiles names the files that turn optional parts on.
+// featureFiles holds the paths of the files that enable optional features.
 type featureFiles struct {
-	features string // of any of them
-	standby  string // of the warm standby alone
+	features string // file of any optional features
+	standby  string // file of the warm standby only
 }
 
-// addFlags lets the operator name the files.
+// addFlags adds the flags that set the paths.
 func (f *featureFiles) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.features, "features", "", "settings of optional parts (XML), as in deploy/zones.xml; what it does not name is off")
-	cmd.Flags().StringVar(&f.standby, "standby", "", "settings of the warm standby alone (XML)")
+	cmd.Flags().StringVar(&f.features, "features", "", "settings of optional features (XML), as in deploy/zones.xml; features that it does not contain are disabled")
+	cmd.Flags().StringVar(&f.standby, "standby", "", "settings of the warm standby only (XML)")
 }
 
-// args returns the arguments that name the files to another process of this program.
+// args returns the command-line arguments that pass the paths to another process of this program.
 func (f *featureFiles) args() (args []string) {
 	if f.features != "" {
 		args = append(args, "--features", f.features)
@@ -29,7 +29,7 @@
 	return args
 }
 
-// read returns the settings in the files, checked against those of a node.
+// read returns the settings in the files, validated against the settings of a node.
 func (f *featureFiles) read(s *settings.Settings) (features settings.Features, err error) {
 	if f.features != "" {
 		if features, err = settings.ReadFeatures(f.features, &s.Params); err != nil {
--- a/cmd/caperlatch/feature_files_test.go
+++ b/cmd/caperlatch/feature_files_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestFeatureFiles checks that the files of optional parts are checked with the settings, before
-// anything starts.
+// TestFeatureFiles checks that the check command validates feature files against the settings, and that the warm
+// standby may be enabled in either file but not in both.
 func TestFeatureFiles(t *testing.T) {
 	config := writeFile(t, "settings.toml", `member = "host-0"
 client_listen = "127.0.0.1:8080"
@@ -27,11 +27,11 @@
 	}{
 		{"none", nil, ""},
 		{"zones", []string{zones}, ""},
-		{"the standby by either", []string{standby}, ""},
-		{"the standby by its own, zones by the other", []string{zones, standby}, ""},
-		{"the standby by both", []string{"--features", writeFile(t, "both.xml", "<caperlatch><standby/><zones/></caperlatch>"), standby}, "both files"},
-		{"an unknown zone", []string{"--features", writeFile(t, "zone.xml", "<caperlatch><zones><exempt>c</exempt></zones></caperlatch>")}, "there is no zone c"},
-		{"no file", []string{"--features", filepath.Join(t.TempDir(), "none.xml")}, "none.xml"},
+		{"standby in its own file", []string{standby}, ""},
+		{"standby in its own file, zones in the feature file", []string{zones, standby}, ""},
+		{"standby in both files", []string{"--features", writeFile(t, "both.xml", "<caperlatch><standby/><zones/></caperlatch>"), standby}, "both files"},
+		{"unknown zone", []string{"--features", writeFile(t, "zone.xml", "<caperlatch><zones><exempt>c</exempt></zones></caperlatch>")}, "there is no zone c"},
+		{"missing file", []string{"--features", filepath.Join(t.TempDir(), "none.xml")}, "none.xml"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/caperlatch/helpers_test.go
+++ b/cmd/caperlatch/helpers_test.go
@@ -12,8 +12,8 @@
 	"caperlatch/internal/wire"
 )
 
-// checkCommandOutput runs a command of the program, which must print all of wantOutput and, unless
-// wantError is empty, fail with an error that holds it.
+// checkCommandOutput runs the program with the given arguments. The output must contain each of wantOutput, and the
+// program must fail with an error that contains wantError, or succeed if that is empty.
 func checkCommandOutput(t *testing.T, wantOutput []string, wantError string, args ...string) {
 	t.Helper()
 	root := rootCommand()
@@ -22,24 +22,24 @@
 	root.SetArgs(args)
 	err := root.Execute()
 	if (err != nil) != (wantError != "") || err != nil && !strings.Contains(err.Error(), wantError) {
-		t.Errorf("error %v, want %q", err, wantError)
+		t.Errorf("got error %v, want %q", err, wantError)
 	}
 	for _, want := range wantOutput {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the output lacks %q:\n%s", want, out.String())
+			t.Errorf("want output that contains %q, got\n%s", want, out.String())
 		}
 	}
 }
 
-// serveAnswers returns the address of a node that answers one kind of request.
-func serveAnswers(t *testing.T, pattern string, answer func() (code int, body any)) (address string) {
+// startFakeNode starts a server that responds to the requests that match a pattern, and returns its address.
+func startFakeNode(t *testing.T, pattern string, respond func() (code int, body any)) (address string) {
 	mux := http.NewServeMux()
 	mux.HandleFunc(pattern, func(w http.ResponseWriter, _ *http.Request) {
-		code, body := answer()
+		code, body := respond()
 		b, err := wire.Marshal(body)
 		w.WriteHeader(code)
-		if _, wrote := w.Write(b); err != nil || wrote != nil {
-			t.Error(err, wrote)
+		if _, writeErr := w.Write(b); err != nil || writeErr != nil {
+			t.Error(err, writeErr)
 		}
 	})
 	server := httptest.NewServer(mux)
@@ -47,7 +47,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// writeFile writes a file into a directory of the test's.
+// writeFile writes a file into a new temporary directory of the test and returns its path.
 func writeFile(t *testing.T, name, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
--- a/cmd/caperlatch/job_client.go
+++ b/cmd/caperlatch/job_client.go
@@ -15,13 +15,13 @@
 	"caperlatch/internal/wire"
 )
 
-// How a user's request is repeated: at the next node, and after a pause once all were asked.
+// Limits of the retries of a user's request. A retry goes to the next node, after a pause once all nodes have been tried.
 const (
 	maxJobAttempts = 30
 	jobRetryPause  = 500 * time.Millisecond
 )
 
-// Forms of output.
+// Output formats.
 const (
 	outputText = "text"
 	outputJSON = "json"
@@ -29,33 +29,33 @@
 
 // Errors of users' requests.
 var (
-	errNoAnswer   = errors.New("no node answers for sure; it may have been carried out, ask again")
-	errOutputForm = errors.New("--output must be text or json")
+	errNoDefiniteResponse = errors.New("no definite response from any node; the request may have been carried out, retry it")
+	errOutputFormat       = errors.New("--output must be text or json")
 )
 
-// jobClient sends users' requests as the protocol says: to the next node where one does not
-// answer or says to come back.
+// jobClient sends users' requests as the protocol requires: if a node does not respond, or responds that the request
+// should be retried, the request is sent to the next node.
 type jobClient struct {
 	nodes  []string // addresses, at least one
-	output string   // form of what is printed
+	output string   // output format
 }
 
-// addFlags lets the user choose the nodes and the output.
+// addFlags adds the flags that set the nodes and the output format.
 func (c *jobClient) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringSliceVar(&c.nodes, "node", []string{defaultNode}, "addresses of nodes (their client_listen), any number")
+	cmd.Flags().StringSliceVar(&c.nodes, "node", []string{defaultNode}, "addresses of nodes (their client_listen), may be repeated")
 	cmd.Flags().StringVar(&c.output, "output", outputText, "text or json")
 }
 
-// check reports what is wrong with the flags, before anything is sent.
+// check validates the flags, before any request is sent.
 func (c *jobClient) check() error {
 	if c.output != outputText && c.output != outputJSON {
-		return usage(errOutputForm)
+		return asUsageError(errOutputFormat)
 	}
 	return nil
 }
 
-// show sends a request and prints the job's status.
-func (c *jobClient) show(cmd *cobra.Command, method, path string, body any) error {
+// sendAndPrint sends a request and prints the status of the job in the response.
+func (c *jobClient) sendAndPrint(cmd *cobra.Command, method, path string, body any) error {
 	status, err := c.send(cmd.Context(), method, path, body)
 	if err != nil {
 		return err
@@ -71,19 +71,19 @@
 	return nil
 }
 
-// send sends a request until a node answers it for sure. The error is errNoAnswer if none does.
+// send repeats a request until a node gives a definite response. The error wraps errNoDefiniteResponse if none does.
 func (c *jobClient) send(ctx context.Context, method, path string, body any) (status wire.JobStatus, err error) {
-	lastErr := errNoAnswer
+	lastErr := errNoDefiniteResponse
 	for attempt := range maxJobAttempts {
 		node := c.nodes[attempt%len(c.nodes)]
 		resp, err := request(ctx, method, node, path, body)
 		switch {
 		case err != nil:
-			lastErr = fmt.Errorf("%w (%s: %w)", errNoAnswer, node, err)
+			lastErr = fmt.Errorf("%w (%s: %w)", errNoDefiniteResponse, node, err)
 		case resp.status == http.StatusTooManyRequests || resp.status >= http.StatusInternalServerError:
-			lastErr = fmt.Errorf("%w (%s answers %d)", errNoAnswer, node, resp.status)
+			lastErr = fmt.Errorf("%w (%s responded with HTTP status %d)", errNoDefiniteResponse, node, resp.status)
 		default:
-			return readJobStatus(resp)
+			return decodeJobStatus(resp)
 		}
 		if (attempt+1)%len(c.nodes) == 0 {
 			time.Sleep(jobRetryPause)
@@ -92,8 +92,8 @@
 	return status, lastErr
 }
 
-// readJobStatus returns the job's status in a response, or the error that it holds.
-func readJobStatus(resp *response) (status wire.JobStatus, err error) {
+// decodeJobStatus returns the job status in a response, or an error with the message of an error response.
+func decodeJobStatus(resp *response) (status wire.JobStatus, err error) {
 	if resp.status == http.StatusOK || resp.status == http.StatusCreated {
 		return status, wire.Unmarshal(resp.body, &status)
 	}
--- a/cmd/caperlatch/job_file.go
+++ b/cmd/caperlatch/job_file.go
@@ -8,8 +8,8 @@
 	"os"
 )
 
-// readJob returns the description of a job in a file, as it is submitted.
-func readJob(in io.Reader, file string) (job map[string]any, err error) {
+// readJobDescription reads the description of a job from a file, in the form in which it is submitted.
+func readJobDescription(in io.Reader, file string) (job map[string]any, err error) {
 	content, err := readFile(in, file)
 	if err != nil {
 		return nil, err
@@ -20,14 +20,14 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	for key, value := range job {
-		if job[key], err = decodeNumber(value); err != nil {
+		if job[key], err = convertNumber(value); err != nil {
 			return nil, fmt.Errorf("%s: %s: %w", file, key, err)
 		}
 	}
 	return job, nil
 }
 
-// readFile reads a file, or standard input for -.
+// readFile reads a file, or standard input if the file is "-".
 func readFile(in io.Reader, file string) ([]byte, error) {
 	if file == "-" {
 		return io.ReadAll(in)
@@ -35,9 +35,9 @@
 	return os.ReadFile(file)
 }
 
-// decodeNumber returns a value or, for a number, an integer if it is one: counts must not be sent
-// as fractions.
-func decodeNumber(value any) (any, error) {
+// convertNumber converts a JSON number to an integer if it is one, and to a floating-point number otherwise, as counts
+// must not be sent as floating-point numbers. It returns other values unchanged.
+func convertNumber(value any) (any, error) {
 	number, ok := value.(json.Number)
 	if !ok {
 		return value, nil
--- a/cmd/caperlatch/lab.go
+++ b/cmd/caperlatch/lab.go
@@ -14,56 +14,56 @@
 	"caperlatch/internal/sim/lab"
 )
 
-// labOptions are what the user of the lab chooses.
+// labOptions holds the options that the user of the lab sets by flags.
 type labOptions struct {
 	lab.Options
 	files   featureFiles
 	seconds float64
-	faults  string // file
-	report  string // file
+	faults  string // path of the fault file
+	report  string // path of the report
 }
 
-// Bounds and defaults of the lab.
+// Defaults and upper bounds of the lab's options.
 const (
-	labNodes    = 3
-	labMachines = 40
-	labSeconds  = 25.0
-	labPort     = 8080
-	maxNodes    = 5
-	maxSeconds  = 24 * 3600
+	defaultLabNodes    = 3
+	defaultLabMachines = 40
+	defaultLabSeconds  = 25.0
+	defaultLabPort     = 8080
+	maxLabNodes        = 5
+	maxLabSeconds      = 24 * 3600
 )
 
-// labCommand returns the commands that run a whole cluster on this machine.
+// labCommand returns the command whose subcommands run a whole cluster on this machine.
 func labCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "lab",
-		Short: "Run a cluster on this machine, with stand-ins of state service, cloud and workers",
+		Short: "Run a cluster on this machine, with a simulated state service, cloud and workers",
 	}
 	cmd.AddCommand(labRunCommand(), labUpCommand())
 	return cmd
 }
 
-// labRunCommand returns the command that has a cluster run a sample of jobs.
+// labRunCommand returns the command that runs a sample workload on a cluster.
 func labRunCommand() *cobra.Command {
 	var o labOptions
-	cmd := o.command("run", "Have a cluster do a sample of jobs while its leader is killed, and tell how it went", o.run)
-	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "seed of the jobs")
-	cmd.Flags().Float64Var(&o.seconds, "seconds", labSeconds, "for how long jobs come")
-	cmd.Flags().StringVar(&o.faults, "faults", "", "file of troubles (TOML) in place of the leader's end, as in deploy/faults.example.toml")
-	cmd.Flags().StringVar(&o.report, "report", "", "file to write a report to (HTML)")
+	cmd := o.command("run", "Run a sample workload on a cluster while its leader is killed, and print a summary", o.run)
+	cmd.Flags().Uint64Var(&o.Seed, "seed", 1, "random seed of the workload")
+	cmd.Flags().Float64Var(&o.seconds, "seconds", defaultLabSeconds, "for how many seconds jobs are submitted")
+	cmd.Flags().StringVar(&o.faults, "faults", "", "file of faults to inject (TOML) instead of killing the leader, as in deploy/faults.example.toml")
+	cmd.Flags().StringVar(&o.report, "report", "", "file to write a report to, as HTML")
 	return cmd
 }
 
 // labUpCommand returns the command that runs a cluster until it is interrupted.
 func labUpCommand() *cobra.Command {
-	o := labOptions{seconds: labSeconds}
-	cmd := o.command("up", "Run a cluster until Ctrl-C, and say how to use it",
+	o := labOptions{seconds: defaultLabSeconds}
+	cmd := o.command("up", "Run a cluster until Ctrl-C, and print how to use it",
 		func(ctx context.Context, l *lab.Lab, _ io.Writer) error { return l.Up(ctx) })
-	cmd.Flags().IntVar(&o.Port, "port", labPort, "port of the first node, the next ones of the others; those that are taken are replaced")
+	cmd.Flags().IntVar(&o.Port, "port", defaultLabPort, "port of the first node; the other nodes use the following ports; ports in use are replaced")
 	return cmd
 }
 
-// command returns a command that checks the options, prepares a lab and uses it.
+// command returns a command that validates the options, prepares a lab and calls use with it.
 func (o *labOptions) command(name, short string, use func(context.Context, *lab.Lab, io.Writer) error) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   name,
@@ -80,24 +80,24 @@
 	return cmd
 }
 
-// addFlags lets the user choose what all of the lab has.
+// addFlags adds the flags that all lab commands have in common.
 func (o *labOptions) addFlags(cmd *cobra.Command) {
-	cmd.Flags().IntVar(&o.Nodes, "nodes", labNodes, "controllers, 3 or 5")
-	cmd.Flags().IntVar(&o.Machines, "machines", labMachines, "machines that the cloud has")
+	cmd.Flags().IntVar(&o.Nodes, "nodes", defaultLabNodes, "number of controller nodes, 3 or 5")
+	cmd.Flags().IntVar(&o.Machines, "machines", defaultLabMachines, "number of machines that the cloud provides")
 	o.files.addFlags(cmd)
 }
 
-// check reads and checks all that was chosen, before anything is started.
+// check validates the options and reads the files that they name, before any process is started.
 func (o *labOptions) check() error {
 	switch {
-	case o.Nodes != labNodes && o.Nodes != maxNodes:
-		return usage(fmt.Errorf("--nodes must be %d or %d", labNodes, maxNodes))
+	case o.Nodes != defaultLabNodes && o.Nodes != maxLabNodes:
+		return asUsageError(fmt.Errorf("--nodes must be %d or %d", defaultLabNodes, maxLabNodes))
 	case o.Machines < 1:
-		return usage(fmt.Errorf("--machines must be at least 1"))
-	case !(o.seconds > 0 && o.seconds <= maxSeconds):
-		return usage(fmt.Errorf("--seconds must be over 0 and at most %d", maxSeconds))
+		return asUsageError(fmt.Errorf("--machines must be at least 1"))
+	case !(o.seconds > 0 && o.seconds <= maxLabSeconds):
+		return asUsageError(fmt.Errorf("--seconds must be greater than 0 and at most %d", maxLabSeconds))
 	case o.Port < 0 || o.Port+o.Nodes > 1<<16:
-		return usage(fmt.Errorf("--port must be from 0 to %d", 1<<16-o.Nodes))
+		return asUsageError(fmt.Errorf("--port must be from 0 to %d", 1<<16-o.Nodes))
 	}
 	o.SubmitFor = time.Duration(o.seconds * float64(time.Second))
 	o.Faults = lab.DefaultFaults()
@@ -106,7 +106,7 @@
 		return err
 	}
 	if _, err := o.files.read(s); err != nil {
-		return usage(err)
+		return asUsageError(err)
 	}
 	o.Args = o.files.args()
 	if o.faults == "" {
@@ -114,15 +114,16 @@
 	}
 	content, err := os.ReadFile(o.faults)
 	if err != nil {
-		return usage(err)
+		return asUsageError(err)
 	}
 	if o.Faults, err = lab.ParseFaults(o.faults, content, o.Nodes, s.Params.Zones); err != nil {
-		return usage(err)
+		return asUsageError(err)
 	}
 	return nil
 }
 
-// withLab prepares a lab in a folder of its own and uses it until it is interrupted.
+// withLab prepares a lab in a temporary directory and calls use with it. The context ends when the command is
+// interrupted. The directory is kept if use fails.
 func (o *labOptions) withLab(cmd *cobra.Command, use func(context.Context, *lab.Lab, io.Writer) error) (err error) {
 	if o.Program, err = os.Executable(); err != nil {
 		return err
@@ -142,7 +143,7 @@
 	return os.RemoveAll(o.Dir)
 }
 
-// run has the lab run the sample, and prints the outcome.
+// run runs the sample workload in the lab, prints the summary and writes the report if one is requested.
 func (o *labOptions) run(ctx context.Context, l *lab.Lab, out io.Writer) error {
 	summary, err := l.Run(ctx)
 	if err != nil {
@@ -157,7 +158,7 @@
 	return summary.Err()
 }
 
-// writeReport writes the report of a run to a file.
+// writeReport writes the HTML report of a run to a file.
 func writeReport(path string, summary *lab.Summary) error {
 	f, err := os.Create(path)
 	if err != nil {
--- a/cmd/caperlatch/lab_test.go
+++ b/cmd/caperlatch/lab_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// program builds this program, once.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds this program once and returns the path of the executable.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "caperlatch-test-")
 	if err != nil {
 		return "", err
@@ -30,19 +30,19 @@
 	return path, nil
 })
 
-// TestMain removes the built program.
+// TestMain removes the directory of the built program after all tests.
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := program(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-// run runs the built program to its end.
-func run(t *testing.T, args ...string) (out string, code int) {
+// runProgram runs the built program until it exits, and returns its output and exit code.
+func runProgram(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,28 +55,29 @@
 	return string(b), cmd.ProcessState.ExitCode()
 }
 
-// TestLabRun has a small cluster run jobs while its leader is killed.
+// TestLabRun checks that a small cluster completes all jobs, without a violated rule, while its leader is killed and
+// restarted.
 func TestLabRun(t *testing.T) {
 	t.Parallel()
 	report := filepath.Join(t.TempDir(), "report.html")
 	faults := writeFile(t, "faults.toml", "[[fault]]\nat_s = 2.0\nfor_s = 1.0\nkind = \"kill\"\nnode = \"leader\"\n")
-	out, code := run(t, "lab", "run", "--machines", "8", "--seconds", "4", "--faults", faults, "--report", report, "--features", "../../deploy/membership.xml")
+	out, code := runProgram(t, "lab", "run", "--machines", "8", "--seconds", "4", "--faults", faults, "--report", report, "--features", "../../deploy/membership.xml")
 	if code != 0 || !strings.Contains(out, "0 rules broken, 0 jobs open") || !strings.Contains(out, "2 terms of leaders") {
-		t.Errorf("exit code %d\n%s", code, out)
+		t.Errorf("got exit code %d and output\n%s\nwant exit code 0, no violated rule, no open job and 2 terms", code, out)
 	}
 	if b, err := os.ReadFile(report); err != nil || !bytes.Contains(b, []byte("interactive")) {
-		t.Errorf("report: %v, %d bytes", err, len(b))
+		t.Errorf("report: got error %v and %d bytes, want no error and a report that contains the class interactive", err, len(b))
 	}
 }
 
-// TestLabRejectsWrongUse checks that the lab rejects what cannot be carried out, before it starts
-// anything.
-func TestLabRejectsWrongUse(t *testing.T) {
+// TestLabRejectsInvalidOptions checks that the lab rejects invalid options with a single line of output, before it
+// starts a process.
+func TestLabRejectsInvalidOptions(t *testing.T) {
 	t.Parallel()
 	faults := writeFile(t, "faults.toml", "[[fault]]\nkind = \"explode\"\n")
 	for _, c := range []struct {
-		args []string
-		says string
+		args       []string
+		wantOutput string
 	}{
 		{[]string{"--faults", faults}, faults + ":2: kind"},
 		{[]string{"--faults", "none.toml"}, "none.toml"},
@@ -85,32 +86,32 @@
 		{[]string{"--seconds", "0"}, "--seconds"},
 		{[]string{"--features", "none.xml"}, "none.xml"},
 	} {
-		out, code := run(t, append([]string{"lab", "run"}, c.args...)...)
-		if code != exitUsage || strings.Count(out, "\n") != 1 || !strings.Contains(out, c.says) {
-			t.Errorf("%v: exit code %d, %q", c.args, code, out)
+		out, code := runProgram(t, append([]string{"lab", "run"}, c.args...)...)
+		if code != exitUsage || strings.Count(out, "\n") != 1 || !strings.Contains(out, c.wantOutput) {
+			t.Errorf("%v: got exit code %d, output %q; want exit code %d and a single line that contains %q", c.args, code, out, exitUsage, c.wantOutput)
 		}
 	}
 }
 
-// TestLabUp uses a cluster that stays up, with the first port taken, and ends the lab in several
-// ways: its nodes must end with it.
+// TestLabUp checks that the nodes of a running lab exit when the lab is terminated or killed, and that the lab starts
+// when its first port is in use.
 func TestLabUp(t *testing.T) {
 	t.Parallel()
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	port := taken.Addr().(*net.TCPAddr).Port
+	defer occupied.Close()
+	port := occupied.Addr().(*net.TCPAddr).Port
 	if port > 65_000 {
-		t.Skip("no room for the ports after", port)
+		t.Skip("too few valid ports follow port", port)
 	}
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-		t.Run(end.String(), func(t *testing.T) {
+	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
+		t.Run(sig.String(), func(t *testing.T) {
 			cmd := exec.Command(path, "lab", "up", "--port", fmt.Sprint(port))
 			out, err := cmd.StdoutPipe()
 			if err != nil {
@@ -120,25 +121,25 @@
 				t.Fatal(err)
 			}
 			defer cmd.Process.Kill()
-			address, children := readLabAddresses(t, bufio.NewScanner(out))
-			if end == syscall.SIGTERM {
-				useJobs(t, address)
+			address, children := readLabNodes(t, bufio.NewScanner(out))
+			if sig == syscall.SIGTERM {
+				checkJobCommands(t, address)
 			}
-			if err := cmd.Process.Signal(end); err != nil {
+			if err := cmd.Process.Signal(sig); err != nil {
 				t.Fatal(err)
 			}
-			if err := cmd.Wait(); (err != nil) != (end == syscall.SIGKILL) {
-				t.Errorf("ended: %v", err)
+			if err := cmd.Wait(); (err != nil) != (sig == syscall.SIGKILL) {
+				t.Errorf("got error %v when the lab exited, want an error only after SIGKILL", err)
 			}
 			for _, pid := range children {
-				awaitProcessEnd(t, pid)
+				waitForProcessExit(t, pid)
 			}
 		})
 	}
 }
 
-// readLabAddresses returns where the first node answers, and the nodes' processes.
-func readLabAddresses(t *testing.T, lines *bufio.Scanner) (address string, pids []int) {
+// readLabNodes reads the output of the lab and returns the address of the first node and the process ids of all nodes.
+func readLabNodes(t *testing.T, lines *bufio.Scanner) (address string, pids []int) {
 	t.Helper()
 	for lines.Scan() {
 		var host, at string
@@ -153,20 +154,20 @@
 			break
 		}
 	}
-	if len(pids) != labNodes {
-		t.Fatalf("%d processes announced", len(pids))
+	if len(pids) != defaultLabNodes {
+		t.Fatalf("the lab printed %d processes, want one for each node", len(pids))
 	}
 	return address, pids
 }
 
-// useJobs submits, asks for and cancels a job.
-func useJobs(t *testing.T, address string) {
+// checkJobCommands checks that a job can be submitted, queried and cancelled at a node.
+func checkJobCommands(t *testing.T, address string) {
 	t.Helper()
 	const id, file = "j-100001", "../../deploy/job.example.json"
 	for _, c := range []struct {
-		args []string
-		says string
-		code int
+		args       []string
+		wantOutput string
+		wantCode   int
 	}{
 		{[]string{"submit", "--node", "127.0.0.1:1", "--node", address, file}, id + ": pending", 0},
 		{[]string{"jobs", "--node", address, "--output", "json", id}, `"id":"` + id + `"`, 0},
@@ -175,14 +176,14 @@
 		{[]string{"jobs", "--node", address, "j-999999"}, "no such job", 1},
 		{[]string{"jobs", "--node", address, "--output", "xml", id}, "--output", exitUsage},
 	} {
-		if out, code := run(t, c.args...); code != c.code || !strings.Contains(out, c.says) {
-			t.Errorf("%v: exit code %d, %q", c.args, code, out)
+		if out, code := runProgram(t, c.args...); code != c.wantCode || !strings.Contains(out, c.wantOutput) {
+			t.Errorf("%v: got exit code %d, output %q; want exit code %d and output that contains %q", c.args, code, out, c.wantCode, c.wantOutput)
 		}
 	}
 }
 
-// awaitProcessEnd waits until a process does not exist, or is a zombie.
-func awaitProcessEnd(t *testing.T, pid int) {
+// waitForProcessExit waits until a process does not exist or is a zombie, for at most 10 s.
+func waitForProcessExit(t *testing.T, pid int) {
 	t.Helper()
 	for range 100 {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -191,5 +192,5 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("process %d still runs", pid)
+	t.Errorf("process %d is still running after 10 s", pid)
 }
--- a/cmd/caperlatch/main.go
+++ b/cmd/caperlatch/main.go
@@ -1,7 +1,7 @@
 // Command caperlatch runs and inspects a controller node.
 //
-// It owns the command line, what the commands print and the exit codes. It must do no work of a
-// node itself: it runs one of package caperlatch or asks a running one over HTTP.
+// It owns the command line, the output of the commands and the exit codes. It must not implement any function of a
+// node: it either runs a node of package caperlatch or sends requests to a running node over HTTP.
 package main
 
 import (
@@ -25,30 +25,30 @@
 	exitUsage  = 2
 )
 
-// usageError is a request that cannot be carried out as it stands; nothing was started.
+// usageError is an error in the command line or in a file that it names, found before anything was started.
 type usageError struct{ error }
 
-// Unwrap returns what is wrong.
+// Unwrap returns the underlying error.
 func (e usageError) Unwrap() error { return e.error }
 
-// usage marks an error as the user's.
-func usage(err error) error { return usageError{err} }
+// asUsageError marks an error as a usageError.
+func asUsageError(err error) error { return usageError{err} }
 
-// exitCode returns the program's exit code after an error.
+// exitCode returns the exit code of the program for an error.
 func exitCode(err error) int {
-	var wrongUse usageError
-	if errors.As(err, &wrongUse) {
+	var usageErr usageError
+	if errors.As(err, &usageErr) {
 		return exitUsage
 	}
 	return exitFailed
 }
 
-// rootCommand returns the program with all its commands; without one it runs a node.
+// rootCommand returns the root command with all its subcommands. Without a subcommand it runs a node.
 func rootCommand() *cobra.Command {
 	var files nodeFiles
 	root := &cobra.Command{
 		Use:           "caperlatch",
-		Short:         "A cluster scheduler that rents its machines",
+		Short:         "A cluster scheduler that rents its machines from a cloud",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
--- a/cmd/caperlatch/members.go
+++ b/cmd/caperlatch/members.go
@@ -11,13 +11,13 @@
 	"caperlatch/internal/membership"
 )
 
-// membersCommand returns the command that asks a node for its view of the others.
+// membersCommand returns the command that prints a node's view of the other nodes.
 func membersCommand() *cobra.Command {
-	return statusCommand("members", "Say which nodes are alive, suspected or failed, as a node sees them, and who else doubts them",
+	return statusCommand("members", "Print which nodes are alive, suspected or failed in the view of a node, and which nodes share a suspicion",
 		http.MethodGet, "/members", printMembers)
 }
 
-// printMembers prints a node's view of the others for people.
+// printMembers prints a node's view of the other nodes in readable form.
 func printMembers(w io.Writer, s *membership.Status) {
 	fmt.Fprintf(w, "as %s sees them:\n", s.Member)
 	for i := range s.Members {
@@ -33,7 +33,7 @@
 		s.Member, s.Counts.Suspicions, s.Counts.Failures, s.Counts.Refutations)
 }
 
-// printMember prints the view of one member.
+// printMember prints the state of one member.
 func printMember(w io.Writer, m *membership.MemberStatus) {
 	fmt.Fprintf(w, "%s: %s for %.1f s, heard %.1f s ago", m.Member, m.State, m.SinceS, m.SilenceS)
 	if m.RoundTripS > 0 {
--- a/cmd/caperlatch/node_command.go
+++ b/cmd/caperlatch/node_command.go
@@ -6,7 +6,7 @@
 	"github.com/spf13/cobra"
 )
 
-// nodeCommand returns a command that asks a node, which the user may name.
+// nodeCommand returns a command that sends requests to a node, whose address the user may set by a flag.
 func nodeCommand(use, short string, args cobra.PositionalArgs, run func(cmd *cobra.Command, node string, args []string) error) *cobra.Command {
 	var node string
 	cmd := &cobra.Command{
@@ -19,11 +19,11 @@
 	return cmd
 }
 
-// statusCommand returns a command that asks a node for a value at a path and prints it.
+// statusCommand returns a command that requests a status of type T from a node and prints it.
 func statusCommand[T any](use, short, method, path string, write func(io.Writer, *T)) *cobra.Command {
 	return nodeCommand(use, short, cobra.NoArgs, func(cmd *cobra.Command, node string, _ []string) error {
 		var status T
-		if err := ask(cmd.Context(), method, node, path, &status); err != nil {
+		if err := call(cmd.Context(), method, node, path, &status); err != nil {
 			return err
 		}
 		write(cmd.OutOrStdout(), &status)
--- a/cmd/caperlatch/run.go
+++ b/cmd/caperlatch/run.go
@@ -15,27 +15,26 @@
 	"caperlatch/internal/settings"
 )
 
-// errNoConfig means that the command line names no settings.
-var errNoConfig = errors.New("--config is missing")
+// errNoConfig means that the command line does not name a settings file.
+var errNoConfig = errors.New("--config is required")
 
-// nodeFiles names the files that describe a node.
+// nodeFiles holds the paths of the files that configure a node.
 type nodeFiles struct {
-	config   string // its settings
+	config   string // settings file
 	features featureFiles
 }
 
-// addFlags lets the operator name the files.
+// addFlags adds the flags that set the paths.
 func (f *nodeFiles) addFlags(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.config, "config", "", "settings file (TOML)")
 	f.features.addFlags(cmd)
 }
 
-// runCommand returns the command that runs a node with the settings in files, which its flags
-// name.
+// runCommand returns the command that runs a node. Its flags set the paths in files.
 func runCommand(files *nodeFiles) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "run",
-		Short: "Run a node until it is killed",
+		Short: "Run a node until it is terminated",
 		Args:  cobra.NoArgs,
 		RunE:  files.run,
 	}
@@ -43,8 +42,8 @@
 	return cmd
 }
 
-// run runs a node until the command's context ends or, with optional parts that have something
-// to do on shutdown, until SIGTERM.
+// run runs a node until the context of the command ends. With the warm standby or membership, which have to act on
+// shutdown, it also stops on SIGTERM.
 func (f *nodeFiles) run(cmd *cobra.Command, _ []string) error {
 	if f.config == "" {
 		return errNoConfig
@@ -69,24 +68,24 @@
 	return runUntilTerminated(cmd.Context(), node)
 }
 
-// runUntilTerminated runs a node that hands over and leaves when SIGTERM ends it.
+// runUntilTerminated runs a node that, on SIGTERM, hands over its leadership and announces its departure before it stops.
 func runUntilTerminated(ctx context.Context, n *caperlatch.Node) error {
 	terminated, stop := signal.NotifyContext(ctx, syscall.SIGTERM)
 	defer stop()
-	running, end := context.WithCancel(ctx)
-	defer end()
-	// It is what ends the node on SIGTERM. Nobody waits for it: the process ends with the node.
+	nodeCtx, stopNode := context.WithCancel(ctx)
+	defer stopNode()
+	// This goroutine stops the node on SIGTERM. Nothing waits for it, as the process exits when the node has stopped.
 	go func() {
 		<-terminated.Done()
 		n.HandOverOnShutdown()
 		n.Leave()
-		end()
+		stopNode()
 	}()
-	return n.Run(running)
+	return n.Run(nodeCtx)
 }
 
-// setLogLevel logs to standard error as much as LOG_LEVEL says: error, info (the default) or
-// debug.
+// setLogLevel makes the default logger write to standard error, at the level in the environment variable LOG_LEVEL:
+// error, info (the default) or debug.
 func setLogLevel() {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
--- a/cmd/caperlatch/standby.go
+++ b/cmd/caperlatch/standby.go
@@ -11,12 +11,12 @@
 	"caperlatch/internal/standby"
 )
 
-// standbyCommand returns the command that asks a node how far the warm standby is.
+// standbyCommand returns the command that prints a node's status of the warm standby.
 func standbyCommand() *cobra.Command {
-	return statusCommand("standby", "Say who leads, how far the others follow, and how the last take-over went", http.MethodGet, "/standby", printStandby)
+	return statusCommand("standby", "Print which node leads, how far its followers lag behind, and how the last failover went", http.MethodGet, "/standby", printStandby)
 }
 
-// printStandby prints a status for people.
+// printStandby prints the status of the warm standby in readable form.
 func printStandby(w io.Writer, s *api.StandbyStatus) {
 	fmt.Fprintf(w, "%s: %s, term %d led by %s\n", s.Member, s.Phase, s.FencingToken, s.Leader)
 	if s.Leading {
@@ -33,7 +33,7 @@
 	}
 }
 
-// printFollower prints how far a follower is behind a position.
+// printFollower prints how far a follower lags behind the leader's position.
 func printFollower(w io.Writer, position uint64, f standby.FollowerState) {
 	if !f.Complete {
 		fmt.Fprintf(w, "  %s: takes a snapshot, asked %.1f s ago\n", f.Member, f.AgeS)
@@ -42,7 +42,7 @@
 	fmt.Fprintf(w, "  %s: position %d, %d entries behind, asked %.1f s ago\n", f.Member, f.Position, position-min(position, f.Position), f.AgeS)
 }
 
-// printProgress prints how far the asked node is as a follower.
+// printProgress prints the progress of the queried node as a follower.
 func printProgress(w io.Writer, p *standby.Progress) {
 	state := "whole"
 	if !p.Complete {
@@ -57,7 +57,7 @@
 	}
 }
 
-// printFailover prints how a failover went.
+// printFailover prints the kind, evidence and phases of a failover.
 func printFailover(w io.Writer, r *standby.FailoverRecord) {
 	kind := "cold"
 	switch {
--- a/cmd/caperlatch/version.go
+++ b/cmd/caperlatch/version.go
@@ -7,12 +7,12 @@
 	"github.com/spf13/cobra"
 )
 
-// versionCommand returns the command that prints the version of this program, unlike
-// versionsCommand, which asks nodes.
+// versionCommand returns the command that prints the version of this program. The versions of running nodes are printed
+// by versionsCommand.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Print the version",
+		Short: "Print the version of this program",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			version, goVersion := "(devel)", ""
--- a/cmd/caperlatch/versions.go
+++ b/cmd/caperlatch/versions.go
@@ -12,34 +12,33 @@
 	"caperlatch/internal/wire"
 )
 
-// nodeVersions is what a node says of itself and of the versions that the nodes speak. A node of
-// version 0 says nothing of versions: then they have no member.
+// nodeVersions holds the readiness of a node and the protocol versions of all nodes, as that node knows them.
 type nodeVersions struct {
 	isReady  bool
-	versions peer.Versions
+	versions peer.Versions // Member is empty if the node has version 0, as it reports no versions
 }
 
-// versionsCommand returns the command that asks a node which versions serve.
+// versionsCommand returns the command that prints the protocol version of each node, as a node knows them.
 func versionsCommand() *cobra.Command {
 	run := func(cmd *cobra.Command, node string, _ []string) error {
-		v, err := askVersions(cmd.Context(), node)
+		v, err := fetchVersions(cmd.Context(), node)
 		if err != nil {
 			return err
 		}
 		printVersions(cmd.OutOrStdout(), node, v)
 		return nil
 	}
-	return nodeCommand("versions", "Say which nodes serve with which version", cobra.NoArgs, run)
+	return nodeCommand("versions", "Print the protocol version of each node", cobra.NoArgs, run)
 }
 
-// askVersions asks a node.
-func askVersions(ctx context.Context, node string) (v nodeVersions, err error) {
+// fetchVersions requests the readiness and the versions from a node.
+func fetchVersions(ctx context.Context, node string) (v nodeVersions, err error) {
 	resp, err := request(ctx, http.MethodGet, node, "/ready", nil)
 	if err != nil {
 		return v, err
 	}
 	if resp.status != http.StatusOK && resp.status != http.StatusServiceUnavailable {
-		return v, fmt.Errorf("%s answers %d", node, resp.status)
+		return v, fmt.Errorf("%s responded with HTTP status %d", node, resp.status)
 	}
 	v.isReady = resp.status == http.StatusOK
 	if len(resp.body) > 0 {
@@ -48,7 +47,7 @@
 	return v, err
 }
 
-// printVersions prints a line for each node.
+// printVersions prints the version of each node, and the version that all nodes are known to support.
 func printVersions(w io.Writer, node string, v nodeVersions) {
 	state := "ready"
 	if !v.isReady {
--- a/cmd/caperlatch/zones.go
+++ b/cmd/caperlatch/zones.go
@@ -14,12 +14,12 @@
 	"caperlatch/internal/zone"
 )
 
-// zonesCommand returns the command that asks a node for the leader's view of the zones.
+// zonesCommand returns the command that prints the leader's view of the zones.
 func zonesCommand() *cobra.Command {
-	return statusCommand("zones", "Say which zones are lost or returning, why, and where their work is", http.MethodGet, "/zones", printZones)
+	return statusCommand("zones", "Print which zones are disrupted or reopening, why, and where their work runs", http.MethodGet, "/zones", printZones)
 }
 
-// printZones prints the state of all zones for people.
+// printZones prints the state of all zones in readable form.
 func printZones(w io.Writer, s *api.ZonesStatus) {
 	fmt.Fprintf(w, "as %s sees them:\n", s.Leader)
 	for i := range s.Zones {
@@ -50,11 +50,11 @@
 		fmt.Fprintf(w, "  %.0f%% open, %d machines closed, %d being replaced elsewhere\n", 100*z.OpenShare, z.Work.ClosedMachines, z.Work.ReplacedMachines)
 	}
 	for _, c := range []struct {
-		what  string
+		label string
 		tasks map[string]int
 	}{{"lost with the zone", z.Work.Displaced}, {"begun again elsewhere", z.Work.Moved}, {"begun again in it", z.Work.Restarted}} {
 		if len(c.tasks) > 0 {
-			fmt.Fprintf(w, "  %s: %s\n", c.what, byClass(c.tasks))
+			fmt.Fprintf(w, "  %s: %s\n", c.label, formatByClass(c.tasks))
 		}
 	}
 	if z.Work.LeasedMachines > 0 {
@@ -63,8 +63,8 @@
 	}
 }
 
-// byClass lists counts of tasks, in the order of the classes' names.
-func byClass(tasks map[string]int) string {
+// formatByClass lists counts of tasks by class, sorted by class name.
+func formatByClass(tasks map[string]int) string {
 	var parts []string
 	for _, class := range slices.Sorted(maps.Keys(tasks)) {
 		parts = append(parts, fmt.Sprintf("%s %d", class, tasks[class]))
