--- a/internal/election/abstention.go
+++ b/internal/election/abstention.go
@@ -2,23 +2,23 @@
 
 import "caperlatch/internal/micros"
 
-// abstention is when a node must not campaign because it has agreed not to, for the sake of a leader that cannot
-// reach the state service (see Term.IsExclusive). It holds no lock and reads no clock.
+// abstention records until when a node must not campaign, because it has agreed to abstain for a leader that cannot
+// reach the state service (see Term.IsExclusive). The caller provides the locking and the current time.
 type abstention struct {
 	// until is the instant before which this node must not campaign.
 	until micros.Micros
-	// campaigning is set from the start of a campaign until its outcome is known and the term, if won, is over.
-	// Meanwhile the node cannot agree to abstain.
+	// campaigning is set from the start of a campaign until it has failed, or until the term that it won is over.
+	// While it is set, the node cannot agree to abstain.
 	campaigning bool
 }
 
-// newAbstention is that of a node that started at an instant. It does not know whether an earlier process of the
-// node had agreed to abstain, and waits for as long as that may have been for.
+// newAbstention returns the abstention of a node whose process started at startedAt. An earlier process of the node
+// may have agreed to abstain, which is not stored, so the node abstains for the longest time that may be left of it.
 func newAbstention(startedAt, maxAbstention micros.Micros) abstention {
 	return abstention{until: startedAt + maxAbstention}
 }
 
-// extend agrees to abstain until an instant, and reports whether the node is in a position to.
+// extend extends the abstention until the given instant. It returns false, and changes nothing, during a campaign.
 func (a *abstention) extend(until micros.Micros) bool {
 	if a.campaigning {
 		return false
@@ -27,7 +27,7 @@
 	return true
 }
 
-// beginCampaign reports whether the node may campaign now, and notes that it does.
+// beginCampaign marks the node as campaigning. It returns false, and changes nothing, if the node must abstain at now.
 func (a *abstention) beginCampaign(now micros.Micros) bool {
 	if now < a.until {
 		return false
@@ -36,25 +36,26 @@
 	return true
 }
 
-// endCampaign notes that no campaign of the node can succeed any more, and that it does not lead.
+// endCampaign marks the node as not campaigning: its last campaign can no longer succeed, and the node does not lead.
 func (a *abstention) endCampaign() { a.campaigning = false }
 
-// Abstain has this node not campaign for a duration from now on, and reports whether it agrees to that. It does
-// not while it leads or while a campaign of it may still succeed: its word would prove nothing then.
+// Abstain keeps this node from campaigning for the given duration from now on, and reports whether the node agrees.
+// It refuses while the node leads or while a campaign of the node may still succeed, as the node could then lead
+// in spite of its agreement.
 func (e *Election) Abstain(duration micros.Micros) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.abstention.extend(micros.Now() + duration)
 }
 
-// beginCampaign reports whether this node may campaign, and notes that it does.
+// beginCampaign marks this node as campaigning. It returns false, and changes nothing, if the node must abstain now.
 func (e *Election) beginCampaign() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.abstention.beginCampaign(micros.Now())
 }
 
-// endCampaign notes that the outcome of a campaign is no longer open, and the term that it won over.
+// endCampaign marks the end of a campaign, which has failed or whose term is over.
 func (e *Election) endCampaign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -12,20 +12,21 @@
 	"caperlatch/internal/wire"
 )
 
-// campaign opens a session and tries to take the leader key with it, in place of the key with a mod revision. Its error says that no term was won here; the
-// transaction may still have been carried out if its response was lost.
-func (e *Election) campaign(ctx context.Context, replaced uint64) (*Term, error) {
+// campaign opens a session and tries to write the leader key with it, replacing the key that has the mod revision
+// replacedRevision. An error means that this process has won no term; the transaction may still have been executed if
+// its response was lost.
+func (e *Election) campaign(ctx context.Context, replacedRevision uint64) (*Term, error) {
 	token, tokenRevision, err := e.storedToken()
 	if err != nil {
 		return nil, err
 	}
-	sent := micros.Now()
+	sentAt := micros.Now()
 	session, err := e.store.NewSession(ctx, SessionTTL)
 	if err != nil {
 		return nil, fmt.Errorf("election: open session: %w", err)
 	}
 	leader := replica.Leader{Member: e.member, FencingToken: token.FencingToken + 1, SessionID: session}
-	revision, err := e.takeLeaderKey(ctx, leader, replaced, tokenRevision)
+	revision, err := e.takeLeaderKey(ctx, leader, replacedRevision, tokenRevision)
 	e.campaignBackoff = backoffAfter(err)
 	if err != nil {
 		e.endSession(ctx, session)
@@ -37,17 +38,17 @@
 		FencingToken:       leader.FencingToken,
 		LeaderKeyRevision:  revision,
 		sessionID:          session,
-		sessionConfirmedAt: sent,
+		sessionConfirmedAt: sentAt,
 	}, nil
 }
 
-// takeLeaderKey is the compare-and-swap that begins a term: it stores the leader and its token, if the leader key
-// and the token's key still have the given mod revisions. It returns the mod revision of both.
-func (e *Election) takeLeaderKey(ctx context.Context, leader replica.Leader, replaced, tokenRevision uint64) (revision uint64, err error) {
+// takeLeaderKey begins a term by a compare-and-swap: it stores the leader and its fencing token if the leader key and
+// the token key still have the given mod revisions. It returns the new mod revision, which both keys share.
+func (e *Election) takeLeaderKey(ctx context.Context, leader replica.Leader, replacedRevision, tokenRevision uint64) (revision uint64, err error) {
 	token := replica.TokenRecord{FencingToken: leader.FencingToken}
 	revision, err = e.store.Commit(ctx, wire.Txn{
 		If: []wire.Compare{
-			{Key: replica.LeaderKey, ModRevision: replaced},
+			{Key: replica.LeaderKey, ModRevision: replacedRevision},
 			{Key: replica.TokenKey, ModRevision: tokenRevision},
 		},
 		Then: []wire.Op{
@@ -63,13 +64,13 @@
 	return revision, nil
 }
 
-// backoffAfter is how long to wait after a campaign whose transaction ended with err.
+// backoffAfter returns how long to wait after a campaign whose transaction ended with err.
 func backoffAfter(err error) micros.Micros {
 	if !errors.Is(err, statestore.ErrRejected) {
 		return retryInterval
 	}
-	// Two short values: nothing could be made smaller. Whatever the cause, repeating the request five times a
-	// second does not remove it.
-	slog.Error("state service rejects the leader key", "key", replica.LeaderKey, "error", err)
+	// The transaction holds only two short values and cannot be made smaller. Repeating it five times a second
+	// would not remove the cause, whatever it is.
+	slog.Error("state service rejected the leader key, campaigning less often", "key", replica.LeaderKey, "error", err)
 	return rejectedBackoff
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,36 +1,37 @@
-// Package election decides which node leads. Leadership is a key of the state service that exists for as
-// long as a session does; a term is the time for which one node holds that key under one fencing token.
+// Package election decides which node leads. Leadership is a key in the state service, the leader key, which is
+// deleted when the session that it was written with ends. A term is the time for which one node holds that key under
+// one fencing token.
 //
-// How a term begins. While no leader key is stored, a node that may campaign (see Election.Abstain) opens a
-// session and sends one transaction: a compare-and-swap that puts the leader key on that session and raises
-// the fencing token by one, provided that there is still no leader key and that the token has not been raised
-// meanwhile. At most one node succeeds, and no two terms share a token. The member that a leader has handed over to
-// does not wait for the key to vanish: it replaces the key, by the same transaction on condition of that leader's key
-// (Config.TakesOver), so that nobody else finds it absent. A campaign whose response was lost may
-// have succeeded: its node then finds the leader key naming itself, ends that session, and campaigns anew for
-// another token. A key found by a restarted node is ended the same way, so that nothing ever acts under a token
-// that it did not win itself.
+// A term begins with a campaign. While no leader key is stored, a node that may campaign (see Election.Abstain) opens a
+// session and sends one compare-and-swap transaction, which writes the leader key with that session and increments the
+// fencing token, provided that there is still no leader key and that the token has not changed meanwhile. At most one
+// node succeeds, and no two terms share a token. The member that a leader has handed over to does not wait until the
+// key is absent: it replaces the key with the same transaction, conditional on that leader's key
+// (Config.IsSuccessorOf), so that no other node finds the key absent. A campaign whose response was lost may have
+// succeeded: its node then finds that the leader key names the node itself, ends that session, and campaigns again for
+// another token. A restarted node ends the session of a key that it finds in the same way, so that no process ever acts
+// under a token that it did not win itself.
 //
-// How it is kept. The session is renewed several times within its TTL. The term counts it from the send time
-// of the last renewal that succeeded, less clock drift, so that the node takes it for ended before the service
+// While a term lasts, its session is renewed several times within the TTL. The node counts the TTL from the send time
+// of the last successful renewal and subtracts clock drift, so that it considers the session ended before the service
 // does.
 //
-// How it ends. Another leader key or a higher fencing token is seen, the service says that the session does not
-// exist, OnElected returns (a handover), or the node ends. Then the context of OnElected is cancelled, its return
-// is awaited, and the session is ended, so that the next node need not wait for its TTL; after a handover only once the
-// named member has replaced the key, or has not for a while (Config.KeepKeyFor). A renewal that merely
-// gets no response does not end the term: what it may still do without the state service follows from the four
-// proofs of Term.
+// A term ends when another leader key or a higher fencing token is seen, the service answers that the session does not
+// exist, OnElected returns (a handover), or the node stops. The context of OnElected is then cancelled, OnElected
+// returns, and the session is ended, so that the next leader does not have to wait for its TTL. After a handover, the
+// session is ended only once the named successor has replaced the key or Config.HandoverGracePeriod has passed. A
+// renewal that gets no response does not end the term: what the term may still do without the state service follows
+// from what its methods prove.
 //
-// What a Term proves, each on its own and each to be asked again before each action:
+// Term has four such methods, each of which must be called again before each action that relies on it:
 //
-//   - HoldsSession: the session has not ended, so nobody else can have taken the leader key.
-//   - IsExclusive: nobody else leads, by the session or because all other nodes abstain from campaigning.
-//   - LastConfirmed: when it was last certain that the term may act and knows all cancellations.
+//   - HoldsSession: the session has not ended, so no other node can have taken the leader key.
+//   - IsExclusive: no other node leads, due to the session or because all other nodes abstain from campaigning.
+//   - LastConfirmed: when it was last certain that the term may act and that this node knows all cancellations.
 //   - EarlierTermsFencedSince: since when no node answers workers under the token of an earlier term.
 //
 // The package owns the campaigns, the terms and their fencing tokens. It must never act as a leader itself, and it
-// never talks to the other nodes: Peers says what they last answered.
+// never communicates with the other nodes: Peers provides their last answers.
 package election
 
 import (
@@ -47,98 +48,100 @@
 
 // Times of campaigns. Those of sessions are in session.go.
 const (
-	// retryInterval is between attempts at what the state service did not carry out; up to as much again is
-	// added at random between campaigns, so that two nodes do not collide again and again.
+	// retryInterval is the wait between attempts at a request that the state service did not execute. Between
+	// campaigns, a random time of up to the same length is added, so that two nodes do not collide repeatedly.
 	retryInterval = 200 * micros.Millisecond
-	// rejectedBackoff is between campaigns that the service rejects as they are.
+	// rejectedBackoff is the wait after a campaign whose transaction the state service rejected as invalid.
 	rejectedBackoff = 5 * micros.Second
-	// idlePollInterval is how long to wait for a change of the leader key before looking again.
+	// idlePollInterval is how long to wait for a change of the leader key before reading it again.
 	idlePollInterval = micros.Second
 )
 
 // noLeaderKey is the mod revision of the leader key when there is none.
 const noLeaderKey = 0
 
-// Peers is what the election needs of the other nodes' last responses. All instants are of this node's steady
-// clock; 0 stands for never.
+// Peers provides what the election needs from the last responses of the other nodes. All instants are readings of this
+// node's steady clock; 0 means never.
 type Peers interface {
-	// LastConfirmed is the latest instant at which every peer is known to have seen no token higher than the
+	// LastConfirmed returns the latest instant at which every peer is known to have seen no token higher than the
 	// given one, and to have passed on all cancellations that it knows.
 	LastConfirmed(token uint64) micros.Micros
-	// AbstainingUntil is until when all peers abstain from campaigning; 0 if any of them does not, or knows a
-	// token higher than the given one.
+	// AbstainingUntil returns the instant until which all peers abstain from campaigning; 0 if any of them does not,
+	// or knows a token higher than the given one.
 	AbstainingUntil(token uint64) micros.Micros
-	// TokenKnownSince is since when all peers have known the given token or a higher one; 0 if one does not.
+	// TokenKnownSince returns the instant since which all peers have known the given token or a higher one; 0 if any
+	// of them does not.
 	TokenKnownSince(token uint64) micros.Micros
 }
 
-// Config is what an election works with.
+// Config configures an Election.
 type Config struct {
 	Member  string // the name of this node
 	Store   *statestore.Client
 	Replica *replica.Replica
 	Peers   Peers
-	// MaxAbstention is the longest that an earlier process of this node may have agreed to abstain for.
+	// MaxAbstention is the longest time for which an earlier process of this node may have agreed to abstain.
 	MaxAbstention micros.Micros
-	// OnCampaign, if set, is called as this node begins to campaign.
+	// OnCampaign, if set, is called when this node begins to campaign.
 	OnCampaign func()
-	// CampaignDelay, if set, is for how long this node lets others campaign first, counted from when the leader key
-	// was seen to be absent. It only saves time: a node that yields in vain leads a little later.
+	// CampaignDelay, if set, returns for how long this node lets other nodes campaign first, counted from when this
+	// node first saw that the leader key is absent. Correctness does not depend on the delay: if no other node
+	// campaigns, this node merely leads later.
 	CampaignDelay func() micros.Micros
-	// IsSuccessorOf, if set, reports whether the leader that a leader key names has handed over to this node. That leader
-	// must act no more: this node then replaces its key. Wake has the election ask again.
+	// IsSuccessorOf, if set, reports whether the leader named by a leader key has handed over to this node. If so, that
+	// leader must no longer act, and this node replaces its key. Wake makes the election call IsSuccessorOf again.
 	IsSuccessorOf func(replica.Leader) bool
-	// HandoverGracePeriod, if set, is for how long the leader key stays when OnElected has returned, so that the member that
-	// the term was handed over to can replace it; 0: not at all.
+	// HandoverGracePeriod, if set, returns for how long the leader key is kept after OnElected has returned, so that
+	// the member that the term was handed over to can replace the key; 0 if the key is not kept.
 	HandoverGracePeriod func() micros.Micros
 	// OnElected is called for each term, in a goroutine that the election waits for. It must return soon after
-	// its context ends; if it returns before, the term ends.
+	// its context ends. If it returns earlier, the term ends.
 	OnElected func(context.Context, *Term)
 }
 
-// Election campaigns for leadership on behalf of one node. Run takes part; all other methods may be called from
-// any goroutine.
+// Election campaigns for leadership on behalf of one node while Run runs. All methods but Run may be called from any
+// goroutine.
 type Election struct {
-	member     string
-	store      *statestore.Client
-	replica    *replica.Replica
-	peers      Peers
-	onCampaign func()
-	yieldFor   func() micros.Micros
-	takesOver  func(replica.Leader) bool
-	keepKeyFor func() micros.Micros
-	onElected  func(context.Context, *Term)
-	wake       chan struct{} // has room for one call of Wake
-
-	// Of Run's goroutine alone.
-	campaignBackoff micros.Micros // the wait after a campaign that was not won
-	vacantSince     micros.Micros // since when no leader key is seen, 0 while there is one
-	campaigned      bool          // since then
+	member              string
+	store               *statestore.Client
+	replica             *replica.Replica
+	peers               Peers
+	onCampaign          func()
+	campaignDelay       func() micros.Micros
+	isSuccessorOf       func(replica.Leader) bool
+	handoverGracePeriod func() micros.Micros
+	onElected           func(context.Context, *Term)
+	wake                chan struct{} // buffers one call of Wake
+
+	// Used by Run's goroutine only.
+	campaignBackoff micros.Micros // the wait after a failed campaign
+	keyAbsentSince  micros.Micros // when this node first saw that the leader key is absent, 0 if it is present
+	campaigned      bool          // whether this node has campaigned since keyAbsentSince
 
 	mu           sync.Mutex
 	abstention   abstention
-	highestKnown replica.Leader // of the highest token that a peer knows, or of the leader key
+	highestKnown replica.Leader // the leader with the highest token reported by a peer or read from the leader key
 }
 
-// New makes an election; it takes part once Run is called.
+// New returns an election, in which this node takes part once Run is called.
 func New(c Config) *Election {
 	return &Election{
-		member:          c.Member,
-		store:           c.Store,
-		replica:         c.Replica,
-		peers:           c.Peers,
-		onCampaign:      c.OnCampaign,
-		yieldFor:        c.CampaignDelay,
-		takesOver:       c.IsSuccessorOf,
-		keepKeyFor:      c.HandoverGracePeriod,
-		wake:            make(chan struct{}, 1),
-		onElected:       c.OnElected,
-		campaignBackoff: retryInterval,
-		abstention:      newAbstention(micros.Now(), c.MaxAbstention),
+		member:              c.Member,
+		store:               c.Store,
+		replica:             c.Replica,
+		peers:               c.Peers,
+		onCampaign:          c.OnCampaign,
+		campaignDelay:       c.CampaignDelay,
+		isSuccessorOf:       c.IsSuccessorOf,
+		handoverGracePeriod: c.HandoverGracePeriod,
+		wake:                make(chan struct{}, 1),
+		onElected:           c.OnElected,
+		campaignBackoff:     retryInterval,
+		abstention:          newAbstention(micros.Now(), c.MaxAbstention),
 	}
 }
 
-// Run takes part until ctx ends. It returns when the last term's OnElected has.
+// Run takes part in the election until ctx ends. It returns after the last term's OnElected has returned.
 func (e *Election) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := e.replica.Changed()
@@ -155,72 +158,74 @@
 	}
 }
 
-// Wake has the election look at the leader key at once, as TakesOver may answer otherwise now.
+// Wake makes the election check the leader key at once, as the result of IsSuccessorOf may have changed.
 func (e *Election) Wake() {
 	select {
 	case e.wake <- struct{}{}:
-	default: // it will look in any case
+	default: // a check is already pending
 	}
 }
 
-// reactToLeaderKey does what the leader key requires of this node now, and returns for how long to wait for a
-// change after that.
+// reactToLeaderKey does what the leader key currently requires of this node: it campaigns, ends the session of an
+// earlier term, or does nothing. It returns for how long to wait for a change before the next call.
 func (e *Election) reactToLeaderKey(ctx context.Context) (wait micros.Micros) {
 	leader, revision := e.Leader()
 	if revision != 0 {
-		e.vacantSince = 0
+		e.keyAbsentSince = 0
 	}
 	switch {
 	case !e.replica.IsLoaded():
 		return idlePollInterval
 	case revision == 0:
-		if wait := e.remainingYield(); wait > 0 {
+		if wait := e.remainingCampaignDelay(); wait > 0 {
 			return wait
 		}
 		return e.campaignAndServe(ctx, noLeaderKey)
 	case leader.Member == e.member:
-		// An earlier process of this node, or a campaign of this one that got no response, holds the key.
-		// Nothing acts for it any more: every term gets a token of its own, also of the same node.
+		// The key was written by an earlier process of this node, or by a campaign of this process that got no
+		// response. No process acts under its token any more, as every term gets its own token, even if the same
+		// node leads again.
 		slog.Info("ending the session of an earlier term", "fencing_token", leader.FencingToken)
 		e.endSession(ctx, leader.SessionID)
 		return retryInterval
-	case e.takesOver != nil && e.takesOver(leader):
+	case e.isSuccessorOf != nil && e.isSuccessorOf(leader):
 		return e.campaignAndServe(ctx, revision)
 	}
 	return idlePollInterval
 }
 
-// remainingYield is for how much longer this node lets others campaign first; 0 or less if not at all.
-func (e *Election) remainingYield() micros.Micros {
+// remainingCampaignDelay returns for how much longer this node lets other nodes campaign first, at most retryInterval;
+// 0 or less if it may campaign now.
+func (e *Election) remainingCampaignDelay() micros.Micros {
 	now := micros.Now()
-	if e.vacantSince == 0 {
-		e.vacantSince, e.campaigned = now, false
+	if e.keyAbsentSince == 0 {
+		e.keyAbsentSince, e.campaigned = now, false
 		slog.Info("leader key is absent", "member", e.member)
 	}
-	if e.yieldFor == nil {
+	if e.campaignDelay == nil {
 		return 0
 	}
-	return min(retryInterval, e.vacantSince+e.yieldFor()-now)
+	return min(retryInterval, e.keyAbsentSince+e.campaignDelay()-now)
 }
 
-// campaignAndServe campaigns to put the leader key in place of one with a mod revision, and serves the term if it is
-// won. It returns how long to wait before looking at the leader key again.
-func (e *Election) campaignAndServe(ctx context.Context, replaced uint64) (wait micros.Micros) {
+// campaignAndServe campaigns to replace the leader key that has the mod revision replacedRevision, and serves the term
+// if it wins. It returns for how long to wait before the leader key is checked again.
+func (e *Election) campaignAndServe(ctx context.Context, replacedRevision uint64) (wait micros.Micros) {
 	if !e.beginCampaign() {
 		return retryInterval
 	}
-	e.logCampaign(replaced)
+	e.logCampaign(replacedRevision)
 	if e.onCampaign != nil {
 		e.onCampaign()
 	}
-	term, err := e.campaign(ctx, replaced)
+	term, err := e.campaign(ctx, replacedRevision)
 	if err != nil {
 		slog.Debug("campaign failed", "error", err)
 	} else {
 		e.serveTerm(ctx, term)
-		// This node led meanwhile. Had the vacancy been counted from before its own term, a leader that handed
-		// over would have let nobody go first, and would have taken the lead back at once.
-		e.vacantSince = 0
+		// This node led meanwhile. If the delay were counted from before its own term, a leader that handed over
+		// would let no other node campaign first, and would lead again at once.
+		e.keyAbsentSince = 0
 	}
 	e.endCampaign()
 	if err == nil {
@@ -229,15 +234,16 @@
 	return e.campaignBackoff + micros.Micros(rand.Int64N(int64(retryInterval)))
 }
 
-// logCampaign logs the first campaign since no leader key is seen, and how long this node let others go first.
-func (e *Election) logCampaign(replaced uint64) {
-	if replaced != noLeaderKey {
-		slog.Info("campaigning as the named successor", "member", e.member, "revision", replaced)
+// logCampaign logs each campaign of a named successor. Otherwise it logs only the first campaign since the leader key is
+// absent, with the time for which this node let other nodes campaign first.
+func (e *Election) logCampaign(replacedRevision uint64) {
+	if replacedRevision != noLeaderKey {
+		slog.Info("campaigning as the named successor", "member", e.member, "revision", replacedRevision)
 		return
 	}
 	if e.campaigned {
 		return
 	}
 	e.campaigned = true
-	slog.Info("campaigning", "member", e.member, "duration", (micros.Now() - e.vacantSince).Duration(), "yields", e.yieldFor != nil)
+	slog.Info("campaigning", "member", e.member, "duration", (micros.Now() - e.keyAbsentSince).Duration(), "yields", e.campaignDelay != nil)
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -13,17 +13,17 @@
 	"caperlatch/internal/statestore"
 )
 
-// silentPeers are peers that never answered.
-type silentPeers struct{}
+// unresponsivePeers implements Peers for peers that have never answered.
+type unresponsivePeers struct{}
 
-func (silentPeers) LastConfirmed(uint64) micros.Micros   { return 0 }
-func (silentPeers) AbstainingUntil(uint64) micros.Micros { return 0 }
-func (silentPeers) TokenKnownSince(uint64) micros.Micros { return 0 }
+func (unresponsivePeers) LastConfirmed(uint64) micros.Micros   { return 0 }
+func (unresponsivePeers) AbstainingUntil(uint64) micros.Micros { return 0 }
+func (unresponsivePeers) TokenKnownSince(uint64) micros.Micros { return 0 }
 
-// abstentionTTL is for how long a node abstains from campaigning in these tests.
+// abstentionTTL is for how long a node agrees to abstain from campaigning in these tests.
 const abstentionTTL = 1500 * micros.Millisecond
 
-// testNode is a node that campaigns at a simulated state service.
+// testNode is a node that campaigns for leadership, with a simulated state service.
 type testNode struct {
 	state    *fake.StateService
 	store    *statestore.Client
@@ -31,16 +31,16 @@
 	election *Election
 }
 
-// newTestNode makes a node whose election has the rest of a configuration.
+// newTestNode returns a node whose election has the given configuration; it sets Member, Store, Replica and Peers.
 func newTestNode(config Config) *testNode {
 	net, state := fake.NewNetwork(), fake.NewStateService()
 	net.Handle("state", state)
 	store := statestore.New("state", settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 6}, net.From("host-0/1"))
-	config.Member, config.Store, config.Replica, config.Peers = "host-0", store, replica.New(store), silentPeers{}
+	config.Member, config.Store, config.Replica, config.Peers = "host-0", store, replica.New(store), unresponsivePeers{}
 	return &testNode{state, store, config.Replica, New(config)}
 }
 
-// start has the node take part. stop ends it, and returns a minute of simulated time later.
+// start starts the node. The returned function stops it, and returns after a minute of simulated time.
 func (n *testNode) start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go n.replica.Run(ctx)
@@ -52,19 +52,20 @@
 	}
 }
 
-// TestAbstentions has a node that may campaign at once abstain, or restart shortly after its earlier process agreed
-// to abstain: it must not lead before that is over. A leader whose session has ended still acts for as long (see
-// Term.IsExclusive), and would start what its successor starts elsewhere (TestNewsBeforeTheEnd).
-func TestAbstentions(t *testing.T) {
+// TestNoCampaignWhileAbstaining checks that a node does not lead before its abstention is over, nor, after a restart,
+// before the longest abstention of an earlier process is over. A leader whose session has ended relies on the
+// abstentions (see Term.IsExclusive) and would start the same tasks as its successor, which
+// TestDelayedChangesAfterSessionEnd in tests/cluster guards against.
+func TestNoCampaignWhileAbstaining(t *testing.T) {
 	cases := []struct {
 		name       string
 		abstainAt  []time.Duration // after the node's start
-		leadsAfter time.Duration   // not before; at most half a second later
+		leadsAfter time.Duration   // after the node's start; it may lead up to half a second later
 	}{
-		{"none, a first process: an earlier one may have abstained", nil, abstentionTTL.Duration()},
-		{"at the start", []time.Duration{0}, abstentionTTL.Duration()},
-		{"a second later", []time.Duration{time.Second}, time.Second + abstentionTTL.Duration()},
-		{"again and again", []time.Duration{time.Second, 2 * time.Second, 3 * time.Second}, 3*time.Second + abstentionTTL.Duration()},
+		{"no request to abstain, but an earlier process may have agreed to one", nil, abstentionTTL.Duration()},
+		{"a request at the start", []time.Duration{0}, abstentionTTL.Duration()},
+		{"a request after a second", []time.Duration{time.Second}, time.Second + abstentionTTL.Duration()},
+		{"repeated requests", []time.Duration{time.Second, 2 * time.Second, 3 * time.Second}, 3*time.Second + abstentionTTL.Duration()},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -82,15 +83,15 @@
 				for _, at := range tc.abstainAt {
 					time.AfterFunc(at, func() {
 						if !node.election.Abstain(abstentionTTL) {
-							t.Errorf("it does not abstain after %v", at)
+							t.Errorf("Abstain after %v = false, want true", at)
 						}
 					})
 				}
 				if after := <-elected; after < tc.leadsAfter || after > tc.leadsAfter+500*time.Millisecond {
-					t.Errorf("it leads after %v, want %v", after, tc.leadsAfter)
+					t.Errorf("the node leads after %v, want %v to %v", after, tc.leadsAfter, tc.leadsAfter+500*time.Millisecond)
 				}
 				if node.election.Abstain(abstentionTTL) {
-					t.Error("a leader abstains from campaigning")
+					t.Error("Abstain on the leader = true, want false")
 				}
 				stop()
 			})
@@ -98,15 +99,15 @@
 	}
 }
 
-// TestYieldsAfterItsTerm has a leader hand over where nobody else leads: it lets others campaign first for the whole
-// time, counted from the end of its own term, and then leads again.
-func TestYieldsAfterItsTerm(t *testing.T) {
+// TestCampaignDelayAfterHandover checks that a leader that has handed over while no other node campaigns leads again
+// only after the whole campaign delay, counted from the end of its own term.
+func TestCampaignDelayAfterHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const yieldFor = 2 * time.Second
+		const campaignDelay = 2 * time.Second
 		termStarts, termEnd := make(chan time.Time, 2), time.Time{}
 		var node *testNode
 		node = newTestNode(Config{
-			CampaignDelay: func() micros.Micros { return micros.Micros(yieldFor / time.Microsecond) },
+			CampaignDelay: func() micros.Micros { return micros.Micros(campaignDelay / time.Microsecond) },
 			OnElected: func(ctx context.Context, _ *Term) {
 				termStarts <- time.Now()
 				if len(termStarts) == 1 {
@@ -118,7 +119,7 @@
 					if err := node.store.EndSession(ctx, leader.SessionID); err != nil {
 						t.Error(err)
 					}
-					time.Sleep(time.Second) // it sees that the leader key is absent before the term ends here
+					time.Sleep(time.Second) // the node sees that the leader key is absent before OnElected returns
 					termEnd = time.Now()
 					return
 				}
@@ -128,11 +129,11 @@
 		stop := node.start()
 		time.Sleep(20 * time.Second)
 		if len(termStarts) != 2 {
-			t.Fatalf("%d terms", len(termStarts))
+			t.Fatalf("%d terms, want 2", len(termStarts))
 		}
 		<-termStarts
-		if after := (<-termStarts).Sub(termEnd); after < yieldFor || after > yieldFor+time.Second {
-			t.Errorf("it leads again %v after its term, want %v", after, yieldFor)
+		if after := (<-termStarts).Sub(termEnd); after < campaignDelay || after > campaignDelay+time.Second {
+			t.Errorf("the node leads again %v after its term, want %v to %v", after, campaignDelay, campaignDelay+time.Second)
 		}
 		stop()
 	})
--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -10,14 +10,16 @@
 	"caperlatch/internal/statestore"
 )
 
-// SessionTTL is how long a leader's session lasts unless it is renewed. It bounds for how long nobody leads after a
-// leader's crash. It is renewed often enough to survive two lost requests.
+// Times of sessions.
 const (
-	SessionTTL           = 3 * micros.Second
+	// SessionTTL is how long a leader's session lasts unless it is renewed. It bounds the time without a leader
+	// after a leader's crash.
+	SessionTTL = 3 * micros.Second
+	// sessionRenewInterval is short enough for a session to survive two lost renewals.
 	sessionRenewInterval = 700 * micros.Millisecond
 )
 
-// serveTerm runs OnElected and keeps the session until the term is over.
+// serveTerm runs OnElected and renews the session until the term is over, and then ends the session.
 func (e *Election) serveTerm(ctx context.Context, term *Term) {
 	slog.Info("term started", "fencing_token", term.FencingToken)
 	termCtx, cancel := context.WithCancel(ctx)
@@ -31,20 +33,20 @@
 	cancel()
 	<-done
 	slog.Info("term ended", "fencing_token", term.FencingToken)
-	e.keepLeaderKey(ctx, term)
-	ending, stop := context.WithTimeout(context.Background(), statestore.RequestTimeout.Duration())
-	defer stop()
-	e.endSession(ending, term.sessionID)
+	e.waitForSuccessor(ctx, term)
+	endCtx, cancelEnd := context.WithTimeout(context.Background(), statestore.RequestTimeout.Duration())
+	defer cancelEnd()
+	e.endSession(endCtx, term.sessionID)
 }
 
-// keepLeaderKey leaves the key of a term that is over to the member that it was handed over to, for a bounded time.
-// Were the session ended at once, every node that finds the key absent would campaign, and one that knows nothing of
-// the handover, without a standby or of an earlier version, would often lead instead.
-func (e *Election) keepLeaderKey(ctx context.Context, term *Term) {
-	if e.keepKeyFor == nil {
+// waitForSuccessor waits after the end of a term until the named successor has replaced the leader key, but at most for
+// the handover grace period. If the session ended at once, every node that found the key absent would campaign, and a
+// node that knows nothing of the handover, as it has no standby or runs an earlier version, would often lead instead.
+func (e *Election) waitForSuccessor(ctx context.Context, term *Term) {
+	if e.handoverGracePeriod == nil {
 		return
 	}
-	deadline := time.After(e.keepKeyFor().Duration())
+	deadline := time.After(e.handoverGracePeriod().Duration())
 	for {
 		changed := e.replica.Changed()
 		if e.isSuperseded(term) {
@@ -60,7 +62,7 @@
 	}
 }
 
-// maintainSession renews the session until the term is lost, or given up by OnElected, which closes done.
+// maintainSession renews the session until the term is lost, ctx ends, or done is closed as OnElected has returned.
 func (e *Election) maintainSession(ctx context.Context, term *Term, done <-chan struct{}) {
 	for {
 		changed := e.replica.Changed()
@@ -68,14 +70,14 @@
 			return
 		}
 		wait := sessionRenewInterval
-		sent := micros.Now()
+		sentAt := micros.Now()
 		switch err := e.store.RenewSession(ctx, term.sessionID); {
 		case err == nil:
-			term.confirm(sent)
+			term.confirm(sentAt)
 		case errors.Is(err, statestore.ErrSessionNotFound):
 			return
 		default:
-			slog.Debug("session not renewed", "fencing_token", term.FencingToken, "error", err)
+			slog.Debug("session renewal failed, retrying", "fencing_token", term.FencingToken, "error", err)
 			wait = retryInterval
 		}
 		if !e.waitWithinTerm(ctx, term, done, changed, wait) {
@@ -84,7 +86,8 @@
 	}
 }
 
-// waitWithinTerm waits, and reports whether the term goes on.
+// waitWithinTerm waits for the given time, or until the term is over. It reports whether the term continues. changed
+// must have been taken from the replica before the caller last checked that the term is not superseded.
 func (e *Election) waitWithinTerm(ctx context.Context, term *Term, done, changed <-chan struct{}, wait micros.Micros) bool {
 	deadline := time.After(wait.Duration())
 	for {
@@ -104,8 +107,8 @@
 	}
 }
 
-// isSuperseded reports whether the leader key is no longer this term's, or a higher token is known: then the workers
-// must be left to the next leader soon.
+// isSuperseded reports whether the leader key is no longer this term's, or a higher fencing token is known. This node
+// must then soon leave the workers to the next leader.
 func (e *Election) isSuperseded(term *Term) bool {
 	if _, revision := e.Leader(); revision != term.LeaderKeyRevision {
 		return true
@@ -113,9 +116,9 @@
 	return e.HighestKnownLeader().FencingToken > term.FencingToken
 }
 
-// endSession ends a session at the state service, if that can be reached; else its TTL does.
+// endSession ends a session at the state service. If the request fails, the session ends when its TTL expires.
 func (e *Election) endSession(ctx context.Context, session uint64) {
 	if err := e.store.EndSession(ctx, session); err != nil {
-		slog.Debug("session not ended", "error", err)
+		slog.Debug("failed to end session, leaving it to its TTL", "error", err)
 	}
 }
