--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -10,17 +10,17 @@
 	"caperlatch/internal/wire"
 )
 
-// ApplyWatch applies the response to a watch that was sent at an instant, from the revision of then or a lower one.
-// Responses may overlap and come in any order.
-func (r *Replica) ApplyWatch(response wire.WatchResponse, sent micros.Micros) {
+// ApplyWatch applies the response to a watch that was sent at sentAt. The watch must have started at the replica's
+// revision at that time or at a lower one. Responses may overlap, and may be applied in any order.
+func (r *Replica) ApplyWatch(response wire.WatchResponse, sentAt micros.Micros) {
 	slices.SortStableFunc(response.Events, func(a, b wire.Event) int { return cmp.Compare(a.ModRevision, b.ModRevision) })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.currentAsOf = max(r.currentAsOf, sent)
-	before := r.revision
+	r.currentAsOf = max(r.currentAsOf, sentAt)
+	appliedThrough := r.revision
 	for _, event := range response.Events {
 		switch {
-		case event.ModRevision <= before:
+		case event.ModRevision <= appliedThrough:
 		case event.Put != "":
 			r.put(event.Put, event.Value, event.ModRevision)
 		case event.Delete != "" && r.values[event.Delete].modRevision < event.ModRevision:
@@ -33,11 +33,11 @@
 	}
 }
 
-// ApplyPut applies a write of this node's own that was committed at a revision.
+// ApplyPut applies a write of this node that was committed at the given revision.
 func (r *Replica) ApplyPut(key string, value any, revision uint64) {
 	raw, err := wire.Marshal(value)
 	if err != nil {
-		slog.Error("own write not encoded", "key", key, "error", err)
+		slog.Error("cannot encode a committed write, the replica lacks it until the next watch", "key", key, "error", err)
 		return
 	}
 	r.mu.Lock()
@@ -46,7 +46,7 @@
 	r.notify()
 }
 
-// ApplyDelete applies a deletion of this node's own that was committed at a revision.
+// ApplyDelete applies a deletion by this node that was committed at the given revision.
 func (r *Replica) ApplyDelete(key string, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// put applies a value unless the one known is as new; mu must be held.
+// put stores a value unless the replica already has one with the same or a higher mod revision; mu must be held.
 func (r *Replica) put(key string, value wire.RawMessage, modRevision uint64) {
 	id, isJob := strings.CutPrefix(key, JobPrefix)
 	if !isJob {
@@ -65,17 +65,17 @@
 		return
 	}
 	if modRevision <= r.jobs.byID[id].modRevision {
-		return // before it is decoded
+		return // saves decoding the value
 	}
 	var job Job
 	if err := wire.Unmarshal(value, &job); err != nil {
-		slog.Error("stored job unreadable", "job", id, "error", err)
+		slog.Error("cannot decode a stored job, ignoring this change of it", "job", id, "error", err)
 		return
 	}
 	r.jobs.put(id, job, modRevision)
 }
 
-// notify wakes those who wait for a change; mu must be held.
+// notify wakes all goroutines that wait for a change; mu must be held.
 func (r *Replica) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
--- a/internal/replica/barrier.go
+++ b/internal/replica/barrier.go
@@ -11,61 +11,62 @@
 	"caperlatch/internal/statestore"
 )
 
-// barrierPause is between two requests for barriers, which spares the state service's
-// shared limit as the pauses of the watch do.
-const barrierPause = 150 * micros.Millisecond
+// barrierInterval is the pause between two requests for barriers. Like the pauses between watches, it saves the rate
+// limit of the state service, which all nodes share.
+const barrierInterval = 150 * micros.Millisecond
 
 // errNotLoaded is a barrier's error before all keys have been read once.
-var errNotLoaded = errors.New("nothing loaded yet")
+var errNotLoaded = errors.New("replica not loaded yet")
 
-// barrierRound is one request on behalf of all who wait for a barrier.
+// barrierRound is one request on behalf of all callers that wait for a barrier.
 type barrierRound struct {
 	done chan struct{} // closed after err is set
 	err  error
 }
 
-// barrierRounds is who waits for a barrier, and whether a goroutine serves them.
+// barrierRounds schedules the rounds of a replica.
 type barrierRounds struct {
 	mu      sync.Mutex
-	running bool
-	next    *barrierRound // whose request has not been sent; nil if nobody waits for one
+	running bool          // whether the goroutine that runs the rounds exists
+	next    *barrierRound // the round whose request has not been sent yet; nil if no caller waits for one
 }
 
-// Barrier is a read barrier: it returns once the replica has applied every change that was committed, by any node,
-// before the call.
+// Barrier is a read barrier: it returns once the replica has applied every change that any node committed before the
+// call.
 //
-// After it returned nil, a reader may conclude for what it then reads here:
-//   - a value is the one that was stored at the call, or a newer one;
-//   - a key that is not found did not exist at the call, or was deleted after it, as keys of jobs never are;
-//   - a job that is not cancelled here had not been cancelled when the call began.
+// After Barrier has returned nil, the following holds for each read of the replica:
+//   - a value is the one that was stored when Barrier was called, or a newer one;
+//   - a key that is not found did not exist when Barrier was called, or was deleted later; keys of jobs are never
+//     deleted;
+//   - a job that is not cancelled in the replica had not been cancelled when Barrier was called.
 //
-// It may not conclude that this is still so, nor that two reads are of one revision: a write that depends on them
-// compares the mod revisions that were read. After an error, which says that ctx has ended, that nothing has been
-// loaded yet, or what the state service answered, it may conclude nothing.
+// A value may have changed in the state service since, and two reads need not be of the same revision: a write that
+// depends on them must compare the mod revisions that were read. After an error, which means that ctx has ended, that
+// the replica is not loaded yet, or that the state service did not answer as expected, nothing may be concluded.
 //
-// Calls share requests: one that comes while a request is under way waits for the next, since that
-// one's response may be older than the call.
+// Calls share requests. A call during a request waits for the next one, since the response to the current one may be
+// older than the call.
 func (r *Replica) Barrier(ctx context.Context) error {
 	r.barrier.mu.Lock()
 	if r.barrier.next == nil {
 		r.barrier.next = &barrierRound{done: make(chan struct{})}
 	}
-	mine := r.barrier.next
+	round := r.barrier.next
 	if !r.barrier.running {
 		r.barrier.running = true
 		go r.runBarrierRounds()
 	}
 	r.barrier.mu.Unlock()
 	select {
-	case <-mine.done:
-		return mine.err
+	case <-round.done:
+		return round.err
 	case <-ctx.Done():
 		return fmt.Errorf("barrier: %w", ctx.Err())
 	}
 }
 
-// runBarrierRounds runs rounds until nobody waits for one. Nobody waits for it: it outlives callers that gave up, and
-// ends by itself, as each round's requests have a timeout.
+// runBarrierRounds runs rounds until no caller waits for one. No code waits for this goroutine to end: it may outlive
+// callers whose context has ended, but always ends itself, as the requests of each round have a timeout.
 func (r *Replica) runBarrierRounds() {
 	for {
 		r.barrier.mu.Lock()
@@ -79,11 +80,12 @@
 		r.barrier.mu.Unlock()
 		current.err = r.runBarrierRound()
 		close(current.done)
-		time.Sleep(barrierPause.Duration())
+		time.Sleep(barrierInterval.Duration())
 	}
 }
 
-// runBarrierRound reads the changes up to the present.
+// runBarrierRound brings the replica up to date, with one retry if the state service refuses the request for its rate
+// limit.
 func (r *Replica) runBarrierRound() error {
 	if !r.IsLoaded() {
 		return fmt.Errorf("barrier: %w", errNotLoaded)
@@ -92,9 +94,9 @@
 	defer cancel()
 	err := r.catchUp(ctx)
 	if errors.Is(err, statestore.ErrRateLimited) {
-		// All who wait share this request: a rejection for the rate limit, which
-		// passes soon, would fail them all.
-		micros.Pause(ctx, barrierPause)
+		// All waiting callers share this request, so a rejection for the rate limit, which is short-lived, would
+		// fail them all.
+		micros.Pause(ctx, barrierInterval)
 		err = r.catchUp(ctx)
 	}
 	if err != nil {
@@ -103,13 +105,13 @@
 	return nil
 }
 
-// catchUp applies all that was committed before the call.
+// catchUp applies all changes that were committed before the call.
 func (r *Replica) catchUp(ctx context.Context) error {
-	sent := micros.Now()
+	sentAt := micros.Now()
 	response, err := r.store.Watch(ctx, Prefix, r.Revision(), 0)
 	if err != nil {
 		return err
 	}
-	r.ApplyWatch(response, sent)
+	r.ApplyWatch(response, sentAt)
 	return nil
 }
--- a/internal/replica/cancellations_test.go
+++ b/internal/replica/cancellations_test.go
@@ -8,13 +8,13 @@
 	"caperlatch/internal/wire"
 )
 
-// messageBytes is what a message between nodes may hold (maxMessageBytes in internal/peer).
-const messageBytes = 1 << 20
+// maxPeerMessageBytes is the largest message that a node accepts from another (maxMessageBytes in internal/peer).
+const maxPeerMessageBytes = 1 << 20
 
-// TestCancellationsInParts has more cancellations than one message between nodes holds, by
-// number and by size. The receiver gets all of them in messages that each fit: descriptions
-// of 8 KB made messages of several MB, which the receiver rejected again and again.
-func TestCancellationsInParts(t *testing.T) {
+// TestCancellationPaging checks that a node receives all cancellations in messages that each fit the limit when one
+// message cannot hold them, by number or by size. Without paging, job descriptions of 8 KB resulted in messages of
+// several MB, which the receiver rejected each time.
+func TestCancellationPaging(t *testing.T) {
 	cases := []struct {
 		name           string
 		jobs           int
@@ -38,21 +38,21 @@
 			messages := 0
 			for complete := false; !complete; messages++ {
 				if messages > tc.jobs {
-					t.Fatal("the receiver gets nothing new any more")
+					t.Fatalf("%d messages for %d cancellations, want at most one each", messages, tc.jobs)
 				}
-				part := sender.CancelledSince(receiver.CancelledThrough())
-				message, err := wire.Marshal(part.List)
+				page := sender.CancelledSince(receiver.CancelledThrough())
+				message, err := wire.Marshal(page.List)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if len(message) > messageBytes {
-					t.Fatalf("a message of %d bytes", len(message))
+				if len(message) > maxPeerMessageBytes {
+					t.Fatalf("message of %d bytes, want at most %d", len(message), maxPeerMessageBytes)
 				}
-				receiver.AdoptCancellations(part.List, part.KnownThrough)
-				complete = part.Complete
+				receiver.AdoptCancellations(page.List, page.KnownThrough)
+				complete = page.Complete
 			}
 			if len(receiver.jobs.cancelled) != tc.jobs {
-				t.Errorf("%d of %d cancellations arrived in %d messages", len(receiver.jobs.cancelled), tc.jobs, messages)
+				t.Errorf("received %d cancellations in %d messages, want %d", len(receiver.jobs.cancelled), messages, tc.jobs)
 			}
 		})
 	}
--- a/internal/replica/golden_test.go
+++ b/internal/replica/golden_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values are stored or sent to other nodes.
+// encodedTypes are the types whose values are stored or sent to other nodes, under their names in the golden file.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[Job]("a stored job"),
 	golden.TypeOf[Leader]("who leads"),
@@ -15,16 +15,17 @@
 	golden.TypeOf[Cancellation]("a cancellation told to another node"),
 }
 
-// TestEncoded compares their encodings with the golden file.
+// TestEncoded checks that values of the encoded types are encoded and decoded as in the golden file.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags requires a tag of each of their fields.
+// TestEncodedTags checks that each field of the encoded types has a tag, so that renaming a field does not change the
+// encoding.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestKeys compares the names of the state service's keys with the golden file.
-func TestKeys(t *testing.T) {
+// TestKeyNames checks the names of the keys in the state service against the golden file.
+func TestKeyNames(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
 		{Name: "all", Text: Prefix},
 		{Name: "who leads", Text: LeaderKey},
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -12,18 +12,18 @@
 	modRevision uint64
 }
 
-// jobTable is the stored jobs, none of which is ever removed. It holds no lock.
+// jobTable holds the stored jobs, none of which is ever removed. The caller provides the locking.
 type jobTable struct {
 	byID      map[string]storedJob
-	changed   map[string]bool // IDs of those that changed since they were last taken
-	cancelled []string        // IDs of those that are cancelled, by mod revision
+	changed   map[string]bool // IDs of the jobs that changed since TakeChangedJobs was last called
+	cancelled []string        // IDs of the cancelled jobs, in order of their mod revisions
 }
 
 func newJobTable() jobTable {
 	return jobTable{byID: map[string]storedJob{}, changed: map[string]bool{}}
 }
 
-// put applies a job's state unless the one known is as new.
+// put stores a job unless the table already has it with the same or a higher mod revision.
 func (t *jobTable) put(id string, job Job, modRevision uint64) {
 	if modRevision <= t.byID[id].modRevision {
 		return
@@ -35,26 +35,27 @@
 	}
 }
 
-// insertCancelled adds a cancelled job at its place, mostly the last.
+// insertCancelled adds a cancelled job to the list at the position of its mod revision. It searches from the end, as
+// most new jobs belong there.
 func (t *jobTable) insertCancelled(id string, modRevision uint64) {
-	at := len(t.cancelled)
-	for at > 0 && t.byID[t.cancelled[at-1]].modRevision > modRevision {
-		at--
+	position := len(t.cancelled)
+	for position > 0 && t.byID[t.cancelled[position-1]].modRevision > modRevision {
+		position--
 	}
-	t.cancelled = slices.Insert(t.cancelled, at, id)
+	t.cancelled = slices.Insert(t.cancelled, position, id)
 }
 
-// cancelledSince lists the IDs of cancelled jobs with a mod revision above since, in their order. The list is valid
-// until the next put.
+// cancelledSince lists the IDs of cancelled jobs with a mod revision above since, in order of their mod revisions. The
+// list is valid until the next put.
 func (t *jobTable) cancelledSince(since uint64) []string {
-	from := len(t.cancelled)
-	for from > 0 && t.byID[t.cancelled[from-1]].modRevision > since {
-		from--
+	first := len(t.cancelled)
+	for first > 0 && t.byID[t.cancelled[first-1]].modRevision > since {
+		first--
 	}
-	return t.cancelled[from:]
+	return t.cancelled[first:]
 }
 
-// unfinished lists the IDs of all jobs that are not final, in no order.
+// unfinished lists the IDs of all jobs that are not final, in no particular order.
 func (t *jobTable) unfinished() (ids []string) {
 	for id, stored := range t.byID {
 		if !stored.job.IsFinal() {
@@ -64,7 +65,7 @@
 	return ids
 }
 
-// Job returns a job and its key's mod revision as known here; ok reports whether it is known.
+// Job returns a job in the replica and its key's mod revision; ok reports whether the replica has the job.
 func (r *Replica) Job(id string) (job Job, modRevision uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,8 +73,8 @@
 	return stored.job, stored.modRevision, ok
 }
 
-// TakeChangedJobs returns the IDs of jobs that changed since the last call, in order. With all it returns those of
-// every job that is not final instead, for a leader that begins.
+// TakeChangedJobs returns the sorted IDs of the jobs that changed since the last call. If all is true, it returns the
+// IDs of all jobs that are not final instead, for a leader whose term begins.
 func (r *Replica) TakeChangedJobs(all bool) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/keys.go
+++ b/internal/replica/keys.go
@@ -5,7 +5,7 @@
 	"caperlatch/internal/wire"
 )
 
-// Keys of the state service, all below Prefix. A key that ends with a slash is a prefix of many.
+// Keys in the state service, all of which begin with Prefix. A name that ends with a slash is a prefix of many keys.
 const (
 	Prefix             = "c/"
 	LeaderKey          = "c/leader"
@@ -19,29 +19,27 @@
 	MachineListPrefix  = "c/u/"
 )
 
-// Job is a stored job. One that is done keeps no description. One that is cancelled does:
-// its tasks may still be on machines, and a leader that finds them there must know whose
-// limit they count against.
+// Job is a stored job. Spec is not kept for a job that is done, but for a cancelled one: its tasks may still be on
+// machines, and a leader that finds them there must know which team's limit they count against.
 type Job struct {
 	Spec        *wire.Job     `json:"job,omitempty"`
 	SubmittedAt micros.Micros `json:"at"` // time of day
 	State       string        `json:"state"`
-	Reason      string        `json:"why,omitempty"` // why it ended
+	Reason      string        `json:"why,omitempty"` // why the job ended
 	EndedAt     micros.Micros `json:"end,omitempty"` // time of day
 }
 
-// IsFinal reports whether the job is over; its state never changes again then.
+// IsFinal reports whether the job is done or cancelled, after which its state never changes.
 func (j *Job) IsFinal() bool { return j.State != wire.JobPending }
 
-// Leader is the content of LeaderKey. SessionID lets a restarted member end the session of
-// its earlier process.
+// Leader is the value of LeaderKey. SessionID lets a restarted member end the session of its earlier process.
 type Leader struct {
 	Member       string `json:"member"`
 	FencingToken uint64 `json:"token"`
 	SessionID    uint64 `json:"hold"`
 }
 
-// TokenRecord is the content of TokenKey: the highest fencing token given out.
+// TokenRecord is the value of TokenKey: the highest fencing token issued.
 type TokenRecord struct {
 	FencingToken uint64 `json:"token"`
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,13 +1,13 @@
-// Package replica keeps a node's copy of what the state service holds for caperlatch, fed by one watch of all
-// keys.
+// Package replica keeps a node's copy of all keys of caperlatch in the state service, updated by one watch of all of
+// them.
 //
-// The copy lags behind the state service. Values in it were committed, and a key's value is never replaced by an
-// older one, but a newer one may exist that is not known here yet. Who needs to know what is stored now calls
-// Barrier first, which says what may be concluded after it. A job that is final needs no barrier, as it stays so.
+// The copy lags behind the state service. Its values were committed, and a value is never replaced by an older one, but
+// a newer value may exist that the copy does not have yet. Code that needs the present value calls Barrier first, whose
+// documentation states what holds afterwards. A final job needs no barrier, as its state never changes.
 //
-// The package owns the names of the keys, the form of stored jobs, the order in which changes are applied,
-// cancellations that peers pass on, and the read barrier. It never writes to the state service; who does says so by
-// ApplyPut and ApplyDelete.
+// The package owns the names of the keys, the format of stored jobs, the order in which changes are applied, the
+// cancellations that peers pass on, and the read barrier. It never writes to the state service: code that does reports
+// its writes with ApplyPut and ApplyDelete.
 package replica
 
 import (
@@ -28,26 +28,26 @@
 	modRevision uint64
 }
 
-// Replica is a node's copy of the stored values. It is safe for concurrent use. Revisions are those of the state
-// service; a mod revision of 0 stands for a key that does not exist.
+// Replica is a node's copy of the values in the state service. It is safe for concurrent use. Revisions are those of
+// the state service; a mod revision of 0 means that the key does not exist.
 type Replica struct {
 	store      *statestore.Client
 	lowLatency atomic.Bool // see SetLowLatency
 
 	mu          sync.Mutex
 	loaded      bool
-	revision    uint64        // all changes up to it are applied
+	revision    uint64        // all changes up to this revision are applied
 	currentAsOf micros.Micros // send time of the last request that read the changes
 	values      map[string]storedValue
 	jobs        jobTable
 	// adoptedThrough is the revision up to which a peer has passed on all cancellations.
 	adoptedThrough uint64
-	changed        chan struct{} // closed and replaced at each change
+	changed        chan struct{} // closed and replaced by notify
 
 	barrier barrierRounds
 }
 
-// New makes an empty replica; it is filled once Run is called.
+// New returns an empty replica, which Run loads and keeps up to date.
 func New(store *statestore.Client) *Replica {
 	return &Replica{
 		store:   store,
@@ -57,36 +57,38 @@
 	}
 }
 
-// IsLoaded reports whether all keys have been read once. Before that, a key that is not found here may exist.
+// IsLoaded reports whether all keys have been read once. Before that, a key that the replica lacks may exist.
 func (r *Replica) IsLoaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded
 }
 
-// CurrentAsOf is an instant up to which all changes are known here, by this node's steady clock; 0 if none is.
+// CurrentAsOf returns an instant of this node's steady clock up to which the replica has all changes; 0 if it has read
+// no changes yet.
 func (r *Replica) CurrentAsOf() micros.Micros {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.currentAsOf
 }
 
-// Revision is the revision up to which all changes are known here. Some later ones may be known as well.
+// Revision returns the revision up to which the replica has all changes. It may have some later ones as well.
 func (r *Replica) Revision() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.revision
 }
 
-// Changed is closed at the next change. It must be taken before what is to be compared with that change is read.
+// Changed returns a channel that is closed at the next change. A caller that reads values and then waits for them to
+// change must call Changed before it reads them, so as not to miss a change in between.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Get decodes the value of a key that is not a job's into v and returns its mod revision, 0 if there is
-// no such key.
+// Get decodes the value of a key into v and returns the key's mod revision, or 0 if there is no such key. It does not
+// find the keys of jobs.
 func (r *Replica) Get(key string, v any) (modRevision uint64, err error) {
 	r.mu.Lock()
 	stored, ok := r.values[key]
@@ -95,12 +97,12 @@
 		return 0, nil
 	}
 	if err := wire.Unmarshal(stored.value, v); err != nil {
-		return 0, fmt.Errorf("stored %s: %w", key, err)
+		return 0, fmt.Errorf("decode stored value of %s: %w", key, err)
 	}
 	return stored.modRevision, nil
 }
 
-// ModRevision is the mod revision of any key as known here, 0 if there is no such key.
+// ModRevision returns the mod revision in the replica of any key, also of a job's, or 0 if there is no such key.
 func (r *Replica) ModRevision(key string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +112,7 @@
 	return r.values[key].modRevision
 }
 
-// Keys lists the keys with a prefix in order, those of jobs aside.
+// Keys returns the sorted keys that have the given prefix, without those of jobs.
 func (r *Replica) Keys(prefix string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -11,51 +11,51 @@
 	"caperlatch/internal/wire"
 )
 
-// Times between two requests, so that a busy day does not use up the state
-// service's shared limit.
+// Times of watches. The pauses between two requests keep a busy day from using up the rate limit of the state service,
+// which all nodes share.
 const (
-	watchWait          = 10 * micros.Second       // that the service may hold a watch for a change
-	leaderWatchPause   = 100 * micros.Millisecond // the leader, which starts newly submitted jobs
-	followerWatchPause = 400 * micros.Millisecond // all others
-	retryPause         = 250 * micros.Millisecond // after a request that failed
+	watchWait          = 10 * micros.Second       // the longest time that the service may hold a watch without a change
+	leaderWatchPause   = 100 * micros.Millisecond // with low latency, for the leader, which starts newly submitted jobs
+	followerWatchPause = 400 * micros.Millisecond // without low latency, for all other nodes
+	retryPause         = 250 * micros.Millisecond // after a failed request
 )
 
-// SetLowLatency has the replica follow the changes as closely as it may, or not. Only the leader
-// needs that, and a node that expects to lead: polls are answered after a barrier. When all five nodes did, on a day
-// of many small jobs, their watches took most of the state service's limit, and polls and submissions were rejected.
+// SetLowLatency sets whether the replica watches with the shorter pauses, to have changes early. Only the leader and a
+// node that expects to lead need this, as polls are answered after a barrier. When all five nodes did it on a day of
+// many small jobs, their watches used most of the state service's rate limit, and polls and submissions were rejected.
 func (r *Replica) SetLowLatency(enabled bool) { r.lowLatency.Store(enabled) }
 
-// Run loads the replica and follows the changes until ctx ends.
+// Run loads the replica and applies changes to it until ctx ends.
 func (r *Replica) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.load(ctx)
 		for err == nil {
 			err = r.watchOnce(ctx)
 		}
-		slog.Debug("replica to be loaded anew", "error", err)
+		slog.Debug("replica must be reloaded", "error", err)
 		micros.Pause(ctx, retryPause)
 	}
 }
 
-// watchOnce waits for changes once and applies them. Its error says that the replica must
-// be loaded anew, or that ctx has ended; other failures are logged, and the next call continues.
+// watchOnce sends one watch, applies its changes, and pauses. An error means that the replica must be reloaded, or that
+// ctx has ended. Other failures are logged, and the next call continues from the same revision.
 func (r *Replica) watchOnce(ctx context.Context) error {
-	sent := micros.Now()
+	sentAt := micros.Now()
 	response, err := r.store.Watch(ctx, Prefix, r.Revision(), watchWait)
 	switch {
 	case err == nil:
-		r.ApplyWatch(response, sent)
+		r.ApplyWatch(response, sentAt)
 		micros.Pause(ctx, r.watchPause())
 		return nil
 	case errors.Is(err, statestore.ErrCompacted), ctx.Err() != nil:
 		return err
 	}
-	slog.Debug("watch failed", "error", err)
+	slog.Debug("watch failed, retrying", "error", err)
 	micros.Pause(ctx, retryPause)
 	return nil
 }
 
-// watchPause is the time between two watches.
+// watchPause returns the pause between two watches.
 func (r *Replica) watchPause() micros.Micros {
 	if r.lowLatency.Load() {
 		return leaderWatchPause
@@ -63,12 +63,12 @@
 	return followerWatchPause
 }
 
-// load reads every key and applies the values. The pages are not of one revision: the watch continues from the first
-// page's, and what a later page already showed is recognised by its mod revision.
+// load reads all keys and applies their values. The pages may be of different revisions: the watch starts from the
+// revision of the first page, and put skips changes that a later page already contained, by their mod revisions.
 func (r *Replica) load(ctx context.Context) error {
 	entries, revision, err := r.list(ctx)
 	if err != nil {
-		return fmt.Errorf("load: %w", err)
+		return fmt.Errorf("load replica: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// list reads all pages of keys, and returns them with the first page's revision.
+// list reads all pages of keys and returns their entries, with the revision of the first page.
 func (r *Replica) list(ctx context.Context) (entries []wire.KeyValue, revision uint64, err error) {
 	after := ""
 	for {
