--- a/internal/statestore/batcher.go
+++ b/internal/statestore/batcher.go
@@ -13,57 +13,56 @@
 	"caperlatch/internal/wire"
 )
 
-// rateLimitPause lets the service's limit recover after a refusal.
+// rateLimitPause is the pause after a refused transaction, in which the service's rate limit can recover.
 const rateLimitPause = 100 * micros.Millisecond
 
-// sendTimeout bounds all transactions that a batch is sent in.
+// sendTimeout bounds the time to commit a batch, or one of the halves of a rejected batch, with all its transactions.
 const sendTimeout = 2 * RequestTimeout
 
-// Sizes of a transaction as JSON, in bytes: at most what a put takes besides its key and value,
-// and what is kept free for the rest.
+// Bounds of the encoded size of a transaction as JSON, in bytes.
 const (
-	putOverhead = 96
-	txnOverhead = 4096
+	putOverhead = 96   // the most that a put takes besides its key and value
+	txnOverhead = 4096 // reserved for the rest of the transaction
 )
 
-// Batcher lets puts of single keys share transactions: they come in bursts, and the service's
-// requests are scarcer than its operations. It is safe for concurrent use.
+// Batcher combines puts of single keys into transactions, as puts come in bursts and requests to the service are
+// scarcer than operations. It is safe for concurrent use.
 //
-// One goroutine sends while puts are pending, and ends by itself when none is. Nobody waits for
-// it: callers wait for their own puts, and a node that stops leaves its batch in the state of a
+// One goroutine sends batches while puts are pending, and ends when there are none. No code waits for this goroutine to
+// end: callers wait for their own puts, and when a node stops, the outcome of its last batch is as unknown as after a
 // lost response.
 type Batcher struct {
 	client *Client
 
 	mu      sync.Mutex
-	pending []*pendingPut // in the order in which they came
-	sending bool          // whether the goroutine runs
-	maxOps  int           // puts in a transaction
+	pending []*pendingPut // in the order of the calls of Put
+	sending bool          // whether the sending goroutine runs
+	maxOps  int           // the most puts in a transaction
 }
 
-// pendingPut is a put that waits for its outcome.
+// pendingPut is a put whose outcome is not known yet.
 type pendingPut struct {
 	key         string
 	modRevision uint64
 	value       any
-	size        int // bytes as JSON
+	size        int // encoded as JSON, in bytes
 
 	done     chan struct{} // closed once the outcome is set
 	revision uint64
 	err      error
 }
 
-// NewBatcher returns a batcher of puts that client commits.
+// NewBatcher returns a batcher that commits puts with client.
 func NewBatcher(client *Client) *Batcher { return &Batcher{client: client, maxOps: client.MaxOps()} }
 
-// Put writes value under key if the key has the given mod revision, or does not exist if that is
-// 0, and returns the revision of the write. If ctx ends first, the put may yet be carried out.
+// Put writes value under key if the key has the given mod revision, or does not exist if modRevision is 0, and returns
+// the revision of the write. If ctx ends first, the put may still be executed.
 func (b *Batcher) Put(ctx context.Context, key string, modRevision uint64, value any) (revision uint64, err error) {
 	put := &pendingPut{
 		key:         key,
 		modRevision: modRevision,
 		value:       value,
-		// The key stands in the condition and in the operation.
+		// The key occurs twice, in the condition and in the operation.
 		size: wire.JSONSize(value) + 2*len(key) + putOverhead,
 		done: make(chan struct{}),
 	}
@@ -94,14 +93,15 @@
 		batch := b.takeBatch()
 		b.mu.Unlock()
 		if errors.Is(b.send(batch), ErrRateLimited) {
-			// Refused requests count as well: without a pause a burst kept the
-			// service refusing everybody for seconds.
+			// Refused requests count against the limit as well: without a pause, a burst of puts made the
+			// service refuse the requests of all nodes for seconds.
 			time.Sleep(rateLimitPause.Duration())
 		}
 	}
 }
 
-// takeBatch takes the first puts that fit one transaction, each of another key; mu must be held.
+// takeBatch removes and returns the first pending puts that fit one transaction, up to the first one whose key is
+// already in the batch; mu must be held.
 func (b *Batcher) takeBatch() []*pendingPut {
 	count, size := 0, txnOverhead
 	keys := map[string]bool{}
@@ -119,16 +119,16 @@
 	return batch
 }
 
-// send commits a batch. Puts whose condition does not hold leave it, and the others go on
-// without them. A batch that is rejected as it is goes in halves, so that one value that is too
-// large takes no other put with it, and is itself not tried again.
+// send commits a batch. Puts whose conditions do not hold fail, and the others are sent again without them. A batch
+// that is rejected is split in half until the rejected put is alone, so that one value that is too large fails no other
+// put. A rejected put is not retried.
 func (b *Batcher) send(batch []*pendingPut) error {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout.Duration())
 	defer cancel()
 	for len(batch) > 0 {
 		revision, err := b.client.Commit(ctx, batchTxn(batch))
 		if errors.Is(err, ErrRejected) && len(batch) > 1 {
-			return b.sendHalves(batch)
+			return b.splitAndSend(batch)
 		}
 		var conflict *ConflictError
 		if !errors.As(err, &conflict) {
@@ -136,7 +136,7 @@
 			return err
 		}
 		failed, rest := splitByConflict(batch, conflict)
-		if len(failed) == 0 { // it names no key of the batch
+		if len(failed) == 0 { // the conflict names no key of the batch
 			completeAll(batch, 0, err)
 			return err
 		}
@@ -146,28 +146,28 @@
 	return nil
 }
 
-// sendHalves sends a batch that was rejected as it is in two.
-func (b *Batcher) sendHalves(batch []*pendingPut) error {
+// splitAndSend sends the two halves of a rejected batch.
+func (b *Batcher) splitAndSend(batch []*pendingPut) error {
 	half := len(batch) / 2
 	first, second := b.send(batch[:half]), b.send(batch[half:])
 	if first == nil && second == nil {
-		b.lowerMaxOps(half) // no value was at fault, but their number
+		b.lowerMaxOps(half) // no value was too large, so the number of puts was
 	}
 	return errors.Join(first, second)
 }
 
-// lowerMaxOps lowers how many puts share a transaction, when the service takes fewer than the
-// settings say.
+// lowerMaxOps lowers the number of puts in a transaction, when the service accepts fewer operations than the settings
+// allow.
 func (b *Batcher) lowerMaxOps(maxOps int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if maxOps = max(1, maxOps); maxOps < b.maxOps {
 		b.maxOps = maxOps
-		slog.Warn("state service rejects transactions that the settings allow, sending smaller ones", "count", maxOps)
+		slog.Warn("state service rejected a transaction within the configured limit, sending smaller ones", "count", maxOps)
 	}
 }
 
-// batchTxn returns the transaction that carries out all puts of a batch.
+// batchTxn returns the transaction that executes all puts of a batch.
 func batchTxn(batch []*pendingPut) wire.Txn {
 	var txn wire.Txn
 	for _, put := range batch {
@@ -177,7 +177,7 @@
 	return txn
 }
 
-// splitByConflict parts the puts of a batch into those whose condition failed and the others.
+// splitByConflict splits a batch into the puts whose condition failed and the others.
 func splitByConflict(batch []*pendingPut, conflict *ConflictError) (failed, rest []*pendingPut) {
 	for _, put := range batch {
 		if slices.Contains(conflict.Keys, put.key) {
@@ -189,13 +189,13 @@
 	return failed, rest
 }
 
-// complete hands the outcome to the caller of Put.
+// complete reports the outcome of the put to the caller of Put.
 func (p *pendingPut) complete(revision uint64, err error) {
 	p.revision, p.err = revision, err
 	close(p.done)
 }
 
-// completeAll hands the same outcome to the callers of all puts of a batch.
+// completeAll reports the same outcome for all puts of a batch.
 func completeAll(batch []*pendingPut, revision uint64, err error) {
 	for _, put := range batch {
 		put.complete(revision, err)
--- a/internal/statestore/batcher_test.go
+++ b/internal/statestore/batcher_test.go
@@ -12,25 +12,25 @@
 	"caperlatch/internal/wire"
 )
 
-// TestBatcher has puts share transactions that the service carries out, rejects or does not
-// respond to. Each put gets its own outcome, and none is repeated whose outcome is unknown.
-func TestBatcher(t *testing.T) {
+// TestBatcherOutcomes checks that each of several puts in a transaction gets its own outcome when the service executes
+// the transaction, rejects it or does not respond, and that a put whose outcome is unknown is not repeated.
+func TestBatcherOutcomes(t *testing.T) {
 	withKey := func(_ int, keys []string) bool { return slices.Contains(keys, "c/2") }
 	second := func(n int, _ []string) bool { return n == 2 }
 	many := func(_ int, keys []string) bool { return len(keys) > 2 }
 	all := func(err error) map[int]error { return map[int]error{1: err, 2: err, 3: err, 4: err} }
 	cases := []struct {
 		name  string
-		where func(n int, keys []string) bool // requests that get this response
+		where func(n int, keys []string) bool // selects the requests that get this response
 		response
-		want  map[int]error // other than nil, by put
-		sizes string        // operations of the transactions
+		want  map[int]error // errors other than nil, by number of the put
+		sizes string        // number of operations in each transaction
 	}{
-		{"all are carried out", second, response{200, wire.TxnResponse{Revision: 9}}, nil, "[1 4 3]"},
-		{"a condition fails, the others are carried out without it", withKey, response{409, wire.TxnResponse{FailedKeys: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
-		{"a conflict that names none of them", withKey, response{409, wire.TxnResponse{FailedKeys: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
-		{"a value is rejected, halves find it", withKey, response{400, wire.ErrorResponse{Message: "value too large"}}, map[int]error{2: ErrRejected}, "[1 4 2 1 1 2 3]"},
-		{"their number is rejected, transactions are smaller from then on", many, response{400, wire.ErrorResponse{Message: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
+		{"all puts are executed", second, response{200, wire.TxnResponse{Revision: 9}}, nil, "[1 4 3]"},
+		{"one condition fails, the other puts are executed", withKey, response{409, wire.TxnResponse{FailedKeys: []string{"c/2"}}}, map[int]error{2: ErrConflict}, "[1 4 3 3]"},
+		{"a conflict names no key of the batch", withKey, response{409, wire.TxnResponse{FailedKeys: []string{"c/other"}}}, all(ErrConflict), "[1 4 3]"},
+		{"one value is rejected, splitting isolates it", withKey, response{400, wire.ErrorResponse{Message: "value too large"}}, map[int]error{2: ErrRejected}, "[1 4 2 1 1 2 3]"},
+		{"too many operations are rejected, later transactions are smaller", many, response{400, wire.ErrorResponse{Message: "too many changes"}}, nil, "[1 4 2 2 2 1]"},
 		{"no response", second, response{}, all(errNoResponse), "[1 4 3]"},
 		{"rate limited", second, response{429, nil}, all(ErrRateLimited), "[1 4 3]"},
 	}
@@ -39,7 +39,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				client, sizes := fakeService(func(n int, keys []string) response {
 					if n == 1 {
-						time.Sleep(time.Second) // the other puts gather meanwhile
+						time.Sleep(time.Second) // the other puts become pending meanwhile
 					}
 					if c.where(n, keys) {
 						return c.response
@@ -53,10 +53,10 @@
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(5 * time.Second)
-				synctest.Wait() // orders what the puts wrote before what is read below
+				synctest.Wait() // orders the writes to errs before the reads below
 				for i, err := range errs {
 					if !errors.Is(err, c.want[i]) {
-						t.Errorf("put %d: %v, want %v", i, err, c.want[i])
+						t.Errorf("put %d: error %v, want %v", i, err, c.want[i])
 					}
 				}
 				if got := fmt.Sprint(*sizes); got != c.sizes {
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -9,35 +9,37 @@
 	"caperlatch/internal/wire"
 )
 
-// Errors that callers tell apart by errors.Is. After any other error it is unknown whether the
-// request was or will be executed.
+// Errors that callers distinguish with errors.Is. After any other error it is unknown whether the request was or will
+// be executed.
 var (
-	// ErrConflict: a condition of the transaction does not hold. See ConflictError.
-	ErrConflict = errors.New("conditions failed")
-	// ErrSessionNotFound: the session has ended or never was.
-	ErrSessionNotFound = errors.New("no such session")
-	// ErrCompacted: the service no longer knows the changes since the watch's revision.
-	ErrCompacted = errors.New("revision too old")
-	// ErrNotExecuted: the request was refused or never sent, and will not be executed.
+	// ErrConflict means that a condition of the transaction does not hold. See ConflictError.
+	ErrConflict = errors.New("transaction conditions failed")
+	// ErrSessionNotFound means that the session has ended or has never existed.
+	ErrSessionNotFound = errors.New("session not found")
+	// ErrCompacted means that the service no longer has the changes since the revision of the watch.
+	ErrCompacted = errors.New("revision has been compacted")
+	// ErrNotExecuted means that the request was refused or never sent, and will not be executed.
 	ErrNotExecuted = errors.New("not executed")
-	// ErrUnavailable: the service, or this node's way to it, is in an outage.
-	ErrUnavailable = fmt.Errorf("%w: unavailable", ErrNotExecuted)
-	// ErrRateLimited: the service got too many requests or operations.
-	ErrRateLimited = fmt.Errorf("%w: too many requests", ErrNotExecuted)
-	// ErrRejected: as it is, the request will never be executed, for its size.
-	ErrRejected = fmt.Errorf("%w: rejected as it is", ErrNotExecuted)
+	// ErrUnavailable means that the service, or this node's connection to it, is in an outage.
+	ErrUnavailable = fmt.Errorf("%w: service unavailable", ErrNotExecuted)
+	// ErrRateLimited means that the service has received too many requests or operations.
+	ErrRateLimited = fmt.Errorf("%w: rate limit exceeded", ErrNotExecuted)
+	// ErrRejected means that the service will never execute the request unless it is made smaller.
+	ErrRejected = fmt.Errorf("%w: request rejected", ErrNotExecuted)
 )
 
 // ConflictError is an ErrConflict with the keys whose conditions do not hold.
 type ConflictError struct{ Keys []string }
 
-// Error names the keys.
-func (e *ConflictError) Error() string { return "conditions failed: " + strings.Join(e.Keys, " ") }
+// Error returns a message that names the keys.
+func (e *ConflictError) Error() string {
+	return "transaction conditions failed: " + strings.Join(e.Keys, " ")
+}
 
 // Unwrap makes errors.Is(err, ErrConflict) true.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
-// statusError returns the error that a status stands for whatever the request was, or nil.
+// statusError returns the error for a status that means the same for every request, or nil for any other status.
 func statusError(status int, response []byte) error {
 	switch status {
 	case http.StatusServiceUnavailable:
@@ -54,6 +56,6 @@
 	return nil
 }
 
-// unexpectedStatus returns the error for a status that the request should not get. It leaves
-// open whether the request was executed.
-func unexpectedStatus(status int) error { return fmt.Errorf("answered %d", status) }
+// unexpectedStatus returns the error for a status that the service should not return for the request. After it, it is
+// unknown whether the request was executed.
+func unexpectedStatus(status int) error { return fmt.Errorf("unexpected status %d", status) }
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -11,15 +11,15 @@
 	"caperlatch/internal/wire"
 )
 
-// TestErrors checks what each response of the service means: whether the request was, or may yet
-// be, executed, and whether the service counts as reachable. Each error names the request.
-func TestErrors(t *testing.T) {
+// TestResponseErrors checks which error each response of the service results in, and whether the service then counts as
+// reachable. The error must tell whether the request may have been executed, and must name the request.
+func TestResponseErrors(t *testing.T) {
 	ctx := context.Background()
 	commit := func(c *Client) error {
 		_, err := c.Commit(ctx, wire.Txn{Then: []wire.Op{{Put: "c/x", Value: 1}}})
 		return err
 	}
-	// The beginning of each error, by request.
+	// Prefixes of the errors of each request.
 	const (
 		commitFailed = `state service: commit 1 operations, first on "c/x": `
 		listFailed   = `state service: list keys c/ after "": `
@@ -35,16 +35,16 @@
 	cases := []struct {
 		name   string
 		call   func(c *Client) error
-		failed string // the beginning of the error
+		failed string // the prefix of the error; empty for no error
 		response
-		want      error // nil if known: none; nil if not known: any that leaves open whether it was executed
-		known     bool  // whether it is known if the request was executed
-		responded bool  // whether the service is reachable
+		want      error // if nil: no error if known is true, else any error but ErrNotExecuted
+		known     bool  // whether the outcome must show if the request was executed
+		responded bool  // whether the service counts as reachable
 	}{
 		{"a transaction", commit, "", response{200, wire.TxnResponse{Revision: 9}}, nil, true, true},
 		{"failed conditions", commit, commitFailed, response{409, wire.TxnResponse{FailedKeys: []string{"c/x", "c/y"}}}, ErrConflict, true, true},
 		{"a transaction that is too large", commit, commitFailed, response{400, wire.ErrorResponse{Message: "value too large"}}, ErrRejected, true, true},
-		{"a put of an ended session", commit, commitFailed, response{400, wire.ErrorResponse{Message: wire.MessageSessionNotFound}}, ErrSessionNotFound, true, true},
+		{"a put with an ended session", commit, commitFailed, response{400, wire.ErrorResponse{Message: wire.MessageSessionNotFound}}, ErrSessionNotFound, true, true},
 		{"a transaction over the rate limit", commit, commitFailed, response{429, nil}, ErrRateLimited, true, true},
 		{"an outage", commit, commitFailed, response{503, nil}, ErrUnavailable, true, false},
 		{"a transaction without a response", commit, commitFailed, response{}, errNoResponse, false, false},
@@ -69,19 +69,19 @@
 			case c.known && !errors.Is(err, c.want):
 				t.Errorf("error %v, want %v", err, c.want)
 			case !c.known && (err == nil || errors.Is(err, ErrNotExecuted) || c.want != nil && !errors.Is(err, c.want)):
-				t.Errorf("error %v, which must leave open whether it was executed", err)
+				t.Errorf("error %v, want %v, and not ErrNotExecuted", err, c.want)
 			}
 			if err != nil && (c.failed == "" || !strings.HasPrefix(err.Error(), c.failed)) {
-				t.Errorf("error %q does not begin with %q", err, c.failed)
+				t.Errorf("error %q, want prefix %q", err, c.failed)
 			}
 			if want := slices.Contains([]error{ErrRejected, ErrRateLimited, ErrUnavailable}, c.want); errors.Is(err, ErrNotExecuted) != want {
-				t.Errorf("error %v: not executed is %v, want %v", err, !want, want)
+				t.Errorf("error %v: is ErrNotExecuted %v, want %v", err, !want, want)
 			}
 			if conflict := new(ConflictError); errors.As(err, &conflict) && !strings.Contains(err.Error(), "c/x c/y") {
-				t.Errorf("error %v does not name the keys", err)
+				t.Errorf("error %v, want it to name the keys c/x c/y", err)
 			}
 			if client.IsUnreachable() == c.responded || (client.SinceLastResponse() < micros.Second) != c.responded {
-				t.Errorf("unreachable %v, last response %v ago; want a response %v", client.IsUnreachable(), client.SinceLastResponse(), c.responded)
+				t.Errorf("unreachable %v, last response %d µs ago; want the service to count as reachable: %v", client.IsUnreachable(), client.SinceLastResponse(), c.responded)
 			}
 		})
 	}
--- a/internal/statestore/fake_service_test.go
+++ b/internal/statestore/fake_service_test.go
@@ -10,23 +10,23 @@
 	"caperlatch/internal/wire"
 )
 
-// response is what the fake service responds to a request; with status 0 there is no response.
+// response is the fake service's response to a request. A status of 0 means that there is no response.
 type response struct {
 	status int
 	body   any
 }
 
-// fakeService responds to its nth request, with the keys that a transaction writes.
+// fakeService returns the response to the nth request, counted from 1. keys are those that the request writes if it is a
+// transaction.
 type fakeService func(n int, keys []string) response
 
 // errNoResponse is the error of a request that gets no response.
 var errNoResponse = errors.New("no response")
 
-// client returns a client of the service, and records how many operations each of its requests
-// has.
-func (s fakeService) client(limits settings.State) (c *Client, sizes *[]int) {
-	sizes = &[]int{}
-	return New("state", limits, roundTrip(func(r *http.Request) (*http.Response, error) {
+// client returns a client of the service, and the number of operations in each of its requests so far.
+func (s fakeService) client(limits settings.State) (c *Client, txnSizes *[]int) {
+	txnSizes = &[]int{}
+	return New("state", limits, roundTripFunc(func(r *http.Request) (*http.Response, error) {
 		var txn wire.Txn
 		if r.URL.Path == wire.PathTransactions {
 			body, err := io.ReadAll(r.Body)
@@ -38,24 +38,24 @@
 		for _, op := range txn.Then {
 			keys = append(keys, op.Put)
 		}
-		*sizes = append(*sizes, len(keys))
-		said := s(len(*sizes), keys)
-		if said.status == 0 {
+		*txnSizes = append(*txnSizes, len(keys))
+		reply := s(len(*txnSizes), keys)
+		if reply.status == 0 {
 			return nil, errNoResponse
 		}
-		body, err := wire.Marshal(said.body)
+		body, err := wire.Marshal(reply.body)
 		if err != nil {
 			return nil, err
 		}
-		return &http.Response{StatusCode: said.status, Body: io.NopCloser(bytes.NewReader(body))}, nil
-	})), sizes
+		return &http.Response{StatusCode: reply.status, Body: io.NopCloser(bytes.NewReader(body))}, nil
+	})), txnSizes
 }
 
-// roundTrip is a transport of one function.
-type roundTrip func(r *http.Request) (*http.Response, error)
+// roundTripFunc implements http.RoundTripper with a function.
+type roundTripFunc func(r *http.Request) (*http.Response, error)
 
-// RoundTrip implements http.RoundTripper.
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+// RoundTrip calls f.
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// testLimits are limits that the tests do not reach, but for operations in a transaction.
+// testLimits are limits of which the tests reach only the number of operations in a transaction.
 var testLimits = settings.State{RPS: 1000, WriteRPS: 100, ValueKB: 4, TxnOps: 4}
--- a/internal/statestore/limits_test.go
+++ b/internal/statestore/limits_test.go
@@ -11,16 +11,16 @@
 	"caperlatch/internal/wire"
 )
 
-// TestLimits counts what a client sends in ten seconds when it always has more to send, and
-// checks which values it takes for storable: by the smaller of the limits before and after a change.
-func TestLimits(t *testing.T) {
+// TestRateAndSizeLimits checks how many requests and operations a client sends in ten seconds when it always has more
+// to send, and which values it accepts. Where the service's limits will change, the smaller ones apply.
+func TestRateAndSizeLimits(t *testing.T) {
 	half, ops, kb := 50.0, 2, 2.0
 	upcoming := settings.UpcomingLimits{RPS: &half, WriteRPS: &half, TxnOps: &ops, ValueKB: &kb}
 	cases := []struct {
 		name                          string
 		limits                        settings.State
-		requests                      int // in ten seconds, with the burst
-		leaderOps                     int // operations of the leader, the same
+		requests                      int // in ten seconds, including the burst
+		leaderOps                     int // operations of the leader in ten seconds, including the burst
 		maxOps, maxLeaderOps, valueKB int
 	}{
 		{"high", settings.State{RPS: 200, WriteRPS: 100, ValueKB: 4, TxnOps: 8}, 1100, 633, 8, 8, 4},
@@ -37,7 +37,7 @@
 					for send(ctx) == nil {
 						n++
 					}
-					time.Sleep(10 * time.Second) // the burst is back
+					time.Sleep(10 * time.Second) // restores the burst
 					return n
 				}
 				near := func(got, want int) bool { return got >= want-2 && got <= want+2 }
@@ -45,11 +45,11 @@
 				one := wire.Txn{Then: []wire.Op{{Put: "c/x"}}}
 				leaderOps := count(func(ctx context.Context) error { _, err := client.CommitRateLimited(ctx, one); return err })
 				if !near(requests, c.requests) || !near(leaderOps, c.leaderOps) {
-					t.Errorf("%d requests and %d operations, want %d and %d", requests, leaderOps, c.requests, c.leaderOps)
+					t.Errorf("sent %d requests and %d operations of the leader, want %d and %d", requests, leaderOps, c.requests, c.leaderOps)
 				}
 				fits := strings.Repeat("x", c.valueKB*bytesPerKB-2)
 				if client.MaxOps() != c.maxOps || client.MaxLeaderOps() != c.maxLeaderOps || !client.ValueAlwaysFits(fits) || client.ValueAlwaysFits(fits+"x") || !client.ValueFitsNow(fits) {
-					t.Errorf("%d operations, %d of the leader, want %d and %d; or the most that fits is not %d KB", client.MaxOps(), client.MaxLeaderOps(), c.maxOps, c.maxLeaderOps, c.valueKB)
+					t.Errorf("at most %d operations in a transaction, %d for the leader, want %d and %d; or the largest value is not %d KB", client.MaxOps(), client.MaxLeaderOps(), c.maxOps, c.maxLeaderOps, c.valueKB)
 				}
 			})
 		})
--- a/internal/statestore/requests.go
+++ b/internal/statestore/requests.go
@@ -11,14 +11,14 @@
 	"caperlatch/internal/wire"
 )
 
-// pageSize is the most keys in a page of a list.
+// pageSize is the most keys in one page of a list.
 const pageSize = "500"
 
-// listTimeout bounds the request for a page, which takes longer than others.
+// listTimeout bounds the request for a page of a list, which takes longer than other requests.
 const listTimeout = 2 * RequestTimeout
 
-// ListPage returns the first page of the keys that have the prefix and come after the given
-// key, which is empty for the first page of all.
+// ListPage returns the first page of the keys that have the given prefix and sort after the key after. If after is
+// empty, it returns the first page of all keys that have the prefix.
 func (c *Client) ListPage(ctx context.Context, prefix, after string) (wire.KeyPage, error) {
 	query := url.Values{wire.QueryPrefix: {prefix}, wire.QueryLimit: {pageSize}}
 	if after != "" {
@@ -35,8 +35,8 @@
 	return page, nil
 }
 
-// CommitRateLimited commits a transaction of the leader once its share of the limit on
-// operations allows it. Its results are Commit's.
+// CommitRateLimited commits a transaction of the leader once the leader's share of the limit on operations allows it. It
+// returns the results of Commit.
 func (c *Client) CommitRateLimited(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	operations := min(max(1, len(txn.Then)), c.limits.leaderWrites.Burst())
 	if err := c.limits.leaderWrites.WaitN(ctx, operations); err != nil {
@@ -45,8 +45,8 @@
 	return c.Commit(ctx, txn)
 }
 
-// Commit carries out a transaction at once and returns its revision. If a condition does not
-// hold, the error is a *ConflictError.
+// Commit commits a transaction without waiting for the leader's share of the limit on operations, and returns the
+// transaction's revision. If a condition does not hold, the error wraps a *ConflictError.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (revision uint64, err error) {
 	var response wire.TxnResponse
 	status, err := c.call(ctx, request{method: http.MethodPost, path: wire.PathTransactions, body: txn, timeout: RequestTimeout}, &response)
@@ -61,7 +61,7 @@
 	return response.Revision, nil
 }
 
-// commitError returns the error of a transaction that failed for the given cause.
+// commitError returns the error for a transaction that failed with the given cause.
 func commitError(txn wire.Txn, cause error) error {
 	first := ""
 	if len(txn.Then) > 0 {
@@ -70,10 +70,10 @@
 	return fmt.Errorf("state service: commit %d operations, first on %q: %w", len(txn.Then), first, cause)
 }
 
-// Watch returns the changes of keys that have the prefix since the revision after. It waits up
-// to wait for a first one. Without a wait it is a read barrier: the response's revision is at
-// least that of all that was committed before the call. The error is ErrCompacted if the service
-// has forgotten some of the changes.
+// Watch returns the changes since the revision after of keys that have the given prefix. If there are none yet, it waits
+// for the first one, at most for the time wait. With a wait of 0 it is a read barrier: the revision of the response is
+// not lower than that of any change committed before the call. The error wraps ErrCompacted if the service no longer has
+// some of the changes.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait micros.Micros) (wire.WatchResponse, error) {
 	query := url.Values{
 		wire.QueryPrefix:  {prefix},
--- a/internal/statestore/sessions.go
+++ b/internal/statestore/sessions.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/wire"
 )
 
-// NewSession opens a session and returns its ID. It ends unless it is renewed within ttl; the
-// keys written with it are deleted then.
+// NewSession opens a session and returns its ID. The session ends unless it is renewed within ttl. The keys that were
+// written with it are deleted when it ends.
 func (c *Client) NewSession(ctx context.Context, ttl micros.Micros) (id uint64, err error) {
 	body := wire.SessionRequest{TTLMS: int64(ttl / micros.Millisecond)}
 	var response wire.SessionResponse
@@ -24,18 +24,17 @@
 	return response.SessionID, nil
 }
 
-// RenewSession has a session last for its whole TTL again. The error is ErrSessionNotFound if it
-// has ended.
+// RenewSession renews a session for its whole TTL. The error wraps ErrSessionNotFound if the session has ended.
 func (c *Client) RenewSession(ctx context.Context, id uint64) error {
 	return c.callSession(ctx, "renew", id, request{method: http.MethodPost, path: wire.PathSessionRenewal(id), body: struct{}{}, timeout: RequestTimeout})
 }
 
-// EndSession ends a session at once. The error is ErrSessionNotFound if it has ended already.
+// EndSession ends a session at once. The error wraps ErrSessionNotFound if the session has already ended.
 func (c *Client) EndSession(ctx context.Context, id uint64) error {
 	return c.callSession(ctx, "end", id, request{method: http.MethodDelete, path: wire.PathSession(id), timeout: RequestTimeout})
 }
 
-// callSession sends a request about a session; action names it in the error.
+// callSession sends a request that renews or ends a session. action names the request in errors.
 func (c *Client) callSession(ctx context.Context, action string, id uint64, r request) error {
 	status, err := c.call(ctx, r, nil)
 	switch {
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -1,9 +1,9 @@
-// Package statestore is the client of the state service, a consensus-backed key-value store.
+// Package statestore provides a client of the state service, a consensus-backed key-value store.
 //
-// It owns the requests, what their responses mean as errors, this node's share of the service's
-// rate limits, and which values and transactions the service takes. It must not know what the
-// keys hold. It repeats nothing by itself, as a request without a response may yet be executed;
-// Batcher alone splits a transaction that was rejected, which surely was not.
+// The package owns the requests, the errors for their responses, this node's share of the service's rate limits, and
+// the limits on values and transactions. It must not depend on what the keys hold. It never repeats a request, as one
+// without a response may still be executed. Only Batcher sends puts again, when their transaction was rejected or one
+// of its conditions failed, as such a transaction is certain not to have been executed.
 package statestore
 
 import (
@@ -17,60 +17,59 @@
 	"caperlatch/internal/wire"
 )
 
-// RequestTimeout bounds a request. The service usually takes under 10 ms and at times a few
-// hundred, so a response later than this is taken for lost.
+// RequestTimeout bounds a request. The service usually responds within 10 ms and at times takes a few hundred, so a
+// response that takes longer than RequestTimeout is considered lost.
 const RequestTimeout = 1500 * micros.Millisecond
 
-// RetryAfter is how long users whose request found the service unavailable should wait before
-// they repeat it.
+// RetryAfter is how long users should wait before they repeat a request that failed because the service was unavailable.
 const RetryAfter = micros.Second
 
 // Client sends requests to the state service, within this node's share of its rate limits. It
 // is safe for concurrent use.
 type Client struct {
-	base           string
+	baseURL        string
 	http           *http.Client
 	limits         limits
-	lastResponseAt atomic.Int64 // micros.Micros; when the service last responded
-	lastFailureAt  atomic.Int64 // micros.Micros; when a request last got no response, or unavailable
+	lastResponseAt atomic.Int64 // micros.Micros; when the service last responded, unless that it is unavailable
+	lastFailureAt  atomic.Int64 // micros.Micros; when a request last got no response, or that the service is unavailable
 }
 
-// New returns a client of the service at addr, a host and port, which goes by transport.
+// New returns a client that sends requests with transport to the service at addr, a host and port.
 func New(addr string, service settings.State, transport http.RoundTripper) *Client {
 	return &Client{
-		base:   "http://" + addr,
-		http:   &http.Client{Transport: transport},
-		limits: newLimits(service),
+		baseURL: "http://" + addr,
+		http:    &http.Client{Transport: transport},
+		limits:  newLimits(service),
 	}
 }
 
-// SinceLastResponse returns how long ago the service last responded anything but that it is
+// SinceLastResponse returns the time since the service's last response, not counting responses that the service is
 // unavailable.
 func (c *Client) SinceLastResponse() micros.Micros {
 	return micros.Now() - micros.Micros(c.lastResponseAt.Load())
 }
 
-// IsUnreachable reports whether the last request that ended got no response, or the response
-// that the service is unavailable.
+// IsUnreachable reports whether the last request to end got no response, or the response that the service is
+// unavailable.
 func (c *Client) IsUnreachable() bool { return c.lastFailureAt.Load() > c.lastResponseAt.Load() }
 
 // request is a request to the service.
 type request struct {
 	method  string
 	path    string
-	body    any // nil: none
+	body    any // nil for no body
 	timeout micros.Micros
 }
 
-// call sends a request once the rate limit allows it, and decodes the body of a 200 or 409 into
-// out unless that is nil. Its errors do not name the request, which callers do.
+// call sends a request once the rate limit allows it. If the status is 200 or 409, it decodes the body of the response
+// into out, unless out is nil. Callers must add the name of the request to the error.
 func (c *Client) call(ctx context.Context, r request, out any) (status int, err error) {
 	if err := c.limits.requests.Wait(ctx); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.timeout.Duration())
 	defer cancel()
-	status, response, err := wire.Call(ctx, c.http, r.method, c.base+r.path, r.body)
+	status, response, err := wire.Call(ctx, c.http, r.method, c.baseURL+r.path, r.body)
 	if err != nil {
 		c.lastFailureAt.Store(int64(micros.Now()))
 		return 0, err
