--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,8 +1,8 @@
-// Package cloud is the client of the cloud's interface for instances.
+// Package cloud provides a client of the cloud provider's instance API.
 //
-// It owns the requests, their timeouts and this node's share of the cloud's rate limit. It must
-// not decide what is launched or terminated, and repeats nothing by itself: a request without a
-// response may yet be carried out.
+// The package owns the requests, their timeouts and this node's share of the cloud's rate limit. It must not decide
+// which instances are launched or terminated. It never repeats a request, as one without a response may still be
+// executed.
 package cloud
 
 import (
@@ -20,40 +20,40 @@
 	"caperlatch/internal/wire"
 )
 
-// ErrNoCapacity reports that the cloud has no instance of the requested type and zone, spot or
-// on demand as requested. The launch was not carried out.
+// ErrNoCapacity means that the cloud has no instance of the requested type, in the requested zone, spot or on demand as
+// requested. The launch was not executed.
 var ErrNoCapacity = errors.New(wire.MessageNoCapacity)
 
-// ErrNotSent reports that a request was not sent, as its leader may no longer act.
-var ErrNotSent = errors.New("not sent, the term may be over")
+// ErrNotSent means that a request was not sent, as this node may no longer act as the leader.
+var ErrNotSent = errors.New("request not sent: the leader's term may have ended")
 
-// The most instances in a request.
+// The most instances in one request of each kind, and in one page of a list.
 const (
 	MaxInstancesPerLaunch      = 50
 	MaxInstancesPerTermination = 100
 	maxInstancesPerPage        = 500
 )
 
-// requestTimeout bounds a request once it is sent.
+// requestTimeout bounds a request from when it is sent.
 const requestTimeout = 5 * micros.Second
 
-// requestShare is the share of the cloud's rate limit that a node may use: only the leader sends
-// many requests, so it takes most of it.
+// requestShare is the share of the cloud's rate limit that each node may use. It is most of the limit, as only the
+// leader sends many requests.
 const requestShare = 0.75
 
-// Client sends requests to the cloud, within this node's share of its rate limit. It is safe for
-// concurrent use. After any error but ErrNoCapacity and ErrNotSent it is unknown whether the
-// request was or will be carried out.
+// Client sends requests to the cloud, within this node's share of the cloud's rate limit. It is safe for concurrent
+// use. After any error other than ErrNoCapacity and ErrNotSent, it is unknown whether the request was or will be
+// executed.
 type Client struct {
-	base     string
+	baseURL  string
 	http     *http.Client
 	requests *rate.Limiter
 }
 
-// New returns a client of the cloud at addr, a host and port, which goes by transport.
+// New returns a client that sends requests with transport to the cloud at addr, a host and port.
 func New(addr string, limits settings.Cloud, transport http.RoundTripper) *Client {
 	return &Client{
-		base:     "http://" + addr,
+		baseURL:  "http://" + addr,
 		http:     &http.Client{Transport: transport},
 		requests: rate.NewLimiter(rate.Limit(limits.RPS*requestShare), max(1, int(limits.RPS))),
 	}
@@ -61,17 +61,17 @@
 
 // request is a request to the cloud.
 type request struct {
-	name   string // of the request, in errors
+	name   string // names the request in errors
 	method string
 	path   string
-	body   any // nil: none
-	// canSend, if set, is asked right before the request is sent, after the wait for the rate
-	// limit.
+	body   any // nil for no body
+	// canSend, if set, is called right before the request is sent, after the wait for the rate limit. If it returns
+	// false, the request is not sent.
 	canSend func() bool
 }
 
-// call sends a request once the rate limit allows it, and decodes the body of a 200 into out
-// unless that is nil. Its errors name the request.
+// call sends a request once the rate limit allows it. If the status is 200, it decodes the body of the response into
+// out, unless out is nil. Its errors name the request.
 func (c *Client) call(ctx context.Context, r request, out any) error {
 	if err := c.send(ctx, r, out); err != nil {
 		return fmt.Errorf("cloud: %s: %w", r.name, err)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// send is call, but for the name of the request in errors.
+// send does the work of call. Its errors do not name the request.
 func (c *Client) send(ctx context.Context, r request, out any) error {
 	if err := c.requests.Wait(ctx); err != nil {
 		return err
@@ -89,7 +89,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout.Duration())
 	defer cancel()
-	status, response, err := wire.Call(ctx, c.http, r.method, c.base+r.path, r.body)
+	status, response, err := wire.Call(ctx, c.http, r.method, c.baseURL+r.path, r.body)
 	if err != nil {
 		return err
 	}
@@ -105,25 +105,25 @@
 	return nil
 }
 
-// statusError returns the error that a status other than 200 stands for.
+// statusError returns the error for a response with a status other than 200.
 func statusError(status int, response []byte) error {
 	var reason wire.ErrorResponse
 	err := wire.Unmarshal(response, &reason)
 	if err == nil && status == http.StatusServiceUnavailable && reason.Message == wire.MessageNoCapacity {
 		return ErrNoCapacity
 	}
-	return fmt.Errorf("answered %d %s", status, reason.Message)
+	return fmt.Errorf("unexpected status %d %s", status, reason.Message)
 }
 
-// InstanceTypes returns the cloud's instance types with their present prices.
+// InstanceTypes returns the cloud's instance types with their current prices.
 func (c *Client) InstanceTypes(ctx context.Context) (wire.InstanceTypeList, error) {
 	var types wire.InstanceTypeList
 	err := c.call(ctx, request{name: "list instance types", method: http.MethodGet, path: wire.PathInstanceTypes}, &types)
 	return types, err
 }
 
-// Launch launches instances and returns their IDs, which may be fewer than requested. The same
-// request ID gets the same answer. The request is sent only if canSend returns true right before.
+// Launch launches instances and returns their IDs, which may be fewer than requested. A repeated request ID gets the
+// same response again. The request is sent only if canSend, called right before, returns true.
 func (c *Client) Launch(ctx context.Context, launch wire.LaunchRequest, canSend func() bool) (ids []string, err error) {
 	r := request{name: "launch " + launch.RequestID, method: http.MethodPost, path: wire.PathInstances, body: launch, canSend: canSend}
 	var launched wire.InstanceIDs
@@ -131,9 +131,9 @@
 	return launched.IDs, err
 }
 
-// Terminate terminates instances. After a nil error they and all that was on them are gone. The
-// request is sent only if canSend returns true right before: the cloud knows no fencing token
-// that would refuse a leader whose term has ended while it waited.
+// Terminate terminates instances. Once it has returned nil, the instances and everything that ran on them are gone. The
+// request is sent only if canSend, called right before, returns true: the cloud has no fencing tokens, by which it could
+// refuse a leader whose term ended while the request waited for the rate limit.
 func (c *Client) Terminate(ctx context.Context, ids []string, canSend func() bool) error {
 	return c.call(ctx, request{
 		name:    fmt.Sprintf("terminate %d instances", len(ids)),
@@ -144,7 +144,7 @@
 	}, nil)
 }
 
-// ListInstances returns the whole list of instances, which may be old.
+// ListInstances returns the cloud's list of all instances, which may be out of date.
 func (c *Client) ListInstances(ctx context.Context) ([]wire.InstanceStatus, error) {
 	var all []wire.InstanceStatus
 	after := ""
--- a/internal/micros/micros_test.go
+++ b/internal/micros/micros_test.go
@@ -8,64 +8,65 @@
 	"time"
 )
 
-// TestFromSeconds checks rounding and the bounds of what is converted.
+// TestFromSeconds checks that durations are rounded to microseconds and limited to about 31 years.
 func TestFromSeconds(t *testing.T) {
 	cases := []struct {
 		name    string
 		seconds float64
 		want    Micros
 	}{
-		{"nothing", 0, 0},
-		{"a part of a second", 1.5, 1500 * Millisecond},
+		{"zero", 0, 0},
+		{"a fraction of a second", 1.5, 1500 * Millisecond},
 		{"rounded up", 0.0000015, 2},
 		{"rounded down", 0.0000014, 1},
 		{"negative", -2, -2 * Second},
 		{"too long", 1e300, 1e15},
 		{"infinite", math.Inf(1), 1e15},
-		{"too long before", math.Inf(-1), -1e15},
+		{"negative infinite", math.Inf(-1), -1e15},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := FromSeconds(c.seconds); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+				t.Errorf("FromSeconds(%v) = %d, want %d", c.seconds, got, c.want)
 			}
 		})
 	}
 }
 
-// TestConversions checks that durations are the same in all units.
+// TestConversions checks conversions to seconds and to time.Duration.
 func TestConversions(t *testing.T) {
 	if got := (1500 * Millisecond).Seconds(); got != 1.5 {
 		t.Errorf("%v seconds, want 1.5", got)
 	}
 	if got := (1500 * Millisecond).Duration(); got != 1500*time.Millisecond {
-		t.Errorf("%v, want 1.5 s", got)
+		t.Errorf("duration %v, want 1.5 s", got)
 	}
 }
 
-// TestMaxClockDrift checks what two clocks that are each off by 0.05% may run apart, and a step.
+// TestMaxClockDrift checks that two clocks may drift apart by 0.05% of the elapsed time each, and by one timer step.
 func TestMaxClockDrift(t *testing.T) {
 	for elapsed, want := range map[Micros]Micros{0: 20 * Millisecond, 10 * Second: 30 * Millisecond} {
 		if got := MaxClockDrift(elapsed); got != want {
-			t.Errorf("over %v s: %d, want %d", elapsed.Seconds(), got, want)
+			t.Errorf("drift over %v s: %d µs, want %d µs", elapsed.Seconds(), got, want)
 		}
 	}
 }
 
-// TestNow checks that the steady clock goes by elapsed time and stays above zero, also under the
-// tests' clock, which is decades behind the start of the process.
+// TestNow checks that the steady clock advances with elapsed time and stays above 0, even with the fake clock of
+// testing/synctest, which is decades behind the start of the process.
 func TestNow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := Now()
 		Second.Sleep()
 		if start <= 0 || Now()-start != Second {
-			t.Errorf("from %d to %d in a second", start, Now())
+			t.Errorf("steady clock went from %d to %d in a second, want a start above 0 and %d more", start, Now(), Second)
 		}
 	})
 }
 
-// TestWaits checks that both waits end with their context, and Every's calls with their interval.
-func TestWaits(t *testing.T) {
+// TestEveryAndPause checks that Every and Pause return when their context ends, that Every calls its function once per
+// interval, and that Pause otherwise lasts for its duration.
+func TestEveryAndPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 3500*time.Millisecond)
 		defer cancel()
@@ -77,11 +78,11 @@
 		start = Now()
 		Pause(ctx, Second)
 		if elapsed := Now() - start; elapsed != 0 {
-			t.Errorf("a pause after the context's end took %v s", elapsed.Seconds())
+			t.Errorf("a pause after the end of its context took %v s, want 0", elapsed.Seconds())
 		}
 		Pause(context.Background(), Second)
 		if elapsed := Now() - start; elapsed != Second {
-			t.Errorf("a pause of a second took %v s", elapsed.Seconds())
+			t.Errorf("a pause of 1 s took %v s", elapsed.Seconds())
 		}
 	})
 }
