--- a/internal/standby/bench_test.go
+++ b/internal/standby/bench_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// benchFleet publishes a fleet of 4,100 machines with 100,000 tasks.
-func benchFleet() *Publisher {
+// newBenchPublisher returns a publisher whose view holds 4,100 machines with 100,000 tasks.
+func newBenchPublisher() *Publisher {
 	p := NewPublisher(testToken, 50_000)
 	for i := range 100_000 {
 		p.Publish(taskAssigned(fmt.Sprintf("i-%06d", i%4100), fmt.Sprintf("j-%06d/%d", i/100, i%100), uint64(i)))
@@ -17,8 +17,9 @@
 	return p
 }
 
+// BenchmarkPublish measures the time to publish one entry.
 func BenchmarkPublish(b *testing.B) {
-	p := benchFleet()
+	p := newBenchPublisher()
 	i := 0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -27,7 +28,8 @@
 	}
 }
 
-// exchange has a follower ask once, with the encoding of the page, and returns the page's size.
+// exchange sends one query of a follower to the publisher, encodes and decodes the page that answers it, applies the
+// page, and returns the encoded size in bytes.
 func exchange(b *testing.B, f *Follower, p *Publisher) (size int) {
 	b.Helper()
 	body, err := wire.Marshal(p.HandleQuery(f.NextQuery(testToken)))
@@ -44,9 +46,9 @@
 	return len(body)
 }
 
-// BenchmarkPull has a follower take 100 entries a time.
+// BenchmarkPull measures how a follower fetches and applies pages of 100 entries.
 func BenchmarkPull(b *testing.B) {
-	p, f := benchFleet(), NewFollower("host-1")
+	p, f := newBenchPublisher(), NewFollower("host-1")
 	for !f.Progress().Complete || f.Progress().LagEntries > 0 {
 		exchange(b, f, p)
 	}
@@ -62,9 +64,9 @@
 	b.ReportMetric(float64(size)/float64(i), "bytes/entry")
 }
 
-// BenchmarkSnapshot has a follower take a complete snapshot.
+// BenchmarkSnapshot measures how a new follower fetches and applies a complete snapshot.
 func BenchmarkSnapshot(b *testing.B) {
-	p := benchFleet()
+	p := newBenchPublisher()
 	size, snapshots := 0, 0
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -7,91 +7,93 @@
 	"caperlatch/internal/micros"
 )
 
-// Phase is where a node is on the way to lead.
+// Phase is a phase of a failover, from following a leader to leading.
 type Phase int
 
-// The phases, in the order in which a failover passes them.
+// The phases, in the order in which a failover passes through them.
 const (
 	Following   Phase = iota // the leader answers
-	Suspecting               // the leader has not answered for a while: a hint, nothing follows but haste
-	Campaigning              // the leader key is free, or left to this node, which tries to take it
-	Confirming               // it has taken the key, and reads what earlier terms have stored
-	Adopting                 // it knows all of that, and compares what machines hold with it
+	Suspecting               // the leader has not answered for a while; a hint that only speeds up the preparations
+	Campaigning              // the leader key is free, or the leader has handed over to this node, which tries to take the key
+	Confirming               // the node has taken the key, and reads what earlier terms have stored
+	Adopting                 // the stored state is read, and is compared with what the machines hold
 	Active                   // the tasks of all machines that may hold any are known
 )
 
 var phaseNames = [...]string{"following", "suspecting", "campaigning", "confirming", "adopting", "active"}
 
-// String is the phase's name, which is shown to operators.
+// String returns the phase's name, which is shown to operators.
 func (p Phase) String() string { return phaseNames[p] }
 
-// CanDecide reports whether starts, stops, launches, terminations and ends of jobs may leave the node.
+// CanDecide reports whether the node may send starts, stops, launches and terminations, and may end jobs.
 func (p Phase) CanDecide() bool { return p >= Adopting }
 
-// Evidence is what proves that the leader before has stopped deciding.
+// Evidence is the proof that the previous leader no longer makes decisions.
 type Evidence struct {
-	// FencingToken is the new term's, raised in the transaction that took the key.
+	// FencingToken is the token of the new term, which was increased in the transaction that took the leader key.
 	FencingToken uint64 `json:"token"`
-	// Revision is that transaction's. It succeeds only while there is no leader key, so the session of the leader
-	// before had ended, or in place of the key of a leader that had handed over to this node.
+	// Revision is the revision of that transaction. The transaction succeeds only if there is no leader key, which
+	// means that the previous leader's session has ended, or if it replaces the key of a leader that has handed over
+	// to this node.
 	Revision uint64 `json:"revision"`
-	// ReadThrough is the revision of the read barrier that began after the transaction.
+	// ReadThrough is the revision of the read barrier that was started after the transaction.
 	ReadThrough uint64 `json:"read_through"`
-	// HandedOver: the leader before said that it had stopped, and its view proves what
+	// HandedOver is set when the previous leader announced that it had stopped, and its view proves which tasks
 	// machines may hold.
 	HandedOver bool `json:"handed_over"`
 }
 
-// provesTermOver reports whether the evidence allows to decide.
-func (e Evidence) provesTermOver() bool {
+// provesPreviousTermEnded reports whether the evidence is sufficient for the node to make decisions.
+func (e Evidence) provesPreviousTermEnded() bool {
 	return e.FencingToken != 0 && e.Revision != 0 && e.ReadThrough >= e.Revision
 }
 
-// PhaseTime is when a phase began.
+// PhaseTime records when a phase was entered.
 type PhaseTime struct {
 	Phase          string        `json:"phase"`
-	EnteredAt      micros.Micros `json:"at"`     // time of day
-	PreviousPhaseS float64       `json:"took_s"` // that the phase before lasted
+	EnteredAt      micros.Micros `json:"at"`     // wall-clock time
+	PreviousPhaseS float64       `json:"took_s"` // duration of the phase before this one, in seconds
 }
 
-// FailoverRecord is a failover, as it is shown to operators.
+// FailoverRecord describes a failover to operators.
 type FailoverRecord struct {
 	Evidence Evidence    `json:"evidence"`
-	Warm     bool        `json:"warm"` // there was a complete view of the term before
+	Warm     bool        `json:"warm"` // a complete view of the previous term was available
 	Phases   []PhaseTime `json:"phases"`
 }
 
-// Failover follows a node through the phases of its failovers. Its methods note what happened, and each enters a phase
-// only from one that may precede it. It is safe for concurrent use.
+// Failover tracks the phases of a node's failovers. The caller reports events to its methods, each of which enters a
+// phase only from a phase that may precede it. It is safe for concurrent use.
 type Failover struct {
 	mu         sync.Mutex
 	phase      Phase
 	phaseSince micros.Micros
-	current    FailoverRecord  // zero in Following
-	last       *FailoverRecord // the last that reached Confirming, never changed once set
+	current    FailoverRecord  // zero in the phase Following
+	last       *FailoverRecord // the last failover that reached Confirming; the record is never modified once set
 }
 
-// NewFailover is that of a node that follows.
+// NewFailover returns the Failover of a node in the phase Following.
 func NewFailover() *Failover { return &Failover{phaseSince: micros.Now()} }
 
-// Phase is the present phase.
+// Phase returns the current phase.
 func (f *Failover) Phase() Phase {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.phase
 }
 
-// LastRecord is the last failover in which this node took the leader key, nil if there was none. It must not be changed.
+// LastRecord returns the record of the last failover in which this node took the leader key, or nil if there was none.
+// The caller must not modify it.
 func (f *Failover) LastRecord() *FailoverRecord {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.last
 }
 
-// LeaderSuspected notes that the leader has not answered for a while.
+// LeaderSuspected records that the leader has not answered for a while.
 func (f *Failover) LeaderSuspected() { f.enterFrom(Following, Suspecting) }
 
-// LeaderTrusted notes that the leader answers, or that another one leads.
+// LeaderTrusted records that the leader answers again, or that another node leads.
 func (f *Failover) LeaderTrusted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,7 +102,7 @@
 	}
 }
 
-// CampaignStarted notes that the node campaigns.
+// CampaignStarted records that the node campaigns for the leadership.
 func (f *Failover) CampaignStarted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -109,8 +111,8 @@
 	}
 }
 
-// TermWon notes that the leader key was taken with a token, in the transaction of a revision; warm says whether there
-// is a complete view of the term before.
+// TermWon records that the node took the leader key with a fencing token, in the transaction at a revision. warm tells
+// whether a complete view of the previous term is available.
 func (f *Failover) TermWon(token, revision uint64, warm bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,23 +121,24 @@
 	f.enter(Confirming)
 }
 
-// StateRead notes that all that earlier terms have stored is known through a revision, and whether the leader before
-// handed over with proof. It reports whether the evidence allows to decide; if not, the phase stays.
+// StateRead records that the node has read everything that earlier terms stored, through a revision, and whether the
+// previous leader handed over with proof. It reports whether the evidence is sufficient for the node to make
+// decisions. If it is not, the phase does not change.
 func (f *Failover) StateRead(readThrough uint64, handedOver bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.current.Evidence.ReadThrough, f.current.Evidence.HandedOver = readThrough, handedOver
-	if f.phase != Confirming || !f.current.Evidence.provesTermOver() {
+	if f.phase != Confirming || !f.current.Evidence.provesPreviousTermEnded() {
 		return false
 	}
 	f.enter(Adopting)
 	return true
 }
 
-// TasksKnown notes that the tasks of all machines are known.
+// TasksKnown records that the tasks of all machines are known.
 func (f *Failover) TasksKnown() { f.enterFrom(Adopting, Active) }
 
-// TermEnded notes that the node no longer leads.
+// TermEnded records that the node no longer leads.
 func (f *Failover) TermEnded() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,7 +147,7 @@
 	}
 }
 
-// enterFrom enters a phase if the present one is the one before.
+// enterFrom enters the phase to if the current phase is from.
 func (f *Failover) enterFrom(from, to Phase) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,7 +156,7 @@
 	}
 }
 
-// enter enters a phase; mu must be held.
+// enter enters a phase. The caller must hold mu.
 func (f *Failover) enter(to Phase) {
 	now := micros.Now()
 	took := now - f.phaseSince
@@ -164,7 +167,7 @@
 		return
 	}
 	record := f.current
-	// The last record may be in a reader's hands: its phases are not appended to in place.
+	// A caller of LastRecord may still read the last record, so its phases are not appended to in place.
 	record.Phases = append(record.Phases[:len(record.Phases):len(record.Phases)], PhaseTime{to.String(), micros.WallTime(), took.Seconds()})
 	f.current = record
 	if to >= Confirming {
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestFailoverPhases goes through failovers: decisions may leave only with all of the evidence.
-func TestFailoverPhases(t *testing.T) {
+// TestFailoverPhaseTransitions guards against decisions that a node makes without complete evidence: each event must
+// lead to the expected phase, and only Adopting and Active may allow decisions.
+func TestFailoverPhaseTransitions(t *testing.T) {
 	type step struct {
 		name string
 		do   func(*Failover)
@@ -23,14 +24,14 @@
 		steps []step
 	}{
 		{"all phases", []step{suspect, campaign, won, stateRead, tasksKnown, ended}},
-		{"handed over, unsuspected", []step{campaign, won, stateRead, tasksKnown}},
-		{"the leader answers again", []step{suspect, {"trust", (*Failover).LeaderTrusted, Following}, suspect}},
-		{"another one wins", []step{suspect, campaign, {"trust", (*Failover).LeaderTrusted, Following}}},
-		{"ended while confirming", []step{campaign, won, ended, campaign, won, stateRead}},
-		{"read before the key was taken", []step{campaign, won, {"read the state", func(f *Failover) { f.StateRead(99, true) }, Confirming}, stateRead}},
-		{"state read without a key", []step{campaign, {"read the state", func(f *Failover) { f.StateRead(500, false) }, Campaigning}}},
-		{"an active leader is suspected", []step{campaign, won, stateRead, tasksKnown, {"suspect", (*Failover).LeaderSuspected, Active}, {"trust", (*Failover).LeaderTrusted, Active}}},
-		{"tasks known out of turn", []step{campaign, {"know the tasks", (*Failover).TasksKnown, Campaigning}}},
+		{"handover without a suspicion", []step{campaign, won, stateRead, tasksKnown}},
+		{"leader answers again", []step{suspect, {"trust", (*Failover).LeaderTrusted, Following}, suspect}},
+		{"another node wins", []step{suspect, campaign, {"trust", (*Failover).LeaderTrusted, Following}}},
+		{"term ends while confirming", []step{campaign, won, ended, campaign, won, stateRead}},
+		{"state read at a revision before the key was taken", []step{campaign, won, {"read the state", func(f *Failover) { f.StateRead(99, true) }, Confirming}, stateRead}},
+		{"state read without the leader key", []step{campaign, {"read the state", func(f *Failover) { f.StateRead(500, false) }, Campaigning}}},
+		{"active leader is suspected", []step{campaign, won, stateRead, tasksKnown, {"suspect", (*Failover).LeaderSuspected, Active}, {"trust", (*Failover).LeaderTrusted, Active}}},
+		{"tasks known before the term is won", []step{campaign, {"know the tasks", (*Failover).TasksKnown, Campaigning}}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,21 +39,22 @@
 			for _, s := range tc.steps {
 				s.do(failover)
 				if got := failover.Phase(); got != s.want {
-					t.Fatalf("%s: %v, want %v", s.name, got, s.want)
+					t.Fatalf("%s: phase %v, want %v", s.name, got, s.want)
 				}
 				if can := failover.Phase().CanDecide(); can != (s.want == Adopting || s.want == Active) {
-					t.Errorf("%s: can decide: %v", s.name, can)
+					t.Errorf("%s: CanDecide() = %v in phase %v", s.name, can, s.want)
 				}
 			}
 		})
 	}
 }
 
-// TestFailoverRecord asks for the last failover, with its evidence and phases.
-func TestFailoverRecord(t *testing.T) {
+// TestLastFailoverRecord checks the evidence and the phases in the record of the last failover, which must stay
+// available after the term has ended and the next leader is suspected.
+func TestLastFailoverRecord(t *testing.T) {
 	failover := NewFailover()
 	if failover.LastRecord() != nil {
-		t.Error("a record before the first failover")
+		t.Error("LastRecord() returned a record before the first failover, want nil")
 	}
 	failover.LeaderSuspected()
 	failover.CampaignStarted()
@@ -63,7 +65,7 @@
 	failover.LeaderSuspected()
 	last := failover.LastRecord()
 	if last == nil || last.Evidence != (Evidence{FencingToken: 8, Revision: 100, ReadThrough: 104, HandedOver: true}) || !last.Warm {
-		t.Fatalf("%+v", last)
+		t.Fatalf("last record %+v, want token 8, revision 100, read through 104, handed over and warm", last)
 	}
 	var names []string
 	for _, p := range last.Phases {
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -10,32 +10,33 @@
 	"caperlatch/internal/micros"
 )
 
-// Follower keeps a view of the present term's leader. It applies entries in order, and
-// rejects gaps, other terms and what is malformed; then it takes a snapshot. It is safe for concurrent use.
+// Follower replicates the view of the current term's leader. It applies entries in order, and rejects pages that are
+// malformed, leave a gap, or are of another term or version. After a page that may hide entries, it fetches a
+// snapshot. It is safe for concurrent use.
 type Follower struct {
 	member string
 
 	mu             sync.Mutex
-	view           *View             // nil until a leader was followed, and once the view is taken
-	snapshot       *snapshotProgress // nil: the view is complete
-	latestPosition uint64            // of the leader's newest entry, as last known
-	caughtUpAt     micros.Micros     // when a query was sent whose page left nothing missing; 0: never
-	lastPageAt     micros.Micros     // when the last page came that was not rejected; 0: never
-	rejected       map[string]int    // pages, by the text of the error
+	view           *View             // nil until the follower has followed a leader, and after TakeView has returned the view
+	snapshot       *snapshotProgress // nil if the view is complete
+	latestPosition uint64            // position of the leader's newest entry, as last reported
+	caughtUpAt     micros.Micros     // when the last query was sent whose page completed the view; 0 if never
+	lastPageAt     micros.Micros     // when the last accepted page arrived; 0 if never
+	rejected       map[string]int    // number of rejected pages by the text of the error
 }
 
-// NewFollower is a follower that has followed no leader yet.
+// NewFollower returns a follower that has not followed a leader yet.
 func NewFollower(member string) *Follower {
 	return &Follower{member: member, rejected: map[string]int{}}
 }
 
-// NextQuery is what to ask the leader with a token next. If the token is above that of the view, the view is
-// replaced by one of that term.
+// NextQuery returns the next query to send to the leader with a fencing token. If the token is higher than that of the
+// view, the follower replaces the view by an empty one of the new term.
 func (f *Follower) NextQuery(token uint64) *Query {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view == nil || f.view.FencingToken < token {
-		f.restart(token)
+		f.resetView(token)
 	}
 	q := &Query{Version: Version, Member: f.member, FencingToken: f.view.FencingToken, Position: f.view.Position}
 	if f.snapshot.needsPage() {
@@ -44,15 +45,16 @@
 	return q
 }
 
-// restart forgets the view, and has a snapshot taken of a term.
-func (f *Follower) restart(token uint64) {
+// resetView replaces the view by an empty one of the term with a token, and starts to fetch a snapshot.
+func (f *Follower) resetView(token uint64) {
 	f.view = NewView(token)
 	f.snapshot = &snapshotProgress{}
 	f.latestPosition, f.caughtUpAt = 0, 0
 }
 
-// ApplyPage applies the page that answered a query that was sent at an instant. A page that is rejected, with one of
-// the errors above, changes nothing but that a snapshot may be taken anew.
+// ApplyPage applies a page that answers a query which was sent at the time sent. For a page that it rejects, it returns
+// an error that wraps ErrMalformed, ErrVersion, ErrTerm or ErrGap. A rejected page is not applied, but may make the
+// follower discard its view and fetch a new snapshot.
 func (f *Follower) ApplyPage(page *Page, sent micros.Micros) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,25 +67,25 @@
 	return nil
 }
 
-// applyPage is ApplyPage with the lock held.
+// applyPage implements ApplyPage. The caller must hold mu.
 func (f *Follower) applyPage(page *Page, sent micros.Micros) error {
 	if err := f.check(page); err != nil {
 		return err
 	}
 	switch {
 	case page.Compacted:
-		f.restart(page.FencingToken)
+		f.resetView(page.FencingToken)
 		return nil
 	case page.Snapshot != nil:
 		f.applySnapshotPage(page)
 		return nil
 	case page.AfterPosition > f.view.Position:
-		f.restart(page.FencingToken)
-		return fmt.Errorf("%w: between %d and %d", ErrGap, f.view.Position, page.AfterPosition)
+		f.resetView(page.FencingToken)
+		return fmt.Errorf("%w: view is at position %d, page starts after %d", ErrGap, f.view.Position, page.AfterPosition)
 	}
-	known := f.view.Position - page.AfterPosition // entries of a page that came before, in part or in full
+	alreadyApplied := f.view.Position - page.AfterPosition // number of the page's entries that earlier pages contained
 	for i := range page.Entries {
-		if uint64(i) >= known {
+		if uint64(i) >= alreadyApplied {
 			f.view.apply(&page.Entries[i])
 		}
 	}
@@ -97,36 +99,36 @@
 	return nil
 }
 
-// check returns why a page is to be rejected, nil if it is not. After a page that may hide entries a snapshot is to
-// be taken.
+// check returns the error for which a page is rejected, or nil if the page is valid. If the rejected page may hide
+// entries, check resets the view, so that the follower fetches a snapshot.
 func (f *Follower) check(page *Page) error {
 	switch {
 	case page.Version != Version:
-		return fmt.Errorf("%w: %d, own %d", ErrVersion, page.Version, Version)
+		return fmt.Errorf("%w: page has version %d, this node uses %d", ErrVersion, page.Version, Version)
 	case f.view == nil || page.FencingToken != f.view.FencingToken:
-		return fmt.Errorf("%w: token %d", ErrTerm, page.FencingToken)
+		return fmt.Errorf("%w: page has token %d", ErrTerm, page.FencingToken)
 	case page.AfterPosition+uint64(len(page.Entries)) > page.LatestPosition && page.Snapshot == nil && !page.Compacted:
-		f.restart(page.FencingToken)
-		return fmt.Errorf("%w: entries beyond the newest", ErrMalformed)
+		f.resetView(page.FencingToken)
+		return fmt.Errorf("%w: page has entries after the latest position", ErrMalformed)
 	}
 	for i := range page.Entries {
 		if err := page.Entries[i].check(); err != nil {
-			f.restart(page.FencingToken)
+			f.resetView(page.FencingToken)
 			return err
 		}
 	}
 	return nil
 }
 
-// applySnapshotPage applies the next page of a snapshot. The first page's position is where the
-// entries continue; what they repeat, the later pages have already.
+// applySnapshotPage applies the next page of a snapshot. Once all pages are applied, the follower continues with the
+// entries after the first page's position. Some of these entries repeat what later pages already contain.
 func (f *Follower) applySnapshotPage(page *Page) {
 	s := f.snapshot
 	if !s.needsPage() {
-		return // a late copy
+		return // a late copy of a page
 	}
-	if s.phase == firstPageMissing {
-		s.phase, f.view.Position = laterPagesMissing, page.LatestPosition
+	if s.phase == awaitingFirstPage {
+		s.phase, f.view.Position = awaitingLaterPages, page.LatestPosition
 	}
 	f.view.addSnapshotPage(page.Snapshot)
 	f.latestPosition = max(f.latestPosition, page.LatestPosition)
@@ -136,16 +138,16 @@
 	if page.Snapshot.HasMore {
 		return
 	}
-	s.phase, s.completeAt = entriesMissing, page.LatestPosition
+	s.phase, s.completeAt = awaitingEntries, page.LatestPosition
 	if s.isComplete(f.view.Position) {
 		f.snapshot = nil
 	}
 }
 
-// rejectionKinds are the errors that are counted apart.
+// rejectionKinds lists the errors that are counted separately.
 var rejectionKinds = []error{ErrMalformed, ErrVersion, ErrTerm, ErrGap}
 
-// countRejected counts a rejected page, and logs the first of a kind.
+// countRejected counts a rejected page by the kind of its error, and logs the first page of each kind.
 func (f *Follower) countRejected(err error) {
 	kind := "other"
 	for _, k := range rejectionKinds {
@@ -155,12 +157,12 @@
 	}
 	f.rejected[kind]++
 	if f.rejected[kind] == 1 {
-		slog.Warn("standby page rejected", "error", err)
+		slog.Warn("standby follower rejected a page of its leader", "error", err)
 	}
 }
 
-// TakeView returns the follower's view if it is complete, else nil. The view becomes the caller's: no page is applied
-// to it any more.
+// TakeView returns the follower's view if it is complete, and nil otherwise. The caller owns the returned view: the
+// follower applies no more pages to it.
 func (f *Follower) TakeView() *View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,8 +174,8 @@
 	return v
 }
 
-// HandedOverTo is the member that the leader of the followed term has named to lead next, "" if it named none;
-// handedOver reports whether it has handed over.
+// HandedOverTo returns the member that the leader of the followed term named to lead next, or "" if it named none.
+// handedOver reports whether that leader has handed over.
 func (f *Follower) HandedOverTo() (member string, handedOver bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,21 +185,22 @@
 	return f.view.Handover.To, true
 }
 
-// HasHandedOver reports whether the leader with a token has handed over, as far as it is known here.
+// HasHandedOver reports whether the leader with a token is known to have handed over.
 func (f *Follower) HasHandedOver(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view != nil && f.view.FencingToken == token && f.view.Handover != nil
 }
 
-// IsSuccessorOf reports whether the leader with a token has handed over to this follower, whose view is complete.
+// IsSuccessorOf reports whether the leader with a token has handed over to this follower and this follower's view is
+// complete.
 func (f *Follower) IsSuccessorOf(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view != nil && f.snapshot == nil && f.view.FencingToken == token && f.view.Handover != nil && f.view.Handover.To == f.member
 }
 
-// Progress is how far the follower is.
+// Progress returns the follower's replication progress.
 func (f *Follower) Progress() Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -216,7 +219,7 @@
 	return p
 }
 
-// LastPageAt is when the last page came that was not rejected; 0 if none did.
+// LastPageAt returns when the last accepted page arrived, or 0 if none has.
 func (f *Follower) LastPageAt() micros.Micros {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values a leader and its followers send each other, or show of themselves.
+// encodedTypes lists the types whose values a leader and its followers send each other or show to operators.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[Query]("a query"),
 	golden.TypeOf[Page]("a page"),
@@ -34,15 +34,17 @@
 	golden.TypeOf[FailoverRecord]("a take-over"),
 }
 
-// TestEncoded compares their encodings with the golden file.
+// TestEncoded guards against changes of the encoding of these types, which nodes of other versions read.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags requires a tag of each of their fields.
+// TestEncodedTags checks that a tag names each field of these types, so that renaming a field in Go does not change
+// the encoding.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestEntries compares the encoding of an entry of each kind with the golden file, and has each be accepted.
+// TestEntries compares the encoding of an entry of each kind with the golden file, and checks that Entry.check accepts
+// the entry.
 func TestEntries(t *testing.T) {
 	entries := reflect.TypeFor[Entry]()
 	var sections []golden.Section
--- a/internal/standby/messages.go
+++ b/internal/standby/messages.go
@@ -2,51 +2,53 @@
 
 import "caperlatch/internal/micros"
 
-// Version is that of the messages below. A node answers and asks only in its own.
+// Version is the version of the messages below. A node sends and answers queries only in its own version.
 const Version = 1
 
-// Bounds of one message, well within what a stream between nodes carries.
+// Bounds of one message, which stay well within the size that a stream between nodes carries.
 const (
-	maxPageEntries = 4000 // entries, or machines of a snapshot
-	maxPageTasks   = 5000 // of a snapshot's machines
+	maxPageEntries = 4000 // entries, or machines in a page of a snapshot
+	maxPageTasks   = 5000 // tasks of the machines in a page of a snapshot
 )
 
-// Query asks a leader for the entries after a position, or for a page of a snapshot.
+// Query is a follower's request to a leader for the entries after a position, or for a page of a snapshot.
 type Query struct {
 	Version      int    `json:"version"`
 	Member       string `json:"member"`   // the follower
-	FencingToken uint64 `json:"token"`    // of the term whose view the follower keeps
-	Position     uint64 `json:"position"` // that it has applied
-	// Snapshot asks for the machines after a name instead; the first page comes after "".
+	FencingToken uint64 `json:"token"`    // of the term whose view the follower holds
+	Position     uint64 `json:"position"` // of the last entry that the follower has applied
+	// Snapshot requests the machines after the name AfterMachine instead of entries. AfterMachine is "" for the first
+	// page.
 	Snapshot     bool   `json:"snapshot,omitempty"`
 	AfterMachine string `json:"after,omitempty"`
 }
 
-// Page answers a query. A position counts the entries of a term.
+// Page is the answer to a query. A position counts the entries of a term: the first one has position 1.
 type Page struct {
 	Version        int    `json:"version"`
-	FencingToken   uint64 `json:"token"`  // of the term that publishes
+	FencingToken   uint64 `json:"token"`  // of the publisher's term
 	LatestPosition uint64 `json:"latest"` // of the newest entry
-	// Entries follow position AfterPosition. One that the log no longer reaches gets none, and Compacted.
+	// Entries are the entries after the position AfterPosition. If the log no longer reaches back to that position,
+	// Entries is empty and Compacted is set.
 	AfterPosition uint64        `json:"from"`
 	Entries       []Entry       `json:"entries,omitempty"`
 	Compacted     bool          `json:"compacted,omitempty"`
 	Snapshot      *SnapshotPage `json:"snapshot,omitempty"`
-	// Followers is how far all followers are, so that they know which of them to let campaign first.
+	// Followers holds the progress of all followers, so that each knows which of them to let campaign first.
 	Followers []FollowerState `json:"followers,omitempty"`
 }
 
-// SnapshotPage is a part of a view in the order of machines' names. The pages of a snapshot
-// need not be of one position: the entries since the first page's bring them together.
+// SnapshotPage is a part of a view, with the machines in order of name. The pages of a snapshot may be of different
+// positions: applying the entries since the first page's position makes the view consistent.
 type SnapshotPage struct {
 	Machines []MachineRecord `json:"machines"`
 	HasMore  bool            `json:"more"`
-	// With the last page alone.
+	// Estimates and Handover are set in the last page only.
 	Estimates []EstimateUpdated `json:"estimates,omitempty"`
 	Handover  *Handover         `json:"handover,omitempty"`
 }
 
-// MachineRecord is a machine of a snapshot.
+// MachineRecord is a machine in a snapshot.
 type MachineRecord struct {
 	Name string `json:"name"`
 	MachineState
@@ -54,29 +56,29 @@
 	Tasks       []TaskRecord `json:"tasks,omitempty"`
 }
 
-// TaskRecord is a task of a machine of a snapshot.
+// TaskRecord is a task of a machine in a snapshot.
 type TaskRecord struct {
 	Task string `json:"task"`
 	TaskState
 }
 
-// FollowerState is how far a follower is, as its last query says.
+// FollowerState is a follower's progress as of its last query.
 type FollowerState struct {
 	Member      string        `json:"member"`
 	Position    uint64        `json:"position"`
-	Complete    bool          `json:"whole"` // it is not taking a snapshot
-	LastQueryAt micros.Micros `json:"-"`     // when it last asked
-	AgeS        float64       `json:"age_s"` // how long ago that is
+	Complete    bool          `json:"whole"` // the follower is not fetching a snapshot
+	LastQueryAt micros.Micros `json:"-"`     // when the last query arrived
+	AgeS        float64       `json:"age_s"` // seconds since LastQueryAt
 }
 
-// Progress is how far a follower is, as it is shown to operators.
+// Progress describes a follower's replication progress to operators.
 type Progress struct {
-	FencingToken uint64         `json:"token"` // of the term that it follows
+	FencingToken uint64         `json:"token"` // of the term that the follower follows
 	Position     uint64         `json:"position"`
-	Complete     bool           `json:"whole"` // it is not taking a snapshot
+	Complete     bool           `json:"whole"` // the follower is not fetching a snapshot
 	LagEntries   uint64         `json:"lag_entries"`
-	LagS         float64        `json:"lag_s"` // since the view was known to lack nothing; -1: never
+	LagS         float64        `json:"lag_s"` // seconds since the view was last known to be up to date; -1 if it never was
 	Machines     int            `json:"machines"`
 	Tasks        int            `json:"tasks"`
-	Rejected     map[string]int `json:"refused,omitempty"` // pages, by the text of the error
+	Rejected     map[string]int `json:"refused,omitempty"` // number of rejected pages by the text of the error
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -9,19 +9,20 @@
 	"caperlatch/internal/micros"
 )
 
-// Publisher keeps what one term's leader decides for the followers to ask for. No decision
-// waits for a follower: publishing appends to a log of bounded length, and a follower that is
-// behind it takes a snapshot. It is safe for concurrent use.
+// Publisher holds the decisions and observations of one term's leader, and answers the queries of followers. No
+// decision waits for a follower: the leader appends to a log of bounded length, and a follower that is further behind
+// than the log reaches fetches a snapshot. It is safe for concurrent use.
 type Publisher struct {
 	maxEntries int
 
 	mu        sync.Mutex
-	view      *View   // as of all entries
-	entries   []Entry // the newest; the last has the view's position
+	view      *View   // with all entries applied
+	entries   []Entry // the newest entries; the last one is at the view's position
 	followers map[string]FollowerState
 }
 
-// NewPublisher is the publisher of the term with a token, whose log keeps at least maxEntries, once there are as many.
+// NewPublisher returns the publisher of the term with a fencing token. Its log retains at least the newest maxEntries
+// entries.
 func NewPublisher(token uint64, maxEntries int) *Publisher {
 	return &Publisher{
 		maxEntries: max(1, maxEntries),
@@ -30,25 +31,26 @@
 	}
 }
 
-// Publish adds an entry. It takes only the publisher's own lock, and does no I/O.
+// Publish appends an entry. It acquires only the publisher's own lock, and does no I/O.
 func (p *Publisher) Publish(e Entry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.view.apply(&e)
 	p.entries = append(p.entries, e)
-	if len(p.entries) > p.maxEntries+p.maxEntries/4 { // cut rarely, as cutting copies
+	if len(p.entries) > p.maxEntries+p.maxEntries/4 { // truncated rarely, because truncation copies the log
 		p.entries = slices.Clone(p.entries[len(p.entries)-p.maxEntries:])
 	}
 }
 
-// Position is that of the newest entry.
+// Position returns the position of the newest entry.
 func (p *Publisher) Position() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Position
 }
 
-// HandleQuery answers a follower. One that asks in another version gets a page that only says so.
+// HandleQuery returns the answer to a follower's query. The answer to a query of another version has no content except
+// this node's version, token and position.
 func (p *Publisher) HandleQuery(q *Query) *Page {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,22 +58,22 @@
 	if q.Version != Version {
 		return page
 	}
-	p.noteFollower(q)
-	first := p.view.Position - uint64(len(p.entries)) // position before the oldest entry
+	p.recordFollower(q)
+	logStart := p.view.Position - uint64(len(p.entries)) // position before the oldest entry in the log
 	switch {
 	case q.Snapshot:
 		page.Snapshot = p.view.snapshotPage(q.AfterMachine)
-	case q.FencingToken != p.view.FencingToken, q.Position < first, q.Position > p.view.Position:
+	case q.FencingToken != p.view.FencingToken, q.Position < logStart, q.Position > p.view.Position:
 		page.Compacted = true
 	default:
-		entries := p.entries[q.Position-first:]
+		entries := p.entries[q.Position-logStart:]
 		page.Entries = slices.Clone(entries[:min(len(entries), maxPageEntries)])
 	}
 	return page
 }
 
-// noteFollower notes how far a follower says it is.
-func (p *Publisher) noteFollower(q *Query) {
+// recordFollower records the progress that a follower's query reports. The caller must hold mu.
+func (p *Publisher) recordFollower(q *Query) {
 	state := FollowerState{Member: q.Member, LastQueryAt: micros.Now()}
 	if q.FencingToken == p.view.FencingToken && !q.Snapshot {
 		state.Position, state.Complete = q.Position, true
@@ -79,7 +81,7 @@
 	p.followers[q.Member] = state
 }
 
-// Followers lists how far the followers are, by name.
+// Followers returns the states of all followers, sorted by member name.
 func (p *Publisher) Followers() []FollowerState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,18 +93,18 @@
 	return list
 }
 
-// MostUpToDateFollower is the follower that has applied most, of those that asked within a duration before now; the zero
-// value if none of these has a complete view.
-func (p *Publisher) MostUpToDateFollower(within micros.Micros) (furthest FollowerState) {
+// MostUpToDateFollower returns the state of the follower that has applied the most entries, among those that sent a
+// query within the given duration before now. It returns the zero value if none of these has a complete view.
+func (p *Publisher) MostUpToDateFollower(within micros.Micros) (best FollowerState) {
 	for _, f := range p.Followers() {
-		if f.Complete && micros.Now()-f.LastQueryAt <= within && (furthest.Member == "" || f.Position > furthest.Position) {
-			furthest = f
+		if f.Complete && micros.Now()-f.LastQueryAt <= within && (best.Member == "" || f.Position > best.Position) {
+			best = f
 		}
 	}
-	return furthest
+	return best
 }
 
-// HasApplied reports whether a follower has applied all entries up to a position.
+// HasApplied reports whether a follower has applied all entries up to and including a position.
 func (p *Publisher) HasApplied(member string, position uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standby/snapshot.go
+++ b/internal/standby/snapshot.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// snapshotPage is the part of the view after a machine's name, as much as one message holds.
+// snapshotPage returns the machines of the view after the name afterMachine, as many as one message may hold.
 func (v *View) snapshotPage(afterMachine string) *SnapshotPage {
 	names := slices.Sorted(maps.Keys(v.Machines))
 	first, found := slices.BinarySearch(names, afterMachine)
@@ -30,7 +30,7 @@
 	return page
 }
 
-// record is the machine for a snapshot.
+// record returns the machine in the form that snapshots use.
 func (m *Machine) record(name string) MachineRecord {
 	record := MachineRecord{Name: name, MachineState: m.MachineState, Terminating: m.Terminating}
 	for _, task := range slices.Sorted(maps.Keys(m.Tasks)) {
@@ -39,7 +39,7 @@
 	return record
 }
 
-// addSnapshotPage applies a page of a snapshot.
+// addSnapshotPage adds the content of a page of a snapshot to the view.
 func (v *View) addSnapshotPage(page *SnapshotPage) {
 	for _, record := range page.Machines {
 		m := &Machine{MachineState: record.MachineState, Terminating: record.Terminating, Tasks: make(map[string]TaskState, len(record.Tasks))}
@@ -56,28 +56,30 @@
 	}
 }
 
-// snapshotPhase is how far taking a snapshot is.
+// snapshotPhase is the progress in fetching a snapshot.
 type snapshotPhase int
 
 const (
-	firstPageMissing snapshotPhase = iota
-	laterPagesMissing
-	// entriesMissing: all pages are there, and until completeAt, entries may be older than what the pages show.
-	entriesMissing
+	awaitingFirstPage snapshotPhase = iota
+	awaitingLaterPages
+	// awaitingEntries means that all pages are applied, but not yet all entries up to position completeAt. Until then,
+	// the view may mix older and newer states, because the pages were made at different positions.
+	awaitingEntries
 )
 
-// snapshotProgress is a snapshot that a follower is taking.
+// snapshotProgress is the state of a follower that is fetching a snapshot.
 type snapshotProgress struct {
 	phase        snapshotPhase
-	afterMachine string // the last one of the pages so far
-	completeAt   uint64 // in phase entriesMissing: the position from which on the view is as the leader's was
+	afterMachine string // the last machine of the pages applied so far
+	completeAt   uint64 // in phase entriesMissing: the position at which the view is consistent
 }
 
-// needsPage reports whether the follower is to ask for a page of the snapshot; nil is no snapshot.
-func (s *snapshotProgress) needsPage() bool { return s != nil && s.phase != entriesMissing }
+// needsPage reports whether the follower must query another page of the snapshot. A nil receiver means that no
+// snapshot is being fetched.
+func (s *snapshotProgress) needsPage() bool { return s != nil && s.phase != awaitingEntries }
 
-// isComplete reports whether a view at a position has all of the snapshot, and the entries that bring its pages
-// together.
+// isComplete reports whether a view at a position contains all pages of the snapshot, and all entries that are needed
+// to make the pages consistent.
 func (s *snapshotProgress) isComplete(position uint64) bool {
-	return s.phase == entriesMissing && position >= s.completeAt
+	return s.phase == awaitingEntries && position >= s.completeAt
 }
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -11,7 +11,7 @@
 	"caperlatch/internal/wire"
 )
 
-// testToken is the fencing token of the tests' leader.
+// testToken is the fencing token of the leader in the tests.
 const testToken = 7
 
 func taskAssigned(machine, task string, attempt uint64) Entry {
@@ -26,7 +26,7 @@
 	return Entry{MachineObserved: &MachineObserved{Machine: machine, MachineState: MachineState{Incarnation: incarnation, TasksKnown: true}}}
 }
 
-// randomEntry is a random decision about few machines, so that many are about the same one.
+// randomEntry returns a random entry about one of a few machines, so that many entries concern the same machine.
 func randomEntry(r *rand.Rand) Entry {
 	machine, task := fmt.Sprintf("i-%03d", r.IntN(40)), fmt.Sprintf("j-1/%d", r.IntN(30))
 	switch r.IntN(12) {
@@ -44,7 +44,7 @@
 	return taskAssigned(machine, task, r.Uint64N(100))
 }
 
-// transmit encodes and decodes a message as a stream between nodes does.
+// transmit encodes and decodes a message as the stream between nodes does.
 func transmit[T any](t *testing.T, message *T) *T {
 	t.Helper()
 	b, err := wire.Marshal(message)
@@ -58,13 +58,13 @@
 	return out
 }
 
-// query has a follower ask once.
+// query sends one query of a follower to the publisher, and applies the page that answers it.
 func query(t *testing.T, f *Follower, p *Publisher) error {
 	t.Helper()
 	return f.ApplyPage(transmit(t, p.HandleQuery(transmit(t, f.NextQuery(testToken)))), micros.Now())
 }
 
-// catchUp has a follower ask until nothing is missing.
+// catchUp sends queries of a follower until its view is complete and at the publisher's position.
 func catchUp(t *testing.T, f *Follower, p *Publisher) {
 	t.Helper()
 	for range 1000 {
@@ -75,60 +75,61 @@
 			return
 		}
 	}
-	t.Fatalf("the follower does not catch up: %+v", f.Progress())
+	t.Fatalf("follower has not caught up after 1000 queries: progress %+v, want position %d", f.Progress(), p.Position())
 }
 
-// checkView compares a follower's view with what the leader published.
+// checkView compares a follower's view with the publisher's view.
 func checkView(t *testing.T, f *Follower, p *Publisher) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view.Position != p.view.Position || !reflect.DeepEqual(f.view.Machines, p.view.Machines) || !reflect.DeepEqual(f.view.Estimates, p.view.Estimates) {
-		t.Errorf("the view at %d is %+v, want at %d %+v", f.view.Position, f.view.Machines, p.view.Position, p.view.Machines)
+		t.Errorf("follower's view at position %d has machines %+v, want position %d, machines %+v", f.view.Position, f.view.Machines, p.view.Position, p.view.Machines)
 	}
 }
 
-// TestFollowerView has followers ask while a leader decides: pages get lost, are repeated, come late
-// and out of order, and the log is short, so that snapshots are taken while decisions go on.
-// Whenever a follower says that nothing is missing, its view is the leader's.
-func TestFollowerView(t *testing.T) {
+// TestFollowerViewMatchesPublisher guards against a follower that reports a complete view which differs from the
+// leader's. Pages are lost, repeated, late and out of order, and the log is short, so that followers fetch snapshots
+// while the leader publishes entries.
+func TestFollowerViewMatchesPublisher(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		p, f := NewPublisher(testToken, 20+r.IntN(200)), NewFollower("host-1")
-		var earlier []*Page
-		caughtUp := 0
+		var earlierPages []*Page
+		caughtUpCount := 0
 		for range 400 {
 			for range r.IntN(12) {
 				p.Publish(randomEntry(r))
 			}
 			page := transmit(t, p.HandleQuery(f.NextQuery(testToken)))
-			earlier = append(earlier, page)
+			earlierPages = append(earlierPages, page)
 			switch r.IntN(6) {
-			case 0: // lost
-			case 1: // a late copy, before the present one
-				_ = f.ApplyPage(earlier[r.IntN(len(earlier))], micros.Now()) // rejected or of no effect
+			case 0: // the page is lost
+			case 1: // a late copy of an earlier page arrives before the current page
+				_ = f.ApplyPage(earlierPages[r.IntN(len(earlierPages))], micros.Now()) // rejected, or without effect
 				_ = f.ApplyPage(page, micros.Now())
-			case 2: // twice
+			case 2: // the page arrives twice
 				_ = f.ApplyPage(page, micros.Now())
 				_ = f.ApplyPage(page, micros.Now())
 			default:
 				_ = f.ApplyPage(page, micros.Now())
 			}
 			if progress := f.Progress(); progress.Complete && progress.Position == p.Position() {
-				caughtUp++
+				caughtUpCount++
 				checkView(t, f, p)
 			}
 		}
 		catchUp(t, f, p)
 		checkView(t, f, p)
-		if caughtUp < 20 {
-			t.Errorf("seed %d: the follower was up to date only %d times", seed, caughtUp)
+		if caughtUpCount < 20 {
+			t.Errorf("seed %d: follower was up to date %d times, want at least 20", seed, caughtUpCount)
 		}
 	}
 }
 
-// TestSnapshotInPages has a follower that is away for longer than the log reaches take a
-// snapshot of 4,100 machines with 100,000 tasks, in pages that each fit a message.
+// TestSnapshotInPages guards against snapshot pages that exceed the size of a message. A follower that is further
+// behind than the log reaches fetches a snapshot of 4,100 machines with 100,000 tasks while the leader publishes
+// entries.
 func TestSnapshotInPages(t *testing.T) {
 	const machines, tasks, messageBytes = 4100, 100_000, 1 << 20
 	p, f := NewPublisher(testToken, 1000), NewFollower("host-1")
@@ -141,29 +142,30 @@
 	pages := 0
 	for !f.Progress().Complete || f.Progress().Position < p.Position() {
 		if pages++; pages > 200 {
-			t.Fatal("the snapshot does not end")
+			t.Fatal("snapshot is not complete after 200 pages")
 		}
 		page := p.HandleQuery(f.NextQuery(testToken))
 		if b, err := wire.Marshal(page); err != nil || len(b) > messageBytes {
-			t.Fatalf("a page of %d bytes: %v", len(b), err)
+			t.Fatalf("page has %d bytes, want at most %d; error %v", len(b), messageBytes, err)
 		}
 		if err := f.ApplyPage(transmit(t, page), micros.Now()); err != nil {
 			t.Fatal(err)
 		}
-		if pages < 10 { // decisions go on
+		if pages < 10 { // entries are published during the snapshot
 			p.Publish(taskAssigned("i-000001", "j-900000/0", uint64(pages)))
 			p.Publish(taskRemoved("i-004000", fmt.Sprintf("j-%06d/%d", 40, pages)))
 		}
 	}
 	checkView(t, f, p)
 	if progress := f.Progress(); progress.Tasks != p.view.CountTasks() || progress.Machines != machines {
-		t.Errorf("%+v", progress)
+		t.Errorf("progress %+v, want %d tasks on %d machines", progress, p.view.CountTasks(), machines)
 	}
 }
 
-// TestRejectedPages has a follower that is up to date get pages that it must not apply: nothing of
-// them shows, each is counted by its kind, and after a snapshot the follower's view is complete again.
-func TestRejectedPages(t *testing.T) {
+// TestFollowerRejectsInvalidPages guards against a follower that applies a page with a gap, of another term or version,
+// or with malformed entries. The rejected page must leave no trace in the view and be counted by its kind, and the
+// follower must be able to catch up afterwards.
+func TestFollowerRejectsInvalidPages(t *testing.T) {
 	twoFields := taskAssigned("i-1", "j-1/1", 1)
 	twoFields.MachineTerminated = &MachineTerminated{Machine: "i-1"}
 	cases := []struct {
@@ -172,15 +174,15 @@
 		want          error
 		needsSnapshot bool
 	}{
-		{"a gap of one entry", func(p *Page) { p.AfterPosition++; p.LatestPosition++ }, ErrGap, true},
-		{"a large gap", func(p *Page) { p.AfterPosition += 1000; p.LatestPosition += 1000 }, ErrGap, true},
-		{"a lower token", func(p *Page) { p.FencingToken-- }, ErrTerm, false},
-		{"a higher token that is not known here", func(p *Page) { p.FencingToken++ }, ErrTerm, false},
-		{"another version", func(p *Page) { p.Version++ }, ErrVersion, false},
-		{"an entry without a field", func(p *Page) { p.Entries[0] = Entry{} }, ErrMalformed, true},
-		{"an entry with two fields", func(p *Page) { p.Entries[0] = twoFields }, ErrMalformed, true},
-		{"an entry without a machine", func(p *Page) { p.Entries[0] = taskAssigned("", "j-1/1", 1) }, ErrMalformed, true},
-		{"entries beyond the newest", func(p *Page) { p.LatestPosition = p.AfterPosition }, ErrMalformed, true},
+		{"gap of one entry", func(p *Page) { p.AfterPosition++; p.LatestPosition++ }, ErrGap, true},
+		{"gap of 1000 entries", func(p *Page) { p.AfterPosition += 1000; p.LatestPosition += 1000 }, ErrGap, true},
+		{"lower token", func(p *Page) { p.FencingToken-- }, ErrTerm, false},
+		{"higher token that the follower has not queried", func(p *Page) { p.FencingToken++ }, ErrTerm, false},
+		{"other version", func(p *Page) { p.Version++ }, ErrVersion, false},
+		{"entry with no field set", func(p *Page) { p.Entries[0] = Entry{} }, ErrMalformed, true},
+		{"entry with two fields set", func(p *Page) { p.Entries[0] = twoFields }, ErrMalformed, true},
+		{"entry without a machine", func(p *Page) { p.Entries[0] = taskAssigned("", "j-1/1", 1) }, ErrMalformed, true},
+		{"entries after the latest position", func(p *Page) { p.LatestPosition = p.AfterPosition }, ErrMalformed, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -195,10 +197,10 @@
 			}
 			progress := f.Progress()
 			if progress.Rejected[tc.want.Error()] != 1 {
-				t.Errorf("counted as rejected: %v", progress.Rejected)
+				t.Errorf("rejected pages by kind %v, want 1 of %q", progress.Rejected, tc.want)
 			}
 			if progress.Complete == tc.needsSnapshot || f.view.Machines["i-1"] != nil {
-				t.Errorf("after the page: %+v, %v", progress, f.view.Machines)
+				t.Errorf("after the rejected page: progress %+v, machines %v; want complete %v and no machine i-1", progress, f.view.Machines, !tc.needsSnapshot)
 			}
 			catchUp(t, f, p)
 			checkView(t, f, p)
@@ -206,47 +208,47 @@
 	}
 }
 
-// TestTakeView has the leader end while a follower lacks the last entry, while it takes a
-// snapshot, and before it asked: only a complete view is of use, and a view that lacks
-// the handover proves nothing.
-func TestTakeView(t *testing.T) {
+// TestTakeViewOnlyWhenComplete guards against a new leader that trusts an incomplete view. The leader ends while the
+// follower lacks the last entry, while it fetches a snapshot, and before its first query: TakeView must return only a
+// complete view, and a view without the handover must prove nothing.
+func TestTakeViewOnlyWhenComplete(t *testing.T) {
 	handover := Entry{Handover: &Handover{To: "host-1", Complete: true}}
 	cases := []struct {
-		name  string
-		run   func(p *Publisher, f *Follower)
-		view  bool
-		proof bool
+		name      string
+		run       func(p *Publisher, f *Follower)
+		wantView  bool
+		wantProof bool
 	}{
-		{"all is known", func(p *Publisher, f *Follower) {
+		{"all entries applied", func(p *Publisher, f *Follower) {
 			catchUp(t, f, p)
 			p.Publish(handover)
 			catchUp(t, f, p)
 		}, true, true},
-		// A snapshot that began after the handover did not show it.
-		{"all is known by a snapshot", func(p *Publisher, f *Follower) {
+		// Snapshots that began after the handover once did not contain it.
+		{"all known from a snapshot after the handover", func(p *Publisher, f *Follower) {
 			for i := range 300 {
 				p.Publish(taskAssigned("i-1", fmt.Sprintf("j-1/%d", i), 1))
 			}
 			p.Publish(handover)
 			catchUp(t, f, p)
 		}, true, true},
-		{"the handover is missing", func(p *Publisher, f *Follower) {
+		{"handover missing", func(p *Publisher, f *Follower) {
 			catchUp(t, f, p)
 			p.Publish(handover)
 		}, true, false},
-		{"handed over with tasks unknown", func(p *Publisher, f *Follower) {
+		{"handed over with unknown tasks", func(p *Publisher, f *Follower) {
 			p.Publish(Entry{Handover: &Handover{To: "host-1"}})
 			catchUp(t, f, p)
 		}, true, false},
-		{"within a snapshot", func(p *Publisher, f *Follower) {
+		{"snapshot incomplete", func(p *Publisher, f *Follower) {
 			for i := range maxPageTasks + 10 {
 				p.Publish(taskAssigned(fmt.Sprintf("i-%d", i), "j-1/1", 1))
 			}
 			p.Publish(handover)
 			_ = query(t, f, p) // the first page
 		}, false, false},
-		// The pages are of two positions, and the last one has the handover.
-		{"the entries since a snapshot began are missing", func(p *Publisher, f *Follower) {
+		// The two pages are of different positions, and the last one contains the handover.
+		{"entries since the start of the snapshot missing", func(p *Publisher, f *Follower) {
 			for i := range maxPageTasks + 10 {
 				p.Publish(taskAssigned(fmt.Sprintf("i-%d", i), "j-1/1", 1))
 			}
@@ -255,7 +257,7 @@
 			p.Publish(handover)
 			_ = query(t, f, p) // the last page
 		}, false, false},
-		{"it never asked", func(p *Publisher, _ *Follower) { p.Publish(handover) }, false, false},
+		{"no query sent", func(p *Publisher, _ *Follower) { p.Publish(handover) }, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -263,49 +265,50 @@
 			p.Publish(taskAssigned("i-0", "j-1/0", 1))
 			tc.run(p, f)
 			v := f.TakeView()
-			if (v != nil) != tc.view {
-				t.Fatalf("a view: %v, want %v", v != nil, tc.view)
+			if (v != nil) != tc.wantView {
+				t.Fatalf("TakeView() returned a view: %v, want %v", v != nil, tc.wantView)
 			}
 			if v == nil {
 				return
 			}
-			if v.ProvesAssignments(testToken+1) != tc.proof {
-				t.Errorf("it proves assignments: %v", v.ProvesAssignments(testToken+1))
+			if v.ProvesAssignments(testToken+1) != tc.wantProof {
+				t.Errorf("view proves assignments to the next term: %v, want %v", v.ProvesAssignments(testToken+1), tc.wantProof)
 			}
-			// Somebody led in between, or the token is the old one.
+			// A token higher by two means that another term came in between; an equal token is of the same term.
 			if v.ProvesAssignments(testToken+2) || v.ProvesAssignments(testToken) {
-				t.Error("it proves to another term")
+				t.Error("view proves assignments to a term other than the next one")
 			}
 			if f.TakeView() != nil {
-				t.Error("a view was taken twice")
+				t.Error("second TakeView() returned a view, want nil")
 			}
 		})
 	}
 }
 
-// TestMostUpToDateFollower asks which follower is to lead next.
+// TestMostUpToDateFollower guards against a handover to a follower that fetches a snapshot, that lags behind another
+// one, or that has not sent a query lately.
 func TestMostUpToDateFollower(t *testing.T) {
 	p := NewPublisher(testToken, 100)
 	for i := range 10 {
 		p.Publish(taskAssigned("i-0", fmt.Sprintf("j-1/%d", i), 1))
 	}
-	ask := func(q Query) { q.Version, q.FencingToken = Version, testToken; p.HandleQuery(&q) }
+	sendQuery := func(q Query) { q.Version, q.FencingToken = Version, testToken; p.HandleQuery(&q) }
 	if f := p.MostUpToDateFollower(micros.Second); f.Member != "" {
-		t.Errorf("%q, and nobody follows", f.Member)
+		t.Errorf("most up-to-date follower %q, want none without followers", f.Member)
 	}
-	ask(Query{Member: "host-3", Snapshot: true})
+	sendQuery(Query{Member: "host-3", Snapshot: true})
 	if f := p.MostUpToDateFollower(micros.Second); f.Member != "" {
-		t.Errorf("%q, which takes a snapshot", f.Member)
+		t.Errorf("most up-to-date follower %q, want none: the only one fetches a snapshot", f.Member)
 	}
-	ask(Query{Member: "host-1", Position: 4})
-	ask(Query{Member: "host-2", Position: 8})
+	sendQuery(Query{Member: "host-1", Position: 4})
+	sendQuery(Query{Member: "host-2", Position: 8})
 	if f := p.MostUpToDateFollower(micros.Second); f.Member != "host-2" {
-		t.Errorf("%q, want host-2", f.Member)
+		t.Errorf("most up-to-date follower %q, want host-2", f.Member)
 	}
 	if p.HasApplied("host-2", 9) || !p.HasApplied("host-2", 8) || p.HasApplied("host-3", 0) || p.HasApplied("host-4", 0) {
-		t.Error("wrong about what was applied")
+		t.Error("HasApplied() is wrong for host-2 at position 8 or 9, or for a follower without a complete view")
 	}
 	if f := p.MostUpToDateFollower(0); f.Member != "" {
-		t.Errorf("%q, which has not asked lately", f.Member)
+		t.Errorf("most up-to-date follower %q, want none: no query was sent within the duration", f.Member)
 	}
 }
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -1,35 +1,35 @@
 package standby
 
-// View is what a term's leader is known to have decided and observed, up to a position. It holds no lock.
+// View is the state that results from a term's entries up to a position. It has no lock of its own.
 type View struct {
-	FencingToken uint64 // of the term
+	FencingToken uint64 // of the view's term
 	Position     uint64
 	Machines     map[string]*Machine  // by ID
-	Estimates    map[string][]float64 // moments by class
-	// Handover is the term's last entry, nil unless the leader has handed over.
+	Estimates    map[string][]float64 // moments by class of jobs
+	// Handover is the term's last entry, or nil if the leader has not handed over.
 	Handover *Handover
 }
 
-// Machine is a machine of a view.
+// Machine is a machine in a view.
 type Machine struct {
 	MachineState
 	Terminating bool
 	Tasks       map[string]TaskState // by ID
 }
 
-// NewView is a view of a term that knows nothing yet.
+// NewView returns an empty view of the term with a fencing token.
 func NewView(token uint64) *View {
 	return &View{FencingToken: token, Machines: map[string]*Machine{}, Estimates: map[string][]float64{}}
 }
 
-// ProvesAssignments reports whether the view proves, to the leader with a token, which tasks may be
-// on machines: the leader of the term before handed over with all machines' tasks known, and nobody led since.
-// Otherwise the view is a hint.
+// ProvesAssignments reports whether the view proves to the leader with a fencing token which tasks may be on machines.
+// It does if the leader of the previous term handed over with the tasks of all machines known, and no other term came
+// in between. Otherwise the view is only a hint.
 func (v *View) ProvesAssignments(token uint64) bool {
 	return v.Handover != nil && v.Handover.Complete && v.FencingToken+1 == token
 }
 
-// CountTasks counts the tasks on all machines.
+// CountTasks returns the number of tasks on all machines.
 func (v *View) CountTasks() (count int) {
 	for _, m := range v.Machines {
 		count += len(m.Tasks)
@@ -37,8 +37,8 @@
 	return count
 }
 
-// machine is the machine with a name, which is made if it is not known.
-func (v *View) machine(name string) *Machine {
+// getOrCreateMachine returns the machine with a name, and adds it to the view if it is not known.
+func (v *View) getOrCreateMachine(name string) *Machine {
 	m := v.Machines[name]
 	if m == nil {
 		m = &Machine{Tasks: map[string]TaskState{}}
@@ -47,20 +47,20 @@
 	return m
 }
 
-// apply applies the entry after the view's position, which must have been checked.
+// apply applies the entry that follows the view's position. The caller must have checked the entry.
 func (v *View) apply(e *Entry) {
 	v.Position++
 	switch {
 	case e.TaskAssigned != nil:
-		v.machine(e.TaskAssigned.Machine).Tasks[e.TaskAssigned.Task] = e.TaskAssigned.TaskState
+		v.getOrCreateMachine(e.TaskAssigned.Machine).Tasks[e.TaskAssigned.Task] = e.TaskAssigned.TaskState
 	case e.TaskRemoved != nil:
 		if m := v.Machines[e.TaskRemoved.Machine]; m != nil {
 			delete(m.Tasks, e.TaskRemoved.Task)
 		}
 	case e.MachineObserved != nil:
-		v.machine(e.MachineObserved.Machine).MachineState = e.MachineObserved.MachineState
+		v.getOrCreateMachine(e.MachineObserved.Machine).MachineState = e.MachineObserved.MachineState
 	case e.MachineTerminating != nil:
-		v.machine(e.MachineTerminating.Machine).Terminating = true
+		v.getOrCreateMachine(e.MachineTerminating.Machine).Terminating = true
 	case e.MachineTerminated != nil:
 		delete(v.Machines, e.MachineTerminated.Machine)
 	case e.EstimateUpdated != nil:
