--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -6,30 +6,30 @@
 	"caperlatch/internal/micros"
 )
 
-// Detector is the failure detector of one node: what it takes the other members to be. It is not
-// safe for concurrent use.
+// Detector is the failure detector of one node. It holds the state that the node assigns to each other member. It is
+// not safe for concurrent use.
 type Detector struct {
 	config      Config
 	self        string
 	incarnation uint64   // of this node
-	leaving     bool     // this node ends
-	names       []string // of the others, in order
+	leaving     bool     // this node is shutting down
+	names       []string // of the other members, sorted
 	members     map[string]*member
 	localHealth localHealth
 	environment Environment
-	transitions []Transition // not taken yet
+	transitions []Transition // not yet returned by TakeTransitions
 	counts      Counts
 }
 
-// Counts are how often things happened since the node started.
+// Counts holds the numbers of suspicions, failures and refutations since the node started.
 type Counts struct {
 	Suspicions  int `json:"suspicions"`
 	Failures    int `json:"failures"`
-	Refutations int `json:"refuted"` // of suspicions of this node by others
+	Refutations int `json:"refuted"` // refutations of other members' suspicions of this node
 }
 
-// NewDetector makes the detector of a node that has just started. The incarnation should be later
-// than those of the node's earlier starts; where it is not, the others' responses correct it.
+// NewDetector returns the detector of a node that has just started. The incarnation should be higher than those of the
+// node's earlier starts. If it is not, the detector raises it when it receives the other members' responses.
 func NewDetector(self string, others []string, config Config, incarnation uint64, now micros.Micros) *Detector {
 	d := &Detector{
 		config:      config,
@@ -45,7 +45,7 @@
 	return d
 }
 
-// Heartbeat is what to send to a member now.
+// Heartbeat returns the heartbeat to send to each member now.
 func (d *Detector) Heartbeat(now micros.Micros) Heartbeat {
 	h := Heartbeat{Member: d.self, Incarnation: d.incarnation, Leaving: d.leaving}
 	for _, name := range d.names {
@@ -60,14 +60,14 @@
 	return h
 }
 
-// Leave has the heartbeats from now on announce that this node ends.
+// Leave marks this node as shutting down, which all later heartbeats announce.
 func (d *Detector) Leave() { d.leaving = true }
 
-// HandleHeartbeat takes over a heartbeat, one that was sent here or the response to one.
+// HandleHeartbeat processes a heartbeat that arrived in a request, or in the response to a heartbeat of this node.
 func (d *Detector) HandleHeartbeat(now micros.Micros, h *Heartbeat) {
 	sender := d.members[h.Member]
 	if sender == nil || h.Incarnation < sender.incarnation {
-		return // of no known member, or of an earlier incarnation
+		return // from an unknown member, or of an earlier incarnation
 	}
 	d.applySender(now, sender, h)
 	for i := range h.Views {
@@ -83,8 +83,8 @@
 	}
 }
 
-// HandleAck takes over that a member responded to a heartbeat, after a round-trip time. One of a
-// version without heartbeats responds as well, without a heartbeat of its own.
+// HandleAck records that a member responded to a heartbeat, and the round-trip time. A member of a version without
+// heartbeats responds as well, but without a heartbeat of its own.
 func (d *Detector) HandleAck(now micros.Micros, name string, roundTrip micros.Micros) {
 	m := d.members[name]
 	if m == nil {
@@ -95,13 +95,13 @@
 	switch {
 	case m.state == Suspected:
 		d.transition(now, m, Alive, ReasonReachable)
-	case m.state == Failed && now-roundTrip > m.since, m.state == Left && now-roundTrip > m.since+d.config.SuspectAfter:
-		// It responded to what was sent after the transition: proof that it was alive after it.
+	case m.state == Failed && now-roundTrip > m.stateSince, m.state == Left && now-roundTrip > m.stateSince+d.config.SuspectAfter:
+		// The member responded to a heartbeat that was sent after the transition, which proves that it was alive then.
 		d.transition(now, m, Alive, ReasonReachable)
 	}
 }
 
-// applySender takes over what a heartbeat shows of its sender.
+// applySender updates the sender of a heartbeat from it.
 func (d *Detector) applySender(now micros.Micros, sender *member, h *Heartbeat) {
 	newer := h.Incarnation > sender.incarnation
 	restarted := newer && sender.incarnation != 0
@@ -121,8 +121,9 @@
 	}
 }
 
-// refute answers a suspicion of this node by a later incarnation, which overrides it everywhere. The
-// same holds where an earlier start of this node had a later one.
+// refute raises this node's incarnation if a member suspects this node or takes it as left. A higher incarnation
+// overrides such a view at all members. refute also raises the incarnation if a member knows a higher one, from an
+// earlier start of this node.
 func (d *Detector) refute(view *MemberView) {
 	suspected := view.State.isSuspicion() && view.Incarnation == d.incarnation
 	left := view.State == Left && !d.leaving && view.Incarnation == d.incarnation
@@ -132,7 +133,7 @@
 	}
 }
 
-// applyView takes over one member's view of another.
+// applyView updates the member subject from the sender's view of it.
 func (d *Detector) applyView(now micros.Micros, sender, subject *member, view *MemberView) {
 	if view.Incarnation < subject.incarnation {
 		return // of an earlier incarnation
@@ -156,8 +157,8 @@
 	}
 }
 
-// Tick checks all members; it is to be called once every HeartbeatInterval. Time in which this node
-// itself was paused does not count as silence of the others.
+// Tick checks all members. The caller must call it once every HeartbeatInterval. Time during which this node itself was
+// paused does not count as silence of other members.
 func (d *Detector) Tick(now micros.Micros, environment Environment) {
 	d.environment = environment
 	if paused := d.localHealth.tick(now); paused > 0 {
@@ -170,7 +171,8 @@
 	}
 }
 
-// checkMember suspects a member that is silent, and takes it as failed when the suspicion times out.
+// checkMember suspects a member that has been silent for too long, and declares it failed when the suspicion times
+// out.
 func (d *Detector) checkMember(now micros.Micros, m *member) {
 	if m.state == Alive && m.silence(now) > d.config.SuspectAfter {
 		d.counts.Suspicions++
@@ -190,14 +192,14 @@
 	}
 }
 
-// isFailureWithheld reports whether a suspected member must not be taken as failed: its session is
-// alive, so it was within the session's TTL; or this node is isolated, and cannot tell their failure
-// from its own.
+// isFailureWithheld reports whether a suspected member must not be declared failed for now. This is so if the member
+// is the leader and its session is alive, which shows that the member was alive within the session's TTL. It is also
+// so if this node is isolated, because then it cannot tell the failure of other members from its own.
 func (d *Detector) isFailureWithheld(m *member) bool {
 	return d.environment.Leader == m.name || d.isIsolated()
 }
 
-// isIsolated reports whether this node reaches neither the state service nor any member.
+// isIsolated reports whether this node reaches neither the state service nor any other member.
 func (d *Detector) isIsolated() bool {
 	if d.environment.StateServiceReachable {
 		return false
@@ -210,7 +212,7 @@
 	return true
 }
 
-// suspicionTimeout is how long a suspicion of a member lasts until the member is taken as failed.
+// suspicionTimeout returns how long a suspicion of a member lasts until the member is declared failed.
 func (d *Detector) suspicionTimeout(now micros.Micros, m *member) micros.Micros {
 	possible := 0
 	for _, other := range d.members {
@@ -218,14 +220,15 @@
 			possible++
 		}
 	}
-	timeout := confirmedTimeout(&d.config, len(d.confirmedBy(m)), possible)
+	timeout := timeoutForConfirmations(&d.config, len(d.confirmedBy(m)), possible)
 	if d.isSlow(now) {
 		timeout *= slowTimeoutFactor
 	}
 	return timeout
 }
 
-// confirmedBy are the members alive that suspect a member's present incarnation as well.
+// confirmedBy returns the names of the live members that suspect a member's current incarnation as well, or have
+// declared it failed.
 func (d *Detector) confirmedBy(m *member) (names []string) {
 	for _, name := range d.names {
 		other := d.members[name]
@@ -237,16 +240,16 @@
 	return names
 }
 
-// transition moves a member to another state, and does nothing if it is in that state.
+// transition moves a member to another state. It does nothing if the member is already in that state.
 func (d *Detector) transition(now micros.Micros, m *member, to State, reason Reason) {
 	if m.state == to {
 		return
 	}
 	d.recordTransition(now, m, to, reason)
-	m.state, m.since = to, now
+	m.state, m.stateSince = to, now
 }
 
-// recordTransition keeps a transition for the caller.
+// recordTransition records a transition, which the next call of TakeTransitions returns.
 func (d *Detector) recordTransition(now micros.Micros, m *member, to State, reason Reason) {
 	t := Transition{Member: m.name, From: m.state, To: to, Reason: reason, Silence: m.silence(now)}
 	if to.isSuspicion() {
@@ -255,7 +258,7 @@
 	d.transitions = append(d.transitions, t)
 }
 
-// TakeTransitions returns the transitions since they were last taken.
+// TakeTransitions returns the transitions since its previous call.
 func (d *Detector) TakeTransitions() []Transition {
 	out := d.transitions
 	d.transitions = nil
--- a/internal/membership/local_health.go
+++ b/internal/membership/local_health.go
@@ -2,36 +2,38 @@
 
 import "caperlatch/internal/micros"
 
-// Bounds of local health.
+// Thresholds for the health of this node.
 const (
-	// maxTickIntervals: the node was paused if more than so many intervals are between two ticks.
-	maxTickIntervals = 2
-	// slowAfterPause is for how long after a pause the node counts as slow.
-	slowAfterPause = 30 * micros.Second
-	// slowRoundTrip: the node counts as slow if round trips to most members take longer.
-	slowRoundTrip = micros.Second
-	// slowTimeoutFactor is how much longer the suspicions of a slow node last.
+	// maxTickGapIntervals is the longest time between two ticks, in tick intervals, that does not count as a pause of
+	// this node.
+	maxTickGapIntervals = 2
+	// slowPeriodAfterPause is how long the node counts as slow after a pause.
+	slowPeriodAfterPause = 30 * micros.Second
+	// slowRoundTripThreshold is the round-trip time above which a round trip is slow. The node counts as slow if the
+	// round trips to most members are.
+	slowRoundTripThreshold = micros.Second
+	// slowTimeoutFactor is the factor by which the suspicions of a slow node last longer.
 	slowTimeoutFactor = 2
 )
 
-// localHealth is what this node's own ticks show of its health, as in Lifeguard: a node that was
-// paused takes others for silent.
+// localHealth tracks this node's health by its own ticks, as Lifeguard does, because a node that was paused sees other
+// members as silent.
 type localHealth struct {
 	interval     micros.Micros // between ticks
 	lastTickAt   micros.Micros
-	pauseEndedAt micros.Micros // end of the last pause, 0 if there was none
+	pauseEndedAt micros.Micros // end of the last pause; 0 if there was none
 }
 
-// newLocalHealth is the health of a node that has just started.
+// newLocalHealth returns the health of a node that has just started.
 func newLocalHealth(interval, now micros.Micros) localHealth {
 	return localHealth{interval: interval, lastTickAt: now}
 }
 
-// tick takes over a tick, and returns for how long the node was paused before it; 0 if it was not.
+// tick records a tick, and returns how long the node was paused before it, or 0 if it was not paused.
 func (h *localHealth) tick(now micros.Micros) (paused micros.Micros) {
 	gap := now - h.lastTickAt
 	h.lastTickAt = now
-	if gap <= maxTickIntervals*h.interval {
+	if gap <= maxTickGapIntervals*h.interval {
 		return 0
 	}
 	h.pauseEndedAt = now
@@ -40,11 +42,11 @@
 
 // hasPausedRecently reports whether a pause ended less than slowAfterPause ago.
 func (h *localHealth) hasPausedRecently(now micros.Micros) bool {
-	return h.pauseEndedAt != 0 && now-h.pauseEndedAt < slowAfterPause
+	return h.pauseEndedAt != 0 && now-h.pauseEndedAt < slowPeriodAfterPause
 }
 
-// isSlow reports whether this node is what is slow: it was paused lately, or round trips to most of the
-// members take long, as they would not if only one of these were slow.
+// isSlow reports whether this node itself is slow: it was paused recently, or round trips to most of the members are
+// slow, which would not be so if only one of the members were slow.
 func (d *Detector) isSlow(now micros.Micros) bool {
 	if d.localHealth.hasPausedRecently(now) {
 		return true
@@ -55,7 +57,7 @@
 			continue
 		}
 		measured++
-		if m.roundTrip > slowRoundTrip {
+		if m.roundTrip > slowRoundTripThreshold {
 			slow++
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,15 +1,13 @@
-// Package membership decides, from heartbeats, which controller nodes are alive, suspected, failed,
-// or have left. It is a failure detector after SWIM (Das, Gupta and Motivala) with the Lifeguard
-// extensions (Dadgar, Phillips and Currey): a suspicion lasts until it is refuted by a later
-// incarnation or times out, confirmations by other members shorten it, and a node that is itself slow
-// trusts its own suspicions less. Unlike SWIM, members are few and fixed, so each sends heartbeats
-// with its views of all members to all others.
+// Package membership determines from heartbeats which controller nodes are alive, suspected, failed, or have left. It
+// implements a failure detector based on SWIM (Das, Gupta and Motivala) with the Lifeguard extensions (Dadgar, Phillips
+// and Currey). A suspicion lasts until the suspected member refutes it with a higher incarnation, or until it times
+// out. Confirmations by other members shorten the timeout, and a node that is itself slow doubles it. Unlike in SWIM,
+// the members are few and fixed, so each member sends heartbeats with its views of all members to all others.
 //
-// It owns the states of the members as one node sees them, the timers of suspicions, and the
-// incarnation numbers by which a member refutes a suspicion. It is pure: no I/O, and time is an
-// argument; its caller sends the heartbeats and locks. That a member has failed is a hint, and must
-// never be more: who leads, and what may start where, is proved by the state service's sessions and
-// by fencing tokens alone.
+// The package owns the states of the members as one node sees them, the timeouts of suspicions, and the incarnation
+// numbers by which a member refutes a suspicion. It is pure: it does no I/O, and time is an argument. The caller sends
+// the heartbeats and does the locking. That a member has failed is a hint, and must never be more: which node leads,
+// and what may start where, is proved only by the state service's sessions and by fencing tokens.
 package membership
 
 import (
@@ -18,12 +16,11 @@
 	"caperlatch/internal/micros"
 )
 
-// State is what a node takes a member to be. States are sent and shown to operators.
+// State is the state that a node assigns to a member. States are sent to other nodes and shown to operators.
 type State string
 
-// The states. A member is suspected once it has been silent for a while, and failed once the
-// suspicion has timed out without a refutation. One that announced that it ends has left, and is
-// neither suspected nor failed.
+// The states. A member is suspected once it has been silent for Config.SuspectAfter, and failed once the suspicion has
+// timed out without a refutation. A member that announced its shutdown has left, and is neither suspected nor failed.
 const (
 	Alive     State = "alive"
 	Suspected State = "suspected"
@@ -31,21 +28,22 @@
 	Left      State = "left"
 )
 
-// isSuspicion reports whether the member may have failed by the state.
+// isSuspicion reports whether a member in the state is suspected or failed.
 func (s State) isSuspicion() bool { return s == Suspected || s == Failed }
 
-// Config holds the times of a detector.
+// Config holds the intervals and timeouts of a detector.
 type Config struct {
-	// HeartbeatInterval is between two heartbeats to a member.
+	// HeartbeatInterval is the time between two heartbeats to a member.
 	HeartbeatInterval micros.Micros
-	// SuspectAfter is after what silence a member is suspected.
+	// SuspectAfter is the length of silence after which a member is suspected.
 	SuspectAfter micros.Micros
-	// MaxSuspicionTimeout is how long a suspicion lasts that no other member confirms,
-	// MinSuspicionTimeout one that all others confirm.
+	// MaxSuspicionTimeout is the timeout of a suspicion that no other member confirms, MinSuspicionTimeout that of a
+	// suspicion that all others confirm.
 	MaxSuspicionTimeout, MinSuspicionTimeout micros.Micros
 }
 
-// DefaultConfig tolerates two seconds of latency on a path, and finds a member failed within ten.
+// DefaultConfig returns times that tolerate two seconds of latency on a path, and with which a failure is detected
+// within ten seconds.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:   500 * micros.Millisecond,
@@ -55,17 +53,16 @@
 	}
 }
 
-// minMissedHeartbeats is how many heartbeats must be missed before a member may be suspected.
+// minMissedHeartbeats is the number of heartbeats that must be missed before a member may be suspected.
 const minMissedHeartbeats = 3
 
-// Errors of configurations. They name the XML elements.
+// The errors of invalid configurations. They name the XML elements of the settings.
 var (
 	ErrSuspectTooSoon        = errors.New("suspect_ms must be at least three times heartbeat_ms")
 	ErrSuspicionTimeoutOrder = errors.New("confirm_least_ms must be at most confirm_most_ms")
 )
 
-// Check returns the first contradiction between the times: ErrSuspectTooSoon or
-// ErrSuspicionTimeoutOrder.
+// Check returns an error for the first contradiction between the times: ErrSuspectTooSoon or ErrSuspicionTimeoutOrder.
 func (c *Config) Check() error {
 	if c.SuspectAfter < minMissedHeartbeats*c.HeartbeatInterval {
 		return ErrSuspectTooSoon
@@ -76,51 +73,51 @@
 	return nil
 }
 
-// Heartbeat is what one node sends another, in a request and in the response to one.
+// Heartbeat is the message that a node sends to another member, in a request and in the response to a request.
 type Heartbeat struct {
 	Member      string       `json:"member"` // the sender
 	Incarnation uint64       `json:"incarnation"`
-	Leaving     bool         `json:"leaving,omitempty"` // the sender ends
+	Leaving     bool         `json:"leaving,omitempty"` // the sender is shutting down
 	Views       []MemberView `json:"opinions,omitempty"`
 }
 
-// MemberView is what the sender of a heartbeat takes another member to be.
+// MemberView is how the sender of a heartbeat sees another member.
 type MemberView struct {
 	Member      string `json:"member"`
 	State       State  `json:"state"`
-	Incarnation uint64 `json:"incarnation"` // the latest known to the sender
-	// Silence is since the sender itself last heard from the member.
+	Incarnation uint64 `json:"incarnation"` // the highest known to the sender
+	// Silence is the time since the sender itself last heard from the member.
 	Silence micros.Micros `json:"silence"`
 }
 
-// Transition is one change of what this node takes a member to be.
+// Transition is a change of a member's state, or a restart of a member that stays alive.
 type Transition struct {
 	Member      string
 	From, To    State
 	Reason      Reason
-	Silence     micros.Micros // since it was last heard from, here or by another member
-	ConfirmedBy []string      // other members that suspect it as well
+	Silence     micros.Micros // time since this node or another member last heard from the member
+	ConfirmedBy []string      // other members that suspect the member as well, or have declared it failed
 }
 
-// Reason is why a member's state changed. Reasons are logged.
+// Reason is the reason for a transition. Reasons are logged.
 type Reason string
 
-// The reasons.
+// The reasons for transitions.
 const (
-	ReasonReachable           Reason = "it is heard"
-	ReasonIndirectlyReachable Reason = "another member hears it"
-	ReasonRefuted             Reason = "it refuted with a later incarnation"
+	ReasonReachable           Reason = "a message from it has arrived"
+	ReasonIndirectlyReachable Reason = "a message from it has reached another member"
+	ReasonRefuted             Reason = "it refuted the suspicion with a higher incarnation"
 	ReasonRestarted           Reason = "it has restarted"
-	ReasonSilent              Reason = "it is not heard, nor does any other member hear it"
+	ReasonSilent              Reason = "no message from it has reached this node or any other member"
 	ReasonSuspicionTimeout    Reason = "the suspicion was not refuted in time"
-	ReasonLeft                Reason = "it said that it ends"
+	ReasonLeft                Reason = "it announced its shutdown"
 )
 
-// Environment is what the caller knows besides heartbeats.
+// Environment is what the caller knows from sources other than heartbeats.
 type Environment struct {
-	// StateServiceReachable reports whether the state service answered lately.
+	// StateServiceReachable is set when the state service has answered recently.
 	StateServiceReachable bool
-	// Leader is the member whose session the state service had when it was last read, if that was
-	// lately; empty if no session is known to be alive.
+	// Leader is the leader whose session was alive when the state service was last read, if that was recently. It is
+	// empty if no session is known to be alive.
 	Leader string
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/micros"
 )
 
-// TestConfigCheck rejects times that contradict each other.
+// TestConfigCheck guards against a configuration that is accepted although its times contradict each other.
 func TestConfigCheck(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -16,13 +16,13 @@
 	}{
 		{"default", func(*Config) {}, nil},
 		{"suspected after two heartbeats", func(c *Config) { c.HeartbeatInterval = 1500 * micros.Millisecond }, ErrSuspectTooSoon},
-		{"timeout shorter without confirmations", func(c *Config) { c.MinSuspicionTimeout = c.MaxSuspicionTimeout + 1 }, ErrSuspicionTimeoutOrder},
+		{"minimum timeout above the maximum", func(c *Config) { c.MinSuspicionTimeout = c.MaxSuspicionTimeout + 1 }, ErrSuspicionTimeoutOrder},
 	}
 	for _, tc := range cases {
 		c := DefaultConfig()
 		tc.change(&c)
 		if err := c.Check(); !errors.Is(err, tc.want) {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: error %v, want %v", tc.name, err, tc.want)
 		}
 	}
 }
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -7,89 +7,90 @@
 	"caperlatch/internal/micros"
 )
 
-// failureTimeout is how soon all nodes that are well take a failed one as failed.
+// failureTimeout is the time within which every healthy node must declare a failed node failed.
 const failureTimeout = 10 * micros.Second
 
-// scenarioRun is one simulation under test.
+// scenarioRun is a simulation with the test that it belongs to.
 type scenarioRun struct {
 	*simulation
 	t *testing.T
 }
 
-// expectNone expects that no node saw another one (-1: any) enter a state.
-func (c *scenarioRun) expectNone(from micros.Micros, state State, of int) {
+// expectNoTransition checks that no node has moved the node subject (-1: any node) to a state since the time from.
+func (c *scenarioRun) expectNoTransition(from micros.Micros, state State, subject int) {
 	c.t.Helper()
-	if seen := c.transitionsTo(from, state, of); len(seen) > 0 {
-		c.t.Errorf("%s takes %s as %s: %s, silent for %v (and %d more)",
-			seen[0].by, seen[0].Member, state, seen[0].Reason, seen[0].Silence.Duration(), len(seen)-1)
+	if seen := c.transitionsTo(from, state, subject); len(seen) > 0 {
+		c.t.Errorf("%s moved %s to state %s (%s, silent for %v), and %d more such transitions; want none",
+			seen[0].observer, seen[0].Member, state, seen[0].Reason, seen[0].Silence.Duration(), len(seen)-1)
 	}
 }
 
-// expectFailed lets time pass, and expects that some nodes, or all others, take one as failed in time.
-func (c *scenarioRun) expectFailed(of int, by ...int) {
+// expectFailed advances the time by failureTimeout, and checks that the observers (none given: all other nodes) have
+// declared the node subject failed meanwhile.
+func (c *scenarioRun) expectFailed(subject int, observers ...int) {
 	c.t.Helper()
-	if by == nil {
-		by = c.othersThan(of)
+	if observers == nil {
+		observers = c.othersThan(subject)
 	}
 	from := c.now
 	c.run(failureTimeout)
-	seen := c.transitionsTo(from, Failed, of)
-	for _, i := range by {
-		if !slices.ContainsFunc(seen, func(o observedTransition) bool { return o.by == c.nodes[i].name }) {
-			c.t.Errorf("%s does not take %s as failed in time: %+v", c.nodes[i].name, c.nodes[of].name, c.state(i, of))
+	seen := c.transitionsTo(from, Failed, subject)
+	for _, i := range observers {
+		if !slices.ContainsFunc(seen, func(o observedTransition) bool { return o.observer == c.nodes[i].name }) {
+			c.t.Errorf("%s did not declare %s failed in time: %+v", c.nodes[i].name, c.nodes[subject].name, c.state(i, subject))
 		}
 	}
 }
 
-// expectAll expects that all nodes that run take all others that do to be in a state.
+// expectAll checks that every running node with heartbeats assigns a state to every other running node.
 func (c *scenarioRun) expectAll(state State) {
 	c.t.Helper()
-	for by, n := range c.nodes {
-		for of, other := range c.nodes {
-			if by == of || n.down || other.down || n.detector == nil {
+	for observer, n := range c.nodes {
+		for subject, other := range c.nodes {
+			if observer == subject || n.down || other.down || n.detector == nil {
 				continue
 			}
-			if m := c.state(by, of); m.State != state {
-				c.t.Errorf("%s takes %s as %s, not %s", n.name, other.name, m.State, state)
+			if m := c.state(observer, subject); m.State != state {
+				c.t.Errorf("%s has %s in state %s, want %s", n.name, other.name, m.State, state)
 			}
 		}
 	}
 }
 
-// othersThan is all nodes but some.
-func (c *scenarioRun) othersThan(but ...int) (all []int) {
+// othersThan returns the numbers of all nodes except the excluded ones.
+func (c *scenarioRun) othersThan(excluded ...int) (all []int) {
 	for i := range c.nodes {
-		if !slices.Contains(but, i) {
+		if !slices.Contains(excluded, i) {
 			all = append(all, i)
 		}
 	}
 	return all
 }
 
-// jitter is a latency of up to two seconds that changes with each message.
+// jitter returns a random latency of up to two seconds, drawn anew for each message.
 func (c *scenarioRun) jitter(from, to int) micros.Micros {
 	return micros.Micros(c.random.Int64N(int64(2 * micros.Second)))
 }
 
-// pathBetween is the paths between two nodes, or that from one to the other alone.
+// pathBetween matches the paths between two nodes in both directions, or only that from a to b if oneWay is set.
 func pathBetween(a, b int, oneWay bool) func(from, to int) bool {
 	return func(from, to int) bool { return from == a && to == b || !oneWay && from == b && to == a }
 }
 
-// allPathsOf is the paths between a node and all others.
+// allPathsOf matches the paths between a node and all others.
 func allPathsOf(node int) func(from, to int) bool {
 	return func(from, to int) bool { return from == node || to == node }
 }
 
-// scenarioStep is what happens next, or is expected.
+// scenarioStep is an action or a check of a scenario.
 type scenarioStep func(*scenarioRun)
 
-// waitS lets time pass.
-func waitS(seconds micros.Micros) scenarioStep {
+// advanceTime advances the simulated time.
+func advanceTime(seconds micros.Micros) scenarioStep {
 	return func(c *scenarioRun) { c.run(seconds * micros.Second) }
 }
 
-// stopNodes ends nodes.
+// stopNodes stops nodes without an announcement.
 func stopNodes(nodes ...int) scenarioStep {
 	return func(c *scenarioRun) {
 		for _, i := range nodes {
@@ -98,117 +99,121 @@
 	}
 }
 
-// startNode starts a node again, with or without (old) heartbeats.
-func startNode(node int, old bool) scenarioStep {
-	return func(c *scenarioRun) { c.start(node, uint64(c.now), old) }
+// startNode starts a node again, as a version with or without heartbeats.
+func startNode(node int, withoutHeartbeats bool) scenarioStep {
+	return func(c *scenarioRun) { c.start(node, uint64(c.now), withoutHeartbeats) }
 }
 
-// leaveNode has a node announce that it ends.
+// leaveNode makes a node announce its shutdown.
 func leaveNode(node int) scenarioStep { return func(c *scenarioRun) { c.nodes[node].detector.Leave() } }
 
-// pauseNode has a node stand still.
+// pauseNode pauses a node, as when its process is stopped and continued.
 func pauseNode(node int, seconds micros.Micros) scenarioStep {
 	return func(c *scenarioRun) { c.pause(node, seconds*micros.Second) }
 }
 
-// cutPaths has messages on some paths be lost.
-func cutPaths(f func(from, to int) bool) scenarioStep { return func(c *scenarioRun) { c.cut = f } }
+// cutPaths drops the messages on the paths that a function matches.
+func cutPaths(matches func(from, to int) bool) scenarioStep {
+	return func(c *scenarioRun) { c.cut = matches }
+}
 
 // healPaths ends all cuts.
 func healPaths(c *scenarioRun) { c.cut = func(int, int) bool { return false } }
 
-// jitterPaths has the paths of one node (-1: of all) jitter.
+// jitterPaths gives a jittering latency to the paths of a node (-1: of all nodes).
 func jitterPaths(node int) scenarioStep {
 	return func(c *scenarioRun) {
 		c.latency = func(from, to int) micros.Micros {
 			if node < 0 || from == node || to == node {
 				return c.jitter(from, to)
 			}
-			return usualLatency
+			return normalLatency
 		}
 	}
 }
 
-// expectFailedWithin is expectFailed as a step.
-func expectFailedWithin(of int, by ...int) scenarioStep {
-	return func(c *scenarioRun) { c.expectFailed(of, by...) }
+// expectFailedWithin returns expectFailed as a step.
+func expectFailedWithin(subject int, observers ...int) scenarioStep {
+	return func(c *scenarioRun) { c.expectFailed(subject, observers...) }
 }
 
-// expectNever is expectNone, since the start, as a step.
-func expectNever(state State, of int) scenarioStep {
-	return func(c *scenarioRun) { c.expectNone(0, state, of) }
+// expectNeverEntered returns a step that calls expectNoTransition for the time since the start.
+func expectNeverEntered(state State, subject int) scenarioStep {
+	return func(c *scenarioRun) { c.expectNoTransition(0, state, subject) }
 }
 
-// expectNeverOthers is expectNever of all but node 1.
-func expectNeverOthers(state State) scenarioStep {
+// expectOthersNeverEntered returns a step that does what expectNeverEntered does for all nodes except node 1.
+func expectOthersNeverEntered(state State) scenarioStep {
 	return func(c *scenarioRun) {
-		for _, of := range c.othersThan(1) {
-			c.expectNone(0, state, of)
+		for _, subject := range c.othersThan(1) {
+			c.expectNoTransition(0, state, subject)
 		}
 	}
 }
 
-// expectAlive lets two seconds pass, after which all take all others as alive.
-func expectAlive(c *scenarioRun) { c.run(2 * micros.Second); c.expectAll(Alive) }
+// expectAllAlive advances the time by two seconds, and checks that all running nodes see each other as alive.
+func expectAllAlive(c *scenarioRun) { c.run(2 * micros.Second); c.expectAll(Alive) }
 
-// expectThat expects a condition.
-func expectThat(ok func(*scenarioRun) bool, wrong string) scenarioStep {
+// expectCondition returns a step that reports the message failure unless a condition holds.
+func expectCondition(condition func(*scenarioRun) bool, failure string) scenarioStep {
 	return func(c *scenarioRun) {
-		if !ok(c) {
-			c.t.Error(wrong)
+		if !condition(c) {
+			c.t.Error(failure)
 		}
 	}
 }
 
-// pauseScenario pauses node 1 for long enough to be suspected, or failed. Its own pause is no silence of
-// the others to it.
+// pauseScenario returns steps that pause node 1, and check whether the others suspect it or declare it failed. Node 1
+// must never suspect the others, although it received no heartbeats during its pause.
 func pauseScenario(seconds micros.Micros, suspected, failed bool) []scenarioStep {
-	steps := []scenarioStep{pauseNode(1, seconds), waitS(seconds), expectAlive, expectNeverOthers(Suspected)}
+	steps := []scenarioStep{pauseNode(1, seconds), advanceTime(seconds), expectAllAlive, expectOthersNeverEntered(Suspected)}
 	if failed {
-		steps = []scenarioStep{pauseNode(1, seconds), expectFailedWithin(1), waitS(seconds - 10), expectAlive, expectNeverOthers(Suspected)}
+		steps = []scenarioStep{pauseNode(1, seconds), expectFailedWithin(1), advanceTime(seconds - 10), expectAllAlive, expectOthersNeverEntered(Suspected)}
 	}
 	if !suspected {
-		steps = append(steps, expectNever(Suspected, 1))
+		steps = append(steps, expectNeverEntered(Suspected, 1))
 	}
 	if !failed {
-		steps = append(steps, expectNever(Failed, 1))
+		steps = append(steps, expectNeverEntered(Failed, 1))
 	}
 	return steps
 }
 
-// allConfirmedByOthers reports whether no node took node 1 as failed without confirmations.
+// allConfirmedByOthers reports whether no node declared node 1 failed without confirmations.
 func allConfirmedByOthers(c *scenarioRun) bool {
 	return !slices.ContainsFunc(c.transitionsTo(0, Failed, 1), func(o observedTransition) bool { return len(o.ConfirmedBy) == 0 })
 }
 
-// slowNodeIsLate reports whether node 2 knows that it is slow, and took node 1 as failed later for it.
-func slowNodeIsLate(c *scenarioRun) bool {
-	seen := slices.DeleteFunc(append(c.transitionsTo(0, Suspected, 1), c.transitionsTo(0, Failed, 1)...), func(o observedTransition) bool { return o.by != "host-2" })
+// slowNodeDeclaresFailureLater reports whether node 2 knows that it is slow, and declared node 1 failed only after the
+// longer timeout of a slow node.
+func slowNodeDeclaresFailureLater(c *scenarioRun) bool {
+	seen := slices.DeleteFunc(append(c.transitionsTo(0, Suspected, 1), c.transitionsTo(0, Failed, 1)...), func(o observedTransition) bool { return o.observer != "host-2" })
 	return c.state(2, 1).State == Failed && c.nodes[2].detector.Status(c.now).Slow && seen[1].at-seen[0].at >= slowTimeoutFactor*DefaultConfig().MinSuspicionTimeout
 }
 
-// sendLateAck has node 1 respond to what was sent before it was taken as failed.
+// sendLateAck delivers to node 0 a response of node 1 to a heartbeat that was sent before node 1 was declared failed.
 func sendLateAck(c *scenarioRun) { c.nodes[0].detector.HandleAck(c.now, "host-1", 15*micros.Second) }
 
-// sendLateHeartbeat has a heartbeat of an earlier incarnation of node 1 arrive.
+// sendLateHeartbeat delivers to node 0 a heartbeat of an earlier incarnation of node 1, and checks that it has no
+// effect.
 func sendLateHeartbeat(c *scenarioRun) {
 	before := c.state(0, 1).Incarnation
 	c.nodes[0].detector.HandleHeartbeat(c.now, &Heartbeat{Member: "host-1", Incarnation: 7, Leaving: true})
 	if after := c.state(0, 1); after.State != Alive || after.Incarnation != before {
-		c.t.Errorf("it counts: %+v", after)
+		c.t.Errorf("after a late heartbeat: %+v, want alive with incarnation %d", after, before)
 	}
 }
 
-// knowsIsolation reports whether node 1 knows that it is isolated.
-func knowsIsolation(c *scenarioRun) bool { return c.nodes[1].detector.Status(c.now).Isolated }
+// detectsOwnIsolation reports whether node 1 knows that it is isolated.
+func detectsOwnIsolation(c *scenarioRun) bool { return c.nodes[1].detector.Status(c.now).Isolated }
 
-// hasKnownIncarnation reports whether the others know the incarnation of node 1.
-func hasKnownIncarnation(c *scenarioRun) bool {
+// othersKnowIncarnation reports whether node 0 knows the current incarnation of node 1.
+func othersKnowIncarnation(c *scenarioRun) bool {
 	return c.state(0, 1).Incarnation == c.nodes[1].detector.incarnation
 }
 
-// restartOften restarts node 1 again and again.
-func restartOften(c *scenarioRun) {
+// restartRepeatedly restarts node 1 20 times, each time within 200 ms.
+func restartRepeatedly(c *scenarioRun) {
 	for range 20 {
 		c.stop(1)
 		c.run(200 * micros.Millisecond)
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -10,48 +10,50 @@
 	"caperlatch/internal/micros"
 )
 
-// simulation has detectors exchange heartbeats over paths with latencies and cuts, in virtual time.
+// simulation runs detectors that exchange heartbeats in simulated time, over paths with latencies and cuts.
 type simulation struct {
 	now        micros.Micros
 	random     *rand.Rand
 	nodes      []*simulatedNode
 	events     eventQueue
 	eventCount int
-	// latency and cut apply to each message; leader has a session; stateServiceDown is for all nodes.
+	// latency and cut give the latency and the loss of each message. leader is the number of the node whose session
+	// the state service holds. stateServiceDown applies to all nodes.
 	latency          func(from, to int) micros.Micros
 	cut              func(from, to int) bool
 	leader           int
 	stateServiceDown bool
-	lastArrival      map[[2]int]micros.Micros // of the last message on a path: streams keep their order
+	lastArrival      map[[2]int]micros.Micros // of the last message on a path; streams keep the order
 	observed         []observedTransition
 }
 
-// simulatedNode is one node; without a detector it is of a version without heartbeats.
+// simulatedNode is one node. A node without a detector is of a version without heartbeats.
 type simulatedNode struct {
 	name                string
 	detector            *Detector
 	startCount          int
 	down                bool
 	pausedUntil         micros.Micros
-	withoutStateService bool // the state service does not answer it
+	withoutStateService bool // the state service does not answer this node
 }
 
-// observedTransition is a transition at one node.
+// observedTransition is a transition that one node, the observer, made.
 type observedTransition struct {
 	Transition
-	at micros.Micros
-	by string
+	at       micros.Micros
+	observer string
 }
 
-// event is something that happens at a time, unless its node has stopped or started again.
+// event is an action of a node that is due at a time. It is dropped if the node has stopped or restarted by then.
 type event struct {
 	at         micros.Micros
-	sequence   int // order of events at one time
+	sequence   int // orders events that are due at the same time
 	node       int
 	startCount int
-	do         func()
+	action     func()
 }
 
+// eventQueue is a heap of events, with the earliest one first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -66,15 +68,16 @@
 	return last
 }
 
-// usualLatency is that of a path between two nodes that nothing slows.
-const usualLatency = micros.Millisecond
+// normalLatency is the latency of a path without faults.
+const normalLatency = micros.Millisecond
 
-// newSimulation starts nodes that reach each other and the state service; node 0 leads.
-func newSimulation(size int, seed uint64, old ...int) *simulation {
+// newSimulation starts nodes that reach each other and the state service. Node 0 is the leader. The nodes listed in
+// withoutHeartbeats are of a version without heartbeats.
+func newSimulation(size int, seed uint64, withoutHeartbeats ...int) *simulation {
 	s := &simulation{
 		now:         1000 * micros.Second,
 		random:      rand.New(rand.NewPCG(seed, 31)),
-		latency:     func(int, int) micros.Micros { return usualLatency },
+		latency:     func(int, int) micros.Micros { return normalLatency },
 		cut:         func(int, int) bool { return false },
 		lastArrival: map[[2]int]micros.Micros{},
 	}
@@ -82,17 +85,17 @@
 		s.nodes = append(s.nodes, &simulatedNode{name: fmt.Sprintf("host-%d", i), down: true})
 	}
 	for i := range size {
-		s.start(i, uint64(s.now), slices.Contains(old, i))
+		s.start(i, uint64(s.now), slices.Contains(withoutHeartbeats, i))
 	}
 	return s
 }
 
-// start starts a node, also again; old is of a version without heartbeats.
-func (s *simulation) start(i int, incarnation uint64, old bool) {
+// start starts or restarts a node, as a version with or without heartbeats.
+func (s *simulation) start(i int, incarnation uint64, withoutHeartbeats bool) {
 	n := s.nodes[i]
 	n.startCount++
 	n.down, n.detector = false, nil
-	if old {
+	if withoutHeartbeats {
 		return
 	}
 	var others []string
@@ -105,23 +108,23 @@
 	s.after(i, micros.Micros(s.random.Int64N(int64(DefaultConfig().HeartbeatInterval))), func() { s.sendHeartbeats(i) })
 }
 
-// stop ends a node, if there is one of this number.
+// stop stops a node. It does nothing if there is no node with this number.
 func (s *simulation) stop(i int) {
 	if i < len(s.nodes) {
 		s.nodes[i].down = true
 	}
 }
 
-// pause has a node stand still.
+// pause delays all actions of a node until the pause is over.
 func (s *simulation) pause(i int, d micros.Micros) { s.nodes[i].pausedUntil = s.now + d }
 
-// after has a node do something later, unless it has stopped or started again.
-func (s *simulation) after(node int, d micros.Micros, do func()) {
+// after schedules an action of a node, which is dropped if the node has stopped or restarted by then.
+func (s *simulation) after(node int, d micros.Micros, action func()) {
 	s.eventCount++
-	heap.Push(&s.events, event{at: s.now + d, sequence: s.eventCount, node: node, startCount: s.nodes[node].startCount, do: do})
+	heap.Push(&s.events, event{at: s.now + d, sequence: s.eventCount, node: node, startCount: s.nodes[node].startCount, action: action})
 }
 
-// run lets time pass.
+// run advances the simulated time, and runs the actions that become due.
 func (s *simulation) run(d micros.Micros) {
 	until := s.now + d
 	for len(s.events) > 0 && s.events[0].at <= until {
@@ -131,17 +134,17 @@
 		switch {
 		case n.down || n.startCount != e.startCount:
 		case s.now < n.pausedUntil:
-			s.after(e.node, n.pausedUntil-s.now, e.do)
+			s.after(e.node, n.pausedUntil-s.now, e.action)
 		default:
-			e.do()
-			s.observe(e.node)
+			e.action()
+			s.collectTransitions(e.node)
 		}
 	}
 	s.now = until
 }
 
-// observe keeps the transitions at a node.
-func (s *simulation) observe(i int) {
+// collectTransitions appends the new transitions of a node to the observed ones.
+func (s *simulation) collectTransitions(i int) {
 	n := s.nodes[i]
 	if n.detector == nil {
 		return
@@ -151,7 +154,7 @@
 	}
 }
 
-// sendHeartbeats is what a node does once an interval.
+// sendHeartbeats runs a node's periodic action: a tick of its detector, and a heartbeat to each other node.
 func (s *simulation) sendHeartbeats(i int) {
 	n := s.nodes[i]
 	s.after(i, DefaultConfig().HeartbeatInterval, func() { s.sendHeartbeats(i) })
@@ -168,7 +171,7 @@
 	}
 }
 
-// exchange sends a heartbeat, and the response to it.
+// exchange sends a heartbeat, and the response to it in the other direction.
 func (s *simulation) exchange(from, to int, request *Heartbeat) {
 	sentAt, n := s.now, s.nodes[from]
 	s.send(from, to, func() {
@@ -188,7 +191,7 @@
 	})
 }
 
-// send has a message arrive unless the path is cut.
+// send delivers a message after the latency of its path, unless the path is cut.
 func (s *simulation) send(from, to int, arrive func()) {
 	if s.cut(from, to) {
 		return
@@ -199,20 +202,21 @@
 	s.after(to, at-s.now, arrive)
 }
 
-// transitionsTo lists the changes to a state of some node (-1: any) that nodes saw from a time on.
-func (s *simulation) transitionsTo(from micros.Micros, to State, of int) (all []observedTransition) {
+// transitionsTo returns the transitions of the node subject (-1: any node) from another state to the state to, since
+// the time from.
+func (s *simulation) transitionsTo(from micros.Micros, to State, subject int) (all []observedTransition) {
 	for _, o := range s.observed {
-		if o.at >= from && o.To == to && o.From != to && (of < 0 || of < len(s.nodes) && o.Member == s.nodes[of].name) {
+		if o.at >= from && o.To == to && o.From != to && (subject < 0 || subject < len(s.nodes) && o.Member == s.nodes[subject].name) {
 			all = append(all, o)
 		}
 	}
 	return all
 }
 
-// state is what one node takes another to be now.
-func (s *simulation) state(by, of int) MemberStatus {
-	for _, m := range s.nodes[by].detector.Status(s.now).Members {
-		if m.Member == s.nodes[of].name {
+// state returns how the node observer sees the node subject now.
+func (s *simulation) state(observer, subject int) MemberStatus {
+	for _, m := range s.nodes[observer].detector.Status(s.now).Members {
+		if m.Member == s.nodes[subject].name {
 			return m
 		}
 	}
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -2,31 +2,31 @@
 
 import "caperlatch/internal/micros"
 
-// Status describes the members for operators, as one node sees them.
+// Status describes to operators how a node sees itself and the other members.
 type Status struct {
 	Member      string         `json:"member"`
 	Incarnation uint64         `json:"incarnation"`
-	Slow        bool           `json:"slow"`     // its own suspicions last longer
-	Isolated    bool           `json:"isolated"` // it reaches nobody, and takes no member as failed
+	Slow        bool           `json:"slow"`     // this node is slow, so its suspicions last longer
+	Isolated    bool           `json:"isolated"` // no contact with state service or members, so none is declared failed
 	Counts      Counts         `json:"counts"`
 	Members     []MemberStatus `json:"members"`
 }
 
-// MemberStatus describes another member. Times are in seconds.
+// MemberStatus describes how a node sees another member. Times are in seconds.
 type MemberStatus struct {
 	Member          string   `json:"member"`
 	State           State    `json:"state"`
-	SinceS          float64  `json:"since_s"` // in the state
+	SinceS          float64  `json:"since_s"` // time in the state
 	Incarnation     uint64   `json:"incarnation"`
-	SilenceS        float64  `json:"heard_s"`              // since this node last heard from it
-	HeardThrough    string   `json:"through,omitempty"`    // a member that hears from it where this node does not
-	RoundTripS      float64  `json:"round_trip_s"`         // of the last heartbeat answered, 0 if none was
-	SuspicionLeftS  float64  `json:"verdict_s,omitempty"`  // until a suspicion times out
-	FailureWithheld bool     `json:"withheld,omitempty"`   // it is not taken as failed for now
-	ConfirmedBy     []string `json:"doubted_by,omitempty"` // other members that suspect it as well
+	SilenceS        float64  `json:"heard_s"`              // time since this node last heard from the member
+	HeardThrough    string   `json:"through,omitempty"`    // a member that heard from it recently, if this node has not
+	RoundTripS      float64  `json:"round_trip_s"`         // of the last heartbeat that it answered; 0 if none
+	SuspicionLeftS  float64  `json:"verdict_s,omitempty"`  // time until the suspicion times out
+	FailureWithheld bool     `json:"withheld,omitempty"`   // the suspected member is not declared failed for now
+	ConfirmedBy     []string `json:"doubted_by,omitempty"` // other members that suspect it or declared it failed
 }
 
-// Status describes all members.
+// Status returns the states of all members and of this node.
 func (d *Detector) Status(now micros.Micros) Status {
 	s := Status{
 		Member:      d.self,
@@ -41,12 +41,12 @@
 	return s
 }
 
-// memberStatus describes a member.
+// memberStatus returns the status of one member.
 func (d *Detector) memberStatus(now micros.Micros, m *member) MemberStatus {
 	s := MemberStatus{
 		Member:       m.name,
 		State:        m.state,
-		SinceS:       (now - m.since).Seconds(),
+		SinceS:       (now - m.stateSince).Seconds(),
 		Incarnation:  m.incarnation,
 		SilenceS:     (now - m.lastHeard).Seconds(),
 		HeardThrough: m.indirectlyHeardThrough(now, d.config.SuspectAfter),
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -6,10 +6,10 @@
 	"caperlatch/internal/micros"
 )
 
-// confirmedTimeout is how long a suspicion lasts that some of the members who could confirm it do. As
-// in Lifeguard, each independent confirmation shortens it, the first ones by most: a node that is cut
-// off alone waits for long, and a failure that all see is found soon.
-func confirmedTimeout(c *Config, confirmations, possibleConfirmations int) micros.Micros {
+// timeoutForConfirmations returns the timeout of a suspicion that has a number of the possible confirmations. As in
+// Lifeguard, each independent confirmation shortens the timeout, the first ones the most. So a node that alone is cut
+// off from a member waits long, and a failure that all nodes see is detected quickly.
+func timeoutForConfirmations(c *Config, confirmations, possibleConfirmations int) micros.Micros {
 	if possibleConfirmations == 0 {
 		return c.MaxSuspicionTimeout
 	}
