--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// applySender updates the sender of a heartbeat from it.
+// applySender updates the state of a heartbeat's sender from the heartbeat.
 func (d *Detector) applySender(now micros.Micros, sender *member, h *Heartbeat) {
 	newer := h.Incarnation > sender.incarnation
 	restarted := newer && sender.incarnation != 0
@@ -133,7 +133,7 @@
 	}
 }
 
-// applyView updates the member subject from the sender's view of it.
+// applyView updates the state of the member subject from the sender's view of it.
 func (d *Detector) applyView(now micros.Micros, sender, subject *member, view *MemberView) {
 	if view.Incarnation < subject.incarnation {
 		return // of an earlier incarnation
--- a/internal/membership/local_health.go
+++ b/internal/membership/local_health.go
@@ -40,7 +40,7 @@
 	return gap - h.interval
 }
 
-// hasPausedRecently reports whether a pause ended less than slowAfterPause ago.
+// hasPausedRecently reports whether a pause ended less than slowPeriodAfterPause ago.
 func (h *localHealth) hasPausedRecently(now micros.Micros) bool {
 	return h.pauseEndedAt != 0 && now-h.pauseEndedAt < slowPeriodAfterPause
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
 // Package membership determines from heartbeats which controller nodes are alive, suspected, failed, or have left. It
 // implements a failure detector based on SWIM (Das, Gupta and Motivala) with the Lifeguard extensions (Dadgar, Phillips
 // and Currey). A suspicion lasts until the suspected member refutes it with a higher incarnation, or until it times
-// out. Confirmations by other members shorten the timeout, and a node that is itself slow doubles it. Unlike in SWIM,
+// out. Confirmations by other members shorten the timeout, and a node that is itself slow lengthens it. Unlike in SWIM,
 // the members are few and fixed, so each member sends heartbeats with its views of all members to all others.
 //
 // The package owns the states of the members as one node sees them, the timeouts of suspicions, and the incarnation
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -6,8 +6,8 @@
 	"caperlatch/internal/micros"
 )
 
-// TestConfirmationsShortenSuspicion checks that each confirmation shortens the timeout of a suspicion, by less than the
-// one before, from the maximum down to the minimum.
+// TestConfirmationsShortenSuspicion checks that each confirmation shortens the timeout of a suspicion, by no more than
+// the one before, from the maximum down to the minimum.
 func TestConfirmationsShortenSuspicion(t *testing.T) {
 	c := DefaultConfig()
 	for _, possible := range []int{0, 1, 3, 9} {
