--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -8,32 +8,31 @@
 	"caperlatch/internal/micros"
 )
 
-// Config is what operators may set of the LifecyclePolicy. Shares are of the zone's running machines,
-// from 0 to 1.
+// Config holds the settings of the LifecyclePolicy. Shares are fractions of the zone's running machines, from 0 to 1.
 type Config struct {
-	EvacuationOrder []string // classes in the order in which their work moves, after urgent work; others last
-	ExemptZones     []string // zones that are always taken as normal
+	EvacuationOrder []string // classes in the order in which their jobs move, after urgent jobs; other classes come last
+	ExemptZones     []string // zones that always count as normal
 
-	PartialDisruptionShare float64       // of machines not ready, above which a zone is partially disrupted
-	FullDisruptionShare    float64       // of unreachable machines, above which it may be fully disrupted
-	NormalShare            float64       // of machines not ready, down to which a partial disruption is over
-	ConfirmationTime       micros.Micros // for how long a full disruption must be evident
+	PartialDisruptionShare float64       // share of machines not ready above which a zone is partially disrupted
+	FullDisruptionShare    float64       // share of unreachable machines above which a zone may be fully disrupted
+	NormalShare            float64       // share of machines not ready at or below which a partial disruption is over
+	ConfirmationTime       micros.Micros // how long the evidence of a full disruption must last
 	MinMachines            int           // fewer machines are no evidence of a disruption
-	MaxRelapseShare        float64       // of machines that may fall silent again in a step of reopening
-	OpenShares             []float64     // of machines that are open, for each step of reopening; rising to 1
-	MinStepTime            micros.Micros // the least duration of a step
-	HeartbeatInterval      micros.Micros // of workers
+	MaxRelapseShare        float64       // share of machines that may fall silent again in a step of reopening
+	OpenShares             []float64     // share of open machines in each step of reopening; increasing to 1
+	MinStepTime            micros.Micros // minimum duration of a step
+	HeartbeatInterval      micros.Micros // interval of the workers' heartbeats
 
-	InitialHoldDown micros.Micros // after the first full disruption; it doubles with each flap
+	InitialHoldDown micros.Micros // hold-down after the first full disruption; each flap doubles it
 	MaxHoldDown     micros.Micros
-	FlapExpiry      micros.Micros // time without a full disruption after which one flap is forgotten
+	FlapExpiry      micros.Micros // time without a full disruption after which one flap no longer counts
 
-	ReplacementShare float64 // of the unusable machines that are replaced elsewhere
+	ReplacementShare float64 // share of the unusable machines that are replaced in other zones
 }
 
-// DefaultConfig is what holds for settings that are left out, for an interval of workers'
-// heartbeats. The longest hold-down and the steps stay well under 90 s: no work that fits waits for
-// so long while a machine that sends heartbeats has room.
+// DefaultConfig returns the default settings for an interval of the workers' heartbeats. The longest hold-down and the
+// steps stay well under 90 s: no job that fits on a machine waits that long
+// while a machine that sends heartbeats has capacity for it.
 func DefaultConfig(heartbeatInterval micros.Micros) Config {
 	return Config{
 		PartialDisruptionShare: 0.4,
@@ -52,18 +51,18 @@
 	}
 }
 
-// Errors of configurations. They name the XML elements.
+// The errors of invalid configurations. They name the XML elements of the settings.
 var (
-	ErrNormalShareOrder     = errors.New("clear_percent must be under suspect_percent")
-	ErrDisruptionShareOrder = errors.New("suspect_percent must not be over lost_percent")
-	ErrHoldDownOrder        = errors.New("hold_down_s must not be over hold_down_most_s")
+	ErrNormalShareOrder     = errors.New("clear_percent must be less than suspect_percent")
+	ErrDisruptionShareOrder = errors.New("suspect_percent must not exceed lost_percent")
+	ErrHoldDownOrder        = errors.New("hold_down_s must not exceed hold_down_most_s")
 	ErrOpenSharesEnd        = errors.New("step_percent must end with 100")
-	ErrOpenSharesOrder      = errors.New("step_percent must rise")
-	ErrDuplicate            = errors.New("stands there twice")
+	ErrOpenSharesOrder      = errors.New("step_percent must increase")
+	ErrDuplicate            = errors.New("is listed twice")
 )
 
-// Check returns the first contradiction between settings that are each within bounds, as one of the
-// errors above or wrapping it.
+// Check returns an error for the first contradiction between settings that are each within their bounds. It is one of
+// the errors above, or wraps one.
 func (c *Config) Check() error {
 	switch {
 	case c.NormalShare >= c.PartialDisruptionShare:
@@ -77,7 +76,7 @@
 	}
 	for i := 1; i < len(c.OpenShares); i++ {
 		if c.OpenShares[i] <= c.OpenShares[i-1] {
-			return fmt.Errorf("%w, and %g follows %g", ErrOpenSharesOrder, 100*c.OpenShares[i], 100*c.OpenShares[i-1])
+			return fmt.Errorf("%w, but %g follows %g", ErrOpenSharesOrder, 100*c.OpenShares[i], 100*c.OpenShares[i-1])
 		}
 	}
 	if name := firstDuplicate(c.EvacuationOrder); name != "" {
@@ -89,7 +88,7 @@
 	return nil
 }
 
-// firstDuplicate is the first name that is in a list twice; empty if none is.
+// firstDuplicate returns the first name that occurs a second time in a list, or "" if none does.
 func firstDuplicate(list []string) string {
 	for i, name := range list {
 		if slices.Contains(list[:i], name) {
@@ -99,30 +98,28 @@
 	return ""
 }
 
-// isPartiallyDisrupted reports whether so many machines are not ready that a normal zone is partially
-// disrupted.
+// isPartiallyDisrupted reports whether enough machines are not ready for a normal zone to become partially disrupted.
 func (c *Config) isPartiallyDisrupted(e Evidence) bool {
 	return e.notReady() >= c.MinMachines && float64(e.notReady()) > c.PartialDisruptionShare*float64(e.Running)
 }
 
-// isNormal reports whether so few machines are not ready that a partial disruption is over.
+// isNormal reports whether few enough machines are not ready for a partial disruption to be over.
 func (c *Config) isNormal(e Evidence) bool {
 	return float64(e.notReady()) <= c.NormalShare*float64(e.Running)
 }
 
-// isFullyDisrupted reports whether so many machines are unreachable that the zone may be fully
-// disrupted.
+// isFullyDisrupted reports whether enough machines are unreachable for the zone to be considered fully disrupted.
 func (c *Config) isFullyDisrupted(e Evidence) bool {
 	return e.unreachable() >= c.MinMachines && float64(e.unreachable()) > c.FullDisruptionShare*float64(e.Running)
 }
 
-// hasRecovered reports whether the evidence of a recovery is enough: the machines that have not
-// recovered are fewer than what makes a full disruption.
+// hasRecovered reports whether enough machines have recovered: at least one has, and the share of those that have not
+// is at most FullDisruptionShare, too low for a full disruption.
 func (c *Config) hasRecovered(e Evidence) bool {
 	return e.Recovered > 0 && float64(e.Recovered) >= (1-c.FullDisruptionShare)*float64(e.Running)
 }
 
-// holdDownAfter is for how long heartbeats must arrive from a zone after some flaps.
+// holdDownAfter returns how long heartbeats must arrive from a zone before it reopens, after a number of flaps.
 func (c *Config) holdDownAfter(flaps int) micros.Micros {
 	holdDown := c.InitialHoldDown
 	for i := 1; i < flaps && holdDown < c.MaxHoldDown; i++ {
--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values are stored, sent between nodes, or shown to operators.
+// encodedTypes lists the types whose values are stored, sent between nodes, or shown to operators.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[Record]("the stored record"),
 	golden.TypeOf[RecordedZone]("a stored zone"),
@@ -16,15 +16,16 @@
 	golden.TypeOf[WorkStatus]("what is known of work"),
 }
 
-// TestEncoded checks their encoding against the captured one.
+// TestEncoded guards against changes of the encoding of these types, which nodes of other versions read.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags checks that all their fields are named by tags.
+// TestEncodedTags checks that a tag names each field of these types, so that renaming a field in Go does not change
+// the encoding.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestWords checks stored and shown words against the captured ones.
+// TestWords guards against changes of the words and numbers that are stored or shown to operators.
 func TestWords(t *testing.T) {
 	var states []string
 	for s := Normal; s <= Reopening+1; s++ {
--- a/internal/zone/helpers_test.go
+++ b/internal/zone/helpers_test.go
@@ -2,14 +2,14 @@
 
 import "caperlatch/internal/micros"
 
-// testConfig is the default configuration with longer times.
+// testConfig returns the default configuration with longer step and hold-down times.
 func testConfig() Config {
 	c := DefaultConfig(4 * micros.Second)
 	c.MinStepTime, c.InitialHoldDown = 4*micros.Second, 5*micros.Second
 	return c
 }
 
-// Evidence of a zone of forty machines.
+// Evidence of a zone with 40 machines, except for noMachines.
 var (
 	allReady      = Evidence{Running: 40}
 	fewLate       = Evidence{Running: 40, Late: 14}
@@ -23,7 +23,7 @@
 	noMachines    = Evidence{}
 )
 
-// observe shows a policy evidence of zones a and b some times, each after some seconds.
+// observe passes evidence of zones a and b to a policy a number of times, advancing now by afterS seconds before each.
 func observe(p *LifecyclePolicy, now *micros.Micros, afterS float64, times int, a, b Evidence) {
 	for range times {
 		*now += micros.FromSeconds(afterS)
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -2,39 +2,40 @@
 
 import "caperlatch/internal/micros"
 
-// Durations of a step of reopening, as multiples of the least one.
+// Durations of a step of reopening, as multiples of the minimum duration.
 const (
-	// untriedStepFactor is after how many a step has succeeded if no start was sent to the zone.
-	untriedStepFactor = 2
-	// failedStepFactor is after how many a step has failed if starts were sent and none was seen,
-	// but no sooner than after failedStepHeartbeats intervals of heartbeats.
+	// stepWithoutStartsFactor is the multiple after which a step has succeeded if no start was sent to the zone.
+	stepWithoutStartsFactor = 2
+	// failedStepFactor is the multiple after which a step has failed if starts were sent and none was seen. A step does
+	// not fail sooner than after failedStepHeartbeats heartbeat intervals.
 	failedStepFactor     = 8
 	failedStepHeartbeats = 4
 )
 
-// lifecycle is the state of one zone, and what its next transition depends on. The zero value is a
-// normal zone.
+// lifecycle is the state of one zone, with the data on which its next transition depends. The zero value is a normal
+// zone.
 type lifecycle struct {
-	state         State
-	reason        Reason
-	since         micros.Micros // start of the state or step
-	step          int           // of Reopening, from 0
-	flaps         int           // full disruptions that are not forgotten
-	normalSince   micros.Micros // when it became normal after a full disruption, 0 if it never did
-	holdDownUntil micros.Micros // when a hold-down may end
-	keepSilent    bool          // its silent machines are kept: the disruption is of a large part of the fleet
-
-	disruptedSince  micros.Micros // since when a full disruption is evident, 0 if it is not
-	observerAtFault bool          // the evidence is of the observer, not of the zone
-	stepStart       counters      // as the state or step began
+	state                State
+	reason               Reason
+	since                micros.Micros // when the state or step began
+	step                 int           // of Reopening, from 0
+	flaps                int           // number of full disruptions that still count
+	normalSince          micros.Micros // when the zone became normal after a full disruption; 0 if it never did
+	holdDownUntil        micros.Micros // when the hold-down may end
+	retainSilentMachines bool          // because the disruption affects a large part of the fleet
+
+	disruptedSince  micros.Micros // since when the evidence shows a full disruption; 0 if it does not
+	observerAtFault bool          // the fault is more likely the observer's than the zone's
+	countersAtStart counters      // counters when the state or step began
 }
 
-// counters are those of Evidence that only grow.
+// counters holds the fields of Evidence that only grow.
 type counters struct{ relapses, startsSent, startsSeen int }
 
+// counters returns the fields of the evidence that only grow.
 func (e Evidence) counters() counters { return counters{e.Relapses, e.StartsSent, e.StartsSeen} }
 
-// next is the only transition function: the lifecycle after one observation.
+// next returns the lifecycle after one observation. It is the only transition function.
 func (z lifecycle) next(c *Config, e Evidence, observerAtFault bool, now micros.Micros) lifecycle {
 	z.observerAtFault = observerAtFault
 	z = z.trackFullDisruption(c, e, now)
@@ -54,7 +55,7 @@
 	return z
 }
 
-// trackFullDisruption keeps since when a full disruption is evident.
+// trackFullDisruption updates the time since which the evidence shows a full disruption.
 func (z lifecycle) trackFullDisruption(c *Config, e Evidence, now micros.Micros) lifecycle {
 	switch {
 	case !c.isFullyDisrupted(e):
@@ -65,17 +66,18 @@
 	return z
 }
 
-// isConfirmed reports whether a full disruption has been evident for long enough, and the observer
-// can be trusted.
+// isConfirmed reports whether the evidence has shown a full disruption for ConfirmationTime, and the observer is not
+// at fault.
 func (z lifecycle) isConfirmed(c *Config, now micros.Micros) bool {
 	return z.disruptedSince != 0 && now-z.disruptedSince >= c.ConfirmationTime && !z.observerAtFault
 }
 
-// nextFromPartialDisruption: it is over, or confirmed to be a full one, unless the observer is at
-// fault.
+// nextFromPartialDisruption returns the lifecycle after an observation of a partially disrupted zone. The zone becomes
+// normal once most heartbeats arrive, and fully disrupted once a full disruption is confirmed. While the observer is at
+// fault, a full disruption cannot be confirmed. The zone is held down once no machine is left there.
 func (z lifecycle) nextFromPartialDisruption(c *Config, e Evidence, now micros.Micros) lifecycle {
 	switch {
-	case e.Running == 0: // all were terminated one by one
+	case e.Running == 0: // all machines were terminated one by one
 		return z.enterHeldDown(c, ReasonNoMachines, e, now)
 	case c.isNormal(e):
 		return z.enter(Normal, ReasonHeartbeatsArrive, e, now)
@@ -87,7 +89,8 @@
 	return z
 }
 
-// nextFromFullDisruption: it is over when enough machines have recovered, or none is left that could.
+// nextFromFullDisruption returns the lifecycle after an observation of a fully disrupted zone. The disruption is over
+// when enough machines have recovered, or when no machine is left that could recover.
 func (z lifecycle) nextFromFullDisruption(c *Config, e Evidence, now micros.Micros) lifecycle {
 	reason := ReasonHeartbeatsResumed
 	switch {
@@ -99,7 +102,8 @@
 	return z.enterHeldDown(c, reason, e, now)
 }
 
-// nextFromHeldDown: the zone reopens after the hold-down, unless it is disrupted again.
+// nextFromHeldDown returns the lifecycle after an observation of a held-down zone. The zone reopens after the hold-down,
+// unless it is disrupted again.
 func (z lifecycle) nextFromHeldDown(c *Config, e Evidence, now micros.Micros) lifecycle {
 	switch {
 	case z.isConfirmed(c, now):
@@ -110,33 +114,34 @@
 	return z
 }
 
-// nextFromReopening: a step that succeeds leads to the next one, and after the last the zone is
-// normal; one that fails is undone.
+// nextFromReopening returns the lifecycle after an observation of a reopening zone. A step that succeeds leads to the
+// next one, and the last one to the normal state. A step that fails is undone.
 func (z lifecycle) nextFromReopening(c *Config, e Evidence, now micros.Micros) lifecycle {
 	if e.Running == 0 {
-		z.since = now // nothing can be tried before a machine runs there
+		z.since = now // the step cannot be evaluated before a machine runs in the zone
 		return z
 	}
 	stepTime := now - z.since
-	tried, arrived := e.StartsSent > z.stepStart.startsSent, e.StartsSeen > z.stepStart.startsSeen
+	tried, arrived := e.StartsSent > z.countersAtStart.startsSent, e.StartsSeen > z.countersAtStart.startsSeen
 	switch {
 	case z.isConfirmed(c, now):
 		return z.enterFullDisruption(c, e, now)
-	case float64(e.Relapses-z.stepStart.relapses) > c.MaxRelapseShare*float64(e.Running):
+	case float64(e.Relapses-z.countersAtStart.relapses) > c.MaxRelapseShare*float64(e.Running):
 		return z.undoStep(c, ReasonRelapse, e, now)
 	case tried && !arrived && stepTime >= max(failedStepFactor*c.MinStepTime, failedStepHeartbeats*c.HeartbeatInterval):
 		return z.undoStep(c, ReasonStartsFailed, e, now)
-	case stepTime < c.MinStepTime || tried && !arrived || !tried && stepTime < untriedStepFactor*c.MinStepTime:
+	case stepTime < c.MinStepTime || tried && !arrived || !tried && stepTime < stepWithoutStartsFactor*c.MinStepTime:
 		return z
 	case z.step+1 < len(c.OpenShares):
 		return z.enterStep(z.step+1, ReasonStepSucceeded, e, now)
 	}
 	z = z.enter(Normal, ReasonFullyOpen, e, now)
-	z.normalSince, z.keepSilent = now, false
+	z.normalSince, z.retainSilentMachines = now, false
 	return z
 }
 
-// undoStep goes back from a step that failed: to the one before, or to a hold-down.
+// undoStep returns the lifecycle after a failed step, which is in the previous step, or in a hold-down if the first step
+// failed.
 func (z lifecycle) undoStep(c *Config, reason Reason, e Evidence, now micros.Micros) lifecycle {
 	if z.step > 0 {
 		return z.enterStep(z.step-1, reason, e, now)
@@ -144,15 +149,15 @@
 	return z.enterHeldDown(c, reason, e, now)
 }
 
-// enterHeldDown starts a hold-down: heartbeats must arrive for a while before the zone is used.
+// enterHeldDown starts a hold-down, during which heartbeats must arrive before the zone is used again.
 func (z lifecycle) enterHeldDown(c *Config, reason Reason, e Evidence, now micros.Micros) lifecycle {
 	z = z.enter(HeldDown, reason, e, now)
 	z.holdDownUntil = now + c.holdDownAfter(z.flaps)
 	return z
 }
 
-// enterFullDisruption counts the disruption as a flap. Some earlier ones are forgotten for the time
-// that the zone was normal.
+// enterFullDisruption enters the state FullDisruption and counts the disruption as a flap. For each FlapExpiry since
+// the zone became normal, one earlier flap no longer counts.
 func (z lifecycle) enterFullDisruption(c *Config, e Evidence, now micros.Micros) lifecycle {
 	if z.state == PartialDisruption && z.normalSince != 0 {
 		z.flaps -= min(z.flaps, int((now-z.normalSince)/c.FlapExpiry))
@@ -161,10 +166,10 @@
 	return z.enter(FullDisruption, ReasonMostSilent, e, now)
 }
 
-// enter enters a state.
+// enter enters a state, at its first step.
 func (z lifecycle) enter(s State, reason Reason, e Evidence, now micros.Micros) lifecycle {
 	z.state, z.reason, z.since, z.step = s, reason, now, 0
-	z.stepStart = e.counters()
+	z.countersAtStart = e.counters()
 	return z
 }
 
--- a/internal/zone/lifecycle_policy.go
+++ b/internal/zone/lifecycle_policy.go
@@ -8,20 +8,20 @@
 	"caperlatch/internal/micros"
 )
 
-// LifecyclePolicy is the policy with a lifecycle for each zone: work leaves a fully disrupted zone,
-// and comes back in steps. It owns the lifecycles; its caller serializes calls.
+// LifecyclePolicy is the policy that tracks a lifecycle for each zone: jobs are moved out of a fully disrupted zone,
+// and return in steps. It owns the lifecycles. The caller must serialize calls.
 type LifecyclePolicy struct {
 	config        Config
 	zones         map[string]lifecycle
 	evidence      map[string]Evidence
 	massOutage    bool // see isMassOutage
-	evacuating    bool // work moves out of some zone, or may not move back yet
-	anyNormalZone bool // there is a zone to move to
+	evacuating    bool // jobs move out of some zone, or may not move back yet
+	anyNormalZone bool // there is a normal zone to which jobs can move
 }
 
 var _ Policy = (*LifecyclePolicy)(nil)
 
-// NewLifecyclePolicy makes the policy for a checked configuration.
+// NewLifecyclePolicy returns a LifecyclePolicy for a configuration that Config.Check has accepted.
 func NewLifecyclePolicy(c Config) *LifecyclePolicy {
 	return &LifecyclePolicy{config: c, zones: map[string]lifecycle{}, evidence: map[string]Evidence{}, anyNormalZone: true}
 }
@@ -30,7 +30,7 @@
 func (p *LifecyclePolicy) Observe(now micros.Micros, o Observation) (changes []Transition) {
 	p.massOutage = isMassOutage(o)
 	p.evidence = o.Zones
-	// Unless a zone is evidence against it, the observer is taken to be at fault.
+	// If no zone looks normal, the observer itself is assumed to be at fault.
 	atFault := o.ObserverIsolated || !p.hasNormalZone()
 	p.evacuating = false
 	for _, name := range zoneNames(o, p.zones) {
@@ -40,7 +40,7 @@
 			after = lifecycle{}
 		}
 		if after.state == FullDisruption && before.state != FullDisruption {
-			after.keepSilent = p.massOutage || before.keepSilent
+			after.retainSilentMachines = p.massOutage || before.retainSilentMachines
 		}
 		p.zones[name] = after
 		p.evacuating = p.evacuating || after.state.isEvacuating()
@@ -52,7 +52,7 @@
 	return changes
 }
 
-// transition describes a change of a zone.
+// transition returns the description of a change of a zone's lifecycle.
 func transition(name string, before, after lifecycle, e Evidence) Transition {
 	t := Transition{Zone: name, From: before.state, To: after.state, Reason: after.reason, Evidence: e}
 	if after.state == Reopening {
@@ -61,8 +61,8 @@
 	return t
 }
 
-// hasNormalZone reports whether there is a zone that is neither fully disrupted, nor on the way back,
-// nor looks disrupted. One with too few machines for evidence of a disruption counts all the same.
+// hasNormalZone reports whether there is a zone that is neither fully disrupted, nor held down, nor reopening, and whose
+// evidence does not look disrupted. A zone with too few machines for evidence of a disruption counts as well.
 func (p *LifecyclePolicy) hasNormalZone() bool {
 	for name, e := range p.evidence {
 		if e.Running > 0 && !p.zones[name].state.isEvacuating() && float64(e.notReady()) <= p.config.PartialDisruptionShare*float64(e.Running) {
@@ -72,21 +72,21 @@
 	return false
 }
 
-// zoneNames lists the zones of an observation and those known before, in order.
+// zoneNames returns the names of the zones in an observation and of those known before, sorted.
 func zoneNames[T any](o Observation, known map[string]T) []string {
 	all := slices.AppendSeq(slices.Collect(maps.Keys(o.Zones)), maps.Keys(known))
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// minLaunchShare is the open share of a reopening zone from which on machines are launched there.
-// Sooner, the same machines of a zone that flaps would be replaced twice: elsewhere, and in itself.
+// minLaunchShare is the open share at which machines are again launched in a reopening zone. At a lower share, machines
+// of a zone that flaps would be replaced twice: in another zone, and in the zone itself.
 const minLaunchShare = 0.5
 
 // Decide implements Policy.
 func (p *LifecyclePolicy) Decide(name string) Decision {
 	z := p.zones[name]
-	d := Decision{MaxMachines: Unlimited, Reachable: true, RetainSilentMachines: p.massOutage || z.state == PartialDisruption || z.keepSilent, OpenShare: 1}
+	d := Decision{MaxMachines: Unlimited, Reachable: true, RetainSilentMachines: p.massOutage || z.state == PartialDisruption || z.retainSilentMachines, OpenShare: 1}
 	switch z.state {
 	case PartialDisruption:
 		d.MaxMachines, d.Reachable = 0, z.disruptedSince == 0
@@ -101,18 +101,18 @@
 		d.OpenShare, d.ReplacementShare = p.config.OpenShares[z.step], p.config.ReplacementShare
 		switch {
 		case p.evidence[name].Running == 0:
-			d.MaxMachines = p.config.MinMachines // whose heartbeats show whether the zone has recovered
+			d.MaxMachines = p.config.MinMachines // their heartbeats show whether the zone has recovered
 		case d.OpenShare < minLaunchShare:
 			d.MaxMachines = 0
 		}
 	}
 	if !p.anyNormalZone {
-		d.OpenShare = 1 // the machines that are heard there are all that is left
+		d.OpenShare = 1 // the reachable machines of disrupted zones are the only capacity left
 	}
 	return d
 }
 
-// EvacuationRank implements Policy: urgent work first, then the classes in the operators' order.
+// EvacuationRank implements Policy. Urgent jobs come first, then the classes in the order of Config.EvacuationOrder.
 func (p *LifecyclePolicy) EvacuationRank(class string, urgent bool) int {
 	switch {
 	case !p.evacuating:
--- a/internal/zone/lifecycle_test.go
+++ b/internal/zone/lifecycle_test.go
@@ -6,7 +6,7 @@
 	"caperlatch/internal/micros"
 )
 
-// observedStep is an observation after some seconds, and what follows from it.
+// observedStep is an observation after a number of seconds, with the lifecycle that is expected after it.
 type observedStep struct {
 	afterS float64
 	e      Evidence
@@ -15,7 +15,7 @@
 	reason Reason
 }
 
-// TestLifecycleTransitions goes through the transitions of one zone beside a normal one.
+// TestLifecycleTransitions checks the transitions of the lifecycle of one zone while another zone is normal.
 func TestLifecycleTransitions(t *testing.T) {
 	disrupted := []observedStep{{1, mostSilent, PartialDisruption, 0, ReasonHeartbeatsLate}, {1, mostSilent, PartialDisruption, 0, ReasonHeartbeatsLate}, {1, mostSilent, FullDisruption, 0, ReasonMostSilent}}
 	heldDown := append(disrupted[:3:3], observedStep{9, allRecovered, HeldDown, 0, ReasonHeartbeatsResumed})
@@ -25,19 +25,19 @@
 		steps []observedStep
 	}{
 		{"all machines ready", []observedStep{{1, allReady, Normal, 0, ""}, {1, fewLate, Normal, 0, ""}}},
-		{"late, and normal only when most heartbeats arrive", []observedStep{{1, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}, {9, fewLate, PartialDisruption, 0, ReasonHeartbeatsLate},
+		{"late, normal only once most heartbeats arrive", []observedStep{{1, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}, {9, fewLate, PartialDisruption, 0, ReasonHeartbeatsLate},
 			{9, Evidence{Running: 40, Late: 10}, Normal, 0, ReasonHeartbeatsArrive}}},
-		{"late for long is no full disruption", []observedStep{{1, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}, {99, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}}},
-		{"silent for a short time is no full disruption", []observedStep{{1, mostSilent, PartialDisruption, 0, ReasonHeartbeatsLate}, {1, fewLate, PartialDisruption, 0, ReasonHeartbeatsLate},
+		{"machines late for 99 s are no full disruption", []observedStep{{1, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}, {99, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}}},
+		{"machines silent for a short time are no full disruption", []observedStep{{1, mostSilent, PartialDisruption, 0, ReasonHeartbeatsLate}, {1, fewLate, PartialDisruption, 0, ReasonHeartbeatsLate},
 			{1, mostSilent, PartialDisruption, 0, ReasonHeartbeatsLate}, {1, mostSilent, PartialDisruption, 0, ReasonHeartbeatsLate}, {1, mostSilent, FullDisruption, 0, ReasonMostSilent}}},
 		{"too few machines for evidence", []observedStep{{1, Evidence{Running: 2, Silent: 2}, Normal, 0, ""}}},
 		{"quarantined machines are no disruption", []observedStep{{1, Evidence{Running: 40, Quarantined: 40}, Normal, 0, ""}}},
-		{"fully disrupted until half has recovered", append(disrupted[:3:3], observedStep{9, allReady, FullDisruption, 0, ReasonMostSilent},
+		{"fully disrupted until half of the machines have recovered", append(disrupted[:3:3], observedStep{9, allReady, FullDisruption, 0, ReasonMostSilent},
 			observedStep{1, Evidence{Running: 40, Silent: 21, Recovered: 19}, FullDisruption, 0, ReasonMostSilent}, observedStep{1, halfRecovered, HeldDown, 0, ReasonHeartbeatsResumed})},
 		{"no machine left", append(disrupted[:3:3], observedStep{60, noMachines, HeldDown, 0, ReasonNoMachines}, observedStep{5, noMachines, Reopening, 0, ReasonHoldDownOver},
 			observedStep{99, noMachines, Reopening, 0, ReasonHoldDownOver}, observedStep{1, Evidence{Running: 3, Recovered: 3}, Reopening, 0, ReasonHoldDownOver},
 			observedStep{7, Evidence{Running: 3, Recovered: 3}, Reopening, 1, ReasonStepSucceeded})},
-		{"no machine left of a partial disruption", []observedStep{{1, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}, {9, noMachines, HeldDown, 0, ReasonNoMachines}}},
+		{"no machine left in a partially disrupted zone", []observedStep{{1, mostLate, PartialDisruption, 0, ReasonHeartbeatsLate}, {9, noMachines, HeldDown, 0, ReasonNoMachines}}},
 		{"held down", append(heldDown[:4:4], observedStep{4.9, allRecovered, HeldDown, 0, ReasonHeartbeatsResumed}, observedStep{0.1, allRecovered, Reopening, 0, ReasonHoldDownOver})},
 		{"held down for longer after a flap", append(heldDown[:4:4], observedStep{1, mostSilent, HeldDown, 0, ReasonHeartbeatsResumed}, observedStep{2, mostSilent, FullDisruption, 0, ReasonMostSilent},
 			observedStep{1, allRecovered, HeldDown, 0, ReasonHeartbeatsResumed}, observedStep{9, allRecovered, HeldDown, 0, ReasonHeartbeatsResumed}, observedStep{1, allRecovered, Reopening, 0, ReasonHoldDownOver})},
@@ -46,13 +46,13 @@
 			observedStep{4, Evidence{Running: 40, Recovered: 40, StartsSent: 30, StartsSeen: 29}, Reopening, 3, ReasonStepSucceeded},
 			observedStep{4, Evidence{Running: 40, Recovered: 40, StartsSent: 40, StartsSeen: 39}, Normal, 0, ReasonFullyOpen})},
 		{"a step without starts takes longer", append(reopening[:5:5], observedStep{7.9, allRecovered, Reopening, 0, ReasonHoldDownOver}, observedStep{0.1, allRecovered, Reopening, 1, ReasonStepSucceeded})},
-		{"starts that do not arrive delay a step, and undo it", append(reopening[:5:5], observedStep{4, startsArrive, Reopening, 1, ReasonStepSucceeded},
+		{"starts that are not seen delay a step, then undo it", append(reopening[:5:5], observedStep{4, startsArrive, Reopening, 1, ReasonStepSucceeded},
 			observedStep{31.9, Evidence{Running: 40, Recovered: 40, StartsSent: 18, StartsSeen: 8}, Reopening, 1, ReasonStepSucceeded},
 			observedStep{0.1, Evidence{Running: 40, Recovered: 40, StartsSent: 18, StartsSeen: 8}, Reopening, 0, ReasonStartsFailed})},
-		{"the first step undone is a hold-down", append(reopening[:5:5], observedStep{32, startsLost, HeldDown, 0, ReasonStartsFailed})},
-		{"machines fall silent again", append(reopening[:5:5], observedStep{4, startsArrive, Reopening, 1, ReasonStepSucceeded}, observedStep{1, fewRelapsed, Reopening, 0, ReasonRelapse},
+		{"first step undone by a hold-down", append(reopening[:5:5], observedStep{32, startsLost, HeldDown, 0, ReasonStartsFailed})},
+		{"machines that fall silent again undo a step", append(reopening[:5:5], observedStep{4, startsArrive, Reopening, 1, ReasonStepSucceeded}, observedStep{1, fewRelapsed, Reopening, 0, ReasonRelapse},
 			observedStep{1, fewRelapsed, Reopening, 0, ReasonRelapse})},
-		{"fully disrupted in a step", append(reopening[:5:5], observedStep{1, mostSilent, Reopening, 0, ReasonHoldDownOver}, observedStep{2, mostSilent, FullDisruption, 0, ReasonMostSilent})},
+		{"full disruption during a step", append(reopening[:5:5], observedStep{1, mostSilent, Reopening, 0, ReasonHoldDownOver}, observedStep{2, mostSilent, FullDisruption, 0, ReasonMostSilent})},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 				now += micros.FromSeconds(s.afterS)
 				p.Observe(now, Observation{Zones: map[string]Evidence{"a": s.e, "b": allReady}})
 				if z := p.zones["a"]; z.state != s.state || z.step != s.step || z.reason != s.reason {
-					t.Fatalf("observation %d: %v, step %d, %q; want %v, %d, %q", i, z.state, z.step, z.reason, s.state, s.step, s.reason)
+					t.Fatalf("observation %d: state %v, step %d, reason %q; want %v, %d, %q", i, z.state, z.step, z.reason, s.state, s.step, s.reason)
 				}
 			}
 		})
--- a/internal/zone/record.go
+++ b/internal/zone/record.go
@@ -2,18 +2,18 @@
 
 import "caperlatch/internal/micros"
 
-// RecordVersion is the version of records. Others are not read.
+// RecordVersion is the version of records. Records of other versions are ignored.
 const RecordVersion = 1
 
-// Record is what a next leader continues from, so that a failover starts neither an evacuation nor a
-// reopening again. No proof depends on it: without it all is derived anew.
+// Record is the stored state from which the next leader continues, so that a failover does not restart an evacuation or
+// a reopening. No proof depends on it: without a record, the next leader derives all states anew.
 type Record struct {
 	Version int                     `json:"version"`
 	Zones   map[string]RecordedZone `json:"zones"`
 }
 
-// RecordedZone is the stored lifecycle of a zone that is not normal, or was not lately. Times are of
-// day.
+// RecordedZone is the stored lifecycle of a zone that is not normal, or that has been fully disrupted before. Times are
+// wall-clock times.
 type RecordedZone struct {
 	State                State         `json:"state"`
 	Reason               Reason        `json:"reason"`
@@ -25,8 +25,8 @@
 	NormalSince          micros.Micros `json:"calm,omitempty"`
 }
 
-// maxRecordAge is how old a stored state may be. By then a zone has long been disrupted again, or has
-// recovered without this policy.
+// maxRecordAge is the maximum age of a stored state. An older one is of no use: the zone has been disrupted again, or
+// has recovered without this policy.
 const maxRecordAge = 24 * 3600 * micros.Second
 
 // Record implements Policy.
@@ -49,14 +49,14 @@
 			Step:                 z.step,
 			Flaps:                z.flaps,
 			HoldDownUntil:        toWall(z.holdDownUntil),
-			RetainSilentMachines: z.keepSilent,
+			RetainSilentMachines: z.retainSilentMachines,
 			NormalSince:          toWall(z.normalSince),
 		}
 	}
 	return r
 }
 
-// Restore implements Policy. Invalid and old states are left out, zone by zone.
+// Restore implements Policy. It skips the zones whose stored states are invalid or too old.
 func (p *LifecyclePolicy) Restore(r *Record, now, wall micros.Micros) {
 	if r == nil || r.Version != RecordVersion {
 		return
@@ -69,8 +69,8 @@
 	}
 }
 
-// restore is the lifecycle that continues a stored one; ok is false if it is invalid or too old. The
-// evidence is gathered anew: its counters start at 0 with the term.
+// restore returns the lifecycle that continues a stored one. ok is false if the stored one is invalid or too old. The
+// counters of the evidence are not restored, because they start at 0 in each term.
 func (s RecordedZone) restore(c *Config, now, wall micros.Micros) (z lifecycle, ok bool) {
 	if s.State < Normal || s.State > Reopening || s.Step < 0 || s.Step >= len(c.OpenShares) || s.Flaps < 0 {
 		return z, false
@@ -78,7 +78,7 @@
 	if s.State != Normal && wall-s.Since > maxRecordAge || s.State == Normal && wall-s.NormalSince > maxRecordAge {
 		return z, false
 	}
-	// Another node's clock may be ahead: what lies in the future started just now.
+	// The clock of the node that stored the record may be ahead: a time in the future counts as now.
 	toLocal := func(at micros.Micros) micros.Micros {
 		if at == 0 {
 			return 0
@@ -86,19 +86,19 @@
 		return now - max(0, wall-at)
 	}
 	z = lifecycle{
-		state:       s.State,
-		reason:      s.Reason,
-		since:       toLocal(s.Since),
-		step:        s.Step,
-		flaps:       s.Flaps,
-		keepSilent:  s.RetainSilentMachines,
-		normalSince: toLocal(s.NormalSince),
+		state:                s.State,
+		reason:               s.Reason,
+		since:                toLocal(s.Since),
+		step:                 s.Step,
+		flaps:                s.Flaps,
+		retainSilentMachines: s.RetainSilentMachines,
+		normalSince:          toLocal(s.NormalSince),
 	}
 	if s.State == HeldDown {
 		z.holdDownUntil = now + min(max(0, s.HoldDownUntil-wall), c.MaxHoldDown)
 	}
 	if s.State == Reopening {
-		z.since = now // its starts are counted anew
+		z.since = now // the starts of the step are counted anew
 	}
 	return z, true
 }
--- a/internal/zone/threshold_policy.go
+++ b/internal/zone/threshold_policy.go
@@ -3,16 +3,17 @@
 import "caperlatch/internal/micros"
 
 const (
-	// minCutOffMachines is how many machines must be cut off: fewer are no evidence.
+	// minCutOffMachines is the minimum number of machines that must be cut off, because fewer are no evidence.
 	minCutOffMachines = 3
-	// cutOffFraction: a zone is cut off if more than one in so many of its machines are.
-	cutOffFraction = 2
-	// massOutageFraction: the network is at fault if more than one in so many of all machines are.
-	massOutageFraction = 3
+	// cutOffDivisor sets the share 1/cutOffDivisor of cut-off machines above which a zone is cut off.
+	cutOffDivisor = 2
+	// massOutageDivisor sets the share 1/massOutageDivisor of cut-off machines in the fleet above which the network is
+	// taken to be at fault.
+	massOutageDivisor = 3
 )
 
-// ThresholdPolicy is the default policy: a zone in which most machines are cut off is, for as long as
-// they are. Nothing is launched there; nothing else is decided on zones.
+// ThresholdPolicy is the default policy. A zone is cut off for as long as most of its machines are. The policy prevents
+// launches in a zone that is cut off, and decides nothing else about zones.
 type ThresholdPolicy struct {
 	cutOff     map[string]bool
 	massOutage bool // see isMassOutage
@@ -20,17 +21,17 @@
 
 var _ Policy = (*ThresholdPolicy)(nil)
 
-// NewThresholdPolicy makes the default policy.
+// NewThresholdPolicy returns a ThresholdPolicy with no zone cut off.
 func NewThresholdPolicy() *ThresholdPolicy { return &ThresholdPolicy{cutOff: map[string]bool{}} }
 
 // Observe implements Policy.
 func (p *ThresholdPolicy) Observe(_ micros.Micros, o Observation) (changes []Transition) {
 	p.massOutage = isMassOutage(o)
 	for _, name := range zoneNames(o, p.cutOff) {
-		// All machines of a zone may have been terminated. Then none is left that could be heard
-		// again, and a zone that stayed cut off for it got no others as long as the term lasted.
+		// All machines of a zone may have been terminated, so that none is left whose heartbeats could show that the
+		// zone has recovered. Such a zone must not stay cut off, or it would get no machines until the end of the term.
 		e := o.Zones[name]
-		cut := e.cutOff() >= minCutOffMachines && cutOffFraction*e.cutOff() > e.Running
+		cut := e.cutOff() >= minCutOffMachines && cutOffDivisor*e.cutOff() > e.Running
 		if cut != p.cutOff[name] {
 			changes = append(changes, cutOffTransition(name, cut, e))
 		}
@@ -39,7 +40,7 @@
 	return changes
 }
 
-// cutOffTransition is the change of a zone that is cut off now, or no longer.
+// cutOffTransition returns the transition of a zone that has become cut off, or is no longer cut off.
 func cutOffTransition(name string, cut bool, e Evidence) Transition {
 	if cut {
 		return Transition{Zone: name, From: Normal, To: FullDisruption, Reason: ReasonMostSilent, Evidence: e}
@@ -47,15 +48,15 @@
 	return Transition{Zone: name, From: FullDisruption, To: Normal, Reason: ReasonHeartbeatsArrive, Evidence: e}
 }
 
-// isMassOutage reports whether so many machines are cut off that the network is more likely at fault
-// than they are: a network recovers sooner than a fleet boots.
+// isMassOutage reports whether so many machines are cut off that the network is more likely at fault than the machines.
+// Silent machines are then retained, because a network recovers sooner than a fleet boots.
 func isMassOutage(o Observation) bool {
 	cutOff, running := 0, 0
 	for _, e := range o.Zones {
 		cutOff += e.cutOff()
 		running += e.Running
 	}
-	return cutOff >= minCutOffMachines && massOutageFraction*cutOff > running
+	return cutOff >= minCutOffMachines && massOutageDivisor*cutOff > running
 }
 
 // Decide implements Policy.
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -1,13 +1,13 @@
-// Package zone decides on zones as a whole: whether one is disrupted, when it has recovered, and how
-// much of its capacity may be used on the way back.
+// Package zone decides about whole zones: whether a zone is disrupted, when it has recovered, and how much of its
+// capacity may be used while it reopens.
 //
-// It owns the states of a zone, the evidence that moves it between them, and the order in which
-// work moves to other zones. It is pure: no I/O, and time is an argument. The leader gathers the
-// evidence and carries decisions out. Nothing here proves that a task has ended: a decision orders,
-// paces and launches, and must never be what allows a start elsewhere.
+// The package owns the states of a zone, the evidence that causes transitions between them, and the order in which jobs
+// move to other zones. It is pure: it does no I/O, and time is an argument. The leader gathers the evidence and carries
+// out the decisions. No decision proves that a task has ended: decisions order and pace work and permit launches of
+// machines, but must never be what allows a task to start elsewhere.
 //
-// The states are those of Kubernetes' node lifecycle controller, with the way back from a full
-// disruption in two more. Operators see them by older words, which String gives.
+// The states are those of Kubernetes' node lifecycle controller, and two more for the recovery from a full disruption.
+// Operators see older names of the states, which String returns.
 package zone
 
 import (
@@ -16,21 +16,21 @@
 	"caperlatch/internal/micros"
 )
 
-// State is what is known of a zone. Its numbers are stored.
+// State is the state of a zone. Its numeric values are stored.
 type State int
 
-// The states of a zone, with the words that operators see.
+// The states of a zone, with the names that operators see.
 const (
-	Normal            State = iota // "healthy": all of it is used
-	PartialDisruption              // "suspected": many machines are late; capacity elsewhere is launched ahead
-	FullDisruption                 // "lost": its work moves to other zones
-	HeldDown                       // "held down": heartbeats arrive again, and must for a while before it is used
-	Reopening                      // "returning": its capacity opens in steps
+	Normal            State = iota // "healthy": all of the zone's capacity is used
+	PartialDisruption              // "suspected": many machines are late; capacity in other zones is launched ahead
+	FullDisruption                 // "lost": the zone's jobs move to other zones
+	HeldDown                       // "held down": heartbeats arrive again, and must for a while before the zone is used
+	Reopening                      // "returning": the zone's capacity opens in steps
 )
 
 var stateNames = [...]string{"healthy", "suspected", "lost", "held down", "returning"}
 
-// String is the word that operators see.
+// String returns the name that operators see.
 func (s State) String() string {
 	if s < 0 || int(s) >= len(stateNames) {
 		return "unknown"
@@ -38,13 +38,13 @@
 	return stateNames[s]
 }
 
-// isEvacuating reports whether work moves out of a zone in the state, or may not move back yet.
+// isEvacuating reports whether jobs move out of a zone in the state, or may not fully move back yet.
 func (s State) isEvacuating() bool { return s >= FullDisruption }
 
-// Reason is why a zone is in its state. Reasons are stored and shown to operators.
+// Reason is the reason why a zone is in its state. Reasons are stored and shown to operators.
 type Reason string
 
-// The reasons of transitions.
+// The reasons for transitions.
 const (
 	ReasonHeartbeatsLate    Reason = "many machines are late with their reports"
 	ReasonHeartbeatsArrive  Reason = "its machines are heard"
@@ -59,72 +59,73 @@
 	ReasonFullyOpen         Reason = "all of its capacity is open and held"
 )
 
-// Evidence is what is known of one zone's machines. Each machine counts once, in the gravest of the
-// groups; Running counts all that have come up and are not being terminated.
+// Evidence holds what is known about one zone's machines. Running counts all machines that have come up and are not
+// being terminated. Each of them is counted in at most one of Late, Silent, LostResponses, Unlisted and Quarantined,
+// the most serious that applies.
 type Evidence struct {
 	Running       int `json:"up"`
 	Late          int `json:"late"`     // heartbeat overdue, not yet silent
 	Silent        int `json:"silent"`   // no heartbeat for more than two intervals
-	LostResponses int `json:"deaf"`     // heartbeats arrive, and responses do not reach the machine
+	LostResponses int `json:"deaf"`     // heartbeats arrive, but responses do not reach the machine
 	Unlisted      int `json:"vanished"` // late, and no longer in the cloud's list
-	Quarantined   int `json:"failing"`  // taken to be at fault; no sign of a disruption
-	// Recovered counts the machines heard twice since the disruption: the second heartbeat was made
-	// after it, by a worker that had this term's token.
+	Quarantined   int `json:"failing"`  // considered faulty themselves; no sign of a zone disruption
+	// Recovered counts the machines from which two heartbeats have arrived since the disruption. The second one was
+	// made after the disruption, by a worker that had this term's token.
 	Recovered int `json:"back"`
-	// The following only grow during a term.
-	Relapses   int `json:"relapses"` // machines that had recovered and fell silent
+	// The following counters only grow during a term.
+	Relapses   int `json:"relapses"` // machines that had recovered and fell silent again
 	StartsSent int `json:"sent"`     // starts sent to the zone
-	StartsSeen int `json:"started"`  // starts that heartbeats from the zone showed
+	StartsSeen int `json:"started"`  // starts that heartbeats from the zone have shown
 }
 
-// cutOff counts the machines that heartbeats do not come from, or responses do not reach.
+// cutOff returns the number of machines whose heartbeats do not arrive, or which responses do not reach.
 func (e Evidence) cutOff() int { return e.Silent + e.LostResponses }
 
-// unreachable counts the machines that are evidence of a full disruption.
+// unreachable returns the number of machines that are evidence of a full disruption.
 func (e Evidence) unreachable() int { return e.cutOff() + e.Unlisted }
 
-// notReady counts those that are evidence of a partial disruption.
+// notReady returns the number of machines that are evidence of a partial disruption.
 func (e Evidence) notReady() int { return e.unreachable() + e.Late }
 
-// Observation is all that is known at one time.
+// Observation holds the evidence of all zones at one time.
 type Observation struct {
 	Zones            map[string]Evidence
 	ObserverIsolated bool // the observer reaches neither the state service nor most of its peers
 }
 
-// Decision is what holds for one zone.
+// Decision is the decision of a policy about one zone.
 type Decision struct {
-	MaxMachines          int     // how many machines there may be that are launched, boot or run; see Unlimited
-	Reachable            bool    // commands can be expected to arrive
-	RetainSilentMachines bool    // silent machines are kept for as long as their leases last, and once more as long
-	OpenShare            float64 // share of its machines that may start tasks which could run elsewhere
-	ReplacementShare     float64 // share of its unusable machines that do not count as supply
+	MaxMachines          int     // maximum number of machines being launched, booting or running; see Unlimited
+	Reachable            bool    // commands can be expected to arrive at the machines
+	RetainSilentMachines bool    // silent machines are retained until their leases expire, and for as long again
+	OpenShare            float64 // share of the zone's machines that may start tasks which could run elsewhere
+	ReplacementShare     float64 // share of the zone's unusable machines that do not count as supply
 }
 
-// Unlimited is no limit on machines.
+// Unlimited is the value of MaxMachines for no limit.
 const Unlimited = math.MaxInt
 
 // Transition is a change of a zone's state, step or reason.
 type Transition struct {
 	Zone     string
 	From, To State
-	Step     int // of Reopening, from 1
+	Step     int // step of Reopening, from 1
 	Reason   Reason
 	Evidence Evidence
 }
 
-// Policy decides on zones. It is not safe for concurrent use.
+// Policy decides about zones. It is not safe for concurrent use.
 type Policy interface {
-	// Observe takes over what is known now, and returns what has changed.
+	// Observe processes an observation, and returns the transitions that it causes.
 	Observe(now micros.Micros, o Observation) []Transition
-	// Decide is what holds for a zone since the last observation.
+	// Decide returns the decision for a zone according to the last observation.
 	Decide(zone string) Decision
-	// EvacuationRank is a job's place in the order in which work moves, 0 if none moves now.
+	// EvacuationRank returns a job's rank in the order in which jobs move out of zones, or 0 if no zone is evacuated.
 	EvacuationRank(class string, urgent bool) int
-	// Status describes all known zones; nil if the policy has nothing to show.
+	// Status returns the status of all known zones, or nil if the policy has nothing to show.
 	Status(now micros.Micros) []Status
-	// Record is what a next leader needs, nil if nothing is to be stored. wall is the time of day.
+	// Record returns the record for the next leader, or nil if nothing is to be stored. wall is the wall-clock time.
 	Record(now, wall micros.Micros) *Record
-	// Restore continues from a record of an earlier term.
+	// Restore restores the policy's state from a record of an earlier term.
 	Restore(r *Record, now, wall micros.Micros)
 }
