--- a/internal/peer/captured_test.go
+++ b/internal/peer/captured_test.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/zone"
 )
 
-// capturedHeartbeat, and the functions after it, return what the captured messages contain.
+// capturedHeartbeat and the functions after it return the contents that the captured messages of old versions must have.
 func capturedHeartbeat() wire.Heartbeat {
 	notice := 12.5
 	return wire.Heartbeat{MachineID: "i-000231", Address: "10.1.0.232:9000", InstanceType: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 88, FencingToken: 41,
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -10,41 +10,41 @@
 	"caperlatch/internal/wire"
 )
 
-// Dial opens a connection.
+// Dial opens a connection to addr.
 type Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-// errConnectionLost is the error of requests whose connection ended before their response came.
-var errConnectionLost = errors.New("connection lost")
+// errConnectionLost means that a request's connection ended before the response arrived.
+var errConnectionLost = errors.New("connection lost before the response arrived")
 
-// remoteError is what the peer says went wrong there.
+// remoteError is the error text with which the peer answered a request.
 type remoteError string
 
-// Error is the peer's text.
+// Error returns the error text that the peer sent.
 func (e remoteError) Error() string { return string(e) }
 
-// Client sends requests to one peer. It is safe for concurrent use: requests share a connection, and responses come
-// in any order.
+// Client sends requests to one peer. It is safe for concurrent use: requests share one connection, and responses may
+// arrive in any order.
 type Client struct {
 	addr string
 	dial Dial
 
-	mu      sync.Mutex
-	conn    net.Conn // nil: none is open
-	nextID  uint64
-	waiting map[uint64]chan Response // by request ID; a channel is closed if the connection is lost
-	writing chan struct{}            // holds one while a request is being written
+	mu             sync.Mutex
+	conn           net.Conn // nil while no connection is open
+	nextID         uint64
+	pending        map[uint64]chan Response // by request ID; closing a channel reports that the connection was lost
+	writeSemaphore chan struct{}            // holds one element while a request is being written
 
-	forwards forwardQueue
+	forwardQueue forwardQueue
 }
 
-// NewClient makes a client of the peer at addr; it connects with the first request.
+// NewClient returns a client for the peer at addr. The client connects when it sends its first request.
 func NewClient(addr string, dial Dial) *Client {
-	return &Client{addr: addr, dial: dial, waiting: map[uint64]chan Response{}, writing: make(chan struct{}, 1)}
+	return &Client{addr: addr, dial: dial, pending: map[uint64]chan Response{}, writeSemaphore: make(chan struct{}, 1)}
 }
 
-// Call sends a request and waits for its response. Its error says that there is none, or what the peer says went
-// wrong; unless the peer says so, nobody knows whether it got the request. If ctx ends first, the connection
-// is closed, and all requests that wait on it fail.
+// Call sends a request and waits for its response. It fails if no response arrives, or with the error that the peer
+// answers. Unless the peer answered, it is unknown whether the peer received the request. If ctx ends before the
+// response arrives, Call closes the connection, and all requests that are pending on it fail.
 func (c *Client) Call(ctx context.Context, request Request) (Response, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -54,15 +54,15 @@
 	c.mu.Lock()
 	c.nextID++
 	request.ID = c.nextID
-	c.waiting[request.ID] = result
+	c.pending[request.ID] = result
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.waiting, request.ID)
+		delete(c.pending, request.ID)
 		c.mu.Unlock()
 	}()
 	if err := c.send(ctx, conn, request); err != nil {
-		c.drop(conn)
+		c.closeConn(conn)
 		return Response{}, fmt.Errorf("peer %s: %w", c.addr, err)
 	}
 	select {
@@ -75,20 +75,20 @@
 		}
 		return response, nil
 	case <-ctx.Done():
-		// The path of a stream without responses may be cut; a new one shows.
-		c.drop(conn)
+		// The network path of this connection may be broken, so the next request opens a new one.
+		c.closeConn(conn)
 		return Response{}, fmt.Errorf("peer %s: %w", c.addr, ctx.Err())
 	}
 }
 
-// send writes a request; only one is written at a time.
+// send writes a request to conn, one request at a time.
 func (c *Client) send(ctx context.Context, conn net.Conn, request Request) error {
 	select {
-	case c.writing <- struct{}{}:
+	case c.writeSemaphore <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-c.writing }()
+	defer func() { <-c.writeSemaphore }()
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetWriteDeadline(deadline); err != nil {
 			return err
@@ -97,7 +97,7 @@
 	return wire.NewEncoder(conn).Encode(request)
 }
 
-// connect returns the open connection, or opens one.
+// connect returns the open connection, or opens a new one.
 func (c *Client) connect(ctx context.Context) (net.Conn, error) {
 	c.mu.Lock()
 	conn := c.conn
@@ -111,29 +111,29 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn != nil { // another caller was faster
+	if c.conn != nil { // another caller has connected meanwhile
 		conn.Close()
 		return c.conn, nil
 	}
 	c.conn = conn
-	go c.receive(conn)
+	go c.receiveResponses(conn)
 	return conn, nil
 }
 
-// receive hands out the responses that come on a connection until that fails or is closed by drop.
-func (c *Client) receive(conn net.Conn) {
-	defer c.drop(conn)
+// receiveResponses delivers the responses that arrive on conn to the pending requests until conn fails or is closed by drop.
+func (c *Client) receiveResponses(conn net.Conn) {
+	defer c.closeConn(conn)
 	limited := &limitedReader{reader: conn}
 	decoder := wire.NewDecoder(limited)
 	for {
-		limited.left = maxMessageBytes
+		limited.remaining = maxMessageBytes
 		var response Response
 		if err := decoder.Decode(&response); err != nil {
 			return
 		}
 		c.mu.Lock()
-		result := c.waiting[response.ID]
-		delete(c.waiting, response.ID)
+		result := c.pending[response.ID]
+		delete(c.pending, response.ID)
 		c.mu.Unlock()
 		if result != nil {
 			result <- response
@@ -141,8 +141,8 @@
 	}
 }
 
-// drop closes a connection and fails the requests that wait on it.
-func (c *Client) drop(conn net.Conn) {
+// closeConn closes conn and fails the requests that are pending on it.
+func (c *Client) closeConn(conn net.Conn) {
 	conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,18 +150,18 @@
 		return
 	}
 	c.conn = nil
-	for id, result := range c.waiting {
+	for id, result := range c.pending {
 		close(result)
-		delete(c.waiting, id)
+		delete(c.pending, id)
 	}
 }
 
-// Close closes the connection, if one is open; a later request opens another.
+// Close closes the connection if one is open. A later request opens a new one.
 func (c *Client) Close() {
 	c.mu.Lock()
 	conn := c.conn
 	c.mu.Unlock()
 	if conn != nil {
-		c.drop(conn)
+		c.closeConn(conn)
 	}
 }
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -21,23 +21,23 @@
 func decode[T any](t *testing.T, b wire.RawMessage) (v T) {
 	t.Helper()
 	if err := wire.Unmarshal(b, &v); err != nil {
-		t.Fatalf("%T: %v", v, err)
+		t.Fatalf("decoding into %T failed: %v", v, err)
 	}
 	return v
 }
 
-// reencode decodes a message into a layout and encodes it again.
+// reencode decodes a message into a value of type layout and encodes that value again.
 func reencode(t *testing.T, b wire.RawMessage, layout reflect.Type) wire.RawMessage {
 	t.Helper()
 	v := reflect.New(layout)
 	if err := wire.Unmarshal(b, v.Interface()); err != nil {
-		t.Fatalf("%v: %v", layout, err)
+		t.Fatalf("decoding into %v failed: %v", layout, err)
 	}
 	return encode(t, v.Interface())
 }
 
-// TestReadsOldVersions decodes the messages that were captured from earlier versions.
-func TestReadsOldVersions(t *testing.T) {
+// TestDecodesMessagesOfOldVersions checks that this version decodes the messages captured from old versions.
+func TestDecodesMessagesOfOldVersions(t *testing.T) {
 	for _, v := range oldVersions {
 		t.Run(v.name, func(t *testing.T) {
 			messages := v.messages(t)
@@ -47,27 +47,27 @@
 			}{
 				{"probe", decode[Request](t, messages["probe"]).Probe, capturedProbe()},
 				{"state", decode[Response](t, messages["state"]).NodeState, capturedNodeState(v.version)},
-				{"a forwarded heartbeat", decode[wire.Heartbeat](t, decode[Request](t, messages["relay"]).ForwardedHeartbeats[0]), capturedHeartbeat()},
-				{"its response", decode[wire.HeartbeatResponse](t, decode[Response](t, messages["relayed"]).ForwardedResponses[0].Response), capturedHeartbeatResponse()},
-				{"one without a response", decode[Response](t, messages["relayed"]).ForwardedResponses[1].Error, "not entitled"},
-				{"a request to explain", decode[Request](t, messages["explain"]).ExplainJob, "j-000412"},
-				{"its response's job", decode[Response](t, messages["explained"]).Explanation.Job, "j-000412"},
-				{"its response's reasons", decode[Response](t, messages["explained"]).Explanation.Reasons, []string{"no room"}},
-				{"a failure", decode[Response](t, messages["failed"]).Error, "not leading"},
+				{"forwarded heartbeat", decode[wire.Heartbeat](t, decode[Request](t, messages["relay"]).ForwardedHeartbeats[0]), capturedHeartbeat()},
+				{"response to a forwarded heartbeat", decode[wire.HeartbeatResponse](t, decode[Response](t, messages["relayed"]).ForwardedResponses[0].Response), capturedHeartbeatResponse()},
+				{"rejected heartbeat", decode[Response](t, messages["relayed"]).ForwardedResponses[1].Error, "not entitled"},
+				{"request to explain a job", decode[Request](t, messages["explain"]).ExplainJob, "j-000412"},
+				{"job of the explanation", decode[Response](t, messages["explained"]).Explanation.Job, "j-000412"},
+				{"reasons of the explanation", decode[Response](t, messages["explained"]).Explanation.Reasons, []string{"no room"}},
+				{"error response", decode[Response](t, messages["failed"]).Error, "not leading"},
 			}
 			for _, c := range cases {
 				if !reflect.DeepEqual(c.got, c.want) {
-					t.Errorf("%s: %+v, want %+v", c.name, c.got, c.want)
+					t.Errorf("%s: got %+v, want %+v", c.name, c.got, c.want)
 				}
 			}
 			if !v.gangs {
 				return
 			}
 			if got := decode[wire.Heartbeat](t, messages["gang report"]); !reflect.DeepEqual(got, capturedGangHeartbeat()) {
-				t.Errorf("a heartbeat with gangs: %+v", got)
+				t.Errorf("heartbeat with gangs: got %+v, want %+v", got, capturedGangHeartbeat())
 			}
 			if got := decode[wire.HeartbeatResponse](t, messages["gang answer"]); !reflect.DeepEqual(got, capturedGangResponse()) {
-				t.Errorf("its response: %+v", got)
+				t.Errorf("response to a heartbeat with gangs: got %+v, want %+v", got, capturedGangResponse())
 			}
 			if !v.zones {
 				return
@@ -76,25 +76,25 @@
 				name      string
 				got, want any
 			}{
-				{"a query of the standby", decode[Request](t, messages["standby query"]).StandbyQuery, capturedStandbyQuery()},
-				{"its response", decode[Response](t, messages["standby page"]).StandbyPage, capturedStandbyPage()},
-				{"a request for the zones", decode[Request](t, messages["zones asked"]).WantZones, true},
-				{"its response", decode[Response](t, messages["zones told"]).ZoneStatus, capturedZoneStatus()},
-				{"a membership heartbeat", decode[Request](t, messages["heartbeat"]).MembershipHeartbeat, capturedMembershipHeartbeat()},
-				{"its response", decode[Response](t, messages["heartbeat answered"]).MembershipHeartbeat, capturedMembershipHeartbeat()},
-				{"an explanation", decode[Response](t, messages["explained"]).Explanation, capturedExplanation()},
+				{"standby query", decode[Request](t, messages["standby query"]).StandbyQuery, capturedStandbyQuery()},
+				{"standby page", decode[Response](t, messages["standby page"]).StandbyPage, capturedStandbyPage()},
+				{"request for the zone status", decode[Request](t, messages["zones asked"]).WantZones, true},
+				{"zone status", decode[Response](t, messages["zones told"]).ZoneStatus, capturedZoneStatus()},
+				{"membership heartbeat", decode[Request](t, messages["heartbeat"]).MembershipHeartbeat, capturedMembershipHeartbeat()},
+				{"response to a membership heartbeat", decode[Response](t, messages["heartbeat answered"]).MembershipHeartbeat, capturedMembershipHeartbeat()},
+				{"explanation", decode[Response](t, messages["explained"]).Explanation, capturedExplanation()},
 			} {
 				if !reflect.DeepEqual(c.got, c.want) {
-					t.Errorf("%s: %+v, want %+v", c.name, c.got, c.want)
+					t.Errorf("%s: got %+v, want %+v", c.name, c.got, c.want)
 				}
 			}
 		})
 	}
 }
 
-// TestOldLayoutsAreComplete decodes what was captured from old versions into their frozen layouts. Encoded again
-// from them, nothing may be missing.
-func TestOldLayoutsAreComplete(t *testing.T) {
+// TestOldLayoutsCoverCapturedMessages checks that the frozen layouts of the old versions are complete: decoding a captured
+// message into its frozen layout and encoding it again must not lose any field.
+func TestOldLayoutsCoverCapturedMessages(t *testing.T) {
 	for _, v := range oldVersions {
 		messages := v.messages(t)
 		layouts := map[string]reflect.Type{"probe": v.layouts.request, "relay": v.layouts.request, "explain": v.layouts.request,
@@ -106,33 +106,34 @@
 		}
 		for name, message := range messages {
 			layout, ok := layouts[name]
-			if !ok && name != "explained" { // of which the frozen layouts of the first versions have a part
-				t.Errorf("%s: no layout of %q", v.name, name)
+			if !ok && name != "explained" { // the first versions' frozen layouts contain only a part of it
+				t.Errorf("version %s: no frozen layout for message %q", v.name, name)
 			}
 			if !ok {
 				continue
 			}
 			if got, want := decode[any](t, reencode(t, message, layout)), decode[any](t, message); !reflect.DeepEqual(got, want) {
-				t.Errorf("%s, %s: the frozen layout holds %+v of %+v", v.name, name, got, want)
+				t.Errorf("version %s, message %s: reencoded from the frozen layout, got %+v, want %+v", v.name, name, got, want)
 			}
 		}
 	}
 }
 
-// noteSetFields notes for all fields within a message whether one of the same type and name is set.
-func noteSetFields(v reflect.Value, set map[string]bool) {
+// recordSetFields records in set, by type and name of each field within a message, whether at least one occurrence of the
+// field is not zero.
+func recordSetFields(v reflect.Value, set map[string]bool) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			noteSetFields(v.Elem(), set)
+			recordSetFields(v.Elem(), set)
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			noteSetFields(v.Index(i), set)
+			recordSetFields(v.Index(i), set)
 		}
 	case reflect.Struct:
 		if _, stored := v.Interface().(replica.Job); stored {
-			return // as the frozen layouts of what is stored have it
+			return // the frozen layouts of the stored data cover it
 		}
 		for i := range v.NumField() {
 			if v.Type().Field(i).Tag.Get("json") == "-" {
@@ -140,14 +141,15 @@
 			}
 			name := v.Type().String() + "." + v.Type().Field(i).Name
 			set[name] = set[name] || !v.Field(i).IsZero()
-			noteSetFields(v.Field(i), set)
+			recordSetFields(v.Field(i), set)
 		}
 	}
 }
 
-// TestOldVersionsReadUs decodes what this version sends, with every field set, into the frozen layout of each earlier
-// version. Encoded again by that, nothing that matters may be missing.
-func TestOldVersionsReadUs(t *testing.T) {
+// TestOldVersionsDecodeCurrentMessages checks that each old version decodes what this version sends. It decodes messages
+// with every field set into the frozen layouts and encodes them again. Only fields that the old version ignores by
+// design may be lost.
+func TestOldVersionsDecodeCurrentMessages(t *testing.T) {
 	heartbeat, heartbeatResponse := capturedHeartbeat(), capturedHeartbeatResponse()
 	grace := 10.0
 	heartbeatResponse.Commands = append(heartbeatResponse.Commands, wire.Command{Verb: wire.VerbStop, TaskID: "j-000377/1", Attempt: 1, GracePeriodS: &grace})
@@ -158,17 +160,17 @@
 		Explanation: capturedExplanation(), StandbyPage: capturedStandbyPage(), ZoneStatus: capturedZoneStatus(), MembershipHeartbeat: capturedMembershipHeartbeat()}
 	set := map[string]bool{}
 	for _, message := range []any{request, response, heartbeat, heartbeatResponse} {
-		noteSetFields(reflect.ValueOf(message), set)
+		recordSetFields(reflect.ValueOf(message), set)
 	}
 	for field, isSet := range set {
 		if !isSet {
-			t.Errorf("%s is not set here: set it, to see what earlier versions read", field)
+			t.Errorf("field %s is zero in the test messages; set it to check that old versions decode it", field)
 		}
 	}
 	for _, v := range oldVersions {
 		t.Run(v.name, func(t *testing.T) {
-			// Most versions send no membership heartbeats and know no status of zones, and the first neither follow a
-			// leader nor publish: they ignore these.
+			// Most old versions have neither membership heartbeats nor zone status, and the first ones have no standby.
+			// They ignore the fields for these.
 			wantRequest := request
 			if !v.zones {
 				wantRequest.WantZones, wantRequest.MembershipHeartbeat = false, nil
@@ -177,12 +179,12 @@
 				wantRequest.StandbyQuery = nil
 			}
 			if got := decode[Request](t, reencode(t, encode(t, request), v.layouts.request)); !reflect.DeepEqual(got, wantRequest) {
-				t.Errorf("request: %+v, want %+v", got, wantRequest)
+				t.Errorf("request: got %+v, want %+v", got, wantRequest)
 			}
 			wantResponse := response
 			if !v.zones {
 				wantResponse.ZoneStatus, wantResponse.MembershipHeartbeat = nil, nil
-				// Of what is only shown to the operators their frozen layouts have a part.
+				// Their frozen layouts contain only a part of the explanation, which is only displayed to operators.
 				e := response.Explanation
 				wantResponse.Explanation = &explain.Explanation{Job: e.Job, Member: e.Member, Tasks: e.Tasks, Reasons: e.Reasons}
 			}
@@ -190,16 +192,16 @@
 				wantResponse.StandbyPage = nil
 			}
 			if v.version == 0 {
-				wantResponse.NodeState = capturedNodeState(0) // it knows no versions, and does not pass them on
+				wantResponse.NodeState = capturedNodeState(0) // version 0 ignores the version field
 			}
 			if got := decode[Response](t, reencode(t, encode(t, response), v.layouts.response)); !reflect.DeepEqual(got, wantResponse) {
-				t.Errorf("response: %+v, want %+v", got, wantResponse)
+				t.Errorf("response: got %+v, want %+v", got, wantResponse)
 			}
 			if got := decode[wire.Heartbeat](t, reencode(t, encode(t, heartbeat), v.layouts.heartbeat)); !reflect.DeepEqual(got, heartbeat) {
-				t.Errorf("heartbeat: %+v, want %+v", got, heartbeat)
+				t.Errorf("heartbeat: got %+v, want %+v", got, heartbeat)
 			}
 			if got := decode[wire.HeartbeatResponse](t, reencode(t, encode(t, heartbeatResponse), v.layouts.heartbeatResponse)); !reflect.DeepEqual(got, heartbeatResponse) {
-				t.Errorf("heartbeat response: %+v, want %+v", got, heartbeatResponse)
+				t.Errorf("heartbeat response: got %+v, want %+v", got, heartbeatResponse)
 			}
 		})
 	}
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -11,36 +11,39 @@
 	"caperlatch/internal/wire"
 )
 
-// Heartbeats are forwarded in batches: a batch costs the leader one message and one
-// wake-up where each heartbeat costs an HTTP request. The delay is what a start may
-// wait for that; with a tenth of it nearly every heartbeat went alone.
+// Limits of forwarding. Heartbeats are forwarded in batches, because a batch costs the leader one message and one
+// wake-up, whereas each heartbeat sent directly costs an HTTP request.
 const (
-	forwardBatchDelay    = 60 * micros.Millisecond
-	maxForwardBatchBytes = 256 << 10 // of a batch, well within maxMessageBytes
-	forwardTimeout       = 2500 * micros.Millisecond
+	// forwardBatchDelay is how long heartbeats are collected for a batch. It may delay the start of a task by as much.
+	// With a tenth of it, nearly every heartbeat was sent in a batch of its own.
+	forwardBatchDelay = 60 * micros.Millisecond
+	// maxForwardBatchBytes bounds the heartbeats of a batch. It is well below maxMessageBytes.
+	maxForwardBatchBytes = 256 << 10
+	// forwardTimeout is how long a batch waits for its responses.
+	forwardTimeout = 2500 * micros.Millisecond
 )
 
-// ErrRejected says that the peer has got a heartbeat and does not respond to it.
+// ErrRejected means that the peer received a forwarded heartbeat and refused to respond to it.
 var ErrRejected = errors.New("refused")
 
-// errNoResponse says that a batch failed or that its response is short.
-var errNoResponse = errors.New("no answer")
+// errNoResponse means that a batch failed, or that the peer's response contains fewer entries than the batch.
+var errNoResponse = errors.New("no response to forwarded heartbeat")
 
-// pendingHeartbeat is a heartbeat that waits for its response.
+// pendingHeartbeat is a heartbeat whose response has not arrived yet.
 type pendingHeartbeat struct {
 	heartbeat wire.RawMessage
-	result    chan ForwardedResponse // gets one; the zero value if nothing came from the peer
+	result    chan ForwardedResponse // receives one value, which is zero if the peer sent no response
 }
 
-// forwardQueue is the heartbeats that are to go into the next batches, oldest first.
+// forwardQueue holds the heartbeats that wait to be sent in a batch, oldest first.
 type forwardQueue struct {
-	mu      sync.Mutex
-	pending []*pendingHeartbeat
-	running bool // a goroutine sends batches
+	mu            sync.Mutex
+	pending       []*pendingHeartbeat
+	senderRunning bool // a goroutine sends batches
 }
 
-// takeBatch removes the heartbeats of the next batch: at least one, and no more than fit. If none waits, it notes that
-// no goroutine sends batches any more.
+// takeBatch removes and returns the heartbeats of the next batch: as many as fit into maxForwardBatchBytes, but at least
+// one. If the queue is empty, it records that no goroutine sends batches any more, and returns nil.
 func (q *forwardQueue) takeBatch() []*pendingHeartbeat {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -50,7 +53,7 @@
 		count++
 	}
 	if count == 0 {
-		q.running = false
+		q.senderRunning = false
 		return nil
 	}
 	batch := slices.Clone(q.pending[:count])
@@ -58,17 +61,17 @@
 	return batch
 }
 
-// ForwardHeartbeat has the peer respond to a worker's heartbeat. After an error other than
-// ErrRejected nobody knows whether the peer has seen it.
+// ForwardHeartbeat forwards a worker's encoded heartbeat to the peer and returns the encoded response. After an error
+// other than ErrRejected, it is unknown whether the peer has processed the heartbeat.
 func (c *Client) ForwardHeartbeat(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	pending := &pendingHeartbeat{heartbeat, make(chan ForwardedResponse, 1)}
-	c.forwards.mu.Lock()
-	c.forwards.pending = append(c.forwards.pending, pending)
-	if !c.forwards.running {
-		c.forwards.running = true
+	c.forwardQueue.mu.Lock()
+	c.forwardQueue.pending = append(c.forwardQueue.pending, pending)
+	if !c.forwardQueue.senderRunning {
+		c.forwardQueue.senderRunning = true
 		go c.forwardBatches()
 	}
-	c.forwards.mu.Unlock()
+	c.forwardQueue.mu.Unlock()
 	select {
 	case response := <-pending.result:
 		switch {
@@ -83,12 +86,12 @@
 	}
 }
 
-// forwardBatches sends batches until no heartbeat waits. Batches do not wait for each other's responses. Nobody waits
-// for it or for what it starts: each ends by itself, within forwardTimeout after its last batch.
+// forwardBatches sends batches until the queue is empty. Batches do not wait for each other's responses. No caller waits
+// for this goroutine or for those that it starts: all end by themselves, within forwardTimeout after the last batch.
 func (c *Client) forwardBatches() {
 	for {
 		micros.Pause(context.Background(), forwardBatchDelay)
-		batch := c.forwards.takeBatch()
+		batch := c.forwardQueue.takeBatch()
 		if batch == nil {
 			return
 		}
@@ -96,7 +99,7 @@
 	}
 }
 
-// forwardBatch sends one batch and hands out the responses.
+// forwardBatch sends one batch and delivers the responses to the waiting callers.
 func (c *Client) forwardBatch(batch []*pendingHeartbeat) {
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout.Duration())
 	defer cancel()
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -7,7 +7,7 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values are sent between nodes, or say which versions serve.
+// encodedTypes are the types that nodes send to each other, and those that report the versions of the nodes.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[Request]("a request"),
 	golden.TypeOf[Response]("a response"),
@@ -18,10 +18,10 @@
 	golden.TypeOf[MemberVersion]("the version of a peer"),
 }
 
-// TestEncoded compares their encodings with the golden file.
+// TestEncoded compares the encodings of encodedTypes with the golden file.
 func TestEncoded(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags requires a tag of each of their fields.
+// TestEncodedTags checks that every field of encodedTypes has a tag.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -9,10 +9,9 @@
 	"caperlatch/internal/wire"
 )
 
-// The messages between nodes, and those of workers that nodes forward, as earlier versions
-// have them, frozen: not to be changed along with the code. A type is named after the
-// first version that has it; those after it share it until one differs, which then gets
-// a type of its own.
+// These types are frozen copies of the message layouts of old versions: the messages between nodes, and the workers'
+// messages that nodes forward. They must not change when the code changes. Each type is named after the first version
+// with this layout. Later versions share it until one differs, which then has its own type.
 type (
 	v3a714abRequest struct {
 		ID      uint64            `json:"id"`
@@ -56,7 +55,7 @@
 		Explain *v3a714abExplanation `json:"explain,omitempty"`
 		Error   string               `json:"error,omitempty"`
 	}
-	// It sends its version.
+	// v5fd93d5State is the first layout with a version.
 	v5fd93d5State struct {
 		Loaded     bool                   `json:"loaded"`
 		Token      uint64                 `json:"token"`
@@ -76,7 +75,8 @@
 		Explain *v3a714abExplanation `json:"explain,omitempty"`
 		Error   string               `json:"error,omitempty"`
 	}
-	// What the warm standby sends is kept undecoded: it has a version of its own.
+	// vd052fb0Request and vd052fb0Response keep the messages of the warm standby undecoded, because those have their
+	// own version number.
 	vd052fb0Request struct {
 		ID      uint64            `json:"id"`
 		Probe   *v3a714abProbe    `json:"probe,omitempty"`
@@ -92,7 +92,8 @@
 		Standby wire.RawMessage      `json:"standby,omitempty"`
 		Error   string               `json:"error,omitempty"`
 	}
-	// What the warm standby, the policy on zones and the members send, and explanations, all complete.
+	// v01da0cfRequest, v01da0cfResponse and the types after them contain every field of the warm standby, the zone status,
+	// the membership heartbeats and the explanations.
 	v01da0cfRequest struct {
 		ID        uint64                `json:"id"`
 		Probe     *v3a714abProbe        `json:"probe,omitempty"`
@@ -268,7 +269,7 @@
 		Answer wire.RawMessage `json:"answer,omitempty"`
 		Error  string          `json:"error,omitempty"`
 	}
-	// Of what is only shown to the operators, the part that matters most.
+	// v3a714abExplanation contains only the most important fields, because explanations are only displayed to operators.
 	v3a714abExplanation struct {
 		Job   string   `json:"job"`
 		By    string   `json:"by"`
@@ -304,20 +305,21 @@
 	}
 )
 
-// oldVersion is an earlier version that may serve beside this one.
+// oldVersion is an old version that may run beside this one.
 type oldVersion struct {
-	name    string // its directory in testdata/versions
-	version int    // that it sends as its own
-	gangs   bool   // it runs gangs
-	standby bool   // it has the warm standby
-	zones   bool   // it answers for zones, sends membership heartbeats, and its layouts are complete
+	name    string // its commit, and its directory in testdata/versions
+	version int    // the version number that it sends
+	gangs   bool   // it supports gangs
+	standby bool   // it supports the warm standby
+	zones   bool   // it reports zone status and sends membership heartbeats, and its frozen layouts are complete
 	layouts layouts
 }
 
 // layouts are the frozen types of a version's messages.
 type layouts struct{ request, response, heartbeat, heartbeatResponse reflect.Type }
 
-// layoutsOf are layouts of a version whose workers' messages are those of 3a714ab, as all are.
+// layoutsOf returns the layouts of a version with the given messages between nodes. All old versions share the workers'
+// messages of 3a714ab.
 func layoutsOf[Request, Response any]() layouts {
 	return layouts{
 		request:           reflect.TypeFor[Request](),
@@ -329,19 +331,18 @@
 
 var oldVersions = []oldVersion{
 	{name: "3a714ab", version: 0, layouts: layoutsOf[v3a714abRequest, v3a714abResponse]()},
-	// Gangs have no fields of their own: their states and exit reasons are words that were not
-	// used before.
+	// 5fd93d5 is the first version with gangs. Gangs add no fields, only new values of task states and exit reasons.
 	{name: "5fd93d5", version: 1, gangs: true, layouts: layoutsOf[v3a714abRequest, v5fd93d5Response]()},
-	// The last without a standby.
+	// 1f14824 is the last version without the warm standby.
 	{name: "1f14824", version: 1, gangs: true, layouts: layoutsOf[v3a714abRequest, v5fd93d5Response]()},
-	// The last without a policy on zones.
+	// d052fb0 is the last version without the zone policy.
 	{name: "d052fb0", version: 1, gangs: true, standby: true, layouts: layoutsOf[vd052fb0Request, vd052fb0Response]()},
 	{name: "01da0cf", version: 1, gangs: true, standby: true, zones: true, layouts: layoutsOf[v01da0cfRequest, v01da0cfResponse]()},
-	// The last before identifiers and messages were reworded.
+	// d64cbaf is the last version before identifiers and messages were renamed.
 	{name: "d64cbaf", version: 1, gangs: true, standby: true, zones: true, layouts: layoutsOf[v01da0cfRequest, v01da0cfResponse]()},
 }
 
-// messages are those captured from the version (testdata/versions/capture), by name.
+// messages returns the messages captured from the version (testdata/versions/capture), by name.
 func (v oldVersion) messages(t *testing.T) map[string]wire.RawMessage {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("..", "..", "testdata", "versions", v.name, "messages.cbor"))
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -9,60 +9,62 @@
 	"caperlatch/internal/micros"
 )
 
-// Times of probing.
+// Times of probing and of judging the probes' responses.
 const (
-	probeInterval = 400 * micros.Millisecond // between a response, or its timeout, and the next probe
-	probeTimeout  = 1200 * micros.Millisecond
-	// AbstentionTTL is how long a node that abstains does not campaign.
+	probeInterval = 400 * micros.Millisecond  // between a response, or a timeout, and the next probe
+	probeTimeout  = 1200 * micros.Millisecond // for a response to a probe
+	// AbstentionTTL is how long a node that abstains does not campaign for leadership.
 	AbstentionTTL = 1500 * micros.Millisecond
-	// ContactTimeout is how old the last sign of the state service, or of a peer, may be for it to count as in contact.
+	// ContactTimeout is the maximum age of the latest response of the state service, or of a peer, for which it counts as
+	// reachable.
 	ContactTimeout = 3 * micros.Second
-	// forwarderFreshWithin is how old a peer's response may be for sending workers to the peer, or
-	// for forwarding heartbeats to it.
-	forwarderFreshWithin = 1500 * micros.Millisecond
+	// forwarderContactTimeout is the maximum age of a peer's latest response for which workers are redirected to the
+	// peer or heartbeats are forwarded to it.
+	forwarderContactTimeout = 1500 * micros.Millisecond
 )
 
-// Peers keeps what the other nodes last answered about themselves. Its answers are proofs only as far as their
-// comments say; all instants are of this node's steady clock. It is safe for concurrent use.
+// Peers probes the other nodes and holds their latest responses. Its methods prove only what their comments state. All
+// instants are of this node's monotonic clock. It is safe for concurrent use.
 type Peers struct {
 	clients   map[string]*Client // by member
-	makeProbe func(sent *micros.Micros) *Probe
+	makeProbe func(sentAsOf *micros.Micros) *Probe
 	onState   func(*NodeState)
 
 	mu   sync.Mutex
 	last map[string]lastResponse // by member
 }
 
-// lastResponse is what a peer last answered; of one that never did it is zero.
+// lastResponse is a peer's latest response. It is zero if the peer has never responded.
 type lastResponse struct {
-	sentAt micros.Micros // when the probe was sent; the state is no older
+	sentAt micros.Micros // when the probe was sent, so state is not older
 	state  NodeState
-	// highestToken is the highest token that the peer ever answered with, and highestSince is when it first did.
+	// highestToken is the highest fencing token that the peer has ever reported, and highestSince is when it first did.
 	highestToken uint64
 	highestSince micros.Micros
 }
 
-// isFreshWithin reports whether the probe was sent less than age ago.
-func (r *lastResponse) isFreshWithin(age micros.Micros) bool {
+// isNewerThan reports whether the probe was sent less than age ago.
+func (r *lastResponse) isNewerThan(age micros.Micros) bool {
 	return r.sentAt != 0 && r.sentAt > micros.Now()-age
 }
 
-// NewPeers keeps the answers of peers, whose clients are given by member and become its own. It sends each what
-// makeProbe returns, which may keep in sent, one for each peer and zero at first, as of when it sent that peer
-// what need not be sent again. It calls onState with each answer, before the answer counts.
-func NewPeers(clients map[string]*Client, makeProbe func(sent *micros.Micros) *Probe, onState func(*NodeState)) *Peers {
+// NewPeers returns the peers with the given clients, by member, and takes ownership of the clients. It sends the probes
+// that makeProbe returns. makeProbe may store in sentAsOf, which is zero at first and separate for each peer, the time of
+// the data that it last sent to the peer, to avoid sending the same data again. NewPeers calls onState with each
+// response, before the response counts.
+func NewPeers(clients map[string]*Client, makeProbe func(sentAsOf *micros.Micros) *Probe, onState func(*NodeState)) *Peers {
 	return &Peers{clients: clients, makeProbe: makeProbe, onState: onState, last: map[string]lastResponse{}}
 }
 
-// Run probes the peers until ctx ends, and closes their clients.
+// Run probes the peers until ctx ends, and then closes their clients.
 func (p *Peers) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for member, client := range p.clients {
 		wg.Go(func() {
 			defer client.Close()
-			var sent micros.Micros
+			var sentAsOf micros.Micros
 			for ctx.Err() == nil {
-				p.probe(ctx, member, client, &sent)
+				p.probe(ctx, member, client, &sentAsOf)
 				micros.Pause(ctx, probeInterval)
 			}
 		})
@@ -70,24 +72,24 @@
 	wg.Wait()
 }
 
-// probe probes one peer and keeps its answer.
-func (p *Peers) probe(ctx context.Context, member string, client *Client, sent *micros.Micros) {
+// probe sends one probe to a peer and records the response.
+func (p *Peers) probe(ctx context.Context, member string, client *Client, sentAsOf *micros.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	sentAt := micros.Now()
-	response, err := client.Call(ctx, Request{Probe: p.makeProbe(sent)})
+	response, err := client.Call(ctx, Request{Probe: p.makeProbe(sentAsOf)})
 	if err != nil || response.NodeState == nil {
 		slog.Debug("probe failed", "peer", member, "error", err)
 		return
 	}
-	// What the peer passes on is taken over before its answer counts: that stands for all
-	// cancellations that the peer knows of.
+	// The peer's state is applied before its response counts, because the response proves that this node has received
+	// all cancellations that the peer knows of.
 	p.onState(response.NodeState)
-	p.keep(member, sentAt, *response.NodeState)
+	p.recordResponse(member, sentAt, *response.NodeState)
 }
 
-// keep notes what a peer answered to a probe.
-func (p *Peers) keep(member string, sentAt micros.Micros, state NodeState) {
+// recordResponse records a peer's response to a probe.
+func (p *Peers) recordResponse(member string, sentAt micros.Micros, state NodeState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := p.last[member]
@@ -98,11 +100,11 @@
 	p.last[member] = last
 }
 
-// Client is the client of a member, nil if it is no peer.
+// Client returns the client of a member, or nil if the member is not a peer.
 func (p *Peers) Client(member string) *Client { return p.clients[member] }
 
-// each calls f with the last answer of every peer.
-func (p *Peers) each(f func(*lastResponse)) {
+// forEachLastResponse calls f with the latest response of every peer.
+func (p *Peers) forEachLastResponse(f func(*lastResponse)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for member := range p.clients {
@@ -111,13 +113,12 @@
 	}
 }
 
-// LastConfirmed is the latest instant at which every peer was known not to have
-// seen a token above this one, and had passed on all cancellations that it knows; 0 if never.
-// It stands for contact with the state service: only nodes confirm to users that
-// jobs are cancelled, and only a node with a higher token may lead.
+// LastConfirmed returns the latest instant at which every peer was known not to have seen a fencing token higher than
+// the given one, and to have sent all cancellations that it knows; 0 if there is none. It can replace contact with the
+// state service: only nodes confirm cancellations to users, and only a node with a higher token may lead.
 func (p *Peers) LastConfirmed(token uint64) micros.Micros {
 	at := micros.Now()
-	p.each(func(last *lastResponse) {
+	p.forEachLastResponse(func(last *lastResponse) {
 		if !last.state.Loaded || last.state.HighestToken > token || !last.state.CancellationsComplete {
 			at = 0
 		}
@@ -126,11 +127,11 @@
 	return at
 }
 
-// AbstainingUntil is until when all peers abstain from campaigning, less clock drift; 0 if one does
-// not, or knows a token above this one.
+// AbstainingUntil returns the instant until which all peers abstain from campaigning, reduced by the maximum clock
+// drift. It returns 0 if a peer does not abstain or knows a fencing token higher than the given one.
 func (p *Peers) AbstainingUntil(token uint64) micros.Micros {
 	until := micros.Now() + AbstentionTTL
-	p.each(func(last *lastResponse) {
+	p.forEachLastResponse(func(last *lastResponse) {
 		abstainFor := last.state.AbstainFor
 		if last.sentAt == 0 || !last.state.Loaded || last.state.HighestToken > token || abstainFor == 0 {
 			until = 0
@@ -140,12 +141,12 @@
 	return until
 }
 
-// TokenKnownSince is since when every peer has known a token: from then on none of
-// them answers workers with a lower one, not even after a restart, which makes
-// it forget the lower one as well. 0 if not all know it.
+// TokenKnownSince returns the instant since which every peer has known the given fencing token or a higher one; 0 if a
+// peer does not know it. From then on no peer answers workers with a lower token, not even after a restart, because a
+// restarted peer has forgotten the lower token too.
 func (p *Peers) TokenKnownSince(token uint64) micros.Micros {
 	since, allKnow := micros.Micros(0), true
-	p.each(func(last *lastResponse) {
+	p.forEachLastResponse(func(last *lastResponse) {
 		allKnow = allKnow && last.highestToken >= token
 		since = max(since, last.highestSince)
 	})
@@ -155,13 +156,13 @@
 	return since
 }
 
-// Forwarders lists, by name, the peers that answered lately that they forward heartbeats to
-// this node as the leader with a token.
+// Forwarders returns the members, sorted by name, that recently reported that they forward heartbeats to this node as
+// the leader with the given fencing token.
 func (p *Peers) Forwarders(token uint64) (members []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for member, last := range p.last {
-		if last.isFreshWithin(forwarderFreshWithin) && last.state.Loaded && last.state.ForwardsHeartbeats && last.state.HighestToken == token {
+		if last.isNewerThan(forwarderContactTimeout) && last.state.Loaded && last.state.ForwardsHeartbeats && last.state.HighestToken == token {
 			members = append(members, member)
 		}
 	}
@@ -169,26 +170,26 @@
 	return members
 }
 
-// AnyReachesStateService reports whether the state service has answered some peer lately.
+// AnyReachesStateService reports whether the state service has answered at least one peer within ContactTimeout.
 func (p *Peers) AnyReachesStateService() bool {
 	reaches := false
-	p.each(func(last *lastResponse) {
-		reaches = reaches || last.isFreshWithin(ContactTimeout) && last.state.Loaded && last.state.SinceStateService < ContactTimeout
+	p.forEachLastResponse(func(last *lastResponse) {
+		reaches = reaches || last.isNewerThan(ContactTimeout) && last.state.Loaded && last.state.SinceStateService < ContactTimeout
 	})
 	return reaches
 }
 
-// AnyResponds reports whether some peer has answered lately.
+// AnyResponds reports whether at least one peer has responded within ContactTimeout.
 func (p *Peers) AnyResponds() bool {
 	responds := false
-	p.each(func(last *lastResponse) { responds = responds || last.isFreshWithin(ContactTimeout) })
+	p.forEachLastResponse(func(last *lastResponse) { responds = responds || last.isNewerThan(ContactTimeout) })
 	return responds
 }
 
-// IsReachable reports whether a member answered so lately that heartbeats may be forwarded to it.
+// IsReachable reports whether a member has responded recently enough for heartbeats to be forwarded to it.
 func (p *Peers) IsReachable(member string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := p.last[member]
-	return last.isFreshWithin(forwarderFreshWithin)
+	return last.isNewerThan(forwarderContactTimeout)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -18,36 +18,37 @@
 
 // Times of serving.
 const (
-	acceptPause  = 100 * micros.Millisecond // after a connection could not be accepted
-	writeTimeout = 2 * micros.Second        // a peer that reads no response for so long is cut off
+	acceptRetryDelay = 100 * micros.Millisecond // wait after a connection could not be accepted
+	writeTimeout     = 2 * micros.Second        // for writing a response; then the connection is closed
 )
 
-// Handler answers the requests of peers. Its methods are called from many goroutines and must return at once, as a
-// connection's next request waits for that. The texts of their errors are sent to the peer.
+// Handler answers the requests of peers. Its methods are called from many goroutines. They must return without blocking,
+// because the next request of the connection waits for them. The texts of their errors are sent to the peer.
 type Handler interface {
-	// HandleProbe takes over what a peer sends of itself and returns the state of this node.
+	// HandleProbe applies a peer's probe and returns the state of this node.
 	HandleProbe(p *Probe) *NodeState
-	// HandleForwardedHeartbeat responds to a worker's heartbeat that a peer forwards.
+	// HandleForwardedHeartbeat responds to a worker's heartbeat that a peer has forwarded.
 	HandleForwardedHeartbeat(heartbeat wire.RawMessage) (wire.RawMessage, error)
-	// HandleExplain returns what the leader here knows of a job.
+	// HandleExplain returns the explanation of a job by this node's leader.
 	HandleExplain(job string) (explain.Explanation, error)
-	// HandleStandbyQuery returns to a follower what the leader here has decided; nil if none publishes.
+	// HandleStandbyQuery returns the decisions of this node's leader to a follower, or nil if no leader publishes here.
 	HandleStandbyQuery(q *standby.Query) *standby.Page
-	// HandleZones returns the status of the zones as the leader here sees it.
+	// HandleZones returns the status of the zones as this node's leader sees them.
 	HandleZones() ([]zone.Status, error)
-	// HandleMembershipHeartbeat takes over a peer's heartbeat and returns this node's; nil if it sends none.
+	// HandleMembershipHeartbeat applies a peer's heartbeat and returns this node's, or nil if membership is disabled.
 	HandleMembershipHeartbeat(h *membership.Heartbeat) *membership.Heartbeat
 }
 
-// requestKind is one thing that a node may ask another.
+// requestKind is one kind of request between nodes.
 type requestKind struct {
 	isSet func(*Request) bool
-	// respond sets the field of the response that answers the request. Its error is sent to the peer.
+	// respond sets the field of response that answers the request. Its error is sent to the peer.
 	respond func(h Handler, request *Request, response *Response) error
 }
 
-// requestKinds is all that a node may ask another. Of a request with several fields set, which no version
-// sends, the first kind is answered; one that is of no kind here, of a later version, gets an empty response.
+// requestKinds lists all kinds of requests between nodes. If several fields of a request are set, which no version does,
+// only the first kind in this list is answered. A request of a kind that this version does not know gets an empty
+// response.
 var requestKinds = []requestKind{
 	{
 		isSet: func(q *Request) bool { return q.Probe != nil },
@@ -94,7 +95,7 @@
 	},
 }
 
-// respond makes the response to a request.
+// respond returns the response to a request.
 func respond(request *Request, h Handler) *Response {
 	response := &Response{ID: request.ID}
 	for _, kind := range requestKinds {
@@ -109,13 +110,13 @@
 	return response
 }
 
-// maxForwardedResponseBytes is how many bytes of responses to heartbeats go into one message; what comes on top
-// of them, and the last response, must still fit into maxMessageBytes.
+// maxForwardedResponseBytes is the size of the heartbeat responses after which no more are put into a message. The last
+// response may exceed it, and must fit into maxMessageBytes together with the rest of the message.
 const maxForwardedResponseBytes = maxMessageBytes / 2
 
-// respondToForwarded responds to forwarded heartbeats, as many as one message holds. The rest
-// must not be shown to the leader at all: were the message too large, the starts in all
-// its responses would be lost, again and again while a whole fleet waits to be filled.
+// respondToForwarded responds to as many forwarded heartbeats as fit into one message. It does not pass the remaining
+// heartbeats to the handler at all. If a message became too large, the start commands in all its responses would be
+// lost, and this would repeat as long as many idle machines wait for tasks.
 func respondToForwarded(heartbeats []wire.RawMessage, h Handler) []ForwardedResponse {
 	responses, size := make([]ForwardedResponse, len(heartbeats)), 0
 	for i, heartbeat := range heartbeats {
@@ -132,8 +133,8 @@
 	return responses
 }
 
-// Serve answers requests on connections of l until ctx ends. It closes l, and returns when no connection is served
-// any more.
+// Serve answers requests on the connections that it accepts from l until ctx ends. It then closes l, and returns when
+// all connections are closed.
 func Serve(ctx context.Context, l net.Listener, h Handler) {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -142,15 +143,15 @@
 	for {
 		conn, err := l.Accept()
 		if err == nil && ctx.Err() != nil {
-			conn.Close() // accepted as the node ended: its peer would wait for responses
+			conn.Close() // accepted during shutdown: without Close, the peer would wait for responses
 			return
 		}
 		if errors.Is(err, net.ErrClosed) || ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			slog.Debug("peer connection not accepted", "error", err)
-			time.Sleep(acceptPause.Duration())
+			slog.Debug("accepting a peer connection failed; retrying", "error", err)
+			time.Sleep(acceptRetryDelay.Duration())
 			continue
 		}
 		wg.Go(func() {
@@ -162,12 +163,12 @@
 	}
 }
 
-// serveConn answers requests, one after the other, until the connection fails.
+// serveConn answers the requests on a connection one after the other until the connection fails.
 func serveConn(conn net.Conn, h Handler) error {
 	limited := &limitedReader{reader: conn}
 	decoder, encoder := wire.NewDecoder(limited), wire.NewEncoder(conn)
 	for {
-		limited.left = maxMessageBytes
+		limited.remaining = maxMessageBytes
 		var request Request
 		if err := decoder.Decode(&request); err != nil {
 			return err
--- a/internal/peer/version_test.go
+++ b/internal/peer/version_test.go
@@ -10,23 +10,24 @@
 	"caperlatch/internal/wire"
 )
 
-// TestVersions goes through what peers may answer of their version.
-func TestVersions(t *testing.T) {
-	answering := func(version int) *lastResponse { return &lastResponse{state: NodeState{Version: version}} }
-	silent := &lastResponse{state: NodeState{Version: Version}, sentAt: -2 * ContactTimeout}
+// TestPeersVersions checks the common version and the peers' versions for all kinds of version numbers that peers may
+// report, and for peers that have not responded recently.
+func TestPeersVersions(t *testing.T) {
+	responding := func(version int) *lastResponse { return &lastResponse{state: NodeState{Version: version}} }
+	unresponsive := &lastResponse{state: NodeState{Version: Version}, sentAt: -2 * ContactTimeout}
 	cases := []struct {
 		name   string
-		last   map[string]*lastResponse // relative to now
+		last   map[string]*lastResponse // with sentAt relative to now
 		peers  []MemberVersion
 		common int
 	}{
-		{"all ours", map[string]*lastResponse{"b": answering(Version), "c": answering(Version)}, []MemberVersion{{"b", true, Version}, {"c", true, Version}}, Version},
-		{"one from before there were versions", map[string]*lastResponse{"b": answering(0), "c": answering(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
-		{"one never answered", map[string]*lastResponse{"b": answering(Version)}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
-		// It may have come back with the old version meanwhile.
-		{"one silent for long", map[string]*lastResponse{"b": answering(Version), "c": silent}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
-		{"one of a later version", map[string]*lastResponse{"b": answering(Version + 7), "c": answering(Version)}, []MemberVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
-		{"one below zero", map[string]*lastResponse{"b": answering(-3), "c": answering(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"all peers at the current version", map[string]*lastResponse{"b": responding(Version), "c": responding(Version)}, []MemberVersion{{"b", true, Version}, {"c", true, Version}}, Version},
+		{"a peer without a version number", map[string]*lastResponse{"b": responding(0), "c": responding(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
+		{"a peer that never responded", map[string]*lastResponse{"b": responding(Version)}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		// It may have restarted with an old version meanwhile.
+		{"a peer that stopped responding", map[string]*lastResponse{"b": responding(Version), "c": unresponsive}, []MemberVersion{{"b", true, Version}, {"c", false, 0}}, 0},
+		{"a peer with a later version", map[string]*lastResponse{"b": responding(Version + 7), "c": responding(Version)}, []MemberVersion{{"b", true, Version + 7}, {"c", true, Version}}, Version},
+		{"a peer with a negative version", map[string]*lastResponse{"b": responding(-3), "c": responding(Version)}, []MemberVersion{{"b", true, 0}, {"c", true, Version}}, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,16 +40,15 @@
 				}
 				want := Versions{Member: "a", Version: Version, Common: tc.common, Peers: tc.peers}
 				if got := peers.Versions("a"); !reflect.DeepEqual(got, want) {
-					t.Errorf("%+v, want %+v", got, want)
+					t.Errorf("Versions() = %+v, want %+v", got, want)
 				}
 			})
 		})
 	}
 }
 
-// TestVersionIsOptional has nodes from before and after there were versions read each
-// other's states.
-func TestVersionIsOptional(t *testing.T) {
+// TestNodeStateVersionIsOptional checks that nodes with and without version numbers can decode each other's states.
+func TestNodeStateVersionIsOptional(t *testing.T) {
 	type unversionedState struct {
 		Loaded bool   `json:"loaded"`
 		Token  uint64 `json:"token"`
@@ -57,15 +57,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var before unversionedState
-	if err := wire.Unmarshal(encoded, &before); err != nil || !before.Loaded || before.Token != 3 {
-		t.Errorf("before: %+v, %v", before, err)
+	var unversioned unversionedState
+	if err := wire.Unmarshal(encoded, &unversioned); err != nil || !unversioned.Loaded || unversioned.Token != 3 {
+		t.Errorf("versioned state decoded without version: got %+v, error %v; want loaded, token 3", unversioned, err)
 	}
-	if encoded, err = wire.Marshal(before); err != nil {
+	if encoded, err = wire.Marshal(unversioned); err != nil {
 		t.Fatal(err)
 	}
-	var after NodeState
-	if err := wire.Unmarshal(encoded, &after); err != nil || after.Version != 0 || after.HighestToken != 3 {
-		t.Errorf("after: %+v, %v", after, err)
+	var versioned NodeState
+	if err := wire.Unmarshal(encoded, &versioned); err != nil || versioned.Version != 0 || versioned.HighestToken != 3 {
+		t.Errorf("state without a version decoded: got %+v, error %v; want version 0, token 3", versioned, err)
 	}
 }
