--- a/api.go
+++ b/api.go
@@ -11,16 +11,16 @@
 	"caperlatch/internal/zone"
 )
 
-// The API asks a Node, which has the part answer that owns what is asked for.
+// Node implements api.Node by delegating each method to the component that owns the data.
 var _ api.Node = (*Node)(nil)
 
-// IsReady reports whether this node can take requests.
-func (n *Node) IsReady() bool { return n.contact.isReady() }
+// IsReady reports whether this node can serve requests.
+func (n *Node) IsReady() bool { return n.connectivity.isReady() }
 
-// Versions returns the versions that the nodes speak, as far as this one knows.
+// Versions returns the versions of all nodes as known to this node.
 func (n *Node) Versions() peer.Versions { return n.peers.Versions(n.settings.Member) }
 
-// LocalLeader returns this node's leader if it leads, else nil.
+// LocalLeader returns this node's leader, or nil while this node does not lead.
 func (n *Node) LocalLeader() api.Leader {
 	if local := n.leadership.local(); local != nil {
 		return local
@@ -28,42 +28,40 @@
 	return nil // not an interface that holds a nil pointer
 }
 
-// LeaderMember returns the member that leads as known here; empty: none is known.
+// LeaderMember returns the member that leads as known to this node, or "" if none is known.
 func (n *Node) LeaderMember() string { return n.leader.member() }
 
-// TaskCounts returns how many tasks of a job are done and how many run, as well as it is known
-// here.
+// TaskCounts returns how many tasks of a job are done and how many run, as known to this node.
 func (n *Node) TaskCounts(id string) (done, running int) { return n.jobs.countTasks(id) }
 
-// Explain asks the leader about a job.
+// Explain returns the leader's explanation of a job.
 func (n *Node) Explain(ctx context.Context, id string) (explain.Explanation, error) {
 	return n.jobs.explain(ctx, id)
 }
 
-// CanForward reports whether the leader answers this node.
+// CanForward reports whether the leader responds to this node.
 func (n *Node) CanForward() bool { return n.forwarding.canForward() }
 
-// ForwardHeartbeat has the leader answer an encoded heartbeat.
+// ForwardHeartbeat forwards an encoded heartbeat to the leader and returns the encoded response.
 func (n *Node) ForwardHeartbeat(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	return n.forwarding.forward(ctx, heartbeat)
 }
 
-// ForwarderFor returns the member that is to take a machine's heartbeats for this node, which
-// leads; empty: this node itself.
+// ForwarderFor returns the member to which a machine's worker must send its heartbeats while this node leads, or "" if
+// the worker must send them to this node.
 func (n *Node) ForwarderFor(machine string) string { return n.forwarding.forwarderFor(machine) }
 
-// AwaitHandover waits while leadership is being handed over, for a bounded time.
+// AwaitHandover waits, for a bounded time, until no handover of leadership is in progress.
 func (n *Node) AwaitHandover(ctx context.Context) {
 	if n.handover != nil {
 		n.handover.await(ctx)
 	}
 }
 
-// ExpectsSuccessor reports whether a leader that does not answer now should have a successor
-// soon.
+// ExpectsSuccessor reports whether, if the leader does not respond, another node should lead soon.
 func (n *Node) ExpectsSuccessor() bool { return n.standby != nil && n.standby.expectsSuccessor() }
 
-// StandbyStatus returns how far the warm standby is, as this node knows it.
+// StandbyStatus returns the status of the warm standby as known to this node.
 func (n *Node) StandbyStatus() (api.StandbyStatus, error) {
 	if n.standby == nil {
 		return api.StandbyStatus{}, api.ErrStandbyDisabled
@@ -71,8 +69,8 @@
 	return n.standby.status(), nil
 }
 
-// HandOver has this node, if it leads, hand over to the follower that is furthest, and returns
-// the member that was named; empty: any.
+// HandOver hands leadership over to the most up-to-date follower if this node leads. It returns the member that was
+// named as successor, or "" if any member may lead next.
 func (n *Node) HandOver() (to string, err error) {
 	if n.handover == nil {
 		return "", api.ErrStandbyDisabled
@@ -80,8 +78,8 @@
 	return n.handover.handOver()
 }
 
-// HandOverAndConfirm has this node, if it leads, hand over to the follower that is furthest, and returns
-// that member once it leads.
+// HandOverAndConfirm hands leadership over to the most up-to-date follower if this node leads. It returns that member
+// once it leads.
 func (n *Node) HandOverAndConfirm(ctx context.Context) (to string, err error) {
 	if n.handover == nil {
 		return "", api.ErrStandbyDisabled
@@ -89,10 +87,10 @@
 	return n.handover.handOverAndConfirm(ctx)
 }
 
-// ZoneStatus returns the leader's view of the zones.
+// ZoneStatus returns the status of the zones as the leader sees them.
 func (n *Node) ZoneStatus(ctx context.Context) ([]zone.Status, error) { return n.zones.status(ctx) }
 
-// MembershipStatus returns this node's view of the others.
+// MembershipStatus returns this node's view of the other members.
 func (n *Node) MembershipStatus() (membership.Status, error) {
 	if n.membership == nil {
 		return membership.Status{}, api.ErrMembershipDisabled
--- a/forwarding.go
+++ b/forwarding.go
@@ -13,24 +13,23 @@
 	"caperlatch/internal/wire"
 )
 
-// Times of forwarding, of the 4 s that a worker waits for the response to a heartbeat.
+// Times of forwarding. A worker waits 4 s for the response to a heartbeat.
 const (
 	// forwardTimeout is how long a forwarded heartbeat waits for the leader's response.
 	forwardTimeout = 2500 * micros.Millisecond
-	// forwardTimeoutWithStandby is how long it waits with a warm standby, where it may be kept
-	// for the next leader.
+	// forwardTimeoutWithStandby is the same with a warm standby, where the heartbeat may be kept for the next leader.
 	forwardTimeoutWithStandby = 3500 * micros.Millisecond
-	// forwardRetryInterval is the time between two attempts to have a heartbeat answered.
+	// forwardRetryInterval is the time between two attempts to forward a heartbeat.
 	forwardRetryInterval = 50 * micros.Millisecond
 )
 
-// forwarding decides which node takes a worker's heartbeats, and forwards them to the leader.
+// forwarding decides which node receives a worker's heartbeats, and forwards heartbeats to the leader.
 type forwarding struct {
 	leader    leaderClient
-	successor *successorForwarding // nil: without a warm standby
+	successor *successorForwarding // nil without a warm standby
 }
 
-// canForward reports whether the leader answers this node.
+// canForward reports whether the leader responds to this node.
 func (f *forwarding) canForward() bool { return f.leader.peers.IsReachable(f.leader.member()) }
 
 // timeout returns how long forwarded heartbeats wait for their responses.
@@ -41,7 +40,7 @@
 	return forwardTimeoutWithStandby
 }
 
-// forward has the leader answer an encoded heartbeat.
+// forward forwards an encoded heartbeat to the leader and returns the encoded response.
 func (f *forwarding) forward(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	if f.successor != nil {
 		return f.successor.forward(ctx, heartbeat)
@@ -53,9 +52,9 @@
 	return client.ForwardHeartbeat(ctx, heartbeat)
 }
 
-// forwarderFor returns the member that is to take a machine's heartbeats for this node, which
-// leads; empty: this node must do it itself. All nodes share the work of the connections by
-// rendezvous hashing, and the leader's share is its own work.
+// forwarderFor returns the member to which a machine's worker must send its heartbeats while this node leads, or "" if
+// the worker must send them to this node. Rendezvous hashing distributes the workers' connections over the other nodes.
+// The leader takes no share of them, because it has its own work.
 func (f *forwarding) forwarderFor(machine string) string {
 	best, bestWeight := "", uint32(0)
 	for _, member := range f.leader.peers.Forwarders(f.leader.election.HighestKnownLeader().FencingToken) {
@@ -68,23 +67,22 @@
 	return best
 }
 
-// successorForwarding forwards heartbeats with a warm standby: to the leader and, if that one
-// ends or stops answering, to the next one.
+// successorForwarding forwards heartbeats with a warm standby. If the leader's term ends or the leader stops responding,
+// it forwards the heartbeat to the next leader.
 type successorForwarding struct {
 	member           string // this node
 	election         *election.Election
 	peers            *peer.Peers
 	replica          *replica.Replica
 	expectsSuccessor func() bool
-	// respondLocally has this node's own leader answer.
+	// respondLocally returns the response of this node's own leader.
 	respondLocally func(heartbeat wire.RawMessage) (wire.RawMessage, error)
 }
 
-// forward has the leader answer a heartbeat, and if that one ends or stops answering, the next
-// one. The worker waits for one response to its one heartbeat, and gets the one that is
-// returned here: what the earlier leader may still respond is dropped. A worker that was
-// rejected instead came back a second later, and one whose heartbeat was with a leader that
-// had stopped answering after 2.5 s.
+// forward forwards a heartbeat to the leader or, if the leader's term ends or the leader stops responding, to the next
+// leader. The worker receives exactly one response; a late response of the earlier leader is dropped. Without this, a
+// worker whose heartbeat was rejected retried only after 1 s, and a worker whose heartbeat had gone to a leader that no
+// longer responded retried only after 2.5 s.
 func (f *successorForwarding) forward(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	firstToken := f.election.HighestKnownLeader().FencingToken
 	for {
@@ -93,7 +91,7 @@
 		if err == nil || ctx.Err() != nil {
 			return response, err
 		}
-		// A leader whose term has just begun rejects heartbeats until it has read what is stored.
+		// A leader whose term has just begun rejects heartbeats until it has read the stored state.
 		rejected := errors.Is(err, peer.ErrRejected) || errors.Is(err, leader.ErrCannotRespond)
 		if known.FencingToken == firstToken && (rejected || !f.expectsSuccessor()) {
 			return nil, err
@@ -102,7 +100,7 @@
 	}
 }
 
-// forwardTo has one leader answer a heartbeat, and gives up once a later one is known.
+// forwardTo forwards a heartbeat to one leader, and gives up once a later leader is known.
 func (f *successorForwarding) forwardTo(ctx context.Context, to replica.Leader, heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	if to.Member == f.member {
 		return f.respondLocally(heartbeat)
@@ -113,7 +111,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// It ends with ctx at the latest, and nobody waits for it: it only reads and cancels.
+	// This goroutine cancels the request once a later leader is known. It ends with ctx at the latest. No caller waits
+	// for it, because it only reads and cancels.
 	go func() {
 		for ctx.Err() == nil && f.election.HighestKnownLeader().FencingToken <= to.FencingToken {
 			select {
--- a/handover.go
+++ b/handover.go
@@ -13,40 +13,40 @@
 	"caperlatch/internal/standby"
 )
 
-// Times of letting others lead first.
+// Delays by which a node lets other members campaign first.
 const (
-	// yieldToNamed is how long the nodes that a handover does not name wait.
-	yieldToNamed = 700 * micros.Millisecond
-	// keepKeyForSuccessor is how long a leader that handed over keeps its leader key for the named node to replace.
-	// That takes two requests to the state service; 01da0cf and versions before it do not do it.
-	keepKeyForSuccessor = 700 * micros.Millisecond
-	// yieldToFurther is how long a node waits for each peer whose view is much further: by more
-	// than what a leader decides between two queries.
-	yieldToFurther = 100 * micros.Millisecond
-	muchFurther    = 1000 // entries
-	// maxYieldToFurther bounds the sum of these.
-	maxYieldToFurther = 300 * micros.Millisecond
-	// yieldAfterHandover is how long a node that handed over does not lead again.
-	yieldAfterHandover = 2 * micros.Second
+	// namedSuccessorDelay is how long the members that a handover does not name as successor wait before they campaign.
+	namedSuccessorDelay = 700 * micros.Millisecond
+	// leaderKeyGracePeriod is how long a leader that has handed over keeps its leader key, so that the named successor
+	// can replace it. Replacing it takes two requests to the state service. Version 01da0cf and earlier ones never
+	// replace it.
+	leaderKeyGracePeriod = 700 * micros.Millisecond
+	// upToDatePeerDelay is how long a node waits for each peer whose view is more than minUpToDateLead ahead of its own.
+	upToDatePeerDelay = 100 * micros.Millisecond
+	minUpToDateLead   = 1000 // entries; more than a leader publishes between two queries
+	// maxUpToDatePeerDelay bounds the sum of these delays.
+	maxUpToDatePeerDelay = 300 * micros.Millisecond
+	// ownHandoverDelay is how long a node that has handed over does not campaign again.
+	ownHandoverDelay = 2 * micros.Second
 )
 
-// nextLeaderTimeout is how long a node that handed over waits until it sees who leads next, to say so. It is longer than
-// keepKeyForSuccessor and yieldToNamed together.
+// nextLeaderTimeout is how long a node that has handed over waits for the next leader, to report it. It is longer than
+// leaderKeyGracePeriod and namedSuccessorDelay together.
 const nextLeaderTimeout = 3 * micros.Second
 
-// maxHandoverWait is how long a worker's heartbeat is kept for the next leader at most. Its
-// worker waits for 4 s, of which forwarding the heartbeat may take 2.5 s.
+// maxHandoverWait is the maximum time for which a worker's heartbeat is kept for the next leader. The worker waits 4 s
+// for the response, and forwarding the heartbeat may take 2.5 s of them.
 const maxHandoverWait = 1200 * micros.Millisecond
 
-// releasePollInterval is the time between two looks whether a node that hands over on shutdown
-// still leads.
+// releasePollInterval is the time between two checks whether a node that hands over on shutdown has released the leader
+// key.
 const releasePollInterval = 20 * micros.Millisecond
 
-// handover is a node's part in planned transfers of leadership: it hands over, yields to who
-// should lead next, and keeps heartbeats until somebody leads.
+// handover performs a node's part in planned transfers of leadership. It hands leadership over, delays this node's
+// campaigns in favor of the members that should lead next, and keeps heartbeats until the next leader is known.
 type handover struct {
 	member     string        // this node
-	timeout    micros.Micros // of handing over
+	timeout    micros.Micros // for handing over
 	election   *election.Election
 	peers      *peer.Peers
 	replica    *replica.Replica
@@ -54,31 +54,31 @@
 	follower   *standby.Follower
 	followers  func() []standby.FollowerState // as the leader last listed them
 
-	mu           sync.Mutex
-	handedOverAt micros.Micros // when this node last handed over, 0 if it never did
-	successor    string        // to which this node's last term was handed over, "" if to nobody in particular
-	yieldReason  yieldReason   // as it was last logged
+	mu              sync.Mutex
+	handedOverAt    micros.Micros // when this node last handed over, 0 if never
+	successor       string        // the member that this node's last term was handed over to, "" if none was named
+	lastDelayReason delayReason   // the reason that was last logged
 }
 
-// yieldReason is why a node lets others lead first, as the log shows it.
-type yieldReason string
+// delayReason is the reason why a node lets other members campaign first, as written to the log.
+type delayReason string
 
-// The reasons.
+// Reasons for delaying a campaign.
 const (
-	yieldsToNobody     yieldReason = "no other member should go first"
-	yieldsToNamed      yieldReason = "handed over to another member"
-	yieldsAfterOwnTerm yieldReason = "this member has handed over"
-	yieldsToFurther    yieldReason = "other members' views are further"
+	noDelay                delayReason = "no other member should campaign first"
+	delayForNamedSuccessor delayReason = "handed over to another member"
+	delayAfterOwnHandover  delayReason = "this member has handed over"
+	delayForUpToDatePeers  delayReason = "other members' views are more up to date"
 )
 
-// lastHandedOverAt returns when this node last handed over, 0 if it never did.
+// lastHandedOverAt returns when this node last handed over, or 0 if it never has.
 func (h *handover) lastHandedOverAt() micros.Micros {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.handedOverAt
 }
 
-// setHandedOverAt notes when this node last handed over, and returns when it did so before.
+// setHandedOverAt records when this node last handed over, and returns the previous value.
 func (h *handover) setHandedOverAt(at micros.Micros) (before micros.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,62 +86,63 @@
 	return before
 }
 
-// setSuccessor notes to which member this node's term, which has ended, was handed over.
+// setSuccessor records the member that this node's last term, which has ended, was handed over to.
 func (h *handover) setSuccessor(member string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.successor = member
 }
 
-// keepKeyFor returns for how long the leader key of this node's last term is kept for its successor.
-func (h *handover) keepKeyFor() micros.Micros {
+// handoverGracePeriod returns how long the leader key of this node's last term is kept for the successor to replace.
+func (h *handover) handoverGracePeriod() micros.Micros {
 	h.mu.Lock()
 	successor := h.successor
 	h.mu.Unlock()
 	if successor == "" || !h.peers.IsReachable(successor) {
 		return 0
 	}
-	return keepKeyForSuccessor
+	return leaderKeyGracePeriod
 }
 
-// yieldFor returns how long this node lets others go first when nobody leads.
-func (h *handover) yieldFor() micros.Micros {
-	wait, reason := h.decideYield()
+// campaignDelay returns how long this node lets other members campaign first while there is no leader. It logs the reason
+// for the delay if that has changed.
+func (h *handover) campaignDelay() micros.Micros {
+	wait, reason := h.chooseCampaignDelay()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if reason != h.yieldReason && wait > 0 {
+	if reason != h.lastDelayReason && wait > 0 {
 		slog.Info("letting others campaign first", "member", h.member, "duration", wait.Duration(), "reason", reason)
 	}
-	h.yieldReason = reason
+	h.lastDelayReason = reason
 	return wait
 }
 
-// decideYield returns how long this node lets others go first, and why.
-func (h *handover) decideYield() (wait micros.Micros, reason yieldReason) {
+// chooseCampaignDelay returns how long this node lets other members campaign first, and why.
+func (h *handover) chooseCampaignDelay() (wait micros.Micros, reason delayReason) {
 	handedOverAt, followers := h.lastHandedOverAt(), h.followers()
 	if to, handed := h.follower.HandedOverTo(); handed && to != "" {
 		if to == h.member || !h.peers.IsReachable(to) {
-			return 0, yieldsToNobody
+			return 0, noDelay
 		}
-		return yieldToNamed, yieldsToNamed
+		return namedSuccessorDelay, delayForNamedSuccessor
 	}
-	if handedOverAt != 0 && micros.Now()-handedOverAt < yieldAfterHandover {
-		return yieldAfterHandover, yieldsAfterOwnTerm
+	if handedOverAt != 0 && micros.Now()-handedOverAt < ownHandoverDelay {
+		return ownHandoverDelay, delayAfterOwnHandover
 	}
 	own := h.follower.Progress()
 	for _, f := range followers {
-		if f.Member != h.member && f.Complete && h.peers.IsReachable(f.Member) && (!own.Complete || f.Position > own.Position+muchFurther) {
-			wait += yieldToFurther
+		if f.Member != h.member && f.Complete && h.peers.IsReachable(f.Member) && (!own.Complete || f.Position > own.Position+minUpToDateLead) {
+			wait += upToDatePeerDelay
 		}
 	}
 	if wait == 0 {
-		return 0, yieldsToNobody
+		return 0, noDelay
 	}
-	return min(wait, maxYieldToFurther), yieldsToFurther
+	return min(wait, maxUpToDatePeerDelay), delayForUpToDatePeers
 }
 
-// handOver has this node, if it leads, hand over to the follower that is furthest. It returns
-// the member that was named; empty: any. The error is ErrNotLeading without a leader here.
+// handOver hands leadership over to the most up-to-date follower. It returns the member that was named as successor, or
+// "" if any member may lead next. It fails with ErrNotLeading while this node does not lead.
 func (h *handover) handOver() (to string, err error) {
 	local := h.leadership.local()
 	if local == nil {
@@ -150,15 +151,15 @@
 	before := h.setHandedOverAt(micros.Now())
 	to, err = local.HandOver(h.timeout)
 	if err != nil {
-		h.setHandedOverAt(before) // which is that of a handover under way, if this was a second one
+		h.setHandedOverAt(before) // keeps the time of the earlier handover if that is still in progress
 		return "", err
 	}
 	h.leadership.setExpectsChange(true)
 	return to, nil
 }
 
-// handOverAndConfirm has this node, if it leads, hand over, and returns the member that was named once that leads. The
-// error is an *api.HandoverError if another one leads next, or none does for so long.
+// handOverAndConfirm hands leadership over and returns the named successor once that member leads. It fails with an
+// *api.HandoverError if another member leads next, or if no member leads within nextLeaderTimeout.
 func (h *handover) handOverAndConfirm(ctx context.Context) (to string, err error) {
 	token := h.election.HighestKnownLeader().FencingToken
 	to, err = h.handOver()
@@ -173,8 +174,8 @@
 	return to, nil
 }
 
-// awaitNextLeader waits until the leader key shows a later term than the one with a fencing token, and returns the
-// member that leads; empty if none does in time.
+// awaitNextLeader waits until the leader key shows a term with a higher fencing token than the given one. It returns the
+// member that leads that term, or "" if there is none in time.
 func (h *handover) awaitNextLeader(ctx context.Context, token uint64) string {
 	ctx, cancel := context.WithTimeout(ctx, nextLeaderTimeout.Duration())
 	defer cancel()
@@ -191,8 +192,8 @@
 	}
 }
 
-// await waits while leadership is being handed over, so that a worker's heartbeat reaches the
-// next leader: rejected, the worker would come back a second later.
+// await waits while a handover of leadership is in progress, so that a worker's heartbeat reaches the next leader. If the
+// heartbeat were rejected instead, the worker would retry only 1 s later.
 func (h *handover) await(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, maxHandoverWait.Duration())
 	defer cancel()
@@ -204,20 +205,19 @@
 	}
 }
 
-// isBetweenLeaders reports whether the known leader has handed over and nobody is known to lead
-// yet.
+// isBetweenLeaders reports whether the last known leader has handed over and its successor is not known yet.
 func (h *handover) isBetweenLeaders() bool {
 	highest := h.election.HighestKnownLeader()
 	if highest.Member == h.member {
 		handedOverAt := h.lastHandedOverAt()
-		return handedOverAt != 0 && micros.Now()-handedOverAt < yieldAfterHandover
+		return handedOverAt != 0 && micros.Now()-handedOverAt < ownHandoverDelay
 	}
 	return h.follower.HasHandedOver(highest.FencingToken)
 }
 
-// awaitRelease waits, after a handover, until the session of the leader key has been released.
+// awaitRelease waits, after a handover, until this node has released the leader key, for ownHandoverDelay at most.
 func (h *handover) awaitRelease() {
-	for until := micros.Now() + yieldAfterHandover; micros.Now() < until && !h.hasReleasedLeadership(); {
+	for until := micros.Now() + ownHandoverDelay; micros.Now() < until && !h.hasReleasedLeadership(); {
 		releasePollInterval.Sleep()
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -120,7 +120,8 @@
 	return conn, nil
 }
 
-// receiveResponses delivers the responses that arrive on conn to the pending requests until conn fails or is closed by drop.
+// receiveResponses delivers the responses that arrive on conn to the pending requests until conn fails or is closed by
+// closeConn.
 func (c *Client) receiveResponses(conn net.Conn) {
 	defer c.closeConn(conn)
 	limited := &limitedReader{reader: conn}
--- a/internal/peer/compatibility_test.go
+++ b/internal/peer/compatibility_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestOldLayoutsCoverCapturedMessages checks that the frozen layouts of the old versions are complete: decoding a captured
-// message into its frozen layout and encoding it again must not lose any field.
+// TestOldLayoutsCoverCapturedMessages checks that the old versions' frozen layouts are complete: decoding a captured message
+// into its frozen layout and encoding it again must not lose any field.
 func TestOldLayoutsCoverCapturedMessages(t *testing.T) {
 	for _, v := range oldVersions {
 		messages := v.messages(t)
--- a/internal/peer/oldversions_test.go
+++ b/internal/peer/oldversions_test.go
@@ -92,8 +92,8 @@
 		Standby wire.RawMessage      `json:"standby,omitempty"`
 		Error   string               `json:"error,omitempty"`
 	}
-	// v01da0cfRequest, v01da0cfResponse and the types after them contain every field of the warm standby, the zone status,
-	// the membership heartbeats and the explanations.
+	// v01da0cfRequest, v01da0cfResponse and the types after them contain every field of the warm standby, the zone
+	// status, the membership heartbeats and the explanations.
 	v01da0cfRequest struct {
 		ID        uint64                `json:"id"`
 		Probe     *v3a714abProbe        `json:"probe,omitempty"`
--- a/internal/peer/version.go
+++ b/internal/peer/version.go
@@ -7,8 +7,8 @@
 
 // Version is the version of the formats that this node stores and sends to its peers. It is incremented when an earlier
 // version would misread either. The versions that may run beside this one (testdata/versions) are 3a714ab, which predates
-// version numbers, sends none and is treated as 0; and 5fd93d5, 1f14824, d052fb0, 01da0cf and d64cbaf, which send 1: their
-// messages differ from this version's only in fields that they ignore (see Request).
+// version numbers, sends none and is treated as 0; and 5fd93d5, 1f14824, d052fb0, 01da0cf and d64cbaf, which send 1:
+// their messages differ from this version's only in fields that they ignore (see Request).
 const Version = 1
 
 // Versions is one node's view of the versions of all nodes.
--- a/jobs.go
+++ b/jobs.go
@@ -10,14 +10,14 @@
 	"caperlatch/internal/peer"
 )
 
-// errNoExplanation is for an answer of a leader that does not explain jobs.
+// errNoExplanation means that the leader's response has no explanation.
 var errNoExplanation = errors.New("no explanation in the answer")
 
-// taskCountsTTL is how long the counts that the leader sent last are shown.
+// taskCountsTTL is how long the task counts that the leader last sent are valid.
 const taskCountsTTL = 5 * micros.Second
 
-// jobView is what a node shows of jobs: what its own leader knows or, while it does not lead,
-// what the leader sent and answers.
+// jobView provides a node's view of jobs for the API. It takes the data from this node's own leader or, while this node
+// does not lead, from what the remote leader sends and answers.
 type jobView struct {
 	leadership *localLeadership
 	leader     leaderClient
@@ -27,14 +27,14 @@
 	taskCountsAt micros.Micros
 }
 
-// setTaskCounts keeps the counts that the leader sent.
+// setTaskCounts stores the task counts that the leader sent.
 func (v *jobView) setTaskCounts(counts peer.TaskCounts) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.taskCounts, v.taskCountsAt = counts, micros.Now()
 }
 
-// countTasks returns how many tasks of a job are done and how many run, 0 if that is not known.
+// countTasks returns how many tasks of a job are done and how many run. Both are 0 if that is not known.
 func (v *jobView) countTasks(id string) (done, running int) {
 	if local := v.leadership.local(); local != nil {
 		done, running, _ = local.TaskCounts(id)
@@ -48,7 +48,7 @@
 	return v.taskCounts.Of(id)
 }
 
-// explain asks the leader, here or elsewhere, about a job.
+// explain returns the explanation of a job by this node's leader or, while this node does not lead, by the remote leader.
 func (v *jobView) explain(ctx context.Context, id string) (explain.Explanation, error) {
 	if e, err := v.explainAsLeader(id); err == nil {
 		return e, nil
@@ -63,8 +63,8 @@
 	return *response.Explanation, nil
 }
 
-// explainAsLeader returns what this node's leader knows of a job. The error is ErrNotLeading
-// without a leader here.
+// explainAsLeader returns the explanation of a job by this node's leader. It fails with ErrNotLeading while this node
+// does not lead.
 func (v *jobView) explainAsLeader(id string) (explain.Explanation, error) {
 	local := v.leadership.local()
 	if local == nil {
--- a/leadership.go
+++ b/leadership.go
@@ -13,53 +13,54 @@
 	"caperlatch/internal/wire"
 )
 
-// Errors that users, operators or other nodes get as answers.
+// Errors that are returned to users, operators or other nodes.
 var (
-	// ErrNotLeading is returned for what only the leader can do.
+	// ErrNotLeading means that only the leader can serve the request, and this node does not lead.
 	ErrNotLeading = errors.New("not leading")
-	errNoLeader   = errors.New("no leader known")
+	// errNoLeader means that no other node is known to lead.
+	errNoLeader = errors.New("no leader known")
 )
 
-// localLeadership is this node's leader while it leads, and whether the leader is about to change.
-// It owns how closely the replica follows the state service.
+// localLeadership holds this node's leader while this node leads, and whether the leader is about to change. It owns the
+// decision whether the replica follows the state service with low latency.
 type localLeadership struct {
 	replica *replica.Replica
 
 	mu            sync.Mutex
 	leader        *leader.Leader // nil while this node does not lead
-	expectsChange bool           // of the leader, soon
+	expectsChange bool           // whether the leader is expected to change soon
 }
 
-// local returns this node's leader, nil while it does not lead.
+// local returns this node's leader, or nil while this node does not lead.
 func (l *localLeadership) local() *leader.Leader {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.leader
 }
 
-// setLocal notes that this node leads, or with nil that it no longer does.
+// setLocal records this node's leader, or with nil that this node no longer leads.
 func (l *localLeadership) setLocal(local *leader.Leader) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.leader = local
-	l.setLatency()
+	l.updateReplicaLatency()
 }
 
-// setExpectsChange notes whether the leader is about to change. This node then follows the
-// state service as closely as a leader does.
+// setExpectsChange records whether the leader is about to change. While it is, the replica follows the state service
+// with the same low latency as on the leader.
 func (l *localLeadership) setExpectsChange(expects bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.expectsChange = expects
-	l.setLatency()
+	l.updateReplicaLatency()
 }
 
-// setLatency has the replica follow the state service as closely as is needed now; mu is held.
-func (l *localLeadership) setLatency() {
+// updateReplicaLatency sets whether the replica follows the state service with low latency. The caller must hold mu.
+func (l *localLeadership) updateReplicaLatency() {
 	l.replica.SetLowLatency(l.leader != nil || l.expectsChange)
 }
 
-// respondToEncoded has this node's leader answer an encoded heartbeat.
+// respondToEncoded returns the encoded response of this node's leader to an encoded heartbeat.
 func (l *localLeadership) respondToEncoded(encoded wire.RawMessage) (wire.RawMessage, error) {
 	local := l.local()
 	if local == nil {
@@ -76,18 +77,17 @@
 	return wire.Marshal(response)
 }
 
-// leaderClient sends requests to the leader, whichever node that is as far as is known here.
+// leaderClient sends requests to the node that leads as known to this node.
 type leaderClient struct {
 	election *election.Election
 	peers    *peer.Peers
 }
 
-// member returns the member that leads as known here: by the state service or, when that
-// cannot be reached, by a peer that knows of a higher fencing token.
+// member returns the member that leads as known to this node: from the state service or, if that is not reachable, from
+// a peer that knows a higher fencing token.
 func (c leaderClient) member() string { return c.election.HighestKnownLeader().Member }
 
-// client returns the client of the leader. The error is errNoLeader if none is known, or if it
-// is this node.
+// client returns the client of the leader. It fails with errNoLeader if no leader is known, or if this node leads.
 func (c leaderClient) client() (*peer.Client, error) {
 	client := c.peers.Client(c.member())
 	if client == nil {
@@ -96,7 +96,7 @@
 	return client, nil
 }
 
-// ask sends a request to the leader.
+// ask sends a request to the leader and returns the response.
 func (c leaderClient) ask(ctx context.Context, q peer.Request) (peer.Response, error) {
 	client, err := c.client()
 	if err != nil {
--- a/membership.go
+++ b/membership.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// heartbeatTimeout is how long a response is waited for: longer than a slow path takes there
-	// and back, as giving up ends the stream.
+	// heartbeatTimeout is how long a heartbeat waits for its response. It is longer than the round trip of a slow network
+	// path, because a timeout closes the connection.
 	heartbeatTimeout = 5 * micros.Second
-	// leaveTimeout is how long the heartbeat that says that this node leaves may take.
+	// leaveTimeout is how long the heartbeat that announces that this node leaves may take.
 	leaveTimeout = 500 * micros.Millisecond
-	// maxPendingHeartbeats bounds the heartbeats to one peer that wait for their responses.
+	// maxPendingHeartbeats is the maximum number of heartbeats to one peer that wait for their responses.
 	maxPendingHeartbeats = 16
 )
 
-// membershipAgent is a node's part in membership: it sends and answers heartbeats between
-// members, and has a detector judge them. Nothing else on the node acts on the verdicts.
+// membershipAgent runs a node's part of the membership protocol. It sends and answers heartbeats between members, and
+// passes them to a failure detector. Nothing else on the node acts on the detector's verdicts.
 type membershipAgent struct {
 	config membership.Config
-	// clients have streams of their own: those of probes end after a second without an answer,
-	// which a slow path may well take.
-	clients      map[string]*peer.Client       // by member
-	surroundings func() membership.Environment // what the state service says of the members
+	// clients use connections of their own, because the connections of probes are closed after about 1 s without a
+	// response, and a slow network path may take longer.
+	clients     map[string]*peer.Client       // by member
+	environment func() membership.Environment // what the detector needs to know from the state service
 
 	mu       sync.Mutex
 	detector *membership.Detector
 }
 
-// newMembershipAgent returns the agent of a member that has not sent any heartbeat.
-func newMembershipAgent(member string, peers []settings.Peer, dial peer.Dial, config membership.Config, surroundings func() membership.Environment) *membershipAgent {
-	a := &membershipAgent{config: config, clients: map[string]*peer.Client{}, surroundings: surroundings}
+// newMembershipAgent returns the agent of a member. It sends no heartbeats until run is called.
+func newMembershipAgent(member string, peers []settings.Peer, dial peer.Dial, config membership.Config, environment func() membership.Environment) *membershipAgent {
+	a := &membershipAgent{config: config, clients: map[string]*peer.Client{}, environment: environment}
 	var others []string
 	for _, p := range peers {
 		others = append(others, p.Member)
@@ -47,18 +47,17 @@
 	return a
 }
 
-// run sends heartbeats and judges the members until ctx ends.
+// run sends heartbeats and evaluates the members until ctx ends.
 func (a *membershipAgent) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for member, client := range a.clients {
 		wg.Go(func() { a.sendHeartbeats(ctx, member, client) })
 	}
-	micros.Every(ctx, a.config.HeartbeatInterval, a.judge)
+	micros.Every(ctx, a.config.HeartbeatInterval, a.evaluateMembers)
 	wg.Wait()
 }
 
-// sendHeartbeats sends heartbeats to a peer until ctx ends. They don't wait for each other's
-// responses.
+// sendHeartbeats sends heartbeats to a peer until ctx ends. Heartbeats do not wait for each other's responses.
 func (a *membershipAgent) sendHeartbeats(ctx context.Context, member string, client *peer.Client) {
 	defer client.Close()
 	var wg sync.WaitGroup
@@ -68,7 +67,7 @@
 		select {
 		case pending <- struct{}{}:
 		default:
-			return // too many wait for their responses
+			return // too many heartbeats wait for their responses
 		}
 		wg.Go(func() {
 			defer func() { <-pending }()
@@ -77,7 +76,7 @@
 	})
 }
 
-// sendHeartbeat sends one heartbeat and applies the response.
+// sendHeartbeat sends one heartbeat to a peer and applies the response.
 func (a *membershipAgent) sendHeartbeat(ctx context.Context, member string, client *peer.Client, timeout micros.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
@@ -103,20 +102,20 @@
 	return a.detector.Heartbeat(micros.Now())
 }
 
-// respond applies a peer's heartbeat and returns this node's.
+// respond applies a peer's heartbeat and returns this node's heartbeat.
 func (a *membershipAgent) respond(received *membership.Heartbeat) *membership.Heartbeat {
 	a.update(func(d *membership.Detector, now micros.Micros) { d.HandleHeartbeat(now, received) })
 	heartbeat := a.heartbeat()
 	return &heartbeat
 }
 
-// judge has the detector judge the members.
-func (a *membershipAgent) judge() {
-	around := a.surroundings()
-	a.update(func(d *membership.Detector, now micros.Micros) { d.Tick(now, around) })
+// evaluateMembers updates the detector's verdicts on the members.
+func (a *membershipAgent) evaluateMembers() {
+	environment := a.environment()
+	a.update(func(d *membership.Detector, now micros.Micros) { d.Tick(now, environment) })
 }
 
-// update changes what is known of the members, and logs their transitions.
+// update applies change to the detector, and logs the resulting state transitions of members.
 func (a *membershipAgent) update(change func(*membership.Detector, micros.Micros)) {
 	a.mu.Lock()
 	change(a.detector, micros.Now())
@@ -128,14 +127,14 @@
 	}
 }
 
-// status returns this node's view of the members.
+// status returns this node's view of the other members.
 func (a *membershipAgent) status() membership.Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.detector.Status(micros.Now())
 }
 
-// leave announces to all peers that this node leaves.
+// leave announces to all peers that this node leaves, so that they do not suspect it.
 func (a *membershipAgent) leave() {
 	a.mu.Lock()
 	a.detector.Leave()
--- a/node.go
+++ b/node.go
@@ -1,8 +1,8 @@
 // Package caperlatch runs a controller node of the cluster scheduler.
 //
-// It owns how the parts of a node are put together: which part asks which, and what one node
-// answers another. It must decide nothing about jobs or machines, which is the leader's part
-// (internal/leader), and not handle users' requests, which is the API's (internal/api).
+// It owns how the components of a node are connected, and what one node answers another. It must not make decisions about
+// jobs or machines, which belong to the leader (internal/leader), nor handle users' requests, which belong to the API
+// (internal/api).
 package caperlatch
 
 import (
@@ -27,20 +27,20 @@
 	"caperlatch/internal/statestore"
 )
 
-// Node is one controller. It creates its parts, runs them and has them answer; none of them
-// knows the node itself. What they own:
+// Node is one controller node. It creates and runs its components, and delegates requests to them. No component depends
+// on Node itself. The components own:
 //
-//   - store, cloud: the clients of the state service and of the cloud
+//   - store, cloud: the clients of the state service and of the cloud API
 //   - replica: this node's copy of the stored values
-//   - election: terms, and the highest fencing token known here
-//   - peers: what the other nodes last answered; peerHandler: what this node answers them
-//   - leadership: the leader of this node while it leads
-//   - leader: requests to whichever node leads
-//   - contact: whether the state service and the peers answer
-//   - forwarding: which node takes a worker's heartbeats, and how they get to the leader
-//   - jobs, zones: what this node shows of them, from its leader or another
-//   - standby, handover: the warm standby, and planned transfers of leadership; nil: off
-//   - membership: which nodes are alive; nil: off
+//   - election: terms, and the highest fencing token known to this node
+//   - peers: the latest responses of the other nodes; peerHandler: this node's responses to them
+//   - leadership: this node's leader while this node leads
+//   - leader: requests to the node that leads
+//   - connectivity: whether the state service and the peers respond
+//   - forwarding: which node receives a worker's heartbeats, and how they reach the leader
+//   - jobs, zones: this node's view of them, from its own or the remote leader
+//   - standby, handover: the warm standby, and planned transfers of leadership; nil if disabled
+//   - membership: which nodes are alive; nil if disabled
 type Node struct {
 	settings     *settings.Settings
 	tuning       settings.Tuning
@@ -48,30 +48,30 @@
 	network      Network
 	requestTimes *api.RequestTimes
 
-	store       *statestore.Client
-	cloud       *cloud.Client
-	replica     *replica.Replica
-	election    *election.Election
-	peers       *peer.Peers
-	peerHandler *peerHandler
-	leadership  *localLeadership
-	leader      leaderClient
-	contact     *contact
-	forwarding  *forwarding
-	jobs        *jobView
-	zones       zoneView
-	standby     *standbyAgent
-	handover    *handover
-	membership  *membershipAgent
+	store        *statestore.Client
+	cloud        *cloud.Client
+	replica      *replica.Replica
+	election     *election.Election
+	peers        *peer.Peers
+	peerHandler  *peerHandler
+	leadership   *localLeadership
+	leader       leaderClient
+	connectivity *connectivity
+	forwarding   *forwarding
+	jobs         *jobView
+	zones        zoneView
+	standby      *standbyAgent
+	handover     *handover
+	membership   *membershipAgent
 }
 
-// NewNode returns a node from checked settings; what has no settings in features is off.
+// NewNode returns a node with validated settings. Features without settings in features are disabled.
 func NewNode(s *settings.Settings, t settings.Tuning, features settings.Features) *Node {
 	return NewNodeWithNetwork(s, t, features, newTCPNetwork(s))
 }
 
-// NewNodeWithNetwork returns a node that reaches everything around it through network. The caller runs
-// RunBackground and serves Handler, or calls Run alone, which does both.
+// NewNodeWithNetwork returns a node that uses network for its connections to other processes. The caller runs
+// RunBackground and serves Handler, or calls only Run, which does both.
 func NewNodeWithNetwork(s *settings.Settings, t settings.Tuning, features settings.Features, network Network) *Node {
 	n := &Node{settings: s, tuning: t, features: features, network: network, requestTimes: api.NewRequestTimes()}
 	n.store = statestore.New(s.External.State, s.Params.State, network.ServiceTransport)
@@ -81,7 +81,7 @@
 	n.peers = n.newPeers()
 	n.election = n.newElection()
 	n.leader = leaderClient{election: n.election, peers: n.peers}
-	n.contact = &contact{member: s.Member, others: s.Peers, store: n.store, replica: n.replica, peers: n.peers, election: n.election}
+	n.connectivity = &connectivity{member: s.Member, others: s.Peers, store: n.store, replica: n.replica, peers: n.peers, election: n.election}
 	n.forwarding = &forwarding{leader: n.leader}
 	n.jobs = &jobView{leadership: n.leadership, leader: n.leader}
 	n.zones = zoneView{leadership: n.leadership, leader: n.leader}
@@ -89,7 +89,7 @@
 		n.addStandby(features.Standby)
 	}
 	if features.Membership != nil {
-		n.membership = newMembershipAgent(s.Member, s.Peers, network.DialPeer, *features.Membership, n.contact.surroundings)
+		n.membership = newMembershipAgent(s.Member, s.Peers, network.DialPeer, *features.Membership, n.connectivity.membershipEnvironment)
 	}
 	n.peerHandler = &peerHandler{
 		member:     s.Member,
@@ -106,20 +106,20 @@
 	return n
 }
 
-// newPeers returns the peers of the settings. The handler is created after them, and they call
-// it only while the node runs.
+// newPeers returns the peers in the settings. They call n.peerHandler, which is created after them, only while the node
+// runs.
 func (n *Node) newPeers() *peer.Peers {
 	clients := map[string]*peer.Client{}
 	for _, p := range n.settings.Peers {
 		clients[p.Member] = peer.NewClient(p.Addr, n.network.DialPeer)
 	}
 	return peer.NewPeers(clients,
-		func(sentCountsAt *micros.Micros) *peer.Probe { return n.peerHandler.makeProbe(sentCountsAt) },
+		func(sentCountsAsOf *micros.Micros) *peer.Probe { return n.peerHandler.makeProbe(sentCountsAsOf) },
 		func(state *peer.NodeState) { n.peerHandler.handlePeerState(state) })
 }
 
-// newElection returns the election. The standby is created after it, and it calls that only
-// while the node runs.
+// newElection returns the election. It calls n.standby and n.handover, which are created after it, only while the node
+// runs.
 func (n *Node) newElection() *election.Election {
 	config := election.Config{
 		Member:        n.settings.Member,
@@ -131,14 +131,14 @@
 	}
 	if n.features.Standby != nil {
 		config.OnCampaign = func() { n.standby.failover.CampaignStarted() }
-		config.CampaignDelay = func() micros.Micros { return n.handover.yieldFor() }
+		config.CampaignDelay = func() micros.Micros { return n.handover.campaignDelay() }
 		config.IsSuccessorOf = func(l replica.Leader) bool { return n.standby.follower.IsSuccessorOf(l.FencingToken) }
-		config.HandoverGracePeriod = func() micros.Micros { return n.handover.keepKeyFor() }
+		config.HandoverGracePeriod = func() micros.Micros { return n.handover.handoverGracePeriod() }
 	}
 	return election.New(config)
 }
 
-// addStandby turns the warm standby on.
+// addStandby enables the warm standby.
 func (n *Node) addStandby(s *settings.Standby) {
 	member := n.settings.Member
 	n.standby = &standbyAgent{
@@ -170,29 +170,28 @@
 	}
 }
 
-// How the runtime uses the process's limits: most of the memory limit may be used before the
-// collector works hard; below it, few collections spare the small share of the processor.
+// Garbage collection settings. Below the soft memory limit, which is a share of the process's limit, collections are
+// infrequent, because the process has only a small CPU quota. Near the limit they become frequent.
 const (
-	memoryShare = 0.6
-	gcPercent   = 300
-	mebibyte    = 1 << 20
+	memoryLimitShare = 0.6
+	gcPercent        = 300
+	mebibyte         = 1 << 20
 )
 
-// Times of the HTTP server's connections. Workers send heartbeats far more often than a
-// connection may be idle.
+// Timeouts of the HTTP server's connections. idleTimeout is far longer than the interval between a worker's heartbeats.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
 )
 
-// Run serves until ctx ends, and returns when all that it started has ended.
+// Run runs the node and serves its HTTP API until ctx ends. It returns when all goroutines that it started have ended.
 func (n *Node) Run(ctx context.Context) error {
 	limits := n.settings.Params.Limits
-	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryShare * mebibyte))
+	debug.SetMemoryLimit(int64(limits.MemoryMB * memoryLimitShare * mebibyte))
 	debug.SetGCPercent(gcPercent)
 	ln, err := net.Listen("tcp", n.settings.ClientListen)
 	if err != nil {
-		return fmt.Errorf("client_listen: %w", err)
+		return fmt.Errorf("listen for clients at client_listen: %w", err)
 	}
 	server := &http.Server{
 		Handler:           n.Handler(),
@@ -208,13 +207,13 @@
 	slog.Info("node started", "member", n.settings.Member, "address", ln.Addr().String())
 	err = server.Serve(ln)
 	if ctx.Err() == nil {
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("serve HTTP: %w", err)
 	}
 	wg.Wait()
 	return nil
 }
 
-// Handler returns the handler that answers users, workers and health checks.
+// Handler returns the HTTP handler for requests of users and workers, and for health checks.
 func (n *Node) Handler() http.Handler {
 	return api.New(api.Config{
 		Node:           n,
@@ -227,14 +226,14 @@
 	})
 }
 
-// RunBackground does all that is not an answer to a user's or worker's request, until ctx ends.
+// RunBackground runs all components of the node until ctx ends. It does not serve HTTP requests.
 func (n *Node) RunBackground(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { n.replica.Run(ctx) })
 	wg.Go(func() { n.election.Run(ctx) })
 	wg.Go(func() { n.peers.Run(ctx) })
 	wg.Go(func() { n.peerHandler.serve(ctx, n.network.ListenForPeers) })
-	wg.Go(func() { n.contact.watch(ctx) })
+	wg.Go(func() { n.connectivity.monitor(ctx) })
 	wg.Go(func() { n.requestTimes.Run(ctx) })
 	if n.standby != nil {
 		wg.Go(func() { n.standby.run(ctx) })
@@ -245,7 +244,7 @@
 	wg.Wait()
 }
 
-// serveTerm runs a leader for a term that this node won, until ctx ends.
+// serveTerm runs a leader for a term that this node has won, until ctx ends.
 func (n *Node) serveTerm(ctx context.Context, t *election.Term) {
 	config := leader.Config{
 		Settings:          n.settings,
@@ -258,7 +257,7 @@
 		LeaderKeyRevision: t.LeaderKeyRevision,
 		WorkerClient:      &http.Client{Transport: n.network.WorkerTransport},
 		ZonePolicy:        newZonePolicy(n.features.Zones),
-		IsIsolated:        n.contact.isIsolated,
+		IsIsolated:        n.connectivity.isIsolated,
 	}
 	if n.standby != nil {
 		n.standby.beginTerm(t, &config)
@@ -273,8 +272,7 @@
 	}
 }
 
-// HandOverOnShutdown hands over, if this node leads, and waits until it has released the leader
-// key.
+// HandOverOnShutdown hands leadership over if this node leads, and waits until this node has released the leader key.
 func (n *Node) HandOverOnShutdown() {
 	to, err := n.HandOver()
 	if err != nil {
@@ -285,7 +283,7 @@
 	slog.Info("shutting down after a handover", "to", to, "leader", n.LeaderMember())
 }
 
-// Leave announces to the other nodes that this one leaves, so that it is not suspected.
+// Leave announces to the other nodes that this node leaves, so that they do not suspect it.
 func (n *Node) Leave() {
 	if n.membership != nil {
 		n.membership.leave()
--- a/peers.go
+++ b/peers.go
@@ -17,7 +17,7 @@
 	"caperlatch/internal/zone"
 )
 
-// peerHandler answers peers, and makes the probes that this node sends them.
+// peerHandler answers the requests of peers, and creates the probes that this node sends to peers.
 type peerHandler struct {
 	member     string // this node
 	store      *statestore.Client
@@ -27,40 +27,40 @@
 	leadership *localLeadership
 	jobs       *jobView
 	zones      zoneView
-	standby    *standbyAgent    // nil: off
-	membership *membershipAgent // nil: off
+	standby    *standbyAgent    // nil if disabled
+	membership *membershipAgent // nil if disabled
 }
 
 var _ peer.Handler = (*peerHandler)(nil)
 
-// serve answers the other nodes until ctx ends. A node whose peers cannot reach it still works,
-// so a failure to listen is only logged.
+// serve answers requests of peers until ctx ends. It only logs a failure to listen, because a node still works if its
+// peers cannot reach it.
 func (h *peerHandler) serve(ctx context.Context, listen func() (net.Listener, error)) {
 	l, err := listen()
 	if err != nil {
-		slog.Error("listening for peers failed", "setting", "peer_bind", "error", err)
+		slog.Error("listening for peers failed; peers cannot reach this node", "setting", "peer_bind", "error", err)
 		return
 	}
 	peer.Serve(ctx, l, h)
 }
 
-// makeProbe returns the next probe to a peer; sentCountsAt is when the counts were made that it
-// was sent last. Counts are sent once, as encoding them for every probe took the leader a tenth
-// of its processor.
-func (h *peerHandler) makeProbe(sentCountsAt *micros.Micros) *peer.Probe {
+// makeProbe returns the next probe to a peer. sentCountsAsOf is the time at which the task counts last sent to this peer
+// were determined; makeProbe updates it. It does not send the same counts again, because encoding them for every probe
+// used 10% of the leader's CPU.
+func (h *peerHandler) makeProbe(sentCountsAsOf *micros.Micros) *peer.Probe {
 	p := &peer.Probe{Member: h.member, CancellationsSince: h.replica.CancelledThrough()}
 	highest := h.election.HighestKnownLeader()
 	p.HighestToken, p.Leader = highest.FencingToken, highest.Member
 	if local := h.leadership.local(); local != nil {
 		p.LeadershipInDoubt = !local.Term.HoldsSession() && !local.IsHandingOver()
-		if counts, at := local.AllTaskCounts(); at != *sentCountsAt {
-			p.TaskCounts, *sentCountsAt = peer.TaskCounts(counts), at
+		if counts, at := local.AllTaskCounts(); at != *sentCountsAsOf {
+			p.TaskCounts, *sentCountsAsOf = peer.TaskCounts(counts), at
 		}
 	}
 	return p
 }
 
-// handlePeerState applies what a peer answered to a probe.
+// handlePeerState applies a peer's response to a probe.
 func (h *peerHandler) handlePeerState(s *peer.NodeState) {
 	h.election.ObserveToken(s.HighestToken, s.Leader)
 	h.replica.AdoptCancellations(s.Cancellations, s.CancelledThrough)
@@ -69,9 +69,9 @@
 	}
 }
 
-// HandleProbe answers a peer's probe. Once this node has sent a fencing token, it answers no
-// worker with a lower one. A node that the state service answers does not abstain: it would see
-// the leader's session end.
+// HandleProbe answers a peer's probe. Once this node has reported a fencing token, it answers no worker with a lower one.
+// A node that can reach the state service does not abstain from campaigning, because it would see the end of the
+// leader's session.
 func (h *peerHandler) HandleProbe(p *peer.Probe) *peer.NodeState {
 	h.election.ObserveToken(p.HighestToken, p.Leader)
 	if p.TaskCounts != nil {
@@ -96,20 +96,21 @@
 	return s
 }
 
-// HandleForwardedHeartbeat has this node's leader answer a worker's heartbeat.
+// HandleForwardedHeartbeat returns the response of this node's leader to a worker's heartbeat.
 func (h *peerHandler) HandleForwardedHeartbeat(heartbeat wire.RawMessage) (wire.RawMessage, error) {
 	return h.leadership.respondToEncoded(heartbeat)
 }
 
-// HandleExplain answers what this node's leader knows of a job.
+// HandleExplain returns the explanation of a job by this node's leader.
 func (h *peerHandler) HandleExplain(job string) (explain.Explanation, error) {
 	return h.jobs.explainAsLeader(job)
 }
 
-// HandleZones answers with the view that this node's leader has of the zones.
+// HandleZones returns the status of the zones as this node's leader sees them.
 func (h *peerHandler) HandleZones() ([]zone.Status, error) { return h.zones.statusAsLeader() }
 
-// HandleStandbyQuery answers a follower with what this node's leader has decided.
+// HandleStandbyQuery returns the decisions of this node's leader to a follower, or nil if this node does not lead or has
+// no standby.
 func (h *peerHandler) HandleStandbyQuery(q *standby.Query) *standby.Page {
 	if h.standby == nil {
 		return nil
@@ -117,7 +118,7 @@
 	return h.standby.respondToQuery(q)
 }
 
-// HandleMembershipHeartbeat applies a peer's heartbeat and answers with this node's.
+// HandleMembershipHeartbeat applies a peer's heartbeat and returns this node's, or nil if membership is disabled.
 func (h *peerHandler) HandleMembershipHeartbeat(heartbeat *membership.Heartbeat) *membership.Heartbeat {
 	if h.membership == nil {
 		return nil
--- a/standby.go
+++ b/standby.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// standbyQueryTimeout bounds a query, as it bounds a probe on the same stream.
+	// standbyQueryTimeout is how long a query waits for its response: as long as a probe on the same connection.
 	standbyQueryTimeout = 1200 * micros.Millisecond
-	// successorWithin is how long after a leader's last page its successor is expected to answer.
-	successorWithin = 5 * micros.Second
+	// maxSuccessorDelay is how long after a leader's last page its successor is expected to respond.
+	maxSuccessorDelay = 5 * micros.Second
 )
 
-// standbyAgent is a node's part in the warm standby: it follows whoever leads, and publishes
-// what this node decides while it leads. It decides nothing about leadership, which hangs on
-// the session of the leader key alone.
+// standbyAgent runs a node's part of the warm standby. It follows the leader's decisions and, while this node leads,
+// publishes this node's decisions. It does not decide about leadership, which depends only on the session of the leader
+// key.
 type standbyAgent struct {
 	member     string // this node
 	settings   *settings.Standby
@@ -34,11 +34,11 @@
 	failover   *standby.Failover
 
 	mu             sync.Mutex
-	publisher      *standby.Publisher      // of the present term, nil while this node does not lead
-	otherFollowers []standby.FollowerState // as the leader last said
+	publisher      *standby.Publisher      // of the current term, nil while this node does not lead
+	otherFollowers []standby.FollowerState // as the leader last listed them
 }
 
-// run keeps the view of whoever leads until ctx ends.
+// run keeps this node's view of the leader's state up to date until ctx ends.
 func (a *standbyAgent) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if a.leadership.local() != nil || !a.query(ctx) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// query asks the leader once, and reports whether it has more to send at once.
+// query sends one query to the leader, and reports whether the leader has more entries to send immediately.
 func (a *standbyAgent) query(ctx context.Context) (more bool) {
 	highest := a.election.HighestKnownLeader()
 	client := a.peers.Client(highest.Member)
@@ -64,20 +64,20 @@
 		return false
 	}
 	page := response.StandbyPage
-	if page == nil { // it does not publish, or no longer leads
+	if page == nil { // the peer does not publish, or no longer leads
 		if !a.follower.HasHandedOver(highest.FencingToken) {
-			a.leadership.setExpectsChange(false) // else this node would follow the state service closely for ever
+			a.leadership.setExpectsChange(false) // otherwise the replica would keep its low latency forever
 		}
 		return false
 	}
 	if err := a.follower.ApplyPage(page, sentAt); err != nil {
-		return false // the follower has logged it
+		return false // ApplyPage has logged the error
 	}
 	a.mu.Lock()
 	a.otherFollowers = page.Followers
 	a.mu.Unlock()
 	if _, handed := a.follower.HandedOverTo(); handed {
-		a.leadership.setExpectsChange(true) // very soon
+		a.leadership.setExpectsChange(true) // the next term begins very soon
 		a.election.Wake()
 		return false
 	}
@@ -85,8 +85,8 @@
 	return page.Snapshot != nil || page.AfterPosition+uint64(len(page.Entries)) < page.LatestPosition
 }
 
-// suspectLeader has this node follow the state service closely once the leader has not answered
-// for a while. It is a hint: leadership hangs on the session alone.
+// suspectLeader makes the replica follow the state service with low latency if the leader has not responded for
+// Standby.SuspectAfter. The suspicion is only a hint, because leadership depends only on the session of the leader key.
 func (a *standbyAgent) suspectLeader() {
 	if last := a.follower.LastPageAt(); last != 0 && micros.Now()-last > a.settings.SuspectAfter {
 		a.failover.LeaderSuspected()
@@ -94,17 +94,16 @@
 	}
 }
 
-// trustLeader notes that a leader answers.
+// trustLeader ends a suspicion when a leader responds.
 func (a *standbyAgent) trustLeader() {
 	a.failover.LeaderTrusted()
 	a.leadership.setExpectsChange(false)
 }
 
-// expectsSuccessor reports whether a leader that does not answer now should have a successor
-// soon.
+// expectsSuccessor reports whether, if the leader does not respond, another node should lead soon.
 func (a *standbyAgent) expectsSuccessor() bool {
 	last := a.follower.LastPageAt()
-	return last != 0 && micros.Now()-last < successorWithin
+	return last != 0 && micros.Now()-last < maxSuccessorDelay
 }
 
 // followers returns the followers as the leader last listed them.
@@ -114,7 +113,7 @@
 	return a.otherFollowers
 }
 
-// beginTerm has a term's leader publish, and go on from the view of the term before.
+// beginTerm configures a term's leader to publish its decisions and to continue from the previous term's view.
 func (a *standbyAgent) beginTerm(t *election.Term, config *leader.Config) {
 	publisher := standby.NewPublisher(t.FencingToken, a.settings.MaxLogEntries)
 	config.PreviousTerm = a.follower.TakeView()
@@ -126,7 +125,7 @@
 	a.publisher, a.otherFollowers = publisher, nil
 }
 
-// endTerm notes that this node no longer leads.
+// endTerm records that this node no longer leads.
 func (a *standbyAgent) endTerm() {
 	a.failover.TermEnded()
 	a.mu.Lock()
@@ -134,15 +133,14 @@
 	a.publisher = nil
 }
 
-// currentPublisher returns the publisher of the present term, nil while this node does not lead.
+// currentPublisher returns the publisher of the current term, or nil while this node does not lead.
 func (a *standbyAgent) currentPublisher() *standby.Publisher {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.publisher
 }
 
-// respondToQuery answers a follower with what this node's leader has decided; nil while this
-// node does not lead.
+// respondToQuery returns the decisions of this node's leader to a follower, or nil while this node does not lead.
 func (a *standbyAgent) respondToQuery(q *standby.Query) *standby.Page {
 	publisher := a.currentPublisher()
 	if publisher == nil {
@@ -153,7 +151,7 @@
 	return page
 }
 
-// status returns how far the warm standby is, as this node knows it.
+// status returns the status of the warm standby as known to this node.
 func (a *standbyAgent) status() api.StandbyStatus {
 	highest := a.election.HighestKnownLeader()
 	status := api.StandbyStatus{
--- a/zones.go
+++ b/zones.go
@@ -8,8 +8,7 @@
 	"caperlatch/internal/zone"
 )
 
-// newZonePolicy returns the policy on zones of a new term; without a configuration it is the
-// default one.
+// newZonePolicy returns the zone policy of a new term: the lifecycle policy, or the threshold policy if config is nil.
 func newZonePolicy(config *zone.Config) zone.Policy {
 	if config == nil {
 		return zone.NewThresholdPolicy()
@@ -17,14 +16,14 @@
 	return zone.NewLifecyclePolicy(*config)
 }
 
-// zoneView is what a node shows of zones: the view of the leader, here or elsewhere.
+// zoneView provides the leader's view of the zones, whichever node leads.
 type zoneView struct {
 	leadership *localLeadership
 	leader     leaderClient
 }
 
-// status returns the leader's view of the zones, whichever node leads. The error is
-// api.ErrZonesOff if there is none.
+// status returns the status of the zones as the leader sees them, whichever node leads. It fails with
+// api.ErrZonePolicyDisabled if the leader has no status of zones.
 func (v zoneView) status(ctx context.Context) ([]zone.Status, error) {
 	if v.leadership.local() != nil {
 		return v.statusAsLeader()
@@ -34,13 +33,13 @@
 	case err != nil:
 		return nil, err
 	case response.ZoneStatus == nil:
-		return nil, api.ErrZonePolicyDisabled // also by an earlier version, which does not know the question
+		return nil, api.ErrZonePolicyDisabled // a leader of an earlier version ignores the request, which has the same effect
 	}
 	return response.ZoneStatus, nil
 }
 
-// statusAsLeader returns the view of this node's leader. The error is ErrNotLeading without a
-// leader here.
+// statusAsLeader returns the status of the zones as this node's leader sees them. It fails with ErrNotLeading while this
+// node does not lead, and with api.ErrZonePolicyDisabled if the leader has no status of zones.
 func (v zoneView) statusAsLeader() ([]zone.Status, error) {
 	local := v.leadership.local()
 	if local == nil {
