--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,7 +14,7 @@
 type Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 // errConnectionLost means that a request's connection ended before the response arrived.
-var errConnectionLost = errors.New("connection lost before the response arrived")
+var errConnectionLost = errors.New("connection lost")
 
 // remoteError is the error text with which the peer answered a request.
 type remoteError string
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -27,7 +27,7 @@
 var ErrRejected = errors.New("refused")
 
 // errNoResponse means that a batch failed, or that the peer's response contains fewer entries than the batch.
-var errNoResponse = errors.New("no response to forwarded heartbeat")
+var errNoResponse = errors.New("no answer")
 
 // pendingHeartbeat is a heartbeat whose response has not arrived yet.
 type pendingHeartbeat struct {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -103,7 +103,7 @@
 const maxMessageBytes = 1 << 20
 
 // errMessageTooLarge means that a peer sent a message above maxMessageBytes. The connection is then closed.
-var errMessageTooLarge = errors.New("message from peer exceeds 1 MiB")
+var errMessageTooLarge = errors.New("message too large")
 
 // limitedReader fails with errMessageTooLarge when a single message is too large.
 type limitedReader struct {
