--- a/internal/sim/checker/history.go
+++ b/internal/sim/checker/history.go
@@ -13,11 +13,11 @@
 type History struct {
 	// ClassOf returns the class of a task's job; empty: of none that is compared.
 	ClassOf func(task string) string
-	// Affected reports whether a fault affects the machines of a zone now, so that what runs there
+	// IsZoneAffected reports whether a fault affects the machines of a zone now, so that what runs there
 	// may have to start again.
-	Affected func(zone string) bool
-	// UnreportedFor is for how long the completion of a task may remain unreported.
-	UnreportedFor time.Duration
+	IsZoneAffected func(zone string) bool
+	// MaxReportDelay is for how long the completion of a task may remain unreported.
+	MaxReportDelay time.Duration
 
 	mu            sync.Mutex
 	startedAt     time.Time
@@ -80,8 +80,8 @@
 // Elapsed returns the time since the history began.
 func (h *History) Elapsed() time.Duration { return time.Since(h.startedAt) }
 
-// ObserveTask records what a task did; it serves as Rules.OnTaskEvent.
-func (h *History) ObserveTask(e TaskEvent) {
+// ObserveTaskEvent records what a task did; it serves as Rules.OnTaskEvent.
+func (h *History) ObserveTaskEvent(e TaskEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	record := TaskRecord{At: h.Elapsed(), Class: h.ClassOf(e.Task), Task: e.Task, Machine: e.Machine, Zone: e.Zone}
@@ -96,7 +96,7 @@
 		h.done[e.Task] = true
 		record.Duration = time.Since(h.running[e.Task].startedAt)
 		h.completions = append(h.completions, record)
-	case TaskLeft:
+	case TaskExitedIncomplete:
 		h.repeatedWork += time.Since(h.running[e.Task].startedAt)
 	}
 	delete(h.running, e.Task)
@@ -105,7 +105,7 @@
 // markIfAffected notes that a task may have to start again if a fault affects its zone; the caller
 // holds the lock.
 func (h *History) markIfAffected(task, zone string) {
-	if h.Affected(zone) {
+	if h.IsZoneAffected(zone) {
 		h.affected[task] = true
 	}
 }
@@ -118,14 +118,14 @@
 		h.markIfAffected(task, r.zone)
 	}
 	for _, c := range h.completions {
-		if h.Elapsed()-c.At < h.UnreportedFor {
+		if h.Elapsed()-c.At < h.MaxReportDelay {
 			h.markIfAffected(c.Task, c.Zone)
 		}
 	}
 }
 
-// ObserveAccepted records that a user's job was accepted.
-func (h *History) ObserveAccepted(job, class string, tasks int) {
+// ObserveAcceptedJob records that a user's job was accepted.
+func (h *History) ObserveAcceptedJob(job, class string, tasks int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.acceptedAt[job] = h.Elapsed()
@@ -158,7 +158,7 @@
 		s.PricePerHour += m.PricePerHour
 	}
 	for zone, n := range cpus {
-		if !h.Affected(zone) {
+		if !h.IsZoneAffected(zone) {
 			s.FreeCPUs += max(0, n-s.Running[zone]) // each task takes one CPU
 		}
 	}
--- a/internal/sim/checker/history_test.go
+++ b/internal/sim/checker/history_test.go
@@ -14,8 +14,8 @@
 func newTestHistory() (h *History, faultInB *bool) {
 	h, faultInB = NewHistory(), new(bool)
 	h.ClassOf = func(task string) string { return strings.TrimRight(strings.Split(task, "/")[0], "0123456789") }
-	h.Affected = func(zone string) bool { return zone == "b" && *faultInB }
-	h.UnreportedFor = 3 * time.Second
+	h.IsZoneAffected = func(zone string) bool { return zone == "b" && *faultInB }
+	h.MaxReportDelay = 3 * time.Second
 	return h, faultInB
 }
 
@@ -23,7 +23,7 @@
 func observe(h *History, task, machine string, kind TaskEventKind) {
 	time.Sleep(time.Second)
 	zone, _, _ := strings.Cut(machine, "-")
-	h.ObserveTask(TaskEvent{Task: task, Machine: machine, Zone: zone, Kind: kind})
+	h.ObserveTaskEvent(TaskEvent{Task: task, Machine: machine, Zone: zone, Kind: kind})
 }
 
 // TestHistoryTasks checks what follows from the starts and ends of tasks, of which one restarts
@@ -31,20 +31,20 @@
 func TestHistoryTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, faultInB := newTestHistory()
-		h.ObserveAccepted("scan1", "scan", 3)
-		observe(h, "scan1/0", "a-1", TaskStarted)   // at 1 s
-		observe(h, "scan1/1", "b-1", TaskStarted)   // at 2 s
-		observe(h, "scan1/2", "b-2", TaskStarted)   // at 3 s
-		observe(h, "scan1/0", "a-1", TaskLeft)      // at 4 s: no fault
-		observe(h, "scan1/2", "b-2", TaskCompleted) // at 5 s
+		h.ObserveAcceptedJob("scan1", "scan", 3)
+		observe(h, "scan1/0", "a-1", TaskStarted)          // at 1 s
+		observe(h, "scan1/1", "b-1", TaskStarted)          // at 2 s
+		observe(h, "scan1/2", "b-2", TaskStarted)          // at 3 s
+		observe(h, "scan1/0", "a-1", TaskExitedIncomplete) // at 4 s: no fault
+		observe(h, "scan1/2", "b-2", TaskCompleted)        // at 5 s
 		*faultInB = true
 		h.ObserveFault()
 		*faultInB = false
-		observe(h, "scan1/1", "b-1", TaskLeft)      // at 6 s
-		observe(h, "scan1/0", "a-1", TaskStarted)   // at 7 s
-		observe(h, "scan1/1", "a-1", TaskStarted)   // at 8 s
-		observe(h, "scan1/2", "a-2", TaskStarted)   // at 9 s: its completion was not reported
-		observe(h, "scan1/0", "a-1", TaskCompleted) // at 10 s
+		observe(h, "scan1/1", "b-1", TaskExitedIncomplete) // at 6 s
+		observe(h, "scan1/0", "a-1", TaskStarted)          // at 7 s
+		observe(h, "scan1/1", "a-1", TaskStarted)          // at 8 s
+		observe(h, "scan1/2", "a-2", TaskStarted)          // at 9 s: its completion was not reported
+		observe(h, "scan1/0", "a-1", TaskCompleted)        // at 10 s
 		if got := h.RestartedTasks("scan"); !slices.Equal(got, []string{"scan1/0"}) {
 			t.Errorf("restarted without a fault: %v", got)
 		}
@@ -86,8 +86,8 @@
 			h.RecordSample(machines)
 		}
 		sampleAt(time.Second)
-		h.ObserveAccepted("scan1", "scan", 3)
-		h.ObserveAccepted("update1", "update", 1)
+		h.ObserveAcceptedJob("scan1", "scan", 3)
+		h.ObserveAcceptedJob("update1", "update", 1)
 		observe(h, "scan1/0", "a-1", TaskStarted)
 		sampleAt(2 * time.Second)
 		sampleAt(6 * time.Second) // there is room in b
@@ -111,12 +111,12 @@
 		if got := h.LongestStall("update"); got != 5*time.Second {
 			t.Errorf("updates stalled for %v, want 5 s, from the sample before they waited until the last before the fault", got)
 		}
-		contended := Contention{Class: "scan", Waiting: 1, From: 10 * time.Second, To: 20 * time.Second}
-		if scans, updates := h.StartsUnder(contended, "scan"), h.StartsUnder(contended, "update"); scans != 1 || updates != 1 {
+		contended := Contention{Class: "scan", MinWaiting: 1, From: 10 * time.Second, To: 20 * time.Second}
+		if scans, updates := h.StartsDuring(contended, "scan"), h.StartsDuring(contended, "update"); scans != 1 || updates != 1 {
 			t.Errorf("%d scans and %d updates started while scans waited, want one of each", scans, updates)
 		}
-		contended.Waiting = 2
-		if scans := h.StartsUnder(contended, "scan"); scans != 0 {
+		contended.MinWaiting = 2
+		if scans := h.StartsDuring(contended, "scan"); scans != 0 {
 			t.Errorf("%d scans started while two waited all the time, want none", scans)
 		}
 	})
@@ -128,7 +128,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h, _ := newTestHistory()
 		machines := []Machine{{Zone: "a", CPUs: 1}}
-		h.ObserveAccepted("scan1", "scan", 1)
+		h.ObserveAcceptedJob("scan1", "scan", 1)
 		for range 3 {
 			time.Sleep(2 * time.Second)
 			h.RecordSample(machines)
--- a/internal/sim/checker/queries.go
+++ b/internal/sim/checker/queries.go
@@ -33,16 +33,16 @@
 
 // Contention selects the intervals between samples in which a class had to wait for room.
 type Contention struct {
-	Class    string        // that waited
-	Waiting  int           // at least so many of its tasks, at both ends of an interval
-	From, To time.Duration // since the history began
+	Class      string        // that waited
+	MinWaiting int           // at least so many of its tasks, at both ends of an interval
+	From, To   time.Duration // since the history began
 }
 
-// StartsUnder counts the starts of a class's tasks in the intervals that c selects.
-func (h *History) StartsUnder(c Contention, class string) (starts int) {
+// StartsDuring counts the starts of a class's tasks in the intervals that c selects.
+func (h *History) StartsDuring(c Contention, class string) (starts int) {
 	samples := h.Samples()
 	for i, s := range samples {
-		if i == 0 || s.At < c.From || s.At > c.To || min(samples[i-1].Waiting[c.Class], s.Waiting[c.Class]) < c.Waiting {
+		if i == 0 || s.At < c.From || s.At > c.To || min(samples[i-1].Waiting[c.Class], s.Waiting[c.Class]) < c.MinWaiting {
 			continue
 		}
 		starts += s.Starts[class]
--- a/internal/sim/checker/rules.go
+++ b/internal/sim/checker/rules.go
@@ -74,7 +74,7 @@
 const (
 	TaskStarted TaskEventKind = iota
 	TaskCompleted
-	TaskLeft
+	TaskExitedIncomplete
 )
 
 // TaskEvent is a task that started on a machine, or left it.
--- a/internal/sim/checker/tasks.go
+++ b/internal/sim/checker/tasks.go
@@ -60,7 +60,7 @@
 	}
 	r.release(job, task)
 	if !done {
-		r.emit(task, machine, TaskLeft)
+		r.emit(task, machine, TaskExitedIncomplete)
 		return
 	}
 	r.emit(task, machine, TaskCompleted)
--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -14,9 +14,9 @@
 // CloudConfig is what a cloud and its workers are like. Tests may change it while nothing that it
 // bears on is in progress; see SetMaxMachines.
 type CloudConfig struct {
-	Net   *Network
-	Rules *checker.Rules // is passed what workers do
-	Nodes []string       // hosts of the controllers
+	Net       *Network
+	Rules     *checker.Rules // is passed what workers do
+	NodeHosts []string       // hosts of the controllers
 
 	HeartbeatIntervalS float64 // of the workers, in seconds
 	LeaseDurationS     float64
--- a/internal/sim/fake/state_txn.go
+++ b/internal/sim/fake/state_txn.go
@@ -12,7 +12,7 @@
 
 // The faults of transactions.
 const (
-	TxnCommitted   TxnFault = iota // no fault
+	TxnNoFault     TxnFault = iota // no fault
 	TxnTooLarge                    // rejected with 400, as one with more changes than the service takes
 	TxnUnavailable                 // rejected with 503
 	TxnDropped                     // neither carried out nor answered
@@ -42,7 +42,7 @@
 	decide := s.txnFault
 	s.mu.Unlock()
 	if decide == nil {
-		return TxnCommitted
+		return TxnNoFault
 	}
 	return decide(t)
 }
--- a/internal/sim/fake/worker.go
+++ b/internal/sim/fake/worker.go
@@ -249,7 +249,7 @@
 	w.mu.Lock()
 	w.step()
 	h := w.heartbeat()
-	node := w.cloud.Nodes[w.nodeIndex%len(w.cloud.Nodes)]
+	node := w.cloud.NodeHosts[w.nodeIndex%len(w.cloud.NodeHosts)]
 	w.mu.Unlock()
 	sentAt := time.Now()
 	code, body := w.post(ctx, node, h)
@@ -296,7 +296,7 @@
 	if wire.Unmarshal(body, &redirect) != nil {
 		return false
 	}
-	i := slices.Index(w.cloud.Nodes, redirect.Member+nodePort)
+	i := slices.Index(w.cloud.NodeHosts, redirect.Member+nodePort)
 	if i < 0 {
 		return false
 	}
--- a/internal/sim/fake/worker_test.go
+++ b/internal/sim/fake/worker_test.go
@@ -24,7 +24,7 @@
 	return NewCloud(CloudConfig{
 		Net:                n,
 		Rules:              rules,
-		Nodes:              []string{"host-0:8080"},
+		NodeHosts:          []string{"host-0:8080"},
 		HeartbeatIntervalS: 1,
 		LeaseDurationS:     leaseS,
 		RuntimeOf:          func(string) float64 { return 20 },
--- a/internal/sim/harness/in_process_cluster.go
+++ b/internal/sim/harness/in_process_cluster.go
@@ -31,12 +31,12 @@
 type InProcessCluster struct {
 	Users
 	Leadership
-	Net   *fake.Network
-	Pipes *fake.PeerNetwork
-	Cloud *fake.Cloud
-	// StartNode makes a node for a new incarnation: the handler of users' and workers' requests, and
+	Net     *fake.Network
+	PeerNet *fake.PeerNetwork
+	Cloud   *fake.Cloud
+	// NewNode makes a node for a new incarnation: the handler of users' and workers' requests, and
 	// what it does besides until its context ends.
-	StartNode func(incarnation NodeIncarnation) (handler http.Handler, work func(context.Context))
+	NewNode func(incarnation NodeIncarnation) (handler http.Handler, work func(context.Context))
 
 	stops []func() // by node: kills its present incarnation and waits until it has ended
 
@@ -59,7 +59,7 @@
 	c := &InProcessCluster{
 		Leadership:   Leadership{fake.NewStateService()},
 		Net:          fake.NewNetwork(),
-		Pipes:        fake.NewPeerNetwork(),
+		PeerNet:      fake.NewPeerNetwork(),
 		dead:         map[string]bool{},
 		stops:        make([]func(), nodes),
 		incarnations: make([]int, nodes),
@@ -87,7 +87,7 @@
 	return users, fake.NewCloud(fake.CloudConfig{
 		Net:                n,
 		Rules:              rules,
-		Nodes:              hosts,
+		NodeHosts:          hosts,
 		HeartbeatIntervalS: workers.HeartbeatIntervalS,
 		LeaseDurationS:     workers.LeaseDurationS,
 		RuntimeOf:          runtimeOf,
@@ -138,7 +138,7 @@
 	member := fmt.Sprintf(MemberFormat, node)
 	incarnation := NodeIncarnation{Node: node, Member: member, Sender: fmt.Sprintf("%s/%d", member, c.incarnations[node])}
 	c.mu.Unlock()
-	handler, work := c.StartNode(incarnation)
+	handler, work := c.NewNode(incarnation)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/sim/harness/leadership.go
+++ b/internal/sim/harness/leadership.go
@@ -30,8 +30,8 @@
 // Leadership reads from the state service who leads. It takes no lock of its own.
 type Leadership struct{ State *fake.StateService }
 
-// Current returns the index of the node that leads, -1 if none does.
-func (l Leadership) Current() int {
+// CurrentLeader returns the index of the node that leads, -1 if none does.
+func (l Leadership) CurrentLeader() int {
 	var leader replica.Leader
 	node := noNode
 	if e, ok := l.State.Get(replica.LeaderKey); ok && wire.Unmarshal(e.Value, &leader) == nil {
@@ -45,7 +45,7 @@
 // AwaitLeader waits until a node leads, and returns its index.
 func (l Leadership) AwaitLeader() (node int, err error) {
 	for range leaderPolls {
-		if node := l.Current(); node != noNode {
+		if node := l.CurrentLeader(); node != noNode {
 			return node, nil
 		}
 		time.Sleep(leaderPollInterval)
--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -38,7 +38,7 @@
 	ErrNotAccepted  = errors.New("the job was accepted by no node")
 	ErrRuleViolated = errors.New("a rule was broken")
 	ErrInterrupted  = errors.New("interrupted")
-	ErrStuck        = errors.New("the run does not come to its end")
+	ErrTimedOut     = errors.New("the run does not come to its end")
 )
 
 // Times of a run.
--- a/internal/sim/lab/report.go
+++ b/internal/sim/lab/report.go
@@ -23,7 +23,7 @@
 		runtimes.Values = append(runtimes.Values, c.Runtimes.Median.Seconds())
 	}
 	subtitle := fmt.Sprintf("seed %d: %d terms of leaders on %d nodes, %d machines rented for %.4f, %d rules broken",
-		s.Seed, s.Terms, s.Nodes, s.Launched, s.Cost, len(s.Violations))
+		s.Seed, s.LeaderTerms, s.Nodes, s.LaunchedMachines, s.Cost, len(s.Violations))
 	page.AddCharts(
 		charts.DurationBars("Tasks by class", subtitle, names, median, p95, runtimes),
 		charts.Timeline("tasks waiting by class", s.Samples, func(s checker.Sample) map[string]int { return s.Waiting }),
--- a/internal/sim/lab/run.go
+++ b/internal/sim/lab/run.go
@@ -38,9 +38,9 @@
 func (l *Lab) observe() {
 	s, _ := nodeSettings(0, l.options.Nodes)
 	l.history = checker.NewHistory()
-	l.history.ClassOf, l.history.Affected = classOf, l.isSilenced
-	l.history.UnreportedFor = s.Params.Workers.LeaseDuration().Duration()
-	l.cluster.Rules.OnTaskEvent = l.history.ObserveTask
+	l.history.ClassOf, l.history.IsZoneAffected = classOf, l.isSilenced
+	l.history.MaxReportDelay = s.Params.Workers.LeaseDuration().Duration()
+	l.cluster.Rules.OnTaskEvent = l.history.ObserveTaskEvent
 	l.cluster.Net.SetFault(l.faultOf)
 }
 
@@ -77,7 +77,7 @@
 	case <-finished:
 		return nil
 	case <-time.After(l.timeLimit()):
-		return ErrStuck
+		return ErrTimedOut
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // recordAccepted records a job that was accepted.
 func (l *Lab) recordAccepted(job *wire.Job) {
-	l.history.ObserveAccepted(job.ID, job.Class, job.Tasks)
+	l.history.ObserveAcceptedJob(job.ID, job.Class, job.Tasks)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.openJobs = append(l.openJobs, job.ID)
@@ -143,7 +143,7 @@
 		}
 		lastProgress = time.Now()
 		leads := "nobody leads"
-		if node := l.cluster.Current(); node >= 0 {
+		if node := l.cluster.CurrentLeader(); node >= 0 {
 			leads = fmt.Sprintf(harness.MemberFormat+" leads", node)
 		}
 		l.logf("%d jobs done, %d open, %d tasks on %d machines, %s", jobs.done, jobs.open,
--- a/internal/sim/lab/summary.go
+++ b/internal/sim/lab/summary.go
@@ -16,8 +16,8 @@
 	Nodes            int
 	Classes          []ClassSummary
 	OpenJobs         []string      // that were not known to be done in the end
-	Terms            uint64        // of leaders
-	Launched         int           // machines
+	LeaderTerms      uint64        // of leaders
+	LaunchedMachines int           // machines
 	Cost             float64       // of these
 	Violations       []string      // of the rules
 	FirstViolationAt time.Duration // since the history began
@@ -37,12 +37,12 @@
 	l.history.EachWait(0, appendTo(waits))
 	l.history.EachRuntime(appendTo(runtimes))
 	s := &Summary{
-		Seed:       l.options.Seed,
-		Nodes:      l.options.Nodes,
-		Terms:      l.cluster.FencingToken() - l.firstToken + 1,
-		Launched:   l.cluster.Cloud.Launched(),
-		Violations: l.cluster.Rules.Violations(),
-		Samples:    l.history.Samples(),
+		Seed:             l.options.Seed,
+		Nodes:            l.options.Nodes,
+		LeaderTerms:      l.cluster.FencingToken() - l.firstToken + 1,
+		LaunchedMachines: l.cluster.Cloud.Launched(),
+		Violations:       l.cluster.Rules.Violations(),
+		Samples:          l.history.Samples(),
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +91,7 @@
 	for _, c := range s.Classes {
 		fmt.Fprintf(w, "%-12s %5d %6d   %-24s %s\n", c.Class, c.Jobs, c.Runtimes.Count, formatTimes(c.Waits), formatTimes(c.Runtimes))
 	}
-	fmt.Fprintf(w, "%d terms of leaders on %d nodes; %d machines rented for %.4f\n", s.Terms, s.Nodes, s.Launched, s.Cost)
+	fmt.Fprintf(w, "%d terms of leaders on %d nodes; %d machines rented for %.4f\n", s.LeaderTerms, s.Nodes, s.LaunchedMachines, s.Cost)
 	fmt.Fprintf(w, "%d rules broken, %d jobs open, seed %d\n", len(s.Violations), len(s.OpenJobs), s.Seed)
 	for _, rule := range s.Violations {
 		fmt.Fprintln(w, "  broken:", rule)
--- a/internal/sim/measure/failover/history.go
+++ b/internal/sim/measure/failover/history.go
@@ -37,15 +37,15 @@
 // Change is one failover. Times count from the end of the leader before; Missing says that something
 // did not happen within the measured time. The type's name is that of the file's schema.
 type Change struct {
-	Run             string        `parquet:"run,dict"`
-	Number          int64         `parquet:"number"`
-	Mode            Mode          `parquet:"mode,dict"`
-	Cause           Cause         `parquet:"cause,dict"`
-	Machines        int64         `parquet:"machines"`
-	LeaderElected   micros.Micros `parquet:"led_us"`       // until another node held the leader key
-	FirstNewStart   micros.Micros `parquet:"first_new_us"` // until a job started that was submitted after the end
-	FirstOldResumed micros.Micros `parquet:"first_old_us"` // until a job went on that was submitted before the end
-	OldLeaderFrozen micros.Micros `parquet:"frozen_us"`    // how long the leader before was frozen
+	Run                string        `parquet:"run,dict"`
+	Number             int64         `parquet:"number"`
+	Mode               Mode          `parquet:"mode,dict"`
+	Cause              Cause         `parquet:"cause,dict"`
+	Machines           int64         `parquet:"machines"`
+	LeaderElected      micros.Micros `parquet:"led_us"`       // until another node held the leader key
+	FirstNewJobStarted micros.Micros `parquet:"first_new_us"` // until a job started that was submitted after the end
+	FirstOldJobResumed micros.Micros `parquet:"first_old_us"` // until a job went on that was submitted before the end
+	OldLeaderFrozen    micros.Micros `parquet:"frozen_us"`    // how long the leader before was frozen
 }
 
 // Missing is the time of what did not happen.
--- a/internal/sim/measure/failover/history_test.go
+++ b/internal/sim/measure/failover/history_test.go
@@ -12,8 +12,8 @@
 // TestHistory checks that failovers are written to a file, read back, and grouped by their kind.
 func TestHistory(t *testing.T) {
 	want := []Change{
-		{Run: "a", Number: 1, Mode: Cold, Cause: Killed, Machines: 200, LeaderElected: 3 * micros.Second, FirstNewStart: 4 * micros.Second, FirstOldResumed: Missing},
-		{Run: "b", Number: 2, Mode: Warm, Cause: Planned, Machines: 4000, LeaderElected: 1, FirstNewStart: 2, FirstOldResumed: 3, OldLeaderFrozen: 4},
+		{Run: "a", Number: 1, Mode: Cold, Cause: Killed, Machines: 200, LeaderElected: 3 * micros.Second, FirstNewJobStarted: 4 * micros.Second, FirstOldJobResumed: Missing},
+		{Run: "b", Number: 2, Mode: Warm, Cause: Planned, Machines: 4000, LeaderElected: 1, FirstNewJobStarted: 2, FirstOldJobResumed: 3, OldLeaderFrozen: 4},
 	}
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	if err := Write(path, want); err != nil {
--- a/internal/sim/measure/zoneloss/report.go
+++ b/internal/sim/measure/zoneloss/report.go
@@ -37,7 +37,7 @@
 
 // title names a run.
 func (r *Run) title() string {
-	return fmt.Sprintf("%s, seed %d (cut at %.0f s, restored at %.0f s)", r.Scenario, r.Seed, r.Cut.Seconds(), r.Restored.Seconds())
+	return fmt.Sprintf("%s, seed %d (cut at %.0f s, restored at %.0f s)", r.Scenario, r.Seed, r.FirstCutAt.Seconds(), r.LastRestoredAt.Seconds())
 }
 
 // waitsChart returns a chart of the waits of the classes in the runs of one scenario.
@@ -48,10 +48,10 @@
 		names = append(names, c.Class)
 		median.Values = append(median.Values, c.MedianS)
 		p99.Values = append(p99.Values, c.P99S)
-		recovery.Values = append(recovery.Values, c.RecoveryS)
+		recovery.Values = append(recovery.Values, c.MeanRecoveryS)
 	}
 	title := fmt.Sprintf("%s, %d runs", g.Scenario, g.Runs)
 	subtitle := fmt.Sprintf("repeated %.0f task seconds, cost %.2f, %.0f machines rented, %.0f of them without a start",
-		g.RepeatedS, g.Cost, g.Launched, g.Unused)
+		g.RepeatedWorkS, g.Cost, g.LaunchedMachines, g.UnusedMachines)
 	return charts.DurationBars(title, subtitle, names, median, p99, recovery)
 }
--- a/internal/sim/measure/zoneloss/report_test.go
+++ b/internal/sim/measure/zoneloss/report_test.go
@@ -15,8 +15,8 @@
 // untilS, and n tasks wait for 1 s, 2 s, and so on.
 func testRun(t *testing.T, policy bool, seed uint64, untilS, n int) *Run {
 	t.Helper()
-	r := NewRun(Scenario{Pattern: "cut", Policy: policy, Machines: 400}, seed)
-	r.Cut, r.Cost, r.RepeatedS, r.Launched, r.Unused = 100*time.Second, 10, 50, 8, 2
+	r := NewRun(Scenario{Pattern: "cut", ZonePolicy: policy, MaxMachines: 400}, seed)
+	r.FirstCutAt, r.Cost, r.RepeatedWorkS, r.LaunchedMachines, r.UnusedMachines = 100*time.Second, 10, 50, 8, 2
 	for at := 60; at < 300; at++ {
 		waiting := 20
 		if at > 100 && at <= untilS {
@@ -41,14 +41,14 @@
 		t.Fatalf("%d groups, %v", len(groups), err)
 	}
 	off, on := groups[0], groups[1]
-	if off.Policy || !on.Policy || off.Runs != 2 || on.Runs != 1 || off.Cost != 10 || off.Launched != 8 || off.Unused != 2 || off.RepeatedS != 50 {
+	if off.ZonePolicy || !on.ZonePolicy || off.Runs != 2 || on.Runs != 1 || off.Cost != 10 || off.LaunchedMachines != 8 || off.UnusedMachines != 2 || off.RepeatedWorkS != 50 {
 		t.Errorf("groups %v and %v", off, on)
 	}
 	isNear := func(got, want float64) bool { return math.Abs(got-want) <= 2*accuracy*want+1 }
-	if c := off.Classes[0]; c.RecoveryS != 69 || c.RecoveryMaxS != 79 || c.WaitsMeasured != 150 || !isNear(c.MedianS, 38) || !isNear(c.P99S, 99) || !isNear(c.LongestWaitS, 100) {
+	if c := off.Classes[0]; c.MeanRecoveryS != 69 || c.MaxRecoveryS != 79 || c.WaitsMeasured != 150 || !isNear(c.MedianS, 38) || !isNear(c.P99S, 99) || !isNear(c.LongestWaitS, 100) {
 		t.Errorf("off: %+v", c)
 	}
-	if c := on.Classes[0]; c.RecoveryS != 29 || !isNear(c.MedianS, 5) {
+	if c := on.Classes[0]; c.MeanRecoveryS != 29 || !isNear(c.MedianS, 5) {
 		t.Errorf("on: %+v", c)
 	}
 	if s, err := testRun(t, true, 3, 0, 1).Recovery("scan"); s != 0 || err != nil {
--- a/internal/sim/measure/zoneloss/run.go
+++ b/internal/sim/measure/zoneloss/run.go
@@ -21,18 +21,18 @@
 
 // Scenario is what runs are grouped by.
 type Scenario struct {
-	Pattern  string // of the cuts
-	Policy   bool   // whether the policy on zones is on
-	Machines int    // that there may be in all zones
+	Pattern     string // of the cuts
+	ZonePolicy  bool   // whether the policy on zones is on
+	MaxMachines int    // that there may be in all zones
 }
 
 // String names the scenario.
 func (s Scenario) String() string {
 	policy := "policy off"
-	if s.Policy {
+	if s.ZonePolicy {
 		policy = "policy on"
 	}
-	return fmt.Sprintf("%s, %s, %d machines", s.Pattern, policy, s.Machines)
+	return fmt.Sprintf("%s, %s, %d machines", s.Pattern, policy, s.MaxMachines)
 }
 
 // Run is one measured run.
@@ -40,13 +40,13 @@
 	Scenario
 	Seed uint64
 
-	Cut, Restored time.Duration // the begin of the first cut and the end of the last
-	Samples       []checker.Sample
-	Waits         map[string]*ddsketch.DDSketch // seconds until tasks started, by class
-	RepeatedS     float64                       // task seconds of starts that did not complete
-	Cost          float64                       // of machines from the first cut on, at the prices of the instance types
-	Launched      int                           // machines from the first cut on
-	Unused        int                           // of these, without a start
+	FirstCutAt, LastRestoredAt time.Duration // the begin of the first cut and the end of the last
+	Samples                    []checker.Sample
+	Waits                      map[string]*ddsketch.DDSketch // seconds until tasks started, by class
+	RepeatedWorkS              float64                       // task seconds of starts that did not complete
+	Cost                       float64                       // of machines from the first cut on, at the prices of the instance types
+	LaunchedMachines           int                           // machines from the first cut on
+	UnusedMachines             int                           // of these, without a start
 }
 
 // NewRun returns a run without measurements.
@@ -56,13 +56,13 @@
 
 // RecordHistory records what a history has from the first cut on. The history has a sample a second.
 func (r *Run) RecordHistory(h *checker.History) (err error) {
-	r.Samples, r.RepeatedS = h.Samples(), h.RepeatedWork().Seconds()
+	r.Samples, r.RepeatedWorkS = h.Samples(), h.RepeatedWork().Seconds()
 	for _, s := range r.Samples {
-		if s.At > r.Cut {
+		if s.At > r.FirstCutAt {
 			r.Cost += s.PricePerHour / time.Hour.Seconds()
 		}
 	}
-	h.EachWait(r.Cut, func(class string, wait time.Duration) {
+	h.EachWait(r.FirstCutAt, func(class string, wait time.Duration) {
 		err = errors.Join(err, r.AddWait(class, wait.Seconds()))
 	})
 	return err
@@ -99,12 +99,12 @@
 // in seconds and on the mean of some samples; 0 if it never had.
 func (r *Run) Recovery(class string) (float64, error) {
 	baseline, hasBaseline := 0.0, false
-	last := r.Cut
+	last := r.FirstCutAt
 	for i, s := range r.Samples {
 		waiting := r.meanWaiting(class, i)
 		switch {
-		case s.At <= r.Cut-baselinePeriod:
-		case s.At <= r.Cut:
+		case s.At <= r.FirstCutAt-baselinePeriod:
+		case s.At <= r.FirstCutAt:
 			baseline, hasBaseline = max(baseline, waiting), true
 		case waiting > recoveredRatio*baseline+negligibleWaiting:
 			last = s.At
@@ -113,7 +113,7 @@
 	if !hasBaseline {
 		return 0, ErrNoBaseline
 	}
-	return (last - r.Cut).Seconds(), nil
+	return (last - r.FirstCutAt).Seconds(), nil
 }
 
 // meanWaiting returns the mean of a class's waiting tasks over the samples up to one. Arrays come in
--- a/internal/sim/measure/zoneloss/summary.go
+++ b/internal/sim/measure/zoneloss/summary.go
@@ -12,16 +12,16 @@
 // Group is the summary of the runs of one scenario, over their seeds.
 type Group struct {
 	Scenario
-	Runs                              int
-	Classes                           []ClassSummary
-	RepeatedS, Cost, Launched, Unused float64 // means over the runs
+	Runs                                                  int
+	Classes                                               []ClassSummary
+	RepeatedWorkS, Cost, LaunchedMachines, UnusedMachines float64 // means over the runs
 }
 
 // ClassSummary is the summary of a class over the runs of one scenario.
 type ClassSummary struct {
 	Class         string
-	RecoveryS     float64 // mean
-	RecoveryMaxS  float64
+	MeanRecoveryS float64 // mean
+	MaxRecoveryS  float64
 	MedianS, P99S float64 // of all waits
 	WaitsMeasured float64
 	LongestWaitS  float64
@@ -31,10 +31,10 @@
 func (g Group) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %d machines, policy %v, %d runs: repeated %.0f task s, cost %.2f, rented %.0f, unused %.0f",
-		g.Pattern, g.Machines, g.Policy, g.Runs, g.RepeatedS, g.Cost, g.Launched, g.Unused)
+		g.Pattern, g.MaxMachines, g.ZonePolicy, g.Runs, g.RepeatedWorkS, g.Cost, g.LaunchedMachines, g.UnusedMachines)
 	for _, c := range g.Classes {
 		fmt.Fprintf(&b, "\n  %s: recovered after %.0f s (at most %.0f), waits %.1f s median, %.1f s 99%%, %.1f s longest of %.0f",
-			c.Class, c.RecoveryS, c.RecoveryMaxS, c.MedianS, c.P99S, c.LongestWaitS, c.WaitsMeasured)
+			c.Class, c.MeanRecoveryS, c.MaxRecoveryS, c.MedianS, c.P99S, c.LongestWaitS, c.WaitsMeasured)
 	}
 	return b.String()
 }
@@ -54,7 +54,7 @@
 	for _, s := range order {
 		g, err := summarizeGroup(byScenario[s])
 		if err != nil {
-			return nil, fmt.Errorf("%s, %d machines: %w", s.Pattern, s.Machines, err)
+			return nil, fmt.Errorf("%s, %d machines: %w", s.Pattern, s.MaxMachines, err)
 		}
 		groups = append(groups, g)
 	}
@@ -67,10 +67,10 @@
 	weight := 1 / float64(len(runs))
 	merged := map[string]*ddsketch.DDSketch{}
 	for _, r := range runs {
-		g.RepeatedS += r.RepeatedS * weight
+		g.RepeatedWorkS += r.RepeatedWorkS * weight
 		g.Cost += r.Cost * weight
-		g.Launched += float64(r.Launched) * weight
-		g.Unused += float64(r.Unused) * weight
+		g.LaunchedMachines += float64(r.LaunchedMachines) * weight
+		g.UnusedMachines += float64(r.UnusedMachines) * weight
 		for class, waits := range r.Waits {
 			if merged[class] == nil {
 				merged[class] = waits.Copy()
@@ -97,8 +97,8 @@
 		if err != nil {
 			return c, err
 		}
-		c.RecoveryS += recovery / float64(len(runs))
-		c.RecoveryMaxS = max(c.RecoveryMaxS, recovery)
+		c.MeanRecoveryS += recovery / float64(len(runs))
+		c.MaxRecoveryS = max(c.MaxRecoveryS, recovery)
 	}
 	quantiles, err := waits.GetValuesAtQuantiles([]float64{0.5, 0.99, 1})
 	if err != nil {
--- a/tests/cluster/cancellation_test.go
+++ b/tests/cluster/cancellation_test.go
@@ -52,7 +52,7 @@
 		for i := range 3 { // a new incarnation has no streams yet
 			c.kill(i)
 		}
-		c.pipes.SetPartition(func(string, string) bool { return true })
+		c.peerNet.SetPartition(func(string, string) bool { return true })
 		for i := range 3 {
 			c.start(i)
 		}
@@ -97,7 +97,7 @@
 			var seen counter
 			for n := range 30 {
 				job := testJob(fmt.Sprintf("j-%06d", 100+n), 1)
-				c.runJob(job)
+				c.submitAndAwaitRunning(job)
 				id := job["id"].(string)
 				for c.runningTasks(id) > 0 {
 					time.Sleep(10 * time.Millisecond)
--- a/tests/cluster/capture_test.go
+++ b/tests/cluster/capture_test.go
@@ -76,7 +76,7 @@
 	c.t.Helper()
 	for _, worker := range c.cloud.Workers() {
 		ctx, cancel := context.WithTimeout(c.t.Context(), captureRequestTimeout)
-		code, body, err := wire.Call(ctx, c.user, http.MethodPost, "http://"+worker.ID+":9000/commands", wire.CommandRequest{})
+		code, body, err := wire.Call(ctx, c.userClient, http.MethodPost, "http://"+worker.ID+":9000/commands", wire.CommandRequest{})
 		cancel()
 		if err != nil || code != http.StatusConflict {
 			continue
--- a/tests/cluster/cluster_faults_test.go
+++ b/tests/cluster/cluster_faults_test.go
@@ -57,8 +57,8 @@
 	return c.counts[name]
 }
 
-// everyNth gives every nth request of the nodes that matches a fault.
-func everyNth(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
+// everyNthNodeRequest gives every nth request of the nodes that matches a fault.
+func everyNthNodeRequest(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 	count := 0
 	return func(from string, r *http.Request) fake.Fault {
 		if strings.HasPrefix(from, "host") && match(r) {
@@ -117,14 +117,16 @@
 	}
 }
 
-// partitionPeer cuts a node off from the other nodes.
-func (c *cluster) partitionPeer(node int) {
+// isolateFromPeers cuts a node off from the other nodes.
+func (c *cluster) isolateFromPeers(node int) {
 	host := memberName(node)
-	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
+	c.peerNet.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
 
-// healPeers ends the partitions between nodes.
-func (c *cluster) healPeers() { c.pipes.SetPartition(func(string, string) bool { return false }) }
+// healPartitions ends the partitions between nodes.
+func (c *cluster) healPartitions() {
+	c.peerNet.SetPartition(func(string, string) bool { return false })
+}
 
 // runInNextIncarnation drops the machines' messages for some time, in which their leases expire,
 // and then has a job run again on the machines' next incarnations. Other messages have the given
@@ -139,7 +141,7 @@
 	})
 	time.Sleep(dropFor)
 	c.setFault(fault)
-	c.runJob(job)
+	c.submitAndAwaitRunning(job)
 	time.Sleep(2 * time.Second)
 }
 
--- a/tests/cluster/cluster_jobs_test.go
+++ b/tests/cluster/cluster_jobs_test.go
@@ -14,7 +14,7 @@
 
 // users returns the users of the cluster.
 func (c *cluster) users() *harness.Users {
-	return &harness.Users{Client: c.user, Rules: c.rules, Nodes: c.size}
+	return &harness.Users{Client: c.userClient, Rules: c.rules, Nodes: c.size}
 }
 
 // request sends a user's request to a node, with the checker of the rules watching. The code is 0
@@ -55,8 +55,8 @@
 	return job
 }
 
-// jobWithRoomLeft returns the submission of a long job that leaves one CPU of each machine free.
-func jobWithRoomLeft(tasks int) map[string]any {
+// jobLeavingOneCPUFree returns the submission of a long job that leaves one CPU of each machine free.
+func jobLeavingOneCPUFree(tasks int) map[string]any {
 	job := longJob("j-000009", tasks)
 	job["vcpus"] = 3.0
 	return job
@@ -77,8 +77,8 @@
 	return c.request(http.MethodPost, node, "/v1/jobs/"+id+"/abort", nil)
 }
 
-// accept submits a job to a node and reports whether it is accepted now or was before.
-func (c *cluster) accept(node int, job map[string]any) bool { return c.users().Submit(node, job) }
+// trySubmit submits a job to a node and reports whether it is accepted now or was before.
+func (c *cluster) trySubmit(node int, job map[string]any) bool { return c.users().Submit(node, job) }
 
 // submit submits a job of small tasks, each time to the next node, until it is accepted.
 func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
@@ -102,7 +102,7 @@
 func (c *cluster) submitWithin(within time.Duration, job map[string]any) {
 	const pause = 100 * time.Millisecond
 	for try := range int(within / pause) {
-		if c.accept(try%c.size, job) {
+		if c.trySubmit(try%c.size, job) {
 			return
 		}
 		time.Sleep(pause)
@@ -115,9 +115,9 @@
 	c.must(c.users().AwaitStatus(id, status, within))
 }
 
-// checkAnswers checks that every node that is ready answers queries of every job. A job none of
+// checkJobsKnown checks that every node that is ready answers queries of every job. A job none of
 // whose queries is answered for 30 s counts as forgotten.
-func (c *cluster) checkAnswers(ids []string) {
+func (c *cluster) checkJobsKnown(ids []string) {
 	c.t.Helper()
 	for i := range c.size {
 		if code, _ := c.request(http.MethodGet, i, "/ready", nil); code != http.StatusOK {
@@ -134,8 +134,8 @@
 	}
 }
 
-// runJob submits a job of long tasks, and waits until all of them run.
-func (c *cluster) runJob(job map[string]any) {
+// submitAndAwaitRunning submits a job of long tasks, and waits until all of them run.
+func (c *cluster) submitAndAwaitRunning(job map[string]any) {
 	c.t.Helper()
 	c.submitWithRetries(0, 500*time.Millisecond, job)
 	for range 120 {
--- a/tests/cluster/cluster_test.go
+++ b/tests/cluster/cluster_test.go
@@ -31,19 +31,19 @@
 	*harness.InProcessCluster // nil where the nodes are processes
 	t                         *testing.T
 	net                       *fake.Network
-	pipes                     *fake.PeerNetwork
+	peerNet                   *fake.PeerNetwork
 	state                     *fake.StateService
 	cloud                     *fake.Cloud
 	rules                     *checker.Rules
-	user                      *http.Client
+	userClient                *http.Client
 	size                      int // nodes
 
 	mu    sync.Mutex
 	tune  func(*settings.Settings)
 	nodes []*caperlatch.Node // in their present incarnations
 	// features are the optional parts of all nodes but those in without.
-	features settings.Features
-	without  map[int]bool
+	features             settings.Features
+	nodesWithoutFeatures map[int]bool
 }
 
 // nodeSettings returns the settings of node i of a cluster.
@@ -99,17 +99,17 @@
 		InProcessCluster: w,
 		t:                t,
 		net:              w.Net,
-		pipes:            w.Pipes,
+		peerNet:          w.PeerNet,
 		state:            w.State,
 		cloud:            w.Cloud,
 		rules:            w.Rules,
-		user:             w.Client,
+		userClient:       w.Client,
 		size:             size,
 		tune:             tune,
 		features:         features,
 		nodes:            make([]*caperlatch.Node, size),
 	}
-	w.StartNode = c.newNode
+	w.NewNode = c.newNode
 	c.state.InspectTxn = c.checkTxn
 	for i := range size {
 		c.start(i)
@@ -124,8 +124,10 @@
 	n := caperlatch.NewNodeWithNetwork(s, settings.DefaultTuning(), c.featuresOf(life.Node), caperlatch.Network{
 		ServiceTransport: c.net.From(life.Sender),
 		WorkerTransport:  c.net.From(life.Sender),
-		DialPeer:         func(ctx context.Context, addr string) (net.Conn, error) { return c.pipes.Dial(ctx, life.Member, addr) },
-		ListenForPeers:   func() (net.Listener, error) { return c.pipes.Listen(life.Member), nil },
+		DialPeer: func(ctx context.Context, addr string) (net.Conn, error) {
+			return c.peerNet.Dial(ctx, life.Member, addr)
+		},
+		ListenForPeers: func() (net.Listener, error) { return c.peerNet.Listen(life.Member), nil },
 	})
 	c.nodes[life.Node] = n
 	return n.Handler(), n.RunBackground
@@ -136,7 +138,7 @@
 
 // featuresOf returns the optional parts of node i.
 func (c *cluster) featuresOf(i int) settings.Features {
-	if c.without[i] {
+	if c.nodesWithoutFeatures[i] {
 		return settings.Features{}
 	}
 	return c.features
--- a/tests/cluster/combined_machine_faults_test.go
+++ b/tests/cluster/combined_machine_faults_test.go
@@ -206,7 +206,7 @@
 	for n := range 6 {
 		job := testJob(overloadJob(n), 20)
 		job["rank"] = []string{"normal", "urgent", "idle"}[n%3]
-		for try := 0; try < 40 && !c.accept(try%3, job); try++ {
+		for try := 0; try < 40 && !c.trySubmit(try%3, job); try++ {
 			time.Sleep(500 * time.Millisecond)
 		}
 	}
--- a/tests/cluster/combined_state_faults_test.go
+++ b/tests/cluster/combined_state_faults_test.go
@@ -27,11 +27,11 @@
 // may not have read the cancellations.
 func refuseStateToLeaderThenToAll(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
-	c.setFault(stateRefusal(c.leader()))
+	c.setFault(stateUnavailableTo(c.leader()))
 	time.Sleep(5 * time.Second)
 	cancel()
 	time.Sleep(2 * time.Second)
-	c.setFault(stateRefusal(-1))
+	c.setFault(stateUnavailableTo(-1))
 	time.Sleep(time.Duration(cancellationTimeoutS+10) * time.Second)
 }
 
@@ -71,7 +71,7 @@
 func partitionLeaderFromStateAndPeers(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
 	leader := c.leader()
-	c.partitionPeer(leader)
+	c.isolateFromPeers(leader)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if isFromNode(from, leader) && isStateRequest(r) {
 			return fake.DroppedRequest
@@ -81,7 +81,7 @@
 	time.Sleep(6 * time.Second)
 	cancel()
 	time.Sleep(40 * time.Second)
-	c.healPeers()
+	c.healPartitions()
 }
 
 // failOverWithDelayedLaunches delays every second launch or termination of machines, and restarts
--- a/tests/cluster/explain_test.go
+++ b/tests/cluster/explain_test.go
@@ -18,7 +18,7 @@
 func (c *cluster) explain(node int, id string) (status int, e explain.Explanation, message string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	status, b, err := wire.Call(ctx, c.user, http.MethodGet, fmt.Sprintf("http://host-%d:8080/v1/jobs/%s/why", node, id), nil)
+	status, b, err := wire.Call(ctx, c.userClient, http.MethodGet, fmt.Sprintf("http://host-%d:8080/v1/jobs/%s/why", node, id), nil)
 	var body wire.ErrorResponse
 	if err == nil && status == http.StatusOK {
 		err = wire.Unmarshal(b, &e)
@@ -50,12 +50,12 @@
 			t.Errorf("unknown job: %d %q", status, text)
 		}
 		// The other nodes cannot reach the leader.
-		c.partitionPeer(leader)
+		c.isolateFromPeers(leader)
 		time.Sleep(2 * time.Second)
 		c.checkExplanation("leader unreachable", (leader+1)%3, "j-000002", wire.JobPending, "the leader does not say more")
-		c.healPeers()
+		c.healPartitions()
 		// Nor the state service: a node cannot know what is new.
-		c.setFault(stateRefusal(-1))
+		c.setFault(stateUnavailableTo(-1))
 		time.Sleep(12 * time.Second)
 		for node := range 3 {
 			c.checkExplanation("state service unavailable", node, "j-000002", wire.JobPending, "the state service has not answered")
--- a/tests/cluster/failover_guards_test.go
+++ b/tests/cluster/failover_guards_test.go
@@ -109,7 +109,7 @@
 		case namesMachines:
 			return fault
 		}
-		return fake.TxnCommitted
+		return fake.TxnNoFault
 	}
 }
 
@@ -125,7 +125,7 @@
 		defer c.close()
 		c.cloud.RuntimeOf = func(string) float64 { return 60 }
 		c.storeKeysBetween()
-		c.runJob(longJob("j-800000", 8)) // the next job needs other machines
+		c.submitAndAwaitRunning(longJob("j-800000", 8)) // the next job needs other machines
 		first := c.leader()
 		next := (first + 1) % 3
 		c.kill(next)
@@ -273,24 +273,24 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 60 }
-				c.runJob(jobWithRoomLeft(8))
-				c.runJob(longJob("j-000001", 3))
+				c.submitAndAwaitRunning(jobLeavingOneCPUFree(8))
+				c.submitAndAwaitRunning(longJob("j-000001", 3))
 				time.Sleep(2 * time.Second)
 				r := newOldLeaderRun(c, c.machinesOf("j-000001"))
 				r.setFault(r.dropWatches)
 				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
-				r.partitionPeer(r.first)
+				r.isolateFromPeers(r.first)
 				r.setFault(r.supersede(false))
 				time.Sleep(7*time.Second + time.Duration(phase)*210*time.Millisecond)
-				r.healPeers()
+				r.healPartitions()
 				r.setFault(r.supersede(true))
 				r.awaitLeaderAfter(r.token)
 				ran := r.runningTasks("j-000001")
 				time.Sleep(600 * time.Millisecond) // until the nodes have exchanged their tokens
-				r.partitionPeer(r.first)
+				r.isolateFromPeers(r.first)
 				time.Sleep(time.Duration(leaseDurationS+4) * time.Second)
 				r.setFault(nil)
-				r.healPeers()
+				r.healPartitions()
 				if ran != 3 || r.noted.count("heartbeat to the old leader") == 0 {
 					t.Errorf("%d tasks ran, noted %v", ran, r.noted.counts)
 				}
@@ -347,14 +347,14 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 40 }
-				c.runJob(jobWithRoomLeft(8))
+				c.submitAndAwaitRunning(jobLeavingOneCPUFree(8))
 				time.Sleep(2 * time.Second)
 				ids := map[string]bool{} // machines that reach only the old leader
 				for i, w := range c.cloud.WorkersOf("j-000009") {
 					ids[w.ID] = i%2 == 0
 				}
 				r := newOldLeaderRun(c, ids)
-				r.partitionPeer(r.first)
+				r.isolateFromPeers(r.first)
 				r.setFault(r.isolateFromWatches)
 				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
 				r.setFault(r.endSession(false))
@@ -372,7 +372,7 @@
 					t.Errorf("%d tasks of the new job ran, noted %v", ran, r.noted.counts)
 				}
 				r.setFault(nil)
-				r.healPeers()
+				r.healPartitions()
 				r.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 				r.checkRules()
 			})
@@ -383,7 +383,7 @@
 // submitToOthers submits a job to the nodes other than the first leader, in turn.
 func (r *oldLeaderRun) submitToOthers(job map[string]any) {
 	for try := range 20 {
-		if r.accept((r.first+1+try%2)%3, job) {
+		if r.trySubmit((r.first+1+try%2)%3, job) {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/tests/cluster/failover_measurement_costs_test.go
+++ b/tests/cluster/failover_measurement_costs_test.go
@@ -27,7 +27,7 @@
 const costPeriod = 3 * time.Second
 
 // sampleCost measures all nodes of a cluster without faults.
-func (f *failoverRun) sampleCost(c *processes, mode failover.Mode) {
+func (f *failoverRun) sampleCost(c *processCluster, mode failover.Mode) {
 	leader := c.leader()
 	before := make([]float64, c.size)
 	for i := range before {
--- a/tests/cluster/failover_measurement_test.go
+++ b/tests/cluster/failover_measurement_test.go
@@ -40,14 +40,14 @@
 // until the next node leads, until a new job starts, and until an old one continues. All of it runs
 // under the checker of the rules.
 func TestFailoverTimes(t *testing.T) {
-	failovers := intVariable(t, failoverVariable, 0)
+	failovers := envInt(t, failoverVariable, 0)
 	if failovers == 0 {
 		t.Skip(failoverVariable + " is not set")
 	}
-	machines := intVariable(t, failoverMachinesVariable, failoverMachines)
-	clusters := intVariable(t, failoverClustersVariable, failoverClusters)
+	machines := envInt(t, failoverMachinesVariable, failoverMachines)
+	clusters := envInt(t, failoverClustersVariable, failoverClusters)
 	program := filepath.Join(t.TempDir(), "now")
-	shell(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
+	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
 	var mu sync.Mutex
 	var history []failover.Change
 	var costs []nodeCost
@@ -73,8 +73,8 @@
 	reportCosts(t, costs)
 }
 
-// intVariable returns a number from the environment, or a default.
-func intVariable(t *testing.T, name string, defaultValue int) int {
+// envInt returns a number from the environment, or a default.
+func envInt(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
@@ -133,7 +133,7 @@
 		scale = clusterScale{heartbeatIntervalS: 8, leaseDurationS: 45, cancellationTimeoutS: 75, sockets: 8000}
 		runS = 16
 	}
-	c := newScaledProcesses(f.t, 3, f.t.TempDir(), scale)
+	c := newScaledProcessCluster(f.t, 3, f.t.TempDir(), scale)
 	defer c.close()
 	c.cloud.MaxMachines = f.machines
 	c.cloud.RuntimeOf = func(string) float64 { return runS }
@@ -179,7 +179,7 @@
 }
 
 // fill submits a job for all machines, and waits until they run it.
-func (f *failoverRun) fill(c *processes) string {
+func (f *failoverRun) fill(c *processCluster) string {
 	id := f.newID()
 	c.submitJob(wholeMachineJob(id, oldJobTasks))
 	for startedAt := time.Now(); len(c.cloud.TasksOnMachines()) < f.machines*9/10; time.Sleep(200 * time.Millisecond) {
@@ -191,7 +191,7 @@
 }
 
 // refill submits another job for all machines when the one before is nearly done.
-func (f *failoverRun) refill(c *processes, old string) string {
+func (f *failoverRun) refill(c *processCluster, old string) string {
 	if c.cloud.StartsOf(old) < oldJobTasks*9/10 {
 		return old
 	}
@@ -204,9 +204,9 @@
 }
 
 // change ends the leader once and measures; the node comes back afterwards.
-func (f *failoverRun) change(c *processes, old string) (failover.Change, bool) {
+func (f *failoverRun) change(c *processCluster, old string) (failover.Change, bool) {
 	leader, token := c.leader(), c.fencingToken()
-	change := failover.Change{LeaderElected: failover.Missing, FirstNewStart: failover.Missing, FirstOldResumed: failover.Missing}
+	change := failover.Change{LeaderElected: failover.Missing, FirstNewJobStarted: failover.Missing, FirstOldJobResumed: failover.Missing}
 	process := c.Process(leader)
 	endedAt := time.Now()
 	switch f.random.IntN(3) {
@@ -254,7 +254,7 @@
 
 // observe records when another node leads, when a job starts that was submitted afterwards, and
 // when the old one continues.
-func (f *failoverRun) observe(c *processes, old string, token uint64, endedAt time.Time, change *failover.Change) {
+func (f *failoverRun) observe(c *processCluster, old string, token uint64, endedAt time.Time, change *failover.Change) {
 	stop := make(chan struct{})
 	var submitting sync.WaitGroup
 	defer submitting.Wait()
@@ -279,7 +279,7 @@
 		}
 	})
 	oldStarts := 0
-	for time.Since(endedAt) < failoverTimeout && (change.FirstNewStart < 0 || change.FirstOldResumed < 0) {
+	for time.Since(endedAt) < failoverTimeout && (change.FirstNewJobStarted < 0 || change.FirstOldJobResumed < 0) {
 		time.Sleep(observeInterval)
 		if change.LeaderElected < 0 {
 			if c.fencingToken() == token {
@@ -287,13 +287,13 @@
 			}
 			change.LeaderElected, oldStarts = microsSince(endedAt), c.cloud.StartsOf(old)
 		}
-		if change.FirstOldResumed < 0 && c.cloud.StartsOf(old) > oldStarts {
-			change.FirstOldResumed = microsSince(endedAt)
+		if change.FirstOldJobResumed < 0 && c.cloud.StartsOf(old) > oldStarts {
+			change.FirstOldJobResumed = microsSince(endedAt)
 		}
 		mu.Lock()
 		for _, id := range newJobs {
-			if change.FirstNewStart < 0 && c.cloud.StartsOf(id) > 0 {
-				change.FirstNewStart = microsSince(endedAt)
+			if change.FirstNewJobStarted < 0 && c.cloud.StartsOf(id) > 0 {
+				change.FirstNewJobStarted = microsSince(endedAt)
 			}
 		}
 		mu.Unlock()
@@ -308,8 +308,8 @@
 		of   func(failover.Change) micros.Micros
 	}{
 		{"another node leads", func(c failover.Change) micros.Micros { return c.LeaderElected }},
-		{"a new job starts", func(c failover.Change) micros.Micros { return c.FirstNewStart }},
-		{"an old job continues", func(c failover.Change) micros.Micros { return c.FirstOldResumed }},
+		{"a new job starts", func(c failover.Change) micros.Micros { return c.FirstNewJobStarted }},
+		{"an old job continues", func(c failover.Change) micros.Micros { return c.FirstOldJobResumed }},
 	}
 	groups, order := failover.GroupChanges(history)
 	for _, m := range measures {
--- a/tests/cluster/failover_stale_messages_test.go
+++ b/tests/cluster/failover_stale_messages_test.go
@@ -81,7 +81,7 @@
 	}
 	c.setFault(recordAll)
 	job := longJob("j-000001", 8)
-	c.runJob(job)
+	c.submitAndAwaitRunning(job)
 	time.Sleep(2 * time.Second)
 	// All leases expire once, so that there is an earlier incarnation, and the tasks
 	// start again on the same machines.
@@ -100,8 +100,8 @@
 			defer c.close()
 			c.cloud.RuntimeOf = func(string) float64 { return 120 }
 			c.setFault(refuseTerminations)
-			base := jobWithRoomLeft(4)
-			c.runJob(base)
+			base := jobLeavingOneCPUFree(4)
+			c.submitAndAwaitRunning(base)
 			time.Sleep(2 * time.Second)
 			if incarnations == 2 {
 				c.runInNextIncarnation(base, time.Duration(leaseDurationS+2)*time.Second, refuseTerminations)
@@ -196,7 +196,7 @@
 func (c *cluster) replayHeartbeats(bodies [][]byte) (answered int) {
 	for _, b := range bodies {
 		for node := range c.size {
-			resp, err := c.user.Post(fmt.Sprintf("http://host-%d:8080/hello", node), wire.ContentType, bytes.NewReader(b))
+			resp, err := c.userClient.Post(fmt.Sprintf("http://host-%d:8080/hello", node), wire.ContentType, bytes.NewReader(b))
 			if err == nil {
 				resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
--- a/tests/cluster/failover_test.go
+++ b/tests/cluster/failover_test.go
@@ -31,14 +31,14 @@
 }
 
 // refuseLeader makes the state service unavailable to the leader.
-func refuseLeader(c *cluster) { c.setFault(stateRefusal(c.leader())) }
+func refuseLeader(c *cluster) { c.setFault(stateUnavailableTo(c.leader())) }
 
 // refuseAndPartitionLeader makes the state service and the other nodes unavailable to the leader: it
 // cannot learn from anyone that another node leads.
 func refuseAndPartitionLeader(c *cluster) {
 	i := c.leader()
-	c.partitionPeer(i)
-	c.setFault(stateRefusal(i))
+	c.isolateFromPeers(i)
+	c.setFault(stateUnavailableTo(i))
 }
 
 // cancellationRun is a cluster with jobs that are cancelled one after the other as the leader's term
@@ -65,7 +65,7 @@
 				before, after := r.cancelJobs()
 				time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 				r.setFault(nil)
-				r.healPeers()
+				r.healPartitions()
 				for _, id := range r.ids {
 					r.submit(id, 2)
 					r.cancelJob(id, 0)
@@ -97,7 +97,7 @@
 	}
 	for i, id := range r.ids {
 		if i%2 == 0 {
-			r.runJob(longJob(id, 2))
+			r.submitAndAwaitRunning(longJob(id, 2))
 		} else {
 			time.AfterFunc(time.Duration(i)*200*time.Millisecond, func() { r.submit(id, 2) })
 		}
--- a/tests/cluster/fault_run_test.go
+++ b/tests/cluster/fault_run_test.go
@@ -98,7 +98,7 @@
 			t.Error("no task of a job to be cancelled ran during the fault")
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
-		c.checkAnswers(run.ids)
+		c.checkJobsKnown(run.ids)
 		for _, rule := range c.rules.Violations() {
 			t.Error(rule)
 		}
@@ -113,7 +113,7 @@
 		job["desk"] = "small"
 	}
 	for try := range 90 {
-		if r.accept(try%r.size, job) {
+		if r.trySubmit(try%r.size, job) {
 			return
 		}
 		time.Sleep(time.Second)
--- a/tests/cluster/five_node_faults_test.go
+++ b/tests/cluster/five_node_faults_test.go
@@ -61,7 +61,7 @@
 // duplicate of every second of the nodes' transactions and POST requests to workers and the cloud.
 // Those of earlier incarnations arrive, too.
 func restartNodesWithDelayedDuplicates(c *cluster) {
-	c.setFault(everyNth(2, fake.DuplicatedRequest, func(r *http.Request) bool {
+	c.setFault(everyNthNodeRequest(2, fake.DuplicatedRequest, func(r *http.Request) bool {
 		return isTxn(r) || r.Host != "state" && r.Method == http.MethodPost
 	}))
 	time.Sleep(2 * time.Second)
--- a/tests/cluster/gang_combined_cases_test.go
+++ b/tests/cluster/gang_combined_cases_test.go
@@ -55,7 +55,7 @@
 func refuseStateWhileGangIsStopped(c *cluster, noted *counter) {
 	c.awaitCheckpointing(stoppingGang, noted)
 	first, before := c.leader(), c.fencingToken()
-	refusal := stateRefusal(first)
+	refusal := stateUnavailableTo(first)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		fault := refusal(from, r)
 		if fault != fake.NoFault {
@@ -197,7 +197,7 @@
 			noted.add(notedCompletion)
 			return fake.TxnDelayed
 		}
-		return fake.TxnCommitted
+		return fake.TxnNoFault
 	})
 	for i := 0; noted.count(notedCompletion) == 0 && i < 1500; i++ {
 		time.Sleep(100 * time.Millisecond)
--- a/tests/cluster/gang_combined_faults_test.go
+++ b/tests/cluster/gang_combined_faults_test.go
@@ -95,7 +95,7 @@
 		go c.cancelDuringFaults(cancelledGang)
 		tc.inject(c, &noted)
 		c.setFault(nil)
-		c.healPeers()
+		c.healPartitions()
 		for _, what := range tc.wantNoted {
 			if noted.count(what) == 0 {
 				t.Errorf("no %s; noted %v", what, noted.counts)
--- a/tests/cluster/handover_answers_test.go
+++ b/tests/cluster/handover_answers_test.go
@@ -82,13 +82,13 @@
 // partitionFromNodes partitions a node from the other nodes.
 func (c *cluster) partitionFromNodes(node int) {
 	host := memberName(node)
-	c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
+	c.peerNet.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
 
 // heal ends all faults, and starts a node anew that was killed.
 func (c *cluster) heal(killed int) {
 	c.setFault(nil)
-	c.healPeers()
+	c.healPartitions()
 	c.restartNodes(killed)
 }
 
@@ -112,7 +112,7 @@
 			answered = true
 		case <-time.After(leaderKeyInterval):
 		}
-		if node := leadership.Current(); node >= 0 && leadership.FencingToken() > token {
+		if node := leadership.CurrentLeader(); node >= 0 && leadership.FencingToken() > token {
 			seen.leaders[memberName(node)] = true
 			if seen.firstLed == 0 {
 				seen.firstLed = time.Since(startedAt)
@@ -204,7 +204,7 @@
 	if replaces && slices.Contains(t.Keys, replica.LeaderKey) {
 		return fake.TxnUnavailable
 	}
-	return fake.TxnCommitted
+	return fake.TxnNoFault
 }
 
 // TestHandoverToEarlierVersion hands over to nodes that do not replace the leader key, as earlier versions, beside one
@@ -347,7 +347,7 @@
 		})
 		const seconds, jobs = 20, 100 // jobs come in all the time, so that each watch ends at once
 		for n := range jobs {
-			c.accept(2, testJob(fmt.Sprintf("j-%06d", 100+n), 1))
+			c.trySubmit(2, testJob(fmt.Sprintf("j-%06d", 100+n), 1))
 			time.Sleep(seconds * time.Second / jobs)
 		}
 		if n := watches.count("watch"); n > 3*seconds {
--- a/tests/cluster/handover_test.go
+++ b/tests/cluster/handover_test.go
@@ -58,9 +58,9 @@
 // newHandoverCluster starts a cluster some of whose nodes have no standby, none of which leads, with a job.
 func newHandoverCluster(t *testing.T, nodes int, without []int) *cluster {
 	c := newStandbyCluster(t, nodes, noTuning, testStandby())
-	c.without = map[int]bool{}
+	c.nodesWithoutFeatures = map[int]bool{}
 	for _, i := range without {
-		c.without[i] = true
+		c.nodesWithoutFeatures[i] = true
 		c.restartNodes(i)
 	}
 	c.submit("j-000001", 30)
@@ -71,7 +71,7 @@
 // leadWithStandby waits until a node with a standby leads, and ends the terms of others.
 func (c *cluster) leadWithStandby() {
 	c.t.Helper()
-	for c.without[c.leader()] {
+	for c.nodesWithoutFeatures[c.leader()] {
 		leader, token := c.leader(), c.fencingToken()
 		c.kill(leader)
 		c.awaitLeaderAfter(token)
@@ -89,7 +89,7 @@
 		for i, n := range c.nodes {
 			status, err := n.StandbyStatus()
 			switch {
-			case c.without[i]:
+			case c.nodesWithoutFeatures[i]:
 				if n.LeaderMember() == leader {
 					ready++
 				}
--- a/tests/cluster/many_jobs_test.go
+++ b/tests/cluster/many_jobs_test.go
@@ -62,7 +62,7 @@
 	id := fmt.Sprintf("j-%06d", 1000+n)
 	startedAt := time.Now()
 	for try := range 60 {
-		if r.accept((n+try)%5, testJob(id, 1)) {
+		if r.trySubmit((n+try)%5, testJob(id, 1)) {
 			break
 		}
 		time.Sleep(time.Second)
--- a/tests/cluster/membership_measurement_test.go
+++ b/tests/cluster/membership_measurement_test.go
@@ -37,16 +37,16 @@
 // other node may be found failed, nor may one that froze for a second be suspected. All of it runs
 // under the checker of the rules.
 func TestDetectionTimes(t *testing.T) {
-	failures := intVariable(t, membersVariable, 0)
+	failures := envInt(t, membersVariable, 0)
 	if failures == 0 {
 		t.Skip(membersVariable + " is not set")
 	}
 	program := filepath.Join(t.TempDir(), "now")
-	shell(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
+	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
 	var verdicts []detection.Verdict
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d nodes", size), func(t *testing.T) {
-			r := &detectionRun{processes: newProcesses(t, size, t.TempDir()), program: program, random: rand.New(rand.NewPCG(uint64(size), 33))}
+			r := &detectionRun{processCluster: newProcessCluster(t, size, t.TempDir()), program: program, random: rand.New(rand.NewPCG(uint64(size), 33))}
 			verdicts = append(verdicts, r.measure(failures)...)
 		})
 	}
@@ -58,7 +58,7 @@
 
 // detectionRun measures with one cluster of processes.
 type detectionRun struct {
-	*processes
+	*processCluster
 	program string
 	random  *rand.Rand
 }
--- a/tests/cluster/membership_test.go
+++ b/tests/cluster/membership_test.go
@@ -30,7 +30,7 @@
 func (c *memberCluster) checkState(node int, want membership.State) error {
 	for i, n := range c.nodes {
 		status, err := n.MembershipStatus()
-		if err != nil && !c.without[i] {
+		if err != nil && !c.nodesWithoutFeatures[i] {
 			return err
 		}
 		for _, m := range status.Members {
@@ -154,13 +154,13 @@
 // it must be suspected, never found failed, and go on leading.
 func (c *memberCluster) partitionLeader() {
 	leader := c.leader()
-	c.partitionPeer(leader)
+	c.isolateFromPeers(leader)
 	c.awaitState(detectionTimeout, leader, membership.Suspected)
 	c.checkStateStays(leader, membership.Suspected)
 	if c.leader() != leader {
 		c.t.Error("another node leads")
 	}
-	c.healPeers()
+	c.healPartitions()
 	c.awaitState(recoveryTimeout, leader, membership.Alive)
 }
 
@@ -168,7 +168,7 @@
 // failed; it must know that it is isolated, and find nobody failed.
 func (c *memberCluster) isolateNode() {
 	isolated := c.follower()
-	c.partitionPeer(isolated)
+	c.isolateFromPeers(isolated)
 	c.refuseState(isolated)
 	c.awaitState(detectionTimeout, isolated, membership.Failed)
 	c.checkStateStays(isolated, membership.Failed)
@@ -176,7 +176,7 @@
 		c.t.Errorf("the isolated node finds others failed: %v, %+v", err, status)
 	}
 	c.setFault(nil)
-	c.healPeers()
+	c.healPartitions()
 	for i := range c.size {
 		c.awaitState(recoveryTimeout, i, membership.Alive)
 	}
@@ -185,7 +185,7 @@
 // partitionTwoNodes cuts the path between two nodes, in both directions. As the others still have
 // heartbeats of both, none may be found failed.
 func (c *memberCluster) partitionTwoNodes() {
-	c.pipes.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
+	c.peerNet.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
 	c.checkNoFailures(time.Minute)
 }
 
@@ -200,7 +200,7 @@
 // must be found failed, without an answer of the state service.
 func (c *memberCluster) crashWithoutState() {
 	crashed := c.follower()
-	c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
+	c.setFault(everyNthNodeRequest(1, fake.ServiceUnavailable, isStateRequest))
 	c.checkNoFailures(20 * time.Second)
 	c.kill(crashed)
 	c.awaitState(detectionTimeout, crashed, membership.Failed)
@@ -225,7 +225,7 @@
 // others must find it alive, and failed only while it is down.
 func (c *memberCluster) crashNodeWithoutMembership() {
 	without := c.follower()
-	c.without = map[int]bool{without: true}
+	c.nodesWithoutFeatures = map[int]bool{without: true}
 	c.restartNodes(without)
 	c.awaitState(recoveryTimeout, without, membership.Alive)
 	c.checkStateStays(without, membership.Alive)
@@ -236,13 +236,13 @@
 // minutes none may be found failed, and a node must notice that the paths are slow.
 func (c *memberCluster) slowAllPaths() {
 	random := rand.New(rand.NewPCG(uint64(c.size), 32))
-	c.pipes.SetLatency(func(string, string) time.Duration {
+	c.peerNet.SetLatency(func(string, string) time.Duration {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return time.Duration(random.Int64N(int64(maxPathLatency)))
 	})
-	c.pipes.SetPartition(func(string, string) bool { return true }) // so that all streams are opened anew
-	c.healPeers()
+	c.peerNet.SetPartition(func(string, string) bool { return true }) // so that all streams are opened anew
+	c.healPartitions()
 	c.checkNoFailures(10 * time.Minute)
 	slow := 0
 	for range 60 { // single messages may be fast
--- a/tests/cluster/message_faults_test.go
+++ b/tests/cluster/message_faults_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// stateRefusal returns the fault that makes the state service unavailable to a node, or to all if
+// stateUnavailableTo returns the fault that makes the state service unavailable to a node, or to all if
 // it is negative.
-func stateRefusal(node int) func(string, *http.Request) fake.Fault {
+func stateUnavailableTo(node int) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if isStateRequest(r) && (node < 0 || isFromNode(from, node)) {
 			return fake.ServiceUnavailable
--- a/tests/cluster/outage_cancellation_test.go
+++ b/tests/cluster/outage_cancellation_test.go
@@ -148,7 +148,7 @@
 		g.t.Fatal(err)
 	}
 	g.rules.ObserveRequest(path)
-	if _, err := g.user.Do(r); err == nil {
+	if _, err := g.userClient.Do(r); err == nil {
 		g.t.Error("the response was not dropped")
 	}
 	for i := range g.size {
--- a/tests/cluster/outage_cluster_test.go
+++ b/tests/cluster/outage_cluster_test.go
@@ -74,7 +74,7 @@
 
 // partitionPairs partitions the pairs of nodes that match, and ends other partitions.
 func (g *outageRun) partitionPairs(pairs func(a, b int) bool) {
-	g.pipes.SetPartition(func(from, to string) bool {
+	g.peerNet.SetPartition(func(from, to string) bool {
 		a, b := memberNumber(from), memberNumber(to)
 		return pairs(a, b) || pairs(b, a)
 	})
--- a/tests/cluster/partitioned_node_test.go
+++ b/tests/cluster/partitioned_node_test.go
@@ -60,7 +60,7 @@
 	if tc.follower {
 		partitioned = (partitioned + 1) % c.size
 	}
-	c.partitionPeer(partitioned)
+	c.isolateFromPeers(partitioned)
 	c.setFault(tc.faultOf(partitioned))
 	time.Sleep(12 * time.Second) // until all watches that were open before have ended
 	c.checkCancellationBeside(partitioned)
--- a/tests/cluster/placement_test.go
+++ b/tests/cluster/placement_test.go
@@ -137,10 +137,10 @@
 		}
 		return 300
 	}
-	c.runJob(longJob("j-000009", 8))
+	c.submitAndAwaitRunning(longJob("j-000009", 8))
 	full := longJob("j-000001", 4)
 	full["desk"] = "small"
-	c.runJob(full)
+	c.submitAndAwaitRunning(full)
 	time.Sleep(2 * time.Second)
 }
 
@@ -239,7 +239,7 @@
 	z.isolate(c, memberName(inside), &dropped)
 	held := c.countTasksInZone("a", int(leaseDurationS)+10)
 	c.setFault(nil)
-	c.healPeers()
+	c.healPartitions()
 	if dropped.count("dropped") == 0 || held == 0 {
 		t.Errorf("%d messages were dropped, %d tasks seen in the zone", dropped.count("dropped"), held)
 	}
@@ -259,7 +259,7 @@
 		}
 		return c.rules.ZoneOf(machineOf(name))
 	}
-	p.OnChange = func() { c.pipes.SetPartition(p.Blocks) }
+	p.OnChange = func() { c.peerNet.SetPartition(p.Blocks) }
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		fault := p.FaultOf(from, r)
 		if fault != fake.NoFault {
--- a/tests/cluster/random_failovers_test.go
+++ b/tests/cluster/random_failovers_test.go
@@ -85,7 +85,7 @@
 		}
 		c.awaitStatus(id, want, 10*time.Minute)
 	}
-	c.checkAnswers(r.jobs)
+	c.checkJobsKnown(r.jobs)
 	c.checkRules()
 	t.Logf("%d nodes, %d failovers, %d of them handovers, %d jobs, %d starts", size, failoversPerSeed, handovers, len(r.jobs), c.cloud.Starts())
 	if handovers < failoversPerSeed/10 || c.cloud.Starts() < 5000 {
--- a/tests/cluster/rolling_upgrade_test.go
+++ b/tests/cluster/rolling_upgrade_test.go
@@ -32,19 +32,19 @@
 		t.Skip(upgradeVariable + " is not set")
 	}
 	now := filepath.Join(t.TempDir(), "now")
-	shell(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, now)
+	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, now)
 	for _, v := range oldVersions {
 		t.Run(v.name, func(t *testing.T) {
 			old := filepath.Join(t.TempDir(), "old")
-			shell(t, `mkdir "$1.src"; git archive "$2" | tar -x -C "$1.src"; cd "$1.src"
+			runScript(t, `mkdir "$1.src"; git archive "$2" | tar -x -C "$1.src"; cd "$1.src"
 				go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, old, v.commit(t))
 			runRollout(t, old, now, v)
 		})
 	}
 }
 
-// shell runs a script with bash, and fails the test if it fails.
-func shell(t *testing.T, script string, args ...string) {
+// runScript runs a script with bash, and fails the test if it fails.
+func runScript(t *testing.T, script string, args ...string) {
 	t.Helper()
 	cmd := exec.Command("bash", append([]string{"-euo", "pipefail", "-c", script, "bash"}, args...)...)
 	if out, err := cmd.CombinedOutput(); err != nil {
@@ -55,7 +55,7 @@
 // runRollout upgrades three nodes from the old program to the new one.
 func runRollout(t *testing.T, old, now string, v oldVersion) {
 	gangs := v.gangs
-	r := &rollout{processes: newProcesses(t, 3, t.TempDir()), startedAt: time.Now(), gangsSupported: gangs, newArgs: v.args, finalStatuses: map[string]string{},
+	r := &rollout{processCluster: newProcessCluster(t, 3, t.TempDir()), startedAt: time.Now(), gangsSupported: gangs, newArgs: v.args, finalStatuses: map[string]string{},
 		programs: make([]string, 3), accepted: map[string]int{}}
 	defer r.close()
 	for i := range r.size {
@@ -111,7 +111,7 @@
 
 // rollout is a cluster of processes of two versions, with the jobs that were submitted to it.
 type rollout struct {
-	*processes
+	*processCluster
 	startedAt      time.Time
 	gangsSupported bool     // by all nodes that serve
 	newArgs        []string // of new processes
@@ -266,8 +266,8 @@
 	}
 }
 
-// processes is a cluster whose nodes are processes on loopback.
-type processes struct {
+// processCluster is a cluster whose nodes are processCluster on loopback.
+type processCluster struct {
 	*cluster
 	*harness.ProcessCluster
 }
@@ -296,13 +296,13 @@
 	return s
 }
 
-// newProcesses prepares a cluster of processes with few machines.
-func newProcesses(t *testing.T, nodes int, dir string) *processes {
-	return newScaledProcesses(t, nodes, dir, smallFleetScale())
+// newProcessCluster prepares a cluster of processes with few machines.
+func newProcessCluster(t *testing.T, nodes int, dir string) *processCluster {
+	return newScaledProcessCluster(t, nodes, dir, smallFleetScale())
 }
 
-// newScaledProcesses prepares a cluster of processes for a deployment of a scale.
-func newScaledProcesses(t *testing.T, nodes int, dir string, scale clusterScale) *processes {
+// newScaledProcessCluster prepares a cluster of processes for a deployment of a scale.
+func newScaledProcessCluster(t *testing.T, nodes int, dir string, scale clusterScale) *processCluster {
 	c := &cluster{t: t, size: nodes}
 	var p *harness.ProcessCluster
 	p, err := harness.NewProcessCluster(harness.ProcessConfig{
@@ -320,21 +320,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.net, c.state, c.cloud, c.rules, c.user = p.Net, p.State, p.Cloud, p.Rules, p.Client
-	return &processes{c, p}
+	c.net, c.state, c.cloud, c.rules, c.userClient = p.Net, p.State, p.Cloud, p.Rules, p.Client
+	return &processCluster{c, p}
 }
 
 // kill ends a node's process.
-func (c *processes) kill(i int) { c.ProcessCluster.Kill(i) }
+func (c *processCluster) kill(i int) { c.ProcessCluster.Kill(i) }
 
 // run starts a new incarnation of a node with a program.
-func (c *processes) run(i int, program string) {
+func (c *processCluster) run(i int, program string) {
 	c.t.Helper()
 	c.must(c.StartNode(i, program))
 }
 
 // close ends all processes and, if the test failed, logs what they logged.
-func (c *processes) close() {
+func (c *processCluster) close() {
 	c.Close()
 	if !c.t.Failed() {
 		return
--- a/tests/cluster/single_faults_test.go
+++ b/tests/cluster/single_faults_test.go
@@ -85,7 +85,7 @@
 		for _, id := range ids {
 			c.awaitStatus(id, wire.JobDone, 90*time.Second)
 		}
-		c.checkAnswers(ids)
+		c.checkJobsKnown(ids)
 		if broken := c.cloud.Violations(); broken != nil {
 			t.Error(broken)
 		}
@@ -128,21 +128,21 @@
 // dropStateResponses drops every fourth response of the state service. A request whose response is
 // dropped may have been carried out.
 func dropStateResponses(c *cluster) {
-	c.setFault(everyNth(4, fake.DroppedResponse, isStateRequest))
+	c.setFault(everyNthNodeRequest(4, fake.DroppedResponse, isStateRequest))
 	time.Sleep(20 * time.Second)
 }
 
 // delayTxns delays every third transaction. A request without a response may be carried out later,
 // after newer writes.
 func delayTxns(c *cluster) {
-	c.setFault(everyNth(3, fake.DelayedRequest, func(r *http.Request) bool { return isStateRequest(r) && isTxn(r) }))
+	c.setFault(everyNthNodeRequest(3, fake.DelayedRequest, func(r *http.Request) bool { return isStateRequest(r) && isTxn(r) }))
 	time.Sleep(25 * time.Second)
 }
 
 // delayLaunches delays every second launch of machines. A launch without a response may be carried
 // out after its repetition.
 func delayLaunches(c *cluster) {
-	c.setFault(everyNth(2, fake.DelayedRequest, func(r *http.Request) bool {
+	c.setFault(everyNthNodeRequest(2, fake.DelayedRequest, func(r *http.Request) bool {
 		return r.URL.Path == wire.PathInstances && r.Method == http.MethodPost
 	}))
 	time.Sleep(20 * time.Second)
@@ -160,7 +160,7 @@
 // meanwhile.
 func refuseStateToAllNodes(c *cluster) {
 	time.Sleep(4 * time.Second)
-	c.setFault(everyNth(1, fake.ServiceUnavailable, isStateRequest))
+	c.setFault(everyNthNodeRequest(1, fake.ServiceUnavailable, isStateRequest))
 	time.Sleep(20 * time.Second)
 }
 
@@ -168,7 +168,7 @@
 func refuseStateToLeader(c *cluster) {
 	leader := c.leader()
 	time.Sleep(2 * time.Second)
-	c.setFault(stateRefusal(leader))
+	c.setFault(stateUnavailableTo(leader))
 	time.Sleep(15 * time.Second)
 }
 
--- a/tests/cluster/standby_combined_cases_test.go
+++ b/tests/cluster/standby_combined_cases_test.go
@@ -46,7 +46,7 @@
 
 // handOverWithoutState makes the state service unavailable to the leader before it hands over.
 func handOverWithoutState(c *cluster) {
-	c.setFault(stateRefusal(c.leader()))
+	c.setFault(stateUnavailableTo(c.leader()))
 	c.handover()
 	time.Sleep(5 * time.Second)
 	c.setFault(nil)
@@ -55,7 +55,7 @@
 // refuseStateDuringHandover makes the state service unavailable to all nodes 0.1 s after a handover
 // begins.
 func refuseStateDuringHandover(c *cluster) {
-	time.AfterFunc(100*time.Millisecond, func() { c.setFault(stateRefusal(-1)) })
+	time.AfterFunc(100*time.Millisecond, func() { c.setFault(stateUnavailableTo(-1)) })
 	c.handover()
 	time.Sleep(10 * time.Second)
 	c.setFault(nil)
@@ -64,9 +64,9 @@
 // refuseStateToStandbyLeaderThenToAll makes the state service unavailable to the leader, and to all
 // nodes before another one can be sure to lead.
 func refuseStateToStandbyLeaderThenToAll(c *cluster) {
-	c.setFault(stateRefusal(c.leader()))
+	c.setFault(stateUnavailableTo(c.leader()))
 	time.Sleep(2 * time.Second)
-	c.setFault(stateRefusal(-1))
+	c.setFault(stateUnavailableTo(-1))
 	time.Sleep(12 * time.Second)
 	c.setFault(nil)
 }
@@ -148,8 +148,8 @@
 
 // handOverUnderPartition hands over while the leader is partitioned from all other nodes.
 func handOverUnderPartition(c *cluster) {
-	c.partitionPeer(c.leader())
+	c.isolateFromPeers(c.leader())
 	c.handover()
 	time.Sleep(5 * time.Second)
-	c.healPeers()
+	c.healPartitions()
 }
--- a/tests/cluster/standby_combined_faults_test.go
+++ b/tests/cluster/standby_combined_faults_test.go
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newStandbyCluster(t, tc.nodes, noTuning, testStandby())
 		defer c.close()
-		c.without = tc.without
+		c.nodesWithoutFeatures = tc.without
 		for i := range tc.without {
 			c.restartNodes(i)
 		}
@@ -77,7 +77,7 @@
 		for _, id := range []string{standbyArray, standbyGang, standbyLate} {
 			c.awaitStatus(id, wire.JobDone, 3*time.Minute)
 		}
-		c.checkAnswers([]string{standbyArray, standbyGang, standbyCancelled, standbyLate})
+		c.checkJobsKnown([]string{standbyArray, standbyGang, standbyCancelled, standbyLate})
 		if c.fencingToken() == token {
 			t.Error("no other node has led")
 		}
--- a/tests/cluster/standby_commands_test.go
+++ b/tests/cluster/standby_commands_test.go
@@ -21,8 +21,8 @@
 		t.Skip(failoverVariable + " is not set")
 	}
 	program := filepath.Join(t.TempDir(), "now")
-	shell(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
-	c := newProcesses(t, 3, t.TempDir())
+	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
+	c := newProcessCluster(t, 3, t.TempDir())
 	defer c.close()
 	c.runWithAndWithoutParts(program)
 	leader := c.leader()
@@ -51,7 +51,7 @@
 
 // runWithAndWithoutParts runs nodes 0 and 1 with optional parts and node 2 without, and lets one of
 // the first two lead.
-func (c *processes) runWithAndWithoutParts(program string) {
+func (c *processCluster) runWithAndWithoutParts(program string) {
 	c.t.Helper()
 	c.run(2, program)
 	c.Args = optionalParts
@@ -79,7 +79,7 @@
 
 // operatorCommands returns the commands for a cluster whose node 2 has no optional parts. The last one
 // has the leader hand over to the follower. The invalid settings are in a file.
-func (c *processes) operatorCommands(leader, follower int, invalid string) []operatorCommand {
+func (c *processCluster) operatorCommands(leader, follower int, invalid string) []operatorCommand {
 	settingsFile := c.SettingsFile(0)
 	byLeader, byFollower := c.Addresses[leader].Client, c.Addresses[follower].Client
 	without := c.Addresses[2].Client
@@ -120,7 +120,7 @@
 
 // terminateLeader sends the leader a SIGTERM. It hands over as it ends, so the next one must lead
 // sooner than a session ends.
-func (c *processes) terminateLeader(leader int) {
+func (c *processCluster) terminateLeader(leader int) {
 	c.t.Helper()
 	token := c.fencingToken()
 	c.ExpectExit(leader)
@@ -145,8 +145,8 @@
 		t.Skip(failoverVariable + " is not set")
 	}
 	program := filepath.Join(t.TempDir(), "now")
-	shell(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
-	c := newProcesses(t, 3, t.TempDir())
+	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
+	c := newProcessCluster(t, 3, t.TempDir())
 	defer c.close()
 	c.runWithAndWithoutParts(program)
 	for n := range commandHandovers {
@@ -163,7 +163,7 @@
 }
 
 // awaitFollowerOf waits until the leader has a follower with a complete view that has asked within the last second.
-func (c *processes) awaitFollowerOf(program string, leader int) {
+func (c *processCluster) awaitFollowerOf(program string, leader int) {
 	c.t.Helper()
 	for startedAt := time.Now(); time.Since(startedAt) < followWithin; time.Sleep(200 * time.Millisecond) {
 		out, err := exec.Command(program, "standby", "--node", c.Addresses[leader].Client).CombinedOutput()
--- a/tests/cluster/standby_test.go
+++ b/tests/cluster/standby_test.go
@@ -105,7 +105,7 @@
 					return 1
 				}
 				job := testJob("j-000001", 1000)
-				if !c.accept(0, job) {
+				if !c.trySubmit(0, job) {
 					c.submitJob(job)
 				}
 				for i := 0; c.cloud.Starts() < 60; i++ {
@@ -253,7 +253,7 @@
 		}},
 		{"the leader is partitioned from all nodes", func(c *cluster, leader int) {
 			host := memberName(leader)
-			c.pipes.SetPartition(func(from, to string) bool { return from == host || to == host })
+			c.peerNet.SetPartition(func(from, to string) bool { return from == host || to == host })
 		}},
 	}
 	for _, tc := range cases {
@@ -273,7 +273,7 @@
 				if duration := time.Since(startedAt); duration > 4*time.Second {
 					t.Errorf("no node led for %v", duration)
 				}
-				c.healPeers()
+				c.healPartitions()
 				c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 				c.checkRules()
 			})
@@ -315,7 +315,7 @@
 				id := fmt.Sprintf("j-%06d", n+1)
 				job := testJob(id, 1)
 				job["rank"] = wire.PriorityUrgent
-				for try := 0; !c.accept((leader+1+try%2)%3, job); try++ {
+				for try := 0; !c.trySubmit((leader+1+try%2)%3, job); try++ {
 					time.Sleep(20 * time.Millisecond)
 				}
 				for c.cloud.StartsOf(id) == 0 {
--- a/tests/cluster/state_limits_stored_values_test.go
+++ b/tests/cluster/state_limits_stored_values_test.go
@@ -63,7 +63,7 @@
 	c.killAll()
 	c.startAll()
 	if f.fault != 0 {
-		c.setFault(everyNth(2, f.fault, isStateTxn))
+		c.setFault(everyNthNodeRequest(2, f.fault, isStateTxn))
 	}
 	f.checkAlwaysListed(c, listed)
 	c.setFault(nil)
--- a/tests/cluster/state_limits_test.go
+++ b/tests/cluster/state_limits_test.go
@@ -63,7 +63,7 @@
 
 // lowerLimitsUnderDroppedResponses has writes repeated that were carried out under the old limits.
 func lowerLimitsUnderDroppedResponses(c *cluster) {
-	c.setFault(everyNth(2, fake.DroppedResponse, isStateTxn))
+	c.setFault(everyNthNodeRequest(2, fake.DroppedResponse, isStateTxn))
 	time.Sleep(3 * time.Second)
 	lowerLimits(c)
 	time.Sleep(10 * time.Second)
@@ -71,7 +71,7 @@
 
 // lowerLimitsUnderDelays has writes arrive under the new limits that were sent under the old ones.
 func lowerLimitsUnderDelays(c *cluster) {
-	c.setFault(everyNth(3, fake.DelayedRequest, isStateTxn))
+	c.setFault(everyNthNodeRequest(3, fake.DelayedRequest, isStateTxn))
 	time.Sleep(3 * time.Second)
 	lowerLimits(c)
 	time.Sleep(20 * time.Second)
@@ -110,7 +110,7 @@
 				for _, id := range ids {
 					c.awaitStatus(id, wire.JobDone, 120*time.Second)
 				}
-				c.checkAnswers(ids)
+				c.checkJobsKnown(ids)
 				if broken := c.cloud.Violations(); broken != nil {
 					t.Error(broken)
 				}
--- a/tests/cluster/user_requests_test.go
+++ b/tests/cluster/user_requests_test.go
@@ -150,7 +150,7 @@
 	finishing, cancelled := testJob(fmt.Sprintf("j-00000%d", round+1), 1), testJob(fmt.Sprintf("j-10000%d", round+1), 1)
 	for i, job := range []map[string]any{finishing, cancelled} {
 		for range 20 {
-			if c.accept(round%2, job) {
+			if c.trySubmit(round%2, job) {
 				break
 			}
 		}
--- a/tests/cluster/versions_test.go
+++ b/tests/cluster/versions_test.go
@@ -18,7 +18,7 @@
 		defer c.close()
 		ask := func(step string, status, common int, heard ...bool) {
 			t.Helper()
-			code, b, err := wire.Call(t.Context(), c.user, http.MethodGet, "http://host-0:8080/ready", nil)
+			code, b, err := wire.Call(t.Context(), c.userClient, http.MethodGet, "http://host-0:8080/ready", nil)
 			var v peer.Versions
 			if err == nil {
 				err = wire.Unmarshal(b, &v)
--- a/tests/cluster/write_faults_test.go
+++ b/tests/cluster/write_faults_test.go
@@ -178,8 +178,8 @@
 // machines of the second one.
 func delayMachineList(c *cluster) *counter {
 	delayed := delayWrites(c, 1, "c/u/")
-	c.runJob(longJob("j-000001", 4))
-	c.runJob(longJob("j-000002", 4))
+	c.submitAndAwaitRunning(longJob("j-000001", 4))
+	c.submitAndAwaitRunning(longJob("j-000002", 4))
 	time.Sleep(10 * time.Second)
 	checkNextLeaderKnows(c, "j-000002")
 	return delayed
@@ -189,7 +189,7 @@
 // their IDs.
 func delayLaunchIntent(c *cluster) *counter {
 	delayed := delayWrites(c, 1, "c/b/")
-	c.runJob(longJob("j-000001", 4))
+	c.submitAndAwaitRunning(longJob("j-000001", 4))
 	time.Sleep(10 * time.Second)
 	checkNextLeaderKnows(c, "j-000001")
 	return delayed
@@ -199,7 +199,7 @@
 // later ones started again after the failover.
 func delayProgress(c *cluster) *counter {
 	delayed := delayWrites(c, 1, "c/p/")
-	c.runJob(longJob("j-000001", 4)) // its tasks end 4 s apart
+	c.submitAndAwaitRunning(longJob("j-000001", 4)) // its tasks end 4 s apart
 	time.Sleep(18 * time.Second)
 	c.restartNodes(c.leader())
 	c.awaitStatus("j-000001", wire.JobDone, 2*time.Minute)
@@ -219,7 +219,7 @@
 	}
 	c.cancelJob("j-000003", 1)
 	time.Sleep(15 * time.Second)
-	c.checkAnswers([]string{"j-000003"})
+	c.checkJobsKnown([]string{"j-000003"})
 	c.awaitStatus("j-000003", wire.JobCancelled, time.Second)
 	return delayed
 }
@@ -228,13 +228,13 @@
 // the user must not be told otherwise.
 func delayCancellation(c *cluster) *counter {
 	delayed := delayWrites(c, 1000, "cancelled by its user")
-	c.runJob(testJob("j-000003", 1))
+	c.submitAndAwaitRunning(testJob("j-000003", 1))
 	if code, _ := c.requestCancellation(1, "j-000003"); code == http.StatusOK {
 		c.t.Error("the cancellation was confirmed")
 	}
 	c.awaitStatus("j-000003", wire.JobDone, 8*time.Second)
 	time.Sleep(15 * time.Second)
-	c.checkAnswers([]string{"j-000003"})
+	c.checkJobsKnown([]string{"j-000003"})
 	return delayed
 }
 
@@ -245,6 +245,6 @@
 	c.submit("j-000003", 1)
 	c.awaitStatus("j-000003", wire.JobDone, 20*time.Second)
 	time.Sleep(10 * time.Second)
-	c.checkAnswers([]string{"j-000003"})
+	c.checkJobsKnown([]string{"j-000003"})
 	return delayed
 }
--- a/tests/cluster/zone_loss_checks_test.go
+++ b/tests/cluster/zone_loss_checks_test.go
@@ -43,8 +43,8 @@
 
 // checkOrder checks the order in which tasks started from the loss until the zone was healed.
 func checkOrder(r *zoneRun) {
-	scansWait := checker.Contention{Class: "scan", Waiting: minWaiting, From: r.lostAt, To: r.healedAt}
-	scans, updates := r.StartsUnder(scansWait, "scan"), r.StartsUnder(scansWait, "update")
+	scansWait := checker.Contention{Class: "scan", MinWaiting: minWaiting, From: r.lostAt, To: r.healedAt}
+	scans, updates := r.StartsDuring(scansWait, "scan"), r.StartsDuring(scansWait, "update")
 	if scans+updates < minMeasuredStarts {
 		r.t.Errorf("%d tasks started while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healedAt)
 	}
--- a/tests/cluster/zone_loss_cluster_test.go
+++ b/tests/cluster/zone_loss_cluster_test.go
@@ -101,13 +101,13 @@
 	}
 	r.cloud.RuntimeOf = func(task string) float64 { return zoneClassOf(task).runS }
 	r.ClassOf = func(task string) string { return zoneClassOf(task).name }
-	r.History.Affected = r.ZonePartition.Affects
-	r.UnreportedFor = 2 * zoneHeartbeatS * time.Second
-	r.rules.OnTaskEvent = r.ObserveTask
+	r.History.IsZoneAffected = r.ZonePartition.Affects
+	r.MaxReportDelay = 2 * zoneHeartbeatS * time.Second
+	r.rules.OnTaskEvent = r.ObserveTaskEvent
 	r.ZoneOf, r.MachineOf = r.zoneOfName, machineOf
 	r.OnChange = func() {
 		r.ObserveFault()
-		r.pipes.SetPartition(r.Blocks)
+		r.peerNet.SetPartition(r.Blocks)
 	}
 	r.setFault(r.FaultOf)
 	return r
@@ -139,7 +139,7 @@
 			if !r.submitWithRetries(n%r.size, time.Second, job) {
 				r.t.Errorf("%s was not accepted", id)
 			}
-			r.ObserveAccepted(id, class.name, tasks)
+			r.ObserveAcceptedJob(id, class.name, tasks)
 		})
 		time.Sleep(class.every)
 	}
@@ -169,7 +169,7 @@
 	for _, id := range jobs {
 		r.awaitStatus(id, wire.JobDone, 6*time.Minute)
 	}
-	r.checkAnswers(jobs[:min(len(jobs), 50)])
+	r.checkJobsKnown(jobs[:min(len(jobs), 50)])
 	r.checkRules()
 }
 
@@ -178,7 +178,7 @@
 func (r *zoneRun) status(name string) zone.Status {
 	for node := range r.size {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		code, b, err := wire.Call(ctx, r.user, http.MethodGet, fmt.Sprintf("http://host-%d:8080/zones", node), nil)
+		code, b, err := wire.Call(ctx, r.userClient, http.MethodGet, fmt.Sprintf("http://host-%d:8080/zones", node), nil)
 		cancel()
 		var all api.ZonesStatus
 		if err != nil || code != http.StatusOK || wire.Unmarshal(b, &all) != nil {
--- a/tests/cluster/zone_loss_measurement_test.go
+++ b/tests/cluster/zone_loss_measurement_test.go
@@ -44,7 +44,7 @@
 		}
 		for _, pattern := range slices.Sorted(maps.Keys(zonePatterns)) {
 			for n := range 2 * seeds {
-				run := zoneloss.NewRun(zoneloss.Scenario{Pattern: pattern, Policy: n%2 == 1, Machines: machines}, n/2+1)
+				run := zoneloss.NewRun(zoneloss.Scenario{Pattern: pattern, ZonePolicy: n%2 == 1, MaxMachines: machines}, n/2+1)
 				synctest.Test(t, func(t *testing.T) { measureZones(t, run) })
 				runs = append(runs, run)
 			}
@@ -70,16 +70,16 @@
 // measureZones measures one run.
 func measureZones(t *testing.T, run *zoneloss.Run) {
 	features := settings.Features{}
-	if run.Policy {
+	if run.ZonePolicy {
 		features.Zones = zoneSettings()
 	}
-	r := newZoneRun(t, 5, twoZones, run.Machines/len(twoZones), features)
+	r := newZoneRun(t, 5, twoZones, run.MaxMachines/len(twoZones), features)
 	defer r.close()
-	r.load, r.seed = measuredLoad*float64(run.Machines*cpusPerMachine)/classCPUs, run.Seed
+	r.load, r.seed = measuredLoad*float64(run.MaxMachines*cpusPerMachine)/classCPUs, run.Seed
 	launched, used := 0, 0
 	r.play(func() {
 		r.makeLeaderIn("a")
-		run.Cut, launched, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
+		run.FirstCutAt, launched, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
 		for i, seconds := range zonePatterns[run.Pattern] {
 			if i%2 == 0 {
 				r.ZonePartition.Isolate("b")
@@ -88,14 +88,14 @@
 			}
 			time.Sleep(seconds * time.Second)
 		}
-		run.Restored = r.Elapsed()
+		run.LastRestoredAt = r.Elapsed()
 		r.Heal()
 		time.Sleep(150 * time.Second)
 	})
-	run.Launched = r.cloud.Launched() - launched
-	run.Unused = run.Launched - (r.MachinesUsed() - used)
+	run.LaunchedMachines = r.cloud.Launched() - launched
+	run.UnusedMachines = run.LaunchedMachines - (r.MachinesUsed() - used)
 	if err := run.RecordHistory(r.History); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, stall %v", run.Pattern, run.Machines, run.Policy, run.Seed, r.cloud.Starts(), r.LongestStall("urgent"))
+	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, stall %v", run.Pattern, run.MaxMachines, run.ZonePolicy, run.Seed, r.cloud.Starts(), r.LongestStall("urgent"))
 }
--- a/tests/cluster/zone_loss_steps_test.go
+++ b/tests/cluster/zone_loss_steps_test.go
@@ -150,10 +150,10 @@
 
 // leadWithoutPolicy has nodes without the policy of zones lead for 5 s, and then heals the zone.
 func leadWithoutPolicy(r *zoneRun) {
-	r.without = map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true}
+	r.nodesWithoutFeatures = map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true}
 	r.restart(r.leader())
 	time.Sleep(5 * time.Second)
-	r.without = nil
+	r.nodesWithoutFeatures = nil
 	r.Heal()
 }
 
