--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -29,9 +29,9 @@
 	if need.onDemand > roundingTolerance {
 		minOnDemandTarget = float64(supply.Total) + ceilMachines(need.onDemand)
 	}
-	pooled := s.pooledAboveMean(t.Name)
-	required := t.Required + pooled + uncovered.total/cpusPerMachine
-	requiredOnDemand := t.RequiredOnDemand + pooled + uncovered.onDemand/cpusPerMachine
+	poolExcess := s.pooledAboveMean(t.Name)
+	required := t.Required + poolExcess + uncovered.total/cpusPerMachine
+	requiredOnDemand := t.RequiredOnDemand + poolExcess + uncovered.onDemand/cpusPerMachine
 	t.Target = int(math.Max(ceilMachines(required), minTarget))
 	slog.Debug("scaling instance type", "instance_type", t.Name, "mean", t.Mean, "wanted", t.Required, "wanted_on_demand", t.RequiredOnDemand,
 		"busy", supply.Busy, "need", need.total, "short_cpus", uncovered.total, "short_on_demand_cpus", uncovered.onDemand, "total", supply.Total)
--- a/internal/leader/dispatch/dispatch_test.go
+++ b/internal/leader/dispatch/dispatch_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// TestSend checks that a command is sent at most once, and not while another node may lead or no call is free.
+// TestSend checks that a command is sent at most once, and not while another node may lead or the
+// maximum number of calls is in progress.
 func TestSend(t *testing.T) {
 	unaddressed := target
 	unaddressed.Address = ""
@@ -83,7 +84,7 @@
 		name      string
 		to        Target
 		exclusive bool
-		busy      bool // all calls are in progress
+		busy      bool // the maximum number of calls is in progress
 		want      int32
 	}{
 		{"to a worker", target, true, false, 1},
@@ -169,7 +170,8 @@
 	}
 }
 
-// TestQueryTimeout checks that a query to a worker that does not respond ends after its timeout and frees its call.
+// TestQueryTimeout checks that a query to a worker that does not respond ends after its timeout and then no longer
+// counts as a call in progress.
 func TestQueryTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDispatcher(true, func(ctx context.Context, _ *wire.CommandRequest) *wire.Heartbeat {
--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// jobNotFoundBackoff is how long no tasks of a job are started after a worker did not find the job's description.
+	// jobNotFoundBackoff is the time for which no tasks of a job are started after a worker did not find the job's
+	// description.
 	jobNotFoundBackoff = 5 * micros.Second
-	// noRoomBackoffHeartbeats is how many heartbeat intervals a machine gets no starts after it lacked the resources
-	// for a task.
+	// noRoomBackoffHeartbeats is the number of heartbeat intervals for which a machine gets no starts after it lacked
+	// the resources for a task.
 	noRoomBackoffHeartbeats = 2
 )
 
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -129,7 +129,7 @@
 	return []string{l.capacityReason(j, now)}
 }
 
-// appendLimitReasons appends the limits of its team that keep a job's tasks from starting.
+// appendLimitReasons appends the team limits that keep a job's tasks from starting.
 func (l *Leader) appendLimitReasons(reasons []string, j *state.Job) []string {
 	team := l.worstCaseTeamUsage()[j.Spec.Team]
 	if team != nil && team.Limit.CPU > 0 && team.Used.CPU+j.Need.CPU > team.Limit.CPU {
@@ -158,7 +158,7 @@
 	return reasons
 }
 
-// capacityReason returns why a job waits that could start if there were enough capacity for it.
+// capacityReason returns why a job waits if only a lack of capacity keeps it from starting.
 func (l *Leader) capacityReason(j *state.Job, now micros.Micros) string {
 	switch hasRoom := l.scheduler.HasRoomFor(j.Need, now); {
 	case hasRoom && j.IsGang():
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -125,7 +125,7 @@
 	return j, index
 }
 
-// machinesWithUnknownTasks describes the machines whose tasks are not known.
+// machinesWithUnknownTasks summarizes the machines whose tasks are not known, for mustAwaitReconciliation.
 type machinesWithUnknownTasks struct {
 	count     int
 	offerings []state.Offering // distinct offerings of these machines
--- a/internal/leader/fleet/intents.go
+++ b/internal/leader/fleet/intents.go
@@ -26,7 +26,7 @@
 	Zone     string        `json:"zone"`
 	Spot     bool          `json:"spot"`
 	Count    int           `json:"count"`
-	At       micros.Micros `json:"at"` // time of day of the intent, and later of the response
+	At       micros.Micros `json:"at"` // wall-clock time of the intent, and later of the response
 	Answered bool          `json:"answered"`
 	Machines []string      `json:"machines"` // IDs
 
@@ -129,7 +129,8 @@
 	return false
 }
 
-// HasCapacity reports whether an offering may be requested, as the cloud has not refused it recently.
+// HasCapacity reports whether an offering may be requested, that is, whether the cloud has not recently refused to
+// launch it.
 func (f *Fleet) HasCapacity(o state.Offering, now micros.Micros) bool {
 	backoff := f.backoffs[o]
 	return backoff == nil || now >= backoff.until
--- a/internal/leader/fleet/lists.go
+++ b/internal/leader/fleet/lists.go
@@ -24,8 +24,7 @@
 	splitFrom *int
 }
 
-// maxListIndex is the largest list index that is accepted. It only rejects keys that this service cannot have
-// written.
+// maxListIndex is the largest list index that is accepted. It only rejects keys that no leader can have written.
 const maxListIndex = 1 << 20
 
 // ErrInvalidListKey is returned for a stored key that has the prefix of machine lists but no valid list
--- a/internal/leader/gangs/gangs.go
+++ b/internal/leader/gangs/gangs.go
@@ -112,7 +112,8 @@
 	})
 	for _, a := range starts[:min(len(starts), max(0, limit-len(commands)))] {
 		if !c.MayStayAssigned(a.Job, m) {
-			// A previously unknown task has been reported since the assignment.
+			// A task that was not known at the assignment has since been reported. With it, the team's limit may
+			// be exceeded, or the gang's zone constraints may exclude this machine.
 			c.ReleaseUnsent(a, "it may not start there any more")
 			continue
 		}
@@ -154,7 +155,8 @@
 			// A task was lost in an earlier term or between two terms.
 			c.EndAttempt(j, 0, reasonTaskLost)
 		case !j.Gang.Started && j.Gang.WaitingSince != 0 && now-j.Gang.WaitingSince > maxAssemblyTime(c.AssemblyTimeout):
-			c.EndAttempt(j, state.CheckpointGrace(j), reasonIncomplete) // it may already run, not yet reported
+			// The gang may be running although no heartbeat has reported it yet, so its tasks can save a checkpoint.
+			c.EndAttempt(j, state.CheckpointGrace(j), reasonIncomplete)
 		}
 	}
 }
--- a/internal/leader/gangs/stop.go
+++ b/internal/leader/gangs/stop.go
@@ -29,10 +29,11 @@
 	return true
 }
 
-// EvictTask removes a gang's task from a machine that is being drained. A task that waits for the other tasks
-// exits at once and is replaced. Once the gang runs, all of its tasks are stopped, if that saves their work. If
-// the gang runs already and no heartbeat has shown it yet, the evicted task saves a checkpoint, and later
-// heartbeats show that.
+// EvictTask removes a gang's task from a machine that is being drained. Before the gang runs, only this task is
+// stopped: it exits at once and is replaced. Once the gang runs, all of its tasks are stopped, but only if they can
+// save a checkpoint and all of them should receive the command in time. The gang may already be running although
+// no heartbeat has reported it. Then the task saves a checkpoint, and as soon as a heartbeat reports that,
+// ObserveTask stops the other tasks.
 func (c *Coordinator) EvictTask(a *state.Attempt, grace micros.Micros, reason string, now micros.Micros) {
 	switch {
 	case !a.Job.Gang.Started && a.StopRequestedAt == 0:
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -17,7 +17,7 @@
 	handoverPollInterval = 20 * micros.Millisecond
 	// followerFreshWithin is the maximum age of a follower's last query for the follower to be chosen as successor.
 	followerFreshWithin = micros.Second
-	// handoverFlushDivisor divides the time limit of a handover: pending writes may take one part of it.
+	// Storing pending writes may take 1/handoverFlushDivisor of the time limit of a handover.
 	handoverFlushDivisor = 3
 )
 
@@ -61,7 +61,7 @@
 	return true
 }
 
-// IsHandingOver reports whether a handover of the term has begun. It still does so after the handover.
+// IsHandingOver reports whether a handover of the term has begun. The result stays true after the handover.
 func (l *Leader) IsHandingOver() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -11,8 +11,8 @@
 // ErrCannotRespond is returned if this node must not respond to a heartbeat now.
 var ErrCannotRespond = errors.New("not entitled to answer")
 
-// deferralWindow is how long a worker gets responses after one of its heartbeats was refused because leadership was in
-// doubt.
+// deferralWindow is the time after a refused heartbeat of a worker during which its heartbeats are answered although
+// another node may lead.
 const deferralWindow = 15 * micros.Second
 
 // HandleHeartbeat processes a worker's heartbeat and returns the response with the commands for the worker.
@@ -160,8 +160,8 @@
 	return l.commandsForMachine(m, now)
 }
 
-// drainOnInterruption drains a machine that the cloud is about to reclaim, and stops the tasks on it that can save a
-// checkpoint or belong to a gang.
+// drainOnInterruption drains a machine that the cloud is about to reclaim. It evicts the tasks of gangs and stops the
+// other tasks that can save a checkpoint.
 func (l *Leader) drainOnInterruption(m *state.Machine, now micros.Micros) {
 	if m.Heartbeat.InterruptionAt == 0 {
 		return
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -163,7 +163,7 @@
 	l.zones = l.newZones()
 	l.liveness = l.newLivenessMonitor()
 	l.scaler = l.newAutoscaler()
-	l.gangs = l.newGangs()
+	l.gangs = l.newGangCoordinator()
 	l.quarantine = l.newQuarantine()
 	l.scheduler = l.newScheduler()
 	return l
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -57,7 +57,7 @@
 	return expired
 }
 
-// faultyDrainHeartbeats is how many heartbeat intervals tasks may keep running on a machine that is quarantined.
+// faultyDrainHeartbeats is the number of heartbeat intervals for which tasks may keep running on a quarantined machine.
 const faultyDrainHeartbeats = 3
 
 // terminationReason returns why a machine should be terminated, or an empty string if it should not.
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -13,8 +13,8 @@
 	minFailedQueries = 2
 	// heartbeatMargin is added to the heartbeat timeout of a live worker.
 	heartbeatMargin = micros.Second
-	// nodeFailoverTime is added if the worker may first have to give up another node: a timeout of 4 s and a pause of
-	// 1 s.
+	// nodeFailoverTime is added if the worker may first have called another node that does not respond: a timeout of
+	// 4 s and a pause of 1 s.
 	nodeFailoverTime = 5 * micros.Second
 	// UnresponsiveLimit applies while the tasks of at most one machine in unresponsiveLimitDivisor are unknown.
 	unresponsiveLimitDivisor = 10
@@ -22,7 +22,7 @@
 	noFailoverTimeDivisor = 50
 
 	allowedMissedHeartbeats = 3                  // heartbeats that a machine with known tasks may miss
-	silenceMargin           = 4 * micros.Second  // added to the time of these heartbeats
+	silenceMargin           = 4 * micros.Second  // added to the time of allowedMissedHeartbeats
 	maxSilence              = 20 * micros.Second // limit for such a machine, unless allowedMissedHeartbeats take longer
 	// minMissedLists is the number of consecutive lists from the cloud that must lack a machine for it to count as
 	// reclaimed.
@@ -37,7 +37,7 @@
 	}
 	// Jobs of earlier terms wait for machines whose tasks are unknown, so terminating one or two live machines is the
 	// smaller loss. A live worker sends a heartbeat within five quarters of the usual interval, but it may first have
-	// to give up another node.
+	// called another node that does not respond.
 	lateLimit := state.HeartbeatTimeout(mon.HeartbeatInterval) + heartbeatMargin
 	unresponsive := m.Reconciliation.FailedQueries >= minFailedQueries
 	fleetSize := len(mon.Fleet.Sorted)
--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -48,14 +48,14 @@
 	OnTermLost func()
 }
 
-// Queue holds the keys that are to be written. Its methods are called with the lock held, except for Run,
+// Queue holds the keys that are to be written. Its exported methods are called with the lock held, except for Run,
 // Wake and IsDrained.
 type Queue struct {
 	Config
 	pending map[string]bool // keys to be written, and whether each is urgent
 	wake    chan struct{}
-	// maxOps is the maximum number of changes in a transaction. It is lower than the settings allow once the
-	// service has rejected that many.
+	// maxOps is the maximum number of changes in a transaction: as many as the settings allow, or fewer after the
+	// service has rejected a transaction with that many.
 	maxOps        int
 	rejectedSizes map[string]int // sizes of values that the service rejected, by key
 	inFlight      bool           // a transaction has been sent and not handled
--- a/internal/leader/persist/queue_test.go
+++ b/internal/leader/persist/queue_test.go
@@ -122,7 +122,7 @@
 				}
 				keys := strings.Join(keysOf(writes), " ")
 				if sent[keys] || n > 50 {
-					t.Fatalf("transaction %d repeats a rejected one or comes after more than 50: %s", n, keys)
+					t.Fatalf("transaction %d with keys %s: rejected before: %t; want no rejected transaction again, and at most 50 transactions", n, keys, sent[keys])
 				}
 				sent[keys] = true
 				q.HandleRejection(writes, errors.New("rejected"))
@@ -251,7 +251,7 @@
 				t.Errorf("the replica has revision %d, want 60 only if the write is stored: %t", revision, c.want.stored)
 			}
 			if q.IsDrained() == c.want.pending {
-				t.Errorf("drained %t while the key is pending: %t", q.IsDrained(), c.want.pending)
+				t.Errorf("drained: %t, want %t", q.IsDrained(), !c.want.pending)
 			}
 		})
 	}
--- a/internal/leader/quarantine/quarantine.go
+++ b/internal/leader/quarantine/quarantine.go
@@ -87,7 +87,8 @@
 	Demand Demand
 	// StopTask stops a task, with a grace period for saving a checkpoint.
 	StopTask func(a *state.Attempt, grace micros.Micros, reason string)
-	// EvictGangTask removes a gang's task from its machine, with a grace period for saving a checkpoint.
+	// EvictGangTask removes a gang's task from its machine, with a grace period for saving a checkpoint; see
+	// gangs.Coordinator.EvictTask for the cases in which the task runs on.
 	EvictGangTask func(a *state.Attempt, grace micros.Micros, reason string, now micros.Micros)
 	// OnChange is called when jobs may have become able to start tasks.
 	OnChange func()
@@ -262,7 +263,8 @@
 	return suspects, triesExhausted
 }
 
-// drain drains a machine. It stops the tasks that can save a checkpoint, and all gang tasks; the others run on for now.
+// drain drains a machine. It evicts the tasks of gangs and stops the other tasks that can save a checkpoint; the rest
+// run on for now.
 func (q *Quarantine) drain(m *state.Machine, now micros.Micros) {
 	m.DrainReason = DrainReason
 	m.Quarantine.Since = now
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -78,7 +78,7 @@
 	case t.State != wire.TaskExited:
 		l.observePresentTask(o)
 	case a != nil && a.Reserved && t.ExitReason != wire.ExitDone:
-		// This was an earlier start of the same attempt, whose new start has not been sent yet.
+		// The exit is that of an earlier start with the same attempt number. The new start has not been sent yet.
 		addFollowUp(m, clearCommand(t))
 	default:
 		l.observeExit(o)
--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -10,7 +10,7 @@
 	"caperlatch/placement"
 )
 
-// consolidationReason is the reason given for draining a machine whose few tasks have room elsewhere. It is
+// consolidationReason is the reason given for draining a machine whose tasks have room on other machines. It is
 // shown to users, so its text must not change.
 const consolidationReason = "its tasks have room elsewhere"
 
@@ -18,13 +18,14 @@
 // run on.
 const minRuntimeBeforeMove = minUsefulRuntime
 
-// minSlackFactor is how many times the cost of moving a task must remain until the task would be late.
+// minSlackFactor is the minimum ratio of a task's slack, which is the time that it can lose without being late, to
+// the cost of moving it.
 const minSlackFactor = 3
 
-// Consolidate drains machines that the autoscaler does not want and whose few tasks can save checkpoints, if
-// other machines have room for all of these tasks. Without it, long best-effort tasks that were spread thinly
-// kept half of a fleet running for minutes after all other work had ended. Consolidate acts only while no job
-// waits, so that a moved task finds its room at once.
+// Consolidate drains machines that are surplus, or that reject delay-tolerant jobs, if all of their tasks can save
+// checkpoints and other machines have room for all of these tasks. Without it, long best-effort tasks that were
+// spread thinly kept half of a fleet running for minutes after all other work had ended. Consolidate acts only
+// while no job waits, so that a moved task finds its room at once.
 func (s *Scheduler) Consolidate(now micros.Micros) {
 	if len(s.queue.jobs) > 0 || !s.Term.HoldsSession() || !s.Term.IsExclusive() || s.Fleet.CountWithUnknownTasks() > 0 {
 		return
--- a/internal/leader/scheduler/queue.go
+++ b/internal/leader/scheduler/queue.go
@@ -58,7 +58,7 @@
 }
 
 // newQueue builds the queue of the jobs that may start tasks now. A job that an earlier term may have started
-// is left out until the tasks of all machines are known.
+// is left out until the tasks of all machines that may run its tasks are known.
 func (s *Scheduler) newQueue(now micros.Micros) queue {
 	teams := s.TeamUsage()
 	awaitsReconciliation := s.AwaitsReconciliation()
@@ -160,7 +160,8 @@
 	return &other
 }
 
-// schedulableCPUs returns the number of CPUs of the machines that may receive tasks.
+// schedulableCPUs returns the number of CPUs of the machines that may receive tasks and are not closed to jobs that
+// can run in other zones.
 func (s *Scheduler) schedulableCPUs(now micros.Micros) float64 {
 	cpus := 0.0
 	for _, m := range s.Fleet.Sorted {
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -90,8 +90,9 @@
 	return &Scheduler{Config: c, reservations: map[string]*state.GangReservation{}}
 }
 
-// Times between plans. A machine that sends a heartbeat is filled from the queue at once, however old the
-// latest plan is. Plans serve new jobs, the choice among machines with room, and the order of the queue.
+// Limits of the time between two plans. A machine that sends a heartbeat is filled from the latest queue at once,
+// however old that is. A new plan is needed only to add new jobs to the queue, to choose among machines with room,
+// and to sort the queue again.
 const (
 	minPlanInterval = 100 * micros.Millisecond
 	maxPlanInterval = micros.Second
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -9,8 +9,8 @@
 	"caperlatch/placement"
 )
 
-// newGangs returns the coordinator of gang attempts for this term.
-func (l *Leader) newGangs() *gangs.Coordinator {
+// newGangCoordinator returns the coordinator of gang attempts for this term.
+func (l *Leader) newGangCoordinator() *gangs.Coordinator {
 	workers := l.Settings.Params.Workers
 	return gangs.New(gangs.Config{
 		Term:                 l.Term,
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -18,7 +18,7 @@
 // machines.
 type Job struct {
 	Spec        *wire.Job
-	SubmittedAt micros.Micros // time of day
+	SubmittedAt micros.Micros // wall-clock time
 	SeenAt      micros.Micros // when this term created the record
 	Need        placement.Resources
 	Priority    int
@@ -59,8 +59,8 @@
 	BackoffReason string
 	Demand        DemandRecord
 
-	// FirstStart and LastStart are the times of day when a task of the job was first and last seen to start running in
-	// this term.
+	// FirstStart and LastStart are the wall-clock times when a task of the job was first and last seen to start running
+	// in this term.
 	FirstStart, LastStart micros.Micros
 	LongestRun            micros.Micros // longest run time of a task
 }
--- a/internal/leader/state/progress.go
+++ b/internal/leader/state/progress.go
@@ -29,8 +29,8 @@
 	return b[chunk*chunkBytes : min(len(b), (chunk+1)*chunkBytes)]
 }
 
-// ChunkTasks is the number of tasks whose progress is stored under one key. 8192 bits are 1368 characters, which fits
-// the smallest value_kb that the settings allow.
+// ChunkTasks is the number of tasks whose progress is stored under one key. 8192 bits are 1366 characters, which
+// fits the smallest value_kb that the settings allow.
 const ChunkTasks = 8192
 
 // TaskProgress is the value stored under a progress key: the set of done tasks, encoded as base64.
--- a/internal/leader/taskquery/taskquery.go
+++ b/internal/leader/taskquery/taskquery.go
@@ -64,7 +64,7 @@
 // Queries queries the machines of a fleet for their tasks in one term.
 type Queries struct {
 	Config
-	ByZone map[string]Counts // by zone; guarded by the lock
+	ByZone map[string]Counts // queries and responses of each zone; guarded by Lock
 }
 
 // New returns Queries that has sent no query yet.
--- a/internal/leader/taskquery/taskquery_test.go
+++ b/internal/leader/taskquery/taskquery_test.go
@@ -18,7 +18,7 @@
 
 const fencingToken = 7
 
-// TestMostRespond checks when machines that do not respond count as the exception.
+// TestMostRespond checks which counts mean that most machines respond, in one zone and in all zones.
 func TestMostRespond(t *testing.T) {
 	cases := []struct {
 		counts Counts
--- a/internal/leader/workload/objectives.go
+++ b/internal/leader/workload/objectives.go
@@ -33,7 +33,7 @@
 	return objectives
 }
 
-// Deadlines holds the times of day by which the last of a job's tasks should have started.
+// Deadlines holds the wall-clock times by which the last of a job's tasks should have started.
 type Deadlines struct {
 	Next  micros.Micros   // deadline of the next objective that can still be met
 	Later []micros.Micros // deadlines of all other objectives that can still be met, in ascending order
@@ -43,7 +43,7 @@
 }
 
 // StartDeadlines returns the times by which a job's tasks should have started. withinGuarantee reports whether
-// the job is within its team's guarantee; wall is the current time of day.
+// the job is within its team's guarantee; wall is the current wall-clock time.
 func (w *Workload) StartDeadlines(j *state.Job, withinGuarantee bool, wall micros.Micros) Deadlines {
 	limits := w.startLimits(j, withinGuarantee)
 	open := limits[:0] // filtered in place, as plans call this for every waiting job
--- a/internal/leader/workload/runtimes.go
+++ b/internal/leader/workload/runtimes.go
@@ -106,7 +106,7 @@
 
 // Costs to a job of preempting one of its best-effort tasks in addition to the lost work, in seconds.
 const (
-	nearCompletionS = 30 // how long before its expected end preempting a task costs more
+	nearCompletionS = 30 // preempting a task costs more from this time before its expected end
 	startedPenaltyS = 10 // cost for a job whose tasks have all started
 )
 
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -83,7 +83,7 @@
 	id, chunk, err := state.ParseProgressKey(w.Key)
 	j := l.jobs[id]
 	if err != nil || j == nil {
-		return w, l.Replica.ModRevision(w.Key) != 0 // the job has ended
+		return w, l.Replica.ModRevision(w.Key) != 0 // the job has ended: delete the key if it is stored
 	}
 	if _, finishing := l.finalJobs[id]; finishing {
 		return w, false // the final state implies that all tasks are done
--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -138,16 +138,16 @@
 // heartbeats from before the loss are no evidence of a return.
 func TestLossResetsReturns(t *testing.T) {
 	z, _, now := newTestZones(t)
-	elsewhere, m := z.Fleet.Sorted[0], z.Fleet.Sorted[19]
-	elsewhere.ZoneReturn.Returned, m.ZoneReturn.Returned = true, true
+	zoneAMachine, m := z.Fleet.Sorted[0], z.Fleet.Sorted[19]
+	zoneAMachine.ZoneReturn.Returned, m.ZoneReturn.Returned = true, true
 	for _, other := range z.Fleet.Sorted[10:19] {
 		other.Heartbeat.ReceivedAt = now - fullSilence
 	}
 	for range 3 {
 		z.Observe(now)
 	}
-	if s := z.Policy.Status(now)[1]; s.State != "lost" || m.ZoneReturn.Returned || m.ZoneReturn.SequenceBefore != 100 || !elsewhere.ZoneReturn.Returned {
-		t.Errorf("zone is %s, machine in it %+v, machine elsewhere %+v; want a lost zone and only the first machine reset", s.State, m.ZoneReturn, elsewhere.ZoneReturn)
+	if s := z.Policy.Status(now)[1]; s.State != "lost" || m.ZoneReturn.Returned || m.ZoneReturn.SequenceBefore != 100 || !zoneAMachine.ZoneReturn.Returned {
+		t.Errorf("zone is %s, machine in it %+v, machine of zone a %+v; want a lost zone and only the first machine reset", s.State, m.ZoneReturn, zoneAMachine.ZoneReturn)
 	}
 }
 
@@ -172,7 +172,8 @@
 		supply, ofBound, ofSingleZone := scaler.CountSupply(replaced, now)["m4"].Total, z.OnlyZone(bound), z.OnlyZone(singleZone)
 		if closed != wantClosed || len(replaced) != wantReplaced || supply != 20-wantReplaced || z.LaunchAllowance("b") != wantAllowance ||
 			ofBound != wantOnlyZone || ofSingleZone != wantOnlyZone || z.OnlyZone(unbound) != "" {
-			t.Errorf("%s: %d closed, %d replaced, supply %d, %d may be launched, only zone is %q for the bound and %q for the single-zone job", state, closed, len(replaced), supply, z.LaunchAllowance("b"), ofBound, ofSingleZone)
+			t.Errorf("%s: %d machines closed, want %d; %d replaced, want %d; supply %d, want %d; launch allowance %d, want %d; only zone %q of the bound job and %q of the single-zone job, want %q; only zone %q of the unbound job, want none", state,
+				closed, wantClosed, len(replaced), wantReplaced, supply, 20-wantReplaced, z.LaunchAllowance("b"), wantAllowance, ofBound, ofSingleZone, wantOnlyZone, z.OnlyZone(unbound))
 		}
 	}
 	expect("normal", 0, 0, zone.Unlimited, "")
@@ -207,11 +208,11 @@
 	changes := 0
 	z.OnChange = func() { changes++ }
 	planned := []*state.Job{state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000001", Tasks: 1}}, false)}
-	elsewhere, m := z.Fleet.Sorted[0], z.Fleet.Sorted[10]
-	elsewhere.PlannedStarts, m.PlannedStarts = planned, planned
+	zoneAMachine, m := z.Fleet.Sorted[0], z.Fleet.Sorted[10]
+	zoneAMachine.PlannedStarts, m.PlannedStarts = planned, planned
 	silenceZoneB(z, now, fullSilence)
-	if changes != 10 || len(m.PlannedStarts) != 0 || len(elsewhere.PlannedStarts) != 1 {
-		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one; want 10, 0, 1", changes, len(m.PlannedStarts), len(elsewhere.PlannedStarts))
+	if changes != 10 || len(m.PlannedStarts) != 0 || len(zoneAMachine.PlannedStarts) != 1 {
+		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one; want 10, 0, 1", changes, len(m.PlannedStarts), len(zoneAMachine.PlannedStarts))
 	}
 }
 
@@ -273,7 +274,7 @@
 			z.Replica.ApplyPut(replica.ZonesKey, c.stored, 3)
 			z.Restore(now)
 			if closed := z.Fleet.Sorted[15].ZoneReturn.Closed; closed != (c.want == "lost") {
-				t.Errorf("machine of zone b closed: %v before the first observation, want it closed only if the zone was lost", closed)
+				t.Errorf("machine of zone b closed before the first observation: %t, want %t", closed, c.want == "lost")
 			}
 			for range 3 {
 				z.Observe(now)
--- a/placement/deferral_properties_test.go
+++ b/placement/deferral_properties_test.go
@@ -169,7 +169,7 @@
 		}
 		for i, j := range first.jobs {
 			if other := second.jobs[i]; j.ID != other.ID || j.Late != other.Late || j.StartDeadline != other.StartDeadline {
-				t.Fatalf("seed %d: job %s at position %d, late %v, start deadline %v; with shuffled input %s, late %v, start deadline %v", seed, j.ID, i, j.Late, j.StartDeadline, other.ID, other.Late, other.StartDeadline)
+				t.Fatalf("seed %d: job %s at position %d, late %v, start deadline %v; with shuffled input %s, late %v, start deadline %v", seed, j.ID, i, j.Late, j.StartDeadline.Duration(), other.ID, other.Late, other.StartDeadline.Duration())
 			}
 		}
 	}
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -19,9 +19,10 @@
 	}
 }
 
-// pickNext picks the job of which a machine starts tasks next; ok is false if there is none. Of the first jobs of
-// equal precedence it picks the one with the earliest start deadline, after adding twice the time of the image
-// pull to each deadline, because a pull both delays the task and keeps the capacity from other tasks.
+// pickNext picks the job whose tasks a machine starts next, and how many of them; ok is false if there is none. Among
+// the first jobs that the machine can start, at most fillLookahead of equal precedence, it picks the one with the
+// earliest start deadline. Twice the time of the image pull is added to each deadline, because a pull both delays the
+// task and keeps the capacity from other tasks.
 func pickNext(m *Machine, jobs []*Job, teams map[string]*Team) (best Start, ok bool) {
 	var bestDeadline micros.Micros
 	compared := 0
--- a/placement/gang_test.go
+++ b/placement/gang_test.go
@@ -12,12 +12,12 @@
 // machines whose heartbeats come next, within the job's zone constraints; or not at all.
 func TestPlaceGang(t *testing.T) {
 	s := micros.Second
-	noImage := func(id string, free int64) Machine { return machine(id, "z", free) }
+	withoutImage := func(id string, free int64) Machine { return machine(id, "z", free) }
 	withImage := func(id string, free int64) Machine {
-		return with(noImage(id, free), func(m *Machine) { m.Images = m.Images.With(70) })
+		return with(withoutImage(id, free), func(m *Machine) { m.Images = m.Images.With(70) })
 	}
 	late := func(id string, free int64, delay micros.Micros) Machine {
-		return with(noImage(id, free), func(m *Machine) { m.CommandDelay = delay })
+		return with(withoutImage(id, free), func(m *Machine) { m.CommandDelay = delay })
 	}
 	other := job("k", 2, func(j *Job) { j.Priority = 2 })
 	for _, c := range []struct {
@@ -27,20 +27,20 @@
 		team     *Team
 		want     []string
 	}{
-		{"one machine rather than several", []Machine{noImage("a", 2), noImage("b", 2), noImage("c", 4)}, []*Job{gang(4, nil)}, nil, []string{"g@c*4"}},
+		{"one machine rather than several", []Machine{withoutImage("a", 2), withoutImage("b", 2), withoutImage("c", 4)}, []*Job{gang(4, nil)}, nil, []string{"g@c*4"}},
 		{"the machine with the next heartbeat", []Machine{late("a", 4, 3*s), late("b", 4, s)}, []*Job{gang(4, nil)}, nil, []string{"g@b*4"}},
 		{"several with heartbeats soon rather than one with a late heartbeat", []Machine{late("a", 2, 0), late("b", 2, s), late("c", 4, 8*s)},
 			[]*Job{gang(4, nil)}, nil, []string{"g@a*2", "g@b*2"}},
-		{"the fewest of those with heartbeats soon", []Machine{noImage("a", 1), noImage("b", 1), noImage("c", 2), noImage("d", 3)},
+		{"the fewest of those with heartbeats soon", []Machine{withoutImage("a", 1), withoutImage("b", 1), withoutImage("c", 2), withoutImage("d", 3)},
 			[]*Job{gang(5, nil)}, nil, []string{"g@d*3", "g@c*2"}},
-		{"machines that have the image", []Machine{noImage("a", 2), withImage("b", 2), noImage("c", 2), withImage("d", 2)},
+		{"machines that have the image", []Machine{withoutImage("a", 2), withImage("b", 2), withoutImage("c", 2), withImage("d", 2)},
 			[]*Job{gang(4, func(j *Job) { j.ImageSizeGB = 5 })}, nil, []string{"g@b*2", "g@d*2"}},
-		{"one machine without the image, as two machines of which one has it start no sooner", []Machine{withImage("a", 2), noImage("b", 4)},
+		{"one machine without the image, as two machines of which one has it start no sooner", []Machine{withImage("a", 2), withoutImage("b", 4)},
 			[]*Job{gang(4, func(j *Job) { j.ImageSizeGB = 5 })}, nil, []string{"g@b*4"}},
 		{"start later than MaxStartDelay: not placed", []Machine{late("a", 4, 3*s)}, []*Job{gang(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, nil},
 		{"start within MaxStartDelay: placed", []Machine{late("a", 4, 3*s)}, []*Job{gang(4, func(j *Job) { j.MaxStartDelay = 3 * s })}, nil, []string{"g@a*4"}},
-		{"no room for one task", []Machine{noImage("a", 2), noImage("b", 1)}, []*Job{gang(4, nil)}, nil, nil},
-		{"room that the gang cannot use goes to other jobs", []Machine{noImage("a", 2), noImage("b", 1)}, []*Job{gang(4, nil), other}, nil, []string{"k@b*1", "k@a*1"}},
+		{"no room for one task", []Machine{withoutImage("a", 2), withoutImage("b", 1)}, []*Job{gang(4, nil)}, nil, nil},
+		{"room that the gang cannot use goes to other jobs", []Machine{withoutImage("a", 2), withoutImage("b", 1)}, []*Job{gang(4, nil), other}, nil, []string{"k@b*1", "k@a*1"}},
 		{"single zone: the only one with room", []Machine{machine("a", "y", 3), machine("b", "z", 2), machine("c", "z", 2)},
 			[]*Job{gang(4, func(j *Job) { j.SingleZone = true })}, nil, []string{"g@b*2", "g@c*2"}},
 		{"single zone: none has room", []Machine{machine("a", "y", 3), machine("b", "z", 3)},
@@ -50,15 +50,15 @@
 		{"spread over zones: at most 2 of 4 in a zone", []Machine{machine("a", "y", 4), machine("b", "z", 2)},
 			[]*Job{gang(4, func(j *Job) { j.SpreadZones = true })}, nil, []string{"g@a*2", "g@b*2"}},
 		{"spread over zones: only one zone has room", []Machine{machine("a", "y", 4)}, []*Job{gang(4, func(j *Job) { j.SpreadZones = true })}, nil, nil},
-		{"team quota allows only a part", []Machine{noImage("a", 9)}, []*Job{gang(4, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, nil},
-		{"machine reserved for the gang", []Machine{with(noImage("a", 4), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{gang(4, nil)}, nil, []string{"g@a*4"}},
-		{"machine reserved for another job", []Machine{with(noImage("a", 4), func(m *Machine) { m.ReservedFor = job("x", 4, nil) })}, []*Job{gang(4, nil)}, nil, nil},
-		{"gang pool: closed to other jobs", []Machine{with(noImage("a", 4), func(m *Machine) { m.GangsOnly = true })}, []*Job{gang(3, nil), other}, nil, []string{"g@a*3"}},
+		{"team quota allows only a part", []Machine{withoutImage("a", 9)}, []*Job{gang(4, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, nil},
+		{"machine reserved for the gang", []Machine{with(withoutImage("a", 4), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{gang(4, nil)}, nil, []string{"g@a*4"}},
+		{"machine reserved for another job", []Machine{with(withoutImage("a", 4), func(m *Machine) { m.ReservedFor = job("x", 4, nil) })}, []*Job{gang(4, nil)}, nil, nil},
+		{"gang pool: closed to other jobs", []Machine{with(withoutImage("a", 4), func(m *Machine) { m.GangsOnly = true })}, []*Job{gang(3, nil), other}, nil, []string{"g@a*3"}},
 		{"gang pool: the next heartbeat decides", []Machine{with(late("a", 4, s/2), func(m *Machine) { m.GangsOnly = true })},
 			[]*Job{gang(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, nil},
-		{"gang pool: placed on the heartbeat", []Machine{with(noImage("a", 4), func(m *Machine) { m.GangsOnly = true })},
+		{"gang pool: placed on the heartbeat", []Machine{with(withoutImage("a", 4), func(m *Machine) { m.GangsOnly = true })},
 			[]*Job{gang(4, func(j *Job) { j.MaxStartDelay = 2 * s })}, nil, []string{"g@a*4"}},
-		{"machine reserved for a job of lower precedence", []Machine{with(noImage("a", 2), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{job("k", 2, func(j *Job) { j.Priority = 2 })}, nil, []string{"k@a*2"}},
+		{"machine reserved for a job of lower precedence", []Machine{with(withoutImage("a", 2), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{job("k", 2, func(j *Job) { j.Priority = 2 })}, nil, []string{"k@a*2"}},
 	} {
 		var got []string
 		for _, x := range Plan(c.machines, c.jobs, map[string]*Team{"t": c.team}) {
@@ -106,9 +106,9 @@
 // gang, with a heartbeat interval of 8 s.
 func TestEarliestGangStart(t *testing.T) {
 	const s = micros.Second
-	noImage := func(id string) Machine { return machine(id, "z", 4) }
+	withoutImage := func(id string) Machine { return machine(id, "z", 4) }
 	withImage := func(id string) Machine {
-		return with(noImage(id), func(m *Machine) { m.Images = m.Images.With(70) })
+		return with(withoutImage(id), func(m *Machine) { m.Images = m.Images.With(70) })
 	}
 	for _, c := range []struct {
 		name     string
@@ -118,11 +118,11 @@
 		{"no machine has room", []Machine{machine("a", "z", 3)}, 0},
 		{"one machine", []Machine{withImage("a")}, 4 * s},
 		{"three machines", []Machine{withImage("a"), withImage("b"), withImage("c")}, 2 * s},
-		{"waiting for the machine that has the image is faster", []Machine{withImage("a"), noImage("b")}, 4 * s},
-		{"many without the image, of which the first heartbeat comes much sooner", []Machine{withImage("a"), noImage("b"), noImage("c"), noImage("d"), noImage("e"), noImage("f"), noImage("g")}, 3 * s},
+		{"waiting for the machine that has the image is faster", []Machine{withImage("a"), withoutImage("b")}, 4 * s},
+		{"many without the image, of which the first heartbeat comes much sooner", []Machine{withImage("a"), withoutImage("b"), withoutImage("c"), withoutImage("d"), withoutImage("e"), withoutImage("f"), withoutImage("g")}, 3 * s},
 	} {
 		if got := EarliestGangStart(c.machines, gang(4, func(j *Job) { j.ImageSizeGB = 2 }), 8*s); got != c.want {
-			t.Errorf("%s: earliest start %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: earliest start %v, want %v", c.name, got.Duration(), c.want.Duration())
 		}
 	}
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -52,8 +52,8 @@
 	Need            Resources
 	WithinGuarantee bool          // covered by its team's guarantee
 	BestEffort      bool          // lowest priority, and not covered by a guarantee
-	LostWork        micros.Micros // work that is lost if the task is stopped
-	Gang            bool          // all tasks of its job stop with it; LostWork is that of all of them
+	LostWork        micros.Micros // run time that is lost if the task is stopped; for a gang, that of all its tasks
+	Gang            bool          // preempting the task stops all tasks of its job
 }
 
 // Completion is the expected end of a running task.
--- a/placement/preemption.go
+++ b/placement/preemption.go
@@ -129,7 +129,8 @@
 	return preemptionCandidate{machine, victims, lost + imagePullTime(m, s.job)}, victims != nil
 }
 
-// preemptFirstCandidate preempts the victims of the first candidate.
+// preemptFirstCandidate preempts the victims of the candidate with the lowest cost, and all other tasks of the gangs
+// among them. It claims the room for one task of the job, and updates the candidates.
 func (s *preemptionSearch) preemptFirstCandidate() {
 	c := s.candidates[0]
 	s.candidates = s.candidates[1:]
--- a/placement/resources.go
+++ b/placement/resources.go
@@ -29,11 +29,11 @@
 // MinNeed returns, for each resource, the least that a task of any of the jobs needs. A machine with less free can
 // start none of them.
 func MinNeed(jobs []*Job) Resources {
-	least := Resources{unlimited, unlimited, unlimited}
+	minimum := Resources{unlimited, unlimited, unlimited}
 	for _, j := range jobs {
-		least = Resources{min(least.CPU, j.Need.CPU), min(least.GPU, j.Need.GPU), min(least.Memory, j.Need.Memory)}
+		minimum = Resources{min(minimum.CPU, j.Need.CPU), min(minimum.GPU, j.Need.GPU), min(minimum.Memory, j.Need.Memory)}
 	}
-	return least
+	return minimum
 }
 
 // ImageSet is a bit set of images, which are identified by small numbers. Planning checks very often whether a
--- a/staffing/demand_window.go
+++ b/staffing/demand_window.go
@@ -20,8 +20,7 @@
 const (
 	// minRateEntries is the number of newest entries that suffices to compute a rate.
 	minRateEntries = 20
-	// minWindowDivisor limits how short the span is over which a rate is measured: the window length divided by
-	// it.
+	// A rate is measured over at least 1/minWindowDivisor of the window.
 	minWindowDivisor = 3
 )
 
--- a/staffing/service_time.go
+++ b/staffing/service_time.go
@@ -43,9 +43,10 @@
 // the day.
 type decayingMean struct{ weight, sum float64 }
 
-// add counts a value that represents jobShare of a job. The decay is per job, not per task: when each task counted
-// as much as a job, arrays of 50 tasks reduced the mean to that of the last second, and a target that is held at
-// its peak over 30 s took the worst of these values.
+// add counts a value with a weight. jobShare is the share of a job that the value stands for: 1 for a whole job, 1/n
+// for one of n tasks. The decay is per job, not per task: when each task counted as much as a job, arrays of 50 tasks
+// left only the values of the last second in the mean, and a staffing target, which is held at its peak for 30 s,
+// followed the worst of these means.
 func (m *decayingMean) add(weight, value, jobShare float64) {
 	decay := math.Pow(serviceTimeDecay, jobShare)
 	m.weight = m.weight*decay + weight
