--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -14,18 +14,20 @@
 // shown to users, so its text must not change.
 const consolidationReason = "its tasks have room elsewhere"
 
-// minRuntimeBeforeMove is how long a task must have run before it is moved, and how long it must be expected to
-// run on.
+// minRuntimeBeforeMove is the time that a task must have run before it may be moved. Unless the task has outlasted its
+// estimate, it must also be expected to run on for at least that time.
 const minRuntimeBeforeMove = minUsefulRuntime
 
 // minSlackFactor is the minimum ratio of a task's slack, which is the time that it can lose without being late, to
 // the cost of moving it.
 const minSlackFactor = 3
 
-// Consolidate drains machines that are surplus, or that reject delay-tolerant jobs, if all of their tasks can save
-// checkpoints and other machines have room for all of these tasks. Without it, long best-effort tasks that were
-// spread thinly kept half of a fleet running for minutes after all other work had ended. Consolidate acts only
-// while no job waits, so that a moved task finds its room at once.
+// Consolidate drains machines that are surplus, or that reject delay-tolerant jobs, if all of their tasks are worth
+// moving (see canConsolidate) and other machines have room for all of these tasks. Without consolidation, long
+// best-effort tasks that were spread thinly kept half of a fleet running for minutes after all other work had ended.
+//
+// Consolidate does nothing while jobs are queued, as their tasks could take the room before the moved tasks start
+// again. It also does nothing while another node may lead or the tasks of any machine are unknown.
 func (s *Scheduler) Consolidate(now micros.Micros) {
 	if len(s.queue.jobs) > 0 || !s.Term.HoldsSession() || !s.Term.IsExclusive() || s.Fleet.CountWithUnknownTasks() > 0 {
 		return
@@ -52,8 +54,9 @@
 	}
 }
 
-// consolidationOrder returns the responsive machines with tasks, in descending order of the price per CPU in
-// use. Machines at the start are drained first, and their tasks are moved to machines at the end.
+// consolidationOrder returns the machines that hold tasks, are open to jobs of all zones and have sent a heartbeat
+// recently, in descending order of the price per CPU in use. Machines at the start are drained first, and their tasks
+// are moved to machines at the end.
 func (s *Scheduler) consolidationOrder(now micros.Micros) []*state.Machine {
 	var machines []*state.Machine
 	for _, m := range s.Fleet.Sorted {
@@ -90,17 +93,20 @@
 	return freeAfter, true
 }
 
-// canMoveTo reports whether a task may be moved to a machine that has the given free resources.
+// canMoveTo reports whether a task may be moved to a machine that has the given free resources. A machine that is being
+// drained or rejects delay-tolerant jobs takes no moved task.
 func canMoveTo(a *state.Attempt, m *state.Machine, free placement.Resources) bool {
 	return m.DrainReason == "" && !m.RejectsDelayTolerant && free.Fits(a.Job.Need) && a.Job.MayRunOn(m.Offering)
 }
 
-// canConsolidate reports whether all tasks of a machine can save checkpoints and are worth moving.
+// canConsolidate reports whether each task of a machine may be moved and is worth moving. A delay-tolerant task always
+// is. Any other task must have slack for the move, and the machine must have been surplus for longer than the idle
+// timeout.
 func (s *Scheduler) canConsolidate(m *state.Machine, now micros.Micros) bool {
-	// The free room of a surplus machine is worth as much as that of an idle machine, which is kept until its
-	// idle timeout. When tasks that are not delay-tolerant were moved at once, later jobs found less room
-	// (hoalan-grown: the share of bagtag-reprint within 8 s fell from 0.87 to 0.78). Best-effort jobs are never
-	// that urgent, so their tasks are moved at once.
+	// The free room of a surplus machine is worth as much as that of an idle machine, which is kept until its idle
+	// timeout. When tasks that are not delay-tolerant were moved at once, later jobs found less room (scenario
+	// hoalan-grown: the share of class bagtag-reprint within 8 s fell from 0.87 to 0.78). Delay-tolerant tasks are
+	// moved at once, because they are never urgent.
 	longSurplus := m.SurplusSince != 0 && now-m.SurplusSince > s.Scaler.IdleTimeout(s.Scaler.Type(m.Offering.Type), m.Offering.Spot)
 	for _, a := range m.Attempts {
 		if !s.canMove(a, now) {
@@ -113,8 +119,9 @@
 	return true
 }
 
-// canMove reports whether a task can save a checkpoint, has run for long enough to be moved, and is expected to
-// run on for as long.
+// canMove reports whether a task may be moved. The task must save checkpoints, belong to no gang and have no zone
+// rules, and must have run, and be expected to run on, for minRuntimeBeforeMove. A task that is stopping, or whose job
+// has ended, is not moved.
 func (s *Scheduler) canMove(a *state.Attempt, now micros.Micros) bool {
 	// Moving one task of a gang would stop all its tasks, also those on other machines.
 	spec := a.Job.Spec
@@ -122,13 +129,14 @@
 		a.RunningSince == 0 || now-a.RunningSince < minRuntimeBeforeMove {
 		return false
 	}
-	// A task that has run for longer than its estimate may run on for long.
+	// A task that has outlasted its estimate may still run on for long.
 	remaining := s.Workload.ExpectedRuntime(spec) - (now - a.StartedAt).Seconds()
 	return remaining < 0 || remaining >= minRuntimeBeforeMove.Seconds()
 }
 
-// hasSlackToMove reports whether a task could be moved without becoming late. Without this check, on fleets
-// whose images take 25 s to pull, a fifth of the jobs with a deadline became late.
+// hasSlackToMove reports whether a task can still meet a deadline and its slack is at least minSlackFactor times the
+// cost of moving it. Without this check, on fleets whose machines take 25 s to pull an image, a fifth of the jobs with
+// a deadline became late.
 func (s *Scheduler) hasSlackToMove(a *state.Attempt, now micros.Micros) bool {
 	spec, instanceType := a.Job.Spec, s.Scaler.Type(a.Machine.Offering.Type)
 	wall := micros.WallTime()
--- a/internal/leader/scheduler/consolidate_test.go
+++ b/internal/leader/scheduler/consolidate_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestConsolidate checks that a surplus machine with few long tasks is drained into another machine, unless
-// that would save nothing or lose work.
+// TestConsolidate checks under which conditions a surplus machine is drained because its tasks have room on another
+// machine.
 func TestConsolidate(t *testing.T) {
 	const second = micros.Second
 	type setup struct {
--- a/internal/leader/scheduler/deferrals.go
+++ b/internal/leader/scheduler/deferrals.go
@@ -8,9 +8,9 @@
 	"caperlatch/placement"
 )
 
-// logDeferrals logs, at debug level, which jobs a plan deferred, to which start deadline, and in favor of which
-// other job. A deferral that is unchanged since the previous plan is not logged again, as there are several
-// plans a second. Deadlines are logged as the time left until them.
+// logDeferrals logs, at debug level, which jobs a plan deferred, to which start deadline, and in favor of which job. A
+// deferral that the previous plan made as well is not logged again, as there are several plans a second. Deadlines are
+// logged as the time left until them.
 func (s *Scheduler) logDeferrals(deferrals []placement.Deferral, wall micros.Micros) {
 	if !slog.Default().Enabled(context.Background(), slog.LevelDebug) {
 		s.loggedDeferrals = nil
@@ -18,7 +18,7 @@
 	}
 	deferred := make(map[string]placement.Deferral, len(deferrals))
 	for _, d := range deferrals {
-		deferred[d.Job.ID] = d // the last deferral of a job applies
+		deferred[d.Job.ID] = d // a later deferral of the same job replaces an earlier one
 	}
 	for _, d := range deferrals {
 		last, wasDeferred := s.loggedDeferrals[d.Job.ID]
--- a/internal/leader/scheduler/deferrals_test.go
+++ b/internal/leader/scheduler/deferrals_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// The jobs of the deferral tests. On the machine of four CPUs they need 5, 30 and 20 s.
+// The jobs of the deferral tests. Run alone on the machine of four CPUs, they would take 5, 30 and 20 s.
 const (
 	smallJob   = "j-000001" // can meet its first deadline
 	largeJob   = "j-000002" // can meet only its second deadline
@@ -42,12 +42,14 @@
 	return s
 }
 
-// TestDeferredLargestJobUsesLaterDeadline guards against marking a large job as late when it misses its first
-// start deadline but can still meet its second. Such a job was queued behind a job that could meet no deadline,
-// started up to 20 s later here, and so missed its second deadline too; in a user's deployment the delay lasted
-// for as long as smaller late jobs were queued. The cause was visible in the log line msg="job deferred"
-// job=j-000002 late=true start_deadline=1m9.999995s for_job=j-000002 missed_deadline=29.999995s: the job was
-// deferred in favor of itself, and marked as late although its start deadline lies after the missed one.
+// TestDeferredLargestJobUsesLaterDeadline guards against marking a large job as late when it misses its first start
+// deadline but can still meet its second. Such a job was queued behind a job that could meet no deadline, which delays
+// it by up to 20 s in this test, and so missed its second deadline too. In a user's deployment the delay lasted for as
+// long as smaller late jobs were queued.
+//
+// The log line msg="job deferred" job=j-000002 late=true start_deadline=1m9.999995s for_job=j-000002
+// missed_deadline=29.999995s showed the cause. The job was deferred in favor of itself, and was marked as late although
+// its new start deadline lies after the missed one.
 func TestDeferredLargestJobUsesLaterDeadline(t *testing.T) {
 	now := micros.Now()
 	s := newOverloadedScheduler(t, now)
--- a/internal/leader/scheduler/preempt.go
+++ b/internal/leader/scheduler/preempt.go
@@ -8,9 +8,9 @@
 
 // Limits of preemption.
 const (
-	preemptInterval = micros.Second
-	maxPreemptJobs  = 8 // how many jobs a plan preempts tasks for
-	// gangPreemptInterval limits how often all running tasks are searched for victims for gangs.
+	preemptInterval = micros.Second // minimum time between two calls of preempt
+	maxPreemptJobs  = 8             // maximum number of jobs for which a call of preempt stops tasks
+	// gangPreemptInterval is the minimum time between two searches of all running tasks for victims for gangs.
 	gangPreemptInterval = micros.Second / 2
 )
 
@@ -18,8 +18,8 @@
 // so its text must not change.
 func preemptionReason(forJobID string) string { return "stopped to make room for " + forJobID }
 
-// preempt stops running tasks to make room for jobs that found none and are at risk or take precedence over
-// best-effort work.
+// preempt stops running tasks to make room for queued jobs that are at risk of missing their start deadlines, or that
+// may preempt best-effort tasks.
 func (s *Scheduler) preempt(now micros.Micros) {
 	q := &s.queue
 	count := 0
@@ -28,8 +28,8 @@
 			count += w.WaitingTasks
 		}
 	}
-	// If enough tasks end by themselves to make room for these jobs very soon, preempting others would only
-	// waste the others' checkpoints and image pulls.
+	// If at least as many tasks are expected to complete within preemptInterval as these jobs have waiting, preempting
+	// tasks would only waste their checkpoints and image pulls.
 	expectedCompletions := s.completions.perSecond(now) * preemptInterval.Seconds()
 	s.preemptedAt = now
 	if count == 0 || float64(count) <= expectedCompletions {
@@ -56,8 +56,8 @@
 	s.Stop(a, checkpointGraceIfWorthwhile(a, now), preemptionReason(forJobID))
 }
 
-// checkpointGraceIfWorthwhile returns the time that a task gets to save a checkpoint, or 0 if saving would take
-// longer than repeating its work.
+// checkpointGraceIfWorthwhile returns the time that a task gets to save a checkpoint. It returns 0 if saving would take
+// longer than the task has run, as repeating the work is faster then.
 func checkpointGraceIfWorthwhile(a *state.Attempt, now micros.Micros) micros.Micros {
 	grace := micros.FromSeconds(a.Job.Spec.CheckpointDurationS)
 	if a.RunningSince == 0 || now-a.RunningSince < grace {
@@ -66,11 +66,13 @@
 	return grace
 }
 
-// preemptForGangs stops lower-ranked tasks for gangs that would otherwise be late, on a single machine for each
-// gang. The worker sends a heartbeat at once when tasks on it end, so that the gang starts with the response to
-// that heartbeat, sooner than on a machine with room whose next heartbeat may come much later. A task that
-// would take too long to save a checkpoint is stopped without one: the work that it loses matters little
-// compared with a gang's delay.
+// preemptForGangs stops lower-ranked tasks for gangs that have no reserved machines and would otherwise miss their
+// start deadlines. All tasks that are stopped for a gang are on a single machine. Its worker sends a heartbeat at once
+// when tasks on it end, and the gang starts with the response. That is sooner than on a machine with room whose next
+// heartbeat may come much later.
+//
+// A task that could not save its checkpoint by the gang's start deadline is stopped without one: the work that it loses
+// matters little compared with a gang's delay.
 func (s *Scheduler) preemptForGangs(now micros.Micros) {
 	wall := micros.WallTime()
 	var lateGangs []*placement.Job
@@ -105,7 +107,7 @@
 	}
 }
 
-// CountCompletion counts a completed task.
+// CountCompletion counts a completed task for the completion rate.
 func (s *Scheduler) CountCompletion() { s.completions.count++ }
 
 // completionRate measures how many tasks have recently completed per second.
@@ -115,13 +117,13 @@
 	rate  float64       // weighted mean of past measurements, per second
 }
 
-// completionRateInterval is the shortest duration of a measurement.
+// completionRateInterval is the minimum duration of a measurement.
 const completionRateInterval = micros.Second
 
 // perSecond returns the completion rate. The weight of each measurement halves with every later one.
 func (r *completionRate) perSecond(now micros.Micros) float64 {
-	if since := now - r.since; since >= completionRateInterval {
-		r.rate = r.rate/2 + float64(r.count)/since.Seconds()/2
+	if elapsed := now - r.since; elapsed >= completionRateInterval {
+		r.rate = r.rate/2 + float64(r.count)/elapsed.Seconds()/2
 		r.count, r.since = 0, now
 	}
 	return r.rate
--- a/internal/leader/scheduler/preempt_test.go
+++ b/internal/leader/scheduler/preempt_test.go
@@ -22,10 +22,10 @@
 		{"its victims can save a checkpoint", 100 * second, func(*Scheduler, micros.Micros) {}, 2, 3 * second},
 		{"its victims have run for less than saving takes", 2 * second, func(*Scheduler, micros.Micros) {}, 2, 0},
 		{"preempt ran within the last second", 100 * second, func(s *Scheduler, now micros.Micros) { s.preemptedAt = now - second/2 }, 0, 0},
-		{"as many tasks end by themselves", 100 * second, func(s *Scheduler, now micros.Micros) {
+		{"as many tasks complete by themselves as wait", 100 * second, func(s *Scheduler, now micros.Micros) {
 			s.completions = completionRate{count: 40, since: now - 10*second}
 		}, 0, 0},
-		{"fewer tasks end by themselves", 100 * second, func(s *Scheduler, now micros.Micros) {
+		{"fewer tasks complete by themselves than wait", 100 * second, func(s *Scheduler, now micros.Micros) {
 			s.completions = completionRate{count: 30, since: now - 10*second}
 		}, 2, 3 * second},
 	} {
@@ -60,8 +60,8 @@
 	const second = micros.Second
 	for _, c := range []struct {
 		name     string
-		waited   micros.Micros // of the minute for which a gang may wait
-		saving   float64       // how long saving a victim's checkpoint takes, in seconds
+		waited   micros.Micros // since the gang was submitted; it may wait for 60 s
+		saveS    float64       // how long saving a victim's checkpoint takes, in seconds
 		set      func(s *Scheduler, m *state.Machine, now micros.Micros)
 		stopping int
 		grace    micros.Micros
@@ -80,7 +80,7 @@
 		now := micros.Now() + 1000*second
 		m := addMachine(s, "i-1", now)
 		spec := arrayJobSpec("j-000001", 4)
-		spec.Priority, spec.EstimatedRuntimeS, spec.CheckpointIntervalS, spec.CheckpointDurationS = "idle", 300, 30, c.saving
+		spec.Priority, spec.EstimatedRuntimeS, spec.CheckpointIntervalS, spec.CheckpointDurationS = "idle", 300, 30, c.saveS
 		victims := addJob(s, spec)
 		for range 4 {
 			runTask(victims, m, now-100*second)
--- a/internal/leader/scheduler/queue.go
+++ b/internal/leader/scheduler/queue.go
@@ -9,13 +9,14 @@
 	"caperlatch/placement"
 )
 
-// queue holds the jobs with waiting tasks in scheduling order, without the tasks that are planned on machines.
+// queue holds the jobs that have startable tasks, in scheduling order. Tasks that are planned on machines are not
+// included.
 type queue struct {
 	waiting      []*placement.Job
 	jobs         []*state.Job // the leader's records, with the same indexes as waiting
 	teams        map[string]*placement.Team
-	minNeed      placement.Resources // the least resources that any waiting task needs
-	hasSpareRoom bool                // the machines that are not surplus have ample room for all waiting tasks
+	minNeed      placement.Resources // for each resource, the least that any waiting task needs
+	hasSpareRoom bool                // see machineView.hasSpareRoom
 }
 
 // removeFullyPlanned removes the jobs whose waiting tasks are all planned.
@@ -31,24 +32,26 @@
 	q.minNeed = placement.MinNeed(q.waiting)
 }
 
-// agingThreshold is how long a job waits for a start, while none of its tasks is on a machine, before part of
-// it goes before all other jobs. Without it, the largest jobs would never start when they are deferred or
-// delayed by a lasting overload of other jobs, and jobs that are already late would never end. 1/agingDivisor
-// of the waiting tasks goes first, so that aging remains an exception.
+// A job ages if it has waited for a start for longer than agingThreshold and none of its tasks is on a machine. About
+// 1/agingDivisor of its waiting tasks then goes before all other jobs. Only a part of the tasks does, so that aging
+// remains an exception.
+//
+// Without aging, a lasting overload could keep the largest jobs, which are deferred or delayed by other jobs, from ever
+// starting, and jobs that are already late from ever ending.
 const (
 	agingThreshold = 120 * micros.Second
 	agingDivisor   = 16
 )
 
-// immediateStartLimit is the longest delay until a gang's start for which machines are assigned as soon as they
-// are found. Assignments with a longer delay are made only once the gang has waited for as long as that delay:
-// with many machines, some send a heartbeat soon. So a gang starts at most twice as late as it could, and
-// mostly sooner. Without this limit, assignments to machines that had just sent a heartbeat cost gangs an
-// entire heartbeat interval.
+// immediateStartLimit is the longest expected delay until a gang starts for which the gang is assigned to machines at
+// once. If the delay is longer, the gang is assigned to these machines only after it has waited for as long as the
+// delay, because with many machines another one is likely to send a heartbeat soon. A gang therefore starts at most
+// twice as late as it could, and mostly sooner. Without this limit, gangs that were assigned to machines that had just
+// sent a heartbeat lost an entire heartbeat interval.
 const immediateStartLimit = micros.Second
 
-// atRiskHeartbeats is how many heartbeat intervals before its start deadline a job counts as at risk of missing
-// it.
+// atRiskHeartbeats is the number of heartbeat intervals before a job's start deadline from which the job counts as at
+// risk of missing the deadline.
 const atRiskHeartbeats = 4
 
 // queueEntry is a queued job, both in placement's form and as the leader's record.
@@ -57,8 +60,9 @@
 	job     *state.Job
 }
 
-// newQueue builds the queue of the jobs that may start tasks now. A job that an earlier term may have started
-// is left out until the tasks of all machines that may run its tasks are known.
+// newQueue builds the queue of the jobs that may start tasks now. It splits aged jobs, defers jobs if not all can start
+// on time, and points reservations to the new queue entries. A job for which AwaitsReconciliation reports true is left
+// out.
 func (s *Scheduler) newQueue(now micros.Micros) queue {
 	teams := s.TeamUsage()
 	awaitsReconciliation := s.AwaitsReconciliation()
@@ -125,7 +129,7 @@
 	waiting.DelayTolerant = s.Workload.IsDelayTolerant(j)
 	if j.IsGang() {
 		if len(j.Attempts) > 0 {
-			waiting.StartDeadline, waiting.Late, waiting.AtRisk = wall, false, !j.IsProbing() // its other tasks wait for these
+			waiting.StartDeadline, waiting.Late, waiting.AtRisk = wall, false, !j.IsProbing() // the gang's tasks on machines wait for the waiting ones
 		}
 		waiting.FailedOn = j.Failures.ByMachine
 		waiting.MaxStartDelay = max(immediateStartLimit, wall-j.SubmittedAt)
@@ -137,7 +141,7 @@
 	return waiting
 }
 
-// hasAged reports whether a job has waited for a start for so long that part of it goes before other jobs.
+// hasAged reports whether a job has aged (see agingThreshold). A job that is being probed does not age.
 func (s *Scheduler) hasAged(j *state.Job, wall micros.Micros) bool {
 	since := max(j.SubmittedAt, j.LastStart)
 	if j.DoneCount > 0 {
@@ -146,17 +150,18 @@
 	return len(j.Attempts) == 0 && wall-since > agingThreshold && !j.IsProbing()
 }
 
-// splitAgedJob marks a part of an aged job's waiting tasks to go before all other jobs. It returns the
-// remaining tasks, which keep the job's usual place, or nil if there are none.
+// splitAgedJob marks some of an aged job's waiting tasks to go before all other jobs. It returns the job's other
+// waiting tasks as a separate entry, which keeps the job's usual place in the queue, or nil if there are none. A gang
+// or a job with zone rules is not split: all its waiting tasks go first.
 func (s *Scheduler) splitAgedJob(waiting *placement.Job, j *state.Job) (rest *placement.Job) {
 	waiting.Aged, waiting.Late, waiting.DelayTolerant = true, false, false
-	part := 1 + waiting.WaitingTasks/agingDivisor
-	if waiting.SingleZone || waiting.SpreadZones || waiting.Gang || part >= waiting.WaitingTasks {
+	agedTasks := 1 + waiting.WaitingTasks/agingDivisor
+	if waiting.SingleZone || waiting.SpreadZones || waiting.Gang || agedTasks >= waiting.WaitingTasks {
 		return nil
 	}
 	other := *waiting
 	other.Aged, other.DelayTolerant = false, s.Workload.IsDelayTolerant(j)
-	waiting.WaitingTasks, other.WaitingTasks = part, waiting.WaitingTasks-part
+	waiting.WaitingTasks, other.WaitingTasks = agedTasks, waiting.WaitingTasks-agedTasks
 	return &other
 }
 
--- a/internal/leader/scheduler/queue_test.go
+++ b/internal/leader/scheduler/queue_test.go
@@ -8,9 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestAgedJobIsQueuedFirst checks that a part of a large late job goes before more urgent jobs once the job has
-// waited for two minutes without a start, so that it starts within four minutes also while urgent jobs keep
-// coming.
+// TestAgedJobIsQueuedFirst checks that some tasks of a large job go before more urgent jobs once the job has waited for
+// two minutes without a start. Urgent jobs that keep coming then can't keep it from starting within four minutes.
 func TestAgedJobIsQueuedFirst(t *testing.T) {
 	const second = micros.Second
 	const large, urgent = "j-000001", "j-000002"
--- a/internal/leader/scheduler/reservation.go
+++ b/internal/leader/scheduler/reservation.go
@@ -8,9 +8,9 @@
 
 // Limits of reservations for gangs.
 const (
-	reservationHorizon = 16 * micros.Second // how soon the room on reserved machines must become free
-	reservationDivisor = 8                  // at most 1/reservationDivisor of the machines are reserved
-	maxReservationJobs = 8                  // how many gangs a plan seeks machines for
+	reservationHorizon = 16 * micros.Second // the room on reserved machines must be expected to be free within this time
+	reservationDivisor = 8                  // once 1/reservationDivisor of the machines are reserved, no further gang gets any
+	maxReservationJobs = 8                  // maximum number of gangs for which a plan seeks machines
 )
 
 // reserveForGangs reserves machines for gangs that found no room, in queue order. A machine is reserved for one
@@ -58,7 +58,8 @@
 	return reservation == nil || len(reservation.Machines) == 0 && now >= reservation.RetryAt
 }
 
-// reserve adds a machine to a job's reservation.
+// reserve adds a machine to a job's reservation, or begins a new reservation if the job has none with machines. It does
+// nothing if the job has ended or the machine is already reserved.
 func (s *Scheduler) reserve(jobID string, m *state.Machine, now micros.Micros) {
 	j := s.Jobs[jobID]
 	if j == nil || m.Reservation != nil {
@@ -87,7 +88,8 @@
 	return 0
 }
 
-// DropReservation makes the machines that are reserved for a gang available to all jobs again.
+// DropReservation makes the machines that are reserved for a gang available to all jobs again. Unless the job has
+// ended, the reservation itself is kept until its retry time, so that the gang gets no new one before.
 func (s *Scheduler) DropReservation(j *state.Job) {
 	reservation := s.reservations[j.Spec.ID]
 	if reservation == nil {
@@ -105,7 +107,7 @@
 	}
 }
 
-// ExpireReservation drops a gang's reservation if it has expired.
+// ExpireReservation drops a gang's reservation if it has expired, and deletes it at its retry time.
 func (s *Scheduler) ExpireReservation(j *state.Job, now micros.Micros) {
 	if reservation := s.reservations[j.Spec.ID]; reservation != nil && now >= reservation.ExpiresAt && (len(reservation.Machines) > 0 || now >= reservation.RetryAt) {
 		s.DropReservation(j)
--- a/internal/leader/scheduler/reservation_test.go
+++ b/internal/leader/scheduler/reservation_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestReserveForGangs checks how many machines are reserved for gangs of two tasks that find no room beside
-// tasks that end soon.
+// TestReserveForGangs checks how many machines are reserved for gangs of two tasks when all machines are full of tasks
+// that end soon.
 func TestReserveForGangs(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -69,21 +69,21 @@
 		t.Fatalf("reservation %+v, want two machines, expiry after %v, retry after %v, and the queued job", r, lifetime.Duration(), (2 * lifetime).Duration())
 	}
 	if s.ExpireReservation(j, now+lifetime-1); s.ReservedMachines(j.Spec.ID) != 2 {
-		t.Error("reservation expired before its lifetime had passed")
+		t.Errorf("%d machines reserved just before the reservation expires, want 2", s.ReservedMachines(j.Spec.ID))
 	}
 	if s.Plan(now); s.queue.waiting[0].ID != j.Spec.ID || r.QueuedJob != s.queue.waiting[0] {
-		t.Error("reservation refers to a job of an earlier queue, want the job of the latest queue")
+		t.Errorf("first job in the queue: %s, want %s; reservation refers to its queue entry: %t, want true", s.queue.waiting[0].ID, j.Spec.ID, r.QueuedJob == s.queue.waiting[0])
 	}
 	s.planRequested = false
 	if s.ExpireReservation(j, now+lifetime); s.ReservedMachines(j.Spec.ID) != 0 || s.countReserved() != 0 || !s.planRequested {
-		t.Error("reservation not dropped, or no plan requested, at its expiry")
+		t.Errorf("after the expiry: %d machines reserved for the gang, %d for all gangs, plan requested: %t; want 0, 0, true", s.ReservedMachines(j.Spec.ID), s.countReserved(), s.planRequested)
 	}
 	if s.Plan(now); s.countReserved() != 0 {
-		t.Error("machines reserved again before the retry time")
+		t.Errorf("%d machines reserved before the retry time, want 0", s.countReserved())
 	}
 	r.RetryAt = now
 	if s.Plan(now); s.countReserved() != 2 {
-		t.Error("machines not reserved again at the retry time")
+		t.Errorf("%d machines reserved at the retry time, want 2", s.countReserved())
 	}
 }
 
--- a/internal/leader/scheduler/scheduler.go
+++ b/internal/leader/scheduler/scheduler.go
@@ -1,11 +1,11 @@
 // Package scheduler decides which waiting tasks start on which machines, which running tasks are stopped to
 // make room for them, and which machines are reserved for gangs.
 //
-// The package owns the queue, the times at which plans are made, and the reservations. The placement package
-// makes the individual choices; the scheduler converts the leader's records into placement's types. The package
-// does no I/O: a plan is written to the machines' PlannedStarts and becomes binding only when the response to a
-// heartbeat carries the starts. The scheduler must never plan while another node may lead, nor plan tasks of a
-// job that may still have those tasks on machines whose tasks are unknown.
+// The package owns the queue, the times at which plans are made, and the reservations. The placement package makes the
+// individual choices; the scheduler converts the leader's records into placement's types. The package does no I/O. A
+// plan is written to the machines' PlannedStarts, which become binding only when the response to a heartbeat carries
+// the starts; only the tasks of gangs are assigned at once. The scheduler must never plan while another node may lead.
+// It must never plan a task that may be running on a machine whose tasks are unknown.
 //
 // The methods must be called with the leader's lock held.
 package scheduler
@@ -55,12 +55,12 @@
 	// AwaitsReconciliation returns a function that reports whether a job must not start tasks yet, because
 	// machines whose tasks are unknown may be running some of its tasks.
 	AwaitsReconciliation func() func(*state.Job) bool
-	// ReviewQuarantine ends a job's quarantine if its tasks have since proved not to be at fault.
+	// ReviewQuarantine ends a job's quarantine if its running tasks show that it is not at fault.
 	ReviewQuarantine func(j *state.Job, now micros.Micros)
 	// OnlyZone returns the only zone in which a job may start tasks now, or "" if there is more than one.
 	OnlyZone func(j *state.Job) string
-	// EvacuationRank returns a job's position in the order in which work leaves a lost zone, or 0 if it has
-	// none.
+	// EvacuationRank returns a job's position in the order in which work leaves a lost zone, or 0 if no zone is being
+	// evacuated.
 	EvacuationRank func(j *state.Job) int
 	// Stop requests that an attempt stop within a grace period, and calls its worker.
 	Stop func(a *state.Attempt, grace micros.Micros, reason string)
@@ -73,7 +73,7 @@
 	// PlannedAt is the time at which the latest plan was completed.
 	PlannedAt     micros.Micros
 	planDuration  micros.Micros // how long the latest plan took
-	planRequested bool          // something has changed since the latest plan
+	planRequested bool          // RequestPlan was called after the latest plan
 
 	queue           queue                         // as of the latest plan
 	respondingTo    *state.Machine                // machine whose heartbeat is being answered, nil if none
@@ -98,21 +98,21 @@
 	maxPlanInterval = micros.Second
 )
 
-// planTimeDivisor limits planning to 1/planTimeDivisor of the time.
+// planTimeDivisor limits planning to 1/planTimeDivisor of the leader's time.
 const planTimeDivisor = 10
 
-// RequestPlan requests a new plan because something has changed.
+// RequestPlan requests a new plan because something that plans depend on has changed.
 func (s *Scheduler) RequestPlan() { s.planRequested = true }
 
-// PlanIfNeeded makes a new plan if something has changed or if jobs are queued and the latest plan has become
-// old. Planning never takes more than a small part of the time. respondingTo is the machine whose heartbeat is
-// being answered, nil if there is none.
+// PlanIfNeeded makes a new plan if one was requested and minPlanInterval has passed, or if jobs are queued and
+// maxPlanInterval has passed. In either case, at least planTimeDivisor times the duration of the latest plan must have
+// passed as well. respondingTo is the machine whose heartbeat is being answered, nil if there is none.
 func (s *Scheduler) PlanIfNeeded(respondingTo *state.Machine, now micros.Micros) {
-	since := now - s.PlannedAt
-	if since < planTimeDivisor*s.planDuration {
+	elapsed := now - s.PlannedAt
+	if elapsed < planTimeDivisor*s.planDuration {
 		return
 	}
-	isDue := s.planRequested && since >= minPlanInterval || len(s.queue.jobs) > 0 && since >= maxPlanInterval
+	isDue := s.planRequested && elapsed >= minPlanInterval || len(s.queue.jobs) > 0 && elapsed >= maxPlanInterval
 	if !isDue {
 		return
 	}
@@ -124,8 +124,9 @@
 	s.planDuration = s.PlannedAt - now
 }
 
-// Plan decides which tasks the next response to each machine starts. Planned starts that have not been sent are
-// discarded and planned again: only sent starts are binding.
+// Plan decides which tasks the next response to each machine starts, which running tasks are stopped to make room, and
+// which machines are reserved for gangs. It first discards the planned starts that have not been sent, because only
+// sent starts are binding. While another node may lead, it plans nothing.
 func (s *Scheduler) Plan(now micros.Micros) {
 	for _, m := range s.Fleet.Sorted {
 		m.PlannedStarts = m.PlannedStarts[:0]
@@ -171,7 +172,7 @@
 func (s *Scheduler) FillMachine(m *state.Machine, now micros.Micros) {
 	q := &s.queue
 	if len(q.jobs) == 0 || m.Surplus && q.hasSpareRoom {
-		// A few tasks on each surplus machine would keep all of them busy forever.
+		// If every surplus machine got a few tasks, none of them would ever become idle.
 		return
 	}
 	s.respondingTo = m
@@ -194,9 +195,9 @@
 	}
 }
 
-// ProtectsNextStart reports whether the next task of a job to start is among the job's first tasks, which are
-// protected from preemption until they have run for minUsefulRuntime. The protected part of a job is the same
-// part that goes first once the job has aged.
+// ProtectsNextStart reports whether the next task of a job to start is among the job's first tasks, which are protected
+// from preemption until they have run for minUsefulRuntime. A job has as many protected tasks as go first if it ages
+// before any of its tasks has started.
 func ProtectsNextStart(j *state.Job) bool {
 	return j.ProtectedTasks < 1+j.Spec.Tasks/agingDivisor
 }
--- a/internal/leader/scheduler/scheduler_test.go
+++ b/internal/leader/scheduler/scheduler_test.go
@@ -20,11 +20,11 @@
 	const ms = micros.Millisecond
 	for _, c := range []struct {
 		name      string
-		requested bool
-		queued    bool // jobs are waiting
-		since     micros.Micros
-		took      micros.Micros
-		plans     bool
+		requested bool          // a plan was requested
+		queued    bool          // jobs are waiting
+		since     micros.Micros // since the latest plan
+		took      micros.Micros // duration of the latest plan
+		plans     bool          // a plan is made
 	}{
 		{"nothing has changed", false, false, 5000 * ms, 0, false},
 		{"something has changed", true, false, 100 * ms, 0, true},
@@ -47,7 +47,7 @@
 		}
 		s.PlanIfNeeded(nil, now)
 		if plans != 0 != c.plans || s.PlannedAt >= now != c.plans || s.planRequested != (c.requested && !c.plans) {
-			t.Errorf("%s: %d plans made, planned %d µs after now, plan requested: %t; want planning: %t", c.name, plans, s.PlannedAt-now, s.planRequested, c.plans)
+			t.Errorf("%s: %d plans made, PlannedAt %d µs after now, plan requested: %t; want a plan: %t", c.name, plans, s.PlannedAt-now, s.planRequested, c.plans)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	}{
 		{"twice as much room", func(*state.Machine) {}, true},
 		{"one machine is surplus", func(m *state.Machine) { m.Surplus = true }, false},
-		{"one machine is closed to other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
+		{"one machine is closed to jobs of other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
 		{"one machine has less room", func(m *state.Machine) { m.Free.CPU-- }, false},
 	} {
 		s, _ := newTestScheduler(t)
@@ -157,7 +157,7 @@
 		addMachine(s, "i-2", now)
 		waiting := []*placement.Job{{Request: placement.Request{WaitingTasks: 2, Need: placement.Resources{CPU: 2000}}}}
 		if got := s.schedulableMachines(now, placement.Resources{}).hasSpareRoom(waiting); got != c.want {
-			t.Errorf("%s: %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: spare room: %t, want %t", c.name, got, c.want)
 		}
 	}
 }
@@ -172,14 +172,14 @@
 		{"idle", func(*state.Machine) {}, true},
 		{"full", func(m *state.Machine) { m.Free.CPU = 999 }, false},
 		{"drained", func(m *state.Machine) { m.DrainReason = "test" }, false},
-		{"closed to other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
+		{"closed to jobs of other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
 		{"has missed heartbeats", func(m *state.Machine) { m.Heartbeat.ReceivedAt -= 4 * testHeartbeatInterval }, false},
 	} {
 		s, _ := newTestScheduler(t)
 		now := micros.Now()
 		c.set(addMachine(s, "i-1", now))
 		if got := s.HasRoomFor(placement.Resources{CPU: 1000}, now); got != c.want {
-			t.Errorf("%s: %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: has room: %t, want %t", c.name, got, c.want)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 	const second = micros.Second
 	for _, c := range []struct {
 		name       string
-		silent     micros.Micros
+		silent     micros.Micros // since its latest heartbeat
 		responding bool
 		want       micros.Micros
 	}{
--- a/internal/leader/scheduler/view.go
+++ b/internal/leader/scheduler/view.go
@@ -17,13 +17,14 @@
 }
 
 // Limits of the age of a machine's latest heartbeat, in heartbeat intervals: maxHeartbeatAge for receiving
-// tasks, maxHeartbeatAgeConsolidate for being part of a consolidation.
+// tasks, maxHeartbeatAgeConsolidate for giving tasks to, or taking tasks from, other machines in a consolidation.
 const (
 	maxHeartbeatAge            = 3
 	maxHeartbeatAgeConsolidate = 2
 )
 
-// surplusPenalty is how much longer a start may take on another machine for a surplus machine to be left idle.
+// surplusPenalty is added to the cost of a start on a surplus machine, so that another machine is preferred if the task
+// starts there no more than surplusPenalty later.
 const surplusPenalty = 30 * micros.Second
 
 // schedulableMachines returns a view of the machines that may receive tasks and have room for need.
@@ -52,7 +53,8 @@
 	})
 }
 
-// hasSpareRoom reports whether the machines that are not surplus have ample room for all waiting tasks.
+// hasSpareRoom reports whether the machines that are neither surplus nor closed to jobs that can run in other zones
+// have spareRoomFactor times as many free CPUs as all waiting tasks need.
 func (view machineView) hasSpareRoom(waiting []*placement.Job) bool {
 	free, need := int64(0), int64(0)
 	for i, m := range view.machines {
@@ -66,8 +68,8 @@
 	return free >= spareRoomFactor*need
 }
 
-// spareRoomFactor is how many times the CPUs of the waiting tasks must be free on machines that are not
-// surplus, so that the tasks soon find room: not all free room fits them or is on a machine that sends a
+// spareRoomFactor is the ratio of free CPUs to the CPUs of all waiting tasks from which the tasks are expected to find
+// room soon. It is above 1 because some of the free CPUs are too few for a task, or are on machines that do not send a
 // heartbeat at once.
 const spareRoomFactor = 2
 
@@ -90,7 +92,7 @@
 		Restrictions: placement.Restrictions{RejectsDelayTolerant: m.RejectsDelayTolerant},
 	}
 	if late := now - m.Heartbeat.ReceivedAt - s.HeartbeatInterval - s.HeartbeatInterval/4; late > 0 {
-		machine.CommandDelay = s.HeartbeatInterval + late // the machine has missed a heartbeat and may have ended
+		machine.CommandDelay = s.HeartbeatInterval + late // the heartbeat is overdue, and the machine may have failed
 	}
 	if m == s.respondingTo {
 		machine.CommandDelay = 0
@@ -113,8 +115,8 @@
 	}
 }
 
-// viewWithVictims returns a view of the machines that may receive tasks, with the tasks that could be preempted
-// there.
+// viewWithVictims returns a view of the machines that may receive tasks, with the tasks that could be preempted there
+// and the resources that stopping tasks will release.
 func (s *Scheduler) viewWithVictims(now micros.Micros) machineView {
 	withinGuarantee, nonPreemptible := s.Workload.JobsWithinGuarantee(s.Jobs), s.Gangs.NonPreemptible(now)
 	view := s.schedulableMachines(now, placement.Resources{})
@@ -135,14 +137,14 @@
 	return view
 }
 
-// minUsefulRuntime is how long a task must run before its start is useful to its job. The tasks of a
-// best-effort job that start first are protected from preemption for this long. Without the protection, tasks
-// that had just started were chosen as victims, as they lose the least work: a job that was started after
-// waiting for two minutes was stopped again within seconds, and had still made no lasting start after six
-// minutes.
+// minUsefulRuntime is how long a task must run before its start is useful to its job. The tasks of a job that start
+// first are protected from preemption for this long. Without the protection, tasks that had just started were chosen as
+// victims, as they lose the least work: a job that was started after waiting for two minutes was stopped again within
+// seconds, and had still made no lasting start after six minutes.
 const minUsefulRuntime = 35 * micros.Second
 
-// placementVictim converts a running task to placement's form of a preemption victim.
+// placementVictim converts a running task to placement's form of a preemption victim. A protected task does not count
+// as best-effort, so only jobs at risk can preempt it, and it costs minUsefulRuntime more.
 func (s *Scheduler) placementVictim(a *state.Attempt, withinGuarantee bool, now micros.Micros) placement.Victim {
 	victim := placement.Victim{
 		JobID:           a.Job.Spec.ID,
--- a/internal/leader/scheduler/view_test.go
+++ b/internal/leader/scheduler/view_test.go
@@ -8,9 +8,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestVictimLostWork checks the lost work of best-effort tasks that could be preempted. The tasks of a job that
-// start first are protected until they have run for minUsefulRuntime; a task that is nearly done costs more to
-// preempt; otherwise the job that has most tasks left to start costs least.
+// TestVictimLostWork checks the lost work of tasks that could be preempted. The tasks of a job that start first are
+// protected until they have run for minUsefulRuntime. A task that is nearly done costs more to preempt. Otherwise, the
+// larger the share of a job's tasks that have not started, the less preempting one of the others costs.
 func TestVictimLostWork(t *testing.T) {
 	const second = micros.Second
 	for _, c := range []struct {
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestGangVictims checks that a preemptible gang is the only victim beside a gang that must not be preempted
-// and a task that is already stopping, and that preempting one of its tasks stops the gang.
+// TestGangVictims checks that a preemptible gang is a victim, but a gang that must not be preempted and a task that is
+// already stopping are not. It also checks that preempting one task of the gang stops the whole gang.
 func TestGangVictims(t *testing.T) {
 	s, _ := newTestScheduler(t)
 	now := micros.Now()
@@ -65,7 +65,7 @@
 	}
 	s.preemptVictim(m.Attempts[state.TaskID(gang.Spec.ID, machine.Victims[0].Task)], "j-000300", now)
 	if stopped := s.Gangs.(*fakeGangs).stopped; len(stopped) != 1 || stopped[0] != gang {
-		t.Errorf("stopped gangs: %v, want only %s", stopped, gang.Spec.ID)
+		t.Errorf("%d gangs stopped, want only gang %s", len(stopped), gang.Spec.ID)
 	}
 }
 
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestMaxStartDelay checks that a gang accepts a delayed start only once it has waited for as long as the
-// delay.
+// TestMaxStartDelay checks that a gang accepts a start that is delayed for longer than immediateStartLimit only once it
+// has waited for as long as the delay.
 func TestMaxStartDelay(t *testing.T) {
 	const second = micros.Second
 	for _, c := range []struct {
