--- a/internal/leader/gangs/gangs.go
+++ b/internal/leader/gangs/gangs.go
@@ -5,17 +5,17 @@
 // number, and the number changes only once every task of the previous attempt is known to have left its
 // machine.
 //
-// To launch a gang, all its tasks are assigned to machines together, as if they had started: they count towards
-// the machines' used resources, their team's usage and the tasks per zone. No other job can take these
-// resources, and no gang waits for resources that another one holds. Each start is sent with the next response
-// to its machine. Until all tasks run, a lost task is replaced under the same number. After that, a lost task
-// ends the attempt, and all other tasks are stopped.
+// To launch a gang, all its tasks are assigned to machines together, as if they had started: they count towards the
+// machines' used resources, their team's usage and the tasks per zone. No other job can take these resources, and no
+// gang waits for resources that another one holds. Each start is sent with the next response to its machine. Until all
+// tasks run, a lost task is replaced under the same attempt number. After that, a lost task ends the attempt, and all
+// other tasks are stopped.
 //
-// The package owns the state.GangAttempt of every job: when an attempt begins, what heartbeats report about it,
-// and when it ends. It does not choose machines, which is the scheduler's part, does no I/O and takes no lock:
-// its methods must be called with the leader's lock held. It must never start a task under a new number while a
-// task of the previous attempt may be left, nor stop only a part of a running gang when all of the gang could
-// save its work.
+// The package owns the state.GangAttempt of every job: when an attempt begins, what heartbeats report about it, and
+// when it ends. It does not choose machines, which is the scheduler's task. It does no I/O and takes no lock: its
+// methods must be called with the leader's lock held. It must never start a task under a new number while a task of the
+// previous attempt may be left. It must never stop only some tasks of a running gang when all of them could save their
+// work.
 package gangs
 
 import (
@@ -64,7 +64,8 @@
 	PublishStarted func(a *state.Attempt)
 	// Stop requests that a single attempt stop within a grace period, and calls its worker.
 	Stop func(a *state.Attempt, grace micros.Micros, reason string)
-	// MarkStopping marks an attempt as stopping, and reports whether its worker must be called.
+	// MarkStopping marks an attempt as stopping, and reports whether its worker must be called. An attempt whose start
+	// was never sent is released instead.
 	MarkStopping func(a *state.Attempt, grace micros.Micros, reason string) (mustCall bool)
 	// SendStops calls a machine's worker, repeatedly if needed, to stop attempts that are marked as stopping.
 	SendStops func(m *state.Machine, stops []*state.Attempt)
@@ -77,7 +78,7 @@
 // Coordinator starts, monitors and ends the attempts of gangs for one term.
 type Coordinator struct{ Config }
 
-// New returns a coordinator. It keeps no state of its own: the state of each gang is part of its job.
+// New returns a coordinator. It has no state of its own: the state of each gang is part of its job.
 func New(c Config) *Coordinator { return &Coordinator{c} }
 
 // AssignTasks assigns count waiting tasks of a gang to a machine. Their starts are sent with the next response
@@ -99,7 +100,8 @@
 }
 
 // AppendStarts appends the start commands of a machine's assigned tasks to the commands of the response to the
-// machine's latest heartbeat, up to limit commands in all.
+// machine's latest heartbeat, up to limit commands in all. An assigned task that may not start on the machine any more
+// is released instead.
 func (c *Coordinator) AppendStarts(m *state.Machine, commands []wire.Command, limit int) []wire.Command {
 	var starts []*state.Attempt
 	for _, a := range m.Attempts {
@@ -112,8 +114,8 @@
 	})
 	for _, a := range starts[:min(len(starts), max(0, limit-len(commands)))] {
 		if !c.MayStayAssigned(a.Job, m) {
-			// A task that was not known at the assignment has since been reported. With it, the team's limit may
-			// be exceeded, or the gang's zone constraints may exclude this machine.
+			// A task that was not known at the assignment has since been reported. Together with it, the gang may
+			// exceed the team's limit, or violate its zone constraints on this machine.
 			c.ReleaseUnsent(a, "it may not start there any more")
 			continue
 		}
@@ -130,8 +132,9 @@
 	c.Release(a, reason)
 }
 
-// Check expires reservations, releases assigned tasks whose machines send no heartbeat or are no longer
-// schedulable, and ends attempts that are ending, have lost a task, or will not be complete in time.
+// Check expires reservations, and releases assigned tasks whose machines have missed the heartbeat that would have
+// carried the start, or are no longer schedulable. It ends an attempt that has lost a task or has waited for too long
+// to be complete, and stops the tasks that are left of an attempt that is already ending. It skips gangs that are done.
 func (c *Coordinator) Check(now micros.Micros) {
 	awaitsReconciliation := c.AwaitsReconciliation()
 	for _, j := range state.Gangs(c.Jobs) {
@@ -149,13 +152,14 @@
 		}
 		switch {
 		case j.Gang.Ending:
-			// Tasks that have appeared since through an adopted or repeated start are stopped as well.
+			// This also stops tasks that were adopted, or started again, after the attempt had begun to end.
 			c.EndAttempt(j, state.CheckpointGrace(j), reasonBeingStopped)
 		case j.Gang.Started && j.WaitingTasks() > 0 && !awaitsReconciliation(j):
 			// A task was lost in an earlier term or between two terms.
 			c.EndAttempt(j, 0, reasonTaskLost)
 		case !j.Gang.Started && j.Gang.WaitingSince != 0 && now-j.Gang.WaitingSince > maxAssemblyTime(c.AssemblyTimeout):
-			// The gang may be running although no heartbeat has reported it yet, so its tasks can save a checkpoint.
+			// The gang may be running although no heartbeat has reported it yet, so its tasks get time to save a
+			// checkpoint.
 			c.EndAttempt(j, state.CheckpointGrace(j), reasonIncomplete)
 		}
 	}
@@ -167,6 +171,6 @@
 	return now-a.StartedAt > c.HeartbeatInterval+c.HeartbeatInterval/4+micros.Second && c.IsHeartbeatLate(a.Machine, now)
 }
 
-// maxAssemblyTime is how long a gang's tasks may wait for the last one. It is shorter than timeout, after which
-// waiting tasks exit by themselves, so that the attempt is ended before the first task gives up.
+// maxAssemblyTime is how long a gang's tasks may wait for the last one. Waiting tasks exit by themselves after timeout,
+// so maxAssemblyTime is shorter: the attempt is ended before the first task exits.
 func maxAssemblyTime(timeout micros.Micros) micros.Micros { return timeout * 2 / 3 }
--- a/internal/leader/gangs/gangs_test.go
+++ b/internal/leader/gangs/gangs_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestAssignTasks checks that the tasks of a gang, assigned one by one, all have the number of the attempt that
-// the first assignment begins.
+// TestAssignTasks checks that the tasks of a gang, assigned one by one, all have the attempt number that the first
+// assignment requested.
 func TestAssignTasks(t *testing.T) {
 	f := newFixture(t)
 	f.assign()
@@ -18,23 +18,23 @@
 	}
 	for _, a := range f.job.Attempts {
 		if a.Number != 1 || !a.Reserved || !a.Protected || a.Machine.Free.CPU != 3000 {
-			t.Errorf("task %+v, want a reserved, protected task of attempt 1 on a machine with 3000 free", a)
+			t.Errorf("task %+v, want a reserved, protected task of attempt 1 on a machine with 3 free CPUs", a)
 		}
 	}
 	f.AssignTasks(f.machines[0], f.job, 1, micros.Now())
 	if len(f.job.Attempts) != 3 {
-		t.Errorf("%d tasks assigned after a further assignment, want 3", len(f.job.Attempts))
+		t.Errorf("%d tasks on machines after an assignment without waiting tasks, want 3", len(f.job.Attempts))
 	}
 }
 
-// TestAppendStarts checks that the response to a machine's heartbeat carries the starts of its assigned tasks,
-// up to the limit.
+// TestAppendStarts checks that the response to a machine's heartbeat carries the starts of its assigned tasks, up to
+// the limit, and that tasks which may not start there any more are released.
 func TestAppendStarts(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		limit           int
 		mayStay         bool
-		starts, waiting int
+		starts, waiting int // starts in the response, and tasks that wait for an assignment again
 	}{
 		{"all", 4, true, 3, 0},
 		{"no more than the limit", 3, true, 2, 0},
@@ -58,7 +58,7 @@
 			}
 		}
 		if again := f.AppendStarts(m, nil, 100); len(again) != 3-c.starts-c.waiting {
-			t.Errorf("%s: next response's commands %v, want %d", c.name, again, 3-c.starts-c.waiting)
+			t.Errorf("%s: commands of the next response: %v, want %d", c.name, again, 3-c.starts-c.waiting)
 		}
 	}
 }
--- a/internal/leader/gangs/helpers_test.go
+++ b/internal/leader/gangs/helpers_test.go
@@ -29,13 +29,14 @@
 	// Results of the leader's functions.
 	mayStay, awaitsReconciliation, heartbeatsLate, zoneReachable bool
 
-	lastAttemptNumber uint64           // also the count of attempt numbers issued
+	lastAttemptNumber uint64           // attempt numbers are issued from 1
 	published         []*state.Attempt // by PublishStarted
 	sentStops         map[*state.Machine][]*state.Attempt
 	storedChunks      []int
-	expirationChecks  int
+	expirationChecks  int // calls of ExpireReservation
 }
 
+// newFixture returns a fixture in which no task is assigned yet and all machines are reachable.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{term: &fakeTerm{isExclusive: true}, mayStay: true, zoneReachable: true, sentStops: map[*state.Machine][]*state.Attempt{}}
--- a/internal/leader/gangs/observe.go
+++ b/internal/leader/gangs/observe.go
@@ -6,8 +6,8 @@
 	"caperlatch/internal/wire"
 )
 
-// ObserveTask updates the gang's attempt from what a heartbeat reports about a task that is on its machine. It
-// does nothing for a task that does not belong to a gang.
+// ObserveTask updates a gang's attempt from what a heartbeat reports about a task that is on its machine. It does
+// nothing for a task whose job is not a gang or has ended.
 func (c *Coordinator) ObserveTask(a *state.Attempt, now micros.Micros) {
 	j := a.Job
 	if !j.IsGang() || j.Ended {
@@ -15,7 +15,8 @@
 	}
 	g := &j.Gang
 	if a.Number > g.Number {
-		// The task was adopted from an earlier term, whose latest attempt has the highest number.
+		// The task was adopted from an earlier term. The highest number is that of the gang's latest attempt, so the
+		// tasks with lower numbers are left over from earlier attempts.
 		*g = state.GangAttempt{Number: a.Number}
 		for _, other := range j.Attempts {
 			if other.Number < a.Number {
@@ -33,7 +34,8 @@
 	case a.ReportedState == wire.TaskCheckpointing:
 		g.Started = true
 		if !g.Ending {
-			// An earlier leader was stopping the gang: all tasks must receive the stop command in time.
+			// An earlier leader was stopping the gang. All tasks must receive the stop command in time to save a
+			// checkpoint.
 			c.EndAttempt(j, state.CheckpointGrace(j), reasonEarlierLeader)
 		}
 	}
@@ -43,8 +45,8 @@
 	c.endIfInconsistent(j)
 }
 
-// endIfInconsistent ends an attempt if a heartbeat shows that the attempt can't be complete or is being
-// stopped.
+// endIfInconsistent ends an attempt if heartbeats show that one of its tasks is lost, or that the gang runs although
+// one of its tasks was told to stop.
 func (c *Coordinator) endIfInconsistent(j *state.Job) {
 	g := &j.Gang
 	hasUnsentStart, isStopping := false, false
@@ -55,17 +57,19 @@
 	switch {
 	case g.Ending:
 	case g.Number <= j.LastEndedAttempt || g.Started && hasUnsentStart:
-		// Task exits show that the attempt has ended, or one of its starts was never sent.
+		// Either task exits have shown that the attempt has ended, or the gang runs although one of its tasks is
+		// assigned and its start was never sent. Such a task replaces one that has been lost.
 		c.EndAttempt(j, 0, reasonTaskLost)
 	case g.Started && isStopping:
-		// A task that was told to stop while it waited is running by now: all tasks must receive the stop
-		// command in time.
+		// A task was told to stop while it waited for the gang, but runs by now. All tasks must receive the stop
+		// command in time to save a checkpoint.
 		c.EndAttempt(j, state.CheckpointGrace(j), reasonMachineDrained)
 	}
 }
 
-// ObserveExit stops the other tasks of a gang when a task's exit concerns the whole attempt. a is nil if the
-// task was not known to be on the machine.
+// ObserveExit stops the other tasks of a gang if a task's exit shows that a task was lost, that the gang was not
+// complete in time, or that an earlier leader stopped the running gang. a is nil if the task was not known to be on the
+// machine.
 func (c *Coordinator) ObserveExit(j *state.Job, index int, a *state.Attempt, status *wire.TaskStatus) {
 	if !j.IsGang() || j.Ended || j.DoneCount > 0 {
 		return
@@ -82,16 +86,17 @@
 	case wire.ExitGangTimeout:
 		c.EndAttempt(j, 0, reasonIncomplete)
 	case wire.ExitStopped:
-		// An earlier leader stopped the task. Once one task has saved its checkpoint, all have. A task that
-		// exited while it waited is replaced, and its exit may be reported again beside its replacement.
+		// An earlier leader stopped the task. Once one task has saved its checkpoint, all have. The exit of a task that
+		// was stopped while it waited for the gang is ignored: the task has been replaced, and its exit may be reported
+		// again while the replacement is assigned.
 		if j.Gang.Started && (a != nil || j.Attempts[index] == nil) {
 			c.EndAttempt(j, state.CheckpointGrace(j), reasonEarlierLeader)
 		}
 	}
 }
 
-// ObserveRelease updates the gang's attempt after a task's attempt has been removed from its machine. It does
-// nothing for a task that does not belong to a gang.
+// ObserveRelease updates a gang's attempt after a task has been removed from its machine. The removal ends the attempt
+// if the gang runs. It does nothing for a task that does not belong to a gang.
 func (c *Coordinator) ObserveRelease(a *state.Attempt) {
 	j := a.Job
 	if !j.IsGang() {
--- a/internal/leader/gangs/observe_test.go
+++ b/internal/leader/gangs/observe_test.go
@@ -8,7 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestObserveExit checks which exits of a gang's task stop the other tasks.
+// TestObserveExit checks which exits of a gang's task stop the gang's tasks, and whether they get time to save a
+// checkpoint.
 func TestObserveExit(t *testing.T) {
 	running := func(f *fixture) { f.launch(wire.TaskRunning) }
 	waiting := func(f *fixture) { f.launch(wire.TaskWaitingForGang) }
@@ -37,7 +38,7 @@
 		f.ObserveExit(f.job, a.Index, a, &wire.TaskStatus{TaskID: a.TaskID(), Attempt: c.attempt, State: wire.TaskExited, ExitReason: c.reason})
 		saving := f.countStopping(state.CheckpointGrace(f.job))
 		if f.countStopping(0) != c.stopping || c.saving != (saving > 0) || c.saving && saving != c.stopping {
-			t.Errorf("%s: %d tasks stopping, %d with time to save a checkpoint; want %d, with time: %t", c.name, f.countStopping(0), saving, c.stopping, c.saving)
+			t.Errorf("%s: %d tasks stopping, %d of them with time to save a checkpoint; want %d stopping, all with time: %t", c.name, f.countStopping(0), saving, c.stopping, c.saving)
 		}
 	}
 }
--- a/internal/leader/gangs/stop.go
+++ b/internal/leader/gangs/stop.go
@@ -18,9 +18,10 @@
 	reasonMachineDrained = "one of its gang's machines is given up"
 )
 
-// StopIfReachable stops all tasks of a gang, with time to save a checkpoint, and reports whether it did. It
-// does so only if all of the tasks should receive the command in time: a gang of which only a part is stopped
-// falls back to its last checkpoint, so a gang with unreachable tasks is left alone and loses no further work.
+// StopIfReachable stops all tasks of a gang, with grace as the time to save a checkpoint, and reports whether it did.
+// It does nothing if some of the tasks may not receive the command in time, unless the gang is already being stopped.
+// If only some tasks were stopped, the gang would fall back to its last checkpoint; left alone, it loses no further
+// work.
 func (c *Coordinator) StopIfReachable(j *state.Job, grace micros.Micros, reason string, now micros.Micros) bool {
 	if !j.Gang.Ending && !c.areAllReachable(j, now) {
 		return false
@@ -29,11 +30,11 @@
 	return true
 }
 
-// EvictTask removes a gang's task from a machine that is being drained. Before the gang runs, only this task is
-// stopped: it exits at once and is replaced. Once the gang runs, all of its tasks are stopped, but only if they can
-// save a checkpoint and all of them should receive the command in time. The gang may already be running although
-// no heartbeat has reported it. Then the task saves a checkpoint, and as soon as a heartbeat reports that,
-// ObserveTask stops the other tasks.
+// EvictTask stops a gang's task on a machine that is being drained. Before the gang runs, only this task is stopped: it
+// exits at once and is replaced. Once the gang runs, all of its tasks are stopped, but only if they can save a
+// checkpoint and all of them should receive the command in time. The gang may already be running although no heartbeat
+// has reported it. In that case the task saves a checkpoint, and as soon as a heartbeat reports the task as
+// checkpointing, ObserveTask stops the other tasks.
 func (c *Coordinator) EvictTask(a *state.Attempt, grace micros.Micros, reason string, now micros.Micros) {
 	switch {
 	case !a.Job.Gang.Started && a.StopRequestedAt == 0:
@@ -58,8 +59,9 @@
 	return true
 }
 
-// EndAttempt ends a gang's attempt: tasks whose start was not sent are released, and the machines of the other
-// tasks are called at once. The next attempt begins when all tasks have left their machines.
+// EndAttempt ends a gang's attempt. Tasks whose start was not sent are released. The workers of the other tasks are
+// called at once to stop them within the grace period. The next attempt begins only when all tasks have left their
+// machines.
 func (c *Coordinator) EndAttempt(j *state.Job, grace micros.Micros, reason string) {
 	j.Gang.Ending = true
 	stops := map[*state.Machine][]*state.Attempt{}
--- a/internal/leader/gangs/stop_test.go
+++ b/internal/leader/gangs/stop_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestStopOnlyIfAllReachable checks that a running gang is stopped, or offered for preemption, only if all of
-// its machines can be reached.
+// TestStopOnlyIfAllReachable checks that a running gang is stopped, and may be preempted, only if all of its machines
+// can be reached.
 func TestStopOnlyIfAllReachable(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -51,7 +51,7 @@
 		f := newFixture(t)
 		c.set(f)
 		if got := f.NonPreemptible(micros.Now())[f.job]; got != c.want {
-			t.Errorf("%s: %t, want %t", c.name, got, c.want)
+			t.Errorf("%s: non-preemptible: %t, want %t", c.name, got, c.want)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		}
 		for m, stops := range f.sentStops {
 			if len(stops) != 1 || stops[0] != f.taskOn(m) {
-				t.Errorf("%d starts sent: machine %s called to stop %v, want only its own task", started, m.ID, stops)
+				t.Errorf("%d starts sent: machine %s called to stop %d tasks, want only its own task", started, m.ID, len(stops))
 			}
 		}
 		if f.job.Gang.Ending != (started > 0) || (f.job.Gang.Number == 0) != (started == 0) {
