--- a/internal/leader/taskquery/taskquery.go
+++ b/internal/leader/taskquery/taskquery.go
@@ -1,16 +1,16 @@
 // Package taskquery queries machines for their tasks after a failover.
 //
-// Waiting for the machines' heartbeats instead took a heartbeat interval or more, and until the last heartbeat
-// had come, all jobs that an earlier term might have started had to wait: in a fleet of a thousand machines
-// filled by a busy hour, a fifth of the machines stood idle for 20 s after each failover.
+// Waiting for the machines' heartbeats instead takes a heartbeat interval or more, and all jobs that an earlier term
+// may have started must wait for the last of them. In a fleet of a thousand machines that were full in a busy hour, a
+// fifth of the machines stood idle for 20 s after each failover.
 //
-// A query carries this term's fencing token and no commands. The tasks in a response with that token are those
-// that the worker had after it had seen the token, so no start of an earlier term can follow. This term starts
+// A query carries this term's fencing token and no commands. A response with that token lists the tasks that the worker
+// had after it had seen the token. From then on, the worker executes no start of an earlier term. This term starts
 // nothing on a machine before it knows the machine's tasks.
 //
-// The package owns the list of machines that are still to be queried and the response counts of each zone. It
-// must never send a command, nor send a query while another node may lead. It takes the leader's lock itself,
-// and never holds it during a call.
+// The package owns the list of machines that are still to be queried and the response counts of each zone. It must
+// never send a command, and must never send a query while another node may lead. It takes the leader's lock itself, and
+// never holds it during a call.
 package taskquery
 
 import (
@@ -28,12 +28,12 @@
 // retryInterval is the time between two queries of the same machine.
 const retryInterval = 500 * micros.Millisecond
 
-// maxIncarnationAttempts is how many times in a row a machine is queried. A worker whose lease expired has a
-// new incarnation, which only its response reveals.
+// maxIncarnationAttempts is how many times in a row a machine is queried. A worker whose lease expired has a new
+// incarnation, which only its response reveals; the next query then names that incarnation.
 const maxIncarnationAttempts = 2
 
-// Config holds the dependencies of queries. The functions, except Call, MaxCalls and IsExclusive, are called
-// with the lock held.
+// Config holds the dependencies of queries. The functions, except Call, MaxCalls and IsExclusive, are called with Lock
+// held.
 type Config struct {
 	Lock          sync.Locker // the leader's
 	Fleet         *fleet.Fleet
@@ -57,8 +57,8 @@
 // Counts holds how many machines of a zone were queried for their tasks, and how many responded.
 type Counts struct{ Queried, Responded int }
 
-// mostRespond reports whether machines that do not respond are the exception. If they are not, this node is
-// assumed to be unable to reach the zone.
+// mostRespond reports whether at least half of the queried machines responded, and at least one did. Otherwise the
+// cause is assumed to be on this node's side, not on the machines'.
 func (c Counts) mostRespond() bool { return 2*c.Responded >= c.Queried && c.Responded > 0 }
 
 // Queries queries the machines of a fleet for their tasks in one term.
@@ -70,11 +70,10 @@
 // New returns Queries that has sent no query yet.
 func New(c Config) *Queries { return &Queries{Config: c, ByZone: map[string]Counts{}} }
 
-// MostOfZoneRespond reports whether most queried machines of a zone responded. It must be called with the lock
-// held.
+// MostOfZoneRespond reports whether most queried machines of a zone responded. It must be called with Lock held.
 func (q *Queries) MostOfZoneRespond(zone string) bool { return q.ByZone[zone].mostRespond() }
 
-// MostRespond reports whether most queried machines responded. It must be called with the lock held.
+// MostRespond reports whether most queried machines of all zones responded. It must be called with Lock held.
 func (q *Queries) MostRespond() bool {
 	var all Counts
 	for _, c := range q.ByZone {
@@ -84,7 +83,7 @@
 	return all.mostRespond()
 }
 
-// Run queries all machines that may hold tasks of earlier terms, until their tasks are known or ctx ends.
+// Run queries all machines that may hold tasks of earlier terms, until none of them needs a further query or ctx ends.
 func (q *Queries) Run(ctx context.Context) {
 	machines := q.unconfirmedMachines()
 	if len(machines) == 0 {
@@ -99,8 +98,8 @@
 		"duration", (micros.Now() - q.TermStartedAt).Duration())
 }
 
-// unconfirmedMachines returns the machines that have not confirmed their tasks in this term, in the order in
-// which they are to be queried. It also counts them by zone.
+// unconfirmedMachines returns the machines that have an address and have not confirmed their tasks in this term, in the
+// order in which they are to be queried. It also counts them by zone.
 func (q *Queries) unconfirmedMachines() (machines []*state.Machine) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
@@ -123,8 +122,8 @@
 	notBefore micros.Micros
 }
 
-// queryAll queries machines concurrently, up to MaxCalls at a time, and each repeatedly until it needs no query
-// any more.
+// queryAll queries machines concurrently, up to MaxCalls at a time. It queries each machine repeatedly until the
+// machine needs no further query or ctx ends.
 func (q *Queries) queryAll(ctx context.Context, machines []*state.Machine) {
 	var pending, workers sync.WaitGroup
 	pending.Add(len(machines))
@@ -151,7 +150,8 @@
 	workers.Wait()
 }
 
-// Query queries a machine for its tasks, and reports whether the machine needs no further query.
+// Query queries a machine for its tasks, up to maxIncarnationAttempts times, and reports whether the machine needs no
+// further query. It needs none once its tasks are confirmed, it is being terminated or is gone, or the term is ending.
 func (q *Queries) Query(ctx context.Context, m *state.Machine) (done bool) {
 	for range maxIncarnationAttempts {
 		target, needed := q.target(m)
@@ -174,7 +174,7 @@
 	return m.TasksConfirmed()
 }
 
-// target returns the address of a query to a machine, and whether the machine still needs to be queried.
+// target returns the destination of a query to a machine, and whether the machine still needs to be queried.
 func (q *Queries) target(m *state.Machine) (to dispatch.Target, needed bool) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
@@ -182,14 +182,16 @@
 	return dispatch.Target{MachineID: m.ID, Address: m.Instance.Address, Incarnation: m.LikelyIncarnation()}, needed
 }
 
-// recordFailure counts a query that got no response.
+// recordFailure counts a query of a machine that failed.
 func (q *Queries) recordFailure(m *state.Machine) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
 	m.Reconciliation.FailedQueries++
 }
 
-// applyStatus records a machine's tasks from its response, unless a heartbeat has already confirmed them.
+// applyStatus records a machine's tasks from its response. It ignores the response if a heartbeat has already confirmed
+// the tasks, the machine is gone, the term is superseded, or the incarnation is an earlier one. If the response carries
+// another fencing token, only its incarnation is recorded.
 func (q *Queries) applyStatus(m *state.Machine, status *wire.Heartbeat) {
 	q.Lock.Lock()
 	defer q.Lock.Unlock()
--- a/internal/leader/taskquery/taskquery_test.go
+++ b/internal/leader/taskquery/taskquery_test.go
@@ -44,10 +44,10 @@
 	mu         sync.Mutex
 	fleet      fleet.Fleet
 	failures   int            // failed calls to each machine before it responds
-	supersedes bool           // a call reveals a higher fencing token
+	supersedes bool           // the first call reveals a higher fencing token
 	calls      map[string]int // number of calls by machine
 	superseded bool
-	order      []string // order of the first queries
+	order      []string // machine IDs in the order given to Prioritize
 }
 
 func newFakeMachines(count, failures int, supersedes bool) *fakeMachines {
@@ -61,7 +61,7 @@
 	return f
 }
 
-// call responds like a worker.
+// call responds like a worker, after the given number of failures.
 func (f *fakeMachines) call(_ context.Context, to dispatch.Target) (*wire.Heartbeat, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,8 +98,8 @@
 	})
 }
 
-// TestRun checks which machines confirm their tasks, after how many calls and how long, if they respond at
-// once, after some calls, or never.
+// TestRun checks how many machines confirm their tasks, after how many calls and after how long. The machines respond
+// at once, after some failed calls, or never.
 func TestRun(t *testing.T) {
 	type outcome struct {
 		confirmed, calls int
@@ -109,7 +109,7 @@
 		name       string
 		machines   int
 		failures   int
-		ends       micros.Micros // when the term ends; 0: it does not
+		ends       micros.Micros // when ctx ends; 0: it does not
 		supersedes bool
 		want       outcome
 	}{
@@ -150,7 +150,7 @@
 				}
 				counts := Counts{Queried: c.machines, Responded: c.want.confirmed}
 				if got := q.ByZone["a"]; got != counts || !slices.IsSorted(f.order) || len(f.order) != c.machines {
-					t.Errorf("counts %+v, query order %v; want %+v and %d machines in ascending order", got, f.order, counts, c.machines)
+					t.Errorf("counts %+v, want %+v; query order %v, want %d machines in ascending order", got, counts, f.order, c.machines)
 				}
 			})
 		})
--- a/internal/leader/workload/objectives.go
+++ b/internal/leader/workload/objectives.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// defaultStartLimit is how long a job without objectives or a deadline may wait for its start.
+	// defaultStartLimit is how long a job may wait for its start if it has no deadline and no objective applies to it.
 	defaultStartLimit = 60 * micros.Second
 	// distantDeadline is the start deadline, counted from submission, of a job that can no longer meet any objective.
 	distantDeadline = 365 * 24 * 3600 * micros.Second
 )
 
-// IsDelayTolerant reports whether a job can do without on-demand machines: it has the lowest priority, and
-// neither a deadline nor an objective says when it should be done. On-demand machines cost about three times as
-// much, so the work would cost more than it is worth.
+// IsDelayTolerant reports whether a job can do without on-demand machines: it allows spot machines and has the lowest
+// priority, no deadline, and no objective for its class. On-demand machines cost about three times as much as spot
+// machines, which is more than such a job is worth.
 func (w *Workload) IsDelayTolerant(j *state.Job) bool {
 	return j.Priority == 0 && j.Spec.AllowSpot && j.Spec.DeadlineS == nil &&
 		!slices.ContainsFunc(w.objectives, func(o settings.Objective) bool { return o.Class == j.Spec.Class })
 }
 
-// WaitObjectives returns the objectives for the start of a class's tasks.
+// WaitObjectives returns the objectives that limit how long the tasks of a class wait for their start.
 func (w *Workload) WaitObjectives(class string) (objectives []settings.Objective) {
 	for _, o := range w.objectives {
 		if o.Kind == settings.ObjectiveWait && o.Class == class && o.WithinS > 0 {
@@ -37,8 +37,8 @@
 type Deadlines struct {
 	Next  micros.Micros   // deadline of the next objective that can still be met
 	Later []micros.Micros // deadlines of all other objectives that can still be met, in ascending order
-	// Late reports that no objective can be met any more. Next is then later than the deadlines of all other
-	// jobs.
+	// Late reports that no objective can be met any more. Next is then distantDeadline after the submission, later than
+	// the deadlines that other jobs can still meet.
 	Late bool
 }
 
@@ -46,7 +46,7 @@
 // the job is within its team's guarantee; wall is the current wall-clock time.
 func (w *Workload) StartDeadlines(j *state.Job, withinGuarantee bool, wall micros.Micros) Deadlines {
 	limits := w.startLimits(j, withinGuarantee)
-	open := limits[:0] // filtered in place, as plans call this for every waiting job
+	open := limits[:0] // reuses the memory of limits, as each plan calls StartDeadlines for every waiting job
 	for _, limit := range limits {
 		if at := j.SubmittedAt + limit; at >= wall {
 			open = append(open, at)
@@ -62,8 +62,9 @@
 	return Deadlines{Next: j.SubmittedAt + defaultStartLimit}
 }
 
-// startLimits returns how soon after its submission a job's tasks should start, one limit for each objective
-// that applies.
+// startLimits returns how soon after its submission a job's tasks should start: one limit for the job's deadline, if it
+// has one, and one for each objective that applies. Wait and guarantee objectives apply only as long as no task of the
+// job is done or on a machine.
 func (w *Workload) startLimits(j *state.Job, withinGuarantee bool) (limits []micros.Micros) {
 	s := j.Spec
 	runtime := micros.FromSeconds(w.ExpectedRuntime(s))
--- a/internal/leader/workload/quotas.go
+++ b/internal/leader/workload/quotas.go
@@ -32,14 +32,15 @@
 	}
 }
 
-// WithinLimit reports whether a team may use the given resources in all.
+// WithinLimit reports whether a team's limit allows it to use the given resources in total.
 func (w *Workload) WithinLimit(team string, used placement.Resources) bool {
 	limit := w.teams[team].Limit
 	return (limit.CPU == 0 || used.CPU <= limit.CPU) && (limit.GPU == 0 || used.GPU <= limit.GPU)
 }
 
-// JobsWithinGuarantee returns the jobs that fit into their team's guarantee together with the team's earlier
-// unfinished jobs. Quarantined jobs are left out, as they would keep the guarantee from the team's other jobs.
+// JobsWithinGuarantee returns the jobs that fit into their team's guarantee together with all of the team's unfinished
+// jobs that were submitted before. A job that does not fit excludes all later jobs of the team, even smaller ones.
+// Quarantined jobs are left out, as they would keep the guarantee from the team's other jobs.
 func (w *Workload) JobsWithinGuarantee(jobs map[string]*state.Job) map[*state.Job]bool {
 	byTeam := map[string][]*state.Job{}
 	for _, j := range jobs {
--- a/internal/leader/workload/runtimes.go
+++ b/internal/leader/workload/runtimes.go
@@ -82,8 +82,8 @@
 // serviceRemainingS is how long a service is assumed to run on, in seconds: it ends only when it is cancelled.
 const serviceRemainingS = 3600
 
-// RemainingRuntime returns the expected remaining run time of a task in seconds. The longer the task has
-// outlasted its estimate, the longer it is expected to run on.
+// RemainingRuntime returns the expected remaining run time of a task in seconds. It is at least a quarter of the
+// expected run time, and at least half of the time by which the task has outlasted the expected run time.
 func (w *Workload) RemainingRuntime(a *state.Attempt, now micros.Micros) float64 {
 	if a.Job.Spec.Kind == wire.KindService {
 		return serviceRemainingS
@@ -92,7 +92,8 @@
 	return math.Max(expected-ran, math.Max(expected/4, (ran-expected)/2))
 }
 
-// LostWork returns the run time that preempting a task would waste.
+// LostWork returns the run time that preempting a task would waste. For a task that saves checkpoints, that is at most
+// the time that saving one takes.
 func LostWork(a *state.Attempt, now micros.Micros) micros.Micros {
 	if a.RunningSince == 0 {
 		return 0
@@ -106,15 +107,14 @@
 
 // Costs to a job of preempting one of its best-effort tasks in addition to the lost work, in seconds.
 const (
-	nearCompletionS = 30 // preempting a task costs more from this time before its expected end
-	startedPenaltyS = 10 // cost for a job whose tasks have all started
+	nearCompletionS = 30 // cost for a task that is due to end now; it falls to 0 for a task that is due in nearCompletionS
+	startedPenaltyS = 10 // cost for a job whose tasks have all started; it is lower in proportion if only some have
 )
 
-// PreemptionPenalty returns the cost to a job of preempting one of its best-effort tasks, in addition to the
-// lost work. The cost is least for the job with the largest part of its tasks left to start, so that the other
-// jobs end and free their resources. When tasks were preempted from all jobs equally, none of six jobs had
-// ended by the end of the day. The cost is higher for a task that is nearly done, as it will free its resources
-// by itself.
+// PreemptionPenalty returns the cost to a job of preempting one of its best-effort tasks, in addition to the lost work.
+// The cost is least for the job with the largest share of its tasks left to start, so that the other jobs end and free
+// their resources. When tasks were preempted from all jobs equally, none of six jobs had ended by the end of the day.
+// The cost is higher for a task that is nearly done, because it will free its resources by itself.
 func (w *Workload) PreemptionPenalty(a *state.Attempt, now micros.Micros) micros.Micros {
 	started := 1 - float64(a.Job.WaitingTasks())/float64(a.Job.Spec.Tasks)
 	remaining := w.ExpectedRuntime(a.Job.Spec) - (now - a.StartedAt).Seconds()
