--- a/internal/leader/assignments.go
+++ b/internal/leader/assignments.go
@@ -5,7 +5,8 @@
 	"caperlatch/internal/micros"
 )
 
-// assign records an attempt on its machine and in its job, and adds its resources to its team's usage.
+// assign records an attempt on its machine and in its job, adds its resources to its team's usage, and publishes it to
+// the followers.
 func (l *Leader) assign(a *state.Attempt) {
 	l.zones.RecordAssigned(a)
 	a.Attach()
@@ -14,7 +15,8 @@
 	l.publishAssigned(a)
 }
 
-// releaseAll releases all attempts on a machine whose tasks are all known to have left it.
+// releaseAll releases all attempts on a machine that is known to hold no tasks any more. From then on the machine's
+// tasks count as confirmed.
 func (l *Leader) releaseAll(m *state.Machine, reason string) {
 	for _, a := range m.Attempts {
 		l.release(a, reason)
@@ -25,8 +27,9 @@
 	l.publishMachine(m)
 }
 
-// release removes the assignment of an attempt that is known to have left its machine. Operators see reason, unless
-// the attempt was stopped for a reason of its own, which they see instead.
+// release removes the assignment of an attempt that is known to have left its machine. If its task is not done, the
+// task waits again, and operators are shown reason. An attempt that was stopped has a reason of its own, which is shown
+// instead.
 func (l *Leader) release(a *state.Attempt, reason string) {
 	job := a.Job
 	l.publishRemoved(a)
@@ -47,7 +50,8 @@
 	}
 }
 
-// stopTask marks an attempt as stopping and sends its worker the stop command with a grace period.
+// stopTask marks an attempt as stopping and sends its worker the stop command with a grace period. An attempt whose
+// start was never sent is released instead.
 func (l *Leader) stopTask(a *state.Attempt, grace micros.Micros, reason string) {
 	if l.markStopping(a, grace, reason) {
 		l.dispatcher.Send(commandTarget(a.Machine), stopCommand(a))
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -34,8 +34,9 @@
 	l.scaler.SetInstanceTypes(list)
 }
 
-// autoscale scales the fleet out and in. Once every RecordInterval it also queues the autoscaler's state, from which
-// the next leader continues, for storage.
+// autoscale scales the fleet out and in, and consolidates tasks on fewer machines. Once every RecordInterval it also
+// publishes the run time estimates, and queues writes to the state service: the autoscaler's state, from which the next
+// leader continues, and the deletion of orphaned keys.
 func (l *Leader) autoscale(now micros.Micros) {
 	if !l.ready {
 		return
@@ -50,12 +51,13 @@
 	}
 }
 
-// autoscalerRecord returns the autoscaler state that is stored for the next leader.
+// autoscalerRecord returns the state that is stored for the next leader: that of the autoscaler, and the quarantined
+// jobs if they fit into a value.
 func (l *Leader) autoscalerRecord(now micros.Micros) autoscaler.Record {
 	r := l.scaler.Record(now)
 	r.Quarantined = l.quarantine.Snapshot()
 	if !l.Store.ValueAlwaysFits(r) {
-		r.Quarantined = nil // the next leader will detect them again
+		r.Quarantined = nil // the next leader must detect these jobs again
 	}
 	return r
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -8,7 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// maxCommands limits the commands in a response, to keep it well within wire.MaxBodyBytes. Stops are exempt.
+// maxCommands limits the number of commands in a response, to keep the response well within wire.MaxBodyBytes. Stops
+// are exempt.
 const maxCommands = 300
 
 // commandsForMachine returns the commands for the response to a machine's heartbeat.
@@ -28,9 +29,9 @@
 // lease. There are at most as many stops as tasks on the machine.
 func stopsAndFollowUps(m *state.Machine) []wire.Command {
 	commands := make([]wire.Command, 0, len(m.Delivery.FollowUps)+m.StoppingCount+len(m.PlannedStarts))
-	for name, a := range m.Attempts {
+	for taskID, a := range m.Attempts {
 		if a.StopRequestedAt != 0 && a.Number != 0 {
-			commands = append(commands, wire.Command{Verb: wire.VerbStop, TaskID: name, Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)})
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, TaskID: taskID, Attempt: a.Number, GracePeriodS: secondsPtr(a.GracePeriod)})
 		}
 	}
 	for _, c := range m.Delivery.FollowUps {
@@ -41,7 +42,8 @@
 	return commands
 }
 
-// appendPlannedStarts assigns the tasks that are planned for a machine and appends their start commands.
+// appendPlannedStarts assigns the tasks that are planned for a machine and appends their start commands. It discards
+// planned starts that are not possible any more or exceed maxCommands.
 func (l *Leader) appendPlannedStarts(m *state.Machine, commands []wire.Command, now micros.Micros) []wire.Command {
 	for _, j := range m.PlannedStarts {
 		if len(commands) >= maxCommands || j.Ended || j.StartableTasks(now) == 0 || !m.Free.Fits(j.Need) || !l.canStartTask(j, m) {
@@ -86,7 +88,7 @@
 	return m.IsSchedulable(now) && l.Term.IsExclusive()
 }
 
-// canStartTask reports whether one more task of a job may start on a machine in the current state. Plans observe the
+// canStartTask reports whether one more task of a job may start on a machine in the current state. Plans follow the
 // same rules, but may be out of date: a heartbeat may since have listed tasks that were not known, or a job may have
 // lost the tasks that bound it to a zone.
 func (l *Leader) canStartTask(j *state.Job, m *state.Machine) bool {
--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -17,7 +17,8 @@
 	noRoomBackoffHeartbeats = 2
 )
 
-// observeExit processes a heartbeat's report that a task has exited.
+// observeExit processes a heartbeat's report that a task has exited. The exit of a service's task is never a
+// completion, even if the task succeeded.
 func (l *Leader) observeExit(o taskObservation) {
 	m, j, a, t := o.machine, o.job, o.attempt, o.status
 	if t.ExitReason == wire.ExitDone && j.Spec.Kind != wire.KindService {
@@ -52,7 +53,8 @@
 	l.release(a, "ended: "+t.ExitReason)
 }
 
-// observeCompletion processes a heartbeat's report that a task is done.
+// observeCompletion processes a heartbeat's report that a task is done. It releases the attempt, and stops an attempt
+// of the same task on another machine.
 func (l *Leader) observeCompletion(o taskObservation) {
 	m, j, a := o.machine, o.job, o.attempt
 	if !j.Done.Has(o.index) && !j.Ended {
@@ -67,7 +69,8 @@
 		l.stopTask(other, 0, "done elsewhere")
 	}
 	l.finishIfDone(j)
-	// The worker keeps the result until the leader clears it, which it does only once the completion is stored.
+	// The worker keeps the task's result until the leader clears it. The leader does so only once the completion is
+	// stored or the job has ended.
 	if j.Ended || j.StoredDone.Has(o.index) {
 		addFollowUp(m, clearCommand(o.status))
 	}
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -72,14 +72,14 @@
 
 // explainTasks adds the machines and states of a job's tasks to e.
 func explainTasks(e *explain.Explanation, j *state.Job) {
-	for _, t := range slices.Sorted(maps.Keys(j.Attempts)) {
+	for _, index := range slices.Sorted(maps.Keys(j.Attempts)) {
 		if len(e.Placements) == maxExplainedEntries {
 			e.Notes = append(e.Notes, fmt.Sprintf("%d more tasks are on machines", len(j.Attempts)-maxExplainedEntries))
 			return
 		}
-		a := j.Attempts[t]
+		a := j.Attempts[index]
 		e.Placements = append(e.Placements, explain.TaskPlacement{
-			Task:    state.TaskID(j.Spec.ID, t),
+			Task:    state.TaskID(j.Spec.ID, index),
 			Attempt: a.Number,
 			Machine: a.Machine.ID,
 			State:   describeAttempt(a),
@@ -105,7 +105,7 @@
 	return a.ReportedState
 }
 
-// waitReasons returns why tasks of a job wait.
+// waitReasons returns the reasons why tasks of a job wait. There is always at least one.
 func (l *Leader) waitReasons(j *state.Job) (reasons []string) {
 	now := micros.Now()
 	if u := l.findMachinesWithUnknownTasks(); l.mustAwaitReconciliation(j, u) {
@@ -158,7 +158,7 @@
 	return reasons
 }
 
-// capacityReason returns why a job waits if only a lack of capacity keeps it from starting.
+// capacityReason returns why a job waits for which waitReasons finds no other reason.
 func (l *Leader) capacityReason(j *state.Job, now micros.Micros) string {
 	switch hasRoom := l.scheduler.HasRoomFor(j.Need, now); {
 	case hasRoom && j.IsGang():
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -49,9 +49,9 @@
 			l.adoptHandedOver(m, known)
 		}
 		if known.Terminating && v.FencingToken+1 == l.FencingToken && l.Term.HoldsSession() {
-			// A termination is never revoked, so it is repeated: the previous leader may not have received the
-			// cloud's response. If another leader came in between, it may have used the machine without knowing
-			// of the termination, so then the termination is not repeated.
+			// The previous leader may not have received the cloud's response to the termination. A leader never revokes
+			// a termination, so it is repeated. It is not repeated if the view is of a still earlier term: the leader
+			// in between may have used the machine without knowing of the termination.
 			l.fleet.Terminate(m, "an earlier leader was returning it")
 		}
 	}
@@ -62,8 +62,8 @@
 }
 
 // terminateDroppedMachines terminates again the stored machines that a handed-over view lacks. The previous leader
-// removes a machine from the view only after the cloud has responded to its termination, so it had terminated these
-// but not yet stored that. The cloud's response to this term's request proves the termination again.
+// removed a machine from the view only after the cloud had responded to its termination. So it had terminated these
+// machines, but not yet stored their removal. The cloud's response to this term's request proves the termination again.
 func (l *Leader) terminateDroppedMachines() {
 	for _, m := range l.fleet.Sorted {
 		if !m.TasksKnown() && m.Reconciliation.PreviousTerm == nil && l.Term.HoldsSession() {
@@ -78,8 +78,9 @@
 // The previous leader sent its last response before it released its session, and so before this term started. The
 // machine's lease is therefore counted from the start of this term, as if this term had sent that response.
 //
-// If a job is over and its description was not kept, the resources of its tasks are not known, and such a task may
-// still use its team's CPUs. A machine with such a task remains a machine with unknown tasks.
+// If a job is over and its description was not kept, the resources of its tasks are not known. Such a task may still
+// use its team's CPUs, so a machine that holds one keeps counting as a machine with unknown tasks, and none of its
+// tasks are assigned.
 func (l *Leader) adoptHandedOver(m *state.Machine, known *standby.Machine) {
 	var attempts []*state.Attempt
 	for id, task := range known.Tasks {
@@ -146,9 +147,10 @@
 }
 
 // mustAwaitReconciliation reports whether no task of a job may start yet because some of its tasks may be on machines
-// whose tasks are not known. With the standby on, only machines of offerings that the job allows matter: leaders of
-// every version start a job's tasks only on those. A gang also waits until all machines have confirmed the tasks that
-// a handover names, because only their heartbeats show whether the gang's attempt is running or ending.
+// whose tasks are not known. Without the standby, any such machine matters. With the standby, only machines of
+// offerings that the job allows matter, as leaders of every version start a job's tasks only there. A gang also waits
+// until all machines have confirmed the tasks that a handover names, because only their heartbeats show whether the
+// gang's attempt is running or ending.
 func (l *Leader) mustAwaitReconciliation(j *state.Job, u machinesWithUnknownTasks) bool {
 	switch {
 	case !j.MayHaveEarlierTasks:
@@ -179,7 +181,7 @@
 	return l.fleet.CountWithUnknownTasks()+l.countUnconfirmed() == 0
 }
 
-// recordTasksKnown records the completion of the failover, once per term: every machine itself has confirmed its
+// recordTasksKnown records, once per term, that the failover is complete because every machine itself has confirmed its
 // tasks.
 func (l *Leader) recordTasksKnown() {
 	if l.FailoverProgress == nil || l.tasksKnownRecorded || !l.ready || !l.areAllTasksConfirmed() {
@@ -189,11 +191,11 @@
 	l.FailoverProgress.TasksKnown()
 }
 
-// sortByQueryPriority sorts machines into the order in which they are queried for their tasks. While urgent tasks wait,
-// machines without known tasks of the previous term come first, as they probably have room. The others follow by
-// descending number of tasks, because more jobs wait for the busier machines.
+// sortByQueryPriority sorts machines into the order in which they are queried for their tasks. The more tasks a machine
+// had in the previous term, the earlier it is queried, because more jobs wait for it. While urgent tasks wait, however,
+// machines without known tasks of that term come first, as they probably have room.
 func (l *Leader) sortByQueryPriority(machines []*state.Machine) {
-	const highestRank = -1 << 20
+	const firstRank = -1 << 20
 	hasUrgentWork := false
 	for _, j := range l.jobs {
 		hasUrgentWork = hasUrgentWork || j.WaitingTasks() > 0 && j.Priority >= wire.PriorityRank(wire.PriorityUrgent)
@@ -204,7 +206,7 @@
 			tasks = len(m.Reconciliation.PreviousTerm.Tasks)
 		}
 		if hasUrgentWork && tasks == 0 {
-			return highestRank
+			return firstRank
 		}
 		return -tasks
 	}
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -22,9 +22,11 @@
 )
 
 // HandOver hands the term over to a follower, within a time limit, and ends the term. The leader stops making
-// decisions, stores pending writes as far as time allows, publishes the handover entry, and waits for the follower that
-// has applied the most entries to apply that one too. HandOver returns this follower, or "" if there is none. If the
-// follower fails, any node may lead next. HandOver returns ErrNotReady if the term cannot be handed over now.
+// decisions, stores pending writes for at most 1/handoverFlushDivisor of the limit, and publishes the handover entry. It then waits
+// until the successor, which is the follower that has applied the most entries, has applied that entry too.
+//
+// HandOver returns the successor even if it has not applied the entry in time, or "" if there is no follower. If the
+// successor fails, any node may lead next. HandOver returns ErrNotReady if the term cannot be handed over now.
 func (l *Leader) HandOver(limit micros.Micros) (to string, err error) {
 	if l.Followers == nil {
 		return "", fmt.Errorf("%w: the standby is off", ErrNotReady)
@@ -68,7 +70,8 @@
 	return l.handingOver
 }
 
-// Successor returns the member that the term was handed over to, or "" if there was no handover or any may lead next.
+// Successor returns the member that the term was handed over to. It returns "" if there was no handover, or if any
+// member may lead next.
 func (l *Leader) Successor() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,10 +90,10 @@
 	return true
 }
 
-// publishHandover publishes the handover, the term's last entry, and returns its position and the follower that is to
-// lead next. All starts have been published before it, because they are published under the same lock and no more are
-// made. The term is relinquished first, because the follower may replace the leader key as soon as it has read the
-// entry.
+// publishHandover publishes the handover, which is the last entry of the term. It returns the entry's position and the
+// follower that is to lead next. Starts are published under the same lock, and none is made any more, so the entries of
+// all starts come before it. The term is relinquished first, because the follower may replace the leader key as soon as
+// it has read the entry.
 func (l *Leader) publishHandover() (position uint64, to string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -11,8 +11,8 @@
 // ErrCannotRespond is returned if this node must not respond to a heartbeat now.
 var ErrCannotRespond = errors.New("not entitled to answer")
 
-// deferralWindow is the time after a refused heartbeat of a worker during which its heartbeats are answered although
-// another node may lead.
+// deferralWindow limits how often a worker's heartbeats are refused because another node may lead. After a refusal,
+// they are answered for this long.
 const deferralWindow = 15 * micros.Second
 
 // HandleHeartbeat processes a worker's heartbeat and returns the response with the commands for the worker.
@@ -45,7 +45,7 @@
 	return response, nil
 }
 
-// observeFencingToken ends the term if a worker has seen a higher fencing token.
+// observeFencingToken ends the term if a heartbeat shows that its worker has seen a higher fencing token.
 func (l *Leader) observeFencingToken(h *wire.Heartbeat) {
 	if h.FencingToken > l.FencingToken {
 		l.superseded = true
@@ -53,13 +53,14 @@
 	}
 }
 
-// canRespond reports whether this leader may respond to heartbeats now.
+// canRespond reports whether this leader may respond to heartbeats now. A response may renew a lease, so the latest
+// confirmation of leadership must be no older than the lease renewal window.
 func (l *Leader) canRespond(now micros.Micros) bool {
 	return !l.superseded && l.ready && !l.handingOver && now < l.Term.LastConfirmed()+l.Settings.Params.Workers.LeaseRenewalWindow()
 }
 
-// acceptsHeartbeat reports whether a known machine's heartbeat is processed. It records when a heartbeat is deferred,
-// so that the next one is not.
+// acceptsHeartbeat reports whether a known machine's heartbeat is processed. If the heartbeat is deferred, it records
+// the time, so that the machine's next heartbeat is not deferred as well.
 func (l *Leader) acceptsHeartbeat(m *state.Machine, h *wire.Heartbeat, now micros.Micros) bool {
 	if l.mustDefer(m, now) {
 		m.Lease.DeferredAt = now
@@ -68,8 +69,9 @@
 	return !isStaleHeartbeat(m, h)
 }
 
-// mustDefer reports whether a machine's heartbeat is refused once because another node may lead by now. A worker that
-// finds no other leader retries here, and then its lease is renewed.
+// mustDefer reports whether a machine's heartbeat is refused because another node may lead by now. A machine's
+// heartbeats are refused at most once within deferralWindow: a worker that finds no other leader retries here, and this
+// time its lease is renewed.
 func (l *Leader) mustDefer(m *state.Machine, now micros.Micros) bool {
 	return !l.Term.IsExclusive() && now-m.Lease.DeferredAt > deferralWindow
 }
@@ -87,8 +89,8 @@
 		return
 	}
 	// The end of an earlier incarnation does not show which tasks earlier terms started in the new one: the only
-	// heartbeat received from it may be a delayed one from before a failover. So the machine's knowledge state stays
-	// as it was.
+	// heartbeat received from the new one may be a delayed one from before a failover. So releaseAll must not change
+	// what is known about the machine's tasks.
 	knowledge := m.Reconciliation.Knowledge
 	l.releaseAll(m, "the worker's session ended")
 	m.Reconciliation.Knowledge = knowledge
@@ -96,8 +98,8 @@
 	m.Delivery.Sent = m.Delivery.Sent[:0]
 }
 
-// recordHeartbeat records the contents of a heartbeat other than the status of tasks. It counts the machine's lease as
-// renewed, since the response to the heartbeat may renew it.
+// recordHeartbeat records the contents of a heartbeat, except the status of tasks. The machine's lease counts as
+// renewed from now on, since the response to the heartbeat may renew it.
 func (l *Leader) recordHeartbeat(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
 	m.Heartbeat.Incarnation, m.Heartbeat.Sequence, m.Instance.Address = h.Incarnation, h.Sequence, h.Address
 	l.zones.CheckReportedZone(m, h.Zone)
@@ -119,7 +121,8 @@
 }
 
 // reconcileIfCurrent reconciles the tasks that a heartbeat lists, if the worker sent it in this term and after its
-// latest response to a task query.
+// latest response to a task query. Otherwise it counts a lost response, if this term has responded to the machine
+// before.
 func (l *Leader) reconcileIfCurrent(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
 	// A heartbeat that is older than the machine's response to a task query contains nothing new.
 	m.Heartbeat.FromCurrentTerm = h.FencingToken == l.FencingToken && h.Sequence > m.Reconciliation.QueriedSequence
@@ -131,7 +134,8 @@
 		l.zones.ObserveReturn(m, now)
 		l.reconcile(m, h, now)
 	} else {
-		// The response may renew the machine's lease even if the heartbeat is not current.
+		// The response may renew the machine's lease even if the heartbeat is not current, so it must contain these
+		// stops.
 		m.Delivery.FollowUps = l.stopsForEndedJobs(h)
 	}
 }
@@ -182,8 +186,9 @@
 	}
 }
 
-// adoptUnknownMachine adds a machine to the fleet that belongs to no launch intent with a response: the cloud carried
-// out its launch late.
+// adoptUnknownMachine adds a machine that belongs to no launch intent to the fleet: the cloud has carried out a launch
+// late. It does not add the machine yet if an open intent may be the machine's, or if the heartbeat may be delayed. It
+// returns ErrCannotRespond for a machine that was terminated in this term.
 func (l *Leader) adoptUnknownMachine(h *wire.Heartbeat, now micros.Micros) error {
 	if l.fleet.WasTerminated(h.MachineID) {
 		return ErrCannotRespond
--- a/internal/leader/instance_types.go
+++ b/internal/leader/instance_types.go
@@ -71,7 +71,8 @@
 	})
 	if errors.Is(err, statestore.ErrRejected) {
 		// This leader uses the rejected list all the same, and submissions are validated against the list stored
-		// before. It is no error for the caller: a failover must not wait for a write that can never succeed.
+		// before. The rejection is no error for the caller, because a failover must not wait for a write that can never
+		// succeed.
 		l.rejectedTypes = &offered
 		slog.Error("state service rejected the instance types, submissions are validated against the stored ones", "count", len(offered.Types), "bytes", wire.JSONSize(offered), "error", err)
 		return nil
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// equivalentForValidation reports whether two lists agree in all that decides whether a job can ever run.
+// equivalentForValidation reports whether two lists agree in everything that decides whether a job can ever run.
 func equivalentForValidation(a, b wire.InstanceTypeList) bool {
 	return slices.EqualFunc(a.Types, b.Types, func(x, y wire.InstanceType) bool {
 		return x.Name == y.Name && x.CPUs == y.CPUs && x.GPUs == y.GPUs && x.MemoryGB == y.MemoryGB && slices.Equal(x.Zones, y.Zones)
--- a/internal/leader/jobs.go
+++ b/internal/leader/jobs.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// dropJob removes a job that has ended, deletes its stored progress and stops its tasks.
+// dropJob removes a job that has ended, queues the deletion of its stored progress and stops its tasks.
 func (l *Leader) dropJob(j *state.Job, finalState string) {
 	j.Ended = true
 	delete(l.jobs, j.Spec.ID)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -67,7 +67,7 @@
 	Replica           *replica.Replica
 	Term              Term
 	FencingToken      uint64
-	LeaderKeyRevision uint64 // the mod revision of the leader key
+	LeaderKeyRevision uint64 // mod revision of the leader key that this term wrote
 	WorkerClient      *http.Client
 	// The next three are nil if the node has no warm standby.
 	Followers        Followers
@@ -87,7 +87,7 @@
 type Leader struct {
 	Config
 
-	// The term's start and time settings, set by New.
+	// Times that New sets.
 	startedAt         micros.Micros
 	startedAtWall     micros.Micros // wall clock time
 	heartbeatInterval micros.Micros // expected time between a worker's heartbeats
@@ -206,8 +206,9 @@
 	wg.Wait()
 }
 
-// awaitStoredState waits until the replica has everything that earlier terms stored. Their writes have failed since
-// this term's leader key was written, so nothing is added later. It reports false if ctx ends first.
+// awaitStoredState waits until the replica has everything that earlier terms stored, and loads the instance types.
+// Writes of earlier terms fail once this term's leader key is written, so nothing is added later. It reports false if
+// ctx ends first.
 func (l *Leader) awaitStoredState(ctx context.Context) bool {
 	for {
 		err := l.Replica.Barrier(ctx)
@@ -295,7 +296,7 @@
 	}
 }
 
-// Supersede ends the term, and all responses to workers, if fencingToken of another node is higher than the term's.
+// Supersede ends the term and stops all responses to workers if another node's fencing token is higher than the term's.
 func (l *Leader) Supersede(fencingToken uint64) {
 	if fencingToken <= l.FencingToken {
 		return
@@ -306,5 +307,5 @@
 	l.loseTerm()
 }
 
-// loseTerm ends the term, because a newer one has begun or may begin.
+// loseTerm ends the term because a newer one has begun or may begin.
 func (l *Leader) loseTerm() { l.termLostOnce.Do(func() { close(l.termLost) }) }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -26,7 +26,8 @@
 }
 
 // superviseMachines updates the state of zones and boots, releases the tasks of machines whose leases have expired, and
-// terminates machines that are lost, drained, or do not carry out a stop in time.
+// terminates machines that are silent, receive no responses, do not boot, are drained, or do not stop the tasks of an
+// ended job in time.
 func (l *Leader) superviseMachines(now micros.Micros) {
 	l.zones.Observe(now)
 	l.fleet.CheckBoots(now)
@@ -42,7 +43,7 @@
 	}
 }
 
-// checkLease releases the tasks of a machine whose lease has expired, and reports whether it has.
+// checkLease releases the tasks of a machine whose lease has expired, and reports whether the lease has expired.
 func (l *Leader) checkLease(m *state.Machine, now micros.Micros) (expired bool) {
 	expired = l.liveness.HasLeaseExpired(m, now)
 	if expired && (len(m.Attempts) > 0 || !m.TasksKnown()) {
@@ -72,7 +73,7 @@
 	case m.DrainReason != "" && len(m.Attempts) == 0 && m.TasksKnown():
 		return m.DrainReason
 	case m.DrainReason == quarantine.DrainReason && now-m.Quarantine.Since > faultyDrainHeartbeats*l.Settings.Params.Workers.HeartbeatInterval():
-		// The tasks that still run there had time to save a checkpoint and would fail as well. If the machine were
+		// The tasks that still run there had time to save a checkpoint, and would fail as well. If the machine were
 		// kept, the next leader would have to detect the fault again.
 		return m.DrainReason
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -10,8 +10,8 @@
 )
 
 // reconcile compares the tasks that a heartbeat lists with those assigned to the machine. The heartbeat contains this
-// term's fencing token, so the worker sent it after it had accepted a response of this term, and can no longer execute
-// starts of earlier terms.
+// term's fencing token. So the worker sent it after accepting a response of this term, and no longer executes starts of
+// earlier terms.
 func (l *Leader) reconcile(m *state.Machine, h *wire.Heartbeat, now micros.Micros) {
 	confirmed := m.TasksConfirmed()
 	if !confirmed {
@@ -27,10 +27,10 @@
 	for i := range h.Tasks {
 		l.observeTask(m, &h.Tasks[i], now)
 	}
-	for name, a := range m.Attempts {
-		// A worker has one heartbeat in flight and drops late responses. If a newer heartbeat does not list the
-		// task that the response to an earlier one started, the worker will never execute that start.
-		if !listed[name] && a.StartSequence < h.Sequence && !a.Reserved {
+	for taskID, a := range m.Attempts {
+		// A worker has one heartbeat in flight and drops late responses. The response to an earlier heartbeat started
+		// the task. If this newer heartbeat does not list the task, the worker will never execute that start.
+		if !listed[taskID] && a.StartSequence < h.Sequence && !a.Reserved {
 			l.release(a, "the start was lost")
 		}
 	}
@@ -122,8 +122,9 @@
 	l.gangs.ObserveTask(a, o.at)
 }
 
-// adoptTask assigns a task to a machine that was not known to hold it. If the task is done or assigned to another
-// machine, and its job has not ended, adoptTask stops it instead and returns nil.
+// adoptTask assigns a task to a machine that was not known to hold it. If the task was assigned elsewhere and the start
+// was not sent, that assignment is released. If the task is done or on another machine, and its job has not ended,
+// adoptTask stops the reported task instead and returns nil.
 func (l *Leader) adoptTask(o taskObservation) *state.Attempt {
 	m, j := o.machine, o.job
 	if other := j.Attempts[o.index]; other != nil && other.Reserved {
@@ -141,10 +142,10 @@
 	return a
 }
 
-// cancelledJob returns a job that was cancelled before this term knew it, while a machine still holds tasks of it:
-// the tasks have not been stopped yet, or the machine hung. It returns nil if there is no such job. Until these tasks
-// have left their machines, they use capacity there and count against their team's limit. If they were not counted, the
-// successor of a leader that was cut off would start other tasks of the team up to the full limit beside them.
+// cancelledJob returns a job that was cancelled before this term knew it, while a machine still holds tasks of it: the
+// tasks have not been stopped yet, or the machine hung. It returns nil if there is no such job. Until these tasks have
+// left their machines, they use capacity there and count against their team's limit. If they did not count, the
+// successor of a leader that was cut off would start other tasks of the team beside them, up to the full limit.
 func (l *Leader) cancelledJob(id string) *state.Job {
 	if j := l.cancelledJobs[id]; j != nil {
 		return j
--- a/internal/leader/scheduling.go
+++ b/internal/leader/scheduling.go
@@ -60,8 +60,8 @@
 	return func(j *state.Job) bool { return l.mustAwaitReconciliation(j, unknown) }
 }
 
-// sendStops sends a machine's worker the commands to stop some tasks of a gang, and retries until they are delivered or
-// the gang's other tasks notice by themselves that these are lost.
+// sendStops sends a machine's worker the commands to stop some tasks of a gang. It retries until they are delivered, or
+// for as long as the gang's other tasks take to notice that these tasks are lost.
 func (l *Leader) sendStops(m *state.Machine, stops []*state.Attempt) {
 	commands := make([]wire.Command, len(stops))
 	for i, a := range stops {
@@ -71,7 +71,7 @@
 }
 
 // worstCaseTeamUsage returns the most that each team's tasks may be using: the resources of the tasks that are known to
-// be on machines, plus the whole capacity of the machines whose tasks are not known.
+// be on machines, plus the whole capacity of the machines whose tasks are not known. It also updates unknownUsage.
 func (l *Leader) worstCaseTeamUsage() map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for name, t := range l.workload.Teams() {
--- a/internal/leader/task_counts.go
+++ b/internal/leader/task_counts.go
@@ -8,8 +8,8 @@
 // taskCountsInterval is the interval at which the counts are refreshed. They are for display only.
 const taskCountsInterval = 2 * micros.Second
 
-// AllTaskCounts returns the counts of all jobs that have started, and the time they are from, which is less than
-// taskCountsInterval ago. Callers must not change the map.
+// AllTaskCounts returns the counts of the jobs that have started, as many as the size limit allows, and the time they
+// are from, which is less than taskCountsInterval ago. Callers must not change the map.
 func (l *Leader) AllTaskCounts() (counts TaskCounts, at micros.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,9 +31,9 @@
 	return j.DoneCount, j.RunningCount, true
 }
 
-// Size limits of the counts, which are sent between nodes in one message: counts are included up to maxTaskCountBytes,
-// where each takes the length of its job's ID plus at most taskCountBytes. A fleet of 4,000 machines that runs
-// single-task jobs has 16,000 jobs to count, which take 400 KB.
+// Size limits of the counts, which are sent between nodes in one message. Counts are included up to a total of
+// maxTaskCountBytes. Each takes the length of its job's ID plus at most taskCountBytes. A fleet of 4,000 machines that
+// runs single-task jobs has 16,000 jobs to count, which take 400 KB.
 const (
 	maxTaskCountBytes = 1 << 19
 	taskCountBytes    = 16
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -26,9 +26,8 @@
 }
 
 // deleteOrphanedKeys queues the deletion of stored launch intents and job progress that are no longer in use. Such a
-// key arises if its first write gets no response and is repeated, the key is deleted when it is no longer needed, and
-// the state service then carries out the first write after all. For an orphaned intent the next leader would launch
-// instances again.
+// key is left if its first write gets no response and is repeated, the key is deleted later, and the state service
+// carries out the first write only after that. For an orphaned intent the next leader would launch instances again.
 func (l *Leader) deleteOrphanedKeys() {
 	for _, key := range l.Replica.Keys(replica.LaunchIntentPrefix) {
 		if l.fleet.Intent(strings.TrimPrefix(key, replica.LaunchIntentPrefix)) == nil {
@@ -63,7 +62,7 @@
 	return w, false
 }
 
-// encodeFinalJob returns the write of the final state of a job.
+// encodeFinalJob returns the write of the final state of a job. It reports false if a final state is already stored.
 func (l *Leader) encodeFinalJob(w persist.Write) (persist.Write, bool) {
 	id := strings.TrimPrefix(w.Key, replica.JobPrefix)
 	final, ok := l.finalJobs[id]
