--- a/internal/leader/exits.go
+++ b/internal/leader/exits.go
@@ -42,7 +42,8 @@
 		}
 		l.quarantine.AttributeFailure(m, j, o.at)
 	case wire.ExitInsufficientResources:
-		// The leader's record of the machine's free resources was wrong: wait for the next heartbeats.
+		// The leader's record of the machine's free resources was wrong, so nothing is started there for the next
+		// heartbeats.
 		m.StartBackoffUntil = o.at + noRoomBackoffHeartbeats*l.heartbeatInterval
 	case wire.ExitJobNotFound:
 		j.BackoffUntil = o.at + jobNotFoundBackoff
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -103,8 +103,8 @@
 	m.Lease.RenewedAt = l.startedAt
 	for _, a := range attempts {
 		if a.Job.Ended {
-			// The previous leader may not have sent the stop. Heartbeats will not report the task as a new one,
-			// since it is already known here: without this stop it would run forever.
+			// The previous leader may not have sent the stop. As the task is already known here, no heartbeat will lead
+			// to its adoption, which would stop it. Without this stop it would run forever.
 			l.stopTask(a, 0, "job is over")
 		}
 	}
--- a/internal/leader/gangs/stop.go
+++ b/internal/leader/gangs/stop.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// areAllReachable reports whether all tasks of a gang should receive a stop command in time.
+// areAllReachable reports whether all tasks of a gang should receive a stop command in time. It reports false while
+// another node may lead.
 func (c *Coordinator) areAllReachable(j *state.Job, now micros.Micros) bool {
 	if !c.Term.IsExclusive() {
 		return false
--- a/internal/leader/scheduler/consolidate.go
+++ b/internal/leader/scheduler/consolidate.go
@@ -99,9 +99,9 @@
 	return m.DrainReason == "" && !m.RejectsDelayTolerant && free.Fits(a.Job.Need) && a.Job.MayRunOn(m.Offering)
 }
 
-// canConsolidate reports whether each task of a machine may be moved and is worth moving. A delay-tolerant task always
-// is. Any other task must have slack for the move, and the machine must have been surplus for longer than the idle
-// timeout.
+// canConsolidate reports whether each task of a machine may be moved and is worth moving. A delay-tolerant task is
+// always worth moving. Any other task is worth it only if the machine has been surplus for longer than its idle timeout
+// and the task has slack for the move.
 func (s *Scheduler) canConsolidate(m *state.Machine, now micros.Micros) bool {
 	// The free room of a surplus machine is worth as much as that of an idle machine, which is kept until its idle
 	// timeout. When tasks that are not delay-tolerant were moved at once, later jobs found less room (scenario
--- a/internal/leader/scheduler/preempt_test.go
+++ b/internal/leader/scheduler/preempt_test.go
@@ -14,9 +14,9 @@
 	const second = micros.Second
 	for _, c := range []struct {
 		name     string
-		ran      micros.Micros
+		ran      micros.Micros // how long each victim has run
 		set      func(s *Scheduler, now micros.Micros)
-		stopping int
+		stopping int // number of victims that are stopping
 		grace    micros.Micros
 	}{
 		{"its victims can save a checkpoint", 100 * second, func(*Scheduler, micros.Micros) {}, 2, 3 * second},
@@ -63,7 +63,7 @@
 		waited   micros.Micros // since the gang was submitted; it may wait for 60 s
 		saveS    float64       // how long saving a victim's checkpoint takes, in seconds
 		set      func(s *Scheduler, m *state.Machine, now micros.Micros)
-		stopping int
+		stopping int // number of victims that are stopping
 		grace    micros.Micros
 	}{
 		{"in time if its victims save a checkpoint", 53 * second, 3, func(*Scheduler, *state.Machine, micros.Micros) {}, 2, 3 * second},
@@ -116,7 +116,7 @@
 		want float64
 	}{
 		{10, 100*second + second/2, 0}, // too soon for a measurement
-		{10, 102 * second, 5},          // half of 10 a second
+		{10, 102 * second, 5},          // half of 10 per second
 		{0, 103 * second, 2.5},
 		{8, 105 * second, 3.25},
 	} {
