--- a/internal/sim/checker/history.go
+++ b/internal/sim/checker/history.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// History is what workers and users saw of classes of jobs over some zones, and what follows from
-// that alone. It is safe for concurrent use; the exported fields are set before the first
-// observation, and are called under the history's lock.
+// History records what workers and users observe of jobs, by class of job and by zone, and computes statistics from
+// these observations alone. It is safe for concurrent use. The exported fields must be set before the first
+// observation; the functions are called with the lock held.
 type History struct {
-	// ClassOf returns the class of a task's job; empty: of none that is compared.
+	// ClassOf returns the class of a task's job; empty if the job is not part of the comparison.
 	ClassOf func(task string) string
-	// IsZoneAffected reports whether a fault affects the machines of a zone now, so that what runs there
-	// may have to start again.
+	// IsZoneAffected reports whether a fault currently affects the machines of a zone, so that tasks there may have
+	// to start again.
 	IsZoneAffected func(zone string) bool
-	// MaxReportDelay is for how long the completion of a task may remain unreported.
+	// MaxReportDelay is the time after its completion for which a task may not yet be reported as completed.
 	MaxReportDelay time.Duration
 
 	mu            sync.Mutex
 	startedAt     time.Time
-	running       map[string]runningTask // by task
-	startCounts   map[string]int         // by task
-	done          map[string]bool        // tasks
-	affected      map[string]bool        // tasks that a fault affected
-	acceptedTasks map[string]int         // by class
-	acceptedAt    map[string]time.Duration
+	running       map[string]runningTask   // the tasks that are on machines, by task
+	startCounts   map[string]int           // number of starts, by task
+	done          map[string]bool          // the tasks that completed
+	affected      map[string]bool          // the tasks that a fault affected
+	acceptedTasks map[string]int           // number of accepted tasks, by class
+	acceptedAt    map[string]time.Duration // time since startedAt, by job
 	starts        []TaskRecord
 	completions   []TaskRecord
 	repeatedWork  time.Duration
 	samples       []Sample
-	sampledStarts int // the number of starts as of the last sample
+	sampledStarts int // the number of starts at the last sample
 }
 
 // runningTask is a task on a machine.
@@ -40,31 +40,31 @@
 	startedAt time.Time
 }
 
-// TaskRecord is a start or a completion as its machine saw it.
+// TaskRecord is the start or the completion of a task, as its machine observed it.
 type TaskRecord struct {
-	At                         time.Duration // since the history began
+	At                         time.Duration // time since the start of the history
 	Class, Task, Machine, Zone string
-	Duration                   time.Duration // on the machine; of a completion
+	Duration                   time.Duration // time on the machine; set for a completion only
 }
 
-// Sample is the state of a cluster at one time.
+// Sample is the state of a cluster at a point in time.
 type Sample struct {
-	At           time.Duration  // since the history began
-	Waiting      map[string]int // by class: tasks that are accepted, not done, and on no machine
-	Starts       map[string]int // by class: starts since the sample before
-	Running      map[string]int // by zone: tasks on machines
-	FreeCPUs     int            // in zones that no fault affects
-	PricePerHour float64        // of all machines
+	At           time.Duration  // time since the start of the history
+	Waiting      map[string]int // by class: number of tasks that are accepted, not done, and not on a machine
+	Starts       map[string]int // by class: number of starts since the previous sample
+	Running      map[string]int // by zone: number of tasks on machines
+	FreeCPUs     int            // in zones that are not affected by a fault
+	PricePerHour float64        // total of all machines
 }
 
-// Machine is a machine that is up, as its worker and its price show it.
+// Machine describes a machine that is up.
 type Machine struct {
 	Zone         string
 	CPUs         int
 	PricePerHour float64
 }
 
-// NewHistory begins a history at the present time.
+// NewHistory returns an empty history that starts at the current time.
 func NewHistory() *History {
 	return &History{
 		startedAt:     time.Now(),
@@ -77,10 +77,10 @@
 	}
 }
 
-// Elapsed returns the time since the history began.
+// Elapsed returns the time since the start of the history.
 func (h *History) Elapsed() time.Duration { return time.Since(h.startedAt) }
 
-// ObserveTaskEvent records what a task did; it serves as Rules.OnTaskEvent.
+// ObserveTaskEvent records the start or exit of a task; it is a callback for Rules.OnTaskEvent.
 func (h *History) ObserveTaskEvent(e TaskEvent) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,15 +102,15 @@
 	delete(h.running, e.Task)
 }
 
-// markIfAffected notes that a task may have to start again if a fault affects its zone; the caller
-// holds the lock.
+// markIfAffected marks a task as affected if a fault affects its zone. The caller holds the lock.
 func (h *History) markIfAffected(task, zone string) {
 	if h.IsZoneAffected(zone) {
 		h.affected[task] = true
 	}
 }
 
-// ObserveFault notes which tasks are affected by faults that have just begun.
+// ObserveFault marks the tasks that a fault which has just begun affects: those that are on a machine, and those whose
+// completion may not be reported yet.
 func (h *History) ObserveFault() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// ObserveAcceptedJob records that a user's job was accepted.
+// ObserveAcceptedJob records that a job was accepted.
 func (h *History) ObserveAcceptedJob(job, class string, tasks int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -132,14 +132,14 @@
 	h.acceptedTasks[class] += tasks
 }
 
-// Jobs lists the accepted jobs, by name.
+// Jobs returns the IDs of the accepted jobs, sorted.
 func (h *History) Jobs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(maps.Keys(h.acceptedAt))
 }
 
-// RecordSample records the present state, with these machines up.
+// RecordSample records a sample of the current state. machines are the machines that are up.
 func (h *History) RecordSample(machines []Machine) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,7 +159,7 @@
 	}
 	for zone, n := range cpus {
 		if !h.IsZoneAffected(zone) {
-			s.FreeCPUs += max(0, n-s.Running[zone]) // each task takes one CPU
+			s.FreeCPUs += max(0, n-s.Running[zone]) // each task uses one CPU
 		}
 	}
 	for _, start := range h.starts[h.sampledStarts:] {
--- a/internal/sim/checker/queries.go
+++ b/internal/sim/checker/queries.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Samples lists all samples; the caller must not change them.
+// Samples returns all samples. The caller must not modify them.
 func (h *History) Samples() []Sample {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.samples
 }
 
-// LongestStall returns the longest time for which tasks of a class waited and none of them started,
-// although there was room for them in zones that no fault affected.
+// LongestStall returns the longest time during which tasks of a class waited and none of them started, although there
+// were free CPUs in zones that were not affected by a fault.
 func (h *History) LongestStall(class string) (longest time.Duration) {
 	var previousAt, stalledSince time.Duration
 	isStalled := false
@@ -31,14 +31,14 @@
 	return longest
 }
 
-// Contention selects the intervals between samples in which a class had to wait for room.
+// Contention selects the intervals between two samples in which tasks of a class waited for free CPUs.
 type Contention struct {
-	Class      string        // that waited
-	MinWaiting int           // at least so many of its tasks, at both ends of an interval
-	From, To   time.Duration // since the history began
+	Class      string        // the class whose tasks waited
+	MinWaiting int           // minimum number of its waiting tasks at both ends of an interval
+	From, To   time.Duration // time since the start of the history
 }
 
-// StartsDuring counts the starts of a class's tasks in the intervals that c selects.
+// StartsDuring returns the number of task starts of a class in the intervals that c selects.
 func (h *History) StartsDuring(c Contention, class string) (starts int) {
 	samples := h.Samples()
 	for i, s := range samples {
@@ -50,8 +50,8 @@
 	return starts
 }
 
-// FirstStarts lists the times at which machines of a zone had their first start after a given time,
-// in order. Tasks without a class do not count.
+// FirstStarts returns, in order, the time of the first task start on each machine of a zone after a given time. Tasks
+// without a class do not count.
 func (h *History) FirstStarts(zone string, after time.Duration) (at []time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,7 +65,7 @@
 	return at
 }
 
-// CompletionsIn counts the tasks that completed in a zone after a given time.
+// CompletionsIn returns the number of tasks that completed in a zone after a given time.
 func (h *History) CompletionsIn(zone string, after time.Duration) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,8 +77,7 @@
 	return n
 }
 
-// RestartedTasks lists the tasks of a class that started more than once although no fault affected
-// them.
+// RestartedTasks returns the tasks of a class that started more than once although no fault affected them.
 func (h *History) RestartedTasks(class string) (tasks []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -90,7 +89,7 @@
 	return tasks
 }
 
-// MachinesUsed counts the machines that had a start.
+// MachinesUsed returns the number of machines on which a task started.
 func (h *History) MachinesUsed() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,15 +100,15 @@
 	return len(used)
 }
 
-// RepeatedWork returns the time that tasks spent on machines without completing there.
+// RepeatedWork returns the total time that tasks spent on machines without completing there.
 func (h *History) RepeatedWork() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.repeatedWork
 }
 
-// EachRuntime calls visit with the time on its machine of each task that completed. It holds the
-// history's lock meanwhile.
+// EachRuntime calls visit for each completed task, with the time that the task spent on its machine. The lock is held
+// during the calls.
 func (h *History) EachRuntime(visit func(class string, runtime time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,8 +117,8 @@
 	}
 }
 
-// EachWait calls visit with the time from acceptance to first start of each task of a job that was
-// accepted after a given time. It holds the history's lock meanwhile.
+// EachWait calls visit for each task that has started and whose job was accepted at or after a given time, with the
+// time from the acceptance of the job to the first start of the task. The lock is held during the calls.
 func (h *History) EachWait(after time.Duration, visit func(class string, wait time.Duration)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/sim/checker/rules.go
+++ b/internal/sim/checker/rules.go
@@ -1,15 +1,14 @@
-// Package checker judges whether a run kept the rules of the protocol, and keeps a history of what
-// its tasks did.
+// Package checker checks whether a run of a cluster complies with the rules of the protocol (Rules), and records a
+// history of what the tasks of the run did (History).
 //
-// It owns the bookkeeping of the rules (Rules) and the history (History). It knows only what users
-// and workers saw: requests and their responses, machines, and tasks that came to machines and left
-// them. Whoever drives a run passes these on through the Observe methods. It must never ask a node,
-// a store or a fake anything: it would then judge the scheduler by the scheduler's own view.
+// Both types know only what users and workers observe: requests and their responses, launches of machines, and starts
+// and exits of tasks on machines. The code that drives a run reports these observations through the Observe methods.
+// The package must never query a node, a store or a fake, because it would then check the scheduler against the
+// scheduler's own view.
 //
-// Locks: Rules and History have one each, which guards all their unexported fields. Rules calls
-// OnTaskEvent, and History calls ClassOf and Affected, with the lock held. A callback must therefore
-// not call the one that calls it, and nobody may call either while holding a lock that a callback
-// takes.
+// Locks: Rules and History have one lock each, which guards all their unexported fields. Rules calls OnTaskEvent, and
+// History calls ClassOf and IsZoneAffected, with its lock held. A callback must therefore not call the type that calls
+// it, and no caller of Rules or History may hold a lock that a callback takes.
 package checker
 
 import (
@@ -21,87 +20,86 @@
 	"caperlatch/internal/wire"
 )
 
-// The rules. All but ruleRanUnknown and ruleAcceptedInvalid have the protocol's names; these two are
-// what the protocol forbids without a name: a task of a job that nobody submitted, and the acceptance
-// of a job that must be rejected.
+// The names of the rules as they appear in violations. They are the protocol's names, except for ruleUnknownTask and
+// ruleAcceptedInvalid, which cover requirements that the protocol does not name.
 const (
-	ruleRanTwice        = "ran_twice"
-	ruleRanUnknown      = "ran_unknown"
-	ruleQuota           = "quota"
-	ruleWrongPlace      = "wrong_place"
-	ruleRanCancelled    = "ran_cancelled"
-	ruleForgotten       = "forgotten"
-	ruleInvented        = "invented"
-	ruleNotDone         = "not_done"
-	ruleWentBack        = "went_back"
-	ruleAcceptedInvalid = "accepted_wrong"
+	ruleConcurrentRuns  = "ran_twice"      // a task is on two machines at the same time
+	ruleUnknownTask     = "ran_unknown"    // a task starts whose job was never submitted
+	ruleTeamCPULimit    = "quota"          // a team uses more CPUs than its limit
+	rulePlacement       = "wrong_place"    // a task starts on a machine or in a zone that its job does not allow
+	ruleRanAfterCancel  = "ran_cancelled"  // a task is on a machine, or starts, too long after its job was cancelled
+	ruleAcceptedJobLost = "forgotten"      // a response denies that an accepted job exists or is valid
+	ruleUnsubmittedJob  = "invented"       // a response accepts or describes a job that was never submitted
+	rulePrematureDone   = "not_done"       // a job is reported done before all its tasks have completed
+	ruleStatusReverted  = "went_back"      // a final status changes, or a job is cancelled without a request
+	ruleAcceptedInvalid = "accepted_wrong" // a job is accepted that must be rejected
 )
 
-// Rules checks the rules of the protocol and records each violation under the rule's name. It is
-// safe for concurrent use; the exported fields are set before the first observation.
+// Rules checks observations against the rules of the protocol, and records each violation with the name of the rule.
+// It is safe for concurrent use. The exported fields must be set before the first observation.
 type Rules struct {
-	CancellationTimeout time.Duration       // within which tasks of a cancelled job must have left
-	TeamCPULimits       map[string]float64  // CPUs that a team may use, by team; 0: no limit
-	InstanceTypes       []wire.InstanceType // what the cloud has
-	OnTaskEvent         func(TaskEvent)     // called for each event, in order, under the lock; may be nil
+	CancellationTimeout time.Duration       // time within which the tasks of a cancelled job must exit
+	TeamCPULimits       map[string]float64  // maximum number of CPUs in use, by team; 0: unlimited
+	InstanceTypes       []wire.InstanceType // the instance types of the cloud
+	OnTaskEvent         func(TaskEvent)     // called for each event, in order, with the lock held; may be nil
 
 	mu                sync.Mutex
 	jobs              map[string]*jobRecord
-	taskMachines      map[string]string             // the machine that a task is on
+	machineByTask     map[string]string             // the machine on which a task is, by task
 	usedCPUs          map[string]float64            // by team
-	launches          map[string]wire.LaunchRequest // what each machine was launched as
-	cancelled         []*jobRecord                  // jobs that a user was told are cancelled
-	startsAfterCancel int                           // starts of these
+	launches          map[string]wire.LaunchRequest // the launch request of each machine, by machine
+	cancelled         []*jobRecord                  // jobs that a response to a user reported as cancelled
+	startsAfterCancel int                           // number of task starts of jobs in cancelled
 	violations        []string
 }
 
-// jobRecord is a job as its user knows it.
+// jobRecord is the state of a job as its user observed it.
 type jobRecord struct {
 	spec            wire.Job
-	rejection       string    // why the job must not be accepted; empty: it may be
-	acceptedAt      time.Time // when a user first got a response that accepts it; zero: not yet
+	rejection       string    // why the job must be rejected; empty: it may be accepted
+	acceptedAt      time.Time // when a user first received a response that accepts the job; zero: not yet
 	cancelRequested bool
-	finalStatus     string // the first status in a response that must not change any more
-	finalAt         time.Time
+	finalStatus     string    // the first final status (done or cancelled) in a response; empty: none yet
+	finalAt         time.Time // when the response with finalStatus was received
 	doneTasks       map[string]bool
-	machineTasks    map[string]bool // its tasks that are on machines
+	machineTasks    map[string]bool // the tasks that are on machines
 }
 
-// TaskEventKind says what a task did.
+// TaskEventKind is the kind of a TaskEvent.
 type TaskEventKind int
 
-// The kinds of events: a task starts on a machine, completes there, or leaves it in any other way.
+// The kinds of events: a task starts on a machine, completes there, or exits without completing.
 const (
 	TaskStarted TaskEventKind = iota
 	TaskCompleted
 	TaskExitedIncomplete
 )
 
-// TaskEvent is a task that started on a machine, or left it.
+// TaskEvent is the start or the exit of a task on a machine.
 type TaskEvent struct {
 	Task, Machine, Zone string
 	Kind                TaskEventKind
 }
 
-// NewRules returns a checker that has observed nothing yet.
+// NewRules returns a Rules without observations.
 func NewRules(cancellationTimeout time.Duration, teamCPULimits map[string]float64, instanceTypes []wire.InstanceType) *Rules {
 	return &Rules{
 		CancellationTimeout: cancellationTimeout,
 		TeamCPULimits:       teamCPULimits,
 		InstanceTypes:       instanceTypes,
 		jobs:                map[string]*jobRecord{},
-		taskMachines:        map[string]string{},
+		machineByTask:       map[string]string{},
 		usedCPUs:            map[string]float64{},
 		launches:            map[string]wire.LaunchRequest{},
 	}
 }
 
-// violate records a violation; the caller holds the lock.
-func (r *Rules) violate(rule, format string, args ...any) {
+// recordViolation records a violation of a rule. The caller holds the lock.
+func (r *Rules) recordViolation(rule, format string, args ...any) {
 	r.violations = append(r.violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// Violations lists the violations so far, each as "rule: details"; nil if there is none.
+// Violations returns the violations so far, each in the form "rule: details"; nil if there are none.
 func (r *Rules) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,22 +107,22 @@
 	return slices.Clone(r.violations)
 }
 
-// StartsAfterCancel counts the starts after a user was told that the job is cancelled, also those
-// that the protocol admits because the command was on its way.
+// StartsAfterCancel returns the number of task starts after a response to a user reported the job as cancelled. This
+// includes starts that the protocol allows because the command had already been sent.
 func (r *Rules) StartsAfterCancel() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.startsAfterCancel
 }
 
-// ZoneOf returns the zone that a machine is or was in, empty if there never was such a machine.
+// ZoneOf returns the zone in which a machine is or was; empty if the machine was never launched.
 func (r *Rules) ZoneOf(machine string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.launches[machine].Zone
 }
 
-// Job returns a job as it was submitted, the zero value if it was not.
+// Job returns a job as it was submitted; the zero value if it was not submitted.
 func (r *Rules) Job(id string) wire.Job {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/sim/checker/tasks.go
+++ b/internal/sim/checker/tasks.go
@@ -9,53 +9,53 @@
 	"caperlatch/internal/wire"
 )
 
-// ObserveLaunch records what a machine was launched as.
+// ObserveLaunch records the launch request of a machine.
 func (r *Rules) ObserveLaunch(machine string, request wire.LaunchRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.launches[machine] = request
 }
 
-// ObserveStart records a task that is on a machine from now on.
+// ObserveStart records that a task has started on a machine, and checks the rules about starts.
 func (r *Rules) ObserveStart(task, machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.checkCancelled()
-	other, alreadyPlaced := r.taskMachines[task]
+	other, alreadyPlaced := r.machineByTask[task]
 	if alreadyPlaced {
-		r.violate(ruleRanTwice, "%s on %s and %s", task, other, machine)
+		r.recordViolation(ruleConcurrentRuns, "%s is on %s and on %s", task, other, machine)
 	}
 	id, _, _ := strings.Cut(task, "/")
 	job := r.jobs[id]
 	if job == nil {
-		r.violate(ruleRanUnknown, "%s", task)
+		r.recordViolation(ruleUnknownTask, "%s belongs to a job that was never submitted", task)
 		return
 	}
 	r.checkPlace(job, task, machine)
 	if job.finalStatus == wire.JobCancelled {
 		r.startsAfterCancel++
 		if time.Since(job.finalAt) > r.CancellationTimeout {
-			r.violate(ruleRanCancelled, "%s starts %v after its user was told", task, time.Since(job.finalAt))
+			r.recordViolation(ruleRanAfterCancel, "%s starts %v after its job was reported cancelled", task, time.Since(job.finalAt))
 		}
 	}
 	if !alreadyPlaced {
 		r.usedCPUs[job.spec.Team] += job.spec.CPUs
 	}
-	r.taskMachines[task], job.machineTasks[task] = machine, true
+	r.machineByTask[task], job.machineTasks[task] = machine, true
 	r.emit(task, machine, TaskStarted)
 	if limit := r.TeamCPULimits[job.spec.Team]; limit > 0 && r.usedCPUs[job.spec.Team] > limit {
-		r.violate(ruleQuota, "team %s uses %v of %v CPUs", job.spec.Team, r.usedCPUs[job.spec.Team], limit)
+		r.recordViolation(ruleTeamCPULimit, "team %s uses %v CPUs, more than its limit of %v", job.spec.Team, r.usedCPUs[job.spec.Team], limit)
 	}
 }
 
-// ObserveExit records that a task is no longer on a machine, and whether it is done.
+// ObserveExit records that a task has exited on a machine; done reports whether the task completed.
 func (r *Rules) ObserveExit(task, machine string, done bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.checkCancelled()
 	id, _, _ := strings.Cut(task, "/")
 	job := r.jobs[id]
-	if job == nil || r.taskMachines[task] != machine {
+	if job == nil || r.machineByTask[task] != machine {
 		return
 	}
 	r.release(job, task)
@@ -73,22 +73,21 @@
 	}
 }
 
-// release takes a task off its machine and out of its team's use; the caller holds the lock.
+// release removes a task from its machine, and its CPUs from the usage of its team. The caller holds the lock.
 func (r *Rules) release(job *jobRecord, task string) {
-	delete(r.taskMachines, task)
+	delete(r.machineByTask, task)
 	delete(job.machineTasks, task)
 	r.usedCPUs[job.spec.Team] -= job.spec.CPUs
 }
 
-// emit passes an event on; the caller holds the lock.
+// emit passes an event to OnTaskEvent. The caller holds the lock.
 func (r *Rules) emit(task, machine string, kind TaskEventKind) {
 	if r.OnTaskEvent != nil {
 		r.OnTaskEvent(TaskEvent{Task: task, Machine: machine, Zone: r.launches[machine].Zone, Kind: kind})
 	}
 }
 
-// checkPlace checks that a job allows the machine that its task starts on; the caller holds the
-// lock.
+// checkPlace checks that a job allows the machine on which its task starts. The caller holds the lock.
 func (r *Rules) checkPlace(job *jobRecord, task, machine string) {
 	launch, spec := r.launches[machine], &job.spec
 	r.checkZones(job, task, launch.Zone)
@@ -96,12 +95,12 @@
 	zoneAllowed := spec.Zone == "" || spec.Zone == launch.Zone
 	spotAllowed := !launch.Spot || spec.AllowSpot
 	if !typeAllowed || !zoneAllowed || !spotAllowed {
-		r.violate(ruleWrongPlace, "%s on %+v", task, launch)
+		r.recordViolation(rulePlacement, "%s starts on a machine that its job does not allow: %+v", task, launch)
 	}
 }
 
-// checkZones checks the zone in which a task starts against those of the job's other tasks, for
-// jobs that restrict the zones of their tasks together; the caller holds the lock.
+// checkZones checks the zone in which a task starts against the zones of the job's other tasks, for jobs that require
+// a single zone or a spread over zones. The caller holds the lock.
 func (r *Rules) checkZones(job *jobRecord, task, zone string) {
 	if !job.spec.SingleZone && !job.spec.SpreadZones {
 		return
@@ -111,27 +110,27 @@
 		if other == task {
 			continue
 		}
-		if otherZone := r.launches[r.taskMachines[other]].Zone; otherZone == zone {
+		if otherZone := r.launches[r.machineByTask[other]].Zone; otherZone == zone {
 			sameZone++
 		} else if job.spec.SingleZone {
-			r.violate(ruleWrongPlace, "%s starts in zone %s while %s is in %s", task, zone, other, otherZone)
+			r.recordViolation(rulePlacement, "%s starts in zone %s while %s is in %s", task, zone, other, otherZone)
 		}
 	}
 	if job.spec.SpreadZones && sameZone > (job.spec.Tasks+1)/2 {
-		r.violate(ruleWrongPlace, "%s makes %d of %d tasks in zone %s", task, sameZone, job.spec.Tasks, zone)
+		r.recordViolation(rulePlacement, "start of %s puts %d of %d tasks in zone %s", task, sameZone, job.spec.Tasks, zone)
 	}
 }
 
-// checkCancelled looks for tasks of jobs that were cancelled too long ago. It comes before every
-// change, so a task that stays only a little too long is found when it leaves. The caller holds
-// the lock.
+// checkCancelled records a violation for each task that is on a machine although its job was cancelled more than
+// CancellationTimeout ago. It is called before each start and exit is recorded, so that a task which exits only
+// slightly too late is still detected. The caller holds the lock.
 func (r *Rules) checkCancelled() {
 	for _, job := range r.cancelled {
 		if time.Since(job.finalAt) <= r.CancellationTimeout {
 			continue
 		}
 		for task := range job.machineTasks {
-			r.violate(ruleRanCancelled, "%s is on %s %v after its user was told", task, r.taskMachines[task], time.Since(job.finalAt))
+			r.recordViolation(ruleRanAfterCancel, "%s is still on %s %v after its job was reported cancelled", task, r.machineByTask[task], time.Since(job.finalAt))
 			r.release(job, task)
 		}
 	}
