--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -11,67 +11,68 @@
 	"caperlatch/internal/wire"
 )
 
-// CloudConfig is what a cloud and its workers are like. Tests may change it while nothing that it
-// bears on is in progress; see SetMaxMachines.
+// CloudConfig configures a Cloud and its workers. A test may change a field while no operation that reads the field
+// is in progress; SetMaxMachines may be called at any time.
 type CloudConfig struct {
 	Net       *Network
-	Rules     *checker.Rules // is passed what workers do
-	NodeHosts []string       // hosts of the controllers
+	Rules     *checker.Rules // receives the launches of machines, and the starts and exits of tasks
+	NodeHosts []string       // of the controllers
 
-	HeartbeatIntervalS float64 // of the workers, in seconds
-	LeaseDurationS     float64
-	ImagePullS         float64 // how long a machine pulls an image; 0: it has all images
+	HeartbeatIntervalS float64 // between two heartbeats of a worker, in seconds
+	LeaseDurationS     float64 // of a worker's lease, in seconds
+	ImagePullS         float64 // duration of an image pull, in seconds; 0: every image is already present on each machine
 
-	Zones             []string       // nil: one, a
-	MaxMachines       int            // in all zones; 0: any number
-	MaxMachinesByZone map[string]int // a zone without an entry: any number
+	Zones             []string       // nil: zone a only
+	MaxMachines       int            // in all zones together; 0: unlimited
+	MaxMachinesByZone map[string]int // a zone without an entry is unlimited
 
-	// RuntimeOf returns how long a task runs, in seconds. It is called with locks held.
+	// RuntimeOf returns the runtime of a task, in seconds. It is called with locks held.
 	RuntimeOf func(task string) float64
-	// TaskFails reports whether a task fails as it starts on a machine; nil: none does. It is called
-	// with locks held.
+	// TaskFails reports whether a task fails immediately when it starts on a machine; nil: no task fails. It is
+	// called with locks held.
 	TaskFails func(task, machine string) bool
-	// ServeWorker serves a worker's handler and returns the address; nil: Net serves it. It is called
-	// with the cloud's lock held.
+	// ServeWorker starts to serve the handler of a worker and returns the address; nil: Net serves the handler. It
+	// is called with the cloud's lock held.
 	ServeWorker func(h http.Handler) (address string)
 }
 
-// Cloud is a fake of the cloud: it has one instance type, and its machines are up at once.
+// Cloud is a fake of the cloud. It has one instance type, and a machine is up as soon as it is launched.
 type Cloud struct {
 	CloudConfig
 
 	gangs *gangRegistry
 
-	mu           sync.Mutex          // guards what follows
-	launches     map[string][]string // machines by the request ID of their launch
-	machines     map[string]*Worker  // that are up
-	nextMachine  int                 // number of the next machine's name
-	taskMachines map[string]string   // the machine that a task is on
-	starts       int
-	startsByJob  map[string]int
-	launched     int
+	mu                sync.Mutex          // guards the fields below
+	machinesByRequest map[string][]string // machine IDs by the request ID of their launch
+	machines          map[string]*Worker  // the machines that are up, by ID
+	nextMachine       int                 // number in the ID of the next machine
+	machineByTask     map[string]string   // ID of the machine on which a task is, by task
+	startCount        int
+	startsByJob       map[string]int
+	launchCount       int
 }
 
 // NewCloud returns a cloud without machines.
 func NewCloud(config CloudConfig) *Cloud {
 	return &Cloud{
-		CloudConfig:  config,
-		gangs:        newGangRegistry(),
-		launches:     map[string][]string{},
-		machines:     map[string]*Worker{},
-		taskMachines: map[string]string{},
-		startsByJob:  map[string]int{},
+		CloudConfig:       config,
+		gangs:             newGangRegistry(),
+		machinesByRequest: map[string][]string{},
+		machines:          map[string]*Worker{},
+		machineByTask:     map[string]string{},
+		startsByJob:       map[string]int{},
 	}
 }
 
-// InstanceTypes returns the list of instance types of every Cloud, with zone a; the caller owns it.
+// InstanceTypes returns the instance types of every Cloud, with zone a as their only zone. The caller may modify the
+// list.
 func InstanceTypes() wire.InstanceTypeList {
 	return wire.InstanceTypeList{Types: []wire.InstanceType{{
 		Name: "m4", CPUs: 4, MemoryGB: 16, ImageCacheGB: 50, ImagePullGBPerS: 1, OnDemandPrice: 1, SpotPrice: 0.3, BootTimeS: 2, Zones: []string{"a"},
 	}}}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves the API of the cloud.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	if err != nil {
@@ -98,14 +99,15 @@
 	}
 }
 
-// serveLaunch launches machines; the caller holds the lock.
+// serveLaunch answers a launch request. A repeated request ID returns the machines of the first request. The caller
+// holds the lock.
 func (c *Cloud) serveLaunch(w http.ResponseWriter, body []byte) {
 	var q wire.LaunchRequest
 	if wire.Unmarshal(body, &q) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	ids, repeated := c.launches[q.RequestID]
+	ids, repeated := c.machinesByRequest[q.RequestID]
 	if !repeated && c.isFull(q.Zone) {
 		respond(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "no capacity"})
 		return
@@ -113,15 +115,15 @@
 	for i := 0; i < q.Count && !repeated && !c.isFull(q.Zone); i++ {
 		ids = append(ids, c.launch(q))
 	}
-	c.launches[q.RequestID] = ids
+	c.machinesByRequest[q.RequestID] = ids
 	respond(w, http.StatusOK, wire.InstanceIDs{IDs: ids})
 }
 
-// launch launches a machine and returns its ID; the caller holds the lock.
+// launch launches a machine and returns its ID. The caller holds the lock.
 func (c *Cloud) launch(q wire.LaunchRequest) string {
 	id := fmt.Sprintf(machineFormat, c.nextMachine)
 	c.nextMachine++
-	c.launched++
+	c.launchCount++
 	c.Rules.ObserveLaunch(id, q)
 	worker := startWorker(c, id, q)
 	c.machines[id] = worker
@@ -129,17 +131,18 @@
 	return id
 }
 
-// machineFormat is the form of machines' IDs.
+// machineFormat is the format of machine IDs.
 const machineFormat = "i-%06d"
 
-// SetMaxMachines changes MaxMachines while the cloud serves.
+// SetMaxMachines changes MaxMachines; it may be called while the cloud serves requests.
 func (c *Cloud) SetMaxMachines(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.MaxMachines = n
 }
 
-// isFull reports whether a zone has no room for a further machine; the caller holds the lock.
+// isFull reports whether MaxMachines or the zone's entry in MaxMachinesByZone prevents a further machine in the zone.
+// The caller holds the lock.
 func (c *Cloud) isFull(zone string) bool {
 	inZone := 0
 	for _, w := range c.machines {
@@ -151,7 +154,7 @@
 	return limited && inZone >= zoneMax || c.MaxMachines > 0 && len(c.machines) >= c.MaxMachines
 }
 
-// serveTerminate terminates machines; the caller holds the lock.
+// serveTerminate answers a request to terminate machines. The caller holds the lock.
 func (c *Cloud) serveTerminate(w http.ResponseWriter, body []byte) {
 	var q wire.InstanceIDs
 	if wire.Unmarshal(body, &q) != nil {
@@ -165,77 +168,76 @@
 	}
 }
 
-// terminate ends a machine that is up, and everything on it; the caller holds the lock.
+// terminate terminates a machine that is up, and all tasks on it. The caller holds the lock.
 func (c *Cloud) terminate(w *Worker) {
 	w.stop()
 	delete(c.machines, w.ID)
 	c.Net.Handle(w.address, nil)
-	for task, machine := range c.taskMachines {
+	for task, machine := range c.machineByTask {
 		if machine == w.ID {
-			delete(c.taskMachines, task)
+			delete(c.machineByTask, task)
 			c.Rules.ObserveExit(task, w.ID, false)
 		}
 	}
 }
 
-// taskStarted records a task that is on a machine from now on.
+// taskStarted records that a task has started on a machine.
 func (c *Cloud) taskStarted(task, machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.starts++
+	c.startCount++
 	job, _, _ := strings.Cut(task, "/")
 	c.startsByJob[job]++
 	c.Rules.ObserveStart(task, machine)
-	c.taskMachines[task] = machine
+	c.machineByTask[task] = machine
 }
 
-// taskExited records that a task is no longer on a machine, and whether it is done.
+// taskExited records that a task has exited on a machine; done reports whether the task completed.
 func (c *Cloud) taskExited(task, machine string, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.taskMachines[task] == machine {
-		delete(c.taskMachines, task)
+	if c.machineByTask[task] == machine {
+		delete(c.machineByTask, task)
 		c.Rules.ObserveExit(task, machine, done)
 	}
 }
 
-// Violations lists the violations of the rules so far.
+// Violations returns the rule violations recorded so far.
 func (c *Cloud) Violations() []string { return c.Rules.Violations() }
 
-// Starts counts the starts of tasks so far.
+// Starts returns the number of task starts so far.
 func (c *Cloud) Starts() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.starts
+	return c.startCount
 }
 
-// StartsOf counts the starts of a job's tasks so far.
+// StartsOf returns the number of starts of a job's tasks so far.
 func (c *Cloud) StartsOf(job string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.startsByJob[job]
 }
 
-// Launched counts the machines launched so far.
+// Launched returns the number of machines launched so far.
 func (c *Cloud) Launched() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.launched
+	return c.launchCount
 }
 
-// TasksOnMachines lists the tasks that are on machines, in any order.
+// TasksOnMachines returns the tasks that have started on a machine and not exited, in no particular order.
 func (c *Cloud) TasksOnMachines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var tasks []string
-	for task := range c.taskMachines {
+	for task := range c.machineByTask {
 		tasks = append(tasks, task)
 	}
 	return tasks
 }
 
-// TaskStates returns the states of the tasks that machines have, by task, without those that have
-// exited.
+// TaskStates returns the state of each task that a worker reports, by task. Exited tasks are not included.
 func (c *Cloud) TaskStates() map[string]string {
 	states := map[string]string{}
 	for _, w := range c.Workers() {
@@ -250,7 +252,7 @@
 	return states
 }
 
-// Workers lists the workers of the machines that are up, in any order.
+// Workers returns the workers of the machines that are up, in no particular order.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,7 +263,7 @@
 	return workers
 }
 
-// WorkersOf lists the workers that have a task of a job, by ID.
+// WorkersOf returns the workers that have a task of a job which has not exited, sorted by ID.
 func (c *Cloud) WorkersOf(job string) (workers []*Worker) {
 	for _, w := range c.Workers() {
 		if slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, job+"/") }) {
@@ -272,7 +274,7 @@
 	return workers
 }
 
-// Machines describes the machines that are up to a history.
+// Machines returns the zone, the CPUs and the price of each machine that is up, for checker.History.
 func (c *Cloud) Machines() []checker.Machine {
 	cpus := int(InstanceTypes().Types[0].CPUs)
 	var machines []checker.Machine
@@ -282,7 +284,7 @@
 	return machines
 }
 
-// Close ends all machines, and does not wait for their workers.
+// Close stops the workers of all machines without waiting for their goroutines to return.
 func (c *Cloud) Close() {
 	for _, w := range c.Workers() {
 		w.stop()
--- a/internal/sim/fake/fake.go
+++ b/internal/sim/fake/fake.go
@@ -1,14 +1,13 @@
-// Package fake holds fakes of what surrounds the controllers, for tests and rehearsals of whole
-// clusters: the state service (StateService), the cloud with its workers (Cloud, Worker), the network
-// between all of them (Network, PeerNetwork, ZonePartition), and the faults of each.
+// Package fake implements the external systems of the controllers for tests and simulations of whole clusters: the
+// state service (StateService), the cloud with its workers (Cloud, Worker), the network that connects them (Network,
+// PeerNetwork, ZonePartition), and fault injection for each of them.
 //
-// The fakes implement the protocol as far as the controllers use it, and pass what workers do on to
-// the checker of the rules. They judge nothing themselves, and must never read the state of a
-// controller.
+// The fakes implement the part of the protocol that the controllers use, and report the actions of workers to the
+// rule checker (checker.Rules). They do not check any rules themselves, and must never read the state of a controller.
 //
-// Each type says which lock guards what. Where several are held, they are taken in this order:
-// Worker, Cloud, then one of gangRegistry, Network and the checker's. Handlers and fault functions are
-// called without a lock of this package; the functions of CloudConfig are called with locks held.
+// Each type documents which fields its lock guards. Locks are acquired in this order: Worker, Cloud, then one of
+// gangRegistry, Network and the checker's. Handlers and fault functions are called without a lock of this package;
+// the functions of CloudConfig are called with locks held.
 package fake
 
 import (
@@ -18,7 +17,7 @@
 	"caperlatch/internal/wire"
 )
 
-// respond writes a response with an encoded body.
+// respond writes a response with the given status code and the encoded body.
 func respond(w http.ResponseWriter, code int, body any) {
 	b, err := wire.Marshal(body)
 	if err != nil {
@@ -28,5 +27,5 @@
 	w.Write(b)
 }
 
-// seconds converts a time in seconds, as the protocol has it.
+// seconds converts a number of seconds, the unit of durations in the protocol, to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/sim/fake/gang.go
+++ b/internal/sim/fake/gang.go
@@ -8,42 +8,43 @@
 	"caperlatch/internal/wire"
 )
 
-// Times of gangs, in seconds.
+// Timeouts of gangs, in seconds.
 const (
-	GangAssemblyTimeoutS = 20.0 // how long a task waits for the others of its gang
-	GangLossTimeoutS     = 3.0  // within what time a task notices that another one is lost
+	GangAssemblyTimeoutS = 20.0 // how long a task waits until all other tasks of its gang are present
+	GangLossTimeoutS     = 3.0  // the time within which a task detects the loss of another task of its gang
 )
 
-// unseenTimeout is how long after its last sign of life a task is taken to be lost.
-const unseenTimeout = time.Second
+// memberTimeout is the time since a task's last step after which the task is considered lost.
+const memberTimeout = time.Second
 
-// gangRegistry is how the tasks of gangs on different machines find each other: by job and attempt.
+// gangRegistry tracks the attempts of gangs. Through it, the tasks of a gang observe each other across machines.
 type gangRegistry struct {
-	mu       sync.Mutex               // guards what follows, and all attempts
-	attempts map[string]*gangAttempt  // by job and number
-	progress map[string]time.Duration // that checkpoints keep, by job
-	done     map[string]bool          // jobs
-	fullRuns map[string]int           // attempts of which all tasks ran at the same time, by job
+	mu       sync.Mutex               // guards the fields below, and all attempts
+	attempts map[string]*gangAttempt  // by job ID and attempt number
+	progress map[string]time.Duration // the progress that is checkpointed, by job
+	done     map[string]bool          // the jobs that are done
+	fullRuns map[string]int           // number of attempts in which all tasks ran at the same time, by job
 }
 
-// gangAttempt is the tasks of one attempt of a gang.
+// gangAttempt is one attempt to run a gang.
 type gangAttempt struct {
 	members     map[string]*gangMember // by task
-	startedAt   time.Time              // since when all run; zero: some wait
-	endsAt      time.Time              // when they are done
-	lostAt      time.Time              // when the first one was missed since the start; zero: none is
-	firstStopAt time.Time              // when the first one was told to checkpoint and stop; zero: none was
-	lastStopAt  time.Time              // when the last one was
-	// The checkpoint is stored at most once, and cannot be stored after it has failed, as a task was
-	// not told in time or is lost. A task that is started anew after it was stored still sets failed.
+	startedAt   time.Time              // when all tasks started to run; zero: they have not yet
+	endsAt      time.Time              // when all tasks will be done
+	lostAt      time.Time              // when the first task was found lost after startedAt; zero: no task is lost
+	firstStopAt time.Time              // when the first task was told to checkpoint and stop; zero: none was
+	lastStopAt  time.Time              // when the latest task was told to checkpoint and stop
+	// checkpointStored is set at most once, and never after checkpointFailed, which is set if a task was not told to
+	// stop in time or is lost. A task that is started again after the checkpoint was stored still sets
+	// checkpointFailed.
 	checkpointStored bool
 	checkpointFailed bool
 }
 
-// gangMember is a task of an attempt.
+// gangMember is one task of an attempt.
 type gangMember struct {
 	joinedAt, seenAt time.Time
-	stopping         bool // it was told to checkpoint and stop
+	stopping         bool // whether the task was told to checkpoint and stop
 }
 
 func newGangRegistry() *gangRegistry {
@@ -55,7 +56,7 @@
 	}
 }
 
-// attempt returns the attempt that a task belongs to; the caller holds the lock.
+// attempt returns the attempt to which a task belongs, and creates it if necessary. The caller holds the lock.
 func (g *gangRegistry) attempt(t *workerTask, job *wire.Job) *gangAttempt {
 	key := fmt.Sprintf("%s@%d", job.ID, t.Attempt)
 	a := g.attempts[key]
@@ -66,18 +67,18 @@
 	return a
 }
 
-// isComplete reports whether all tasks of the job were seen lately.
+// isComplete reports whether every task of the job made a step within memberTimeout.
 func (a *gangAttempt) isComplete(job *wire.Job, now time.Time) bool {
 	n := 0
 	for _, m := range a.members {
-		if now.Sub(m.seenAt) < unseenTimeout {
+		if now.Sub(m.seenAt) < memberTimeout {
 			n++
 		}
 	}
 	return n == job.Tasks
 }
 
-// isStopping reports whether all tasks of the job were told to checkpoint and stop.
+// isStopping reports whether every task of the job was told to checkpoint and stop.
 func (a *gangAttempt) isStopping(job *wire.Job) bool {
 	n := 0
 	for _, m := range a.members {
@@ -88,15 +89,14 @@
 	return n == job.Tasks
 }
 
-// keepProgress keeps the progress up to the last checkpoint that the tasks made by themselves before
-// a given time; the caller holds the lock.
-func (g *gangRegistry) keepProgress(a *gangAttempt, job *wire.Job, until time.Time) {
+// saveProgress saves the progress up to the last periodic checkpoint before a given time. The caller holds the lock.
+func (g *gangRegistry) saveProgress(a *gangAttempt, job *wire.Job, until time.Time) {
 	if interval := seconds(job.CheckpointIntervalS); interval > 0 {
 		g.progress[job.ID] = (g.progress[job.ID] + until.Sub(a.startedAt)) / interval * interval
 	}
 }
 
-// join has a task that has its image wait for the others.
+// join adds a task whose image is present to its gang; the task then waits for the other tasks.
 func (g *gangRegistry) join(t *workerTask, job *wire.Job) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +105,7 @@
 	t.State = wire.TaskWaitingForGang
 }
 
-// gangStep is one look of a task at its gang; it lasts while the registry's lock is held.
+// gangStep holds the arguments of one step of a task. It is used only while the registry's lock is held.
 type gangStep struct {
 	registry *gangRegistry
 	attempt  *gangAttempt
@@ -115,8 +115,8 @@
 	now      time.Time
 }
 
-// step has a task that is on its machine do what the state of the others requires, and reports
-// whether its own state changed. The task runs for runtimeS seconds in all.
+// step updates the state of a task of a gang according to the states of the other tasks, and reports whether the
+// state of the task changed. runtimeS is the total runtime of the task, in seconds.
 func (g *gangRegistry) step(t *workerTask, job *wire.Job, runtimeS float64) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -145,7 +145,8 @@
 	return t.State != before
 }
 
-// exit has the task exit. It leaves its attempt, unless that is over for all.
+// exit sets the task's state to exited. It also removes the task from its attempt, unless the task is done or the
+// checkpoint of the attempt is stored.
 func (s *gangStep) exit(reason string, checkpointed bool) {
 	s.task.State, s.task.ExitReason, s.task.Checkpointed = wire.TaskExited, reason, checkpointed
 	if reason != wire.ExitDone && !s.attempt.checkpointStored {
@@ -153,7 +154,7 @@
 	}
 }
 
-// stepRunning is a step of a gang that has started.
+// stepRunning makes a step while the gang runs.
 func (s *gangStep) stepRunning() {
 	a := s.attempt
 	if a.isComplete(s.job, s.now) && a.lostAt.IsZero() {
@@ -167,14 +168,14 @@
 	}
 	if a.lostAt.IsZero() {
 		a.lostAt = s.now
-		s.registry.keepProgress(a, s.job, s.now)
+		s.registry.saveProgress(a, s.job, s.now)
 	}
-	if s.now.Sub(a.lostAt) >= seconds(GangLossTimeoutS)-unseenTimeout {
+	if s.now.Sub(a.lostAt) >= seconds(GangLossTimeoutS)-memberTimeout {
 		s.exit(wire.ExitGangTaskLost, false)
 	}
 }
 
-// stepStopping is a step of a gang of which a task was told to checkpoint and stop.
+// stepStopping makes a step after a task of the gang was told to checkpoint and stop.
 func (s *gangStep) stepStopping() {
 	a, complete, stopping := s.attempt, s.attempt.isComplete(s.job, s.now), s.attempt.isStopping(s.job)
 	switch {
@@ -187,7 +188,7 @@
 		s.exit(wire.ExitStopped, true)
 	case !complete || s.now.Sub(a.firstStopAt) > seconds(GangLossTimeoutS) && !stopping:
 		a.checkpointFailed = true
-		s.registry.keepProgress(a, s.job, a.firstStopAt)
+		s.registry.saveProgress(a, s.job, a.firstStopAt)
 	}
 	if a.checkpointFailed && s.member.stopping {
 		s.exit(wire.ExitStopped, false)
@@ -196,8 +197,9 @@
 	}
 }
 
-// stop has a task stop: at once if it waits, with the others if it runs and there is time for a
-// checkpoint. A task that is being stopped goes on with its checkpoint unless graceS is 0.
+// stop stops a task. If the task runs and the grace period is long enough for a checkpoint, the task starts to
+// checkpoint and exits together with the other tasks; otherwise it exits immediately. A task that is already
+// checkpointing continues unless graceS is 0.
 func (g *gangRegistry) stop(t *workerTask, job *wire.Job, graceS float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,14 +220,14 @@
 	delete(a.members, t.TaskID)
 }
 
-// GangRuns counts the attempts of a job of which all tasks ran at the same time.
+// GangRuns returns the number of attempts of a job in which all tasks ran at the same time.
 func (c *Cloud) GangRuns(job string) int {
 	c.gangs.mu.Lock()
 	defer c.gangs.mu.Unlock()
 	return c.gangs.fullRuns[job]
 }
 
-// GangProgress returns how much of a job's progress its checkpoints keep.
+// GangProgress returns the progress of a job that is checkpointed.
 func (c *Cloud) GangProgress(job string) time.Duration {
 	c.gangs.mu.Lock()
 	defer c.gangs.mu.Unlock()
--- a/internal/sim/fake/gang_test.go
+++ b/internal/sim/fake/gang_test.go
@@ -14,7 +14,7 @@
 	"caperlatch/internal/wire"
 )
 
-// gangEvent is what happens to a machine: a command to start or stop a task of the gang, or a hang.
+// gangEvent is an event on a machine: a command to start or stop a task of the gang, or a hang.
 type gangEvent struct {
 	at      time.Duration
 	machine int
@@ -25,20 +25,20 @@
 	hang    time.Duration
 }
 
-// gangBench is a few machines and a node that only renews their leases.
-type gangBench struct {
+// gangFixture is a set of machines, and a node that only renews their leases.
+type gangFixture struct {
 	t       *testing.T
 	cloud   *Cloud
 	workers []*Worker
 }
 
-// newGangBench starts machines and submits the gang j-000001 of three tasks.
-func newGangBench(t *testing.T, machines int) *gangBench {
+// newGangFixture starts machines and submits the gang j-000001, which has three tasks.
+func newGangFixture(t *testing.T, machines int) *gangFixture {
 	rules := checker.NewRules(time.Minute, map[string]float64{"blue": 0}, InstanceTypes().Types)
 	rules.ObserveSubmission(wire.Job{
 		ID: "j-000001", Team: "blue", Kind: wire.KindGang, Tasks: 3, CPUs: 1, Image: "img", CheckpointIntervalS: 5, CheckpointDurationS: 2, AllowSpot: true,
 	})
-	b := &gangBench{t: t, cloud: newTestCloud(rules, 60)}
+	b := &gangFixture{t: t, cloud: newTestCloud(rules, 60)}
 	for i := range machines {
 		w := startWorker(b.cloud, fmt.Sprintf("i-%06d", i), wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true})
 		b.workers = append(b.workers, w)
@@ -46,16 +46,16 @@
 	return b
 }
 
-// close ends the machines and waits until nothing of them runs.
-func (b *gangBench) close() {
+// close stops the machines and waits until their goroutines have returned.
+func (b *gangFixture) close() {
 	for _, w := range b.workers {
 		w.stop()
 	}
 	time.Sleep(2 * time.Minute)
 }
 
-// apply applies an event.
-func (b *gangBench) apply(e gangEvent) {
+// apply applies an event to its machine.
+func (b *gangFixture) apply(e gangEvent) {
 	w := b.workers[e.machine]
 	if e.hang > 0 {
 		w.Hang(e.hang)
@@ -68,16 +68,16 @@
 	sendCommands(b.t, w, command)
 }
 
-// stateNames name the states and exit reasons that the protocol names otherwise.
-var stateNames = map[string]string{
+// shortStateNames maps states and exit reasons of the protocol to the names that the test cases use.
+var shortStateNames = map[string]string{
 	wire.TaskWaitingForGang: "waiting",
 	wire.TaskCheckpointing:  "checkpointing",
 	wire.ExitGangTaskLost:   "lost",
 	wire.ExitGangTimeout:    "timeout",
 }
 
-// states are those of the latest task of each machine; for an exited task, its exit reason.
-func (b *gangBench) states() string {
+// states returns the state of the latest task of each machine; for an exited task, its exit reason.
+func (b *gangFixture) states() string {
 	var out []string
 	for _, w := range b.workers {
 		w.mu.Lock()
@@ -86,7 +86,7 @@
 			if state = task.State; state == wire.TaskExited {
 				state = task.ExitReason
 			}
-			state = cmp.Or(stateNames[state], state)
+			state = cmp.Or(shortStateNames[state], state)
 			if task.Checkpointed {
 				state += "+checkpointed"
 			}
@@ -97,15 +97,15 @@
 	return strings.Join(out, " ")
 }
 
-// gangCase is a run of the gang on four machines.
+// gangCase is a scenario for the gang on four machines.
 type gangCase struct {
 	name     string
 	events   []gangEvent
-	want     map[time.Duration]string // states at these times
-	progress time.Duration            // that its checkpoints keep in the end
+	want     map[time.Duration]string // states at the given times
+	progress time.Duration            // that is checkpointed at the end
 }
 
-// gangCases cover the phases of a gang.
+// gangCases covers the phases of a gang.
 func gangCases() []gangCase {
 	const s = time.Second
 	start := func(at time.Duration, machine, task int, attempt uint64) gangEvent {
@@ -118,9 +118,9 @@
 		return gangEvent{at: at, machine: machine, hang: d}
 	}
 	startAll := []gangEvent{start(0, 0, 0, 1), start(0, 1, 1, 1), start(0, 2, 2, 1)}
-	startAllAnd := func(more ...gangEvent) []gangEvent { return append(slices.Clone(startAll), more...) }
-	stopAllAnd := func(more ...gangEvent) []gangEvent {
-		return append(startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9)), more...)
+	startAllThen := func(more ...gangEvent) []gangEvent { return append(slices.Clone(startAll), more...) }
+	stopAllThen := func(more ...gangEvent) []gangEvent {
+		return append(startAllThen(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7*s, 2, 9)), more...)
 	}
 	const (
 		running = "running running running -"
@@ -136,32 +136,33 @@
 			map[time.Duration]string{11 * s: "waiting waiting waiting -", 21 * s: "timeout timeout waiting -"}, 0},
 		{"a waiting task is stopped at once, and replaced", []gangEvent{startAll[0], startAll[1], stop(5*s, 1, 9), start(8*s, 2, 2, 1), start(9*s, 3, 1, 1)},
 			map[time.Duration]string{6 * s: "waiting stopped - -", 8500 * time.Millisecond: "waiting stopped waiting -", 10 * s: "running stopped running running"}, 0},
-		{"a machine hangs: the others notice the loss", startAllAnd(hang(12*s, 2, 30*s)), map[time.Duration]string{13 * s: running, 16 * s: "lost lost running -"}, 10 * s},
-		{"all tasks are stopped at once", stopAllAnd(), map[time.Duration]string{8 * s: "checkpointing checkpointing checkpointing -", 10 * s: stored}, 7 * s},
-		{"the last stop arrives just in time", startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(9500*time.Millisecond, 2, 9)),
+		{"a machine hangs: the others notice the loss", startAllThen(hang(12*s, 2, 30*s)), map[time.Duration]string{13 * s: running, 16 * s: "lost lost running -"}, 10 * s},
+		{"all tasks are stopped at once", stopAllThen(), map[time.Duration]string{8 * s: "checkpointing checkpointing checkpointing -", 10 * s: stored}, 7 * s},
+		{"the last stop arrives just in time", startAllThen(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(9500*time.Millisecond, 2, 9)),
 			map[time.Duration]string{9 * s: "checkpointing checkpointing running -", 12 * s: stored}, 7 * s},
-		{"the last stop arrives too late", startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(11*s, 2, 9)), map[time.Duration]string{12 * s: "stopped stopped lost -"}, 5 * s},
-		{"one stop has too short a grace period", startAllAnd(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7500*time.Millisecond, 2, 1)),
+		{"the last stop arrives too late", startAllThen(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(11*s, 2, 9)), map[time.Duration]string{12 * s: "stopped stopped lost -"}, 5 * s},
+		{"one stop has too short a grace period", startAllThen(stop(7*s, 0, 9), stop(7*s, 1, 9), stop(7500*time.Millisecond, 2, 1)),
 			map[time.Duration]string{8500 * time.Millisecond: "stopped stopped stopped -"}, 5 * s},
-		{"a second stop ends the checkpoint", stopAllAnd(stop(8*s, 2, 0)), map[time.Duration]string{10 * s: "stopped stopped stopped -"}, 5 * s},
-		{"a second stop with a grace period changes nothing", stopAllAnd(stop(8*s, 2, 1)), map[time.Duration]string{10 * s: stored}, 7 * s},
-		{"a machine hangs before the checkpoint is stored", stopAllAnd(hang(7500*time.Millisecond, 2, 30*s)),
+		{"a second stop ends the checkpoint", stopAllThen(stop(8*s, 2, 0)), map[time.Duration]string{10 * s: "stopped stopped stopped -"}, 5 * s},
+		{"a second stop with a grace period changes nothing", stopAllThen(stop(8*s, 2, 1)), map[time.Duration]string{10 * s: stored}, 7 * s},
+		{"a machine hangs before the checkpoint is stored", stopAllThen(hang(7500*time.Millisecond, 2, 30*s)),
 			map[time.Duration]string{11 * s: "stopped stopped checkpointing -"}, 5 * s},
-		{"a machine hangs when the checkpoint is stored", stopAllAnd(hang(8800*time.Millisecond, 2, 30*s)),
+		{"a machine hangs when the checkpoint is stored", stopAllThen(hang(8800*time.Millisecond, 2, 30*s)),
 			map[time.Duration]string{11 * s: "stopped+checkpointed stopped+checkpointed checkpointing -"}, 7 * s},
-		{"the next attempt resumes from the checkpoint", stopAllAnd(start(20*s, 0, 0, 2), start(20*s, 1, 1, 2), start(20*s, 2, 2, 2)),
+		{"the next attempt resumes from the checkpoint", stopAllThen(start(20*s, 0, 0, 2), start(20*s, 1, 1, 2), start(20*s, 2, 2, 2)),
 			map[time.Duration]string{32500 * time.Millisecond: running, 34 * s: "done done done -"}, 7 * s},
-		{"a task starts again after all are done", startAllAnd(start(25*s, 3, 0, 2)), map[time.Duration]string{26 * s: "done done done done"}, 0},
+		{"a task starts again after all are done", startAllThen(start(25*s, 3, 0, 2)), map[time.Duration]string{26 * s: "done done done done"}, 0},
 	}
 }
 
-// TestGang goes through the phases of a gang of three tasks, which runs for 20 s, has a checkpoint
-// every 5 s of its progress, and takes 2 s for a checkpoint when it is stopped.
-func TestGang(t *testing.T) {
+// TestGangLifecycle checks the phases of a gang of three tasks: waiting, running, checkpointing, loss of a task and
+// restart. The gang runs for 20 s, makes a checkpoint after every 5 s of progress, and needs 2 s for a checkpoint when
+// it is stopped.
+func TestGangLifecycle(t *testing.T) {
 	for _, c := range gangCases() {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newGangBench(t, 4)
+				b := newGangFixture(t, 4)
 				defer b.close()
 				start := time.Now()
 				for _, e := range c.events {
@@ -170,11 +171,11 @@
 				for _, at := range slices.Sorted(maps.Keys(c.want)) {
 					time.Sleep(time.Until(start.Add(at + 50*time.Millisecond)))
 					if got := b.states(); got != c.want[at] {
-						t.Errorf("%s: after %v the tasks are %q, want %q", c.name, at, got, c.want[at])
+						t.Errorf("%s: after %v the task states are %q, want %q", c.name, at, got, c.want[at])
 					}
 				}
 				if got := b.cloud.GangProgress("j-000001").Round(time.Second); got != c.progress {
-					t.Errorf("%s: %v of its progress is kept, want %v", c.name, got, c.progress)
+					t.Errorf("%s: checkpointed progress is %v, want %v", c.name, got, c.progress)
 				}
 			})
 		})
--- a/internal/sim/fake/latency.go
+++ b/internal/sim/fake/latency.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// latencyConn is a connection that delivers what is written to it after a latency, in order. Its
-// goroutine ends with Close, which does not wait for it: it may be in a write to a peer that does
-// not read, which Close ends.
+// latencyConn is a connection that delivers written data in order, after a latency. Close stops the delivering
+// goroutine but does not wait until it has returned. The goroutine may be blocked in a write to a peer that does not
+// read; Close makes that write fail.
 type latencyConn struct {
 	net.Conn
 	latency func() time.Duration // called at each write
-	done    chan struct{}        // closed with the connection
+	done    chan struct{}        // closed by Close
 	once    sync.Once
-	wake    chan struct{} // capacity 1: there is something in the queue
+	wake    chan struct{} // capacity 1: signals that data was queued
 
-	mu    sync.Mutex // guards the queue
+	mu    sync.Mutex // guards queue
 	queue []delayedData
 }
 
-// delayedData is a piece of a stream on its way.
+// delayedData is data that is due for delivery at a given time.
 type delayedData struct {
 	due  time.Time
 	data []byte
 }
 
-// newLatencyConn adds latency to what is written to a connection.
+// newLatencyConn returns a connection that delivers data written to conn after the given latency.
 func newLatencyConn(conn net.Conn, latency func() time.Duration) *latencyConn {
 	c := &latencyConn{Conn: conn, latency: latency, done: make(chan struct{}), wake: make(chan struct{}, 1)}
 	go c.deliver()
 	return c
 }
 
-// Write sends data on its way; it never blocks.
+// Write queues data for delivery; it never blocks.
 func (c *latencyConn) Write(data []byte) (int, error) {
 	select {
 	case <-c.done:
@@ -51,16 +51,16 @@
 	return len(data), nil
 }
 
-// SetWriteDeadline does nothing, as no write blocks.
+// SetWriteDeadline does nothing, because Write never blocks.
 func (c *latencyConn) SetWriteDeadline(time.Time) error { return nil }
 
-// Close ends the connection; what is on its way is lost.
+// Close closes the connection; queued data is lost.
 func (c *latencyConn) Close() error {
 	c.once.Do(func() { close(c.done) })
 	return c.Conn.Close()
 }
 
-// deliver writes what is due until the connection ends.
+// deliver writes queued data to the underlying connection when it is due, until the connection is closed.
 func (c *latencyConn) deliver() {
 	for {
 		next, ok := c.pop()
@@ -83,7 +83,7 @@
 	}
 }
 
-// pop takes the first piece off the queue, if there is one.
+// pop removes and returns the first element of the queue; ok is false if the queue is empty.
 func (c *latencyConn) pop() (next delayedData, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/sim/fake/network.go
+++ b/internal/sim/fake/network.go
@@ -14,104 +14,104 @@
 	"caperlatch/internal/wire"
 )
 
-// errConnectionRefused is what a sender gets where nobody listens.
+// errConnectionRefused is the error for a host that has no handler or listener, or cannot be reached.
 var errConnectionRefused = errors.New("connection refused")
 
-// Fault is what happens to a request or its response.
+// Fault is a fault that is injected into a request or its response.
 type Fault int
 
-// The faults.
+// The faults of requests.
 const (
 	NoFault            Fault = iota
-	ServiceUnavailable       // answered with 503, not handled
-	DroppedRequest           // neither handled nor answered
-	DroppedResponse          // handled, not answered
-	DelayedRequest           // handled after the sender has given up, not answered
-	DuplicatedRequest        // handled and answered, and a copy of it is handled later
-	TooManyRequests          // answered with 429, not handled
-	HighLatency              // the request and its response take messageLatency each
-	DelayedStarts            // a response with start commands takes startsDelay
+	ServiceUnavailable       // the response is 503, and the request is not handled
+	DroppedRequest           // the request is not handled, and there is no response
+	DroppedResponse          // the request is handled, but there is no response
+	DelayedRequest           // the request is handled after a delay (requestDelay), and there is no response
+	DuplicatedRequest        // the request is handled and answered, and a copy of it is handled later
+	TooManyRequests          // the response is 429, and the request is not handled
+	HighLatency              // the request and its response are each delayed by messageLatency
+	DelayedStarts            // a response with start commands is delayed by startResponseDelay
 )
 
-// The delays of faults.
 const (
-	// messageLatency is how long a message takes with HighLatency.
+	// messageLatency is the delay of each message under HighLatency.
 	messageLatency = 300 * time.Millisecond
-	// startsDelay is nearly as long as a worker waits for the response to a heartbeat.
-	startsDelay = 3500 * time.Millisecond
+	// startResponseDelay is the delay of responses under DelayedStarts. It is slightly below responseTimeout, for
+	// which a worker waits for the response to a heartbeat.
+	startResponseDelay = 3500 * time.Millisecond
 )
 
-// requestDelay is how long the nth delayed request takes: 2 to 12 s, so that they overtake each
-// other.
+// requestDelay returns the delay of a delayed request, which is the nth of all delayed and duplicated requests: 2 to
+// 12 s, so that requests overtake each other.
 func requestDelay(n int) time.Duration { return 2*time.Second + time.Duration(n*7%11)*time.Second }
 
-// duplicateDelay is how long the copy of the nth request takes that is delayed or duplicated: from
-// 2 s to well over the tests' lease.
+// duplicateDelay returns the delay of the copy of a duplicated request, which is the nth of all delayed and duplicated
+// requests: from 2 s to well over the lease duration of the tests.
 func duplicateDelay(n int) time.Duration { return 2*time.Second + time.Duration(n*7%17)*time.Second }
 
-// FaultFunc chooses the fault of a request.
+// FaultFunc returns the fault to inject into a request from a sender.
 type FaultFunc func(from string, r *http.Request) Fault
 
-// Network carries HTTP requests to handlers by host.
+// Network is an HTTP network within one process: it passes each request to the handler of its host.
 type Network struct {
-	delayed sync.WaitGroup // requests that are handled apart from their senders
+	delayed sync.WaitGroup // handlers that run independently of their sender
 
-	mu                    sync.Mutex // guards what follows
+	mu                    sync.Mutex // guards the fields below
 	handlers              map[string]http.Handler
 	fault                 FaultFunc      // nil: no faults
-	workerCalls           map[string]int // to workers in progress, by sender
-	maxWorkerCalls        int            // of these at a time, of any sender
-	delayedRequests       int            // so far, with the duplicated ones
-	delayedStartResponses int            // so far
+	workerCalls           map[string]int // number of requests to workers in progress, by sender
+	maxWorkerCalls        int            // the highest value that any entry of workerCalls has had
+	delayedRequests       int            // number of delayed and duplicated requests so far
+	delayedStartResponses int            // number of delayed responses with start commands so far
 }
 
-// NewNetwork returns a network without handlers and faults.
+// NewNetwork returns a network without handlers or faults.
 func NewNetwork() *Network {
 	return &Network{handlers: map[string]http.Handler{}, workerCalls: map[string]int{}}
 }
 
-// Handle sets the handler of a host; nil removes it, and connections to the host are refused.
+// Handle sets the handler of a host. If h is nil, it removes the handler, and connections to the host are refused.
 func (n *Network) Handle(host string, h http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[host] = h
 }
 
-// SetFault has f choose the faults of requests from now on; nil: no faults. It is called without a
-// lock, for several requests at a time.
+// SetFault sets the function that returns the fault of each request; nil: no faults. f is called without a lock, and
+// concurrently for several requests.
 func (n *Network) SetFault(f FaultFunc) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fault = f
 }
 
-// DelayedStartResponses counts the responses with start commands that were delayed.
+// DelayedStartResponses returns the number of responses with start commands that were delayed.
 func (n *Network) DelayedStartResponses() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delayedStartResponses
 }
 
-// MaxWorkerCalls returns how many calls to workers any one sender had in progress at most.
+// MaxWorkerCalls returns the highest number of requests to workers that any one sender had in progress at once.
 func (n *Network) MaxWorkerCalls() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.maxWorkerCalls
 }
 
-// WaitDelayed waits until all delayed requests have been handled.
+// WaitDelayed waits until all requests that are handled independently of their sender have been handled.
 func (n *Network) WaitDelayed() { n.delayed.Wait() }
 
-// From returns the network as one sender uses it.
+// From returns the transport through which a sender sends its requests.
 func (n *Network) From(sender string) http.RoundTripper { return &transport{n, sender} }
 
-// transport is a sender's way into the network.
+// transport sends the requests of one sender to the network.
 type transport struct {
 	network *Network
 	sender  string
 }
 
-// RoundTrip implements http.RoundTripper.
+// RoundTrip passes a request to its handler, with the fault that the network's FaultFunc returns.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	n := t.network
 	n.mu.Lock()
@@ -124,7 +124,8 @@
 	n.mu.Unlock()
 	fault := NoFault
 	if chooseFault != nil {
-		// Not under the lock: it may look at machines, while the cloud adds one to the network.
+		// The lock is not held here: chooseFault may take the cloud's lock, and the cloud holds that lock while it
+		// adds a machine to the network.
 		fault = chooseFault(t.sender, r)
 	}
 	if handler == nil {
@@ -137,14 +138,14 @@
 	return n.deliver(&call{handler, r, body}, fault)
 }
 
-// endWorkerCall counts a call to a worker as over.
+// endWorkerCall records that a request of a sender to a worker has ended.
 func (n *Network) endWorkerCall(sender string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.workerCalls[sender]--
 }
 
-// isWorkerHost reports whether a host is a worker's address.
+// isWorkerHost reports whether a host is the address of a worker.
 func isWorkerHost(host string) bool { return strings.HasSuffix(host, workerPort) }
 
 // readBody reads and closes the body of a request.
@@ -160,14 +161,14 @@
 	return body, nil
 }
 
-// call is a request on its way to its handler.
+// call is a request with its handler and its body, which may be delivered several times.
 type call struct {
 	handler http.Handler
 	request *http.Request
 	body    []byte
 }
 
-// handle has the request handled.
+// handle calls the handler and returns its response.
 func (c *call) handle(ctx context.Context) *http.Response {
 	recorder := httptest.NewRecorder()
 	r := c.request.Clone(ctx)
@@ -176,12 +177,12 @@
 	return recorder.Result()
 }
 
-// respond answers the request with a status code and no body.
+// respond returns a response with a status code and no body.
 func (c *call) respond(code int) *http.Response {
 	return &http.Response{StatusCode: code, Body: http.NoBody, Header: http.Header{}, Request: c.request}
 }
 
-// deliver carries a request to its handler and the response back, with a fault.
+// deliver passes a request to its handler and returns the response, with a fault injected.
 func (n *Network) deliver(c *call, fault Fault) (*http.Response, error) {
 	ctx := c.request.Context()
 	switch fault {
@@ -211,8 +212,8 @@
 	return nil, ctx.Err()
 }
 
-// deliverWithoutFault has a request handled. A worker handles what was sent to it also when the
-// sender gives up: a machine that hangs does so once it goes on.
+// deliverWithoutFault passes a request to its handler. A worker handles the request even if the sender gives up
+// first: a machine that hangs handles it when it resumes.
 func (n *Network) deliverWithoutFault(c *call) (*http.Response, error) {
 	ctx := c.request.Context()
 	if !isWorkerHost(c.request.URL.Host) {
@@ -228,7 +229,7 @@
 	}
 }
 
-// deliverWithDelayedStarts has a request handled, and delays a response with start commands.
+// deliverWithDelayedStarts passes a request to its handler, and delays the response if it has start commands.
 func (n *Network) deliverWithDelayedStarts(c *call) (*http.Response, error) {
 	ctx := c.request.Context()
 	response := c.handle(ctx)
@@ -241,12 +242,12 @@
 		n.mu.Lock()
 		n.delayedStartResponses++
 		n.mu.Unlock()
-		time.Sleep(startsDelay)
+		time.Sleep(startResponseDelay)
 	}
 	return response, ctx.Err()
 }
 
-// handleLater has a request handled after a delay that depends on how many were delayed before.
+// handleLater handles a request after the delay that delayOf returns for the number of delayed requests so far.
 func (n *Network) handleLater(c *call, delayOf func(n int) time.Duration) {
 	n.mu.Lock()
 	n.delayedRequests++
--- a/internal/sim/fake/peer_network.go
+++ b/internal/sim/fake/peer_network.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// PeerNetwork connects controllers with each other within a process, by pipes.
+// PeerNetwork connects controllers within one process with each other through pipes.
 type PeerNetwork struct {
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	listeners   map[string]*pipeListener
-	partitioned func(from, to string) bool          // nil: nobody is
-	latency     func(from, to string) time.Duration // nil: none
-	connections []peerConnection                    // all that were made, perhaps closed since
+	partitioned func(from, to string) bool          // nil: no partition
+	latency     func(from, to string) time.Duration // nil: no latency
+	connections []peerConnection                    // all connections that were made, including closed ones
 }
 
-// peerConnection is the dialer's end of a connection.
+// peerConnection is the end of a connection that the dialing node holds.
 type peerConnection struct {
 	from, to string
 	conn     net.Conn
 }
 
-// NewPeerNetwork returns a network without listeners, partitions and latency.
+// NewPeerNetwork returns a network without listeners, partitions or latency.
 func NewPeerNetwork() *PeerNetwork { return &PeerNetwork{listeners: map[string]*pipeListener{}} }
 
-// SetPartition has f decide who cannot connect to whom from now on; their open connections are
-// reset. It is called under the network's lock.
+// SetPartition sets the function that reports whether a node cannot connect to another, and closes the open
+// connections between such nodes. f is called with the network's lock held.
 func (p *PeerNetwork) SetPartition(f func(from, to string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,15 +38,15 @@
 	}
 }
 
-// SetLatency has f decide how long what is sent takes from one node to another, on connections that
-// are opened from now on; nil: no time.
+// SetLatency sets the function that returns the latency from one node to another; nil: no latency. It applies to
+// connections that are opened afterwards.
 func (p *PeerNetwork) SetLatency(f func(from, to string) time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.latency = f
 }
 
-// Listen takes an address, also from a listener that had it before.
+// Listen returns a listener for an address. It replaces any previous listener for that address.
 func (p *PeerNetwork) Listen(addr string) net.Listener {
 	l := &pipeListener{addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 	p.mu.Lock()
@@ -55,7 +55,7 @@
 	return l
 }
 
-// Dial connects to a listener.
+// Dial connects a node to the listener for an address.
 func (p *PeerNetwork) Dial(ctx context.Context, from, addr string) (net.Conn, error) {
 	p.mu.Lock()
 	listener := p.listeners[addr]
@@ -65,26 +65,26 @@
 	if listener == nil || partitioned {
 		return nil, errConnectionRefused
 	}
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	if latency != nil {
-		near = newLatencyConn(near, func() time.Duration { return latency(from, addr) })
-		far = newLatencyConn(far, func() time.Duration { return latency(addr, from) })
-		time.Sleep(latency(from, addr) + latency(addr, from)) // to connect takes a message and its answer
+		clientConn = newLatencyConn(clientConn, func() time.Duration { return latency(from, addr) })
+		serverConn = newLatencyConn(serverConn, func() time.Duration { return latency(addr, from) })
+		time.Sleep(latency(from, addr) + latency(addr, from)) // connecting takes one round trip
 	}
 	accepted := false
 	defer func() {
 		if !accepted {
-			near.Close()
-			far.Close()
+			clientConn.Close()
+			serverConn.Close()
 		}
 	}()
 	select {
-	case listener.conns <- far:
+	case listener.conns <- serverConn:
 		accepted = true
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.connections = append(p.connections, peerConnection{from, addr, near})
-		return near, nil
+		p.connections = append(p.connections, peerConnection{from, addr, clientConn})
+		return clientConn, nil
 	case <-listener.done:
 		return nil, errConnectionRefused
 	case <-ctx.Done():
@@ -92,15 +92,15 @@
 	}
 }
 
-// pipeListener is a listener of a PeerNetwork.
+// pipeListener implements net.Listener for a PeerNetwork.
 type pipeListener struct {
 	addr  string
 	conns chan net.Conn
-	done  chan struct{} // closed with the listener
+	done  chan struct{} // closed by Close
 	once  sync.Once
 }
 
-// Accept implements net.Listener.
+// Accept waits for the next connection.
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -110,11 +110,11 @@
 	}
 }
 
-// Close implements net.Listener.
+// Close closes the listener; it may be called several times.
 func (l *pipeListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-// Addr implements net.Listener.
+// Addr returns the address of the listener.
 func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: l.addr, Net: "pipe"} }
--- a/internal/sim/fake/restore.go
+++ b/internal/sim/fake/restore.go
@@ -7,9 +7,9 @@
 	"caperlatch/internal/wire"
 )
 
-// Restore has the cloud own machines as recorded heartbeats describe them, as if they had been
-// launched and worked on. The rules must know the jobs of their tasks. It is called before anything
-// else uses the cloud: workers are changed without their locks.
+// Restore adds the machines that recorded heartbeats describe, with their tasks, as if the cloud had launched them.
+// The rules must know the jobs of the tasks. Restore must be called before anything else uses the cloud, because it
+// changes workers without holding their locks.
 func (c *Cloud) Restore(heartbeats []wire.Heartbeat) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -18,14 +18,14 @@
 			return err
 		}
 	}
-	for i := range heartbeats { // only now, since the tasks of a gang watch each other
+	for i := range heartbeats { // after all machines are restored, because the tasks of a gang observe each other
 		w := c.machines[heartbeats[i].MachineID]
 		go w.run(w.ctx)
 	}
 	return nil
 }
 
-// restoreMachine adds a machine whose worker does not run yet; the caller holds the lock.
+// restoreMachine adds a machine whose worker does not run yet. The caller holds the lock.
 func (c *Cloud) restoreMachine(h *wire.Heartbeat) error {
 	launch := wire.LaunchRequest{InstanceType: h.InstanceType, Zone: h.Zone, Spot: h.Spot}
 	c.Rules.ObserveLaunch(h.MachineID, launch)
@@ -42,32 +42,31 @@
 	return nil
 }
 
-// reserveID keeps the ID of a machine from being given to a further one; the caller holds the lock.
+// reserveID ensures that no further machine gets the given ID. The caller holds the lock.
 func (c *Cloud) reserveID(id string) error {
 	var n int
 	if _, err := fmt.Sscanf(id, "i-%d", &n); err != nil {
-		return fmt.Errorf("machine %s: %w", id, err)
+		return fmt.Errorf("parse machine ID %q: %w", id, err)
 	}
 	c.nextMachine = max(c.nextMachine, n+1)
 	return nil
 }
 
-// restoreTask records that a machine has a task, or that it is done there; the caller holds the
-// lock.
+// restoreTask records that a task is on a machine, or that it completed there. The caller holds the lock.
 func (c *Cloud) restoreTask(t *workerTask, machine string) {
 	switch {
 	case t.State == wire.TaskPullingImage:
-		// Recorded when it has its image.
+		// The start is recorded when the image pull is complete.
 	case t.State != wire.TaskExited:
 		c.Rules.ObserveStart(t.TaskID, machine)
-		c.taskMachines[t.TaskID] = machine
+		c.machineByTask[t.TaskID] = machine
 	case t.ExitReason == wire.ExitDone:
 		c.Rules.ObserveStart(t.TaskID, machine)
 		c.Rules.ObserveExit(t.TaskID, machine, true)
 	}
 }
 
-// restore gives a worker that does not run yet the state that a heartbeat describes.
+// restore sets the state of a worker that does not run yet to the one that a heartbeat describes.
 func (w *Worker) restore(h *wire.Heartbeat) {
 	w.incarnation, w.sequence, w.fencingToken = h.Incarnation, h.Sequence, h.FencingToken
 	if h.InterruptionNoticeS != nil {
@@ -94,7 +93,7 @@
 	}
 }
 
-// restore gives a gang's attempt the state that one of its tasks had in a heartbeat.
+// restore updates the attempt of a gang according to the state that one of its tasks had in a heartbeat.
 func (g *gangRegistry) restore(t *workerTask, job *wire.Job, runtimeS float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/sim/fake/state_golden_test.go
+++ b/internal/sim/fake/state_golden_test.go
@@ -7,15 +7,15 @@
 	"caperlatch/internal/wire"
 )
 
-// encodedTypes are those whose values the state service reads.
+// encodedTypes are the types whose encoding the state service decodes.
 var encodedTypes = []golden.Type{
 	golden.TypeOf[transaction]("a transaction"),
 }
 
-// TestTxnEncoding checks that they are encoded as they were.
+// TestTxnEncoding guards against changes to the encoding of encodedTypes.
 func TestTxnEncoding(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestTxnTags checks that tags name all their fields.
+// TestTxnTags checks that every field of encodedTypes is named by a tag.
 func TestTxnTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
--- a/internal/sim/fake/state_limits.go
+++ b/internal/sim/fake/state_limits.go
@@ -9,23 +9,23 @@
 	"caperlatch/internal/wire"
 )
 
-// StateLimits are the limits of a state service; what is 0 is not limited.
+// StateLimits are the limits of a state service; 0 means unlimited.
 type StateLimits struct {
-	ValueKB  float64 // of a value, as JSON
-	TxnOps   int     // changes in a transaction; compares: four times as many
-	RPS      float64 // requests a second, with bursts of one second's worth
-	WriteRPS float64 // changes a second, likewise
+	ValueKB  float64 // maximum size of a value, encoded as JSON
+	TxnOps   int     // maximum number of changes in a transaction; the maximum number of compares is four times as high
+	RPS      float64 // requests per second, with a burst of one second's requests
+	WriteRPS float64 // changes per second, with a burst of one second's changes
 }
 
-// limits enforces them; the state service's lock guards it.
+// limits enforces StateLimits; the state service's lock guards it.
 type limits struct {
 	StateLimits
-	requests, writes *rate.Limiter // nil: no limit
-	rejectedTxns     int           // for their size
+	requests, writes *rate.Limiter // nil: unlimited
+	rejectedTxns     int           // number of transactions rejected for their size
 }
 
-// SetLimits changes the limits from now on, as the service does, without notice; what is stored
-// stays.
+// SetLimits changes the limits. Like the real service, it does so without notice, and stored values remain even if
+// they exceed the new limits.
 func (s *StateService) SetLimits(l StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,14 +33,14 @@
 	s.limits.requests, s.limits.writes = newLimiter(l.RPS), newLimiter(l.WriteRPS)
 }
 
-// RejectedTxns counts the transactions rejected for their size.
+// RejectedTxns returns the number of transactions that were rejected for their size.
 func (s *StateService) RejectedTxns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limits.rejectedTxns
 }
 
-// newLimiter returns a limiter of a rate, nil for 0.
+// newLimiter returns a limiter for a rate, or nil if the rate is 0.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond == 0 {
 		return nil
@@ -48,11 +48,11 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// allow reports whether n more are within a limit, and counts them if so.
-func allow(l *rate.Limiter, n int) bool { return l == nil || l.AllowN(time.Now(), n) }
+// allowN reports whether n more events are within a limit, and counts the events if they are.
+func allowN(l *rate.Limiter, n int) bool { return l == nil || l.AllowN(time.Now(), n) }
 
-// checkTxn returns the status code with which the limits reject a transaction, 0 if they do not. As
-// in the service, a transaction whose compares fail counts as changes too.
+// checkTxn returns the status code with which the limits reject a transaction, or 0 if they allow it. As in the real
+// service, the changes of a transaction count towards the limit even if its compares fail.
 func (l *limits) checkTxn(t *transaction) int {
 	tooLarge := l.TxnOps > 0 && (len(t.Operations) > l.TxnOps || len(t.Compares) > 4*l.TxnOps)
 	for _, raw := range t.values() {
@@ -65,7 +65,7 @@
 	case tooLarge:
 		l.rejectedTxns++
 		return http.StatusBadRequest
-	case !allow(l.writes, len(t.Operations)):
+	case !allowN(l.writes, len(t.Operations)):
 		return http.StatusTooManyRequests
 	}
 	return 0
--- a/internal/sim/fake/state_service.go
+++ b/internal/sim/fake/state_service.go
@@ -11,28 +11,28 @@
 	"caperlatch/internal/wire"
 )
 
-// maxPageKeys is how many keys a page of a list holds: few, so that every test reads several pages.
+// maxPageKeys is the maximum number of keys on a page of a list. It is low so that every test reads several pages.
 const maxPageKeys = 3
 
 // StateService is a fake of the state service.
 type StateService struct {
-	// InspectTxn is called with the compares of each transaction and the keys that it changes, if
-	// set; no lock is held. It is set before the first request.
+	// InspectTxn, unless it is nil, is called with the compares of each transaction and the keys that the transaction
+	// changes. No lock is held during the call. The field must be set before the first request.
 	InspectTxn func(compares []wire.Compare, keys []string)
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	revision    uint64
 	keys        map[string]wire.KeyValue
-	events      []wire.Event // all since the start
+	events      []wire.Event // all changes since the service was created
 	sessions    map[uint64]*session
 	lastSession uint64
-	changed     chan struct{} // closed and replaced at each change
+	changed     chan struct{} // closed and replaced after each change
 	outage      bool
 	limits      limits
-	txnFault    func(Transaction) TxnFault // nil: all transactions are carried out
+	txnFault    func(Transaction) TxnFault // nil: no faults
 }
 
-// session is a session, to which keys may be attached.
+// session is a session. Keys attached to it are removed when it ends.
 type session struct {
 	ttl   time.Duration
 	timer *time.Timer // ends the session
@@ -43,7 +43,7 @@
 	return &StateService{keys: map[string]wire.KeyValue{}, sessions: map[uint64]*session{}, changed: make(chan struct{})}
 }
 
-// Get reads a key.
+// Get returns the entry of a key, and whether it exists.
 func (s *StateService) Get(key string) (wire.KeyValue, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 	return e, ok
 }
 
-// Entries lists the keys with a prefix, in any order.
+// Entries returns the entries whose keys have a prefix, in no particular order.
 func (s *StateService) Entries(prefix string) (entries []wire.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	return entries
 }
 
-// Put stores a value, whatever the limits are.
+// Put stores a value; the limits do not apply.
 func (s *StateService) Put(key string, value wire.RawMessage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,13 +72,13 @@
 	s.notify()
 }
 
-// put stores a value at the present revision; the caller holds the lock.
+// put stores a value at the current revision. The caller holds the lock.
 func (s *StateService) put(key string, value wire.RawMessage, sessionID uint64) {
 	s.keys[key] = wire.KeyValue{Key: key, Value: value, ModRevision: s.revision, SessionID: sessionID}
 	s.events = append(s.events, wire.Event{Put: key, Value: value, ModRevision: s.revision})
 }
 
-// delete removes a key at the present revision, if there is one; the caller holds the lock.
+// delete removes a key, if it exists, at the current revision. The caller holds the lock.
 func (s *StateService) delete(key string) {
 	if _, ok := s.keys[key]; ok {
 		delete(s.keys, key)
@@ -86,14 +86,14 @@
 	}
 }
 
-// notify wakes the open watches; the caller holds the lock.
+// notify wakes the open watches. The caller holds the lock.
 func (s *StateService) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetOutage begins or ends an outage: meanwhile requests get 503 and open watches wait, and
-// afterwards every session has its full TTL again.
+// SetOutage begins or ends an outage. During an outage, the service answers requests with 503, and open watches get no
+// response. When the outage ends, each session starts its full TTL again.
 func (s *StateService) SetOutage(outage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +108,7 @@
 	s.notify()
 }
 
-// InOutage reports whether there is an outage.
+// InOutage reports whether an outage is in progress.
 func (s *StateService) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP serves the API of the state service.
 func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	if err != nil {
@@ -132,7 +132,7 @@
 		return
 	}
 	s.mu.Lock()
-	outage, allowed := s.outage, allow(s.limits.requests, 1)
+	outage, allowed := s.outage, allowN(s.limits.requests, 1)
 	s.mu.Unlock()
 	if outage {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -159,7 +159,7 @@
 	}
 }
 
-// serveList answers with a page of the keys with a prefix.
+// serveList responds with a page of the entries whose keys have a prefix.
 func (s *StateService) serveList(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,8 +177,8 @@
 	respond(w, http.StatusOK, page)
 }
 
-// serveWatch answers with the changes of keys with a prefix after a revision, and waits for the
-// first one if there is none.
+// serveWatch responds with the changes, after a given revision, to keys with a prefix. If there are none, it waits for
+// the first change until the timeout of the request.
 func (s *StateService) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -204,7 +204,7 @@
 	}
 }
 
-// eventsAfter lists the changes of keys with a prefix after a revision; the caller holds the lock.
+// eventsAfter returns the changes, after a given revision, to keys with a prefix. The caller holds the lock.
 func (s *StateService) eventsAfter(revision uint64, prefix string) []wire.Event {
 	events := []wire.Event{}
 	for _, e := range s.events {
@@ -215,7 +215,7 @@
 	return events
 }
 
-// serveNewSession begins a session.
+// serveNewSession creates a session.
 func (s *StateService) serveNewSession(w http.ResponseWriter, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +235,7 @@
 	respond(w, http.StatusOK, wire.SessionResponse{SessionID: id})
 }
 
-// serveSession renews a session, or ends it.
+// serveSession renews or ends a session.
 func (s *StateService) serveSession(w http.ResponseWriter, r *http.Request, idText string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,7 +252,7 @@
 	}
 }
 
-// endSession removes a session and the keys that are attached to it; the caller holds the lock.
+// endSession removes a session and the keys attached to it. The caller holds the lock.
 func (s *StateService) endSession(id uint64) {
 	delete(s.sessions, id)
 	s.revision++
--- a/internal/sim/fake/state_txn.go
+++ b/internal/sim/fake/state_txn.go
@@ -7,29 +7,29 @@
 	"caperlatch/internal/wire"
 )
 
-// TxnFault is what happens to a transaction that has reached the state service.
+// TxnFault is a fault that is injected into a transaction that has reached the state service.
 type TxnFault int
 
 // The faults of transactions.
 const (
-	TxnNoFault     TxnFault = iota // no fault
-	TxnTooLarge                    // rejected with 400, as one with more changes than the service takes
+	TxnNoFault     TxnFault = iota // the transaction is processed normally
+	TxnTooLarge                    // rejected with 400, like a transaction with too many changes
 	TxnUnavailable                 // rejected with 503
-	TxnDropped                     // neither carried out nor answered
-	TxnDelayed                     // carried out after txnDelay, and not answered
+	TxnDropped                     // not committed, and there is no response
+	TxnDelayed                     // committed after txnDelay, and there is no response
 )
 
-// txnDelay is well over the time after which a node gives a transaction up.
+// txnDelay is well over the time after which a node gives up waiting for the response to a transaction.
 const txnDelay = 6 * time.Second
 
-// Transaction is what a test sees of a transaction when it decides on its fault.
+// Transaction describes a transaction to the function that returns its fault; see SetTxnFault.
 type Transaction struct {
 	Compares []wire.Compare
-	Keys     []string // that it changes
+	Keys     []string // that the transaction changes
 }
 
-// SetTxnFault has decide choose the fault of each transaction from now on; nil: no faults. No lock
-// is held when it is called.
+// SetTxnFault sets the function that returns the fault of each transaction; nil: no faults. No lock is held when it is
+// called.
 func (s *StateService) SetTxnFault(decide func(Transaction) TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	return decide(t)
 }
 
-// transaction is the body of a request for one.
+// transaction is the request body of a transaction.
 type transaction struct {
 	Compares   []wire.Compare `json:"when"`
 	Operations []struct {
@@ -58,7 +58,7 @@
 	} `json:"then"`
 }
 
-// keys lists the keys that a transaction changes.
+// keys returns the keys that the transaction changes.
 func (t *transaction) keys() (keys []string) {
 	for _, op := range t.Operations {
 		keys = append(keys, op.Put+op.Delete)
@@ -66,7 +66,7 @@
 	return keys
 }
 
-// values lists the values that a transaction stores.
+// values returns the values that the transaction stores.
 func (t *transaction) values() (values []wire.RawMessage) {
 	for _, op := range t.Operations {
 		if op.Delete == "" {
@@ -76,7 +76,7 @@
 	return values
 }
 
-// serveTxn carries a transaction out, unless a fault prevents that.
+// serveTxn commits a transaction, unless an injected fault prevents it.
 func (s *StateService) serveTxn(w http.ResponseWriter, r *http.Request, body []byte) {
 	var t transaction
 	if wire.Unmarshal(body, &t) != nil {
@@ -94,14 +94,14 @@
 	case TxnDropped:
 		<-r.Context().Done()
 	case TxnDelayed:
-		time.AfterFunc(txnDelay, func() { s.commit(discardResponse{}, &t) })
+		time.AfterFunc(txnDelay, func() { s.commit(discardResponseWriter{}, &t) })
 		<-r.Context().Done()
 	default:
 		s.commit(w, &t)
 	}
 }
 
-// commit carries a transaction out if its compares hold, and answers.
+// commit commits a transaction if its limits, sessions and compares allow it, and responds.
 func (s *StateService) commit(w http.ResponseWriter, t *transaction) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,14 +137,14 @@
 	respond(w, http.StatusOK, wire.TxnResponse{Revision: s.revision})
 }
 
-// discardResponse takes a response that nobody waits for any more.
-type discardResponse struct{}
+// discardResponseWriter discards a response whose requester no longer waits for it.
+type discardResponseWriter struct{}
 
-// Header implements http.ResponseWriter.
-func (discardResponse) Header() http.Header { return http.Header{} }
+// Header returns a new header, which is never sent.
+func (discardResponseWriter) Header() http.Header { return http.Header{} }
 
-// Write implements http.ResponseWriter.
-func (discardResponse) Write(b []byte) (int, error) { return len(b), nil }
+// Write discards b.
+func (discardResponseWriter) Write(b []byte) (int, error) { return len(b), nil }
 
-// WriteHeader implements http.ResponseWriter.
-func (discardResponse) WriteHeader(int) {}
+// WriteHeader discards the status code.
+func (discardResponseWriter) WriteHeader(int) {}
--- a/internal/sim/fake/worker.go
+++ b/internal/sim/fake/worker.go
@@ -13,61 +13,62 @@
 	"caperlatch/internal/wire"
 )
 
-// workerPort ends the addresses of workers.
+// workerPort is the suffix of worker addresses on a Network.
 const workerPort = ":9000"
 
-// nodePort ends the hosts of controllers.
+// nodePort is the suffix of controller hosts.
 const nodePort = ":8080"
 
-// Times of workers.
+// Timeouts and intervals of workers.
 const (
-	// responseTimeout is how long a worker waits for the response to a heartbeat.
+	// responseTimeout is the time for which a worker waits for the response to a heartbeat.
 	responseTimeout = 4 * time.Second
-	// stepInterval is how often a worker looks what its tasks have come to.
+	// stepInterval is the interval at which a worker updates the states of its tasks.
 	stepInterval = 100 * micros.Millisecond
-	// minHeartbeatInterval is between two heartbeats, also if something changes.
+	// minHeartbeatInterval is the minimum interval between two heartbeats, even if a change is to be reported.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// nextNodeS is after how many seconds the next node is tried when one does not answer.
-	nextNodeS = 1.0
+	// nextNodeDelayS is the time, in seconds, after which a worker tries the next node when one does not respond.
+	nextNodeDelayS = 1.0
 )
 
-// Worker is a fake of the worker of one machine.
+// Worker is a fake of the worker on one machine.
 type Worker struct {
 	ID      string
 	cloud   *Cloud
 	address string
 	launch  wire.LaunchRequest
-	ctx     context.Context // ends with the machine
+	ctx     context.Context // cancelled when the machine is terminated
 	cancel  context.CancelFunc
 	client  *http.Client
-	changed chan struct{} // capacity 1: something is to be reported soon
+	changed chan struct{} // capacity 1: signals that the next heartbeat is to be sent soon
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	incarnation    uint64
 	sequence       uint64
-	fencingToken   uint64 // the highest seen
+	fencingToken   uint64 // the highest fencing token seen
 	tasks          []*workerTask
-	leaseRenewedAt time.Time     // when the last heartbeat was sent that got a valid response
-	nodeIndex      int           // of the node that gets the heartbeats; counts on beyond the last one
-	resumed        chan struct{} // closed when the machine goes on; nil: it does not hang
-	images         map[string]bool
-	interruptedAt  time.Time // when the cloud takes the machine; zero: there was no notice
+	leaseRenewedAt time.Time       // send time of the latest heartbeat that got a valid response
+	nodeIndex      int             // index of the node that gets the heartbeats, modulo the number of nodes
+	resumed        chan struct{}   // closed when the machine resumes; nil: the machine does not hang
+	images         map[string]bool // the images that are present
+	interruptedAt  time.Time       // when the cloud terminates the machine; zero: the cloud has given no notice
 }
 
-// workerTask is a task that a worker has, also after its exit until it is cleared.
+// workerTask is a task on a worker. It remains after its exit until a clear command removes it.
 type workerTask struct {
 	wire.TaskStatus
-	endsAt time.Time // of its present state, unless it is one of a gang's beyond the pulling of its image
+	// endsAt is when the current state ends. It is not used for a task of a gang after its image pull.
+	endsAt time.Time
 }
 
-// startWorker returns a worker that runs.
+// startWorker creates a worker and starts its goroutines.
 func startWorker(c *Cloud, id string, launch wire.LaunchRequest) *Worker {
 	w := newWorker(c, id, launch)
 	go w.run(w.ctx)
 	return w
 }
 
-// newWorker returns a worker that does not run yet.
+// newWorker creates a worker without starting its goroutines.
 func newWorker(c *Cloud, id string, launch wire.LaunchRequest) *Worker {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Worker{
@@ -89,11 +90,11 @@
 	return w
 }
 
-// stop ends the worker. It does not wait for the worker's goroutines: they take the cloud's lock,
-// which callers hold.
+// stop stops the worker. It does not wait for the worker's goroutines, because they take the cloud's lock, which
+// callers of stop hold.
 func (w *Worker) stop() { w.cancel() }
 
-// Interrupt has the cloud take the machine after a notice.
+// Interrupt gives the worker an interruption notice, and terminates the machine when the notice period has passed.
 func (w *Worker) Interrupt(notice time.Duration) {
 	w.mu.Lock()
 	w.interruptedAt = time.Now().Add(notice)
@@ -109,10 +110,10 @@
 	})
 }
 
-// Hang has the machine hang for a while: it runs nothing, sends no heartbeat, and executes what was
-// sent to it when it goes on, if fencing token and incarnation still match. Its lease expires
-// meanwhile all the same: that is the first thing that it notices when it goes on. It does nothing
-// if the machine hangs already.
+// Hang makes the machine hang for a duration d. While it hangs, it runs no tasks and sends no heartbeats. It executes
+// commands that arrive in the meantime when it resumes, if their fencing token and incarnation still match. Its lease
+// may expire while it hangs; it handles the expiry first when it resumes. Hang does nothing if the machine already
+// hangs.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,7 +135,7 @@
 	})
 }
 
-// awaitResumed waits until the machine does not hang.
+// awaitResumed blocks while the machine hangs.
 func (w *Worker) awaitResumed() {
 	for {
 		w.mu.Lock()
@@ -147,7 +148,7 @@
 	}
 }
 
-// PricePerHour returns the price of the machine.
+// PricePerHour returns the hourly price of the machine.
 func (w *Worker) PricePerHour() float64 {
 	t := InstanceTypes().Types[0]
 	if w.launch.Spot {
@@ -159,7 +160,7 @@
 // Zone returns the zone of the machine.
 func (w *Worker) Zone() string { return w.launch.Zone }
 
-// Tasks lists the tasks that the machine has, without those that have exited.
+// Tasks returns the tasks of the machine that have not exited.
 func (w *Worker) Tasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -179,17 +180,17 @@
 	return w.fencingToken
 }
 
-// String names the worker in messages.
+// String returns a name of the worker for messages.
 func (w *Worker) String() string { return fmt.Sprintf("worker %s", w.ID) }
 
-// run sends heartbeats until the machine ends.
+// run sends heartbeats until the context is cancelled, and starts runTasks.
 func (w *Worker) run(ctx context.Context) {
 	go w.runTasks(ctx)
 	for ctx.Err() == nil {
 		pauseS := w.cloud.HeartbeatIntervalS
 		w.awaitResumed()
 		if !w.sendHeartbeat(ctx) {
-			pauseS = min(pauseS, nextNodeS)
+			pauseS = min(pauseS, nextNodeDelayS)
 		}
 		pause := time.NewTimer(seconds(pauseS))
 		select {
@@ -202,7 +203,7 @@
 	}
 }
 
-// runTasks has tasks change their states on time, also while a heartbeat waits for its response.
+// runTasks updates the states of the tasks periodically, independently of heartbeats that wait for their response.
 func (w *Worker) runTasks(ctx context.Context) {
 	micros.Every(ctx, stepInterval, func() {
 		w.mu.Lock()
@@ -211,7 +212,7 @@
 	})
 }
 
-// notifyChange has the next heartbeat be sent soon.
+// notifyChange requests that the next heartbeat be sent soon.
 func (w *Worker) notifyChange() {
 	select {
 	case w.changed <- struct{}{}:
@@ -219,7 +220,7 @@
 	}
 }
 
-// heartbeat returns the next heartbeat; the caller holds the lock.
+// heartbeat builds the next heartbeat. The caller holds the lock.
 func (w *Worker) heartbeat() *wire.Heartbeat {
 	w.sequence++
 	h := &wire.Heartbeat{
@@ -243,8 +244,8 @@
 	return h
 }
 
-// sendHeartbeat sends a heartbeat, executes the commands of the response, and reports whether a node
-// answered.
+// sendHeartbeat sends a heartbeat, handles the response, and reports whether the node responded with success or with a
+// usable redirect. Otherwise the next heartbeat goes to the next node.
 func (w *Worker) sendHeartbeat(ctx context.Context) bool {
 	w.mu.Lock()
 	w.step()
@@ -255,7 +256,7 @@
 	code, body := w.post(ctx, node, h)
 	w.awaitResumed()
 	if time.Since(sentAt) > responseTimeout {
-		code = 0 // it came too late, perhaps because the machine hung
+		code = 0 // the response arrived too late, for example because the machine hung
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -270,8 +271,8 @@
 	return false
 }
 
-// handleResponse renews the lease and executes the commands of a response, unless it is out of date;
-// the caller holds the lock. The heartbeat was sent in an incarnation at a time.
+// handleResponse renews the lease and executes the commands of a response, unless the response is outdated.
+// incarnation and sentAt are those of the heartbeat. The caller holds the lock.
 func (w *Worker) handleResponse(body []byte, incarnation uint64, sentAt time.Time) {
 	var response wire.HeartbeatResponse
 	if w.ctx.Err() != nil || wire.Unmarshal(body, &response) != nil {
@@ -289,8 +290,8 @@
 	w.execute(response.Commands)
 }
 
-// followRedirect has the next heartbeat go to the node that a response names, and reports whether it
-// names one; the caller holds the lock.
+// followRedirect directs the next heartbeat to the node that a response names, and reports whether the response names
+// a known node. The caller holds the lock.
 func (w *Worker) followRedirect(body []byte) bool {
 	var redirect wire.Redirect
 	if wire.Unmarshal(body, &redirect) != nil {
@@ -305,7 +306,7 @@
 	return true
 }
 
-// post sends a heartbeat to a node. The code is 0 if there was no response in time.
+// post sends a heartbeat to a node. The returned code is 0 if the node did not respond in time.
 func (w *Worker) post(ctx context.Context, node string, h *wire.Heartbeat) (code int, body []byte) {
 	b, err := wire.Marshal(h)
 	if err != nil {
@@ -329,7 +330,7 @@
 	return response.StatusCode, buffer.Bytes()
 }
 
-// ServeHTTP implements http.Handler: commands that are sent directly.
+// ServeHTTP handles commands that a controller sends directly to the worker.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	var q wire.CommandRequest
@@ -342,7 +343,7 @@
 	defer w.mu.Unlock()
 	w.step()
 	if w.ctx.Err() != nil {
-		rw.WriteHeader(http.StatusServiceUnavailable) // what reached the machine before its end is lost with it
+		rw.WriteHeader(http.StatusServiceUnavailable) // commands that arrive before the termination are lost
 		return
 	}
 	if q.FencingToken < w.fencingToken || q.Incarnation != w.incarnation {
--- a/internal/sim/fake/worker_tasks.go
+++ b/internal/sim/fake/worker_tasks.go
@@ -8,18 +8,18 @@
 	"caperlatch/internal/wire"
 )
 
-// All methods of this file are called with the worker's lock held.
+// All methods in this file require that the caller holds the worker's lock.
 
-// job returns the description of a task's job. Users upload it; here the checker has it.
+// job returns the specification of a task's job, as the checker recorded it when a user submitted the job.
 func (w *Worker) job(task string) wire.Job {
 	id, _, _ := strings.Cut(task, "/")
 	return w.cloud.Rules.Job(id)
 }
 
-// image returns the image of a task.
+// image returns the name of a task's image.
 func (w *Worker) image(task string) string { return w.job(task).Image }
 
-// step has tasks exit that have run their time, and all be killed when the lease has expired.
+// step updates the states of all tasks. If the lease has expired, it kills them.
 func (w *Worker) step() {
 	if w.ctx.Err() != nil {
 		w.tasks = nil
@@ -43,7 +43,7 @@
 	}
 }
 
-// expireLease kills all tasks and begins the next incarnation.
+// expireLease kills all tasks and starts the next incarnation.
 func (w *Worker) expireLease(now time.Time) {
 	for _, t := range w.tasks {
 		w.cloud.taskExited(t.TaskID, w.ID, false)
@@ -53,7 +53,7 @@
 	w.leaseRenewedAt = now
 }
 
-// stepTask ends the present state of a task whose time is over, and reports whether that changed it.
+// stepTask moves a task whose endsAt has passed to its next state, and reports whether the task has one.
 func (w *Worker) stepTask(t *workerTask) bool {
 	switch t.State {
 	case wire.TaskPullingImage:
@@ -71,7 +71,7 @@
 	return true
 }
 
-// stepGang has a gang's task keep up with the others.
+// stepGang updates the state of a task of a gang according to the other tasks of the gang.
 func (w *Worker) stepGang(t *workerTask, job *wire.Job) {
 	if !w.cloud.gangs.step(t, job, w.cloud.RuntimeOf(t.TaskID)) {
 		return
@@ -82,7 +82,7 @@
 	w.notifyChange()
 }
 
-// runTask has a task run that has its image, or wait for its gang.
+// runTask starts a task whose image is present: the task runs, or waits for the other tasks of its gang.
 func (w *Worker) runTask(t *workerTask) {
 	if job := w.job(t.TaskID); job.Kind == wire.KindGang {
 		w.cloud.taskStarted(t.TaskID, w.ID)
@@ -96,7 +96,7 @@
 	time.AfterFunc(runtime, w.notifyChange)
 }
 
-// execute executes commands in order.
+// execute executes commands in order. Commands that do not apply are ignored.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, c := range commands {
 		i := slices.IndexFunc(w.tasks, func(t *workerTask) bool { return t.TaskID == c.TaskID && t.Attempt == c.Attempt })
@@ -120,7 +120,7 @@
 	}
 }
 
-// start starts a task that the worker does not have with this attempt.
+// start executes a start command for an attempt that is not on the worker yet.
 func (w *Worker) start(c *wire.Command) {
 	t := &workerTask{TaskStatus: wire.TaskStatus{TaskID: c.TaskID, Attempt: c.Attempt, State: wire.TaskRunning}}
 	otherAttempt := func(o *workerTask) bool { return o.TaskID == c.TaskID && o.State != wire.TaskExited }
@@ -139,7 +139,7 @@
 	w.tasks = append(w.tasks, t)
 }
 
-// stopTask has a task exit, after a checkpoint if there is time for one.
+// stopTask executes a stop command: the task exits, after a checkpoint if the grace period is long enough for one.
 func (w *Worker) stopTask(t *workerTask, c *wire.Command) {
 	graceS := 0.0
 	if c.GracePeriodS != nil {
--- a/internal/sim/fake/worker_test.go
+++ b/internal/sim/fake/worker_test.go
@@ -14,8 +14,8 @@
 	"caperlatch/internal/wire"
 )
 
-// newTestCloud returns a cloud for tests of workers. Its only node answers every heartbeat with
-// fencing token 1 and no commands, its workers' leases last for leaseS seconds, and tasks run for 20 s.
+// newTestCloud returns a cloud for tests of workers. Its only node responds to every heartbeat with fencing token 1
+// and no commands. The leases of its workers last for leaseS seconds, and tasks run for 20 s.
 func newTestCloud(rules *checker.Rules, leaseS float64) *Cloud {
 	n := NewNetwork()
 	n.Handle("host-0:8080", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
@@ -40,8 +40,8 @@
 	w.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/commands", bytes.NewReader(body)))
 }
 
-// lastTaskState describes the latest task of a worker: its state, its exit reason, and whether it
-// was checkpointed; empty if there is none.
+// lastTaskState returns the state, the exit reason and whether there is a checkpoint of a worker's latest task; empty
+// if the worker has no task.
 func lastTaskState(w *Worker) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,16 +55,16 @@
 	return state
 }
 
-// workerCase is a task that starts at 0 s on a machine which may hang from 1 s on.
+// workerCase is a scenario in which a task starts at 0 s on a machine, which may hang from 1 s on.
 type workerCase struct {
 	name       string
 	hang       time.Duration
 	imagePullS float64
-	commands   []wire.Command           // from 2 s on, one each second
-	want       map[time.Duration]string // the task's state at these times, as lastTaskState has it
+	commands   []wire.Command           // sent from 2 s on, one per second
+	want       map[time.Duration]string // the result of lastTaskState at the given times
 }
 
-// workerCases cover hangs, image pulls and checkpoints.
+// workerCases covers hangs, image pulls and checkpoints.
 func workerCases() []workerCase {
 	const running, stopped, done = wire.TaskRunning, wire.TaskExited + wire.ExitStopped, wire.TaskExited + wire.ExitDone
 	stop := func(graceS float64) wire.Command {
@@ -79,17 +79,17 @@
 			map[time.Duration]string{3 * time.Second: wire.TaskCheckpointing, 7 * time.Second: stopped + "+checkpointed"}},
 		{"stop with too short a grace period", 0, 0, []wire.Command{stop(1)}, map[time.Duration]string{3 * time.Second: stopped}},
 		{"second stop ends the checkpoint", 0, 0, []wire.Command{stop(9), stop(0)}, map[time.Duration]string{4 * time.Second: stopped}},
-		{"task runs as much longer as its machine hangs", 5 * time.Second, 0, nil, map[time.Duration]string{23 * time.Second: running, 26 * time.Second: done}},
+		{"task runs longer by the duration of a hang", 5 * time.Second, 0, nil, map[time.Duration]string{23 * time.Second: running, 26 * time.Second: done}},
 		{"stop arrives while the machine hangs", 5 * time.Second, 0, []wire.Command{stop(0)},
 			map[time.Duration]string{5 * time.Second: running, 7 * time.Second: stopped}},
 		{"lease expires while the machine hangs", 9 * time.Second, 0, nil, map[time.Duration]string{10500 * time.Millisecond: ""}},
 	}
 }
 
-// TestWorker checks what a machine does with commands that reach it: while it hangs it does nothing,
-// and afterwards what is still valid; a task that can checkpoint does so when it is given the time,
-// and none runs without its image.
-func TestWorker(t *testing.T) {
+// TestWorkerCommands checks how a worker executes commands: while its machine hangs it executes none, and when the
+// machine resumes it executes those that are still valid. A task that can checkpoint does so if the grace period of a
+// stop is long enough, and no task runs before its image is present.
+func TestWorkerCommands(t *testing.T) {
 	for _, c := range workerCases() {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -116,7 +116,7 @@
 				for _, at := range slices.Sorted(maps.Keys(c.want)) {
 					time.Sleep(time.Until(start.Add(at + 150*time.Millisecond)))
 					if state := lastTaskState(w); state != c.want[at] {
-						t.Errorf("%s: after %v the task is %q, want %q", c.name, at, state, c.want[at])
+						t.Errorf("%s: after %v the task state is %q, want %q", c.name, at, state, c.want[at])
 					}
 				}
 			})
--- a/internal/sim/fake/zone_partition.go
+++ b/internal/sim/fake/zone_partition.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// ZonePartition isolates zones: no message passes between the inside and the outside of an isolated
-// zone. Services and users are in no zone. Its exported fields are set before the first fault.
+// ZonePartition isolates zones: it drops all messages between the inside and the outside of an isolated zone.
+// Services and users are in no zone. The exported fields must be set before the first fault.
 type ZonePartition struct {
-	// ZoneOf returns the zone of a sender or host, empty for services and users.
+	// ZoneOf returns the zone of a sender or host; empty for services and users.
 	ZoneOf func(name string) string
-	// MachineOf returns the machine that a sender or host is, empty if it is none.
+	// MachineOf returns the machine ID of a sender or host; empty if it is not a machine.
 	MachineOf func(name string) string
-	// OnChange is called after each change, without a lock; it may be nil.
+	// OnChange, unless it is nil, is called after each change, without a lock held.
 	OnChange func()
 
-	mu          sync.Mutex // guards what follows
-	isolated    map[string]bool
-	split       bool            // zones are isolated from each other, not from the services
-	allAffected bool            // some other fault affects all machines
-	connected   map[string]bool // machines of isolated zones whose messages pass all the same
-	otherFault  FaultFunc       // of messages that the partition lets pass; nil: none
+	mu          sync.Mutex      // guards the fields below
+	isolated    map[string]bool // the isolated zones
+	split       bool            // all zones are isolated from each other, but not from the services
+	allAffected bool            // a fault other than the partition affects all machines
+	connected   map[string]bool // machines whose messages pass although their zone is isolated
+	otherFault  FaultFunc       // fault of messages that the partition does not drop; nil: no faults
 }
 
-// NewZonePartition returns a partition that isolates nothing.
+// NewZonePartition returns a ZonePartition that isolates no zone.
 func NewZonePartition() *ZonePartition {
 	return &ZonePartition{isolated: map[string]bool{}, connected: map[string]bool{}}
 }
 
-// Isolate isolates zones from everything.
+// Isolate isolates zones from all other zones and from the services and users.
 func (p *ZonePartition) Isolate(zones ...string) {
 	p.change(func() {
 		for _, zone := range zones {
@@ -38,13 +38,13 @@
 	})
 }
 
-// SplitZones isolates all zones from each other, not from the services.
+// SplitZones isolates all zones from each other, but not from the services.
 func (p *ZonePartition) SplitZones() { p.change(func() { p.split = true }) }
 
-// MarkAllAffected notes that some other fault affects all machines.
+// MarkAllAffected records that a fault other than the partition affects all machines; see Affects.
 func (p *ZonePartition) MarkAllAffected() { p.change(func() { p.allAffected = true }) }
 
-// AllowMachines lets the messages of some machines pass although their zone stays isolated.
+// AllowMachines lets the messages of the given machines pass while their zone remains isolated.
 func (p *ZonePartition) AllowMachines(machines ...string) {
 	p.change(func() {
 		for _, id := range machines {
@@ -53,14 +53,14 @@
 	})
 }
 
-// Heal ends all of it but the faults of InjectFor.
+// Heal removes all isolation and resets MarkAllAffected. Faults of InjectFor remain.
 func (p *ZonePartition) Heal() {
 	p.change(func() {
 		p.isolated, p.connected, p.split, p.allAffected = map[string]bool{}, map[string]bool{}, false, false
 	})
 }
 
-// change applies a change.
+// change applies a change with the lock held, and then calls OnChange.
 func (p *ZonePartition) change(apply func()) {
 	p.mu.Lock()
 	apply()
@@ -70,14 +70,14 @@
 	}
 }
 
-// Affects reports whether the partition, or some other fault, affects the machines of a zone.
+// Affects reports whether the partition, or a fault recorded by MarkAllAffected, affects the machines of a zone.
 func (p *ZonePartition) Affects(zone string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isolated[zone] || p.split || p.allAffected
 }
 
-// Blocks reports whether no message passes between two names.
+// Blocks reports whether the partition drops messages between two senders or hosts.
 func (p *ZonePartition) Blocks(from, to string) bool {
 	fromZone, toZone := p.ZoneOf(from), p.ZoneOf(to)
 	p.mu.Lock()
@@ -88,8 +88,8 @@
 	return p.isolated[fromZone] || p.isolated[toZone] || p.split && fromZone != "" && toZone != ""
 }
 
-// InjectFor gives messages that match a fault, in addition to the partition, and returns when d has
-// passed and the fault is over.
+// InjectFor injects a fault into the messages that match, in addition to the partition. It returns after d, when the
+// fault has ended.
 func (p *ZonePartition) InjectFor(d time.Duration, fault Fault, match func(from string, r *http.Request) bool) {
 	p.setOtherFault(func(from string, r *http.Request) Fault {
 		if match(from, r) {
@@ -101,14 +101,14 @@
 	p.setOtherFault(nil)
 }
 
-// setOtherFault sets the faults of messages that the partition lets pass.
+// setOtherFault sets the function that returns the fault of messages that the partition does not drop.
 func (p *ZonePartition) setOtherFault(f FaultFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.otherFault = f
 }
 
-// FaultOf returns the fault of a message; it serves as the function of Network.SetFault.
+// FaultOf returns the fault of a message; it is a FaultFunc for Network.SetFault.
 func (p *ZonePartition) FaultOf(from string, r *http.Request) Fault {
 	if p.Blocks(from, r.URL.Host) {
 		return DroppedRequest
