--- a/internal/sim/harness/in_process_cluster.go
+++ b/internal/sim/harness/in_process_cluster.go
@@ -12,74 +12,75 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// Hosts of the fakes.
+// Hosts of the fakes on the network.
 const (
 	StateHost = "state"
 	CloudHost = "cloud"
 )
 
 const (
-	// restartPause is for how long nodes are down that are restarted.
-	restartPause = 100 * time.Millisecond
-	// maxTimeout is longer than the timeouts of all that waits for a response.
-	maxTimeout = time.Minute
+	// restartDelay is the time for which restarted nodes are down.
+	restartDelay = 100 * time.Millisecond
+	// drainDuration is the time that Close waits for goroutines to return. It is longer than every timeout for a
+	// response.
+	drainDuration = time.Minute
 )
 
-// InProcessCluster is a cluster within one process, often under simulated time: nodes, fakes of all
-// that surrounds them, and the faults of messages. A node is started and killed by one goroutine at
-// a time.
+// InProcessCluster is a cluster within one process, often under simulated time: nodes, fakes of the external systems,
+// and message faults. A node must be started and killed by only one goroutine at a time.
 type InProcessCluster struct {
 	Users
 	Leadership
 	Net     *fake.Network
 	PeerNet *fake.PeerNetwork
 	Cloud   *fake.Cloud
-	// NewNode makes a node for a new incarnation: the handler of users' and workers' requests, and
-	// what it does besides until its context ends.
+	// NewNode creates a node for a new incarnation. It returns the handler for requests of users and workers, and a
+	// function that does the other work of the node until its context is cancelled.
 	NewNode func(incarnation NodeIncarnation) (handler http.Handler, work func(context.Context))
 
-	stops []func() // by node: kills its present incarnation and waits until it has ended
+	killFuncs []func() // by node: kills the current incarnation and waits until it has ended
 
-	mu           sync.Mutex      // guards what follows
-	dead         map[string]bool // senders whose incarnation has ended
-	fault        fake.FaultFunc  // nil: no faults
-	faults       int             // messages that had one
-	incarnations []int           // of each node so far
+	mu            sync.Mutex      // guards the fields below
+	deadSenders   map[string]bool // the senders whose incarnation has ended
+	fault         fake.FaultFunc  // nil: no faults
+	messageFaults int             // number of messages into which a fault was injected
+	incarnations  []int           // number of incarnations so far, by node
 }
 
 // NodeIncarnation is one incarnation of a node.
 type NodeIncarnation struct {
 	Node   int
 	Member string
-	Sender string // on the network: tells what it sends from what earlier incarnations sent
+	Sender string // sender name on the network; distinguishes the messages of this incarnation from those of earlier ones
 }
 
-// NewInProcessCluster prepares a cluster for nodes with settings like these; Start starts them.
+// NewInProcessCluster creates a cluster whose fakes are configured according to the settings of its nodes. It does not
+// start the nodes; Start does.
 func NewInProcessCluster(nodes int, s *settings.Settings, runtimeOf func(task string) float64) *InProcessCluster {
 	c := &InProcessCluster{
 		Leadership:   Leadership{fake.NewStateService()},
 		Net:          fake.NewNetwork(),
 		PeerNet:      fake.NewPeerNetwork(),
-		dead:         map[string]bool{},
-		stops:        make([]func(), nodes),
+		deadSenders:  map[string]bool{},
+		killFuncs:    make([]func(), nodes),
 		incarnations: make([]int, nodes),
 	}
 	c.Net.SetFault(c.faultOf)
-	c.Users, c.Cloud = newSurroundings(c.Net, nodes, s, runtimeOf)
+	c.Users, c.Cloud = newUsersAndCloud(c.Net, nodes, s, runtimeOf)
 	c.Net.Handle(StateHost, c.State)
 	c.Net.Handle(CloudHost, c.Cloud)
 	return c
 }
 
-// newSurroundings returns the users and the cloud of some nodes.
-func newSurroundings(n *fake.Network, nodes int, s *settings.Settings, runtimeOf func(task string) float64) (Users, *fake.Cloud) {
+// newUsersAndCloud returns the users and the cloud for a cluster with the given number of nodes.
+func newUsersAndCloud(n *fake.Network, nodes int, s *settings.Settings, runtimeOf func(task string) float64) (Users, *fake.Cloud) {
 	limits := map[string]float64{}
 	for _, team := range s.Params.Teams {
 		limits[team.Name] = team.MaxCPUs
 	}
 	var hosts []string
 	for i := range nodes {
-		hosts = append(hosts, userHost(i))
+		hosts = append(hosts, nodeHost(i))
 	}
 	workers := s.Params.Workers
 	rules := checker.NewRules(workers.CancellationTimeout().Duration(), limits, fake.InstanceTypes().Types)
@@ -94,11 +95,11 @@
 	})
 }
 
-// faultOf returns the fault of a message.
+// faultOf returns the fault of a message. Messages of dead senders are dropped.
 func (c *InProcessCluster) faultOf(from string, r *http.Request) fake.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead[from] {
+	if c.deadSenders[from] {
 		return fake.DroppedRequest
 	}
 	if c.fault == nil {
@@ -106,25 +107,25 @@
 	}
 	fault := c.fault(from, r)
 	if fault != fake.NoFault {
-		c.faults++
+		c.messageFaults++
 	}
 	return fault
 }
 
-// SetFault has f choose the faults of messages from now on; nil: no faults. It is called for one
-// message at a time, with the cluster's lock held.
+// SetFault sets the function that returns the fault of each message; nil: no faults. f is called for one message at a
+// time, with the cluster's lock held.
 func (c *InProcessCluster) SetFault(f fake.FaultFunc) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
 }
 
-// FaultCount counts the faults so far: messages that had one, and incarnations of nodes beyond the
-// first.
+// FaultCount returns the number of faults so far: messages into which a fault was injected, and incarnations of each
+// node after its first.
 func (c *InProcessCluster) FaultCount() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n = c.faults
+	n = c.messageFaults
 	for _, incarnations := range c.incarnations {
 		n += incarnations - 1
 	}
@@ -145,39 +146,39 @@
 		defer close(done)
 		work(ctx)
 	}()
-	c.Net.Handle(userHost(node), handler)
-	c.stops[node] = func() {
-		c.Net.Handle(userHost(node), nil)
+	c.Net.Handle(nodeHost(node), handler)
+	c.killFuncs[node] = func() {
+		c.Net.Handle(nodeHost(node), nil)
 		c.mu.Lock()
-		c.dead[incarnation.Sender] = true
+		c.deadSenders[incarnation.Sender] = true
 		c.mu.Unlock()
 		cancel()
 		<-done
 	}
 }
 
-// Kill ends a node as a crash would: nothing that it sends arrives any more.
-func (c *InProcessCluster) Kill(node int) { c.stops[node]() }
+// Kill stops a node abruptly, like a crash: no message of the node arrives afterwards.
+func (c *InProcessCluster) Kill(node int) { c.killFuncs[node]() }
 
-// Restart kills nodes and starts them within a fraction of a second.
+// Restart kills nodes and starts them again after restartDelay.
 func (c *InProcessCluster) Restart(nodes ...int) {
 	for _, i := range nodes {
 		c.Kill(i)
 	}
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	for _, i := range nodes {
 		c.Start(i)
 	}
 }
 
-// Close ends all nodes and fakes, and waits until nothing of them runs.
+// Close stops all nodes and fakes, and waits until their goroutines have returned.
 func (c *InProcessCluster) Close() {
 	c.SetFault(nil)
-	for i := range c.stops {
+	for i := range c.killFuncs {
 		c.Kill(i)
 	}
 	c.Cloud.Close()
 	c.State.Close()
 	c.Net.WaitDelayed()
-	time.Sleep(maxTimeout)
+	time.Sleep(drainDuration)
 }
--- a/internal/sim/harness/leadership.go
+++ b/internal/sim/harness/leadership.go
@@ -10,27 +10,27 @@
 	"caperlatch/internal/wire"
 )
 
-// ErrNoLeader says that no node led in time.
-var ErrNoLeader = errors.New("nobody leads")
+// ErrNoLeader is returned if no node becomes the leader in time.
+var ErrNoLeader = errors.New("no node became the leader in time")
 
-// How often, and after what pauses, a leader is awaited.
+// Maximum numbers of polls and poll intervals of AwaitLeader and AwaitLeaderAfter.
 const (
-	leaderPolls        = 100
+	maxLeaderPolls     = 100
 	leaderPollInterval = 200 * time.Millisecond
-	nextLeaderPolls    = 200
-	nextPollInterval   = 50 * time.Millisecond
+	maxNextLeaderPolls = 200
+	shortPollInterval  = 50 * time.Millisecond
 )
 
-// MemberFormat is the form of nodes' names.
+// MemberFormat is the format of member names of nodes.
 const MemberFormat = "host-%d"
 
-// noNode is the index of no node.
+// noNode is the node index that stands for no node.
 const noNode = -1
 
-// Leadership reads from the state service who leads. It takes no lock of its own.
+// Leadership reads from the state service which node is the leader. It has no lock of its own.
 type Leadership struct{ State *fake.StateService }
 
-// CurrentLeader returns the index of the node that leads, -1 if none does.
+// CurrentLeader returns the index of the node that is the leader, or -1 if there is none.
 func (l Leadership) CurrentLeader() int {
 	var leader replica.Leader
 	node := noNode
@@ -42,9 +42,9 @@
 	return node
 }
 
-// AwaitLeader waits until a node leads, and returns its index.
+// AwaitLeader waits until a node is the leader, and returns its index.
 func (l Leadership) AwaitLeader() (node int, err error) {
-	for range leaderPolls {
+	for range maxLeaderPolls {
 		if node := l.CurrentLeader(); node != noNode {
 			return node, nil
 		}
@@ -53,7 +53,7 @@
 	return noNode, ErrNoLeader
 }
 
-// FencingToken returns the highest fencing token that was given out; 0 if none was.
+// FencingToken returns the highest fencing token that has been issued; 0 if none has.
 func (l Leadership) FencingToken() uint64 {
 	var record replica.TokenRecord
 	if e, ok := l.State.Get(replica.TokenKey); !ok || wire.Unmarshal(e.Value, &record) != nil {
@@ -62,13 +62,13 @@
 	return record.FencingToken
 }
 
-// AwaitLeaderAfter waits until a node leads in a later term than the one with this fencing token.
+// AwaitLeaderAfter waits until a node is the leader in a later term than the one with the given fencing token.
 func (l Leadership) AwaitLeaderAfter(fencingToken uint64) error {
-	for range nextLeaderPolls {
+	for range maxNextLeaderPolls {
 		if _, ok := l.State.Get(replica.LeaderKey); ok && l.FencingToken() > fencingToken {
 			return nil
 		}
-		time.Sleep(nextPollInterval)
+		time.Sleep(shortPollInterval)
 	}
 	return ErrNoLeader
 }
--- a/internal/sim/harness/process_cluster.go
+++ b/internal/sim/harness/process_cluster.go
@@ -21,47 +21,50 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// ProcessConfig is what a ProcessCluster is made of.
+// ProcessConfig configures a ProcessCluster.
 type ProcessConfig struct {
-	// Settings returns those of a node but for all addresses, which are filled in. It is called for
-	// each node whenever it starts.
+	// Settings returns the settings of a node without addresses; the cluster fills these in. It is called for each
+	// start of a node.
 	Settings  func(node int) *settings.Settings
-	Nodes     int
-	Dir       string                    // for settings files and logs
-	RuntimeOf func(task string) float64 // how long a task runs, in seconds
-	// OnUnexpectedExit is called when a process ends by itself; it may be nil.
+	Nodes     int                       // number of nodes
+	Dir       string                    // directory for settings files and logs
+	RuntimeOf func(task string) float64 // returns the runtime of a task, in seconds
+	// OnUnexpectedExit, unless it is nil, is called when a process exits although the cluster did not kill it and
+	// ExpectExit was not called. log is the path of its log.
 	OnUnexpectedExit func(node int, log string, err error)
 }
 
-// maxIdleProxyConns is how many connections to a node stay open for its next requests.
+// maxIdleProxyConns is the maximum number of idle connections to a node that are kept open for later requests.
 const maxIdleProxyConns = 256
 
-// ProcessCluster is a cluster of controllers that run as processes on loopback, with fakes of all
-// that surrounds them in this process. A node is started by one goroutine at a time.
+// ProcessCluster is a cluster of controllers that run as processes on loopback. The fakes of the external systems run
+// in this process. A node must be started by only one goroutine at a time.
 type ProcessCluster struct {
 	Users
 	Leadership
 	Net       *fake.Network
 	Cloud     *fake.Cloud
 	Dir       string
-	Args      []string        // of each process, before those that name its settings
-	Addresses []NodeAddresses // of each node
+	Args      []string        // command-line arguments of each process, before --config
+	Addresses []NodeAddresses // by node
 
-	config  ProcessConfig
-	servers []*httptest.Server // the state service's, the cloud's, then workers' under the cloud's lock
+	config ProcessConfig
+	// servers are those of the state service and of the cloud, followed by those of the workers, which are added with
+	// the cloud's lock held.
+	servers []*httptest.Server
 	starter *processStarter
 
-	mu           sync.Mutex  // guards what follows
-	commands     []*exec.Cmd // of the nodes' present incarnations
-	exitExpected []bool      // nodes that may end by themselves
-	stops        []func()    // by node: kills its process and waits until it has ended
-	incarnations []int       // of each node so far
+	mu           sync.Mutex  // guards the fields below
+	commands     []*exec.Cmd // by node: the process of its current incarnation
+	exitExpected []bool      // by node: whether an exit of its process is expected
+	killFuncs    []func()    // by node: kills the process and waits until it has exited
+	incarnations []int       // number of incarnations so far, by node
 }
 
-// NodeAddresses are where a node listens.
+// NodeAddresses are the addresses at which a node listens.
 type NodeAddresses struct{ Client, Peer string }
 
-// NewProcessCluster prepares a cluster; StartNode starts its nodes, Close ends all of it.
+// NewProcessCluster creates a cluster and starts its fakes. StartNode starts the nodes; Close stops nodes and fakes.
 func NewProcessCluster(config ProcessConfig) (*ProcessCluster, error) {
 	c := &ProcessCluster{
 		Leadership:   Leadership{fake.NewStateService()},
@@ -71,7 +74,7 @@
 		starter:      newProcessStarter(),
 		commands:     make([]*exec.Cmd, config.Nodes),
 		exitExpected: make([]bool, config.Nodes),
-		stops:        make([]func(), config.Nodes),
+		killFuncs:    make([]func(), config.Nodes),
 		incarnations: make([]int, config.Nodes),
 	}
 	for i := range config.Nodes {
@@ -81,17 +84,18 @@
 			return nil, err
 		}
 		c.Addresses = append(c.Addresses, addrs)
-		c.Net.Handle(userHost(i), proxy(addrs.Client))
-		c.stops[i] = func() {}
+		c.Net.Handle(nodeHost(i), proxy(addrs.Client))
+		c.killFuncs[i] = func() {}
 	}
-	c.Users, c.Cloud = newSurroundings(c.Net, config.Nodes, config.Settings(0), config.RuntimeOf)
+	c.Users, c.Cloud = newUsersAndCloud(c.Net, config.Nodes, config.Settings(0), config.RuntimeOf)
 	c.Cloud.ServeWorker = c.serve
 	c.serve(c.State)
 	c.serve(c.Cloud)
 	return c, nil
 }
 
-// SetClientAddress has a node listen for users at an address of the caller's choice, if it is free.
+// SetClientAddress sets the address at which a node listens for clients from its next start on. It does nothing if the
+// address is not free.
 func (c *ProcessCluster) SetClientAddress(node int, address string) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -99,44 +103,44 @@
 	}
 	listener.Close()
 	c.Addresses[node].Client = address
-	c.Net.Handle(userHost(node), proxy(address))
+	c.Net.Handle(nodeHost(node), proxy(address))
 }
 
-// freeAddresses returns two addresses on loopback that nothing listens at.
+// freeAddresses returns two free addresses on loopback.
 func freeAddresses() (a NodeAddresses, err error) {
 	for _, addr := range []*string{&a.Client, &a.Peer} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return a, fmt.Errorf("loopback: %w", err)
+			return a, fmt.Errorf("listen on loopback: %w", err)
 		}
 		*addr = listener.Addr().String()
-		defer listener.Close() // not before both are found, or they might be the same
+		defer listener.Close() // closed only after both are found, because they might otherwise be the same
 	}
 	return a, nil
 }
 
-// proxy returns a handler that passes requests on to a node.
+// proxy returns a handler that forwards requests to a node.
 func proxy(address string) http.Handler {
-	to := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
-	to.Transport = &http.Transport{MaxIdleConnsPerHost: maxIdleProxyConns, DisableCompression: true}
-	to.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) }
-	return to
+	reverseProxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: address})
+	reverseProxy.Transport = &http.Transport{MaxIdleConnsPerHost: maxIdleProxyConns, DisableCompression: true}
+	reverseProxy.ErrorHandler = func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) }
+	return reverseProxy
 }
 
-// serve serves a handler on loopback until Close, and returns the address. Workers are served under
-// the cloud's lock, the others before.
+// serve serves a handler on loopback until Close, and returns the address. For workers, it is called with the cloud's
+// lock held; for the state service and the cloud, before any worker exists.
 func (c *ProcessCluster) serve(h http.Handler) string {
 	server := httptest.NewServer(h)
 	c.servers = append(c.servers, server)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// SettingsFile returns the path of a node's settings.
+// SettingsFile returns the path of a node's settings file.
 func (c *ProcessCluster) SettingsFile(node int) string {
 	return filepath.Join(c.Dir, fmt.Sprintf(MemberFormat+".toml", node))
 }
 
-// writeSettings writes a node's settings, with the addresses of all.
+// writeSettings writes a node's settings file, with the addresses of all nodes and fakes.
 func (c *ProcessCluster) writeSettings(node int) error {
 	s := c.config.Settings(node)
 	s.ClientListen, s.PeerListen = c.Addresses[node].Client, c.Addresses[node].Peer
@@ -150,12 +154,12 @@
 	}
 	text, err := toml.Marshal(s)
 	if err != nil {
-		return fmt.Errorf("settings of node %d: %w", node, err)
+		return fmt.Errorf("encode settings of node %d: %w", node, err)
 	}
 	return os.WriteFile(c.SettingsFile(node), text, 0o644)
 }
 
-// StartNode starts a new incarnation of a node with a program, which writes its log to Dir.
+// StartNode starts a new incarnation of a node by running a program, whose log is written to a file in Dir.
 func (c *ProcessCluster) StartNode(node int, program string) error {
 	if err := c.writeSettings(node); err != nil {
 		return err
@@ -181,15 +185,15 @@
 		defer close(exited)
 		c.waitForExit(node, cmd, log)
 	}()
-	c.stops[node] = func() {
+	c.killFuncs[node] = func() {
 		c.ExpectExit(node)
-		_ = cmd.Process.Kill() // it may have exited
+		_ = cmd.Process.Kill() // an error means that the process has already exited
 		<-exited
 	}
 	return nil
 }
 
-// waitForExit waits until a process exits, and calls OnUnexpectedExit if nobody ended it.
+// waitForExit waits until a process exits, and calls OnUnexpectedExit unless the exit is expected.
 func (c *ProcessCluster) waitForExit(node int, cmd *exec.Cmd, log *os.File) {
 	err := cmd.Wait()
 	log.Close()
@@ -201,15 +205,15 @@
 	}
 }
 
-// Kill ends a node's process as a crash would.
+// Kill kills a node's process, like a crash, and waits until it has exited.
 func (c *ProcessCluster) Kill(node int) {
 	c.mu.Lock()
-	stop := c.stops[node]
+	stop := c.killFuncs[node]
 	c.mu.Unlock()
 	stop()
 }
 
-// Process returns the process of a node's present incarnation.
+// Process returns the process of a node's current incarnation.
 func (c *ProcessCluster) Process(node int) *os.Process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -219,19 +223,19 @@
 // Signal sends a signal to a node's process.
 func (c *ProcessCluster) Signal(node int, s os.Signal) error {
 	if err := c.Process(node).Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		return fmt.Errorf("node %d: %w", node, err)
+		return fmt.Errorf("signal node %d: %w", node, err)
 	}
 	return nil
 }
 
-// ExpectExit says that the exit of a node's process is no longer unexpected.
+// ExpectExit marks the exit of a node's current process as expected.
 func (c *ProcessCluster) ExpectExit(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.exitExpected[node] = true
 }
 
-// AwaitReady waits until all nodes take requests.
+// AwaitReady waits until all nodes are ready for requests.
 func (c *ProcessCluster) AwaitReady(timeout time.Duration) error {
 	for start, node := time.Now(), 0; node < c.config.Nodes; {
 		if code, _ := c.Request(http.MethodGet, node, "/ready", nil); code == http.StatusOK {
@@ -239,16 +243,16 @@
 			continue
 		}
 		if time.Since(start) > timeout {
-			return fmt.Errorf("node %d takes no requests after %v", node, timeout)
+			return fmt.Errorf("node %d is not ready after %v", node, timeout)
 		}
-		time.Sleep(nextPollInterval)
+		time.Sleep(shortPollInterval)
 	}
 	return nil
 }
 
-// Close ends all processes and fakes.
+// Close kills all processes and stops the fakes.
 func (c *ProcessCluster) Close() {
-	for i := range c.stops {
+	for i := range c.killFuncs {
 		c.Kill(i)
 	}
 	c.starter.close()
--- a/internal/sim/harness/process_starter.go
+++ b/internal/sim/harness/process_starter.go
@@ -5,26 +5,27 @@
 	"runtime"
 )
 
-// processStarter starts processes that end with this one, also when it is killed. The kernel ties that
-// to the thread that starts them, so one thread starts them all and lives as long as they do.
+// processStarter starts processes that, on Linux, the kernel kills when this process ends, even if it is killed itself.
+// The kernel ties this to the thread that starts a process, so a single thread starts all processes and lives as long
+// as they do.
 type processStarter struct {
 	commands chan startRequest
 }
 
-// startRequest is a command to start, and where to send the result.
+// startRequest is a command to start, and the channel for the result.
 type startRequest struct {
 	command *exec.Cmd
-	started chan error
+	result  chan error
 }
 
-// newProcessStarter starts the thread; close ends it.
+// newProcessStarter starts the thread, which close ends.
 func newProcessStarter() *processStarter {
 	s := &processStarter{commands: make(chan startRequest)}
 	go func() {
 		runtime.LockOSThread()
 		for r := range s.commands {
 			endWithParent(r.command)
-			r.started <- r.command.Start()
+			r.result <- r.command.Start()
 		}
 	}()
 	return s
@@ -34,8 +35,8 @@
 func (s *processStarter) start(command *exec.Cmd) error {
 	r := startRequest{command, make(chan error, 1)}
 	s.commands <- r
-	return <-r.started
+	return <-r.result
 }
 
-// close ends the thread, and with it what it started and still runs.
+// close ends the thread. On Linux, the kernel then kills all processes that the thread started and that still run.
 func (s *processStarter) close() { close(s.commands) }
--- a/internal/sim/harness/process_starter_linux.go
+++ b/internal/sim/harness/process_starter_linux.go
@@ -5,7 +5,7 @@
 	"syscall"
 )
 
-// endWithParent has the kernel kill a command's process when the thread that started it ends.
+// endWithParent makes the kernel kill the process of a command when the thread that started it ends.
 func endWithParent(command *exec.Cmd) {
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/sim/harness/process_starter_other.go
+++ b/internal/sim/harness/process_starter_other.go
@@ -4,5 +4,5 @@
 
 import "os/exec"
 
-// endWithParent does nothing: this system does not end children with their parent.
+// endWithParent does nothing: on this system the kernel does not kill a child process when its parent ends.
 func endWithParent(*exec.Cmd) {}
