--- a/internal/sim/lab/faults.go
+++ b/internal/sim/lab/faults.go
@@ -12,34 +12,34 @@
 	"caperlatch/internal/sim/harness"
 )
 
-// Kind is the kind of a fault.
+// Kind is the kind of a fault, as named in a fault file.
 type Kind string
 
 // The kinds of faults.
 const (
-	Kill      Kind = "kill"       // a node ends by SIGKILL, and is started again
-	Terminate Kind = "terminate"  // a node ends by SIGTERM, and is started again
-	Freeze    Kind = "freeze"     // a node is stopped by SIGSTOP, and continued
-	StateDown Kind = "state_down" // outage of the state service
-	Silence   Kind = "silence"    // heartbeats of machines of a zone, or of all, are lost
+	Kill      Kind = "kill"       // kills a node by SIGKILL, and restarts it
+	Terminate Kind = "terminate"  // terminates a node by SIGTERM, and restarts it
+	Freeze    Kind = "freeze"     // suspends a node by SIGSTOP, and resumes it by SIGCONT
+	StateDown Kind = "state_down" // makes the state service unavailable
+	Silence   Kind = "silence"    // drops the heartbeats of the machines in one zone, or in all zones
 )
 
-// Fault is one fault of a run. Its names are those of the file of faults.
+// Fault is a fault that is injected during a run. The struct tags are the field names in a fault file.
 type Fault struct {
-	AtS  float64 `toml:"at_s"`  // seconds since the first submission
-	ForS float64 `toml:"for_s"` // seconds until it is over
+	AtS  float64 `toml:"at_s"`  // start of the fault, in seconds since the first submission
+	ForS float64 `toml:"for_s"` // duration, in seconds
 	Kind Kind    `toml:"kind"`
-	Node string  `toml:"node"` // of kill, terminate, freeze; "leader": the one that leads then
-	Zone string  `toml:"zone"` // of silence; empty: all
+	Node string  `toml:"node"` // for kill, terminate and freeze; "leader" selects the leader at the start of the fault
+	Zone string  `toml:"zone"` // for silence; empty means all zones
 }
 
-// leaderNode names the node that leads when the fault begins.
-const leaderNode = "leader"
+// leaderNodeName stands for the node that is the leader when the fault starts.
+const leaderNodeName = "leader"
 
-// maxFaultS bounds the times of faults, in seconds.
-const maxFaultS = 3600
+// maxFaultTimeS is the maximum of at_s and of for_s, in seconds.
+const maxFaultTimeS = 3600
 
-// FaultError is a problem of a file of faults.
+// FaultError is an error in a fault file.
 type FaultError struct {
 	File    string
 	Line    int
@@ -47,32 +47,33 @@
 	Problem string
 }
 
-// Error implements error: one line with file, line and field.
+// Error returns one line of text that contains the file, the line and the field.
 func (e *FaultError) Error() string {
 	return fmt.Sprintf("%s:%d: %s %s", e.File, e.Line, e.Field, e.Problem)
 }
 
-// ParseFaults parses and checks the content of a file of faults, a list [[fault]], for a cluster of
-// so many nodes over some zones. It returns the faults in the order of their begin. The error is a
-// *FaultError where a line is at fault.
+// ParseFaults parses and validates the content of a fault file, which is a TOML array of tables [[fault]], for a
+// cluster with the given number of nodes and the given zones. It returns the faults sorted by start time. The error is
+// a *FaultError if it can be attributed to a line.
 func ParseFaults(file string, content []byte, nodes int, zones []string) ([]Fault, error) {
-	var list struct {
+	var document struct {
 		Faults []Fault `toml:"fault"`
 	}
 	decoder := toml.NewDecoder(bytes.NewReader(content)).DisallowUnknownFields()
-	if err := decoder.Decode(&list); err != nil {
+	if err := decoder.Decode(&document); err != nil {
 		return nil, decodeError(file, err)
 	}
-	for i := range list.Faults {
-		if field, problem := list.Faults[i].check(nodes, zones); problem != "" {
-			return nil, &FaultError{file, lineOf(content, i, field), field, problem}
+	for i := range document.Faults {
+		if field, problem := document.Faults[i].check(nodes, zones); problem != "" {
+			return nil, &FaultError{file, findLine(content, i, field), field, problem}
 		}
 	}
-	slices.SortStableFunc(list.Faults, func(a, b Fault) int { return int(a.AtS*1000 - b.AtS*1000) })
-	return list.Faults, nil
+	slices.SortStableFunc(document.Faults, func(a, b Fault) int { return int(a.AtS*1000 - b.AtS*1000) })
+	return document.Faults, nil
 }
 
-// decodeError returns the error for a file that is no TOML, or has a field that no fault has.
+// decodeError converts an error of the TOML decoder, which is returned for invalid TOML, a value of the wrong type or an
+// unknown field.
 func decodeError(file string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
@@ -88,52 +89,53 @@
 	return fmt.Errorf("%s: %w", file, err)
 }
 
-// check returns the first field with a problem, and the problem; both are empty if there is none.
+// check returns the first invalid field and a description of the problem, or empty strings if the fault is valid.
 func (f *Fault) check(nodes int, zones []string) (field, problem string) {
-	ofNode := f.Kind == Kill || f.Kind == Terminate || f.Kind == Freeze
+	isNodeFault := f.Kind == Kill || f.Kind == Terminate || f.Kind == Freeze
 	switch {
-	case !ofNode && f.Kind != StateDown && f.Kind != Silence:
+	case !isNodeFault && f.Kind != StateDown && f.Kind != Silence:
 		return "kind", fmt.Sprintf("%q is none of kill, terminate, freeze, state_down, silence", f.Kind)
-	case !(f.AtS >= 0 && f.AtS <= maxFaultS): // also if it is no number
-		return "at_s", fmt.Sprintf("must be from 0 to %d", maxFaultS)
-	case !(f.ForS > 0 && f.ForS <= maxFaultS):
-		return "for_s", fmt.Sprintf("must be over 0 and at most %d", maxFaultS)
-	case ofNode && f.Node != leaderNode && !isMember(f.Node, nodes):
+	case !(f.AtS >= 0 && f.AtS <= maxFaultTimeS): // the negation also rejects NaN
+		return "at_s", fmt.Sprintf("must be from 0 to %d", maxFaultTimeS)
+	case !(f.ForS > 0 && f.ForS <= maxFaultTimeS):
+		return "for_s", fmt.Sprintf("must be over 0 and at most %d", maxFaultTimeS)
+	case isNodeFault && f.Node != leaderNodeName && !isNodeName(f.Node, nodes):
 		return "node", fmt.Sprintf("%q is neither a node nor \"leader\"", f.Node)
-	case !ofNode && f.Node != "":
-		return "node", "belongs to kill, terminate and freeze"
+	case !isNodeFault && f.Node != "":
+		return "node", "applies only to kill, terminate and freeze"
 	case f.Zone != "" && f.Kind != Silence:
-		return "zone", "belongs to silence"
+		return "zone", "applies only to silence"
 	case f.Zone != "" && !slices.Contains(zones, f.Zone):
 		return "zone", fmt.Sprintf("%q is none of %s", f.Zone, strings.Join(zones, ", "))
 	}
 	return "", ""
 }
 
-// isMember reports whether a name is that of one of so many nodes.
-func isMember(name string, nodes int) bool {
+// isNodeName reports whether name is the name of a node in a cluster with the given number of nodes.
+func isNodeName(name string, nodes int) bool {
 	var node int
 	_, err := fmt.Sscanf(name, harness.MemberFormat, &node)
 	return err == nil && node >= 0 && node < nodes && name == fmt.Sprintf(harness.MemberFormat, node)
 }
 
-// faultHeader begins a fault in the file.
-const faultHeader = "[[fault]]"
+// faultTableHeader is the line that begins a fault in a fault file.
+const faultTableHeader = "[[fault]]"
 
-// lineOf returns the line of a field of the nth fault, or of the fault itself if the field is left out.
-func lineOf(content []byte, n int, field string) int {
-	header, seen := 0, -1
+// findLine returns the number of the line that sets a field of the fault with index n, or of the header of the fault
+// if the field is missing.
+func findLine(content []byte, n int, field string) int {
+	headerLine, index := 0, -1
 	for i, line := range strings.Split(string(content), "\n") {
 		line = strings.TrimSpace(line)
-		if strings.HasPrefix(line, faultHeader) {
-			if seen++; seen == n {
-				header = i + 1
+		if strings.HasPrefix(line, faultTableHeader) {
+			if index++; index == n {
+				headerLine = i + 1
 			}
 		}
 		key, _, _ := strings.Cut(line, "=")
-		if seen == n && strings.TrimSpace(key) == field {
+		if index == n && strings.TrimSpace(key) == field {
 			return i + 1
 		}
 	}
-	return header
+	return headerLine
 }
--- a/internal/sim/lab/faults_golden_test.go
+++ b/internal/sim/lab/faults_golden_test.go
@@ -15,10 +15,10 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// TestFaultEncoding checks that a fault with every field set is written as it was, the example is
-// read as it was, and the errors of invalid files are what they were. Errors of decoding name the
-// type and fields in Go, so these are seen outside.
-func TestFaultEncoding(t *testing.T) {
+// TestFaultEncodingAndErrorsGolden compares the encoding of a fault with every field set, the faults parsed from the
+// example file, and the errors for invalid files with a golden file. Decoding errors contain the Go names of the type
+// and its fields, so renaming these would change messages that users see.
+func TestFaultEncodingAndErrorsGolden(t *testing.T) {
 	b, err := toml.Marshal(golden.Filled(reflect.TypeFor[Fault]()).Interface())
 	if err != nil {
 		t.Fatal(err)
@@ -49,11 +49,11 @@
 	golden.Check(t, "faults.golden", sections)
 }
 
-// TestFaultTags checks that tags name all fields of a fault.
+// TestFaultTags checks that every field of a fault is named by a struct tag.
 func TestFaultTags(t *testing.T) { golden.CheckTags(t, "toml", golden.TypeOf[Fault]("a fault")) }
 
-// TestSummaryText checks that a summary is printed as it was.
-func TestSummaryText(t *testing.T) {
+// TestSummaryPrintAndErrGolden compares the printed text and the errors of summaries with a golden file.
+func TestSummaryPrintAndErrGolden(t *testing.T) {
 	var full, empty strings.Builder
 	all := golden.Filled(reflect.TypeFor[Summary]()).Interface().(Summary)
 	all.Classes[0].Waits = failover.Summary{Median: 1250 * micros.Millisecond, P95: 2500 * micros.Millisecond, Max: 3750 * micros.Millisecond}
--- a/internal/sim/lab/faults_test.go
+++ b/internal/sim/lab/faults_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestParseFaults checks that files of faults are parsed, or the line and the field at fault are named.
+// TestParseFaults checks that valid fault files are parsed, and that errors name the line and the invalid field.
 func TestParseFaults(t *testing.T) {
 	example, err := os.ReadFile("../../../deploy/faults.example.toml")
 	if err != nil {
@@ -20,20 +20,20 @@
 		field      string
 	}{
 		{"example file", string(example), 4, 0, ""},
-		{"no fault", "", 0, 0, ""},
+		{"empty file", "", 0, 0, ""},
 		{"two faults", kill + kill, 2, 0, ""},
 		{"syntax error", kill + "[[fault]\n", 0, 6, ""},
-		{"field of another type", "[[fault]]\nat_s = \"soon\"\n", 0, 2, "fault.at_s"},
+		{"field of wrong type", "[[fault]]\nat_s = \"soon\"\n", 0, 2, "fault.at_s"},
 		{"unknown field", kill + "\nwhen = 3\n", 0, 7, "fault.when"},
 		{"unknown kind", kill + "[[fault]]\nkind = \"explode\"\nat_s = 1\n", 0, 7, "kind"},
-		{"kind left out", kill + "[[fault]]\nat_s = 1\n", 0, 6, "kind"},
-		{"begin before the run", "[[fault]]\nkind = \"state_down\"\nfor_s = 1.0\nat_s = -1.0", 0, 4, "at_s"},
+		{"missing kind", kill + "[[fault]]\nat_s = 1\n", 0, 6, "kind"},
+		{"negative start time", "[[fault]]\nkind = \"state_down\"\nfor_s = 1.0\nat_s = -1.0", 0, 4, "at_s"},
 		{"duration is not a number", "[[fault]]\nkind = \"state_down\"\nfor_s = nan", 0, 3, "for_s"},
-		{"duration left out", "[[fault]]\nkind = \"state_down\"\n", 0, 1, "for_s"},
+		{"missing duration", "[[fault]]\nkind = \"state_down\"\n", 0, 1, "for_s"},
 		{"unknown node", "[[fault]]\nkind = \"freeze\"\nfor_s = 1.0\nnode = \"host-3\"", 0, 4, "node"},
-		{"node left out", "[[fault]]\nkind = \"freeze\"\nfor_s = 1.0\n", 0, 1, "node"},
-		{"node with a fault of the state service", "[[fault]]\nkind = \"state_down\"\nnode = \"host-0\"\nfor_s = 1.0", 0, 3, "node"},
-		{"zone with a fault of a node", kill + "zone = \"a\"", 0, 6, "zone"},
+		{"missing node", "[[fault]]\nkind = \"freeze\"\nfor_s = 1.0\n", 0, 1, "node"},
+		{"node set for a fault of the state service", "[[fault]]\nkind = \"state_down\"\nnode = \"host-0\"\nfor_s = 1.0", 0, 3, "node"},
+		{"zone set for a fault of a node", kill + "zone = \"a\"", 0, 6, "zone"},
 		{"unknown zone", "[[fault]]\nkind = \"silence\"\nfor_s = 1.0\nzone = \"c\"", 0, 4, "zone"},
 	}
 	for _, c := range cases {
@@ -43,10 +43,10 @@
 			switch {
 			case c.line == 0:
 				if err != nil || len(faults) != c.faults {
-					t.Errorf("%d faults, %v", len(faults), err)
+					t.Errorf("got %d faults and error %v, want %d faults", len(faults), err, c.faults)
 				}
 			case !errors.As(err, &faultError) || faultError.File != "f.toml" || faultError.Line != c.line || faultError.Field != c.field:
-				t.Errorf("%v, want line %d and field %s", err, c.line, c.field)
+				t.Errorf("got error %v, want one for line %d and field %s", err, c.line, c.field)
 			}
 		})
 	}
--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -1,10 +1,10 @@
-// Package lab runs a whole cluster on one machine, for newcomers and for rehearsals of failures:
-// controllers as processes of this program on loopback, with fakes of the state service, the cloud
-// and its workers in the lab's own process, and users who submit a sample of jobs.
+// Package lab runs a whole cluster on one machine, for trying out the scheduler and for rehearsing failures. The
+// controllers run as processes of this program on loopback. Fakes of the state service, of the cloud and of its workers
+// run in the lab's own process, as do simulated users, who submit a sample workload.
 //
-// It owns the sample of jobs, the faults that a user may ask for, and the summary. The cluster is
-// internal/sim/harness's, and whether a rule was violated is for internal/sim/checker to say: the
-// lab must not judge a run by anything else than that and jobs that are not done.
+// It owns the sample workload, the faults that a user can request, and the summary. Package internal/sim/harness owns
+// the cluster, and package internal/sim/checker decides whether a rule was violated: the lab must consider a run as
+// failed only because of these violations, or because jobs were not completed.
 package lab
 
 import (
@@ -20,61 +20,63 @@
 	"caperlatch/internal/sim/harness"
 )
 
-// Options are what a user chooses.
+// Options are the options of a lab.
 type Options struct {
-	Program   string   // that the nodes run
-	Args      []string // of the nodes, as the files of optional parts
-	Dir       string   // for settings and logs
+	Program   string   // executable of the nodes
+	Args      []string // additional arguments of the nodes, such as the files that configure optional features
+	Dir       string   // directory for settings files and logs
 	Nodes     int
-	Machines  int // that the cloud has at most
+	Machines  int // maximum number of machines that the cloud provides
 	Seed      uint64
-	SubmitFor time.Duration // for how long jobs are submitted
+	SubmitFor time.Duration // how long jobs are submitted
 	Faults    []Fault
-	Port      int // of the first node, if it is free; 0: any
+	Port      int // client port of the first node, the next ones of the others; free ports replace 0 and ports in use
 }
 
-// Errors of a run.
+// Errors returned by Run and Summary.Err.
 var (
-	ErrNotAccepted  = errors.New("the job was accepted by no node")
+	ErrNotAccepted  = errors.New("no node accepted the job")
 	ErrRuleViolated = errors.New("a rule was broken")
 	ErrInterrupted  = errors.New("interrupted")
-	ErrTimedOut     = errors.New("the run does not come to its end")
+	ErrTimedOut     = errors.New("run exceeded its time limit")
 )
 
-// Times of a run.
+// Timeouts and intervals of a run.
 const (
-	readyTimeout     = 20 * time.Second
-	doneTimeout      = 90 * time.Second // of all jobs, after the last was submitted
-	submitPause      = 200 * time.Millisecond
-	sampleInterval   = 250 * time.Millisecond
-	progressInterval = 2 * time.Second
-	pollPause        = 20 * time.Millisecond
+	readyTimeout        = 20 * time.Second
+	completionTimeout   = 90 * time.Second // for completing all jobs, after the last submission and the last fault
+	submitRetryInterval = 200 * time.Millisecond
+	sampleInterval      = 250 * time.Millisecond
+	progressInterval    = 2 * time.Second
+	pollInterval        = 20 * time.Millisecond
 )
 
-// maxStarts is how often the nodes are started, as their ports may be taken meanwhile.
-const maxStarts = 3
+// maxStartAttempts is the maximum number of attempts to start the nodes. An attempt fails if another process takes a
+// port after it was found to be free.
+const maxStartAttempts = 3
 
-// Lab is one cluster, for one run.
+// Lab is a cluster that is used for one run.
 type Lab struct {
-	options    Options
-	out        io.Writer
-	startedAt  time.Time
-	cluster    *harness.ProcessCluster
-	history    *checker.History
-	firstToken uint64     // the fencing token of the first leader
-	failures   chan error // capacity 1: a node that exited by itself, or what failed in the background
+	options           Options
+	out               io.Writer
+	startedAt         time.Time
+	cluster           *harness.ProcessCluster
+	history           *checker.History
+	firstFencingToken uint64     // fencing token of the first leader
+	failures          chan error // capacity 1; unexpected exits of nodes, and errors of background goroutines
 
-	// The checker passes what tasks do on to the history, which asks what is silenced, each under its
-	// lock: nothing of theirs may be called under this one.
-	mu               sync.Mutex     // guards what follows
-	silenced         map[string]int // zones whose machines' heartbeats are lost, by how many faults
-	openJobs         []string       // that are not known to be done
-	acceptedJobs     map[string]int // by class
+	// The checker holds its lock while it passes task events to the history, and the history holds its own lock while
+	// it calls isSilenced, which locks mu. To avoid a deadlock, do not call methods that take either lock while mu is
+	// locked.
+	mu               sync.Mutex     // guards the fields below
+	silenced         map[string]int // number of active silence faults by zone; the key "" stands for all zones
+	openJobs         []string       // IDs of accepted jobs that are not known to be done
+	acceptedJobs     map[string]int // number of accepted jobs by class
 	doneJobs         int
-	firstViolationAt time.Duration // 0: there is none
+	firstViolationAt time.Duration // 0 if no rule was violated
 }
 
-// New prepares a lab, which writes its progress to out.
+// New returns a lab that writes its progress to out. It starts no nodes.
 func New(options Options, out io.Writer) (*Lab, error) {
 	if _, err := nodeSettings(0, options.Nodes); err != nil {
 		return nil, err
@@ -89,14 +91,14 @@
 	}, nil
 }
 
-// Settings returns settings with the parameters that the lab's nodes have.
+// Settings returns settings with the same parameters as those of the lab's nodes, except for the number of nodes.
 func Settings() (*settings.Settings, error) { return nodeSettings(0, 1) }
 
-// start starts the nodes and waits until all of them take requests. Where a port was taken meanwhile
-// it starts anew with others.
-func (l *Lab) start() (err error) {
-	for range maxStarts {
-		if err = l.startOnce(); err == nil {
+// startCluster starts the nodes and waits until all of them accept requests and one is the leader. It retries with
+// other ports, because another process may have taken one of the ports.
+func (l *Lab) startCluster() (err error) {
+	for range maxStartAttempts {
+		if err = l.tryStartCluster(); err == nil {
 			return nil
 		}
 		if l.cluster != nil {
@@ -106,19 +108,19 @@
 	return err
 }
 
-// startOnce starts the nodes with ports that were free just now.
-func (l *Lab) startOnce() error {
+// tryStartCluster makes one attempt to start the nodes, with ports that are free at the moment.
+func (l *Lab) tryStartCluster() error {
 	l.failures = make(chan error, 1)
 	cluster, err := harness.NewProcessCluster(harness.ProcessConfig{
 		Settings: func(node int) *settings.Settings {
-			s, _ := nodeSettings(node, l.options.Nodes) // New has tried it
+			s, _ := nodeSettings(node, l.options.Nodes) // New has checked that there is no error
 			return s
 		},
 		Nodes:     l.options.Nodes,
 		Dir:       l.options.Dir,
 		RuntimeOf: l.runtimeOf,
 		OnUnexpectedExit: func(node int, log string, err error) {
-			l.fail(fmt.Errorf(harness.MemberFormat+" ended by itself (%w), see %s", node, err, log))
+			l.reportFailure(fmt.Errorf(harness.MemberFormat+" exited unexpectedly (%w), see its log %s", node, err, log))
 		},
 	})
 	l.cluster = cluster
@@ -148,22 +150,23 @@
 	return err
 }
 
-// fail records a failure in the background; the first one ends the run.
-func (l *Lab) fail(err error) {
+// reportFailure reports an error of a background goroutine. The first one ends the run.
+func (l *Lab) reportFailure(err error) {
 	select {
 	case l.failures <- err:
 	default:
 	}
 }
 
-// logf writes a line of progress.
+// logf writes a line of progress, preceded by the time since the lab was created.
 func (l *Lab) logf(format string, args ...any) {
 	fmt.Fprintf(l.out, "%4.0f s: %s\n", time.Since(l.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Up runs the nodes without jobs, and says how to use them, until ctx ends.
+// Up runs the nodes without the sample workload and prints how to use them. It returns when ctx is cancelled or a node
+// exits unexpectedly.
 func (l *Lab) Up(ctx context.Context) error {
-	if err := l.start(); err != nil {
+	if err := l.startCluster(); err != nil {
 		return err
 	}
 	defer l.cluster.Close()
--- a/internal/sim/lab/lab_test.go
+++ b/internal/sim/lab/lab_test.go
@@ -10,16 +10,16 @@
 	"caperlatch/internal/wire"
 )
 
-// TestSummaryErr checks what a summary says was wrong with a run.
+// TestSummaryErr checks the error of a summary for successful and failed runs.
 func TestSummaryErr(t *testing.T) {
 	cases := []struct {
 		name string
 		run  Summary
-		want string // of the error
+		want string // text of the error
 	}{
-		{"nothing was wrong", Summary{Seed: 7}, ""},
-		{"a rule was violated", Summary{Seed: 7, Violations: []string{"ran_twice: j-1000001/0"}, FirstViolationAt: 3 * time.Second}, "a rule was broken after 3.0 s, seed 7: ran_twice: j-1000001/0"},
-		{"jobs are open", Summary{Seed: 7, OpenJobs: []string{"j-1000001"}}, "1 jobs were not done in time, seed 7: j-1000001"},
+		{"successful run", Summary{Seed: 7}, ""},
+		{"rule violation", Summary{Seed: 7, Violations: []string{"ran_twice: j-1000001/0"}, FirstViolationAt: 3 * time.Second}, "a rule was broken after 3.0 s, seed 7: ran_twice: j-1000001/0"},
+		{"open jobs", Summary{Seed: 7, OpenJobs: []string{"j-1000001"}}, "1 jobs were not done in time, seed 7: j-1000001"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -28,15 +28,16 @@
 				text = err.Error()
 			}
 			if text != c.want {
-				t.Errorf("%q, want %q", text, c.want)
+				t.Errorf("got error %q, want %q", text, c.want)
 			}
 		})
 	}
 }
 
-// TestSampleDuringStarts samples while workers start tasks: the checker of the rules passes these on
-// to the history under its lock, and the two must not wait for each other.
-func TestSampleDuringStarts(t *testing.T) {
+// TestRecordSampleDoesNotDeadlockWithChecker records samples while workers start tasks. The checker calls the history
+// while holding its own lock, so a sampler that called the checker while holding a lock that the history needs would
+// cause a deadlock.
+func TestRecordSampleDoesNotDeadlockWithChecker(t *testing.T) {
 	l, err := New(Options{Nodes: 3, Machines: 1, SubmitFor: time.Second}, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -51,10 +52,10 @@
 		t.Fatal(err)
 	}
 	defer l.cluster.Close()
-	l.observe()
+	l.startHistory()
 	rules := l.cluster.Rules
 	rules.ObserveLaunch("i-000000", wire.LaunchRequest{InstanceType: "m4", Zone: "a", Spot: true, Count: 1})
-	rules.ObserveSubmission(classes[0].job(jobID(0, 1)))
+	rules.ObserveSubmission(classes[0].newJob(jobID(0, 1)))
 	started := make(chan struct{})
 	go func() {
 		defer close(started)
@@ -71,13 +72,13 @@
 			case <-started:
 				return
 			default:
-				l.sample()
+				l.recordSample()
 			}
 		}
 	}()
 	select {
 	case <-sampled:
 	case <-time.After(time.Minute):
-		t.Fatal("the checker and the history wait for each other")
+		t.Fatal("samples were not recorded within a minute: deadlock between the checker and the history")
 	}
 }
--- a/internal/sim/lab/run.go
+++ b/internal/sim/lab/run.go
@@ -13,43 +13,44 @@
 	"caperlatch/internal/wire"
 )
 
-// Run plays the sample of jobs with the faults, and returns a summary. It ends early with ctx.
+// Run runs the sample workload, injects the faults and returns a summary. It returns ErrInterrupted if ctx is cancelled
+// before the end of the run.
 func (l *Lab) Run(ctx context.Context) (*Summary, error) {
-	if err := l.start(); err != nil {
+	if err := l.startCluster(); err != nil {
 		return nil, err
 	}
 	defer l.cluster.Close()
-	l.firstToken = l.cluster.FencingToken()
+	l.firstFencingToken = l.cluster.FencingToken()
 	l.logf("%d nodes run, at most %d machines, seed %d", l.options.Nodes, l.options.Machines, l.options.Seed)
-	l.observe()
+	l.startHistory()
 	ctx, cancel := context.WithCancel(ctx)
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer cancel()
-	background.Go(func() { l.sampleUntil(ctx) })
-	background.Go(func() { l.pollUntil(ctx) })
-	if err := l.play(ctx); err != nil {
+	background.Go(func() { l.recordSamples(ctx) })
+	background.Go(func() { l.pollOpenJobs(ctx) })
+	if err := l.runWorkload(ctx); err != nil {
 		return nil, err
 	}
 	return l.summarize(), nil
 }
 
-// observe begins the history of what workers do; there are no tasks yet.
-func (l *Lab) observe() {
+// startHistory starts recording the history of task events. No task has started yet at this time.
+func (l *Lab) startHistory() {
 	s, _ := nodeSettings(0, l.options.Nodes)
 	l.history = checker.NewHistory()
 	l.history.ClassOf, l.history.IsZoneAffected = classOf, l.isSilenced
 	l.history.MaxReportDelay = s.Params.Workers.LeaseDuration().Duration()
 	l.cluster.Rules.OnTaskEvent = l.history.ObserveTaskEvent
-	l.cluster.Net.SetFault(l.faultOf)
+	l.cluster.Net.SetFault(l.requestFault)
 }
 
-// play submits the jobs, injects the faults, and waits until all jobs are done. When it ends early,
-// what it started goes on until the next thing that it does fails, or until the program ends.
-func (l *Lab) play(ctx context.Context) error {
+// runWorkload submits the jobs, injects the faults, and waits until all jobs are done. If it returns early, the
+// goroutines that it started continue until one of their operations fails or the process exits.
+func (l *Lab) runWorkload(ctx context.Context) error {
 	var work sync.WaitGroup
 	for i := range classes {
-		work.Go(func() { l.submitClass(i) })
+		work.Go(func() { l.submitJobs(i) })
 	}
 	for i := range l.options.Faults {
 		f := &l.options.Faults[i]
@@ -58,8 +59,8 @@
 			if ctx.Err() != nil {
 				return
 			}
-			if err := l.inject(f); err != nil {
-				l.fail(err)
+			if err := l.injectFault(f); err != nil {
+				l.reportFailure(err)
 			}
 		})
 	}
@@ -81,18 +82,19 @@
 	}
 }
 
-// timeLimit is how long a run may take: all its parts have limits of their own.
+// timeLimit returns the maximum duration of a run: the time until the end of the submissions and of the faults, plus
+// twice completionTimeout. The individual phases of a run have timeouts of their own.
 func (l *Lab) timeLimit() time.Duration {
 	last := l.options.SubmitFor
 	for _, f := range l.options.Faults {
 		last = max(last, time.Duration((f.AtS+f.ForS)*float64(time.Second)))
 	}
-	return last + 2*doneTimeout
+	return last + 2*completionTimeout
 }
 
-// awaitJobsDone waits until all jobs are known to be done, at most for doneTimeout.
+// awaitJobsDone waits until all accepted jobs are known to be done, for at most completionTimeout.
 func (l *Lab) awaitJobsDone(ctx context.Context) {
-	for start := time.Now(); time.Since(start) < doneTimeout && ctx.Err() == nil; time.Sleep(sampleInterval) {
+	for start := time.Now(); time.Since(start) < completionTimeout && ctx.Err() == nil; time.Sleep(sampleInterval) {
 		l.mu.Lock()
 		open := len(l.openJobs)
 		l.mu.Unlock()
@@ -102,7 +104,7 @@
 	}
 }
 
-// recordAccepted records a job that was accepted.
+// recordAccepted records an accepted job in the history and adds it to the open jobs.
 func (l *Lab) recordAccepted(job *wire.Job) {
 	l.history.ObserveAcceptedJob(job.ID, job.Class, job.Tasks)
 	l.mu.Lock()
@@ -111,10 +113,10 @@
 	l.acceptedJobs[job.Class]++
 }
 
-// pollUntil queries the open jobs, one after the other, until ctx ends.
-func (l *Lab) pollUntil(ctx context.Context) {
+// pollOpenJobs queries the status of the open jobs in turn, each time at the next node, until ctx is cancelled.
+func (l *Lab) pollOpenJobs(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 		l.mu.Lock()
 		id := ""
 		if len(l.openJobs) > 0 {
@@ -134,28 +136,30 @@
 	}
 }
 
-// sampleUntil records samples, and writes the progress now and then, until ctx ends.
-func (l *Lab) sampleUntil(ctx context.Context) {
+// recordSamples records a sample every sampleInterval and writes a line of progress every progressInterval, until ctx is
+// cancelled.
+func (l *Lab) recordSamples(ctx context.Context) {
 	for lastProgress := time.Now(); ctx.Err() == nil; time.Sleep(sampleInterval) {
-		jobs := l.sample()
+		jobs := l.recordSample()
 		if time.Since(lastProgress) < progressInterval {
 			continue
 		}
 		lastProgress = time.Now()
-		leads := "nobody leads"
+		leaderStatus := "nobody leads"
 		if node := l.cluster.CurrentLeader(); node >= 0 {
-			leads = fmt.Sprintf(harness.MemberFormat+" leads", node)
+			leaderStatus = fmt.Sprintf(harness.MemberFormat+" leads", node)
 		}
 		l.logf("%d jobs done, %d open, %d tasks on %d machines, %s", jobs.done, jobs.open,
-			len(l.cluster.Cloud.TasksOnMachines()), len(l.cluster.Cloud.Workers()), leads)
+			len(l.cluster.Cloud.TasksOnMachines()), len(l.cluster.Cloud.Workers()), leaderStatus)
 	}
 }
 
-// jobCounts are numbers of jobs.
+// jobCounts are the numbers of accepted jobs that are open and done.
 type jobCounts struct{ open, done int }
 
-// sample records a sample and the time of the first violation, and counts the accepted jobs.
-func (l *Lab) sample() jobCounts {
+// recordSample records a sample of the cluster's state, and the time of the first violation if there is one. It returns
+// the numbers of open and done jobs.
+func (l *Lab) recordSample() jobCounts {
 	l.history.RecordSample(l.cluster.Cloud.Machines())
 	violated := len(l.cluster.Rules.Violations()) > 0
 	l.mu.Lock()
--- a/internal/sim/lab/summary.go
+++ b/internal/sim/lab/summary.go
@@ -15,31 +15,31 @@
 	Seed             uint64
 	Nodes            int
 	Classes          []ClassSummary
-	OpenJobs         []string      // that were not known to be done in the end
-	LeaderTerms      uint64        // of leaders
-	LaunchedMachines int           // machines
-	Cost             float64       // of these
-	Violations       []string      // of the rules
-	FirstViolationAt time.Duration // since the history began
+	OpenJobs         []string // IDs of jobs that were not known to be done at the end
+	LeaderTerms      uint64   // number of leader terms during the run
+	LaunchedMachines int
+	Cost             float64       // cost of all machines until the last sample
+	Violations       []string      // rule violations, in order of detection
+	FirstViolationAt time.Duration // time since the history began
 	Samples          []checker.Sample
 }
 
-// ClassSummary is the result of one class's jobs.
+// ClassSummary is the result of the jobs of one class.
 type ClassSummary struct {
 	Class           string
 	Jobs            int
-	Waits, Runtimes failover.Summary // of tasks
+	Waits, Runtimes failover.Summary // waiting times and runtimes of tasks
 }
 
-// summarize summarizes the run, which is over.
+// summarize returns the summary of the completed run.
 func (l *Lab) summarize() *Summary {
 	waits, runtimes := map[string][]micros.Micros{}, map[string][]micros.Micros{}
-	l.history.EachWait(0, appendTo(waits))
-	l.history.EachRuntime(appendTo(runtimes))
+	l.history.EachWait(0, appendByClass(waits))
+	l.history.EachRuntime(appendByClass(runtimes))
 	s := &Summary{
 		Seed:             l.options.Seed,
 		Nodes:            l.options.Nodes,
-		LeaderTerms:      l.cluster.FencingToken() - l.firstToken + 1,
+		LeaderTerms:      l.cluster.FencingToken() - l.firstFencingToken + 1,
 		LaunchedMachines: l.cluster.Cloud.Launched(),
 		Violations:       l.cluster.Rules.Violations(),
 		Samples:          l.history.Samples(),
@@ -55,26 +55,27 @@
 			Runtimes: failover.Summarize(runtimes[c.name]),
 		})
 	}
-	s.Cost = cost(s.Samples)
+	s.Cost = totalCost(s.Samples)
 	return s
 }
 
-// appendTo returns a function that appends times by class.
-func appendTo(times map[string][]micros.Micros) func(class string, d time.Duration) {
+// appendByClass returns a function that appends a duration to the times of a class.
+func appendByClass(times map[string][]micros.Micros) func(class string, d time.Duration) {
 	return func(class string, d time.Duration) {
 		times[class] = append(times[class], micros.Micros(d/time.Microsecond))
 	}
 }
 
-// cost returns what the machines cost until the last sample.
-func cost(samples []checker.Sample) (sum float64) {
+// totalCost returns the cost of all machines until the last sample.
+func totalCost(samples []checker.Sample) (sum float64) {
 	for i := 1; i < len(samples); i++ {
 		sum += samples[i-1].PricePerHour * (samples[i].At - samples[i-1].At).Hours()
 	}
 	return sum
 }
 
-// Err returns what was wrong with the run, with the seed that repeats its jobs; nil if nothing was.
+// Err returns an error if a rule was violated or jobs were not completed. The error contains the seed, with which the
+// same jobs can be submitted again.
 func (s *Summary) Err() error {
 	switch {
 	case len(s.Violations) > 0:
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// Print writes the summary for people.
+// Print writes the summary as human-readable text.
 func (s *Summary) Print(w io.Writer) {
 	fmt.Fprintf(w, "%-12s %5s %6s   %-24s %s\n", "class", "jobs", "tasks", "waits, s: 50% 95% most", "runs, s: 50% 95% most")
 	for _, c := range s.Classes {
@@ -98,7 +99,7 @@
 	}
 }
 
-// formatTimes formats a distribution of times, in seconds.
+// formatTimes formats the median, the 95th percentile and the maximum, in seconds.
 func formatTimes(s failover.Summary) string {
 	return fmt.Sprintf("%.2f %.2f %.2f", s.Median.Seconds(), s.P95.Seconds(), s.Max.Seconds())
 }
--- a/internal/sim/lab/workload.go
+++ b/internal/sim/lab/workload.go
@@ -12,18 +12,18 @@
 	"caperlatch/internal/wire"
 )
 
-// class is a class of the sample's jobs, which are submitted all the time.
+// class is a class of jobs in the sample workload. Its jobs are submitted continuously.
 type class struct {
 	name      string
 	kind      wire.JobKind
 	priority  wire.Priority
-	interval  time.Duration // between two jobs, on average
+	interval  time.Duration // mean interval between submissions
 	tasks     int
 	runtimeS  float64
-	deadlineS float64 // from the submission
+	deadlineS float64 // seconds from the submission
 }
 
-// classes use some 40 CPUs together.
+// classes are the classes of the sample workload. Together, they use about 40 CPUs.
 var classes = []class{
 	{"interactive", wire.KindArray, wire.PriorityUrgent, time.Second, 4, 1, 5},
 	{"batch", wire.KindArray, "normal", 2 * time.Second, 12, 3, 15},
@@ -31,23 +31,23 @@
 	{"nightly", wire.KindArray, "idle", 4 * time.Second, 10, 4, 60},
 }
 
-// classIDs is how many job numbers each class has.
-const classIDs = 1_000_000
+// idsPerClass is the size of the range of job numbers of each class.
+const idsPerClass = 1_000_000
 
-// jobID returns the ID of a class's nth job.
-func jobID(class, n int) string { return fmt.Sprintf("j-%d", (class+1)*classIDs+n) }
+// jobID returns the ID of the nth job of the class with the given index.
+func jobID(class, n int) string { return fmt.Sprintf("j-%d", (class+1)*idsPerClass+n) }
 
-// classOf returns the class of a task by its job's number; empty if the sample has none like it.
+// classOf returns the name of the class whose range contains the job number of a task, or "" if there is none.
 func classOf(task string) string {
 	var n int
-	if _, err := fmt.Sscanf(task, "j-%d", &n); err != nil || n < classIDs || n >= (len(classes)+1)*classIDs {
+	if _, err := fmt.Sscanf(task, "j-%d", &n); err != nil || n < idsPerClass || n >= (len(classes)+1)*idsPerClass {
 		return ""
 	}
-	return classes[n/classIDs-1].name
+	return classes[n/idsPerClass-1].name
 }
 
-// job returns a job of the class.
-func (c *class) job(id string) wire.Job {
+// newJob returns a job of the class with the given ID.
+func (c *class) newJob(id string) wire.Job {
 	return wire.Job{
 		ID:                id,
 		Class:             c.name,
@@ -65,7 +65,8 @@
 	}
 }
 
-// nodeSettings returns the settings of a node of the sample deployment, but for addresses.
+// nodeSettings returns the example settings adapted to a node in a cluster with the given number of nodes. The caller
+// replaces the addresses.
 func nodeSettings(node, nodes int) (*settings.Settings, error) {
 	s, err := settings.Parse(deploy.ExampleSettings)
 	if err != nil {
@@ -77,20 +78,21 @@
 	return s, nil
 }
 
-// runtimeOf returns how long a task of a job runs, in seconds.
+// runtimeOf returns the runtime of a task in seconds, which is its job's estimated runtime.
 func (l *Lab) runtimeOf(task string) float64 {
 	id, _, _ := strings.Cut(task, "/")
 	return l.cluster.Rules.Job(id).EstimatedRuntimeS
 }
 
-// submitClass submits a class's jobs until the time for submissions is over.
-func (l *Lab) submitClass(index int) {
+// submitJobs submits jobs of the class with the given index for the duration SubmitFor, starting at a random node each
+// time. The intervals between submissions vary randomly by up to half of the class's interval in either direction.
+func (l *Lab) submitJobs(index int) {
 	c := &classes[index]
 	random := rand.New(rand.NewPCG(l.options.Seed, uint64(index)))
 	for n := 1; l.history.Elapsed() < l.options.SubmitFor; n++ {
-		job := c.job(jobID(index, n))
-		if !l.cluster.SubmitWithRetries(random.IntN(l.options.Nodes), submitPause, job) {
-			l.fail(fmt.Errorf("%s: %w", job.ID, ErrNotAccepted))
+		job := c.newJob(jobID(index, n))
+		if !l.cluster.SubmitWithRetries(random.IntN(l.options.Nodes), submitRetryInterval, job) {
+			l.reportFailure(fmt.Errorf("%s: %w", job.ID, ErrNotAccepted))
 			return
 		}
 		l.recordAccepted(&job)
