--- a/internal/sim/measure/detection/colors.go
+++ b/internal/sim/measure/detection/colors.go
@@ -2,7 +2,7 @@
 
 import "image/color"
 
-// lineColors distinguish the lines of a plot.
+// lineColors are the colors of the lines in a plot, in order of use.
 var lineColors = []color.Color{
 	color.RGBA{R: 31, G: 119, B: 180, A: 255},
 	color.RGBA{R: 214, G: 39, B: 40, A: 255},
--- a/internal/sim/measure/detection/detection.go
+++ b/internal/sim/measure/detection/detection.go
@@ -1,8 +1,8 @@
-// Package detection computes how soon failures of nodes were detected by the other nodes, from
-// measured times: as quantiles and as a plot.
+// Package detection computes statistics of measured failure detection times, that is, of how soon nodes detected the
+// failure of another node. It returns quantiles and writes a plot.
 //
-// It owns the statistics and the form of the plot. It measures nothing itself, and must not depend
-// on how nodes detect failures.
+// It owns the statistics and the appearance of the plot. It measures nothing itself, and must not depend on how nodes
+// detect failures.
 package detection
 
 import (
@@ -22,23 +22,23 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// Verdict is how soon one node detected the failure of another; times count from the failure.
+// Verdict records how soon one node detected the failure of another. Its times are measured from the failure.
 type Verdict struct {
-	Nodes     int // in the cluster
+	Nodes     int // number of nodes in the cluster
 	Cause     failover.Cause
-	Leader    bool // whether the node that failed led
-	Suspected micros.Micros
-	Confirmed micros.Micros
+	Leader    bool          // whether the failed node was the leader
+	Suspected micros.Micros // until the node suspected the failure
+	Confirmed micros.Micros // until the node confirmed the failure
 }
 
-// group is what verdicts are grouped by.
+// group is the key by which verdicts are grouped: the size of the cluster, and which node failed in what way.
 type group struct {
 	nodes  int
 	cause  failover.Cause
 	leader bool
 }
 
-// String names the group.
+// String returns the name of the group in reports and plots.
 func (g group) String() string {
 	role := "a follower"
 	if g.leader {
@@ -47,42 +47,42 @@
 	return fmt.Sprintf("%d nodes, %s %s", g.nodes, role, g.cause)
 }
 
-// quantileErrors are the quantiles that are computed, with the error in rank of each.
-var quantileErrors = map[float64]float64{0.5: 0.01, 0.95: 0.005, 1: 0.0001}
+// quantileRankErrors maps each quantile that is computed to its maximum rank error.
+var quantileRankErrors = map[float64]float64{0.5: 0.01, 0.95: 0.005, 1: 0.0001}
 
-// Summary is the distribution of the verdicts of a group.
+// Summary contains the number of verdicts in a group and the quantiles of their times.
 type Summary struct {
 	Name                 string
 	Count                int
 	Suspected, Confirmed Quantiles
 }
 
-// Quantiles are quantiles of times, in seconds.
+// Quantiles contains quantiles of durations, in seconds.
 type Quantiles struct{ Median, P95, Max float64 }
 
-// String formats the quantiles.
+// String returns the quantiles as text, separated by spaces.
 func (q Quantiles) String() string { return fmt.Sprintf("%.2f %.2f %.2f", q.Median, q.P95, q.Max) }
 
-// String returns one line of a report.
+// String returns the summary as one line of text.
 func (s Summary) String() string {
 	return fmt.Sprintf("%s: %d verdicts; median, 95%%, longest in s: suspected %v, confirmed %v", s.Name, s.Count, s.Suspected, s.Confirmed)
 }
 
-// Summarize summarizes verdicts by group, in the order of their names.
+// Summarize returns a summary for each group of verdicts, sorted by the names of the groups.
 func Summarize(verdicts []Verdict) (summaries []Summary) {
-	for g, members := range groupVerdicts(verdicts) {
+	for g, groupMembers := range groupVerdicts(verdicts) {
 		summaries = append(summaries, Summary{
 			Name:      g.String(),
-			Count:     len(members),
-			Suspected: quantiles(members, func(v Verdict) micros.Micros { return v.Suspected }),
-			Confirmed: quantiles(members, func(v Verdict) micros.Micros { return v.Confirmed }),
+			Count:     len(groupMembers),
+			Suspected: quantiles(groupMembers, func(v Verdict) micros.Micros { return v.Suspected }),
+			Confirmed: quantiles(groupMembers, func(v Verdict) micros.Micros { return v.Confirmed }),
 		})
 	}
 	slices.SortFunc(summaries, func(a, b Summary) int { return cmp.Compare(a.Name, b.Name) })
 	return summaries
 }
 
-// groupVerdicts groups verdicts by the cluster, and by what failed how.
+// groupVerdicts groups verdicts by the size of the cluster, the cause of the failure and the role of the failed node.
 func groupVerdicts(verdicts []Verdict) map[group][]Verdict {
 	groups := map[group][]Verdict{}
 	for _, v := range verdicts {
@@ -92,22 +92,23 @@
 	return groups
 }
 
-// quantiles returns the quantiles of one of the times of each verdict.
+// quantiles returns the quantiles of the times that timeOf returns for the verdicts.
 func quantiles(verdicts []Verdict, timeOf func(Verdict) micros.Micros) Quantiles {
-	stream := quantile.NewTargeted(quantileErrors)
+	stream := quantile.NewTargeted(quantileRankErrors)
 	for _, v := range verdicts {
 		stream.Insert(timeOf(v).Seconds())
 	}
 	return Quantiles{stream.Query(0.5), stream.Query(0.95), stream.Query(1)}
 }
 
-// Size of the plot.
+// Dimensions of the plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 )
 
-// WriteSVG writes a plot of the share of the verdicts of each group that had come after what time.
+// WriteSVG writes an SVG plot with a line for each group of verdicts. It shows the fraction of verdicts in which the
+// failure was confirmed within a given time.
 func WriteSVG(w io.Writer, verdicts []Verdict) error {
 	p := plot.New()
 	p.Title.Text = "Failures of nodes that are confirmed"
@@ -117,9 +118,9 @@
 	groups := groupVerdicts(verdicts)
 	byName := func(a, b group) int { return strings.Compare(a.String(), b.String()) }
 	for i, g := range slices.SortedFunc(maps.Keys(groups), byName) {
-		line, err := plotter.NewLine(distribution(groups[g]))
+		line, err := plotter.NewLine(confirmationDistribution(groups[g]))
 		if err != nil {
-			return fmt.Errorf("plot of %v: %w", g, err)
+			return fmt.Errorf("plotting the line for %v: %w", g, err)
 		}
 		line.StepStyle = plotter.PostStep
 		line.Color = lineColors[i%len(lineColors)]
@@ -129,14 +130,14 @@
 	p.Legend.Left, p.Legend.Top = true, true
 	canvas, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
-		return fmt.Errorf("plot: %w", err)
+		return fmt.Errorf("rendering the plot as SVG: %w", err)
 	}
 	_, err = canvas.WriteTo(w)
 	return err
 }
 
-// distribution returns the empirical distribution of the times until verdicts were confirmed.
-func distribution(verdicts []Verdict) plotter.XYs {
+// confirmationDistribution returns the empirical distribution function of the times until verdicts were confirmed.
+func confirmationDistribution(verdicts []Verdict) plotter.XYs {
 	var seconds []float64
 	for _, v := range verdicts {
 		seconds = append(seconds, v.Confirmed.Seconds())
--- a/internal/sim/measure/failover/history_golden_test.go
+++ b/internal/sim/measure/failover/history_golden_test.go
@@ -13,16 +13,16 @@
 	"caperlatch/internal/golden"
 )
 
-// TestHistoryColumns checks that a file holds the columns that it held, and is read as it was written.
-// The schema's own name is the one that the type had when files were first written.
-func TestHistoryColumns(t *testing.T) {
+// TestHistoryFileGolden compares the schema and the contents of a history file with a golden file, and checks that the
+// file is read back without loss. The schema is named after the Go type, so renaming the type would change the file.
+func TestHistoryFileGolden(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	change := golden.Filled(reflect.TypeFor[Change]()).Interface().(Change)
 	if err := Write(path, []Change{change}); err != nil {
 		t.Fatal(err)
 	}
 	if read, err := Read(path); err != nil || len(read) != 1 || read[0] != change {
-		t.Errorf("read %+v, %v, want %+v", read, err, change)
+		t.Errorf("read %+v with error %v, want %+v", read, err, change)
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -60,7 +60,7 @@
 	})
 }
 
-// TestHistoryTags checks that tags name all columns.
+// TestHistoryTags checks that every column is named by a struct tag.
 func TestHistoryTags(t *testing.T) {
-	golden.CheckTags(t, "parquet", golden.TypeOf[Change]("a change of leader"))
+	golden.CheckTags(t, "parquet", golden.TypeOf[Change]("a failover"))
 }
--- a/internal/sim/measure/failover/summary.go
+++ b/internal/sim/measure/failover/summary.go
@@ -10,31 +10,30 @@
 	"caperlatch/internal/micros"
 )
 
-// confidence is the confidence level of the intervals.
-const confidence = 0.95
+// confidenceLevel is the confidence level of all confidence intervals.
+const confidenceLevel = 0.95
 
-// Bound and precision of the histograms of times.
+// Maximum value and precision of histograms of times.
 const (
 	maxTime           = 600 * micros.Second
 	significantDigits = 3
 )
 
-// Estimate is an estimated value with its confidence interval. Its fields are NaN where there are
-// too few values for them.
+// Estimate is an estimated value with its confidence interval. A field is NaN if there are too few values to compute it.
 type Estimate struct{ Value, Low, High float64 }
 
-// Summary is the distribution of some times.
+// Summary contains statistics of a set of times.
 type Summary struct {
-	Count                 int // that happened
-	Missing               int // that did not
+	Count                 int // number of times that are not missing
+	Missing               int // number of missing times
 	Median, P95, P99, Max micros.Micros
-	Mean                  Estimate // in seconds, with Student's interval
+	Mean                  Estimate // in seconds, with Student's t-interval
 }
 
-// Summarize returns the distribution of times. Negative times are missing; those over maxTime count as
-// maxTime, but for the mean.
+// Summarize returns statistics of times. Negative times count as missing. Times over maxTime count as maxTime, except in
+// the mean, which uses the exact times.
 func Summarize(times []micros.Micros) Summary {
-	h := hdrhistogram.New(1, int64(maxTime), significantDigits)
+	histogram := hdrhistogram.New(1, int64(maxTime), significantDigits)
 	var s Summary
 	var seconds []float64
 	for _, t := range times {
@@ -44,15 +43,15 @@
 		}
 		s.Count++
 		seconds = append(seconds, t.Seconds())
-		_ = h.RecordValue(int64(min(max(t, 1), maxTime))) // fails only beyond the bounds
+		_ = histogram.RecordValue(int64(min(max(t, 1), maxTime))) // fails only for values outside the bounds
 	}
-	quantile := func(q float64) micros.Micros { return micros.Micros(h.ValueAtQuantile(q)) }
-	s.Median, s.P95, s.P99, s.Max = quantile(50), quantile(95), quantile(99), micros.Micros(h.Max())
+	quantile := func(q float64) micros.Micros { return micros.Micros(histogram.ValueAtQuantile(q)) }
+	s.Median, s.P95, s.P99, s.Max = quantile(50), quantile(95), quantile(99), micros.Micros(histogram.Max())
 	s.Mean = estimateMean(seconds)
 	return s
 }
 
-// estimateMean returns the mean of values with Student's interval.
+// estimateMean returns the mean of values with Student's t-interval.
 func estimateMean(values []float64) Estimate {
 	if len(values) == 0 {
 		return Estimate{math.NaN(), math.NaN(), math.NaN()}
@@ -65,33 +64,34 @@
 	return Estimate{mean, mean - halfWidth, mean + halfWidth}
 }
 
-// studentQuantile returns how many standard errors an interval extends to each side, for so many
-// degrees of freedom.
-func studentQuantile(freedom float64) float64 {
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile((1 + confidence) / 2)
+// studentQuantile returns half the width of a confidence interval in standard errors, for a number of degrees of
+// freedom.
+func studentQuantile(degreesOfFreedom float64) float64 {
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile((1 + confidenceLevel) / 2)
 }
 
-// Ratio returns the ratio of the geometric means of two samples, with Welch's interval on their
-// logarithms; NaN where one has fewer than two values. Values that are not positive do not count.
+// Ratio returns the ratio of the geometric means of two samples. Its confidence interval is Welch's t-interval for the
+// difference of the means of the logarithms. Values that are not positive are ignored; the estimate is NaN if fewer than
+// two values of a sample remain.
 func Ratio(numerator, denominator []micros.Micros) Estimate {
-	a, b := logarithms(numerator), logarithms(denominator)
+	a, b := positiveLogs(numerator), positiveLogs(denominator)
 	if len(a) < 2 || len(b) < 2 {
 		return Estimate{math.NaN(), math.NaN(), math.NaN()}
 	}
 	meanA, varA := stat.MeanVariance(a, nil)
 	meanB, varB := stat.MeanVariance(b, nil)
-	partA, partB := varA/float64(len(a)), varB/float64(len(b))
+	meanVarA, meanVarB := varA/float64(len(a)), varB/float64(len(b))
 	difference := meanA - meanB
-	if partA+partB == 0 {
+	if meanVarA+meanVarB == 0 {
 		return Estimate{math.Exp(difference), math.Exp(difference), math.Exp(difference)}
 	}
-	freedom := (partA + partB) * (partA + partB) / (partA*partA/float64(len(a)-1) + partB*partB/float64(len(b)-1))
-	halfWidth := math.Sqrt(partA+partB) * studentQuantile(freedom)
+	degreesOfFreedom := (meanVarA + meanVarB) * (meanVarA + meanVarB) / (meanVarA*meanVarA/float64(len(a)-1) + meanVarB*meanVarB/float64(len(b)-1))
+	halfWidth := math.Sqrt(meanVarA+meanVarB) * studentQuantile(degreesOfFreedom)
 	return Estimate{math.Exp(difference), math.Exp(difference - halfWidth), math.Exp(difference + halfWidth)}
 }
 
-// logarithms returns the logarithms of the positive times.
-func logarithms(times []micros.Micros) (logs []float64) {
+// positiveLogs returns the logarithms of the positive times, in seconds.
+func positiveLogs(times []micros.Micros) (logs []float64) {
 	for _, t := range times {
 		if t > 0 {
 			logs = append(logs, math.Log(t.Seconds()))
--- a/internal/sim/measure/zoneloss/report.go
+++ b/internal/sim/measure/zoneloss/report.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// WriteHTML writes a report of runs as an HTML page: for each run its timelines by class and by zone,
-// and for each scenario the quantiles of the waits.
+// WriteHTML writes a report of runs as an HTML page. The page shows, for each scenario, the quantiles of the waiting
+// times, and for each run, timelines of waiting tasks by class and of running tasks by zone.
 func WriteHTML(w io.Writer, runs []*Run) error {
 	groups, err := Summarize(runs)
 	if err != nil {
@@ -35,12 +35,12 @@
 	return nil
 }
 
-// title names a run.
+// title returns the name of a run in the titles of its charts.
 func (r *Run) title() string {
 	return fmt.Sprintf("%s, seed %d (cut at %.0f s, restored at %.0f s)", r.Scenario, r.Seed, r.FirstCutAt.Seconds(), r.LastRestoredAt.Seconds())
 }
 
-// waitsChart returns a chart of the waits of the classes in the runs of one scenario.
+// waitsChart returns a chart of the waiting times and the recovery times of the classes in one scenario.
 func waitsChart(g *Group) *echarts.Bar {
 	var names []string
 	median, p99, recovery := charts.Series{Name: "median wait"}, charts.Series{Name: "99% of the waits"}, charts.Series{Name: "mean recovery"}
--- a/internal/sim/measure/zoneloss/report_test.go
+++ b/internal/sim/measure/zoneloss/report_test.go
@@ -11,20 +11,20 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// testRun returns a run in which more tasks of a class wait than before from a cut at 100 s until
-// untilS, and n tasks wait for 1 s, 2 s, and so on.
-func testRun(t *testing.T, policy bool, seed uint64, untilS, n int) *Run {
+// newTestRun returns a run with a cut at 100 s, after which more tasks of a class wait than before the cut until
+// recoveredAtS. It contains the given number of waiting times: 1 s, 2 s, and so on.
+func newTestRun(t *testing.T, policy bool, seed uint64, recoveredAtS, waits int) *Run {
 	t.Helper()
 	r := NewRun(Scenario{Pattern: "cut", ZonePolicy: policy, MaxMachines: 400}, seed)
 	r.FirstCutAt, r.Cost, r.RepeatedWorkS, r.LaunchedMachines, r.UnusedMachines = 100*time.Second, 10, 50, 8, 2
 	for at := 60; at < 300; at++ {
 		waiting := 20
-		if at > 100 && at <= untilS {
+		if at > 100 && at <= recoveredAtS {
 			waiting = 200
 		}
 		r.Samples = append(r.Samples, checker.Sample{At: time.Duration(at) * time.Second, Waiting: map[string]int{"scan": waiting}, Running: map[string]int{"a": 300}})
 	}
-	for s := 1; s <= n; s++ {
+	for s := 1; s <= waits; s++ {
 		if err := r.AddWait("scan", float64(s)); err != nil {
 			t.Fatal(err)
 		}
@@ -32,27 +32,27 @@
 	return r
 }
 
-// TestReport checks the summaries of runs whose figures are known, and that the report shows every
-// run and class.
-func TestReport(t *testing.T) {
-	runs := []*Run{testRun(t, false, 1, 150, 50), testRun(t, true, 1, 120, 10), testRun(t, false, 2, 170, 100)}
+// TestSummarizeAndWriteHTML checks summaries of runs with known statistics, and that the report contains the scenarios,
+// the runs, the class and the charts. It also checks that a run without samples before the cut is rejected.
+func TestSummarizeAndWriteHTML(t *testing.T) {
+	runs := []*Run{newTestRun(t, false, 1, 150, 50), newTestRun(t, true, 1, 120, 10), newTestRun(t, false, 2, 170, 100)}
 	groups, err := Summarize(runs)
 	if err != nil || len(groups) != 2 {
-		t.Fatalf("%d groups, %v", len(groups), err)
+		t.Fatalf("got %d groups and error %v, want 2 groups", len(groups), err)
 	}
 	off, on := groups[0], groups[1]
 	if off.ZonePolicy || !on.ZonePolicy || off.Runs != 2 || on.Runs != 1 || off.Cost != 10 || off.LaunchedMachines != 8 || off.UnusedMachines != 2 || off.RepeatedWorkS != 50 {
-		t.Errorf("groups %v and %v", off, on)
+		t.Errorf("got groups %v and %v, want 2 runs with the policy off and one with it on", off, on)
 	}
-	isNear := func(got, want float64) bool { return math.Abs(got-want) <= 2*accuracy*want+1 }
+	isNear := func(got, want float64) bool { return math.Abs(got-want) <= 2*waitQuantileAccuracy*want+1 }
 	if c := off.Classes[0]; c.MeanRecoveryS != 69 || c.MaxRecoveryS != 79 || c.WaitsMeasured != 150 || !isNear(c.MedianS, 38) || !isNear(c.P99S, 99) || !isNear(c.LongestWaitS, 100) {
-		t.Errorf("off: %+v", c)
+		t.Errorf("got class %+v with the policy off, want recovery after 69 s on average and 79 s at most, and 150 waits: median 38 s, 99%% 99 s, longest 100 s", c)
 	}
 	if c := on.Classes[0]; c.MeanRecoveryS != 29 || !isNear(c.MedianS, 5) {
-		t.Errorf("on: %+v", c)
+		t.Errorf("got class %+v with the policy on, want recovery after 29 s and a median wait of 5 s", c)
 	}
-	if s, err := testRun(t, true, 3, 0, 1).Recovery("scan"); s != 0 || err != nil {
-		t.Errorf("a class whose tasks never waited for long recovered after %v s (%v)", s, err)
+	if s, err := newTestRun(t, true, 3, 0, 1).Recovery("scan"); s != 0 || err != nil {
+		t.Errorf("got recovery after %v s and error %v for a class that was never above its baseline, want 0 s", s, err)
 	}
 	var out bytes.Buffer
 	if err := WriteHTML(&out, runs); err != nil {
@@ -60,11 +60,11 @@
 	}
 	for _, want := range []string{"cut, policy off, 400 machines, 2 runs", "cut, policy on, 400 machines, seed 1", "median wait", "scan", "tasks on machines by zone"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("the report lacks %q", want)
+			t.Errorf("the report does not contain %q", want)
 		}
 	}
 	runs[0].Samples = runs[0].Samples[60:]
 	if _, err := Summarize(runs); !errors.Is(err, ErrNoBaseline) {
-		t.Errorf("a run without samples before its cut: error %v", err)
+		t.Errorf("got error %v for a run without samples before its cut, want %v", err, ErrNoBaseline)
 	}
 }
--- a/internal/sim/measure/zoneloss/run.go
+++ b/internal/sim/measure/zoneloss/run.go
@@ -1,9 +1,8 @@
-// Package zoneloss computes what measured losses of zones cost: how long classes of work took to
-// recover, how long tasks waited, how much work was repeated and what machines cost. It writes an
-// HTML report.
+// Package zoneloss computes the effects of the loss of a zone from measured runs: how long classes of jobs took to
+// recover, how long tasks waited, how much work was repeated and how much the machines cost. It writes an HTML report.
 //
-// It owns the form of a measured run and the statistics. It measures nothing itself, and must not
-// depend on how a zone is lost.
+// It owns the data of a measured run and the statistics. It measures nothing itself, and must not depend on how a zone
+// is lost.
 package zoneloss
 
 import (
@@ -16,17 +15,17 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// accuracy is the relative error of the quantiles of waits.
-const accuracy = 0.01
+// waitQuantileAccuracy is the maximum relative error of quantiles of waiting times.
+const waitQuantileAccuracy = 0.01
 
-// Scenario is what runs are grouped by.
+// Scenario contains the conditions of a run, and is the key by which runs are grouped.
 type Scenario struct {
-	Pattern     string // of the cuts
-	ZonePolicy  bool   // whether the policy on zones is on
-	MaxMachines int    // that there may be in all zones
+	Pattern     string // description of the cuts, which isolate a zone from the network
+	ZonePolicy  bool   // whether the policy on zones is enabled
+	MaxMachines int    // maximum number of machines in all zones together
 }
 
-// String names the scenario.
+// String returns the name of the scenario in reports.
 func (s Scenario) String() string {
 	policy := "policy off"
 	if s.ZonePolicy {
@@ -35,18 +34,18 @@
 	return fmt.Sprintf("%s, %s, %d machines", s.Pattern, policy, s.MaxMachines)
 }
 
-// Run is one measured run.
+// Run contains the measurements of one run.
 type Run struct {
 	Scenario
 	Seed uint64
 
-	FirstCutAt, LastRestoredAt time.Duration // the begin of the first cut and the end of the last
+	FirstCutAt, LastRestoredAt time.Duration // start of the first cut and end of the last one
 	Samples                    []checker.Sample
-	Waits                      map[string]*ddsketch.DDSketch // seconds until tasks started, by class
+	Waits                      map[string]*ddsketch.DDSketch // seconds until the first start of each task, by class
 	RepeatedWorkS              float64                       // task seconds of starts that did not complete
-	Cost                       float64                       // of machines from the first cut on, at the prices of the instance types
-	LaunchedMachines           int                           // machines from the first cut on
-	UnusedMachines             int                           // of these, without a start
+	Cost                       float64                       // of machines from the first cut on, at instance type prices
+	LaunchedMachines           int                           // from the first cut on
+	UnusedMachines             int                           // launched machines on which no task started
 }
 
 // NewRun returns a run without measurements.
@@ -54,7 +53,8 @@
 	return &Run{Scenario: s, Seed: seed, Waits: map[string]*ddsketch.DDSketch{}}
 }
 
-// RecordHistory records what a history has from the first cut on. The history has a sample a second.
+// RecordHistory records the samples and the repeated work of a history, and the cost and the waiting times from the
+// first cut on. The cost is correct only if the history has one sample per second.
 func (r *Run) RecordHistory(h *checker.History) (err error) {
 	r.Samples, r.RepeatedWorkS = h.Samples(), h.RepeatedWork().Seconds()
 	for _, s := range r.Samples {
@@ -68,38 +68,39 @@
 	return err
 }
 
-// AddWait records how long a task of a class waited for its first start.
+// AddWait records the time that a task of a class waited for its first start.
 func (r *Run) AddWait(class string, seconds float64) error {
 	sketch := r.Waits[class]
 	if sketch == nil {
 		var err error
-		if sketch, err = ddsketch.NewDefaultDDSketch(accuracy); err != nil {
-			return fmt.Errorf("sketch: %w", err)
+		if sketch, err = ddsketch.NewDefaultDDSketch(waitQuantileAccuracy); err != nil {
+			return fmt.Errorf("creating a quantile sketch: %w", err)
 		}
 		r.Waits[class] = sketch
 	}
 	if err := sketch.Add(max(0, seconds)); err != nil {
-		return fmt.Errorf("wait of %v s: %w", seconds, err)
+		return fmt.Errorf("adding a wait of %v s to the quantile sketch: %w", seconds, err)
 	}
 	return nil
 }
 
-// What counts as recovered.
+// Criteria of recovery: a class is above its baseline while its waiting tasks exceed recoveredRatio times the maximum in
+// the baseline period by more than negligibleWaiting.
 const (
-	baselinePeriod    = 30 * time.Second // before the first cut
-	recoveredRatio    = 1.2              // of the waiting tasks to the most in the baseline period
-	negligibleWaiting = 10               // tasks
-	smoothedSamples   = 10               // of a mean
+	baselinePeriod    = 30 * time.Second // period before the first cut
+	recoveredRatio    = 1.2              // ratio of waiting tasks to their maximum in the baseline period
+	negligibleWaiting = 10               // number of waiting tasks that is disregarded
+	smoothingWindow   = 10               // number of samples over which waiting tasks are averaged
 )
 
-// ErrNoBaseline says that a run has no samples from before its first cut.
-var ErrNoBaseline = errors.New("no samples before the first cut")
+// ErrNoBaseline is returned for a run without samples in the baseline period before the first cut.
+var ErrNoBaseline = errors.New("no samples in the baseline period before the first cut")
 
-// Recovery returns how long after the first cut a class last had more waiting tasks than before it,
-// in seconds and on the mean of some samples; 0 if it never had.
+// Recovery returns the time in seconds from the first cut to the last sample in which a class was above its baseline, or
+// 0 if there is no such sample. The number of waiting tasks is averaged over smoothingWindow samples.
 func (r *Run) Recovery(class string) (float64, error) {
 	baseline, hasBaseline := 0.0, false
-	last := r.FirstCutAt
+	lastAbove := r.FirstCutAt
 	for i, s := range r.Samples {
 		waiting := r.meanWaiting(class, i)
 		switch {
@@ -107,21 +108,21 @@
 		case s.At <= r.FirstCutAt:
 			baseline, hasBaseline = max(baseline, waiting), true
 		case waiting > recoveredRatio*baseline+negligibleWaiting:
-			last = s.At
+			lastAbove = s.At
 		}
 	}
 	if !hasBaseline {
 		return 0, ErrNoBaseline
 	}
-	return (last - r.FirstCutAt).Seconds(), nil
+	return (lastAbove - r.FirstCutAt).Seconds(), nil
 }
 
-// meanWaiting returns the mean of a class's waiting tasks over the samples up to one. Arrays come in
-// bursts, which say nothing by themselves.
-func (r *Run) meanWaiting(class string, sample int) float64 {
-	first, sum := max(0, sample-smoothedSamples+1), 0
-	for _, s := range r.Samples[first : sample+1] {
+// meanWaiting returns the mean number of waiting tasks of a class over smoothingWindow samples up to the one with index
+// lastIndex. A single sample is not meaningful, because array jobs arrive in bursts.
+func (r *Run) meanWaiting(class string, lastIndex int) float64 {
+	firstIndex, sum := max(0, lastIndex-smoothingWindow+1), 0
+	for _, s := range r.Samples[firstIndex : lastIndex+1] {
 		sum += s.Waiting[class]
 	}
-	return float64(sum) / float64(sample+1-first)
+	return float64(sum) / float64(lastIndex+1-firstIndex)
 }
--- a/internal/sim/measure/zoneloss/summary.go
+++ b/internal/sim/measure/zoneloss/summary.go
@@ -9,7 +9,7 @@
 	"github.com/DataDog/sketches-go/ddsketch"
 )
 
-// Group is the summary of the runs of one scenario, over their seeds.
+// Group is the summary of the runs of one scenario, which have different seeds.
 type Group struct {
 	Scenario
 	Runs                                                  int
@@ -20,14 +20,14 @@
 // ClassSummary is the summary of a class over the runs of one scenario.
 type ClassSummary struct {
 	Class         string
-	MeanRecoveryS float64 // mean
+	MeanRecoveryS float64
 	MaxRecoveryS  float64
-	MedianS, P99S float64 // of all waits
-	WaitsMeasured float64
+	MedianS, P99S float64 // quantiles of the waiting times in all runs
+	WaitsMeasured float64 // number of waiting times
 	LongestWaitS  float64
 }
 
-// String describes the group in one line, and each class in a further one.
+// String returns the summary as text, with one line for the group and another one for each class.
 func (g Group) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %d machines, policy %v, %d runs: repeated %.0f task s, cost %.2f, rented %.0f, unused %.0f",
@@ -39,19 +39,19 @@
 	return b.String()
 }
 
-// Summarize groups runs by their scenarios, in the order in which these first occur, and merges their
-// waits. The error wraps ErrNoBaseline for a run without samples before its first cut.
+// Summarize returns a summary of the runs of each scenario, in the order in which the scenarios first occur. The error
+// wraps ErrNoBaseline if a run has no samples in the baseline period.
 func Summarize(runs []*Run) ([]Group, error) {
-	var order []Scenario
+	var scenarios []Scenario
 	byScenario := map[Scenario][]*Run{}
 	for _, r := range runs {
 		if byScenario[r.Scenario] == nil {
-			order = append(order, r.Scenario)
+			scenarios = append(scenarios, r.Scenario)
 		}
 		byScenario[r.Scenario] = append(byScenario[r.Scenario], r)
 	}
 	var groups []Group
-	for _, s := range order {
+	for _, s := range scenarios {
 		g, err := summarizeGroup(byScenario[s])
 		if err != nil {
 			return nil, fmt.Errorf("%s, %d machines: %w", s.Pattern, s.MaxMachines, err)
@@ -61,7 +61,7 @@
 	return groups, nil
 }
 
-// summarizeGroup summarizes the runs of one scenario.
+// summarizeGroup returns the summary of the runs of one scenario.
 func summarizeGroup(runs []*Run) (Group, error) {
 	g := Group{Scenario: runs[0].Scenario, Runs: len(runs)}
 	weight := 1 / float64(len(runs))
@@ -75,7 +75,7 @@
 			if merged[class] == nil {
 				merged[class] = waits.Copy()
 			} else if err := merged[class].MergeWith(waits); err != nil {
-				return g, fmt.Errorf("merge: %w", err)
+				return g, fmt.Errorf("merging quantile sketches of waits: %w", err)
 			}
 		}
 	}
@@ -89,7 +89,8 @@
 	return g, nil
 }
 
-// summarizeClass summarizes a class over the runs of one scenario, with all its waits.
+// summarizeClass returns the summary of a class over the runs of one scenario. The sketch waits contains the waiting
+// times of the class in all of these runs.
 func summarizeClass(class string, runs []*Run, waits *ddsketch.DDSketch) (ClassSummary, error) {
 	c := ClassSummary{Class: class, WaitsMeasured: waits.GetCount()}
 	for _, r := range runs {
