--- a/internal/sim/charts/charts.go
+++ b/internal/sim/charts/charts.go
@@ -1,7 +1,7 @@
-// Package charts makes the charts of HTML reports on simulated and rehearsed runs.
+// Package charts creates the charts in HTML reports of simulated and rehearsed runs.
 //
-// It owns their form only, and must not compute figures. The pages load the chart library from the
-// network when they are viewed.
+// It owns only the appearance of the charts, and must not compute any results. When a report is viewed, the browser
+// loads the chart library from the network.
 package charts
 
 import (
@@ -15,14 +15,14 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// Series is a named row of values, one for each name on the horizontal axis.
+// Series is a named data series, with one value for each name on the horizontal axis.
 type Series struct {
 	Name   string
 	Values []float64
 }
 
-// Timeline returns a chart of counts of tasks over time, with a line for each name in the counts of
-// a sample.
+// Timeline returns a line chart of numbers of tasks over time. The function counts returns the numbers of one sample by
+// name; the chart has a line for each name that occurs in any sample.
 func Timeline(title string, samples []checker.Sample, counts func(checker.Sample) map[string]int) *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
@@ -50,7 +50,8 @@
 	return line
 }
 
-// DurationBars returns a chart of times in seconds, with a bar of each series for each name.
+// DurationBars returns a bar chart of durations in seconds. It has a group of bars for each name, with a bar for each
+// series.
 func DurationBars(title, subtitle string, names []string, series ...Series) *charts.Bar {
 	bar := charts.NewBar()
 	bar.SetGlobalOptions(
