--- a/placement/deferral.go
+++ b/placement/deferral.go
@@ -7,19 +7,20 @@
 	"caperlatch/internal/micros"
 )
 
-// DeferLateJobs defers as few jobs as possible so that the other jobs can start on time despite an overload. It
-// uses Moore's algorithm: it walks the queue, and whenever the accumulated work would make a job miss its start
-// deadline, it defers the job with the most work among those of equal entitlement. Without deferral, serving jobs
-// by start deadline alone makes every job of an overload slightly late.
+// DeferLateJobs defers as few jobs as possible so that the other jobs can start on time despite an overload. It uses
+// Moore's algorithm: it walks the queue, and whenever the accumulated work would make a job miss its start deadline,
+// it defers the job with the most work among the jobs of the same entitlement that are on time so far. Without
+// deferral, serving jobs by start deadline alone makes every job of an overload slightly late. Aged jobs and jobs that
+// are late already are not deferred, and their work is not counted.
 //
-// cpus is the total number of CPUs of the machines. Running tasks are not subtracted: the CPUs that they hold are
-// freed gradually, and subtracting them deferred jobs that were on time after all.
+// cpus is the total number of CPUs of the machines; if it is 0, nothing is deferred. The CPUs that running tasks hold
+// are not subtracted, because they are freed gradually: subtracting them deferred jobs that were on time after all.
 //
-// A deferred job gets its next start deadline after the missed one, and is considered again at the queue position
-// of that deadline. It is marked late only if it has no such deadline: otherwise, every job that an overload
-// defers once would wait until the end of the queue.
+// A deferred job gets its next start deadline after the missed one, and is considered again at the queue position of
+// that deadline. It is marked late only if it has no such deadline. If every deferred job were marked late, a job that
+// an overload defers once would wait until the end of the queue.
 //
-// The following holds for the jobs of each entitlement, after the work that precedes them:
+// The following holds for the jobs of each entitlement, if the work of higher entitlements is done first:
 //   - All jobs that are on time can meet the deadlines assigned to them if they are served in the order of these
 //     deadlines.
 //   - No late job could meet any of its deadlines in addition to the jobs that are on time.
@@ -28,8 +29,8 @@
 //
 // With several deadlines per job the algorithm is a heuristic. Fewer jobs might be late if a job that can meet an
 // early deadline were deferred to a later one, and a deferred job might fit at an early deadline again after
-// further deferrals. As soon as a job is deferred, the jobs of its entitlement are served in ascending order of
-// their work, so the deadlines decide which jobs are late, not when the jobs start.
+// further deferrals. If a job is deferred, the jobs of its entitlement are served in ascending order of their work,
+// the late ones last. So the deadlines decide which jobs are late, but not the order in which the others start.
 //
 // DeferLateJobs returns the deferrals in the order in which it made them.
 func DeferLateJobs(jobs []*Job, cpus float64, now micros.Micros) []Deferral {
@@ -59,7 +60,7 @@
 type Deferral struct {
 	Job            *Job
 	ForJob         *Job          // the job that would have been late
-	MissedDeadline micros.Micros // the deadline that ForJob would have missed; Job's next deadline must be later
+	MissedDeadline micros.Micros // the deadline that ForJob would have missed; Job's deadlines up to this time count as missed too
 	StartDeadline  micros.Micros // Job's start deadline after the deferral
 	Late           bool          // Job can meet none of its deadlines
 }
@@ -70,7 +71,7 @@
 	cpus  float64
 	now   micros.Micros
 
-	workAhead  float64 // CPU seconds of the jobs so far that are on time
+	workAhead  float64 // CPU seconds of the jobs of all entitlements so far that are on time
 	overloaded bool    // a job of the current entitlement was deferred
 	onTime     []*Job  // jobs of the current entitlement, in ascending order of work
 	deferrals  []Deferral
@@ -88,8 +89,9 @@
 	}
 }
 
-// deferLargest defers the job with the most work so that the job at index i is not late. If the deferred job has a
-// start deadline after the missed one, it is reinserted into the queue at the position of that deadline.
+// deferLargest is called if the job at index i would miss its start deadline. It defers the job with the most work
+// among those that are on time, which may be the job at index i itself. If the deferred job has a start deadline after
+// the missed one, it is reinserted into the queue at the position of that deadline.
 func (d *deferralPass) deferLargest(i int) {
 	j := d.queue[i]
 	largest := d.onTime[len(d.onTime)-1]
@@ -109,7 +111,8 @@
 	d.queue = slices.Insert(d.queue, i+1+position, largest)
 }
 
-// endEntitlement completes the jobs of one entitlement; the jobs of the next entitlement begin at index end.
+// endEntitlement ends the pass over the jobs of one entitlement: if one of them was deferred, it calls
+// setDeadlinesByWork. end is the index of the first job of the next entitlement.
 func (d *deferralPass) endEntitlement(end int) {
 	if d.overloaded {
 		setDeadlinesByWork(d.queue[:end], d.queue[end-1], d.cpus, d.now)
@@ -117,10 +120,11 @@
 	d.onTime, d.overloaded = d.onTime[:0], false
 }
 
-// setDeadlinesByWork replaces the start deadlines of the jobs that have the same entitlement as sample, so that
-// they are served in ascending order of work. It is used in an overload. With the jobs' own deadlines, each would
-// start just in time, and the first disturbance, such as a longer run or a lost machine, would make all of them
-// late; in ascending order of work, most of them are already done by then.
+// setDeadlinesByWork replaces the start deadlines of the jobs that have the same entitlement as sample, so that the
+// jobs that are on time are served in ascending order of work, followed by the late ones. Aged jobs keep their
+// deadlines. With the jobs' own deadlines, each job of an overload would start just in time, and the first
+// disturbance, such as a longer run or a lost machine, would make all of them late. In ascending order of work, most
+// jobs are done before the disturbance.
 func setDeadlinesByWork(jobs []*Job, sample *Job, cpus float64, now micros.Micros) {
 	var peers []*Job
 	for _, j := range jobs {
--- a/placement/deferral_properties_test.go
+++ b/placement/deferral_properties_test.go
@@ -129,10 +129,10 @@
 	return ""
 }
 
-// describe lists the jobs for a failure message.
+// describe lists the jobs for a failure message. Deadlines are in microseconds.
 func (c *deferralCase) describe() (text string) {
 	for _, j := range c.jobs {
-		text += fmt.Sprintf("\n%s: priority %d, work %v, deadlines %v; after deferral: late %v, later deadlines %v", j.ID, j.Priority, j.WaitingCPUSeconds, c.deadlines[j], j.Late, j.LaterStartDeadlines)
+		text += fmt.Sprintf("\n%s: priority %d, work %v CPU s, deadlines %d µs; after deferral: late %v, later deadlines %d µs", j.ID, j.Priority, j.WaitingCPUSeconds, c.deadlines[j], j.Late, j.LaterStartDeadlines)
 	}
 	return text
 }
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -2,11 +2,11 @@
 
 import "caperlatch/internal/micros"
 
-// fillLookahead is the number of jobs of equal precedence that Fill compares.
+// fillLookahead is the maximum number of jobs of equal precedence among which Fill chooses the next one.
 const fillLookahead = 24
 
-// Fill picks tasks for a machine that has just sent a heartbeat and can therefore start them at once. jobs are in
-// queue order, and found no capacity before. Machine is not set in the returned starts.
+// Fill picks tasks for a machine that has just sent a heartbeat and can therefore start them at once. jobs holds the
+// jobs that have found no capacity so far, in queue order. The returned starts do not have Machine set.
 func Fill(m *Machine, jobs []*Job, teams map[string]*Team) (starts []Start) {
 	for {
 		next, ok := pickNext(m, jobs, teams)
@@ -49,9 +49,9 @@
 }
 
 // shouldTakeGang reports whether a machine that has sent a heartbeat and has room for count tasks of a gang should
-// start the gang. It must have room for all waiting tasks, so that the start does not depend on another machine's
-// heartbeat; no task of the gang may have failed on it; and pulling the image must take no longer than waiting for
-// another machine.
+// start the gang. The machine must have room for all waiting tasks, so that the start does not depend on another
+// machine's heartbeat. No task of the gang may have failed on it. If EarliestStart is known, pulling the image must
+// not take longer than that.
 func shouldTakeGang(m *Machine, j *Job, count int) bool {
 	_, failed := j.FailedOn[m.ID]
 	return count >= j.WaitingTasks && !failed && (j.EarliestStart == 0 || imagePullTime(m, j) <= j.EarliestStart)
--- a/placement/gang.go
+++ b/placement/gang.go
@@ -13,10 +13,10 @@
 // each machine adds a heartbeat that may be late or lost.
 const perMachinePenalty = micros.Second / 2
 
-// placeGang places all waiting tasks of a gang or none, so that the last of them starts as soon as possible: on
-// one machine with room for all, or else on the fewest of the machines whose heartbeats come next. An image pull
-// counts as much as an equally late heartbeat, so machines with and without the image are combined only if no
-// other machines have room. index is the job's index in the queue.
+// placeGang places all waiting tasks of a gang or none, so that the last of them starts as soon as possible: on one
+// machine with room for all, or on the fewest of the machines whose heartbeats come next. An image pull counts as much
+// as an equally long wait for a heartbeat. A gang with a MaxStartDelay is not placed if it would start later than
+// that, or if isDecidedByHeartbeat returns true. index is the job's index in the queue.
 func placeGang(machines []Machine, available []int, index int, j *Job, team *Team) (starts []Start) {
 	if !team.canStartGang(j) {
 		return nil
@@ -105,8 +105,9 @@
 
 // EarliestGangStart returns the expected delay until a gang starts on whichever machine with room for all of it
 // sends a heartbeat first; 0 if no machine has room. Each machine sends its heartbeat at an independent time
-// within the interval, so the first of n heartbeats is expected after 1/(n+1) of the interval. Waiting only for
-// the machines that pull the image quickly takes longer, as there are fewer of them.
+// within the interval, so the first of n heartbeats is expected after 1/(n+1) of the interval. The gang may wait for
+// all these machines, or only for those that pull the image quickly; their first heartbeat takes longer, as there are
+// fewer of them. The result is the shortest delay of all these choices.
 func EarliestGangStart(machines []Machine, j *Job, heartbeatInterval micros.Micros) (earliest micros.Micros) {
 	var pullTimes []micros.Micros
 	for k := range machines {
@@ -126,8 +127,8 @@
 }
 
 // candidateMachineSets returns the sets of machines over which a gang may be distributed: one set for each zone if
-// the gang must be in a single zone, otherwise one set of all machines. It skips machines for which hasRoom
-// returns false.
+// the gang must be in a single zone, otherwise one set for all zones. It leaves out machines that do not accept the
+// gang, machines in zones where no more of its tasks may run, and machines for which hasRoom returns false.
 func candidateMachineSets(machines []Machine, j *Job, hasRoom func(m *Machine) bool) (sets [][]int) {
 	byZone := map[string][]int{}
 	for k := range machines {
--- a/placement/gang_preemption.go
+++ b/placement/gang_preemption.go
@@ -7,9 +7,10 @@
 	"caperlatch/internal/micros"
 )
 
-// PreemptOnSingleMachine preempts tasks on a single machine so that it has room for all waiting tasks of a gang,
-// and reserves the machine for the gang. It picks the machine where the least work is lost; machine is -1 if there
-// is none. It preempts nothing on machines that run another gang, as all tasks of that gang would have to stop.
+// PreemptOnSingleMachine preempts tasks on a single machine so that it has room for all waiting tasks of a gang, and
+// reserves the machine for the gang. It picks the machine with the lowest sum of lost work and image pull time. If no
+// machine is suitable, it returns -1 as machine. It leaves out machines on which another gang has a task that may be
+// preempted, as all tasks of that gang would have to stop.
 func PreemptOnSingleMachine(machines []Machine, j *Job, team *Team) (preemptions []Preemption, machine int) {
 	if !team.canStartGang(j) {
 		return nil, -1
@@ -35,15 +36,17 @@
 	return preemptions, best.machine
 }
 
-// canPreemptForGang reports whether tasks on a machine may be preempted to make room for a whole gang.
+// canPreemptForGang reports whether PreemptOnSingleMachine may consider a machine. A machine on which a task of the
+// gang failed is not considered.
 func canPreemptForGang(m *Machine, j *Job) bool {
 	_, failed := j.FailedOn[m.ID]
 	return !failed && m.accepts(j) && j.remainingInZone(m.Zone) >= j.WaitingTasks &&
 		!slices.ContainsFunc(m.Victims, func(v Victim) bool { return v.Gang })
 }
 
-// preemptForGang preempts tasks so that all waiting tasks of a gang find room, with the least lost work, or
-// preempts nothing if that is impossible. It reserves the machines with that room for the gang.
+// preemptForGang preempts tasks so that all waiting tasks of a gang find room, or preempts nothing if that is
+// impossible. If the gang must be in a single zone, it picks the zone where the least work is lost. It reserves the
+// machines on which the gang's tasks have room.
 func preemptForGang(machines []Machine, j *Job, team *Team) (preemptions []Preemption, reservations []Reservation) {
 	if !team.canStartGang(j) {
 		return nil, nil
@@ -94,8 +97,8 @@
 	return sum.lost
 }
 
-// applyPreemptions applies to machines the preemptions that a simulation found for a set of them, and preempts all
-// other tasks of the gangs that these belong to.
+// applyPreemptions applies to machines the preemptions that a simulation found for a set of them. If a preempted task
+// belongs to a gang, it also preempts all other tasks of that gang.
 func applyPreemptions(machines []Machine, set []int, found []Preemption, forJobID string) (preemptions []Preemption) {
 	for _, p := range found {
 		p.Machine = set[p.Machine]
--- a/placement/gang_reservation.go
+++ b/placement/gang_reservation.go
@@ -11,9 +11,10 @@
 // from there.
 const initialHorizon = 2 * micros.Second
 
-// PickReservation picks the machines to reserve for a gang that found no capacity, until enough of their tasks
-// have ended by themselves. It picks the fewest machines that have enough capacity within the shortest horizon,
-// and none if that horizon exceeds maxWait.
+// PickReservation picks the machines to reserve for a gang that found no capacity. Nothing is preempted: the gang
+// waits until enough tasks on these machines have ended by themselves. PickReservation tries horizons of increasing
+// length, and picks the fewest machines that have enough capacity within the first horizon where that is possible. It
+// picks none if that horizon exceeds maxWait.
 func PickReservation(machines []Machine, j *Job, team *Team, maxWait micros.Micros) []int {
 	if !team.canStartGang(j) {
 		return nil
--- a/placement/gang_test.go
+++ b/placement/gang_test.go
@@ -50,7 +50,7 @@
 		{"spread over zones: at most 2 of 4 in a zone", []Machine{machine("a", "y", 4), machine("b", "z", 2)},
 			[]*Job{gang(4, func(j *Job) { j.SpreadZones = true })}, nil, []string{"g@a*2", "g@b*2"}},
 		{"spread over zones: only one zone has room", []Machine{machine("a", "y", 4)}, []*Job{gang(4, func(j *Job) { j.SpreadZones = true })}, nil, nil},
-		{"team quota allows only a part", []Machine{withoutImage("a", 9)}, []*Job{gang(4, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, nil},
+		{"team quota allows only 3 of 4 tasks", []Machine{withoutImage("a", 9)}, []*Job{gang(4, nil)}, &Team{Used: cpus(2), Limit: cpus(5)}, nil},
 		{"machine reserved for the gang", []Machine{with(withoutImage("a", 4), func(m *Machine) { m.ReservedFor = gang(4, nil) })}, []*Job{gang(4, nil)}, nil, []string{"g@a*4"}},
 		{"machine reserved for another job", []Machine{with(withoutImage("a", 4), func(m *Machine) { m.ReservedFor = job("x", 4, nil) })}, []*Job{gang(4, nil)}, nil, nil},
 		{"gang pool: closed to other jobs", []Machine{with(withoutImage("a", 4), func(m *Machine) { m.GangsOnly = true })}, []*Job{gang(3, nil), other}, nil, []string{"g@a*3"}},
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestFillGang checks when a machine that sends a heartbeat starts a gang, if it has room for a part or all of it,
-// and starts tasks at once or after an image pull of 5 s.
+// TestFillGang checks when a machine that sends a heartbeat starts a gang of four tasks. Its room and its image pull
+// time, 0 or 5 s, vary.
 func TestFillGang(t *testing.T) {
 	const s = micros.Second
 	for _, c := range []struct {
@@ -80,7 +80,7 @@
 		edit   func(m *Machine, j *Job)
 		starts int
 	}{
-		{"room for only a part", 3, nil, 0},
+		{"room for 3 of 4 tasks", 3, nil, 0},
 		{"room for all", 4, nil, 4},
 		{"room for more than all", 9, nil, 4},
 		{"another machine starts it sooner", 4, func(_ *Machine, j *Job) { j.ImageSizeGB, j.EarliestStart = 5, 4*s }, 0},
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -3,8 +3,8 @@
 //
 // It owns the queue order, the deferral of jobs that cannot be on time, bin packing, preemption, and the placement
 // of gangs. It is pure and deterministic: it does no I/O, reads no clock, and returns equal output for equal
-// input. The caller carries out the decisions. This package must never be what allows a task to run twice: the
-// caller passes as waiting only tasks that may be started.
+// input. The caller carries out the decisions. The package does not check whether a task may already be running: so
+// that no task runs twice, the caller must count as waiting only tasks that may be started.
 //
 // Functions update the machines, jobs and teams that are passed to them, so that each decision takes the earlier
 // ones into account. Results refer to machines and jobs by their indexes in the input.
@@ -40,7 +40,7 @@
 	RejectsDelayTolerant bool // the machine is costly, and only delay-tolerant jobs would use it
 	ReservedFor          *Job // the job for which the machine is reserved; nil if it is not
 	GangsOnly            bool // the machine belongs to the gang pool
-	ZoneBoundOnly        bool // the zone is disrupted, so only jobs that can run nowhere else may start
+	ZoneBoundOnly        bool // the zone is disrupted, so only jobs that can run in no other zone may start
 }
 
 // Victim is a running task that may be preempted.
@@ -72,7 +72,7 @@
 	Urgency
 	GangScheduling
 
-	TasksPerZone map[string]int // number of tasks on machines, by zone
+	TasksPerZone map[string]int // number of the job's tasks on machines, by zone
 	OnlyZone     string         // the only zone where the job can currently run; empty if there are several
 }
 
@@ -117,15 +117,15 @@
 // GangScheduling holds the scheduling parameters of gangs.
 type GangScheduling struct {
 	Gang          bool                     // either all waiting tasks start or none does
-	MaxStartDelay micros.Micros            // rejects machines on which the gang would start later than this; 0 accepts any
-	EarliestStart micros.Micros            // expected delay until the heartbeat of a suitable machine starts it; 0 if unknown
+	MaxStartDelay micros.Micros            // the gang is not placed if it would start later than this; 0 means no limit
+	EarliestStart micros.Micros            // expected delay until the gang starts, by EarliestGangStart; 0 if unknown
 	FailedOn      map[string]micros.Micros // times at which tasks failed, by machine ID
 }
 
 // Team is a team's resource usage and quota.
 type Team struct {
 	Used  Resources
-	Limit Resources // 0 means unlimited
+	Limit Resources // 0 means unlimited; memory is never limited
 }
 
 // CountAllowed returns how many tasks that each need the given resources the team may still start, at most limit.
--- a/placement/preemption.go
+++ b/placement/preemption.go
@@ -7,9 +7,9 @@
 	"caperlatch/internal/micros"
 )
 
-// Preempt preempts running tasks for jobs that are at risk and found no capacity, and best-effort tasks for any
-// job that may preempt these. It considers at most limit jobs. Capacity that it frees for a gang, and the free
-// capacity that the gang uses along with it, is returned as reservations.
+// Preempt preempts running tasks for jobs that are at risk and found no capacity. For jobs that are not at risk but
+// have PreemptsBestEffort set, it preempts only best-effort tasks. It considers at most limit jobs. The machines with
+// the room for a gang, whether freed by preemption or free before, are returned as reservations.
 func Preempt(machines []Machine, jobs []*Job, teams map[string]*Team, limit int) (preemptions []Preemption, reservations []Reservation) {
 	for _, j := range jobs {
 		if limit == 0 {
@@ -30,8 +30,10 @@
 	return preemptions, reservations
 }
 
-// isPreemptibleFor reports whether a task may be preempted for a job: for a higher priority, or to give the job's
-// team its guarantee from what another team uses beyond its own guarantee.
+// isPreemptibleFor reports whether a task may be preempted for a job. A job that is not at risk may preempt only
+// best-effort tasks. A job covered by its team's guarantee may preempt what another team uses beyond its own
+// guarantee, regardless of priority. Otherwise, the task must have a lower priority, and must not be covered by a
+// guarantee unless the job is.
 func isPreemptibleFor(v *Victim, j *Job) bool {
 	if v.JobID == j.ID || !j.AtRisk && !v.BestEffort {
 		return false
@@ -117,8 +119,8 @@
 	slices.SortFunc(s.candidates, compareCandidates)
 }
 
-// candidateOn returns what must be preempted on a machine to make room for one task; ok is false if that is
-// impossible.
+// candidateOn returns the tasks that must be preempted on a machine to make room for one task of the job. ok is false
+// if that is impossible, or if nothing needs to be preempted.
 func (s *preemptionSearch) candidateOn(machine int) (c preemptionCandidate, ok bool) {
 	m := &s.machines[machine]
 	if !m.accepts(s.job) || s.job.remainingInZone(m.Zone) == 0 {
@@ -137,9 +139,9 @@
 	stopped := preemptVictims(s.machines, c.machine, c.victims, s.job.ID)
 	s.preemptions = append(s.preemptions, stopped...)
 	s.claimRoom(c.machine, 1)
-	if freed := preemptRestOfGangs(s.machines, stopped, s.job.ID); len(freed) > 0 {
-		// Use the capacity that these free elsewhere before preempting more.
-		s.preemptions = append(s.preemptions, freed...)
+	if rest := preemptRestOfGangs(s.machines, stopped, s.job.ID); len(rest) > 0 {
+		// Use the capacity that the other tasks of the gangs free on other machines before preempting more.
+		s.preemptions = append(s.preemptions, rest...)
 		s.claimAvailableRoom()
 		s.findCandidates()
 		return
@@ -179,7 +181,8 @@
 	return victims, sum.lost
 }
 
-// compareVictims orders tasks by which is preempted first.
+// compareVictims orders tasks by which is preempted first: those not covered by a guarantee, then those of lower
+// priority, then those with less lost work.
 func compareVictims(a, b *Victim) int {
 	return cmp.Or(cmp.Compare(boolRank(b.WithinGuarantee), boolRank(a.WithinGuarantee)), cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.LostWork, b.LostWork), cmp.Compare(a.JobID, b.JobID), cmp.Compare(a.Task, b.Task))
