--- a/staffing/backlog.go
+++ b/staffing/backlog.go
@@ -16,11 +16,13 @@
 // RunningWork is a running task: the CPUs that it holds, and its estimated remaining run time in seconds.
 type RunningWork struct{ CPUs, RemainingS float64 }
 
-// BacklogShortage returns how many CPUs beyond supplyCPUs are needed to serve all waiting work in time. It is not
-// a formula of the paper: by formula (12), the mean m decays for waiting work as well, so a backlog must be added.
-// Within a horizon of h seconds, the work due by then takes CPUSeconds/h CPUs on average, in addition to the CPUs
-// that running tasks still hold or, if that is more, meanCPUs, which is what m predicts for new arrivals. A
-// machine launched now does not help until it has booted, so no horizon is shorter than bootS seconds.
+// BacklogShortage returns how many CPUs beyond supplyCPUs are needed to serve all waiting work in time. The paper has
+// no such formula. Its formula (12) lets the mean m decay as if no work were waiting, so the backlog must be added.
+//
+// For each of several horizons of h seconds, the work due by then takes CPUSeconds/h CPUs on average. To this are
+// added the CPUs that running tasks still hold or, if that is more, meanCPUs, which is what m predicts for new
+// arrivals. The result is the largest shortage over all horizons. A machine launched now does not help until it has
+// booted, so no horizon is shorter than bootS seconds.
 func BacklogShortage(waiting []WaitingWork, running []RunningWork, meanCPUs, supplyCPUs, bootS float64) float64 {
 	shortage := 0.0
 	for horizonS := math.Max(minHorizonS, bootS); horizonS < maxHorizonS; horizonS *= horizonGrowth {
@@ -36,8 +38,8 @@
 	return shortage
 }
 
-// workDueWithin returns the waiting work, in CPU seconds, that is due within a horizon, and whether that is all of
-// it.
+// workDueWithin returns the waiting work, in CPU seconds, that is due within a horizon, and whether all waiting work
+// is due within it.
 func workDueWithin(waiting []WaitingWork, horizonS float64) (cpuSeconds float64, all bool) {
 	all = true
 	for _, w := range waiting {
--- a/staffing/backlog_test.go
+++ b/staffing/backlog_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, c := range cases {
 		if got := BacklogShortage(c.waiting, c.running, c.mean, c.supply, 20); !near(got, c.want) {
-			t.Errorf("%s: shortage of %v CPUs, want %v", c.name, got, c.want)
+			t.Errorf("%s: shortage of %v CPUs, want %v CPUs", c.name, got, c.want)
 		}
 	}
 }
--- a/staffing/batch_sizes.go
+++ b/staffing/batch_sizes.go
@@ -34,7 +34,7 @@
 	return Peakedness(b.batchSquares/b.total, b.taskSquares/b.total)
 }
 
-// ImmediateShare returns the share of the work whose jobs cannot wait, or 1 if no jobs were observed.
+// ImmediateShare returns the share of the work that belongs to jobs that cannot wait, or 1 if no jobs were observed.
 func (b *BatchSizes) ImmediateShare() float64 {
 	if b.total <= 0 {
 		return 1
--- a/staffing/demand_window.go
+++ b/staffing/demand_window.go
@@ -7,9 +7,9 @@
 	"caperlatch/internal/micros"
 )
 
-// DemandWindow measures the arrival rate λ of formula (12): the weight that arrived within the window, or within
-// as much of it as contains enough entries. The shorter span measures the rate of a busy deployment sooner; a rate
-// that lags behind launches machines for a peak that has already passed.
+// DemandWindow measures the arrival rate λ of formula (12): the weight that arrived per second within the window. If
+// the newest part of the window has enough entries, the rate is measured over that part only, so that it follows the
+// load of a busy deployment sooner. A rate that lags behind launches machines for a peak that has already passed.
 type DemandWindow struct {
 	length    micros.Micros
 	startedAt micros.Micros // time of the first entry; 0 if there is none
@@ -33,8 +33,8 @@
 // NewDemandWindow returns a window of the given length.
 func NewDemandWindow(length micros.Micros) *DemandWindow { return &DemandWindow{length: length} }
 
-// Add counts work of a weight, in machines, that arrived at a time not before that of the last entry. A negative
-// weight cancels work that turned out not to be demand.
+// Add counts work of a weight, in machines, that arrived at the time at. Entries must be added in the order of their
+// times. A negative weight cancels work that turned out not to be demand.
 func (w *DemandWindow) Add(at micros.Micros, weight float64) {
 	if w.startedAt == 0 {
 		w.startedAt = at
@@ -43,9 +43,9 @@
 	w.sum += weight
 }
 
-// Rate returns the weight that arrives per second. Until the length of the window has passed since the first
-// entry, it is averaged over the whole window, because work that was already waiting at the start does not
-// indicate a high rate.
+// Rate returns the weight that arrives per second. It is averaged over the whole window if the window has fewer than
+// minRateEntries entries. The same holds until the length of the window has passed since the first entry, because work
+// that was already waiting at the start does not indicate a high rate.
 func (w *DemandWindow) Rate(now micros.Micros) float64 {
 	w.expire(now)
 	if len(w.entries) < minRateEntries || now-w.startedAt < w.length {
@@ -75,9 +75,10 @@
 	}
 }
 
-// EarlyRate is Rate for a stream that begins long after the deployment started. No work was waiting for it, so
-// arrivals indicate its rate as soon as part of the window has passed. Until all of it has passed, the rate is
-// raised by z standard deviations of the number of entries, because few entries are weak evidence.
+// EarlyRate is Rate for a stream of work that begins long after the deployment started. No such work was waiting
+// before its first entry, so EarlyRate averages only over the time since then, and at least over 1/minWindowDivisor of
+// the window. Until the length of the window has passed, it raises the rate by z standard deviations of the number of
+// entries, because few entries are weak evidence.
 func (w *DemandWindow) EarlyRate(now micros.Micros, z float64) float64 {
 	rate := w.Rate(now)
 	span := max(now-w.startedAt, w.length/minWindowDivisor)
@@ -88,7 +89,8 @@
 	return rate * (1 + margin) * w.length.Seconds() / span.Seconds()
 }
 
-// Seed resets the window to a rate that was measured before, as if the work had arrived evenly.
+// Seed resets the window to a rate that was measured before, as if work had arrived evenly at that rate. The time of
+// the first entry becomes now, so Rate averages over the whole window until its length has passed.
 func (w *DemandWindow) Seed(now micros.Micros, rate float64) {
 	const parts = 10
 	w.entries, w.sum, w.startedAt = nil, 0, now
--- a/staffing/demand_window_test.go
+++ b/staffing/demand_window_test.go
@@ -20,7 +20,7 @@
 		want float64
 	}{{160 * s, 2}, {190 * s, 0.8}, {300 * s, 0}} {
 		if got := w.Rate(c.at); math.Abs(got-c.want) > 0.05 {
-			t.Errorf("sparse stream, rate at %v: %v, want %v", c.at, got, c.want)
+			t.Errorf("sparse stream, rate at %v: %v, want %v", c.at.Duration(), got, c.want)
 		}
 	}
 	// Five entries per second, then none for 10 s: a third of the window suffices to measure the rate.
@@ -33,7 +33,7 @@
 		want float64
 	}{{121 * s, 5}, {131 * s, 2.5}} {
 		if got := w.Rate(c.at); math.Abs(got-c.want) > 0.1 {
-			t.Errorf("dense stream, rate at %v: %v, want %v", c.at, got, c.want)
+			t.Errorf("dense stream, rate at %v: %v, want %v", c.at.Duration(), got, c.want)
 		}
 	}
 	w = NewDemandWindow(60 * s)
--- a/staffing/runtime_estimator.go
+++ b/staffing/runtime_estimator.go
@@ -7,21 +7,22 @@
 	estimateDecay = 0.98
 	// priorJobs is the weight of the prior belief that estimates are right, as a number of jobs.
 	priorJobs = 2
-	// priorVariance is the variance of the logarithms of the estimates of the priorJobs jobs.
+	// priorVariance is the variance that the prior belief assumes for the logarithms of the estimates.
 	priorVariance = 0.1
 )
 
-// RuntimeEstimator corrects the estimated run times of a class by measured ones. Owners are wrong by a factor, so
-// the estimator fits a line through the logarithms of both: a slope below one draws extreme estimates toward the
-// middle of the class, and the intercept removes a bias that the estimates of a day have in common.
+// RuntimeEstimator corrects the estimated run times of a class by measured ones. Owners' estimates are wrong by a
+// factor, so the estimator fits a line through the logarithms of the estimated and the measured run times. A slope
+// below one draws extreme estimates toward the middle of the class, and the intercept removes a bias that the
+// estimates of a day have in common.
 type RuntimeEstimator struct {
 	// Decayed sums over jobs, with x and y the logarithms of estimated and measured seconds.
 	weight, sumX, sumY, sumXX, sumXY float64
 }
 
-// Observe counts an uninterrupted run of a task that belongs to a job of jobTasks tasks. The tasks of a job share
-// one estimate, so all of them together count about as much as one job: when each task counted as much as a job,
-// two arrays of 50 tasks alone determined the line.
+// Observe counts an uninterrupted run of a task that belongs to a job of jobTasks tasks. The tasks of a job share one
+// estimate, so together they have about the weight of one job with a single task. When each task had that weight, two
+// arrays of 50 tasks alone determined the line.
 func (e *RuntimeEstimator) Observe(estimatedS, measuredS float64, jobTasks int) {
 	if estimatedS <= 0 || measuredS <= 0 {
 		return
@@ -55,8 +56,8 @@
 	return []float64{e.weight, e.sumX, e.sumY, e.sumXX, e.sumXY}
 }
 
-// Restore sets the estimator to the moments of another one, and reports whether they are valid; if not, nothing
-// changes.
+// Restore sets the estimator to the moments of another one, and reports whether they are valid. If they are not, the
+// estimator stays as it is.
 func (e *RuntimeEstimator) Restore(moments []float64) bool {
 	if len(moments) != len(e.Moments()) || moments[0] < 0 {
 		return false
--- a/staffing/runtime_estimator_test.go
+++ b/staffing/runtime_estimator_test.go
@@ -21,6 +21,6 @@
 		t.Errorf("estimate 2000: predicted %v, want at most 200", got)
 	}
 	if lo, hi := e.Predict(30), e.Predict(240); lo >= hi {
-		t.Errorf("estimates 30 and 240: predicted %v and %v, want the second to be longer", lo, hi)
+		t.Errorf("estimates 30 and 240: predicted %v and %v, want more for 240 than for 30", lo, hi)
 	}
 }
--- a/staffing/service_time.go
+++ b/staffing/service_time.go
@@ -26,8 +26,9 @@
 	s.measured.add(weight, seconds, 1/math.Max(1, float64(jobTasks)))
 }
 
-// Rate returns the service rate μ, per second, or 0 if it is unknown. finished is the number of tasks that have
-// finished.
+// Rate returns the service rate μ, per second, or 0 if it is unknown. It uses the owners' estimates until
+// MinFinishedTasks tasks have finished, and measured times from then on or if there are no estimates. finished is the
+// number of tasks that have finished.
 func (s *ServiceTime) Rate(finished int) float64 {
 	m := s.estimated
 	if finished >= MinFinishedTasks && s.measured.weight > 0 || m.weight == 0 {
--- a/staffing/staffing_test.go
+++ b/staffing/staffing_test.go
@@ -24,7 +24,7 @@
 		want              int
 	}{
 		{"steady state of the example", 100, 100, 1.645, 117},
-		{"m + 0.5 + z√v is an integer: the next one is used", 9.5, 0, 1, 11},
+		{"m + 0.5 + z√v is an integer: the next integer is used", 9.5, 0, 1, 11},
 		{"no demand", 0, 0, 1.282, 1},
 		{"twice the variance", 100, 200, 1.645, 124},
 	}
@@ -63,7 +63,7 @@
 func TestZForPrice(t *testing.T) {
 	for _, c := range []struct{ z, priceRatio, want float64 }{{1.282, 1, 1.282}, {1.282, 3, 0.524}, {1.282, 5, 0}, {1.282, 50, 0}} {
 		if got := ZForPrice(c.z, c.priceRatio); math.Abs(got-c.want) > 2e-3 {
-			t.Errorf("z %v at price ratio %v: got %v, want %v", c.z, c.priceRatio, got, c.want)
+			t.Errorf("z %v at price ratio %v: adjusted z %v, want %v", c.z, c.priceRatio, got, c.want)
 		}
 	}
 }
