--- a/internal/leader/autoscaler/backlog.go
+++ b/internal/leader/autoscaler/backlog.go
@@ -32,9 +32,9 @@
 	displaced        map[*state.Job]int // tasks on machines that are to be replaced in other zones
 }
 
-// backlogNeed returns how many machines of each type are needed in addition to the fleet, so that the waiting
-// tasks start in time. The on-demand part leaves out the delay-tolerant jobs, and does not count the CPUs
-// that best-effort tasks occupy as taken, since these tasks can be preempted.
+// backlogNeed returns how many machines of each type are needed in addition to the fleet, so that the waiting tasks
+// start in time. The number of on-demand machines leaves out the delay-tolerant jobs. For that number, the CPUs that
+// best-effort tasks occupy count as free, since these tasks can be preempted.
 //
 // Tasks on machines that are to be replaced in other zones count as waiting, and their machines do not count
 // as supply, so that replacements for them are launched in the other zones.
@@ -131,8 +131,8 @@
 }
 
 // countPossiblyRunning returns how many of n waiting tasks may be running on machines whose tasks are not
-// known, and counts these as running, which they most likely are. When they were counted as waiting, each
-// failover with a full fleet launched hundreds of machines.
+// known, and adds those to the running work, as they are most likely running. When they were counted as waiting,
+// each failover with a full fleet launched hundreds of machines.
 func (s *Scaler) countPossiblyRunning(b *backlog, j *state.Job, n int) int {
 	possiblyRunning := min(n, int(math.Ceil(b.unknownCPUs/math.Max(j.Spec.CPUs, minCPUs))))
 	b.unknownCPUs -= float64(possiblyRunning) * j.Spec.CPUs
@@ -142,8 +142,7 @@
 	return possiblyRunning
 }
 
-// overdueHorizonBoots is the horizon, in boot times, within which a job is to be served that can no longer be
-// in time.
+// overdueHorizonBoots is the time, in boot times, within which a job that can no longer be on time is to be served.
 const overdueHorizonBoots = 2
 
 // addJob adds n waiting tasks of a job to the backlog, as work for the given type.
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -5,7 +5,7 @@
 	"caperlatch/internal/micros"
 )
 
-// AddDemand adds the work of a newly seen job to the demand.
+// AddDemand adds the work of a newly seen job to the demand of its preferred type and, for a gang, of its pool.
 func (s *Scaler) AddDemand(j *state.Job) {
 	now := micros.Now()
 	t := s.preferredType(j, now)
--- a/internal/leader/autoscaler/gangs.go
+++ b/internal/leader/autoscaler/gangs.go
@@ -14,8 +14,8 @@
 
 // launchForGangs launches machines for gangs that would not fit even if the fleet were empty. The targets of
 // the types count machines, and a gang may need more machines at once, or more in one zone, than its work
-// alone requires. A gang that is being started needs free capacity now, because its other tasks occupy theirs
-// in vain until it is complete.
+// alone requires. For a gang of which some tasks are on machines already, only free capacity counts, because these
+// tasks occupy their machines in vain until all tasks of the gang run.
 func (s *Scaler) launchForGangs(now micros.Micros) {
 	teams, awaitsReconciliation := s.TeamUsage(), s.AwaitsReconciliation()
 	for _, j := range state.Gangs(s.Jobs) {
@@ -57,9 +57,10 @@
 	s.Fleet.Launch(best, (missing+perMachine-1)/max(1, perMachine))
 }
 
-// bestOfferingForGang returns the cheapest offering in a zone where more tasks of a gang may run. For a gang
-// that must run in a single zone, it returns one in the zone that already has the most capacity for it. It
-// returns none while a launch that could serve the gang is waiting for its response.
+// bestOfferingForGang returns the cheapest offering in a zone where more tasks of a gang may run and the number of
+// machines is not limited. For a gang that must run in a single zone, it returns the cheapest offering in the zone
+// that already has the most capacity for the gang. ok is false if there is no such offering, or if a launch of the
+// same offering as one of the gang's is waiting for its response.
 func (s *Scaler) bestOfferingForGang(j *state.Job, capacity gangCapacity, now micros.Micros) (best state.Offering, ok bool) {
 	for _, o := range s.OfferingsFor(j) {
 		if s.Fleet.HasOpenIntent(o) {
@@ -84,8 +85,8 @@
 	total   int            // further tasks that fit on machines that the gang may use together
 }
 
-// countGangCapacity counts how many tasks of a gang, up to wanted, fit on the fleet. While the gang is being
-// started, only free resources count; before that, the whole capacity of each machine does.
+// countGangCapacity counts how many tasks of a gang, up to wanted, fit on the fleet. If some tasks of the gang are on
+// machines already, only free resources count. Otherwise, the whole capacity of each machine counts.
 func (s *Scaler) countGangCapacity(j *state.Job, wanted int) gangCapacity {
 	capacity := gangCapacity{job: j, wanted: wanted, running: map[string]int{}, perZone: map[string]int{}}
 	for _, a := range j.Attempts {
--- a/internal/leader/autoscaler/model.go
+++ b/internal/leader/autoscaler/model.go
@@ -10,14 +10,15 @@
 const (
 	// stepS is the time between two steps of the model, in seconds.
 	stepS = 1
-	// minMean is the mean below which no machine is kept. Formula (4) would keep one for a negligible mean.
+	// minMean is the mean below which requiredMachines returns 0. Formula (4) would keep a machine for a negligible
+	// mean.
 	minMean = 0.05
 	// roundingTolerance is the largest fraction of a machine that is not rounded up to a whole machine.
 	roundingTolerance = 0.01
 )
 
-// RaiseMeans raises the means of the types to the load on the machines. It does so once, as soon as the tasks
-// of all machines are known after a failover.
+// RaiseMeans raises the means of the types toward the load on the machines, until their sum equals the total load. It
+// does so once, as soon as the tasks of all machines are known after a failover.
 func (s *Scaler) RaiseMeans() {
 	if s.meansRaised || s.Fleet.CountWithUnknownTasks() > 0 {
 		return
@@ -47,8 +48,8 @@
 	}
 }
 
-// stepModel advances the mean of each type and sets the number of machines that the formula requires. That
-// number is kept for a review interval unless it rises.
+// stepModel advances the mean of each type and sets the number of machines that the formula requires. The number is
+// lowered only once per review interval, and after a failover not before RaiseMeans has run. It is raised at once.
 func (s *Scaler) stepModel(types []*TypeModel, now micros.Micros) {
 	interval := s.Tuning.ReviewInterval
 	for _, t := range types {
--- a/internal/leader/autoscaler/model_test.go
+++ b/internal/leader/autoscaler/model_test.go
@@ -7,9 +7,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestRaiseMeans checks that only load above the sum of all means raises the means when, after a failover,
-// the leader knows what its machines hold. A task may run on another type than the one for which its demand
-// was counted, so load must not be compared with the mean of its type alone.
+// TestRaiseMeans checks that, once the leader knows the tasks of all machines after a failover, only load above the
+// sum of all means raises the means. A task may run on another type than the one for which its demand was counted, so
+// the load on a type must not be compared with the mean of that type alone.
 func TestRaiseMeans(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -30,7 +30,7 @@
 		s.Type("m4").Mean, s.Type("m8").Mean = c.mean4, c.mean8
 		s.RaiseMeans()
 		if got4, got8 := s.Type("m4").Mean, s.Type("m8").Mean; got4 != c.want4 || got8 != c.want8 {
-			t.Errorf("%s: means of %v and %v, want %v and %v", c.name, got4, got8, c.want4, c.want8)
+			t.Errorf("%s: means %v of m4 and %v of m8, want %v and %v", c.name, got4, got8, c.want4, c.want8)
 		}
 	}
 }
--- a/internal/leader/autoscaler/pools.go
+++ b/internal/leader/autoscaler/pools.go
@@ -13,10 +13,10 @@
 	"caperlatch/staffing"
 )
 
-// Array jobs fill a fleet task by task, so a busy fleet seldom has capacity for an entire gang on one
-// machine. Therefore gangs have machines of their own. Their demand is modeled separately, in machines: its
-// mean follows the same equation as that of the fleet, and its safety margin the same formula. Only gangs
-// start on these machines.
+// Array jobs fill a fleet task by task, so a busy fleet seldom has capacity for an entire gang on one machine.
+// Therefore some machines, the pools, start only gangs. The demand of gangs is modeled separately for each pool, in
+// machines. The mean of this demand follows the same equation as the mean of an instance type, and its safety margin
+// follows the same formula.
 
 // Pool is the set of machines of one kind that are kept available for gangs.
 type Pool struct {
@@ -25,21 +25,22 @@
 	serviceTime   staffing.ServiceTime
 	batches       staffing.BatchSizes
 	Mean          float64 // machines that gangs occupy, by the equation of the model
-	readyMachines int     // machines that must have free capacity, so that one sends a heartbeat in time
+	readyMachines int     // number of machines that must have free capacity, so that one sends a heartbeat in time
 	Target        int     // in machines
 	nextReviewAt  micros.Micros
 }
 
-// poolFleetDivisor limits the target of each pool to the number of machines in the fleet divided by it.
+// The target of each pool is at most 1/poolFleetDivisor of the machines in the fleet.
 const poolFleetDivisor = 8
 
-// minPoolMean is the mean below which a pool has no machine. Formula (4) would keep one for an occasional
-// gang.
+// minPoolMean is the mean below which the target of a pool is 0. It is compared with the peak mean until a machine
+// launched now has served for a review interval. Formula (4) would keep a machine for an occasional gang.
 const minPoolMean = 0.05
 
-// poolFor returns the pool that serves a gang. The pool consists of machines of the cheapest type that holds
-// all of the gang's tasks. poolFor returns nil for a gang that no single machine can hold or may run, and for
-// a gang that is restricted to certain types or to a zone, as most machines of a pool could not serve it.
+// poolFor returns the pool that serves a gang, and creates it if necessary. The pool consists of machines of the
+// cheapest type of which one machine holds all tasks of the gang. poolFor returns nil for other jobs, for a gang that
+// fits on no single machine, and for a gang that is spread over zones or restricted to certain types or to a zone, as
+// most machines of a pool could not serve it.
 func (s *Scaler) poolFor(j *state.Job) *Pool {
 	spec := j.Spec
 	if !j.IsGang() || spec.SpreadZones || spec.Zone != "" || len(spec.InstanceTypes) > 0 {
@@ -76,7 +77,8 @@
 	p.batches.Add(size, 1, false)
 	p.readyMachines = max(p.readyMachines, s.readyMachinesFor(j, pullTimeS))
 	if j.MayHaveEarlierTasks {
-		// The gang may already occupy its machine. The seeded rate keeps the mean at its present value.
+		// The gang may already occupy a machine, so it raises the mean at once instead of the measured demand. The
+		// arrival rate is set to the one that keeps the mean at its new value.
 		p.Mean += size
 		p.Demand.Seed(now, p.Mean*p.serviceTime.Rate(0))
 		return
@@ -85,8 +87,8 @@
 }
 
 // readyMachinesFor returns how many machines must have free capacity for a gang, so that one of them sends a
-// heartbeat in time for the objectives of the gang's class. The time to pull the image is deducted from
-// objectives that allow more than that.
+// heartbeat in time for the objectives of the gang's class. The time to pull the image is deducted from the
+// waiting time that an objective allows, unless the objective allows less than the pull takes.
 func (s *Scaler) readyMachinesFor(j *state.Job, pullTimeS float64) int {
 	ready := 1
 	for _, o := range s.Workload.WaitObjectives(j.Spec.Class) {
@@ -99,8 +101,8 @@
 	return ready
 }
 
-// StepPools advances the means of the pools by one second and sets their targets. A target is kept for a
-// review interval unless it rises.
+// StepPools advances the means of the pools by one second and sets their targets. A target is lowered only once per
+// review interval, but raised at once.
 func (s *Scaler) StepPools(now micros.Micros) {
 	for _, p := range s.pools {
 		lambda, mu := p.Demand.EarlyRate(now, s.Tuning.Z), p.serviceTime.Rate(0)
@@ -121,7 +123,8 @@
 	}
 }
 
-// resizePools adjusts the machines of each pool to its target, and launches the machines that are missing.
+// resizePools removes machines that do not run, are drained or are being terminated from the pools. It then adjusts
+// each pool to its target; see resizePool.
 func (s *Scaler) resizePools(now micros.Micros) {
 	for _, m := range s.Fleet.Sorted {
 		if m.Pool.IsSet() && (m.Instance.Terminating || m.DrainReason != "" || !m.Instance.Running) {
@@ -140,8 +143,9 @@
 	})
 }
 
-// resizePool adds machines to a pool or removes machines from it until it has as many as its target. It
-// launches machines if the fleet has too few suitable ones.
+// resizePool adds machines to a pool or removes machines from it to reach its target. It first adds machines whose
+// non-gang tasks end within one boot time. If these and the booting machines are too few, it launches machines. If
+// none can be launched, it adds machines regardless of when their tasks end.
 func (s *Scaler) resizePool(p *Pool, now micros.Micros) {
 	var members, candidates []*state.Machine
 	booting := 0
@@ -175,8 +179,8 @@
 	}
 }
 
-// addToPool adds up to count machines to a pool, first those whose non-gang tasks end soonest. It adds none
-// on which such tasks remain for more than maxWaitS seconds. It returns how many machines it added.
+// addToPool adds up to count machines to a pool, first those whose non-gang tasks end soonest. It adds no machine on
+// which a non-gang task is expected to run for more than maxWaitS seconds. It returns how many machines it added.
 func (s *Scaler) addToPool(p *Pool, machines []*state.Machine, count int, maxWaitS float64, now micros.Micros) (added int) {
 	remainingS := make(map[*state.Machine]float64, len(machines))
 	for _, m := range machines {
@@ -198,10 +202,10 @@
 	return added
 }
 
-// RestorePoolMembership returns a machine to a pool if its first heartbeat after a failover shows no tasks
-// but those of gangs. Pool membership is not stored; in a fleet that array jobs fill, a machine without array
-// tasks was most likely in a pool. Without this, array tasks took only one heartbeat interval to fill the
-// capacity that an earlier leader had reserved for gangs.
+// RestorePoolMembership is called for a machine's first heartbeat after a failover. It adds the machine to a pool that
+// is below its target, if the machine has no tasks but those of gangs. Pool membership is not stored, and in a fleet
+// that array jobs fill, a machine without array tasks was most likely in a pool. Without RestorePoolMembership, array
+// tasks filled the capacity that an earlier leader had reserved for gangs within one heartbeat interval.
 func (s *Scaler) RestorePoolMembership(m *state.Machine) {
 	for _, a := range m.Attempts {
 		if !a.Job.IsGang() {
@@ -234,8 +238,8 @@
 	}
 }
 
-// pooledAboveMean returns by how many machines of a type the targets of the pools exceed the means of the
-// pools. The means themselves are already part of the mean of the type.
+// pooledAboveMean returns by how many machines of a type the targets of the pools exceed the means of the pools. It
+// leaves out the means, because the mean of the type includes the demand of gangs.
 func (s *Scaler) pooledAboveMean(instanceType string) (excess float64) {
 	for kind, p := range s.pools {
 		if kind.Type == instanceType {
--- a/internal/leader/autoscaler/pools_test.go
+++ b/internal/leader/autoscaler/pools_test.go
@@ -12,11 +12,11 @@
 // TestPoolSize checks how many machines are put into a pool when gangs are submitted.
 func TestPoolSize(t *testing.T) {
 	unchanged := func(*state.Job) {}
-	// In the cases with gangs, each occupies two of four CPUs, which is half of a machine. The demand of four
-	// gangs that were just submitted is measured over at least a third of a window and raised by 1.3 standard
-	// deviations of their number. By the end of a review interval they occupy 3.9 machines on average, which
-	// is rounded up. In addition, seven machines that each send a heartbeat every 8 s must have free
-	// capacity, as 0.75^7 = 0.13. The pool's share of the fleet limits both.
+	// Each gang occupies two of four CPUs, which is half of a machine. The demand of four gangs that were just
+	// submitted is measured over a third of a window and raised by 1.3 standard deviations of their number. By the end
+	// of a review interval the gangs occupy 3.9 machines on average, which is rounded up. In addition, seven machines
+	// that each send a heartbeat every 8 s must have free capacity, as 0.75^7 = 0.13. The target, 11, is limited to an
+	// eighth of the fleet.
 	for _, c := range []struct {
 		name     string
 		machines int
--- a/internal/leader/autoscaler/record.go
+++ b/internal/leader/autoscaler/record.go
@@ -10,8 +10,8 @@
 // replica.AutoscalerKey.
 type Record struct {
 	Types map[string]TypeRecord `json:"types"`
-	// Quarantined holds the jobs that are considered the cause of their tasks' failures, with the number of
-	// times that each was tried.
+	// Quarantined holds the IDs of the jobs that are considered the cause of their tasks' failures, with the number
+	// of backoff rounds of each.
 	Quarantined map[string]int `json:"at_fault,omitempty"`
 }
 
@@ -57,13 +57,14 @@
 		}
 		t.Mean = stored.M
 		t.Demand.Seed(now, stored.Lambda)
-		// The requirement is computed anew as soon as the means are known. How long it was to be kept is not
-		// stored; when each of several leaders kept it for a whole interval again, it outlasted its peak by
-		// minutes.
+		// The requirement is computed anew as soon as RaiseMeans has run. The end of the review interval is not
+		// stored. When each of several leaders kept the requirement for a whole interval again, it outlasted its peak
+		// by minutes.
 		t.Required, t.RequiredOnDemand = stored.Required, stored.Required
 		if stored.Mu > 0 {
-			// This counts as if the load on the machines had just ended, because the tasks that end first now
-			// are short ones.
+			// The stored service rate gets the weight of the whole load on the machines, as if all of it had just
+			// ended. Otherwise, the tasks that end first after a failover, which are short ones, would determine the
+			// rate.
 			t.serviceTime.ObserveFinished(math.Max(1, stored.M), 1/stored.Mu, 1)
 			t.finishedTasks = stored.Finished
 		}
--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -9,10 +9,10 @@
 	"caperlatch/internal/micros"
 )
 
-// markSurplus marks as surplus the n machines of a type that the formula does not require: the most expensive
-// ones, and of these the ones with the fewest tasks. A surplus machine gets tasks only when no other machine
-// has free capacity. If tasks were spread over all machines, a few tasks would keep each of them busy
-// forever.
+// markSurplus marks as surplus the n machines of a type that the formula does not require: the most expensive ones,
+// and among equally expensive ones those with the fewest tasks. Machines that do not run, are drained, are being
+// terminated or are in a pool are left out. A surplus machine gets tasks only when no other machine has free capacity.
+// If tasks were spread over all machines, a few tasks would keep each of them busy forever.
 func (s *Scaler) markSurplus(t *TypeModel, n int, now micros.Micros) {
 	var candidates []*state.Machine
 	for _, m := range s.Fleet.Sorted {
@@ -36,11 +36,11 @@
 	}
 }
 
-// RejectDelayTolerant marks the on-demand machines of a type that only delay-tolerant jobs would use. No
-// further tasks of such jobs start on them, so they become idle and are terminated. Without this, best-effort
-// work kept machines that were launched for other jobs for the rest of the day. required is the number of
-// machines that other jobs require. need is the number of on-demand machines that they need in addition to
-// the fleet; if there is such a need, no machine is marked.
+// RejectDelayTolerant marks the on-demand machines of a type that only delay-tolerant jobs would use. No further tasks
+// of delay-tolerant jobs start on marked machines, so the machines become idle and are terminated. Without these
+// marks, best-effort work kept machines that were launched for other jobs for the rest of the day. required is the
+// number of machines that other jobs require. need is the number of on-demand machines that other jobs need in
+// addition to the fleet; if it exceeds 0 by more than roundingTolerance, no machine is marked.
 func (s *Scaler) RejectDelayTolerant(t *TypeModel, required, need float64) {
 	remaining := ceilMachines(required)
 	var candidates []*state.Machine
@@ -65,8 +65,7 @@
 	}
 }
 
-// runsOnlyDelayTolerant reports whether all tasks on a machine are of delay-tolerant jobs and the machine is
-// in no pool.
+// runsOnlyDelayTolerant reports whether a machine is in no pool and has no tasks except those of delay-tolerant jobs.
 func (s *Scaler) runsOnlyDelayTolerant(m *state.Machine) bool {
 	if m.Pool.IsSet() {
 		return false
@@ -86,8 +85,8 @@
 	billingMargin = 3 * micros.Second
 )
 
-// terminateIdle terminates up to n idle machines, the most expensive first. It terminates no machine before
-// its minimum billed time has almost passed.
+// terminateIdle terminates up to n idle machines, the most expensive first, while this leader holds its session. It
+// terminates no machine before its minimum billed time has almost passed.
 func (s *Scaler) terminateIdle(t *TypeModel, n int, now micros.Micros) {
 	if !s.Term.HoldsSession() {
 		// The termination could not be stored, and the next leader would have to wait for the machine's lease
@@ -116,9 +115,10 @@
 		now-m.Instance.IdleSince > s.IdleTimeout(t, m.Offering.Spot)
 }
 
-// IdleTimeout returns how long an idle machine is kept in case it is needed again. Keeping a machine for one
-// boot time costs about as much as terminating it by mistake costs the jobs that cannot wait. The timeout is
-// shorter for an expensive machine, which is not worth that much while spot machines are available.
+// IdleTimeout returns how long an idle machine is kept in case it is needed again: at least two heartbeat intervals,
+// and otherwise one boot time, multiplied by the share of the work that cannot wait and divided by the machine's price
+// ratio. Keeping a machine for one boot time costs about as much as terminating it by mistake costs the jobs that
+// cannot wait. An expensive machine is not worth that much while spot machines are available.
 func (s *Scaler) IdleTimeout(t *TypeModel, spot bool) micros.Micros {
 	immediateShares, typeCount := 0.0, 0.0
 	for _, other := range s.types {
--- a/internal/leader/autoscaler/scalein_test.go
+++ b/internal/leader/autoscaler/scalein_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestRejectDelayTolerant checks that no further best-effort tasks start on on-demand machines that no other
-// work requires, and that machines which other work uses or waits for remain open to all jobs.
+// TestRejectDelayTolerant checks that on-demand machines that only delay-tolerant jobs use reject further tasks of
+// such jobs, and that machines which other work uses, requires or waits for remain open to all jobs.
 func TestRejectDelayTolerant(t *testing.T) {
 	for _, c := range []struct {
 		name           string
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -18,8 +18,9 @@
 	onDemand float64 // the part that may be launched as on-demand machines
 }
 
-// scaleType launches or terminates machines of one type to reach its target: it launches spot machines, and
-// terminates idle machines of either kind. It returns the shortage that remains.
+// scaleType launches or terminates machines of one type to reach its target: it launches spot machines, and terminates
+// idle spot and on-demand machines. It also marks surplus machines and those that reject delay-tolerant jobs.
+// uncovered is the shortage of the cheaper types. scaleType returns the shortage that remains.
 func (s *Scaler) scaleType(t *TypeModel, supply Supply, need machineNeed, uncovered shortage, now micros.Micros) shortage {
 	cpusPerMachine := math.Max(t.CPUs, minCPUs)
 	minTarget, minOnDemandTarget := float64(supply.Busy), float64(supply.Busy)
@@ -71,9 +72,9 @@
 // fleet of a thousand machines must be sent within seconds, at a few requests to the cloud per second.
 const maxIntentsPerOffering = 3
 
-// launch requests up to n machines of a type, spread over the zones, and returns how many it has requested.
-// While an earlier request for the same kind of machine is unanswered, or another node may lead, it requests
-// nothing and returns n, so that nothing counts as short.
+// launch requests up to n machines of a type, spread over the zones, and returns how many it has requested. It
+// requests nothing while another node may lead, or while an earlier request for the type and the same price model,
+// spot or on-demand, is unanswered. It then returns n, so that the caller does not launch other machines instead.
 func (s *Scaler) launch(t *TypeModel, spot bool, n int, now micros.Micros) (launched int) {
 	if !s.Term.IsExclusive() {
 		return n
@@ -122,9 +123,9 @@
 // offeringCount counts the machines of an offering.
 type offeringCount struct{ all, booting int }
 
-// launchForConstrainedJobs launches machines for jobs that may not use part of the fleet, because of its
-// type, zone or kind, and whose tasks do not start. The targets of the types count machines regardless of
-// which jobs may use them, so such a job would starve while machines are idle.
+// launchForConstrainedJobs launches machines for jobs whose tasks do not start and whose constraints exclude some
+// machines of the fleet. The targets of the types count machines regardless of which jobs may use them, so without
+// this a constrained job would starve while machines are idle.
 func (s *Scaler) launchForConstrainedJobs(now micros.Micros) {
 	wall := micros.WallTime()
 	teams, awaitsReconciliation := s.TeamUsage(), s.AwaitsReconciliation()
@@ -153,7 +154,8 @@
 	return counts
 }
 
-// launchForConstrainedJob launches machines for a job if it may not use part of the fleet.
+// launchForConstrainedJob launches machines of the cheapest suitable offering for a job, if the job's constraints
+// exclude some machines of the fleet.
 func (s *Scaler) launchForConstrainedJob(j *state.Job, counts map[state.Offering]offeringCount, now micros.Micros) {
 	candidate := placementJob(j)
 	unusable, booting := 0, 0
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -46,7 +46,7 @@
 	// be launched in a zone.
 	ZonePolicy      zone.Policy
 	LaunchAllowance func(zone string) int
-	// OnChange is called when the set of jobs that may use a machine changes.
+	// OnChange is called when Step adds a machine to a pool or removes one to reach the pool's target.
 	OnChange func()
 }
 
@@ -82,7 +82,7 @@
 	s.stepModel(types, now)
 	s.StepPools(now)
 	s.resizePools(now)
-	// The next more expensive type makes up for what a type cannot supply as spot machines.
+	// What a type cannot supply as spot machines is requested from the next more expensive type.
 	var uncovered shortage
 	for _, t := range types {
 		uncovered = s.scaleType(t, supply[t.Name], need[t.Name], uncovered, now)
--- a/internal/leader/autoscaler/types.go
+++ b/internal/leader/autoscaler/types.go
@@ -27,7 +27,7 @@
 	serviceTime         staffing.ServiceTime
 	batches             staffing.BatchSizes
 	finishedTasks       int
-	// Required is the number of machines that the staffing formula requires, kept for one review interval.
+	// Required is the number of machines that the staffing formula requires; see stepModel for when it changes.
 	// RequiredOnDemand is the same for work that is worth on-demand machines, with the z of on-demand prices.
 	Required         float64
 	RequiredOnDemand float64
@@ -38,7 +38,8 @@
 // maxTasksPerMachine is more tasks than fit on any machine.
 const maxTasksPerMachine = 1 << 20
 
-// minPullGBPerS keeps the pull time of an image finite, and minCPUs the share of work per machine.
+// minPullGBPerS keeps the pull time of an image finite if the rate is 0. minCPUs keeps numbers of machines finite that
+// result from dividing by CPUs.
 const (
 	minPullGBPerS = 0.01
 	minCPUs       = 0.001
@@ -73,7 +74,8 @@
 // Types returns the models of the known instance types by name. The caller must not change the map.
 func (s *Scaler) Types() map[string]*TypeModel { return s.types }
 
-// Fraction returns the fraction of a machine of the type that one task occupies.
+// Fraction returns the fraction of a machine of the type that one task occupies, in the resource of which the task
+// takes the largest fraction.
 func (t *TypeModel) Fraction(need placement.Resources) float64 {
 	fraction := 0.0
 	for _, r := range [...]struct{ need, capacity int64 }{{need.CPU, t.Capacity.CPU}, {need.GPU, t.Capacity.GPU}, {need.Memory, t.Capacity.Memory}} {
@@ -97,7 +99,7 @@
 	return imageSizeGB / math.Max(t.ImagePullGBPerS, minPullGBPerS)
 }
 
-// PriceRatio returns the price per CPU of a type, divided by the lowest price per CPU of all types.
+// PriceRatio returns the spot or on-demand price per CPU of a type, divided by the lowest price per CPU of all types.
 func (s *Scaler) PriceRatio(t *TypeModel, spot bool) float64 {
 	lowest := math.Inf(1)
 	for _, other := range s.types {
