--- a/internal/leader/fleet/boots.go
+++ b/internal/leader/fleet/boots.go
@@ -5,15 +5,15 @@
 	"caperlatch/internal/micros"
 )
 
-// Thresholds for machines that boot slowly. Most machines are up within 1.5 times the nominal boot time.
-// Waiting for one that is not costs as much as the wait lasts. Giving it up costs the boot time of a new
-// machine, and the old one might have come up a second later. So the thresholds depend on how slow boots
-// ended recently, and on whether other machines of the same cohort are late too. The factors are multiples of
-// the nominal boot time.
+// Thresholds for machines that boot slowly. Most machines are up within 1.5 times the nominal boot time. Waiting for a
+// slower machine costs the time of the wait. Giving it up costs the boot time of a new machine, although the old one
+// might have come up a second later. So the thresholds depend on how slow boots ended recently, and on whether other
+// machines of the same cohort are late too. The factors are multiples of the nominal boot time. The margins are added
+// to the result.
 const (
-	lateBootFactor       = 1.6 // after this, the machine no longer counts as supply
-	stuckBootFactor      = 2.0 // after this, it is terminated if slow boots mostly fail
-	slowCloudStuckFactor = 4.0 // after this, it is terminated if slow boots mostly succeed
+	lateBootFactor       = 1.6 // after this, a machine is late and does not count as supply unless most of its cohort is late
+	stuckBootFactor      = 2.0 // after this, a machine is stuck, unless slowCloudStuckFactor applies
+	slowCloudStuckFactor = 4.0 // instead of stuckBootFactor if most of the cohort is late, or slow boots mostly succeed
 	lateBootMargin       = 2 * micros.Second
 	stuckBootMargin      = 10 * micros.Second
 	// unknownBootTime is the boot time assumed for an instance type that the cloud no longer lists.
@@ -41,7 +41,7 @@
 	}
 }
 
-// mostlySucceed reports whether a slow boot is at least as likely to succeed as to fail.
+// mostlySucceed reports whether, by their weights, at least as many slow boots succeeded as failed.
 func (b *bootOutcomes) mostlySucceed() bool { return b.cameUp >= b.failed }
 
 // bootTime returns the nominal boot time of a machine.
@@ -79,7 +79,7 @@
 	return scaleDuration(f.bootTime(m), factor) + stuckBootMargin
 }
 
-// RecordBoot records that a machine came up. Only late boots count.
+// RecordBoot records that a machine came up, if its boot was late.
 func (f *Fleet) RecordBoot(m *state.Machine, now micros.Micros) {
 	if f.isBootLate(m, now) {
 		f.lateBoots.add(true)
@@ -96,13 +96,13 @@
 	f.replaceLateSample(now)
 }
 
-// markLateCohorts marks the machines that are late together. The machines launched later show the present
-// state of the cloud: if at least minCohort of them are running or late, a machine is marked if more of these
-// are late than running. Otherwise, it is marked if at least minCohort machines launched with it or later are
-// late, and more of these are late than running.
+// markLateCohorts sets LateWithCohort of the booting machines. Machines that were launched more than cohortWindow
+// after a machine show the present state of the cloud. If at least minCohort of them are running or late, the machine
+// is marked if more of them are late than running. Otherwise, all machines launched later than cohortWindow before the
+// machine are compared: it is marked if at least minCohort of them are late, and more of them are late than running.
 func (f *Fleet) markLateCohorts(now micros.Micros) {
 	var peers, laterLaunches cohort
-	nextPeer, nextLater := len(f.Sorted)-1, len(f.Sorted)-1 // IDs are in the order of creation
+	nextPeer, nextLater := len(f.Sorted)-1, len(f.Sorted)-1 // f.Sorted is in the order of creation
 	for i := len(f.Sorted) - 1; i >= 0; i-- {
 		m := f.Sorted[i]
 		m.Instance.LateWithCohort = false
@@ -136,9 +136,9 @@
 	}
 }
 
-// replaceLateSample terminates a few of the machines that are late together, so that their replacements show
-// whether the cloud is still slow. In a fleet that is at its limit nothing else would show it, and all late
-// machines would be waited for long after new ones came up at once again.
+// replaceLateSample terminates a few of the machines that are late with their cohort, so that their replacements show
+// whether the cloud is still slow. In a fleet that is at its limit, nothing else is launched that could show it.
+// Without the sample, the leader would go on waiting for all late machines long after new machines boot in time again.
 func (f *Fleet) replaceLateSample(now micros.Micros) {
 	var late []*state.Machine
 	for _, m := range f.Sorted {
--- a/internal/leader/fleet/boots_test.go
+++ b/internal/leader/fleet/boots_test.go
@@ -23,8 +23,9 @@
 	})
 }
 
-// TestBootTimeCountsFromLaunchResponse checks that a machine's boot time and billed time count from the
-// response to its launch, even if the cloud was unavailable for minutes after the intent was created.
+// TestBootTimeCountsFromLaunchResponse checks that a machine's launch time, from which its boot time and its billed
+// time count, is the time of the response to its launch request, even if the cloud was unavailable for minutes after
+// the intent was created.
 func TestBootTimeCountsFromLaunchResponse(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -42,10 +43,10 @@
 			for _, id := range []string{"i-7", "i-8"} {
 				m := f.Machines[id]
 				if age := now - m.Instance.LaunchedAt; age > 2*micros.Second {
-					t.Errorf("%s counts as launched %v ago, want at most 2s", id, age.Duration())
+					t.Errorf("%s has a launch time %v ago, want at most 2s", id, age.Duration())
 				}
 				if f.IsOverdue(m, now) {
-					t.Errorf("%s counts as overdue 1s after the response to its launch", id)
+					t.Errorf("%s is overdue 1s after the response to its launch, want it not to be", id)
 				}
 			}
 			if intent.At < micros.WallTime()-2*micros.Second {
--- a/internal/leader/fleet/fleet.go
+++ b/internal/leader/fleet/fleet.go
@@ -1,11 +1,11 @@
-// Package fleet maintains the leader's view of the cloud's instances, and launches and terminates them for
+// Package fleet maintains the leader's records of the cloud's instances, and launches and terminates instances for
 // the autoscaler.
 //
 // It owns the set of machines, the launch intents, the machine lists, the queue of terminations, the backoff
-// after the cloud had no capacity, and the statistics of slow boots. It does not decide how many machines
-// there should be, which the autoscaler does, nor which tasks run on them. Two rules always hold, so that
-// every later leader finds all machines that may hold tasks: an intent is stored before its request is sent
-// to the cloud, and a machine is in a stored list before it may get tasks.
+// after the cloud had no capacity, and the statistics of slow boots. It decides neither how many machines there should
+// be, which is the autoscaler's task, nor which tasks run on them. Two rules always hold, so that every later leader
+// finds all machines that may hold tasks: an intent is stored before its request is sent to the cloud, and a machine
+// is in a stored list before it may get tasks.
 //
 // Its methods are called with the leader's lock held, except for Run.
 package fleet
@@ -66,7 +66,7 @@
 	OnTerminated func(m *state.Machine)
 }
 
-// Fleet is the leader's view of the cloud's instances.
+// Fleet holds the leader's records of the cloud's instances.
 type Fleet struct {
 	Config
 	// Machines holds all machines that may exist, by ID. Sorted holds the same machines in the order of their
@@ -108,7 +108,7 @@
 	wg.Wait()
 }
 
-// Add adds a machine that a launch intent created to the fleet.
+// Add adds a machine that was launched for an intent to the fleet.
 func (f *Fleet) Add(id string, intent *LaunchIntent, now micros.Micros) *state.Machine {
 	m := &state.Machine{
 		ID:       id,
@@ -132,7 +132,7 @@
 
 func compareID(m *state.Machine, id string) int { return cmp.Compare(m.ID, id) }
 
-// Remove removes a machine that the cloud has terminated from the fleet.
+// Remove removes a machine that the cloud has terminated from the fleet, its machine list and its launch intent.
 func (f *Fleet) Remove(m *state.Machine) {
 	f.OnTerminated(m)
 	delete(f.Machines, m.ID)
--- a/internal/leader/fleet/intents.go
+++ b/internal/leader/fleet/intents.go
@@ -31,9 +31,9 @@
 	Machines []string      `json:"machines"` // IDs
 
 	id        string // also the request ID of the launch
-	stored    bool   // the request may be sent
+	stored    bool   // the intent is stored, so its request may be sent
 	inFlight  bool   // a goroutine is sending the request
-	abandoned bool   // the response gave no machines, or all are gone
+	abandoned bool   // to be deleted: the cloud launched no machines, or all of them were terminated
 }
 
 // ID returns the ID of the intent, which is unique across all terms.
@@ -66,7 +66,8 @@
 // launchInterval is the time between two checks for intents whose requests are to be sent.
 const launchInterval = 100 * micros.Millisecond
 
-// Launch launches up to cloud.MaxInstancesPerLaunch instances. The request is sent once the intent is stored.
+// Launch creates an intent to launch count instances of an offering, but at most cloud.MaxInstancesPerLaunch. The
+// request is sent to the cloud once the intent is stored.
 func (f *Fleet) Launch(o state.Offering, count int) {
 	f.intentSequence++
 	i := f.AddIntent(fmt.Sprintf("r-%d-%d", f.FencingToken, f.intentSequence), LaunchIntent{
@@ -80,7 +81,7 @@
 	f.storeIntent(i)
 }
 
-// AddIntent registers an intent that is not stored yet.
+// AddIntent adds an intent to the fleet without scheduling its write.
 func (f *Fleet) AddIntent(id string, content LaunchIntent) *LaunchIntent {
 	i := &content
 	i.id = id
@@ -212,9 +213,9 @@
 	})
 }
 
-// claimIntents returns the IDs of stored, unanswered intents whose requests no goroutine is sending, and
-// marks them as being sent. These are new intents, those of an earlier term, and those that were left while
-// the leadership was in doubt.
+// claimIntents returns the IDs of stored, unanswered intents whose requests no goroutine is sending, and marks their
+// requests as being sent. The intents may be new, may come from an earlier term, or may have been given up while
+// another node might have led.
 func (f *Fleet) claimIntents() (ids []string) {
 	f.Lock.Lock()
 	defer f.Lock.Unlock()
@@ -227,8 +228,8 @@
 	return ids
 }
 
-// requestLaunch sends the request of a stored intent until the cloud responds. The request ID makes the
-// request idempotent: the instances are launched once, however often it is sent.
+// requestLaunch sends the request of a stored intent until the cloud responds or this term may no longer launch. The
+// request ID makes the request idempotent: the instances are launched once, however often the request is sent.
 func (f *Fleet) requestLaunch(ctx context.Context, id string) {
 	for wait := firstCloudRetry; ; wait = min(2*wait, maxCloudRetry) {
 		request, ok := f.launchRequest(ctx, id)
@@ -276,7 +277,7 @@
 	return i.Answered
 }
 
-// RecordLaunch adds the machines that the cloud has launched for an intent. If these are fewer than
+// RecordLaunch adds the machines that the cloud has launched for an intent. If there are fewer machines than
 // requested, further launch requests for the offering are delayed.
 func (f *Fleet) RecordLaunch(i *LaunchIntent, machines []string) {
 	now := micros.Now()
@@ -286,9 +287,9 @@
 		delete(f.backoffs, i.offering())
 	}
 	i.Answered, i.inFlight = true, false
-	// Instances requested during an outage of the cloud were launched only when it responded. When the time
-	// counted from the creation of the intent, such machines were considered late as soon as they were
-	// launched, and were terminated before the minimum billed time had passed.
+	// Instances requested during an outage of the cloud are launched only when it responds. When At was still the time
+	// of the intent's creation, machines launched after an outage were considered late as soon as they were launched,
+	// and were terminated before the minimum billed time had passed.
 	i.At = micros.WallTime()
 	for _, id := range machines {
 		if f.Machines[id] != nil || f.terminated[id] {
--- a/internal/leader/fleet/lists.go
+++ b/internal/leader/fleet/lists.go
@@ -19,8 +19,8 @@
 type MachineList struct {
 	Entries []string `json:"m"` // "id address"
 
-	// splitFrom is set while a list that is too large is being split. It is the index of the list that names
-	// these machines until this list is stored.
+	// splitFrom is set on a list that is being split off from a list that is too large. It is the index of the large
+	// list, which names the machines of both lists until the new list is stored.
 	splitFrom *int
 }
 
@@ -105,10 +105,10 @@
 	return len(list.Entries)
 }
 
-// splitIfTooLarge splits a list that an earlier version stored at a size that the state service no longer
-// accepts. The new lists are written first. The old list, which cannot be written as it is, names their
-// machines until they are known to be stored. So every machine is in a stored list at any time, even if a
-// request gets no response or another leader takes over.
+// splitIfTooLarge splits a list that an earlier version stored at a size that the state service no longer accepts. The
+// new lists are written first. The old list stays stored unchanged, and names the machines of the new lists until the
+// new lists are known to be stored. So every machine is in a stored list at any time, even if a request gets no
+// response or another leader takes over.
 func (f *Fleet) splitIfTooLarge(index int) {
 	entries := f.lists[index].Entries
 	for remaining := entries[min(len(entries), f.maxEntriesThatFit(entries)):]; len(remaining) > 0; {
@@ -179,7 +179,7 @@
 	snapshot := slices.Clone(f.lists[index].Entries)
 	if len(snapshot) == 0 {
 		f.finishSplit(index)
-		return w, w.ModRevision != 0
+		return w, w.ModRevision != 0 // delete the list if it is stored
 	}
 	w.Value = MachineList{Entries: snapshot}
 	if w.ModRevision != 0 && len(snapshot) > 1 && !f.ValueFits(w.Value) {
--- a/internal/leader/fleet/termination.go
+++ b/internal/leader/fleet/termination.go
@@ -15,8 +15,8 @@
 // terminateInterval is the time between two requests for queued terminations.
 const terminateInterval = 200 * micros.Millisecond
 
-// Terminate queues the termination of a machine. The tasks of the machine count as being on it until the
-// cloud has confirmed the termination.
+// Terminate queues the termination of a machine, if this leader holds its session. The machine's tasks remain assigned
+// to it until the cloud has confirmed the termination; its planned starts are dropped.
 //
 // A leader whose session is in doubt terminates nothing: its requests may be delayed and carried out minutes
 // later, on machines that the next leader uses. An isolated leader that heard from none of its machines once
@@ -109,8 +109,10 @@
 // terminated.
 const orphanMargin = 10 * micros.Second
 
-// ReconcileInstances terminates instances that belong to no launch intent, and instances that have failed.
-// The list may be out of date, so it proves nothing about tasks.
+// ReconcileInstances compares the cloud's instance list with the fleet. It terminates instances that have failed, and
+// instances that have belonged to no launch intent for some time; see trackOrphan. While a launch is unanswered, an
+// unknown instance may come from that launch, so no instance counts as orphaned. The list may be out of date, so it
+// proves nothing about tasks.
 func (f *Fleet) ReconcileInstances(list []wire.InstanceStatus) {
 	now := micros.Now()
 	hasOpenIntents := false
@@ -142,9 +144,9 @@
 	}
 }
 
-// trackOrphan records when an orphaned instance was first listed, and queues its termination once it has been
-// listed for long enough. Such an instance comes from a launch that was carried out late, or from a
-// termination that was lost.
+// trackOrphan records when an orphaned instance was first listed, and queues its termination once it has been listed
+// for longer than three times the list lag plus orphanMargin. An orphaned instance comes from a launch that was
+// carried out late, or from a termination that was lost.
 func (f *Fleet) trackOrphan(id string, now micros.Micros) {
 	since, known := f.orphans[id]
 	switch {
