--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -1,10 +1,10 @@
 // Package persist writes the leader's decisions to the state service asynchronously.
 //
 // It owns which keys are to be written, in which order, and how many go into one transaction, and it handles
-// writes that the service rejects or whose outcome is not known. It does not interpret the values: the owner
-// of a value encodes it when its key is due. It must never write a key without a compare on the leader key
-// and on the key's own mod revision, because a transaction that got no response may be carried out late,
-// after newer ones.
+// writes that the service rejects or whose outcome is not known. It does not interpret the values: the owner of a
+// value encodes the value when its key is to be written. It must never write a key without a compare on the leader key
+// and on the key's own mod revision, because a transaction that got no response may be carried out late, after newer
+// transactions.
 package persist
 
 import (
@@ -58,7 +58,7 @@
 	// service has rejected a transaction with that many.
 	maxOps        int
 	rejectedSizes map[string]int // sizes of values that the service rejected, by key
-	inFlight      bool           // a transaction has been sent and not handled
+	inFlight      bool           // a transaction is being sent, or its outcome has not been handled yet
 }
 
 // NewQueue returns an empty queue.
@@ -75,8 +75,8 @@
 // Enqueue schedules an urgent write of a key.
 func (q *Queue) Enqueue(key string) { q.pending[key] = true }
 
-// EnqueueLowPriority schedules a write of a key for when no urgent key is pending. A key that is already
-// urgent remains so.
+// EnqueueLowPriority schedules a write of a key that comes after those of the urgent keys in urgentPrefixes. A key
+// that is already urgent remains urgent.
 func (q *Queue) EnqueueLowPriority(key string) {
 	if _, ok := q.pending[key]; !ok {
 		q.pending[key] = false
@@ -216,8 +216,9 @@
 	}
 }
 
-// retry schedules writes again whose outcome is not known, or for which a key had another mod revision than
-// expected. It first waits until the replica is up to date with the state service.
+// retry is called if the outcome of writes is not known, or if a key had another mod revision than expected. It
+// schedules the writes again, and waits until the replica is up to date with the state service before it returns, so
+// that the next transaction has current mod revisions.
 func (q *Queue) retry(ctx context.Context, writes []Write) {
 	q.Lock.Lock()
 	for _, w := range writes {
@@ -230,10 +231,11 @@
 	q.Wake()
 }
 
-// HandleRejection schedules smaller transactions in place of one that the state service will never accept.
-// Halving it shows whether the number of changes is the problem, in which case the limit stays lower, or a
-// single value. A value that is rejected alone is not sent again until it is smaller, and the others are
-// written. Without this, the same transaction was sent forever, and none of its writes was stored.
+// HandleRejection schedules smaller transactions in place of one that the state service will never accept. Halving the
+// transaction shows whether it had too many changes or a value that is too large. In the first case, the lower limit
+// on the number of changes stays. A value that is rejected alone is not sent again until it is smaller, and the other
+// values are written. Without HandleRejection, the same transaction was sent forever, and none of its writes was
+// stored.
 func (q *Queue) HandleRejection(writes []Write, err error) {
 	if len(writes) == 1 {
 		w := writes[0]
@@ -256,8 +258,9 @@
 	keysPerOp   = 3    // occurrences of the key of a write
 )
 
-// Collect removes the most urgent keys that fit into one transaction from the queue. It returns their writes
-// and whether more keys are pending.
+// Collect removes the most urgent keys that fit into one transaction from the queue. It returns their writes and
+// whether more keys are pending. It also removes keys with nothing to write, and keys whose values are at least as
+// large as a rejected one.
 func (q *Queue) Collect() (writes []Write, more bool) {
 	size := txnOverhead
 	for _, key := range q.byPriority() {
@@ -290,7 +293,7 @@
 	return false
 }
 
-// byPriority returns the keys to be written, the most urgent first.
+// byPriority returns the keys to be written in ascending order of their priority rank, and then by name.
 func (q *Queue) byPriority() []string {
 	keys := make([]string, 0, len(q.pending))
 	for key := range q.pending {
@@ -303,7 +306,8 @@
 }
 
 // urgentPrefixes lists the prefixes of the keys that are written first, in this order. Jobs come first, as
-// users wait for the ends of their jobs, followed by machines that are to get tasks.
+// users wait for the ends of their jobs, followed by machines that are to get tasks. Progress and all other urgent
+// keys are written after the keys of low priority.
 var urgentPrefixes = [...]string{
 	replica.JobPrefix,
 	replica.MachineListPrefix,
@@ -312,9 +316,10 @@
 	replica.LaunchIntentPrefix,
 }
 
-// priority returns the rank of a key; the lowest rank is written first. The removal of terminated machines
-// can wait, because a record that still names them only makes the next leader more careful. When such writes
-// preceded the ends of jobs, no user saw a job finish for a minute while a fleet was being scaled in.
+// priority returns the rank of a key; the lowest rank is written first. Low-priority writes, such as the removal of
+// terminated machines, can wait, because a record that still names the machines only makes the next leader more
+// careful. When these writes preceded the ends of jobs, no user saw a job finish for a minute while a fleet was being
+// scaled in.
 func (q *Queue) priority(key string) int {
 	urgent := q.pending[key]
 	for i, prefix := range urgentPrefixes {
--- a/internal/leader/persist/queue_test.go
+++ b/internal/leader/persist/queue_test.go
@@ -173,7 +173,7 @@
 	first, more := q.Collect()
 	second, last := q.Collect()
 	if got := keysOf(append(slices.Clone(first), second...)); !slices.Equal(got, want) || len(first) != 6 || !more || last {
-		t.Errorf("written %v in transactions of %d and %d, more %t and %t; want %v", got, len(first), len(second), more, last, want)
+		t.Errorf("written %v, %d of them in the first transaction; more pending after the first: %t, after the second: %t; want %v, 6, true, false", got, len(first), more, last, want)
 	}
 }
 
@@ -248,7 +248,7 @@
 				}
 			}
 			if revision := q.Replica.ModRevision(key); (revision == 60) != c.want.stored {
-				t.Errorf("the replica has revision %d, want 60 only if the write is stored: %t", revision, c.want.stored)
+				t.Errorf("the replica has revision %d of the key; is 60: %t, want %t", revision, revision == 60, c.want.stored)
 			}
 			if q.IsDrained() == c.want.pending {
 				t.Errorf("drained: %t, want %t", q.IsDrained(), !c.want.pending)
