--- a/internal/leader/state/attempt.go
+++ b/internal/leader/state/attempt.go
@@ -30,8 +30,8 @@
 	GracePeriod     micros.Micros // time for saving a checkpoint
 	StopReason      string
 
-	// Protected marks one of the first attempts of a job. These are not preempted until their starts count towards
-	// the service-level objectives.
+	// Protected marks one of the first attempts of a job. Protected attempts are not preempted until their starts count
+	// towards the service-level objectives.
 	Protected bool
 	// Reserved marks a gang task whose place on the machine is reserved: the next heartbeat response to the machine
 	// carries the start.
@@ -56,7 +56,8 @@
 }
 
 // Detach removes an attempt that is known to have left its machine from the machine and the job. It reports whether
-// it was the attempt that the job counted for the task. If so, the task waits for a start again unless it is done.
+// the attempt was the one that the job counted for the task. In that case, the task waits for a start again unless it
+// is done.
 func (a *Attempt) Detach(now micros.Micros) (wasCounted bool) {
 	job, machine := a.Job, a.Machine
 	delete(machine.Attempts, a.TaskID())
@@ -86,7 +87,8 @@
 }
 
 // MarkStopping records that the attempt is to stop within a grace period. It reports whether the stop command must be
-// sent: it need not be if an earlier one allowed the same time or less.
+// sent. If an earlier stop command allowed the same grace period or a shorter one, MarkStopping changes nothing and
+// returns false.
 func (a *Attempt) MarkStopping(grace micros.Micros, reason string, now micros.Micros) (mustSend bool) {
 	if a.StopRequestedAt != 0 && grace >= a.GracePeriod {
 		return false
--- a/internal/leader/state/gang.go
+++ b/internal/leader/state/gang.go
@@ -11,8 +11,8 @@
 	Number          uint64        // 0 if there is no current attempt
 	WaitingSince    micros.Micros // when a task was first seen waiting for the others, 0 if none has been
 	Started         bool          // all tasks have been running at the same time
-	Ending          bool          // all tasks are being stopped
-	NoCapacitySince micros.Micros // since when no machine has room for the missing tasks, 0 if one has
+	Ending          bool          // the attempt is being ended: all its tasks are being stopped
+	NoCapacitySince micros.Micros // since when the fleet lacks room for the tasks to be started, 0 if it has room
 }
 
 // CheckpointGrace returns the grace period that lets a gang's tasks save a checkpoint.
@@ -21,9 +21,9 @@
 	return micros.FromSeconds(j.Spec.CheckpointDurationS) + micros.Millisecond
 }
 
-// GangReservation reserves the free resources of some machines for a gang that could not be placed: only work ranked
-// before the gang may start there. The reservation expires, and the gang then waits for the same time before its next
-// one, so that no resources are reserved indefinitely.
+// GangReservation reserves the free resources of some machines for a gang that could not be placed: only the gang and
+// jobs that precede it in the queue may start on these machines. The reservation expires, and the gang then waits for
+// the same time before its next reservation, so that no resources are reserved indefinitely.
 type GangReservation struct {
 	QueuedJob *placement.Job // the gang's entry in the latest queue
 	Machines  []*Machine
--- a/internal/leader/state/images.go
+++ b/internal/leader/state/images.go
@@ -9,7 +9,8 @@
 	sizeGB map[string]float64 // by image name
 }
 
-// Use records that a task used an image, and evicts the least recently used images that exceed the cache size limitGB.
+// Use records that a task used an image. It evicts the least recently used images until the others fit within limitGB,
+// but never the image itself.
 func (c *ImageCache) Use(name string, sizeGB, limitGB float64) {
 	if c.sizeGB == nil {
 		c.sizeGB = map[string]float64{}
--- a/internal/leader/state/job.go
+++ b/internal/leader/state/job.go
@@ -11,7 +11,7 @@
 	"caperlatch/placement"
 )
 
-// ProbeTasks is the maximum number of tasks of a quarantined job that run at the same time.
+// ProbeTasks is the maximum number of tasks of a job that run at the same time while IsProbing is true.
 const ProbeTasks = 2
 
 // Job is the leader's record of an accepted job that has not ended, or of a cancelled job that still has tasks on
@@ -29,7 +29,7 @@
 	OfferingsVersion int
 	// MayHaveEarlierTasks is set if an earlier term may have started tasks of the job.
 	MayHaveEarlierTasks bool
-	Ended               bool // done or cancelled
+	Ended               bool // the job is done or cancelled
 
 	// Completed tasks. StoredDone is the subset that is already in the state service.
 	Done       Bitset
@@ -44,14 +44,16 @@
 	// Displaced maps the index of each task that was lost with a zone to the machine that the task was on.
 	Displaced map[int]*Machine
 
-	// Waiting tasks: those in requeued, and all with an index of nextUnstarted or higher.
+	// Tasks that may wait for a start: those in requeued, and all with an index of nextUnstarted or higher. Some of
+	// them may be done or on a machine; TakeWaitingTask skips those.
 	requeued      []int
 	nextUnstarted int
-	RanBefore     map[int]bool // tasks that have run before; their next run is shorter
+	RanBefore     map[int]bool // indexes of tasks that have run before; with checkpoints, their next run is shorter
 
 	Gang GangAttempt // the current attempt, if the job is a gang
-	// LastEndedAttempt is the highest number of a gang attempt that has ended according to the exits of its tasks. A
-	// new leader may learn of the exits before it learns which tasks of the attempt are still on machines.
+	// LastEndedAttempt is the highest number of a gang attempt that has ended according to the exit reason of one of
+	// its tasks. A new leader may learn of the exits before it learns which tasks of the attempt are still on
+	// machines.
 	LastEndedAttempt uint64
 
 	Failures      FailureRecord
@@ -72,9 +74,9 @@
 	Count            int                      // failed runs in this term
 	LastMachine      string
 	LongestRun       micros.Micros // longest run time of a failed task
-	SoleMachineTries int           // failed tries while only one machine has been tried
-	BackoffRounds    int
-	Quarantined      bool // the job, not its machines, is considered faulty
+	SoleMachineTries int           // failed tries while the job has failed on one machine only
+	BackoffRounds    int           // determines the next backoff, which doubles with each round
+	Quarantined      bool          // the job, not its machines, is considered faulty
 }
 
 // DemandRecord is the demand that the autoscaler counts for a job.
@@ -103,11 +105,12 @@
 	}
 }
 
-// WaitingTasks returns the number of tasks that are neither done nor on a machine. The difference may be negative, as
-// all tasks of a gang are marked done when the first one is, while the others are still on machines; 0 is returned then.
+// WaitingTasks returns the number of tasks that are neither done nor on a machine. All tasks of a gang are marked done
+// when the first one is, while the others are still on machines. These are then counted twice, which makes the
+// difference negative, and 0 is returned.
 func (j *Job) WaitingTasks() int { return max(0, j.Spec.Tasks-j.DoneCount-len(j.Attempts)) }
 
-// TakeWaitingTask removes a waiting task from the queue and returns its index. ok is false if no task waits.
+// TakeWaitingTask removes a task from the job's waiting tasks and returns its index. ok is false if no task waits.
 func (j *Job) TakeWaitingTask() (index int, ok bool) {
 	for n := len(j.requeued); n > 0; n = len(j.requeued) {
 		t := j.requeued[n-1]
@@ -125,7 +128,7 @@
 	return 0, false
 }
 
-// requeue returns a task to the waiting tasks.
+// requeue returns a task to the waiting tasks. A task with an index of nextUnstarted or higher is among them already.
 func (j *Job) requeue(index int) {
 	if index < j.nextUnstarted {
 		j.requeued = append(j.requeued, index)
@@ -135,7 +138,8 @@
 // HasSucceeded reports whether any task of the job has succeeded.
 func (j *Job) HasSucceeded() bool { return j.DoneCount > 0 }
 
-// IsProbing reports whether at most ProbeTasks tasks of the job may run at a time because its tasks have failed.
+// IsProbing reports whether at most ProbeTasks tasks of the job may be on machines at a time, because its tasks have
+// failed and none has succeeded.
 func (j *Job) IsProbing() bool {
 	return !j.HasSucceeded() && (j.Failures.Quarantined || j.Failures.BackoffRounds > 0)
 }
@@ -153,8 +157,8 @@
 	return j.WaitingTasks()
 }
 
-// OutlivesFailures reports whether, according to the heartbeats, a task of the job has run much longer than any of the
-// tasks that failed.
+// OutlivesFailures reports whether, according to the latest heartbeat of its machine, a task of the job has run for
+// more than 3 s plus twice the longest run time of the tasks that failed.
 func (j *Job) OutlivesFailures() bool {
 	for _, a := range j.Attempts {
 		if a.RunningSince != 0 && a.Machine.Heartbeat.ReceivedAt-a.RunningSince > 3*micros.Second+2*j.Failures.LongestRun {
@@ -168,7 +172,7 @@
 func (j *Job) IsGang() bool { return j.Spec.Kind == wire.KindGang }
 
 // startableGangTasks returns how many tasks of a gang may be started: all tasks of a new attempt, or the missing tasks
-// of an attempt that has not started.
+// of an attempt whose tasks have not all been running yet. It returns 0 while an attempt is being ended.
 func (j *Job) startableGangTasks() int {
 	if j.Gang.Started || j.Gang.Ending {
 		return 0
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -54,8 +54,8 @@
 
 // InstanceState is the state of a machine as a cloud instance.
 //
-// A task may be placed on a machine only when both IntentStored and ListStored are set: a leader that takes over must
-// find every machine that may hold tasks.
+// A task may be placed on a machine only when both IntentStored and ListStored are set, because a leader that takes
+// over must find every machine that may hold tasks.
 type InstanceState struct {
 	Address          string
 	LaunchedAt       micros.Micros
@@ -65,8 +65,8 @@
 	StoredListIndex  int           // index of the stored list that contains the machine
 	FirstHeartbeatAt micros.Micros // time of the first heartbeat in this term, 0 if there was none
 	SeenInCloudList  bool          // the cloud's list has contained the machine
-	MissedCloudLists int           // number of consecutive lists without the machine, once a list has contained it
-	LateWithCohort   bool          // the boot is late, like that of most machines launched with it
+	MissedCloudLists int           // number of consecutive lists without the machine, also before SeenInCloudList is set
+	LateWithCohort   bool          // the machine is booting, and most machines launched with it or later are late
 	Terminating      bool          // termination was requested; this is never revoked
 	IdleSince        micros.Micros // when the last task left the machine
 }
@@ -85,7 +85,7 @@
 type LeaseState struct {
 	RenewedAt    micros.Micros // time of the latest response that may have renewed the lease
 	ExpiredSince micros.Micros // 0 while the lease has not expired
-	DeferredAt   micros.Micros // when a heartbeat was last refused while leadership was in doubt
+	DeferredAt   micros.Micros // when a heartbeat was last refused because another node might have led
 }
 
 // DeliveryState tracks whether heartbeat responses reach the worker.
@@ -93,11 +93,11 @@
 	RespondedThisTerm bool           // a heartbeat has been answered in this term
 	Sent              []wire.Command // start and clear commands in the latest response
 	LostResponses     int            // number of consecutive lost responses
-	FirstLostAt       micros.Micros  // when the first of these was found to be lost
+	FirstLostAt       micros.Micros  // when the first of the consecutive lost responses was found to be lost
 	FollowUps         []wire.Command // clear and stop commands required by the latest heartbeat
 }
 
-// MaxLostResponses is the number of consecutive lost responses from which on a machine is considered to receive none.
+// MaxLostResponses is the number of consecutive lost responses after which a machine is considered to receive none.
 const MaxLostResponses = 3
 
 // TaskKnowledge is the leader's source of information about which tasks are on a machine.
@@ -123,18 +123,19 @@
 // QuarantineState is the evidence that a machine is faulty when tasks fail on it; see package quarantine.
 type QuarantineState struct {
 	Since                  micros.Micros   // when the machine was quarantined, 0 if it is not
-	Failures               int             // failures of jobs that succeed elsewhere, since the last success on the machine
-	SuspectJobs            map[string]bool // IDs of other jobs that failed on the machine since then
+	Failures               int             // failures of jobs with successful tasks, since the last success on the machine
+	SuspectJobs            map[string]bool // IDs of other jobs that failed on the machine since its last success
 	LatestSuccessStartedAt micros.Micros   // start time of the most recently started task that succeeded on the machine
 }
 
-// ZoneReturn tracks whether a machine is reachable again after its zone was lost.
+// ZoneReturn tracks whether a machine is reachable again after its zone was lost. ResetZoneReturn resets the evidence
+// when the zone is lost, and when the machine falls silent, loses responses or is no longer listed by the cloud.
 type ZoneReturn struct {
-	FirstHeartbeatAt  micros.Micros // first heartbeat since the zone was lost or the machine fell silent; 0 if there was none
-	IncarnationBefore uint64        // incarnation in the last heartbeat before that
-	SequenceBefore    uint64        // sequence number of that heartbeat
-	Returned          bool          // the heartbeats prove that the machine is reachable again
-	Closed            bool          // closed to work that is not bound to the zone
+	FirstHeartbeatAt  micros.Micros // first heartbeat since the last reset, 0 if there was none or it proved the return
+	IncarnationBefore uint64        // incarnation in the latest heartbeat before the last reset, 0 if there was none
+	SequenceBefore    uint64        // sequence number of the latest heartbeat before the last reset
+	Returned          bool          // the heartbeats since the last reset prove that the machine is reachable again
+	Closed            bool          // only jobs that are bound to the zone may start tasks on the machine
 }
 
 // Silence returns the time since the machine's latest heartbeat, or since the start of the term if that is shorter.
@@ -159,7 +160,8 @@
 // TasksKnown reports whether the tasks on the machine are known, from its worker or from a handover.
 func (m *Machine) TasksKnown() bool { return m.Reconciliation.Knowledge != TasksUnknown }
 
-// LikelyIncarnation returns the incarnation that the worker most likely has.
+// LikelyIncarnation returns the incarnation that the worker most likely has: that of its latest heartbeat, or else the
+// one published in the previous term, or else 1.
 func (m *Machine) LikelyIncarnation() uint64 {
 	if m.Heartbeat.Incarnation == 0 && m.Reconciliation.PreviousTerm != nil {
 		return max(1, m.Reconciliation.PreviousTerm.Incarnation)
@@ -183,8 +185,8 @@
 	return m.IsSchedulable(now) && !m.ZoneReturn.Closed
 }
 
-// ResetZoneReturn discards the evidence that the machine has returned. Only heartbeats newer than the latest one count
-// as evidence from now on.
+// ResetZoneReturn discards the evidence that the machine has returned, but leaves Closed as it is. Only heartbeats
+// newer than the latest one count as evidence from now on.
 func (m *Machine) ResetZoneReturn() {
 	m.ZoneReturn = ZoneReturn{IncarnationBefore: m.Heartbeat.Incarnation, SequenceBefore: m.Heartbeat.Sequence, Closed: m.ZoneReturn.Closed}
 }
--- a/internal/leader/state/progress.go
+++ b/internal/leader/state/progress.go
@@ -23,7 +23,8 @@
 // Set adds task i.
 func (b Bitset) Set(i int) { b[i/bitsPerByte] |= 1 << (i % bitsPerByte) }
 
-// Chunk returns the part of the set that is stored under one progress key.
+// Chunk returns the bytes of the set that are stored under the progress key with the index chunk. They share memory
+// with the set.
 func (b Bitset) Chunk(chunk int) []byte {
 	const chunkBytes = ChunkTasks / bitsPerByte
 	return b[chunk*chunkBytes : min(len(b), (chunk+1)*chunkBytes)]
@@ -41,7 +42,7 @@
 // ErrProgressMismatch is returned if stored progress does not match its job.
 var ErrProgressMismatch = errors.New("the stored set of done tasks does not match the job")
 
-// ProgressChunks returns the maximum number of progress keys of the job.
+// ProgressChunks returns the number of chunks into which the progress of the job is divided.
 func (j *Job) ProgressChunks() int { return (j.Spec.Tasks + ChunkTasks - 1) / ChunkTasks }
 
 // Progress returns the value to store for a chunk of the job's tasks.
@@ -49,7 +50,7 @@
 	return TaskProgress{base64.RawStdEncoding.EncodeToString(j.Done.Chunk(chunk))}
 }
 
-// RestoreProgress sets the done tasks of a chunk from the stored progress.
+// RestoreProgress sets the done tasks of a chunk, also in StoredDone, from the stored progress.
 func (j *Job) RestoreProgress(chunk int, p TaskProgress) error {
 	bits, err := base64.RawStdEncoding.DecodeString(p.Done)
 	if err != nil || chunk >= j.ProgressChunks() || len(bits) != len(j.Done.Chunk(chunk)) {
