--- a/internal/leader/quarantine/quarantine.go
+++ b/internal/leader/quarantine/quarantine.go
@@ -2,14 +2,15 @@
 // A quarantined machine is drained. A quarantined job is probed: only a few of its tasks are started at a time, with a
 // growing backoff between probes.
 //
-// The package maintains the evidence in state.Machine.Quarantine and state.Job.Failures, except for the counts that are
-// taken from heartbeats, and the part of it that is stored for the next leader. Only a task that exited with an error
-// is evidence: a task that was lost, stopped or refused must never be recorded as failed here. Nothing in this package
-// proves that a task has ended.
+// The package maintains the evidence in state.Machine.Quarantine and state.Job.Failures, and the snapshot that is
+// stored for the next leader. The leader itself records the number of failed runs, the last machine and the longest
+// run in state.Job.Failures, which it takes from heartbeats. Only a task that exited with an error is evidence: a task
+// that was lost, stopped or refused must never be recorded as failed here. Nothing in this package proves that a task
+// has ended.
 //
 // A task fails either because its machine is faulty, or because its job was submitted with a mistake and fails on every
-// machine. A job of which any task has ever succeeded is therefore good. A machine on which a task started after a
-// failure and succeeded was not the cause of that failure.
+// machine. A job of which any task has ever succeeded is therefore good. If a task that was started on a machine after
+// a failure succeeds there, the machine was not the cause of that failure.
 //
 // The package's methods are called with the leader's lock held.
 package quarantine
@@ -42,11 +43,12 @@
 	// machine to be faulty.
 	minGoodJobFailures = 2
 	// minSuspectJobs is the number of jobs, not known to be good, that must have failed on a machine and on no other
-	// since the last success on the machine. A few in a hundred jobs have a mistake, so three different such jobs in a
-	// row on one machine are less likely than a faulty machine.
+	// since the last success on the machine. A failure of a good job counts as one of these jobs. A few in a hundred
+	// jobs have a mistake, so three different jobs with mistakes in a row on one machine are less likely than a faulty
+	// machine.
 	minSuspectJobs = 3
-	// minJobMachines is the number of machines on which a job must have failed before it is quarantined, if none of its
-	// tasks has succeeded.
+	// minJobMachines is the number of machines on which a job must have failed before it is quarantined, if none of
+	// its tasks has succeeded. Fewer suffice if one of these machines is known to work; see evaluateJob.
 	minJobMachines = 3
 	// maxSoleMachineTries is the number of tries of a job on a machine after which the machine is replaced, if there is
 	// no other machine to show whether the job or the machine is at fault.
@@ -55,16 +57,20 @@
 
 // Backoffs after failures.
 const (
-	// The backoff between probes of a quarantined job starts at initialProbeBackoff and doubles with each probe.
+	// The backoff between probes of a quarantined job is initialProbeBackoff, doubled with each of its backoff rounds
+	// including the first.
 	initialProbeBackoff      = 2 * micros.Second
 	maxProbeBackoff          = 60 * micros.Second
 	maxProbeBackoffDoublings = 10
-	// The backoff between tries of a job on the only machine also doubles with each try.
+	// The backoff between tries of a job that has failed on one machine only is initialSoleMachineBackoff, doubled with
+	// each of its backoff rounds including the first.
 	initialSoleMachineBackoff      = micros.Second
 	maxSoleMachineBackoffDoublings = 4
-	// machineBackoff is how long a machine gets no starts, per failure of a good job.
+	// machineBackoff is how long a machine gets no starts after a failure of a good job, for each such failure since
+	// the last success on the machine.
 	machineBackoff = micros.Second
-	// suspectBackoff is how long a machine gets no starts, per suspect job. At most maxSuspectBackoffs jobs count.
+	// suspectBackoff is how long a machine gets no starts after a failure of a job not known to be good, for each of
+	// its suspect jobs. At most maxSuspectBackoffs jobs count.
 	suspectBackoff     = micros.Second / 2
 	maxSuspectBackoffs = 3
 )
@@ -102,8 +108,8 @@
 // New returns a quarantine without evidence.
 func New(c Config) *Quarantine { return &Quarantine{Config: c} }
 
-// RecordSuccess records that a task of a job has succeeded on a machine. It is called after the job has counted the
-// success. The attempt is nil if it is not known in this term.
+// RecordSuccess records that a task of a job has succeeded on a machine. It must be called after the success was added
+// to DoneCount. a is nil if the attempt is not known in this term.
 func (q *Quarantine) RecordSuccess(m *state.Machine, j *state.Job, a *state.Attempt, now micros.Micros) {
 	m.Quarantine.Failures = 0
 	clear(m.Quarantine.SuspectJobs)
@@ -113,7 +119,8 @@
 	if j.DoneCount != 1 || len(j.Failures.ByMachine) == 0 {
 		return
 	}
-	// This is the first success of the job, so the job is good and its failures count against the machines.
+	// This is the first success of the job, so the job is good, and its failures count against the machines on which
+	// no task has started and succeeded since.
 	if j.Failures.Quarantined {
 		slog.Info("job released from quarantine", "job", j.Spec.ID)
 		q.Demand.RestoreDemand(j, now)
@@ -146,7 +153,7 @@
 	j.Failures.ByMachine[m.ID] = now
 	if j.Failures.Quarantined {
 		// A job that fails everywhere is no evidence against its machines. It is probed with a growing backoff. Tasks
-		// that fail at the same time count as one probe.
+		// that fail before the backoff has expired belong to the same probe.
 		if now >= j.BackoffUntil {
 			j.Failures.BackoffRounds++
 			deferProbe(j, now)
@@ -154,7 +161,8 @@
 		return
 	}
 	// It is not known yet whether the job or the machine is at fault: the job is tried on other machines, and the
-	// machine with other jobs. If there is no other machine, the backoffs of both grow with each failure.
+	// machine with other jobs. The backoff of the machine grows with the number of its suspect jobs. While the job has
+	// failed on this machine only, its backoff grows with each try.
 	deferStarts(m, now+micros.Micros(min(maxSuspectBackoffs, len(m.Quarantine.SuspectJobs)))*suspectBackoff)
 	if len(j.Failures.ByMachine) == 1 && now >= j.BackoffUntil {
 		deferSoleMachineTry(j, now)
@@ -167,14 +175,15 @@
 	m.StartBackoffUntil = max(m.StartBackoffUntil, until)
 }
 
-// deferProbe delays the next probe of a quarantined job. The backoff grows with the number of earlier probes.
+// deferProbe delays the next probe of a quarantined job. The delay doubles with each backoff round, up to
+// maxProbeBackoff.
 func deferProbe(j *state.Job, now micros.Micros) {
 	j.BackoffUntil = now + min(maxProbeBackoff, initialProbeBackoff<<min(j.Failures.BackoffRounds, maxProbeBackoffDoublings))
 	j.BackoffReason = probeBackoffReason
 }
 
-// deferSoleMachineTry counts a try of a job on the only machine on which it has failed, and delays the next try after
-// every try but the first.
+// deferSoleMachineTry counts a try of a job on the only machine on which it has failed. After every try but the first,
+// it delays the next one.
 func deferSoleMachineTry(j *state.Job, now micros.Micros) {
 	j.Failures.SoleMachineTries++
 	if j.Failures.SoleMachineTries == 1 {
@@ -191,8 +200,8 @@
 }
 
 // evaluateJob quarantines a job that failed on minJobMachines machines, or on a machine on which a task that started
-// after the failure succeeded, unless a task of the job has run much longer than those that failed. The latest failure,
-// on failedOn, need not be in the job's record yet.
+// after the failure succeeded. It does not quarantine a job of which a task has run much longer than those that
+// failed. failedOn is the machine of the latest failure, which need not be in the job's record yet.
 func (q *Quarantine) evaluateJob(j *state.Job, failedOn *state.Machine, now micros.Micros) {
 	machineWorks, machines := false, len(j.Failures.ByMachine)
 	if _, recorded := j.Failures.ByMachine[failedOn.ID]; !recorded {
@@ -220,8 +229,8 @@
 	slog.Info("job quarantined", "job", j.Spec.ID, "class", j.Spec.Class, "machines", machines)
 }
 
-// ReviewJob releases a job from quarantine if its running tasks show that it is not at fault. When many machines are
-// faulty at once, a good job may fail on three of them in its first second.
+// ReviewJob releases a job from quarantine if one of its tasks has run much longer than those that failed. When many
+// machines are faulty at once, a good job may fail on three of them in its first second.
 func (q *Quarantine) ReviewJob(j *state.Job, now micros.Micros) {
 	if j.Failures.Quarantined && j.OutlivesFailures() {
 		slog.Info("job released from quarantine", "job", j.Spec.ID)
@@ -230,7 +239,8 @@
 	}
 }
 
-// evaluateMachine quarantines a machine if there is enough evidence that it is faulty.
+// evaluateMachine quarantines a machine if there is enough evidence that it is faulty: minGoodJobFailures,
+// minSuspectJobs or maxSoleMachineTries.
 func (q *Quarantine) evaluateMachine(m *state.Machine, now micros.Micros) {
 	suspects, triesExhausted := q.countSuspects(m)
 	provenFaulty := m.Quarantine.Failures >= minGoodJobFailures
@@ -285,8 +295,8 @@
 		}
 		delete(j.Failures.ByMachine, m.ID)
 		if j.Failures.Quarantined && len(j.Failures.ByMachine) < minJobMachines {
-			// The job may have failed only because its machines are faulty, so it is released at once and evaluated
-			// again.
+			// The job may have failed only because its machines are faulty, so it is released at once. Its next
+			// failure is evaluated again.
 			clearBackoff(j)
 			q.Demand.RestoreDemand(j, now)
 			q.OnChange()
@@ -294,8 +304,9 @@
 	}
 }
 
-// Snapshot returns the IDs of the quarantined jobs with the number of backoff rounds of each. It is stored for the next
-// leader: without it, the tasks of all these jobs would be started, and fail, at once again.
+// Snapshot returns the IDs of at most maxSnapshotJobs quarantined jobs with the number of backoff rounds of each. The
+// snapshot is stored for the next leader. Without it, the next leader would start all tasks of these jobs at once, and
+// they would fail again.
 func (q *Quarantine) Snapshot() map[string]int {
 	rounds := map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(q.Jobs)) {
@@ -306,7 +317,7 @@
 	return rounds
 }
 
-// Restore quarantines the jobs in the snapshot of an earlier leader.
+// Restore quarantines the jobs in the snapshot of an earlier leader that have not ended and have no successful task.
 func (q *Quarantine) Restore(rounds map[string]int, now micros.Micros) {
 	for id, n := range rounds {
 		if j := q.Jobs[id]; j != nil && !j.HasSucceeded() {
--- a/internal/leader/quarantine/quarantine_test.go
+++ b/internal/leader/quarantine/quarantine_test.go
@@ -49,11 +49,11 @@
 	}), scaler
 }
 
-// TestAttributeFailure checks which machines and jobs are quarantined after a sequence of failures and successes. A job
-// that was submitted with a mistake fails on every machine and must not cause any machine to be drained. A machine on
-// which all tasks fail must be detected nevertheless, also among such jobs. The step "2x1" is a failure of job 2 on
-// machine 1. "2+1" is a success of job 2 on machine 1, of a task that started after all earlier steps. "wait" lets
-// every backoff expire.
+// TestAttributeFailure checks which machines and jobs are quarantined after a sequence of failures and successes. A
+// job that was submitted with a mistake fails on every machine and must not cause any machine to be drained. A machine
+// on which all tasks fail must be detected even if jobs with mistakes fail on it too. The step "2x1" is a failure of
+// job 2 on machine 1. "2+1" is a success of job 2 on machine 1, of a task that started after all earlier steps. "wait"
+// lets every backoff expire.
 func TestAttributeFailure(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -64,8 +64,8 @@
 		{"one failure", []string{"0x1"}, nil, nil},
 		{"a job fails on one machine repeatedly within a second", []string{"0x1", "0x1", "0x1", "0x1"}, nil, nil},
 		{"a job fails on three machines", []string{"0x1", "0x2", "0x3"}, nil, []int{0}},
-		{"three such jobs on the same machines", []string{"0x1", "1x2", "2x3", "0x2", "1x3", "2x1", "0x3", "1x1", "2x2", "0x1", "1x1", "2x1"}, nil, []int{0, 1, 2}},
-		{"such jobs before and after good ones on one machine", []string{"0x1", "1x1", "2+1", "3x1", "4x1", "2+1"}, nil, nil},
+		{"three jobs fail on the same three machines", []string{"0x1", "1x2", "2x3", "0x2", "1x3", "2x1", "0x3", "1x1", "2x2", "0x1", "1x1", "2x1"}, nil, []int{0, 1, 2}},
+		{"jobs fail on one machine before and after a good job succeeds there", []string{"0x1", "1x1", "2+1", "3x1", "4x1", "2+1"}, nil, nil},
 		{"a later success on the machine proves the job to be faulty", []string{"0x1", "1+1", "wait", "0x1"}, nil, []int{0}},
 		{"an earlier success on the machine proves nothing", []string{"1+1", "0x1", "wait", "0x1"}, nil, nil},
 		{"a good job fails on a machine twice", []string{"0+2", "0x1", "0x1"}, []int{1}, nil},
@@ -74,7 +74,7 @@
 		// The job must not stay quarantined for failures on three faulty machines.
 		{"a good job runs on faulty machines only", []string{"9+4", "0x1", "0x2", "0x3", "9x1", "9x1", "9x2", "9x2"}, []int{1, 2}, nil},
 		{"a quarantined job succeeds later", []string{"0x1", "0x2", "0x3", "0+4"}, nil, nil},
-		// Nothing else shows whether the job or the machine is at fault. Only one machine may be drained to find out.
+		// With one job and one machine, nothing else shows which is at fault. Only one machine may be drained to find out.
 		{"the only machine and the only job", []string{"0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1"}, []int{1}, nil},
 		{"the only job, on the only machine and then on the next one", []string{"0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "wait", "0x1", "0x2", "wait", "0x2", "wait", "0x2", "wait", "0x2"}, []int{1}, nil},
 		{"three jobs with mistakes on one machine and then on two others", []string{"0x1", "1x1", "2x1", "0x2", "1x2", "2x2", "0x3", "1x3", "2x3"}, []int{1}, []int{0, 1, 2}},
@@ -154,7 +154,7 @@
 	}
 	for i := 1; i < len(backoffs); i++ {
 		if backoffs[i] < min(maxProbeBackoff, 2*backoffs[i-1]) || backoffs[i] > maxProbeBackoff {
-			t.Errorf("backoffs are %v, want each at least twice the previous one, up to the maximum", backoffs)
+			t.Errorf("backoffs are %d µs, want each at least twice the previous one, up to %d µs", backoffs, maxProbeBackoff)
 		}
 	}
 	next, _ := newTestQuarantine(t)
@@ -162,7 +162,8 @@
 	next.Jobs[j.Spec.ID] = restored
 	next.Restore(q.Snapshot(), now)
 	if !restored.Failures.Quarantined || restored.StartableTasks(now) != 0 || restored.StartableTasks(restored.BackoffUntil) != state.ProbeTasks {
-		t.Errorf("the next leader may start %d tasks at once, want none before the backoff and a probe after it", restored.StartableTasks(now))
+		t.Errorf("under the next leader, the job is quarantined: %t, and may start %d tasks at once and %d after the backoff; want true, 0 and %d",
+			restored.Failures.Quarantined, restored.StartableTasks(now), restored.StartableTasks(restored.BackoffUntil), state.ProbeTasks)
 	}
 	j.DoneCount++
 	q.RecordSuccess(q.Fleet.Machines["i-2"], j, nil, now)
@@ -171,8 +172,8 @@
 	}
 }
 
-// TestOutlivingTaskPreventsQuarantine checks that a job that fails on three machines is not quarantined while another
-// of its tasks has run for longer than the failed ones.
+// TestOutlivingTaskPreventsQuarantine checks that a job that fails on three machines is not quarantined if another of
+// its tasks is running and has run much longer than the failed ones.
 func TestOutlivingTaskPreventsQuarantine(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -225,7 +226,7 @@
 	good.DoneCount = 1
 	q.AttributeFailure(m, good, now)
 	if m.DrainReason != "" || len(got) > 0 {
-		t.Errorf("after one failure: drain reason %q, stopped tasks %q; want neither", m.DrainReason, got)
+		t.Errorf("after one failure: drain reason %q, stopped tasks %q; want no drain reason and no stopped tasks", m.DrainReason, got)
 	}
 	q.AttributeFailure(m, good, now)
 	want := []string{
@@ -233,9 +234,9 @@
 		"stop j-000002/0 4s its machine is faulty",
 	}
 	if slices.Sort(got); !slices.Equal(got, want) {
-		t.Errorf("stopped tasks %q, want %q", got, want)
+		t.Errorf("stopped and evicted tasks %q, want %q", got, want)
 	}
 	if m.DrainReason != "tasks fail on it" || m.Quarantine.Since != now {
-		t.Errorf("drained for %q since %v, want \"tasks fail on it\" since %v", m.DrainReason, m.Quarantine.Since, now)
+		t.Errorf("drain reason %q, quarantined since %v; want \"tasks fail on it\", since %v", m.DrainReason, m.Quarantine.Since.Duration(), now.Duration())
 	}
 }
