--- a/internal/leader/zoning/evidence.go
+++ b/internal/leader/zoning/evidence.go
@@ -16,12 +16,14 @@
 	silentIntervals = 2
 	silentMargin    = micros.Second
 	// minMissedLists is the number of consecutive lists from the cloud that must lack a machine which was listed
-	// before.
+	// before. The machine's heartbeat must be late as well.
 	minMissedLists = 2
 )
 
-// evidence counts the machines of each zone by their condition. A machine with several conditions counts only under the
-// most severe one.
+// evidence counts the running machines of each zone by their condition, except those that are being terminated. A
+// machine with several conditions counts only under the most severe one, and a machine that has returned also counts
+// as recovered unless it is evidence of a loss. As addEvidence does, evidence resets the evidence of return of
+// machines and counts relapses.
 func (z *Zones) evidence(now micros.Micros) map[string]zone.Evidence {
 	counted := map[string]*zone.Evidence{}
 	forZone := func(name string) *zone.Evidence {
@@ -48,8 +50,8 @@
 	return zones
 }
 
-// addEvidence counts a machine under its condition. If the machine is evidence of a loss, its evidence of return is
-// reset, and a relapse is counted if it had returned.
+// addEvidence counts a machine under its condition. A machine that is silent, loses responses or is no longer listed
+// is evidence of a loss: addEvidence resets its evidence of return, and counts a relapse if the machine had returned.
 func (z *Zones) addEvidence(m *state.Machine, e *zone.Evidence, now micros.Micros) {
 	silence := m.Silence(z.TermStartedAt, now)
 	late := silence > state.HeartbeatTimeout(z.HeartbeatInterval)
@@ -77,15 +79,16 @@
 	m.ResetZoneReturn()
 }
 
-// ObserveReturn records a heartbeat that the worker sent in this term, as evidence that the machine's zone has
-// returned. A single heartbeat is not evidence in general: it may have been in flight when the zone was cut off, and
-// delayed until now. The following heartbeats are evidence:
+// ObserveReturn decides whether a heartbeat that the worker sent in this term proves that its machine is reachable
+// again. A single heartbeat is no proof in general: it may have been in flight when the zone was cut off, and delayed
+// until now. A machine that loses responses is not reachable, whatever it sends. Otherwise, the following heartbeats
+// are proof:
 //   - A heartbeat of a later incarnation.
-//   - A heartbeat that skips a sequence number. The worker gave up the heartbeat in between, so it sent this one during
-//     the cut or after it, and a delayed heartbeat arrives only when the cut ends.
-//   - A second heartbeat at least half an interval after the first.
-//   - The first heartbeat of a machine of which none had arrived in this term: its worker has received a response of
-//     this term.
+//   - A heartbeat that skips a sequence number. The worker gave up the skipped heartbeat, so it sent the later one
+//     during the cut or after it. A heartbeat that was sent during the cut arrives only when the cut ends.
+//   - A heartbeat that arrives at least half an interval after the first one since the evidence was reset.
+//   - A heartbeat of a machine of which none had arrived in this term when the evidence was reset: its worker has
+//     received a response of this term.
 func (z *Zones) ObserveReturn(m *state.Machine, now micros.Micros) {
 	r := &m.ZoneReturn
 	switch {
@@ -99,8 +102,9 @@
 	}
 }
 
-// CheckReportedZone adds an event if a worker's first heartbeat, which is not recorded yet, reports a different zone
-// than the one that its machine was launched in. The zone of the launch is used.
+// CheckReportedZone adds an event if a worker's first heartbeat in this term reports a different zone than the one
+// that its machine was launched in. It must be called before the heartbeat is recorded. The zone of the launch remains
+// in use.
 func (z *Zones) CheckReportedZone(m *state.Machine, reported string) {
 	if reported != m.Offering.Zone && m.Instance.FirstHeartbeatAt == 0 {
 		z.Events.Add("worker reports a different zone than its launch; using the zone of the launch", fmt.Sprintf("%.40q, launched in %s", reported, m.Offering.Zone), m.ID)
--- a/internal/leader/zoning/jobs.go
+++ b/internal/leader/zoning/jobs.go
@@ -10,8 +10,8 @@
 	return z.Policy.EvacuationRank(j.Spec.Class, j.Priority >= wire.PriorityRank(wire.PriorityUrgent))
 }
 
-// OnlyZone returns the zone in which a job may start tasks now if there is only one, and an empty string otherwise. It
-// is needed only while machines are closed, and returns an empty string while none is.
+// OnlyZone returns the zone in which a job may start tasks now if there is only one, and an empty string otherwise.
+// While no zone has closed machines, the result is not needed, and OnlyZone returns an empty string.
 func (z *Zones) OnlyZone(j *state.Job) string {
 	if !z.anyClosed {
 		return ""
@@ -36,7 +36,7 @@
 	return onlyZone
 }
 
-// RecordDisplaced counts a task that was lost, if its machine is closed.
+// RecordDisplaced counts a lost task as displaced if its machine is closed.
 func (z *Zones) RecordDisplaced(a *state.Attempt) {
 	if !a.Machine.ZoneReturn.Closed {
 		return
@@ -48,8 +48,9 @@
 	a.Job.Displaced[a.Index] = a.Machine
 }
 
-// RecordAssigned counts a start that is sent to a machine. If the task was displaced, it also counts whether the task
-// is restarted in its zone or moved to another one.
+// RecordAssigned counts a start that was sent to a machine in this term, or is reserved for its next heartbeat
+// response. An adopted task counts as no start. If the task was displaced, RecordAssigned also counts whether the task
+// is restarted in the zone where it was lost or moved to another one.
 func (z *Zones) RecordAssigned(a *state.Attempt) {
 	if a.StartSequence != 0 || a.Reserved {
 		z.countersFor(a.Machine).startsSent++
--- a/internal/leader/zoning/record.go
+++ b/internal/leader/zoning/record.go
@@ -9,8 +9,8 @@
 	"caperlatch/internal/zone"
 )
 
-// Restore restores the policy's state from the record of zones that an earlier term stored. If the record cannot be
-// read, the state is derived from new observations.
+// Restore restores the policy's state from the record of zones that an earlier term stored, and applies its decisions.
+// If the record cannot be read, the state is derived from new observations.
 func (z *Zones) Restore(now micros.Micros) {
 	var r zone.Record
 	modRevision, err := z.Replica.Get(replica.ZonesKey, &r)
@@ -24,8 +24,8 @@
 	}
 }
 
-// EncodeRecord encodes the record of zones for the next leader. Its second result reports whether the record must be
-// written.
+// EncodeRecord fills in the write of the record of zones for the next leader. Its second result reports whether there
+// is anything to write, which may be the deletion of a stored record. A record that is too large is not written.
 func (z *Zones) EncodeRecord(w persist.Write) (persist.Write, bool) {
 	r := z.Policy.Record(micros.Now(), micros.WallTime())
 	if r == nil || len(r.Zones) == 0 {
--- a/internal/leader/zoning/status.go
+++ b/internal/leader/zoning/status.go
@@ -9,7 +9,7 @@
 	"caperlatch/internal/zone"
 )
 
-// Status returns the status of all zones for operators, nil if the policy reports none.
+// Status returns the status of all zones for operators. It returns nil if the policy reports none.
 func (z *Zones) Status(now micros.Micros) []zone.Status {
 	all := z.Policy.Status(now)
 	replaced := z.ReplacedMachines(now)
@@ -19,8 +19,8 @@
 	return all
 }
 
-// addWork adds the displaced tasks, the closed and replaced machines and the tasks that await lease expiry to a zone's
-// status.
+// addWork adds to a zone's status the counts of displaced, moved and restarted tasks, the numbers of closed and
+// replaced machines, and the tasks on unusable machines whose leases have not expired.
 func (z *Zones) addWork(s *zone.Status, replaced map[*state.Machine]bool, now micros.Micros) {
 	if c := z.counters[s.Zone]; c != nil {
 		s.Work.Displaced, s.Work.Moved, s.Work.Restarted = maps.Clone(c.displaced), maps.Clone(c.moved), maps.Clone(c.restarted)
@@ -62,8 +62,8 @@
 	return reasons
 }
 
-// leaseReason describes why a job's tasks in a disrupted zone are not started elsewhere yet. It returns an empty string
-// if the job has no such tasks.
+// leaseReason describes why a job's tasks on unusable machines of a disrupted zone are not started elsewhere yet. It
+// returns an empty string if the job has no tasks on such machines.
 func (z *Zones) leaseReason(j *state.Job, s zone.Status, now micros.Micros) string {
 	var leased zone.WorkStatus
 	for _, a := range j.Attempts {
--- a/internal/leader/zoning/status_test.go
+++ b/internal/leader/zoning/status_test.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestDisruptionReasons checks the texts shown to users. It runs in a synctest bubble, whose clock stands still, so
-// that the times in the texts are exact.
+// TestDisruptionReasons checks the texts that tell users how a lost zone affects their job. It runs in a synctest
+// bubble, whose clock stands still, so that the times in the texts are exact.
 func TestDisruptionReasons(t *testing.T) {
 	cases := []struct {
 		name string
--- a/internal/leader/zoning/supply.go
+++ b/internal/leader/zoning/supply.go
@@ -8,15 +8,15 @@
 	"caperlatch/internal/zone"
 )
 
-// isUnusable reports whether the capacity of a running machine cannot be used now. A booting machine is not unusable:
-// it was launched to add capacity, and is open once it sends heartbeats.
+// isUnusable reports whether the capacity of a running machine cannot be used now, because the machine is closed, its
+// heartbeat is late, or it loses responses. A booting machine is not unusable: it was launched to add capacity.
 func (z *Zones) isUnusable(m *state.Machine, now micros.Micros) bool {
 	return m.Instance.Running && (m.ZoneReturn.Closed || m.Silence(z.TermStartedAt, now) > state.HeartbeatTimeout(z.HeartbeatInterval) || m.LosesResponses())
 }
 
-// ReplacedMachines returns the machines that do not count as supply because their zone is disrupted. In each zone,
-// these are the policy's replacement share of the unusable machines. The result is nil if no machines are to be
-// replaced.
+// ReplacedMachines returns the machines that do not count as supply because their zone is disrupted. In each zone, the
+// policy's replacement share of the unusable machines is replaced. The result is nil if no zone has a replacement
+// share.
 func (z *Zones) ReplacedMachines(now micros.Micros) map[*state.Machine]bool {
 	if !z.anyReplaced {
 		return nil
@@ -41,7 +41,8 @@
 	return replaced
 }
 
-// LaunchAllowance returns how many more machines may be launched in a zone, or zone.Unlimited.
+// LaunchAllowance returns how many more machines may be launched in a zone. It returns zone.Unlimited if the policy
+// sets no limit.
 func (z *Zones) LaunchAllowance(name string) int {
 	allowance := z.Policy.Decide(name).MaxMachines
 	if allowance == zone.Unlimited {
--- a/internal/leader/zoning/zones.go
+++ b/internal/leader/zoning/zones.go
@@ -1,5 +1,6 @@
 // Package zoning applies the zone policy: it gathers the evidence about zones, closes and opens machines, and derives
 // the consequences of the policy's decisions for launches, for jobs, and for the status shown to operators and users.
+// A closed machine starts only tasks of jobs that are bound to its zone.
 //
 // The package maintains the event counters of each zone in the term, the set of closed machines, and the stored record
 // of zones. The policy itself is zone.Policy. Nothing in this package proves that a task has ended: a decision affects
@@ -40,8 +41,8 @@
 	LeaseExpiry func(m *state.Machine) micros.Micros
 	// Offerings returns the offerings that could be launched for a job.
 	Offerings func(j *state.Job) []state.Offering
-	// IsIsolated reports whether this node reaches neither the state service nor most of its peers. It is nil if that
-	// is not known.
+	// IsIsolated reports whether this node reaches neither the state service nor most of its peers. If IsIsolated is
+	// nil, the node counts as not isolated.
 	IsIsolated func() bool
 	// OnChange is called after a machine was closed or opened.
 	OnChange func()
@@ -95,8 +96,8 @@
 	}
 }
 
-// applyTransition logs a transition. If the zone is lost, it resets the evidence of return of the zone's machines,
-// because no heartbeat from before the loss is evidence of a return.
+// applyTransition logs a transition. If the zone has just been lost, it resets the evidence of return of the zone's
+// machines, because no heartbeat from before the loss is evidence of a return.
 func (z *Zones) applyTransition(t zone.Transition) {
 	e := t.Evidence
 	slog.Info("zone changed state", "zone", t.Zone, "from", t.From.String(), "to", t.To.String(), "step", t.Step, "reason", string(t.Reason),
@@ -111,8 +112,9 @@
 	}
 }
 
-// applyDecisions closes and opens machines as decided by the policy. While a zone is reopened in steps, the share of
-// its machines given by the policy is open, chosen among the machines that have returned.
+// applyDecisions closes and opens machines as decided by the policy. In a zone with an open share below 1, that share
+// of the running machines, rounded up, is open, as far as enough of its machines have returned. The other machines are
+// closed.
 func (z *Zones) applyDecisions(evidence map[string]zone.Evidence) {
 	openQuota, wereClosed := map[string]int{}, z.anyClosed
 	z.anyClosed, z.anyReplaced = false, false
@@ -137,7 +139,8 @@
 	}
 }
 
-// setClosed closes a machine to work that is not bound to its zone, or opens it.
+// setClosed closes a machine to jobs that are not bound to its zone, or opens it. A change drops the starts planned on
+// the machine, so that they are planned again.
 func (z *Zones) setClosed(m *state.Machine, closed bool) {
 	if m.ZoneReturn.Closed == closed {
 		return
--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -20,8 +20,8 @@
 	"caperlatch/placement"
 )
 
-// Time settings of the workers, a silence after which a machine counts as late but not as silent (lateSilence),
-// and one after which it counts as silent (fullSilence).
+// Time settings of the workers, and two times since the last heartbeat of a machine: after lateSilence, the machine
+// counts as late but not as silent, and after fullSilence, it counts as silent.
 const (
 	heartbeatInterval = 2 * micros.Second
 	leaseDuration     = 16 * micros.Second
@@ -78,7 +78,8 @@
 	}
 }
 
-// TestEvidence checks that each machine counts only under its most severe condition.
+// TestEvidence checks that each machine counts only under its most severe condition, and that a relapse counts once
+// although the evidence is gathered twice.
 func TestEvidence(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -147,7 +148,7 @@
 		z.Observe(now)
 	}
 	if s := z.Policy.Status(now)[1]; s.State != "lost" || m.ZoneReturn.Returned || m.ZoneReturn.SequenceBefore != 100 || !zoneAMachine.ZoneReturn.Returned {
-		t.Errorf("zone is %s, machine in it %+v, machine of zone a %+v; want a lost zone and only the first machine reset", s.State, m.ZoneReturn, zoneAMachine.ZoneReturn)
+		t.Errorf("zone b is %s, want lost; its machine has %+v, want not returned and sequence before 100; machine of zone a has %+v, want returned", s.State, m.ZoneReturn, zoneAMachine.ZoneReturn)
 	}
 }
 
@@ -182,11 +183,11 @@
 	silenceZoneB(z, now, fullSilence)
 	expect("full disruption", 10, 5, 0, "b")
 	if w, ok := z.EncodeRecord(persist.Write{Key: replica.ZonesKey}); !ok || w.Value.(*zone.Record).Zones["b"].State != zone.FullDisruption || !z.Writes.IsUrgent(replica.ZonesKey) {
-		t.Errorf("record %+v, to be written %v; want zone b lost and an urgent write", w.Value, ok)
+		t.Errorf("record %+v, to be written: %t, urgent: %t; want zone b lost, true, true", w.Value, ok, z.Writes.IsUrgent(replica.ZonesKey))
 	}
-	z.Fleet.Sorted[10].Instance.Running = false // five replaced: half of the nine others, rounded
+	z.Fleet.Sorted[10].Instance.Running = false // of the nine other machines, half are replaced, rounded to five
 	if expect("one machine boots", 10, 5, 0, "b"); z.ReplacedMachines(now)[z.Fleet.Sorted[10]] {
-		t.Error("a booting machine must not be replaced")
+		t.Error("the booting machine is to be replaced, want only running machines replaced")
 	}
 	z.Fleet.Sorted[10].Instance.Running = true
 	for range 4 { // the hold-down passes, then the first step of reopening begins
@@ -212,7 +213,7 @@
 	zoneAMachine.PlannedStarts, m.PlannedStarts = planned, planned
 	silenceZoneB(z, now, fullSilence)
 	if changes != 10 || len(m.PlannedStarts) != 0 || len(zoneAMachine.PlannedStarts) != 1 {
-		t.Errorf("%d changes, %d starts planned on a closed machine, %d on an open one; want 10, 0, 1", changes, len(m.PlannedStarts), len(zoneAMachine.PlannedStarts))
+		t.Errorf("%d calls of OnChange, %d starts planned on a closed machine, %d on an open one; want 10, 0, 1", changes, len(m.PlannedStarts), len(zoneAMachine.PlannedStarts))
 	}
 }
 
@@ -280,7 +281,7 @@
 				z.Observe(now)
 			}
 			if s := z.Policy.Status(now)[1]; s.Zone != "b" || s.State != c.want || z.Fleet.Sorted[15].ZoneReturn.Closed != (c.want == "lost") || z.Fleet.Sorted[5].ZoneReturn.Closed {
-				t.Errorf("status of zone b %+v, want state %s and only its machines closed accordingly", s, c.want)
+				t.Errorf("status %+v, machine of zone b closed: %t, of zone a: %t; want zone b %s, %t, false", s, z.Fleet.Sorted[15].ZoneReturn.Closed, z.Fleet.Sorted[5].ZoneReturn.Closed, c.want, c.want == "lost")
 			}
 		})
 	}
