--- a/internal/leader/liveness/delivery.go
+++ b/internal/leader/liveness/delivery.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// minLostResponsesForBackoff is the number of consecutive lost responses from which on starts are delayed. A single
+	// minLostResponsesForBackoff is the number of consecutive lost responses after which starts are delayed. A single
 	// lost response is tolerated.
 	minLostResponsesForBackoff = 2
 	// maxBackoffDoublings limits how often the backoff doubles. The backoff is also never longer than a lease.
 	maxBackoffDoublings = 10
 )
 
-// CheckDelivery detects lost responses by comparing the task IDs that a heartbeat lists with the commands in the
-// previous response. A machine whose heartbeats arrive but which receives no responses looks healthy: if it were given
-// work, every start would be lost until its lease expires.
+// CheckDelivery detects lost responses by comparing the task IDs that a heartbeat lists with the start and clear
+// commands in the previous response. If none of them was executed, the response was lost. A machine whose heartbeats
+// arrive but which receives no responses looks healthy, but every start that it is given is lost until its lease
+// expires.
 func (mon *Monitor) CheckDelivery(m *state.Machine, listed map[string]bool, now micros.Micros) {
 	executed, notExecuted := false, false
 	for _, c := range m.Delivery.Sent {
@@ -35,9 +36,9 @@
 	}
 }
 
-// RecordLostResponse counts a response that did not reach a machine. From the second consecutive one on, it delays
-// starts on the machine, for longer each time. TerminationReason decides when a machine that receives no responses is
-// terminated.
+// RecordLostResponse counts a response that did not reach a machine. From the second consecutive lost response on, it
+// delays starts on the machine, for longer each time, up to a lease duration. TerminationReason decides when a machine
+// that receives no responses is terminated.
 func (mon *Monitor) RecordLostResponse(m *state.Machine, now micros.Micros) {
 	d := &m.Delivery
 	if d.LostResponses == 0 {
--- a/internal/leader/liveness/liveness.go
+++ b/internal/leader/liveness/liveness.go
@@ -18,7 +18,8 @@
 	// HeartbeatInterval is the usual time between a worker's heartbeats.
 	HeartbeatInterval micros.Micros
 	LeaseDuration     micros.Micros // duration of a worker's lease
-	// LeaseRenewalWindow is how long after its last proof of leadership a node may respond to heartbeats.
+	// LeaseRenewalWindow is the time after its last proof of leadership during which a node may respond to heartbeats
+	// and thereby renew leases.
 	LeaseRenewalWindow micros.Micros
 	// CancellationTimeout is the time within which a cancelled job's tasks must have left all machines.
 	CancellationTimeout micros.Micros
@@ -41,7 +42,7 @@
 // New returns a monitor with the configuration c.
 func New(c Config) *Monitor { return &Monitor{Config: c} }
 
-// CountUnknown updates the count of machines whose tasks are not known, on which the limits of silence depend.
+// CountUnknown updates the number of machines whose tasks are not known. The limits of silence depend on that number.
 func (mon *Monitor) CountUnknown() { mon.unknownCount = mon.Fleet.CountWithUnknownTasks() }
 
 // Silence returns how long a machine has sent no heartbeat in this term.
@@ -57,7 +58,7 @@
 // leaseMargin is the safety margin that is added to the maximum clock drift when lease expiries are computed.
 const leaseMargin = micros.Second
 
-// LeaseExpiry returns the time at which a silent machine is certain to have ended its tasks.
+// LeaseExpiry returns the time at which a machine is certain to have ended its tasks if no response renews its lease.
 func (mon *Monitor) LeaseExpiry(m *state.Machine) micros.Micros {
 	if m.TasksKnown() {
 		return m.Lease.RenewedAt + mon.LeaseDuration + micros.MaxClockDrift(mon.LeaseDuration) + leaseMargin
@@ -76,7 +77,8 @@
 	return now > mon.LeaseExpiry(m)
 }
 
-// RecordLeaseExpiry records since when the lease of a running machine has been expired, or that it is not expired.
+// RecordLeaseExpiry records the time since which the lease of a running machine has been expired. If it is not expired,
+// or the machine is not running, the recorded time is cleared.
 func (mon *Monitor) RecordLeaseExpiry(m *state.Machine, expired bool, now micros.Micros) {
 	if !expired || !m.Instance.Running {
 		m.Lease.ExpiredSince = 0
--- a/internal/leader/liveness/liveness_test.go
+++ b/internal/leader/liveness/liveness_test.go
@@ -54,7 +54,7 @@
 				t.Errorf("lease expires %v s after the start of the term, want a time in (%v, %v]", got.Seconds(), c.after.Seconds(), c.notAfter.Seconds())
 			}
 			if mon.HasLeaseExpired(m, expiry) || !mon.HasLeaseExpired(m, expiry+1) {
-				t.Error("HasLeaseExpired must be false at the expiry and true after it")
+				t.Errorf("HasLeaseExpired is %t at the expiry and %t 1 µs later, want false and true", mon.HasLeaseExpired(m, expiry), mon.HasLeaseExpired(m, expiry+1))
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 		m := &state.Machine{Instance: state.InstanceState{Running: c.running}, Lease: state.LeaseState{ExpiredSince: c.before}}
 		newTestMonitor(0).RecordLeaseExpiry(m, c.expired, 50)
 		if got := m.Lease.ExpiredSince; got != c.want {
-			t.Errorf("%s: expired since %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: expired since %d µs, want %d µs", c.name, got, c.want)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	cases := []struct {
 		name     string
 		received micros.Micros
-		silent   micros.Micros // time since then
+		silent   micros.Micros // time since received
 		want     bool
 	}{
 		{"within the timeout", termStart + 10*micros.Second, 3500 * micros.Millisecond, false},
@@ -103,7 +103,7 @@
 	}
 }
 
-// TestCheckDelivery checks which heartbeats show that the previous response was lost.
+// TestCheckDelivery checks which heartbeats show that the previous response was lost, and which show that it arrived.
 func TestCheckDelivery(t *testing.T) {
 	startCommand := wire.Command{Verb: wire.VerbStart, TaskID: "j-000001/0"}
 	clearCommand := wire.Command{Verb: wire.VerbClear, TaskID: "j-000001/1"}
@@ -145,7 +145,7 @@
 			want = now + want*micros.Second
 		}
 		if m.StartBackoffUntil != want || m.Delivery.FirstLostAt != termStart {
-			t.Errorf("after %d lost responses: starts delayed until %v, first lost at %v; want %v, %v", i+1, m.StartBackoffUntil, m.Delivery.FirstLostAt, want, termStart)
+			t.Errorf("after %d lost responses: starts delayed until %v, first lost at %v; want %v, %v", i+1, m.StartBackoffUntil.Duration(), m.Delivery.FirstLostAt.Duration(), want.Duration(), termStart.Duration())
 		}
 	}
 }
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -7,23 +7,25 @@
 
 // Limits of silence.
 const (
-	// UnresponsiveLimit is the limit for a machine that did not respond to minFailedQueries queries for its tasks.
+	// UnresponsiveLimit is the limit for a machine with unknown tasks that did not respond to minFailedQueries queries
+	// for its tasks, while most machines of its zone respond.
 	UnresponsiveLimit = 4 * micros.Second
-	// minFailedQueries is the number of failed queries after which a machine counts as unresponsive.
+	// minFailedQueries is the number of failed queries after which a machine is unresponsive.
 	minFailedQueries = 2
-	// heartbeatMargin is added to the heartbeat timeout of a live worker.
+	// heartbeatMargin is added to the heartbeat timeout to get the limit for a machine with unknown tasks.
 	heartbeatMargin = micros.Second
-	// nodeFailoverTime is added if the worker may first have called another node that does not respond: a timeout of
-	// 4 s and a pause of 1 s.
+	// nodeFailoverTime is added to the limit because the worker may first have called another node that does not
+	// respond: a timeout of 4 s and a pause of 1 s.
 	nodeFailoverTime = 5 * micros.Second
 	// UnresponsiveLimit applies while the tasks of at most one machine in unresponsiveLimitDivisor are unknown.
 	unresponsiveLimitDivisor = 10
-	// nodeFailoverTime is not added while the tasks of at most one machine in noFailoverTimeDivisor are unknown.
+	// nodeFailoverTime is not added while the tasks of at most one machine in noFailoverTimeDivisor are unknown, nor
+	// for an unresponsive machine while most machines of all zones respond.
 	noFailoverTimeDivisor = 50
 
 	allowedMissedHeartbeats = 3                  // heartbeats that a machine with known tasks may miss
-	silenceMargin           = 4 * micros.Second  // added to the time of allowedMissedHeartbeats
-	maxSilence              = 20 * micros.Second // limit for such a machine, unless allowedMissedHeartbeats take longer
+	silenceMargin           = 4 * micros.Second  // added to allowedMissedHeartbeats heartbeat intervals
+	maxSilence              = 20 * micros.Second // for a machine with known tasks, unless allowedMissedHeartbeats take longer
 	// minMissedLists is the number of consecutive lists from the cloud that must lack a machine for it to count as
 	// reclaimed.
 	minMissedLists = 2
@@ -57,10 +59,12 @@
 	return m.Instance.SeenInCloudList && m.Instance.MissedCloudLists >= minMissedLists && mon.IsHeartbeatLate(m, now)
 }
 
-// TerminationReason returns why a machine should be terminated: because it is silent, receives no responses or does not
-// boot. It returns an empty string if the machine should not be terminated. When many machines of a zone are silent at
-// once, a network fault is more likely than faults of the machines, so silent machines are kept until their leases have
-// expired and for another lease duration after that.
+// TerminationReason returns why a machine should be terminated: because it is silent, seems to be reclaimed, receives
+// no responses or does not boot. It returns an empty string if the machine should not be terminated. When many
+// machines of a zone are silent at once, a network fault is more likely than faults of the machines. So while
+// RetainsSilentMachines is true for the zone, a silent machine is kept until its lease has expired and for another
+// lease duration after that, and a machine that receives no responses is kept until its lease has expired. A machine
+// that seems to be reclaimed is not kept. TerminationReason also records a stuck boot with the fleet.
 func (mon *Monitor) TerminationReason(m *state.Machine, leaseExpired bool, now micros.Micros) string {
 	retained := func() bool { return mon.RetainsSilentMachines(m.Offering.Zone) }
 	i := &m.Instance
@@ -86,7 +90,7 @@
 }
 
 // IgnoresStop reports whether a machine has not stopped a task of an ended job in time. The time limit is well below
-// CancellationTimeout, so that the machine can be terminated before the task must have ended.
+// CancellationTimeout, so that the machine can be terminated before the time by which the task must have ended.
 func (mon *Monitor) IgnoresStop(m *state.Machine, now micros.Micros) bool {
 	if m.StoppingCount == 0 {
 		return false
