--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -16,10 +16,10 @@
 	"caperlatch/internal/wire"
 )
 
-// Limits on the calls in progress. After a whole zone is cut off, each call holds a socket until it times out.
+// Limits on the calls in progress. When a whole zone is cut off, each call to it holds a socket until it times out.
 const (
-	socketsPerCall = 16 // one call may be in progress for this many sockets of the node
-	minCalls       = 8
+	socketsPerCall = 16 // one call may be in progress for each 16 sockets of the node
+	minCalls       = 8  // calls that may be in progress in any case
 )
 
 // Timeouts and delays of the calls.
@@ -30,7 +30,7 @@
 	retryDelay       = 200 * micros.Millisecond // delay between calls of SendUntilDelivered
 )
 
-// ErrWrongMachine is returned if the response from a machine's address comes from a different machine.
+// ErrWrongMachine is returned by Query if the response from a machine's address comes from a different machine.
 var ErrWrongMachine = errors.New("response is from a different machine")
 
 // Target identifies the worker that a call is sent to. The worker executes the commands only in the given incarnation.
@@ -64,8 +64,9 @@
 
 // Send sends a command once, in the background. It drops the command if MaxCalls calls are in progress, if the worker's
 // address is unknown, or if another node may lead. The caller repeats the command in the responses to the worker's
-// heartbeats in any case, so it does not wait for the call, which ends within its timeout. The response is ignored: the
-// status in it may be newer than the worker's latest heartbeat and still lack a start that is on its way.
+// heartbeats in any case, so it does not wait for the call, which ends within its timeout. The response is ignored:
+// the status in the response may be newer than the worker's latest heartbeat and still lack a task whose start has
+// been sent but not received.
 func (d *Dispatcher) Send(to Target, command wire.Command) {
 	if to.Address == "" || !d.isExclusive() {
 		return
@@ -121,7 +122,8 @@
 	return err
 }
 
-// Query sends the term's fencing token, without commands, to a worker and returns the status in its response.
+// Query sends the term's fencing token, without commands, to a worker and returns the status in its response. It first
+// waits until fewer than MaxCalls calls are in progress, even if ctx ends.
 func (d *Dispatcher) Query(ctx context.Context, to Target) (*wire.Heartbeat, error) {
 	d.inProgress <- struct{}{}
 	defer func() { <-d.inProgress }()
--- a/internal/leader/dispatch/dispatch_test.go
+++ b/internal/leader/dispatch/dispatch_test.go
@@ -19,7 +19,7 @@
 // errNoResponse is returned by calls that get no response.
 var errNoResponse = errors.New("no response")
 
-// fakeWorker returns the status that responds to commands, or nil for no response.
+// fakeWorker returns the status that a worker sends in response to commands, or nil for no response.
 type fakeWorker func(ctx context.Context, c *wire.CommandRequest) *wire.Heartbeat
 
 // RoundTrip implements http.RoundTripper.
@@ -69,7 +69,7 @@
 			})
 			status, err := d.Query(t.Context(), target)
 			if !errors.Is(err, c.want) || (status != nil) != (c.want == nil) || status != nil && status.Sequence != 9 {
-				t.Errorf("Query returned %+v, error %v; want error %v", status, err, c.want)
+				t.Errorf("Query returned %+v, error %v; want error %v, and a status with sequence number 9 if that is nil", status, err, c.want)
 			}
 		})
 	}
@@ -90,7 +90,7 @@
 		{"to a worker", target, true, false, 1},
 		{"while another node may lead", target, false, false, 0},
 		{"to an unknown address", unaddressed, true, false, 0},
-		{"while no call is free", target, true, true, 0},
+		{"while the maximum number of calls is in progress", target, true, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 					t.Errorf("%d calls, want %d; a failed call must not be repeated", got, c.want)
 				}
 				if busy := len(d.inProgress); (busy > 0) != c.busy {
-					t.Errorf("%d calls in progress afterwards, want only those that the test case started", busy)
+					t.Errorf("%d calls in progress afterwards; more than 0: %t, want %t", busy, busy > 0, c.busy)
 				}
 			})
 		})
