--- a/internal/leader/autoscaler/backlog.go
+++ b/internal/leader/autoscaler/backlog.go
@@ -28,7 +28,7 @@
 	supplyCPUs       float64
 	unknownCPUs      float64            // CPUs of machines whose tasks are not known
 	minBootS         float64            // the shortest boot time of the preferred types, in seconds
-	planned          map[*state.Job]int // tasks that are assigned to a machine but not started
+	planned          map[*state.Job]int // number of planned starts that have not been sent
 	displaced        map[*state.Job]int // tasks on machines that are to be replaced in other zones
 }
 
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// ObserveCompletion updates the measured service and run times with an attempt that has completed its task.
+// ObserveCompletion updates the measured service and run times with an attempt that has completed its task. It leaves
+// out attempts that an earlier term started, and the run time of a task that may have resumed from a checkpoint.
 func (s *Scaler) ObserveCompletion(a *state.Attempt, now micros.Micros) {
 	j := a.Job
 	if a.RunningSince != 0 {
--- a/internal/leader/autoscaler/pools.go
+++ b/internal/leader/autoscaler/pools.go
@@ -33,8 +33,8 @@
 // The target of each pool is at most 1/poolFleetDivisor of the machines in the fleet.
 const poolFleetDivisor = 8
 
-// minPoolMean is the mean below which the target of a pool is 0. It is compared with the peak mean until a machine
-// launched now has served for a review interval. Formula (4) would keep a machine for an occasional gang.
+// minPoolMean is the mean below which the target of a pool is 0. It is compared with the largest mean expected within
+// one boot time and one review interval. Formula (4) would keep a machine for an occasional gang.
 const minPoolMean = 0.05
 
 // poolFor returns the pool that serves a gang, and creates it if necessary. The pool consists of machines of the
--- a/internal/leader/autoscaler/scaleout.go
+++ b/internal/leader/autoscaler/scaleout.go
@@ -113,7 +113,7 @@
 }
 
 const (
-	// constrainedLaunchDelay is how long no task of a job must have started before machines are launched for
+	// constrainedLaunchDelay is the time without a start of any task of a job after which machines are launched for
 	// that job alone.
 	constrainedLaunchDelay = 10 * micros.Second
 	// maxConstrainedLaunch is how many machines are launched for one job at a time.
@@ -132,7 +132,7 @@
 	counts := s.countByOffering()
 	for _, j := range s.Jobs {
 		if awaitsReconciliation(j) || teams[j.Spec.Team].CountAllowed(j.Need, 1) == 0 {
-			continue // more machines would not help it
+			continue // the job waits for reconciliation or for its team's quota, so more machines would not help it
 		}
 		if j.StartableTasks(now) > 0 && now-j.SeenAt >= constrainedLaunchDelay && wall-j.LastStart >= constrainedLaunchDelay {
 			s.launchForConstrainedJob(j, counts, now)
--- a/internal/leader/autoscaler/types.go
+++ b/internal/leader/autoscaler/types.go
@@ -45,7 +45,8 @@
 	minCPUs       = 0.001
 )
 
-// SetInstanceTypes replaces the known instance types by those that the cloud offers now.
+// SetInstanceTypes sets the instance types that the cloud offers now. The models of types that it no longer offers are
+// kept.
 func (s *Scaler) SetInstanceTypes(list wire.InstanceTypeList) {
 	s.typeNames = s.typeNames[:0]
 	s.typesVersion++
@@ -99,7 +100,8 @@
 	return imageSizeGB / math.Max(t.ImagePullGBPerS, minPullGBPerS)
 }
 
-// PriceRatio returns the spot or on-demand price per CPU of a type, divided by the lowest price per CPU of all types.
+// PriceRatio returns the spot or on-demand price per CPU of a type, divided by the lowest price per CPU, spot or
+// on-demand, of all types.
 func (s *Scaler) PriceRatio(t *TypeModel, spot bool) float64 {
 	lowest := math.Inf(1)
 	for _, other := range s.types {
--- a/internal/leader/persist/queue.go
+++ b/internal/leader/persist/queue.go
@@ -116,7 +116,7 @@
 }
 
 const (
-	// flushInterval is the longest time for which a key is pending without a call of Wake.
+	// flushInterval is the time between two attempts to write the pending keys without a call of Wake.
 	flushInterval = micros.Second
 	// flushPause is the pause after a series of transactions, in which changes accumulate, because the rate
 	// of writes is limited.
--- a/internal/leader/quarantine/quarantine_test.go
+++ b/internal/leader/quarantine/quarantine_test.go
@@ -40,10 +40,10 @@
 		Jobs:   jobs,
 		Demand: scaler,
 		StopTask: func(a *state.Attempt, _ micros.Micros, reason string) {
-			t.Errorf("%s is stopped: %s", a.TaskID(), reason)
+			t.Errorf("task %s is stopped with reason %q, want no task stopped", a.TaskID(), reason)
 		},
 		EvictGangTask: func(a *state.Attempt, _ micros.Micros, reason string, _ micros.Micros) {
-			t.Errorf("%s is evicted: %s", a.TaskID(), reason)
+			t.Errorf("task %s is evicted with reason %q, want no task evicted", a.TaskID(), reason)
 		},
 		OnChange: func() {},
 	}), scaler
--- a/internal/leader/state/attempt.go
+++ b/internal/leader/state/attempt.go
@@ -8,8 +8,9 @@
 	"caperlatch/internal/micros"
 )
 
-// Attempt is one start of a task on a machine. It occupies the machine from the time when the start is planned for
-// the next heartbeat response, or a gang task's place is reserved, until the task is known to have left the machine.
+// Attempt is one start of a task on a machine. It is attached to the machine when the start is put into a heartbeat
+// response, when a gang task's place is reserved, or when a start of an earlier term becomes known. It is detached
+// once the task is known to have left the machine.
 type Attempt struct {
 	Job     *Job
 	Index   int    // index of the task within its job
--- a/internal/leader/state/gang.go
+++ b/internal/leader/state/gang.go
@@ -31,7 +31,8 @@
 	RetryAt   micros.Micros // earliest time of the next reservation
 }
 
-// PoolKind identifies a pool of machines that are kept for gangs, by the instance type of its machines.
+// PoolKind identifies a pool of machines that are kept for gangs, by the instance type of its machines and by whether
+// spot machines are excluded.
 type PoolKind struct {
 	Type     string
 	OnDemand bool // the pool has no spot machines
--- a/internal/leader/zoning/evidence.go
+++ b/internal/leader/zoning/evidence.go
@@ -21,8 +21,8 @@
 )
 
 // evidence counts the running machines of each zone by their condition, except those that are being terminated. A
-// machine with several conditions counts only under the most severe one, and a machine that has returned also counts
-// as recovered unless it is evidence of a loss. As addEvidence does, evidence resets the evidence of return of
+// machine with several conditions counts only under the most severe one. A machine that has returned also counts as
+// recovered, unless it is evidence of a loss. Through addEvidence, evidence also resets the evidence of return of
 // machines and counts relapses.
 func (z *Zones) evidence(now micros.Micros) map[string]zone.Evidence {
 	counted := map[string]*zone.Evidence{}
--- a/internal/leader/zoning/zones.go
+++ b/internal/leader/zoning/zones.go
@@ -25,7 +25,7 @@
 
 // Config holds the parameters and dependencies of Zones. Its functions are called with the leader's lock held.
 type Config struct {
-	// Policy decides on zones. If it is nil, the default policy is used.
+	// Policy decides on zones. If it is nil, New uses the threshold policy.
 	Policy  zone.Policy
 	Fleet   *fleet.Fleet
 	Replica *replica.Replica
--- a/placement/deferral_test.go
+++ b/placement/deferral_test.go
@@ -42,7 +42,7 @@
 		small := job("small", 1, func(j *Job) { j.StartDeadline, j.WaitingCPUSeconds = 10*s, 4 })
 		DeferLateJobs([]*Job{big, small}, 1, 0)
 		if small.Late || big.Late != c.late || !(CompareJobs(small, big) < 0) {
-			t.Errorf("%s: small late %v, want false; big late %v, want %v; small must precede big", c.name, small.Late, big.Late, c.late)
+			t.Errorf("%s: small late %v, want false; big late %v, want %v; small precedes big: %t, want true", c.name, small.Late, big.Late, c.late, CompareJobs(small, big) < 0)
 		}
 	}
 }
--- a/placement/preemption.go
+++ b/placement/preemption.go
@@ -44,8 +44,9 @@
 	return v.Priority < j.Priority && (j.WithinGuarantee || !v.WithinGuarantee)
 }
 
-// findPreemptions finds the tasks to preempt so that the waiting tasks of a job find room, and marks them as
-// stopped in machines. The number of tasks that still find no room remains in unplaced.
+// findPreemptions finds the tasks to preempt so that the waiting tasks of a job find room. It updates machines as if
+// these tasks were being stopped and the room were claimed for the job. In the result, unplaced is the number of tasks
+// that still find no room.
 func findPreemptions(machines []Machine, j *Job, team *Team) preemptionSearch {
 	s := preemptionSearch{machines: machines, job: j, unplaced: team.CountAllowed(j.Need, j.WaitingTasks)}
 	// Resources that are already being released go to the first job in the queue.
