--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -5,7 +5,7 @@
 	"caperlatch/internal/micros"
 )
 
-// AddDemand adds the work of a newly seen job to the demand.
+// AddDemand adds the work of a newly seen job to the demand of its preferred type and, for a gang, of its pool.
 func (s *Scaler) AddDemand(j *state.Job) {
 	now := micros.Now()
 	t := s.preferredType(j, now)
@@ -43,7 +43,8 @@
 	}
 }
 
-// ObserveCompletion updates the measured service and run times with an attempt that has completed its task.
+// ObserveCompletion updates the measured service and run times with an attempt that has completed its task. It leaves
+// out attempts that an earlier term started, and the run time of a task that may have resumed from a checkpoint.
 func (s *Scaler) ObserveCompletion(a *state.Attempt, now micros.Micros) {
 	j := a.Job
 	if a.RunningSince != 0 {
