--- a/api.go
+++ b/api.go
@@ -22,8 +22,8 @@
 
 // LocalLeader returns this node's leader, or nil while this node does not lead.
 func (n *Node) LocalLeader() api.Leader {
-	if local := n.leadership.local(); local != nil {
-		return local
+	if localLeader := n.leadership.localLeader(); localLeader != nil {
+		return localLeader
 	}
 	return nil // not an interface that holds a nil pointer
 }
--- a/forwarding.go
+++ b/forwarding.go
@@ -13,7 +13,7 @@
 	"caperlatch/internal/wire"
 )
 
-// Times of forwarding. A worker waits 4 s for the response to a heartbeat.
+// Timeouts and interval of forwarding. A worker waits 4 s for the response to a heartbeat.
 const (
 	// forwardTimeout is how long a forwarded heartbeat waits for the leader's response.
 	forwardTimeout = 2500 * micros.Millisecond
--- a/handover.go
+++ b/handover.go
@@ -144,12 +144,12 @@
 // handOver hands leadership over to the most up-to-date follower. It returns the member that was named as successor, or
 // "" if any member may lead next. It fails with ErrNotLeading while this node does not lead.
 func (h *handover) handOver() (to string, err error) {
-	local := h.leadership.local()
-	if local == nil {
+	localLeader := h.leadership.localLeader()
+	if localLeader == nil {
 		return "", ErrNotLeading
 	}
 	before := h.setHandedOverAt(micros.Now())
-	to, err = local.HandOver(h.timeout)
+	to, err = localLeader.HandOver(h.timeout)
 	if err != nil {
 		h.setHandedOverAt(before) // keeps the time of the earlier handover if that is still in progress
 		return "", err
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -46,7 +46,7 @@
 	"caperlatch/internal/statestore"
 )
 
-// Times of campaigns. Those of sessions are in session.go.
+// Intervals of campaigns. Those of sessions are in session.go.
 const (
 	// retryInterval is the wait between attempts at a request that the state service did not execute. Between
 	// campaigns, a random time of up to the same length is added, so that two nodes do not collide repeatedly.
--- a/internal/election/session.go
+++ b/internal/election/session.go
@@ -10,7 +10,7 @@
 	"caperlatch/internal/statestore"
 )
 
-// Times of sessions.
+// The TTL of sessions, and the interval of their renewals.
 const (
 	// SessionTTL is how long a leader's session lasts unless it is renewed. It bounds the time without a leader
 	// after a leader's crash.
@@ -107,8 +107,8 @@
 	}
 }
 
-// isSuperseded reports whether the leader key is no longer this term's, or a higher fencing token is known. This node
-// must then soon leave the workers to the next leader.
+// isSuperseded reports whether the leader key is no longer this term's, or a higher fencing token is known. Either means
+// that the term is over.
 func (e *Election) isSuperseded(term *Term) bool {
 	if _, revision := e.Leader(); revision != term.LeaderKeyRevision {
 		return true
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -42,8 +42,8 @@
 	MaxSuspicionTimeout, MinSuspicionTimeout micros.Micros
 }
 
-// DefaultConfig returns times that tolerate two seconds of latency on a path, and with which a failure is detected
-// within ten seconds.
+// DefaultConfig returns intervals and timeouts that tolerate two seconds of latency on a path, and with which a failure
+// is detected within ten seconds.
 func DefaultConfig() Config {
 	return Config{
 		HeartbeatInterval:   500 * micros.Millisecond,
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -112,7 +112,7 @@
 	return func(c *scenarioRun) { c.pause(node, seconds*micros.Second) }
 }
 
-// cutPaths drops the messages on the paths that a function matches.
+// cutPaths drops all messages on the paths for which matches returns true.
 func cutPaths(matches func(from, to int) bool) scenarioStep {
 	return func(c *scenarioRun) { c.cut = matches }
 }
@@ -132,7 +132,8 @@
 	}
 }
 
-// expectFailedWithin returns expectFailed as a step.
+// expectFailedWithin returns a step that advances the time by failureTimeout, and checks that the observers (none given:
+// all other nodes) have declared the node subject failed meanwhile.
 func expectFailedWithin(subject int, observers ...int) scenarioStep {
 	return func(c *scenarioRun) { c.expectFailed(subject, observers...) }
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -12,7 +12,7 @@
 package peer
 
 import (
-	"errors"
+	"fmt"
 	"io"
 
 	"caperlatch/internal/explain"
@@ -103,7 +103,7 @@
 const maxMessageBytes = 1 << 20
 
 // errMessageTooLarge means that a peer sent a message above maxMessageBytes. The connection is then closed.
-var errMessageTooLarge = errors.New("message too large")
+var errMessageTooLarge = fmt.Errorf("message exceeds %d bytes", maxMessageBytes)
 
 // limitedReader fails with errMessageTooLarge when a single message is too large.
 type limitedReader struct {
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -9,7 +9,7 @@
 	"caperlatch/internal/micros"
 )
 
-// Times of probing and of judging the probes' responses.
+// Interval and timeouts of probes, and how long their responses count.
 const (
 	probeInterval = 400 * micros.Millisecond  // between a response, or a timeout, and the next probe
 	probeTimeout  = 1200 * micros.Millisecond // for a response to a probe
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,7 +16,7 @@
 	"caperlatch/internal/zone"
 )
 
-// Times of serving.
+// Delay and timeout of the server.
 const (
 	acceptRetryDelay = 100 * micros.Millisecond // wait after a connection could not be accepted
 	writeTimeout     = 2 * micros.Second        // for writing a response; then the connection is closed
--- a/internal/replica/barrier.go
+++ b/internal/replica/barrier.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/statestore"
 )
 
-// barrierInterval is the pause between two requests for barriers. Like the pauses between watches, it saves the rate
-// limit of the state service, which all nodes share.
+// barrierInterval is the pause between two requests for barriers. Like the pauses between watches, it keeps the requests
+// within the rate limit of the state service, which all nodes share.
 const barrierInterval = 150 * micros.Millisecond
 
 // errNotLoaded is a barrier's error before all keys have been read once.
--- a/internal/replica/cancellations_test.go
+++ b/internal/replica/cancellations_test.go
@@ -52,7 +52,7 @@
 				complete = page.Complete
 			}
 			if len(receiver.jobs.cancelled) != tc.jobs {
-				t.Errorf("received %d cancellations in %d messages, want %d", len(receiver.jobs.cancelled), messages, tc.jobs)
+				t.Errorf("received %d cancellations in %d messages, want %d cancellations", len(receiver.jobs.cancelled), messages, tc.jobs)
 			}
 		})
 	}
--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/wire"
 )
 
-// Times of watches. The pauses between two requests keep a busy day from using up the rate limit of the state service,
-// which all nodes share.
+// The maximum duration of a watch, and the pauses between two watches. The pauses keep the requests within the rate limit
+// of the state service, which all nodes share, even while values change all the time.
 const (
 	watchWait          = 10 * micros.Second       // the longest time that the service may hold a watch without a change
 	leaderWatchPause   = 100 * micros.Millisecond // with low latency, for the leader, which starts newly submitted jobs
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TermWon records that the node took the leader key with a fencing token, in the transaction at a revision. warm tells
-// whether a complete view of the previous term is available.
+// TermWon records that the node took the leader key with the given fencing token, in the transaction that was committed
+// at the given revision. warm tells whether a complete view of the previous term is available.
 func (f *Failover) TermWon(token, revision uint64, warm bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,8 +121,8 @@
 	f.enter(Confirming)
 }
 
-// StateRead records that the node has read everything that earlier terms stored, through a revision, and whether the
-// previous leader handed over with proof. It reports whether the evidence is sufficient for the node to make
+// StateRead records that the node has read everything that earlier terms stored up to the revision readThrough, and
+// whether the previous leader handed over with proof. It reports whether the evidence is sufficient for the node to make
 // decisions. If it is not, the phase does not change.
 func (f *Failover) StateRead(readThrough uint64, handedOver bool) bool {
 	f.mu.Lock()
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -11,8 +11,8 @@
 )
 
 // Follower replicates the view of the current term's leader. It applies entries in order, and rejects pages that are
-// malformed, leave a gap, or are of another term or version. After a page that may hide entries, it fetches a
-// snapshot. It is safe for concurrent use.
+// malformed, leave a gap, or are of another term or version. If entries may be missing after a rejected page, it fetches
+// a snapshot. It is safe for concurrent use.
 type Follower struct {
 	member string
 
@@ -20,9 +20,9 @@
 	view           *View             // nil until the follower has followed a leader, and after TakeView has returned the view
 	snapshot       *snapshotProgress // nil if the view is complete
 	latestPosition uint64            // position of the leader's newest entry, as last reported
-	caughtUpAt     micros.Micros     // when the last query was sent whose page completed the view; 0 if never
+	caughtUpAt     micros.Micros     // send time of the last query whose page brought the view up to date; 0 if none
 	lastPageAt     micros.Micros     // when the last accepted page arrived; 0 if never
-	rejected       map[string]int    // number of rejected pages by the text of the error
+	rejected       map[string]int    // number of rejected pages by kind, see countRejected
 }
 
 // NewFollower returns a follower that has not followed a leader yet.
@@ -30,8 +30,8 @@
 	return &Follower{member: member, rejected: map[string]int{}}
 }
 
-// NextQuery returns the next query to send to the leader with a fencing token. If the token is higher than that of the
-// view, the follower replaces the view by an empty one of the new term.
+// NextQuery returns the next query to send to the leader with the given fencing token. If the token is higher than that
+// of the view, the follower replaces the view by an empty one of the new term.
 func (f *Follower) NextQuery(token uint64) *Query {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,14 +45,14 @@
 	return q
 }
 
-// resetView replaces the view by an empty one of the term with a token, and starts to fetch a snapshot.
+// resetView replaces the view by an empty one of the term with the given token, and starts to fetch a snapshot.
 func (f *Follower) resetView(token uint64) {
 	f.view = NewView(token)
 	f.snapshot = &snapshotProgress{}
 	f.latestPosition, f.caughtUpAt = 0, 0
 }
 
-// ApplyPage applies a page that answers a query which was sent at the time sent. For a page that it rejects, it returns
+// ApplyPage applies a page that answers a query sent at the instant sent. For a page that it rejects, it returns
 // an error that wraps ErrMalformed, ErrVersion, ErrTerm or ErrGap. A rejected page is not applied, but may make the
 // follower discard its view and fetch a new snapshot.
 func (f *Follower) ApplyPage(page *Page, sent micros.Micros) error {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// check returns the error for which a page is rejected, or nil if the page is valid. If the rejected page may hide
-// entries, check resets the view, so that the follower fetches a snapshot.
+// check returns the error for which a page is rejected, or nil if the page is valid. If entries may be missing after
+// the rejected page, check resets the view, so that the follower fetches a snapshot.
 func (f *Follower) check(page *Page) error {
 	switch {
 	case page.Version != Version:
@@ -147,7 +147,8 @@
 // rejectionKinds lists the errors that are counted separately.
 var rejectionKinds = []error{ErrMalformed, ErrVersion, ErrTerm, ErrGap}
 
-// countRejected counts a rejected page by the kind of its error, and logs the first page of each kind.
+// countRejected counts a rejected page by the text of the error in rejectionKinds that it wraps, and logs the first page
+// of each kind.
 func (f *Follower) countRejected(err error) {
 	kind := "other"
 	for _, k := range rejectionKinds {
@@ -185,15 +186,15 @@
 	return f.view.Handover.To, true
 }
 
-// HasHandedOver reports whether the leader with a token is known to have handed over.
+// HasHandedOver reports whether the leader with the given fencing token is known to have handed over.
 func (f *Follower) HasHandedOver(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view != nil && f.view.FencingToken == token && f.view.Handover != nil
 }
 
-// IsSuccessorOf reports whether the leader with a token has handed over to this follower and this follower's view is
-// complete.
+// IsSuccessorOf reports whether the leader with the given fencing token has handed over to this follower, and this
+// follower's view is complete.
 func (f *Follower) IsSuccessorOf(token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -54,11 +54,11 @@
 		name, _, _ := strings.Cut(entries.Field(i).Tag.Get("json"), ",")
 		b, err := wire.Marshal(e.Interface())
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("encoding an entry of kind %q failed: %v", name, err)
 		}
 		entry := e.Interface().(Entry)
 		if err := entry.check(); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("check() of an entry of kind %q = %v, want nil", name, err)
 		}
 		sections = append(sections, golden.Section{Name: name, Text: hex.EncodeToString(b)})
 	}
--- a/internal/standby/messages.go
+++ b/internal/standby/messages.go
@@ -11,14 +11,13 @@
 	maxPageTasks   = 5000 // tasks of the machines in a page of a snapshot
 )
 
-// Query is a follower's request to a leader for the entries after a position, or for a page of a snapshot.
+// Query is a follower's request to a leader for the entries after its own position, or for a page of a snapshot.
 type Query struct {
 	Version      int    `json:"version"`
 	Member       string `json:"member"`   // the follower
 	FencingToken uint64 `json:"token"`    // of the term whose view the follower holds
 	Position     uint64 `json:"position"` // of the last entry that the follower has applied
-	// Snapshot requests the machines after the name AfterMachine instead of entries. AfterMachine is "" for the first
-	// page.
+	// Snapshot requests the machines after the ID AfterMachine instead of entries. AfterMachine is "" for the first page.
 	Snapshot     bool   `json:"snapshot,omitempty"`
 	AfterMachine string `json:"after,omitempty"`
 }
@@ -38,7 +37,7 @@
 	Followers []FollowerState `json:"followers,omitempty"`
 }
 
-// SnapshotPage is a part of a view, with the machines in order of name. The pages of a snapshot may be of different
+// SnapshotPage is a part of a view, in order of the machines' IDs. The pages of a snapshot may be of different
 // positions: applying the entries since the first page's position makes the view consistent.
 type SnapshotPage struct {
 	Machines []MachineRecord `json:"machines"`
@@ -50,7 +49,7 @@
 
 // MachineRecord is a machine in a snapshot.
 type MachineRecord struct {
-	Name string `json:"name"`
+	Name string `json:"name"` // ID
 	MachineState
 	Terminating bool         `json:"returning,omitempty"`
 	Tasks       []TaskRecord `json:"tasks,omitempty"`
@@ -80,5 +79,5 @@
 	LagS         float64        `json:"lag_s"` // seconds since the view was last known to be up to date; -1 if it never was
 	Machines     int            `json:"machines"`
 	Tasks        int            `json:"tasks"`
-	Rejected     map[string]int `json:"refused,omitempty"` // number of rejected pages by the text of the error
+	Rejected     map[string]int `json:"refused,omitempty"` // number of rejected pages by kind, such as "malformed"
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -21,8 +21,8 @@
 	followers map[string]FollowerState
 }
 
-// NewPublisher returns the publisher of the term with a fencing token. Its log retains at least the newest maxEntries
-// entries.
+// NewPublisher returns the publisher of the term with the given fencing token. Its log retains at least the newest
+// maxEntries entries.
 func NewPublisher(token uint64, maxEntries int) *Publisher {
 	return &Publisher{
 		maxEntries: max(1, maxEntries),
@@ -104,7 +104,7 @@
 	return best
 }
 
-// HasApplied reports whether a follower has applied all entries up to and including a position.
+// HasApplied reports whether a follower has applied all entries up to and including the given position.
 func (p *Publisher) HasApplied(member string, position uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standby/snapshot.go
+++ b/internal/standby/snapshot.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// snapshotPage returns the machines of the view after the name afterMachine, as many as one message may hold.
+// snapshotPage returns the machines of the view after the ID afterMachine, as many as one message may hold.
 func (v *View) snapshotPage(afterMachine string) *SnapshotPage {
 	names := slices.Sorted(maps.Keys(v.Machines))
 	first, found := slices.BinarySearch(names, afterMachine)
@@ -70,16 +70,16 @@
 // snapshotProgress is the state of a follower that is fetching a snapshot.
 type snapshotProgress struct {
 	phase        snapshotPhase
-	afterMachine string // the last machine of the pages applied so far
-	completeAt   uint64 // in phase entriesMissing: the position at which the view is consistent
+	afterMachine string // ID of the last machine in the pages applied so far
+	completeAt   uint64 // in phase awaitingEntries: the position at which the view is consistent
 }
 
 // needsPage reports whether the follower must query another page of the snapshot. A nil receiver means that no
 // snapshot is being fetched.
 func (s *snapshotProgress) needsPage() bool { return s != nil && s.phase != awaitingEntries }
 
-// isComplete reports whether a view at a position contains all pages of the snapshot, and all entries that are needed
-// to make the pages consistent.
+// isComplete reports whether a view at the given position contains all pages of the snapshot, and all entries that are
+// needed to make the pages consistent.
 func (s *snapshotProgress) isComplete(position uint64) bool {
 	return s.phase == awaitingEntries && position >= s.completeAt
 }
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -84,7 +84,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view.Position != p.view.Position || !reflect.DeepEqual(f.view.Machines, p.view.Machines) || !reflect.DeepEqual(f.view.Estimates, p.view.Estimates) {
-		t.Errorf("follower's view at position %d has machines %+v, want position %d, machines %+v", f.view.Position, f.view.Machines, p.view.Position, p.view.Machines)
+		t.Errorf("follower's view at position %d has machines %+v, estimates %v; want position %d, machines %+v, estimates %v",
+			f.view.Position, f.view.Machines, f.view.Estimates, p.view.Position, p.view.Machines, p.view.Estimates)
 	}
 }
 
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -1,11 +1,11 @@
 package standby
 
-// View is the state that results from a term's entries up to a position. It has no lock of its own.
+// View is the state that results from a term's entries up to Position. It has no lock of its own.
 type View struct {
 	FencingToken uint64 // of the view's term
 	Position     uint64
 	Machines     map[string]*Machine  // by ID
-	Estimates    map[string][]float64 // moments by class of jobs
+	Estimates    map[string][]float64 // statistical moments by class of jobs, see EstimateUpdated
 	// Handover is the term's last entry, or nil if the leader has not handed over.
 	Handover *Handover
 }
@@ -17,14 +17,14 @@
 	Tasks       map[string]TaskState // by ID
 }
 
-// NewView returns an empty view of the term with a fencing token.
+// NewView returns an empty view of the term with the given fencing token.
 func NewView(token uint64) *View {
 	return &View{FencingToken: token, Machines: map[string]*Machine{}, Estimates: map[string][]float64{}}
 }
 
-// ProvesAssignments reports whether the view proves to the leader with a fencing token which tasks may be on machines.
-// It does if the leader of the previous term handed over with the tasks of all machines known, and no other term came
-// in between. Otherwise the view is only a hint.
+// ProvesAssignments reports whether the view proves to the leader with the given fencing token which tasks may be on
+// machines. It does if the leader of the previous term handed over with the tasks of all machines known, and no other
+// term came in between. Otherwise the view is only a hint.
 func (v *View) ProvesAssignments(token uint64) bool {
 	return v.Handover != nil && v.Handover.Complete && v.FencingToken+1 == token
 }
@@ -37,12 +37,12 @@
 	return count
 }
 
-// getOrCreateMachine returns the machine with a name, and adds it to the view if it is not known.
-func (v *View) getOrCreateMachine(name string) *Machine {
-	m := v.Machines[name]
+// getOrCreateMachine returns the machine with the given ID, and adds it to the view if it is not known.
+func (v *View) getOrCreateMachine(id string) *Machine {
+	m := v.Machines[id]
 	if m == nil {
 		m = &Machine{Tasks: map[string]TaskState{}}
-		v.Machines[name] = m
+		v.Machines[id] = m
 	}
 	return m
 }
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -33,9 +33,9 @@
 	renew := func(c *Client) error { return c.RenewSession(ctx, 7) }
 	end := func(c *Client) error { return c.EndSession(ctx, 7) }
 	cases := []struct {
-		name   string
-		call   func(c *Client) error
-		failed string // the prefix of the error; empty for no error
+		name       string
+		call       func(c *Client) error
+		wantPrefix string // the prefix of the error; empty for no error
 		response
 		want      error // if nil: no error if known is true, else any error but ErrNotExecuted
 		known     bool  // whether the outcome must show if the request was executed
@@ -68,11 +68,16 @@
 			switch {
 			case c.known && !errors.Is(err, c.want):
 				t.Errorf("error %v, want %v", err, c.want)
-			case !c.known && (err == nil || errors.Is(err, ErrNotExecuted) || c.want != nil && !errors.Is(err, c.want)):
-				t.Errorf("error %v, want %v, and not ErrNotExecuted", err, c.want)
+			case !c.known && (err == nil || errors.Is(err, ErrNotExecuted)):
+				t.Errorf("error %v, want an error other than ErrNotExecuted", err)
+			case !c.known && c.want != nil && !errors.Is(err, c.want):
+				t.Errorf("error %v, want %v", err, c.want)
 			}
-			if err != nil && (c.failed == "" || !strings.HasPrefix(err.Error(), c.failed)) {
-				t.Errorf("error %q, want prefix %q", err, c.failed)
+			switch {
+			case err != nil && c.wantPrefix == "":
+				t.Errorf("error %q, want none", err)
+			case err != nil && !strings.HasPrefix(err.Error(), c.wantPrefix):
+				t.Errorf("error %q, want prefix %q", err, c.wantPrefix)
 			}
 			if want := slices.Contains([]error{ErrRejected, ErrRateLimited, ErrUnavailable}, c.want); errors.Is(err, ErrNotExecuted) != want {
 				t.Errorf("error %v: is ErrNotExecuted %v, want %v", err, !want, want)
--- a/internal/statestore/limits.go
+++ b/internal/statestore/limits.go
@@ -19,7 +19,7 @@
 	minWriteBurst     = 3   // operations; the settings accept no lower limit on the operations in a transaction
 )
 
-// bytesPerKB converts the limit on the size of a value.
+// bytesPerKB is the number of bytes in a KB of the settings' limit on the size of a value.
 const bytesPerKB = 1024
 
 // limits holds the limits that this node observes.
--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -30,9 +30,9 @@
 	ReplacementShare float64 // share of the unusable machines that are replaced in other zones
 }
 
-// DefaultConfig returns the default settings for an interval of the workers' heartbeats. The longest hold-down and the
-// steps stay well under 90 s: no job that fits on a machine waits that long
-// while a machine that sends heartbeats has capacity for it.
+// DefaultConfig returns the default settings for the given interval of the workers' heartbeats. The longest hold-down and
+// the steps stay well under 90 s, because no job that fits on a machine may wait that long while a machine that sends
+// heartbeats has capacity for it.
 func DefaultConfig(heartbeatInterval micros.Micros) Config {
 	return Config{
 		PartialDisruptionShare: 0.4,
@@ -119,7 +119,7 @@
 	return e.Recovered > 0 && float64(e.Recovered) >= (1-c.FullDisruptionShare)*float64(e.Running)
 }
 
-// holdDownAfter returns how long heartbeats must arrive from a zone before it reopens, after a number of flaps.
+// holdDownAfter returns how long heartbeats must arrive from a zone before it reopens, after the given number of flaps.
 func (c *Config) holdDownAfter(flaps int) micros.Micros {
 	holdDown := c.InitialHoldDown
 	for i := 1; i < flaps && holdDown < c.MaxHoldDown; i++ {
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -173,7 +173,7 @@
 	return z
 }
 
-// enterStep enters a step of Reopening.
+// enterStep enters the given step of Reopening, counted from 0.
 func (z lifecycle) enterStep(step int, reason Reason, e Evidence, now micros.Micros) lifecycle {
 	z = z.enter(Reopening, reason, e, now)
 	z.step = step
--- a/jobs.go
+++ b/jobs.go
@@ -36,8 +36,8 @@
 
 // countTasks returns how many tasks of a job are done and how many run. Both are 0 if that is not known.
 func (v *jobView) countTasks(id string) (done, running int) {
-	if local := v.leadership.local(); local != nil {
-		done, running, _ = local.TaskCounts(id)
+	if localLeader := v.leadership.localLeader(); localLeader != nil {
+		done, running, _ = localLeader.TaskCounts(id)
 		return done, running
 	}
 	v.mu.Lock()
@@ -66,10 +66,10 @@
 // explainAsLeader returns the explanation of a job by this node's leader. It fails with ErrNotLeading while this node
 // does not lead.
 func (v *jobView) explainAsLeader(id string) (explain.Explanation, error) {
-	local := v.leadership.local()
-	if local == nil {
+	localLeader := v.leadership.localLeader()
+	if localLeader == nil {
 		return explain.Explanation{}, ErrNotLeading
 	}
-	e, _ := local.Explain(id)
+	e, _ := localLeader.Explain(id)
 	return e, nil
 }
--- a/leadership.go
+++ b/leadership.go
@@ -31,18 +31,18 @@
 	expectsChange bool           // whether the leader is expected to change soon
 }
 
-// local returns this node's leader, or nil while this node does not lead.
-func (l *localLeadership) local() *leader.Leader {
+// localLeader returns this node's leader, or nil while this node does not lead.
+func (l *localLeadership) localLeader() *leader.Leader {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.leader
 }
 
-// setLocal records this node's leader, or with nil that this node no longer leads.
-func (l *localLeadership) setLocal(local *leader.Leader) {
+// setLocalLeader records this node's leader, or with nil that this node no longer leads.
+func (l *localLeadership) setLocalLeader(localLeader *leader.Leader) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leader = local
+	l.leader = localLeader
 	l.updateReplicaLatency()
 }
 
@@ -62,15 +62,15 @@
 
 // respondToEncoded returns the encoded response of this node's leader to an encoded heartbeat.
 func (l *localLeadership) respondToEncoded(encoded wire.RawMessage) (wire.RawMessage, error) {
-	local := l.local()
-	if local == nil {
+	localLeader := l.localLeader()
+	if localLeader == nil {
 		return nil, leader.ErrCannotRespond
 	}
 	var heartbeat wire.Heartbeat
 	if err := wire.Unmarshal(encoded, &heartbeat); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	response, err := local.HandleHeartbeat(&heartbeat)
+	response, err := localLeader.HandleHeartbeat(&heartbeat)
 	if err != nil {
 		return nil, err
 	}
--- a/node.go
+++ b/node.go
@@ -106,8 +106,8 @@
 	return n
 }
 
-// newPeers returns the peers in the settings. They call n.peerHandler, which is created after them, only while the node
-// runs.
+// newPeers returns the peers in the settings. Its callbacks use n.peerHandler, which is created later. They are called
+// only while the node runs.
 func (n *Node) newPeers() *peer.Peers {
 	clients := map[string]*peer.Client{}
 	for _, p := range n.settings.Peers {
@@ -118,8 +118,8 @@
 		func(state *peer.NodeState) { n.peerHandler.handlePeerState(state) })
 }
 
-// newElection returns the election. It calls n.standby and n.handover, which are created after it, only while the node
-// runs.
+// newElection returns the election. Its callbacks use n.standby and n.handover, which are created later. They are called
+// only while the node runs.
 func (n *Node) newElection() *election.Election {
 	config := election.Config{
 		Member:        n.settings.Member,
@@ -264,8 +264,8 @@
 		defer n.standby.endTerm()
 	}
 	l := leader.New(config)
-	n.leadership.setLocal(l)
-	defer n.leadership.setLocal(nil)
+	n.leadership.setLocalLeader(l)
+	defer n.leadership.setLocalLeader(nil)
 	l.Run(ctx)
 	if n.handover != nil {
 		n.handover.setSuccessor(l.Successor())
--- a/peers.go
+++ b/peers.go
@@ -51,9 +51,9 @@
 	p := &peer.Probe{Member: h.member, CancellationsSince: h.replica.CancelledThrough()}
 	highest := h.election.HighestKnownLeader()
 	p.HighestToken, p.Leader = highest.FencingToken, highest.Member
-	if local := h.leadership.local(); local != nil {
-		p.LeadershipInDoubt = !local.Term.HoldsSession() && !local.IsHandingOver()
-		if counts, at := local.AllTaskCounts(); at != *sentCountsAsOf {
+	if localLeader := h.leadership.localLeader(); localLeader != nil {
+		p.LeadershipInDoubt = !localLeader.Term.HoldsSession() && !localLeader.IsHandingOver()
+		if counts, at := localLeader.AllTaskCounts(); at != *sentCountsAsOf {
 			p.TaskCounts, *sentCountsAsOf = peer.TaskCounts(counts), at
 		}
 	}
@@ -64,8 +64,8 @@
 func (h *peerHandler) handlePeerState(s *peer.NodeState) {
 	h.election.ObserveToken(s.HighestToken, s.Leader)
 	h.replica.AdoptCancellations(s.Cancellations, s.CancelledThrough)
-	if local := h.leadership.local(); local != nil {
-		local.Supersede(s.HighestToken)
+	if localLeader := h.leadership.localLeader(); localLeader != nil {
+		localLeader.Supersede(s.HighestToken)
 	}
 }
 
@@ -85,8 +85,8 @@
 	}
 	highest := h.election.HighestKnownLeader()
 	s.HighestToken, s.Leader = highest.FencingToken, highest.Member
-	if local := h.leadership.local(); local != nil {
-		local.Supersede(s.HighestToken)
+	if localLeader := h.leadership.localLeader(); localLeader != nil {
+		localLeader.Supersede(s.HighestToken)
 	}
 	if p.LeadershipInDoubt && h.store.IsUnreachable() && h.election.Abstain(peer.AbstentionTTL) {
 		s.AbstainFor = peer.AbstentionTTL
--- a/standby.go
+++ b/standby.go
@@ -41,7 +41,7 @@
 // run keeps this node's view of the leader's state up to date until ctx ends.
 func (a *standbyAgent) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if a.leadership.local() != nil || !a.query(ctx) {
+		if a.leadership.localLeader() != nil || !a.query(ctx) {
 			micros.Pause(ctx, a.settings.QueryInterval)
 		}
 	}
--- a/zones.go
+++ b/zones.go
@@ -25,7 +25,7 @@
 // status returns the status of the zones as the leader sees them, whichever node leads. It fails with
 // api.ErrZonePolicyDisabled if the leader has no status of zones.
 func (v zoneView) status(ctx context.Context) ([]zone.Status, error) {
-	if v.leadership.local() != nil {
+	if v.leadership.localLeader() != nil {
 		return v.statusAsLeader()
 	}
 	response, err := v.leader.ask(ctx, peer.Request{WantZones: true})
@@ -41,11 +41,11 @@
 // statusAsLeader returns the status of the zones as this node's leader sees them. It fails with ErrNotLeading while this
 // node does not lead, and with api.ErrZonePolicyDisabled if the leader has no status of zones.
 func (v zoneView) statusAsLeader() ([]zone.Status, error) {
-	local := v.leadership.local()
-	if local == nil {
+	localLeader := v.leadership.localLeader()
+	if localLeader == nil {
 		return nil, ErrNotLeading
 	}
-	zones := local.ZoneStatus()
+	zones := localLeader.ZoneStatus()
 	if zones == nil {
 		return nil, api.ErrZonePolicyDisabled
 	}
