--- a/handover.go
+++ b/handover.go
@@ -57,7 +57,7 @@
 	mu              sync.Mutex
 	handedOverAt    micros.Micros // when this node last handed over, 0 if never
 	successor       string        // the member that this node's last term was handed over to, "" if none was named
-	lastDelayReason delayReason   // the reason that was last logged
+	lastDelayReason delayReason   // the reason as of the last call of campaignDelay
 }
 
 // delayReason is the reason why a node lets other members campaign first, as written to the log.
@@ -105,7 +105,7 @@
 }
 
 // campaignDelay returns how long this node lets other members campaign first while there is no leader. It logs the reason
-// for the delay if that has changed.
+// for the delay if it differs from the last call's.
 func (h *handover) campaignDelay() micros.Micros {
 	wait, reason := h.chooseCampaignDelay()
 	h.mu.Lock()
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -25,7 +25,7 @@
 type Counts struct {
 	Suspicions  int `json:"suspicions"`
 	Failures    int `json:"failures"`
-	Refutations int `json:"refuted"` // refutations of other members' suspicions of this node
+	Refutations int `json:"refuted"` // how often this node has raised its own incarnation, see refute
 }
 
 // NewDetector returns the detector of a node that has just started. The incarnation should be higher than those of the
@@ -121,7 +121,7 @@
 	}
 }
 
-// refute raises this node's incarnation if a member suspects this node or takes it as left. A higher incarnation
+// refute raises this node's incarnation if a member suspects this node or has it in state Left. A higher incarnation
 // overrides such a view at all members. refute also raises the incarnation if a member knows a higher one, from an
 // earlier start of this node.
 func (d *Detector) refute(view *MemberView) {
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -46,7 +46,7 @@
 	{"a failed node restarts with its clock set back", nil, []scenarioStep{advanceTime(2), stopNodes(1), expectFailedWithin(1),
 		func(c *scenarioRun) { c.start(1, 7, false) }, advanceTime(60), expectAllAlive, expectCondition(othersKnowIncarnation, "node 0 knows another incarnation of node 1 than its current one")}},
 	{"a node leaves and starts again", nil, []scenarioStep{advanceTime(2), leaveNode(1), advanceTime(1), stopNodes(1), advanceTime(120), expectNeverEntered(Suspected, -1),
-		expectCondition(func(c *scenarioRun) bool { return c.state(0, 1).State == Left }, "node 0 does not take node 1 as left"), startNode(1, false), expectAllAlive}},
+		expectCondition(func(c *scenarioRun) bool { return c.state(0, 1).State == Left }, "node 0 does not have node 1 in state left"), startNode(1, false), expectAllAlive}},
 	{"a node leaves while another cannot reach it", nil, []scenarioStep{advanceTime(2), cutPaths(pathBetween(1, 2, false)), leaveNode(1), advanceTime(1), stopNodes(1), advanceTime(60), expectNeverEntered(Suspected, -1)}},
 	{"a node of a version without heartbeats", []int{1}, []scenarioStep{advanceTime(60), expectNeverEntered(Suspected, -1), stopNodes(1), expectFailedWithin(1), startNode(1, true), expectAllAlive}},
 	{"all other nodes of a version without heartbeats", []int{0, 2, 3, 4}, []scenarioStep{advanceTime(60), expectNeverEntered(Suspected, -1), stopNodes(2), expectFailedWithin(2, 1)}},
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,8 +1,10 @@
 // Package membership determines from heartbeats which controller nodes are alive, suspected, failed, or have left. It
 // implements a failure detector based on SWIM (Das, Gupta and Motivala) with the Lifeguard extensions (Dadgar, Phillips
-// and Currey). A suspicion lasts until the suspected member refutes it with a higher incarnation, or until it times
-// out. Confirmations by other members shorten the timeout, and a node that is itself slow lengthens it. Unlike in SWIM,
-// the members are few and fixed, so each member sends heartbeats with its views of all members to all others.
+// and Currey). A suspicion lasts until a message from the suspected member reaches this node or another one, or until
+// it times out. The member is then failed until it refutes that with a higher incarnation, or responds to a heartbeat
+// that was sent afterwards. Confirmations by other members shorten the timeout, and a node that is itself slow
+// lengthens it. Unlike in SWIM, the members are few and fixed, so each member sends heartbeats with its views of all
+// members to all others.
 //
 // The package owns the states of the members as one node sees them, the timeouts of suspicions, and the incarnation
 // numbers by which a member refutes a suspicion. It is pure: it does no I/O, and time is an argument. The caller sends
@@ -20,7 +22,7 @@
 type State string
 
 // The states. A member is suspected once it has been silent for Config.SuspectAfter, and failed once the suspicion has
-// timed out without a refutation. A member that announced its shutdown has left, and is neither suspected nor failed.
+// timed out. A member that announced its shutdown has left, and is neither suspected nor failed.
 const (
 	Alive     State = "alive"
 	Suspected State = "suspected"
--- a/internal/micros/micros_test.go
+++ b/internal/micros/micros_test.go
@@ -36,10 +36,10 @@
 // TestConversions checks conversions to seconds and to time.Duration.
 func TestConversions(t *testing.T) {
 	if got := (1500 * Millisecond).Seconds(); got != 1.5 {
-		t.Errorf("%v seconds, want 1.5", got)
+		t.Errorf("Seconds() = %v, want 1.5", got)
 	}
 	if got := (1500 * Millisecond).Duration(); got != 1500*time.Millisecond {
-		t.Errorf("duration %v, want 1.5 s", got)
+		t.Errorf("Duration() = %v, want 1.5s", got)
 	}
 }
 
@@ -82,7 +82,7 @@
 		}
 		Pause(context.Background(), Second)
 		if elapsed := Now() - start; elapsed != Second {
-			t.Errorf("a pause of 1 s took %v s", elapsed.Seconds())
+			t.Errorf("a pause of 1 s took %v s, want 1 s", elapsed.Seconds())
 		}
 	})
 }
--- a/internal/peer/peers.go
+++ b/internal/peer/peers.go
@@ -15,8 +15,8 @@
 	probeTimeout  = 1200 * micros.Millisecond // for a response to a probe
 	// AbstentionTTL is how long a node that abstains does not campaign for leadership.
 	AbstentionTTL = 1500 * micros.Millisecond
-	// ContactTimeout is the maximum age of the latest response of the state service, or of a peer, for which it counts as
-	// reachable.
+	// ContactTimeout is the maximum age of the latest response of the state service for which it counts as reachable, and
+	// of a peer for which it counts as responding.
 	ContactTimeout = 3 * micros.Second
 	// forwarderContactTimeout is the maximum age of a peer's latest response for which workers are redirected to the
 	// peer or heartbeats are forwarded to it.
@@ -24,10 +24,10 @@
 )
 
 // Peers probes the other nodes and holds their latest responses. Its methods prove only what their comments state. All
-// instants are of this node's monotonic clock. It is safe for concurrent use.
+// instants are readings of this node's steady clock. It is safe for concurrent use.
 type Peers struct {
 	clients   map[string]*Client // by member
-	makeProbe func(sentAsOf *micros.Micros) *Probe
+	makeProbe func(sentCountsAsOf *micros.Micros) *Probe
 	onState   func(*NodeState)
 
 	mu   sync.Mutex
@@ -49,10 +49,10 @@
 }
 
 // NewPeers returns the peers with the given clients, by member, and takes ownership of the clients. It sends the probes
-// that makeProbe returns. makeProbe may store in sentAsOf, which is zero at first and separate for each peer, the time of
-// the data that it last sent to the peer, to avoid sending the same data again. NewPeers calls onState with each
-// response, before the response counts.
-func NewPeers(clients map[string]*Client, makeProbe func(sentAsOf *micros.Micros) *Probe, onState func(*NodeState)) *Peers {
+// that makeProbe returns. makeProbe may store in sentCountsAsOf, which is zero at first and separate for each peer, the
+// time of the task counts that it last sent to the peer, to avoid sending the same counts again. onState is called with
+// the state in each response, before the response counts.
+func NewPeers(clients map[string]*Client, makeProbe func(sentCountsAsOf *micros.Micros) *Probe, onState func(*NodeState)) *Peers {
 	return &Peers{clients: clients, makeProbe: makeProbe, onState: onState, last: map[string]lastResponse{}}
 }
 
@@ -62,9 +62,9 @@
 	for member, client := range p.clients {
 		wg.Go(func() {
 			defer client.Close()
-			var sentAsOf micros.Micros
+			var sentCountsAsOf micros.Micros
 			for ctx.Err() == nil {
-				p.probe(ctx, member, client, &sentAsOf)
+				p.probe(ctx, member, client, &sentCountsAsOf)
 				micros.Pause(ctx, probeInterval)
 			}
 		})
@@ -73,11 +73,11 @@
 }
 
 // probe sends one probe to a peer and records the response.
-func (p *Peers) probe(ctx context.Context, member string, client *Client, sentAsOf *micros.Micros) {
+func (p *Peers) probe(ctx context.Context, member string, client *Client, sentCountsAsOf *micros.Micros) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
 	sentAt := micros.Now()
-	response, err := client.Call(ctx, Request{Probe: p.makeProbe(sentAsOf)})
+	response, err := client.Call(ctx, Request{Probe: p.makeProbe(sentCountsAsOf)})
 	if err != nil || response.NodeState == nil {
 		slog.Debug("probe failed", "peer", member, "error", err)
 		return
@@ -170,7 +170,8 @@
 	return members
 }
 
-// AnyReachesStateService reports whether the state service has answered at least one peer within ContactTimeout.
+// AnyReachesStateService reports whether at least one peer that has responded within ContactTimeout reported that it had
+// reached the state service within ContactTimeout.
 func (p *Peers) AnyReachesStateService() bool {
 	reaches := false
 	p.forEachLastResponse(func(last *lastResponse) {
--- a/internal/replica/keys.go
+++ b/internal/replica/keys.go
@@ -23,10 +23,10 @@
 // machines, and a leader that finds them there must know which team's limit they count against.
 type Job struct {
 	Spec        *wire.Job     `json:"job,omitempty"`
-	SubmittedAt micros.Micros `json:"at"` // time of day
+	SubmittedAt micros.Micros `json:"at"` // wall-clock time
 	State       string        `json:"state"`
 	Reason      string        `json:"why,omitempty"` // why the job ended
-	EndedAt     micros.Micros `json:"end,omitempty"` // time of day
+	EndedAt     micros.Micros `json:"end,omitempty"` // wall-clock time
 }
 
 // IsFinal reports whether the job is done or cancelled, after which its state never changes.
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -102,7 +102,8 @@
 	return stored.modRevision, nil
 }
 
-// ModRevision returns the mod revision in the replica of any key, also of a job's, or 0 if there is no such key.
+// ModRevision returns the mod revision that a key has in the replica, or 0 if there is no such key. Unlike Get, it also
+// finds the keys of jobs.
 func (r *Replica) ModRevision(key string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -21,8 +21,9 @@
 )
 
 // SetLowLatency sets whether the replica watches with the shorter pauses, to have changes early. Only the leader and a
-// node that expects to lead need this, as polls are answered after a barrier. When all five nodes did it on a day of
-// many small jobs, their watches used most of the state service's rate limit, and polls and submissions were rejected.
+// node that expects to lead need this, as users' requests for the state of a job wait for a barrier. When all five nodes
+// did it on a day of many small jobs, their watches used most of the state service's rate limit, and such requests and
+// submissions were rejected.
 func (r *Replica) SetLowLatency(enabled bool) { r.lowLatency.Store(enabled) }
 
 // Run loads the replica and applies changes to it until ctx ends.
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -52,13 +52,13 @@
 	f.latestPosition, f.caughtUpAt = 0, 0
 }
 
-// ApplyPage applies a page that answers a query sent at the instant sent. For a page that it rejects, it returns
-// an error that wraps ErrMalformed, ErrVersion, ErrTerm or ErrGap. A rejected page is not applied, but may make the
-// follower discard its view and fetch a new snapshot.
-func (f *Follower) ApplyPage(page *Page, sent micros.Micros) error {
+// ApplyPage applies a page that answers a query sent at sentAt. For a page that it rejects, it returns an error that
+// wraps ErrMalformed, ErrVersion, ErrTerm or ErrGap. A rejected page is not applied, but may make the follower discard
+// its view and fetch a new snapshot.
+func (f *Follower) ApplyPage(page *Page, sentAt micros.Micros) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	err := f.applyPage(page, sent)
+	err := f.applyPage(page, sentAt)
 	if err != nil {
 		f.countRejected(err)
 		return err
@@ -68,7 +68,7 @@
 }
 
 // applyPage implements ApplyPage. The caller must hold mu.
-func (f *Follower) applyPage(page *Page, sent micros.Micros) error {
+func (f *Follower) applyPage(page *Page, sentAt micros.Micros) error {
 	if err := f.check(page); err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 	}
 	f.latestPosition = max(f.latestPosition, page.LatestPosition)
 	if f.view.Position >= page.LatestPosition && f.snapshot == nil {
-		f.caughtUpAt = max(f.caughtUpAt, sent)
+		f.caughtUpAt = max(f.caughtUpAt, sentAt)
 	}
 	return nil
 }
--- a/internal/standby/messages.go
+++ b/internal/standby/messages.go
@@ -5,7 +5,7 @@
 // Version is the version of the messages below. A node sends and answers queries only in its own version.
 const Version = 1
 
-// Bounds of one message, which stay well within the size that a stream between nodes carries.
+// Bounds of one message, which keep it well below the maximum size of a message between nodes.
 const (
 	maxPageEntries = 4000 // entries, or machines in a page of a snapshot
 	maxPageTasks   = 5000 // tasks of the machines in a page of a snapshot
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -307,7 +307,8 @@
 		t.Errorf("most up-to-date follower %q, want host-2", f.Member)
 	}
 	if p.HasApplied("host-2", 9) || !p.HasApplied("host-2", 8) || p.HasApplied("host-3", 0) || p.HasApplied("host-4", 0) {
-		t.Error("HasApplied() is wrong for host-2 at position 8 or 9, or for a follower without a complete view")
+		t.Errorf("HasApplied() = %v for host-2 at position 9, %v at 8, %v for host-3, which fetches a snapshot, %v for host-4, which is unknown; want true only at 8",
+			p.HasApplied("host-2", 9), p.HasApplied("host-2", 8), p.HasApplied("host-3", 0), p.HasApplied("host-4", 0))
 	}
 	if f := p.MostUpToDateFollower(0); f.Member != "" {
 		t.Errorf("most up-to-date follower %q, want none: no query was sent within the duration", f.Member)
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -24,7 +24,8 @@
 	ErrUnavailable = fmt.Errorf("%w: service unavailable", ErrNotExecuted)
 	// ErrRateLimited means that the service has received too many requests or operations.
 	ErrRateLimited = fmt.Errorf("%w: rate limit exceeded", ErrNotExecuted)
-	// ErrRejected means that the service will never execute the request unless it is made smaller.
+	// ErrRejected means that the service rejected the request as invalid, such as one that is too large. Repeating it
+	// unchanged does not help.
 	ErrRejected = fmt.Errorf("%w: request rejected", ErrNotExecuted)
 )
 
--- a/internal/statestore/limits_test.go
+++ b/internal/statestore/limits_test.go
@@ -14,8 +14,8 @@
 // TestRateAndSizeLimits checks how many requests and operations a client sends in ten seconds when it always has more
 // to send, and which values it accepts. Where the service's limits will change, the smaller ones apply.
 func TestRateAndSizeLimits(t *testing.T) {
-	half, ops, kb := 50.0, 2, 2.0
-	upcoming := settings.UpcomingLimits{RPS: &half, WriteRPS: &half, TxnOps: &ops, ValueKB: &kb}
+	lowerRate, ops, kb := 50.0, 2, 2.0
+	upcoming := settings.UpcomingLimits{RPS: &lowerRate, WriteRPS: &lowerRate, TxnOps: &ops, ValueKB: &kb}
 	cases := []struct {
 		name                          string
 		limits                        settings.State
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -24,14 +24,14 @@
 // RetryAfter is how long users should wait before they repeat a request that failed because the service was unavailable.
 const RetryAfter = micros.Second
 
-// Client sends requests to the state service, within this node's share of its rate limits. It
-// is safe for concurrent use.
+// Client sends requests to the state service, within this node's share of its rate limits. It is safe for concurrent
+// use.
 type Client struct {
 	baseURL        string
 	http           *http.Client
 	limits         limits
-	lastResponseAt atomic.Int64 // micros.Micros; when the service last responded, unless that it is unavailable
-	lastFailureAt  atomic.Int64 // micros.Micros; when a request last got no response, or that the service is unavailable
+	lastResponseAt atomic.Int64 // micros.Micros; when the service last responded with a status other than 503
+	lastFailureAt  atomic.Int64 // micros.Micros; when a request last got no response, or the status 503
 }
 
 // New returns a client that sends requests with transport to the service at addr, a host and port.
@@ -43,14 +43,13 @@
 	}
 }
 
-// SinceLastResponse returns the time since the service's last response, not counting responses that the service is
-// unavailable.
+// SinceLastResponse returns the time since the service's last response with a status other than 503 (Service
+// Unavailable).
 func (c *Client) SinceLastResponse() micros.Micros {
 	return micros.Now() - micros.Micros(c.lastResponseAt.Load())
 }
 
-// IsUnreachable reports whether the last request to end got no response, or the response that the service is
-// unavailable.
+// IsUnreachable reports whether the request that ended last got no response, or the status 503 (Service Unavailable).
 func (c *Client) IsUnreachable() bool { return c.lastFailureAt.Load() > c.lastResponseAt.Load() }
 
 // request is a request to the service.
--- a/internal/zone/helpers_test.go
+++ b/internal/zone/helpers_test.go
@@ -23,7 +23,8 @@
 	noMachines    = Evidence{}
 )
 
-// observe passes evidence of zones a and b to a policy a number of times, advancing now by afterS seconds before each.
+// observe passes the same evidence of zones a and b to a policy repeatedly, and advances now by afterS seconds before each
+// observation.
 func observe(p *LifecyclePolicy, now *micros.Micros, afterS float64, times int, a, b Evidence) {
 	for range times {
 		*now += micros.FromSeconds(afterS)
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -122,15 +122,15 @@
 		return z
 	}
 	stepTime := now - z.since
-	tried, arrived := e.StartsSent > z.countersAtStart.startsSent, e.StartsSeen > z.countersAtStart.startsSeen
+	anySent, anySeen := e.StartsSent > z.countersAtStart.startsSent, e.StartsSeen > z.countersAtStart.startsSeen
 	switch {
 	case z.isConfirmed(c, now):
 		return z.enterFullDisruption(c, e, now)
 	case float64(e.Relapses-z.countersAtStart.relapses) > c.MaxRelapseShare*float64(e.Running):
 		return z.undoStep(c, ReasonRelapse, e, now)
-	case tried && !arrived && stepTime >= max(failedStepFactor*c.MinStepTime, failedStepHeartbeats*c.HeartbeatInterval):
+	case anySent && !anySeen && stepTime >= max(failedStepFactor*c.MinStepTime, failedStepHeartbeats*c.HeartbeatInterval):
 		return z.undoStep(c, ReasonStartsFailed, e, now)
-	case stepTime < c.MinStepTime || tried && !arrived || !tried && stepTime < stepWithoutStartsFactor*c.MinStepTime:
+	case stepTime < c.MinStepTime || anySent && !anySeen || !anySent && stepTime < stepWithoutStartsFactor*c.MinStepTime:
 		return z
 	case z.step+1 < len(c.OpenShares):
 		return z.enterStep(z.step+1, ReasonStepSucceeded, e, now)
--- a/internal/zone/record.go
+++ b/internal/zone/record.go
@@ -6,7 +6,7 @@
 const RecordVersion = 1
 
 // Record is the stored state from which the next leader continues, so that a failover does not restart an evacuation or
-// a reopening. No proof depends on it: without a record, the next leader derives all states anew.
+// a reopening. No proof depends on it: without a record, the next leader determines all states from its own observations.
 type Record struct {
 	Version int                     `json:"version"`
 	Zones   map[string]RecordedZone `json:"zones"`
@@ -98,7 +98,7 @@
 		z.holdDownUntil = now + min(max(0, s.HoldDownUntil-wall), c.MaxHoldDown)
 	}
 	if s.State == Reopening {
-		z.since = now // the starts of the step are counted anew
+		z.since = now // the starts of the step are counted from 0 again
 	}
 	return z, true
 }
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -24,7 +24,7 @@
 	Normal            State = iota // "healthy": all of the zone's capacity is used
 	PartialDisruption              // "suspected": many machines are late; capacity in other zones is launched ahead
 	FullDisruption                 // "lost": the zone's jobs move to other zones
-	HeldDown                       // "held down": heartbeats arrive again, and must for a while before the zone is used
+	HeldDown                       // "held down": heartbeats arrive again, and must keep arriving for a while before the zone is used
 	Reopening                      // "returning": the zone's capacity opens in steps
 )
 
@@ -69,8 +69,8 @@
 	LostResponses int `json:"deaf"`     // heartbeats arrive, but responses do not reach the machine
 	Unlisted      int `json:"vanished"` // late, and no longer in the cloud's list
 	Quarantined   int `json:"failing"`  // considered faulty themselves; no sign of a zone disruption
-	// Recovered counts the machines from which two heartbeats have arrived since the disruption. The second one was
-	// made after the disruption, by a worker that had this term's token.
+	// Recovered counts the machines from which two heartbeats have arrived since the disruption. The second one is
+	// certain to have been created after the disruption, by a worker that had this term's token.
 	Recovered int `json:"back"`
 	// The following counters only grow during a term.
 	Relapses   int `json:"relapses"` // machines that had recovered and fell silent again
--- a/jobs.go
+++ b/jobs.go
@@ -53,7 +53,7 @@
 	if e, err := v.explainAsLeader(id); err == nil {
 		return e, nil
 	}
-	response, err := v.leader.ask(ctx, peer.Request{ExplainJob: id})
+	response, err := v.leader.call(ctx, peer.Request{ExplainJob: id})
 	if err == nil && response.Explanation == nil {
 		err = errNoExplanation
 	}
--- a/leadership.go
+++ b/leadership.go
@@ -96,8 +96,8 @@
 	return client, nil
 }
 
-// ask sends a request to the leader and returns the response.
-func (c leaderClient) ask(ctx context.Context, q peer.Request) (peer.Response, error) {
+// call sends a request to the leader and returns the response.
+func (c leaderClient) call(ctx context.Context, q peer.Request) (peer.Response, error) {
 	client, err := c.client()
 	if err != nil {
 		return peer.Response{}, err
--- a/zones.go
+++ b/zones.go
@@ -28,7 +28,7 @@
 	if v.leadership.localLeader() != nil {
 		return v.statusAsLeader()
 	}
-	response, err := v.leader.ask(ctx, peer.Request{WantZones: true})
+	response, err := v.leader.call(ctx, peer.Request{WantZones: true})
 	switch {
 	case err != nil:
 		return nil, err
