--- a/internal/replica/watch.go
+++ b/internal/replica/watch.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/wire"
 )
 
-// Times of watches. The pauses between two requests keep a busy day from using up the rate limit of the state service,
-// which all nodes share.
+// The maximum duration of a watch, and the pauses between two watches. The pauses keep the requests within the rate limit
+// of the state service, which all nodes share, even while values change all the time.
 const (
 	watchWait          = 10 * micros.Second       // the longest time that the service may hold a watch without a change
 	leaderWatchPause   = 100 * micros.Millisecond // with low latency, for the leader, which starts newly submitted jobs
@@ -21,8 +21,9 @@
 )
 
 // SetLowLatency sets whether the replica watches with the shorter pauses, to have changes early. Only the leader and a
-// node that expects to lead need this, as polls are answered after a barrier. When all five nodes did it on a day of
-// many small jobs, their watches used most of the state service's rate limit, and polls and submissions were rejected.
+// node that expects to lead need this, as users' requests for the state of a job wait for a barrier. When all five nodes
+// did it on a day of many small jobs, their watches used most of the state service's rate limit, and such requests and
+// submissions were rejected.
 func (r *Replica) SetLowLatency(enabled bool) { r.lowLatency.Store(enabled) }
 
 // Run loads the replica and applies changes to it until ctx ends.
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -84,7 +84,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.view.Position != p.view.Position || !reflect.DeepEqual(f.view.Machines, p.view.Machines) || !reflect.DeepEqual(f.view.Estimates, p.view.Estimates) {
-		t.Errorf("follower's view at position %d has machines %+v, want position %d, machines %+v", f.view.Position, f.view.Machines, p.view.Position, p.view.Machines)
+		t.Errorf("follower's view at position %d has machines %+v, estimates %v; want position %d, machines %+v, estimates %v",
+			f.view.Position, f.view.Machines, f.view.Estimates, p.view.Position, p.view.Machines, p.view.Estimates)
 	}
 }
 
@@ -306,7 +307,8 @@
 		t.Errorf("most up-to-date follower %q, want host-2", f.Member)
 	}
 	if p.HasApplied("host-2", 9) || !p.HasApplied("host-2", 8) || p.HasApplied("host-3", 0) || p.HasApplied("host-4", 0) {
-		t.Error("HasApplied() is wrong for host-2 at position 8 or 9, or for a follower without a complete view")
+		t.Errorf("HasApplied() = %v for host-2 at position 9, %v at 8, %v for host-3, which fetches a snapshot, %v for host-4, which is unknown; want true only at 8",
+			p.HasApplied("host-2", 9), p.HasApplied("host-2", 8), p.HasApplied("host-3", 0), p.HasApplied("host-4", 0))
 	}
 	if f := p.MostUpToDateFollower(0); f.Member != "" {
 		t.Errorf("most up-to-date follower %q, want none: no query was sent within the duration", f.Member)
