--- a/cmd/caperlatch/golden_test.go
+++ b/cmd/caperlatch/golden_test.go
@@ -156,7 +156,7 @@
 			}
 		}
 		if err != nil {
-			t.Error(err)
+			t.Errorf("%v: read request body: %v", c.args, err)
 		}
 		w.WriteHeader(cmp.Or(c.status, http.StatusOK))
 		if c.body == nil {
@@ -164,7 +164,7 @@
 		}
 		encoded, err := wire.Marshal(c.body)
 		if _, writeErr := w.Write(encoded); err != nil || writeErr != nil {
-			t.Error(err, writeErr)
+			t.Errorf("%v: send response: encoding error %v, write error %v", c.args, err, writeErr)
 		}
 	}))
 	defer server.Close()
--- a/cmd/caperlatch/helpers_test.go
+++ b/cmd/caperlatch/helpers_test.go
@@ -22,11 +22,11 @@
 	root.SetArgs(args)
 	err := root.Execute()
 	if (err != nil) != (wantError != "") || err != nil && !strings.Contains(err.Error(), wantError) {
-		t.Errorf("got error %v, want %q", err, wantError)
+		t.Errorf("%v: got error %v, want %q", args, err, wantError)
 	}
 	for _, want := range wantOutput {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("want output that contains %q, got\n%s", want, out.String())
+			t.Errorf("%v: want output that contains %q, got\n%s", args, want, out.String())
 		}
 	}
 }
@@ -39,7 +39,7 @@
 		b, err := wire.Marshal(body)
 		w.WriteHeader(code)
 		if _, writeErr := w.Write(b); err != nil || writeErr != nil {
-			t.Error(err, writeErr)
+			t.Errorf("%s: send response: encoding error %v, write error %v", pattern, err, writeErr)
 		}
 	})
 	server := httptest.NewServer(mux)
--- a/cmd/caperlatch/job_client_test.go
+++ b/cmd/caperlatch/job_client_test.go
@@ -30,7 +30,7 @@
 			})
 			checkCommandOutput(t, c.wantOutput, c.wantError, "submit", "--node", node, "../../deploy/job.example.json")
 			if requests != c.requests {
-				t.Errorf("got %d requests, want %d", requests, c.requests)
+				t.Errorf("the client sent %d requests, want %d", requests, c.requests)
 			}
 		})
 	}
--- a/cmd/caperlatch/lab_test.go
+++ b/cmd/caperlatch/lab_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// readLabNodes reads the output of the lab and returns the address of the first node and the process ids of all nodes.
+// readLabNodes reads the output of the lab and returns the address of the first node and the process IDs of all nodes.
 func readLabNodes(t *testing.T, lines *bufio.Scanner) (address string, pids []int) {
 	t.Helper()
 	for lines.Scan() {
@@ -155,7 +155,7 @@
 		}
 	}
 	if len(pids) != defaultLabNodes {
-		t.Fatalf("the lab printed %d processes, want one for each node", len(pids))
+		t.Fatalf("the lab printed %d process IDs, want one for each of its nodes", len(pids))
 	}
 	return address, pids
 }
--- a/cmd/caperlatch/versions.go
+++ b/cmd/caperlatch/versions.go
@@ -15,7 +15,7 @@
 // nodeVersions holds the readiness of a node and the protocol versions of all nodes, as that node knows them.
 type nodeVersions struct {
 	isReady  bool
-	versions peer.Versions // Member is empty if the node has version 0, as it reports no versions
+	versions peer.Versions // Member is empty for a node of version 0, which does not report versions
 }
 
 // versionsCommand returns the command that prints the protocol version of each node, as a node knows them.
--- a/docs_check_test.go
+++ b/docs_check_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestDocsCheck checks that names and log lines quoted on a page are reported if the source lacks them, and only then.
+// TestStaleNamesAndUnknownLogLines checks that names and log lines quoted on a page are reported if the source lacks them, and only then.
 // The source is that of a small example package.
-func TestDocsCheck(t *testing.T) {
+func TestStaleNamesAndUnknownLogLines(t *testing.T) {
 	index := newSourceIndex()
 	file, err := parser.ParseFile(token.NewFileSet(), "", `package fleet
 
--- a/docs_imports_test.go
+++ b/docs_imports_test.go
@@ -15,7 +15,7 @@
 type importRule struct {
 	allButListed       bool     // all packages except the listed ones are allowed; otherwise only the listed ones
 	listed             []string // packages, each including its subpackages
-	isLeaderSubpackage bool     // the rule is of a subpackage of internal/leader, and lists only such subpackages
+	isLeaderSubpackage bool     // the rule is that of a subpackage of internal/leader, and applies only to imports from internal/leader
 }
 
 // A row of the two tables of packages (columns: packages, what they own, what they may import), and a package in it.
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -36,8 +36,8 @@
 	ForwardHeartbeat(ctx context.Context, heartbeat wire.RawMessage) (wire.RawMessage, error)
 	// AwaitHandover blocks while leadership is being handed over, for a short and bounded time.
 	AwaitHandover(ctx context.Context)
-	// ExpectsSuccessor reports whether a leader that does not respond now should have a successor soon. Heartbeats
-	// are then held for the successor.
+	// ExpectsSuccessor reports whether, if the leader does not respond, another node is expected to lead soon.
+	// ForwardHeartbeat then waits for that node.
 	ExpectsSuccessor() bool
 }
 
--- a/internal/api/request_limit.go
+++ b/internal/api/request_limit.go
@@ -21,7 +21,7 @@
 }
 
 // limitRequests returns middleware that rejects requests beyond the limiter's current limit with status 429. It is
-// used for users' requests, not for heartbeats or health checks.
+// used for requests about jobs, not for heartbeats, health checks or other requests of operators.
 func limitRequests(limiter adaptivelimiter.AdaptiveLimiter[any]) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
--- a/internal/api/standby.go
+++ b/internal/api/standby.go
@@ -23,9 +23,10 @@
 	// StandbyStatus returns the state of the warm standby according to this node. The error is ErrStandbyDisabled if
 	// the warm standby is disabled.
 	StandbyStatus() (StandbyStatus, error)
-	// HandOverAndConfirm hands leadership over from this node, if it leads, to a member that this node chooses, and
-	// returns that member once it leads. The error is ErrStandbyDisabled if the warm standby is disabled, and a
-	// *HandoverError if a member other than the chosen one leads next or if no member leads within a time-out.
+	// HandOverAndConfirm hands leadership over from this node to a member that this node chooses, and returns that
+	// member once the member leads. It fails while this node does not lead. The error is ErrStandbyDisabled if the
+	// warm standby is disabled, and a *HandoverError if a member other than the chosen one leads next or if no
+	// member leads within a time-out.
 	HandOverAndConfirm(ctx context.Context) (to string, err error)
 }
 
--- a/internal/api/standby_test.go
+++ b/internal/api/standby_test.go
@@ -29,7 +29,7 @@
 			}
 			r.RemoteAddr = tc.from
 			if got := isFromSameMachine(r); got != tc.want {
-				t.Errorf("got %v, want %v", got, tc.want)
+				t.Errorf("request from %s to %s: counts as from the same machine: %t, want %t", tc.from, tc.local, got, tc.want)
 			}
 		})
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -117,15 +117,15 @@
 	for _, v := range []reflect.Value{reflect.New(typ.goType).Elem(), Filled(typ.goType)} {
 		encoded, err := codec.Encode(v.Interface())
 		if err != nil {
-			t.Fatalf("%s: %v", typ.name, err)
+			t.Fatalf("%s: encode as CBOR: %v", typ.name, err)
 		}
 		diagnosis, err := cbor.Diagnose(encoded)
 		if err != nil {
-			t.Fatalf("%s: %v", typ.name, err)
+			t.Fatalf("%s: format CBOR encoding: %v", typ.name, err)
 		}
 		asJSON, err := json.Marshal(v.Interface())
 		if err != nil {
-			t.Fatalf("%s: %v", typ.name, err)
+			t.Fatalf("%s: encode as JSON: %v", typ.name, err)
 		}
 		fmt.Fprintf(&b, "cbor %x\nsays %s\njson %s\n", encoded, diagnosis, asJSON)
 		typ.checkDecoded(t, codec, encoded, v)
@@ -139,7 +139,7 @@
 	t.Helper()
 	decoded := reflect.New(typ.goType)
 	if err := codec.Decode(encoded, decoded.Interface()); err != nil {
-		t.Errorf("%s: %v", typ.name, err)
+		t.Errorf("%s: decode CBOR encoding: %v", typ.name, err)
 		return
 	}
 	again, err := codec.Encode(decoded.Elem().Interface())
@@ -215,8 +215,8 @@
 	}
 }
 
-// FormatValues lists all values in v, recursively, one per line and in the order of the fields. It is used for values
-// that have no encoding with names, and omits Go names.
+// FormatValues lists all values in v, recursively, one per line and in the order of the fields. It is used for types
+// without struct tags. It omits the names of fields, because these are Go names and may change.
 func FormatValues(v any) string {
 	var b strings.Builder
 	listValues(&b, reflect.ValueOf(v))
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -57,7 +57,7 @@
 	fifth := uint64(7)
 	want := flat{First: "s1", Second: 2.5, Third: []int{3, 4}, Fourth: map[string]bool{"s5": true}, Fifth: &fifth, Sixth: [2]int8{8, 9}}
 	if got := Filled(reflect.TypeFor[flat]()).Interface(); !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v, want %+v", got, want)
+		t.Errorf("Filled returned %+v, want %+v", got, want)
 	}
 	_ = outer{}.private
 }
@@ -65,6 +65,6 @@
 // TestFormatValues checks that values are listed without Go names, and those of an embedded struct in its place.
 func TestFormatValues(t *testing.T) {
 	if got, want := FormatValues(split{"x", within{2.5, []int{3, 4}}}), "\"x\"\n2.5\n2 elements\n3\n4"; got != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("FormatValues returned %q, want %q", got, want)
 	}
 }
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -22,8 +22,8 @@
 	benchTasks = 100 // per job
 )
 
-// benchEach runs a benchmark for each fleet size.
-func benchEach(b *testing.B, run func(b *testing.B, machines int)) {
+// forEachBenchFleet runs a benchmark for each fleet size.
+func forEachBenchFleet(b *testing.B, run func(b *testing.B, machines int)) {
 	for _, machines := range benchFleets {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) { run(b, machines) })
 	}
@@ -54,7 +54,7 @@
 	for i := range machines / 50 {
 		intent := fleet.LaunchIntent{Type: "m16", Zone: []string{"a", "b"}[i%2], Spot: true, Count: 50, Answered: true, At: micros.WallTime() - 100*micros.Second}
 		for k := range 50 {
-			intent.Machines = append(intent.Machines, benchMachine(i*50+k))
+			intent.Machines = append(intent.Machines, benchMachineID(i*50+k))
 		}
 		r.ApplyPut(replica.LaunchIntentPrefix+fmt.Sprintf("r-1-%d", i), intent, uint64(i+5000))
 		r.ApplyPut(fleet.ListKey(i), fleet.MachineList{Entries: intent.Machines}, uint64(i+6000))
@@ -62,8 +62,8 @@
 	return r
 }
 
-// benchMachine returns the ID of the machine with the given index.
-func benchMachine(i int) string { return fmt.Sprintf("i-%06d", i) }
+// benchMachineID returns the ID of the machine with the given index.
+func benchMachineID(i int) string { return fmt.Sprintf("i-%06d", i) }
 
 // newBenchLeader returns a leader that has just restored the stored state after a failover.
 func newBenchLeader(b *testing.B, r *replica.Replica) *Leader {
@@ -87,7 +87,7 @@
 	heartbeats := map[string]*wire.Heartbeat{}
 	for round := range 3 {
 		for i := range machines {
-			id := benchMachine(i)
+			id := benchMachineID(i)
 			h := heartbeats[id]
 			if h == nil {
 				h = &wire.Heartbeat{MachineID: id, InstanceType: "m16", Zone: []string{"a", "b"}[i/50%2], Spot: true, Incarnation: 1, FencingToken: testToken}
@@ -119,7 +119,7 @@
 
 // BenchmarkFailover measures restoring a leader's state from the stored state.
 func BenchmarkFailover(b *testing.B) {
-	benchEach(b, func(b *testing.B, machines int) {
+	forEachBenchFleet(b, func(b *testing.B, machines int) {
 		r := benchReplica(machines)
 		b.ReportAllocs()
 		for b.Loop() {
@@ -130,7 +130,7 @@
 
 // BenchmarkHeartbeat measures handling a heartbeat of a machine with tasks, without planning.
 func BenchmarkHeartbeat(b *testing.B) {
-	benchEach(b, func(b *testing.B, machines int) {
+	forEachBenchFleet(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
 		heartbeats := fillMachines(b, l, machines)
 		i := 0
@@ -138,7 +138,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			l.scheduler.PlannedAt = micros.Now() + micros.Second
-			benchHeartbeat(b, l, heartbeats[benchMachine(i%machines)])
+			benchHeartbeat(b, l, heartbeats[benchMachineID(i%machines)])
 			i++
 		}
 	})
@@ -146,7 +146,7 @@
 
 // BenchmarkPlan measures planning while all machines are full except every twentieth, which is empty.
 func BenchmarkPlan(b *testing.B) {
-	benchEach(b, func(b *testing.B, machines int) {
+	forEachBenchFleet(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
 		fillMachines(b, l, machines)
 		n := 0
@@ -165,7 +165,7 @@
 
 // BenchmarkMachineSupervision measures one check of all machines.
 func BenchmarkMachineSupervision(b *testing.B) {
-	benchEach(b, func(b *testing.B, machines int) {
+	forEachBenchFleet(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
 		fillMachines(b, l, machines)
 		b.ResetTimer()
@@ -178,7 +178,7 @@
 
 // BenchmarkAutoscale measures one run of the autoscaler without launches and terminations.
 func BenchmarkAutoscale(b *testing.B) {
-	benchEach(b, func(b *testing.B, machines int) {
+	forEachBenchFleet(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
 		fillMachines(b, l, machines)
 		l.Term.(*fakeTerm).exclusive = false // no launches
@@ -193,7 +193,7 @@
 
 // BenchmarkTaskCounts measures reading the task counts of all jobs.
 func BenchmarkTaskCounts(b *testing.B) {
-	benchEach(b, func(b *testing.B, machines int) {
+	forEachBenchFleet(b, func(b *testing.B, machines int) {
 		l := newBenchLeader(b, benchReplica(machines))
 		fillMachines(b, l, machines)
 		b.ResetTimer()
--- a/internal/leader/boots_test.go
+++ b/internal/leader/boots_test.go
@@ -18,7 +18,7 @@
 		name                string
 		running             int           // running machines among ten that were launched together
 		age                 micros.Micros // time since the launch of the ten
-		cameUp, failed      int           // earlier late boots, by outcome
+		booted, failed      int           // earlier machines that were late, by the outcome of their boot
 		newer               int           // machines launched 20 s later, all running, or all late if negative
 		overdue, terminated bool
 	}{
@@ -39,7 +39,7 @@
 			l.fleet.Remove(l.fleet.Machines["i-1"])
 			now := l.startedAt + 1000*s
 			l.fleet.AddIntent("r-5", fleet.LaunchIntent{Type: "m4", Zone: "a", Answered: true})
-			for range c.cameUp {
+			for range c.booted {
 				late := l.fleet.Add("i-099", l.fleet.Intent("r-5"), now)
 				late.Instance.LaunchedAt = now - 100*s
 				l.fleet.RecordBoot(late, now)
@@ -70,10 +70,10 @@
 				t.Errorf("%d machines replaced to test whether others boot sooner, want one: %v", sample, want)
 			}
 			if got := l.fleet.IsOverdue(m, now); got != c.overdue {
-				t.Errorf("overdue: %v, want %v", got, c.overdue)
+				t.Errorf("%s overdue: %v, want %v", m.ID, got, c.overdue)
 			}
 			if m.Instance.Terminating != c.terminated {
-				t.Errorf("terminated: %v, want %v", m.Instance.Terminating, c.terminated)
+				t.Errorf("%s terminated: %v, want %v", m.ID, m.Instance.Terminating, c.terminated)
 			}
 		})
 	}
--- a/internal/leader/gang_assignment_test.go
+++ b/internal/leader/gang_assignment_test.go
@@ -64,13 +64,13 @@
 	}{
 		{"the gang waits, so the task is replaced in its zone", wire.TaskWaitingForGang, func(*testing.T, *Leader) {}, 1, true},
 		{"the gang runs, and its other tasks are still on their machines", wire.TaskRunning, func(*testing.T, *Leader) {}, 0, true},
-		{"the gang runs, and one task is still on its machine", wire.TaskRunning, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1", here.exited(wire.ExitStopped)) }, 0, true},
+		{"the gang runs, and one task is still on its machine", wire.TaskRunning, func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-1", taskOnSender.exited(wire.ExitStopped)) }, 0, true},
 		{"the gang runs, and one task is still on a machine whose termination was requested", wire.TaskRunning, func(t *testing.T, l *Leader) {
-			gangHeartbeat(t, l, "i-1", here.exited(wire.ExitGangTaskLost))
+			gangHeartbeat(t, l, "i-1", taskOnSender.exited(wire.ExitGangTaskLost))
 			l.fleet.Terminate(l.fleet.Machines["i-3"], "test")
 		}, 0, true},
 		{"the gang ran, and all its tasks have left", wire.TaskRunning, func(t *testing.T, l *Leader) {
-			gangHeartbeat(t, l, "i-1", here.exited(wire.ExitGangTaskLost))
+			gangHeartbeat(t, l, "i-1", taskOnSender.exited(wire.ExitGangTaskLost))
 			l.fleet.Remove(l.fleet.Machines["i-3"])
 		}, 3, false},
 	}
--- a/internal/leader/gang_attempt_test.go
+++ b/internal/leader/gang_attempt_test.go
@@ -21,7 +21,7 @@
 		{"i-3", nil, []string{"start"}},
 	}
 	started := append(slices.Clone(launched),
-		step{"i-1", gangStatuses{here.running()}, nil}, step{"i-2", gangStatuses{here.running()}, nil}, step{"i-3", gangStatuses{here.running()}, nil})
+		step{"i-1", gangStatuses{taskOnSender.running()}, nil}, step{"i-2", gangStatuses{taskOnSender.running()}, nil}, step{"i-3", gangStatuses{taskOnSender.running()}, nil})
 	for _, c := range []struct {
 		name        string
 		earlierTerm bool // an earlier term may have started tasks of the gang
@@ -33,27 +33,27 @@
 		{"a start is lost and sent again under the same number", false, append(slices.Clone(launched),
 			step{"i-2", nil, []string{"start"}}), 1, false},
 		{"a waiting task that exits is replaced under the same number", false, append(slices.Clone(launched),
-			step{"i-1", gangStatuses{here.waiting()}, nil},
-			step{"i-2", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear", "start"}}), 1, false},
+			step{"i-1", gangStatuses{taskOnSender.waiting()}, nil},
+			step{"i-2", gangStatuses{taskOnSender.exited(wire.ExitStopped)}, []string{"clear", "start"}}), 1, false},
 		{"a waiting task that failed is not replaced at once on that machine", false, append(slices.Clone(launched),
-			step{"i-1", gangStatuses{here.waiting()}, nil},
-			step{"i-2", gangStatuses{here.exited(wire.ExitError)}, []string{"clear"}}), 1, false},
+			step{"i-1", gangStatuses{taskOnSender.waiting()}, nil},
+			step{"i-2", gangStatuses{taskOnSender.exited(wire.ExitError)}, []string{"clear"}}), 1, false},
 		{"a running gang that loses a task ends", false, append(slices.Clone(started),
 			step{"i-2", nil, nil},
-			step{"i-1", gangStatuses{here.running()}, []string{"stop"}},
-			step{"i-3", gangStatuses{here.running()}, []string{"stop"}}), 1, false},
+			step{"i-1", gangStatuses{taskOnSender.running()}, []string{"stop"}},
+			step{"i-3", gangStatuses{taskOnSender.running()}, []string{"stop"}}), 1, false},
 		{"the next attempt begins once all tasks have left", false, append(slices.Clone(started),
-			step{"i-2", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
-			step{"i-1", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear"}},
+			step{"i-2", gangStatuses{taskOnSender.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
+			step{"i-1", gangStatuses{taskOnSender.exited(wire.ExitStopped)}, []string{"clear"}},
 			step{"i-2", nil, nil},
-			step{"i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear", "start"}}), 2, false},
+			step{"i-3", gangStatuses{taskOnSender.exited(wire.ExitGangTaskLost)}, []string{"clear", "start"}}), 2, false},
 		{"a task gives up waiting, and all stop", false, append(slices.Clone(launched),
-			step{"i-2", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
-			step{"i-1", gangStatuses{here.waiting()}, []string{"stop"}}), 1, false},
-		{"once a task is done, all are", false, append(slices.Clone(started), step{"i-2", gangStatuses{here.exited(wire.ExitDone)}, nil}), 1, true},
+			step{"i-2", gangStatuses{taskOnSender.exited(wire.ExitGangTimeout)}, []string{"clear"}},
+			step{"i-1", gangStatuses{taskOnSender.waiting()}, []string{"stop"}}), 1, false},
+		{"once a task is done, all are", false, append(slices.Clone(started), step{"i-2", gangStatuses{taskOnSender.exited(wire.ExitDone)}, nil}), 1, true},
 		{"unknown states and exit reasons have no other effect", false, append(slices.Clone(launched),
-			step{"i-1", gangStatuses{here.inState(unknownTaskState)}, nil},
-			step{"i-2", gangStatuses{here.exited(unknownExitReason)}, []string{"clear", "start"}}), 1, false},
+			step{"i-1", gangStatuses{taskOnSender.inState(unknownTaskState)}, nil},
+			step{"i-2", gangStatuses{taskOnSender.exited(unknownExitReason)}, []string{"clear", "start"}}), 1, false},
 		// The following cases are after a failover.
 		{"a waiting gang is adopted and completed under its number", true, []step{
 			{"i-1", gangStatuses{gangTask(0).waiting().ofAttempt(5)}, nil},
@@ -78,11 +78,11 @@
 		{"a result was lost with its machine, all start again, and one is done at once", true, []step{
 			{"i-1", nil, nil}, {"i-2", nil, nil}, {"i-3", nil, []string{"start"}},
 			{"i-1", nil, []string{"start"}}, {"i-2", nil, []string{"start"}},
-			{"i-1", gangStatuses{here.pulling()}, nil}, {"i-2", gangStatuses{here.exited(wire.ExitDone)}, nil}}, 1, true},
+			{"i-1", gangStatuses{taskOnSender.pulling()}, nil}, {"i-2", gangStatuses{taskOnSender.exited(wire.ExitDone)}, nil}}, 1, true},
 		{"a result was lost with its machine, and no task is done yet", true, []step{
 			{"i-1", nil, nil}, {"i-2", nil, nil}, {"i-3", nil, []string{"start"}},
 			{"i-1", nil, []string{"start"}}, {"i-2", nil, []string{"start"}},
-			{"i-1", gangStatuses{here.pulling()}, nil}, {"i-2", gangStatuses{here.waiting()}, nil}}, 1, false},
+			{"i-1", gangStatuses{taskOnSender.pulling()}, nil}, {"i-2", gangStatuses{taskOnSender.waiting()}, nil}}, 1, false},
 		{"a result that an earlier leader did not store completes all tasks", true, []step{{"i-2", gangStatuses{gangTask(1).exited(wire.ExitDone).ofAttempt(5)}, nil}}, 0, true},
 	} {
 		l := newGangTest(t, c.earlierTerm)
--- a/internal/leader/gang_heartbeat_test.go
+++ b/internal/leader/gang_heartbeat_test.go
@@ -19,10 +19,10 @@
 		tasks   gangStatuses
 		want    []string
 	}
-	// The task on the second machine leaves it, and a fourth machine is added.
+	// The task on machine i-2 is evicted and exits, and machine i-4 is added.
 	moved := []step{
-		{func(l *Leader) { evictGangTask(l, "i-2"); addSchedulable(l, "i-4", "a") }, "i-2", gangStatuses{here.waiting()}, []string{"stop"}},
-		{nil, "i-2", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear"}},
+		{func(l *Leader) { evictGangTask(l, "i-2"); addSchedulable(l, "i-4", "a") }, "i-2", gangStatuses{taskOnSender.waiting()}, []string{"stop"}},
+		{nil, "i-2", gangStatuses{taskOnSender.exited(wire.ExitStopped)}, []string{"clear"}},
 	}
 	replaced := append(slices.Clone(moved), step{nil, "i-4", nil, []string{"start"}})
 	cases := []struct {
@@ -32,17 +32,17 @@
 		steps       []step
 	}{
 		{"the exit of a replaced task is listed again", wire.TaskWaitingForGang, false, append(slices.Clone(replaced),
-			step{nil, "i-4", gangStatuses{here.running()}, nil},
-			step{nil, "i-1", gangStatuses{here.running()}, nil},
+			step{nil, "i-4", gangStatuses{taskOnSender.running()}, nil},
+			step{nil, "i-1", gangStatuses{taskOnSender.running()}, nil},
 			step{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitStopped)}, []string{"clear"}},
-			step{nil, "i-1", gangStatuses{here.running()}, nil})},
+			step{nil, "i-1", gangStatuses{taskOnSender.running()}, nil})},
 		{"the others run before the start of the replacement is sent", wire.TaskWaitingForGang, false, append(slices.Clone(moved),
-			step{nil, "i-1", gangStatuses{here.running()}, []string{"stop"}},
+			step{nil, "i-1", gangStatuses{taskOnSender.running()}, []string{"stop"}},
 			step{nil, "i-4", nil, nil})},
 		{"a task is evicted while all wait, and then another is listed as running", wire.TaskWaitingForGang, false, []step{
-			{func(l *Leader) { evictGangTask(l, "i-2") }, "i-1", gangStatuses{here.running()}, []string{"stop"}},
-			{nil, "i-3", gangStatuses{here.running()}, []string{"stop"}},
-			{nil, "i-2", gangStatuses{here.checkpointing()}, []string{"stop"}}}},
+			{func(l *Leader) { evictGangTask(l, "i-2") }, "i-1", gangStatuses{taskOnSender.running()}, []string{"stop"}},
+			{nil, "i-3", gangStatuses{taskOnSender.running()}, []string{"stop"}},
+			{nil, "i-2", gangStatuses{taskOnSender.checkpointing()}, []string{"stop"}}}},
 		{"a task of a lower attempt is stopped without the others", "", true, []step{
 			{nil, "i-1", gangStatuses{gangTask(0).running().ofAttempt(6)}, nil},
 			{nil, "i-3", gangStatuses{gangTask(2).waiting().ofAttempt(5)}, []string{"stop"}},
@@ -51,22 +51,22 @@
 			{func(l *Leader) { addSchedulable(l, "i-4", "a") }, "i-1", nil, []string{"start"}},
 			{nil, "i-2", nil, []string{"start"}},
 			{nil, "i-3", nil, []string{"start"}},
-			{nil, "i-1", gangStatuses{here.running()}, nil},
-			{nil, "i-3", gangStatuses{here.running()}, nil}}},
+			{nil, "i-1", gangStatuses{taskOnSender.running()}, nil},
+			{nil, "i-3", gangStatuses{taskOnSender.running()}, nil}}},
 		{"a start is executed after the others have given up waiting", wire.TaskWaitingForGang, false, append(slices.Clone(replaced),
-			step{nil, "i-1", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
-			step{nil, "i-3", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
-			step{nil, "i-4", gangStatuses{here.waiting()}, []string{"stop"}},
+			step{nil, "i-1", gangStatuses{taskOnSender.exited(wire.ExitGangTimeout)}, []string{"clear"}},
+			step{nil, "i-3", gangStatuses{taskOnSender.exited(wire.ExitGangTimeout)}, []string{"clear"}},
+			step{nil, "i-4", gangStatuses{taskOnSender.waiting()}, []string{"stop"}},
 			step{nil, "i-1", nil, nil},
 			step{nil, "i-3", nil, nil},
-			step{nil, "i-4", gangStatuses{here.exited(wire.ExitStopped)}, []string{"clear", "start"}})},
+			step{nil, "i-4", gangStatuses{taskOnSender.exited(wire.ExitStopped)}, []string{"clear", "start"}})},
 		{"a task exits because its gang lost a task, before any is listed as running", wire.TaskWaitingForGang, false, []step{
-			{nil, "i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
-			{nil, "i-1", gangStatuses{here.waiting()}, []string{"stop"}}}},
+			{nil, "i-3", gangStatuses{taskOnSender.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
+			{nil, "i-1", gangStatuses{taskOnSender.waiting()}, []string{"stop"}}}},
 		{"the gang loses a task, and one that still runs exits", wire.TaskRunning, false, []step{
-			{func(l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, "i-1", gangStatuses{here.running()}, []string{"stop"}},
-			{nil, "i-3", gangStatuses{here.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
-			{nil, "i-1", gangStatuses{here.running()}, []string{"stop"}},
+			{func(l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, "i-1", gangStatuses{taskOnSender.running()}, []string{"stop"}},
+			{nil, "i-3", gangStatuses{taskOnSender.exited(wire.ExitGangTaskLost)}, []string{"clear"}},
+			{nil, "i-1", gangStatuses{taskOnSender.running()}, []string{"stop"}},
 			{nil, "i-3", nil, nil}}},
 		// In the following cases, a new leader receives heartbeats that list tasks that have exited before those that
 		// list the remaining tasks.
@@ -106,7 +106,7 @@
 }
 
 // TestUnknownTaskStates checks that a heartbeat with a task state or exit reason that the protocol does not define is
-// logged once, and that the task counts as present on its machine or as exited.
+// logged once. A task in an unknown state counts as present on its machine, a task with an unknown exit reason as exited.
 func TestUnknownTaskStates(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -114,11 +114,11 @@
 		events  int
 		present bool
 	}{
-		{"known state", gangStatuses{here.waiting()}, 0, true},
-		{"unknown state", gangStatuses{here.inState(unknownTaskState)}, 1, true},
-		{"unknown exit reason", gangStatuses{here.exited(unknownExitReason)}, 1, false},
-		{"exit reason of gang tasks", gangStatuses{here.exited(wire.ExitGangTaskLost)}, 0, false},
-		{"unknown state with an unknown exit reason", gangStatuses{{index: here, state: unknownTaskState, exitReason: unknownExitReason}}, 1, true},
+		{"known state", gangStatuses{taskOnSender.waiting()}, 0, true},
+		{"unknown state", gangStatuses{taskOnSender.inState(unknownTaskState)}, 1, true},
+		{"unknown exit reason", gangStatuses{taskOnSender.exited(unknownExitReason)}, 1, false},
+		{"exit reason of gang tasks", gangStatuses{taskOnSender.exited(wire.ExitGangTaskLost)}, 0, false},
+		{"unknown state with an unknown exit reason", gangStatuses{{index: taskOnSender, state: unknownTaskState, exitReason: unknownExitReason}}, 1, true},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -45,11 +45,11 @@
 	return l
 }
 
-// gangTask is the index of a task of the gang, or the constant here.
+// gangTask is the index of a task of the gang, or the constant taskOnSender.
 type gangTask int
 
-// here stands for the task of the gang that the leader has on the machine that sends the heartbeat.
-const here gangTask = -1
+// taskOnSender stands for the task of the gang that the leader has on the machine that sends the heartbeat.
+const taskOnSender gangTask = -1
 
 // gangStatus is the status of a task of the gang in a heartbeat.
 type gangStatus struct {
@@ -85,7 +85,7 @@
 
 // onWire returns the status as the machine m sends it in a heartbeat.
 func (s gangStatus) onWire(j *state.Job, m *state.Machine) wire.TaskStatus {
-	if s.index == here {
+	if s.index == taskOnSender {
 		for index, a := range j.Attempts {
 			if a.Machine == m {
 				s.index = gangTask(index)
@@ -170,7 +170,7 @@
 	}
 	for _, id := range machines {
 		if state != "" {
-			gangHeartbeat(t, l, id, here.inState(state))
+			gangHeartbeat(t, l, id, taskOnSender.inState(state))
 		}
 	}
 	if len(l.jobs[gangID].Attempts) != len(machines) {
--- a/internal/leader/gang_loss_test.go
+++ b/internal/leader/gang_loss_test.go
@@ -55,12 +55,12 @@
 		{"a heartbeat of an earlier term", sends(func(h *wire.Heartbeat) { h.FencingToken = testToken - 1 }), false},
 		{"a heartbeat of a later incarnation and an earlier term", sends(func(h *wire.Heartbeat) { h.Incarnation, h.FencingToken = 2, testToken-1 }), true},
 		{"a heartbeat without the task", shows(), true},
-		{"a heartbeat with the task and another attempt that has exited", shows(gangTask(1).exited(wire.ExitStopped).ofAttempt(3), here.waiting()), false},
-		{"the task pulls its image", shows(here.pulling()), false},
-		{"the task is in an unknown state", shows(here.inState(unknownTaskState)), false},
-		{"the task has exited", shows(here.exited(wire.ExitStopped)), true},
-		{"the task has exited for an unknown reason", shows(here.exited(unknownExitReason)), true},
-		{"the start was refused", shows(here.exited(wire.ExitInsufficientResources)), true},
+		{"a heartbeat with the task and another attempt that has exited", shows(gangTask(1).exited(wire.ExitStopped).ofAttempt(3), taskOnSender.waiting()), false},
+		{"the task pulls its image", shows(taskOnSender.pulling()), false},
+		{"the task is in an unknown state", shows(taskOnSender.inState(unknownTaskState)), false},
+		{"the task has exited", shows(taskOnSender.exited(wire.ExitStopped)), true},
+		{"the task has exited for an unknown reason", shows(taskOnSender.exited(unknownExitReason)), true},
+		{"the start was refused", shows(taskOnSender.exited(wire.ExitInsufficientResources)), true},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
--- a/internal/leader/gang_plan_test.go
+++ b/internal/leader/gang_plan_test.go
@@ -85,10 +85,10 @@
 			for _, id := range []string{"i-1", "i-2", "i-3"} {
 				gangHeartbeat(t, l, id)
 			}
-			gangHeartbeat(t, l, "i-1", here.waiting())
-			gangHeartbeat(t, l, "i-3", here.waiting())
-			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitError))
-		}, func(*Leader) {}, "i-1", gangStatuses{here.exited(wire.ExitGangTimeout)}, []string{"clear"}},
+			gangHeartbeat(t, l, "i-1", taskOnSender.waiting())
+			gangHeartbeat(t, l, "i-3", taskOnSender.waiting())
+			gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitError))
+		}, func(*Leader) {}, "i-1", gangStatuses{taskOnSender.exited(wire.ExitGangTimeout)}, []string{"clear"}},
 		{"all tasks of the attempt have left while one waited for a machine", 1, func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-1")
 			for _, id := range []string{"i-2", "i-3"} {
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -39,7 +39,7 @@
 		}
 		j := l.jobs[gangID]
 		for i := range 3 {
-			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), here.running())
+			gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), taskOnSender.running())
 		}
 		c.edit(l, l.fleet.Machines["i-2"])
 		stopped := l.gangs.StopIfReachable(j, state.CheckpointGrace(j), "test", micros.Now())
@@ -85,7 +85,7 @@
 		}
 		for i, state := range c.states {
 			if state != "" {
-				gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), here.inState(state))
+				gangHeartbeat(t, l, fmt.Sprintf("i-%d", i+1), taskOnSender.inState(state))
 			}
 		}
 		l.fleet.Machines["i-2"].Heartbeat.InterruptionAt = micros.Now() + micros.Second
@@ -131,18 +131,18 @@
 				t.Fatalf("drain reason %q, want %q", m.DrainReason, quarantine.DrainReason)
 			}
 		}, 3 * micros.Second},
-		{"a task has saved its checkpoint", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped)) }, 3 * micros.Second},
+		{"a task has saved its checkpoint", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitStopped)) }, 3 * micros.Second},
 		{"a task has saved its checkpoint, and another task's machine is terminated", func(t *testing.T, l *Leader) {
-			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
+			gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitStopped))
 			l.fleet.Remove(l.fleet.Machines["i-1"])
 		}, 3 * micros.Second},
-		{"a task exits because its gang lost a task", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
+		{"a task exits because its gang lost a task", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitGangTaskLost)) }, 3 * micros.Second},
 		{"a task exits because its gang lost a task, and is listed again", func(t *testing.T, l *Leader) {
-			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitGangTaskLost))
+			gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitGangTaskLost))
 			gangHeartbeat(t, l, "i-2", gangTask(1).exited(wire.ExitGangTaskLost))
 		}, 3 * micros.Second},
 		{"a machine is terminated", func(_ *testing.T, l *Leader) { l.fleet.Remove(l.fleet.Machines["i-2"]) }, 3 * micros.Second},
-		{"a task is still listed as running", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", here.running()) }, 3 * micros.Second},
+		{"a task is still listed as running", func(t *testing.T, l *Leader) { gangHeartbeat(t, l, "i-2", taskOnSender.running()) }, 3 * micros.Second},
 		{"the gang is cancelled", func(_ *testing.T, l *Leader) { l.dropJob(l.jobs[gangID], wire.JobCancelled) }, 0},
 	}
 	for _, c := range cases {
@@ -186,18 +186,18 @@
 		{"a task waits for a machine as a replacement", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			evictGangTask(l, "i-2")
-			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
+			gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitStopped))
 		}, 2, false},
 		{"a replacement is assigned", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskWaitingForGang)
 			evictGangTask(l, "i-2")
 			addSchedulable(l, "i-4", "a")
-			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitStopped))
+			gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitStopped))
 		}, 2, false},
 		{"saving checkpoints", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
 			l.gangs.EndAttempt(l.jobs[gangID], state.CheckpointGrace(l.jobs[gangID]), "test")
-			gangHeartbeat(t, l, "i-1", here.checkpointing())
+			gangHeartbeat(t, l, "i-1", taskOnSender.checkpointing())
 		}, 3, false},
 		{"a task is lost, and the attempt ends", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
@@ -209,7 +209,7 @@
 		}, 3, false},
 		{"done, which is not stored", func(t *testing.T, l *Leader) {
 			launchGang(t, l, wire.TaskRunning)
-			gangHeartbeat(t, l, "i-2", here.exited(wire.ExitDone))
+			gangHeartbeat(t, l, "i-2", taskOnSender.exited(wire.ExitDone))
 		}, 2, false},
 		{"a new leader knows one task", func(t *testing.T, l *Leader) {
 			gangHeartbeat(t, l, "i-1", gangTask(0).waiting().ofAttempt(5))
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -56,7 +56,7 @@
 			h := heartbeat(uint64(i+1), fencingToken)
 			h.MachineID = "i-7"
 			if response, err := l.HandleHeartbeat(h); (err != nil) != c.terminated || err == nil && (response.FencingToken != testToken || len(response.Commands) > 0) {
-				t.Errorf("%s: heartbeat %d: response %+v (error %v), want an error: %t, or else no commands and fencing token %d", c.name, i, response, err, c.terminated, uint64(testToken))
+				t.Errorf("%s: heartbeat %d: response %+v (error %v); want an error: %t; otherwise want no commands and fencing token %d", c.name, i, response, err, c.terminated, uint64(testToken))
 			}
 		}
 		if got := l.fleet.Machines["i-7"] != nil; got != c.adopted {
--- a/internal/leader/machine_lists_test.go
+++ b/internal/leader/machine_lists_test.go
@@ -83,20 +83,20 @@
 		name     string
 		responds func(n int) bool // whether the writes of round n get responses
 		applied  bool             // writes without a response are applied
-		begun    bool             // an earlier leader ended while it was splitting the list
+		resumed  bool             // an earlier leader had stored one part of the split list when its term ended
 	}{
 		{name: "all writes get responses", responds: all},
 		{name: "every other request is lost", responds: oddRounds},
 		{name: "every other response is lost", responds: oddRounds, applied: true},
-		{name: "split begun by an earlier leader", responds: all, begun: true},
-		{name: "split begun by an earlier leader, every other request is lost", responds: evenRounds, begun: true},
+		{name: "split begun by an earlier leader", responds: all, resumed: true},
+		{name: "split begun by an earlier leader, every other request is lost", responds: evenRounds, resumed: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s, entries := newMachineListsTest(t, 300)
 			l := s.leader
 			s.put(fleet.ListKey(0), fleet.MachineList{Entries: entries})
-			if c.begun {
+			if c.resumed {
 				s.put(fleet.ListKey(1), fleet.MachineList{Entries: entries[60:100]})
 			}
 			if err := l.fleet.RestoreLists(); err != nil {
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -144,12 +144,12 @@
 
 var oldVersions = []oldVersion{
 	{"3a714ab", v3a714abLayouts},
-	// This version stores gangs like all other jobs, and split machine lists like all other lists.
+	// Version 5fd93d5 stores gangs like all other jobs, and split machine lists like all other lists.
 	{"5fd93d5", v3a714abLayouts},
 	{"1f14824", v3a714abLayouts}, // the last version without a standby
 	{"d052fb0", v3a714abLayouts}, // the last version without a zone policy
 	{"01da0cf", v01da0cfLayouts},
-	{"d64cbaf", v01da0cfLayouts}, // the last version before identifiers and messages were reworded
+	{"d64cbaf", v01da0cfLayouts}, // the last version before most Go identifiers were renamed, which must not change stored values
 }
 
 // layoutOf returns the layout of the value stored under a key.
--- a/internal/leader/quarantine_test.go
+++ b/internal/leader/quarantine_test.go
@@ -41,7 +41,7 @@
 			l.fleet.Machines["i-1"].Heartbeat.ReceivedAt = now + c.heartbeatAt
 			l.scheduler.Plan(now + c.heartbeatAt)
 			if j.Failures.Quarantined != c.quarantined {
-				t.Errorf("quarantined: %v, want %v", j.Failures.Quarantined, c.quarantined)
+				t.Errorf("the job is quarantined: %v, want %v", j.Failures.Quarantined, c.quarantined)
 			}
 		})
 	}
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -69,8 +69,8 @@
 }
 
 // TestFinalStateKeepsCancellation checks that the final state of a job that the leader has found done does not
-// overwrite a cancellation that the replica received after that decision. This once happened, in violation of the
-// rule went_back.
+// overwrite a cancellation that the replica received after that decision. This once happened, and the simulator's
+// checker reported it as a violation of its rule went_back.
 func TestFinalStateKeepsCancellation(t *testing.T) {
 	l, _ := newTestLeader(t)
 	j := l.jobs["j-000001"]
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -85,7 +85,7 @@
 				}
 			}
 			if m.ZoneReturn.Returned != c.returned {
-				t.Errorf("returned: %v, want %v", m.ZoneReturn.Returned, c.returned)
+				t.Errorf("%s counts as evidence that its zone has returned: %v, want %v", m.ID, m.ZoneReturn.Returned, c.returned)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 	events := l.events.Counts()
 	logged := slices.DeleteFunc(slices.Collect(maps.Keys(events)), func(event string) bool { return !strings.Contains(event, "launched in a") })
 	if len(logged) != 1 || events[logged[0]] != 1 || m.Offering.Zone != "a" {
-		t.Errorf("logged %q, want one event once; the machine is in zone %s, want a", logged, m.Offering.Zone)
+		t.Errorf("logged %q, want one event with a count of 1; the machine is in zone %s, want a", logged, m.Offering.Zone)
 	}
 }
 
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -37,7 +37,7 @@
 	text := marshalTOML(t, all)
 	var decoded Settings
 	if err := toml.Unmarshal([]byte(text), &decoded); err != nil || !reflect.DeepEqual(decoded, all) {
-		t.Errorf("decoded %+v, error %v; want %+v", decoded, err, all)
+		t.Errorf("settings encoded and decoded again: got %+v, error %v; want %+v", decoded, err, all)
 	}
 	example, err := Read(filepath.Join("..", "..", "deploy", "settings.example.toml"))
 	if err != nil {
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -4,7 +4,7 @@
 // that take effect at a later time, without notice.
 type State struct {
 	RPS      float64        `toml:"rps"`       // requests per second
-	WriteRPS float64        `toml:"write_rps"` // operations in transactions per second
+	WriteRPS float64        `toml:"write_rps"` // operations per second, summed over all transactions
 	ValueKB  float64        `toml:"value_kb"`  // size of a value in KiB
 	TxnOps   int            `toml:"txn_ops"`   // operations per transaction
 	Upcoming UpcomingLimits `toml:"next"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -67,7 +67,8 @@
 	ObjectiveDeadline  = "deadline"  // jobs finish within their deadline multiplied by Times
 )
 
-// Objective is a service-level objective that a share of the jobs in a class must meet.
+// Objective is a service-level objective that a share of jobs must meet: the jobs in a class or, for ObjectiveGuarantee,
+// the jobs of all classes.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
--- a/internal/settings/standby_test.go
+++ b/internal/settings/standby_test.go
@@ -46,6 +46,6 @@
 func TestDeployedStandby(t *testing.T) {
 	got, err := ReadStandby("../../deploy/standby.xml")
 	if err != nil || *got != defaultStandby() {
-		t.Errorf("got %+v, error %v; want the default values", got, err)
+		t.Errorf("deploy/standby.xml: got %+v, error %v; want the default values", got, err)
 	}
 }
--- a/internal/settings/tuning.go
+++ b/internal/settings/tuning.go
@@ -22,7 +22,7 @@
 
 // Tuning holds the parameters of the autoscaler that operators may tune.
 type Tuning struct {
-	Z              float64       // z in formula (4) of the paper: standard deviations of demand that spare machines cover
+	Z              float64       // standard deviations of demand that spare machines cover; z in formula (4) of the paper cited in package staffing
 	ReviewInterval micros.Micros // time for which a target applies
 	Window         micros.Micros // time over which the demand rate is measured
 	RecordInterval micros.Micros // time between two stored staffing records
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -53,7 +53,7 @@
 	Zone         string        `json:"hall"`
 	Spot         bool          `json:"standby"`
 	State        InstanceState `json:"status"`
-	AgeS         float64       `json:"age_s"` // seconds from the launch request to the time that the list describes
+	AgeS         float64       `json:"age_s"` // seconds since the launch request, as of the state that the list shows
 }
 
 // InstancePage is a page of the cloud's list of instances, ordered by ID.
--- a/internal/wire/heartbeat_test.go
+++ b/internal/wire/heartbeat_test.go
@@ -17,7 +17,7 @@
 	}
 	for _, c := range cases {
 		if state, reason := IsKnownTaskState(c.word), IsKnownExitReason(c.word); state != c.state || reason != c.reason {
-			t.Errorf("%q: got known as task state %t, as exit reason %t, want %t, %t", c.word, state, reason, c.state, c.reason)
+			t.Errorf("%q: known as a task state: %t, as an exit reason: %t; want %t and %t", c.word, state, reason, c.state, c.reason)
 		}
 	}
 }
--- a/internal/wire/statestore.go
+++ b/internal/wire/statestore.go
@@ -5,7 +5,7 @@
 	Key         string     `json:"key"`
 	Value       RawMessage `json:"data"`
 	ModRevision uint64     `json:"stamp"`            // revision of the key's last change
-	SessionID   uint64     `json:"permit,omitempty"` // the session with which the key is deleted; 0: none
+	SessionID   uint64     `json:"permit,omitempty"` // session that the key is attached to; 0: none
 }
 
 // KeyPage is a page of keys, in key order.
@@ -25,7 +25,7 @@
 type Op struct {
 	Put       string `json:"write,omitempty"` // key to write, if the operation is a put
 	Value     any    `json:"data,omitempty"`
-	SessionID uint64 `json:"permit,omitempty"` // for a put: the session with which the key is deleted
+	SessionID uint64 `json:"permit,omitempty"` // for a put: session that the key is attached to; 0: none
 	Delete    string `json:"remove,omitempty"` // key to delete, if the operation is a delete
 }
 
