--- a/ci_test.go
+++ b/ci_test.go
@@ -29,8 +29,8 @@
 func TestFour(t *testing.T) { t.Skip() }
 `
 
-// newCIRepository creates a repository whose files pass all checks. It has a main branch, which is checked out, and a side
-// branch.
+// newCIRepository creates a repository whose files pass all checks. It has a main branch, which is checked out, and a
+// side branch.
 func newCIRepository(t *testing.T) *ciRepository {
 	t.Helper()
 	r := &ciRepository{t: t, dir: t.TempDir()}
--- a/internal/api/zones.go
+++ b/internal/api/zones.go
@@ -10,8 +10,8 @@
 	"caperlatch/internal/zone"
 )
 
-// ErrZonePolicyDisabled means that the leader reports no status of zones: its zone policy is disabled or reports none, or
-// its version does not support the query.
+// ErrZonePolicyDisabled means that the leader reports no status of zones: its zone policy is disabled or reports none,
+// or its version does not support the query.
 var ErrZonePolicyDisabled = errors.New("the policy on zones is off")
 
 // ZoneObserver is the part of a node that reports the state of zones.
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -172,7 +172,7 @@
 			}
 			slices.Sort(assigned)
 			if !slices.Equal(assigned, tc.want) || m.Reconciliation.Knowledge == state.TasksHandedOver || l.fleet.CountWithUnknownTasks() > 0 {
-				t.Errorf("tasks %v on machines, want %v; the machine is unconfirmed: %v, want false; %d machines with unknown tasks, want 0",
+				t.Errorf("tasks %v on machines, want %v; the machine still counts as handed over: %v, want false; %d machines with unknown tasks, want 0",
 					assigned, tc.want, m.Reconciliation.Knowledge == state.TasksHandedOver, l.fleet.CountWithUnknownTasks())
 			}
 		})
--- a/internal/leader/gang_assignment_test.go
+++ b/internal/leader/gang_assignment_test.go
@@ -56,11 +56,11 @@
 // of the old attempt is left on any machine, nothing starts in another zone and no new attempt begins.
 func TestGangSingleZone(t *testing.T) {
 	cases := []struct {
-		name   string
-		state  string                        // of the gang's tasks when one of them is lost
-		event  func(t *testing.T, l *Leader) // follows the loss
-		starts int                           // on four more machines: three in the other zone, one in the gang's zone
-		same   bool                          // the gang still has the same attempt
+		name        string
+		state       string                        // of the gang's tasks when one of them is lost
+		event       func(t *testing.T, l *Leader) // follows the loss
+		starts      int                           // on four more machines: three in the other zone, one in the gang's zone
+		sameAttempt bool                          // the gang still has the same attempt
 	}{
 		{"the gang waits, so the task is replaced in its zone", wire.TaskWaitingForGang, func(*testing.T, *Leader) {}, 1, true},
 		{"the gang runs, and its other tasks are still on their machines", wire.TaskRunning, func(*testing.T, *Leader) {}, 0, true},
@@ -97,8 +97,8 @@
 				zones[l.fleet.Machines[id].Offering.Zone] = true
 			}
 		}
-		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == before) != c.same || zones["b"] && c.same {
-			t.Errorf("%s: %d starts in zones %v, want %d; attempt number %d after %d, want the same: %t", c.name, starts, zones, c.starts, j.Gang.Number, before, c.same)
+		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == before) != c.sameAttempt || zones["b"] && c.sameAttempt {
+			t.Errorf("%s: %d starts in zones %v, want %d; attempt number %d after %d, want the same: %t", c.name, starts, zones, c.starts, j.Gang.Number, before, c.sameAttempt)
 		}
 	}
 }
--- a/internal/leader/gang_heartbeat_test.go
+++ b/internal/leader/gang_heartbeat_test.go
@@ -106,7 +106,8 @@
 }
 
 // TestUnknownTaskStates checks that a heartbeat with a task state or exit reason that the protocol does not define is
-// logged once. A task in an unknown state counts as present on its machine, a task with an unknown exit reason as exited.
+// logged once. A task in an unknown state counts as present on its machine, and a task with an unknown exit reason as
+// exited.
 func TestUnknownTaskStates(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/leader/gang_loss_test.go
+++ b/internal/leader/gang_loss_test.go
@@ -18,7 +18,7 @@
 			h := &wire.Heartbeat{MachineID: m.ID, Address: m.Instance.Address, InstanceType: "m4", Zone: "a", Incarnation: 1, Sequence: m.Heartbeat.Sequence + 1, FencingToken: testToken}
 			edit(h)
 			if _, err := l.HandleHeartbeat(h); err != nil && h.Sequence > m.Heartbeat.Sequence {
-				t.Error(err)
+				t.Errorf("heartbeat of %s: unexpected error: %v", h.MachineID, err)
 			}
 		}
 	}
--- a/internal/leader/gang_plan_test.go
+++ b/internal/leader/gang_plan_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestGangReservation checks that machines are reserved for a gang that finds no room while other tasks will end soon.
-// The reservation expires, and is not made again for the same length of time.
+// The reservation expires, and the next plan does not make it again: the gang must wait for a while first.
 func TestGangReservation(t *testing.T) {
 	const s = micros.Second
 	l := newGangTest(t, false)
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -62,7 +62,7 @@
 func TestGangEvictedOnInterruption(t *testing.T) {
 	cases := []struct {
 		name                string
-		states              []string // of the three tasks; empty if no heartbeat has listed the task; nil if no start was sent to i-2
+		states              []string // of the three tasks in heartbeats; empty: no heartbeat has listed the task; nil: no start was sent to i-2
 		checkpointIntervalS float64
 		stops               int // tasks that are stopping
 	}{
@@ -109,9 +109,9 @@
 // checkpoints, except cancellation.
 func TestGangGracePeriodNotShortened(t *testing.T) {
 	cases := []struct {
-		name  string
-		event func(t *testing.T, l *Leader)
-		least micros.Micros // minimum grace period of each remaining task
+		name     string
+		event    func(t *testing.T, l *Leader)
+		minGrace micros.Micros // minimum grace period of each remaining task
 	}{
 		{"no event", func(*testing.T, *Leader) {}, 3 * micros.Second},
 		{"the gang is stopped again for other work", func(_ *testing.T, l *Leader) {
@@ -155,11 +155,11 @@
 		c.event(t, l)
 		l.gangs.Check(micros.Now())
 		for _, a := range j.Attempts {
-			if a.StopRequestedAt == 0 || a.GracePeriod < c.least || c.least == 0 && a.GracePeriod != 0 {
-				t.Errorf("%s: task %d has a grace period of %v (stop requested: %t), want at least %v", c.name, a.Index, a.GracePeriod.Duration(), a.StopRequestedAt != 0, c.least.Duration())
+			if a.StopRequestedAt == 0 || a.GracePeriod < c.minGrace || c.minGrace == 0 && a.GracePeriod != 0 {
+				t.Errorf("%s: task %d has a grace period of %v (stop requested: %t), want at least %v", c.name, a.Index, a.GracePeriod.Duration(), a.StopRequestedAt != 0, c.minGrace.Duration())
 			}
 		}
-		if c.least > 0 && (j.Gang.Number == 0 || !j.Gang.Ending) {
+		if c.minGrace > 0 && (j.Gang.Number == 0 || !j.Gang.Ending) {
 			t.Errorf("%s: attempt number %d, ending: %t; want an attempt that is ending", c.name, j.Gang.Number, j.Gang.Ending)
 		}
 	}
--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -11,7 +11,7 @@
 
 // TestFirstHeartbeatOfMachine checks that the first heartbeat of a machine in a term causes no starts. The heartbeat
 // may be delayed, and its machine terminated long ago. Tasks start only once a heartbeat shows that the worker has
-// received a response of this term.
+// received a response of this term, and the machine is in a stored machine list.
 func TestFirstHeartbeatOfMachine(t *testing.T) {
 	l, _ := newTestLeader(t)
 	l.fleet.Machines["i-1"].StartBackoffUntil = l.startedAt + 3600*micros.Second
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -10,8 +10,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestLeaseExpiry checks, with the settings of a leader, the time at which a silent machine's tasks are certain to have
-// ended.
+// TestLeaseExpiry checks the time at which a silent machine's tasks are certain to have ended, with package liveness as
+// the leader configures it.
 func TestLeaseExpiry(t *testing.T) {
 	l, term := newTestLeader(t)
 	m, w := l.fleet.Machines["i-1"], l.Settings.Params.Workers
@@ -35,9 +35,10 @@
 	}
 }
 
-// TestSilentMachineTermination checks when silent machines are terminated. A single one is terminated soon, but not
-// many at once, and none while the leader's session may have ended. The test guards against the termination of a whole
-// fleet: an isolated leader once requested that, and the delayed requests were carried out late.
+// TestSilentMachineTermination checks when silent machines are terminated. A single one is terminated soon. Many silent
+// machines are terminated only once their leases have been expired for another lease duration, and none while the
+// leader's session may have ended. The test guards against the termination of a whole fleet: an isolated leader once
+// requested that, and the delayed requests were carried out late.
 func TestSilentMachineTermination(t *testing.T) {
 	cases := []struct {
 		name         string
--- a/internal/leader/quarantine_test.go
+++ b/internal/leader/quarantine_test.go
@@ -10,9 +10,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestRunningTaskEndsQuarantine checks that a job without fault does not stay quarantined for long after its tasks have
-// failed on three faulty machines in its first second. It leaves the quarantine once a heartbeat shows that another of
-// its tasks has run for more than 3 s plus twice the longest run time of a failed task.
+// TestRunningTaskEndsQuarantine checks that a job that is not at fault does not stay quarantined for long after its
+// tasks have failed on three faulty machines in its first second. It leaves the quarantine once a heartbeat shows that
+// another of its tasks has run for more than 3 s plus twice the longest run time of a failed task.
 func TestRunningTaskEndsQuarantine(t *testing.T) {
 	const s = micros.Second
 	for _, c := range []struct {
--- a/internal/leader/task_queries_test.go
+++ b/internal/leader/task_queries_test.go
@@ -25,7 +25,7 @@
 		name   string
 		worker fakeWorkers
 		during *wire.Heartbeat // arrives while the query is in progress, unless nil
-		done   bool            // the query proves the machine's tasks
+		done   bool            // the query proves which tasks the machine has
 		after  *wire.Heartbeat // arrives after the query
 		want   []string        // commands in the response to the heartbeat after the query
 	}{
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// TestWritePriority checks the order of pending writes for a job that is done, a machine that came up and many
+// TestWritePriority checks the order of pending writes for a job that is done, a machine that has booted and many
 // terminated machines. The many writes for the terminated machines must not delay the final states of users' jobs.
 func TestWritePriority(t *testing.T) {
 	l, _ := newTestLeader(t)
--- a/internal/settings/features_test.go
+++ b/internal/settings/features_test.go
@@ -24,8 +24,8 @@
 func TestParseFeatures(t *testing.T) {
 	wrap := func(s string) string { return "<caperlatch><zones>" + s + "</zones></caperlatch>" }
 	standby := defaultStandby()
-	plain := zone.DefaultConfig(8 * micros.Second)
-	changed := plain
+	defaults := zone.DefaultConfig(8 * micros.Second)
+	changed := defaults
 	changed.EvacuationOrder, changed.ExemptZones = []string{"scan", "update"}, []string{"b"}
 	changed.OpenShares, changed.InitialHoldDown, changed.FullDisruptionShare = []float64{0.5, 1}, 10*micros.Second, 0.6
 	members := membership.DefaultConfig()
@@ -35,9 +35,9 @@
 		want       Features
 		wantError  string // what the error must contain; empty: no error
 	}{
-		{"zones with all elements left out", wrap(""), Features{Zones: &plain}, ""},
+		{"zones with all elements left out", wrap(""), Features{Zones: &defaults}, ""},
 		{"standby only", "<caperlatch><standby/></caperlatch>", Features{Standby: &standby}, ""},
-		{"standby and zones", "<caperlatch><standby/><zones/></caperlatch>", Features{Standby: &standby, Zones: &plain}, ""},
+		{"standby and zones", "<caperlatch><standby/><zones/></caperlatch>", Features{Standby: &standby, Zones: &defaults}, ""},
 		{"zones with some elements", wrap("<class>scan</class><class> update </class><exempt>b</exempt><step_percent>50</step_percent>" +
 			"<step_percent>100</step_percent><hold_down_s>10</hold_down_s><lost_percent>60</lost_percent>"), Features{Zones: &changed}, ""},
 		{"membership", "<caperlatch><membership><suspect_ms>4000</suspect_ms><confirm_most_ms>6500</confirm_most_ms></membership></caperlatch>", Features{Membership: &members}, ""},
