--- a/internal/leader/heartbeat_test.go
+++ b/internal/leader/heartbeat_test.go
@@ -11,7 +11,7 @@
 
 // TestFirstHeartbeatOfMachine checks that the first heartbeat of a machine in a term causes no starts. The heartbeat
 // may be delayed, and its machine terminated long ago. Tasks start only once a heartbeat shows that the worker has
-// received a response of this term.
+// received a response of this term, and the machine is in a stored machine list.
 func TestFirstHeartbeatOfMachine(t *testing.T) {
 	l, _ := newTestLeader(t)
 	l.fleet.Machines["i-1"].StartBackoffUntil = l.startedAt + 3600*micros.Second
@@ -56,7 +56,7 @@
 			h := heartbeat(uint64(i+1), fencingToken)
 			h.MachineID = "i-7"
 			if response, err := l.HandleHeartbeat(h); (err != nil) != c.terminated || err == nil && (response.FencingToken != testToken || len(response.Commands) > 0) {
-				t.Errorf("%s: heartbeat %d: response %+v (error %v), want an error: %t, or else no commands and fencing token %d", c.name, i, response, err, c.terminated, uint64(testToken))
+				t.Errorf("%s: heartbeat %d: response %+v (error %v); want an error: %t; otherwise want no commands and fencing token %d", c.name, i, response, err, c.terminated, uint64(testToken))
 			}
 		}
 		if got := l.fleet.Machines["i-7"] != nil; got != c.adopted {
--- a/internal/leader/quarantine_test.go
+++ b/internal/leader/quarantine_test.go
@@ -10,9 +10,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestRunningTaskEndsQuarantine checks that a job without fault does not stay quarantined for long after its tasks have
-// failed on three faulty machines in its first second. It leaves the quarantine once a heartbeat shows that another of
-// its tasks has run for more than 3 s plus twice the longest run time of a failed task.
+// TestRunningTaskEndsQuarantine checks that a job that is not at fault does not stay quarantined for long after its
+// tasks have failed on three faulty machines in its first second. It leaves the quarantine once a heartbeat shows that
+// another of its tasks has run for more than 3 s plus twice the longest run time of a failed task.
 func TestRunningTaskEndsQuarantine(t *testing.T) {
 	const s = micros.Second
 	for _, c := range []struct {
@@ -41,7 +41,7 @@
 			l.fleet.Machines["i-1"].Heartbeat.ReceivedAt = now + c.heartbeatAt
 			l.scheduler.Plan(now + c.heartbeatAt)
 			if j.Failures.Quarantined != c.quarantined {
-				t.Errorf("quarantined: %v, want %v", j.Failures.Quarantined, c.quarantined)
+				t.Errorf("the job is quarantined: %v, want %v", j.Failures.Quarantined, c.quarantined)
 			}
 		})
 	}
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// TestWritePriority checks the order of pending writes for a job that is done, a machine that came up and many
+// TestWritePriority checks the order of pending writes for a job that is done, a machine that has booted and many
 // terminated machines. The many writes for the terminated machines must not delay the final states of users' jobs.
 func TestWritePriority(t *testing.T) {
 	l, _ := newTestLeader(t)
@@ -69,8 +69,8 @@
 }
 
 // TestFinalStateKeepsCancellation checks that the final state of a job that the leader has found done does not
-// overwrite a cancellation that the replica received after that decision. This once happened, in violation of the
-// rule went_back.
+// overwrite a cancellation that the replica received after that decision. This once happened, and the simulator's
+// checker reported it as a violation of its rule went_back.
 func TestFinalStateKeepsCancellation(t *testing.T) {
 	l, _ := newTestLeader(t)
 	j := l.jobs["j-000001"]
