--- a/tests/cluster/cluster_faults_test.go
+++ b/tests/cluster/cluster_faults_test.go
@@ -11,21 +11,21 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// setFault has f choose the faults of messages from now on; nil: no faults.
+// setFault sets the function that chooses the fault of each message from now on. Nil means no faults.
 func (c *cluster) setFault(f func(from string, r *http.Request) fake.Fault) { c.SetFault(f) }
 
-// faultCount counts the faults so far, with restarts of nodes.
+// faultCount returns the number of faults so far, including restarts of nodes.
 func (c *cluster) faultCount() int { return c.FaultCount() }
 
 // isStateRequest reports whether a request goes to the state service.
 func isStateRequest(r *http.Request) bool { return r.URL.Host == "state" }
 
-// isFromNode reports whether a sender is a node, in any of its incarnations.
+// isFromNode reports whether a sender is any incarnation of a node.
 func isFromNode(from string, node int) bool {
 	return strings.HasPrefix(from, fmt.Sprintf("host-%d/", node))
 }
 
-// machineOf returns the machine that a sender or host is, empty if it is none.
+// machineOf returns the machine ID in the name of a sender or host, or an empty string if the name is not a machine's.
 func machineOf(name string) string {
 	id, _, _ := strings.Cut(name, ":")
 	if strings.HasPrefix(id, "i-") {
@@ -34,13 +34,13 @@
 	return ""
 }
 
-// counter counts events by name, so that a test can show that its faults occurred. It is safe for
-// concurrent use.
+// counter counts events by name, so that a test can verify that its faults occurred. It is safe for concurrent use.
 type counter struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
+// add counts an event and returns how often it has occurred.
 func (c *counter) add(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,13 +51,14 @@
 	return c.counts[name]
 }
 
+// count returns how often an event has occurred.
 func (c *counter) count(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts[name]
 }
 
-// everyNthNodeRequest gives every nth request of the nodes that matches a fault.
+// everyNthNodeRequest returns a function that applies a fault to every nth matching request that a node sends.
 func everyNthNodeRequest(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 	count := 0
 	return func(from string, r *http.Request) fake.Fault {
@@ -73,13 +74,13 @@
 // isCloudRequest reports whether a request goes to the cloud.
 func isCloudRequest(r *http.Request) bool { return r.URL.Host == "cloud" }
 
-// isOpenWatch reports whether a request waits for changes at the state service; other watches are
-// reads, which are answered at once.
+// isOpenWatch reports whether a request is a watch that waits for changes at the state service. A watch with wait_ms=0
+// is a read, which is answered at once.
 func isOpenWatch(r *http.Request) bool {
 	return r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0")
 }
 
-// refuseCloud is the fault that makes the cloud unavailable.
+// refuseCloud is a fault function that answers every request to the cloud with 503.
 func refuseCloud(_ string, r *http.Request) fake.Fault {
 	if isCloudRequest(r) {
 		return fake.ServiceUnavailable
@@ -87,8 +88,8 @@
 	return fake.NoFault
 }
 
-// refuseTerminations is the fault that has the cloud terminate nothing: its response would prove
-// that the machines are gone.
+// refuseTerminations is a fault function that answers every termination request with 503. A successful response would
+// prove that the machines are gone.
 func refuseTerminations(_ string, r *http.Request) fake.Fault {
 	if r.URL.Path == "/hosts/return" {
 		return fake.ServiceUnavailable
@@ -105,8 +106,8 @@
 	return ids
 }
 
-// isolateMachines drops all messages between these machines and the nodes. The cloud terminates
-// nothing meanwhile, as its response would prove that the machines are gone.
+// isolateMachines returns a fault function that drops all messages between some machines and the nodes. It also rejects
+// terminations, because a successful response would prove that the machines are gone.
 func isolateMachines(ids map[string]bool, dropped *counter) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if ids[machineOf(from)] || ids[machineOf(r.URL.Host)] {
@@ -117,19 +118,19 @@
 	}
 }
 
-// isolateFromPeers cuts a node off from the other nodes.
+// isolateFromPeers drops all messages between a node and the other nodes.
 func (c *cluster) isolateFromPeers(node int) {
 	host := memberName(node)
 	c.peerNet.SetPartition(func(from, to string) bool { return from == host || to == host })
 }
 
-// healPartitions ends the partitions between nodes.
+// healPartitions ends all partitions between nodes.
 func (c *cluster) healPartitions() {
 	c.peerNet.SetPartition(func(string, string) bool { return false })
 }
 
-// runInNextIncarnation drops the machines' messages for some time, in which their leases expire,
-// and then has a job run again on the machines' next incarnations. Other messages have the given
+// runInNextIncarnation drops all messages from machines for dropFor, which must exceed a lease so that their leases
+// expire. It then waits until the job runs again on the machines' next incarnations. Other messages get the given
 // fault.
 func (c *cluster) runInNextIncarnation(job map[string]any, dropFor time.Duration, fault func(string, *http.Request) fake.Fault) {
 	c.t.Helper()
@@ -145,7 +146,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-// isolateMachinesOf returns the fault that isolates the machines with tasks of a job.
+// isolateMachinesOf returns a fault function that isolates the machines that have tasks of a job.
 func (c *cluster) isolateMachinesOf(job string, dropped *counter) func(string, *http.Request) fake.Fault {
 	ids := map[string]bool{}
 	for _, w := range c.cloud.Workers() {
--- a/tests/cluster/combined_faults_test.go
+++ b/tests/cluster/combined_faults_test.go
@@ -11,38 +11,38 @@
 	"caperlatch/internal/wire"
 )
 
-// combinedFaultCase is a combination of faults with failovers, completions and cancellations.
+// combinedFaultCase is a combination of faults that occurs together with failovers, completions and cancellations.
 type combinedFaultCase struct {
 	name   string
 	nodes  int
-	inject func(c *cluster, cancel func()) // as runUnderFault calls it
+	inject func(c *cluster, cancel func()) // called by runUnderFault
 }
 
 var combinedFaultCases = []combinedFaultCase{
-	{"completions on both sides of failovers, responses to transactions dropped", 3, dropTxnResponsesAcrossFailovers},
-	{"state service unavailable to the leader alone, then to all for longer than the cancellation timeout", 5, refuseStateToLeaderThenToAll},
-	{"outage of the state service, in which no session ends, for longer than the cancellation timeout", 5, haveOutageAfterCancellation},
+	{"completions before and after failovers, responses to transactions dropped", 3, dropTxnResponsesAcrossFailovers},
+	{"state service unavailable to the leader only, then to all nodes for longer than the cancellation timeout", 5, blockStateForLeaderThenForAll},
+	{"outage of the state service without session expiry, for longer than the cancellation timeout", 5, startOutageAfterCancellation},
 	{"responses of the state service dropped while users cancel", 3, dropStateResponsesDuringCancellation},
 	{"high latency of the state service while users cancel and query", 3, slowStateDuringCancellation},
-	{"leader partitioned from state service and peers, not from workers and users", 5, partitionLeaderFromStateAndPeers},
+	{"leader partitioned from state service and peers, but not from workers and users", 5, partitionLeaderFromStateAndPeers},
 	{"failover while half of the machines are isolated", 5, failOverWithIsolatedMachines},
 	{"failover while responses and commands to half of the machines are dropped", 5, failOverWithUnreachableMachines},
-	{"stale heartbeats after newer ones, across failovers", 5, duplicateHeartbeatsAcrossFailovers},
-	{"the next leader gets only stale heartbeats of half of the machines", 5, failOverToStaleHeartbeats},
+	{"stale heartbeats arrive after newer ones, across failovers", 5, duplicateHeartbeatsAcrossFailovers},
+	{"the next leader receives only stale heartbeats from half of the machines", 5, failOverToStaleHeartbeats},
 	{"heartbeats delayed, failover", 3, failOverWithDelayedHeartbeats},
 	{"commands delayed, then their responses dropped, across failovers", 5, failOverWithDelayedCommands},
 	{"launches and terminations delayed, failover", 3, failOverWithDelayedLaunches},
 	{"restarts of leaders, then all nodes crash and one restarts within a second", 5, restartLeadersThenCrashAll},
-	{"heartbeats of half of the machines dropped, commands not, failover", 5, failOverWithCommandsAlone},
-	{"machines hang with commands on their way, failover", 5, failOverWithHangingMachines},
-	{"all nodes down for longer than a lease", 3, outlastLeaseWithoutNodes},
+	{"heartbeats of half of the machines dropped, commands delivered, failover", 5, failOverWithHeartbeatsDropped},
+	{"machines hang with commands in flight, failover", 5, failOverWithHangingMachines},
+	{"all nodes down for longer than a lease", 3, stopAllNodesLongerThanLease},
 	{"ten failovers in two minutes, also during an outage", 5, failOverTenTimes},
-	{"more work than room, urgent and not, with high latency", 3, overloadWithHighLatency},
+	{"more work than capacity in several priorities, with high latency", 3, overloadWithHighLatency},
 	{"transactions delayed, heartbeats duplicated, responses dropped, failovers", 5, mixMessageFaultsAcrossFailovers},
 }
 
-// TestCombinedFaults combines faults with each other and with failovers, completions and
-// cancellations.
+// TestCombinedFaults checks that jobs complete and no rule is violated when several faults coincide with failovers,
+// completions and cancellations.
 func TestCombinedFaults(t *testing.T) {
 	for _, tc := range combinedFaultCases {
 		t.Run(tc.name, func(t *testing.T) { runUnderFault(t, tc.nodes, tc.inject) })
@@ -52,7 +52,7 @@
 // delayedWrite is a kind of write to the state service.
 type delayedWrite struct {
 	name string
-	key  string // what the transactions of this kind contain; empty: requests about sessions
+	key  string // key that transactions of this kind contain; empty: requests about sessions
 }
 
 // matches reports whether a request is a write of this kind.
@@ -73,8 +73,9 @@
 	{"sessions", ""},
 }
 
-// TestDelayedWrites has writes of each kind delayed by 2 to 12 s and their responses dropped, so
-// that they are carried out after newer ones, also writes of a leader whose term ended meanwhile.
+// TestDelayedWrites checks that delayed writes do no harm. Writes of each kind are delayed by 2 to 12 s and their
+// responses are dropped, so that they are executed after newer writes, also when the term of the leader that sent them
+// has ended in the meantime.
 func TestDelayedWrites(t *testing.T) {
 	for _, write := range delayedWrites {
 		t.Run(write.name, func(t *testing.T) {
@@ -83,12 +84,12 @@
 	}
 }
 
-// delayWritesAcrossFailovers delays two thirds of the writes of a kind while the leader restarts
-// twice. Each write compares the revision that it was decided on, so none may undo a newer one.
+// delayWritesAcrossFailovers delays two thirds of the writes of a kind while the leader restarts twice. Each write
+// compares the revision on which its decision was based, so none may overwrite a newer write.
 func delayWritesAcrossFailovers(c *cluster, cancel func(), write delayedWrite) {
-	var noted counter // written beside the test's goroutine
+	var events counter // also written by goroutines other than the test's
 	c.setFault(func(_ string, r *http.Request) fake.Fault {
-		if write.matches(r) && noted.add("write")%3 != 0 {
+		if write.matches(r) && events.add("write")%3 != 0 {
 			return fake.DelayedRequest
 		}
 		return fake.NoFault
@@ -99,7 +100,7 @@
 	time.Sleep(15 * time.Second)
 	c.restartNodes(c.leader())
 	time.Sleep(15 * time.Second)
-	if count := noted.count("write"); count < 3 {
-		c.t.Errorf("only %d such writes occurred", count)
+	if count := events.count("write"); count < 3 {
+		c.t.Errorf("%d writes of this kind occurred, want at least 3", count)
 	}
 }
--- a/tests/cluster/combined_machine_faults_test.go
+++ b/tests/cluster/combined_machine_faults_test.go
@@ -9,11 +9,11 @@
 	"caperlatch/internal/wire"
 )
 
-// Cases of TestCombinedFaults about machines, the messages between them and the nodes, and nodes
-// that crash.
+// This file holds the cases of TestCombinedFaults with faults of machines, faults of the messages between machines and
+// nodes, and crashes of nodes.
 
-// failOverWithIsolatedMachines crashes the leader as half of the machines lose all messages. Their
-// tasks may not start elsewhere before they are known to have ended.
+// failOverWithIsolatedMachines crashes the leader while all messages to and from half of the machines are dropped. The
+// tasks of these machines may not start elsewhere until they are known to have ended.
 func failOverWithIsolatedMachines(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -29,8 +29,8 @@
 	c.start(leader)
 }
 
-// failOverWithUnreachableMachines restarts the leader as half of the machines get neither responses
-// nor commands. Their heartbeats arrive, and their leases expire all the same.
+// failOverWithUnreachableMachines restarts the leader while half of the machines receive neither responses nor
+// commands. Their heartbeats still arrive, but their leases expire.
 func failOverWithUnreachableMachines(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -47,10 +47,10 @@
 	time.Sleep(20 * time.Second)
 }
 
-// duplicateHeartbeatsAcrossFailovers has a late duplicate of every heartbeat, while the leader
-// restarts three times. Sequence and incarnation must show that they are stale.
+// duplicateHeartbeatsAcrossFailovers delivers a late duplicate of every heartbeat while the leader restarts three
+// times. The leader must recognize the duplicates as stale by their sequence and incarnation.
 func duplicateHeartbeatsAcrossFailovers(c *cluster, cancel func()) {
-	c.setFault(everyNthMessage(1, fake.DuplicatedRequest, isHeartbeat))
+	c.setFault(everyNthRequest(1, fake.DuplicatedRequest, isHeartbeat))
 	time.Sleep(8 * time.Second)
 	cancel()
 	for range 3 {
@@ -59,11 +59,10 @@
 	}
 }
 
-// failOverToStaleHeartbeats isolates half of the machines, and the cloud, as the leader restarts:
-// of these machines only duplicates of earlier heartbeats reach the next leader. It may not take
-// them for what is on the machines now.
+// failOverToStaleHeartbeats isolates half of the machines, and the cloud, and restarts the leader. From these machines,
+// only duplicates of earlier heartbeats reach the next leader, which may not treat them as the machines' current state.
 func failOverToStaleHeartbeats(c *cluster, cancel func()) {
-	c.setFault(everyNthMessage(1, fake.DuplicatedRequest, isHeartbeat))
+	c.setFault(everyNthRequest(1, fake.DuplicatedRequest, isHeartbeat))
 	time.Sleep(7 * time.Second)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) || r.URL.Host == "cloud" {
@@ -76,31 +75,31 @@
 	cancel()
 }
 
-// failOverWithDelayedHeartbeats delays every third heartbeat while the leader restarts: heartbeats
-// sent in one term arrive in the next.
+// failOverWithDelayedHeartbeats delays every third heartbeat while the leader restarts, so that heartbeats sent in one
+// term arrive in the next.
 func failOverWithDelayedHeartbeats(c *cluster, cancel func()) {
-	c.setFault(everyNthMessage(3, fake.DelayedRequest, isHeartbeat))
+	c.setFault(everyNthRequest(3, fake.DelayedRequest, isHeartbeat))
 	time.Sleep(10 * time.Second)
 	cancel()
 	c.restartNodes(c.leader())
 	time.Sleep(20 * time.Second)
 }
 
-// failOverWithDelayedCommands delays all commands in one term, and drops the responses to them in
-// the next two. A late command may stop no later attempt, nor one of a later incarnation.
+// failOverWithDelayedCommands delays all commands, restarts the leader, then drops the responses to commands and
+// restarts the leader again. A late command may stop neither a later attempt nor an attempt on a later incarnation.
 func failOverWithDelayedCommands(c *cluster, cancel func()) {
-	c.setFault(everyNthMessage(1, fake.DelayedRequest, isCommand))
+	c.setFault(everyNthRequest(1, fake.DelayedRequest, isCommand))
 	time.Sleep(8 * time.Second)
 	cancel()
 	c.restartNodes(c.leader())
 	time.Sleep(4 * time.Second)
-	c.setFault(everyNthMessage(1, fake.DroppedResponse, isCommand))
+	c.setFault(everyNthRequest(1, fake.DroppedResponse, isCommand))
 	c.restartNodes(c.leader())
 	time.Sleep(15 * time.Second)
 }
 
-// restartLeadersThenCrashAll restarts three leaders one after the other, crashes all nodes, and
-// starts one that must lead alone under a token that no earlier leader had.
+// restartLeadersThenCrashAll restarts three leaders in succession, crashes all nodes, and starts one node again. That
+// node must lead alone with a fencing token that no earlier leader had.
 func restartLeadersThenCrashAll(c *cluster, cancel func()) {
 	time.Sleep(7 * time.Second)
 	for range 3 {
@@ -120,67 +119,67 @@
 	}
 }
 
-// failOverWithCommandsAlone drops the heartbeats of half of the machines, as the leader restarts;
-// commands reach them. Both must have occurred.
-func failOverWithCommandsAlone(c *cluster, cancel func()) {
+// failOverWithHeartbeatsDropped drops the heartbeats of half of the machines while the leader restarts. Commands still
+// reach these machines. The test fails unless both a dropped heartbeat and a command occurred.
+func failOverWithHeartbeatsDropped(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
-	var noted counter
+	var events counter
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if isEveryOtherMachine(from) {
-			noted.add("heartbeat")
+			events.add("heartbeat")
 			return fake.DroppedRequest
 		}
 		if isEveryOtherMachine(r.URL.Host) {
-			noted.add("command")
+			events.add("command")
 		}
 		return fake.NoFault
 	})
 	c.restartNodes(c.leader())
 	cancel()
 	time.Sleep(20 * time.Second)
-	if noted.count("heartbeat") == 0 || noted.count("command") == 0 {
-		c.t.Errorf("noted %v", noted.counts)
+	if events.count("heartbeat") == 0 || events.count("command") == 0 {
+		c.t.Errorf("events %v, want at least one heartbeat and one command", events.counts)
 	}
 }
 
-// failOverWithHangingMachines has all machines hang for some seconds, as users cancel and the leader
-// restarts. What they get when they go on may be of the term before.
+// failOverWithHangingMachines makes all machines hang for some seconds while users cancel jobs and the leader restarts.
+// The commands that the machines execute when they resume may be from the previous term.
 func failOverWithHangingMachines(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
-	ran := 0
+	tasks := 0
 	for _, w := range c.cloud.Workers() {
 		w.Hang(time.Duration(3+len(w.Tasks())) * time.Second)
-		ran += len(w.Tasks())
+		tasks += len(w.Tasks())
 	}
 	cancel()
 	time.Sleep(time.Second)
 	c.restartNodes(c.leader())
 	time.Sleep(15 * time.Second)
-	if ran == 0 {
-		c.t.Error("no task was on the machines that hung")
+	if tasks == 0 {
+		c.t.Error("no task was on a machine when the machines hung")
 	}
 }
 
-// outlastLeaseWithoutNodes crashes all nodes for longer than a lease: no task may be left on a
-// machine, and all jobs must run again once the nodes do.
-func outlastLeaseWithoutNodes(c *cluster, cancel func()) {
+// stopAllNodesLongerThanLease crashes all nodes for longer than a lease. Afterwards no task may be left on a machine,
+// and all jobs must run again once the nodes have started.
+func stopAllNodesLongerThanLease(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
-	ran := len(c.cloud.TasksOnMachines())
+	before := len(c.cloud.TasksOnMachines())
 	for i := range 3 {
 		c.kill(i)
 	}
 	time.Sleep(time.Duration(leaseDurationS+3) * time.Second)
-	if on := len(c.cloud.TasksOnMachines()); ran == 0 || on > 0 {
-		c.t.Errorf("%d tasks ran, and %d after a lease without nodes", ran, on)
+	if left := len(c.cloud.TasksOnMachines()); before == 0 || left > 0 {
+		c.t.Errorf("%d tasks on machines before all nodes crashed, want some; %d after a lease without nodes, want none", before, left)
 	}
 	for i := range 3 {
 		c.start(i)
 	}
-	// One is cancelled as the nodes start, the others once they run again.
+	// The first job is cancelled while the nodes start, the others once their tasks run again.
 	c.cancelJob(cancelledJobs[0], 0)
 	for try := 0; c.runningTasks(cancelledJobs[1]) == 0 || c.runningTasks(cancelledJobs[2]) == 0; try++ {
 		if try == 300 {
-			c.t.Errorf("jobs to be cancelled do not run again: %v", c.cloud.TasksOnMachines())
+			c.t.Errorf("%s and %s do not both run again within 30 s; tasks on machines: %v", cancelledJobs[1], cancelledJobs[2], c.cloud.TasksOnMachines())
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -189,9 +188,9 @@
 	time.Sleep(10 * time.Second)
 }
 
-// overloadWithHighLatency submits six jobs that need more room than a small fleet has, in three
-// priorities, while all messages but the users' have a high latency. The fleet must be in use, and
-// the jobs complete once the latency is over.
+// overloadWithHighLatency submits six jobs in three priorities that together exceed the capacity of a small fleet,
+// while all messages except those from users have a high latency. At least half of the fleet's capacity must be in
+// use, and the jobs must complete after the latency returns to normal.
 func overloadWithHighLatency(c *cluster, cancel func()) {
 	maxMachines := max(5, len(c.cloud.Workers()))
 	c.cloud.SetMaxMachines(maxMachines)
@@ -211,8 +210,8 @@
 		}
 	}
 	time.Sleep(5 * time.Second)
-	if on, room := len(c.cloud.TasksOnMachines()), maxTasksPerMachine*maxMachines; on < room/2 {
-		c.t.Errorf("%d tasks ran where %d have room", on, room)
+	if onMachines, capacity := len(c.cloud.TasksOnMachines()), maxTasksPerMachine*maxMachines; onMachines < capacity/2 {
+		c.t.Errorf("%d tasks on machines, want at least half of the %d that fit", onMachines, capacity)
 	}
 	cancel()
 	c.restartNodes(c.leader())
@@ -224,12 +223,12 @@
 	c.cloud.SetMaxMachines(0)
 }
 
-// mixMessageFaultsAcrossFailovers delays transactions, duplicates heartbeats and drops responses to
-// them, while the leader and another node restart four times.
+// mixMessageFaultsAcrossFailovers delays transactions, duplicates heartbeats and drops responses to heartbeats, while
+// the leader and another node restart four times.
 func mixMessageFaultsAcrossFailovers(c *cluster, cancel func()) {
-	delayed := everyNthMessage(4, fake.DelayedRequest, isTxn)
-	duplicated := everyNthMessage(3, fake.DuplicatedRequest, isHeartbeat)
-	dropped := everyNthMessage(5, fake.DroppedResponse, isHeartbeat)
+	delayed := everyNthRequest(4, fake.DelayedRequest, isTxn)
+	duplicated := everyNthRequest(3, fake.DuplicatedRequest, isHeartbeat)
+	dropped := everyNthRequest(5, fake.DroppedResponse, isHeartbeat)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		return max(delayed(from, r), duplicated(from, r), dropped(from, r))
 	})
--- a/tests/cluster/combined_state_faults_test.go
+++ b/tests/cluster/combined_state_faults_test.go
@@ -7,13 +7,14 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// Cases of TestCombinedFaults about the state service, the cloud and the nodes' messages to them.
+// This file holds the cases of TestCombinedFaults with faults of the state service, of the cloud, and of the messages
+// between nodes and these services.
 
-// dropTxnResponsesAcrossFailovers drops every second response to a transaction while the leader
-// restarts four times. Tasks that are done before a failover must count after it, as their progress
-// is stored before their results are cleared.
+// dropTxnResponsesAcrossFailovers drops every second response to a transaction while the leader restarts four times.
+// Tasks that are done before a failover must count as done after it, because progress is stored before the results are
+// cleared.
 func dropTxnResponsesAcrossFailovers(c *cluster, cancel func()) {
-	c.setFault(everyNthMessage(2, fake.DroppedResponse, isTxn))
+	c.setFault(everyNthRequest(2, fake.DroppedResponse, isTxn))
 	for range 4 {
 		time.Sleep(6 * time.Second)
 		c.restartNodes(c.leader())
@@ -22,10 +23,10 @@
 	time.Sleep(5 * time.Second)
 }
 
-// refuseStateToLeaderThenToAll makes the state service unavailable to the leader, and to all nodes
-// just after users began to cancel. The cancelled tasks must be stopped in time although the leader
-// may not have read the cancellations.
-func refuseStateToLeaderThenToAll(c *cluster, cancel func()) {
+// blockStateForLeaderThenForAll makes the state service unavailable to the leader and, shortly after users have begun
+// to cancel jobs, to all nodes. The cancelled tasks must be stopped in time although the leader may not have read the
+// cancellations.
+func blockStateForLeaderThenForAll(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
 	c.setFault(stateUnavailableTo(c.leader()))
 	time.Sleep(5 * time.Second)
@@ -35,9 +36,9 @@
 	time.Sleep(time.Duration(cancellationTimeoutS+10) * time.Second)
 }
 
-// haveOutageAfterCancellation has an outage of the state service that begins as users cancel. What
-// is cancelled must stop in time, by what the nodes tell each other.
-func haveOutageAfterCancellation(c *cluster, cancel func()) {
+// startOutageAfterCancellation starts an outage of the state service 1 s after users begin to cancel jobs. The
+// cancelled tasks must stop in time, based on the messages that the nodes exchange.
+func startOutageAfterCancellation(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
 	cancel()
 	time.Sleep(time.Second)
@@ -46,19 +47,19 @@
 	c.state.SetOutage(false)
 }
 
-// dropStateResponsesDuringCancellation drops every third response of the state service while users
-// cancel. A cancellation may have been stored although nobody knows it.
+// dropStateResponsesDuringCancellation drops every third response of the state service while users cancel jobs. A
+// cancellation may be stored although no node has received the response.
 func dropStateResponsesDuringCancellation(c *cluster, cancel func()) {
 	time.Sleep(6 * time.Second)
-	c.setFault(everyNthMessage(3, fake.DroppedResponse, isStateRequest))
+	c.setFault(everyNthRequest(3, fake.DroppedResponse, isStateRequest))
 	cancel()
 	time.Sleep(40 * time.Second)
 }
 
-// slowStateDuringCancellation delays all messages to and from the state service while users cancel
-// and the leader restarts. No answer to a user may be older than what another user was told before.
+// slowStateDuringCancellation delays all messages to and from the state service while users cancel jobs and the leader
+// restarts. A job status returned to one user may not be older than a status already returned to another user.
 func slowStateDuringCancellation(c *cluster, cancel func()) {
-	c.setFault(everyNthMessage(1, fake.HighLatency, isStateRequest))
+	c.setFault(everyNthRequest(1, fake.HighLatency, isStateRequest))
 	time.Sleep(12 * time.Second)
 	cancel()
 	time.Sleep(20 * time.Second)
@@ -66,8 +67,8 @@
 	time.Sleep(10 * time.Second)
 }
 
-// partitionLeaderFromStateAndPeers leaves the leader with workers and users alone. It must neither
-// renew leases nor start tasks once another node may lead.
+// partitionLeaderFromStateAndPeers partitions the leader from the state service and the other nodes; only workers and
+// users can still reach it. The old leader must neither renew leases nor start tasks once another node may lead.
 func partitionLeaderFromStateAndPeers(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
 	leader := c.leader()
@@ -84,10 +85,10 @@
 	c.healPartitions()
 }
 
-// failOverWithDelayedLaunches delays every second launch or termination of machines, and restarts
-// the leader. The next one must know the machines of launches that are carried out late.
+// failOverWithDelayedLaunches delays every second launch or termination of machines, and restarts the leader. The next
+// leader must know the machines of launches that are executed late.
 func failOverWithDelayedLaunches(c *cluster, cancel func()) {
-	c.setFault(everyNthMessage(2, fake.DelayedRequest, func(r *http.Request) bool {
+	c.setFault(everyNthRequest(2, fake.DelayedRequest, func(r *http.Request) bool {
 		return r.URL.Host == "cloud" && r.Method == http.MethodPost
 	}))
 	time.Sleep(12 * time.Second)
@@ -96,8 +97,8 @@
 	time.Sleep(30 * time.Second)
 }
 
-// failOverTenTimes restarts the leader every 9 s. An outage of the state service covers two of the
-// restarts and the cancellations. At least nine failovers must have occurred.
+// failOverTenTimes restarts the leader every 9 s, eleven times. Two of the restarts and the cancellations occur during
+// an outage of the state service. At least nine failovers must have occurred.
 func failOverTenTimes(c *cluster, cancel func()) {
 	time.Sleep(6 * time.Second)
 	first := c.fencingToken()
@@ -113,6 +114,6 @@
 		time.Sleep(9 * time.Second)
 	}
 	if n := c.fencingToken() - first; n < 9 {
-		c.t.Errorf("only %d failovers", n)
+		c.t.Errorf("%d failovers, want at least 9", n)
 	}
 }
--- a/tests/cluster/failover_guards_test.go
+++ b/tests/cluster/failover_guards_test.go
@@ -15,10 +15,10 @@
 	"caperlatch/internal/wire"
 )
 
-// The tests in this file bring about the situations that single guards are for. Each shows that its
-// situation occurred, and fails when the guard is taken out.
+// Each test in this file creates the situation that one particular safety check in the code protects against. A test
+// verifies that the situation occurred, and fails if the safety check is removed.
 
-// storedMachines returns the machines that the stored values under a prefix name.
+// storedMachines returns the IDs of the machines in the stored values of the keys with a prefix.
 func (c *cluster) storedMachines(prefix string) map[string]bool {
 	names := map[string]bool{}
 	for _, e := range c.state.Entries(prefix) {
@@ -27,7 +27,7 @@
 			Launched []string `json:"machines"` // of a launch intent
 		}
 		if wire.Unmarshal(e.Value, &value) != nil {
-			c.t.Fatalf("stored %s is unreadable", e.Key)
+			c.t.Fatalf("stored value of %s cannot be decoded", e.Key)
 		}
 		for _, entry := range append(value.Listed, value.Launched...) {
 			id, _, _ := strings.Cut(entry, " ")
@@ -37,8 +37,8 @@
 	return names
 }
 
-// machinesWithoutIntent counts the machines that are in a stored machine list, but in no stored
-// launch intent.
+// machinesWithoutIntent returns the number of machines that are in a stored machine list, but in no stored launch
+// intent.
 func (c *cluster) machinesWithoutIntent() (n int) {
 	launched := c.storedMachines(replica.LaunchIntentPrefix)
 	for id := range c.storedMachines(replica.MachineListPrefix) {
@@ -49,7 +49,7 @@
 	return n
 }
 
-// launchIntentFaults are faults of the transactions with the IDs of launched machines.
+// launchIntentFaults lists faults of the transactions that store the IDs of launched machines.
 var launchIntentFaults = []struct {
 	name  string
 	fault fake.TxnFault
@@ -59,10 +59,10 @@
 	{"delayed", fake.TxnDelayed},
 }
 
-// TestMachineListWithoutLaunchIntent has the state service store machine lists, but not the launch
-// intents with the IDs of these machines: their transactions are rejected, dropped or delayed. Then
-// a failover follows. The next leader finds machines that are listed and have no launch intent, and
-// takes them for gone: none of them may have got a task (the guard is `InstanceState.IntentStored`).
+// TestMachineListWithoutLaunchIntent checks that a machine gets no task before its ID is stored in a launch intent
+// (`InstanceState.IntentStored`). The state service stores machine lists, but the transactions that store the launch
+// intents with the IDs of these machines are rejected, dropped or delayed, and a failover follows. The next leader
+// finds machines that are listed but have no launch intent, and treats them as gone, so none of them may have a task.
 func TestMachineListWithoutLaunchIntent(t *testing.T) {
 	for _, intent := range launchIntentFaults {
 		t.Run(intent.name, func(t *testing.T) {
@@ -70,9 +70,9 @@
 				c := newCluster(t)
 				defer c.close()
 				c.cloud.RuntimeOf = func(string) float64 { return 40 }
-				c.submit("j-000009", 4) // fills a machine that stays reachable
+				c.submit("j-000009", 4) // its tasks occupy a machine that stays reachable
 				time.Sleep(3 * time.Second)
-				c.state.SetTxnFault(failNamedMachines(intent.fault))
+				c.state.SetTxnFault(failIntentUpdates(intent.fault))
 				c.submitJob(longJob("j-000001", 12))
 				for i := 0; c.machinesWithoutIntent() == 0 && i < 200; i++ {
 					time.Sleep(50 * time.Millisecond)
@@ -87,7 +87,7 @@
 				time.Sleep(time.Duration(leaseDurationS-1) * time.Second)
 				c.setFault(nil)
 				if withoutIntent == 0 {
-					t.Error("no machine was in a machine list and in no launch intent")
+					t.Error("every machine in a stored machine list was also in a stored launch intent, want one without")
 				}
 				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 				c.checkRules()
@@ -96,9 +96,10 @@
 	}
 }
 
-// failNamedMachines gives the transactions that add the IDs of machines to a launch intent a fault. A
-// transaction that changes a machine list as well is too large, and comes again in parts.
-func failNamedMachines(fault fake.TxnFault) func(fake.Transaction) fake.TxnFault {
+// failIntentUpdates returns a function that applies a fault to the transactions that add machine IDs to a launch
+// intent. A transaction that also changes another key, such as a machine list, is rejected as too large, so that the
+// leader sends it again in parts.
+func failIntentUpdates(fault fake.TxnFault) func(fake.Transaction) fake.TxnFault {
 	return func(x fake.Transaction) fake.TxnFault {
 		namesMachines := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
 			return strings.HasPrefix(k.Key, replica.LaunchIntentPrefix) && k.ModRevision != 0
@@ -113,19 +114,19 @@
 	}
 }
 
-// TestStalePagesAtStart has a node start whose pages of all keys are of different times: the launch
-// intents from before the leader launched machines, the leader key from after its session ended. It
-// leads at once, with its watch delayed. Without the read barrier at the failover it does not know
-// of the machines that run the last job, and starts the job's tasks elsewhere.
-func TestStalePagesAtStart(t *testing.T) {
+// TestStalePagesInInitialRead checks the read barrier at a failover. The pages of a starting node's initial read are
+// from different times: the launch intents from before the leader launched machines, the leader key from after the
+// leader's session ended. The node leads immediately, and its watches are dropped. Without the read barrier it would
+// not know the machines that run the last job, and would start the job's tasks elsewhere.
+func TestStalePagesInInitialRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, func(s *settings.Settings) {
 			s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = 20, 50
 		})
 		defer c.close()
 		c.cloud.RuntimeOf = func(string) float64 { return 60 }
-		c.storeKeysBetween()
-		c.submitAndAwaitRunning(longJob("j-800000", 8)) // the next job needs other machines
+		c.storeJobsBetweenPages()
+		c.submitAndAwaitRunning(longJob("j-800000", 8)) // so that the next job needs other machines
 		first := c.leader()
 		next := (first + 1) % 3
 		c.kill(next)
@@ -143,14 +144,14 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if ran < 8 || c.fencingToken() == before || pages.count("read") <= read+4 || watches.count("dropped") == 0 {
-			t.Errorf("%d tasks ran, fencing token %d after %d, pages %d after %d, %d watches dropped",
+			t.Errorf("%d tasks ran (want at least 8), fencing token %d (want above %d), %d pages read (want above %d+4), %d watches dropped (want some)",
 				ran, c.fencingToken(), before, pages.count("read"), read, watches.count("dropped"))
 		}
 		time.Sleep(500 * time.Millisecond)
 		c.setFault(isolated)
-		time.Sleep(9 * time.Second) // well within their lease
-		if on := c.runningTasks("j-900000"); on < ran {
-			t.Errorf("%d of %d tasks still run", on, ran)
+		time.Sleep(9 * time.Second) // well within the machines' leases
+		if running := c.runningTasks("j-900000"); running < ran {
+			t.Errorf("%d of %d tasks of the last job still run, want all", running, ran)
 		}
 		c.setFault(nil)
 		c.start(first)
@@ -159,9 +160,9 @@
 	})
 }
 
-// storeKeysBetween stores jobs whose keys are, in order, between the launch intents and the leader
-// key, so that a node reads these two in different pages.
-func (c *cluster) storeKeysBetween() {
+// storeJobsBetweenPages stores jobs whose keys sort between the launch intents and the leader key, so that a node reads
+// these two in different pages.
+func (c *cluster) storeJobsBetweenPages() {
 	c.t.Helper()
 	const between = 45
 	for n := range between {
@@ -171,7 +172,7 @@
 	}
 }
 
-// delayPages is the fault that has a node read its keys slowly, and drops its watches.
+// delayPages returns a fault function that delays the pages of a node's reads and drops its watches, and counts both.
 func delayPages(node int, pages, watches *counter) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		switch {
@@ -186,7 +187,7 @@
 	}
 }
 
-// runLastJob submits a job to a node, and waits for some seconds until all of its tasks run.
+// runLastJob submits a job to a node, and waits for up to 5 s until all of its tasks run.
 func (c *cluster) runLastJob(node int) {
 	c.t.Helper()
 	job := longJob("j-900000", 8)
@@ -201,39 +202,40 @@
 	}
 }
 
-// oldLeaderRun is a cluster whose first leader loses the state service, while some machines reach
+// oldLeaderRun is a cluster whose first leader loses its connection to the state service, while some machines can reach
 // only that leader.
 type oldLeaderRun struct {
 	*cluster
-	first int             // the node that leads at first
-	token uint64          // its fencing token
-	ids   map[string]bool // the machines that reach only it
-	noted counter
+	first      int             // index of the first leader
+	token      uint64          // its fencing token
+	machineIDs map[string]bool // machines that can reach only the first leader
+	events     counter
 }
 
-// newOldLeaderRun has the first leader and its fencing token noted. The IDs are those of the machines
-// that will reach only this leader.
-func newOldLeaderRun(c *cluster, ids map[string]bool) *oldLeaderRun {
-	return &oldLeaderRun{cluster: c, first: c.leader(), token: c.fencingToken(), ids: ids}
+// newOldLeaderRun returns a run that records the current leader as the first one, with its fencing token. The machines
+// with these IDs will reach only this leader.
+func newOldLeaderRun(c *cluster, machineIDs map[string]bool) *oldLeaderRun {
+	return &oldLeaderRun{cluster: c, first: c.leader(), token: c.fencingToken(), machineIDs: machineIDs}
 }
 
-// isFirst reports whether a host is the first leader, as users and workers reach it.
+// isFirst reports whether a host is the address of the first leader for users and workers.
 func (r *oldLeaderRun) isFirst(host string) bool { return host == memberName(r.first)+":8080" }
 
-// isMisdirected reports whether a request is from a machine to a node that the machine does not reach.
-// The old leader would learn of the next one's fencing token from the heartbeats of the others.
+// isMisdirected reports whether a request is from a machine to a node that the machine may not reach. Machines that
+// follow the next leader may not reach the old one, which would learn the next leader's fencing token from their
+// heartbeats.
 func (r *oldLeaderRun) isMisdirected(from string, q *http.Request) bool {
 	machine := machineOf(from)
-	return machine != "" && r.ids[machine] != r.isFirst(q.URL.Host)
+	return machine != "" && r.machineIDs[machine] != r.isFirst(q.URL.Host)
 }
 
-// isCallFromOthers reports whether a request is from any but the first leader to a machine that only
-// this leader reaches.
-func (r *oldLeaderRun) isCallFromOthers(from string, q *http.Request) bool {
-	return r.ids[machineOf(q.URL.Host)] && !isFromNode(from, r.first)
+// isFromOthersToMachine reports whether a request is from any sender except the first leader to a machine that may
+// reach only this leader.
+func (r *oldLeaderRun) isFromOthersToMachine(from string, q *http.Request) bool {
+	return r.machineIDs[machineOf(q.URL.Host)] && !isFromNode(from, r.first)
 }
 
-// dropWatches drops the open watches of the first leader.
+// dropWatches is a fault function that drops the open watches of the first leader.
 func (r *oldLeaderRun) dropWatches(from string, q *http.Request) fake.Fault {
 	if isFromNode(from, r.first) && isOpenWatch(q) {
 		return fake.DroppedRequest
@@ -241,9 +243,9 @@
 	return fake.NoFault
 }
 
-// supersede is the fault by which the first leader loses the state service. The other nodes have it
-// only if others is set.
-func (r *oldLeaderRun) supersede(others bool) func(string, *http.Request) fake.Fault {
+// supersedeFaults returns a fault function that drops the requests of the first leader to the state service. The state
+// service is available to the other nodes only if others is set.
+func (r *oldLeaderRun) supersedeFaults(others bool) func(string, *http.Request) fake.Fault {
 	return func(from string, q *http.Request) fake.Fault {
 		switch {
 		case isStateRequest(q) && isFromNode(from, r.first):
@@ -252,20 +254,20 @@
 			return fake.ServiceUnavailable
 		case r.isMisdirected(from, q):
 			return fake.ServiceUnavailable
-		case r.ids[machineOf(from)] && others && r.fencingToken() > r.token:
-			r.noted.add("heartbeat to the old leader")
-		case r.isCallFromOthers(from, q):
+		case r.machineIDs[machineOf(from)] && others && r.fencingToken() > r.token:
+			r.events.add("heartbeat to the old leader")
+		case r.isFromOthersToMachine(from, q):
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
 	}
 }
 
-// TestSupersededLeader has a leader lose the state service, and then learn from its peers that
-// another node leads, while half of the machines reach only the old leader. It told the next leader
-// that it knows its fencing token, so the next leader counts the leases of these machines as
-// expired a lease duration later: the old leader must answer none of them from then on
-// (`Leader.Supersede`), not even until its request to the state service has failed.
+// TestSupersededLeader checks that a leader stops answering workers as soon as it learns from its peers that another
+// node leads (`Leader.Supersede`). The old leader has lost the state service, and half of the machines can reach only
+// the old leader. Once the old leader has told the next leader that it knows the new fencing token, the next leader
+// counts the leases of these machines as expired a lease duration later. From then on the old leader must not answer
+// any of these machines, not even until its pending request to the state service has failed.
 func TestSupersededLeader(t *testing.T) {
 	for phase := range 8 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
@@ -278,12 +280,12 @@
 				time.Sleep(2 * time.Second)
 				r := newOldLeaderRun(c, c.machinesOf("j-000001"))
 				r.setFault(r.dropWatches)
-				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
+				time.Sleep(12 * time.Second) // until no watch is open through which the old leader could learn of the next one
 				r.isolateFromPeers(r.first)
-				r.setFault(r.supersede(false))
+				r.setFault(r.supersedeFaults(false))
 				time.Sleep(7*time.Second + time.Duration(phase)*210*time.Millisecond)
 				r.healPartitions()
-				r.setFault(r.supersede(true))
+				r.setFault(r.supersedeFaults(true))
 				r.awaitLeaderAfter(r.token)
 				ran := r.runningTasks("j-000001")
 				time.Sleep(600 * time.Millisecond) // until the nodes have exchanged their tokens
@@ -291,8 +293,8 @@
 				time.Sleep(time.Duration(leaseDurationS+4) * time.Second)
 				r.setFault(nil)
 				r.healPartitions()
-				if ran != 3 || r.noted.count("heartbeat to the old leader") == 0 {
-					t.Errorf("%d tasks ran, noted %v", ran, r.noted.counts)
+				if ran != 3 || r.events.count("heartbeat to the old leader") == 0 {
+					t.Errorf("%d tasks ran (want 3), events %v (want a heartbeat to the old leader)", ran, r.events.counts)
 				}
 				r.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 				r.checkRules()
@@ -301,45 +303,45 @@
 	}
 }
 
-// isolateFromWatches is the fault that drops the open watches of the first leader, and keeps the
-// machines that will reach only this leader from reaching the others.
-func (r *oldLeaderRun) isolateFromWatches(from string, q *http.Request) fake.Fault {
+// dropWatchesAndIsolate is a fault function that drops the open watches of the first leader, and prevents the machines
+// in machineIDs from reaching other nodes.
+func (r *oldLeaderRun) dropWatchesAndIsolate(from string, q *http.Request) fake.Fault {
 	switch {
 	case isFromNode(from, r.first) && isOpenWatch(q):
 		return fake.DroppedRequest
-	case r.ids[machineOf(from)] && !r.isFirst(q.URL.Host):
+	case r.machineIDs[machineOf(from)] && !r.isFirst(q.URL.Host):
 		return fake.ServiceUnavailable
 	}
 	return fake.NoFault
 }
 
-// endSession is the fault by which the first leader loses the state service; if changes is set, it
-// gets the changes all the same.
-func (r *oldLeaderRun) endSession(changes bool) func(string, *http.Request) fake.Fault {
+// sessionEndFaults returns a fault function that drops the requests of the first leader to the state service, so that
+// its session ends. If changes is set, its watches are not dropped, and it still receives changes.
+func (r *oldLeaderRun) sessionEndFaults(changes bool) func(string, *http.Request) fake.Fault {
 	return func(from string, q *http.Request) fake.Fault {
 		switch {
 		case isStateRequest(q) && isFromNode(from, r.first) && (!changes || q.URL.Path != "/watch"):
 			return fake.DroppedRequest
 		case isStateRequest(q) && isFromNode(from, r.first):
-			r.noted.add("changes")
+			r.events.add("changes")
 		case q.URL.Path == "/hosts/return":
 			return fake.ServiceUnavailable
 		case r.isMisdirected(from, q):
 			return fake.ServiceUnavailable
-		case changes && r.ids[machineOf(from)]:
-			r.noted.add("heartbeat to the old leader")
-		case r.isCallFromOthers(from, q):
+		case changes && r.machineIDs[machineOf(from)]:
+			r.events.add("heartbeat to the old leader")
+		case r.isFromOthersToMachine(from, q):
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
 	}
 }
 
-// TestDelayedChangesAfterSessionEnd has a leader whose session has ended learn of a job that was
-// accepted under the next leader, before it notices that its own term is over: changes reach it
-// late, all at once, while it waits for the response to the renewal of its session. The next leader
-// starts new jobs without waiting for anybody; so the old one may start nothing unless its session
-// lasts or all peers promise not to lead (`Term.IsExclusive`).
+// TestDelayedChangesAfterSessionEnd checks that a leader whose session has ended does not start a job that was accepted
+// under the next leader. The old leader learns of the job before it notices that its own term is over: changes reach it
+// late and all together, while it waits for the response to the renewal of its session. The next leader starts new jobs
+// without waiting for any other node, so the old leader may start nothing unless its session has not ended or all peers
+// promise not to lead (`Term.IsExclusive`).
 func TestDelayedChangesAfterSessionEnd(t *testing.T) {
 	for phase := range 6 {
 		t.Run(fmt.Sprintf("phase %d", phase), func(t *testing.T) {
@@ -355,21 +357,21 @@
 				}
 				r := newOldLeaderRun(c, ids)
 				r.isolateFromPeers(r.first)
-				r.setFault(r.isolateFromWatches)
-				time.Sleep(12 * time.Second) // until no watch is open through which it would learn that
-				r.setFault(r.endSession(false))
+				r.setFault(r.dropWatchesAndIsolate)
+				time.Sleep(12 * time.Second) // until no watch is open through which the old leader could learn of the next one
+				r.setFault(r.sessionEndFaults(false))
 				r.awaitLeaderAfter(r.token)
-				time.Sleep(500 * time.Millisecond) // a job that it finds at its failover does not count as new
+				time.Sleep(500 * time.Millisecond) // the job would not count as new if the next leader found it during its failover
 				r.submitToOthers(longJob("j-000001", 4))
 				time.Sleep(time.Duration(phase) * 270 * time.Millisecond)
-				r.setFault(r.endSession(true))
+				r.setFault(r.sessionEndFaults(true))
 				time.Sleep(4 * time.Second)
 				for i := 0; r.runningTasks("j-000001") == 0 && i < 100; i++ {
-					time.Sleep(50 * time.Millisecond) // the machines try the next leader first
+					time.Sleep(50 * time.Millisecond) // the machines try the next leader before the old one
 				}
 				ran := r.runningTasks("j-000001")
-				if ran == 0 || r.noted.count("changes") == 0 || r.noted.count("heartbeat to the old leader") == 0 {
-					t.Errorf("%d tasks of the new job ran, noted %v", ran, r.noted.counts)
+				if ran == 0 || r.events.count("changes") == 0 || r.events.count("heartbeat to the old leader") == 0 {
+					t.Errorf("%d tasks of the new job ran (want some), events %v (want changes and a heartbeat to the old leader)", ran, r.events.counts)
 				}
 				r.setFault(nil)
 				r.healPartitions()
@@ -380,7 +382,7 @@
 	}
 }
 
-// submitToOthers submits a job to the nodes other than the first leader, in turn.
+// submitToOthers submits a job to the nodes other than the first leader, in turn, until it is accepted.
 func (r *oldLeaderRun) submitToOthers(job map[string]any) {
 	for try := range 20 {
 		if r.trySubmit((r.first+1+try%2)%3, job) {
--- a/tests/cluster/failover_measurement_costs_test.go
+++ b/tests/cluster/failover_measurement_costs_test.go
@@ -13,35 +13,35 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// nodeCost is what a node's process used over some seconds, and how far its standby was behind.
+// nodeCost is the CPU and memory usage of a node's process over costPeriod, and the lag of its standby.
 type nodeCost struct {
 	mode       failover.Mode
 	leads      bool
 	cpuShare   float64 // of a core
-	megabytes  float64 // resident
+	residentMB float64 // resident
 	lagEntries uint64
-	lag        micros.Micros // failover.Missing: it does not follow
+	lag        micros.Micros // failover.Missing: the node does not follow the leader
 }
 
-// costPeriod is for how long a process's use of the processor is measured.
+// costPeriod is the period over which the CPU usage of a process is measured.
 const costPeriod = 3 * time.Second
 
-// sampleCost measures all nodes of a cluster without faults.
-func (f *failoverRun) sampleCost(c *processCluster, mode failover.Mode) {
+// sampleCost measures the costs of all nodes of a cluster that has no faults.
+func (f *failoverMeasurement) sampleCost(c *processCluster, mode failover.Mode) {
 	leader := c.leader()
 	before := make([]float64, c.size)
 	for i := range before {
-		before[i] = processorSeconds(f.t, c.Process(i).Pid)
+		before[i] = readCPUSeconds(f.t, c.Process(i).Pid)
 	}
 	time.Sleep(costPeriod)
 	for i := range before {
 		pid := c.Process(i).Pid
 		cost := nodeCost{
-			mode:      mode,
-			leads:     i == leader,
-			cpuShare:  (processorSeconds(f.t, pid) - before[i]) / costPeriod.Seconds(),
-			megabytes: residentMegabytes(f.t, pid),
-			lag:       failover.Missing,
+			mode:       mode,
+			leads:      i == leader,
+			cpuShare:   (readCPUSeconds(f.t, pid) - before[i]) / costPeriod.Seconds(),
+			residentMB: readResidentMB(f.t, pid),
+			lag:        failover.Missing,
 		}
 		var status api.StandbyStatus
 		if err := fetch(c.Addresses[i].Client, "/standby", &status); err == nil && status.Progress != nil && status.Progress.LagS >= 0 {
@@ -51,15 +51,16 @@
 	}
 }
 
-// Fields of /proc/PID/stat after the process's name, which may have spaces, and its unit.
+// Indexes of the fields of /proc/PID/stat, counted after the process name, which may contain spaces, and the unit of
+// these fields.
 const (
 	userTicksField   = 11
 	systemTicksField = 12
 	ticksPerSecond   = 100
 )
 
-// processorSeconds returns how long a process has run so far.
-func processorSeconds(t *testing.T, pid int) float64 {
+// readCPUSeconds returns the CPU time that a process has used so far, in user and system mode.
+func readCPUSeconds(t *testing.T, pid int) float64 {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -77,8 +78,8 @@
 	return float64(ticks) / ticksPerSecond
 }
 
-// residentMegabytes returns a process's resident memory.
-func residentMegabytes(t *testing.T, pid int) float64 {
+// readResidentMB returns the resident memory of a process in MB.
+func readResidentMB(t *testing.T, pid int) float64 {
 	t.Helper()
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -90,34 +91,34 @@
 			return kilobytes / 1024
 		}
 	}
-	t.Fatal("no VmRSS")
+	t.Fatalf("/proc/%d/status has no VmRSS line", pid)
 	return 0
 }
 
-// reportCosts logs what nodes used, by mode and role.
+// reportCosts logs the costs of the nodes by mode and role.
 func reportCosts(t *testing.T, costs []nodeCost) {
 	t.Helper()
 	for _, mode := range []failover.Mode{failover.Cold, failover.Warm} {
 		for _, leads := range []bool{true, false} {
-			var share, megabytes, n float64
+			var cpuShare, maxResidentMB, samples float64
 			var lags []micros.Micros
-			var most uint64
+			var maxLagEntries uint64
 			for _, c := range costs {
 				if c.mode != mode || c.leads != leads {
 					continue
 				}
-				n++
-				share += c.cpuShare
-				megabytes = max(megabytes, c.megabytes)
+				samples++
+				cpuShare += c.cpuShare
+				maxResidentMB = max(maxResidentMB, c.residentMB)
 				lags = append(lags, c.lag)
-				most = max(most, c.lagEntries)
+				maxLagEntries = max(maxLagEntries, c.lagEntries)
 			}
-			if n == 0 {
+			if samples == 0 {
 				continue
 			}
 			lag := failover.Summarize(lags)
 			t.Logf("cost %-4s leads %-5v: %3.0f samples, %.1f%% of a core on average, %.0f MB at most; lag median %.3f, 99%% %.3f s, %d entries at most (%d do not follow)",
-				mode, leads, n, 100*share/n, megabytes, lag.Median.Seconds(), lag.P99.Seconds(), most, lag.Missing)
+				mode, leads, samples, 100*cpuShare/samples, maxResidentMB, lag.Median.Seconds(), lag.P99.Seconds(), maxLagEntries, lag.Missing)
 		}
 	}
 }
--- a/tests/cluster/failover_measurement_test.go
+++ b/tests/cluster/failover_measurement_test.go
@@ -16,9 +16,9 @@
 	"caperlatch/internal/sim/measure/failover"
 )
 
-// Variables of TestFailoverTimes, which takes minutes of real time: how many failovers it measures
-// in all (without it, it is skipped), over how many machines, by how many clusters at a time, and
-// where the history is written.
+// Environment variables of TestFailoverTimes, which takes minutes of real time: the total number of failovers to
+// measure (the test is skipped if it is not set), the number of machines, the number of clusters that run at the same
+// time, and the path of the history file.
 const (
 	failoverVariable         = "CAPERLATCH_FAILOVER"
 	failoverMachinesVariable = "CAPERLATCH_FAILOVER_MACHINES"
@@ -26,19 +26,19 @@
 	failoverOutVariable      = "CAPERLATCH_FAILOVER_OUT"
 )
 
-// Defaults of the variables.
+// Defaults of the environment variables.
 const (
 	failoverMachines = 200
 	failoverClusters = 4
 )
 
-// failoverTimeout is how long a failover may take before it counts as not happened.
+// failoverTimeout is how long a failover is observed; what has not happened by then is recorded as failover.Missing.
 const failoverTimeout = 60 * time.Second
 
-// TestFailoverTimes ends the leader of real processes on loopback, by SIGKILL, by SIGSTOP with
-// SIGCONT later, and by SIGTERM, at random times, with the standby on and off in turn, and measures
-// until the next node leads, until a new job starts, and until an old one continues. All of it runs
-// under the checker of the rules.
+// TestFailoverTimes measures failovers of clusters whose nodes are processes on loopback. At random times it ends the
+// leader by SIGKILL, by SIGSTOP with a later SIGCONT, or by SIGTERM, with the warm standby alternately off and on. It
+// measures the time until the next node leads, until a new job starts, and until an old job continues. The rule checker
+// observes all runs.
 func TestFailoverTimes(t *testing.T) {
 	failovers := envInt(t, failoverVariable, 0)
 	if failovers == 0 {
@@ -55,7 +55,7 @@
 		for i := range clusters {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				f := &failoverRun{t: t, program: program, machines: machines, random: rand.New(rand.NewPCG(uint64(i), uint64(machines)))}
+				f := &failoverMeasurement{t: t, program: program, machines: machines, random: rand.New(rand.NewPCG(uint64(i), uint64(machines)))}
 				changes := f.measure(fmt.Sprint(i), (failovers+clusters-1)/clusters)
 				mu.Lock()
 				defer mu.Unlock()
@@ -73,7 +73,7 @@
 	reportCosts(t, costs)
 }
 
-// envInt returns a number from the environment, or a default.
+// envInt returns the positive integer in an environment variable, or a default if the variable is not set.
 func envInt(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
@@ -82,13 +82,13 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
-		t.Fatalf("%s is no number: %q", name, text)
+		t.Fatalf("%s is %q, want a positive integer", name, text)
 	}
 	return n
 }
 
-// failoverRun measures with one cluster at a time.
-type failoverRun struct {
+// failoverMeasurement measures failovers with one cluster at a time.
+type failoverMeasurement struct {
 	t        *testing.T
 	program  string
 	machines int
@@ -97,23 +97,22 @@
 	costs    []nodeCost
 }
 
-// changesPerMode is how many failovers are measured at most before the standby is switched on or
-// off.
-const changesPerMode = 15
+// failoversPerMode is the maximum number of failovers that are measured before the standby is switched on or off.
+const failoversPerMode = 15
 
-// measure measures failovers, with the standby off and on in turn.
-func (f *failoverRun) measure(run string, changes int) (history []failover.Change) {
-	inTurn := min(changesPerMode, max(1, changes/2))
+// measure measures failovers, with the standby alternately off and on.
+func (f *failoverMeasurement) measure(run string, changes int) (history []failover.Change) {
+	batchSize := min(failoversPerMode, max(1, changes/2))
 	for len(history) < changes {
 		mode := failover.Cold
-		if len(history)/inTurn%2 == 1 {
+		if len(history)/batchSize%2 == 1 {
 			mode = failover.Warm
 		}
-		part := f.measureMode(mode, min(inTurn, changes-len(history)))
-		for i := range part {
-			part[i].Run, part[i].Number = run, int64(len(history)+i+1)
+		batch := f.measureMode(mode, min(batchSize, changes-len(history)))
+		for i := range batch {
+			batch[i].Run, batch[i].Number = run, int64(len(history)+i+1)
 		}
-		history = append(history, part...)
+		history = append(history, batch...)
 		if f.t.Failed() {
 			return history
 		}
@@ -121,79 +120,81 @@
 	return history
 }
 
-// largeFleetMachines is from how many machines on workers have the heartbeats and leases of a large
-// fleet.
+// largeFleetMachines is the number of machines from which workers get the heartbeat interval and lease duration of a
+// large fleet.
 const largeFleetMachines = 1000
 
-// measureMode measures failovers with a new cluster.
-func (f *failoverRun) measureMode(mode failover.Mode, changes int) (history []failover.Change) {
+// measureMode measures failovers in one mode with a new cluster.
+func (f *failoverMeasurement) measureMode(mode failover.Mode, changes int) (history []failover.Change) {
 	scale := clusterScale{heartbeatIntervalS: 2, leaseDurationS: 12, cancellationTimeoutS: 30, sockets: 2000}
-	runS := 4.0
+	runtimeS := 4.0
 	if f.machines >= largeFleetMachines {
 		scale = clusterScale{heartbeatIntervalS: 8, leaseDurationS: 45, cancellationTimeoutS: 75, sockets: 8000}
-		runS = 16
+		runtimeS = 16
 	}
 	c := newScaledProcessCluster(f.t, 3, f.t.TempDir(), scale)
 	defer c.close()
 	c.cloud.MaxMachines = f.machines
-	c.cloud.RuntimeOf = func(string) float64 { return runS }
+	c.cloud.RuntimeOf = func(string) float64 { return runtimeS }
 	if mode == failover.Warm {
 		c.Args = []string{"--standby", "deploy/standby.xml"}
 	}
 	for i := range c.size {
 		c.run(i, f.program)
 	}
-	old := f.fill(c)
+	oldJob := f.fillMachines(c)
 	for range changes {
-		old = f.refill(c, old)
+		oldJob = f.refillMachines(c, oldJob)
 		f.sampleCost(c, mode)
-		// At any phase of the heartbeats and tasks.
+		// The random delay ends the leader at any phase of the heartbeats and tasks.
 		time.Sleep(time.Duration(f.random.IntN(2000)) * time.Millisecond)
-		change, ok := f.change(c, old)
+		change, ok := f.measureFailover(c, oldJob)
 		if !ok {
 			break
 		}
 		change.Mode, change.Machines = mode, int64(len(c.cloud.Workers()))
 		history = append(history, change)
 	}
-	if broken := c.cloud.Violations(); broken != nil {
-		f.t.Error(broken)
+	if violations := c.cloud.Violations(); violations != nil {
+		f.t.Error(violations)
 	}
 	return history
 }
 
-// oldJobTasks is how many tasks the job has that continues across failovers.
+// oldJobTasks is the number of tasks of a job that continues across failovers.
 const oldJobTasks = 100_000
 
 // newID returns the ID of the next job.
-func (f *failoverRun) newID() string {
+func (f *failoverMeasurement) newID() string {
 	f.next++
 	return fmt.Sprintf("j-%06d", f.next)
 }
 
-// wholeMachineJob returns a job of which each machine has room for one task.
+// wholeMachineJob returns a job whose tasks are so large that each machine has room for one.
 func wholeMachineJob(id string, tasks int) map[string]any {
 	job := testJob(id, tasks)
 	job["vcpus"] = 3.0
 	return job
 }
 
-// fill submits a job for all machines, and waits until they run it.
-func (f *failoverRun) fill(c *processCluster) string {
+// fillMachines submits a job with tasks for all machines, waits until 90% of the machines run one, and returns the
+// job's ID.
+func (f *failoverMeasurement) fillMachines(c *processCluster) string {
 	id := f.newID()
 	c.submitJob(wholeMachineJob(id, oldJobTasks))
 	for startedAt := time.Now(); len(c.cloud.TasksOnMachines()) < f.machines*9/10; time.Sleep(200 * time.Millisecond) {
 		if time.Since(startedAt) > 3*time.Minute {
-			f.t.Fatalf("%d tasks run on %d machines", len(c.cloud.TasksOnMachines()), len(c.cloud.Workers()))
+			f.t.Fatalf("after 3 min %d tasks run on %d machines, want at least %d", len(c.cloud.TasksOnMachines()), len(c.cloud.Workers()), f.machines*9/10)
 		}
 	}
 	return id
 }
 
-// refill submits another job for all machines when the one before is nearly done.
-func (f *failoverRun) refill(c *processCluster, old string) string {
-	if c.cloud.StartsOf(old) < oldJobTasks*9/10 {
-		return old
+// refillMachines submits another job with tasks for all machines when 90% of the old job's tasks have started. It
+// returns the ID of the job that continues.
+func (f *failoverMeasurement) refillMachines(c *processCluster, oldJob string) string {
+	if c.cloud.StartsOf(oldJob) < oldJobTasks*9/10 {
+		return oldJob
 	}
 	id := f.newID()
 	c.submitJob(wholeMachineJob(id, oldJobTasks))
@@ -203,8 +204,9 @@
 	return id
 }
 
-// change ends the leader once and measures; the node comes back afterwards.
-func (f *failoverRun) change(c *processCluster, old string) (failover.Change, bool) {
+// measureFailover ends the leader once, measures the failover, and starts or resumes the node afterwards. It reports
+// whether the test has not failed so far.
+func (f *failoverMeasurement) measureFailover(c *processCluster, oldJob string) (failover.Change, bool) {
 	leader, token := c.leader(), c.fencingToken()
 	change := failover.Change{LeaderElected: failover.Missing, FirstNewJobStarted: failover.Missing, FirstOldJobResumed: failover.Missing}
 	process := c.Process(leader)
@@ -221,10 +223,10 @@
 		c.ExpectExit(leader)
 		f.signal(process, syscall.SIGTERM)
 	}
-	f.observe(c, old, token, endedAt, &change)
+	f.observe(c, oldJob, token, endedAt, &change)
 	switch change.Cause {
 	case failover.Frozen:
-		// Until after another node leads, and at times for longer than a lease.
+		// The old leader stays frozen until after another node leads, sometimes for longer than a lease.
 		time.Sleep(time.Duration(f.random.IntN(6000)) * time.Millisecond)
 		change.OldLeaderFrozen = microsSince(endedAt)
 		f.signal(process, syscall.SIGCONT)
@@ -237,7 +239,8 @@
 	return change, !f.t.Failed()
 }
 
-func (f *failoverRun) signal(p *os.Process, s syscall.Signal) {
+// signal sends a signal to a process.
+func (f *failoverMeasurement) signal(p *os.Process, s syscall.Signal) {
 	if err := p.Signal(s); err != nil {
 		f.t.Errorf("signal %v: %v", s, err)
 	}
@@ -246,15 +249,15 @@
 // microsSince returns the time since an instant.
 func microsSince(t time.Time) micros.Micros { return micros.Micros(time.Since(t) / time.Microsecond) }
 
-// Intervals of observe.
+// Intervals at which observe polls, and at which it submits new jobs.
 const (
 	observeInterval = 5 * time.Millisecond
 	newJobInterval  = 250 * time.Millisecond
 )
 
-// observe records when another node leads, when a job starts that was submitted afterwards, and
-// when the old one continues.
-func (f *failoverRun) observe(c *processCluster, old string, token uint64, endedAt time.Time, change *failover.Change) {
+// observe records in change when another node leads, when a job starts that was submitted after the leader ended, and
+// when the old job continues.
+func (f *failoverMeasurement) observe(c *processCluster, oldJob string, token uint64, endedAt time.Time, change *failover.Change) {
 	stop := make(chan struct{})
 	var submitting sync.WaitGroup
 	defer submitting.Wait()
@@ -269,7 +272,7 @@
 			mu.Unlock()
 			job := testJob(id, 1)
 			job["rank"], job["vcpus"] = "urgent", 1.0
-			// A frozen node must not delay the next submission.
+			// The request runs in its own goroutine, so that a frozen node does not delay the next submission.
 			submitting.Go(func() { c.request(http.MethodPost, n%3, "/v1/jobs", job) })
 			select {
 			case <-stop:
@@ -285,9 +288,9 @@
 			if c.fencingToken() == token {
 				continue
 			}
-			change.LeaderElected, oldStarts = microsSince(endedAt), c.cloud.StartsOf(old)
+			change.LeaderElected, oldStarts = microsSince(endedAt), c.cloud.StartsOf(oldJob)
 		}
-		if change.FirstOldJobResumed < 0 && c.cloud.StartsOf(old) > oldStarts {
+		if change.FirstOldJobResumed < 0 && c.cloud.StartsOf(oldJob) > oldStarts {
 			change.FirstOldJobResumed = microsSince(endedAt)
 		}
 		mu.Lock()
@@ -300,7 +303,8 @@
 	}
 }
 
-// logHistory logs what was measured, by kind, and how warm compares with cold.
+// logHistory logs summaries of the measured times by mode, cause and number of machines, and the ratio of the times
+// with a warm standby to those without.
 func logHistory(t *testing.T, history []failover.Change) {
 	t.Helper()
 	measures := []struct {
--- a/tests/cluster/fault_run_test.go
+++ b/tests/cluster/fault_run_test.go
@@ -13,22 +13,21 @@
 	"caperlatch/internal/wire"
 )
 
-// Jobs of a run under a fault that are not like the others.
+// IDs of jobs with a special role in a faultRun.
 const (
-	lateJob        = "j-000004" // submitted once the fault is over
-	limitedJob     = "j-000005" // of a team with a limit of four CPUs
-	unsubmittedJob = "j-999999" // queried, but nobody submits it
+	lateJob        = "j-000004" // submitted after the fault has ended
+	limitedJob     = "j-000005" // belongs to a team that may use four CPUs
+	unsubmittedJob = "j-999999" // queried, but never submitted
 )
 
 const (
-	maxLimitedTasks    = 4 // of limitedJob at a time, by its team's limit
+	maxLimitedTasks    = 4 // of limitedJob at a time, because of its team's limit
 	maxTasksPerMachine = 4 // each needs one CPU
-	addedJobRuntimeS   = 5 // of each task of a job that a case adds
+	addedJobRuntimeS   = 5 // of each task of a job that a test case adds
 )
 
-// Run times of the tasks of the jobs in these tests, in seconds. The tasks complete far apart, so
-// that completions lie on both sides of whatever happens; cancelledJobs are cancelled during the
-// fault.
+// faultJobRuntimes holds the run times of the jobs' tasks in seconds. The tasks complete far apart, so that there are
+// completions before and after each event of a test. The jobs in cancelledJobs are cancelled during the fault.
 var (
 	faultJobRuntimes = map[string][]float64{
 		"j-000001": {2, 25}, "j-000002": {3, 14, 40}, "j-000003": {8, 50}, lateJob: {1, 20, 33},
@@ -47,22 +46,22 @@
 	return addedJobRuntimeS
 }
 
-// faultRun is a cluster whose users submit, query and cancel jobs while it has a fault.
+// faultRun is a cluster whose users submit, query and cancel jobs during a fault.
 type faultRun struct {
 	*cluster
-	ids       []string      // of all jobs
-	over      chan struct{} // closed when the jobs that are not cancelled are done
-	queried   chan struct{} // closed when the last query was sent
-	cancelled chan struct{} // closed when the cancellations are confirmed
+	ids               []string      // of all jobs
+	jobsDone          chan struct{} // closed when the jobs that are not cancelled are done
+	queriesDone       chan struct{} // closed when the last query was sent
+	cancellationsDone chan struct{} // closed when the cancellations are confirmed
 
-	// maxRunning is how many tasks of a job to be cancelled ran at a time once there was a fault.
-	// It is read after queried is closed.
+	// maxRunning is the highest number of tasks of any one job in cancelledJobs that ran at the same time after the
+	// first fault. It may be read only after queriesDone is closed.
 	maxRunning int
 }
 
-// runUnderFault has the jobs accepted, users query every node about them all the time, and a fault
-// injected. During the fault users cancel some of the jobs: inject calls cancel, which does not
-// wait for them. Afterwards the others must complete, and no rule be violated at any time.
+// runUnderFault submits the jobs, queries every node about them throughout, and injects a fault. During the fault some
+// of the jobs are cancelled: inject calls cancel, which starts the cancellations and does not wait for them. Afterwards
+// the other jobs must complete. No rule may be violated at any time.
 func runUnderFault(t *testing.T, nodes int, inject func(c *cluster, cancel func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -70,21 +69,21 @@
 		defer c.close()
 		c.cloud.RuntimeOf = faultTaskRuntime
 		run := &faultRun{
-			cluster:   c,
-			ids:       slices.Sorted(maps.Keys(faultJobRuntimes)),
-			over:      make(chan struct{}),
-			queried:   make(chan struct{}),
-			cancelled: make(chan struct{}),
+			cluster:           c,
+			ids:               slices.Sorted(maps.Keys(faultJobRuntimes)),
+			jobsDone:          make(chan struct{}),
+			queriesDone:       make(chan struct{}),
+			cancellationsDone: make(chan struct{}),
 		}
 		for _, id := range run.ids {
 			if id != lateJob {
 				run.submitFaultJob(id)
 			}
 		}
-		go run.queryUntilOver()
+		go run.queryUntilJobsDone()
 		inject(c, func() { go run.cancelJobs() })
 		c.setFault(nil)
-		<-run.cancelled
+		<-run.cancellationsDone
 		go run.checkProgress()
 		run.submitFaultJob(lateJob)
 		for _, id := range run.ids {
@@ -92,10 +91,10 @@
 				c.awaitStatus(id, wire.JobDone, 3*time.Minute)
 			}
 		}
-		close(run.over)
-		<-run.queried
+		close(run.jobsDone)
+		<-run.queriesDone
 		if run.maxRunning == 0 {
-			t.Error("no task of a job to be cancelled ran during the fault")
+			t.Error("no task of a job to be cancelled ran after the first fault")
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		c.checkJobsKnown(run.ids)
@@ -105,10 +104,10 @@
 	})
 }
 
-// submitFaultJob submits one of the jobs, each time to the next node, until it is accepted.
+// submitFaultJob submits one of the jobs to the nodes in turn until it is accepted.
 func (r *faultRun) submitFaultJob(id string) {
 	job := testJob(id, len(faultJobRuntimes[id]))
-	job["expect_s"] = 200.0 // for a fleet with room, so that a task could start twice
+	job["expect_s"] = 200.0 // long enough that the fleet gets spare capacity, so that a task could start twice
 	if id == limitedJob {
 		job["desk"] = "small"
 	}
@@ -118,16 +117,16 @@
 		}
 		time.Sleep(time.Second)
 	}
-	r.t.Errorf("%s was not accepted", id)
+	r.t.Errorf("%s was not accepted in 90 attempts", id)
 }
 
-// queryUntilOver queries the jobs, and one that nobody submitted, at each node in turn. It notes how
-// many tasks of the jobs to be cancelled run once there was a fault.
-func (r *faultRun) queryUntilOver() {
-	defer close(r.queried)
+// queryUntilJobsDone queries each node in turn about the jobs, and about one that was never submitted, until the jobs
+// are done. After the first fault it also records in maxRunning how many tasks of the jobs to be cancelled run.
+func (r *faultRun) queryUntilJobsDone() {
+	defer close(r.queriesDone)
 	for n := 0; ; n++ {
 		select {
-		case <-r.over:
+		case <-r.jobsDone:
 			return
 		case <-time.After(300 * time.Millisecond):
 		}
@@ -144,9 +143,9 @@
 	}
 }
 
-// cancelJobs repeats the cancellation of each of the jobs to be cancelled until it is confirmed.
+// cancelJobs repeats the cancellation of each job in cancelledJobs until it is confirmed.
 func (r *faultRun) cancelJobs() {
-	defer close(r.cancelled)
+	defer close(r.cancellationsDone)
 	for _, id := range cancelledJobs {
 		done := false
 		for try := 0; try < 90 && !done; try++ {
@@ -155,18 +154,18 @@
 			time.Sleep(time.Second)
 		}
 		if !done {
-			r.t.Errorf("%s could not be cancelled", id)
+			r.t.Errorf("cancellation of %s was not confirmed in 90 attempts", id)
 		}
 	}
 }
 
-// checkProgress checks, once the faults are over, that no job waits for 90 s while a machine has
-// room for a task of it and its team is under its limit.
+// checkProgress checks, after the faults have ended, that no job waits for 90 s while a machine has room for one of its
+// tasks and its team is below its limit.
 func (r *faultRun) checkProgress() {
 	waited := map[string]int{}
 	for n := 0; ; n++ {
 		select {
-		case <-r.over:
+		case <-r.jobsDone:
 			return
 		case <-time.After(time.Second):
 		}
@@ -175,14 +174,14 @@
 			if !hasRoom || !r.hasWaitingTasks(id, n%r.size) {
 				waited[id] = 0
 			} else if waited[id]++; waited[id] == 90 {
-				r.t.Errorf("%s waits although a machine has room", id)
+				r.t.Errorf("%s has waited for 90 s although a machine has room", id)
 			}
 		}
 	}
 }
 
-// hasWaitingTasks reports whether a job has tasks that neither run nor are done, by a node's
-// answer, although its team's limit leaves room for one.
+// hasWaitingTasks reports whether a job, according to a node, has tasks that neither run nor are done although its
+// team's limit would allow another one to run.
 func (r *faultRun) hasWaitingTasks(id string, node int) bool {
 	running := r.runningTasks(id)
 	if id == limitedJob && running >= maxLimitedTasks {
--- a/tests/cluster/five_node_faults_test.go
+++ b/tests/cluster/five_node_faults_test.go
@@ -13,24 +13,24 @@
 
 var fiveNodeFaultCases = []singleFaultCase{
 	{"four of five nodes crash", crashFourOfFiveNodes},
-	{"nodes restart at once, also during elections", restartNodesDuringElections},
-	{"nodes restart at once, with duplicates of their requests delayed", restartNodesWithDelayedDuplicates},
+	{"nodes restart immediately, also during elections", restartNodesDuringElections},
+	{"nodes restart immediately, with delayed duplicates of their requests", restartNodesWithDelayedDuplicates},
 	{"delayed duplicates of heartbeats", duplicateHeartbeats},
 	{"delayed duplicates of heartbeats reach the next leader", duplicateHeartbeatsToNextLeader},
 	{"a machine's heartbeats are dropped during a failover", failOverWithSilentMachine},
-	{"responses and commands to a machine are dropped", dropAllToMachine},
+	{"responses and commands to a machine are dropped", dropMessagesToMachine},
 }
 
-// TestFiveNodeFaults runs clusters of five nodes through faults of larger deployments: several
-// nodes at once, interrupted elections, duplicates of messages that arrive well over a lease
-// duration late.
+// TestFiveNodeFaults checks that clusters of five nodes complete all jobs after faults that need more than three nodes
+// or a long delay: crashes of several nodes at the same time, interrupted elections, and duplicates of messages that
+// arrive more than a lease duration late.
 func TestFiveNodeFaults(t *testing.T) {
 	for _, tc := range fiveNodeFaultCases {
 		t.Run(tc.name, func(t *testing.T) { runThroughFault(t, 5, tc.inject) })
 	}
 }
 
-// crashFourOfFiveNodes kills the leader and three followers: the one that is left must lead.
+// crashFourOfFiveNodes kills the leader and three followers for 12 s. The remaining node must lead.
 func crashFourOfFiveNodes(c *cluster) {
 	leader := c.leader()
 	time.Sleep(2 * time.Second)
@@ -43,9 +43,8 @@
 	}
 }
 
-// restartNodesDuringElections restarts the leader and a follower, and two other followers during
-// the election, six times. A restarted node must still abstain as in its earlier incarnation, whose
-// session goes on.
+// restartNodesDuringElections restarts the leader and a follower, and then two other followers during the election. It
+// does so six times. A restarted node must still abstain as its earlier incarnation did, whose session has not ended.
 func restartNodesDuringElections(c *cluster) {
 	time.Sleep(2 * time.Second)
 	for range 6 {
@@ -57,9 +56,9 @@
 	}
 }
 
-// restartNodesWithDelayedDuplicates restarts the leader and a follower four times, with a late
-// duplicate of every second of the nodes' transactions and POST requests to workers and the cloud.
-// Those of earlier incarnations arrive, too.
+// restartNodesWithDelayedDuplicates restarts the leader and a follower four times. Every second transaction or POST
+// request of the nodes to workers and the cloud is delivered again later, also when the incarnation that sent it has
+// ended.
 func restartNodesWithDelayedDuplicates(c *cluster) {
 	c.setFault(everyNthNodeRequest(2, fake.DuplicatedRequest, func(r *http.Request) bool {
 		return isTxn(r) || r.Host != "state" && r.Method == http.MethodPost
@@ -73,16 +72,16 @@
 	time.Sleep(20 * time.Second)
 }
 
-// duplicateHeartbeats has a late duplicate of every second heartbeat.
+// duplicateHeartbeats delivers a late duplicate of every second heartbeat.
 func duplicateHeartbeats(c *cluster) {
-	c.setFault(everyNthMessage(2, fake.DuplicatedRequest, isHeartbeat))
+	c.setFault(everyNthRequest(2, fake.DuplicatedRequest, isHeartbeat))
 	time.Sleep(30 * time.Second)
 }
 
-// duplicateHeartbeatsToNextLeader has a late duplicate of every heartbeat, and crashes the leader:
-// the next one gets duplicates of heartbeats that it has never had.
+// duplicateHeartbeatsToNextLeader delivers a late duplicate of every heartbeat, and crashes the leader. The next leader
+// receives duplicates of heartbeats whose originals it never received.
 func duplicateHeartbeatsToNextLeader(c *cluster) {
-	c.setFault(everyNthMessage(1, fake.DuplicatedRequest, isHeartbeat))
+	c.setFault(everyNthRequest(1, fake.DuplicatedRequest, isHeartbeat))
 	time.Sleep(6 * time.Second)
 	leader := c.leader()
 	c.kill(leader)
@@ -90,19 +89,19 @@
 	c.start(leader)
 }
 
-// failOverWithSilentMachine crashes the leader while nothing that one machine sends arrives, and the
-// cloud answers nobody. Its tasks must not start elsewhere while nobody knows whether they run.
+// failOverWithSilentMachine crashes the leader while all messages from one machine, and all requests to the cloud, are
+// dropped. The machine's tasks must not start elsewhere as long as it is unknown whether they still run.
 func failOverWithSilentMachine(c *cluster) {
 	c.cloud.RuntimeOf = func(string) float64 { return 25 }
 	job := testJob("j-000004", 9)
-	job["expect_s"] = 90.0 // for a fleet with room
+	job["expect_s"] = 90.0 // long enough that the fleet gets spare capacity
 	c.request(http.MethodPost, 0, "/v1/jobs", job)
 	for i := 0; i < 80 && c.cloud.Starts() < 19; i++ {
 		time.Sleep(500 * time.Millisecond)
 	}
 	workers := c.cloud.Workers()
 	if len(workers) < 4 {
-		c.t.Fatalf("%d machines", len(workers))
+		c.t.Fatalf("%d machines, want at least 4", len(workers))
 	}
 	silentID := workers[0].ID
 	c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -119,10 +118,9 @@
 	c.start(leader)
 }
 
-// dropAllToMachine drops all responses and commands to one machine. Its heartbeats make it look
-// healthy; its lease expires all the same, and its tasks must run on other machines while the fault
-// lasts.
-func dropAllToMachine(c *cluster) {
+// dropMessagesToMachine drops all responses and commands to one machine. Its heartbeats still arrive, so that the
+// machine appears healthy, but its lease expires. Its tasks must run on other machines during the fault.
+func dropMessagesToMachine(c *cluster) {
 	time.Sleep(3 * time.Second)
 	isolated := ""
 	if workers := c.cloud.Workers(); len(workers) > 0 {
@@ -137,7 +135,7 @@
 		}
 		return fake.NoFault
 	})
-	for i := 1; i <= 2; i++ { // on other machines while it lasts
+	for i := 1; i <= 2; i++ { // the jobs must complete on other machines during the fault
 		c.awaitStatus(fmt.Sprintf("j-%06d", i), wire.JobDone, 90*time.Second)
 	}
 }
--- a/tests/cluster/gang_combined_cases_test.go
+++ b/tests/cluster/gang_combined_cases_test.go
@@ -8,77 +8,77 @@
 	"caperlatch/internal/wire"
 )
 
-// restartLeaderBesideGangs restarts the leader twice, while a gang is being stopped: the next leaders
-// must have all of its tasks stopped, and let the other gangs go on.
-func restartLeaderBesideGangs(c *cluster, noted *counter) {
+// restartLeaderWhileGangStops restarts the leader twice while a gang is being stopped. The next leaders must stop all
+// of the gang's tasks, and let the other gangs continue.
+func restartLeaderWhileGangStops(c *cluster, events *counter) {
 	for range 2 {
 		before := c.fencingToken()
 		c.restartNodes(c.leader())
 		c.awaitLeaderAfter(before)
-		noted.add(notedLeaderChange)
-		c.awaitCheckpointing(stoppingGang, noted)
+		events.add(eventLeaderChange)
+		c.awaitCheckpointing(stoppingGang, events)
 	}
 }
 
-// restartNextLeadersBesideGangs kills the leader, and restarts the next one as soon as it holds the
-// leader key: four terms in a row begin without what the term before has learnt of the machines.
-func restartNextLeadersBesideGangs(c *cluster, noted *counter) {
-	c.awaitCheckpointing(stoppingGang, noted)
+// restartNewLeadersAtOnce kills the leader, and restarts the next one as soon as it holds the leader key, four times.
+// Four terms in a row begin without what earlier terms learned about the machines.
+func restartNewLeadersAtOnce(c *cluster, events *counter) {
+	c.awaitCheckpointing(stoppingGang, events)
 	for range 4 {
 		before := c.fencingToken()
 		leader := c.leader()
 		c.kill(leader)
-		// The next one ends as soon as it holds the leader key, before it knows the machines.
+		// The next leader is restarted as soon as it holds the leader key, before it knows the machines.
 		c.awaitLeaderAfter(before)
 		next := c.leader()
-		noted.add(notedElection)
+		events.add(eventElectionInterrupted)
 		c.restartNodes(next)
 		c.start(leader)
 		time.Sleep(700 * time.Millisecond)
 	}
 }
 
-// restartAllNodesBesideGangs restarts the three nodes in turn, three times each, so that no node
-// leads for long. Tasks must still be on machines meanwhile.
-func restartAllNodesBesideGangs(c *cluster, noted *counter) {
+// restartNodesInTurn restarts the three nodes in turn, three times each, so that no node leads for long. Tasks must
+// still be on machines after at least one restart.
+func restartNodesInTurn(c *cluster, events *counter) {
 	for n := range 9 {
 		c.restartNodes(n % 3)
 		time.Sleep(400 * time.Millisecond)
 		if len(c.cloud.TasksOnMachines()) > 0 {
-			noted.add(notedRestart)
+			events.add(eventRestartWithTasks)
 		}
 	}
 }
 
-// refuseStateWhileGangIsStopped makes the state service unavailable to the leader that stops a gang,
-// until another node leads: that one must complete the stop.
-func refuseStateWhileGangIsStopped(c *cluster, noted *counter) {
-	c.awaitCheckpointing(stoppingGang, noted)
+// blockStateWhileGangStops makes the state service unavailable to the leader that is stopping a gang, until 5 s after
+// another node leads. The new leader must complete the stop.
+func blockStateWhileGangStops(c *cluster, events *counter) {
+	c.awaitCheckpointing(stoppingGang, events)
 	first, before := c.leader(), c.fencingToken()
-	refusal := stateUnavailableTo(first)
+	unavailable := stateUnavailableTo(first)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
-		fault := refusal(from, r)
+		fault := unavailable(from, r)
 		if fault != fake.NoFault {
-			noted.add(notedUnavailable)
+			events.add(eventStateUnavailable)
 		}
 		return fault
 	})
 	c.awaitLeaderAfter(before)
-	noted.add(notedLeaderChange)
+	events.add(eventLeaderChange)
 	time.Sleep(5 * time.Second)
 }
 
-// refuseStateAndDelayCommands makes the state service unavailable to the leader and delays its
-// commands, so that stops of its term arrive when another node leads.
-func refuseStateAndDelayCommands(c *cluster, noted *counter) {
+// blockStateAndDelayCommands makes the state service unavailable to the leader and delays its commands, so that stop
+// commands from its term arrive when another node leads.
+func blockStateAndDelayCommands(c *cluster, events *counter) {
 	first := c.leader()
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		switch {
 		case isFromNode(from, first) && isStateRequest(r):
-			noted.add(notedUnavailable)
+			events.add(eventStateUnavailable)
 			return fake.ServiceUnavailable
 		case isFromNode(from, first) && isCommand(r):
-			noted.add(notedDelayedCommand)
+			events.add(eventCommandDelayed)
 			return fake.DelayedRequest
 		}
 		return fake.NoFault
@@ -86,31 +86,31 @@
 	time.Sleep(12 * time.Second)
 }
 
-// duplicateHeartbeatsOfGangs has a late duplicate of every heartbeat while the leader restarts four
-// times. A duplicate that shows an older state of a gang may change nothing.
-func duplicateHeartbeatsOfGangs(c *cluster, noted *counter) {
+// duplicateHeartbeatsOfGangs delivers a late duplicate of every heartbeat while the leader restarts four times. A
+// duplicate that shows an older state of a gang must have no effect.
+func duplicateHeartbeatsOfGangs(c *cluster, events *counter) {
 	c.setFault(func(_ string, r *http.Request) fake.Fault {
 		if isHeartbeat(r) {
-			noted.add(notedDuplicate)
+			events.add(eventHeartbeatDuplicated)
 			return fake.DuplicatedRequest
 		}
 		return fake.NoFault
 	})
 	for range 4 {
-		c.awaitCheckpointing(stoppingGang, noted)
+		c.awaitCheckpointing(stoppingGang, events)
 		c.restartNodes(c.leader())
 		time.Sleep(time.Duration(leaseDurationS) * time.Second)
 	}
 }
 
-// delayHeartbeatsToNextLeader delays all heartbeats of machines from shortly before a restart of the
-// leader until the next one leads, three times: they arrive in terms after the one they were sent in.
-func delayHeartbeatsToNextLeader(c *cluster, noted *counter) {
-	c.awaitCheckpointing(stoppingGang, noted)
+// delayHeartbeatsToNextLeader delays all heartbeats of machines from shortly before a restart of the leader until the
+// next one leads, three times. The heartbeats arrive in a later term than the one they were sent in.
+func delayHeartbeatsToNextLeader(c *cluster, events *counter) {
+	c.awaitCheckpointing(stoppingGang, events)
 	for range 3 {
 		c.setFault(func(from string, r *http.Request) fake.Fault {
 			if isHeartbeat(r) && machineOf(from) != "" {
-				noted.add(notedDelayedHeartbeat)
+				events.add(eventHeartbeatDelayed)
 				return fake.DelayedRequest
 			}
 			return fake.NoFault
@@ -124,7 +124,7 @@
 	}
 }
 
-// recordHeartbeats has the heartbeats of machines recorded from now on, until another fault is set.
+// recordHeartbeats sets a fault function that records the heartbeats of machines until another one is set.
 func (c *cluster) recordHeartbeats(recorder *heartbeatRecorder) {
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if machineOf(from) != "" && isHeartbeat(r) {
@@ -134,14 +134,13 @@
 	})
 }
 
-// replayHeartbeatsOfEarlierAttempt sends heartbeats that show a gang's earlier attempt to three
-// leaders in a row, as soon as each leads, while a later attempt runs: none may take them for the
-// state of the machines.
-func replayHeartbeatsOfEarlierAttempt(c *cluster, noted *counter) {
+// replayHeartbeatsOfEarlierAttempt sends heartbeats that show a gang's earlier attempt to three leaders in a row, as
+// soon as each leads, while a later attempt runs. No leader may treat them as the current state of the machines.
+func replayHeartbeatsOfEarlierAttempt(c *cluster, events *counter) {
 	var recorder heartbeatRecorder
 	c.recordHeartbeats(&recorder)
-	c.awaitCheckpointing(stoppingGang, noted)
-	stale := recorder.matching(func(r *wire.Heartbeat) bool { return attemptsOf(r, stoppingGang) > 0 })
+	c.awaitCheckpointing(stoppingGang, events)
+	stale := recorder.matching(func(r *wire.Heartbeat) bool { return countAttempts(r, stoppingGang) > 0 })
 	c.awaitGangRunning(stoppingGang, 3) // the next attempt
 	for range 3 {
 		before := c.fencingToken()
@@ -152,23 +151,23 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if len(stale) > 0 && len(c.taskStateCounts(stoppingGang)) > 0 {
-			noted.add(notedStale)
+			events.add(eventStaleReplayed)
 		}
 		time.Sleep(time.Duration(leaseDurationS) * time.Second)
 	}
 }
 
-// replayHeartbeatsOfIsolatedGang isolates the machines on which a gang's later attempt runs, and
-// sends the next leader heartbeats from before that attempt. They may not prove that the machines
-// are free, nor that the earlier attempt runs.
-func replayHeartbeatsOfIsolatedGang(c *cluster, noted *counter) {
+// replayHeartbeatsOfIsolatedGang isolates the machines on which a gang's later attempt runs, and sends the next leader
+// heartbeats from before that attempt. The leader may conclude from them neither that the machines are free nor that
+// the earlier attempt still runs.
+func replayHeartbeatsOfIsolatedGang(c *cluster, events *counter) {
 	var recorder heartbeatRecorder
 	c.recordHeartbeats(&recorder)
-	c.awaitCheckpointing(stoppingGang, noted)
+	c.awaitCheckpointing(stoppingGang, events)
 	for i := 0; c.taskStateCounts(stoppingGang)[wire.TaskCheckpointing] > 0 && i < 100; i++ {
 		time.Sleep(50 * time.Millisecond)
 	}
-	// From before and between its attempts; some show the first, some none.
+	// These heartbeats are from before and between the gang's attempts. Some show the first attempt, others show none.
 	stale := recorder.matching(func(*wire.Heartbeat) bool { return true })
 	c.awaitGangRunning(stoppingGang, 3) // the next attempt
 	ids := map[string]bool{}
@@ -182,24 +181,23 @@
 	c.awaitLeaderAfter(before)
 	for range 50 {
 		if c.replayHeartbeats(stale) > 0 && c.taskStateCounts(stoppingGang)[wire.TaskRunning] == 3 {
-			noted.add(notedStaleAnswered)
+			events.add(eventStaleAnswered)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// delayCompletionsOfGangs delays the first three transactions that store a gang's completion, while
-// the leader restarts twice. The next leaders must find the completions anew, and the late
-// transactions change nothing.
-func delayCompletionsOfGangs(c *cluster, noted *counter) {
+// delayCompletionsOfGangs delays the first three transactions that store a gang's completion, while the leader restarts
+// twice. The next leaders must detect the completions again, and the late transactions must have no effect.
+func delayCompletionsOfGangs(c *cluster, events *counter) {
 	c.state.SetTxnFault(func(x fake.Transaction) fake.TxnFault {
-		if storesCompletion(&x) && noted.count(notedCompletion) < 3 {
-			noted.add(notedCompletion)
+		if storesCompletion(&x) && events.count(eventCompletionDelayed) < 3 {
+			events.add(eventCompletionDelayed)
 			return fake.TxnDelayed
 		}
 		return fake.TxnNoFault
 	})
-	for i := 0; noted.count(notedCompletion) == 0 && i < 1500; i++ {
+	for i := 0; events.count(eventCompletionDelayed) == 0 && i < 1500; i++ {
 		time.Sleep(100 * time.Millisecond)
 	}
 	c.restartNodes(c.leader())
--- a/tests/cluster/gang_failovers_test.go
+++ b/tests/cluster/gang_failovers_test.go
@@ -11,7 +11,7 @@
 	"caperlatch/internal/wire"
 )
 
-// gangFailoverCases lists the cases of TestGangFaults in which the leader ends.
+// gangFailoverCases lists the cases of TestGangFaults with a failover.
 func gangFailoverCases() []gangFaultCase {
 	return []gangFaultCase{
 		{name: "failover while the gang waits", job: wideGang(), imagePullS: 4,
@@ -24,17 +24,17 @@
 			inject: failOverAsGangIsInterrupted, fullRuns: 2, timeout: 90 * time.Second},
 		{name: "failover while the gang is stopped", job: wideGang(),
 			inject: failOverWhileGangIsStopped, fullRuns: 2, timeout: 90 * time.Second},
-		{name: "failover when only some starts were sent", job: wideGang(),
+		{name: "failover when only some start commands were delivered", job: wideGang(),
 			inject: failOverBetweenGangStarts, fullRuns: 1, timeout: 80 * time.Second},
 		{name: "failover when the result is lost with its machine before it is stored", job: gangJob(testGang, 4, 1, nil), imagePullS: 2,
 			inject: failOverWithLostGangResult, fullRuns: 1, timeout: 100 * time.Second},
-		{name: "failover when one heartbeat has shown the gang done", job: wideGang(),
+		{name: "failover after one heartbeat has shown that the gang is done", job: wideGang(),
 			inject: failOverAfterOneGangResult, fullRuns: 1, timeout: 60 * time.Second},
 	}
 }
 
-// failOverWhileGangWaits restarts the leader while two tasks wait for a machine that hangs: under the
-// next leader the gang must start in time, and once.
+// failOverWhileGangWaits restarts the leader while two tasks wait for a machine that hangs. The gang must start in
+// time, and only once, under the next leader.
 func failOverWhileGangWaits(c *cluster) {
 	c.awaitGangPulling(testGang)
 	c.cloud.WorkersOf(testGang)[0].Hang(6 * time.Second)
@@ -42,8 +42,8 @@
 	c.restartNodes(c.leader())
 }
 
-// failOverWhileGangWaitsForLostMachine restarts the leader as the cloud takes back the machine for
-// which the other tasks wait: the next leader must start that task elsewhere.
+// failOverWhileGangWaitsForLostMachine restarts the leader when the cloud terminates the machine for whose task the
+// other tasks wait. The next leader must start that task elsewhere.
 func failOverWhileGangWaitsForLostMachine(c *cluster) {
 	c.awaitGangPulling(testGang)
 	hungWorker := c.cloud.WorkersOf(testGang)[0]
@@ -53,15 +53,15 @@
 	c.restartNodes(c.leader())
 }
 
-// failOverWhileGangRuns restarts the leader: the gang must go on undisturbed.
+// failOverWhileGangRuns restarts the leader while a gang runs. The gang must continue without interruption.
 func failOverWhileGangRuns(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(3 * time.Second)
 	c.restartNodes(c.leader())
 }
 
-// failOverAsGangIsInterrupted restarts the leader as the cloud takes back a machine of the running
-// gang without notice: the next leader must start all tasks again.
+// failOverAsGangIsInterrupted restarts the leader when the cloud terminates a machine of the running gang without
+// notice. The next leader must start all tasks again.
 func failOverAsGangIsInterrupted(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(3 * time.Second)
@@ -69,8 +69,8 @@
 	c.restartNodes(c.leader())
 }
 
-// failOverWhileGangIsStopped restarts the leader once the first task checkpoints for an interruption
-// notice: the next leader must have the others stopped as well.
+// failOverWhileGangIsStopped restarts the leader as soon as the first task checkpoints because of an interruption
+// notice. The next leader must stop the other tasks as well.
 func failOverWhileGangIsStopped(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(8 * time.Second)
@@ -85,13 +85,12 @@
 	c.restartNodes(c.leader())
 }
 
-// failOverBetweenGangStarts drops all responses but the first to one machine, so that the start meant
-// for it is lost, and restarts the leader once the other two tasks wait: the next leader must start
-// the missing task.
+// failOverBetweenGangStarts drops all responses to one machine except the first, so that the start command for it is
+// lost. It restarts the leader when the other two tasks wait. The next leader must start the missing task.
 func failOverBetweenGangStarts(c *cluster) {
 	isolated := ""
 	c.setFault(func(from string, _ *http.Request) fake.Fault {
-		// A machine has a fencing token once it has got a response.
+		// A machine has a fencing token as soon as it has received a response.
 		for _, w := range c.cloud.Workers() {
 			if from == w.ID && w.FencingToken() > 0 && (isolated == "" || isolated == from) {
 				isolated = from
@@ -104,9 +103,9 @@
 	c.restartNodes(c.leader())
 }
 
-// failOverWithLostGangResult has a gang complete while no transaction arrives, and takes back its
-// machine and kills the leader, so that no heartbeat shows the result any more. The next leader must
-// start the gang again; its tasks end at once, as done.
+// failOverWithLostGangResult lets a gang complete while all transactions are dropped. It then terminates the gang's
+// machine and kills the leader, so that no heartbeat shows the result any more. The next leader must start the gang
+// again; its tasks end immediately as done.
 func failOverWithLostGangResult(c *cluster) {
 	c.awaitGangRunning(testGang, 4)
 	time.Sleep(18 * time.Second)
@@ -119,27 +118,27 @@
 	machine := c.cloud.WorkersOf(testGang)[0]
 	time.Sleep(4 * time.Second)
 	if len(machine.Tasks()) > 0 {
-		c.t.Error("the gang has not completed")
+		c.t.Errorf("machine %s still has tasks %v, want the gang to have completed", machine.ID, machine.Tasks())
 	}
 	machine.Interrupt(0)
 	leader := c.leader()
 	c.kill(leader)
 	c.setFault(nil)
 	if code, status := c.request(http.MethodGet, (leader+1)%3, "/v1/jobs/"+testGang, nil); code != http.StatusOK || status.State == wire.JobDone {
-		c.t.Errorf("%d, status %s: its completion was stored", code, status.State)
+		c.t.Errorf("query answered with %d, status %q; want 200 and a status other than done, as the completion must not be stored", code, status.State)
 	}
 	c.start(leader)
 }
 
-// failOverAfterOneGangResult drops the heartbeats of all machines but one, as the gang completes,
-// and restarts the leader once it has that machine's result: the next leader must take the others'
-// results, and not start their tasks again.
+// failOverAfterOneGangResult drops the heartbeats of all machines except one while the gang completes, and restarts
+// the leader after it has received that machine's result. The next leader must accept the results of the other
+// machines, and must not start their tasks again.
 func failOverAfterOneGangResult(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(18 * time.Second)
-	heardID := c.cloud.WorkersOf(testGang)[0].ID
+	reachableID := c.cloud.WorkersOf(testGang)[0].ID
 	c.setFault(func(from string, _ *http.Request) fake.Fault {
-		if from != heardID && strings.HasPrefix(from, "i-") {
+		if from != reachableID && strings.HasPrefix(from, "i-") {
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
--- a/tests/cluster/gang_faults_test.go
+++ b/tests/cluster/gang_faults_test.go
@@ -14,21 +14,22 @@
 // testGang is the only job of each case of TestGangFaults.
 const testGang = "j-000001"
 
-// gangFaultCase is a fault that affects a gang.
+// gangFaultCase is a case of TestGangFaults: a gang, and a fault that affects it.
 type gangFaultCase struct {
 	name       string
 	job        map[string]any
-	zones      []string         // of the fleet; nil: one
-	imagePullS float64          // how long machines pull its image
-	inject     func(c *cluster) // called once the gang is submitted; nil: no fault
-	fullRuns   int              // attempts of which all tasks ran; negative: any number
-	timeout    time.Duration    // from its submission to its completion
+	zones      []string         // of the fleet; nil: a single zone
+	imagePullS float64          // time that a machine needs to pull the gang's image
+	inject     func(c *cluster) // called after the gang is submitted; nil: no fault
+	fullRuns   int              // wanted number of attempts in which all tasks ran; negative: any number
+	timeout    time.Duration    // from submission to completion
 }
 
-// wideGang is a gang over several machines: one has four CPUs, so that each of three has one task.
+// wideGang returns a gang of three tasks that need three CPUs each. A machine has four CPUs, so three machines have one
+// task each.
 func wideGang() map[string]any { return gangJob(testGang, 3, 3, nil) }
 
-// gangFaultCases lists gangs of each shape, and faults without a failover.
+// gangFaultCases lists the cases of TestGangFaults with gangs of each shape, and with faults that cause no failover.
 func gangFaultCases() []gangFaultCase {
 	twoZones := []string{"a", "b"}
 	spread := gangJob(testGang, 4, 3, map[string]any{"scatter": true})
@@ -43,23 +44,23 @@
 			fullRuns: 1, timeout: 60 * time.Second},
 		{name: "spread over zones", job: spread, zones: twoZones,
 			fullRuns: 1, timeout: 60 * time.Second},
-		{name: "zone given", job: gangJob(testGang, 3, 3, map[string]any{"hall": "b"}), zones: twoZones,
+		{name: "requested zone", job: gangJob(testGang, 3, 3, map[string]any{"hall": "b"}), zones: twoZones,
 			fullRuns: 1, timeout: 60 * time.Second},
 		{name: "as large as its team's limit", job: gangJob(testGang, 4, 1, map[string]any{"desk": "small"}),
 			fullRuns: 1, timeout: 40 * time.Second},
-		// A replacement with the same attempt number completes the gang.
+		// In these cases a replacement task with the same attempt number completes the gang.
 		{name: "a machine hangs before the gang starts", job: wideGang(), imagePullS: 3,
 			inject: hangBeforeGangStarts, fullRuns: 1, timeout: 60 * time.Second},
 		{name: "a machine is interrupted while the others wait", job: wideGang(), imagePullS: 3,
 			inject: interruptWhileGangWaits, fullRuns: 1, timeout: 60 * time.Second},
 		{name: "a machine is interrupted after a notice while the others wait", job: wideGang(), imagePullS: 3,
 			inject: noticeBeforeGangStarts, fullRuns: 1, timeout: 60 * time.Second},
-		// The other tasks notice the loss, and all start again.
+		// In these cases the other tasks detect the loss, and all tasks start again.
 		{name: "a machine hangs while the gang runs", job: wideGang(),
 			inject: hangWhileGangRuns, fullRuns: 2, timeout: 90 * time.Second},
 		{name: "a machine is interrupted while the gang runs", job: wideGang(),
 			inject: interruptWhileGangRuns, fullRuns: 2, timeout: 80 * time.Second},
-		// All tasks are stopped, checkpoint, and continue elsewhere: no progress is lost.
+		// In this case all tasks are stopped, checkpoint, and continue elsewhere, so that no progress is lost.
 		{name: "a machine is interrupted after a notice while the gang runs", job: wideGang(),
 			inject: noticeWhileGangRuns, fullRuns: 2, timeout: 60 * time.Second},
 		{name: "the stop reaches only some tasks", job: wideGang(),
@@ -69,16 +70,15 @@
 	}
 }
 
-// TestGangFaults runs a gang through one fault each. It must complete, with no rule violated; the
-// number of its full runs shows whether an attempt was lost, and its duration whether its progress
-// was.
+// TestGangFaults checks that a gang completes after a fault, and that no rule is violated. The number of attempts in
+// which all tasks ran shows whether an attempt was lost, and the duration shows whether progress was lost.
 func TestGangFaults(t *testing.T) {
 	for _, tc := range append(gangFaultCases(), gangFailoverCases()...) {
 		t.Run(tc.name, tc.run)
 	}
 }
 
-// run submits the gang, injects the fault, and checks how the gang ends.
+// run submits the gang, injects the fault, and checks that the gang completes as wanted.
 func (tc gangFaultCase) run(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, 3)
@@ -96,14 +96,14 @@
 		c.setFault(nil)
 		c.awaitStatus(testGang, wire.JobDone, tc.timeout+30*time.Second)
 		if duration := time.Since(startedAt); duration > tc.timeout {
-			t.Errorf("done after %v", duration)
+			t.Errorf("gang done after %v, want at most %v", duration, tc.timeout)
 		}
 		if runs := c.cloud.GangRuns(testGang); tc.fullRuns >= 0 && runs != tc.fullRuns {
-			t.Errorf("%d full runs, want %d", runs, tc.fullRuns)
+			t.Errorf("%d full runs of the gang, want %d", runs, tc.fullRuns)
 		}
 		time.Sleep(5 * time.Second)
 		if left := c.cloud.TasksOnMachines(); len(left) > 0 {
-			t.Errorf("still on machines: %v", left)
+			t.Errorf("tasks %v are still on machines 5 s after the gang is done", left)
 		}
 		for _, rule := range c.rules.Violations() {
 			t.Error(rule)
@@ -111,22 +111,22 @@
 	})
 }
 
-// checkGangOnOneMachine injects no fault: the tasks of a gang that fit on one machine must share it.
+// checkGangOnOneMachine injects no fault. It checks that the tasks of a gang that fit on one machine share it.
 func checkGangOnOneMachine(c *cluster) {
 	c.awaitGangRunning(testGang, 4)
 	if n := len(c.cloud.WorkersOf(testGang)); n != 1 {
-		c.t.Errorf("it is on %d machines, want one", n)
+		c.t.Errorf("gang is on %d machines, want 1", n)
 	}
 }
 
-// hangBeforeGangStarts has a machine hang for a minute while all pull the image.
+// hangBeforeGangStarts makes a machine hang for a minute while all machines pull the image.
 func hangBeforeGangStarts(c *cluster) {
 	c.awaitGangPulling(testGang)
 	c.cloud.WorkersOf(testGang)[1].Hang(time.Minute)
 }
 
-// interruptWhileGangWaits has the cloud take back, without notice, a machine that hangs and for
-// which the other tasks wait.
+// interruptWhileGangWaits makes the cloud terminate, without notice, a machine that hangs and for whose task the other
+// tasks wait.
 func interruptWhileGangWaits(c *cluster) {
 	c.awaitGangPulling(testGang)
 	hungWorker := c.cloud.WorkersOf(testGang)[1]
@@ -135,42 +135,41 @@
 	hungWorker.Interrupt(0)
 }
 
-// noticeBeforeGangStarts has the cloud take back a machine 8 s after a notice that comes while all
-// pull the image. The gang must not start on it.
+// noticeBeforeGangStarts makes the cloud terminate a machine 8 s after an interruption notice, which arrives while all
+// machines pull the image. The gang must not start on that machine.
 func noticeBeforeGangStarts(c *cluster) {
 	c.awaitGangPulling(testGang)
 	c.cloud.WorkersOf(testGang)[0].Interrupt(8 * time.Second)
 }
 
-// hangWhileGangRuns has a machine hang for a minute, after the tasks' first checkpoint.
+// hangWhileGangRuns makes a machine hang for a minute after the tasks' first checkpoint.
 func hangWhileGangRuns(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(12 * time.Second)
 	c.cloud.WorkersOf(testGang)[2].Hang(time.Minute)
 }
 
-// interruptWhileGangRuns has the cloud take back a machine without notice, after the tasks' first
-// checkpoint.
+// interruptWhileGangRuns makes the cloud terminate a machine without notice after the tasks' first checkpoint.
 func interruptWhileGangRuns(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(12 * time.Second)
 	c.cloud.WorkersOf(testGang)[2].Interrupt(0)
 }
 
-// noticeWhileGangRuns has the cloud take back a machine 9 s after a notice, before the tasks' first
-// periodic checkpoint: stopping the gang must save its progress.
+// noticeWhileGangRuns makes the cloud terminate a machine 9 s after an interruption notice, which arrives before the
+// tasks' first periodic checkpoint. Stopping the gang must save its progress.
 func noticeWhileGangRuns(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(8 * time.Second)
 	c.cloud.WorkersOf(testGang)[2].Interrupt(9 * time.Second)
 	time.Sleep(8 * time.Second)
 	if progress := c.cloud.GangProgress(testGang); progress < 7*time.Second {
-		c.t.Errorf("checkpoints keep %v of its progress, want at least 7 s", progress)
+		c.t.Errorf("checkpoints hold %v of the gang's progress, want at least 7 s", progress)
 	}
 }
 
-// isolateMachineOfStoppingGang isolates one machine of the gang as another gets an interruption
-// notice, so that the stop does not reach all tasks.
+// isolateMachineOfStoppingGang isolates one machine of the gang while another gets an interruption notice, so that the
+// stop commands do not reach all tasks.
 func isolateMachineOfStoppingGang(c *cluster) {
 	c.awaitGangRunning(testGang, 3)
 	time.Sleep(8 * time.Second)
@@ -185,7 +184,7 @@
 	time.Sleep(12 * time.Second)
 }
 
-// isolateEveryTenthMachine isolates the machines whose IDs end in 1, for longer than a lease.
+// isolateEveryTenthMachine isolates the machines whose IDs end in 1 for 15 s, which is longer than a lease.
 func isolateEveryTenthMachine(c *cluster) {
 	c.awaitGangRunning(testGang, 4)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
--- a/tests/cluster/message_faults_test.go
+++ b/tests/cluster/message_faults_test.go
@@ -15,7 +15,7 @@
 // isCommand reports whether a request carries urgent commands to a worker.
 func isCommand(r *http.Request) bool { return r.URL.Path == wire.PathCommands }
 
-// isTxn reports whether a request is a transaction of the state service.
+// isTxn reports whether a request is a transaction to the state service.
 func isTxn(r *http.Request) bool { return r.URL.Path == wire.PathTransactions }
 
 // bodyContains reports whether a request's body contains a key.
@@ -31,9 +31,9 @@
 	return err == nil && bytes.Contains(b, []byte(key))
 }
 
-// everyNthMessage gives every nth request that matches a fault, whoever sends it; everyNth does so
-// with requests of nodes alone.
-func everyNthMessage(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
+// everyNthRequest returns a function that applies a fault to every nth matching request from any sender. The function
+// of everyNthNodeRequest considers only requests from nodes.
+func everyNthRequest(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 	count := 0
 	return func(_ string, r *http.Request) fake.Fault {
 		if match(r) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// stateUnavailableTo returns the fault that makes the state service unavailable to a node, or to all if
-// it is negative.
+// stateUnavailableTo returns a fault function that makes the state service unavailable to a node, or to all nodes if
+// node is negative.
 func stateUnavailableTo(node int) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		if isStateRequest(r) && (node < 0 || isFromNode(from, node)) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// dropResponsesTo returns the fault that drops all responses and commands to these machines; what
-// they send arrives.
+// dropResponsesTo returns a fault function that drops all responses and commands to some machines. Requests from these
+// machines are still delivered.
 func dropResponsesTo(ids map[string]bool) func(string, *http.Request) fake.Fault {
 	return func(from string, r *http.Request) fake.Fault {
 		switch {
--- a/tests/cluster/partitioned_node_test.go
+++ b/tests/cluster/partitioned_node_test.go
@@ -11,24 +11,24 @@
 	"caperlatch/internal/wire"
 )
 
-// partitionCase is a node that loses the state service and all other nodes.
+// partitionCase is a case of TestPartitionedNode: a node is partitioned from the state service and all other nodes.
 type partitionCase struct {
-	name     string
-	nodes    int
-	follower bool // the node follows; otherwise it leads
-	only     bool // workers reach no other node
+	name          string
+	nodes         int
+	follower      bool // whether the partitioned node is a follower; otherwise it is the leader
+	onlyReachable bool // whether workers can reach only the partitioned node
 }
 
 var partitionCases = []partitionCase{
 	{name: "leader", nodes: 5},
 	{name: "follower", nodes: 5, follower: true},
-	// With more nodes the lease would expire while the worker tries the others.
-	{name: "leader, and no worker reaches another node", nodes: 3, only: true},
+	// In a larger cluster the lease would expire while the worker tries the other nodes.
+	{name: "leader, and workers reach no other node", nodes: 3, onlyReachable: true},
 }
 
-// TestPartitionedNode has the leader, or a follower, lose the state service and all other nodes but
-// not its workers. A job is cancelled at another node: its tasks are gone in time although the
-// partitioned node cannot know, and the workers find another node.
+// TestPartitionedNode checks cancellation and readiness while the leader or a follower is partitioned from the state
+// service and all other nodes, but not from its workers. When a job is cancelled at another node, its tasks must end in
+// time although the partitioned node cannot learn of the cancellation, and the workers must switch to another node.
 func TestPartitionedNode(t *testing.T) {
 	for _, tc := range partitionCases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -36,15 +36,15 @@
 				c := newClusterOf(t, tc.nodes)
 				defer c.close()
 				tc.run(c)
-				if broken := c.cloud.Violations(); broken != nil {
-					t.Error(broken)
+				if violations := c.cloud.Violations(); violations != nil {
+					t.Error(violations)
 				}
 			})
 		})
 	}
 }
 
-// run partitions the node while a job runs, cancels the job, and has another one run.
+// run partitions the node while a job runs, cancels the job at another node, and checks that a further job completes.
 func (tc partitionCase) run(c *cluster) {
 	c.cloud.RuntimeOf = func(task string) float64 {
 		if strings.HasPrefix(task, "j-000001/") {
@@ -56,76 +56,76 @@
 	for i := 0; i < 80 && c.cloud.Starts() < 4; i++ {
 		time.Sleep(500 * time.Millisecond)
 	}
-	partitioned := c.leader()
+	partitionedNode := c.leader()
 	if tc.follower {
-		partitioned = (partitioned + 1) % c.size
+		partitionedNode = (partitionedNode + 1) % c.size
 	}
-	c.isolateFromPeers(partitioned)
-	c.setFault(tc.faultOf(partitioned))
-	time.Sleep(12 * time.Second) // until all watches that were open before have ended
-	c.checkCancellationBeside(partitioned)
-	// Its users are to go to other nodes, too.
+	c.isolateFromPeers(partitionedNode)
+	c.setFault(tc.messageFaults(partitionedNode))
+	time.Sleep(12 * time.Second) // until all watches that were open before the partition have ended
+	c.checkCancellationDuringPartition(partitionedNode)
+	// Only the partitioned node may report that it is not ready, so that users are directed to other nodes.
 	for i := range c.size {
-		if code, _ := c.request(http.MethodGet, i, "/ready", nil); (code == http.StatusOK) != (i != partitioned) {
-			c.t.Errorf("node %d answers readiness with %d; %d is partitioned", i, code, partitioned)
+		if code, _ := c.request(http.MethodGet, i, "/ready", nil); (code == http.StatusOK) != (i != partitionedNode) {
+			c.t.Errorf("node %d answers /ready with %d, but only node %d is partitioned", i, code, partitionedNode)
 		}
 	}
-	// The partition lasts; other nodes serve the workers.
+	// The partitioned node still cannot reach the state service or its peers, but workers can reach all nodes now.
 	c.setFault(func(from string, r *http.Request) fake.Fault {
-		if isFromNode(from, partitioned) && isStateRequest(r) {
+		if isFromNode(from, partitionedNode) && isStateRequest(r) {
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
 	})
-	c.checkJobBeside(partitioned)
+	c.checkJobDuringPartition(partitionedNode)
 }
 
-// faultOf returns the faults of messages while the node is partitioned. The cloud answers nobody, so
-// that no termination ends the tasks.
-func (tc partitionCase) faultOf(partitioned int) func(string, *http.Request) fake.Fault {
-	host := memberName(partitioned) + ":8080"
+// messageFaults returns the fault function for the partition. It also drops all requests to the cloud, so that no
+// termination ends the tasks.
+func (tc partitionCase) messageFaults(partitionedNode int) func(string, *http.Request) fake.Fault {
+	host := memberName(partitionedNode) + ":8080"
 	return func(from string, r *http.Request) fake.Fault {
 		switch {
-		case isFromNode(from, partitioned) && isStateRequest(r), r.URL.Host == "cloud":
+		case isFromNode(from, partitionedNode) && isStateRequest(r), r.URL.Host == "cloud":
 			return fake.DroppedRequest
-		case tc.only && strings.HasPrefix(from, "i-") && r.URL.Host != host:
+		case tc.onlyReachable && strings.HasPrefix(from, "i-") && r.URL.Host != host:
 			return fake.ServiceUnavailable
 		}
 		return fake.NoFault
 	}
 }
 
-// checkCancellationBeside cancels the running job at a node that is not partitioned, and checks that
-// none of its tasks is left when the time for cancellations is over.
-func (c *cluster) checkCancellationBeside(partitioned int) {
+// checkCancellationDuringPartition cancels the running job at a node that is not partitioned, and checks that no task
+// is left on a machine after the cancellation timeout.
+func (c *cluster) checkCancellationDuringPartition(partitionedNode int) {
 	c.t.Helper()
 	code := 0
 	for i := 0; i < 20 && code != http.StatusOK; i++ {
-		code, _ = c.request(http.MethodPost, (partitioned+2)%c.size, "/v1/jobs/j-000001/abort", nil)
+		code, _ = c.request(http.MethodPost, (partitionedNode+2)%c.size, "/v1/jobs/j-000001/abort", nil)
 		time.Sleep(500 * time.Millisecond)
 	}
 	if code != http.StatusOK {
-		c.t.Fatalf("cancellation answered %d", code)
+		c.t.Fatalf("cancellation answered with %d, want 200", code)
 	}
 	time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
-	if on := c.cloud.TasksOnMachines(); len(on) > 0 {
-		c.t.Errorf("still on machines: %v", on)
+	if left := c.cloud.TasksOnMachines(); len(left) > 0 {
+		c.t.Errorf("tasks %v are still on machines after the cancellation timeout", left)
 	}
 }
 
-// checkJobBeside checks that a job that is submitted to a node that is not partitioned completes.
-func (c *cluster) checkJobBeside(partitioned int) {
+// checkJobDuringPartition checks that a job completes that is submitted to a node that is not partitioned.
+func (c *cluster) checkJobDuringPartition(partitionedNode int) {
 	c.t.Helper()
-	if code, _ := c.request(http.MethodPost, (partitioned+2)%c.size, "/v1/jobs", testJob("j-000002", 3)); code != http.StatusCreated {
-		c.t.Fatalf("submission answered %d", code)
+	if code, _ := c.request(http.MethodPost, (partitionedNode+2)%c.size, "/v1/jobs", testJob("j-000002", 3)); code != http.StatusCreated {
+		c.t.Fatalf("submission answered with %d, want 201", code)
 	}
 	for range 90 {
-		if _, status := c.request(http.MethodGet, (partitioned+1)%c.size, "/v1/jobs/j-000002", nil); status.State == wire.JobDone {
+		if _, status := c.request(http.MethodGet, (partitionedNode+1)%c.size, "/v1/jobs/j-000002", nil); status.State == wire.JobDone {
 			break
 		}
 		time.Sleep(time.Second)
 	}
-	if _, status := c.request(http.MethodGet, (partitioned+1)%c.size, "/v1/jobs/j-000002", nil); status.State != wire.JobDone {
-		c.t.Errorf("a job submitted during the partition is %q", status.State)
+	if _, status := c.request(http.MethodGet, (partitionedNode+1)%c.size, "/v1/jobs/j-000002", nil); status.State != wire.JobDone {
+		c.t.Errorf("status of the job submitted during the partition is %q, want %q", status.State, wire.JobDone)
 	}
 }
--- a/tests/cluster/random_failovers_test.go
+++ b/tests/cluster/random_failovers_test.go
@@ -16,19 +16,19 @@
 	"caperlatch/internal/wire"
 )
 
-// Sizes of TestRandomFailovers: five hundred failovers in all.
+// Numbers of TestRandomFailovers: ten seeds with fifty failovers each make five hundred failovers.
 const (
 	failoverSeeds          = 10
 	failoversPerSeed       = 50
 	randomFailoverMachines = 300
 )
 
-// TestRandomFailovers ends the term of the leader at random times, five hundred times in all, over
-// 300 machines that run arrays and gangs, while users submit, cancel and query all nodes. Some
-// terms end by handovers, some of which are interrupted by the crash of the leader or of the named
-// node. A leader whose own failover is not complete rejects a handover; it is killed instead. Under
-// the checker of the rules: no job has two final statuses or goes back, no task is on two machines,
-// no job is forgotten, and every accepted job ends.
+// TestRandomFailovers ends the leader's term at random times, five hundred times in total, on clusters with 300
+// machines that run arrays and gangs, while users submit, cancel and query jobs at all nodes. Some terms end by a
+// handover, and some handovers are interrupted by a crash of the leader or of the node to which it hands over. A leader
+// whose own failover is not complete rejects a handover, and is killed instead. The rule checker verifies that no job
+// has two final statuses or returns to an earlier status, that no task is on two machines, that no job is forgotten,
+// and that every accepted job ends.
 func TestRandomFailovers(t *testing.T) {
 	for seed := range uint64(failoverSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// randomFailoverRun is the run of one seed of TestRandomFailovers.
+// randomFailoverRun is a run of TestRandomFailovers with one seed.
 type randomFailoverRun struct {
 	*cluster
 	random *rand.Rand
@@ -50,7 +50,7 @@
 	finished  bool
 }
 
-// runRandomFailovers runs one seed.
+// runRandomFailovers runs TestRandomFailovers with one seed.
 func runRandomFailovers(t *testing.T, seed uint64) {
 	size := 3 + 2*int(seed%2)
 	c := newStandbyCluster(t, size, func(s *settings.Settings) {
@@ -61,7 +61,7 @@
 	c.cloud.RuntimeOf = func(task string) float64 { return float64(4 + 3*(len(task)+int(task[len(task)-1]))%24) }
 	r := &randomFailoverRun{cluster: c, random: rand.New(rand.NewPCG(seed, 24)), size: size, cancelled: map[string]bool{}}
 	var users sync.WaitGroup
-	// Each has a random source of its own, as all run at the same time.
+	// Each goroutine has its own random source, because a source is not safe for concurrent use.
 	users.Go(func() { r.submitJobs(rand.New(rand.NewPCG(seed, 1))) })
 	users.Go(func() { r.queryJobs(rand.New(rand.NewPCG(seed, 2))) })
 	time.Sleep(15 * time.Second)
@@ -69,7 +69,7 @@
 	for range failoversPerSeed {
 		time.Sleep(time.Duration(r.random.IntN(4000)) * time.Millisecond)
 		token := c.fencingToken()
-		if r.endLeader(c.leader()) {
+		if r.endTerm(c.leader()) {
 			handovers++
 		}
 		c.awaitLeaderAfter(token)
@@ -89,43 +89,44 @@
 	c.checkRules()
 	t.Logf("%d nodes, %d failovers, %d of them handovers, %d jobs, %d starts", size, failoversPerSeed, handovers, len(r.jobs), c.cloud.Starts())
 	if handovers < failoversPerSeed/10 || c.cloud.Starts() < 5000 {
-		t.Errorf("%d handovers, %d starts", handovers, c.cloud.Starts())
+		t.Errorf("%d handovers (want at least %d), %d starts (want at least 5000)", handovers, failoversPerSeed/10, c.cloud.Starts())
 	}
 }
 
-// endLeader ends the term of the leader in one of several ways, and reports whether it handed over.
-func (r *randomFailoverRun) endLeader(leader int) (handedOver bool) {
-	way := r.random.IntN(10)
-	if way < 6 { // a crash
+// endTerm ends the leader's term by a crash or a handover, chosen at random, and reports whether the leader handed
+// over.
+func (r *randomFailoverRun) endTerm(leader int) (handedOver bool) {
+	kind := r.random.IntN(10)
+	if kind < 6 { // a crash
 		r.crash(leader, time.Duration(r.random.IntN(3000))*time.Millisecond)
 		return false
 	}
-	var to string
+	var target string
 	var err error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		to, err = r.nodes[leader].HandOver()
+		target, err = r.nodes[leader].HandOver()
 	}()
-	if way == 6 { // it crashes during the handover
+	if kind == 6 { // the leader crashes during the handover
 		time.Sleep(time.Duration(r.random.IntN(400)) * time.Millisecond)
 		r.crash(leader, 100*time.Millisecond)
 	}
 	<-done
 	switch {
-	case err != nil && way != 6: // rejected: the process ends without, as HandOverOnShutdown has it
+	case err != nil && kind != 6: // rejected: the process ends without a handover, as after HandOverOnShutdown
 		if !errors.Is(err, caperlatch.ErrNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
-			r.t.Errorf("handover: %v", err)
+			r.t.Errorf("handover: %v, want none or a rejection", err)
 		}
 		r.crash(leader, 100*time.Millisecond)
-	case way == 7: // the named node crashes during its failover
-		r.crashNamed(to)
+	case kind == 7: // the node to which the leader hands over crashes during its failover
+		r.crashHandoverTarget(target)
 	}
 	return err == nil
 }
 
-// crashNamed kills the node that a handover names, within half a second.
-func (r *randomFailoverRun) crashNamed(member string) {
+// crashHandoverTarget crashes a member, which a handover has named as the next leader, within half a second.
+func (r *randomFailoverRun) crashHandoverTarget(member string) {
 	for i := range r.nodes {
 		if memberName(i) == member {
 			time.Sleep(time.Duration(r.random.IntN(500)) * time.Millisecond)
@@ -134,14 +135,14 @@
 	}
 }
 
-// crash kills a node and starts it again after a while.
-func (r *randomFailoverRun) crash(node int, down time.Duration) {
+// crash kills a node and starts it again after downtime.
+func (r *randomFailoverRun) crash(node int, downtime time.Duration) {
 	r.kill(node)
-	time.Sleep(down)
+	time.Sleep(downtime)
 	r.start(node)
 }
 
-// isFinished reports whether no more jobs are to be submitted.
+// isFinished reports whether users should stop submitting and querying jobs.
 func (r *randomFailoverRun) isFinished() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,7 +168,7 @@
 	}
 }
 
-// cancelUnlessDone repeats a cancellation until it is confirmed or comes too late.
+// cancelUnlessDone repeats a cancellation until it is confirmed or the job is already done.
 func (r *randomFailoverRun) cancelUnlessDone(id string, first int) {
 	for try := range 200 {
 		code, status := r.request(http.MethodPost, (first+try)%r.size, "/v1/jobs/"+id+"/abort", nil)
@@ -179,7 +180,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	r.t.Errorf("%s could not be cancelled", id)
+	r.t.Errorf("cancellation of %s was not answered with 200 in 200 attempts", id)
 }
 
 // queryJobs queries random nodes about random jobs until the run is finished.
--- a/tests/cluster/single_faults_test.go
+++ b/tests/cluster/single_faults_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// singleFaultCase is a fault of one kind.
+// singleFaultCase is a case of TestSingleFaults or TestFiveNodeFaults: a fault of one kind.
 type singleFaultCase struct {
 	name   string
 	inject func(c *cluster)
@@ -21,23 +21,23 @@
 var singleFaultCases = []singleFaultCase{
 	{"no fault", func(*cluster) {}},
 	{"the leader crashes", crashLeaderForTenSeconds},
-	{"the leader restarts at once", restartLeaderAtOnce},
+	{"the leader restarts immediately", restartLeaderAtOnce},
 	{"all nodes crash", crashAllNodesForFiveSeconds},
 	{"responses of the state service are dropped", dropStateResponses},
 	{"transactions are delayed", delayTxns},
 	{"launches are delayed", delayLaunches},
-	{"outage of the state service", haveShortOutage},
-	{"the state service is unavailable to every node", refuseStateToAllNodes},
-	{"the state service is unavailable to the leader alone", refuseStateToLeader},
-	{"long outage of the state service", haveLongOutage},
+	{"outage of the state service", injectShortOutage},
+	{"the state service is unavailable to every node", blockStateForAllNodes},
+	{"the state service is unavailable to the leader only", blockStateForLeader},
+	{"long outage of the state service", injectLongOutage},
 	{"the leader crashes during an outage of the state service", restartLeaderDuringOutage},
 	{"no worker reaches the leader", dropHeartbeatsToLeader},
 	{"a machine's heartbeats are dropped", dropHeartbeatsOfMachine},
 	{"responses to heartbeats are dropped", dropHeartbeatResponses},
 }
 
-// TestSingleFaults runs clusters of three nodes through one fault each. In each case three jobs of
-// five tasks are accepted before or during the fault and must complete after it, with no rule
+// TestSingleFaults checks that a cluster of three nodes recovers from a fault of one kind. In each case two jobs of
+// five tasks are accepted before the fault and one after it was injected. All must complete, and no rule may be
 // violated.
 func TestSingleFaults(t *testing.T) {
 	for _, tc := range singleFaultCases {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestPlacementDuringOutage has an outage of the state service: on the peers' answers the leader
-// goes on placing tasks of known jobs.
+// TestPlacementDuringOutage checks that during an outage of the state service the leader continues to place tasks of
+// known jobs, based on the answers of its peers.
 func TestPlacementDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -56,22 +56,22 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		c.state.SetOutage(true)
-		time.Sleep(10 * time.Second) // the leader can no longer count on its session
+		time.Sleep(10 * time.Second) // until the leader can no longer rely on its session
 		before := c.cloud.Starts()
 		time.Sleep(15 * time.Second)
 		if after := c.cloud.Starts(); after <= before {
-			t.Errorf("%d starts before and %d after", before, after)
+			t.Errorf("%d starts 15 s after there were %d, want more", after, before)
 		}
 		c.state.SetOutage(false)
 		c.awaitStatus("j-000001", wire.JobDone, 3*time.Minute)
-		if broken := c.cloud.Violations(); broken != nil {
-			t.Error(broken)
+		if violations := c.cloud.Violations(); violations != nil {
+			t.Error(violations)
 		}
 	})
 }
 
-// runThroughFault has two jobs of five tasks accepted before a fault and one after it began, and
-// checks that all complete.
+// runThroughFault submits two jobs of five tasks before it injects a fault and one after, and checks that all complete
+// and no rule is violated.
 func runThroughFault(t *testing.T, nodes int, inject func(*cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClusterOf(t, nodes)
@@ -86,16 +86,16 @@
 			c.awaitStatus(id, wire.JobDone, 90*time.Second)
 		}
 		c.checkJobsKnown(ids)
-		if broken := c.cloud.Violations(); broken != nil {
-			t.Error(broken)
+		if violations := c.cloud.Violations(); violations != nil {
+			t.Error(violations)
 		}
 		if starts := c.cloud.Starts(); starts < 15 {
-			t.Errorf("%d starts for 15 tasks that are done", starts)
+			t.Errorf("%d starts, want at least 15, as 15 tasks are done", starts)
 		}
 	})
 }
 
-// crashLeaderForTenSeconds kills the leader, and starts it again when another node leads.
+// crashLeaderForTenSeconds kills the leader, and starts it again 10 s later, when another node leads.
 func crashLeaderForTenSeconds(c *cluster) {
 	leader := c.leader()
 	time.Sleep(2 * time.Second)
@@ -104,8 +104,8 @@
 	c.start(leader)
 }
 
-// restartLeaderAtOnce restarts the leader within its session's TTL. The restart must not wait for
-// the session's end, and the fencing token of the earlier incarnation must not be used again.
+// restartLeaderAtOnce restarts the leader within the TTL of its session. The restarted node must not wait for the
+// session to end, and the fencing token of its earlier incarnation must not be used again.
 func restartLeaderAtOnce(c *cluster) {
 	leader := c.leader()
 	time.Sleep(2 * time.Second)
@@ -113,7 +113,7 @@
 	c.start(leader)
 }
 
-// crashAllNodesForFiveSeconds kills all nodes while tasks are on machines.
+// crashAllNodesForFiveSeconds kills all nodes for 5 s while tasks are on machines.
 func crashAllNodesForFiveSeconds(c *cluster) {
 	time.Sleep(2 * time.Second)
 	for i := range 3 {
@@ -125,22 +125,21 @@
 	}
 }
 
-// dropStateResponses drops every fourth response of the state service. A request whose response is
-// dropped may have been carried out.
+// dropStateResponses drops every fourth response of the state service to the nodes. A request whose response is dropped
+// is executed nevertheless.
 func dropStateResponses(c *cluster) {
 	c.setFault(everyNthNodeRequest(4, fake.DroppedResponse, isStateRequest))
 	time.Sleep(20 * time.Second)
 }
 
-// delayTxns delays every third transaction. A request without a response may be carried out later,
-// after newer writes.
+// delayTxns delays every third transaction. A transaction that got no response may still be executed, after newer
+// writes.
 func delayTxns(c *cluster) {
 	c.setFault(everyNthNodeRequest(3, fake.DelayedRequest, func(r *http.Request) bool { return isStateRequest(r) && isTxn(r) }))
 	time.Sleep(25 * time.Second)
 }
 
-// delayLaunches delays every second launch of machines. A launch without a response may be carried
-// out after its repetition.
+// delayLaunches delays every second launch of machines. A launch that got no response may be executed after its retry.
 func delayLaunches(c *cluster) {
 	c.setFault(everyNthNodeRequest(2, fake.DelayedRequest, func(r *http.Request) bool {
 		return r.URL.Path == wire.PathInstances && r.Method == http.MethodPost
@@ -148,33 +147,34 @@
 	time.Sleep(20 * time.Second)
 }
 
-// haveShortOutage has an outage of the state service of 8 s, in which no session ends.
-func haveShortOutage(c *cluster) {
+// injectShortOutage stops the state service for 8 s, during which no session ends.
+func injectShortOutage(c *cluster) {
 	time.Sleep(time.Second)
 	c.state.SetOutage(true)
 	time.Sleep(8 * time.Second)
 	c.state.SetOutage(false)
 }
 
-// refuseStateToAllNodes has the state service answer no node. No outage: the sessions end
-// meanwhile.
-func refuseStateToAllNodes(c *cluster) {
+// blockStateForAllNodes makes the state service answer all nodes with 503 for 20 s. Unlike in an outage, sessions end
+// in the meantime.
+func blockStateForAllNodes(c *cluster) {
 	time.Sleep(4 * time.Second)
 	c.setFault(everyNthNodeRequest(1, fake.ServiceUnavailable, isStateRequest))
 	time.Sleep(20 * time.Second)
 }
 
-// refuseStateToLeader has the others elect a new leader while the old one has no state service.
-func refuseStateToLeader(c *cluster) {
+// blockStateForLeader makes the state service unavailable to the leader for 15 s, so that the others elect a new
+// leader.
+func blockStateForLeader(c *cluster) {
 	leader := c.leader()
 	time.Sleep(2 * time.Second)
 	c.setFault(stateUnavailableTo(leader))
 	time.Sleep(15 * time.Second)
 }
 
-// haveLongOutage has an outage that is longer than LeaseRenewalWindow: the peers' answers keep lease
-// renewals and placement going.
-func haveLongOutage(c *cluster) {
+// injectLongOutage stops the state service for 40 s, which is longer than LeaseRenewalWindow. Lease renewals and
+// placement must continue, based on the peers' answers.
+func injectLongOutage(c *cluster) {
 	time.Sleep(4 * time.Second)
 	c.state.SetOutage(true)
 	time.Sleep(40 * time.Second)
@@ -194,8 +194,8 @@
 	c.state.SetOutage(false)
 }
 
-// dropHeartbeatsToLeader drops what workers send to the leader. The followers must forward the
-// heartbeats: jobs complete while the fault lasts.
+// dropHeartbeatsToLeader drops all requests of workers to the leader. The followers must forward heartbeats, so that
+// jobs complete during the fault.
 func dropHeartbeatsToLeader(c *cluster) {
 	host := fmt.Sprintf("host-%d:8080", c.leader())
 	c.setFault(func(from string, r *http.Request) fake.Fault {
@@ -209,8 +209,8 @@
 	}
 }
 
-// dropHeartbeatsOfMachine drops what one machine sends, for longer than a lease. Commands and other
-// requests to it arrive.
+// dropHeartbeatsOfMachine drops all requests from one machine for 30 s, which is longer than a lease. Requests to the
+// machine are still delivered.
 func dropHeartbeatsOfMachine(c *cluster) {
 	time.Sleep(3 * time.Second)
 	if workers := c.cloud.Workers(); len(workers) > 0 {
@@ -225,8 +225,7 @@
 	time.Sleep(30 * time.Second)
 }
 
-// dropHeartbeatResponses drops every third response to a heartbeat, and with it starts and stops
-// that the leader has decided.
+// dropHeartbeatResponses drops every third response to a heartbeat. Starts and stops in these responses are lost.
 func dropHeartbeatResponses(c *cluster) {
 	count := 0
 	c.setFault(func(from string, _ *http.Request) fake.Fault {
