--- a/internal/leader/autoscaler/scalein.go
+++ b/internal/leader/autoscaler/scalein.go
@@ -115,10 +115,12 @@
 		now-m.Instance.IdleSince > s.IdleTimeout(t, m.Offering.Spot)
 }
 
-// IdleTimeout returns how long an idle machine is kept in case it is needed again: at least two heartbeat intervals,
-// and otherwise one boot time, multiplied by the share of the work that cannot wait and divided by the machine's price
-// ratio. Keeping a machine for one boot time costs about as much as terminating it by mistake costs the jobs that
-// cannot wait. An expensive machine is not worth that much while spot machines are available.
+// IdleTimeout returns how long an idle machine is kept in case it is needed again. This is the boot time, multiplied by
+// the share of the work that cannot wait, as a mean over the instance types, and divided by the machine's price ratio.
+// It is at least two heartbeat intervals.
+//
+// Keeping a machine for one boot time costs about as much as terminating it by mistake costs the jobs that cannot wait.
+// An expensive machine is kept for a shorter time, because spot machines can replace it while they are available.
 func (s *Scaler) IdleTimeout(t *TypeModel, spot bool) micros.Micros {
 	immediateShares, typeCount := 0.0, 0.0
 	for _, other := range s.types {
--- a/internal/leader/explain.go
+++ b/internal/leader/explain.go
@@ -158,7 +158,7 @@
 	return reasons
 }
 
-// capacityReason returns why a job waits for which waitReasons finds no other reason.
+// capacityReason returns the reason why a job waits if waitReasons has found no other one.
 func (l *Leader) capacityReason(j *state.Job, now micros.Micros) string {
 	switch hasRoom := l.scheduler.HasRoomFor(j.Need, now); {
 	case hasRoom && j.IsGang():
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -22,7 +22,7 @@
 // failoverState is the state of the failover from the previous term and of the handover to the next.
 type failoverState struct {
 	tasksKnownRecorded     bool   // FailoverProgress.TasksKnown was called
-	previousTermHandedOver bool   // the previous term's handover proves the tasks of some machines
+	previousTermHandedOver bool   // the previous term ended with a complete handover, which lists the tasks on its machines
 	handingOver            bool   // this term is being handed over, or was: the leader makes no more decisions
 	successor              string // the member that this term is handed over to, "" if any may lead next
 }
--- a/internal/leader/handover.go
+++ b/internal/leader/handover.go
@@ -22,8 +22,9 @@
 )
 
 // HandOver hands the term over to a follower, within a time limit, and ends the term. The leader stops making
-// decisions, stores pending writes for at most 1/handoverFlushDivisor of the limit, and publishes the handover entry. It then waits
-// until the successor, which is the follower that has applied the most entries, has applied that entry too.
+// decisions, stores pending writes for at most 1/handoverFlushDivisor of the limit, and publishes the handover entry.
+// It then waits until the successor, which is the follower that has applied the most entries, has applied that entry
+// too.
 //
 // HandOver returns the successor even if it has not applied the entry in time, or "" if there is no follower. If the
 // successor fails, any node may lead next. HandOver returns ErrNotReady if the term cannot be handed over now.
--- a/internal/leader/liveness/termination.go
+++ b/internal/leader/liveness/termination.go
@@ -5,16 +5,16 @@
 	"caperlatch/internal/micros"
 )
 
-// Limits of silence.
+// Limits of how long a machine may be silent before it is terminated; see silenceLimit.
 const (
-	// UnresponsiveLimit is the limit for a machine with unknown tasks that did not respond to minFailedQueries queries
+	// UnresponsiveLimit is the silence limit of a machine with unknown tasks that did not respond to minFailedQueries queries
 	// for its tasks, while most machines of its zone respond.
 	UnresponsiveLimit = 4 * micros.Second
 	// minFailedQueries is the number of failed queries after which a machine is unresponsive.
 	minFailedQueries = 2
-	// heartbeatMargin is added to the heartbeat timeout to get the limit for a machine with unknown tasks.
+	// heartbeatMargin is added to the heartbeat timeout to get the silence limit of a machine with unknown tasks.
 	heartbeatMargin = micros.Second
-	// nodeFailoverTime is added to the limit because the worker may first have called another node that does not
+	// nodeFailoverTime is added to the silence limit because the worker may first have called another node that does not
 	// respond: a timeout of 4 s and a pause of 1 s.
 	nodeFailoverTime = 5 * micros.Second
 	// UnresponsiveLimit applies while the tasks of at most one machine in unresponsiveLimitDivisor are unknown.
--- a/internal/leader/persist/queue_test.go
+++ b/internal/leader/persist/queue_test.go
@@ -101,7 +101,7 @@
 		name    string
 		rejects func(writes []Write) bool
 		lost    string // the key whose value cannot be stored
-		maxOps  int    // in a transaction afterwards
+		maxOps  int    // maximum number of changes in a transaction, once the queue is empty
 	}{
 		{"nothing", func([]Write) bool { return false }, "", 6},
 		{"more than two changes", func(writes []Write) bool { return len(writes) > 2 }, "", 2},
@@ -122,7 +122,7 @@
 				}
 				keys := strings.Join(keysOf(writes), " ")
 				if sent[keys] || n > 50 {
-					t.Fatalf("transaction %d with keys %s: rejected before: %t; want no rejected transaction again, and at most 50 transactions", n, keys, sent[keys])
+					t.Fatalf("transaction %d with keys %s was rejected, same keys rejected before: %t; want no keys rejected twice, and no rejection after transaction 50", n, keys, sent[keys])
 				}
 				sent[keys] = true
 				q.HandleRejection(writes, errors.New("rejected"))
--- a/internal/leader/quarantine/quarantine.go
+++ b/internal/leader/quarantine/quarantine.go
@@ -57,13 +57,13 @@
 
 // Backoffs after failures.
 const (
-	// The backoff between probes of a quarantined job is initialProbeBackoff, doubled with each of its backoff rounds
-	// including the first.
+	// The backoff between probes of a quarantined job is initialProbeBackoff, doubled once for each backoff round,
+	// including the current one, up to maxProbeBackoff.
 	initialProbeBackoff      = 2 * micros.Second
 	maxProbeBackoff          = 60 * micros.Second
 	maxProbeBackoffDoublings = 10
-	// The backoff between tries of a job that has failed on one machine only is initialSoleMachineBackoff, doubled with
-	// each of its backoff rounds including the first.
+	// The backoff between tries of a job that has failed on one machine only is initialSoleMachineBackoff, doubled once
+	// for each backoff round, including the current one, but at most maxSoleMachineBackoffDoublings times.
 	initialSoleMachineBackoff      = micros.Second
 	maxSoleMachineBackoffDoublings = 4
 	// machineBackoff is how long a machine gets no starts after a failure of a good job, for each such failure since
--- a/internal/leader/scheduler/preempt.go
+++ b/internal/leader/scheduler/preempt.go
@@ -10,7 +10,8 @@
 const (
 	preemptInterval = micros.Second // minimum time between two calls of preempt
 	maxPreemptJobs  = 8             // maximum number of jobs for which a call of preempt stops tasks
-	// gangPreemptInterval is the minimum time between two searches of all running tasks for victims for gangs.
+	// gangPreemptInterval is the minimum time between two searches for tasks to preempt for gangs. Each search
+	// examines all running tasks.
 	gangPreemptInterval = micros.Second / 2
 )
 
--- a/internal/leader/workload/runtimes.go
+++ b/internal/leader/workload/runtimes.go
@@ -116,7 +116,7 @@
 // their resources. When tasks were preempted from all jobs equally, none of six jobs had ended by the end of the day.
 // The cost is higher for a task that is nearly done, because it will free its resources by itself.
 func (w *Workload) PreemptionPenalty(a *state.Attempt, now micros.Micros) micros.Micros {
-	started := 1 - float64(a.Job.WaitingTasks())/float64(a.Job.Spec.Tasks)
+	startedFraction := 1 - float64(a.Job.WaitingTasks())/float64(a.Job.Spec.Tasks)
 	remaining := w.ExpectedRuntime(a.Job.Spec) - (now - a.StartedAt).Seconds()
-	return micros.FromSeconds(startedPenaltyS*started + max(0, nearCompletionS-max(0, remaining)))
+	return micros.FromSeconds(startedPenaltyS*startedFraction + max(0, nearCompletionS-max(0, remaining)))
 }
--- a/internal/sim/checker/history_test.go
+++ b/internal/sim/checker/history_test.go
@@ -100,7 +100,7 @@
 		sampleAt(20 * time.Second)
 		s := h.Samples()[1]
 		if want := map[string]int{"scan": 2, "update": 1}; !maps.Equal(s.Waiting, want) {
-			t.Errorf("waiting %v, want %v", s.Waiting, want)
+			t.Errorf("waiting tasks by class at 2 s: got %v, want %v", s.Waiting, want)
 		}
 		if s.At != 2*time.Second || s.Starts["scan"] != 1 || s.Running["a"] != 1 || s.FreeCPUs != 2 || s.PricePerHour != 1.5 {
 			t.Errorf("sample at 2 s is %+v, want 1 start of scan, 1 task in zone a, 2 free CPUs, price 1.5 per hour", s)
--- a/internal/sim/checker/tasks.go
+++ b/internal/sim/checker/tasks.go
@@ -105,19 +105,19 @@
 	if !job.spec.SingleZone && !job.spec.SpreadZones {
 		return
 	}
-	sameZone := 1
+	tasksInZone := 1
 	for other := range job.machineTasks {
 		if other == task {
 			continue
 		}
 		if otherZone := r.launches[r.machineByTask[other]].Zone; otherZone == zone {
-			sameZone++
+			tasksInZone++
 		} else if job.spec.SingleZone {
 			r.recordViolation(rulePlacement, "%s starts in zone %s while %s is in %s", task, zone, other, otherZone)
 		}
 	}
-	if job.spec.SpreadZones && sameZone > (job.spec.Tasks+1)/2 {
-		r.recordViolation(rulePlacement, "start of %s puts %d of %d tasks in zone %s", task, sameZone, job.spec.Tasks, zone)
+	if job.spec.SpreadZones && tasksInZone > (job.spec.Tasks+1)/2 {
+		r.recordViolation(rulePlacement, "start of %s puts %d of %d tasks in zone %s", task, tasksInZone, job.spec.Tasks, zone)
 	}
 }
 
--- a/internal/sim/fake/gang.go
+++ b/internal/sim/fake/gang.go
@@ -10,7 +10,7 @@
 
 // Timeouts of gangs, in seconds.
 const (
-	GangAssemblyTimeoutS = 20.0 // how long a task waits until all other tasks of its gang are present
+	GangAssemblyTimeoutS = 20.0 // how long a task waits for the other tasks of its gang
 	GangLossTimeoutS     = 3.0  // the time within which a task detects the loss of another task of its gang
 )
 
@@ -34,9 +34,9 @@
 	lostAt      time.Time              // when the first task was found lost after startedAt; zero: no task is lost
 	firstStopAt time.Time              // when the first task was told to checkpoint and stop; zero: none was
 	lastStopAt  time.Time              // when the latest task was told to checkpoint and stop
-	// checkpointStored is set at most once, and never after checkpointFailed, which is set if a task was not told to
-	// stop in time or is lost. A task that is started again after the checkpoint was stored still sets
-	// checkpointFailed.
+	// The checkpoint fails if a task is lost, or is not told to checkpoint within GangLossTimeoutS of firstStopAt. It
+	// is never stored after it has failed. If a task is started again in this attempt after the checkpoint was stored,
+	// checkpointFailed is set too, so that this task exits.
 	checkpointStored bool
 	checkpointFailed bool
 }
@@ -67,8 +67,8 @@
 	return a
 }
 
-// isComplete reports whether every task of the job made a step within memberTimeout.
-func (a *gangAttempt) isComplete(job *wire.Job, now time.Time) bool {
+// allPresent reports whether every task of the job made a step within memberTimeout.
+func (a *gangAttempt) allPresent(job *wire.Job, now time.Time) bool {
 	n := 0
 	for _, m := range a.members {
 		if now.Sub(m.seenAt) < memberTimeout {
@@ -78,8 +78,8 @@
 	return n == job.Tasks
 }
 
-// isStopping reports whether every task of the job was told to checkpoint and stop.
-func (a *gangAttempt) isStopping(job *wire.Job) bool {
+// allStopping reports whether every task of the job was told to checkpoint and stop.
+func (a *gangAttempt) allStopping(job *wire.Job) bool {
 	n := 0
 	for _, m := range a.members {
 		if m.stopping {
@@ -135,7 +135,7 @@
 		s.stepStopping()
 	case !a.startedAt.IsZero():
 		s.stepRunning()
-	case a.isComplete(job, now):
+	case a.allPresent(job, now):
 		a.startedAt, a.endsAt = now, now.Add(seconds(runtimeS)-g.progress[job.ID])
 		g.fullRuns[job.ID]++
 		t.State = wire.TaskRunning
@@ -154,10 +154,11 @@
 	}
 }
 
-// stepRunning makes a step while the gang runs.
+// stepRunning updates a task while the gang runs: the task is done at endsAt, and exits about GangLossTimeoutS after
+// another task of the gang was lost.
 func (s *gangStep) stepRunning() {
 	a := s.attempt
-	if a.isComplete(s.job, s.now) && a.lostAt.IsZero() {
+	if a.allPresent(s.job, s.now) && a.lostAt.IsZero() {
 		if s.now.Before(a.endsAt) {
 			s.task.State = wire.TaskRunning
 		} else {
@@ -175,18 +176,19 @@
 	}
 }
 
-// stepStopping makes a step after a task of the gang was told to checkpoint and stop.
+// stepStopping updates a task after any task of the gang was told to checkpoint and stop. The tasks exit with a
+// checkpoint once all of them have had the time to write it, and without one if the checkpoint fails.
 func (s *gangStep) stepStopping() {
-	a, complete, stopping := s.attempt, s.attempt.isComplete(s.job, s.now), s.attempt.isStopping(s.job)
+	a, present, stopping := s.attempt, s.attempt.allPresent(s.job, s.now), s.attempt.allStopping(s.job)
 	switch {
 	case a.checkpointStored && s.member.stopping:
 		s.exit(wire.ExitStopped, true)
 	case a.checkpointFailed:
-	case stopping && complete && s.now.Sub(a.lastStopAt) >= seconds(s.job.CheckpointDurationS):
+	case stopping && present && s.now.Sub(a.lastStopAt) >= seconds(s.job.CheckpointDurationS):
 		a.checkpointStored = true
 		s.registry.progress[s.job.ID] += a.firstStopAt.Sub(a.startedAt)
 		s.exit(wire.ExitStopped, true)
-	case !complete || s.now.Sub(a.firstStopAt) > seconds(GangLossTimeoutS) && !stopping:
+	case !present || s.now.Sub(a.firstStopAt) > seconds(GangLossTimeoutS) && !stopping:
 		a.checkpointFailed = true
 		s.registry.saveProgress(a, s.job, a.firstStopAt)
 	}
--- a/internal/sim/fake/network.go
+++ b/internal/sim/fake/network.go
@@ -247,7 +247,8 @@
 	return response, ctx.Err()
 }
 
-// handleLater handles a request after the delay that delayOf returns for the number of delayed requests so far.
+// handleLater handles a request in the background, after the delay that delayOf returns for the number of delayed and
+// duplicated requests, including this one.
 func (n *Network) handleLater(c *call, delayOf func(n int) time.Duration) {
 	n.mu.Lock()
 	n.delayedRequests++
--- a/internal/sim/measure/failover/summary.go
+++ b/internal/sim/measure/failover/summary.go
@@ -45,8 +45,8 @@
 		seconds = append(seconds, t.Seconds())
 		_ = histogram.RecordValue(int64(min(max(t, 1), maxTime))) // fails only for values outside the bounds
 	}
-	quantile := func(q float64) micros.Micros { return micros.Micros(histogram.ValueAtQuantile(q)) }
-	s.Median, s.P95, s.P99, s.Max = quantile(50), quantile(95), quantile(99), micros.Micros(histogram.Max())
+	percentile := func(q float64) micros.Micros { return micros.Micros(histogram.ValueAtQuantile(q)) }
+	s.Median, s.P95, s.P99, s.Max = percentile(50), percentile(95), percentile(99), micros.Micros(histogram.Max())
 	s.Mean = estimateMean(seconds)
 	return s
 }
--- a/placement/start_cost.go
+++ b/placement/start_cost.go
@@ -26,7 +26,7 @@
 	if _, ok := j.FailedOn[m.ID]; ok {
 		cost += failedMachinePenalty
 	}
-	leftCPU := m.Free.CPU - j.Need.CPU // in thousandths
+	leftCPU := m.Free.CPU - j.Need.CPU // in thousandths of a CPU
 	return cost + m.StartPenalty + micros.Micros(leftCPU)*freeCPUPenalty/1000
 }
 
--- a/staffing/demand_window_test.go
+++ b/staffing/demand_window_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestEarlyRate checks the rate of a stream that begins at some time, with an entry of weight 2 every 5 s.
+// TestEarlyRate checks the rate of a stream with an entry of weight 2 every 5 s, at different times after its first
+// entry.
 func TestEarlyRate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
