--- a/internal/sim/checker/history.go
+++ b/internal/sim/checker/history.go
@@ -11,12 +11,13 @@
 // these observations alone. It is safe for concurrent use. The exported fields must be set before the first
 // observation; the functions are called with the lock held.
 type History struct {
-	// ClassOf returns the class of a task's job; empty if the job is not part of the comparison.
+	// ClassOf returns the class of a task's job; empty if the job belongs to no class.
 	ClassOf func(task string) string
 	// IsZoneAffected reports whether a fault currently affects the machines of a zone, so that tasks there may have
 	// to start again.
 	IsZoneAffected func(zone string) bool
-	// MaxReportDelay is the time after its completion for which a task may not yet be reported as completed.
+	// MaxReportDelay is the maximum time between the completion of a task and its report to the leader. A fault that
+	// begins within this time may lose the report, so that the task starts again.
 	MaxReportDelay time.Duration
 
 	mu            sync.Mutex
@@ -109,8 +110,8 @@
 	}
 }
 
-// ObserveFault marks the tasks that a fault which has just begun affects: those that are on a machine, and those whose
-// completion may not be reported yet.
+// ObserveFault marks the tasks that a fault affects. It must be called whenever a fault begins. The affected tasks are
+// those that are on a machine in an affected zone, and those that completed there less than MaxReportDelay ago.
 func (h *History) ObserveFault() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/sim/checker/history_test.go
+++ b/internal/sim/checker/history_test.go
@@ -26,8 +26,8 @@
 	h.ObserveTaskEvent(TaskEvent{Task: task, Machine: machine, Zone: zone, Kind: kind})
 }
 
-// TestHistoryTasks checks the statistics on starts and exits of tasks, where one task restarts because of a fault and
-// another one for no reason.
+// TestHistoryTasks checks the statistics on starts and exits of tasks. Two tasks start again because of a fault, and one
+// although no fault affected it.
 func TestHistoryTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h, faultInB := newTestHistory()
--- a/internal/sim/checker/rules_test.go
+++ b/internal/sim/checker/rules_test.go
@@ -58,8 +58,8 @@
 	respondAtOnce(r, "POST", submitPath, job.ID, 201, wire.JobStatus{ID: job.ID, State: wire.JobPending})
 }
 
-// ruleCase is a run that violates one rule or none. At its start, job j-000001 is accepted: its team is small, and it
-// has two tasks with one CPU each that may run in zone a.
+// ruleCase is a run that violates one rule or none. At its start, job j-000001 of the team "small" is accepted. The team
+// has a limit of 2 CPUs, and the job has two tasks with one CPU each that may run only in zone a.
 type ruleCase struct {
 	name string
 	rule string // the rule that the first violation must name; empty: there must be no violation
@@ -181,7 +181,7 @@
 				c.run(r)
 				violations := r.Violations()
 				if c.rule == "" && violations != nil || c.rule != "" && (len(violations) == 0 || !strings.HasPrefix(violations[0], c.rule+":")) {
-					t.Errorf("violations %q, want the first of rule %q (none if empty)", violations, c.rule)
+					t.Errorf("violations %q, want the first to name rule %q, or none if the rule is empty", violations, c.rule)
 				}
 			})
 		})
--- a/internal/sim/fake/cloud.go
+++ b/internal/sim/fake/cloud.go
@@ -16,15 +16,15 @@
 type CloudConfig struct {
 	Net       *Network
 	Rules     *checker.Rules // receives the launches of machines, and the starts and exits of tasks
-	NodeHosts []string       // of the controllers
+	NodeHosts []string       // hosts of the controllers
 
-	HeartbeatIntervalS float64 // between two heartbeats of a worker, in seconds
-	LeaseDurationS     float64 // of a worker's lease, in seconds
+	HeartbeatIntervalS float64 // time between two heartbeats of a worker, in seconds
+	LeaseDurationS     float64 // duration of a worker's lease, in seconds
 	ImagePullS         float64 // duration of an image pull, in seconds; 0: every image is already present on each machine
 
 	Zones             []string       // nil: zone a only
-	MaxMachines       int            // in all zones together; 0: unlimited
-	MaxMachinesByZone map[string]int // a zone without an entry is unlimited
+	MaxMachines       int            // maximum in all zones together; 0: unlimited
+	MaxMachinesByZone map[string]int // maximum by zone; a zone without an entry is unlimited
 
 	// RuntimeOf returns the runtime of a task, in seconds. It is called with locks held.
 	RuntimeOf func(task string) float64
@@ -263,7 +263,7 @@
 	return workers
 }
 
-// WorkersOf returns the workers that have a task of a job which has not exited, sorted by ID.
+// WorkersOf returns the workers on which any task of a job has not exited, sorted by ID.
 func (c *Cloud) WorkersOf(job string) (workers []*Worker) {
 	for _, w := range c.Workers() {
 		if slices.ContainsFunc(w.Tasks(), func(task string) bool { return strings.HasPrefix(task, job+"/") }) {
--- a/internal/sim/fake/fake.go
+++ b/internal/sim/fake/fake.go
@@ -6,8 +6,8 @@
 // rule checker (checker.Rules). They do not check any rules themselves, and must never read the state of a controller.
 //
 // Each type documents which fields its lock guards. Locks are acquired in this order: Worker, Cloud, then one of
-// gangRegistry, Network and the checker's. Handlers and fault functions are called without a lock of this package;
-// the functions of CloudConfig are called with locks held.
+// gangRegistry, Network and the checker's. Handlers, a FaultFunc and the function of SetTxnFault are called without a lock
+// of this package; the functions of CloudConfig and PeerNetwork may be called with locks held.
 package fake
 
 import (
--- a/internal/sim/fake/gang.go
+++ b/internal/sim/fake/gang.go
@@ -14,14 +14,14 @@
 	GangLossTimeoutS     = 3.0  // the time within which a task detects the loss of another task of its gang
 )
 
-// memberTimeout is the time since a task's last step after which the task is considered lost.
+// memberTimeout is the time after a task's latest update by step after which the task is considered lost.
 const memberTimeout = time.Second
 
 // gangRegistry tracks the attempts of gangs. Through it, the tasks of a gang observe each other across machines.
 type gangRegistry struct {
 	mu       sync.Mutex               // guards the fields below, and all attempts
 	attempts map[string]*gangAttempt  // by job ID and attempt number
-	progress map[string]time.Duration // the progress that is checkpointed, by job
+	progress map[string]time.Duration // checkpointed progress, by job
 	done     map[string]bool          // the jobs that are done
 	fullRuns map[string]int           // number of attempts in which all tasks ran at the same time, by job
 }
@@ -43,8 +43,8 @@
 
 // gangMember is one task of an attempt.
 type gangMember struct {
-	joinedAt, seenAt time.Time
-	stopping         bool // whether the task was told to checkpoint and stop
+	joinedAt, lastStepAt time.Time
+	stopping             bool // whether the task was told to checkpoint and stop
 }
 
 func newGangRegistry() *gangRegistry {
@@ -67,11 +67,11 @@
 	return a
 }
 
-// allPresent reports whether every task of the job made a step within memberTimeout.
+// allPresent reports whether step has updated every task of the job within memberTimeout, so that none is lost.
 func (a *gangAttempt) allPresent(job *wire.Job, now time.Time) bool {
 	n := 0
 	for _, m := range a.members {
-		if now.Sub(m.seenAt) < memberTimeout {
+		if now.Sub(m.lastStepAt) < memberTimeout {
 			n++
 		}
 	}
@@ -101,11 +101,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.attempt(t, job).members[t.TaskID] = &gangMember{joinedAt: now, seenAt: now}
+	g.attempt(t, job).members[t.TaskID] = &gangMember{joinedAt: now, lastStepAt: now}
 	t.State = wire.TaskWaitingForGang
 }
 
-// gangStep holds the arguments of one step of a task. It is used only while the registry's lock is held.
+// gangStep is one update of the state of a task. It is used only while the registry's lock is held.
 type gangStep struct {
 	registry *gangRegistry
 	attempt  *gangAttempt
@@ -126,7 +126,7 @@
 		m = &gangMember{joinedAt: now}
 		a.members[t.TaskID] = m
 	}
-	m.seenAt = now
+	m.lastStepAt = now
 	s := &gangStep{registry: g, attempt: a, member: m, task: t, job: job, now: now}
 	switch {
 	case g.done[job.ID]:
@@ -229,7 +229,7 @@
 	return c.gangs.fullRuns[job]
 }
 
-// GangProgress returns the progress of a job that is checkpointed.
+// GangProgress returns the checkpointed progress of a job.
 func (c *Cloud) GangProgress(job string) time.Duration {
 	c.gangs.mu.Lock()
 	defer c.gangs.mu.Unlock()
--- a/internal/sim/fake/gang_test.go
+++ b/internal/sim/fake/gang_test.go
@@ -102,7 +102,7 @@
 	name     string
 	events   []gangEvent
 	want     map[time.Duration]string // states at the given times
-	progress time.Duration            // that is checkpointed at the end
+	progress time.Duration            // progress that is checkpointed at the end
 }
 
 // gangCases covers the phases of a gang.
--- a/internal/sim/fake/restore.go
+++ b/internal/sim/fake/restore.go
@@ -98,7 +98,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now, a := time.Now(), g.attempt(t, job)
-	m := &gangMember{joinedAt: now, seenAt: now}
+	m := &gangMember{joinedAt: now, lastStepAt: now}
 	switch t.State {
 	case wire.TaskPullingImage:
 		return
--- a/internal/sim/fake/worker.go
+++ b/internal/sim/fake/worker.go
@@ -90,8 +90,8 @@
 	return w
 }
 
-// stop stops the worker. It does not wait for the worker's goroutines, because they take the cloud's lock, which
-// callers of stop hold.
+// stop stops the worker. It does not wait for the worker's goroutines, because they take the cloud's lock, which the
+// caller may hold.
 func (w *Worker) stop() { w.cancel() }
 
 // Interrupt gives the worker an interruption notice, and terminates the machine when the notice period has passed.
@@ -110,9 +110,9 @@
 	})
 }
 
-// Hang makes the machine hang for a duration d. While it hangs, it runs no tasks and sends no heartbeats. It executes
-// commands that arrive in the meantime when it resumes, if their fencing token and incarnation still match. Its lease
-// may expire while it hangs; it handles the expiry first when it resumes. Hang does nothing if the machine already
+// Hang makes the machine hang for a duration d. While it hangs, its tasks make no progress and it sends no heartbeats.
+// Commands that arrive in the meantime are executed when it resumes, if their fencing token and incarnation still match.
+// If its lease expires while it hangs, its tasks are killed at that time. Hang does nothing if the machine already
 // hangs.
 func (w *Worker) Hang(d time.Duration) {
 	w.mu.Lock()
--- a/internal/sim/harness/leadership.go
+++ b/internal/sim/harness/leadership.go
@@ -13,7 +13,8 @@
 // ErrNoLeader is returned if no node becomes the leader in time.
 var ErrNoLeader = errors.New("no node became the leader in time")
 
-// Maximum numbers of polls and poll intervals of AwaitLeader and AwaitLeaderAfter.
+// AwaitLeader polls at most maxLeaderPolls times, every leaderPollInterval, and AwaitLeaderAfter at most
+// maxNextLeaderPolls times, every shortPollInterval.
 const (
 	maxLeaderPolls     = 100
 	leaderPollInterval = 200 * time.Millisecond
--- a/internal/sim/harness/process_cluster.go
+++ b/internal/sim/harness/process_cluster.go
@@ -208,9 +208,9 @@
 // Kill kills a node's process, like a crash, and waits until it has exited.
 func (c *ProcessCluster) Kill(node int) {
 	c.mu.Lock()
-	stop := c.killFuncs[node]
+	kill := c.killFuncs[node]
 	c.mu.Unlock()
-	stop()
+	kill()
 }
 
 // Process returns the process of a node's current incarnation.
--- a/internal/sim/harness/users.go
+++ b/internal/sim/harness/users.go
@@ -92,8 +92,8 @@
 	return code == http.StatusCreated || code == http.StatusOK
 }
 
-// SubmitWithRetries submits a job at one node after the other, up to sixty times, until it is accepted, and reports
-// whether it was.
+// SubmitWithRetries submits a job to one node after the other until it is accepted, at most maxSubmissions times. It
+// reports whether the job was accepted.
 func (u *Users) SubmitWithRetries(firstNode int, pause time.Duration, job any) bool {
 	for try := range maxSubmissions {
 		if u.Submit((firstNode+try)%u.Nodes, job) {
