--- a/internal/sim/lab/lab.go
+++ b/internal/sim/lab/lab.go
@@ -30,7 +30,9 @@
 	Seed      uint64
 	SubmitFor time.Duration // how long jobs are submitted
 	Faults    []Fault
-	Port      int // client port of the first node, the next ones of the others; free ports replace 0 and ports in use
+	// Port is the client port of the first node; the other nodes get the ports after it. A port that is in use is replaced
+	// by a free one. If Port is 0, all ports are free ones.
+	Port int
 }
 
 // Errors returned by Run and Summary.Err.
--- a/internal/sim/lab/run.go
+++ b/internal/sim/lab/run.go
@@ -35,7 +35,7 @@
 	return l.summarize(), nil
 }
 
-// startHistory starts recording the history of task events. No task has started yet at this time.
+// startHistory starts recording the history of task events. It must be called before the first task starts.
 func (l *Lab) startHistory() {
 	s, _ := nodeSettings(0, l.options.Nodes)
 	l.history = checker.NewHistory()
--- a/internal/sim/lab/summary.go
+++ b/internal/sim/lab/summary.go
@@ -20,7 +20,7 @@
 	LaunchedMachines int
 	Cost             float64       // cost of all machines until the last sample
 	Violations       []string      // rule violations, in order of detection
-	FirstViolationAt time.Duration // time since the history began
+	FirstViolationAt time.Duration // time from the start of the history until the first violation was detected
 	Samples          []checker.Sample
 }
 
--- a/internal/sim/lab/workload.go
+++ b/internal/sim/lab/workload.go
@@ -31,13 +31,13 @@
 	{"nightly", wire.KindArray, "idle", 4 * time.Second, 10, 4, 60},
 }
 
-// idsPerClass is the size of the range of job numbers of each class.
+// idsPerClass is the number of job numbers that are reserved for each class.
 const idsPerClass = 1_000_000
 
 // jobID returns the ID of the nth job of the class with the given index.
 func jobID(class, n int) string { return fmt.Sprintf("j-%d", (class+1)*idsPerClass+n) }
 
-// classOf returns the name of the class whose range contains the job number of a task, or "" if there is none.
+// classOf returns the name of the class for which a task's job number is reserved, or "" if there is none.
 func classOf(task string) string {
 	var n int
 	if _, err := fmt.Sscanf(task, "j-%d", &n); err != nil || n < idsPerClass || n >= (len(classes)+1)*idsPerClass {
--- a/internal/sim/measure/zoneloss/report_test.go
+++ b/internal/sim/measure/zoneloss/report_test.go
@@ -11,8 +11,8 @@
 	"caperlatch/internal/sim/checker"
 )
 
-// newTestRun returns a run with a cut at 100 s, after which more tasks of a class wait than before the cut until
-// recoveredAtS. It contains the given number of waiting times: 1 s, 2 s, and so on.
+// newTestRun returns a run with a cut at 100 s. Up to that time, and again after recoveredAtS, 20 tasks of the class scan
+// wait; in between, 200 wait. The run contains the given number of waiting times: 1 s, 2 s, and so on.
 func newTestRun(t *testing.T, policy bool, seed uint64, recoveredAtS, waits int) *Run {
 	t.Helper()
 	r := NewRun(Scenario{Pattern: "cut", ZonePolicy: policy, MaxMachines: 400}, seed)
--- a/internal/sim/measure/zoneloss/run.go
+++ b/internal/sim/measure/zoneloss/run.go
@@ -42,8 +42,8 @@
 	FirstCutAt, LastRestoredAt time.Duration // start of the first cut and end of the last one
 	Samples                    []checker.Sample
 	Waits                      map[string]*ddsketch.DDSketch // seconds until the first start of each task, by class
-	RepeatedWorkS              float64                       // task seconds of starts that did not complete
-	Cost                       float64                       // of machines from the first cut on, at instance type prices
+	RepeatedWorkS              float64                       // time that tasks spent on machines without completing there, in the whole run
+	Cost                       float64                       // of all machines from the first cut on, at the prices of their types
 	LaunchedMachines           int                           // from the first cut on
 	UnusedMachines             int                           // launched machines on which no task started
 }
