--- a/internal/leader/liveness/liveness.go
+++ b/internal/leader/liveness/liveness.go
@@ -1,7 +1,7 @@
 // Package liveness determines the state of machines from their heartbeats: whether a heartbeat is late, whether
 // responses reach the worker, when the lease of a silent machine has expired, and when a machine should be terminated.
 //
-// The package defines the limits of silence and counts lost responses. It must never release a task or terminate a
+// The package defines the silence limits and counts lost responses. It must never release a task or terminate a
 // machine itself: that is left to the leader, which calls its methods with the leader's lock held.
 package liveness
 
@@ -42,7 +42,7 @@
 // New returns a monitor with the configuration c.
 func New(c Config) *Monitor { return &Monitor{Config: c} }
 
-// CountUnknown updates the number of machines whose tasks are not known. The limits of silence depend on that number.
+// CountUnknown updates the number of machines whose tasks are not known. The silence limits depend on that number.
 func (mon *Monitor) CountUnknown() { mon.unknownCount = mon.Fleet.CountWithUnknownTasks() }
 
 // Silence returns how long a machine has sent no heartbeat in this term.
--- a/internal/leader/taskquery/taskquery.go
+++ b/internal/leader/taskquery/taskquery.go
@@ -25,11 +25,11 @@
 	"caperlatch/internal/wire"
 )
 
-// retryInterval is the time between two queries of the same machine.
+// retryInterval is the minimum time from a call of Query that did not suffice to the next one for the same machine.
 const retryInterval = 500 * micros.Millisecond
 
-// maxIncarnationAttempts is how many times in a row a machine is queried. A worker whose lease expired has a new
-// incarnation, which only its response reveals; the next query then names that incarnation.
+// maxIncarnationAttempts is how many times in a row a call of Query queries a machine. A worker whose lease expired has
+// a new incarnation, which only its response reveals; the next query then names that incarnation.
 const maxIncarnationAttempts = 2
 
 // Config holds the dependencies of queries. The functions, except Call, MaxCalls and IsExclusive, are called with Lock
