--- a/internal/sim/fake/gang.go
+++ b/internal/sim/fake/gang.go
@@ -10,18 +10,18 @@
 
 // Timeouts of gangs, in seconds.
 const (
-	GangAssemblyTimeoutS = 20.0 // how long a task waits until all other tasks of its gang are present
+	GangAssemblyTimeoutS = 20.0 // how long a task waits for the other tasks of its gang
 	GangLossTimeoutS     = 3.0  // the time within which a task detects the loss of another task of its gang
 )
 
-// memberTimeout is the time since a task's last step after which the task is considered lost.
+// memberTimeout is the time after a task's latest update by step after which the task is considered lost.
 const memberTimeout = time.Second
 
 // gangRegistry tracks the attempts of gangs. Through it, the tasks of a gang observe each other across machines.
 type gangRegistry struct {
 	mu       sync.Mutex               // guards the fields below, and all attempts
 	attempts map[string]*gangAttempt  // by job ID and attempt number
-	progress map[string]time.Duration // the progress that is checkpointed, by job
+	progress map[string]time.Duration // checkpointed progress, by job
 	done     map[string]bool          // the jobs that are done
 	fullRuns map[string]int           // number of attempts in which all tasks ran at the same time, by job
 }
@@ -34,17 +34,17 @@
 	lostAt      time.Time              // when the first task was found lost after startedAt; zero: no task is lost
 	firstStopAt time.Time              // when the first task was told to checkpoint and stop; zero: none was
 	lastStopAt  time.Time              // when the latest task was told to checkpoint and stop
-	// checkpointStored is set at most once, and never after checkpointFailed, which is set if a task was not told to
-	// stop in time or is lost. A task that is started again after the checkpoint was stored still sets
-	// checkpointFailed.
+	// The checkpoint fails if a task is lost, or is not told to checkpoint within GangLossTimeoutS of firstStopAt. It
+	// is never stored after it has failed. If a task is started again in this attempt after the checkpoint was stored,
+	// checkpointFailed is set too, so that this task exits.
 	checkpointStored bool
 	checkpointFailed bool
 }
 
 // gangMember is one task of an attempt.
 type gangMember struct {
-	joinedAt, seenAt time.Time
-	stopping         bool // whether the task was told to checkpoint and stop
+	joinedAt, lastStepAt time.Time
+	stopping             bool // whether the task was told to checkpoint and stop
 }
 
 func newGangRegistry() *gangRegistry {
@@ -67,19 +67,19 @@
 	return a
 }
 
-// isComplete reports whether every task of the job made a step within memberTimeout.
-func (a *gangAttempt) isComplete(job *wire.Job, now time.Time) bool {
+// allPresent reports whether step has updated every task of the job within memberTimeout, so that none is lost.
+func (a *gangAttempt) allPresent(job *wire.Job, now time.Time) bool {
 	n := 0
 	for _, m := range a.members {
-		if now.Sub(m.seenAt) < memberTimeout {
+		if now.Sub(m.lastStepAt) < memberTimeout {
 			n++
 		}
 	}
 	return n == job.Tasks
 }
 
-// isStopping reports whether every task of the job was told to checkpoint and stop.
-func (a *gangAttempt) isStopping(job *wire.Job) bool {
+// allStopping reports whether every task of the job was told to checkpoint and stop.
+func (a *gangAttempt) allStopping(job *wire.Job) bool {
 	n := 0
 	for _, m := range a.members {
 		if m.stopping {
@@ -101,11 +101,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	g.attempt(t, job).members[t.TaskID] = &gangMember{joinedAt: now, seenAt: now}
+	g.attempt(t, job).members[t.TaskID] = &gangMember{joinedAt: now, lastStepAt: now}
 	t.State = wire.TaskWaitingForGang
 }
 
-// gangStep holds the arguments of one step of a task. It is used only while the registry's lock is held.
+// gangStep is one update of the state of a task. It is used only while the registry's lock is held.
 type gangStep struct {
 	registry *gangRegistry
 	attempt  *gangAttempt
@@ -126,7 +126,7 @@
 		m = &gangMember{joinedAt: now}
 		a.members[t.TaskID] = m
 	}
-	m.seenAt = now
+	m.lastStepAt = now
 	s := &gangStep{registry: g, attempt: a, member: m, task: t, job: job, now: now}
 	switch {
 	case g.done[job.ID]:
@@ -135,7 +135,7 @@
 		s.stepStopping()
 	case !a.startedAt.IsZero():
 		s.stepRunning()
-	case a.isComplete(job, now):
+	case a.allPresent(job, now):
 		a.startedAt, a.endsAt = now, now.Add(seconds(runtimeS)-g.progress[job.ID])
 		g.fullRuns[job.ID]++
 		t.State = wire.TaskRunning
@@ -154,10 +154,11 @@
 	}
 }
 
-// stepRunning makes a step while the gang runs.
+// stepRunning updates a task while the gang runs: the task is done at endsAt, and exits about GangLossTimeoutS after
+// another task of the gang was lost.
 func (s *gangStep) stepRunning() {
 	a := s.attempt
-	if a.isComplete(s.job, s.now) && a.lostAt.IsZero() {
+	if a.allPresent(s.job, s.now) && a.lostAt.IsZero() {
 		if s.now.Before(a.endsAt) {
 			s.task.State = wire.TaskRunning
 		} else {
@@ -175,18 +176,19 @@
 	}
 }
 
-// stepStopping makes a step after a task of the gang was told to checkpoint and stop.
+// stepStopping updates a task after any task of the gang was told to checkpoint and stop. The tasks exit with a
+// checkpoint once all of them have had the time to write it, and without one if the checkpoint fails.
 func (s *gangStep) stepStopping() {
-	a, complete, stopping := s.attempt, s.attempt.isComplete(s.job, s.now), s.attempt.isStopping(s.job)
+	a, present, stopping := s.attempt, s.attempt.allPresent(s.job, s.now), s.attempt.allStopping(s.job)
 	switch {
 	case a.checkpointStored && s.member.stopping:
 		s.exit(wire.ExitStopped, true)
 	case a.checkpointFailed:
-	case stopping && complete && s.now.Sub(a.lastStopAt) >= seconds(s.job.CheckpointDurationS):
+	case stopping && present && s.now.Sub(a.lastStopAt) >= seconds(s.job.CheckpointDurationS):
 		a.checkpointStored = true
 		s.registry.progress[s.job.ID] += a.firstStopAt.Sub(a.startedAt)
 		s.exit(wire.ExitStopped, true)
-	case !complete || s.now.Sub(a.firstStopAt) > seconds(GangLossTimeoutS) && !stopping:
+	case !present || s.now.Sub(a.firstStopAt) > seconds(GangLossTimeoutS) && !stopping:
 		a.checkpointFailed = true
 		s.registry.saveProgress(a, s.job, a.firstStopAt)
 	}
@@ -227,7 +229,7 @@
 	return c.gangs.fullRuns[job]
 }
 
-// GangProgress returns the progress of a job that is checkpointed.
+// GangProgress returns the checkpointed progress of a job.
 func (c *Cloud) GangProgress(job string) time.Duration {
 	c.gangs.mu.Lock()
 	defer c.gangs.mu.Unlock()
