--- a/tests/cluster/handover_test.go
+++ b/tests/cluster/handover_test.go
@@ -10,25 +10,24 @@
 	"caperlatch/internal/wire"
 )
 
-// What happens: a leader hands over to a follower that it names, and another node leads. Operators were told
-// "handed over to host-1", and went on with host-1 in mind.
+// Guards against a handover after which another node than the named one leads. Operators were told "handed over to
+// host-1" and then relied on host-1.
 //
-// Why: the leader ended its session, so that the leader key vanished, and every node that saw that could campaign. Only
-// nodes with a standby let the named one go first, and of these only those that had read the handover from the leader's
-// stream in time. A node without a standby, as node 2 here, campaigned as soon as it saw the key vanish; whoever
-// looked first led.
+// The leader used to end its session, which deleted the leader key, and every node that saw this could campaign. Only
+// nodes with a standby let the named node campaign first, and only if they had read the handover from the leader's log
+// in time. A node without a standby, such as node 2 here, campaigned as soon as it saw that the key was absent, so
+// that the node that read the key first led.
 //
-// What showed it, in the log of node 2 for a handover to host-1 (member and duration are of the log lines):
-// "leader key is absent" and "campaigning" with yields=false at the same instant, and "term started" there, while host-1
-// campaigned some milliseconds later. On the other nodes: "letting others campaign first" reason="handed over to another
-// member".
+// The log showed the fault. For a handover to host-1, node 2 logged "leader key is absent" and "campaigning" with
+// yields=false at the same time, and then "term started", while host-1 campaigned some milliseconds later. The other
+// nodes logged "letting others campaign first" with reason="handed over to another member".
 
-// handoverCase is a cluster in which each handover must reach the named node.
+// handoverCase is a cluster in which the named node must lead after each handover.
 type handoverCase struct {
-	name    string
-	nodes   int
-	without []int          // nodes that run without a standby
-	fault   fake.FaultFunc // of requests, during the handovers
+	name           string
+	nodes          int
+	withoutStandby []int          // nodes that run without a standby
+	fault          fake.FaultFunc // faults of requests during the handovers; nil: none
 }
 
 var handoverCases = []handoverCase{
@@ -40,7 +39,7 @@
 	{"five nodes, slow state service", 5, []int{2, 4}, slowStateService},
 }
 
-// slowStateService has each request to the state service, and its response, take 0.3 s.
+// slowStateService is the fault that delays each request to the state service, and its response, by 0.3 s.
 func slowStateService(_ string, r *http.Request) fake.Fault {
 	if isStateRequest(r) {
 		return fake.HighLatency
@@ -48,28 +47,29 @@
 	return fake.NoFault
 }
 
-// handoverMoments is how many handovers a case makes, each at another moment of the others' looks at the state
-// service, and momentStep is between two of these moments.
+// A case makes handoversPerCase handovers. Each begins handoverDelayStep later than the one before, so that they fall
+// on different points in the other nodes' cycle of reads of the state service.
 const (
-	handoverMoments = 24
-	momentStep      = 47 * time.Millisecond
+	handoversPerCase  = 24
+	handoverDelayStep = 47 * time.Millisecond
 )
 
-// newHandoverCluster starts a cluster some of whose nodes have no standby, none of which leads, with a job.
-func newHandoverCluster(t *testing.T, nodes int, without []int) *cluster {
+// newHandoverCluster starts a cluster with a job. The nodes in withoutStandby run without a standby, and another node
+// leads.
+func newHandoverCluster(t *testing.T, nodes int, withoutStandby []int) *cluster {
 	c := newStandbyCluster(t, nodes, noTuning, testStandby())
 	c.nodesWithoutFeatures = map[int]bool{}
-	for _, i := range without {
+	for _, i := range withoutStandby {
 		c.nodesWithoutFeatures[i] = true
 		c.restartNodes(i)
 	}
 	c.submit("j-000001", 30)
-	c.leadWithStandby()
+	c.ensureLeaderHasStandby()
 	return c
 }
 
-// leadWithStandby waits until a node with a standby leads, and ends the terms of others.
-func (c *cluster) leadWithStandby() {
+// ensureLeaderHasStandby kills and restarts leaders until a node with a standby leads.
+func (c *cluster) ensureLeaderHasStandby() {
 	c.t.Helper()
 	for c.nodesWithoutFeatures[c.leader()] {
 		leader, token := c.leader(), c.fencingToken()
@@ -79,11 +79,12 @@
 	}
 }
 
-// awaitFollowers waits until a node with a standby leads, all others with one follow it closely, and all know who leads.
-func (c *cluster) awaitFollowers() {
+// awaitFollowersCaughtUp waits until a node with a standby leads, all other nodes with a standby have a complete view
+// without lag, and the nodes without a standby know the leader.
+func (c *cluster) awaitFollowersCaughtUp() {
 	c.t.Helper()
 	for range 200 {
-		c.leadWithStandby()
+		c.ensureLeaderHasStandby()
 		ready := 0
 		leader := memberName(c.leader())
 		for i, n := range c.nodes {
@@ -108,39 +109,39 @@
 	}
 	for i, n := range c.nodes {
 		status, err := n.StandbyStatus()
-		c.t.Logf("%s: %s leads as known here; %+v, follows %+v (%v)", memberName(i), n.LeaderMember(), status, status.Progress, err)
+		c.t.Logf("%s: known leader %s, status %+v, progress %+v, error %v", memberName(i), n.LeaderMember(), status, status.Progress, err)
 	}
-	c.t.Fatal("the followers are not ready")
+	c.t.Fatal("the followers have not caught up after 200 polls")
 }
 
-// TestHandoverToNamedNode hands over again and again: each time the named node must lead next, also where other nodes run
-// without a standby and know of no handover, at whatever moment they look at the leader key.
+// TestHandoverToNamedNode makes repeated handovers: the named node must lead after each, also if other nodes run
+// without a standby and do not know of the handover, whenever they read the leader key.
 func TestHandoverToNamedNode(t *testing.T) {
 	for _, tc := range handoverCases {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newHandoverCluster(t, tc.nodes, tc.without)
+				c := newHandoverCluster(t, tc.nodes, tc.withoutStandby)
 				defer c.close()
-				wrong := 0
-				for moment := range handoverMoments {
-					c.leadWithStandby()
-					c.awaitFollowers()
-					time.Sleep(2*time.Second + time.Duration(moment)*momentStep)
+				wrongLeaders := 0
+				for n := range handoversPerCase {
+					c.ensureLeaderHasStandby()
+					c.awaitFollowersCaughtUp()
+					time.Sleep(2*time.Second + time.Duration(n)*handoverDelayStep)
 					c.setFault(tc.fault)
 					token := c.fencingToken()
 					to, err := c.nodes[c.leader()].HandOver()
 					if err != nil || to == "" {
-						t.Fatalf("handed over to %q: %v", to, err)
+						t.Fatalf("handed over to %q: %v, want a named node and no error", to, err)
 					}
 					c.awaitLeaderAfter(token)
 					if leader := memberName(c.leader()); leader != to {
-						wrong++
-						t.Logf("handover %d: %s leads, %s was named", moment, leader, to)
+						wrongLeaders++
+						t.Logf("handover %d: %s leads, want %s, the named node", n, leader, to)
 					}
 					c.setFault(nil)
 				}
-				if wrong > 0 {
-					t.Errorf("after %d of %d handovers another node than the named one leads", wrong, handoverMoments)
+				if wrongLeaders > 0 {
+					t.Errorf("after %d of %d handovers another node than the named one leads", wrongLeaders, handoversPerCase)
 				}
 				c.awaitStatus("j-000001", wire.JobDone, time.Minute)
 				c.checkRules()
--- a/tests/cluster/membership_measurement_test.go
+++ b/tests/cluster/membership_measurement_test.go
@@ -18,8 +18,8 @@
 	"caperlatch/internal/wire"
 )
 
-// Variables of TestDetectionTimes, which takes minutes of real time: how many failures it measures
-// for each size of cluster (without it, it is skipped), and where the plot is written.
+// Environment variables of TestDetectionTimes, which takes minutes of real time. The first is the number of failures
+// to measure for each size of cluster; if it is not set, the test is skipped. The second is the file for the plot.
 const (
 	membersVariable    = "CAPERLATCH_MEMBERS"
 	membersOutVariable = "CAPERLATCH_MEMBERS_OUT"
@@ -28,14 +28,14 @@
 // Times of the measurement.
 const (
 	membersPollInterval = 20 * time.Millisecond
-	shortFreeze         = time.Second // too short for a suspicion
-	settlePause         = 2 * time.Second
+	briefFreeze         = time.Second // too short for the node to be suspected
+	startupPause        = 2 * time.Second
 )
 
-// TestDetectionTimes kills and freezes nodes of real processes on loopback at random times while
-// jobs run, and measures until each of the others suspects the node and confirms its failure. No
-// other node may be found failed, nor may one that froze for a second be suspected. All of it runs
-// under the checker of the rules.
+// TestDetectionTimes measures failure detection between real processes on loopback. It kills and freezes nodes at
+// random times while jobs run, and measures the time until each other node suspects the node and confirms its failure.
+// No other node may be suspected or found failed, and a freeze of a second must not cause a suspicion. The rules are
+// checked throughout.
 func TestDetectionTimes(t *testing.T) {
 	failures := envInt(t, membersVariable, 0)
 	if failures == 0 {
@@ -47,7 +47,7 @@
 	for _, size := range []int{3, 5} {
 		t.Run(fmt.Sprintf("%d nodes", size), func(t *testing.T) {
 			r := &detectionRun{processCluster: newProcessCluster(t, size, t.TempDir()), program: program, random: rand.New(rand.NewPCG(uint64(size), 33))}
-			verdicts = append(verdicts, r.measure(failures)...)
+			verdicts = append(verdicts, r.measureFailures(failures)...)
 		})
 	}
 	for _, s := range detection.Summarize(verdicts) {
@@ -56,34 +56,36 @@
 	writeReport(t, membersOutVariable, func(w io.Writer) error { return detection.WriteSVG(w, verdicts) })
 }
 
-// detectionRun measures with one cluster of processes.
+// detectionRun measures failure detection in one cluster of processes.
 type detectionRun struct {
 	*processCluster
 	program string
 	random  *rand.Rand
 }
 
-// measure measures some failures.
-func (r *detectionRun) measure(failures int) (verdicts []detection.Verdict) {
+// measureFailures starts the nodes and measures a number of failures, each while a job runs.
+func (r *detectionRun) measureFailures(failures int) (verdicts []detection.Verdict) {
 	defer r.close()
 	r.Args = []string{"--features", "deploy/membership.xml"}
 	for i := range r.size {
 		r.run(i, r.program)
 	}
 	r.leader()
-	time.Sleep(settlePause)
+	time.Sleep(startupPause)
 	for n := range failures {
 		id := fmt.Sprintf("j-%06d", n+1)
 		r.submit(id, 8)
-		verdicts = append(verdicts, r.fail(n)...)
+		verdicts = append(verdicts, r.measureFailure(n)...)
 		r.awaitStatus(id, "done", time.Minute)
 	}
 	r.checkRules()
 	return verdicts
 }
 
-// fail has one node fail, the leader and a follower in turn, killed or frozen, and recover.
-func (r *detectionRun) fail(n int) (verdicts []detection.Verdict) {
+// measureFailure makes a node fail and recover, and returns the verdicts of the other nodes. The leader fails if n is
+// even, a follower if it is odd. Two nodes are killed and two are frozen in turn. A node that is to be frozen is
+// frozen briefly first, which must not cause a suspicion.
+func (r *detectionRun) measureFailure(n int) (verdicts []detection.Verdict) {
 	time.Sleep(time.Duration(r.random.Int64N(int64(time.Second))))
 	leader := r.leader()
 	node := leader
@@ -94,7 +96,7 @@
 	if n/2%2 == 1 {
 		cause = failover.Frozen
 		r.signal(node, syscall.SIGSTOP)
-		time.Sleep(shortFreeze)
+		time.Sleep(briefFreeze)
 		r.signal(node, syscall.SIGCONT)
 		r.awaitAlive(node, 0)
 	}
@@ -104,7 +106,7 @@
 	} else {
 		r.kill(node)
 	}
-	verdicts = r.observe(node, startedAt)
+	verdicts = r.measureDetection(node, startedAt)
 	for i := range verdicts {
 		verdicts[i].Nodes, verdicts[i].Cause, verdicts[i].Leader = r.size, cause, node == leader
 	}
@@ -122,8 +124,9 @@
 	r.must(r.Signal(node, s))
 }
 
-// observe waits until all others have confirmed that a node failed.
-func (r *detectionRun) observe(node int, startedAt time.Time) (verdicts []detection.Verdict) {
+// measureDetection waits until all others have confirmed that a node failed, and returns when each suspected and
+// confirmed it.
+func (r *detectionRun) measureDetection(node int, startedAt time.Time) (verdicts []detection.Verdict) {
 	seen := map[int]*detection.Verdict{}
 	for time.Since(startedAt) < detectionTimeout && len(verdicts) < r.size-1 {
 		for i := range r.size {
@@ -137,17 +140,17 @@
 		time.Sleep(membersPollInterval)
 	}
 	if len(verdicts) < r.size-1 {
-		r.t.Errorf("host-%d: %d nodes have confirmed its failure within %v", node, len(verdicts), detectionTimeout)
+		r.t.Errorf("host-%d: %d nodes have confirmed its failure within %v, want %d", node, len(verdicts), detectionTimeout, r.size-1)
 	}
 	return verdicts
 }
 
-// observeNode queries one node about the one that failed, and checks that it finds no other node
-// failed.
+// observeNode records what the observer reports about the node that failed, and checks that the observer neither
+// suspects another node nor finds it failed.
 func (r *detectionRun) observeNode(observer, node int, startedAt time.Time, seen map[int]*detection.Verdict) {
 	status, err := r.members(observer)
 	if err != nil {
-		return // it is queried again
+		return // the next poll queries it again
 	}
 	for _, m := range status.Members {
 		doubted := m.State == membership.Suspected || m.State == membership.Failed
@@ -155,7 +158,7 @@
 			continue
 		}
 		if m.Member != memberName(node) {
-			r.t.Errorf("host-%d finds %s %s, which runs", observer, m.Member, m.State)
+			r.t.Errorf("host-%d reports %s as %s although it runs", observer, m.Member, m.State)
 			continue
 		}
 		if seen[observer] == nil {
@@ -167,7 +170,7 @@
 	}
 }
 
-// awaitAlive waits until all nodes find a node alive, and it finds all of them alive.
+// awaitAlive waits until all nodes report a node as alive, and the node reports all others as alive.
 func (r *detectionRun) awaitAlive(node int, timeout time.Duration) {
 	for startedAt := time.Now(); ; time.Sleep(membersPollInterval) {
 		err := r.checkAlive(node)
@@ -175,14 +178,14 @@
 			return
 		}
 		if time.Since(startedAt) >= timeout {
-			r.t.Errorf("host-%d: %v", node, err)
+			r.t.Errorf("host-%d is not alive for all nodes after %v: %v", node, timeout, err)
 			return
 		}
 	}
 }
 
-// checkAlive returns an error if some node does not find a node alive, or it does not find some
-// node alive.
+// checkAlive returns an error if some node does not report a node as alive, or if that node does not report some other
+// node as alive.
 func (r *detectionRun) checkAlive(node int) error {
 	for i := range r.size {
 		status, err := r.members(i)
@@ -191,19 +194,19 @@
 		}
 		for _, m := range status.Members {
 			if (i == node || m.Member == memberName(node)) && m.State != membership.Alive {
-				return fmt.Errorf("%s finds %s %s", status.Member, m.Member, m.State)
+				return fmt.Errorf("%s reports %s as %s, want %s", status.Member, m.Member, m.State, membership.Alive)
 			}
 		}
 	}
 	return nil
 }
 
-// members returns a node's view of the others.
+// members returns a node's view of the other members.
 func (r *detectionRun) members(node int) (status membership.Status, err error) {
 	return status, fetch(r.Addresses[node].Client, "/members", &status)
 }
 
-// fetch gets a value from a node's process.
+// fetch sends a GET request to a node's process and decodes the response into value.
 func fetch(address, path string, value any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -212,12 +215,12 @@
 		return err
 	}
 	if code != http.StatusOK {
-		return fmt.Errorf("%s%s answers %d", address, path, code)
+		return fmt.Errorf("GET %s%s: status %d, want 200", address, path, code)
 	}
 	return wire.Unmarshal(body, value)
 }
 
-// writeReport writes a report to the file that an environment variable names, if it does.
+// writeReport writes a report to the file that an environment variable names, if the variable is set.
 func writeReport(t *testing.T, variable string, write func(io.Writer) error) {
 	t.Helper()
 	out := os.Getenv(variable)
--- a/tests/cluster/membership_test.go
+++ b/tests/cluster/membership_test.go
@@ -14,11 +14,11 @@
 	"caperlatch/internal/wire"
 )
 
-// Bounds of the detection of failures.
+// Bounds of failure detection.
 const (
-	detectionTimeout = 10 * time.Second // of a failure
-	recoveryTimeout  = 3 * time.Second  // after the failure is over
-	maxPathLatency   = 2 * time.Second  // of a path between nodes
+	detectionTimeout = 10 * time.Second // until all others have detected a failure
+	recoveryTimeout  = 3 * time.Second  // until all others find a node alive after its failure
+	maxPathLatency   = 2 * time.Second  // of a message between nodes
 )
 
 // memberCluster is a cluster whose nodes detect each other's failures.
@@ -26,7 +26,7 @@
 	*cluster
 }
 
-// checkState returns an error if a node with membership finds another state of a node than wanted.
+// checkState returns an error if some node with membership reports another state of a node than want.
 func (c *memberCluster) checkState(node int, want membership.State) error {
 	for i, n := range c.nodes {
 		status, err := n.MembershipStatus()
@@ -35,14 +35,14 @@
 		}
 		for _, m := range status.Members {
 			if m.Member == memberName(node) && m.State != want {
-				return fmt.Errorf("%s finds %s %s, not %s", status.Member, m.Member, m.State, want)
+				return fmt.Errorf("%s reports %s as %s, want %s", status.Member, m.Member, m.State, want)
 			}
 		}
 	}
 	return nil
 }
 
-// awaitState waits until all others find a node in a state.
+// awaitState waits until all other nodes report a node in a state.
 func (c *memberCluster) awaitState(timeout time.Duration, node int, want membership.State) {
 	c.t.Helper()
 	err := c.checkState(node, want)
@@ -50,11 +50,11 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if err != nil {
-		c.t.Errorf("within %v: %v", timeout, err)
+		c.t.Errorf("after %v: %v", timeout, err)
 	}
 }
 
-// checkStateStays checks that all others find a node in a state after half a minute.
+// checkStateStays checks that all other nodes still report a node in a state after half a minute.
 func (c *memberCluster) checkStateStays(node int, want membership.State) {
 	c.t.Helper()
 	time.Sleep(30 * time.Second)
@@ -63,7 +63,7 @@
 	}
 }
 
-// crashAndRecover kills a node, and starts it again once all others have found it failed.
+// crashAndRecover kills a node, and restarts it once all other nodes have found it failed.
 func (c *memberCluster) crashAndRecover(node int) {
 	c.t.Helper()
 	c.kill(node)
@@ -72,13 +72,13 @@
 	c.awaitState(recoveryTimeout, node, membership.Alive)
 }
 
-// checkNoFailures checks that for a while no node finds another failed.
+// checkNoFailures checks that no node finds another one failed within a period.
 func (c *memberCluster) checkNoFailures(period time.Duration) {
 	c.t.Helper()
 	time.Sleep(period)
 	for i, n := range c.nodes {
 		if status, err := n.MembershipStatus(); err != nil || status.Counts.Failures > 0 {
-			c.t.Errorf("host-%d: %v, %+v", i, err, status)
+			c.t.Errorf("host-%d: %+v, error %v; want no failures", i, status, err)
 		}
 	}
 }
@@ -96,7 +96,8 @@
 	})
 }
 
-// membershipCase is a fault of nodes, or of paths between them; run checks what the others find.
+// membershipCase is a fault of nodes, or of the network between them. Its run injects the fault and checks which
+// states the nodes report.
 type membershipCase struct {
 	name string
 	run  func(c *memberCluster)
@@ -116,8 +117,8 @@
 	{"all paths have high latency with jitter", (*memberCluster).slowAllPaths},
 }
 
-// TestMembership has nodes fail, be partitioned, leave and come back while jobs run, under the
-// checker of the rules.
+// TestMembership makes nodes fail, leave and return, and partitions them, while jobs run. It checks the states that
+// the nodes report, and the rules.
 func TestMembership(t *testing.T) {
 	for _, size := range []int{3, 5} {
 		for _, tc := range membershipCases {
@@ -138,8 +139,7 @@
 	}
 }
 
-// restartLeaders restarts five leaders within the time that a suspicion takes: none may be found
-// failed.
+// restartLeaders restarts five leaders, each in less time than it takes to suspect a node: none may be found failed.
 func (c *memberCluster) restartLeaders() {
 	for range 5 {
 		leader := c.leader()
@@ -150,22 +150,22 @@
 	}
 }
 
-// partitionLeader cuts the leader off from all nodes. As its session with the state service lives,
-// it must be suspected, never found failed, and go on leading.
+// partitionLeader isolates the leader from the other nodes. Its session with the state service lives, so the others
+// must suspect it but not find it failed, and it must go on leading.
 func (c *memberCluster) partitionLeader() {
 	leader := c.leader()
 	c.isolateFromPeers(leader)
 	c.awaitState(detectionTimeout, leader, membership.Suspected)
 	c.checkStateStays(leader, membership.Suspected)
 	if c.leader() != leader {
-		c.t.Error("another node leads")
+		c.t.Errorf("node %d no longer leads, want it to go on leading", leader)
 	}
 	c.healPartitions()
 	c.awaitState(recoveryTimeout, leader, membership.Alive)
 }
 
-// isolateNode cuts a follower off from all nodes and the state service. The others must find it
-// failed; it must know that it is isolated, and find nobody failed.
+// isolateNode isolates a follower from the other nodes and the state service. The others must find it failed. The
+// follower must report that it is isolated, and find no other node failed.
 func (c *memberCluster) isolateNode() {
 	isolated := c.follower()
 	c.isolateFromPeers(isolated)
@@ -173,7 +173,7 @@
 	c.awaitState(detectionTimeout, isolated, membership.Failed)
 	c.checkStateStays(isolated, membership.Failed)
 	if status, err := c.nodes[isolated].MembershipStatus(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
-		c.t.Errorf("the isolated node finds others failed: %v, %+v", err, status)
+		c.t.Errorf("the isolated node reports %+v, error %v; want isolated and no failures", status, err)
 	}
 	c.setFault(nil)
 	c.healPartitions()
@@ -182,22 +182,22 @@
 	}
 }
 
-// partitionTwoNodes cuts the path between two nodes, in both directions. As the others still have
-// heartbeats of both, none may be found failed.
+// partitionTwoNodes blocks all connections between two nodes. The other nodes still receive heartbeats of both, so no
+// node may be found failed.
 func (c *memberCluster) partitionTwoNodes() {
 	c.peerNet.SetPartition(func(from, to string) bool { return from+to == "host-0host-1" || from+to == "host-1host-0" })
 	c.checkNoFailures(time.Minute)
 }
 
-// refuseStateToFollower drops the requests of a follower to the state service. Its heartbeats to the
-// other nodes arrive, so it may not be found failed.
+// refuseStateToFollower drops the requests of a follower to the state service. Its heartbeats still reach the other
+// nodes, so it may not be found failed.
 func (c *memberCluster) refuseStateToFollower() {
 	c.refuseState(c.follower())
 	c.checkNoFailures(time.Minute)
 }
 
-// crashWithoutState makes the state service unavailable to all, and then kills a follower: it alone
-// must be found failed, without an answer of the state service.
+// crashWithoutState makes the state service unavailable to all nodes, and then kills a follower. Only the follower may
+// be found failed, and it must be found failed although the state service does not respond.
 func (c *memberCluster) crashWithoutState() {
 	crashed := c.follower()
 	c.setFault(everyNthNodeRequest(1, fake.ServiceUnavailable, isStateRequest))
@@ -209,8 +209,8 @@
 	c.awaitState(recoveryTimeout, crashed, membership.Alive)
 }
 
-// leaveAndReturn has a follower announce that it leaves: within a second the others must find that it
-// left, and never that it failed, until it comes back.
+// leaveAndReturn makes a follower announce that it leaves. The others must report within a second that it left, and
+// must never report that it failed, until it returns.
 func (c *memberCluster) leaveAndReturn() {
 	leaving := c.follower()
 	c.nodes[leaving].Leave()
@@ -221,8 +221,8 @@
 	c.awaitState(recoveryTimeout, leaving, membership.Alive)
 }
 
-// crashNodeWithoutMembership restarts a follower as an earlier version, which has no membership: the
-// others must find it alive, and failed only while it is down.
+// crashNodeWithoutMembership restarts a follower without membership, as in an earlier version. The others must report
+// it as alive, and as failed only while it is down.
 func (c *memberCluster) crashNodeWithoutMembership() {
 	without := c.follower()
 	c.nodesWithoutFeatures = map[int]bool{without: true}
@@ -232,8 +232,8 @@
 	c.crashAndRecover(without)
 }
 
-// slowAllPaths gives each message between nodes a random latency up to maxPathLatency. For ten
-// minutes none may be found failed, and a node must notice that the paths are slow.
+// slowAllPaths delays each message between nodes by a random time up to maxPathLatency. No node may be found failed
+// for ten minutes, and node 0 must report itself as slow.
 func (c *memberCluster) slowAllPaths() {
 	random := rand.New(rand.NewPCG(uint64(c.size), 32))
 	c.peerNet.SetLatency(func(string, string) time.Duration {
@@ -241,11 +241,11 @@
 		defer c.mu.Unlock()
 		return time.Duration(random.Int64N(int64(maxPathLatency)))
 	})
-	c.peerNet.SetPartition(func(string, string) bool { return true }) // so that all streams are opened anew
+	c.peerNet.SetPartition(func(string, string) bool { return true }) // closes all streams, so that new ones are opened with the latency
 	c.healPartitions()
 	c.checkNoFailures(10 * time.Minute)
 	slow := 0
-	for range 60 { // single messages may be fast
+	for range 60 { // node 0 is not slow while its messages happen to be fast
 		status, err := c.nodes[0].MembershipStatus()
 		if err == nil && status.Slow {
 			slow++
@@ -253,6 +253,6 @@
 		time.Sleep(time.Second)
 	}
 	if slow == 0 {
-		c.t.Error("the paths are not slow")
+		c.t.Error("node 0 never reported itself as slow within a minute")
 	}
 }
--- a/tests/cluster/standby_combined_cases_test.go
+++ b/tests/cluster/standby_combined_cases_test.go
@@ -7,15 +7,14 @@
 	"caperlatch/internal/sim/fake"
 )
 
-// restartNamedNodeAtOnce restarts the node that the leader hands over to, before it can lead: the
-// handover must not leave the cluster without a leader.
+// restartNamedNodeAtOnce restarts the node that a handover names before it can lead. The handover must not leave the
+// cluster without a leader.
 func restartNamedNodeAtOnce(c *cluster) {
 	to := c.handover()
 	c.restartNodes(c.indexOf(to))
 }
 
-// restartNamedNodeAsItLeads restarts the node that the leader has handed over to as soon as a new
-// term has begun.
+// restartNamedNodeAsItLeads restarts the node that a handover names as soon as a new term has begun.
 func restartNamedNodeAsItLeads(c *cluster) {
 	token := c.fencingToken()
 	to := c.handover()
@@ -23,8 +22,8 @@
 	c.restartNodes(c.indexOf(to))
 }
 
-// crashLeaderOfNewFollowers crashes the leader 1.6 s after both followers restarted, so that their
-// views are new.
+// crashLeaderOfNewFollowers crashes the leader 1.6 s after both followers restarted, so that the followers have only
+// just built their views.
 func crashLeaderOfNewFollowers(c *cluster) {
 	leader := c.leader()
 	c.restartNodes((leader+1)%3, (leader+2)%3)
@@ -34,7 +33,7 @@
 	c.start(leader)
 }
 
-// handOverSixTimes hands over again 0.3 s after each new term began.
+// handOverSixTimes makes six handovers, each 0.3 s after the new term of the one before has begun.
 func handOverSixTimes(c *cluster) {
 	for range 6 {
 		token := c.fencingToken()
@@ -44,7 +43,7 @@
 	}
 }
 
-// handOverWithoutState makes the state service unavailable to the leader before it hands over.
+// handOverWithoutState makes the state service unavailable to the leader, and then makes the leader hand over.
 func handOverWithoutState(c *cluster) {
 	c.setFault(stateUnavailableTo(c.leader()))
 	c.handover()
@@ -52,8 +51,7 @@
 	c.setFault(nil)
 }
 
-// refuseStateDuringHandover makes the state service unavailable to all nodes 0.1 s after a handover
-// begins.
+// refuseStateDuringHandover makes the state service unavailable to all nodes 0.1 s after a handover has begun.
 func refuseStateDuringHandover(c *cluster) {
 	time.AfterFunc(100*time.Millisecond, func() { c.setFault(stateUnavailableTo(-1)) })
 	c.handover()
@@ -61,9 +59,9 @@
 	c.setFault(nil)
 }
 
-// refuseStateToStandbyLeaderThenToAll makes the state service unavailable to the leader, and to all
-// nodes before another one can be sure to lead.
-func refuseStateToStandbyLeaderThenToAll(c *cluster) {
+// refuseStateToLeaderThenToAllNodes makes the state service unavailable to the leader, and 2 s later to all nodes,
+// before another node can have confirmed that it leads.
+func refuseStateToLeaderThenToAllNodes(c *cluster) {
 	c.setFault(stateUnavailableTo(c.leader()))
 	time.Sleep(2 * time.Second)
 	c.setFault(stateUnavailableTo(-1))
@@ -71,7 +69,7 @@
 	c.setFault(nil)
 }
 
-// firstMachinesOf returns the IDs of the first two machines that have tasks of a job.
+// firstMachinesOf returns the IDs of the first two machines with tasks of a job.
 func (c *cluster) firstMachinesOf(id string) map[string]bool {
 	ids := map[string]bool{}
 	for _, w := range c.cloud.WorkersOf(id)[:2] {
@@ -80,8 +78,8 @@
 	return ids
 }
 
-// handOverWithUnreachableMachines hands over while two machines get neither responses nor commands:
-// their leases expire although the next leader has their heartbeats.
+// handOverWithUnreachableMachines makes the leader hand over while two machines receive neither responses nor
+// commands: their leases expire although the next leader receives their heartbeats.
 func handOverWithUnreachableMachines(c *cluster) {
 	c.setFault(dropResponsesTo(c.firstMachinesOf(standbyArray)))
 	c.handover()
@@ -89,8 +87,8 @@
 	c.setFault(nil)
 }
 
-// handOverWithIsolatedMachines hands over while two machines are isolated. What the next leader knows
-// of them from its standby may not outlive their leases.
+// handOverWithIsolatedMachines makes the leader hand over while two machines are isolated. The next leader may rely on
+// what its standby recorded about them only until their leases expire.
 func handOverWithIsolatedMachines(c *cluster) {
 	var dropped counter
 	c.setFault(isolateMachines(c.firstMachinesOf(standbyArray), &dropped))
@@ -99,9 +97,9 @@
 	c.setFault(nil)
 }
 
-// handOverWithStartsOnTheirWay drops the responses to heartbeats from before a handover until after
-// it, while there are tasks to start: the next leader must know which starts may have been sent.
-func handOverWithStartsOnTheirWay(c *cluster) {
+// handOverWithStartsInFlight drops the responses to heartbeats from before a handover until after it, while tasks are
+// to be started. The next leader must know which start commands may have been sent.
+func handOverWithStartsInFlight(c *cluster) {
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if machineOf(from) != "" && isHeartbeat(r) {
 			return fake.DroppedResponse
@@ -115,8 +113,7 @@
 	c.setFault(nil)
 }
 
-// crashAllNodesButOneFollower crashes four of five nodes, the leader last, for 15 s: the one that is
-// left must lead.
+// crashAllNodesButOneFollower crashes four of five nodes, the leader last, for 15 s. The remaining node must lead.
 func crashAllNodesButOneFollower(c *cluster) {
 	leader := c.leader()
 	for i := range c.nodes {
@@ -133,20 +130,20 @@
 	}
 }
 
-// restartLeaderWithoutStandby restarts a leader that publishes nothing: its successor has a standby,
-// but no view.
+// restartLeaderWithoutStandby restarts a leader that runs without a standby and so publishes no log: its successor has
+// a standby, but no view.
 func restartLeaderWithoutStandby(c *cluster) {
 	c.makeLeader(0)
 	c.restartNodes(0)
 }
 
-// handOverToNodesWithoutStandby hands over to nodes that keep no view.
+// handOverToNodesWithoutStandby makes the leader hand over to nodes that keep no view.
 func handOverToNodesWithoutStandby(c *cluster) {
 	c.makeLeader(0)
 	c.handover()
 }
 
-// handOverUnderPartition hands over while the leader is partitioned from all other nodes.
+// handOverUnderPartition makes the leader hand over while it is partitioned from all other nodes.
 func handOverUnderPartition(c *cluster) {
 	c.isolateFromPeers(c.leader())
 	c.handover()
--- a/tests/cluster/standby_combined_faults_test.go
+++ b/tests/cluster/standby_combined_faults_test.go
@@ -16,12 +16,12 @@
 	standbyLate      = "j-000004" // submitted once the fault is over
 )
 
-// standbyFaultCase is a fault that combines with failovers of nodes with a standby.
+// standbyFaultCase is a fault that is combined with failovers between nodes with a standby.
 type standbyFaultCase struct {
-	name    string
-	nodes   int
-	without map[int]bool // nodes that run without a standby, as earlier versions do
-	inject  func(c *cluster)
+	name           string
+	nodes          int
+	withoutStandby map[int]bool // nodes that run without a standby, like earlier versions
+	inject         func(c *cluster)
 }
 
 var standbyFaultCases = []standbyFaultCase{
@@ -31,32 +31,32 @@
 	{"repeated handovers", 3, nil, handOverSixTimes},
 	{"state service unavailable to the leader that hands over", 3, nil, handOverWithoutState},
 	{"state service unavailable to all during a handover", 3, nil, refuseStateDuringHandover},
-	{"state service unavailable to the leader alone, then to all", 5, nil, refuseStateToStandbyLeaderThenToAll},
+	{"state service unavailable to the leader alone, then to all", 5, nil, refuseStateToLeaderThenToAllNodes},
 	{"responses and commands to machines are dropped during a handover", 3, nil, handOverWithUnreachableMachines},
 	{"machines are isolated for longer than a lease", 3, nil, handOverWithIsolatedMachines},
-	{"starts are on their way during a handover", 3, nil, handOverWithStartsOnTheirWay},
+	{"starts are in flight during a handover", 3, nil, handOverWithStartsInFlight},
 	{"all nodes but one crash", 5, nil, crashAllNodesButOneFollower},
 	{"the leader alone has no standby", 3, map[int]bool{0: true}, restartLeaderWithoutStandby},
 	{"the followers have no standby", 3, map[int]bool{1: true, 2: true}, handOverToNodesWithoutStandby},
 	{"the leader is partitioned from the nodes as it hands over", 3, nil, handOverUnderPartition},
 }
 
-// TestStandbyCombinedFaults combines faults with failovers of nodes with a standby, while an array,
-// a gang and a cancelled job are on machines. No rule is violated, and all jobs complete once the
-// faults are over.
+// TestStandbyCombinedFaults combines faults with failovers between nodes with a standby, while an array, a gang and a
+// job that is being cancelled are on machines. No rule is violated, and all other jobs complete once the faults are
+// over.
 func TestStandbyCombinedFaults(t *testing.T) {
 	for _, tc := range standbyFaultCases {
 		t.Run(tc.name, tc.run)
 	}
 }
 
-// run has the jobs run, injects the fault, and checks that another node has led.
+// run submits the jobs, injects the fault, and checks that the jobs complete and that a new term has begun.
 func (tc standbyFaultCase) run(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStandbyCluster(t, tc.nodes, noTuning, testStandby())
 		defer c.close()
-		c.nodesWithoutFeatures = tc.without
-		for i := range tc.without {
+		c.nodesWithoutFeatures = tc.withoutStandby
+		for i := range tc.withoutStandby {
 			c.restartNodes(i)
 		}
 		c.cloud.RuntimeOf = func(string) float64 { return 12 }
@@ -79,13 +79,13 @@
 		}
 		c.checkJobsKnown([]string{standbyArray, standbyGang, standbyCancelled, standbyLate})
 		if c.fencingToken() == token {
-			t.Error("no other node has led")
+			t.Errorf("the term with fencing token %d goes on, want a failover", token)
 		}
 		c.checkRules()
 	})
 }
 
-// handover has the leader hand over, and returns the named node.
+// handover makes the leader hand over, and returns the named node.
 func (c *cluster) handover() string {
 	c.t.Helper()
 	to, err := c.nodes[c.leader()].HandOver()
@@ -95,7 +95,7 @@
 	return to
 }
 
-// indexOf returns the index of a member; -1 if there is none.
+// indexOf returns the index of the node with a member name, or -1 if there is none.
 func (c *cluster) indexOf(member string) int {
 	for i := range c.nodes {
 		if memberName(i) == member {
@@ -105,12 +105,12 @@
 	return -1
 }
 
-// makeLeader makes a node the leader, by killing the others for a while.
+// makeLeader makes a node the leader: it kills and restarts each other node that leads.
 func (c *cluster) makeLeader(node int) {
 	c.t.Helper()
 	for try := 0; c.leader() != node; try++ {
 		if try == 20 {
-			c.t.Fatalf("node %d does not lead", node)
+			c.t.Fatalf("node %d does not lead after %d failovers", node, try)
 		}
 		leader, token := c.leader(), c.fencingToken()
 		c.kill(leader)
--- a/tests/cluster/standby_commands_test.go
+++ b/tests/cluster/standby_commands_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// optionalParts are the arguments of a node with a standby and a policy on zones.
-var optionalParts = []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}
+// featureArgs are the arguments of a node with a standby and the zone policy.
+var featureArgs = []string{"--standby", "deploy/standby.xml", "--features", "deploy/zones.xml"}
 
-// TestStandbyCommands runs the commands of docs/operations-standby.md and docs/operations-zones.md
-// with real processes: against leaders, followers and nodes without a standby. It runs with
-// TestFailoverTimes.
+// TestStandbyCommands runs the commands of docs/operations-standby.md and docs/operations-zones.md against real
+// processes: leaders, followers and nodes without a standby. It runs only if the environment variable of
+// TestFailoverTimes is set.
 func TestStandbyCommands(t *testing.T) {
 	if os.Getenv(failoverVariable) == "" {
 		t.Skip(failoverVariable + " is not set")
@@ -24,7 +24,7 @@
 	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
 	c := newProcessCluster(t, 3, t.TempDir())
 	defer c.close()
-	c.runWithAndWithoutParts(program)
+	c.runWithAndWithoutFeatures(program)
 	leader := c.leader()
 	follower := 1 - leader
 	invalid := filepath.Join(t.TempDir(), "wrong.xml")
@@ -37,24 +37,24 @@
 	}
 	c.awaitLeaderAfter(token)
 	if next := c.leader(); next != follower {
-		t.Errorf("node %d leads, want %d", next, follower)
+		t.Errorf("node %d leads after the handover, want node %d", next, follower)
 	}
 	time.Sleep(2 * time.Second)
 	out, err := exec.Command(program, "standby", "--node", c.Addresses[follower].Client).CombinedOutput()
-	if t.Logf("after the handover (%v)\n%s", err, out); !strings.Contains(string(out), "handed over") {
-		t.Error("the failover is not shown as handed over")
+	if t.Logf("standby after the handover (error %v):\n%s", err, out); !strings.Contains(string(out), "handed over") {
+		t.Error("the output of standby after the handover lacks \"handed over\"")
 	}
 	c.terminateLeader(follower)
 	c.awaitStatus("j-000001", "done", time.Minute)
 	c.checkRules()
 }
 
-// runWithAndWithoutParts runs nodes 0 and 1 with optional parts and node 2 without, and lets one of
-// the first two lead.
-func (c *processCluster) runWithAndWithoutParts(program string) {
+// runWithAndWithoutFeatures runs nodes 0 and 1 with the optional features and node 2 without, and makes node 0 or 1
+// the leader.
+func (c *processCluster) runWithAndWithoutFeatures(program string) {
 	c.t.Helper()
 	c.run(2, program)
-	c.Args = optionalParts
+	c.Args = featureArgs
 	c.run(0, program)
 	c.run(1, program)
 	c.submit("j-000001", 6)
@@ -64,21 +64,21 @@
 		c.awaitLeaderAfter(token)
 		c.Args = nil
 		c.run(2, program)
-		c.Args = optionalParts
+		c.Args = featureArgs
 	}
 	time.Sleep(3 * time.Second)
 }
 
-// operatorCommand is a command of the program, and what it must print.
+// operatorCommand is a command line of the program and what it must print.
 type operatorCommand struct {
 	name  string
 	args  []string
-	fails bool
+	fails bool     // it must exit with an error
 	want  []string // parts of the output
 }
 
-// operatorCommands returns the commands for a cluster whose node 2 has no optional parts. The last one
-// has the leader hand over to the follower. The invalid settings are in a file.
+// operatorCommands returns the commands for a cluster whose node 2 runs without the optional features. The last
+// command makes the leader hand over to the follower. invalid is the path of a file with invalid settings.
 func (c *processCluster) operatorCommands(leader, follower int, invalid string) []operatorCommand {
 	settingsFile := c.SettingsFile(0)
 	byLeader, byFollower := c.Addresses[leader].Client, c.Addresses[follower].Client
@@ -100,13 +100,13 @@
 	}
 }
 
-// check runs the command. What fails must say why in one line.
+// check runs the command and checks its output. A command that fails must print its reason in one line.
 func (o operatorCommand) check(t *testing.T, program string) {
 	t.Helper()
 	out, err := exec.Command(program, o.args...).CombinedOutput()
 	t.Logf("%s: caperlatch %s\n%s", o.name, strings.Join(o.args, " "), out)
 	if (err != nil) != o.fails {
-		t.Errorf("%s: %v", o.name, err)
+		t.Errorf("%s: error %v, want an error: %v", o.name, err, o.fails)
 	}
 	for _, want := range o.want {
 		if !strings.Contains(string(out), want) {
@@ -114,12 +114,12 @@
 		}
 	}
 	if o.fails && strings.Count(strings.TrimSpace(string(out)), "\n") > 0 {
-		t.Errorf("%s: more than one line", o.name)
+		t.Errorf("%s: the output has several lines, want one", o.name)
 	}
 }
 
-// terminateLeader sends the leader a SIGTERM. It hands over as it ends, so the next one must lead
-// sooner than a session ends.
+// terminateLeader sends the leader a SIGTERM. The leader hands over as it exits, so the next leader must lead sooner
+// than the session of a crashed leader would expire.
 func (c *processCluster) terminateLeader(leader int) {
 	c.t.Helper()
 	token := c.fencingToken()
@@ -128,18 +128,19 @@
 	startedAt := time.Now()
 	c.awaitLeaderAfter(token)
 	if duration := time.Since(startedAt); duration > 2500*time.Millisecond {
-		c.t.Errorf("after SIGTERM no node led for %v", duration)
+		c.t.Errorf("no node led for %v after SIGTERM, want at most 2.5 s", duration)
 	}
 }
 
-// Handovers of TestHandoverCommand, and how long a follower has to complete its view before each.
+// Number of handovers of TestHandoverCommand, and the time in which a follower must complete its view before each.
 const (
 	commandHandovers = 20
-	followWithin     = 20 * time.Second
+	followerTimeout  = 20 * time.Second
 )
 
-// TestHandoverCommand has an operator hand over again and again, with real processes of which one has no standby: each
-// answer must be true, and the named node lead. It runs with TestFailoverTimes.
+// TestHandoverCommand runs the handover command repeatedly against real processes, one of which has no standby. Each
+// time the named node must lead, and the output must say so. It runs only if the environment variable of
+// TestFailoverTimes is set.
 func TestHandoverCommand(t *testing.T) {
 	if os.Getenv(failoverVariable) == "" {
 		t.Skip(failoverVariable + " is not set")
@@ -148,28 +149,28 @@
 	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, program)
 	c := newProcessCluster(t, 3, t.TempDir())
 	defer c.close()
-	c.runWithAndWithoutParts(program)
+	c.runWithAndWithoutFeatures(program)
 	for n := range commandHandovers {
 		leader := c.leader()
 		c.awaitFollowerOf(program, leader)
 		out, err := exec.Command(program, "handover", "--node", c.Addresses[leader].Client).CombinedOutput()
 		next := memberName(c.leader())
 		if want := "handed over to " + next + "\n"; err != nil || string(out) != want {
-			t.Errorf("handover %d by node %d: %s leads, and the answer is %q (%v)", n, leader, next, out, err)
+			t.Errorf("handover %d by node %d: %s leads, and the output is %q (error %v), want %q", n, leader, next, out, err, want)
 		}
 	}
 	c.awaitStatus("j-000001", "done", time.Minute)
 	c.checkRules()
 }
 
-// awaitFollowerOf waits until the leader has a follower with a complete view that has asked within the last second.
+// awaitFollowerOf waits until the leader has a follower without lag that has queried it within the last second.
 func (c *processCluster) awaitFollowerOf(program string, leader int) {
 	c.t.Helper()
-	for startedAt := time.Now(); time.Since(startedAt) < followWithin; time.Sleep(200 * time.Millisecond) {
+	for startedAt := time.Now(); time.Since(startedAt) < followerTimeout; time.Sleep(200 * time.Millisecond) {
 		out, err := exec.Command(program, "standby", "--node", c.Addresses[leader].Client).CombinedOutput()
 		if err == nil && strings.Contains(string(out), "active") && strings.Contains(string(out), "0 entries behind, asked 0.") {
 			return
 		}
 	}
-	c.t.Fatalf("node %d has no follower", leader)
+	c.t.Fatalf("node %d has no follower without lag after %v", leader, followerTimeout)
 }
--- a/tests/cluster/standby_test.go
+++ b/tests/cluster/standby_test.go
@@ -15,7 +15,7 @@
 	"caperlatch/internal/wire"
 )
 
-// testStandby returns the settings of the clusters' warm standby.
+// testStandby returns the settings of the warm standby in the tests' clusters.
 func testStandby() *settings.Standby {
 	return &settings.Standby{
 		QueryInterval:   100 * micros.Millisecond,
@@ -25,10 +25,10 @@
 	}
 }
 
-// noTuning leaves the settings of a cluster as they are.
+// noTuning leaves the settings of a cluster unchanged.
 func noTuning(*settings.Settings) {}
 
-// awaitStandbysComplete waits until all followers have a complete view of the leader's state.
+// awaitStandbysComplete waits until all followers have a complete view of the leader's state, without lag.
 func (c *cluster) awaitStandbysComplete() {
 	c.t.Helper()
 	for range 200 {
@@ -49,46 +49,47 @@
 	}
 	for i, n := range c.nodes {
 		status, err := n.StandbyStatus()
-		c.t.Logf("%s: %+v, %v", memberName(i), status.Progress, err)
+		c.t.Logf("%s: progress %+v, error %v", memberName(i), status.Progress, err)
 	}
-	c.t.Fatal("not all followers are complete")
+	c.t.Fatal("not all followers have a complete view after 20 s")
 }
 
-// furthestFollower returns the member that a handover of the leader would name now.
-func (c *cluster) furthestFollower(leader int) string {
+// mostUpToDateFollower returns the member that the leader would name in a handover now.
+func (c *cluster) mostUpToDateFollower(leader int) string {
 	c.t.Helper()
 	status, err := c.nodes[leader].StandbyStatus()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	var furthest standby.FollowerState
+	var best standby.FollowerState
 	for _, f := range status.Followers {
-		if f.Complete && f.AgeS <= 1 && (furthest.Member == "" || f.Position > furthest.Position) {
-			furthest = f
+		if f.Complete && f.AgeS <= 1 && (best.Member == "" || f.Position > best.Position) {
+			best = f
 		}
 	}
-	if furthest.Member == "" {
-		c.t.Fatal("no node follows")
+	if best.Member == "" {
+		c.t.Fatal("the leader has no follower with a complete view")
 	}
-	return furthest.Member
+	return best.Member
 }
 
-// TestFailoverWithUnreachableMachine ends the term of the leader while an array is in progress and
-// one of its machines is isolated. The rest of the array must wait for that machine, as after any
-// crash; after a complete handover it is known that the machine has none of these tasks.
+// TestFailoverWithUnreachableMachine ends the leader's term while an array is in progress and one of its machines is
+// isolated. After a crash the next leader does not know which tasks that machine has, so the rest of the array must
+// wait until its lease has expired. After a complete handover the next leader knows that the machine has none of these
+// tasks.
 func TestFailoverWithUnreachableMachine(t *testing.T) {
 	cases := []struct {
 		name    string
 		standby *settings.Standby
 		end     func(c *cluster, leader int)
-		soon    bool // the array continues before the machine's lease has expired
+		early   bool // the array continues before the machine's lease has expired
 	}{
 		{"crash without standby", nil, func(c *cluster, leader int) { c.kill(leader) }, false},
 		{"crash with standby", testStandby(), func(c *cluster, leader int) { c.kill(leader) }, false},
 		{"handover", testStandby(), func(c *cluster, leader int) {
 			to, err := c.nodes[leader].HandOver()
 			if err != nil || to == "" {
-				c.t.Errorf("handed over to %q: %v", to, err)
+				c.t.Errorf("handed over to %q: %v, want a named node and no error", to, err)
 			}
 		}, true},
 	}
@@ -110,7 +111,7 @@
 				}
 				for i := 0; c.cloud.Starts() < 60; i++ {
 					if i == 120 {
-						t.Fatalf("%d tasks started", c.cloud.Starts())
+						t.Fatalf("%d tasks started within a minute, want 60", c.cloud.Starts())
 					}
 					time.Sleep(500 * time.Millisecond)
 				}
@@ -123,18 +124,18 @@
 				leader, token := c.leader(), c.fencingToken()
 				tc.end(c, leader)
 				c.awaitLeaderAfter(token)
-				led, before := time.Now(), c.cloud.Starts()
-				first := time.Duration(0)
-				for first == 0 && time.Since(led) < 40*time.Second {
+				termStartedAt, before := time.Now(), c.cloud.Starts()
+				pause := time.Duration(0)
+				for pause == 0 && time.Since(termStartedAt) < 40*time.Second {
 					time.Sleep(100 * time.Millisecond)
 					if c.cloud.Starts() > before+3 {
-						first = time.Since(led)
+						pause = time.Since(termStartedAt)
 					}
 				}
-				if soon := first != 0 && first < 2*time.Second; soon != tc.soon {
-					t.Errorf("the array continues %v after the next leader leads, want soon: %v", first, tc.soon)
+				if early := pause != 0 && pause < 2*time.Second; early != tc.early {
+					t.Errorf("the array continues %v (0: not at all) into the next term, want within 2 s: %v", pause, tc.early)
 				}
-				t.Logf("the array continues after %v", first)
+				t.Logf("the array continues %v into the next term", pause)
 				c.setFault(nil)
 				c.checkRules()
 			})
@@ -142,9 +143,9 @@
 	}
 }
 
-// TestFailoverDuringZoneLoss kills the leader while a zone is isolated. An array that is bound to
-// the other zone has no task in the isolated zone: with the standby it continues at once. An array
-// that may be anywhere waits for the leases.
+// TestFailoverDuringZoneLoss kills the leader while a zone is isolated. An array that is bound to the other zone has
+// no task in the isolated zone, so with the standby it continues at once. An array that may run in both zones must
+// wait until the leases of the isolated machines have expired.
 func TestFailoverDuringZoneLoss(t *testing.T) {
 	for _, standby := range []*settings.Standby{nil, testStandby()} {
 		t.Run(fmt.Sprintf("standby %v", standby != nil), func(t *testing.T) {
@@ -164,7 +165,7 @@
 				c.submitJob(bound)
 				for i := 0; c.cloud.StartsOf("j-000001") < 40 || c.cloud.StartsOf("j-000002") < 40 || c.cloud.StartsOf("j-000003") < 40; i++ {
 					if i == 200 {
-						t.Fatalf("%d and %d tasks started", c.cloud.StartsOf("j-000001"), c.cloud.StartsOf("j-000002"))
+						t.Fatalf("%d and %d tasks of the bound and the free array started within 40 s, want 40 each", c.cloud.StartsOf("j-000001"), c.cloud.StartsOf("j-000002"))
 					}
 					time.Sleep(200 * time.Millisecond)
 				}
@@ -182,13 +183,13 @@
 				before := [2]int{c.cloud.StartsOf("j-000001"), c.cloud.StartsOf("j-000002")}
 				time.Sleep(4 * time.Second)
 				if got := c.cloud.StartsOf("j-000001") > before[0]; got != (standby != nil) {
-					t.Errorf("the bound array continues within 4 s: %v", got)
+					t.Errorf("the bound array continues within 4 s: %v, want %v", got, standby != nil)
 				}
 				if c.cloud.StartsOf("j-000002") > before[1] {
-					t.Error("the other array continues while its tasks may run on isolated machines")
+					t.Error("the free array continues although its tasks may run on isolated machines")
 				}
 				if len(isolated) == 0 || len(isolated) == len(c.cloud.Workers()) {
-					t.Errorf("%d of %d machines are isolated", len(isolated), len(c.cloud.Workers()))
+					t.Errorf("%d of %d machines are isolated, want some but not all", len(isolated), len(c.cloud.Workers()))
 				}
 				c.setFault(nil)
 				c.checkRules()
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestRepeatedHandovers hands leadership over again and again, while jobs are submitted, run,
-// complete and are cancelled: each time the named node leads within 2.5 s, and no rule is violated.
+// TestRepeatedHandovers makes twelve handovers while jobs are submitted, run, complete and are cancelled. After each
+// the named node leads within 2.5 s, and no rule is violated.
 func TestRepeatedHandovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newStandbyCluster(t, 3, noTuning, testStandby())
@@ -221,10 +222,10 @@
 			}
 			c.awaitLeaderAfter(token)
 			if duration := time.Since(startedAt); duration > 2500*time.Millisecond {
-				t.Errorf("handover %d took %v", n, duration)
+				t.Errorf("handover %d took %v, want at most 2.5 s", n, duration)
 			}
 			if leader := memberName(c.leader()); leader != to {
-				t.Errorf("handover %d: %s leads, %s was named", n, leader, to)
+				t.Errorf("handover %d: %s leads, want %s, the named node", n, leader, to)
 			}
 			if n%5 == 4 {
 				c.cancelJob(id, n%3)
@@ -241,15 +242,15 @@
 	})
 }
 
-// TestHandoverWithoutSuccessor hands over while the named node crashes, and while no node follows:
-// some node leads all the same, and not later than after a crash.
+// TestHandoverWithoutSuccessor makes the leader hand over after the node that it will name has crashed, and while no
+// other node can reach it. Some node must still lead, and no later than after a crash of the leader.
 func TestHandoverWithoutSuccessor(t *testing.T) {
 	cases := []struct {
 		name   string
 		inject func(c *cluster, leader int) // before the handover
 	}{
 		{"the named node crashes", func(c *cluster, leader int) {
-			c.kill(c.indexOf(c.furthestFollower(leader)))
+			c.kill(c.indexOf(c.mostUpToDateFollower(leader)))
 		}},
 		{"the leader is partitioned from all nodes", func(c *cluster, leader int) {
 			host := memberName(leader)
@@ -271,7 +272,7 @@
 				}
 				c.awaitLeaderAfter(token)
 				if duration := time.Since(startedAt); duration > 4*time.Second {
-					t.Errorf("no node led for %v", duration)
+					t.Errorf("no node led for %v, want at most 4 s", duration)
 				}
 				c.healPartitions()
 				c.awaitStatus("j-000001", wire.JobDone, time.Minute)
@@ -281,7 +282,8 @@
 	}
 }
 
-// TestStandbyDisabled queries nodes without a standby, as earlier versions are: they say so.
+// TestStandbyDisabled sends the requests of the standby API to a node without a standby, like one of an earlier
+// version: it rejects them with 404 or 403.
 func TestStandbyDisabled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -289,15 +291,15 @@
 		c.leader()
 		for method, path := range map[string]string{http.MethodGet: "/standby", http.MethodPost: "/standby/handover"} {
 			if code, _ := c.request(method, 0, path, nil); code != http.StatusNotFound && code != http.StatusForbidden {
-				t.Errorf("%s: %d", path, code)
+				t.Errorf("%s %s: status %d, want 404 or 403", method, path, code)
 			}
 		}
 	})
 }
 
-// TestFailoverStartLatency kills the leader again and again and measures until a job starts that
-// was submitted afterwards: with the standby, where heartbeats wait for the next leader, half of
-// the times are within 4 s and all within 5 s, of which the session's end takes 3 s.
+// TestFailoverStartLatency kills the leader repeatedly and measures the time until a job that is submitted afterwards
+// starts. With the standby, where heartbeats wait for the next leader, the median is at most 4 s and the maximum at
+// most 5 s, of which 3 s pass until the old leader's session expires.
 func TestFailoverStartLatency(t *testing.T) {
 	const kills = 15
 	measure := func(t *testing.T, standby *settings.Standby) (times []time.Duration) {
@@ -306,7 +308,7 @@
 			defer c.close()
 			c.cloud.MaxMachines = 20
 			c.cloud.RuntimeOf = func(string) float64 { return 1 }
-			c.submit("j-000100", 8000) // so that room comes free all the time
+			c.submit("j-000100", 8000) // so that capacity becomes free all the time
 			time.Sleep(15 * time.Second)
 			for n := range kills {
 				time.Sleep(3*time.Second + time.Duration(n*170)*time.Millisecond)
@@ -330,8 +332,8 @@
 		return times
 	}
 	cold, warm := measure(t, nil), measure(t, testStandby())
-	t.Logf("cold: median %v, most %v; warm: median %v, most %v", cold[kills/2], cold[kills-1], warm[kills/2], warm[kills-1])
+	t.Logf("without standby: median %v, maximum %v; with standby: median %v, maximum %v", cold[kills/2], cold[kills-1], warm[kills/2], warm[kills-1])
 	if warm[kills/2] > 4*time.Second || warm[kills-1] > 5*time.Second {
-		t.Errorf("with the standby: %v", warm)
+		t.Errorf("start latencies with the standby are %v, want a median of at most 4 s and a maximum of at most 5 s", warm)
 	}
 }
--- a/tests/cluster/zone_loss_checks_test.go
+++ b/tests/cluster/zone_loss_checks_test.go
@@ -9,74 +9,77 @@
 	"caperlatch/internal/zone"
 )
 
-// Bounds of the checks.
+// Bounds of the checks of zone losses.
 const (
-	maxStall          = 30 * time.Second // of urgent jobs
-	maxOrderRatio     = 5                // starts of scans for each of an update while scans wait, at least
-	minMeasuredStarts = 60               // starts for an order to be checked
-	minWaiting        = 30               // scans for which updates are out of order
+	maxStall          = 30 * time.Second // longest permitted stall of urgent jobs
+	minScansPerUpdate = 5                // minimum number of scan starts per update start while scans wait
+	minMeasuredStarts = 60               // minimum number of starts from which the order can be judged
+	minWaitingScans   = 30               // number of waiting scans from which updates must not start before them
 )
 
-// Kinds of problems that checks find.
+// Kinds of problems that the checks record. Each is the prefix of its problems' texts.
 const orderProblem, stepsProblem, holdDownProblem, stateProblem = "order:", "steps:", "hold-down:", "stored state:"
 
-// checkOutlivesLease checks that tasks in the zone completed after a lease from its isolation.
-func checkOutlivesLease(r *zoneRun) {
+// checkCompletionsAfterLease checks that tasks in the isolated zone still completed when a lease duration had passed
+// since its isolation, so that their leases were renewed.
+func checkCompletionsAfterLease(r *zoneRun) {
 	if r.CompletionsIn(r.lostZone, r.isolatedAt+zoneLeaseS*time.Second) == 0 {
-		r.t.Error("no task in the zone completed after a lease")
+		r.t.Errorf("no task in zone %s completed later than %v s after its isolation, want renewed leases", r.lostZone, zoneLeaseS)
 	}
 }
 
-// checkFlaps checks that the losses of the zone are counted, and that few machines were launched again.
+// checkFlaps checks that all three losses of the zone are counted, and that a repeated loss launches few further
+// machines.
 func checkFlaps(r *zoneRun) {
 	if s, more := r.status(r.lostZone), r.cloud.Launched()-r.launched; s.Flaps < 3 || more > halfMachines/4 {
-		r.t.Errorf("%d losses are counted; %d machines were launched again for the same loss", s.Flaps, more)
+		r.t.Errorf("%d losses counted, want at least 3; %d machines launched after the first loss, want at most %d", s.Flaps, more, halfMachines/4)
 	}
 }
 
-// reportProblem records a problem of a kind, if there is one.
+// reportProblem records a problem of a kind if found is true.
 func (r *zoneRun) reportProblem(found bool, kind, format string, args ...any) {
 	if found {
 		r.problems = append(r.problems, kind+" "+fmt.Sprintf(format, args...))
 	}
 }
 
-// checkOrder checks the order in which tasks started from the loss until the zone was healed.
-func checkOrder(r *zoneRun) {
-	scansWait := checker.Contention{Class: "scan", MinWaiting: minWaiting, From: r.lostAt, To: r.healedAt}
+// checkEvacuationOrder checks that scans started before updates, as the evacuation order demands, from the loss of the
+// zone until its isolation ended.
+func checkEvacuationOrder(r *zoneRun) {
+	scansWait := checker.Contention{Class: "scan", MinWaiting: minWaitingScans, From: r.lostAt, To: r.healedAt}
 	scans, updates := r.StartsDuring(scansWait, "scan"), r.StartsDuring(scansWait, "update")
 	if scans+updates < minMeasuredStarts {
-		r.t.Errorf("%d tasks started while scans waited, too few to tell, between %v and %v", scans+updates, r.lostAt, r.healedAt)
+		r.t.Errorf("%d tasks started while scans waited between %v and %v, want at least %d to judge the order", scans+updates, r.lostAt, r.healedAt, minMeasuredStarts)
 	}
-	r.reportProblem(updates*maxOrderRatio > scans, orderProblem, "%d updates started beside %d scans while scans waited", updates, scans)
+	r.reportProblem(updates*minScansPerUpdate > scans, orderProblem, "%d updates and %d scans started while scans waited, want at least %d scans per update", updates, scans, minScansPerUpdate)
 }
 
-// checkSteps checks how fast the zone's machines got tasks again.
-func checkSteps(r *zoneRun) {
+// checkReopeningSteps checks that the zone's machines got tasks again step by step, as the policy demands.
+func checkReopeningSteps(r *zoneRun) {
 	starts, policy := r.FirstStarts(r.lostZone, r.healedAt), zoneSettings()
 	if len(starts) < fullMachines/2 {
-		r.t.Errorf("%d machines got tasks again, too few to tell", len(starts))
+		r.t.Errorf("%d machines got tasks again, want at least %d to judge the steps", len(starts), fullMachines/2)
 		return
 	}
-	soon, _ := slices.BinarySearch(starts, starts[0]+policy.MinStepTime.Duration()/2)
+	inFirstStep, _ := slices.BinarySearch(starts, starts[0]+policy.MinStepTime.Duration()/2)
 	most := 1 + int(policy.OpenShares[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
-	r.reportProblem(soon > most, stepsProblem, "%d machines got tasks within the first step, want at most %d", soon, most)
-	half := starts[len(starts)*6/10] - starts[0]
-	r.reportProblem(half < 5*policy.MinStepTime.Duration()/2, stepsProblem, "more than half of the machines got tasks after %v", half)
+	r.reportProblem(inFirstStep > most, stepsProblem, "%d machines got tasks within the first step, want at most %d", inFirstStep, most)
+	untilMost := starts[len(starts)*6/10] - starts[0]
+	r.reportProblem(untilMost < 5*policy.MinStepTime.Duration()/2, stepsProblem, "60%% of the machines got tasks within %v, want at least %v", untilMost, 5*policy.MinStepTime.Duration()/2)
 }
 
-// checkHoldDown checks when the zone's first machine got a task that could run elsewhere, after a
-// third loss.
+// checkHoldDown checks that after the third loss no machine of the zone got a task that may run in other zones before
+// the hold-down ended. The hold-down doubles with each loss after the first.
 func checkHoldDown(r *zoneRun) {
 	least := r.healedAt + 4*zoneSettings().InitialHoldDown.Duration()
 	firstAt := append(r.FirstStarts(r.lostZone, r.healedAt), least)[0]
-	r.reportProblem(firstAt < least, holdDownProblem, "a task started %v after the zone was heard again", firstAt-r.healedAt)
+	r.reportProblem(firstAt < least, holdDownProblem, "a task started %v after the isolation ended, want at least %v", firstAt-r.healedAt, least-r.healedAt)
 }
 
-// checkNextLeader checks that a leader that has just begun finds the zone in one of some states.
-func checkNextLeader(states ...zone.State) zoneStep {
+// checkZoneAfterFailover checks that a leader whose term has just begun reports the zone in one of some states.
+func checkZoneAfterFailover(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
-		s := r.poll(r.lostZone, 30, func(s zone.Status) bool { return s.Zone != "" })
+		s := r.pollStatus(r.lostZone, 30, func(s zone.Status) bool { return s.Zone != "" })
 		r.reportProblem(!isInState(s, states), stateProblem, "zone %s is %q (%s) under the next leader, want %v", r.lostZone, s.State, s.Reason, states)
 	}
 }
--- a/tests/cluster/zone_loss_measurement_test.go
+++ b/tests/cluster/zone_loss_measurement_test.go
@@ -16,18 +16,19 @@
 	"caperlatch/internal/sim/measure/zoneloss"
 )
 
-// Variables of TestZoneTimes: how many machines there may be, as a list (without it, the test is
-// skipped); how many seeds there are; and where the report is written.
+// Environment variables of TestZoneTimes: a comma-separated list of maximum numbers of machines (if it is not set, the
+// test is skipped), the number of seeds, and the file for the report.
 const zonesVariable, zonesSeedsVariable, zonesOutVariable = "CAPERLATCH_ZONES", "CAPERLATCH_ZONES_SEEDS", "CAPERLATCH_ZONES_OUT"
 
-// zonePatterns are how a zone is isolated: seconds isolated and healed in turn.
-var zonePatterns = map[string][]time.Duration{
+// isolationPatterns are the patterns in which a zone is isolated: for how many seconds it is isolated and healed in
+// turn.
+var isolationPatterns = map[string][]time.Duration{
 	"one cut of 60 s":                {60},
 	"three cuts of 25 s, 40 s apart": {25, 40, 25, 40, 25},
 }
 
-// TestZoneTimes measures what losses of a zone cost, with the policy off and on in turn and equal
-// seeds. It checks no limits: the figures stand in docs/results.md.
+// TestZoneTimes measures the cost of zone losses with the zone policy off and on in turn, with equal seeds. It checks
+// no limits; docs/results.md gives the figures.
 func TestZoneTimes(t *testing.T) {
 	if os.Getenv(zonesVariable) == "" {
 		t.Skip(zonesVariable + " is not set")
@@ -40,9 +41,9 @@
 	for _, size := range strings.Split(os.Getenv(zonesVariable), ",") {
 		machines, err := strconv.Atoi(size)
 		if err != nil || machines < 2*len(twoZones) {
-			t.Fatalf("%s: %q is no number of machines", zonesVariable, size)
+			t.Fatalf("%s: %q is not a number of machines of at least %d", zonesVariable, size, 2*len(twoZones))
 		}
-		for _, pattern := range slices.Sorted(maps.Keys(zonePatterns)) {
+		for _, pattern := range slices.Sorted(maps.Keys(isolationPatterns)) {
 			for n := range 2 * seeds {
 				run := zoneloss.NewRun(zoneloss.Scenario{Pattern: pattern, ZonePolicy: n%2 == 1, MaxMachines: machines}, n/2+1)
 				synctest.Test(t, func(t *testing.T) { measureZones(t, run) })
@@ -60,14 +61,14 @@
 	writeReport(t, zonesOutVariable, func(w io.Writer) error { return zoneloss.WriteHTML(w, runs) })
 }
 
-// The load of a measurement, before the zone is isolated.
+// Load of a measurement. The jobs need the share measuredLoad of the CPUs of all machines before the zone is isolated.
 const (
 	measuredLoad   = 0.55
 	cpusPerMachine = 4
-	classCPUs      = 410 // of all classes at load 1
+	baseLoadCPUs   = 410 // CPUs that all classes need at a load of 1
 )
 
-// measureZones measures one run.
+// measureZones makes one run of TestZoneTimes and records its results in run.
 func measureZones(t *testing.T, run *zoneloss.Run) {
 	features := settings.Features{}
 	if run.ZonePolicy {
@@ -75,12 +76,12 @@
 	}
 	r := newZoneRun(t, 5, twoZones, run.MaxMachines/len(twoZones), features)
 	defer r.close()
-	r.load, r.seed = measuredLoad*float64(run.MaxMachines*cpusPerMachine)/classCPUs, run.Seed
+	r.load, r.seed = measuredLoad*float64(run.MaxMachines*cpusPerMachine)/baseLoadCPUs, run.Seed
 	launched, used := 0, 0
-	r.play(func() {
+	r.runUnderLoad(func() {
 		r.makeLeaderIn("a")
 		run.FirstCutAt, launched, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
-		for i, seconds := range zonePatterns[run.Pattern] {
+		for i, seconds := range isolationPatterns[run.Pattern] {
 			if i%2 == 0 {
 				r.ZonePartition.Isolate("b")
 			} else {
@@ -97,5 +98,5 @@
 	if err := run.RecordHistory(r.History); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, stall %v", run.Pattern, run.MaxMachines, run.ZonePolicy, run.Seed, r.cloud.Starts(), r.LongestStall("urgent"))
+	t.Logf("%s, %d machines, policy %v, seed %d: %d starts, longest stall of urgent jobs %v", run.Pattern, run.MaxMachines, run.ZonePolicy, run.Seed, r.cloud.Starts(), r.LongestStall("urgent"))
 }
--- a/tests/cluster/zone_loss_test.go
+++ b/tests/cluster/zone_loss_test.go
@@ -14,43 +14,44 @@
 	"caperlatch/internal/zone"
 )
 
-// The full load is more than one of two zones can hold, with room for it in both; the half load is
-// less than one zone can hold, at half the size.
+// Loads of the scenarios, and the maximum number of machines per zone at each. The full load exceeds the capacity of
+// one of two zones but not of both. The half load is smaller than the capacity of one zone, and its jobs have half the
+// size.
 const fullLoad, fullMachines, halfLoad, halfMachines = 1.3, 85, 0.5, 70
 
-// zoneScenario is a combination of faults that affects zones. In all scenarios no rule is violated,
-// all accepted jobs end, and urgent jobs neither stall nor restart without a fault.
+// zoneScenario is a combination of faults that affect zones. In all scenarios no rule is violated, all accepted jobs
+// end, and urgent jobs neither stall nor restart without a fault.
 type zoneScenario struct {
 	name     string
 	nodes    int      // 0: 5
 	zones    []string // nil: two
-	machines int      // of each zone at most; 0: halfMachines
-	load     float64  // 1: as the classes say; 0: halfLoad
+	machines int      // maximum per zone; 0: halfMachines
+	load     float64  // factor of the classes' job sizes; 0: halfLoad
 	steps    []zoneStep
-	// Of a scenario with a guard off: how it is off, and the kind of problem that the checks must
-	// then find.
-	guardOff    func(c *zone.Config)
-	wantProblem string
+	// disableSafeguard, if it is set, disables a safeguard of the policy. The checks must then find a problem of the
+	// kind wantProblem.
+	disableSafeguard func(c *zone.Config)
+	wantProblem      string
 }
 
 var (
-	cutAndRestored = zoneScenario{
+	isolatedAndHealed = zoneScenario{
 		name:     "zone isolated and healed",
 		machines: fullMachines,
 		load:     fullLoad,
 		steps: []zoneStep{
-			loseZone(14), // shorter than two leases: no machine of the zone is terminated for being silent
+			loseZone(14), // shorter than two leases, so that no silent machine of the zone is terminated
 			heal(),
-			checkOrder,
+			checkEvacuationOrder,
 			waitFor(15),
-			checkSteps,
+			checkReopeningSteps,
 		},
 	}
 	threeFlaps = zoneScenario{
 		name:  "three losses, as leases expire and as a step opens",
 		nodes: 3,
-		// Most machines are heard between the losses, or nothing would be left there to be lost
-		// again.
+		// Heartbeats of most machines arrive between the losses. Otherwise no machines would be left in the zone that
+		// could be lost again.
 		steps: []zoneStep{
 			loseZone(14),
 			heal(zone.Reopening),
@@ -63,7 +64,7 @@
 			checkHoldDown,
 		},
 	}
-	killedWhenLost = zoneScenario{
+	failoverWhenLost = zoneScenario{
 		name:  "failover when the zone is lost",
 		nodes: 3,
 		steps: []zoneStep{
@@ -75,26 +76,26 @@
 	}
 )
 
-// zoneScenarios are all scenarios. At the end of each the zone returns.
+// zoneScenarios are all scenarios. At the end of each the lost zone becomes healthy.
 var zoneScenarios = slices.Concat(
-	[]zoneScenario{cutAndRestored, threeFlaps, killedWhenLost},
+	[]zoneScenario{isolatedAndHealed, threeFlaps, failoverWhenLost},
 	heartbeatScenarios,
 	zoneFailoverScenarios,
 	zoneServiceScenarios,
-	zoneRoomScenarios,
+	zoneCapacityScenarios,
 	[]zoneScenario{
-		cutAndRestored.withGuardOff(orderProblem, func(c *zone.Config) { c.EvacuationOrder = nil }),
-		cutAndRestored.withGuardOff(stepsProblem, func(c *zone.Config) { c.OpenShares = []float64{1} }),
-		threeFlaps.withGuardOff(holdDownProblem, func(c *zone.Config) { c.InitialHoldDown, c.MaxHoldDown = 0, 0 }),
-		killedWhenLost.withGuardOff(stateProblem, func(*zone.Config) {}),
+		isolatedAndHealed.withoutSafeguard(orderProblem, func(c *zone.Config) { c.EvacuationOrder = nil }),
+		isolatedAndHealed.withoutSafeguard(stepsProblem, func(c *zone.Config) { c.OpenShares = []float64{1} }),
+		threeFlaps.withoutSafeguard(holdDownProblem, func(c *zone.Config) { c.InitialHoldDown, c.MaxHoldDown = 0, 0 }),
+		failoverWhenLost.withoutSafeguard(stateProblem, func(*zone.Config) {}),
 	},
 )
 
-// heartbeatScenarios differ in which heartbeats of the lost zone arrive, and where.
+// heartbeatScenarios are scenarios in which some heartbeats of the lost zone still arrive, at different nodes.
 var heartbeatScenarios = []zoneScenario{
 	{
 		name:  "half of the zone is heard again",
-		steps: []zoneStep{loseZone(20), reconnectHalf, waitFor(40)},
+		steps: []zoneStep{loseZone(20), reconnectHalfOfZone, waitFor(40)},
 	},
 	{
 		name:  "stale heartbeats reach all nodes at a failover",
@@ -103,12 +104,12 @@
 	{
 		name:  "the leader is in the zone, and renews leases",
 		nodes: 3, // two of them are in zone a
-		steps: []zoneStep{moveLeaderIntoZone("a"), loseZone(20), checkOutlivesLease},
+		steps: []zoneStep{moveLeaderIntoZone("a"), loseZone(20), checkCompletionsAfterLease},
 	},
 }
 
-// zoneFailoverScenarios have failovers in each state of the zone: the next leader must find it in a
-// state from which it goes on as the last one would have.
+// zoneFailoverScenarios are scenarios with failovers in each state of the zone. The next leader must restore a state
+// from which it continues as the previous leader would have.
 var zoneFailoverScenarios = []zoneScenario{
 	{
 		name: "failover when the zone is suspected",
@@ -158,7 +159,7 @@
 	},
 	{
 		name:  "all nodes restart at once",
-		steps: []zoneStep{loseZone(10), restartAll, checkNextLeader(zone.FullDisruption)},
+		steps: []zoneStep{loseZone(10), restartAll, checkZoneAfterFailover(zone.FullDisruption)},
 	},
 	{
 		name:  "nodes without the policy lead for a while",
@@ -166,16 +167,16 @@
 	},
 }
 
-// zoneServiceScenarios have the state service, the cloud or the connections between zones fail
-// beside the zone.
+// zoneServiceScenarios are scenarios in which the state service, the cloud or the connections between zones fail in
+// addition to the zone.
 var zoneServiceScenarios = []zoneScenario{
 	{
 		name:  "state service unavailable to the leader, then to all, during the evacuation",
-		steps: []zoneStep{loseZone(5), stateRefusals},
+		steps: []zoneStep{loseZone(5), refuseStateToLeaderThenToEveryNode},
 	},
 	{
 		name:  "state service unavailable to the leader, then to all, during the return",
-		steps: []zoneStep{loseZone(20), heal(zone.Reopening), stateRefusals},
+		steps: []zoneStep{loseZone(20), heal(zone.Reopening), refuseStateToLeaderThenToEveryNode},
 	},
 	{
 		name:  "two zones are partitioned from each other",
@@ -187,15 +188,15 @@
 	},
 }
 
-// zoneRoomScenarios differ in what room there is for the displaced work, and in the jobs that are
-// displaced.
-var zoneRoomScenarios = []zoneScenario{
+// zoneCapacityScenarios are scenarios that differ in the capacity that is left for displaced tasks, and in the jobs
+// that are displaced.
+var zoneCapacityScenarios = []zoneScenario{
 	{
 		name:  "machines of the surviving zone are interrupted",
 		nodes: 3,
 		steps: []zoneStep{
 			loseZone(2),
-			faultSurvivors(halfMachines/4, func(w *fake.Worker) { w.Interrupt(3 * time.Second) }),
+			injectIntoSurvivors(halfMachines/4, func(w *fake.Worker) { w.Interrupt(3 * time.Second) }),
 			waitFor(20),
 		},
 	},
@@ -206,29 +207,29 @@
 		load:     0.25,
 		steps: []zoneStep{
 			loseZone(0),
-			faultSurvivors(9, func(w *fake.Worker) { w.Hang(25 * time.Second) }),
+			injectIntoSurvivors(9, func(w *fake.Worker) { w.Hang(25 * time.Second) }),
 			waitFor(25),
 		},
 	},
 	{
 		name: "displaced jobs are cancelled through a third node",
 		steps: []zoneStep{
-			submitAdded(6, minuteJob),
+			submitJobs(6, minuteJob),
 			loseZone(3),
-			cancelAdded,
+			cancelAddedJobs,
 			waitFor(20),
 			heal(),
 			waitFor(zoneCancelS),
-			awaitAdded(wire.JobCancelled),
+			awaitAddedJobs(wire.JobCancelled),
 		},
 	},
 	{
 		name: "gangs in both zones",
 		steps: []zoneStep{
-			submitAdded(8, gangOfFour),
+			submitJobs(8, gangOfFour),
 			loseZone(25),
 			heal(),
-			awaitAdded(wire.JobDone),
+			awaitAddedJobs(wire.JobDone),
 		},
 	},
 	{
@@ -246,30 +247,30 @@
 	},
 }
 
-// withGuardOff returns the scenario with a guard off: a check must then find the problem that the
-// guard prevents.
-func (s zoneScenario) withGuardOff(problem string, off func(c *zone.Config)) zoneScenario {
+// withoutSafeguard returns the scenario with a safeguard disabled: a check must then find the kind of problem that the
+// safeguard prevents.
+func (s zoneScenario) withoutSafeguard(problem string, disable func(c *zone.Config)) zoneScenario {
 	s.name = "without " + strings.TrimSuffix(problem, ":") + ", " + s.name
-	s.wantProblem, s.guardOff = problem, off
+	s.wantProblem, s.disableSafeguard = problem, disable
 	return s
 }
 
-// TestZoneLoss runs all scenarios, some of them with one guard off.
+// TestZoneLoss runs all scenarios. In some of them a safeguard is disabled, to show that the checks find the problem.
 func TestZoneLoss(t *testing.T) {
 	for _, s := range zoneScenarios {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				if problems := s.run(t); !s.isExpected(problems) {
-					t.Errorf("problems %q, want %q", problems, s.wantProblem)
+					t.Errorf("problems %q, want kind %q", problems, s.wantProblem)
 				}
 			})
 		})
 	}
 }
 
-// isExpected reports whether problems are what the scenario must find: the wanted one, perhaps
-// beside others, or none at all.
+// isExpected reports whether a run found the problems that it must find. Without wantProblem these are none; otherwise
+// at least one must be of this kind.
 func (s zoneScenario) isExpected(problems []string) bool {
 	if s.wantProblem == "" {
 		return len(problems) == 0
@@ -277,11 +278,11 @@
 	return slices.ContainsFunc(problems, func(problem string) bool { return strings.HasPrefix(problem, s.wantProblem) })
 }
 
-// run runs a scenario, and returns the problems that its checks found.
+// run runs the scenario, and returns the problems that its checks found.
 func (s zoneScenario) run(t *testing.T) (problems []string) {
 	policy := zoneSettings()
-	if s.guardOff != nil {
-		s.guardOff(policy)
+	if s.disableSafeguard != nil {
+		s.disableSafeguard(policy)
 	}
 	if s.zones == nil {
 		s.zones = twoZones
@@ -289,8 +290,8 @@
 	r := newZoneRun(t, cmp.Or(s.nodes, 5), s.zones, cmp.Or(s.machines, halfMachines), settings.Features{Zones: policy})
 	defer r.close()
 	r.load = cmp.Or(s.load, halfLoad)
-	r.dropRecord = s.wantProblem == stateProblem
-	r.play(func() {
+	r.invalidateRecord = s.wantProblem == stateProblem
+	r.runUnderLoad(func() {
 		for _, step := range s.steps {
 			step(r)
 		}
@@ -300,8 +301,8 @@
 	})
 	stall, restarted := r.LongestStall("urgent"), r.RestartedTasks("urgent")
 	if stall > maxStall || len(restarted) > 0 {
-		t.Errorf("urgent jobs stalled for %v; %d tasks restarted without a fault: %v", stall, len(restarted), restarted[:min(5, len(restarted))])
+		t.Errorf("urgent jobs stalled for %v, want at most %v; %d of their tasks restarted without a fault, want none: %v", stall, maxStall, len(restarted), restarted[:min(5, len(restarted))])
 	}
-	t.Logf("stall %v, %d starts, %d machines launched", stall, r.cloud.Starts(), r.cloud.Launched())
+	t.Logf("longest stall of urgent jobs %v, %d starts, %d machines launched", stall, r.cloud.Starts(), r.cloud.Launched())
 	return r.problems
 }
