--- a/tests/cluster/cancellation_test.go
+++ b/tests/cluster/cancellation_test.go
@@ -13,9 +13,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestCancellation cancels a job whose tasks run and whose starts are on their way: they are gone
-// within the cancellation timeout, and every node says that the job is cancelled.
-func TestCancellation(t *testing.T) {
+// TestCancellationStopsTasks cancels a job while some of its tasks run and others are being started. Every node must
+// answer that the job is cancelled, and its tasks must be gone within the cancellation timeout.
+func TestCancellationStopsTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -28,28 +28,28 @@
 			t.Fatal("no task started")
 		}
 		if code, s := c.request(http.MethodPost, 1, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK || s.State != wire.JobCancelled {
-			t.Fatalf("cancellation answered %d %q", code, s.State)
+			t.Fatalf("cancellation: got code %d and status %q, want 200 and \"withdrawn\"", code, s.State)
 		}
 		for i := range 3 {
 			if _, s := c.request(http.MethodGet, i, "/v1/jobs/j-000001", nil); s.State != wire.JobCancelled {
-				t.Errorf("node %d says %q right after the cancellation", i, s.State)
+				t.Errorf("node %d answers status %q right after the cancellation, want \"withdrawn\"", i, s.State)
 			}
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
-			t.Errorf("still on machines: %v", on)
+			t.Errorf("tasks still on machines after the cancellation timeout: %v", on)
 		}
 		c.awaitStatus("j-000001", wire.JobCancelled, 5*time.Second)
 	})
 }
 
-// TestCancellationUnseenByLeader cancels a job while the leader's session lives but its watch hangs
-// and no peer can tell it: it must stop renewing leases in time.
-func TestCancellationUnseenByLeader(t *testing.T) {
+// TestCancellationWhileLeaderWatchHangs cancels a job while the leader cannot learn of it: its session is alive, but its
+// watch hangs and it is partitioned from its peers. The leader must stop renewing leases in time.
+func TestCancellationWhileLeaderWatchHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
-		for i := range 3 { // a new incarnation has no streams yet
+		for i := range 3 { // as a new incarnation has no streams to its peers yet
 			c.kill(i)
 		}
 		c.peerNet.SetPartition(func(string, string) bool { return true })
@@ -69,23 +69,24 @@
 			}
 			return fake.NoFault
 		})
-		time.Sleep(12 * time.Second) // until all watches that were open before have ended
+		time.Sleep(12 * time.Second) // until all watches opened before the fault have ended
 		if code, _ := c.request(http.MethodPost, (leading+1)%3, "/v1/jobs/j-000001/abort", nil); code != http.StatusOK {
-			t.Fatalf("cancellation answered %d", code)
+			t.Fatalf("cancellation: got code %d, want 200", code)
 		}
 		if on := c.cloud.TasksOnMachines(); len(on) != 2 {
-			t.Fatalf("on machines before the cancellation could take effect: %v", on)
+			t.Fatalf("tasks on machines before the cancellation could take effect: %v, want 2", on)
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		if on := c.cloud.TasksOnMachines(); len(on) > 0 {
-			t.Errorf("still on machines: %v", on)
+			t.Errorf("tasks still on machines after the cancellation timeout: %v", on)
 		}
 	})
 }
 
-// TestCancellationAtCompletion has users cancel, query and repeat submissions just as a job's last
-// task completes, at different nodes: whichever comes first, all nodes say the same.
-func TestCancellationAtCompletion(t *testing.T) {
+// TestCancellationRacingCompletion cancels a job at every node around the time when its last task completes, while
+// users query it and repeat its submission at all nodes. Whether the job ends as done or cancelled, all nodes must
+// answer the same.
+func TestCancellationRacingCompletion(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newClusterOf(t, nodes)
@@ -102,7 +103,7 @@
 				for c.runningTasks(id) > 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
-				// Its completion is in a heartbeat half a second later at most, and stored after
+				// A heartbeat reports the completion within half a second, and the leader stores it after
 				// that.
 				time.Sleep(time.Duration(n) * 40 * time.Millisecond)
 				var wg sync.WaitGroup
@@ -115,7 +116,7 @@
 				results[s.State]++
 			}
 			if results[wire.JobDone] < 3 || results[wire.JobCancelled] < 3 {
-				t.Errorf("%d nodes: final statuses %v, want some of both", nodes, results)
+				t.Errorf("%d nodes: final statuses %v, want at least 3 each of done and cancelled", nodes, results)
 			}
 			c.checkRules()
 		})
--- a/tests/cluster/capture_messages_test.go
+++ b/tests/cluster/capture_messages_test.go
@@ -13,7 +13,8 @@
 	"caperlatch/internal/zone"
 )
 
-// capturedMessages returns one of each message, with every field set. The tests of internal/peer know these values.
+// capturedMessages returns an example of each message between nodes and of heartbeats of gangs, by name, with every
+// field set. The tests of internal/peer expect these values.
 func capturedMessages(t *testing.T) map[string]wire.RawMessage {
 	t.Helper()
 	encoded := map[string]wire.RawMessage{}
@@ -27,7 +28,7 @@
 	return encoded
 }
 
-// nodeMessages returns a probe, its response, and an error.
+// nodeMessages returns a probe, its response, and a response with an error.
 func nodeMessages() map[string]any {
 	return map[string]any{
 		"probe": peer.Request{ID: 1, Probe: &peer.Probe{Member: "host-1", HighestToken: 41, Leader: "host-1", LeadershipInDoubt: true,
@@ -66,7 +67,8 @@
 	}
 }
 
-// gangMessages returns a heartbeat of a worker and a response that have all that is of gangs only.
+// gangMessages returns a worker's heartbeat and the response to it, with every task state, exit reason and command field
+// that only gangs use.
 func gangMessages() map[string]any {
 	gracePeriod := 10.0
 	return map[string]any{
@@ -85,7 +87,7 @@
 	}
 }
 
-// standbyMessages returns a follower's query, and its response with an entry of each kind.
+// standbyMessages returns a follower's query, and its response, which has an entry of each kind.
 func standbyMessages() map[string]any {
 	task := standby.TaskState{Attempt: 7, Stopping: true, Urgent: true, Reserved: true}
 	machine := standby.MachineState{Incarnation: 3, TasksKnown: true}
--- a/tests/cluster/capture_situations_test.go
+++ b/tests/cluster/capture_situations_test.go
@@ -16,7 +16,7 @@
 	"caperlatch/internal/zone"
 )
 
-// captureLimits sets the limits of the state service under which situations are captured.
+// captureLimits sets the announced limits of the state service under which situations are captured.
 func captureLimits(s *settings.Settings) {
 	s.Params.State = settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 12}
 }
@@ -32,16 +32,16 @@
 func (c *cluster) mustAccept(job map[string]any) {
 	c.t.Helper()
 	if code, _ := c.request(http.MethodPost, 0, "/v1/jobs", job); code != http.StatusCreated {
-		c.t.Fatalf("%s: %d", job["id"], code)
+		c.t.Fatalf("submission of %s: got code %d, want 201", job["id"], code)
 	}
 }
 
-// untilScaleOut is how long a job waits that has no room, at most, until the autoscaler launches machines for it: not at
-// once, as many of its class have run shorter than estimated.
-const untilScaleOut = 60 * time.Second
+// maxScaleOutDelay is the longest time that a job without room waits until the autoscaler launches machines for it. The
+// autoscaler does not do so at once, because many jobs of the class have run for less time than estimated.
+const maxScaleOutDelay = 60 * time.Second
 
-// captureJobs captures jobs of all kinds, many machines, and launch intents without a response.
-func captureJobs(t *testing.T, all *captured) {
+// captureJobs captures jobs of all kinds, a large cluster, and launch intents to which the cloud has not responded.
+func captureJobs(t *testing.T, data *captureData) {
 	c := newTunedCluster(t, captureNodes, captureLimits)
 	defer c.close()
 	c.cloud.RuntimeOf = func(task string) float64 {
@@ -57,13 +57,13 @@
 	time.Sleep(3 * time.Second)
 	c.submitJobsOfAllKinds()
 	time.Sleep(40 * time.Second)
-	all.add(c, "running")
+	data.add(c, "running")
 
 	c.mustAccept(captureJob("j-000007", 500))
 	time.Sleep(25 * time.Second)
-	all.add(c, "large")
+	data.add(c, "large")
 
-	// Launch intents without a response of the cloud, and no leader.
+	// Store launch intents to which the cloud does not respond, and leave the cluster without a leader.
 	c.setFault(func(_ string, r *http.Request) fake.Fault {
 		if r.URL.Host == "cloud" && r.Method == http.MethodPost {
 			return fake.DroppedRequest
@@ -71,18 +71,18 @@
 		return fake.NoFault
 	})
 	c.mustAccept(captureJob("j-000008", 100))
-	time.Sleep(untilScaleOut)
+	time.Sleep(maxScaleOutDelay)
 	c.killAll()
 	time.Sleep(5 * time.Second)
-	all.add(c, "renting")
-	if all.unansweredIntents(t, "renting") == 0 {
-		t.Error("no launch intent without a response is stored")
+	data.add(c, "renting")
+	if data.unansweredIntents(t, "renting") == 0 {
+		t.Error("every stored launch intent has a response, want one without")
 	}
 	c.startAll()
 }
 
-// submitJobsOfAllKinds submits jobs of which one is done, one is cancelled, one has every field and a description of
-// over 2 KB, one fails, one is a gang, and one is over its team's limit.
+// submitJobsOfAllKinds submits six jobs: one that is done, one that is cancelled, one that has every field and a
+// description of over 2 KB, one that fails, a gang, and one that is over its team's limit.
 func (c *cluster) submitJobsOfAllKinds() {
 	c.t.Helper()
 	c.submit("j-000001", 2)
@@ -104,11 +104,11 @@
 	c.mustAccept(overLimit)
 }
 
-// largeClusterMachines is how many machines the cloud has for a large cluster. With more, which the leader launches in
-// some runs, their list may be divided under the limits before they are lowered.
+// largeClusterMachines is the number of machines that the cloud has for a large cluster. If it had more, the leader
+// would launch them in some runs, and the machine list might be divided even before the limits are lowered.
 const largeClusterMachines = 300
 
-// newLargeCluster starts a cluster that soon has hundreds of machines, in a list of over 4 KB.
+// newLargeCluster starts a cluster that soon has hundreds of machines, whose machine list is over 4 KB.
 func newLargeCluster(t *testing.T, tune func(*settings.Settings)) *cluster {
 	t.Helper()
 	c := newTunedCluster(t, captureNodes, func(s *settings.Settings) {
@@ -127,21 +127,21 @@
 	return c
 }
 
-// captureLargeList captures a machine list that is larger than the lowered limits admit.
-func captureLargeList(t *testing.T, all *captured) {
+// captureLargeList captures a machine list that is larger than the lowered limits allow.
+func captureLargeList(t *testing.T, data *captureData) {
 	const situation = "a large list"
 	c := newLargeCluster(t, func(*settings.Settings) {})
 	defer c.close()
 	time.Sleep(25 * time.Second)
-	all.add(c, situation)
+	data.add(c, situation)
 	var list any
-	if err := wire.Unmarshal(all.stored[situation][replica.MachineListPrefix+"0"], &list); err != nil || wire.JSONSize(list) < 4096 {
-		t.Errorf("the machine list has %d bytes, %v", wire.JSONSize(list), err)
+	if err := wire.Unmarshal(data.stored[situation][replica.MachineListPrefix+"0"], &list); err != nil || wire.JSONSize(list) < 4096 {
+		t.Errorf("the machine list has %d bytes, want at least 4096; decoding error: %v", wire.JSONSize(list), err)
 	}
 }
 
-// captureGang captures a gang in the states in which the next leader may find it.
-func captureGang(t *testing.T, all *captured) {
+// captureGang captures a gang in each state in which the next leader may find it.
+func captureGang(t *testing.T, data *captureData) {
 	const id = capturedGang
 	c := newTunedCluster(t, captureNodes, captureLimits)
 	defer c.close()
@@ -158,40 +158,41 @@
 	c.submitJob(captureJob("j-000001", 4))
 	time.Sleep(15 * time.Second)
 
-	// On three machines of four CPUs, with another image.
+	// The gang runs on three machines of four CPUs, which first pull an image that the other job does not use.
 	c.submitJob(gangJob(id, 3, 3, map[string]any{"bundle": "gang"}))
 	c.awaitTaskStates(id, map[string]int{wire.TaskPullingImage: 3})
 	c.cloud.WorkersOf(id)[0].Hang(6 * time.Second)
 	c.awaitTaskStates(id, map[string]int{wire.TaskWaitingForGang: 2, wire.TaskPullingImage: 1})
-	all.add(c, "a gang waits for a machine that hangs")
+	data.add(c, "a gang waits for a machine that hangs")
 
 	c.awaitTaskStates(id, map[string]int{wire.TaskRunning: 3})
 	time.Sleep(3 * time.Second)
-	all.add(c, "a gang runs")
+	data.add(c, "a gang runs")
 
 	time.Sleep(4 * time.Second)
 	c.cloud.WorkersOf(id)[2].Interrupt(12 * time.Second)
 	c.awaitTaskStates(id, map[string]int{wire.TaskCheckpointing: 3})
-	all.add(c, "a gang is being stopped")
+	data.add(c, "a gang is being stopped")
 
 	c.awaitTaskStates(id, map[string]int{wire.TaskRunning: 3})
 	time.Sleep(5 * time.Second)
 	machine := c.cloud.WorkersOf(id)[0]
 	c.setFault(func(from string, _ *http.Request) fake.Fault {
-		if machineOf(from) != "" { // no node gets a heartbeat that shows the gang done
+		if machineOf(from) != "" { // no node receives a heartbeat that shows that the gang is done
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
 	})
 	c.awaitTaskStates(id, map[string]int{})
-	all.add(c, "a gang is done, which is not stored")
+	data.add(c, "a gang is done, which is not stored")
 	machine.Interrupt(0)
 	time.Sleep(100 * time.Millisecond)
-	all.add(c, "a gang is done, which is not stored, and a machine is gone")
+	data.add(c, "a gang is done, which is not stored, and a machine is gone")
 }
 
-// captureDividedList lowers the limits where a machine list is stored that is too large for them, while a gang runs.
-func captureDividedList(t *testing.T, all *captured) {
+// captureDividedList captures the division of a machine list, while a gang runs: it lowers the limits so that the stored
+// list is too large for them.
+func captureDividedList(t *testing.T, data *captureData) {
 	announced := false
 	c := newLargeCluster(t, func(s *settings.Settings) {
 		if announced {
@@ -202,7 +203,7 @@
 	c.submitJob(gangJob(capturedGang, 3, 3, map[string]any{"expect_s": 300.0}))
 	time.Sleep(25 * time.Second)
 	if lists := len(c.machineLists()); lists != 1 {
-		t.Errorf("the machines are in %d lists, want one", lists)
+		t.Errorf("%d machine lists are stored before the limits are lowered, want one", lists)
 	}
 	announced = true
 	c.state.SetLimits(loweredLimits)
@@ -210,27 +211,28 @@
 	c.startAll()
 	for try := 0; !c.hasMachineInTwoLists(); try++ {
 		if try == 1000 {
-			t.Fatal("no machine is in two lists")
+			t.Fatal("no machine is in two lists within 20 s of the restart, want one while the list is divided")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	all.add(c, "a list is being divided, a gang runs")
+	data.add(c, "a list is being divided, a gang runs")
 	time.Sleep(15 * time.Second)
 	if c.hasMachineInTwoLists() || len(c.machineLists()) < 2 {
-		t.Errorf("%d lists, want several, and no machine in two", len(c.machineLists()))
+		t.Errorf("%d machine lists are stored, want at least 2 and no machine in two lists", len(c.machineLists()))
 	}
-	all.add(c, "a list was divided, a gang runs")
+	data.add(c, "a list was divided, a gang runs")
 }
 
-// hasMachineInTwoLists reports whether a machine is in more than one of the stored lists, as while one is divided.
+// hasMachineInTwoLists reports whether a machine is in more than one of the stored lists, as happens while a list is
+// being divided.
 func (c *cluster) hasMachineInTwoLists() bool {
 	machines := c.listedMachines()
 	slices.Sort(machines)
 	return len(slices.Compact(slices.Clone(machines))) < len(machines)
 }
 
-// captureZoneLoss captures a zone that is isolated and reopens.
-func captureZoneLoss(t *testing.T, all *captured) {
+// captureZoneLoss captures a zone that is lost, is then held down, and reopens.
+func captureZoneLoss(t *testing.T, data *captureData) {
 	config := zone.DefaultConfig(heartbeatIntervalS * micros.Second)
 	config.MinStepTime, config.InitialHoldDown = 4*micros.Second, 6*micros.Second
 	c := newFeaturesCluster(t, captureNodes, func(s *settings.Settings) {
@@ -255,13 +257,13 @@
 		}
 		return fake.NoFault
 	})
-	all.addZoneState(c, lost, zone.FullDisruption, "a zone is lost")
+	data.addZoneState(c, lost, zone.FullDisruption, "a zone is lost")
 	c.setFault(nil)
-	all.addZoneState(c, lost, zone.HeldDown, "a zone is held down")
-	all.addZoneState(c, lost, zone.Reopening, "a zone returns")
+	data.addZoneState(c, lost, zone.HeldDown, "a zone is held down")
+	data.addZoneState(c, lost, zone.Reopening, "a zone returns")
 }
 
-// zoneWithFewestMachines returns the one of some zones that fewest machines are in.
+// zoneWithFewestMachines returns the zone with the fewest machines among the given ones.
 func (c *cluster) zoneWithFewestMachines(zones []string) string {
 	machines := map[string]int{}
 	for _, worker := range c.cloud.Workers() {
@@ -270,14 +272,14 @@
 	return slices.MinFunc(zones, func(a, b string) int { return cmp.Compare(machines[a], machines[b]) })
 }
 
-// addZoneState waits until a zone is in a state and that is stored, and captures the situation.
-func (all *captured) addZoneState(c *cluster, name string, state zone.State, situation string) {
+// addZoneState waits until a zone is in the given state and the state is stored, and then captures the situation.
+func (data *captureData) addZoneState(c *cluster, name string, state zone.State, situation string) {
 	c.t.Helper()
-	run := &zoneRun{cluster: c} // of which only the queries of the zones are used
+	run := &zoneRun{cluster: c} // only for its zone queries
 	run.awaitState(name, state)
 	time.Sleep(500 * time.Millisecond)
-	all.add(c, situation)
-	if all.stored[situation][replica.ZonesKey] == nil {
-		c.t.Errorf("%s: nothing is stored of zones", situation)
+	data.add(c, situation)
+	if data.stored[situation][replica.ZonesKey] == nil {
+		c.t.Errorf("%s: no zone record is stored", situation)
 	}
 }
--- a/tests/cluster/capture_test.go
+++ b/tests/cluster/capture_test.go
@@ -16,32 +16,35 @@
 	"caperlatch/internal/wire"
 )
 
-// captureVariable has TestCapture run, and is the directory that it writes to.
-const captureVariable = "CAPTURE_TO"
+// captureDirEnv names the environment variable that makes TestCapture run. Its value is the directory that TestCapture
+// writes to.
+const captureDirEnv = "CAPTURE_TO"
 
-// captureNodes is the size of the clusters that are captured.
+// captureNodes is the number of nodes of each captured cluster.
 const captureNodes = 3
 
-// captureRequestTimeout bounds a request to a machine: one that hangs is left out.
+// captureRequestTimeout is the timeout of a request to a machine. A machine that does not respond within it, because it
+// hangs, is not captured.
 const captureRequestTimeout = 50 * time.Millisecond
 
-// TestCapture captures what this version stores and sends, as test data of later versions (testdata/versions/capture
-// runs it): stored.cbor and machines.cbor, which are read as captured, and messages.cbor, one of each message between
-// nodes. Later versions look situations and messages up by their names, which therefore do not change.
+// TestCapture captures what this version stores and sends, as test data of later versions; testdata/versions/capture
+// runs it. It writes stored.cbor and machines.cbor, which later versions read with oldVersion.readCapture, and
+// messages.cbor with an example of each message between nodes. Later versions look up situations and messages by name,
+// so the names must not change.
 func TestCapture(t *testing.T) {
-	directory := os.Getenv(captureVariable)
+	directory := os.Getenv(captureDirEnv)
 	if directory == "" {
-		t.Skip(captureVariable + " is not set")
+		t.Skip(captureDirEnv + " is not set")
 	}
-	all := &captured{stored: map[string]map[string]wire.RawMessage{}, machines: map[string][]wire.Heartbeat{}}
-	captures := []func(t *testing.T, all *captured){captureJobs, captureLargeList, captureGang, captureDividedList, captureZoneLoss}
+	data := &captureData{stored: map[string]map[string]wire.RawMessage{}, machines: map[string][]wire.Heartbeat{}}
+	captures := []func(t *testing.T, data *captureData){captureJobs, captureLargeList, captureGang, captureDividedList, captureZoneLoss}
 	for _, capture := range captures {
-		synctest.Test(t, func(t *testing.T) { capture(t, all) })
+		synctest.Test(t, func(t *testing.T) { capture(t, data) })
 	}
-	all.check(t)
+	data.check(t)
 	for file, content := range map[string]any{
-		"stored.cbor":   all.stored,
-		"machines.cbor": all.machines,
+		"stored.cbor":   data.stored,
+		"machines.cbor": data.machines,
 		"messages.cbor": capturedMessages(t),
 	} {
 		if err := os.WriteFile(filepath.Join(directory, file), encode(t, content), 0o644); err != nil {
@@ -50,7 +53,7 @@
 	}
 }
 
-// encode returns a message or value as it is sent and stored.
+// encode returns the encoding in which a message is sent or a value is stored.
 func encode(t *testing.T, value any) wire.RawMessage {
 	t.Helper()
 	b, err := wire.Marshal(value)
@@ -60,18 +63,18 @@
 	return b
 }
 
-// add captures the situation that a cluster is in.
-func (all *captured) add(c *cluster, situation string) {
+// add captures the current state of a cluster, under the name of the situation that the cluster is in.
+func (data *captureData) add(c *cluster, situation string) {
 	c.t.Helper()
-	all.stored[situation] = map[string]wire.RawMessage{}
+	data.stored[situation] = map[string]wire.RawMessage{}
 	for _, entry := range c.state.Entries(replica.Prefix) {
-		all.stored[situation][entry.Key] = entry.Value
+		data.stored[situation][entry.Key] = entry.Value
 	}
-	all.machines[situation] = c.machineHeartbeats()
+	data.machines[situation] = c.machineHeartbeats()
 }
 
-// machineHeartbeats returns a heartbeat of each machine that does not hang. A machine answers with it to commands whose
-// fencing token is too low.
+// machineHeartbeats returns a heartbeat of each machine that does not hang. It sends commands with too low a fencing
+// token, to which a machine responds with 409 and its heartbeat.
 func (c *cluster) machineHeartbeats() (heartbeats []wire.Heartbeat) {
 	c.t.Helper()
 	for _, worker := range c.cloud.Workers() {
@@ -88,12 +91,12 @@
 	return heartbeats
 }
 
-// check checks that in each situation something is stored under each kind of key, and that all situations of gangs that
-// TestFailoverFromOldVersions knows were captured.
-func (all *captured) check(t *testing.T) {
+// check checks that values of every kind of key are stored in each situation, and that all situations in
+// wantGangStarts, which TestFailoverFromOldVersions looks up, were captured.
+func (data *captureData) check(t *testing.T) {
 	kinds := []string{replica.TokenKey, replica.InstanceTypesKey, replica.AutoscalerKey, replica.JobPrefix, replica.ProgressPrefix,
 		replica.LaunchIntentPrefix, replica.MachineListPrefix}
-	for situation, stored := range all.stored {
+	for situation, stored := range data.stored {
 		var counts []string
 		for _, kind := range kinds {
 			count := 0
@@ -103,23 +106,23 @@
 				}
 			}
 			if count == 0 {
-				t.Errorf("%s: nothing is stored under %s", situation, kind)
+				t.Errorf("%s: no value is stored under %s", situation, kind)
 			}
 			counts = append(counts, fmt.Sprint(kind, " ", count))
 		}
-		t.Log(situation, counts, "machines", len(all.machines[situation]))
+		t.Log(situation, counts, "machines", len(data.machines[situation]))
 	}
 	for situation := range wantGangStarts {
-		if all.stored[situation] == nil {
-			t.Errorf("%s: not captured", situation)
+		if data.stored[situation] == nil {
+			t.Errorf("the situation %q was not captured", situation)
 		}
 	}
 }
 
-// unansweredIntents counts the stored launch intents to which the cloud has not responded.
-func (all *captured) unansweredIntents(t *testing.T, situation string) (count int) {
+// unansweredIntents returns the number of launch intents stored in a situation to which the cloud has not responded.
+func (data *captureData) unansweredIntents(t *testing.T, situation string) (count int) {
 	t.Helper()
-	for key, value := range all.stored[situation] {
+	for key, value := range data.stored[situation] {
 		if !strings.HasPrefix(key, replica.LaunchIntentPrefix) {
 			continue
 		}
--- a/tests/cluster/cluster_jobs_test.go
+++ b/tests/cluster/cluster_jobs_test.go
@@ -12,18 +12,18 @@
 	"caperlatch/internal/wire"
 )
 
-// users returns the users of the cluster.
+// users returns the client through which tests send users' requests.
 func (c *cluster) users() *harness.Users {
 	return &harness.Users{Client: c.userClient, Rules: c.rules, Nodes: c.size}
 }
 
-// request sends a user's request to a node, with the checker of the rules watching. The code is 0
+// request sends a user's request to a node, and passes request and response to the checker of the rules. The code is 0
 // if there was no response.
 func (c *cluster) request(method string, node int, path string, body any) (int, wire.JobStatus) {
 	return c.users().Request(method, node, path, body)
 }
 
-// testJob returns the submission of a job of small tasks, with the protocol's names.
+// testJob returns the submission of a job of small tasks. Its fields have their names on the wire.
 func testJob(id string, tasks int) map[string]any {
 	return map[string]any{
 		"id":           id,
@@ -62,28 +62,28 @@
 	return job
 }
 
-// submitTo submits a job to a node, once.
+// submitTo submits a job to a node once.
 func (c *cluster) submitTo(node int, job map[string]any) (code int, status wire.JobStatus) {
 	return c.request(http.MethodPost, node, "/v1/jobs", job)
 }
 
-// queryJob queries a node about a job, once.
+// queryJob queries a node about a job once.
 func (c *cluster) queryJob(node int, id string) (code int, status wire.JobStatus) {
 	return c.request(http.MethodGet, node, "/v1/jobs/"+id, nil)
 }
 
-// requestCancellation asks a node to cancel a job, once.
+// requestCancellation asks a node once to cancel a job.
 func (c *cluster) requestCancellation(node int, id string) (code int, status wire.JobStatus) {
 	return c.request(http.MethodPost, node, "/v1/jobs/"+id+"/abort", nil)
 }
 
-// trySubmit submits a job to a node and reports whether it is accepted now or was before.
+// trySubmit submits a job to a node once, and reports whether the node accepts it now or had accepted it before.
 func (c *cluster) trySubmit(node int, job map[string]any) bool { return c.users().Submit(node, job) }
 
 // submit submits a job of small tasks, each time to the next node, until it is accepted.
 func (c *cluster) submit(id string, tasks int) { c.submitJob(testJob(id, tasks)) }
 
-// submitJob submits any job, each time to the next node, until it is accepted.
+// submitJob submits a job, each time to the next node, until it is accepted.
 func (c *cluster) submitJob(job map[string]any) {
 	c.t.Helper()
 	if !c.submitWithRetries(0, time.Second, job) {
@@ -91,17 +91,17 @@
 	}
 }
 
-// submitWithRetries repeats a submission, each time to the next node, and reports whether it was
-// accepted.
+// submitWithRetries repeats a submission, beginning at node first and going on to the next node each time, and reports
+// whether it was accepted.
 func (c *cluster) submitWithRetries(first int, pause time.Duration, job map[string]any) bool {
 	return c.users().SubmitWithRetries(first, pause, job)
 }
 
-// submitWithin repeats a submission every 100 ms for so long, each time to the next node, until it
-// is accepted. Whether it was shows in what the test checks later.
-func (c *cluster) submitWithin(within time.Duration, job map[string]any) {
+// submitWithin repeats a submission every 100 ms, each time to the next node, until it is accepted or the timeout has
+// passed. It does not report which: callers check later what became of the job.
+func (c *cluster) submitWithin(timeout time.Duration, job map[string]any) {
 	const pause = 100 * time.Millisecond
-	for try := range int(within / pause) {
+	for try := range int(timeout / pause) {
 		if c.trySubmit(try%c.size, job) {
 			return
 		}
@@ -109,14 +109,15 @@
 	}
 }
 
-// awaitStatus polls, each time at the next node, until a job has a status.
-func (c *cluster) awaitStatus(id, status string, within time.Duration) {
+// awaitStatus polls, each time at the next node, until a job has the given status. It fails the test if the job does
+// not have it within the timeout, or a node does not know the job.
+func (c *cluster) awaitStatus(id, status string, timeout time.Duration) {
 	c.t.Helper()
-	c.must(c.users().AwaitStatus(id, status, within))
+	c.must(c.users().AwaitStatus(id, status, timeout))
 }
 
-// checkJobsKnown checks that every node that is ready answers queries of every job. A job none of
-// whose queries is answered for 30 s counts as forgotten.
+// checkJobsKnown checks that every node that is ready answers queries about every job. A job counts as forgotten by a
+// node that answers no query about it for 30 s.
 func (c *cluster) checkJobsKnown(ids []string) {
 	c.t.Helper()
 	for i := range c.size {
@@ -126,7 +127,7 @@
 		for _, id := range ids {
 			for startedAt, code := time.Now(), 0; code != http.StatusOK; time.Sleep(time.Second) {
 				if code, _ = c.queryJob(i, id); time.Since(startedAt) > 30*time.Second {
-					c.t.Errorf("node %d does not answer queries of %s (%d)", i, id, code)
+					c.t.Errorf("node %d does not answer queries about %s: last code %d, want 200", i, id, code)
 					break
 				}
 			}
@@ -134,7 +135,7 @@
 	}
 }
 
-// submitAndAwaitRunning submits a job of long tasks, and waits until all of them run.
+// submitAndAwaitRunning submits a job of long tasks, and waits until all of its tasks run.
 func (c *cluster) submitAndAwaitRunning(job map[string]any) {
 	c.t.Helper()
 	c.submitWithRetries(0, 500*time.Millisecond, job)
@@ -144,18 +145,19 @@
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
-	c.t.Fatalf("%s does not run: %v", job["id"], c.cloud.TasksOnMachines())
+	c.t.Fatalf("not all tasks of %s run; tasks on machines: %v", job["id"], c.cloud.TasksOnMachines())
 }
 
-// tasksOn lists the tasks with a prefix that are on machines.
-func (c *cluster) tasksOn(prefix string) []string {
+// tasksWithPrefix returns the tasks on machines whose IDs have the given prefix.
+func (c *cluster) tasksWithPrefix(prefix string) []string {
 	return slices.DeleteFunc(c.cloud.TasksOnMachines(), func(task string) bool { return !strings.HasPrefix(task, prefix) })
 }
 
-// runningTasks counts the tasks of a job that are on machines.
-func (c *cluster) runningTasks(id string) int { return len(c.tasksOn(id + "/")) }
+// runningTasks returns the number of tasks of a job that are on machines.
+func (c *cluster) runningTasks(id string) int { return len(c.tasksWithPrefix(id + "/")) }
 
-// cancelJob repeats a cancellation until it is confirmed.
+// cancelJob requests a cancellation, beginning at node first and going on to the next node each time, until one confirms
+// it.
 func (c *cluster) cancelJob(id string, first int) {
 	c.t.Helper()
 	for try := range 200 {
@@ -167,12 +169,12 @@
 	c.t.Fatalf("%s could not be cancelled", id)
 }
 
-// queryAllNodes queries all nodes about a job every few milliseconds, and repeats its submission
-// and, if cancel is set, its cancellation, for so long. The nodes' responses are counted in seen.
-func (c *cluster) queryAllNodes(job map[string]any, cancel bool, within time.Duration, seen *counter) {
+// queryAllNodes queries all nodes about a job every 7 ms for the given duration. In between it repeats the job's
+// submission and, if cancel is set, its cancellation. It counts the responses by node and code in seen.
+func (c *cluster) queryAllNodes(job map[string]any, cancel bool, duration time.Duration, seen *counter) {
 	id := job["id"].(string)
 	var wg sync.WaitGroup
-	for startedAt, n := time.Now(), 0; time.Since(startedAt) < within; n++ {
+	for startedAt, n := time.Now(), 0; time.Since(startedAt) < duration; n++ {
 		for node := range c.size {
 			wg.Go(func() {
 				code := 0
--- a/tests/cluster/cluster_test.go
+++ b/tests/cluster/cluster_test.go
@@ -19,16 +19,17 @@
 	"caperlatch/internal/wire"
 )
 
-// Times of the clusters' workers, in seconds.
+// Heartbeat interval, lease duration and cancellation timeout of the workers in most of these tests, in seconds.
 const (
 	heartbeatIntervalS   = 1.0
 	leaseDurationS       = 8.0
 	cancellationTimeoutS = 25.0
 )
 
-// cluster is some nodes among fakes of all that surrounds them, under the checker of the rules.
+// cluster is a cluster of nodes that run against fakes of the state service, the cloud, the workers and the network.
+// A checker observes all messages and records violations of the protocol's rules.
 type cluster struct {
-	*harness.InProcessCluster // nil where the nodes are processes
+	*harness.InProcessCluster // nil if the nodes run as separate processes
 	t                         *testing.T
 	net                       *fake.Network
 	peerNet                   *fake.PeerNetwork
@@ -36,17 +37,17 @@
 	cloud                     *fake.Cloud
 	rules                     *checker.Rules
 	userClient                *http.Client
-	size                      int // nodes
+	size                      int // number of nodes
 
 	mu    sync.Mutex
-	tune  func(*settings.Settings)
-	nodes []*caperlatch.Node // in their present incarnations
-	// features are the optional parts of all nodes but those in without.
+	tune  func(*settings.Settings) // changes the settings of each node before it starts
+	nodes []*caperlatch.Node       // current incarnation of each node
+	// features are the optional features of every node that is not in nodesWithoutFeatures.
 	features             settings.Features
 	nodesWithoutFeatures map[int]bool
 }
 
-// nodeSettings returns the settings of node i of a cluster.
+// nodeSettings returns the settings of node i in a cluster of the given number of nodes.
 func nodeSettings(i, nodes int) *settings.Settings {
 	s := &settings.Settings{Member: memberName(i), ClientListen: "unused"}
 	s.External.State, s.External.Cloud = "state", "cloud"
@@ -75,22 +76,22 @@
 // newCluster starts a cluster of three nodes.
 func newCluster(t *testing.T) *cluster { return newClusterOf(t, 3) }
 
-// newClusterOf starts a cluster of size nodes.
+// newClusterOf starts a cluster with the given number of nodes.
 func newClusterOf(t *testing.T, size int) *cluster {
 	return newTunedCluster(t, size, func(*settings.Settings) {})
 }
 
-// newTunedCluster starts a cluster whose nodes have their settings changed by tune.
+// newTunedCluster starts a cluster after applying tune to the settings of each node.
 func newTunedCluster(t *testing.T, size int, tune func(*settings.Settings)) *cluster {
 	return newStandbyCluster(t, size, tune, nil)
 }
 
-// newStandbyCluster starts a cluster with a warm standby, or without one if standby is nil.
+// newStandbyCluster starts a cluster with the given warm standby settings. The standby is off if standby is nil.
 func newStandbyCluster(t *testing.T, size int, tune func(*settings.Settings), standby *settings.Standby) *cluster {
 	return newFeaturesCluster(t, size, tune, settings.Features{Standby: standby})
 }
 
-// newFeaturesCluster starts a cluster with optional parts.
+// newFeaturesCluster starts a cluster whose nodes have the given optional features.
 func newFeaturesCluster(t *testing.T, size int, tune func(*settings.Settings), features settings.Features) *cluster {
 	s := nodeSettings(0, size)
 	tune(s)
@@ -117,26 +118,26 @@
 	return c
 }
 
-// newNode makes a node for a new incarnation; it serves as StartNode.
-func (c *cluster) newNode(life harness.NodeIncarnation) (http.Handler, func(context.Context)) {
-	s := nodeSettings(life.Node, c.size)
+// newNode creates the node of a new incarnation. The harness calls it as its NewNode function.
+func (c *cluster) newNode(incarnation harness.NodeIncarnation) (http.Handler, func(context.Context)) {
+	s := nodeSettings(incarnation.Node, c.size)
 	c.tune(s)
-	n := caperlatch.NewNodeWithNetwork(s, settings.DefaultTuning(), c.featuresOf(life.Node), caperlatch.Network{
-		ServiceTransport: c.net.From(life.Sender),
-		WorkerTransport:  c.net.From(life.Sender),
+	n := caperlatch.NewNodeWithNetwork(s, settings.DefaultTuning(), c.featuresOf(incarnation.Node), caperlatch.Network{
+		ServiceTransport: c.net.From(incarnation.Sender),
+		WorkerTransport:  c.net.From(incarnation.Sender),
 		DialPeer: func(ctx context.Context, addr string) (net.Conn, error) {
-			return c.peerNet.Dial(ctx, life.Member, addr)
+			return c.peerNet.Dial(ctx, incarnation.Member, addr)
 		},
-		ListenForPeers: func() (net.Listener, error) { return c.peerNet.Listen(life.Member), nil },
+		ListenForPeers: func() (net.Listener, error) { return c.peerNet.Listen(incarnation.Member), nil },
 	})
-	c.nodes[life.Node] = n
+	c.nodes[incarnation.Node] = n
 	return n.Handler(), n.RunBackground
 }
 
 // start starts a new incarnation of a node.
 func (c *cluster) start(i int) { c.Start(i) }
 
-// featuresOf returns the optional parts of node i.
+// featuresOf returns the optional features of node i.
 func (c *cluster) featuresOf(i int) settings.Features {
 	if c.nodesWithoutFeatures[i] {
 		return settings.Features{}
@@ -144,7 +145,7 @@
 	return c.features
 }
 
-// kill ends a node as a crash would: nothing that it sends arrives any more.
+// kill ends a node as a crash would: no message that it sends arrives any more.
 func (c *cluster) kill(i int) { c.Kill(i) }
 
 // killAll kills all nodes.
@@ -161,10 +162,10 @@
 	}
 }
 
-// close ends all nodes and fakes and waits until nothing of them runs.
+// close stops all nodes and fakes, and waits until they have stopped.
 func (c *cluster) close() { c.Close() }
 
-// memberName returns the member that is the node of an index.
+// memberName returns the member name of a node.
 func memberName(node int) string { return fmt.Sprintf("host-%d", node) }
 
 // leader waits until a node leads, and returns its index.
@@ -175,34 +176,34 @@
 	return node
 }
 
-// fencingToken returns the highest fencing token that was given out, as stored.
+// fencingToken returns the stored fencing token, the highest that was issued.
 func (c *cluster) fencingToken() uint64 {
 	c.t.Helper()
 	token := harness.Leadership{State: c.state}.FencingToken()
 	if token == 0 {
-		c.t.Fatal("no token is stored")
+		c.t.Fatal("no fencing token is stored")
 	}
 	return token
 }
 
-// checkTxn checks that no write can do harm when it is carried out late: each compares its key's
-// mod revision, and each of the leader's its leader key.
+// checkTxn checks that a transaction cannot overwrite newer values if it is applied late: it must compare the revision
+// of every key that it writes, and also the leader key if it writes a key that only the leader may write.
 func (c *cluster) checkTxn(conditions []wire.Compare, keys []string) {
 	comparesLeader := slices.ContainsFunc(conditions, func(x wire.Compare) bool {
 		return x.Key == replica.LeaderKey && x.ModRevision != 0
 	})
 	for _, key := range keys {
 		if !slices.ContainsFunc(conditions, func(x wire.Compare) bool { return x.Key == key }) {
-			c.t.Errorf("%s is written without a compare of its revision", key)
+			c.t.Errorf("a transaction writes %s without comparing its revision", key)
 		}
-		if isLeaderKey(key) && !comparesLeader {
-			c.t.Errorf("%s is written without a compare of the leader key", key)
+		if isLeaderOnlyKey(key) && !comparesLeader {
+			c.t.Errorf("a transaction writes %s without comparing the leader key", key)
 		}
 	}
 }
 
-// isLeaderKey reports whether only the leader may write a key.
-func isLeaderKey(key string) bool {
+// isLeaderOnlyKey reports whether only the leader may write a key.
+func isLeaderOnlyKey(key string) bool {
 	if key == replica.AutoscalerKey || key == replica.InstanceTypesKey || key == replica.ZonesKey {
 		return true
 	}
@@ -210,7 +211,7 @@
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// must ends the test if there is an error.
+// must fails the test immediately if err is not nil.
 func (c *cluster) must(err error) {
 	c.t.Helper()
 	if err != nil {
@@ -218,18 +219,18 @@
 	}
 }
 
-// restartNodes kills nodes and starts them within a fraction of a second.
+// restartNodes kills nodes and starts new incarnations of them within a fraction of a second.
 func (c *cluster) restartNodes(nodes ...int) { c.Restart(nodes...) }
 
-// checkRules fails the test for each violation of the rules.
+// checkRules reports each violation of the protocol's rules as a test error.
 func (c *cluster) checkRules() {
 	c.t.Helper()
-	for _, rule := range c.rules.Violations() {
-		c.t.Error(rule)
+	for _, violation := range c.rules.Violations() {
+		c.t.Error(violation)
 	}
 }
 
-// awaitLeaderAfter waits until a node leads in a later term than the one with this fencing token.
+// awaitLeaderAfter waits until a node leads with a higher fencing token than the given one.
 func (c *cluster) awaitLeaderAfter(token uint64) {
 	c.t.Helper()
 	c.must(harness.Leadership{State: c.state}.AwaitLeaderAfter(token))
--- a/tests/cluster/explain_test.go
+++ b/tests/cluster/explain_test.go
@@ -14,7 +14,7 @@
 	"caperlatch/internal/wire"
 )
 
-// explain asks a node to explain the state of a job. The message is that of a response with an error.
+// explain requests the explanation of a job's state from a node. If the response is an error, message is its text.
 func (c *cluster) explain(node int, id string) (status int, e explain.Explanation, message string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -26,13 +26,13 @@
 		err = wire.Unmarshal(b, &body)
 	}
 	if err != nil {
-		c.t.Errorf("explain %s at node %d: %v", id, node, err)
+		c.t.Errorf("explanation of %s by node %d: %v", id, node, err)
 	}
 	return status, e, body.Message
 }
 
-// TestExplain asks every node to explain jobs in every state, also while the state service or the
-// leader does not answer: operators could not tell why a job hung.
+// TestExplain requests explanations of jobs in every state from every node, also while the leader or the state service
+// does not answer. Without explanations, operators could not tell why a job hung.
 func TestExplain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -47,26 +47,26 @@
 			c.checkExplanation("no fault", node, "j-000005", wire.JobPending, "its team uses as many CPUs as it may")
 		}
 		if status, _, text := c.explain(1, "j-777777"); status != http.StatusNotFound || text != "no such job" {
-			t.Errorf("unknown job: %d %q", status, text)
+			t.Errorf("unknown job: got code %d, message %q, want 404, \"no such job\"", status, text)
 		}
-		// The other nodes cannot reach the leader.
+		// Cut the leader off from the other nodes.
 		c.isolateFromPeers(leader)
 		time.Sleep(2 * time.Second)
 		c.checkExplanation("leader unreachable", (leader+1)%3, "j-000002", wire.JobPending, "the leader does not say more")
 		c.healPartitions()
-		// Nor the state service: a node cannot know what is new.
+		// Make the state service unavailable to all nodes, which then cannot know of new jobs.
 		c.setFault(stateUnavailableTo(-1))
 		time.Sleep(12 * time.Second)
 		for node := range 3 {
 			c.checkExplanation("state service unavailable", node, "j-000002", wire.JobPending, "the state service has not answered")
 			if status, _, text := c.explain(node, "j-777777"); status != http.StatusServiceUnavailable || !strings.Contains(text, "not known here") {
-				t.Errorf("unknown job without the state service: %d %q", status, text)
+				t.Errorf("unknown job without the state service: got code %d, message %q, want 503, \"not known here\"", status, text)
 			}
 		}
 	})
 }
 
-// submitJobsToExplain submits jobs, and waits until they are in all states that are explained.
+// submitJobsToExplain submits jobs, and waits until each is in one of the states that the test has explained.
 func (c *cluster) submitJobsToExplain() {
 	c.t.Helper()
 	c.cloud.RuntimeOf = func(task string) float64 {
@@ -86,28 +86,27 @@
 	c.submitTo(0, limited)
 	time.Sleep(15 * time.Second)
 	if code, _ := c.requestCancellation(0, "j-000003"); code != http.StatusOK {
-		c.t.Fatalf("cancellation answered %d", code)
+		c.t.Fatalf("cancellation: got code %d, want 200", code)
 	}
 	time.Sleep(10 * time.Second)
 }
 
-// checkExplanation checks that a node explains a job: with its state, and with texts that have these
-// parts in them.
-func (c *cluster) checkExplanation(when string, node int, id, state string, parts ...string) {
+// checkExplanation checks that a node explains a job with the given state, and with texts that contain all given parts.
+func (c *cluster) checkExplanation(scenario string, node int, id, state string, parts ...string) {
 	c.t.Helper()
 	status, e, _ := c.explain(node, id)
 	if status != http.StatusOK || e.State != state || e.Member == "" || e.SubmittedAt == 0 {
-		c.t.Errorf("%s, node %d: %d %+v", when, node, status, e)
+		c.t.Errorf("%s, node %d: got code %d and explanation %+v, want 200 and an explanation with the expected state, a member and a submission time", scenario, node, status, e)
 	}
 	text := explanationText(e)
 	for _, part := range parts {
 		if !strings.Contains(text, part) {
-			c.t.Errorf("%s, node %d: %s does not say %q:\n%s", when, node, id, part, text)
+			c.t.Errorf("%s, node %d: the explanation of %s does not contain %q:\n%s", scenario, node, id, part, text)
 		}
 	}
 }
 
-// explanationText returns what an explanation says, a line for each reason, note, task and stop.
+// explanationText returns the text of an explanation, with a line for each reason, note, task placement and task stop.
 func explanationText(e explain.Explanation) string {
 	lines := slices.Concat(e.Reasons, e.Notes)
 	for _, p := range e.Placements {
@@ -119,9 +118,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// TestFailingJob runs a large job that fails on every machine beside good jobs: these complete, no
-// machine is quarantined for it, it stays known, and its cancellation is quick.
-func TestFailingJob(t *testing.T) {
+// TestFailingJobDoesNotAffectOthers runs a large job whose tasks fail on every machine beside jobs that succeed. Those
+// must complete, no machine may be quarantined because of the failing job, all nodes must still know that job, and its
+// cancellation must be quick.
+func TestFailingJobDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -140,22 +140,22 @@
 		c.restartNodes(c.leader()) // the next leader must know that the job is at fault
 		time.Sleep(60 * time.Second)
 		if fails-before > 12 {
-			t.Errorf("%d tasks failed in the minute after a failover", fails-before)
+			t.Errorf("%d tasks failed in the minute after a failover, want at most 12", fails-before)
 		}
 		c.submit("j-000003", 8)
 		c.awaitStatus("j-000003", wire.JobDone, time.Minute)
 		c.awaitStatus("j-000001", wire.JobDone, time.Second)
 		if code, s := c.queryJob(1, "j-000002"); code != http.StatusOK || s.State == wire.JobDone {
-			t.Errorf("the failing job is %d %q", code, s.State)
+			t.Errorf("failing job: got code %d and status %q, want 200 and not \"done\"", code, s.State)
 		}
 		if code, _ := c.requestCancellation(1, "j-000002"); code != http.StatusOK {
-			t.Errorf("cancellation answered %d", code)
+			t.Errorf("cancellation: got code %d, want 200", code)
 		}
 		if fails > 60 || fails < 4 {
-			t.Errorf("%d tasks failed", fails)
+			t.Errorf("%d tasks failed, want 4 to 60", fails)
 		}
-		for _, rule := range c.rules.Violations() {
-			t.Error(rule)
+		for _, violation := range c.rules.Violations() {
+			t.Error(violation)
 		}
 	})
 }
--- a/tests/cluster/main_test.go
+++ b/tests/cluster/main_test.go
@@ -1,5 +1,6 @@
-// Package cluster tests whole clusters: nodes over fakes of all that surrounds them, in simulated time and under a
-// checker of the protocol's rules, and nodes as processes.
+// Package cluster tests whole clusters. Most tests run the nodes in simulated time against fakes of the state service,
+// the cloud, the workers and the network, while a checker looks for violations of the protocol's rules; others run
+// the nodes as processes.
 package cluster
 
 import (
@@ -8,7 +9,8 @@
 	"testing"
 )
 
-// moduleRoot is where this package's tests run: they build the program, and read what stands in deploy and testdata.
+// moduleRoot is the working directory of this package's tests, which build the program and read files in deploy and
+// testdata.
 const moduleRoot = "../.."
 
 func TestMain(m *testing.M) {
--- a/tests/cluster/many_jobs_test.go
+++ b/tests/cluster/many_jobs_test.go
@@ -14,26 +14,25 @@
 	"caperlatch/internal/wire"
 )
 
-// manyJobsRun is a cluster whose users time what they ask for. The times are those of submissions
-// and cancellations until they are confirmed, and of completions from a task's end on its machine
-// until the users see the job done.
+// manyJobsRun is a cluster whose users measure latencies: of submissions and cancellations from the first request until
+// the confirmation, and of completions from the end of a task on its machine until a user sees that the job is done.
 type manyJobsRun struct {
 	*cluster
-	timesMu                                 sync.Mutex
-	submissions, cancellations, completions []time.Duration
+	timesMu                                             sync.Mutex
+	submissionTimes, cancellationTimes, completionTimes []time.Duration
 }
 
-// record adds the time since startedAt to one of the lists.
-func (r *manyJobsRun) record(list *[]time.Duration, startedAt time.Time) {
+// recordTimeSince appends the time since startedAt to a list.
+func (r *manyJobsRun) recordTimeSince(list *[]time.Duration, startedAt time.Time) {
 	r.timesMu.Lock()
 	defer r.timesMu.Unlock()
 	*list = append(*list, time.Since(startedAt))
 }
 
-// TestManyJobs submits one-task jobs four a second for two minutes, a quarter of which are
-// cancelled, at the lowest limits that a deployment has. Neither their completions nor their
-// cancellations may be delayed by each other.
-func TestManyJobs(t *testing.T) {
+// TestUserLatencyWithManyJobs submits four one-task jobs a second for two minutes, and cancels a quarter of them, under
+// the lowest state service limits of any deployment. Submissions, cancellations and completions must not delay each
+// other.
+func TestUserLatencyWithManyJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &manyJobsRun{cluster: newTunedCluster(t, 5, func(s *settings.Settings) {
 			s.Params.State = settings.State{RPS: 60, WriteRPS: 15, ValueKB: 4, TxnOps: 12}
@@ -45,20 +44,19 @@
 		r.awaitStatus("j-000009", wire.JobDone, time.Minute)
 		var users sync.WaitGroup
 		for n := range 480 {
-			users.Go(func() { r.followJob(n) })
+			users.Go(func() { r.runUserJob(n) })
 			time.Sleep(250 * time.Millisecond)
 		}
 		users.Wait()
-		checkTimes(t, "submissions", r.submissions, 480, 2*time.Second)
-		checkTimes(t, "cancellations", r.cancellations, 120, 2*time.Second)
-		checkTimes(t, "completions", r.completions, 360, 3*time.Second)
+		checkTimes(t, "submissions", r.submissionTimes, 480, 2*time.Second)
+		checkTimes(t, "cancellations", r.cancellationTimes, 120, 2*time.Second)
+		checkTimes(t, "completions", r.completionTimes, 360, 3*time.Second)
 		r.checkRules()
 	})
 }
 
-// followJob submits the job of a number, cancels every fourth one soon after, and waits until the
-// others are done.
-func (r *manyJobsRun) followJob(n int) {
+// runUserJob submits job n. It cancels every fourth job soon after, and waits until the others are done.
+func (r *manyJobsRun) runUserJob(n int) {
 	id := fmt.Sprintf("j-%06d", 1000+n)
 	startedAt := time.Now()
 	for try := range 60 {
@@ -67,16 +65,16 @@
 		}
 		time.Sleep(time.Second)
 	}
-	r.record(&r.submissions, startedAt)
+	r.recordTimeSince(&r.submissionTimes, startedAt)
 	if n%4 == 0 {
-		r.cancelSoon(n, id)
+		r.cancelAfterDelay(n, id)
 	} else {
 		r.awaitCompletion(n, id, startedAt)
 	}
 }
 
-// cancelSoon cancels a job within some seconds of its submission, and records how long that took.
-func (r *manyJobsRun) cancelSoon(n int, id string) {
+// cancelAfterDelay cancels a job up to 3 s after its submission, and records how long the cancellation took.
+func (r *manyJobsRun) cancelAfterDelay(n int, id string) {
 	time.Sleep(time.Duration(n%16) * 200 * time.Millisecond)
 	startedAt := time.Now()
 	for try := range 60 {
@@ -85,11 +83,11 @@
 		}
 		time.Sleep(time.Second)
 	}
-	r.record(&r.cancellations, startedAt)
+	r.recordTimeSince(&r.cancellationTimes, startedAt)
 }
 
-// awaitCompletion waits until a job's task has run on its machine, and records how long it takes from
-// then on until users see that the job is done.
+// awaitCompletion waits until a job's task has ended on its machine, and records how long it then takes until a user
+// sees that the job is done.
 func (r *manyJobsRun) awaitCompletion(n int, id string, submittedAt time.Time) {
 	for r.runningTasks(id) == 0 && time.Since(submittedAt) < 2*time.Minute {
 		time.Sleep(100 * time.Millisecond)
@@ -104,20 +102,20 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
-	r.record(&r.completions, endedAt)
+	r.recordTimeSince(&r.completionTimes, endedAt)
 }
 
-// checkTimes checks that there are so many times, and that 95 in 100 of them are within a bound; the
-// rest may take twice as long.
+// checkTimes checks that there are count times, that the 95th percentile is at most bound, and that the maximum is at
+// most twice bound.
 func checkTimes(t *testing.T, name string, times []time.Duration, count int, bound time.Duration) {
 	t.Helper()
 	slices.Sort(times)
 	if len(times) != count {
-		t.Fatalf("%s: %d of %d", name, len(times), count)
+		t.Fatalf("%s: %d times recorded, want %d", name, len(times), count)
 	}
-	p95, most := times[len(times)*95/100], times[len(times)-1]
-	t.Logf("%s: median %v, 95 in 100 %v, most %v", name, times[len(times)/2], p95, most)
-	if p95 > bound || most > 2*bound {
-		t.Errorf("%s took too long: 95 in 100 %v, most %v", name, p95, most)
+	p95, longest := times[len(times)*95/100], times[len(times)-1]
+	t.Logf("%s: median %v, p95 %v, max %v", name, times[len(times)/2], p95, longest)
+	if p95 > bound || longest > 2*bound {
+		t.Errorf("%s took too long: p95 %v, max %v, want at most the bound and twice the bound", name, p95, longest)
 	}
 }
--- a/tests/cluster/outage_cluster_test.go
+++ b/tests/cluster/outage_cluster_test.go
@@ -12,76 +12,78 @@
 
 // Jobs of an outageRun.
 const (
-	cancelledJob = "j-000001" // its cancellation is confirmed just before the outage
-	quickJob     = "j-000002" // has machines launched, and goes on in the outage
-	notedJob     = "j-000003" // its submission is a change for which watches wait
+	cancelledJob  = "j-000001" // its cancellation is confirmed just before the outage
+	backgroundJob = "j-000002" // makes the autoscaler launch machines, and keeps running during the outage
+	watchEventJob = "j-000003" // its submission is a change that ends open watches
 )
 
-// cancelledTasks is how many tasks cancelledJob has.
+// cancelledTasks is the number of tasks of cancelledJob.
 const cancelledTasks = 8
 
-// outageDuration is how long the state service is down for all.
+// outageDuration is how long the state service is unavailable to all nodes.
 const outageDuration = time.Duration(1.6*cancellationTimeoutS) * time.Second
 
-// outageRun is a run in which the state service is unavailable to the leader alone, another node
-// confirms that a job is cancelled, and then the state service is down for all for longer than the
-// cancellation timeout, while the workers go on sending heartbeats to the old leader.
+// outageRun is a run in which the state service is first unavailable only to the leader, while another node confirms the
+// cancellation of a job. Then the state service is unavailable to all nodes for longer than the cancellation timeout,
+// while the workers keep sending heartbeats to the old leader.
 type outageRun struct {
 	*cluster
-	leadingNode    int                                           // leads from the beginning, throughout the outage
-	confirmingNode int                                           // confirms the cancellation
-	otherFault     func(from string, r *http.Request) fake.Fault // in addition; nil: none
-	refusing       bool                                          // the state service refuses the leader
-	refusals       int                                           // of the leader, by the state service
+	leadingNode     int                                           // leads from the beginning to the end of the outage
+	confirmingNode  int                                           // confirms the cancellation
+	additionalFault func(from string, r *http.Request) fake.Fault // besides that of the leader; nil: none
+	refusingLeader  bool                                          // whether the state service refuses the leader's requests
+	leaderRefusals  int                                           // the number of the leader's requests that were refused
 }
 
-// faultOf makes the state service unavailable to the leader. An open watch of a node to which it is
-// unavailable waits, so the leader gets none from before: until then it has to poll.
-func (g *outageRun) faultOf(from string, r *http.Request) fake.Fault {
-	if isStateRequest(r) && isFromNode(from, g.leadingNode) {
-		if g.refusing {
-			g.refusals++
+// faultOf makes the state service unavailable to the leader once refusingLeader is set. Before that, it drops the
+// leader's open watches, so that the leader polls: a watch opened before the state service becomes unavailable would
+// keep waiting instead of failing.
+func (o *outageRun) faultOf(from string, r *http.Request) fake.Fault {
+	if isStateRequest(r) && isFromNode(from, o.leadingNode) {
+		if o.refusingLeader {
+			o.leaderRefusals++
 			return fake.ServiceUnavailable
 		}
 		if isOpenWatch(r) {
 			return fake.DroppedRequest
 		}
 	}
-	if g.otherFault != nil {
-		return g.otherFault(from, r)
+	if o.additionalFault != nil {
+		return o.additionalFault(from, r)
 	}
 	return fake.NoFault
 }
 
-// setOtherFault adds faults of other requests.
-func (g *outageRun) setOtherFault(also func(from string, r *http.Request) fake.Fault) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.otherFault = also
+// setAdditionalFault sets the faults of the requests that faultOf itself does not fail.
+func (o *outageRun) setAdditionalFault(fault func(from string, r *http.Request) fake.Fault) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.additionalFault = fault
 }
 
-// cancel cancels cancelledJob at a node.
-func (g *outageRun) cancel(node int) {
-	g.t.Helper()
+// cancel cancels cancelledJob at a node, and fails the test unless the node confirms the cancellation.
+func (o *outageRun) cancel(node int) {
+	o.t.Helper()
 	for range 20 {
-		if code, s := g.requestCancellation(node, cancelledJob); code == http.StatusOK && s.State == wire.JobCancelled {
+		if code, s := o.requestCancellation(node, cancelledJob); code == http.StatusOK && s.State == wire.JobCancelled {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	g.t.Fatal("the job could not be cancelled")
+	o.t.Fatal("the node did not confirm the job's cancellation in 20 attempts")
 }
 
-// partitionPairs partitions the pairs of nodes that match, and ends other partitions.
-func (g *outageRun) partitionPairs(pairs func(a, b int) bool) {
-	g.peerNet.SetPartition(func(from, to string) bool {
-		a, b := memberNumber(from), memberNumber(to)
+// partitionPairs partitions the pairs of nodes for which pairs returns true, in either order, and ends all other
+// partitions.
+func (o *outageRun) partitionPairs(pairs func(a, b int) bool) {
+	o.peerNet.SetPartition(func(from, to string) bool {
+		a, b := nodeIndex(from), nodeIndex(to)
 		return pairs(a, b) || pairs(b, a)
 	})
 }
 
-// memberNumber returns the index of the node that a member is.
-func memberNumber(member string) (node int) {
+// nodeIndex returns the index of the node with the given member name.
+func nodeIndex(member string) (node int) {
 	if _, err := fmt.Sscanf(member, "host-%d", &node); err != nil {
 		panic(err)
 	}
@@ -89,64 +91,63 @@
 }
 
 // healPairs ends all partitions between nodes.
-func (g *outageRun) healPairs() { g.partitionPairs(func(int, int) bool { return false }) }
+func (o *outageRun) healPairs() { o.partitionPairs(func(int, int) bool { return false }) }
 
 // isLeaderRefused reports whether the state service has refused a request of the leader.
-func (g *outageRun) isLeaderRefused() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.refusals > 0
+func (o *outageRun) isLeaderRefused() bool {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.leaderRefusals > 0
 }
 
-// cancelledTasksOnMachines lists the tasks of cancelledJob that are on machines.
-func (g *outageRun) cancelledTasksOnMachines() []string { return g.tasksOn(cancelledJob + "/") }
+// cancelledTasksOnMachines returns the tasks of cancelledJob that are on machines.
+func (o *outageRun) cancelledTasksOnMachines() []string { return o.tasksWithPrefix(cancelledJob + "/") }
 
-// prepare has the cluster run its jobs until the leader has no open watch any more, and the tasks of
-// cancelledJob are on machines. A late cancelledJob is submitted last, and only some of its tasks
-// are on machines then.
-func (g *outageRun) prepare(late bool) {
-	g.cloud.RuntimeOf = func(task string) float64 {
+// prepare submits the jobs, and waits until the leader has no open watch and the tasks of cancelledJob are on machines.
+// If submitLate is set, cancelledJob is submitted last, and prepare waits only for its first task.
+func (o *outageRun) prepare(submitLate bool) {
+	o.cloud.RuntimeOf = func(task string) float64 {
 		if strings.HasPrefix(task, cancelledJob+"/") {
 			return 300
 		}
 		return 7
 	}
-	g.submit(quickJob, 30)
-	if !late {
-		g.submit(cancelledJob, cancelledTasks)
+	o.submit(backgroundJob, 30)
+	if !submitLate {
+		o.submit(cancelledJob, cancelledTasks)
 	}
-	time.Sleep(20 * time.Second) // until there are machines
-	g.leadingNode = g.leader()
-	g.confirmingNode = (g.leadingNode + 1) % g.size
-	g.setFault(g.faultOf)
-	g.submit(notedJob, 1) // so that open watches end
+	time.Sleep(20 * time.Second) // until machines are up
+	o.leadingNode = o.leader()
+	o.confirmingNode = (o.leadingNode + 1) % o.size
+	o.setFault(o.faultOf)
+	o.submit(watchEventJob, 1) // ends the watches that are open already
 	time.Sleep(3 * time.Second)
-	if late {
-		g.submit(cancelledJob, cancelledTasks)
+	if submitLate {
+		o.submit(cancelledJob, cancelledTasks)
 	}
 	enough := cancelledTasks
-	if late {
+	if submitLate {
 		enough = 1
 	}
-	for i := 0; i < 2000 && len(g.cancelledTasksOnMachines()) < enough; i++ {
+	for i := 0; i < 2000 && len(o.cancelledTasksOnMachines()) < enough; i++ {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// refuseLeader has the state service refuse the leader from now on.
-func (g *outageRun) refuseLeader() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.refusing = true
+// refuseLeader makes the state service refuse the leader's requests from now on.
+func (o *outageRun) refuseLeader() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.refusingLeader = true
 }
 
 // recoverAll ends all faults and restarts all nodes.
-func (g *outageRun) recoverAll() {
-	g.setFault(nil)
-	g.healPairs()
-	g.state.SetOutage(false)
-	for i := range g.size {
-		g.kill(i)
-		g.start(i)
+func (o *outageRun) recoverAll() {
+	o.setFault(nil)
+	o.healPairs()
+	o.state.SetOutage(false)
+	for i := range o.size {
+		o.kill(i)
+		o.start(i)
 	}
 }
--- a/tests/cluster/placement_test.go
+++ b/tests/cluster/placement_test.go
@@ -14,9 +14,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestOnDemandOnly submits a job that may not use spot machines to a fleet of idle spot machines:
-// it must get an on-demand one, not starve.
-func TestOnDemandOnly(t *testing.T) {
+// TestOnDemandJobWithIdleSpotMachines submits a job that may not run on spot machines to a fleet of idle spot machines.
+// The job must get an on-demand machine instead of starving.
+func TestOnDemandJobWithIdleSpotMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
@@ -25,13 +25,14 @@
 		job := testJob("j-000002", 2)
 		job["standby"] = false
 		if code, _ := c.submitTo(0, job); code != http.StatusCreated {
-			t.Fatalf("submission answered %d", code)
+			t.Fatalf("submission: got code %d, want 201", code)
 		}
 		c.awaitStatus("j-000002", wire.JobDone, 2*time.Minute)
 	})
 }
 
-// TestTeamLimit submits a job of twelve CPUs of a team with a limit of four.
+// TestTeamLimit submits a job that needs twelve CPUs for a team with a limit of four. At most four of its tasks may run
+// at a time.
 func TestTeamLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
@@ -41,39 +42,39 @@
 		job := testJob("j-000001", 12)
 		job["desk"] = "small"
 		if code, _ := c.submitTo(0, job); code != http.StatusCreated {
-			t.Fatalf("submission answered %d", code)
+			t.Fatalf("submission: got code %d, want 201", code)
 		}
-		most := 0
+		maxRunning := 0
 		for range 240 { // a minute
 			time.Sleep(250 * time.Millisecond)
-			most = max(most, c.runningTasks("j-000001"))
+			maxRunning = max(maxRunning, c.runningTasks("j-000001"))
 		}
 		c.awaitStatus("j-000001", wire.JobDone, time.Minute)
-		if most > 4 {
-			t.Errorf("%d tasks at once of a team with a limit of 4", most)
+		if maxRunning > 4 {
+			t.Errorf("%d tasks of the team ran at a time, want at most 4", maxRunning)
 		}
 	})
 }
 
-// teamLimitScenario is how a team at its limit loses its machines, and when its job is cancelled.
+// teamLimitScenario is how a team at its limit loses contact to its machines, and when its job is cancelled.
 type teamLimitScenario struct {
-	name        string
-	hang        bool            // the machines do; else they are isolated
-	pauses      []time.Duration // before each failover
-	cancelFirst bool            // before the first failover
+	name                 string
+	hangMachines         bool            // the machines hang; otherwise they are isolated
+	failoverDelays       []time.Duration // delay before each failover
+	cancelBeforeFailover bool            // before the first failover; otherwise during it
 }
 
 var teamLimitScenarios = []teamLimitScenario{
-	{name: "isolated, one failover", pauses: []time.Duration{0}, cancelFirst: true},
-	{name: "isolated, two failovers", pauses: []time.Duration{0, 2 * time.Second}, cancelFirst: true},
-	{name: "isolated, cancelled after the failover", pauses: []time.Duration{0, 3 * time.Second}},
-	{name: "hang, one failover", hang: true, pauses: []time.Duration{0}, cancelFirst: true},
-	{name: "hang, two failovers", hang: true, pauses: []time.Duration{0, 300 * time.Millisecond}},
+	{name: "isolated, one failover", failoverDelays: []time.Duration{0}, cancelBeforeFailover: true},
+	{name: "isolated, two failovers", failoverDelays: []time.Duration{0, 2 * time.Second}, cancelBeforeFailover: true},
+	{name: "isolated, cancelled after the failover", failoverDelays: []time.Duration{0, 3 * time.Second}},
+	{name: "hang, one failover", hangMachines: true, failoverDelays: []time.Duration{0}, cancelBeforeFailover: true},
+	{name: "hang, two failovers", hangMachines: true, failoverDelays: []time.Duration{0, 300 * time.Millisecond}},
 }
 
-// TestTeamLimitAcrossFailover has a team at its limit whose job is cancelled while its machines are
-// isolated or hang, across one or two failovers. The team's next job waits until what may still run
-// there is certainly gone.
+// TestTeamLimitAcrossFailover cancels the job of a team at its limit while the job's machines are isolated or hang,
+// across one or two failovers. The team's next job must wait until the tasks that may still run on these machines are
+// certainly gone.
 func TestTeamLimitAcrossFailover(t *testing.T) {
 	for _, scenario := range teamLimitScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -82,23 +83,23 @@
 	}
 }
 
-// run runs a scenario: the team's tasks must still be on their machines after each failover, and its
-// next job must run in the end.
+// run runs the scenario. The team's tasks must still be on their machines after each failover, and its next job must run
+// in the end.
 func (s teamLimitScenario) run(t *testing.T) {
 	c := newClusterOf(t, 5)
 	defer c.close()
 	c.fillTeamLimit()
 	var dropped counter
-	s.loseMachines(c, &dropped)
-	if s.cancelFirst {
+	s.isolateOrHangMachines(c, &dropped)
+	if s.cancelBeforeFailover {
 		c.cancelJob("j-000001", 0)
 	}
 	stillOn := 0
-	for i, pause := range s.pauses {
-		time.Sleep(pause)
+	for i, delay := range s.failoverDelays {
+		time.Sleep(delay)
 		before := c.fencingToken()
 		c.restartNodes(c.leader())
-		if i == 0 && !s.cancelFirst {
+		if i == 0 && !s.cancelBeforeFailover {
 			c.cancelJob("j-000001", 1)
 		}
 		next := testJob(fmt.Sprintf("j-00000%d", 2+i), 4)
@@ -109,11 +110,11 @@
 	}
 	time.Sleep(4 * time.Second)
 	c.setFault(nil)
-	if stillOn < 4*len(s.pauses) {
-		t.Errorf("only %d tasks still ran under the next leaders", stillOn)
+	if stillOn < 4*len(s.failoverDelays) {
+		t.Errorf("%d tasks still ran after the failovers, want at least 4 after each", stillOn)
 	}
-	if !s.hang && dropped.count("dropped") == 0 {
-		t.Error("no message was dropped")
+	if !s.hangMachines && dropped.count("dropped") == 0 {
+		t.Error("no message of the isolated machines was dropped")
 	}
 	for range 120 {
 		if c.runningTasks("j-000002") == 4 {
@@ -122,13 +123,13 @@
 		time.Sleep(time.Second)
 	}
 	if c.runningTasks("j-000002") != 4 {
-		t.Errorf("the team's next job does not run: %v", c.cloud.TasksOnMachines())
+		t.Errorf("not all 4 tasks of the team's next job run; tasks on machines: %v", c.cloud.TasksOnMachines())
 	}
 	c.checkRules()
 }
 
-// fillTeamLimit runs a job of the team with a limit of four CPUs that uses them all, beside a job of
-// another team whose machines will stay reachable, and have room.
+// fillTeamLimit runs a job that uses all four CPUs of its team's limit, beside a job of another team whose machines stay
+// reachable and have room.
 func (c *cluster) fillTeamLimit() {
 	c.t.Helper()
 	c.cloud.RuntimeOf = func(task string) float64 {
@@ -144,9 +145,9 @@
 	time.Sleep(2 * time.Second)
 }
 
-// loseMachines isolates the machines with the team's tasks, or has them hang for 7 s.
-func (s teamLimitScenario) loseMachines(c *cluster, dropped *counter) {
-	if !s.hang {
+// isolateOrHangMachines isolates the machines with the team's tasks, or makes them hang for 7 s.
+func (s teamLimitScenario) isolateOrHangMachines(c *cluster, dropped *counter) {
+	if !s.hangMachines {
 		c.setFault(isolateMachines(c.machinesOf("j-000001"), dropped))
 		return
 	}
@@ -156,7 +157,7 @@
 	}
 }
 
-// newTwoZoneCluster starts a cluster whose machines may be in two zones.
+// newTwoZoneCluster starts a cluster whose machines may be in either of two zones.
 func newTwoZoneCluster(t *testing.T, nodes int) *cluster {
 	c := newTunedCluster(t, nodes, func(s *settings.Settings) { s.Params.Zones = []string{"a", "b"} })
 	c.cloud.Zones = []string{"a", "b"}
@@ -164,52 +165,52 @@
 	return c
 }
 
-// TestZoneConstraints submits a job whose tasks must be in one zone, or spread over zones, beside a
-// job that is in one zone: machines must be launched in the zone where the next task may start.
-// They once came up in the other one, one after the other, for up to 150 s.
+// TestZoneConstraints submits a job whose tasks must all be in one zone, or be spread over zones, beside a job that is
+// in one zone. Machines must be launched in a zone where the job's next task may start. A fault once launched machines
+// one after the other in the other zone, for up to 150 s.
 func TestZoneConstraints(t *testing.T) {
-	for _, bind := range []string{"together", "scatter"} {
+	for _, constraint := range []string{"together", "scatter"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newTwoZoneCluster(t, 3)
 			defer c.close()
 			c.cloud.RuntimeOf = func(string) float64 { return 400 }
-			first, second := longJob("j-000001", 6), longJob("j-000002", 6) // long, for a fleet with room
-			first["together"], second[bind] = true, true
+			first, second := longJob("j-000001", 6), longJob("j-000002", 6) // long, so that the fleet gets room for all
+			first["together"], second[constraint] = true, true
 			c.submitJob(first)
 			time.Sleep(5 * time.Second)
 			c.submitJob(second)
 			startedAt := time.Now()
-			for len(c.tasksOn("j-000002/")) < 6 && time.Since(startedAt) < 2*time.Minute {
+			for len(c.tasksWithPrefix("j-000002/")) < 6 && time.Since(startedAt) < 2*time.Minute {
 				time.Sleep(200 * time.Millisecond)
 			}
 			if duration := time.Since(startedAt); duration > 30*time.Second {
-				t.Errorf("%s: %d of 6 tasks run after %v", bind, len(c.tasksOn("j-000002/")), duration)
+				t.Errorf("%s: %d of 6 tasks run after %v, want 6 within 30 s", constraint, len(c.tasksWithPrefix("j-000002/")), duration)
 			}
-			if broken := c.cloud.Violations(); broken != nil {
-				t.Error(broken)
+			if violations := c.cloud.Violations(); violations != nil {
+				t.Error(violations)
 			}
 		})
 	}
 }
 
-// zoneConstraints are all kinds of zone constraints of jobs, by the protocol's names.
+// zoneConstraints are all kinds of zone constraints of jobs, by the names of their fields on the wire.
 var zoneConstraints = []map[string]any{{"together": true}, {"scatter": true}, {"hall": "a"}, {"hall": "b"}, {}}
 
-// zoneIsolation is how a zone with a node is isolated.
+// zoneIsolation is how a zone that contains a node is isolated.
 type zoneIsolation struct {
-	name         string
-	leaderInside bool // in the isolated zone
-	terminations bool // answered meanwhile
+	name               string
+	leaderInside       bool // the leader is in the isolated zone
+	answerTerminations bool // the cloud terminates machines during the isolation
 }
 
 var zoneIsolations = []zoneIsolation{
-	{name: "the zone of the leader is isolated", leaderInside: true, terminations: true},
-	{name: "the zone of a follower is isolated", terminations: true},
-	{name: "the zone of a follower is isolated, and terminations are not answered"},
+	{name: "the zone of the leader is isolated", leaderInside: true, answerTerminations: true},
+	{name: "the zone of a follower is isolated", answerTerminations: true},
+	{name: "the zone of a follower is isolated, and the cloud refuses terminations"},
 }
 
-// TestZoneConstraintsUnderPartition has jobs with all kinds of zone constraints lose machines as a
-// zone with a node is isolated for longer than a lease, with the leader in it or not.
+// TestZoneConstraintsUnderPartition isolates a zone for longer than a lease, so that jobs with all kinds of zone
+// constraints lose machines. The zone contains the leader or another node.
 func TestZoneConstraintsUnderPartition(t *testing.T) {
 	for _, isolation := range zoneIsolations {
 		t.Run(isolation.name, func(t *testing.T) {
@@ -218,7 +219,7 @@
 	}
 }
 
-// run isolates the zone: tasks must be on its machines meanwhile, and all jobs must complete after.
+// run isolates the zone. Tasks must be on the zone's machines during the isolation, and all jobs must complete after it.
 func (z zoneIsolation) run(t *testing.T) {
 	c := newTwoZoneCluster(t, 5)
 	defer c.close()
@@ -237,11 +238,11 @@
 	}
 	var dropped counter
 	z.isolate(c, memberName(inside), &dropped)
-	held := c.countTasksInZone("a", int(leaseDurationS)+10)
+	tasksSeen := c.countTasksInZone("a", int(leaseDurationS)+10)
 	c.setFault(nil)
 	c.healPartitions()
-	if dropped.count("dropped") == 0 || held == 0 {
-		t.Errorf("%d messages were dropped, %d tasks seen in the zone", dropped.count("dropped"), held)
+	if dropped.count("dropped") == 0 || tasksSeen == 0 {
+		t.Errorf("%d messages dropped, %d tasks seen in the isolated zone; want some of each", dropped.count("dropped"), tasksSeen)
 	}
 	for n := range zoneConstraints {
 		c.awaitStatus(fmt.Sprintf("j-00000%d", n+1), wire.JobDone, 5*time.Minute)
@@ -249,7 +250,7 @@
 	c.checkRules()
 }
 
-// isolate isolates zone a with one node, and counts the messages that are dropped for it.
+// isolate isolates zone a together with one node, and counts the messages that the isolation drops.
 func (z zoneIsolation) isolate(c *cluster, member string, dropped *counter) {
 	p := fake.NewZonePartition()
 	p.MachineOf = machineOf
@@ -264,7 +265,7 @@
 		fault := p.FaultOf(from, r)
 		if fault != fake.NoFault {
 			dropped.add("dropped")
-		} else if !z.terminations {
+		} else if !z.answerTerminations {
 			fault = refuseTerminations(from, r)
 		}
 		return fault
@@ -272,7 +273,8 @@
 	p.Isolate("a")
 }
 
-// countTasksInZone counts the tasks on the machines of a zone once a second, and returns the sum.
+// countTasksInZone counts the tasks on the machines of a zone once a second for the given number of seconds, and returns
+// the sum of the counts.
 func (c *cluster) countTasksInZone(name string, seconds int) (sum int) {
 	for range seconds {
 		time.Sleep(time.Second)
--- a/tests/cluster/rolling_upgrade_test.go
+++ b/tests/cluster/rolling_upgrade_test.go
@@ -17,19 +17,19 @@
 	"caperlatch/internal/wire"
 )
 
-// upgradeVariable has TestRollingUpgrade run: it builds the earlier versions and takes
-// minutes of real time.
-const upgradeVariable = "CAPERLATCH_UPGRADE"
+// upgradeEnv names the environment variable that makes TestRollingUpgrade run. The test is off by default because it
+// builds the earlier versions and takes minutes of real time.
+const upgradeEnv = "CAPERLATCH_UPGRADE"
 
-// TestRollingUpgrade runs processes of each earlier version, built from the repository's history,
-// and of this version side by side on loopback, against the fakes: the old ones are killed one
-// after the other and come back with this version; one comes back old first, and one goes back to
-// the old version; meanwhile the state service has an outage. Then it lowers its limits. Gangs are
-// submitted as soon as all nodes that serve know them. Each submission is repeated at every node.
-// All runs under the checker of the rules.
+// TestRollingUpgrade upgrades a cluster from each earlier version to this one. The nodes are processes on loopback that
+// run against the fakes; the earlier versions are built from the repository's history. The nodes with the old version are
+// killed one after the other and restarted with this version. One of them is first restarted with the old version, and
+// one is downgraded again. The state service has an outage during the upgrade, and lowers its limits afterwards. Gangs
+// are submitted as soon as all serving nodes support them. Each submission is repeated at every node. The checker of the
+// rules observes the whole run.
 func TestRollingUpgrade(t *testing.T) {
-	if os.Getenv(upgradeVariable) == "" {
-		t.Skip(upgradeVariable + " is not set")
+	if os.Getenv(upgradeEnv) == "" {
+		t.Skip(upgradeEnv + " is not set")
 	}
 	now := filepath.Join(t.TempDir(), "now")
 	runScript(t, `go build -ldflags=-linkmode=external -o "$1" ./cmd/caperlatch`, now)
@@ -43,7 +43,7 @@
 	}
 }
 
-// runScript runs a script with bash, and fails the test if it fails.
+// runScript runs a script with bash, and fails the test if the script fails.
 func runScript(t *testing.T, script string, args ...string) {
 	t.Helper()
 	cmd := exec.Command("bash", append([]string{"-euo", "pipefail", "-c", script, "bash"}, args...)...)
@@ -56,7 +56,7 @@
 func runRollout(t *testing.T, old, now string, v oldVersion) {
 	gangs := v.gangs
 	r := &rollout{processCluster: newProcessCluster(t, 3, t.TempDir()), startedAt: time.Now(), gangsSupported: gangs, newArgs: v.args, finalStatuses: map[string]string{},
-		programs: make([]string, 3), accepted: map[string]int{}}
+		programs: make([]string, 3), acceptedGangs: map[string]int{}}
 	defer r.close()
 	for i := range r.size {
 		r.startNode(i, old)
@@ -69,21 +69,21 @@
 		r.interruptGang()
 	}
 	leader := r.leader()
-	r.replaceProgram(leader, old, time.Second) // comes back old at first
+	r.replaceProgram(leader, old, time.Second) // restarts with the old version first
 	r.replaceProgram((leader+1)%3, now, time.Second)
 	r.submit(2)
 	if gangs {
-		r.leadWith(old)
+		r.forceLeaderWith(old)
 		r.interruptGang()
-		r.leadWith(now)
+		r.forceLeaderWith(now)
 		r.interruptGang()
 	}
-	r.replaceProgram(r.leader(), now, time.Second) // whichever version it has
+	r.replaceProgram(r.leader(), now, time.Second) // whichever version it runs
 	r.submit(2)
 	r.state.SetOutage(true) // while both versions serve
 	time.Sleep(4 * time.Second)
 	r.state.SetOutage(false)
-	r.replaceProgram((leader+1)%3, old, 300*time.Millisecond) // back to the old version
+	r.replaceProgram((leader+1)%3, old, 300*time.Millisecond) // downgraded to the old version
 	r.submit(1)
 	for i := range r.size { // all of them
 		r.replaceProgram(i, now, 500*time.Millisecond)
@@ -95,30 +95,30 @@
 	r.replaceProgram(r.leader(), now, 300*time.Millisecond)
 	r.submit(2)
 	r.cancel(r.jobs[len(r.jobs)-1])
-	r.awaitAll()
+	r.awaitFinalStatuses()
 	t.Logf("%v: all jobs have ended", time.Since(r.startedAt).Round(time.Second))
-	t.Logf("gangs accepted by nodes of each program: %v", r.accepted)
-	if gangs && (r.accepted["old"] == 0 || r.accepted["now"] == 0) {
-		t.Errorf("not every version accepted gangs: %v", r.accepted)
+	t.Logf("gangs accepted by nodes of each program: %v", r.acceptedGangs)
+	if gangs && (r.acceptedGangs["old"] == 0 || r.acceptedGangs["now"] == 0) {
+		t.Errorf("gangs accepted by nodes of each program: %v, want some by each program", r.acceptedGangs)
 	}
 	if n := r.state.RejectedTxns(); n != 0 {
 		t.Errorf("%d transactions were rejected for their size", n)
 	}
-	if broken := r.cloud.Violations(); broken != nil {
-		t.Error(broken)
+	if violations := r.cloud.Violations(); violations != nil {
+		t.Error(violations)
 	}
 }
 
-// rollout is a cluster of processes of two versions, with the jobs that were submitted to it.
+// rollout is a cluster whose nodes are processes of two versions, with the jobs that were submitted to it.
 type rollout struct {
 	*processCluster
 	startedAt      time.Time
-	gangsSupported bool     // by all nodes that serve
-	newArgs        []string // of new processes
-	programs       []string
+	gangsSupported bool     // whether all serving nodes support gangs
+	newArgs        []string // arguments of processes of the new version
+	programs       []string // path of each node's program
 	jobs           []map[string]any
-	finalStatuses  map[string]string // that each job must reach
-	accepted       map[string]int    // gangs, by the program (old, now) of the node that accepted them
+	finalStatuses  map[string]string // the final status that each job must reach, by job ID
+	acceptedGangs  map[string]int    // number of accepted gangs, by the program (old, now) of the node that accepted them
 }
 
 // startNode starts a new incarnation of a node with a program.
@@ -130,17 +130,18 @@
 	r.run(i, program)
 }
 
-// replaceProgram kills a node and starts it with a program after a while.
+// replaceProgram kills a node, and after the given downtime starts it with the given program.
 func (r *rollout) replaceProgram(i int, program string, down time.Duration) {
 	r.kill(i)
 	time.Sleep(down)
 	r.startNode(i, program)
 	time.Sleep(2500 * time.Millisecond)
-	r.t.Logf("%v: node %d is back with %s", time.Since(r.startedAt).Round(time.Second), i, filepath.Base(program))
+	r.t.Logf("%v: node %d was restarted with program %s", time.Since(r.startedAt).Round(time.Second), i, filepath.Base(program))
 }
 
-// leadWith makes a node with a program the leader, by killing all others for a while.
-func (r *rollout) leadWith(program string) {
+// forceLeaderWith makes a node with the given program the leader, by killing all nodes with another program until one
+// leads.
+func (r *rollout) forceLeaderWith(program string) {
 	for i, p := range r.programs {
 		if p != program {
 			r.kill(i)
@@ -148,7 +149,7 @@
 	}
 	for try := 0; r.programs[r.leader()] != program; try++ {
 		if try == 100 {
-			r.t.Fatalf("no node with %s leads", program)
+			r.t.Fatalf("no node with program %s became leader", program)
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -160,37 +161,37 @@
 	time.Sleep(2500 * time.Millisecond)
 }
 
-// submit submits jobs of independent tasks and, if all nodes know them, as many gangs.
+// submit submits n jobs of independent tasks and, if all serving nodes support gangs, as many gangs.
 func (r *rollout) submit(n int) {
 	for range n {
 		if r.gangsSupported {
 			r.submitGang()
 		}
-		r.submitAndRepeat(testJob(r.nextID(), 8))
+		r.submitAndResubmit(testJob(r.nextID(), 8))
 	}
 }
 
 // submitGang submits a gang for three machines, and returns its ID.
 func (r *rollout) submitGang() string {
 	id := r.nextID()
-	node := r.submitAndRepeat(gangJob(id, 3, 3, nil))
-	r.accepted[filepath.Base(r.programs[node])]++
+	node := r.submitAndResubmit(gangJob(id, 3, 3, nil))
+	r.acceptedGangs[filepath.Base(r.programs[node])]++
 	return id
 }
 
 // nextID returns the ID of the next job.
 func (r *rollout) nextID() string { return fmt.Sprintf("j-%06d", len(r.jobs)+1) }
 
-// submitAndRepeat submits a job, first to one node and then to the next, until one accepts it,
-// whose index it returns; and repeats the submission at all nodes.
-func (r *rollout) submitAndRepeat(job map[string]any) (node int) {
+// submitAndResubmit submits a job, each time to the next node, until one accepts it. It then repeats the submission at all
+// nodes, and returns the index of the node that accepted the job.
+func (r *rollout) submitAndResubmit(job map[string]any) (node int) {
 	r.t.Helper()
 	id := job["id"].(string)
 	for try := range 60 {
 		node = (len(r.jobs) + try) % r.size
 		if code, _ := r.request(http.MethodPost, node, "/v1/jobs", job); code == http.StatusCreated || code == http.StatusOK {
 			r.jobs, r.finalStatuses[id] = append(r.jobs, job), wire.JobDone
-			r.repeat(job)
+			r.resubmit(job)
 			return node
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -199,9 +200,9 @@
 	return -1
 }
 
-// repeat submits an accepted job again, to each node until it answers, and returns the statuses of
-// the responses. That none goes back is checked by the checker of the rules.
-func (r *rollout) repeat(job map[string]any) (statuses []string) {
+// resubmit repeats the submission of an accepted job at each node until the node answers, and returns the job's status in
+// each node's response. The checker of the rules checks that no status is older than one that was reported before.
+func (r *rollout) resubmit(job map[string]any) (statuses []string) {
 	r.t.Helper()
 	for node := range r.size {
 		code, status := 0, wire.JobStatus{}
@@ -212,14 +213,14 @@
 			code, status = r.request(http.MethodPost, node, "/v1/jobs", job)
 		}
 		if code != http.StatusOK || status.State == "" {
-			r.t.Errorf("%s submitted again at node %d: %d, %q", job["id"], node, code, status.State)
+			r.t.Errorf("%s submitted again at node %d: got code %d, status %q, want 200 and a status", job["id"], node, code, status.State)
 		}
 		statuses = append(statuses, status.State)
 	}
 	return statuses
 }
 
-// cancel cancels a job, each time at the next node until it is confirmed.
+// cancel requests the cancellation of a job, each time from the next node, until it is confirmed.
 func (r *rollout) cancel(job map[string]any) {
 	id := job["id"].(string)
 	r.finalStatuses[id] = wire.JobCancelled
@@ -232,8 +233,8 @@
 	r.t.Errorf("%s could not be cancelled", id)
 }
 
-// interruptGang has the cloud interrupt a machine of a running gang, with enough notice to stop the
-// gang with a checkpoint. It must run again.
+// interruptGang submits a gang and makes the cloud interrupt one of its machines, with enough notice to stop the gang
+// with a checkpoint. The gang must then run again and complete.
 func (r *rollout) interruptGang() {
 	r.t.Helper()
 	leader, startedAt := r.programs[r.leader()], time.Now()
@@ -243,22 +244,22 @@
 	r.cloud.WorkersOf(id)[0].Interrupt(5 * time.Second)
 	r.awaitStatus(id, wire.JobDone, time.Minute)
 	if runs := r.cloud.GangRuns(id); runs < 2 {
-		r.t.Errorf("%s has %d full runs, although it lost a machine", id, runs)
+		r.t.Errorf("all tasks of %s ran together %d times, want at least 2 after the loss of a machine", id, runs)
 	}
-	r.t.Logf("%s, led by %s: %d full runs, progress kept %v, done after %v",
+	r.t.Logf("%s, with a leader of program %s: %d full runs, progress kept %v, done after %v",
 		id, filepath.Base(leader), r.cloud.GangRuns(id), r.cloud.GangProgress(id), time.Since(startedAt).Round(time.Second))
 }
 
-// awaitAll waits for the final statuses of all jobs. A submission that is repeated then is answered
-// with them.
-func (r *rollout) awaitAll() {
+// awaitFinalStatuses waits until all jobs have their final statuses. A submission that is repeated then must be answered
+// with the job's final status.
+func (r *rollout) awaitFinalStatuses() {
 	for _, job := range r.jobs {
 		id := job["id"].(string)
 		r.awaitStatus(id, r.finalStatuses[id], 30*time.Second)
 	}
 	for _, job := range r.jobs {
 		id := job["id"].(string)
-		for node, status := range r.repeat(job) {
+		for node, status := range r.resubmit(job) {
 			if status != r.finalStatuses[id] {
 				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, status, r.finalStatuses[id])
 			}
@@ -266,42 +267,42 @@
 	}
 }
 
-// processCluster is a cluster whose nodes are processCluster on loopback.
+// processCluster is a cluster whose nodes are processes on loopback.
 type processCluster struct {
 	*cluster
 	*harness.ProcessCluster
 }
 
-// clusterScale is how large the deployment of a cluster of processes is.
+// clusterScale is the settings of a deployment that depend on its size.
 type clusterScale struct {
 	heartbeatIntervalS, leaseDurationS, cancellationTimeoutS float64 // of the workers, in seconds
-	sockets                                                  int     // of a node
+	sockets                                                  int     // limit of open sockets of a node
 }
 
-// smallFleetScale is that of few machines.
+// smallFleetScale returns the scale of a deployment with few machines.
 func smallFleetScale() clusterScale {
 	return clusterScale{heartbeatIntervalS, leaseDurationS, cancellationTimeoutS, 1000}
 }
 
-// settings returns the settings of a node of a deployment of this scale.
-func (p clusterScale) settings(node, nodes int) *settings.Settings {
+// settings returns the settings of a node in a deployment of this scale.
+func (sc clusterScale) settings(node, nodes int) *settings.Settings {
 	s := nodeSettings(node, nodes)
 	announceLimits(s)
 	s.Zone = "a"
 	s.Params.Nodes, s.Params.ClockErrorMS = nodes, 5
 	s.Params.Teams = []settings.Team{{Name: "blue"}}
-	s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = p.heartbeatIntervalS, p.leaseDurationS, p.cancellationTimeoutS
+	s.Params.Workers.HeartbeatIntervalS, s.Params.Workers.LeaseDurationS, s.Params.Workers.CancellationTimeoutS = sc.heartbeatIntervalS, sc.leaseDurationS, sc.cancellationTimeoutS
 	s.Params.State.WriteRPS = 60
-	s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 500, MaxSockets: p.sockets}
+	s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 500, MaxSockets: sc.sockets}
 	return s
 }
 
-// newProcessCluster prepares a cluster of processes with few machines.
+// newProcessCluster prepares a cluster of processes for a deployment with few machines. It starts no node.
 func newProcessCluster(t *testing.T, nodes int, dir string) *processCluster {
 	return newScaledProcessCluster(t, nodes, dir, smallFleetScale())
 }
 
-// newScaledProcessCluster prepares a cluster of processes for a deployment of a scale.
+// newScaledProcessCluster prepares a cluster of processes for a deployment of the given scale. It starts no node.
 func newScaledProcessCluster(t *testing.T, nodes int, dir string, scale clusterScale) *processCluster {
 	c := &cluster{t: t, size: nodes}
 	var p *harness.ProcessCluster
@@ -315,7 +316,9 @@
 			}
 			return 3
 		},
-		OnUnexpectedExit: func(_ int, log string, err error) { t.Errorf("%s ended by itself: %v", log, err) },
+		OnUnexpectedExit: func(_ int, log string, err error) {
+			t.Errorf("the process with log %s exited unexpectedly: %v", log, err)
+		},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -327,13 +330,13 @@
 // kill ends a node's process.
 func (c *processCluster) kill(i int) { c.ProcessCluster.Kill(i) }
 
-// run starts a new incarnation of a node with a program.
+// run starts a new incarnation of a node with the given program.
 func (c *processCluster) run(i int, program string) {
 	c.t.Helper()
 	c.must(c.StartNode(i, program))
 }
 
-// close ends all processes and, if the test failed, logs what they logged.
+// close ends all processes and, if the test failed, copies their logs to the test's log.
 func (c *processCluster) close() {
 	c.Close()
 	if !c.t.Failed() {
--- a/tests/cluster/state_limits_stored_values_test.go
+++ b/tests/cluster/state_limits_stored_values_test.go
@@ -15,30 +15,29 @@
 	"caperlatch/internal/wire"
 )
 
-// storedValueFault is a fault while stored values are over the limits.
+// storedValueFault is a fault that occurs while stored values are over the limits.
 type storedValueFault struct {
-	name      string
-	fault     fake.Fault    // of every other transaction
-	restartAt time.Duration // when the next leader restarts; 0: it does not
+	name               string
+	txnFault           fake.Fault    // of every second transaction
+	restartLeaderAfter time.Duration // delay until the next leader is restarted; 0: it is not restarted
 }
 
-// storedValueFaults are faults while stored values are over the limits.
+// storedValueFaults are the faults under which TestStoredValuesOverLimits runs.
 var storedValueFaults = []storedValueFault{
 	{name: "no fault"},
-	{name: "responses to transactions are dropped", fault: fake.DroppedResponse},
-	{name: "transactions are delayed", fault: fake.DelayedRequest},
+	{name: "responses to transactions are dropped", txnFault: fake.DroppedResponse},
+	{name: "transactions are delayed", txnFault: fake.DelayedRequest},
 	{
-		name:      "the next leader restarts while it divides the list",
-		fault:     fake.DroppedResponse,
-		restartAt: 300 * time.Millisecond,
+		name:               "the next leader restarts while it divides the list",
+		txnFault:           fake.DroppedResponse,
+		restartLeaderAfter: 300 * time.Millisecond,
 	},
-	{name: "the next leader restarts soon", restartAt: time.Second},
+	{name: "the next leader restarts after a second", restartLeaderAfter: time.Second},
 }
 
-// TestStoredValuesOverLimits lowers the limits where larger values are stored already: a machine
-// list and a job's description. The list is divided, and at no time is a machine in none; the job
-// can be cancelled; also when the leader restarts meanwhile, and when responses to transactions are
-// dropped.
+// TestStoredValuesOverLimits lowers the limits while larger values are already stored: a machine list and a job's
+// description. The leader must divide the list so that every machine is in a list at all times, and the job's
+// cancellation must be stored, also when the leader restarts meanwhile or responses to transactions are dropped.
 func TestStoredValuesOverLimits(t *testing.T) {
 	for _, fault := range storedValueFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -47,7 +46,7 @@
 	}
 }
 
-// run stores the large values, and has all nodes restart under lower limits.
+// run stores the large values, restarts all nodes under lower limits, and checks the stored values under the fault.
 func (f storedValueFault) run(t *testing.T) {
 	announced := false
 	c := newTunedCluster(t, 3, func(s *settings.Settings) {
@@ -62,82 +61,82 @@
 	lowerLimits(c)
 	c.killAll()
 	c.startAll()
-	if f.fault != 0 {
-		c.setFault(everyNthNodeRequest(2, f.fault, isStateTxn))
+	if f.txnFault != 0 {
+		c.setFault(everyNthNodeRequest(2, f.txnFault, isStateTxn))
 	}
 	f.checkAlwaysListed(c, listed)
 	c.setFault(nil)
 	time.Sleep(5 * time.Second)
 	for key, value := range c.machineLists() {
 		if n := wire.JSONSize(value); n > int(loweredLimits.ValueKB*1024) {
-			t.Errorf("%s still has %d bytes", key, n)
+			t.Errorf("%s still has %d bytes, want at most the lowered limit", key, n)
 		}
 	}
 	if code, s := c.requestCancellation(1, "j-000002"); code != http.StatusOK {
-		t.Errorf("the large job's cancellation: %d %s", code, s.State)
+		t.Errorf("cancellation of the large job: got code %d, status %q, want 200", code, s.State)
 	}
 	c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
 	if n := c.state.RejectedTxns(); n != 0 {
-		t.Errorf("%d transactions were rejected for their size", n)
+		t.Errorf("%d transactions were rejected for their size, want 0", n)
 	}
-	if broken := c.cloud.Violations(); broken != nil {
-		t.Error(broken)
+	if violations := c.cloud.Violations(); violations != nil {
+		t.Error(violations)
 	}
 }
 
-// storeLargeValues submits a job with a large description and one that needs many machines, and
-// returns the IDs of these machines, which are all in one list.
+// storeLargeValues submits a job with a large description and a job that needs many machines. It returns the IDs of the
+// machines, which are all in one list.
 func (c *cluster) storeLargeValues() (listed []string) {
 	c.t.Helper()
 	c.cloud.RuntimeOf = func(string) float64 { return 60 }
 	time.Sleep(3 * time.Second)
-	big, many := largeJob("j-000002"), testJob("j-000001", 600)
-	many["expect_s"] = 60.0
-	for _, job := range []map[string]any{big, many} {
+	largeDescription, manyTasks := largeJob("j-000002"), testJob("j-000001", 600)
+	manyTasks["expect_s"] = 60.0
+	for _, job := range []map[string]any{largeDescription, manyTasks} {
 		if code, _ := c.submitTo(0, job); code != http.StatusCreated {
-			c.t.Fatalf("%s: %d", job["id"], code)
+			c.t.Fatalf("submission of %s: got code %d, want 201", job["id"], code)
 		}
 	}
 	time.Sleep(25 * time.Second)
 	listed = c.listedMachines()
 	if len(listed) < 100 || len(c.machineLists()) != 1 {
-		c.t.Fatalf("%d machines in %d lists, want a hundred in one", len(listed), len(c.machineLists()))
+		c.t.Fatalf("%d machines in %d lists, want at least 100 in one list", len(listed), len(c.machineLists()))
 	}
 	return listed
 }
 
-// checkAlwaysListed checks for 20 s that each of these machines that is up is in some list, and
-// restarts the leader meanwhile if the fault is that.
+// checkAlwaysListed checks for 20 s that each of the given machines that is up is in some stored list. Meanwhile it
+// restarts the leader if the fault includes that.
 func (f storedValueFault) checkAlwaysListed(c *cluster, listed []string) {
 	c.t.Helper()
-	restarted := f.restartAt == 0
+	restarted := f.restartLeaderAfter == 0
 	leader := c.leader()
 	startedAt := time.Now()
 	for time.Since(startedAt) < 20*time.Second {
-		if !restarted && time.Since(startedAt) >= f.restartAt {
+		if !restarted && time.Since(startedAt) >= f.restartLeaderAfter {
 			restarted = true
 			c.kill(leader)
 			c.start(leader)
 		}
 		if missing := c.missingFromLists(listed); missing != nil {
-			c.t.Fatalf("%d machines that are up are in no list: %v", len(missing), missing[0])
+			c.t.Fatalf("%d machines that are up are in no list, the first is %v", len(missing), missing[0])
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// missingFromLists returns those of some machines that are up and in no list.
+// missingFromLists returns those of the given machines that are up and in no stored list.
 func (c *cluster) missingFromLists(ids []string) (missing []string) {
-	now := c.listedMachines()
+	listed := c.listedMachines()
 	for _, w := range c.cloud.Workers() {
-		if slices.Contains(ids, w.ID) && !slices.Contains(now, w.ID) {
+		if slices.Contains(ids, w.ID) && !slices.Contains(listed, w.ID) {
 			missing = append(missing, w.ID)
 		}
 	}
 	return missing
 }
 
-// storedMachineList is the value of a machine list.
+// storedMachineList is the stored value of a machine list. Each element begins with the ID of a machine.
 type storedMachineList struct {
 	Machines []string `json:"m"`
 }
@@ -158,7 +157,7 @@
 	return out
 }
 
-// listedMachines returns the IDs of the machines that are in stored machine lists.
+// listedMachines returns the IDs of the machines in the stored machine lists, an ID for each list that has it.
 func (c *cluster) listedMachines() (ids []string) {
 	for _, l := range c.machineLists() {
 		for _, entry := range l.Machines {
--- a/tests/cluster/state_limits_test.go
+++ b/tests/cluster/state_limits_test.go
@@ -14,10 +14,10 @@
 	"caperlatch/internal/wire"
 )
 
-// loweredLimits are the limits that the state service has from some time on.
+// loweredLimits are the limits to which the tests lower those of the state service.
 var loweredLimits = fake.StateLimits{ValueKB: 2, TxnOps: 4, WriteRPS: 15}
 
-// announceLimits announces the lowered limits in the settings.
+// announceLimits sets the present limits of the state service, and announces the lowered ones, in a node's settings.
 func announceLimits(s *settings.Settings) {
 	l := loweredLimits
 	s.Params.State = settings.State{RPS: 200, WriteRPS: 30, ValueKB: 8, TxnOps: 12,
@@ -30,7 +30,7 @@
 // isStateTxn reports whether a request is a transaction of the state service.
 func isStateTxn(r *http.Request) bool { return isStateRequest(r) && r.URL.Path == "/txn" }
 
-// limitChanges are situations in which the limits are lowered.
+// limitChanges are the situations in which TestAnnouncedLimits lowers the limits.
 var limitChanges = []struct {
 	name  string
 	lower func(c *cluster)
@@ -43,14 +43,14 @@
 	{"as all nodes restart", lowerLimitsDuringRestart},
 }
 
-// lowerLimitsDuringTraffic lowers the limits while jobs are submitted and complete.
+// lowerLimitsDuringTraffic lowers the limits while jobs run and complete.
 func lowerLimitsDuringTraffic(c *cluster) {
 	time.Sleep(4 * time.Second)
 	lowerLimits(c)
 	time.Sleep(4 * time.Second)
 }
 
-// lowerLimitsDuringFailover lowers the limits seconds after the leader was killed.
+// lowerLimitsDuringFailover lowers the limits 3 s after the leader is killed.
 func lowerLimitsDuringFailover(c *cluster) {
 	i := c.leader()
 	time.Sleep(4 * time.Second)
@@ -61,7 +61,8 @@
 	c.start(i)
 }
 
-// lowerLimitsUnderDroppedResponses has writes repeated that were carried out under the old limits.
+// lowerLimitsUnderDroppedResponses drops every second response to a transaction while the limits are lowered, so that
+// nodes repeat writes that were applied under the old limits.
 func lowerLimitsUnderDroppedResponses(c *cluster) {
 	c.setFault(everyNthNodeRequest(2, fake.DroppedResponse, isStateTxn))
 	time.Sleep(3 * time.Second)
@@ -69,7 +70,8 @@
 	time.Sleep(10 * time.Second)
 }
 
-// lowerLimitsUnderDelays has writes arrive under the new limits that were sent under the old ones.
+// lowerLimitsUnderDelays delays every third transaction while the limits are lowered, so that writes sent under the old
+// limits arrive under the new ones.
 func lowerLimitsUnderDelays(c *cluster) {
 	c.setFault(everyNthNodeRequest(3, fake.DelayedRequest, isStateTxn))
 	time.Sleep(3 * time.Second)
@@ -85,9 +87,9 @@
 	c.startAll()
 }
 
-// TestAnnouncedLimits lowers the state service's limits during other faults, as the settings
-// announce. No write may be rejected for its size, before or after; all jobs complete, and no rule
-// is violated.
+// TestAnnouncedLimits lowers the state service's limits to those that the settings announce, in part during other
+// faults. No write may be rejected for its size before or after that, all jobs must complete, and no rule may be
+// violated.
 func TestAnnouncedLimits(t *testing.T) {
 	for _, change := range limitChanges {
 		t.Run(change.name, func(t *testing.T) {
@@ -111,19 +113,19 @@
 					c.awaitStatus(id, wire.JobDone, 120*time.Second)
 				}
 				c.checkJobsKnown(ids)
-				if broken := c.cloud.Violations(); broken != nil {
-					t.Error(broken)
+				if violations := c.cloud.Violations(); violations != nil {
+					t.Error(violations)
 				}
 				if n := c.state.RejectedTxns(); n != 0 {
-					t.Errorf("%d transactions were rejected for their size", n)
+					t.Errorf("%d transactions were rejected for their size, want 0", n)
 				}
 			})
 		})
 	}
 }
 
-// TestUnannouncedLimits lowers the limits although the settings announce nothing. What is rejected
-// must not be sent for ever as it is, nor prevent other writes.
+// TestUnannouncedLimits lowers the limits although the settings do not announce that. A node must not repeat a rejected
+// write unchanged for ever, and a rejected write must not prevent other writes.
 func TestUnannouncedLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, func(s *settings.Settings) {
@@ -133,9 +135,9 @@
 		c.submit("j-000001", 30)
 		time.Sleep(5 * time.Second)
 		c.state.SetLimits(loweredLimits)
-		got := c.submitTogether()
+		got := c.submitConcurrently()
 		if got[http.StatusCreated] != 7 || got[http.StatusBadRequest] != 1 {
-			t.Errorf("responses to submissions: %v, want seven of 201 and one of 400", got)
+			t.Errorf("responses to submissions by code: %v, want seven of 201 and one of 400", got)
 		}
 		for i := 1; i <= 8; i++ {
 			c.awaitStatus(fmt.Sprintf("j-%06d", i), wire.JobDone, 120*time.Second)
@@ -143,17 +145,17 @@
 		before := c.state.RejectedTxns()
 		time.Sleep(2 * time.Minute)
 		if n := c.state.RejectedTxns() - before; n != 0 {
-			t.Errorf("%d transactions are still rejected", n)
+			t.Errorf("%d more transactions were rejected in two minutes after all jobs were done, want 0", n)
 		}
-		if broken := c.cloud.Violations(); broken != nil {
-			t.Error(broken)
+		if violations := c.cloud.Violations(); violations != nil {
+			t.Error(violations)
 		}
 	})
 }
 
-// submitTogether submits eight jobs at once to one node, which shares transactions, and counts its
-// responses by code. The last job is too large to be stored.
-func (c *cluster) submitTogether() (countByCode map[int]int) {
+// submitConcurrently submits eight jobs at once to one node, which writes several of them in one transaction, and returns
+// the numbers of its responses by code. The last job is too large to be stored.
+func (c *cluster) submitConcurrently() (countByCode map[int]int) {
 	codes := make(chan int, 9)
 	for i := 2; i <= 9; i++ {
 		job := testJob(fmt.Sprintf("j-%06d", i), 4)
@@ -172,17 +174,16 @@
 	return countByCode
 }
 
-// largeJob returns the submission of a job whose description is larger than the lowered limit of a
-// value.
+// largeJob returns the submission of a job whose description is larger than the lowered limit of a value's size.
 func largeJob(id string) map[string]any {
 	job := testJob(id, 2)
 	job["lane"] = strings.Repeat("l", 3000)
 	return job
 }
 
-// TestMinimalLimits has a state service that takes hardly any value: no new list of instance types,
-// no launch intent, no job. The leader must complete its failover all the same and use the machines
-// that are there, cancellations must be stored, and what is rejected must not be sent for ever.
+// TestMinimalLimits lowers the limits so far that the state service rejects most values: a new list of instance types,
+// launch intents and jobs. The leader must nevertheless complete its failover and use the existing machines, cancellations
+// must be stored, and rejected writes must not be repeated for ever.
 func TestMinimalLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTunedCluster(t, 3, announceLimits)
@@ -203,26 +204,26 @@
 		c.leader()
 		time.Sleep(70 * time.Second)
 		if code, e, _ := c.explain(0, "j-000002"); code != http.StatusOK || e.Waiting == 0 || e.Waiting+e.Running != 40 {
-			t.Errorf("the leader has not completed its failover: %d, %+v", code, e)
+			t.Errorf("the leader has not completed its failover: got code %d, explanation %+v, want 200 and 40 tasks running or waiting", code, e)
 		}
 		if code, _ := c.submitTo(1, testJob("j-000003", 1)); code != http.StatusBadRequest {
-			t.Errorf("a job that cannot be stored: %d", code)
+			t.Errorf("submission of a job that cannot be stored: got code %d, want 400", code)
 		}
 		before := c.state.RejectedTxns()
 		time.Sleep(3 * time.Minute)
 		n := c.state.RejectedTxns() - before
-		t.Logf("%d rejected at first, %d then", before, n)
-		if n > 20 { // each of a size that was not rejected before
-			t.Errorf("%d transactions were rejected in three minutes", n)
+		t.Logf("%d transactions rejected at first, %d in the three minutes after", before, n)
+		if n > 20 { // each is of a size that was not rejected before
+			t.Errorf("%d transactions were rejected in three minutes, want at most 20", n)
 		}
 		if code, s := c.requestCancellation(1, "j-000002"); code != http.StatusOK {
-			t.Errorf("cancellation: %d %s", code, s.State)
+			t.Errorf("cancellation: got code %d, status %q, want 200", code, s.State)
 		}
 	})
 }
 
-// storeLargerInstanceTypes has the stored list of instance types differ from the cloud's, so that
-// the next leader has a new list to store.
+// storeLargerInstanceTypes stores a list of instance types that differs from the cloud's, so that the next leader has a
+// new list to store.
 func (c *cluster) storeLargerInstanceTypes() {
 	c.t.Helper()
 	var instanceTypes wire.InstanceTypeList
@@ -238,7 +239,7 @@
 	c.state.Put(replica.InstanceTypesKey, b)
 }
 
-// storeJob stores a job as accepted, without a node.
+// storeJob writes an accepted job directly to the state service, without a node.
 func (c *cluster) storeJob(job map[string]any) {
 	c.t.Helper()
 	b, err := wire.Marshal(job)
--- a/tests/cluster/upgrade_failover_test.go
+++ b/tests/cluster/upgrade_failover_test.go
@@ -15,12 +15,11 @@
 	"caperlatch/internal/wire"
 )
 
-// oldVersion is an earlier version that may serve beside this one, and from which nodes are
-// upgraded.
+// oldVersion is an earlier version from which nodes are upgraded, and which may serve beside this one during an upgrade.
 type oldVersion struct {
-	name  string // first digits of its commit, and its directory in testdata/versions
-	gangs bool   // whether it runs gangs
-	// args are the arguments of the new processes in a rolling upgrade from it.
+	name  string // first digits of its commit hash, and its directory in testdata/versions
+	gangs bool   // whether the version supports gangs
+	// args are the arguments of the new processes in a rolling upgrade from the version.
 	args []string
 }
 
@@ -38,7 +37,7 @@
 	return filepath.Join("testdata", "versions", v.name, file)
 }
 
-// commit returns the full hash of the version.
+// commit returns the full commit hash of the version.
 func (v oldVersion) commit(t *testing.T) string {
 	t.Helper()
 	b, err := os.ReadFile(v.path("COMMIT"))
@@ -48,15 +47,14 @@
 	return strings.TrimSpace(string(b))
 }
 
-// captured is what was captured from a version (testdata/versions/capture), by the situation in
-// which it was.
-type captured struct {
-	stored   map[string]map[string]wire.RawMessage // by key
-	machines map[string][]wire.Heartbeat
+// captureData is the data that testdata/versions/capture captured from a version.
+type captureData struct {
+	stored   map[string]map[string]wire.RawMessage // stored values, by situation and key
+	machines map[string][]wire.Heartbeat           // heartbeats of the machines, by situation
 }
 
-// captured reads what was captured from the version.
-func (v oldVersion) captured(t *testing.T) (c captured) {
+// readCapture reads the data that was captured from the version.
+func (v oldVersion) readCapture(t *testing.T) (c captureData) {
 	t.Helper()
 	for file, into := range map[string]any{"stored.cbor": &c.stored, "machines.cbor": &c.machines} {
 		b, err := os.ReadFile(v.path(file))
@@ -70,9 +68,9 @@
 	return c
 }
 
-// TestProductionIsCaptured checks that the version in production is one of those that the tests of
-// upgrades know, and that each of them was captured from its own commit.
-func TestProductionIsCaptured(t *testing.T) {
+// TestProductionVersionIsCaptured checks that the version in production is one of oldVersions, which the upgrade tests
+// cover, and that the data of each version was captured from the version's own commit.
+func TestProductionVersionIsCaptured(t *testing.T) {
 	b, err := os.ReadFile("deploy/service.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -82,18 +80,18 @@
 	for _, v := range oldVersions {
 		commit := v.commit(t)
 		if !strings.HasPrefix(commit, v.name) || len(commit) != 40 {
-			t.Errorf("%s was captured from %s", v.name, commit)
+			t.Errorf("the data of version %s was captured from commit %s, want a full hash that begins with the name", v.name, commit)
 		}
 		known = known || found != nil && commit == string(found[1])
 	}
 	if found != nil && !known {
-		t.Errorf("production is %s, which is not in testdata/versions", found[1])
+		t.Errorf("the version in production is %s, which is not among the captured versions in testdata/versions", found[1])
 	}
 }
 
-// restoreRules passes on to the checker of the rules what happened before the stored values were
-// captured, and returns the jobs stored with the final status that each must reach.
-func (c *cluster) restoreRules(stored map[string]wire.RawMessage) map[string]string {
+// replayHistory reports to the checker of the rules what happened before the stored values were captured: submissions,
+// cancellations and completed tasks. It returns the final status that each stored job must reach, by job ID.
+func (c *cluster) replayHistory(stored map[string]wire.RawMessage) map[string]string {
 	const before = "before"
 	c.rules.ObserveLaunch(before, wire.LaunchRequest{InstanceType: "m4", Zone: "a"})
 	done := func(task string) {
@@ -116,7 +114,8 @@
 			continue
 		}
 		finalStatuses[id] = j.State
-		// Only the capture knows what a job was that has ended.
+		// The stored value of a job that has ended does not contain its specification; these are the team and the number of
+		// tasks with which the jobs were captured.
 		c.rules.ObserveSubmission(wire.Job{ID: id, Team: "blue", Tasks: 2})
 		if j.State == wire.JobCancelled {
 			c.rules.ObserveRequest("/v1/jobs/" + id + "/abort")
@@ -150,18 +149,17 @@
 	return finalStatuses
 }
 
-// capturedGang is the gang of the situations in wantGangStarts.
+// capturedGang is the ID of the gang in the situations of wantGangStarts.
 const capturedGang = "j-000002"
 
-// gangStarts counts what starts of a gang after a failover.
+// gangStarts counts the starts of a gang after a failover.
 type gangStarts struct {
-	tasks int // starts of its tasks
-	runs  int // attempts of which all tasks ran
+	tasks int // starts of the gang's tasks
+	runs  int // attempts in which all tasks ran
 }
 
-// wantGangStarts is what starts of the gang if its machines are still there, by situation as
-// captured: a gang that runs or is done does not start again, one that waits is completed, and one
-// that was stopped runs again.
+// wantGangStarts is the expected starts of the gang if its machines are still present, by captured situation. A gang that
+// runs or is done must not start again, a gang that waits must be completed, and a gang that was stopped must run again.
 var wantGangStarts = map[string]gangStarts{
 	"a gang waits for a machine that hangs":                      {1, 1},
 	"a gang runs":                                                {0, 0},
@@ -172,17 +170,17 @@
 	"a list was divided, a gang runs":                            {0, 0},
 }
 
-// failoverCase is how this version takes over from an earlier one.
+// failoverCase is a way in which this version takes over from an earlier one.
 type failoverCase struct {
 	name             string
 	machinesPresent  bool          // the captured machines still run their tasks
-	lowerLimitsAfter time.Duration // negative: never
-	killLeader       bool          // the first leader is killed
+	lowerLimitsAfter time.Duration // 0: before the nodes start; negative: never
+	killLeader       bool          // the first leader is killed as the limits are lowered
 }
 
-// TestFailoverFromOldVersions has this version take over what earlier ones stored, with the same
-// limits or with lower ones, while the captured machines are gone or still there. What had ended
-// stays so, what ran completes, and nodes that are killed meanwhile change nothing of that.
+// TestFailoverFromOldVersions starts this version on the values that earlier versions stored, with the same limits or
+// lower ones, and with the captured machines gone or still present. Jobs that had ended must stay as they were, and all
+// others must complete, also if the leader is killed during the failover.
 func TestFailoverFromOldVersions(t *testing.T) {
 	cases := []failoverCase{
 		{"same limits", false, -1, false},
@@ -193,7 +191,7 @@
 		{"machines present, limits are lowered as the leader is killed", true, 3 * time.Second, true},
 	}
 	for _, v := range oldVersions {
-		old := v.captured(t)
+		old := v.readCapture(t)
 		for situation, stored := range old.stored {
 			for _, tc := range cases {
 				t.Run(v.name+", "+situation+", "+tc.name, func(t *testing.T) {
@@ -203,13 +201,13 @@
 						c.restoreAndFinish(tc, stored, old.machines[situation])
 						got := gangStarts{c.cloud.StartsOf(capturedGang), c.cloud.GangRuns(capturedGang)}
 						if want, known := wantGangStarts[situation]; known && tc.machinesPresent && got != want {
-							t.Errorf("of the gang there started %+v, want %+v", got, want)
+							t.Errorf("starts of the gang: got %+v, want %+v", got, want)
 						}
 						if n := c.state.RejectedTxns(); n != 0 {
-							t.Errorf("%d transactions were rejected for their size", n)
+							t.Errorf("%d transactions were rejected for their size, want 0", n)
 						}
-						if broken := c.cloud.Violations(); broken != nil {
-							t.Error(broken)
+						if violations := c.cloud.Violations(); violations != nil {
+							t.Error(violations)
 						}
 					})
 				})
@@ -218,38 +216,38 @@
 	}
 }
 
-// restoreAndFinish starts a cluster with what was stored, and waits for the final statuses of all
-// jobs.
-func (c *cluster) restoreAndFinish(how failoverCase, stored map[string]wire.RawMessage, machines []wire.Heartbeat) {
+// restoreAndFinish starts the nodes on the captured values, with the captured machines if they are present, and waits
+// until all jobs have their final statuses.
+func (c *cluster) restoreAndFinish(tc failoverCase, stored map[string]wire.RawMessage, machines []wire.Heartbeat) {
 	for i := range c.size {
 		c.kill(i)
 	}
 	c.cloud.RuntimeOf = func(task string) float64 {
 		id, _, _ := strings.Cut(task, "/")
 		if c.rules.Job(id).Kind == wire.KindGang {
-			return 12 // beyond the failover
+			return 12 // longer than the failover takes
 		}
 		return 3
 	}
 	for key, value := range stored {
-		if key != replica.LeaderKey { // its session has ended
+		if key != replica.LeaderKey { // deleted as the old leader's session has ended
 			c.state.Put(key, value)
 		}
 	}
-	finalStatuses := c.restoreRules(stored)
-	if how.machinesPresent {
+	finalStatuses := c.replayHistory(stored)
+	if tc.machinesPresent {
 		if err := c.cloud.Restore(machines); err != nil {
 			c.t.Fatal(err)
 		}
 	}
-	if how.lowerLimitsAfter == 0 {
+	if tc.lowerLimitsAfter == 0 {
 		c.state.SetLimits(loweredLimits)
 	}
 	for i := range c.size {
 		c.start(i)
 	}
-	if i := c.leader(); how.killLeader {
-		time.Sleep(how.lowerLimitsAfter)
+	if i := c.leader(); tc.killLeader {
+		time.Sleep(tc.lowerLimitsAfter)
 		c.state.SetLimits(loweredLimits)
 		c.kill(i)
 		time.Sleep(time.Second)
--- a/tests/cluster/write_faults_test.go
+++ b/tests/cluster/write_faults_test.go
@@ -27,15 +27,15 @@
 	{"sessions", func(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, "/holds") }},
 }
 
-// writesOf matches requests whose body has some content: a key, or part of a value.
+// writesOf returns a function that matches requests whose body contains the given content: a key, or part of a value.
 func writesOf(content string) func(r *http.Request) bool {
 	return func(r *http.Request) bool { return bodyContains(r, content) }
 }
 
-// TestDroppedResponses has writes of each kind carried out at once and only their responses
-// dropped, while all nodes read what was written: a repeat whose compare fails may mean that the
-// first one was carried out.
-func TestDroppedResponses(t *testing.T) {
+// TestDroppedWriteResponses drops the responses to writes of each kind, which are applied at once, while all nodes read
+// what was written. A node that repeats such a write must allow for a failed compare that means that its first attempt
+// was applied.
+func TestDroppedWriteResponses(t *testing.T) {
 	for _, kind := range writeKinds {
 		t.Run(kind.name, func(t *testing.T) {
 			runUnderFault(t, 3, func(c *cluster, cancel func()) { dropResponsesToWrites(c, cancel, kind.match) })
@@ -43,8 +43,8 @@
 	}
 }
 
-// dropResponsesToWrites drops two of three responses to the writes that match, across submissions,
-// a cancellation and two failovers. There must be such writes.
+// dropResponsesToWrites drops two of three responses to the writes that match, across submissions, a cancellation and two
+// failovers. It fails the test if fewer than two writes match.
 func dropResponsesToWrites(c *cluster, cancel func(), match func(r *http.Request) bool) {
 	var dropped, seen counter
 	c.setFault(func(_ string, r *http.Request) fake.Fault {
@@ -53,10 +53,10 @@
 		}
 		return fake.NoFault
 	})
-	c.submit("j-000010", 2) // with the fault set
+	c.submit("j-000010", 2) // while the fault is active
 	time.Sleep(6 * time.Second)
 	c.queryFaultJobs(&seen)
-	c.restartNodes(c.leader()) // so that leader key and sessions are among the writes
+	c.restartNodes(c.leader()) // so that nodes write the leader key and sessions
 	time.Sleep(time.Second)
 	cancel()
 	for range 8 {
@@ -69,11 +69,11 @@
 		c.queryFaultJobs(&seen)
 	}
 	if n := dropped.count("dropped"); n < 2 {
-		c.t.Errorf("only %d such writes occurred", n)
+		c.t.Errorf("%d writes matched, want at least 2", n)
 	}
 }
 
-// queryFaultJobs queries all nodes about the jobs of runUnderFault but the one that it cancels.
+// queryFaultJobs queries all nodes about the jobs of runUnderFault, except the one that is submitted after the fault.
 func (c *cluster) queryFaultJobs(seen *counter) {
 	var users sync.WaitGroup
 	for id := range faultJobRuntimes {
@@ -85,7 +85,7 @@
 	users.Wait()
 }
 
-// delayedWriteScenario delays a write, so that it is carried out after a newer one.
+// delayedWriteScenario delays a write, so that it is applied after a newer one.
 type delayedWriteScenario struct {
 	name      string
 	run       func(c *cluster) (delayed *counter)
@@ -101,12 +101,12 @@
 	{name: "submission after its repeat and the job's completion", run: delaySubmission},
 }
 
-// isQuickTask reports whether a task ends within seconds.
+// isQuickTask reports whether a task is one of those that end within seconds.
 func isQuickTask(task string) bool {
 	return task == "j-000003/0" || strings.HasPrefix(task, "j-000009")
 }
 
-// delayedWriteRuntime returns how long a task runs: long tasks outlast the delay and a failover.
+// delayedWriteRuntime returns the run time of a task in seconds. Tasks that are not quick outlast the delay and a failover.
 func delayedWriteRuntime(task string) float64 {
 	if isQuickTask(task) {
 		return 2.5
@@ -114,8 +114,8 @@
 	return 50
 }
 
-// staggeredRuntime has the tasks of a job end 4 s apart, and from the fourth on later still: each
-// end is a write of its own.
+// staggeredRuntime returns the run time of a task in seconds. The tasks of a job end 4 s apart, and the fourth another
+// 12 s later, so that each completion is a write of its own.
 func staggeredRuntime(task string) float64 {
 	if isQuickTask(task) {
 		return 2.5
@@ -124,8 +124,8 @@
 	return 2 + 4*float64(number) + 12*float64(number/3)
 }
 
-// TestDelayedWriteAfterNewer has a write delayed by 9 s, so that it is carried out after newer ones
-// of the same leader, with something decided in between that it would undo.
+// TestDelayedWriteAfterNewer delays a write by 9 s, so that it arrives after newer writes of the same leader. It must not
+// be applied, because it would undo what was decided in between.
 func TestDelayedWriteAfterNewer(t *testing.T) {
 	for _, scenario := range delayedWriteScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				if delayed := scenario.run(c); delayed.count("delayed") == 0 {
-					t.Error("no such write was delayed")
+					t.Error("no write was delayed")
 				}
 				c.checkRules()
 			})
@@ -146,11 +146,11 @@
 	}
 }
 
-// delayWrites delays so many transactions with some content, and counts them.
-func delayWrites(c *cluster, most int, content string) *counter {
+// delayWrites delays up to maxDelayed transactions that contain the given content, and counts all that contain it.
+func delayWrites(c *cluster, maxDelayed int, content string) *counter {
 	var delayed counter
 	c.setFault(func(_ string, r *http.Request) fake.Fault {
-		if r.URL.Path == "/txn" && bodyContains(r, content) && delayed.add("delayed") <= most {
+		if r.URL.Path == "/txn" && bodyContains(r, content) && delayed.add("delayed") <= maxDelayed {
 			return fake.DelayedRequest
 		}
 		return fake.NoFault
@@ -158,8 +158,8 @@
 	return &delayed
 }
 
-// checkNextLeaderKnows forces a failover while the machines that run a job are isolated: the next
-// leader must know of them by what is stored.
+// checkNextLeaderKnows forces a failover while the machines that run a job are isolated. The next leader must learn of
+// these machines from the stored values, and the job must complete.
 func checkNextLeaderKnows(c *cluster, id string) {
 	var dropped counter
 	c.setFault(isolateMachines(c.machinesOf(id), &dropped))
@@ -168,14 +168,14 @@
 	c.awaitLeaderAfter(before)
 	time.Sleep(4 * time.Second)
 	if dropped.count("dropped") == 0 || c.runningTasks(id) == 0 {
-		c.t.Errorf("%d messages were dropped, %d tasks still run", dropped.count("dropped"), c.runningTasks(id))
+		c.t.Errorf("%d messages dropped, %d tasks still running; want some of each", dropped.count("dropped"), c.runningTasks(id))
 	}
 	c.setFault(nil)
 	c.awaitStatus(id, wire.JobDone, 4*time.Minute)
 }
 
-// delayMachineList delays the machine list of the first job: carried out late, it would take out the
-// machines of the second one.
+// delayMachineList delays the write of the machine list with the first job's machines. Applied late, it would remove the
+// second job's machines from the list.
 func delayMachineList(c *cluster) *counter {
 	delayed := delayWrites(c, 1, "c/u/")
 	c.submitAndAwaitRunning(longJob("j-000001", 4))
@@ -185,8 +185,8 @@
 	return delayed
 }
 
-// delayLaunchIntent delays the launch intent of a job's machines: carried out late, it would take out
-// their IDs.
+// delayLaunchIntent delays the write of the launch intent of a job's machines. Applied late, it would remove the machines'
+// IDs from the intent.
 func delayLaunchIntent(c *cluster) *counter {
 	delayed := delayWrites(c, 1, "c/b/")
 	c.submitAndAwaitRunning(longJob("j-000001", 4))
@@ -195,8 +195,8 @@
 	return delayed
 }
 
-// delayProgress delays the write that a first task is done: carried out late, it would have the
-// later ones started again after the failover.
+// delayProgress delays the write that records that the first task is done. Applied late, it would make the tasks that
+// completed after it start again after the failover.
 func delayProgress(c *cluster) *counter {
 	delayed := delayWrites(c, 1, "c/p/")
 	c.submitAndAwaitRunning(longJob("j-000001", 4)) // its tasks end 4 s apart
@@ -204,13 +204,12 @@
 	c.restartNodes(c.leader())
 	c.awaitStatus("j-000001", wire.JobDone, 2*time.Minute)
 	if n := c.cloud.Starts(); n != 4 {
-		c.t.Errorf("%d starts for 4 tasks", n)
+		c.t.Errorf("%d task starts for 4 tasks, want 4", n)
 	}
 	return delayed
 }
 
-// delayCompletion has a job cancelled while the write that it is done is on its way: it must stay
-// cancelled.
+// delayCompletion cancels a job while the write that records its completion is delayed. The job must stay cancelled.
 func delayCompletion(c *cluster) *counter {
 	delayed := delayWrites(c, 1000, "all tasks done")
 	c.submit("j-000003", 1)
@@ -224,13 +223,13 @@
 	return delayed
 }
 
-// delayCancellation has a job complete while its cancellation is on its way: it must stay done, and
-// the user must not be told otherwise.
+// delayCancellation lets a job complete while the write of its cancellation is delayed. The job must stay done, and the
+// user's cancellation must not be confirmed.
 func delayCancellation(c *cluster) *counter {
 	delayed := delayWrites(c, 1000, "cancelled by its user")
 	c.submitAndAwaitRunning(testJob("j-000003", 1))
 	if code, _ := c.requestCancellation(1, "j-000003"); code == http.StatusOK {
-		c.t.Error("the cancellation was confirmed")
+		c.t.Error("the cancellation was confirmed before it was applied")
 	}
 	c.awaitStatus("j-000003", wire.JobDone, 8*time.Second)
 	time.Sleep(15 * time.Second)
@@ -238,8 +237,8 @@
 	return delayed
 }
 
-// delaySubmission has a job accepted by a repeat, and complete, while its first submission is on its
-// way: it must not be pending again.
+// delaySubmission delays the write of a job's first submission until the job was accepted by a repeated submission and has
+// completed. The job must not become pending again.
 func delaySubmission(c *cluster) *counter {
 	delayed := delayWrites(c, 1, "pieces")
 	c.submit("j-000003", 1)
