--- a/tests/cluster/cancellation_test.go
+++ b/tests/cluster/cancellation_test.go
@@ -49,7 +49,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t)
 		defer c.close()
-		for i := range 3 { // as a new incarnation has no streams to its peers yet
+		for i := range 3 { // new incarnations have no streams to their peers yet
 			c.kill(i)
 		}
 		c.peerNet.SetPartition(func(string, string) bool { return true })
--- a/tests/cluster/capture_situations_test.go
+++ b/tests/cluster/capture_situations_test.go
@@ -16,7 +16,7 @@
 	"caperlatch/internal/zone"
 )
 
-// captureLimits sets the announced limits of the state service under which situations are captured.
+// captureLimits sets the limits of the state service in the settings of the captured clusters.
 func captureLimits(s *settings.Settings) {
 	s.Params.State = settings.State{RPS: 200, WriteRPS: 60, ValueKB: 8, TxnOps: 12}
 }
--- a/tests/cluster/fleet_failover_test.go
+++ b/tests/cluster/fleet_failover_test.go
@@ -53,7 +53,7 @@
 	s.Params.Limits = settings.Limits{CPU: 1, MemoryMB: 322, MaxSockets: 3200}
 }
 
-// fillFleet submits a job whose tasks fill the fleet, and waits until no more machines are launched for it.
+// fillFleet submits a job whose tasks fill the fleet, and waits until the fleet is stable.
 func (r *fleetRun) fillFleet() {
 	r.cloud.RuntimeOf = func(string) float64 { return 300 }
 	time.Sleep(3 * time.Second)
--- a/tests/cluster/overload_test.go
+++ b/tests/cluster/overload_test.go
@@ -12,7 +12,7 @@
 )
 
 // Bounds that users are promised for the largest jobs of a class, and that these tests require of all jobs: each starts
-// within four minutes of its submission, and at least half of those of each class are done at the end of the overload.
+// within four minutes of its submission, and at least half of those of each class are done a minute after the overload.
 const (
 	maxStartDelay  = 4 * time.Minute
 	minServedShare = 0.5
@@ -95,7 +95,7 @@
 	}
 }
 
-// check checks at the end of the overload that the jobs of each class are within maxStartDelay and minServedShare.
+// check checks, a minute after the overload, that the jobs of each class are within maxStartDelay and minServedShare.
 func (r *overloadRun) check() {
 	for _, class := range r.classes {
 		submitted, served := 0, 0
--- a/tests/cluster/placement_test.go
+++ b/tests/cluster/placement_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// teamLimitScenario is how a team at its limit loses contact to its machines, and when its job is cancelled.
+// teamLimitScenario is how a team at its limit loses contact with its machines, and when its job is cancelled.
 type teamLimitScenario struct {
 	name                 string
 	hangMachines         bool            // the machines hang; otherwise they are isolated
@@ -166,7 +166,7 @@
 }
 
 // TestZoneConstraints submits a job whose tasks must all be in one zone, or be spread over zones, beside a job that is
-// in one zone. Machines must be launched in a zone where the job's next task may start. A fault once launched machines
+// in one zone. Machines must be launched in a zone where the job's next task may start. An earlier version launched them
 // one after the other in the other zone, for up to 150 s.
 func TestZoneConstraints(t *testing.T) {
 	for _, constraint := range []string{"together", "scatter"} {
@@ -174,7 +174,7 @@
 			c := newTwoZoneCluster(t, 3)
 			defer c.close()
 			c.cloud.RuntimeOf = func(string) float64 { return 400 }
-			first, second := longJob("j-000001", 6), longJob("j-000002", 6) // long, so that the fleet gets room for all
+			first, second := longJob("j-000001", 6), longJob("j-000002", 6) // long, so that machines are launched for all tasks
 			first["together"], second[constraint] = true, true
 			c.submitJob(first)
 			time.Sleep(5 * time.Second)
--- a/tests/cluster/rolling_upgrade_test.go
+++ b/tests/cluster/rolling_upgrade_test.go
@@ -85,7 +85,7 @@
 	r.state.SetOutage(false)
 	r.replaceProgram((leader+1)%3, old, 300*time.Millisecond) // downgraded to the old version
 	r.submit(1)
-	for i := range r.size { // all of them
+	for i := range r.size { // every node, also one that already runs the new version
 		r.replaceProgram(i, now, 500*time.Millisecond)
 	}
 	r.gangsSupported = true
@@ -102,7 +102,7 @@
 		t.Errorf("gangs accepted by nodes of each program: %v, want some by each program", r.acceptedGangs)
 	}
 	if n := r.state.RejectedTxns(); n != 0 {
-		t.Errorf("%d transactions were rejected for their size", n)
+		t.Errorf("%d transactions were rejected for their size, want 0", n)
 	}
 	if violations := r.cloud.Violations(); violations != nil {
 		t.Error(violations)
@@ -273,7 +273,7 @@
 	*harness.ProcessCluster
 }
 
-// clusterScale is the settings of a deployment that depend on its size.
+// clusterScale holds the settings of a deployment that depend on its size.
 type clusterScale struct {
 	heartbeatIntervalS, leaseDurationS, cancellationTimeoutS float64 // of the workers, in seconds
 	sockets                                                  int     // limit of open sockets of a node
--- a/tests/cluster/state_limits_test.go
+++ b/tests/cluster/state_limits_test.go
@@ -204,7 +204,7 @@
 		c.leader()
 		time.Sleep(70 * time.Second)
 		if code, e, _ := c.explain(0, "j-000002"); code != http.StatusOK || e.Waiting == 0 || e.Waiting+e.Running != 40 {
-			t.Errorf("the leader has not completed its failover: got code %d, explanation %+v, want 200 and 40 tasks running or waiting", code, e)
+			t.Errorf("the leader has not completed its failover: got code %d, explanation %+v, want 200 and 40 tasks running or waiting, at least one waiting", code, e)
 		}
 		if code, _ := c.submitTo(1, testJob("j-000003", 1)); code != http.StatusBadRequest {
 			t.Errorf("submission of a job that cannot be stored: got code %d, want 400", code)
--- a/tests/cluster/write_faults_test.go
+++ b/tests/cluster/write_faults_test.go
@@ -85,7 +85,7 @@
 	users.Wait()
 }
 
-// delayedWriteScenario delays a write, so that it is applied after a newer one.
+// delayedWriteScenario delays a write, so that it arrives after a newer one.
 type delayedWriteScenario struct {
 	name      string
 	run       func(c *cluster) (delayed *counter)
