--- a/cmd/caperlatch/run.go
+++ b/cmd/caperlatch/run.go
@@ -43,7 +43,7 @@
 }
 
 // run runs a node until the context of the command ends. With the warm standby or membership, which have to act on
-// shutdown, it also stops on SIGTERM.
+// shutdown, the node handles SIGTERM, see runUntilTerminated; without them, SIGTERM kills the process.
 func (f *nodeFiles) run(cmd *cobra.Command, _ []string) error {
 	if f.config == "" {
 		return errNoConfig
--- a/internal/api/feasibility_test.go
+++ b/internal/api/feasibility_test.go
@@ -43,7 +43,7 @@
 	}
 	for _, c := range cases {
 		if err := checkFeasible(&c.job, types, teams); (err == nil) != c.ok {
-			t.Errorf("%s: got error %v, want success %v", c.name, err, c.ok)
+			t.Errorf("%s: got error %v, want an error: %v", c.name, err, !c.ok)
 		}
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -71,7 +71,7 @@
 	if err == nil {
 		err = os.WriteFile(path, []byte(fileContent(sections)), 0o644)
 	}
-	t.Errorf("wrote %s because %s is set (error %v): run the test without it", path, UpdateEnvVar, err)
+	t.Errorf("%s is set, so %s was written instead of compared (error: %v); run the test again without it", UpdateEnvVar, path, err)
 }
 
 // fileContent returns the content of a golden file with the given sections.
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -16,7 +16,8 @@
 	t *testing.T
 }
 
-// expectNoTransition checks that no node has moved the node subject (-1: any node) to a state since the time from.
+// expectNoTransition checks that, since the time from, no node has moved the node subject (-1: any node) to the given
+// state.
 func (c *scenarioRun) expectNoTransition(from micros.Micros, state State, subject int) {
 	c.t.Helper()
 	if seen := c.transitionsTo(from, state, subject); len(seen) > 0 {
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -16,7 +16,7 @@
 		for confirmed := range possible + 1 {
 			got := timeoutForConfirmations(&c, confirmed, possible)
 			if got >= last || confirmed > 1 && last-got > saved {
-				t.Errorf("%d of %d confirmations: timeout %v after %v, want a shorter one, shortened by no more than before", confirmed, possible, got.Duration(), last.Duration())
+				t.Errorf("%d of %d confirmations: timeout %v, %v with one fewer; want a shorter timeout, and a reduction no larger than the one before", confirmed, possible, got.Duration(), last.Duration())
 			}
 			last, saved = got, last-got
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// upcomingTable returns a TOML table of upcoming limits, followed by the header of the cloud table that it replaces.
+// upcomingTable returns a TOML table of upcoming limits and, after it, the header of the cloud table. Tests replace the
+// header of the cloud table by this text.
 func upcomingTable(fields string) string {
 	return "[params.state.next]\n" + fields + "\n[params.cloud]"
 }
--- a/internal/settings/tuning_test.go
+++ b/internal/settings/tuning_test.go
@@ -29,7 +29,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := ParseTuning(strings.NewReader(c.text))
 			if (err == nil) != c.ok {
-				t.Fatalf("got error %v, want success: %v", err, c.ok)
+				t.Fatalf("got error %v, want an error: %v", err, !c.ok)
 			}
 			if strings.Contains(c.text, "<z>2</z>") && c.ok && (got.Z != 2 || got.RecordInterval != 5*micros.Second) {
 				t.Errorf("got %+v, want Z 2 and the default RecordInterval of 5 s", got)
--- a/internal/standby/messages.go
+++ b/internal/standby/messages.go
@@ -5,10 +5,12 @@
 // Version is the version of the messages below. A node sends and answers queries only in its own version.
 const Version = 1
 
-// Bounds of one message, which keep it well below the maximum size of a message between nodes.
+// Bounds of one page, which keep it well below the maximum size of a message between nodes.
 const (
 	maxPageEntries = 4000 // entries, or machines in a page of a snapshot
-	maxPageTasks   = 5000 // tasks of the machines in a page of a snapshot
+	// maxPageTasks is the number of tasks in a page of a snapshot from which no further machine is added to the page.
+	// The tasks of the page's last machine are always in it, so the page may have more.
+	maxPageTasks = 5000
 )
 
 // Query is a follower's request to a leader for the entries after its own position, or for a page of a snapshot.
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -49,8 +49,8 @@
 	return p.view.Position
 }
 
-// HandleQuery returns the answer to a follower's query. The answer to a query of another version has no content except
-// this node's version, token and position.
+// HandleQuery returns the answer to a follower's query. The answer to a query of another version has neither entries
+// nor a snapshot, and its version makes the follower reject it.
 func (p *Publisher) HandleQuery(q *Query) *Page {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -23,8 +23,8 @@
 }
 
 // ProvesAssignments reports whether the view proves to the leader with the given fencing token which tasks may be on
-// machines. It does if the leader of the previous term handed over with the tasks of all machines known, and no other
-// term came in between. Otherwise the view is only a hint.
+// machines. It does if the view is of the term immediately before, and that term's leader handed over while the tasks
+// of all machines were known. Otherwise the view is only a hint.
 func (v *View) ProvesAssignments(token uint64) bool {
 	return v.Handover != nil && v.Handover.Complete && v.FencingToken+1 == token
 }
--- a/internal/wire/encoding_test.go
+++ b/internal/wire/encoding_test.go
@@ -47,7 +47,7 @@
 	}
 	for _, c := range cases {
 		if _, err := ReadBody(strings.NewReader(c.body)); (err == nil) != c.ok {
-			t.Errorf("%s: got error %v, want success %v", c.name, err, c.ok)
+			t.Errorf("%s: got error %v, want an error: %v", c.name, err, !c.ok)
 		}
 	}
 }
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -56,7 +56,7 @@
 				t.Fatal(err)
 			}
 			if _, err := ParseJob(b); (err == nil) != c.ok {
-				t.Errorf("got error %v, want success %v", err, c.ok)
+				t.Errorf("got error %v, want an error: %v", err, !c.ok)
 			}
 		})
 	}
--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -119,7 +119,7 @@
 	return e.Recovered > 0 && float64(e.Recovered) >= (1-c.FullDisruptionShare)*float64(e.Running)
 }
 
-// holdDownAfter returns how long heartbeats must arrive from a zone before it reopens, after the given number of flaps.
+// holdDownAfter returns the duration of the hold-down of a zone with the given number of flaps.
 func (c *Config) holdDownAfter(flaps int) micros.Micros {
 	holdDown := c.InitialHoldDown
 	for i := 1; i < flaps && holdDown < c.MaxHoldDown; i++ {
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -149,7 +149,7 @@
 	return z.enterHeldDown(c, reason, e, now)
 }
 
-// enterHeldDown starts a hold-down, during which heartbeats must arrive before the zone is used again.
+// enterHeldDown starts a hold-down, until the end of which the zone is not used.
 func (z lifecycle) enterHeldDown(c *Config, reason Reason, e Evidence, now micros.Micros) lifecycle {
 	z = z.enter(HeldDown, reason, e, now)
 	z.holdDownUntil = now + c.holdDownAfter(z.flaps)
--- a/internal/zone/lifecycle_policy_test.go
+++ b/internal/zone/lifecycle_policy_test.go
@@ -132,8 +132,8 @@
 	if p.Decide("unknown") != open || exempt.Decide("x") != open || threshold.Decide("x") != (Decision{OpenShare: 1}) {
 		t.Errorf("decisions: unknown zone %+v, exempt zone %+v, want both fully open; ThresholdPolicy %+v, want open share 1 only", p.Decide("unknown"), exempt.Decide("x"), threshold.Decide("x"))
 	}
-	if threshold.EvacuationRank("scan", true) != 0 || threshold.Record(0, 0) != nil || threshold.Status(0) != nil {
-		t.Error("ThresholdPolicy returned an evacuation rank, a record or a status, want none")
+	if rank, r, s := threshold.EvacuationRank("scan", true), threshold.Record(0, 0), threshold.Status(0); rank != 0 || r != nil || s != nil {
+		t.Errorf("ThresholdPolicy: evacuation rank %d, record %+v, status %+v; want 0, nil, nil", rank, r, s)
 	}
 }
 
--- a/internal/zone/record_test.go
+++ b/internal/zone/record_test.go
@@ -43,7 +43,7 @@
 		r.Version++
 		other.Restore(&r, restoredNow, restoredWall)
 		if other.Restore(nil, restoredNow, restoredWall); len(other.zones) > 0 {
-			t.Errorf("%s: record of another version, or nil, was restored, want it ignored", c.name)
+			t.Errorf("%s: restored %+v from a record of another version and a nil record, want nothing", c.name, other.zones)
 		}
 	}
 }
--- a/tests/cluster/cluster_faults_test.go
+++ b/tests/cluster/cluster_faults_test.go
@@ -80,8 +80,8 @@
 	return r.URL.Path == "/watch" && !strings.Contains(r.URL.RawQuery, "wait_ms=0")
 }
 
-// refuseCloud is a fault function that answers every request to the cloud with 503.
-func refuseCloud(_ string, r *http.Request) fake.Fault {
+// refuseAllCloudRequests is a fault function that answers every request to the cloud with 503.
+func refuseAllCloudRequests(_ string, r *http.Request) fake.Fault {
 	if isCloudRequest(r) {
 		return fake.ServiceUnavailable
 	}
--- a/tests/cluster/combined_machine_faults_test.go
+++ b/tests/cluster/combined_machine_faults_test.go
@@ -170,7 +170,7 @@
 	}
 	time.Sleep(time.Duration(leaseDurationS+3) * time.Second)
 	if left := len(c.cloud.TasksOnMachines()); before == 0 || left > 0 {
-		c.t.Errorf("%d tasks on machines before all nodes crashed, want some; %d after a lease without nodes, want none", before, left)
+		c.t.Errorf("%d tasks on machines before all nodes crashed, want at least 1; %d after all nodes were down for longer than a lease, want none", before, left)
 	}
 	for i := range 3 {
 		c.start(i)
--- a/tests/cluster/failover_measurement_test.go
+++ b/tests/cluster/failover_measurement_test.go
@@ -164,8 +164,8 @@
 // oldJobTasks is the number of tasks of a job that continues across failovers.
 const oldJobTasks = 100_000
 
-// newID returns the ID of the next job.
-func (f *failoverMeasurement) newID() string {
+// newJobID returns the ID of the next job.
+func (f *failoverMeasurement) newJobID() string {
 	f.next++
 	return fmt.Sprintf("j-%06d", f.next)
 }
@@ -180,7 +180,7 @@
 // fillMachines submits a job with tasks for all machines, waits until 90% of the machines run one, and returns the
 // job's ID.
 func (f *failoverMeasurement) fillMachines(c *processCluster) string {
-	id := f.newID()
+	id := f.newJobID()
 	c.submitJob(wholeMachineJob(id, oldJobTasks))
 	for startedAt := time.Now(); len(c.cloud.TasksOnMachines()) < f.machines*9/10; time.Sleep(200 * time.Millisecond) {
 		if time.Since(startedAt) > 3*time.Minute {
@@ -196,7 +196,7 @@
 	if c.cloud.StartsOf(oldJob) < oldJobTasks*9/10 {
 		return oldJob
 	}
-	id := f.newID()
+	id := f.newJobID()
 	c.submitJob(wholeMachineJob(id, oldJobTasks))
 	for c.cloud.StartsOf(id) == 0 {
 		time.Sleep(100 * time.Millisecond)
@@ -267,7 +267,7 @@
 	submitting.Go(func() {
 		for n := 0; ; n++ {
 			mu.Lock()
-			id := f.newID()
+			id := f.newJobID()
 			newJobs = append(newJobs, id)
 			mu.Unlock()
 			job := testJob(id, 1)
--- a/tests/cluster/failover_test.go
+++ b/tests/cluster/failover_test.go
@@ -124,11 +124,11 @@
 	return beforeFailover, afterFailover
 }
 
-// machineWriteFault is a fault that affects the writes of keys with a prefix.
+// machineWriteFault is a fault that affects the writes of keys with the given prefix.
 type machineWriteFault struct {
-	name  string
-	key   string // the prefix
-	fault fake.Fault
+	name      string
+	keyPrefix string
+	fault     fake.Fault
 }
 
 // machineWriteFaults lists faults of the writes that contain machine IDs.
@@ -143,7 +143,7 @@
 // affects reports whether the fault applies to a request. The first write of each launch intent, which contains no
 // machine ID yet, is not affected, because without it nothing would be launched.
 func (f machineWriteFault) affects(r *http.Request) bool {
-	return r.URL.Path == "/txn" && bodyContains(r, f.key) && (f.key != "c/b/" || bodyContains(r, "i-0"))
+	return r.URL.Path == "/txn" && bodyContains(r, f.keyPrefix) && (f.keyPrefix != "c/b/" || bodyContains(r, "i-0"))
 }
 
 // TestFailoverWithDelayedMachineWrites checks a failover while the writes that contain the IDs of new machines are
--- a/tests/cluster/gang_failovers_test.go
+++ b/tests/cluster/gang_failovers_test.go
@@ -88,12 +88,12 @@
 // failOverBetweenGangStarts drops all responses to one machine except the first, so that the start command for it is
 // lost. It restarts the leader when the other two tasks wait. The next leader must start the missing task.
 func failOverBetweenGangStarts(c *cluster) {
-	isolated := ""
+	machineID := ""
 	c.setFault(func(from string, _ *http.Request) fake.Fault {
 		// A machine has a fencing token as soon as it has received a response.
 		for _, w := range c.cloud.Workers() {
-			if from == w.ID && w.FencingToken() > 0 && (isolated == "" || isolated == from) {
-				isolated = from
+			if from == w.ID && w.FencingToken() > 0 && (machineID == "" || machineID == from) {
+				machineID = from
 				return fake.DroppedResponse
 			}
 		}
--- a/tests/cluster/invalid_submissions_test.go
+++ b/tests/cluster/invalid_submissions_test.go
@@ -89,13 +89,13 @@
 }{
 	{name: "no fault", inject: func(*cluster) {}},
 	{name: "all nodes have just started, and the cloud is unavailable", inject: restartWithoutCloud},
-	{name: "no node knows the instance types", inject: func(c *cluster) { c.setFault(refuseCloud) }, unknown: true},
+	{name: "no node knows the instance types", inject: func(c *cluster) { c.setFault(refuseAllCloudRequests) }, unknown: true},
 }
 
 // restartWithoutCloud makes the cloud unavailable and restarts all nodes: they know the instance
 // types only from the state service.
 func restartWithoutCloud(c *cluster) {
-	c.setFault(refuseCloud)
+	c.setFault(refuseAllCloudRequests)
 	c.restartNodes(0, 1, 2)
 	time.Sleep(2 * time.Second)
 }
--- a/tests/cluster/random_failovers_test.go
+++ b/tests/cluster/random_failovers_test.go
@@ -116,7 +116,7 @@
 	switch {
 	case err != nil && kind != 6: // rejected: the process ends without a handover, as after HandOverOnShutdown
 		if !errors.Is(err, caperlatch.ErrNotLeading) && !errors.Is(err, leadership.ErrNotReady) {
-			r.t.Errorf("handover: %v, want none or a rejection", err)
+			r.t.Errorf("handover failed: %v; want success, ErrNotLeading or ErrNotReady", err)
 		}
 		r.crash(leader, 100*time.Millisecond)
 	case kind == 7: // the node to which the leader hands over crashes during its failover
--- a/tests/cluster/single_faults_test.go
+++ b/tests/cluster/single_faults_test.go
@@ -60,7 +60,7 @@
 		before := c.cloud.Starts()
 		time.Sleep(15 * time.Second)
 		if after := c.cloud.Starts(); after <= before {
-			t.Errorf("%d starts 15 s after there were %d, want more", after, before)
+			t.Errorf("%d starts 10 s after the start of the outage, %d another 15 s later; want an increase", before, after)
 		}
 		c.state.SetOutage(false)
 		c.awaitStatus("j-000001", wire.JobDone, 3*time.Minute)
