--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -163,7 +163,7 @@
 	d.environment = environment
 	if paused := d.localHealth.tick(now); paused > 0 {
 		for _, m := range d.members {
-			m.excusePause(paused, now)
+			m.excludePause(paused, now)
 		}
 	}
 	for _, name := range d.names {
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -44,7 +44,7 @@
 	{"restarts within a fraction of a second", nil, []scenarioStep{restartRepeatedly, expectNeverEntered(Suspected, -1), expectAllAlive,
 		expectCondition(func(c *scenarioRun) bool { return c.observed[0].Reason == ReasonRestarted }, "the first transition is not a restart")}},
 	{"a failed node restarts with its clock set back", nil, []scenarioStep{advanceTime(2), stopNodes(1), expectFailedWithin(1),
-		func(c *scenarioRun) { c.start(1, 7, false) }, advanceTime(60), expectAllAlive, expectCondition(othersKnowIncarnation, "node 0 knows another incarnation of node 1 than its current one")}},
+		func(c *scenarioRun) { c.start(1, 7, false) }, advanceTime(60), expectAllAlive, expectCondition(node0KnowsIncarnation, "node 0 does not know the current incarnation of node 1")}},
 	{"a node leaves and starts again", nil, []scenarioStep{advanceTime(2), leaveNode(1), advanceTime(1), stopNodes(1), advanceTime(120), expectNeverEntered(Suspected, -1),
 		expectCondition(func(c *scenarioRun) bool { return c.state(0, 1).State == Left }, "node 0 does not have node 1 in state left"), startNode(1, false), expectAllAlive}},
 	{"a node leaves while another cannot reach it", nil, []scenarioStep{advanceTime(2), cutPaths(pathBetween(1, 2, false)), leaveNode(1), advanceTime(1), stopNodes(1), advanceTime(60), expectNeverEntered(Suspected, -1)}},
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -38,8 +38,8 @@
 	return m.heardThrough
 }
 
-// excusePause excludes a pause of this node itself from the member's silence and from the time of its suspicion.
-func (m *member) excusePause(paused, now micros.Micros) {
+// excludePause excludes a pause of this node itself from the member's silence and from the time of its suspicion.
+func (m *member) excludePause(paused, now micros.Micros) {
 	m.lastHeard = min(now, m.lastHeard+paused)
 	m.suspectedAt = min(now, m.suspectedAt+paused)
 }
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -209,8 +209,8 @@
 // detectsOwnIsolation reports whether node 1 knows that it is isolated.
 func detectsOwnIsolation(c *scenarioRun) bool { return c.nodes[1].detector.Status(c.now).Isolated }
 
-// othersKnowIncarnation reports whether node 0 knows the current incarnation of node 1.
-func othersKnowIncarnation(c *scenarioRun) bool {
+// node0KnowsIncarnation reports whether node 0 knows the current incarnation of node 1.
+func node0KnowsIncarnation(c *scenarioRun) bool {
 	return c.state(0, 1).Incarnation == c.nodes[1].detector.incarnation
 }
 
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -138,7 +138,7 @@
 // TasksKnown records that the tasks of all machines are known.
 func (f *Failover) TasksKnown() { f.enterFrom(Adopting, Active) }
 
-// TermEnded records that the node no longer leads.
+// TermEnded records that the node no longer leads or campaigns.
 func (f *Failover) TermEnded() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -30,8 +30,8 @@
 	return &Follower{member: member, rejected: map[string]int{}}
 }
 
-// NextQuery returns the next query to send to the leader with the given fencing token. If the token is higher than that
-// of the view, the follower replaces the view by an empty one of the new term.
+// NextQuery returns the next query to send to the leader with the given fencing token. If the follower has no view, or
+// one with a lower token, it starts with an empty view of the new term.
 func (f *Follower) NextQuery(token uint64) *Query {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestSnapshotInPages guards against snapshot pages that exceed the size of a message. A follower that is further
-// behind than the log reaches fetches a snapshot of 4,100 machines with 100,000 tasks while the leader publishes
-// entries.
+// TestSnapshotInPages guards against snapshot pages that exceed the maximum size of a message. A follower that is
+// further behind than the log reaches fetches a snapshot of 4,100 machines with 100,000 tasks while the leader
+// publishes entries.
 func TestSnapshotInPages(t *testing.T) {
 	const machines, tasks, messageBytes = 4100, 100_000, 1 << 20
 	p, f := NewPublisher(testToken, 1000), NewFollower("host-1")
@@ -209,7 +209,7 @@
 	}
 }
 
-// TestTakeViewOnlyWhenComplete guards against a new leader that trusts an incomplete view. The leader ends while the
+// TestTakeViewOnlyWhenComplete guards against a new leader that trusts an incomplete view. The term ends while the
 // follower lacks the last entry, while it fetches a snapshot, and before its first query: TakeView must return only a
 // complete view, and a view without the handover must prove nothing.
 func TestTakeViewOnlyWhenComplete(t *testing.T) {
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -22,7 +22,7 @@
 	flaps                int           // number of full disruptions that still count
 	normalSince          micros.Micros // when the zone became normal after a full disruption; 0 if it never did
 	holdDownUntil        micros.Micros // when the hold-down may end
-	retainSilentMachines bool          // because the disruption affects a large part of the fleet
+	retainSilentMachines bool          // set if the disruption affects a large part of the fleet
 
 	disruptedSince  micros.Micros // since when the evidence shows a full disruption; 0 if it does not
 	observerAtFault bool          // the fault is more likely the observer's than the zone's
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -24,7 +24,7 @@
 	Normal            State = iota // "healthy": all of the zone's capacity is used
 	PartialDisruption              // "suspected": many machines are late; capacity in other zones is launched ahead
 	FullDisruption                 // "lost": the zone's jobs move to other zones
-	HeldDown                       // "held down": heartbeats arrive again, and must keep arriving for a while before the zone is used
+	HeldDown                       // "held down": enough machines have recovered, or none is left; the zone is not used for a while
 	Reopening                      // "returning": the zone's capacity opens in steps
 )
 
