--- a/tests/cluster/cluster_faults_test.go
+++ b/tests/cluster/cluster_faults_test.go
@@ -58,7 +58,7 @@
 	return c.counts[name]
 }
 
-// everyNthNodeRequest returns a function that applies a fault to every nth matching request that a node sends.
+// everyNthNodeRequest returns a fault function that applies a fault to every nth matching request of the nodes.
 func everyNthNodeRequest(n int, fault fake.Fault, match func(*http.Request) bool) func(string, *http.Request) fake.Fault {
 	count := 0
 	return func(from string, r *http.Request) fake.Fault {
--- a/tests/cluster/combined_faults_test.go
+++ b/tests/cluster/combined_faults_test.go
@@ -36,7 +36,7 @@
 	{"heartbeats of half of the machines dropped, commands delivered, failover", 5, failOverWithHeartbeatsDropped},
 	{"machines hang with commands in flight, failover", 5, failOverWithHangingMachines},
 	{"all nodes down for longer than a lease", 3, stopAllNodesLongerThanLease},
-	{"ten failovers in two minutes, also during an outage", 5, failOverTenTimes},
+	{"ten failovers in two minutes, also during an outage", 5, restartLeaderElevenTimes},
 	{"more work than capacity in several priorities, with high latency", 3, overloadWithHighLatency},
 	{"transactions delayed, heartbeats duplicated, responses dropped, failovers", 5, mixMessageFaultsAcrossFailovers},
 }
@@ -52,7 +52,7 @@
 // delayedWrite is a kind of write to the state service.
 type delayedWrite struct {
 	name string
-	key  string // key that transactions of this kind contain; empty: requests about sessions
+	key  string // key or prefix of the keys in transactions of this kind; empty: requests about sessions
 }
 
 // matches reports whether a request is a write of this kind.
--- a/tests/cluster/combined_state_faults_test.go
+++ b/tests/cluster/combined_state_faults_test.go
@@ -97,9 +97,9 @@
 	time.Sleep(30 * time.Second)
 }
 
-// failOverTenTimes restarts the leader every 9 s, eleven times. Two of the restarts and the cancellations occur during
-// an outage of the state service. At least nine failovers must have occurred.
-func failOverTenTimes(c *cluster, cancel func()) {
+// restartLeaderElevenTimes restarts the leader every 9 s, eleven times. Two of the restarts and the cancellations occur
+// during an outage of the state service. At least nine failovers must have occurred.
+func restartLeaderElevenTimes(c *cluster, cancel func()) {
 	time.Sleep(6 * time.Second)
 	first := c.fencingToken()
 	for n := range 11 {
--- a/tests/cluster/failover_guards_test.go
+++ b/tests/cluster/failover_guards_test.go
@@ -20,21 +20,21 @@
 
 // storedMachines returns the IDs of the machines in the stored values of the keys with a prefix.
 func (c *cluster) storedMachines(prefix string) map[string]bool {
-	names := map[string]bool{}
+	ids := map[string]bool{}
 	for _, e := range c.state.Entries(prefix) {
 		var value struct {
 			Listed   []string `json:"m"`        // of a machine list
 			Launched []string `json:"machines"` // of a launch intent
 		}
-		if wire.Unmarshal(e.Value, &value) != nil {
-			c.t.Fatalf("stored value of %s cannot be decoded", e.Key)
+		if err := wire.Unmarshal(e.Value, &value); err != nil {
+			c.t.Fatalf("decode the stored value of %s: %v", e.Key, err)
 		}
 		for _, entry := range append(value.Listed, value.Launched...) {
 			id, _, _ := strings.Cut(entry, " ")
-			names[id] = true
+			ids[id] = true
 		}
 	}
-	return names
+	return ids
 }
 
 // machinesWithoutIntent returns the number of machines that are in a stored machine list, but in no stored launch
@@ -101,13 +101,13 @@
 // leader sends it again in parts.
 func failIntentUpdates(fault fake.TxnFault) func(fake.Transaction) fake.TxnFault {
 	return func(x fake.Transaction) fake.TxnFault {
-		namesMachines := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
+		addsMachineIDs := slices.ContainsFunc(x.Compares, func(k wire.Compare) bool {
 			return strings.HasPrefix(k.Key, replica.LaunchIntentPrefix) && k.ModRevision != 0
 		})
 		switch {
-		case namesMachines && len(x.Keys) > 1:
+		case addsMachineIDs && len(x.Keys) > 1:
 			return fake.TxnTooLarge
-		case namesMachines:
+		case addsMachineIDs:
 			return fault
 		}
 		return fake.TxnNoFault
@@ -164,8 +164,8 @@
 // these two in different pages.
 func (c *cluster) storeJobsBetweenPages() {
 	c.t.Helper()
-	const between = 45
-	for n := range between {
+	const jobCount = 45
+	for n := range jobCount {
 		id := fmt.Sprintf("j-%06d", n+1)
 		c.submit(id, 1)
 		c.cancelJob(id, 0)
@@ -218,15 +218,15 @@
 	return &oldLeaderRun{cluster: c, first: c.leader(), token: c.fencingToken(), machineIDs: machineIDs}
 }
 
-// isFirst reports whether a host is the address of the first leader for users and workers.
-func (r *oldLeaderRun) isFirst(host string) bool { return host == memberName(r.first)+":8080" }
+// isFirstLeader reports whether a host is the address of the first leader for users and workers.
+func (r *oldLeaderRun) isFirstLeader(host string) bool { return host == memberName(r.first)+":8080" }
 
 // isMisdirected reports whether a request is from a machine to a node that the machine may not reach. Machines that
 // follow the next leader may not reach the old one, which would learn the next leader's fencing token from their
 // heartbeats.
 func (r *oldLeaderRun) isMisdirected(from string, q *http.Request) bool {
 	machine := machineOf(from)
-	return machine != "" && r.machineIDs[machine] != r.isFirst(q.URL.Host)
+	return machine != "" && r.machineIDs[machine] != r.isFirstLeader(q.URL.Host)
 }
 
 // isFromOthersToMachine reports whether a request is from any sender except the first leader to a machine that may
@@ -309,18 +309,18 @@
 	switch {
 	case isFromNode(from, r.first) && isOpenWatch(q):
 		return fake.DroppedRequest
-	case r.machineIDs[machineOf(from)] && !r.isFirst(q.URL.Host):
+	case r.machineIDs[machineOf(from)] && !r.isFirstLeader(q.URL.Host):
 		return fake.ServiceUnavailable
 	}
 	return fake.NoFault
 }
 
 // sessionEndFaults returns a fault function that drops the requests of the first leader to the state service, so that
-// its session ends. If changes is set, its watches are not dropped, and it still receives changes.
-func (r *oldLeaderRun) sessionEndFaults(changes bool) func(string, *http.Request) fake.Fault {
+// its session ends. If deliverChanges is set, its watches are not dropped, so it still receives changes.
+func (r *oldLeaderRun) sessionEndFaults(deliverChanges bool) func(string, *http.Request) fake.Fault {
 	return func(from string, q *http.Request) fake.Fault {
 		switch {
-		case isStateRequest(q) && isFromNode(from, r.first) && (!changes || q.URL.Path != "/watch"):
+		case isStateRequest(q) && isFromNode(from, r.first) && (!deliverChanges || q.URL.Path != "/watch"):
 			return fake.DroppedRequest
 		case isStateRequest(q) && isFromNode(from, r.first):
 			r.events.add("changes")
@@ -328,7 +328,7 @@
 			return fake.ServiceUnavailable
 		case r.isMisdirected(from, q):
 			return fake.ServiceUnavailable
-		case changes && r.machineIDs[machineOf(from)]:
+		case deliverChanges && r.machineIDs[machineOf(from)]:
 			r.events.add("heartbeat to the old leader")
 		case r.isFromOthersToMachine(from, q):
 			return fake.DroppedRequest
@@ -382,7 +382,8 @@
 	}
 }
 
-// submitToOthers submits a job to the nodes other than the first leader, in turn, until it is accepted.
+// submitToOthers submits a job to the nodes other than the first leader, in turn, until it is accepted or 20 attempts
+// have failed.
 func (r *oldLeaderRun) submitToOthers(job map[string]any) {
 	for try := range 20 {
 		if r.trySubmit((r.first+1+try%2)%3, job) {
--- a/tests/cluster/failover_measurement_costs_test.go
+++ b/tests/cluster/failover_measurement_costs_test.go
@@ -18,7 +18,7 @@
 	mode       failover.Mode
 	leads      bool
 	cpuShare   float64 // of a core
-	residentMB float64 // resident
+	residentMB float64 // resident set size
 	lagEntries uint64
 	lag        micros.Micros // failover.Missing: the node does not follow the leader
 }
--- a/tests/cluster/failover_measurement_test.go
+++ b/tests/cluster/failover_measurement_test.go
@@ -93,7 +93,7 @@
 	program  string
 	machines int
 	random   *rand.Rand
-	next     int // number of the next job
+	lastJob  int // number of the last job that got an ID; 0 if none did
 	costs    []nodeCost
 }
 
@@ -166,8 +166,8 @@
 
 // newJobID returns the ID of the next job.
 func (f *failoverMeasurement) newJobID() string {
-	f.next++
-	return fmt.Sprintf("j-%06d", f.next)
+	f.lastJob++
+	return fmt.Sprintf("j-%06d", f.lastJob)
 }
 
 // wholeMachineJob returns a job whose tasks are so large that each machine has room for one.
--- a/tests/cluster/failover_stale_messages_test.go
+++ b/tests/cluster/failover_stale_messages_test.go
@@ -62,7 +62,8 @@
 				// Stale heartbeats get no response once newer ones have arrived, so responses are required only if the
 				// machines are isolated.
 				if len(stale) == 0 || tc.isolated && accepted == 0 || ran != 8 || tc.isolated && dropped.count("dropped") == 0 || c.leader() == leader {
-					t.Errorf("%d stale heartbeats, %d responses to them, %d tasks ran (want 8), %d messages dropped, or the leader did not change", len(stale), accepted, ran, dropped.count("dropped"))
+					t.Errorf("%d stale heartbeats (want some), %d tasks ran (want 8), next leader %d (want other than %d), %d responses to stale heartbeats and %d dropped messages (want some of both if the machines are isolated: %v)",
+						len(stale), ran, c.leader(), leader, accepted, dropped.count("dropped"), tc.isolated)
 				}
 				c.start(leader)
 				c.awaitStatus("j-000001", wire.JobDone, 4*time.Minute)
@@ -125,7 +126,7 @@
 			c.setFault(c.countElectionAttempts(before, &events, refuseTerminations))
 			c.awaitLeaderAfter(before)
 			if events.count("attempt to lead") == 0 || events.count("no start delayed") > 0 || events.count("task ran") > 0 {
-				t.Errorf("%d responses with starts were delayed; events when nodes tried to lead: %v, want only attempts to lead", c.net.DelayedStartResponses(), events.counts)
+				t.Errorf("%d responses with starts were delayed; counts over the attempts to lead: %v, want at least one attempt, and none without a delayed start or with a running task", c.net.DelayedStartResponses(), events.counts)
 			}
 			time.Sleep(5 * time.Second)
 			c.setFault(nil)
--- a/tests/cluster/fault_run_test.go
+++ b/tests/cluster/fault_run_test.go
@@ -98,8 +98,8 @@
 		}
 		time.Sleep(time.Duration(cancellationTimeoutS) * time.Second)
 		c.checkJobsKnown(run.ids)
-		for _, rule := range c.rules.Violations() {
-			t.Error(rule)
+		for _, violation := range c.rules.Violations() {
+			t.Error(violation)
 		}
 	})
 }
--- a/tests/cluster/five_node_faults_test.go
+++ b/tests/cluster/five_node_faults_test.go
@@ -44,7 +44,8 @@
 }
 
 // restartNodesDuringElections restarts the leader and a follower, and then two other followers during the election. It
-// does so six times. A restarted node must still abstain as its earlier incarnation did, whose session has not ended.
+// does so six times. A restarted node must still abstain if its earlier incarnation, whose session has not ended,
+// agreed to.
 func restartNodesDuringElections(c *cluster) {
 	time.Sleep(2 * time.Second)
 	for range 6 {
@@ -122,15 +123,15 @@
 // machine appears healthy, but its lease expires. Its tasks must run on other machines during the fault.
 func dropMessagesToMachine(c *cluster) {
 	time.Sleep(3 * time.Second)
-	isolated := ""
+	machineID := ""
 	if workers := c.cloud.Workers(); len(workers) > 0 {
-		isolated = workers[0].ID
+		machineID = workers[0].ID
 	}
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		switch {
-		case from == isolated && isHeartbeat(r):
+		case from == machineID && isHeartbeat(r):
 			return fake.DroppedResponse
-		case strings.HasPrefix(r.URL.Host, isolated+":"):
+		case strings.HasPrefix(r.URL.Host, machineID+":"):
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
--- a/tests/cluster/gang_combined_faults_test.go
+++ b/tests/cluster/gang_combined_faults_test.go
@@ -113,8 +113,8 @@
 	})
 }
 
-// prepareGangs brings the gangs into the states in which the faults affect them. All gangs but the first run, the first
-// waits for a machine that hangs, and a machine of the third has an interruption notice.
+// prepareGangs brings the gangs into the states in which the faults affect them. The first gang waits for a machine
+// that hangs, the others run, and a machine of the third has an interruption notice.
 func (c *cluster) prepareGangs() {
 	for _, id := range faultGangs[1:] {
 		c.submitJob(gangJob(id, 3, 3, nil))
@@ -142,7 +142,8 @@
 	c.t.Errorf("cancellation of %s was not confirmed in 200 attempts", id)
 }
 
-// awaitCheckpointing waits up to 5 s until tasks of a gang checkpoint, and counts that event once.
+// awaitCheckpointing waits up to 5 s until tasks of a gang checkpoint, and counts that event. If the event has been
+// counted before, it returns at once.
 func (c *cluster) awaitCheckpointing(id string, events *counter) {
 	for i := 0; i < 100 && events.count(eventGangStopping) == 0; i++ {
 		if c.taskStateCounts(id)[wire.TaskCheckpointing] > 0 {
--- a/tests/cluster/gang_contention_test.go
+++ b/tests/cluster/gang_contention_test.go
@@ -34,8 +34,8 @@
 				c.cloud.RuntimeOf = func(string) float64 { return 20 }
 				time.Sleep(5 * time.Second)
 				tc.run(c)
-				for _, rule := range c.rules.Violations() {
-					t.Error(rule)
+				for _, violation := range c.rules.Violations() {
+					t.Error(violation)
 				}
 			})
 		})
--- a/tests/cluster/gang_faults_test.go
+++ b/tests/cluster/gang_faults_test.go
@@ -105,8 +105,8 @@
 		if left := c.cloud.TasksOnMachines(); len(left) > 0 {
 			t.Errorf("tasks %v are still on machines 5 s after the gang is done", left)
 		}
-		for _, rule := range c.rules.Violations() {
-			t.Error(rule)
+		for _, violation := range c.rules.Violations() {
+			t.Error(violation)
 		}
 	})
 }
@@ -184,7 +184,8 @@
 	time.Sleep(12 * time.Second)
 }
 
-// isolateEveryTenthMachine isolates the machines whose IDs end in 1 for 15 s, which is longer than a lease.
+// isolateEveryTenthMachine isolates the machines whose IDs end in 1 for 15 s, which is longer than a lease. It also drops
+// the requests of nodes in their first incarnation, because the names of these senders end in 1 as well.
 func isolateEveryTenthMachine(c *cluster) {
 	c.awaitGangRunning(testGang, 4)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
