--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -16,7 +16,8 @@
 	t *testing.T
 }
 
-// expectNoTransition checks that no node has moved the node subject (-1: any node) to a state since the time from.
+// expectNoTransition checks that, since the time from, no node has moved the node subject (-1: any node) to the given
+// state.
 func (c *scenarioRun) expectNoTransition(from micros.Micros, state State, subject int) {
 	c.t.Helper()
 	if seen := c.transitionsTo(from, state, subject); len(seen) > 0 {
@@ -208,8 +209,8 @@
 // detectsOwnIsolation reports whether node 1 knows that it is isolated.
 func detectsOwnIsolation(c *scenarioRun) bool { return c.nodes[1].detector.Status(c.now).Isolated }
 
-// othersKnowIncarnation reports whether node 0 knows the current incarnation of node 1.
-func othersKnowIncarnation(c *scenarioRun) bool {
+// node0KnowsIncarnation reports whether node 0 knows the current incarnation of node 1.
+func node0KnowsIncarnation(c *scenarioRun) bool {
 	return c.state(0, 1).Incarnation == c.nodes[1].detector.incarnation
 }
 
