--- a/handover.go
+++ b/handover.go
@@ -13,7 +13,7 @@
 	"caperlatch/internal/standby"
 )
 
-// Delays by which a node lets other members campaign first.
+// Delays and limits that let the member that should lead next campaign first.
 const (
 	// namedSuccessorDelay is how long the members that a handover does not name as successor wait before they campaign.
 	namedSuccessorDelay = 700 * micros.Millisecond
@@ -24,7 +24,7 @@
 	// upToDatePeerDelay is how long a node waits for each peer whose view is more than minUpToDateLead ahead of its own.
 	upToDatePeerDelay = 100 * micros.Millisecond
 	minUpToDateLead   = 1000 // entries; more than a leader publishes between two queries
-	// maxUpToDatePeerDelay bounds the sum of these delays.
+	// maxUpToDatePeerDelay is the maximum total wait for such peers.
 	maxUpToDatePeerDelay = 300 * micros.Millisecond
 	// ownHandoverDelay is how long a node that has handed over does not campaign again.
 	ownHandoverDelay = 2 * micros.Second
@@ -151,7 +151,7 @@
 	before := h.setHandedOverAt(micros.Now())
 	to, err = localLeader.HandOver(h.timeout)
 	if err != nil {
-		h.setHandedOverAt(before) // keeps the time of the earlier handover if that is still in progress
+		h.setHandedOverAt(before) // this handover failed, perhaps because an earlier one is still in progress
 		return "", err
 	}
 	h.leadership.setExpectsChange(true)
@@ -167,7 +167,7 @@
 		return "", err
 	}
 	next := h.awaitNextLeader(ctx, token)
-	slog.Info("handover confirmed", "to", to, "leader", next)
+	slog.Info("wait for the next leader after a handover ended", "to", to, "leader", next)
 	if to == "" || next != to {
 		return "", &api.HandoverError{Target: to, Leader: next}
 	}
--- a/internal/leader/boots_test.go
+++ b/internal/leader/boots_test.go
@@ -8,8 +8,8 @@
 	"caperlatch/internal/micros"
 )
 
-// TestLateBoots checks what happens to machines that boot late or never. A machine that is late while others are not
-// counts as overdue, so it is replaced, and is terminated in the end. If most machines are late, they are not replaced:
+// TestLateBoots checks what happens to machines that boot late or never. If only a few machines are late, they count as
+// overdue: they are replaced, and are terminated in the end. If most machines are late, they are not replaced:
 // the replacements would be a second fleet beside the first. The test uses superviseMachines, which also terminates the
 // machines that did not boot.
 func TestLateBoots(t *testing.T) {
--- a/internal/leader/delivery_test.go
+++ b/internal/leader/delivery_test.go
@@ -7,8 +7,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestLostResponses guards against a machine that sends heartbeats but receives no responses being considered healthy
-// and given tasks forever. Its starts are paused, and it is terminated in the end.
+// TestLostResponses checks that a machine that sends heartbeats but receives no responses is not considered healthy.
+// Otherwise, it would be given tasks forever. Its starts are paused, and it is terminated in the end.
 func TestLostResponses(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -232,11 +232,11 @@
 			j := l.jobs["j-000001"]
 			tc.edit(j)
 			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.withoutStandby {
-				t.Errorf("waits without the standby: %v, want %v", got, tc.withoutStandby)
+				t.Errorf("without the standby, the job must wait for reconciliation: %v, want %v", got, tc.withoutStandby)
 			}
 			l.Followers = &fakeFollowers{}
 			if got := l.mustAwaitReconciliation(j, l.findMachinesWithUnknownTasks()); got != tc.withStandby {
-				t.Errorf("waits with the standby: %v, want %v", got, tc.withStandby)
+				t.Errorf("with the standby, the job must wait for reconciliation: %v, want %v", got, tc.withStandby)
 			}
 		})
 	}
--- a/internal/leader/gang_plan_test.go
+++ b/internal/leader/gang_plan_test.go
@@ -19,11 +19,11 @@
 	l := newGangTest(t, false)
 	setTermStart(l, l.startedAt-100*s)
 	now := micros.Now()
-	small := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
+	shortJob := state.NewJob(replica.Job{Spec: &wire.Job{ID: "j-000003", Team: "blue", Tasks: 40, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true, Priority: "normal"}}, false)
 	for _, m := range l.fleet.Sorted {
 		for range 4 {
-			task, _ := small.TakeWaitingTask()
-			l.assign(&state.Attempt{Job: small, Index: task, Number: 1, Machine: m, StartSequence: 1, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
+			task, _ := shortJob.TakeWaitingTask()
+			l.assign(&state.Attempt{Job: shortJob, Index: task, Number: 1, Machine: m, StartSequence: 1, StartedAt: now, RunningSince: now, ReportedState: wire.TaskRunning})
 		}
 	}
 	reserved := func() (n int) {
@@ -43,8 +43,8 @@
 		l.release(a, "")
 		break
 	}
-	l.jobs[small.Spec.ID] = small
-	if small.Spec.Priority = "normal"; len(gangHeartbeat(t, l, "i-1")) != 0 {
+	l.jobs[shortJob.Spec.ID] = shortJob
+	if shortJob.Spec.Priority = "normal"; len(gangHeartbeat(t, l, "i-1")) != 0 {
 		t.Error("another job got the resources of a reserved machine")
 	}
 	m.Reservation.ExpiresAt = micros.Now()
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -56,13 +56,13 @@
 }
 
 // TestGangEvictedOnInterruption checks what an interruption notice for a machine with a task of a gang stops. All tasks
-// of a running gang are stopped, with time to save a checkpoint. Of a waiting gang, only that task is stopped. The gang
-// may already run before a heartbeat shows it, so that task gets time to save a checkpoint too: if it were stopped at
-// once, the gang would lose its work since its last checkpoint.
+// of a running gang are stopped, with time to save a checkpoint; a running gang without checkpoints is not stopped. Of a
+// waiting gang, only that task is stopped. The gang may already run before a heartbeat shows it, so that task gets time
+// to save a checkpoint too: if it were stopped at once, the gang would lose its work since its last checkpoint.
 func TestGangEvictedOnInterruption(t *testing.T) {
 	cases := []struct {
 		name                string
-		states              []string // of the three tasks in heartbeats; empty: no heartbeat has listed the task; nil: no start was sent to i-2
+		states              []string // of the three tasks in heartbeats, "" for a task that none has listed; nil if no start was sent to i-2
 		checkpointIntervalS float64
 		stops               int // tasks that are stopping
 	}{
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -38,8 +38,8 @@
 	Revision uint64 `json:"revision"`
 	// ReadThrough is the revision of the read barrier that was started after the transaction.
 	ReadThrough uint64 `json:"read_through"`
-	// HandedOver is set when the previous leader announced that it had stopped, and its view proves which tasks
-	// machines may hold.
+	// HandedOver is set if the previous leader has handed over, and this node's view of that leader's term proves which
+	// tasks may be on machines.
 	HandedOver bool `json:"handed_over"`
 }
 
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -147,8 +147,8 @@
 // rejectionKinds lists the errors that are counted separately.
 var rejectionKinds = []error{ErrMalformed, ErrVersion, ErrTerm, ErrGap}
 
-// countRejected counts a rejected page by the text of the error in rejectionKinds that it wraps, and logs the first page
-// of each kind.
+// countRejected counts a page that was rejected with err. Its kind is the text of the error in rejectionKinds that err
+// wraps. Only the first page of each kind is logged.
 func (f *Follower) countRejected(err error) {
 	kind := "other"
 	for _, k := range rejectionKinds {
--- a/internal/standby/messages.go
+++ b/internal/standby/messages.go
@@ -29,8 +29,8 @@
 	Version        int    `json:"version"`
 	FencingToken   uint64 `json:"token"`  // of the publisher's term
 	LatestPosition uint64 `json:"latest"` // of the newest entry
-	// Entries are the entries after the position AfterPosition. If the log no longer reaches back to that position,
-	// Entries is empty and Compacted is set.
+	// Entries are the entries after the position AfterPosition. Compacted is set instead if the leader cannot send them,
+	// because its log no longer reaches back to that position, or the follower's view is not of the leader's term.
 	AfterPosition uint64        `json:"from"`
 	Entries       []Entry       `json:"entries,omitempty"`
 	Compacted     bool          `json:"compacted,omitempty"`
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -47,7 +47,7 @@
 	return m
 }
 
-// apply applies the entry that follows the view's position. The caller must have checked the entry.
+// apply applies the entry that follows the view's position. An entry from another node must have passed Entry.check.
 func (v *View) apply(e *Entry) {
 	v.Position++
 	switch {
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -19,7 +19,7 @@
 	reason               Reason
 	since                micros.Micros // when the state or step began
 	step                 int           // of Reopening, from 0
-	flaps                int           // number of full disruptions that still count
+	flaps                int           // number of full disruptions that have not expired; it sets the hold-down
 	normalSince          micros.Micros // when the zone became normal after a full disruption; 0 if it never did
 	holdDownUntil        micros.Micros // when the hold-down may end
 	retainSilentMachines bool          // set if the disruption affects a large part of the fleet
--- a/internal/zone/lifecycle_policy.go
+++ b/internal/zone/lifecycle_policy.go
@@ -79,8 +79,8 @@
 	return slices.Compact(all)
 }
 
-// minLaunchShare is the open share at which machines are again launched in a reopening zone. At a lower share, machines
-// of a zone that flaps would be replaced twice: in another zone, and in the zone itself.
+// minLaunchShare is the lowest open share at which machines are launched without a limit in a reopening zone. Launches at
+// a lower share would replace the machines of a zone that flaps twice: in another zone, and in the zone itself.
 const minLaunchShare = 0.5
 
 // Decide implements Policy.
--- a/internal/zone/lifecycle_policy_test.go
+++ b/internal/zone/lifecycle_policy_test.go
@@ -56,8 +56,8 @@
 			replaced += p.Decide(s.Zone).ReplacementShare
 		}
 		if disrupted != c.wantDisrupted || (replaced > 0) != (c.wantDisrupted > 0) {
-			t.Errorf("%s: %d zones fully disrupted, replacement shares add up to %v; want %d zones, and a share above 0 only if there are any",
-				c.name, disrupted, replaced, c.wantDisrupted)
+			t.Errorf("%s: %d zones fully disrupted, sum of replacement shares %v; want %d zones, sum above 0: %v",
+				c.name, disrupted, replaced, c.wantDisrupted, c.wantDisrupted > 0)
 		}
 	}
 }
--- a/leadership.go
+++ b/leadership.go
@@ -60,8 +60,8 @@
 	l.replica.SetLowLatency(l.leader != nil || l.expectsChange)
 }
 
-// respondToEncoded returns the encoded response of this node's leader to an encoded heartbeat.
-func (l *localLeadership) respondToEncoded(encoded wire.RawMessage) (wire.RawMessage, error) {
+// respondToEncodedHeartbeat returns the encoded response of this node's leader to an encoded heartbeat.
+func (l *localLeadership) respondToEncodedHeartbeat(encoded wire.RawMessage) (wire.RawMessage, error) {
 	localLeader := l.localLeader()
 	if localLeader == nil {
 		return nil, leader.ErrCannotRespond
--- a/node.go
+++ b/node.go
@@ -166,7 +166,7 @@
 		peers:            n.peers,
 		replica:          n.replica,
 		expectsSuccessor: n.standby.expectsSuccessor,
-		respondLocally:   n.leadership.respondToEncoded,
+		respondLocally:   n.leadership.respondToEncodedHeartbeat,
 	}
 }
 
--- a/peers.go
+++ b/peers.go
@@ -98,7 +98,7 @@
 
 // HandleForwardedHeartbeat returns the response of this node's leader to a worker's heartbeat.
 func (h *peerHandler) HandleForwardedHeartbeat(heartbeat wire.RawMessage) (wire.RawMessage, error) {
-	return h.leadership.respondToEncoded(heartbeat)
+	return h.leadership.respondToEncodedHeartbeat(heartbeat)
 }
 
 // HandleExplain returns the explanation of a job by this node's leader.
--- a/standby.go
+++ b/standby.go
@@ -33,9 +33,9 @@
 	follower   *standby.Follower
 	failover   *standby.Failover
 
-	mu             sync.Mutex
-	publisher      *standby.Publisher      // of the current term, nil while this node does not lead
-	otherFollowers []standby.FollowerState // as the leader last listed them
+	mu              sync.Mutex
+	publisher       *standby.Publisher      // of the current term, nil while this node does not lead
+	listedFollowers []standby.FollowerState // as the leader last listed them
 }
 
 // run keeps this node's view of the leader's state up to date until ctx ends.
@@ -74,7 +74,7 @@
 		return false // ApplyPage has logged the error
 	}
 	a.mu.Lock()
-	a.otherFollowers = page.Followers
+	a.listedFollowers = page.Followers
 	a.mu.Unlock()
 	if _, handed := a.follower.HandedOverTo(); handed {
 		a.leadership.setExpectsChange(true) // the next term begins very soon
@@ -110,7 +110,7 @@
 func (a *standbyAgent) followers() []standby.FollowerState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.otherFollowers
+	return a.listedFollowers
 }
 
 // beginTerm configures a term's leader to publish its decisions and to continue from the previous term's view.
@@ -122,7 +122,7 @@
 	a.failover.TermWon(t.FencingToken, t.LeaderKeyRevision, config.PreviousTerm != nil)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.publisher, a.otherFollowers = publisher, nil
+	a.publisher, a.listedFollowers = publisher, nil
 }
 
 // endTerm records that this node no longer leads.
