--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -31,7 +31,7 @@
 	{"a path cut one way", nil, []scenarioStep{cutPaths(pathBetween(1, 2, true)), advanceTime(300), expectNeverEntered(Suspected, -1)}},
 	{"a path cut, and no third node", nil, []scenarioStep{stopNodes(2, 3, 4), advanceTime(20), cutPaths(pathBetween(0, 1, false)), advanceTime(60), expectNeverEntered(Failed, 0),
 		expectCondition(func(c *scenarioRun) bool { return c.state(1, 0).FailureWithheld && c.state(0, 1).State == Failed },
-			"a leader whose session is alive is declared failed, or does not declare failed a node that it cannot reach"), healPaths, expectAllAlive}},
+			"node 1 does not withhold the failure of the leader, whose session is alive, or the leader did not declare node 1 failed"), healPaths, expectAllAlive}},
 	{"an isolated node", nil, []scenarioStep{func(c *scenarioRun) { c.nodes[1].withoutStateService = true }, cutPaths(allPathsOf(1)), expectFailedWithin(1), advanceTime(60),
 		expectOthersNeverEntered(Failed), expectCondition(detectsOwnIsolation, "node 1 does not know that it is isolated"),
 		func(c *scenarioRun) { c.nodes[1].withoutStateService = false }, healPaths, expectAllAlive}},
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -62,8 +62,8 @@
 	Phases   []PhaseTime `json:"phases"`
 }
 
-// Failover tracks the phases of a node's failovers. The caller reports events to its methods, each of which enters a
-// phase only from a phase that may precede it. It is safe for concurrent use.
+// Failover tracks the phases of a node's failovers. The caller reports events to its methods. Except for TermWon, each of
+// them enters a phase only from a phase that may precede it. It is safe for concurrent use.
 type Failover struct {
 	mu         sync.Mutex
 	phase      Phase
@@ -122,8 +122,8 @@
 }
 
 // StateRead records that the node has read everything that earlier terms stored up to the revision readThrough, and
-// whether the previous leader handed over with proof. It reports whether the evidence is sufficient for the node to make
-// decisions. If it is not, the phase does not change.
+// whether the previous leader handed over with proof. It reports whether the node was in the phase Confirming, and the
+// evidence is sufficient for the node to make decisions. Otherwise the phase does not change.
 func (f *Failover) StateRead(readThrough uint64, handedOver bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -42,7 +42,7 @@
 					t.Fatalf("%s: phase %v, want %v", s.name, got, s.want)
 				}
 				if can := failover.Phase().CanDecide(); can != (s.want == Adopting || s.want == Active) {
-					t.Errorf("%s: CanDecide() = %v in phase %v", s.name, can, s.want)
+					t.Errorf("%s: CanDecide() = %v in phase %v, want %v", s.name, can, s.want, !can)
 				}
 			}
 		})
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -194,7 +194,7 @@
 			page := transmit(t, p.HandleQuery(f.NextQuery(testToken)))
 			tc.corrupt(page)
 			if err := f.ApplyPage(page, micros.Now()); !errors.Is(err, tc.want) {
-				t.Fatalf("error %v, want %v", err, tc.want)
+				t.Fatalf("ApplyPage() returned error %v, want %v", err, tc.want)
 			}
 			progress := f.Progress()
 			if progress.Rejected[tc.want.Error()] != 1 {
--- a/internal/zone/golden_test.go
+++ b/internal/zone/golden_test.go
@@ -25,8 +25,8 @@
 // the encoding.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestWords guards against changes of the words and numbers that are stored or shown to operators.
-func TestWords(t *testing.T) {
+// TestStatesAndReasons guards against changes of the texts and numbers that are stored or shown to operators.
+func TestStatesAndReasons(t *testing.T) {
 	var states []string
 	for s := Normal; s <= Reopening+1; s++ {
 		states = append(states, s.String())
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -35,7 +35,8 @@
 // counters returns the fields of the evidence that only grow.
 func (e Evidence) counters() counters { return counters{e.Relapses, e.StartsSent, e.StartsSeen} }
 
-// next returns the lifecycle after one observation. It is the only transition function.
+// next returns the lifecycle after one observation. All transitions go through it, except that Observe resets the
+// lifecycle of an exempt zone.
 func (z lifecycle) next(c *Config, e Evidence, observerAtFault bool, now micros.Micros) lifecycle {
 	z.observerAtFault = observerAtFault
 	z = z.trackFullDisruption(c, e, now)
--- a/internal/zone/lifecycle_policy.go
+++ b/internal/zone/lifecycle_policy.go
@@ -62,7 +62,7 @@
 }
 
 // hasNormalZone reports whether there is a zone that is neither fully disrupted, nor held down, nor reopening, and whose
-// evidence does not look disrupted. A zone with too few machines for evidence of a disruption counts as well.
+// share of machines that are not ready is too low for a partial disruption. A single running machine is enough.
 func (p *LifecyclePolicy) hasNormalZone() bool {
 	for name, e := range p.evidence {
 		if e.Running > 0 && !p.zones[name].state.isEvacuating() && float64(e.notReady()) <= p.config.PartialDisruptionShare*float64(e.Running) {
@@ -79,8 +79,8 @@
 	return slices.Compact(all)
 }
 
-// minLaunchShare is the lowest open share at which machines are launched without a limit in a reopening zone. Launches at
-// a lower share would replace the machines of a zone that flaps twice: in another zone, and in the zone itself.
+// minLaunchShare is the lowest open share at which machines are launched without a limit in a reopening zone. At a
+// lower share, a flapping zone's machines would be replaced twice: in another zone, and in the zone itself.
 const minLaunchShare = 0.5
 
 // Decide implements Policy.
--- a/internal/zone/status.go
+++ b/internal/zone/status.go
@@ -15,7 +15,8 @@
 	Work      WorkStatus `json:"work"`
 }
 
-// WorkStatus counts, in tasks by class, what happened to a zone's tasks in this term.
+// WorkStatus describes what happened to a zone's tasks in this term, in numbers of tasks by class, and which of the zone's
+// machines are not fully used now.
 type WorkStatus struct {
 	Displaced map[string]int `json:"displaced,omitempty"` // tasks lost with the zone
 	Moved     map[string]int `json:"moved,omitempty"`     // displaced tasks that were started in another zone
--- a/internal/zone/threshold_policy.go
+++ b/internal/zone/threshold_policy.go
@@ -3,7 +3,8 @@
 import "caperlatch/internal/micros"
 
 const (
-	// minCutOffMachines is the minimum number of machines that must be cut off, because fewer are no evidence.
+	// minCutOffMachines is the minimum number of cut-off machines in a zone that is cut off, and in the fleet in a mass
+	// outage. Fewer are no evidence.
 	minCutOffMachines = 3
 	// cutOffDivisor sets the share 1/cutOffDivisor of cut-off machines above which a zone is cut off.
 	cutOffDivisor = 2
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -24,7 +24,7 @@
 	Normal            State = iota // "healthy": all of the zone's capacity is used
 	PartialDisruption              // "suspected": many machines are late; capacity in other zones is launched ahead
 	FullDisruption                 // "lost": the zone's jobs move to other zones
-	HeldDown                       // "held down": enough machines have recovered, or none is left; the zone is not used for a while
+	HeldDown                       // "held down": the zone is not used for a while, after enough machines have recovered, none is left, or reopening has failed
 	Reopening                      // "returning": the zone's capacity opens in steps
 )
 
@@ -97,7 +97,7 @@
 type Decision struct {
 	MaxMachines          int     // maximum number of machines being launched, booting or running; see Unlimited
 	Reachable            bool    // commands can be expected to arrive at the machines
-	RetainSilentMachines bool    // silent machines are retained until their leases expire, and for as long again
+	RetainSilentMachines bool    // silent machines are retained until one lease duration after their leases have expired
 	OpenShare            float64 // share of the zone's machines that may start tasks which could run elsewhere
 	ReplacementShare     float64 // share of the zone's unusable machines that do not count as supply
 }
