--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -19,7 +19,7 @@
 	reason               Reason
 	since                micros.Micros // when the state or step began
 	step                 int           // of Reopening, from 0
-	flaps                int           // number of full disruptions that still count
+	flaps                int           // number of full disruptions that have not expired; it sets the hold-down
 	normalSince          micros.Micros // when the zone became normal after a full disruption; 0 if it never did
 	holdDownUntil        micros.Micros // when the hold-down may end
 	retainSilentMachines bool          // set if the disruption affects a large part of the fleet
@@ -35,7 +35,8 @@
 // counters returns the fields of the evidence that only grow.
 func (e Evidence) counters() counters { return counters{e.Relapses, e.StartsSent, e.StartsSeen} }
 
-// next returns the lifecycle after one observation. It is the only transition function.
+// next returns the lifecycle after one observation. All transitions go through it, except that Observe resets the
+// lifecycle of an exempt zone.
 func (z lifecycle) next(c *Config, e Evidence, observerAtFault bool, now micros.Micros) lifecycle {
 	z.observerAtFault = observerAtFault
 	z = z.trackFullDisruption(c, e, now)
