--- a/internal/replica/barrier.go
+++ b/internal/replica/barrier.go
@@ -24,7 +24,7 @@
 	err  error
 }
 
-// barrierRounds schedules the rounds of a replica.
+// barrierRounds is the state of the barrier rounds of a replica, of which at most one runs at a time.
 type barrierRounds struct {
 	mu      sync.Mutex
 	running bool          // whether the goroutine that runs the rounds exists
--- a/internal/replica/jobs.go
+++ b/internal/replica/jobs.go
@@ -36,7 +36,7 @@
 }
 
 // insertCancelled adds a cancelled job to the list at the position of its mod revision. It searches from the end, as
-// most new jobs belong there.
+// most newly cancelled jobs belong there.
 func (t *jobTable) insertCancelled(id string, modRevision uint64) {
 	position := len(t.cancelled)
 	for position > 0 && t.byID[t.cancelled[position-1]].modRevision > modRevision {
--- a/tests/cluster/cancellation_test.go
+++ b/tests/cluster/cancellation_test.go
@@ -103,11 +103,11 @@
 				for c.runningTasks(id) > 0 {
 					time.Sleep(10 * time.Millisecond)
 				}
-				// A heartbeat reports the completion within half a second, and the leader stores it after
-				// that.
+				// The cancellations come at different times before and after the leader stores the completion,
+				// which a heartbeat reports within half a second.
 				time.Sleep(time.Duration(n) * 40 * time.Millisecond)
 				var wg sync.WaitGroup
-				wg.Go(func() { c.queryAllNodes(job, false, 600*time.Millisecond, &seen) })
+				wg.Go(func() { c.sendRequestsToAllNodes(job, false, 600*time.Millisecond, &seen) })
 				for node := range nodes {
 					wg.Go(func() { c.cancelJob(id, node) })
 				}
--- a/tests/cluster/cluster_jobs_test.go
+++ b/tests/cluster/cluster_jobs_test.go
@@ -169,9 +169,9 @@
 	c.t.Fatalf("%s could not be cancelled", id)
 }
 
-// queryAllNodes queries all nodes about a job every 7 ms for the given duration. In between it repeats the job's
-// submission and, if cancel is set, its cancellation. It counts the responses by node and code in seen.
-func (c *cluster) queryAllNodes(job map[string]any, cancel bool, duration time.Duration, seen *counter) {
+// sendRequestsToAllNodes queries all nodes about a job every 7 ms for the given duration. In between it repeats the
+// job's submission and, if cancel is set, its cancellation. It counts the responses by node and code in seen.
+func (c *cluster) sendRequestsToAllNodes(job map[string]any, cancel bool, duration time.Duration, seen *counter) {
 	id := job["id"].(string)
 	var wg sync.WaitGroup
 	for startedAt, n := time.Now(), 0; time.Since(startedAt) < duration; n++ {
--- a/tests/cluster/explain_test.go
+++ b/tests/cluster/explain_test.go
@@ -96,7 +96,7 @@
 	c.t.Helper()
 	status, e, _ := c.explain(node, id)
 	if status != http.StatusOK || e.State != state || e.Member == "" || e.SubmittedAt == 0 {
-		c.t.Errorf("%s, node %d: got code %d and explanation %+v, want 200 and an explanation with the expected state, a member and a submission time", scenario, node, status, e)
+		c.t.Errorf("%s, node %d: got code %d and explanation %+v, want 200 and an explanation with state %q, a member and a submission time", scenario, node, status, e, state)
 	}
 	text := explanationText(e)
 	for _, part := range parts {
--- a/tests/cluster/fleet_failover_test.go
+++ b/tests/cluster/fleet_failover_test.go
@@ -41,7 +41,7 @@
 		r.awaitStatus("j-000001", wire.JobDone, 5*time.Minute)
 		// The leader must not launch machines for tasks that run on machines whose tasks it does not know yet.
 		if n := r.cloud.Launched() - r.launched; n > fleetMachines/10 {
-			t.Errorf("%d machines were launched during the failovers, want at most a tenth of the fleet", n)
+			t.Errorf("%d machines were launched during the failovers, want at most %d", n, fleetMachines/10)
 		}
 	})
 }
--- a/tests/cluster/many_jobs_test.go
+++ b/tests/cluster/many_jobs_test.go
@@ -116,6 +116,6 @@
 	p95, longest := times[len(times)*95/100], times[len(times)-1]
 	t.Logf("%s: median %v, p95 %v, max %v", name, times[len(times)/2], p95, longest)
 	if p95 > bound || longest > 2*bound {
-		t.Errorf("%s took too long: p95 %v, max %v, want at most the bound and twice the bound", name, p95, longest)
+		t.Errorf("%s took too long: p95 %v, max %v, want at most %v and %v", name, p95, longest, bound, 2*bound)
 	}
 }
--- a/tests/cluster/membership_test.go
+++ b/tests/cluster/membership_test.go
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// awaitState waits until all other nodes report a node in a state.
+// awaitState waits until all other nodes report the node in the given state, and fails the test if they do not within
+// the timeout.
 func (c *memberCluster) awaitState(timeout time.Duration, node int, want membership.State) {
 	c.t.Helper()
 	err := c.checkState(node, want)
@@ -54,7 +55,7 @@
 	}
 }
 
-// checkStateStays checks that all other nodes still report a node in a state after half a minute.
+// checkStateStays checks that all other nodes still report the node in the given state after half a minute.
 func (c *memberCluster) checkStateStays(node int, want membership.State) {
 	c.t.Helper()
 	time.Sleep(30 * time.Second)
@@ -72,7 +73,7 @@
 	c.awaitState(recoveryTimeout, node, membership.Alive)
 }
 
-// checkNoFailures checks that no node finds another one failed within a period.
+// checkNoFailures waits for a period, and checks that no node has found another one failed since it started.
 func (c *memberCluster) checkNoFailures(period time.Duration) {
 	c.t.Helper()
 	time.Sleep(period)
@@ -86,8 +87,8 @@
 // follower returns a node that does not lead.
 func (c *memberCluster) follower() int { return (c.leader() + 1) % c.size }
 
-// refuseState drops all requests of one node to the state service.
-func (c *memberCluster) refuseState(node int) {
+// dropStateRequestsOf drops all requests of one node to the state service.
+func (c *memberCluster) dropStateRequestsOf(node int) {
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		if isStateRequest(r) && isFromNode(from, node) {
 			return fake.DroppedRequest
@@ -110,7 +111,7 @@
 	{"the leader is partitioned from all nodes, its session lives", (*memberCluster).partitionLeader},
 	{"a node is partitioned from all nodes and the state service", (*memberCluster).isolateNode},
 	{"two nodes are partitioned from each other", (*memberCluster).partitionTwoNodes},
-	{"the state service is unavailable to one node", (*memberCluster).refuseStateToFollower},
+	{"the state service is unavailable to one node", (*memberCluster).dropStateRequestsOfFollower},
 	{"a node crashes while the state service is unavailable", (*memberCluster).crashWithoutState},
 	{"a node leaves", (*memberCluster).leaveAndReturn},
 	{"a node without membership crashes and comes back", (*memberCluster).crashNodeWithoutMembership},
@@ -169,7 +170,7 @@
 func (c *memberCluster) isolateNode() {
 	isolated := c.follower()
 	c.isolateFromPeers(isolated)
-	c.refuseState(isolated)
+	c.dropStateRequestsOf(isolated)
 	c.awaitState(detectionTimeout, isolated, membership.Failed)
 	c.checkStateStays(isolated, membership.Failed)
 	if status, err := c.nodes[isolated].MembershipStatus(); err != nil || !status.Isolated || status.Counts.Failures > 0 {
@@ -189,10 +190,10 @@
 	c.checkNoFailures(time.Minute)
 }
 
-// refuseStateToFollower drops the requests of a follower to the state service. Its heartbeats still reach the other
-// nodes, so it may not be found failed.
-func (c *memberCluster) refuseStateToFollower() {
-	c.refuseState(c.follower())
+// dropStateRequestsOfFollower drops the requests of a follower to the state service. Its heartbeats still reach the
+// other nodes, so it may not be found failed.
+func (c *memberCluster) dropStateRequestsOfFollower() {
+	c.dropStateRequestsOf(c.follower())
 	c.checkNoFailures(time.Minute)
 }
 
@@ -245,7 +246,7 @@
 	c.healPartitions()
 	c.checkNoFailures(10 * time.Minute)
 	slow := 0
-	for range 60 { // node 0 is not slow while its messages happen to be fast
+	for range 60 { // polls, as node 0 does not report itself as slow while its messages happen to be fast
 		status, err := c.nodes[0].MembershipStatus()
 		if err == nil && status.Slow {
 			slow++
--- a/tests/cluster/placement_test.go
+++ b/tests/cluster/placement_test.go
@@ -166,8 +166,8 @@
 }
 
 // TestZoneConstraints submits a job whose tasks must all be in one zone, or be spread over zones, beside a job that is
-// in one zone. Machines must be launched in a zone where the job's next task may start. An earlier version launched them
-// one after the other in the other zone, for up to 150 s.
+// in one zone. Machines must be launched in a zone where the job's next task may start. For up to 150 s, an earlier
+// version launched one machine at a time in the zone where the task could not start.
 func TestZoneConstraints(t *testing.T) {
 	for _, constraint := range []string{"together", "scatter"} {
 		synctest.Test(t, func(t *testing.T) {
--- a/tests/cluster/rolling_upgrade_test.go
+++ b/tests/cluster/rolling_upgrade_test.go
@@ -261,7 +261,7 @@
 		id := job["id"].(string)
 		for node, status := range r.resubmit(job) {
 			if status != r.finalStatuses[id] {
-				r.t.Errorf("%s submitted again at node %d: %s, want %s", id, node, status, r.finalStatuses[id])
+				r.t.Errorf("%s submitted again at node %d: got status %q, want %q", id, node, status, r.finalStatuses[id])
 			}
 		}
 	}
--- a/tests/cluster/standby_combined_faults_test.go
+++ b/tests/cluster/standby_combined_faults_test.go
@@ -88,9 +88,10 @@
 // handover makes the leader hand over, and returns the named node.
 func (c *cluster) handover() string {
 	c.t.Helper()
-	to, err := c.nodes[c.leader()].HandOver()
+	leader := c.leader()
+	to, err := c.nodes[leader].HandOver()
 	if err != nil {
-		c.t.Errorf("handover: %v", err)
+		c.t.Errorf("handover by node %d: %v", leader, err)
 	}
 	return to
 }
--- a/tests/cluster/standby_commands_test.go
+++ b/tests/cluster/standby_commands_test.go
@@ -81,22 +81,22 @@
 // command makes the leader hand over to the follower. invalid is the path of a file with invalid settings.
 func (c *processCluster) operatorCommands(leader, follower int, invalid string) []operatorCommand {
 	settingsFile := c.SettingsFile(0)
-	byLeader, byFollower := c.Addresses[leader].Client, c.Addresses[follower].Client
-	without := c.Addresses[2].Client
+	leaderAddr, followerAddr := c.Addresses[leader].Client, c.Addresses[follower].Client
+	addrWithoutFeatures := c.Addresses[2].Client
 	return []operatorCommand{
 		{"check", []string{"check", "--standby", "deploy/standby.xml", settingsFile}, false, []string{"ok: member host-0"}},
 		{"check of invalid settings", []string{"check", "--standby", invalid, settingsFile}, true, []string{"element pull is unknown"}},
-		{"the leader", []string{"standby", "--node", byLeader}, false, []string{"active", "0 entries behind", "last take-over here"}},
-		{"a follower", []string{"standby", "--node", byFollower}, false, []string{"following", "whole"}},
-		{"a node without", []string{"standby", "--node", without}, true, []string{"the warm standby is off"}},
+		{"the leader", []string{"standby", "--node", leaderAddr}, false, []string{"active", "0 entries behind", "last take-over here"}},
+		{"a follower", []string{"standby", "--node", followerAddr}, false, []string{"following", "whole"}},
+		{"a node without", []string{"standby", "--node", addrWithoutFeatures}, true, []string{"the warm standby is off"}},
 		{"a node that does not run", []string{"standby", "--node", "127.0.0.1:1"}, true, []string{"refused"}},
 		{"check of zones", []string{"check", "--features", "deploy/zones.xml", settingsFile}, false, []string{"ok: member host-0"}},
-		{"zones, by the leader", []string{"zones", "--node", byLeader}, false, []string{"as host-", "sees them", "healthy: its machines are heard"}},
-		{"zones, by a follower", []string{"zones", "--node", byFollower}, false, []string{"as host-", "healthy: its machines are heard"}},
-		{"zones, by a node without", []string{"zones", "--node", without}, false, []string{"healthy: its machines are heard"}},
-		{"handover by a follower", []string{"handover", "--node", byFollower}, true, []string{"not leading"}},
-		{"handover by a node without", []string{"handover", "--node", without}, true, []string{"the warm standby is off"}},
-		{"handover by the leader", []string{"handover", "--node", byLeader}, false, []string{"handed over to host-"}},
+		{"zones, by the leader", []string{"zones", "--node", leaderAddr}, false, []string{"as host-", "sees them", "healthy: its machines are heard"}},
+		{"zones, by a follower", []string{"zones", "--node", followerAddr}, false, []string{"as host-", "healthy: its machines are heard"}},
+		{"zones, by a node without", []string{"zones", "--node", addrWithoutFeatures}, false, []string{"healthy: its machines are heard"}},
+		{"handover by a follower", []string{"handover", "--node", followerAddr}, true, []string{"not leading"}},
+		{"handover by a node without", []string{"handover", "--node", addrWithoutFeatures}, true, []string{"the warm standby is off"}},
+		{"handover by the leader", []string{"handover", "--node", leaderAddr}, false, []string{"handed over to host-"}},
 	}
 }
 
--- a/tests/cluster/state_limits_stored_values_test.go
+++ b/tests/cluster/state_limits_stored_values_test.go
@@ -69,7 +69,7 @@
 	time.Sleep(5 * time.Second)
 	for key, value := range c.machineLists() {
 		if n := wire.JSONSize(value); n > int(loweredLimits.ValueKB*1024) {
-			t.Errorf("%s still has %d bytes, want at most the lowered limit", key, n)
+			t.Errorf("%s still has %d bytes, want at most the lowered limit of %v KB", key, n, loweredLimits.ValueKB)
 		}
 	}
 	if code, s := c.requestCancellation(1, "j-000002"); code != http.StatusOK {
@@ -109,12 +109,12 @@
 // restarts the leader if the fault includes that.
 func (f storedValueFault) checkAlwaysListed(c *cluster, listed []string) {
 	c.t.Helper()
-	restarted := f.restartLeaderAfter == 0
+	restartPending := f.restartLeaderAfter != 0
 	leader := c.leader()
 	startedAt := time.Now()
 	for time.Since(startedAt) < 20*time.Second {
-		if !restarted && time.Since(startedAt) >= f.restartLeaderAfter {
-			restarted = true
+		if restartPending && time.Since(startedAt) >= f.restartLeaderAfter {
+			restartPending = false
 			c.kill(leader)
 			c.start(leader)
 		}
--- a/tests/cluster/upgrade_failover_test.go
+++ b/tests/cluster/upgrade_failover_test.go
@@ -76,15 +76,15 @@
 		t.Fatal(err)
 	}
 	found := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindSubmatch(b)
-	known := false
+	captured := false
 	for _, v := range oldVersions {
 		commit := v.commit(t)
 		if !strings.HasPrefix(commit, v.name) || len(commit) != 40 {
 			t.Errorf("the data of version %s was captured from commit %s, want a full hash that begins with the name", v.name, commit)
 		}
-		known = known || found != nil && commit == string(found[1])
+		captured = captured || found != nil && commit == string(found[1])
 	}
-	if found != nil && !known {
+	if found != nil && !captured {
 		t.Errorf("the version in production is %s, which is not among the captured versions in testdata/versions", found[1])
 	}
 }
--- a/tests/cluster/user_requests_test.go
+++ b/tests/cluster/user_requests_test.go
@@ -134,7 +134,7 @@
 				}
 				ok, refused := seen.count(fmt.Sprintf("node %d: 200", laggingNode)), seen.count(fmt.Sprintf("node %d: 503", laggingNode))
 				if !fault.mustRefuse && ok < 1000 || fault.mustRefuse && refused < 1000 {
-					t.Errorf("the affected node answered 200 %d times and 503 %d times, want the expected code at least 1000 times: %v", ok, refused, seen.counts)
+					t.Errorf("node %d answered 200 %d times and 503 %d times, want at least 1000 times 503 if it must refuse (%t), else 200; responses by node and code: %v", laggingNode, ok, refused, fault.mustRefuse, seen.counts)
 				}
 				c.setFault(nil)
 				c.checkRules()
@@ -154,7 +154,7 @@
 				break
 			}
 		}
-		c.queryAllNodes(job, i == 1 && round%2 == 1, 400*time.Millisecond, seen)
+		c.sendRequestsToAllNodes(job, i == 1 && round%2 == 1, 400*time.Millisecond, seen)
 	}
 	time.Sleep(time.Duration(round) * 300 * time.Millisecond)
 	for range 20 {
@@ -162,16 +162,16 @@
 			break
 		}
 	}
-	c.queryAllNodes(cancelled, false, 300*time.Millisecond, seen)
+	c.sendRequestsToAllNodes(cancelled, false, 300*time.Millisecond, seen)
 	// Query until the job completes and well after. In every second round the job is also cancelled then.
-	c.queryAllNodes(finishing, false, 3*time.Second, seen)
-	c.queryAllNodes(finishing, round%2 == 0, 4*time.Second, seen)
+	c.sendRequestsToAllNodes(finishing, false, 3*time.Second, seen)
+	c.sendRequestsToAllNodes(finishing, round%2 == 0, 4*time.Second, seen)
 	for code, s := 0, (wire.JobStatus{}); s.State != wire.JobDone && s.State != wire.JobCancelled; time.Sleep(200 * time.Millisecond) {
 		if code, s = c.queryJob(0, finishing["id"].(string)); code == http.StatusNotFound {
 			break
 		}
 	}
-	c.queryAllNodes(finishing, true, 300*time.Millisecond, seen)
+	c.sendRequestsToAllNodes(finishing, true, 300*time.Millisecond, seen)
 }
 
 // TestQueriesUnderReadRateLimit sends 50 queries a second while the state service rejects every second read of a node
--- a/tests/cluster/versions_test.go
+++ b/tests/cluster/versions_test.go
@@ -24,11 +24,11 @@
 				err = wire.Unmarshal(b, &v)
 			}
 			if err != nil || code != wantCode || v.Member != "host-0" || v.Version != peer.Version || v.Common != wantCommon || len(v.Peers) != len(wantResponding) {
-				t.Fatalf("%s: got code %d, versions %+v, error %v", step, code, v, err)
+				t.Fatalf("%s: got code %d, versions %+v, error %v; want code %d from host-0 with version %d, common version %d and %d peers", step, code, v, err, wantCode, peer.Version, wantCommon, len(wantResponding))
 			}
 			for i, p := range v.Peers {
 				if p.Member != memberName(i+1) || p.Responding != wantResponding[i] || p.Responding != (p.Version == peer.Version) {
-					t.Errorf("%s: got %+v for a peer, want the expected member, version and reachability", step, p)
+					t.Errorf("%s: got %+v for a peer, want %s with responding %t, and with version %d only if it responds", step, p, memberName(i+1), wantResponding[i], peer.Version)
 				}
 			}
 		}
--- a/tests/cluster/write_faults_test.go
+++ b/tests/cluster/write_faults_test.go
@@ -32,9 +32,9 @@
 	return func(r *http.Request) bool { return bodyContains(r, content) }
 }
 
-// TestDroppedWriteResponses drops the responses to writes of each kind, which are applied at once, while all nodes read
-// what was written. A node that repeats such a write must allow for a failed compare that means that its first attempt
-// was applied.
+// TestDroppedWriteResponses drops most responses to writes of each kind. The writes are applied at once, so all nodes
+// can read them. If a node repeats such a write, a condition fails because the first attempt was applied, and the node
+// must allow for that.
 func TestDroppedWriteResponses(t *testing.T) {
 	for _, kind := range writeKinds {
 		t.Run(kind.name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	for id := range faultJobRuntimes {
 		if id != "j-000004" {
 			job := longJob(id, len(faultJobRuntimes[id]))
-			users.Go(func() { c.queryAllNodes(job, false, 100*time.Millisecond, seen) })
+			users.Go(func() { c.sendRequestsToAllNodes(job, false, 100*time.Millisecond, seen) })
 		}
 	}
 	users.Wait()
--- a/tests/cluster/zone_loss_checks_test.go
+++ b/tests/cluster/zone_loss_checks_test.go
@@ -62,21 +62,21 @@
 		return
 	}
 	inFirstStep, _ := slices.BinarySearch(starts, starts[0]+policy.MinStepTime.Duration()/2)
-	most := 1 + int(policy.OpenShares[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
-	r.reportProblem(inFirstStep > most, stepsProblem, "%d machines got tasks within the first step, want at most %d", inFirstStep, most)
-	untilMost := starts[len(starts)*6/10] - starts[0]
-	r.reportProblem(untilMost < 5*policy.MinStepTime.Duration()/2, stepsProblem, "60%% of the machines got tasks within %v, want at least %v", untilMost, 5*policy.MinStepTime.Duration()/2)
+	maxInFirstStep := 1 + int(policy.OpenShares[0]*float64(r.cloud.MaxMachinesByZone[r.lostZone])) // rounded up
+	r.reportProblem(inFirstStep > maxInFirstStep, stepsProblem, "%d machines got tasks within the first step, want at most %d", inFirstStep, maxInFirstStep)
+	until60Percent := starts[len(starts)*6/10] - starts[0]
+	r.reportProblem(until60Percent < 5*policy.MinStepTime.Duration()/2, stepsProblem, "60%% of the machines got tasks within %v, want at least %v", until60Percent, 5*policy.MinStepTime.Duration()/2)
 }
 
 // checkHoldDown checks that after the third loss no machine of the zone got a task that may run in other zones before
 // the hold-down ended. The hold-down doubles with each loss after the first.
 func checkHoldDown(r *zoneRun) {
-	least := r.healedAt + 4*zoneSettings().InitialHoldDown.Duration()
-	firstAt := append(r.FirstStarts(r.lostZone, r.healedAt), least)[0]
-	r.reportProblem(firstAt < least, holdDownProblem, "a task started %v after the isolation ended, want at least %v", firstAt-r.healedAt, least-r.healedAt)
+	holdDownEnd := r.healedAt + 4*zoneSettings().InitialHoldDown.Duration()
+	firstAt := append(r.FirstStarts(r.lostZone, r.healedAt), holdDownEnd)[0]
+	r.reportProblem(firstAt < holdDownEnd, holdDownProblem, "a task started %v after the isolation ended, want at least %v", firstAt-r.healedAt, holdDownEnd-r.healedAt)
 }
 
-// checkZoneAfterFailover checks that a leader whose term has just begun reports the zone in one of some states.
+// checkZoneAfterFailover checks that a leader whose term has just begun reports the zone in one of the given states.
 func checkZoneAfterFailover(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
 		s := r.pollStatus(r.lostZone, 30, func(s zone.Status) bool { return s.Zone != "" })
--- a/tests/cluster/zone_loss_cluster_test.go
+++ b/tests/cluster/zone_loss_cluster_test.go
@@ -75,7 +75,7 @@
 	invalidateRecord bool    // no leader finds a usable record of zones
 
 	// Results of the steps.
-	lostZone   string        // the zone that is isolated
+	lostZone   string        // the zone that the steps isolate
 	isolatedAt time.Duration // when it was last isolated
 	lostAt     time.Duration // when the leader declared it lost
 	healedAt   time.Duration // when its isolation ended
@@ -148,7 +148,7 @@
 }
 
 // runUnderLoad runs a script while jobs of all classes are submitted, ends the isolation, and then waits until all
-// accepted jobs are done. It checks the rules.
+// accepted jobs are done. It checks the rules, and that the nodes know the first 50 jobs.
 func (r *zoneRun) runUnderLoad(script func()) {
 	var users sync.WaitGroup
 	ctx, stop := context.WithCancel(context.Background())
@@ -202,12 +202,12 @@
 	return s
 }
 
-// isInState reports whether a zone is in one of some states.
+// isInState reports whether a zone is in one of the given states.
 func isInState(s zone.Status, states []zone.State) bool {
 	return slices.ContainsFunc(states, func(want zone.State) bool { return s.State == want.String() })
 }
 
-// awaitState waits until the leader reports a zone in one of some states.
+// awaitState waits until the leader reports a zone in one of the given states.
 func (r *zoneRun) awaitState(name string, states ...zone.State) {
 	r.t.Helper()
 	if s := r.pollStatus(name, 1200, func(s zone.Status) bool { return isInState(s, states) }); !isInState(s, states) {
--- a/tests/cluster/zone_loss_measurement_test.go
+++ b/tests/cluster/zone_loss_measurement_test.go
@@ -77,10 +77,10 @@
 	r := newZoneRun(t, 5, twoZones, run.MaxMachines/len(twoZones), features)
 	defer r.close()
 	r.load, r.seed = measuredLoad*float64(run.MaxMachines*cpusPerMachine)/baseLoadCPUs, run.Seed
-	launched, used := 0, 0
+	launchedBefore, usedBefore := 0, 0
 	r.runUnderLoad(func() {
 		r.makeLeaderIn("a")
-		run.FirstCutAt, launched, used = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
+		run.FirstCutAt, launchedBefore, usedBefore = r.Elapsed(), r.cloud.Launched(), r.MachinesUsed()
 		for i, seconds := range isolationPatterns[run.Pattern] {
 			if i%2 == 0 {
 				r.ZonePartition.Isolate("b")
@@ -93,8 +93,8 @@
 		r.Heal()
 		time.Sleep(150 * time.Second)
 	})
-	run.LaunchedMachines = r.cloud.Launched() - launched
-	run.UnusedMachines = run.LaunchedMachines - (r.MachinesUsed() - used)
+	run.LaunchedMachines = r.cloud.Launched() - launchedBefore
+	run.UnusedMachines = run.LaunchedMachines - (r.MachinesUsed() - usedBefore)
 	if err := run.RecordHistory(r.History); err != nil {
 		t.Fatal(err)
 	}
--- a/tests/cluster/zone_loss_steps_test.go
+++ b/tests/cluster/zone_loss_steps_test.go
@@ -14,12 +14,12 @@
 // zoneStep is a step of a scenario, which injects a fault, waits or checks.
 type zoneStep func(r *zoneRun)
 
-// waitFor returns a step that waits for some seconds.
+// waitFor returns a step that waits for the given number of seconds.
 func waitFor(seconds float64) zoneStep {
 	return func(*zoneRun) { time.Sleep(time.Duration(seconds * float64(time.Second))) }
 }
 
-// awaitZone returns a step that waits until the lost zone is in one of some states.
+// awaitZone returns a step that waits until the lost zone is in one of the given states.
 func awaitZone(states ...zone.State) zoneStep {
 	return func(r *zoneRun) { r.awaitState(r.lostZone, states...) }
 }
@@ -37,7 +37,7 @@
 }
 
 // loseZone returns a step that isolates a zone as isolate does, waits until the leader has declared it lost, and then
-// waits for some seconds.
+// waits for the given number of seconds.
 func loseZone(seconds float64) zoneStep {
 	return func(r *zoneRun) {
 		isolate(r)
@@ -48,7 +48,7 @@
 	}
 }
 
-// heal returns a step that ends all isolation, and waits until the lost zone is in one of some states, or healthy.
+// heal returns a step that ends all isolation, and waits until the lost zone is in one of the given states, or healthy.
 func heal(states ...zone.State) zoneStep {
 	return func(r *zoneRun) {
 		r.healedAt = r.Elapsed()
@@ -73,8 +73,8 @@
 // nodes for 8 s. Workers then try other nodes, so that leases may expire in the surviving zone too.
 func refuseStateToLeaderThenToEveryNode(r *zoneRun) {
 	r.MarkAllAffected()
-	leads := r.leader()
-	r.InjectFor(8*time.Second, fake.ServiceUnavailable, func(from string, q *http.Request) bool { return isStateRequest(q) && isFromNode(from, leads) })
+	leadingNode := r.leader()
+	r.InjectFor(8*time.Second, fake.ServiceUnavailable, func(from string, q *http.Request) bool { return isStateRequest(q) && isFromNode(from, leadingNode) })
 	r.state.SetOutage(true)
 	time.Sleep(8 * time.Second)
 	r.state.SetOutage(false)
@@ -161,7 +161,7 @@
 	r.Heal()
 }
 
-// splitZones partitions all zones from each other. A zone that the leader is not in is lost.
+// splitZones partitions all zones from each other, and selects one that the leader is not in as the lost zone.
 func splitZones(r *zoneRun) {
 	r.lostZone = r.zoneByLeaderPresence(false)
 	r.SplitZones()
@@ -199,8 +199,8 @@
 // loseTwoOfFourZones isolates two zones that the leader is not in. Both must be declared lost, and must become healthy
 // again once the isolation has ended.
 func loseTwoOfFourZones(r *zoneRun) {
-	leads := r.zoneByLeaderPresence(true)
-	lost := slices.DeleteFunc(slices.Clone(fourZones), func(name string) bool { return name == leads })[:2]
+	leaderZone := r.zoneByLeaderPresence(true)
+	lost := slices.DeleteFunc(slices.Clone(fourZones), func(name string) bool { return name == leaderZone })[:2]
 	r.Isolate(lost...)
 	for _, want := range []zone.State{zone.FullDisruption, zone.Normal} {
 		r.awaitState(lost[0], want)
--- a/tests/cluster/zone_loss_test.go
+++ b/tests/cluster/zone_loss_test.go
@@ -262,7 +262,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				if problems := s.run(t); !s.isExpected(problems) {
-					t.Errorf("problems %q, want kind %q", problems, s.wantProblem)
+					t.Errorf("the checks found problems %q, want one of kind %q (none if the kind is empty)", problems, s.wantProblem)
 				}
 			})
 		})
