--- a/tests/cluster/handover_results_test.go
+++ b/tests/cluster/handover_results_test.go
@@ -124,23 +124,23 @@
 	return seen
 }
 
-// checkHandoverResult checks that the result of a handover names the node that led next, and that some node led within
-// maxLeaderlessTime. Without an error the result is that the named node to leads.
+// checkHandoverResult checks that the result of a handover names a node that led afterwards, and that some node led
+// within maxLeaderlessTime. If err is nil, the result is that the member to leads.
 func (c *cluster) checkHandoverResult(seen observedHandover, to string, err error) {
 	c.t.Helper()
-	var other *api.HandoverError
+	var handoverErr *api.HandoverError
 	switch {
 	case err == nil && !seen.leaders[to]:
 		c.t.Errorf("handover reported that %q leads, but the leaders were %v", to, seen.leaders)
-	case errors.As(err, &other) && (other.Target == other.Leader || other.Leader == "" && len(seen.leaders) > 0 || other.Leader != "" && !seen.leaders[other.Leader]):
+	case errors.As(err, &handoverErr) && (handoverErr.Target == handoverErr.Leader || handoverErr.Leader == "" && len(seen.leaders) > 0 || handoverErr.Leader != "" && !seen.leaders[handoverErr.Leader]):
 		c.t.Errorf("handover failed with %q, but the leaders were %v", err, seen.leaders)
-	case err != nil && other == nil:
+	case err != nil && handoverErr == nil:
 		c.t.Errorf("handover failed with %q, want a HandoverError", err)
 	case err != nil && strings.Contains(err.Error(), "\n"):
 		c.t.Errorf("handover error %q has several lines, want one", err)
 	}
 	if seen.untilFirstLeader == 0 || seen.untilFirstLeader > maxLeaderlessTime {
-		c.t.Errorf("a node led after %v (0: none did), want at most %v", seen.untilFirstLeader, maxLeaderlessTime)
+		c.t.Errorf("the next leader led after %v (0: no node led), want at most %v", seen.untilFirstLeader, maxLeaderlessTime)
 	}
 }
 
@@ -321,8 +321,8 @@
 	c.kill(1 - leader)
 	time.Sleep(2 * time.Second)
 	to, err := c.nodes[leader].HandOverAndConfirm(c.t.Context())
-	var other *api.HandoverError
-	if !errors.As(err, &other) || other.Target != "" || other.Leader != memberName(c.leader()) {
+	var handoverErr *api.HandoverError
+	if !errors.As(err, &handoverErr) || handoverErr.Target != "" || handoverErr.Leader != memberName(c.leader()) {
 		c.t.Errorf("handed over to %q: %v, want an error that names the leader, node %d, and no target", to, err, c.leader())
 	}
 	c.start(1 - leader)
--- a/tests/cluster/membership_measurement_test.go
+++ b/tests/cluster/membership_measurement_test.go
@@ -83,8 +83,8 @@
 }
 
 // measureFailure makes a node fail and recover, and returns the verdicts of the other nodes. The leader fails if n is
-// even, a follower if it is odd. Two nodes are killed and two are frozen in turn. A node that is to be frozen is
-// frozen briefly first, which must not cause a suspicion.
+// even, a follower if it is odd. The node is killed for two values of n and frozen for the next two, in turn. A node
+// that is to be frozen is frozen briefly first, which must not cause a suspicion.
 func (r *detectionRun) measureFailure(n int) (verdicts []detection.Verdict) {
 	time.Sleep(time.Duration(r.random.Int64N(int64(time.Second))))
 	leader := r.leader()
@@ -153,8 +153,8 @@
 		return // the next poll queries it again
 	}
 	for _, m := range status.Members {
-		doubted := m.State == membership.Suspected || m.State == membership.Failed
-		if !doubted {
+		suspectedOrFailed := m.State == membership.Suspected || m.State == membership.Failed
+		if !suspectedOrFailed {
 			continue
 		}
 		if m.Member != memberName(node) {
--- a/tests/cluster/standby_test.go
+++ b/tests/cluster/standby_test.go
@@ -133,7 +133,7 @@
 					}
 				}
 				if early := pause != 0 && pause < 2*time.Second; early != tc.early {
-					t.Errorf("the array continues %v (0: not at all) into the next term, want within 2 s: %v", pause, tc.early)
+					t.Errorf("the array continues %v into the next term (0: not within 40 s), want within 2 s: %v", pause, tc.early)
 				}
 				t.Logf("the array continues %v into the next term", pause)
 				c.setFault(nil)
@@ -165,7 +165,7 @@
 				c.submitJob(bound)
 				for i := 0; c.cloud.StartsOf("j-000001") < 40 || c.cloud.StartsOf("j-000002") < 40 || c.cloud.StartsOf("j-000003") < 40; i++ {
 					if i == 200 {
-						t.Fatalf("%d and %d tasks of the bound and the free array started within 40 s, want 40 each", c.cloud.StartsOf("j-000001"), c.cloud.StartsOf("j-000002"))
+						t.Fatalf("%d, %d and %d tasks of the bound, the free and the third array started within 40 s, want 40 each", c.cloud.StartsOf("j-000001"), c.cloud.StartsOf("j-000002"), c.cloud.StartsOf("j-000003"))
 					}
 					time.Sleep(200 * time.Millisecond)
 				}
@@ -242,8 +242,8 @@
 	})
 }
 
-// TestHandoverWithoutSuccessor makes the leader hand over after the node that it will name has crashed, and while no
-// other node can reach it. Some node must still lead, and no later than after a crash of the leader.
+// TestHandoverWithoutSuccessor makes the leader hand over after the node that it will name has crashed, or while no
+// other node can reach the leader. Some node must still lead, and no later than after a crash of the leader.
 func TestHandoverWithoutSuccessor(t *testing.T) {
 	cases := []struct {
 		name   string
