--- a/tests/cluster/state_limits_stored_values_test.go
+++ b/tests/cluster/state_limits_stored_values_test.go
@@ -109,12 +109,12 @@
 // restarts the leader if the fault includes that.
 func (f storedValueFault) checkAlwaysListed(c *cluster, listed []string) {
 	c.t.Helper()
-	restartPending := f.restartLeaderAfter != 0
+	restarted := f.restartLeaderAfter == 0
 	leader := c.leader()
 	startedAt := time.Now()
 	for time.Since(startedAt) < 20*time.Second {
-		if restartPending && time.Since(startedAt) >= f.restartLeaderAfter {
-			restartPending = false
+		if !restarted && time.Since(startedAt) >= f.restartLeaderAfter {
+			restarted = true
 			c.kill(leader)
 			c.start(leader)
 		}
