--- a/tests/cluster/state_limits_stored_values_test.go
+++ b/tests/cluster/state_limits_stored_values_test.go
@@ -69,7 +69,7 @@
 	time.Sleep(5 * time.Second)
 	for key, value := range c.machineLists() {
 		if n := wire.JSONSize(value); n > int(loweredLimits.ValueKB*1024) {
-			t.Errorf("%s still has %d bytes, want at most the lowered limit", key, n)
+			t.Errorf("%s still has %d bytes, want at most the lowered limit of %v KB", key, n, loweredLimits.ValueKB)
 		}
 	}
 	if code, s := c.requestCancellation(1, "j-000002"); code != http.StatusOK {
