--- a/cmd/caperlatch/status_commands_test.go
+++ b/cmd/caperlatch/status_commands_test.go
@@ -16,7 +16,7 @@
 		Zone: "b", State: "returning", Reason: zone.ReasonStepSucceeded, SinceS: 4, Step: 2, Steps: 4, OpenShare: 0.25, Flaps: 1, Evidence: zone.Evidence{Running: 40, Silent: 2, Recovered: 38},
 		Work: zone.WorkStatus{Displaced: map[string]int{"scan": 30, "news": 4}, Moved: map[string]int{"scan": 20}, LeasedMachines: 2, LeasedTasks: 8, NextLeaseEndS: 1, LastLeaseEndS: 9, ClosedMachines: 30, ReplacedMachines: 15},
 	}
-	suspicions := membership.Status{Member: "host-0", Slow: true, Isolated: true, Counts: membership.Counts{Suspicions: 3, Failures: 1}, Members: []membership.MemberStatus{
+	suspicions := membership.Status{Member: "host-0", Slow: true, Isolated: true, Counts: membership.EventCounts{Suspicions: 3, Failures: 1}, Members: []membership.MemberStatus{
 		{Member: "host-1", State: membership.Suspected, SinceS: 1.2, SilenceS: 4.2, SuspicionLeftS: 2.1, ConfirmedBy: []string{"host-2", "host-3"}},
 		{Member: "host-2", State: membership.Alive, SinceS: 60, SilenceS: 9, RoundTripS: 0.0005, HeardThrough: "host-3"},
 		{Member: "host-3", State: membership.Suspected, FailureWithheld: true},
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -140,7 +140,7 @@
 				m.Reconciliation.Knowledge = state.TasksUnknown
 			}
 		}
-		l.taskQueries.ByZone["a"] = taskquery.Counts{Queried: c.queried, Responded: c.responded}
+		l.taskQueries.ByZone["a"] = taskquery.ResponseCounts{Queried: c.queried, Responded: c.responded}
 		l.superviseMachines(now)
 		if got := l.fleet.Sorted[0].Instance.Terminating; got != c.terminated {
 			t.Errorf("%s: terminated: %v, want %v", c.name, got, c.terminated)
--- a/internal/leader/scheduler/scheduler_test.go
+++ b/internal/leader/scheduler/scheduler_test.go
@@ -148,7 +148,7 @@
 	}{
 		{"twice as much room", func(*state.Machine) {}, true},
 		{"one machine is surplus", func(m *state.Machine) { m.Surplus = true }, false},
-		{"one machine is closed to jobs of other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
+		{"one machine is closed to jobs of other zones", func(m *state.Machine) { m.ZoneReturn.ZoneBoundOnly = true }, false},
 		{"one machine has less room", func(m *state.Machine) { m.Free.CPU-- }, false},
 	} {
 		s, _ := newTestScheduler(t)
@@ -172,7 +172,7 @@
 		{"idle", func(*state.Machine) {}, true},
 		{"full", func(m *state.Machine) { m.Free.CPU = 999 }, false},
 		{"drained", func(m *state.Machine) { m.DrainReason = "test" }, false},
-		{"closed to jobs of other zones", func(m *state.Machine) { m.ZoneReturn.Closed = true }, false},
+		{"closed to jobs of other zones", func(m *state.Machine) { m.ZoneReturn.ZoneBoundOnly = true }, false},
 		{"has missed heartbeats", func(m *state.Machine) { m.Heartbeat.ReceivedAt -= 4 * testHeartbeatInterval }, false},
 	} {
 		s, _ := newTestScheduler(t)
--- a/internal/leader/scheduler/view.go
+++ b/internal/leader/scheduler/view.go
@@ -49,7 +49,7 @@
 // other zones, has room for need.
 func (s *Scheduler) HasRoomFor(need placement.Resources, now micros.Micros) bool {
 	return slices.ContainsFunc(s.Fleet.Sorted, func(m *state.Machine) bool {
-		return m.Free.Fits(need) && s.canReceiveTasks(m, now) && !m.ZoneReturn.Closed
+		return m.Free.Fits(need) && s.canReceiveTasks(m, now) && !m.ZoneReturn.ZoneBoundOnly
 	})
 }
 
@@ -58,7 +58,7 @@
 func (view machineView) hasSpareRoom(waiting []*placement.Job) bool {
 	free, need := int64(0), int64(0)
 	for i, m := range view.machines {
-		if !m.Surplus && !m.ZoneReturn.Closed {
+		if !m.Surplus && !m.ZoneReturn.ZoneBoundOnly {
 			free += view.placement[i].Free.CPU
 		}
 	}
@@ -104,7 +104,7 @@
 		machine.ReservedFor = r.QueuedJob
 	}
 	machine.GangsOnly = m.Pool.IsSet()
-	machine.ZoneBoundOnly = m.ZoneReturn.Closed
+	machine.ZoneBoundOnly = m.ZoneReturn.ZoneBoundOnly
 	return machine
 }
 
--- a/internal/leader/state/machine.go
+++ b/internal/leader/state/machine.go
@@ -135,7 +135,7 @@
 	IncarnationBefore uint64        // incarnation in the latest heartbeat before the last reset, 0 if there was none
 	SequenceBefore    uint64        // sequence number of the latest heartbeat before the last reset
 	Returned          bool          // the heartbeats since the last reset prove that the machine is reachable again
-	Closed            bool          // only jobs that are bound to the zone may start tasks on the machine
+	ZoneBoundOnly     bool          // only jobs that are bound to the zone may start tasks on the machine
 }
 
 // Silence returns the time since the machine's latest heartbeat, or since the start of the term if that is shorter.
@@ -182,11 +182,11 @@
 // IsOpenToAllZones reports whether the machine may get tasks of any job that allows its offering, not only of jobs that
 // are bound to its zone.
 func (m *Machine) IsOpenToAllZones(now micros.Micros) bool {
-	return m.IsSchedulable(now) && !m.ZoneReturn.Closed
+	return m.IsSchedulable(now) && !m.ZoneReturn.ZoneBoundOnly
 }
 
 // ResetZoneReturn discards the evidence that the machine has returned, but leaves Closed as it is. Only heartbeats
 // newer than the latest one count as evidence from now on.
 func (m *Machine) ResetZoneReturn() {
-	m.ZoneReturn = ZoneReturn{IncarnationBefore: m.Heartbeat.Incarnation, SequenceBefore: m.Heartbeat.Sequence, Closed: m.ZoneReturn.Closed}
+	m.ZoneReturn = ZoneReturn{IncarnationBefore: m.Heartbeat.Incarnation, SequenceBefore: m.Heartbeat.Sequence, ZoneBoundOnly: m.ZoneReturn.ZoneBoundOnly}
 }
--- a/internal/leader/taskquery/taskquery.go
+++ b/internal/leader/taskquery/taskquery.go
@@ -54,28 +54,28 @@
 	OnStatus func(m *state.Machine, status *wire.Heartbeat, now micros.Micros)
 }
 
-// Counts holds how many machines of a zone were queried for their tasks, and how many responded.
-type Counts struct{ Queried, Responded int }
+// ResponseCounts holds how many machines of a zone were queried for their tasks, and how many responded.
+type ResponseCounts struct{ Queried, Responded int }
 
 // mostRespond reports whether at least half of the queried machines responded, and at least one did. Otherwise the
 // cause is assumed to be on this node's side, not on the machines'.
-func (c Counts) mostRespond() bool { return 2*c.Responded >= c.Queried && c.Responded > 0 }
+func (c ResponseCounts) mostRespond() bool { return 2*c.Responded >= c.Queried && c.Responded > 0 }
 
 // Queries queries the machines of a fleet for their tasks in one term.
 type Queries struct {
 	Config
-	ByZone map[string]Counts // queries and responses of each zone; guarded by Lock
+	ByZone map[string]ResponseCounts // queries and responses of each zone; guarded by Lock
 }
 
 // New returns Queries that has sent no query yet.
-func New(c Config) *Queries { return &Queries{Config: c, ByZone: map[string]Counts{}} }
+func New(c Config) *Queries { return &Queries{Config: c, ByZone: map[string]ResponseCounts{}} }
 
 // MostOfZoneRespond reports whether most queried machines of a zone responded. It must be called with Lock held.
 func (q *Queries) MostOfZoneRespond(zone string) bool { return q.ByZone[zone].mostRespond() }
 
 // MostRespond reports whether most queried machines of all zones responded. It must be called with Lock held.
 func (q *Queries) MostRespond() bool {
-	var all Counts
+	var all ResponseCounts
 	for _, c := range q.ByZone {
 		all.Queried += c.Queried
 		all.Responded += c.Responded
--- a/internal/leader/taskquery/taskquery_test.go
+++ b/internal/leader/taskquery/taskquery_test.go
@@ -21,14 +21,14 @@
 // TestMostRespond checks which counts mean that most machines respond, in one zone and in all zones.
 func TestMostRespond(t *testing.T) {
 	cases := []struct {
-		counts Counts
+		counts ResponseCounts
 		want   bool
 	}{
-		{Counts{}, false},
-		{Counts{Queried: 1}, false},
-		{Counts{Queried: 1, Responded: 1}, true},
-		{Counts{Queried: 10, Responded: 5}, true},
-		{Counts{Queried: 10, Responded: 4}, false},
+		{ResponseCounts{}, false},
+		{ResponseCounts{Queried: 1}, false},
+		{ResponseCounts{Queried: 1, Responded: 1}, true},
+		{ResponseCounts{Queried: 10, Responded: 5}, true},
+		{ResponseCounts{Queried: 10, Responded: 4}, false},
 	}
 	for _, c := range cases {
 		q := New(Config{})
@@ -148,7 +148,7 @@
 				if got != c.want {
 					t.Errorf("outcome %+v, want %+v", got, c.want)
 				}
-				counts := Counts{Queried: c.machines, Responded: c.want.confirmed}
+				counts := ResponseCounts{Queried: c.machines, Responded: c.want.confirmed}
 				if got := q.ByZone["a"]; got != counts || !slices.IsSorted(f.order) || len(f.order) != c.machines {
 					t.Errorf("counts %+v, want %+v; query order %v, want %d machines in ascending order", got, counts, f.order, c.machines)
 				}
--- a/internal/leader/zoning/jobs.go
+++ b/internal/leader/zoning/jobs.go
@@ -38,7 +38,7 @@
 
 // RecordDisplaced counts a lost task as displaced if its machine is closed.
 func (z *Zones) RecordDisplaced(a *state.Attempt) {
-	if !a.Machine.ZoneReturn.Closed {
+	if !a.Machine.ZoneReturn.ZoneBoundOnly {
 		return
 	}
 	z.countersFor(a.Machine).displaced[a.Job.Spec.Class]++
--- a/internal/leader/zoning/status.go
+++ b/internal/leader/zoning/status.go
@@ -29,7 +29,7 @@
 		if m.Offering.Zone != s.Zone || m.Instance.Terminating {
 			continue
 		}
-		if m.ZoneReturn.Closed {
+		if m.ZoneReturn.ZoneBoundOnly {
 			s.Work.ClosedMachines++
 		}
 		if replaced[m] {
--- a/internal/leader/zoning/supply.go
+++ b/internal/leader/zoning/supply.go
@@ -11,7 +11,7 @@
 // isUnusable reports whether the capacity of a running machine cannot be used now, because the machine is closed, its
 // heartbeat is late, or it loses responses. A booting machine is not unusable: it was launched to add capacity.
 func (z *Zones) isUnusable(m *state.Machine, now micros.Micros) bool {
-	return m.Instance.Running && (m.ZoneReturn.Closed || m.Silence(z.TermStartedAt, now) > state.HeartbeatTimeout(z.HeartbeatInterval) || m.LosesResponses())
+	return m.Instance.Running && (m.ZoneReturn.ZoneBoundOnly || m.Silence(z.TermStartedAt, now) > state.HeartbeatTimeout(z.HeartbeatInterval) || m.LosesResponses())
 }
 
 // ReplacedMachines returns the machines that do not count as supply because their zone is disrupted. In each zone, the
--- a/internal/leader/zoning/zones.go
+++ b/internal/leader/zoning/zones.go
@@ -142,10 +142,10 @@
 // setClosed closes a machine to jobs that are not bound to its zone, or opens it. A change drops the starts planned on
 // the machine, so that they are planned again.
 func (z *Zones) setClosed(m *state.Machine, closed bool) {
-	if m.ZoneReturn.Closed == closed {
+	if m.ZoneReturn.ZoneBoundOnly == closed {
 		return
 	}
-	m.ZoneReturn.Closed = closed
+	m.ZoneReturn.ZoneBoundOnly = closed
 	m.PlannedStarts = m.PlannedStarts[:0]
 	z.OnChange()
 }
--- a/internal/leader/zoning/zones_test.go
+++ b/internal/leader/zoning/zones_test.go
@@ -165,7 +165,7 @@
 		t.Helper()
 		closed := 0
 		for _, m := range z.Fleet.Sorted {
-			if m.ZoneReturn.Closed {
+			if m.ZoneReturn.ZoneBoundOnly {
 				closed++
 			}
 		}
@@ -274,14 +274,14 @@
 			z, _, now := newTestZones(t)
 			z.Replica.ApplyPut(replica.ZonesKey, c.stored, 3)
 			z.Restore(now)
-			if closed := z.Fleet.Sorted[15].ZoneReturn.Closed; closed != (c.want == "lost") {
+			if closed := z.Fleet.Sorted[15].ZoneReturn.ZoneBoundOnly; closed != (c.want == "lost") {
 				t.Errorf("machine of zone b closed before the first observation: %t, want %t", closed, c.want == "lost")
 			}
 			for range 3 {
 				z.Observe(now)
 			}
-			if s := z.Policy.Status(now)[1]; s.Zone != "b" || s.State != c.want || z.Fleet.Sorted[15].ZoneReturn.Closed != (c.want == "lost") || z.Fleet.Sorted[5].ZoneReturn.Closed {
-				t.Errorf("status %+v, machine of zone b closed: %t, of zone a: %t; want zone b %s, %t, false", s, z.Fleet.Sorted[15].ZoneReturn.Closed, z.Fleet.Sorted[5].ZoneReturn.Closed, c.want, c.want == "lost")
+			if s := z.Policy.Status(now)[1]; s.Zone != "b" || s.State != c.want || z.Fleet.Sorted[15].ZoneReturn.ZoneBoundOnly != (c.want == "lost") || z.Fleet.Sorted[5].ZoneReturn.ZoneBoundOnly {
+				t.Errorf("status %+v, machine of zone b closed: %t, of zone a: %t; want zone b %s, %t, false", s, z.Fleet.Sorted[15].ZoneReturn.ZoneBoundOnly, z.Fleet.Sorted[5].ZoneReturn.ZoneBoundOnly, c.want, c.want == "lost")
 			}
 		})
 	}
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -18,11 +18,11 @@
 	localHealth localHealth
 	environment Environment
 	transitions []Transition // not yet returned by TakeTransitions
-	counts      Counts
+	counts      EventCounts
 }
 
-// Counts holds the numbers of suspicions, failures and refutations since the node started.
-type Counts struct {
+// EventCounts holds the numbers of suspicions, failures and refutations since the node started.
+type EventCounts struct {
 	Suspicions  int `json:"suspicions"`
 	Failures    int `json:"failures"`
 	Refutations int `json:"refuted"` // how often this node has raised its own incarnation, see refute
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -13,7 +13,7 @@
 	golden.TypeOf[MemberView]("an opinion of a member"),
 	golden.TypeOf[Status]("what a member thinks of the others"),
 	golden.TypeOf[MemberStatus]("what it thinks of one"),
-	golden.TypeOf[Counts]("how often it was in doubt"),
+	golden.TypeOf[EventCounts]("how often it was in doubt"),
 }
 
 // TestEncoded guards against changes of the encoding of these types, which nodes of other versions read.
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -8,7 +8,7 @@
 	Incarnation uint64         `json:"incarnation"`
 	Slow        bool           `json:"slow"`     // this node is slow, so its suspicions last longer
 	Isolated    bool           `json:"isolated"` // no contact with state service or members, so none is declared failed
-	Counts      Counts         `json:"counts"`
+	Counts      EventCounts    `json:"counts"`
 	Members     []MemberStatus `json:"members"`
 }
 
--- a/tests/cluster/combined_machine_faults_test.go
+++ b/tests/cluster/combined_machine_faults_test.go
@@ -17,7 +17,7 @@
 func failOverWithIsolatedMachines(c *cluster, cancel func()) {
 	time.Sleep(8 * time.Second)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
-		if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) {
+		if hasEvenMachineID(from) || hasEvenMachineID(r.URL.Host) {
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
@@ -35,9 +35,9 @@
 	time.Sleep(8 * time.Second)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
 		switch {
-		case isEveryOtherMachine(from) && isHeartbeat(r):
+		case hasEvenMachineID(from) && isHeartbeat(r):
 			return fake.DroppedResponse
-		case isEveryOtherMachine(r.URL.Host):
+		case hasEvenMachineID(r.URL.Host):
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
@@ -65,7 +65,7 @@
 	c.setFault(everyNthRequest(1, fake.DuplicatedRequest, isHeartbeat))
 	time.Sleep(7 * time.Second)
 	c.setFault(func(from string, r *http.Request) fake.Fault {
-		if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) || r.URL.Host == "cloud" {
+		if hasEvenMachineID(from) || hasEvenMachineID(r.URL.Host) || r.URL.Host == "cloud" {
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
@@ -125,11 +125,11 @@
 	time.Sleep(8 * time.Second)
 	var events counter
 	c.setFault(func(from string, r *http.Request) fake.Fault {
-		if isEveryOtherMachine(from) {
+		if hasEvenMachineID(from) {
 			events.add("heartbeat")
 			return fake.DroppedRequest
 		}
-		if isEveryOtherMachine(r.URL.Host) {
+		if hasEvenMachineID(r.URL.Host) {
 			events.add("command")
 		}
 		return fake.NoFault
--- a/tests/cluster/failover_test.go
+++ b/tests/cluster/failover_test.go
@@ -23,7 +23,7 @@
 // termEnds lists the cases of TestCancellationDuringFailover.
 var termEnds = []termEnd{
 	// A handover needs the warm standby, and takes less time than the other failovers, so it starts later.
-	{name: "handover", end: func(c *cluster) { c.handover() }, standby: testStandby(), pause: 1500 * time.Millisecond},
+	{name: "handover", end: func(c *cluster) { c.handOver() }, standby: testStandby(), pause: 1500 * time.Millisecond},
 	{name: "crash", end: func(c *cluster) { c.kill(c.leader()) }},
 	{name: "restart", end: func(c *cluster) { c.restartNodes(c.leader()) }},
 	{name: "state service unavailable to the leader", end: blockStateForCurrentLeader},
--- a/tests/cluster/outage_cancellation_test.go
+++ b/tests/cluster/outage_cancellation_test.go
@@ -162,7 +162,7 @@
 // isolateHalf isolates every second machine from all nodes.
 func isolateHalf(o *outageRun) {
 	o.setAdditionalFault(func(from string, r *http.Request) fake.Fault {
-		if isEveryOtherMachine(from) || isEveryOtherMachine(r.URL.Host) {
+		if hasEvenMachineID(from) || hasEvenMachineID(r.URL.Host) {
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
@@ -173,9 +173,9 @@
 func dropResponsesToHalf(o *outageRun) {
 	o.setAdditionalFault(func(from string, r *http.Request) fake.Fault {
 		switch {
-		case isEveryOtherMachine(from) && r.URL.Path == "/hello":
+		case hasEvenMachineID(from) && r.URL.Path == "/hello":
 			return fake.DroppedResponse
-		case isEveryOtherMachine(r.URL.Host):
+		case hasEvenMachineID(r.URL.Host):
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
@@ -185,15 +185,15 @@
 // dropHeartbeatsOfHalf drops everything that every second machine sends; the nodes' commands still reach the machine.
 func dropHeartbeatsOfHalf(o *outageRun) {
 	o.setAdditionalFault(func(from string, _ *http.Request) fake.Fault {
-		if isEveryOtherMachine(from) {
+		if hasEvenMachineID(from) {
 			return fake.DroppedRequest
 		}
 		return fake.NoFault
 	})
 }
 
-// isEveryOtherMachine reports whether a host is a machine whose ID is even, as every second machine's is.
-func isEveryOtherMachine(host string) bool {
+// hasEvenMachineID reports whether a host is a machine whose ID is even, as every second machine's is.
+func hasEvenMachineID(host string) bool {
 	return strings.HasPrefix(host, "i-") && (host[len("i-00000")]-'0')%2 == 0
 }
 
--- a/tests/cluster/standby_combined_cases_test.go
+++ b/tests/cluster/standby_combined_cases_test.go
@@ -10,14 +10,14 @@
 // restartNamedNodeAtOnce restarts the node that a handover names before it can lead. The handover must not leave the
 // cluster without a leader.
 func restartNamedNodeAtOnce(c *cluster) {
-	to := c.handover()
+	to := c.handOver()
 	c.restartNodes(c.indexOf(to))
 }
 
 // restartNamedNodeAsItLeads restarts the node that a handover names as soon as a new term has begun.
 func restartNamedNodeAsItLeads(c *cluster) {
 	token := c.fencingToken()
-	to := c.handover()
+	to := c.handOver()
 	c.awaitLeaderAfter(token)
 	c.restartNodes(c.indexOf(to))
 }
@@ -37,7 +37,7 @@
 func handOverSixTimes(c *cluster) {
 	for range 6 {
 		token := c.fencingToken()
-		c.handover()
+		c.handOver()
 		c.awaitLeaderAfter(token)
 		time.Sleep(300 * time.Millisecond)
 	}
@@ -46,7 +46,7 @@
 // handOverWithoutState makes the state service unavailable to the leader, and then makes the leader hand over.
 func handOverWithoutState(c *cluster) {
 	c.setFault(stateUnavailableTo(c.leader()))
-	c.handover()
+	c.handOver()
 	time.Sleep(5 * time.Second)
 	c.setFault(nil)
 }
@@ -54,7 +54,7 @@
 // refuseStateDuringHandover makes the state service unavailable to all nodes 0.1 s after a handover has begun.
 func refuseStateDuringHandover(c *cluster) {
 	time.AfterFunc(100*time.Millisecond, func() { c.setFault(stateUnavailableTo(-1)) })
-	c.handover()
+	c.handOver()
 	time.Sleep(10 * time.Second)
 	c.setFault(nil)
 }
@@ -82,7 +82,7 @@
 // commands: their leases expire although the next leader receives their heartbeats.
 func handOverWithUnreachableMachines(c *cluster) {
 	c.setFault(dropResponsesTo(c.firstMachinesOf(standbyArray)))
-	c.handover()
+	c.handOver()
 	time.Sleep(20 * time.Second)
 	c.setFault(nil)
 }
@@ -92,7 +92,7 @@
 func handOverWithIsolatedMachines(c *cluster) {
 	var dropped counter
 	c.setFault(isolateMachines(c.firstMachinesOf(standbyArray), &dropped))
-	c.handover()
+	c.handOver()
 	time.Sleep(20 * time.Second)
 	c.setFault(nil)
 }
@@ -108,7 +108,7 @@
 	})
 	c.submit("j-000007", 8)
 	time.Sleep(700 * time.Millisecond)
-	c.handover()
+	c.handOver()
 	time.Sleep(2 * time.Second)
 	c.setFault(nil)
 }
@@ -140,13 +140,13 @@
 // handOverToNodesWithoutStandby makes the leader hand over to nodes that keep no view.
 func handOverToNodesWithoutStandby(c *cluster) {
 	c.makeLeader(0)
-	c.handover()
+	c.handOver()
 }
 
 // handOverUnderPartition makes the leader hand over while it is partitioned from all other nodes.
 func handOverUnderPartition(c *cluster) {
 	c.isolateFromPeers(c.leader())
-	c.handover()
+	c.handOver()
 	time.Sleep(5 * time.Second)
 	c.healPartitions()
 }
--- a/tests/cluster/standby_combined_faults_test.go
+++ b/tests/cluster/standby_combined_faults_test.go
@@ -85,8 +85,8 @@
 	})
 }
 
-// handover makes the leader hand over, and returns the named node.
-func (c *cluster) handover() string {
+// handOver makes the leader hand over, and returns the named node.
+func (c *cluster) handOver() string {
 	c.t.Helper()
 	leader := c.leader()
 	to, err := c.nodes[leader].HandOver()
