--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -121,9 +121,9 @@
 	}
 }
 
-// refute raises this node's incarnation if a member suspects this node or has it in state Left. A higher incarnation
-// overrides such a view at all members. refute also raises the incarnation if a member knows a higher one, from an
-// earlier start of this node.
+// refute raises this node's incarnation if a member's view has this node as suspected or failed, or as left although it
+// is not shutting down. A higher incarnation overrides such a view at all members. refute also raises the incarnation
+// if a member knows a higher one, from an earlier start of this node.
 func (d *Detector) refute(view *MemberView) {
 	suspected := view.State.isSuspicion() && view.Incarnation == d.incarnation
 	left := view.State == Left && !d.leaving && view.Incarnation == d.incarnation
--- a/internal/membership/local_health.go
+++ b/internal/membership/local_health.go
@@ -16,8 +16,8 @@
 	slowTimeoutFactor = 2
 )
 
-// localHealth tracks this node's health by its own ticks, as Lifeguard does, because a node that was paused sees other
-// members as silent.
+// localHealth detects pauses of this node by the gaps between its ticks, because a node that was paused sees other
+// members as silent. As in Lifeguard, a node's own health lengthens the timeouts of its suspicions, see isSlow.
 type localHealth struct {
 	interval     micros.Micros // between ticks
 	lastTickAt   micros.Micros
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -16,11 +16,11 @@
 	t *testing.T
 }
 
-// expectNoTransition checks that, since the time from, no node has moved the node subject (-1: any node) to the given
+// expectNoTransition checks that, since the given time, no node has moved the node subject (-1: any node) to the given
 // state.
-func (c *scenarioRun) expectNoTransition(from micros.Micros, state State, subject int) {
+func (c *scenarioRun) expectNoTransition(since micros.Micros, state State, subject int) {
 	c.t.Helper()
-	if seen := c.transitionsTo(from, state, subject); len(seen) > 0 {
+	if seen := c.transitionsTo(since, state, subject); len(seen) > 0 {
 		c.t.Errorf("%s moved %s to state %s (%s, silent for %v), and %d more such transitions; want none",
 			seen[0].observer, seen[0].Member, state, seen[0].Reason, seen[0].Silence.Duration(), len(seen)-1)
 	}
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -202,11 +202,11 @@
 	s.after(to, at-s.now, arrive)
 }
 
-// transitionsTo returns the transitions of the node subject (-1: any node) from another state to the state to, since
-// the time from.
-func (s *simulation) transitionsTo(from micros.Micros, to State, subject int) (all []observedTransition) {
+// transitionsTo returns the transitions of the node subject (-1: any node) into a state from any other state, since the
+// given time.
+func (s *simulation) transitionsTo(since micros.Micros, state State, subject int) (all []observedTransition) {
 	for _, o := range s.observed {
-		if o.at >= from && o.To == to && o.From != to && (subject < 0 || subject < len(s.nodes) && o.Member == s.nodes[subject].name) {
+		if o.at >= since && o.To == state && o.From != state && (subject < 0 || subject < len(s.nodes) && o.Member == s.nodes[subject].name) {
 			all = append(all, o)
 		}
 	}
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// enterFrom enters the phase to if the current phase is from.
+// enterFrom moves from one phase to another. It does nothing if the current phase is not the first of the two.
 func (f *Failover) enterFrom(from, to Phase) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -277,7 +277,8 @@
 			}
 			// A token higher by two means that another term came in between; an equal token is of the same term.
 			if v.ProvesAssignments(testToken+2) || v.ProvesAssignments(testToken) {
-				t.Error("view proves assignments to a term other than the next one")
+				t.Errorf("view proves assignments to the term with token %d: %v, with token %d: %v; want neither",
+					testToken+2, v.ProvesAssignments(testToken+2), testToken, v.ProvesAssignments(testToken))
 			}
 			if f.TakeView() != nil {
 				t.Error("second TakeView() returned a view, want nil")
--- a/internal/zone/config_test.go
+++ b/internal/zone/config_test.go
@@ -33,7 +33,7 @@
 		tc.change(&c)
 		err := c.Check()
 		if !errors.Is(err, tc.want) || err != nil && err.Error() != tc.wantText {
-			t.Errorf("%s: error %v, want %q", tc.name, err, tc.wantText)
+			t.Errorf("%s: Check() = %v, want error %v with text %q", tc.name, err, tc.want, tc.wantText)
 		}
 	}
 }
--- a/internal/zone/lifecycle_policy.go
+++ b/internal/zone/lifecycle_policy.go
@@ -16,22 +16,22 @@
 	evidence      map[string]Evidence
 	massOutage    bool // see isMassOutage
 	evacuating    bool // jobs move out of some zone, or may not move back yet
-	anyNormalZone bool // there is a normal zone to which jobs can move
+	anyUsableZone bool // there is a zone to which jobs can move, see hasUsableZone
 }
 
 var _ Policy = (*LifecyclePolicy)(nil)
 
 // NewLifecyclePolicy returns a LifecyclePolicy for a configuration that Config.Check has accepted.
 func NewLifecyclePolicy(c Config) *LifecyclePolicy {
-	return &LifecyclePolicy{config: c, zones: map[string]lifecycle{}, evidence: map[string]Evidence{}, anyNormalZone: true}
+	return &LifecyclePolicy{config: c, zones: map[string]lifecycle{}, evidence: map[string]Evidence{}, anyUsableZone: true}
 }
 
 // Observe implements Policy.
 func (p *LifecyclePolicy) Observe(now micros.Micros, o Observation) (changes []Transition) {
 	p.massOutage = isMassOutage(o)
 	p.evidence = o.Zones
-	// If no zone looks normal, the observer itself is assumed to be at fault.
-	atFault := o.ObserverIsolated || !p.hasNormalZone()
+	// If no zone looks usable, the observer itself is assumed to be at fault.
+	atFault := o.ObserverIsolated || !p.hasUsableZone()
 	p.evacuating = false
 	for _, name := range zoneNames(o, p.zones) {
 		before := p.zones[name]
@@ -48,7 +48,7 @@
 			changes = append(changes, transition(name, before, after, o.Zones[name]))
 		}
 	}
-	p.anyNormalZone = p.hasNormalZone()
+	p.anyUsableZone = p.hasUsableZone()
 	return changes
 }
 
@@ -61,9 +61,9 @@
 	return t
 }
 
-// hasNormalZone reports whether there is a zone that is neither fully disrupted, nor held down, nor reopening, and whose
+// hasUsableZone reports whether there is a zone that is neither fully disrupted, nor held down, nor reopening, and whose
 // share of machines that are not ready is too low for a partial disruption. A single running machine is enough.
-func (p *LifecyclePolicy) hasNormalZone() bool {
+func (p *LifecyclePolicy) hasUsableZone() bool {
 	for name, e := range p.evidence {
 		if e.Running > 0 && !p.zones[name].state.isEvacuating() && float64(e.notReady()) <= p.config.PartialDisruptionShare*float64(e.Running) {
 			return true
@@ -106,7 +106,7 @@
 			d.MaxMachines = 0
 		}
 	}
-	if !p.anyNormalZone {
+	if !p.anyUsableZone {
 		d.OpenShare = 1 // the reachable machines of disrupted zones are the only capacity left
 	}
 	return d
--- a/internal/zone/lifecycle_policy_test.go
+++ b/internal/zone/lifecycle_policy_test.go
@@ -77,7 +77,8 @@
 		observe(p, &now, 3, s.times, s.a, s.b)
 		a, b, open := p.zones["a"].state, p.zones["b"], p.Decide("a").OpenShare
 		if a != s.aState || b.state != s.bState || open != s.openShare || b.state == PartialDisruption && b.reason != ReasonObserverAtFault {
-			t.Errorf("step %d: zone a is %v, zone b is %v (%s), open share of a %v; want %+v", i, a, b.state, b.reason, open, s)
+			t.Errorf("step %d: zone a is %v, zone b is %v (%s), open share of a %v; want %v, %v, %v, and reason %q if b is %v",
+				i, a, b.state, b.reason, open, s.aState, s.bState, s.openShare, ReasonObserverAtFault, PartialDisruption)
 		}
 	}
 }
--- a/internal/zone/record.go
+++ b/internal/zone/record.go
@@ -25,8 +25,9 @@
 	NormalSince          micros.Micros `json:"calm,omitempty"`
 }
 
-// maxRecordAge is the maximum age of a stored state. An older one is of no use: the zone has been disrupted again, or
-// has recovered without this policy.
+// maxRecordAge is the maximum age of a stored state. The age counts from the beginning of the state, and for a normal
+// zone from when it became normal, not from when the record was stored. An older state is not restored, because the
+// zone may have been disrupted again since, or have recovered without this policy.
 const maxRecordAge = 24 * 3600 * micros.Second
 
 // Record implements Policy.
@@ -98,7 +99,7 @@
 		z.holdDownUntil = now + min(max(0, s.HoldDownUntil-wall), c.MaxHoldDown)
 	}
 	if s.State == Reopening {
-		z.since = now // the starts of the step are counted from 0 again
+		z.since = now // the step's duration restarts together with its counters, which are not restored
 	}
 	return z, true
 }
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -90,7 +90,7 @@
 // Observation holds the evidence of all zones at one time.
 type Observation struct {
 	Zones            map[string]Evidence
-	ObserverIsolated bool // the observer reaches neither the state service nor most of its peers
+	ObserverIsolated bool // the observer reaches neither the state service nor at least half of its peers
 }
 
 // Decision is the decision of a policy about one zone.
