--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -105,10 +105,8 @@
 	switch {
 	case page.Version != Version:
 		return fmt.Errorf("%w: page has version %d, this node uses %d", ErrVersion, page.Version, Version)
-	case f.view == nil:
-		return fmt.Errorf("%w: page has token %d, follower has no view", ErrTerm, page.FencingToken)
-	case page.FencingToken != f.view.FencingToken:
-		return fmt.Errorf("%w: page has token %d, view has token %d", ErrTerm, page.FencingToken, f.view.FencingToken)
+	case f.view == nil || page.FencingToken != f.view.FencingToken:
+		return fmt.Errorf("%w: page has token %d", ErrTerm, page.FencingToken)
 	case page.AfterPosition+uint64(len(page.Entries)) > page.LatestPosition && page.Snapshot == nil && !page.Compacted:
 		f.resetView(page.FencingToken)
 		return fmt.Errorf("%w: page has entries after the latest position", ErrMalformed)
