--- a/internal/leader/boots_test.go
+++ b/internal/leader/boots_test.go
@@ -9,9 +9,10 @@
 )
 
 // TestLateBoots checks what happens to machines that boot late or never. If only a few machines are late, they count as
-// overdue: they are replaced, and are terminated in the end. If most machines are late, they are not replaced:
-// the replacements would be a second fleet beside the first. The test uses superviseMachines, which also terminates the
-// machines that did not boot.
+// overdue: they are replaced, and are terminated in the end. If most machines are late and no newer machines run, only
+// one late machine is replaced before the boot timeout, to test whether others boot sooner. Replacements for all of
+// them would be a second fleet beside the first. The test uses superviseMachines, which also terminates machines that
+// did not boot in time.
 func TestLateBoots(t *testing.T) {
 	const s = micros.Second
 	cases := []struct {
@@ -25,9 +26,9 @@
 		{"in time", 0, 30 * s, 0, 0, 0, false, false},
 		{"the only late machine", 9, 40 * s, 0, 0, 0, true, false},
 		{"most are late", 2, 40 * s, 0, 0, 0, false, false},
-		{"most are late, just before the timeout", 2, 85 * s, 0, 0, 0, false, false},
+		{"most are late, just before the boot timeout", 2, 85 * s, 0, 0, 0, false, false},
 		{"most are late, and so are newer machines", 2, 60 * s, 0, 0, -3, false, false},
-		{"most are late, after the timeout", 2, 95 * s, 0, 0, 0, false, true},
+		{"most are late, after the boot timeout", 2, 95 * s, 0, 0, 0, false, true},
 		{"most are late, but newer machines are running", 2, 60 * s, 0, 0, 9, true, false},
 		{"the only late machine, and earlier late boots succeeded", 9, 60 * s, 1, 0, 0, true, false},
 		{"the only late machine, and earlier late boots failed", 9, 60 * s, 0, 2, 0, true, true},
@@ -60,14 +61,14 @@
 			}
 			l.superviseMachines(now)
 			m := l.fleet.Machines["i-109"]
-			sample := 0
+			replaced := 0
 			for _, other := range l.fleet.Sorted {
 				if other.Instance.Terminating && other.Instance.LateWithCohort && other != m {
-					sample++
+					replaced++
 				}
 			}
-			if want := c.age > 50*s && m.Instance.LateWithCohort && !c.terminated; (sample == 1) != want {
-				t.Errorf("%d machines replaced to test whether others boot sooner, want one: %v", sample, want)
+			if want := c.age > 50*s && m.Instance.LateWithCohort && !c.terminated; (replaced == 1) != want {
+				t.Errorf("%d machines replaced to test whether others boot sooner, want exactly one: %v", replaced, want)
 			}
 			if got := l.fleet.IsOverdue(m, now); got != c.overdue {
 				t.Errorf("%s overdue: %v, want %v", m.ID, got, c.overdue)
--- a/internal/leader/failover_test.go
+++ b/internal/leader/failover_test.go
@@ -39,9 +39,10 @@
 	return h
 }
 
-// TestRestoreFromPreviousTerm checks which tasks of an earlier job a new leader starts before a machine that may have
-// tasks of the job has sent a heartbeat. It may start tasks only if its view contains a complete handover by the
-// immediately preceding term, and then only tasks that are not on the machine according to the view.
+// TestRestoreFromPreviousTerm checks which tasks of a job from an earlier term a new leader starts on machine i-2 while
+// machine i-1, which may also have tasks of the job, has sent no heartbeat. The leader may start tasks only if the
+// immediately preceding term ended with a complete handover, and if the handover's view shows which tasks i-1 has. It
+// must not start the tasks that the view shows on i-1.
 func TestRestoreFromPreviousTerm(t *testing.T) {
 	cases := []struct {
 		name string
@@ -86,9 +87,9 @@
 	}
 }
 
-// TestRepeatTerminations checks that a new leader terminates a machine again whose termination the previous leader had
-// requested, unless a leader in between may have used the machine. It also terminates a machine that the view of a
-// complete handover lacks.
+// TestRepeatTerminations checks that a new leader repeats the terminations that its view of an earlier term contains,
+// unless there was another term in between, whose leader may have used the machines. The new leader also terminates a
+// stored machine that the view of a complete handover lacks.
 func TestRepeatTerminations(t *testing.T) {
 	cases := []struct {
 		name string
@@ -134,7 +135,8 @@
 	term.lastConfirmed = l.liveness.LeaseExpiry(m)
 	l.superviseMachines(l.liveness.LeaseExpiry(m) + 1)
 	if l.jobs["j-000001"].Attempts[0] != nil || m.Reconciliation.Knowledge == state.TasksHandedOver {
-		t.Error("the task was not released, or the machine still counts as handed over, after the lease expired")
+		t.Errorf("after the lease expired: task released: %t, want true; the machine still counts as handed over: %t, want false",
+			l.jobs["j-000001"].Attempts[0] == nil, m.Reconciliation.Knowledge == state.TasksHandedOver)
 	}
 }
 
@@ -273,8 +275,8 @@
 	}
 }
 
-// TestHandedOverTaskOfCancelledJob checks that a task of a cancelled job that a handover names is stopped by the
-// response to the machine's next heartbeat, in case the previous leader had not sent the stop.
+// TestHandedOverTaskOfCancelledJob checks that, if a handover names a task of a cancelled job, the response to the
+// machine's next heartbeat stops the task. The previous leader may not have sent the stop.
 func TestHandedOverTaskOfCancelledJob(t *testing.T) {
 	l, _ := newTestLeader(t)
 	spec := &wire.Job{ID: "j-000009", Team: "blue", Kind: wire.KindArray, Priority: "normal", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimatedRuntimeS: 10, AllowSpot: true}
--- a/internal/leader/gang_assignment_test.go
+++ b/internal/leader/gang_assignment_test.go
@@ -79,7 +79,7 @@
 		j := l.jobs[gangID]
 		j.Spec.SingleZone = true
 		launchGang(t, l, c.state)
-		before := j.Gang.Number
+		numberBefore := j.Gang.Number
 		l.fleet.Remove(l.fleet.Machines["i-2"])
 		for i, zone := range []string{"b", "b", "b", "a"} {
 			addSchedulable(l, fmt.Sprintf("i-%d", i+4), zone)
@@ -97,14 +97,14 @@
 				zones[l.fleet.Machines[id].Offering.Zone] = true
 			}
 		}
-		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == before) != c.sameAttempt || zones["b"] && c.sameAttempt {
-			t.Errorf("%s: %d starts in zones %v, want %d; attempt number %d after %d, want the same: %t", c.name, starts, zones, c.starts, j.Gang.Number, before, c.sameAttempt)
+		if starts != c.starts || len(zones) > 1 || (j.Gang.Number == numberBefore) != c.sameAttempt || zones["b"] && c.sameAttempt {
+			t.Errorf("%s: %d starts in zones %v, want %d in a single zone, which is a if the attempt is the same; attempt number %d, before the loss %d, want the same: %t", c.name, starts, zones, c.starts, j.Gang.Number, numberBefore, c.sameAttempt)
 		}
 	}
 }
 
-// TestGangCountsAgainstTeamLimit checks that a gang that uses all of its team's limit blocks the team's other jobs in
-// each of its states, also while its tasks wait for each other, until tasks of it have left their machines.
+// TestGangCountsAgainstTeamLimit checks that a gang that uses all of its team's limit blocks the team's other jobs. It
+// blocks them from the assignment of its tasks, through every state of the gang, until a task has left its machine.
 func TestGangCountsAgainstTeamLimit(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -135,8 +135,8 @@
 		l := newGangTest(t, false)
 		l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 9})
 		c.before(t, l)
-		small := &wire.Job{ID: "j-000003", Team: "blue", Kind: wire.KindArray, Priority: "prod", Tasks: 4, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true}
-		l.jobs[small.ID] = state.NewJob(replica.Job{Spec: small, SubmittedAt: micros.WallTime()}, false)
+		otherJob := &wire.Job{ID: "j-000003", Team: "blue", Kind: wire.KindArray, Priority: "prod", Tasks: 4, CPUs: 1, EstimatedRuntimeS: 5, AllowSpot: true}
+		l.jobs[otherJob.ID] = state.NewJob(replica.Job{Spec: otherJob, SubmittedAt: micros.WallTime()}, false)
 		addSchedulable(l, "i-4", "a")
 		got := sendHeartbeat(t, l, "i-4")
 		if (len(got) > 0) != c.starts || l.teamUsage["blue"].CPU > 9000 {
--- a/internal/leader/gang_attempt_test.go
+++ b/internal/leader/gang_attempt_test.go
@@ -8,7 +8,8 @@
 	"caperlatch/internal/wire"
 )
 
-// TestGangAttempt checks the commands in the responses to a sequence of heartbeats of machines with a gang's tasks.
+// TestGangAttempt checks which commands the machines of a gang get in response to a sequence of heartbeats, and the
+// gang's attempt number and done tasks at the end of the sequence.
 func TestGangAttempt(t *testing.T) {
 	type step struct {
 		machine string
@@ -27,7 +28,7 @@
 		earlierTerm bool // an earlier term may have started tasks of the gang
 		steps       []step
 		attempt     uint64 // the attempt number at the end, without this term's fencing token; 0 if there is no attempt
-		done        bool
+		done        bool   // all tasks are done at the end
 	}{
 		{"the gang starts", false, started, 1, false},
 		{"a start is lost and sent again under the same number", false, append(slices.Clone(launched),
--- a/internal/leader/gang_heartbeat_test.go
+++ b/internal/leader/gang_heartbeat_test.go
@@ -20,11 +20,11 @@
 		want    []string
 	}
 	// The task on machine i-2 is evicted and exits, and machine i-4 is added.
-	moved := []step{
+	evicted := []step{
 		{func(l *Leader) { evictGangTask(l, "i-2"); addSchedulable(l, "i-4", "a") }, "i-2", gangStatuses{taskOnSender.waiting()}, []string{"stop"}},
 		{nil, "i-2", gangStatuses{taskOnSender.exited(wire.ExitStopped)}, []string{"clear"}},
 	}
-	replaced := append(slices.Clone(moved), step{nil, "i-4", nil, []string{"start"}})
+	replaced := append(slices.Clone(evicted), step{nil, "i-4", nil, []string{"start"}})
 	cases := []struct {
 		name        string
 		launch      string // initial state of the gang's tasks, empty if none was started in this term
@@ -36,7 +36,7 @@
 			step{nil, "i-1", gangStatuses{taskOnSender.running()}, nil},
 			step{nil, "i-2", gangStatuses{gangTask(1).exited(wire.ExitStopped)}, []string{"clear"}},
 			step{nil, "i-1", gangStatuses{taskOnSender.running()}, nil})},
-		{"the others run before the start of the replacement is sent", wire.TaskWaitingForGang, false, append(slices.Clone(moved),
+		{"the others run before the start of the replacement is sent", wire.TaskWaitingForGang, false, append(slices.Clone(evicted),
 			step{nil, "i-1", gangStatuses{taskOnSender.running()}, []string{"stop"}},
 			step{nil, "i-4", nil, nil})},
 		{"a task is evicted while all wait, and then another is listed as running", wire.TaskWaitingForGang, false, []step{
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestUnknownTaskStates checks that a heartbeat with a task state or exit reason that the protocol does not define is
-// logged once. A task in an unknown state counts as present on its machine, and a task with an unknown exit reason as
-// exited.
+// TestUnknownTaskStates checks that one event is logged for a task with a state or exit reason that the protocol does
+// not define, even if later heartbeats list the unknown state again. A task in an unknown state counts as present on
+// its machine, and a task with an unknown exit reason as exited.
 func TestUnknownTaskStates(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -136,16 +136,17 @@
 			}
 		}
 		if present := l.fleet.Machines["i-2"].Attempts[state.TaskID(gangID, a.Index)] == a; events != c.events || present != c.present {
-			t.Errorf("%s: %d events, want %d; the task counts as present: %t, want %t", c.name, events, c.events, present, c.present)
+			t.Errorf("%s: %d events about unknown values, want %d; the task counts as present on its machine: %t, want %t", c.name, events, c.events, present, c.present)
 		}
 	}
 }
 
 // TestGangDelayedDuplicateHeartbeat guards against a task of a gang being started on two machines because of a delayed
 // duplicate of a heartbeat. The task's start is refused, and the task is cleared and started again on the same machine
-// under the same number, because the tasks of a waiting gang keep their attempt number. If a duplicate of the refusal
-// from this term counted for the second start, the leader would consider the task gone and start it on another machine
-// as well. The order of heartbeats within an incarnation prevents that.
+// under the same number, because the tasks of a waiting gang keep their attempt number. Then a duplicate of the
+// heartbeat with the refusal arrives. If the leader took the refusal for one of the second start, it would consider the
+// task gone and start it on another machine as well. It must therefore reject a heartbeat whose sequence number is not
+// higher than the latest of the incarnation.
 func TestGangDelayedDuplicateHeartbeat(t *testing.T) {
 	l := newGangTest(t, false)
 	for _, machine := range []string{"i-1", "i-2", "i-3"} {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -48,7 +48,7 @@
 // gangTask is the index of a task of the gang, or the constant taskOnSender.
 type gangTask int
 
-// taskOnSender stands for the task of the gang that the leader has on the machine that sends the heartbeat.
+// taskOnSender stands for the task of the gang that the leader has assigned to the machine that sends the heartbeat.
 const taskOnSender gangTask = -1
 
 // gangStatus is the status of a task of the gang in a heartbeat.
@@ -98,15 +98,15 @@
 	return wire.TaskStatus{TaskID: state.TaskID(j.Spec.ID, int(s.index)), Attempt: s.attempt, State: s.state, ExitReason: s.exitReason}
 }
 
-// gangHeartbeat sends a heartbeat of a machine with tasks of the gang, and returns the commands of the response. The
-// leader makes a new plan first if one is needed.
+// gangHeartbeat sends a heartbeat of a machine with tasks of the gang, and returns the commands of the response. If a
+// new plan is needed, the leader makes it first, even if the latest plan is very recent.
 func gangHeartbeat(t *testing.T, l *Leader, machine string, tasks ...gangStatus) []string {
 	t.Helper()
 	l.scheduler.PlannedAt = 0
 	return gangHeartbeatBetweenPlans(t, l, machine, tasks...)
 }
 
-// gangHeartbeatBetweenPlans is like gangHeartbeat, but the leader makes a new plan only if one is due.
+// gangHeartbeatBetweenPlans is like gangHeartbeat, but the leader makes no new plan if the latest one is very recent.
 func gangHeartbeatBetweenPlans(t *testing.T, l *Leader, machine string, tasks ...gangStatus) []string {
 	t.Helper()
 	m := l.fleet.Machines[machine]
@@ -121,7 +121,7 @@
 	return commandNames(response)
 }
 
-// addSchedulable adds a running machine that is schedulable.
+// addSchedulable adds a running, schedulable machine in a zone.
 func addSchedulable(l *Leader, id, zone string) {
 	m := l.fleet.Add(id, l.fleet.Intent("r-1"), micros.Now())
 	m.Offering.Zone = zone
@@ -129,7 +129,7 @@
 	m.Instance.Address, m.Heartbeat.Incarnation, m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = id+":9000", 1, micros.Now(), micros.Now()
 }
 
-// gangAttemptOn returns the gang's attempt that the leader has assigned to a machine, or nil if there is none.
+// gangAttemptOn returns the attempt of a task of the gang that is assigned to a machine, or nil if there is none.
 func gangAttemptOn(l *Leader, machine string) *state.Attempt {
 	for _, a := range l.fleet.Machines[machine].Attempts {
 		if a.Job.Spec.ID == gangID {
--- a/internal/leader/gang_loss_test.go
+++ b/internal/leader/gang_loss_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestGangTaskReplacedOnlyWhenGone checks that a waiting task of a gang is started on another machine, with the same
-// attempt number, only once the task is known to have left its machine. Each case is an event that does or does not
-// prove that, such as silence of the machine or a heartbeat without the task.
+// attempt number, only once the task is known to have left its machine. Each case is an event, such as silence of the
+// machine or a heartbeat without the task, that does or does not prove that the task has left.
 func TestGangTaskReplacedOnlyWhenGone(t *testing.T) {
 	sends := func(edit func(h *wire.Heartbeat)) func(t *testing.T, l *Leader, m *state.Machine) {
 		return func(_ *testing.T, l *Leader, m *state.Machine) {
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	shows := func(tasks ...gangStatus) func(t *testing.T, l *Leader, m *state.Machine) {
+	lists := func(tasks ...gangStatus) func(t *testing.T, l *Leader, m *state.Machine) {
 		return func(t *testing.T, l *Leader, m *state.Machine) { gangHeartbeat(t, l, m.ID, tasks...) }
 	}
 	silent := func(seconds micros.Micros) func(t *testing.T, l *Leader, m *state.Machine) {
@@ -54,13 +54,13 @@
 		{"a delayed heartbeat from before the start", sends(func(h *wire.Heartbeat) { h.Sequence = 1 }), false},
 		{"a heartbeat of an earlier term", sends(func(h *wire.Heartbeat) { h.FencingToken = testToken - 1 }), false},
 		{"a heartbeat of a later incarnation and an earlier term", sends(func(h *wire.Heartbeat) { h.Incarnation, h.FencingToken = 2, testToken-1 }), true},
-		{"a heartbeat without the task", shows(), true},
-		{"a heartbeat with the task and another attempt that has exited", shows(gangTask(1).exited(wire.ExitStopped).ofAttempt(3), taskOnSender.waiting()), false},
-		{"the task pulls its image", shows(taskOnSender.pulling()), false},
-		{"the task is in an unknown state", shows(taskOnSender.inState(unknownTaskState)), false},
-		{"the task has exited", shows(taskOnSender.exited(wire.ExitStopped)), true},
-		{"the task has exited for an unknown reason", shows(taskOnSender.exited(unknownExitReason)), true},
-		{"the start was refused", shows(taskOnSender.exited(wire.ExitInsufficientResources)), true},
+		{"a heartbeat without the task", lists(), true},
+		{"a heartbeat with the task and another attempt that has exited", lists(gangTask(1).exited(wire.ExitStopped).ofAttempt(3), taskOnSender.waiting()), false},
+		{"the task pulls its image", lists(taskOnSender.pulling()), false},
+		{"the task is in an unknown state", lists(taskOnSender.inState(unknownTaskState)), false},
+		{"the task has exited", lists(taskOnSender.exited(wire.ExitStopped)), true},
+		{"the task has exited for an unknown reason", lists(taskOnSender.exited(unknownExitReason)), true},
+		{"the start was refused", lists(taskOnSender.exited(wire.ExitInsufficientResources)), true},
 	}
 	for _, c := range cases {
 		l := newGangTest(t, false)
@@ -69,7 +69,7 @@
 		number, a := j.Gang.Number, gangAttemptOn(l, "i-2")
 		c.event(t, l, m)
 		if present := m.Attempts[state.TaskID(j.Spec.ID, a.Index)] == a; present == c.gone {
-			t.Errorf("%s: the task counts as present: %t, want %t", c.name, present, !c.gone)
+			t.Errorf("%s: the task counts as present on its machine: %t, want %t", c.name, present, !c.gone)
 		}
 		m.StartBackoffUntil = micros.Now() + 100*micros.Second
 		l.scheduler.RequestPlan()
--- a/internal/leader/gang_plan_test.go
+++ b/internal/leader/gang_plan_test.go
@@ -13,7 +13,8 @@
 )
 
 // TestGangReservation checks that machines are reserved for a gang that finds no room while other tasks will end soon.
-// The reservation expires, and the next plan does not make it again: the gang must wait for a while first.
+// Once the reservation has expired, the next plan does not reserve machines for the gang again: the gang must wait for
+// a while first.
 func TestGangReservation(t *testing.T) {
 	const s = micros.Second
 	l := newGangTest(t, false)
@@ -45,7 +46,7 @@
 	}
 	l.jobs[shortJob.Spec.ID] = shortJob
 	if shortJob.Spec.Priority = "normal"; len(gangHeartbeat(t, l, "i-1")) != 0 {
-		t.Error("another job got the resources of a reserved machine")
+		t.Error("i-1, which is reserved for the gang, got commands, want none for another job")
 	}
 	m.Reservation.ExpiresAt = micros.Now()
 	l.gangs.Check(micros.Now())
@@ -57,8 +58,9 @@
 	}
 }
 
-// TestGangChangesAfterPlan checks the commands for a machine when a gang has changed since the latest plan. The machine
-// gets tasks from the queue of that plan, but none of an attempt or a job that has ended since.
+// TestGangChangesAfterPlan checks the commands for a machine when a gang or its team's usage has changed since the
+// latest plan. The machine gets tasks of the gang from the queue of that plan, unless the attempt or the job has ended
+// since the plan or the team has reached its limit.
 func TestGangChangesAfterPlan(t *testing.T) {
 	cancel := func(l *Leader) {
 		spec := l.jobs[gangID].Spec
--- a/internal/leader/gang_pool_test.go
+++ b/internal/leader/gang_pool_test.go
@@ -12,7 +12,7 @@
 	"caperlatch/internal/wire"
 )
 
-// newPoolTest returns a leader with 32 idle machines of four CPUs and no jobs. Its objective is that 85 % of the gangs
+// newPoolTest returns a leader with 32 idle machines of four CPUs and no jobs. Its objective is that 85 % of the jobs
 // of class pairs start within 2 s.
 func newPoolTest(t *testing.T) *Leader {
 	t.Helper()
@@ -59,8 +59,9 @@
 	return n
 }
 
-// TestGangPoolUse checks that gangs start on the machines of a pool and tasks of arrays do not. Machines are not
-// terminated while the pool needs them, and are open to all jobs once it does not.
+// TestGangPoolUse checks that gangs start on the machines of a pool and tasks of arrays do not. Idle machines are not
+// terminated while they are in the pool. Once gangs demand no machines, the machines leave the pool and are open to all
+// jobs.
 func TestGangPoolUse(t *testing.T) {
 	l := newPoolTest(t)
 	addPairsJob(l, "j-000100", wire.KindGang, 2, false, nil)
@@ -89,7 +90,7 @@
 	if gangs != 2 {
 		t.Errorf("%d tasks of the gang started on machines of the pool, want 2", gangs)
 	}
-	before := countPooled(l)
+	pooledBefore := countPooled(l)
 	for _, m := range l.fleet.Sorted {
 		m.Instance.LaunchedAt, m.Instance.IdleSince = m.Instance.LaunchedAt-1000*micros.Second, m.Instance.IdleSince-1000*micros.Second
 	}
@@ -99,8 +100,8 @@
 			t.Errorf("%s is terminated while it is in a pool", m.ID)
 		}
 	}
-	if countPooled(l) != before {
-		t.Errorf("%d machines are in a pool after idle machines were terminated, want %d", countPooled(l), before)
+	if countPooled(l) != pooledBefore {
+		t.Errorf("%d machines are in a pool after idle machines were terminated, want %d", countPooled(l), pooledBefore)
 	}
 	for _, p := range l.scaler.Pools() {
 		p.Mean = 0
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestGangPoolAfterFailover checks which machines join a pool after a failover with two known gangs, when their first
-// heartbeats list tasks of an array, no tasks, or tasks of a gang.
+// TestGangPoolAfterFailover checks which machines join a pool after a failover, by whether their first heartbeats list
+// tasks of an array, no tasks, or tasks of a gang. Two gangs are known, and a pool takes an eighth of the fleet at most.
 func TestGangPoolAfterFailover(t *testing.T) {
 	l := newPoolTest(t)
 	gang := addPairsJob(l, "j-000100", wire.KindGang, 2, true, nil)
@@ -143,7 +144,7 @@
 		m.Reconciliation.Knowledge = state.TasksUnknown
 		l.reconcile(m, &wire.Heartbeat{MachineID: m.ID, Incarnation: 1, Sequence: 1, FencingToken: testToken, Tasks: c.tasks}, micros.Now())
 		if got := m.Pool.IsSet(); got != c.pooled {
-			t.Errorf("%s: in a pool: %t, want %t", c.name, got, c.pooled)
+			t.Errorf("%s: %s is in a pool: %t, want %t", c.name, m.ID, got, c.pooled)
 		}
 	}
 }
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -13,8 +13,9 @@
 	"caperlatch/internal/zone"
 )
 
-// TestGangStopsAllTasksOrNone checks that when a running gang is stopped for other work, either all of its tasks are
-// stopped with time to save a checkpoint, or none, depending on the state of its machines.
+// TestGangStopsAllTasksOrNone checks that when a running gang is to be stopped for other work, all of its tasks are
+// stopped with time to save a checkpoint. None is stopped if some task may not receive its stop in time, or if another
+// node may lead.
 func TestGangStopsAllTasksOrNone(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -50,19 +51,20 @@
 			}
 		}
 		if stopping != c.stops || stopped != (stopping > 0) {
-			t.Errorf("%s: %d tasks are stopping with time to save a checkpoint, want %d; StopIfReachable returned %v", c.name, stopping, c.stops, stopped)
+			t.Errorf("%s: %d tasks are stopping with time to save a checkpoint, want %d; StopIfReachable returned %v, want %v", c.name, stopping, c.stops, stopped, c.stops > 0)
 		}
 	}
 }
 
-// TestGangEvictedOnInterruption checks what an interruption notice for a machine with a task of a gang stops. All tasks
-// of a running gang are stopped, with time to save a checkpoint; a running gang without checkpoints is not stopped. Of a
-// waiting gang, only that task is stopped. The gang may already run before a heartbeat shows it, so that task gets time
-// to save a checkpoint too: if it were stopped at once, the gang would lose its work since its last checkpoint.
+// TestGangEvictedOnInterruption checks which tasks of a gang an interruption notice for one of its machines stops. All
+// tasks of a running gang are stopped, with time to save a checkpoint. A running gang without checkpoints is not
+// stopped. Of a gang that does not run yet, only the task on the machine is stopped, if its start was sent. The gang
+// may already run before a heartbeat shows it, so this task gets time to save a checkpoint too. If the task were stopped
+// at once, the gang would lose its work since its last checkpoint.
 func TestGangEvictedOnInterruption(t *testing.T) {
 	cases := []struct {
 		name                string
-		states              []string // of the three tasks in heartbeats, "" for a task that none has listed; nil if no start was sent to i-2
+		states              []string // of the three tasks, as listed in heartbeats; "" for a task that no heartbeat lists; nil if i-2 was sent no start
 		checkpointIntervalS float64
 		stops               int // tasks that are stopping
 	}{
--- a/internal/leader/golden_test.go
+++ b/internal/leader/golden_test.go
@@ -24,15 +24,15 @@
 	golden.TypeOf[explain.Explanation]("an explanation"),
 }
 
-// TestEncodedTypes checks that the encoding of each of these types matches the golden file.
+// TestEncodedTypes checks that the encoding of each type in encodedTypes matches the golden file.
 func TestEncodedTypes(t *testing.T) {
 	golden.CheckEncoded(t, "encoded.golden", golden.Codec{Encode: wire.Marshal, Decode: wire.Unmarshal}, encodedTypes...)
 }
 
-// TestEncodedTags checks that all fields of these types have a tag with their encoded name.
+// TestEncodedTags checks that all fields of the types in encodedTypes have a tag with their encoded name.
 func TestEncodedTags(t *testing.T) { golden.CheckTags(t, "json", encodedTypes...) }
 
-// TestStoredKeys checks that the keys that the leader generates match the golden file.
+// TestStoredKeys checks that the task IDs and the progress keys that the leader generates match the golden file.
 func TestStoredKeys(t *testing.T) {
 	golden.Check(t, "keys.golden", []golden.Section{
 		{Name: "a task", Text: state.TaskID("j-000412", 3)},
--- a/internal/leader/handover_test.go
+++ b/internal/leader/handover_test.go
@@ -10,7 +10,8 @@
 	"caperlatch/internal/standby"
 )
 
-// fakeFollowers records the published entries. Its fields set which member follows and whether it applies all entries.
+// fakeFollowers records the published entries. The fields follower and applies set which member follows, "" for none,
+// and whether it has applied all entries.
 type fakeFollowers struct {
 	mu       sync.Mutex
 	entries  []standby.Entry
@@ -36,8 +37,8 @@
 
 func (f *fakeFollowers) HasApplied(string, uint64) bool { return f.applies }
 
-// TestHandOver checks that a leader that has handed over responds to no heartbeat, that its last entry says whether the
-// tasks of all machines were known, and that the handover ends within its time limit whether or not a follower has
+// TestHandOver checks that a leader that has handed over responds to no heartbeat. Its last entry must say whether all
+// machines had confirmed their tasks. The handover must end within twice its time limit, whether or not a follower has
 // applied that entry.
 func TestHandOver(t *testing.T) {
 	cases := []struct {
@@ -73,7 +74,7 @@
 			}
 			last := f.entries[len(f.entries)-1].Handover
 			if last == nil || last.To != tc.follower || last.Complete != tc.allKnown {
-				t.Errorf("handover in the last entry: %+v, want one to %q that is complete: %v", last, tc.follower, tc.allKnown)
+				t.Errorf("handover in the last entry: %+v, want one to %q with Complete %v", last, tc.follower, tc.allKnown)
 			}
 			if _, err := l.HandleHeartbeat(heartbeat(12, testToken)); !errors.Is(err, ErrCannotRespond) {
 				t.Errorf("heartbeat after the handover: error %v, want %v", err, ErrCannotRespond)
@@ -121,8 +122,8 @@
 }
 
 // TestHandOverEndsWithTerm checks that a handover does not wait until its time limit if the term ends first. This
-// happens when the named follower leads before it has reported that it applied all entries: from then on it sends no
-// queries.
+// happens if the follower becomes the leader before it has reported that it applied all entries, because a leader sends
+// no queries.
 func TestHandOverEndsWithTerm(t *testing.T) {
 	l, _ := newTestLeader(t)
 	l.Followers = &fakeFollowers{follower: "host-1"}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -33,11 +33,11 @@
 
 func (t *fakeTerm) Relinquish() { t.holdsSession, t.exclusive = false, false }
 
-// testToken is the fencing token of the term.
+// testToken is the fencing token of the test leader's term.
 const testToken = 7
 
-// newTestLeader returns a leader, and its term, with one job of three tasks and one machine, i-1, that an earlier
-// leader launched and whose tasks are unknown.
+// newTestLeader returns a leader and its term. The leader has job j-000001, with three tasks, and machine i-1. An
+// earlier leader launched the machine, and the machine's tasks are unknown.
 func newTestLeader(t *testing.T) (*Leader, *fakeTerm) {
 	t.Helper()
 	now := micros.Now()
@@ -87,8 +87,8 @@
 	return state.TasksUnknown
 }
 
-// fakeWorkers is a transport that responds to calls to workers with an HTTP status and the worker's status. If the
-// worker's status is nil, the call fails without a response.
+// fakeWorkers is a function that serves as the transport for calls to workers. It returns the HTTP status code and the
+// heartbeat in the body of the response. If the heartbeat is nil, the call fails without a response.
 type fakeWorkers func(c *wire.CommandRequest) (int, *wire.Heartbeat)
 
 // RoundTrip implements http.RoundTripper.
@@ -109,7 +109,7 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(response)), Request: r}, err
 }
 
-// setTermStart sets the start time of the term, in the leader and in its parts that depend on it.
+// setTermStart sets the start time of the term in the leader, its liveness monitor and its task queries.
 func setTermStart(l *Leader, at micros.Micros) {
 	l.startedAt, l.liveness.TermStartedAt, l.taskQueries.TermStartedAt = at, at, at
 }
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -10,15 +10,15 @@
 	"caperlatch/internal/wire"
 )
 
-// TestLeaseExpiry checks the time at which a silent machine's tasks are certain to have ended, with package liveness as
-// the leader configures it.
+// TestLeaseExpiry checks the time at which a silent machine's tasks are certain to have ended. It uses the liveness
+// monitor as the leader configures it.
 func TestLeaseExpiry(t *testing.T) {
 	l, term := newTestLeader(t)
 	m, w := l.fleet.Machines["i-1"], l.Settings.Params.Workers
 	cases := []struct {
 		name                 string
 		confirmed            bool
-		fencedSince, renewed micros.Micros
+		fencedSince, renewed micros.Micros // 0 if unknown, or if this term has not renewed the lease
 		after, notAfter      micros.Micros // bounds of the lease expiry, since the start of the term
 	}{
 		{"an earlier leader may have renewed the lease", false, 0, 0, w.LeaseRenewalWindow() + w.LeaseDuration(), w.CancellationTimeout()},
@@ -38,7 +38,7 @@
 // TestSilentMachineTermination checks when silent machines are terminated. A single one is terminated soon. Many silent
 // machines are terminated only once their leases have been expired for another lease duration, and none while the
 // leader's session may have ended. The test guards against the termination of a whole fleet: an isolated leader once
-// requested that, and the delayed requests were carried out late.
+// requested it, and the requests were carried out after a delay.
 func TestSilentMachineTermination(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -69,7 +69,8 @@
 				m.Heartbeat.ReceivedAt, m.Lease.RenewedAt = now-c.silence, now-c.silence
 			}
 		}
-		// The expiry of a lease is recorded first. The machine is terminated if the lease is still expired later.
+		// The first call records the leases that have expired by then. The second finds them expired for 20 s, which is
+		// longer than the lease duration of 16 s.
 		l.superviseMachines(now - 20*micros.Second)
 		l.superviseMachines(now)
 		if got := l.fleet.Machines["i-1"].Instance.Terminating; got != c.terminated {
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestUnlistedMachineTermination checks when a machine is terminated that the cloud's list no longer contains, as
-// happens when the cloud reclaims it without notice. The machine must also be silent.
+// TestUnlistedMachineTermination checks when a machine that the cloud no longer lists is terminated. The cloud stops
+// listing a machine if it reclaims the machine without notice. The machine must also be silent.
 func TestUnlistedMachineTermination(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -112,19 +113,19 @@
 	}
 }
 
-// TestUnresponsiveMachineTermination checks when a machine is terminated that does not respond to task queries after a
-// failover. All jobs of earlier terms wait for the machine, so it is terminated soon, unless this node may be cut off
+// TestUnresponsiveMachineTermination checks when a machine that does not respond to task queries after a failover is
+// terminated. All jobs of earlier terms wait for the machine, so it is terminated soon, unless this node may be cut off
 // from the machine's zone.
 func TestUnresponsiveMachineTermination(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		queried, responded int // machines of the zone
+		queried, responded int // numbers of machines of the zone that were queried, and that responded
 		tasksUnknown       int // unresponsive machines with unknown tasks, of 20
 		terminated         bool
 	}{
 		{"the only unresponsive machine", 20, 19, 1, true},
 		{"no machine of the zone has responded", 20, 0, 1, false},
-		{"many machines have not responded", 20, 12, 8, false},
+		{"many machines of the zone have not responded", 20, 12, 8, false},
 	} {
 		l, _ := newTestLeader(t)
 		intent := l.fleet.Intent("r-1")
--- a/internal/leader/machine_lists_test.go
+++ b/internal/leader/machine_lists_test.go
@@ -18,14 +18,14 @@
 	revision uint64
 }
 
-// put stores a list.
+// put stores a list under a key, and applies it to the leader's replica.
 func (s *storedLists) put(key string, list fleet.MachineList) {
 	s.revision++
 	s.entries[key] = slices.Clone(list.Entries)
 	s.leader.Replica.ApplyPut(key, list, s.revision)
 }
 
-// apply applies a write of the leader to the stored lists. If the leader gets no response, it repeats the write.
+// apply applies a write of the leader to the stored lists. If the leader gets no response, it queues the write again.
 func (s *storedLists) apply(t *testing.T, w persist.Write, responds bool) {
 	t.Helper()
 	switch {
@@ -55,8 +55,8 @@
 	return len(listed)
 }
 
-// newMachineListsTest returns a leader with machines and stored values of at most 2 KB, and the list entries of the
-// machines. The lists themselves are not stored yet.
+// newMachineListsTest returns the stored lists of a leader, and the list entries of the leader's machines. The state
+// service accepts values of at most 2 KB. No list is stored yet.
 func newMachineListsTest(t *testing.T, machines int) (s *storedLists, entries []string) {
 	t.Helper()
 	l, _ := newTestLeader(t)
@@ -73,22 +73,22 @@
 }
 
 // TestSplitOversizedMachineList checks that a leader splits a stored machine list that is larger than the state service
-// accepts. After every write, with or without a response, every machine must be in a stored list: the old list may be
-// written only once each machine removed from it is known to be in another stored list.
+// accepts. After every round of writes, with or without responses, every machine must be in a stored list. So the
+// shortened old list may be written only once each machine removed from it is known to be in another stored list.
 func TestSplitOversizedMachineList(t *testing.T) {
-	all := func(int) bool { return true }
+	allRounds := func(int) bool { return true }
 	evenRounds := func(n int) bool { return n%2 == 0 }
 	oddRounds := func(n int) bool { return n%2 == 1 }
 	cases := []struct {
 		name     string
 		responds func(n int) bool // whether the writes of round n get responses
-		applied  bool             // writes without a response are applied
-		resumed  bool             // an earlier leader had stored one part of the split list when its term ended
+		applied  bool             // writes without a response are applied all the same
+		resumed  bool             // an earlier leader had stored one of the new lists, but not the shortened old list
 	}{
-		{name: "all writes get responses", responds: all},
+		{name: "all writes get responses", responds: allRounds},
 		{name: "every other request is lost", responds: oddRounds},
 		{name: "every other response is lost", responds: oddRounds, applied: true},
-		{name: "split begun by an earlier leader", responds: all, resumed: true},
+		{name: "split begun by an earlier leader", responds: allRounds, resumed: true},
 		{name: "split begun by an earlier leader, every other request is lost", responds: evenRounds, resumed: true},
 	}
 	for _, c := range cases {
--- a/internal/leader/oldversions_test.go
+++ b/internal/leader/oldversions_test.go
@@ -114,7 +114,8 @@
 	}
 )
 
-// layout is the type of the values that are stored under keys with a prefix, in this version and in an earlier one.
+// layout holds the types of the values that are stored under keys with a prefix, one type of this version and one of an
+// earlier version.
 type layout struct {
 	prefix       string
 	current, old reflect.Type
--- a/internal/leader/publish_test.go
+++ b/internal/leader/publish_test.go
@@ -49,8 +49,8 @@
 }
 
 // TestPublishReserved checks that assigned tasks of a gang are published as reserved, and as started once the response
-// carries their starts. If a task were still published as reserved then, the next leader would assume that its start
-// was never sent.
+// carries their starts. If a started task were still published as reserved, the next leader would assume that the
+// task's start was never sent.
 func TestPublishReserved(t *testing.T) {
 	l, _ := newTestLeader(t)
 	p := standby.NewPublisher(testToken, 1000)
@@ -69,7 +69,7 @@
 	l.gangs.AssignTasks(m, l.jobs["j-000001"], 3, micros.Now())
 	for task, state := range view() {
 		if !state.Reserved {
-			t.Errorf("%s is published as started before any response, want it reserved", task)
+			t.Errorf("%s is published as started before its start was sent, want it published as reserved", task)
 		}
 	}
 	response, err := l.HandleHeartbeat(heartbeat(11, testToken))
@@ -78,7 +78,7 @@
 	}
 	for task, state := range view() {
 		if state.Reserved {
-			t.Errorf("%s is published as reserved after its start was sent, want it started", task)
+			t.Errorf("%s is published as reserved after its start was sent, want it published as started", task)
 		}
 	}
 }
--- a/internal/leader/quarantine_test.go
+++ b/internal/leader/quarantine_test.go
@@ -18,7 +18,7 @@
 	for _, c := range []struct {
 		name        string
 		failureTook micros.Micros // longest run time of a failed task
-		heartbeatAt micros.Micros // time of the latest heartbeat of the running task's machine, since the task began to run
+		heartbeatAt micros.Micros // time from the start of the running task to the latest heartbeat of its machine
 		quarantined bool
 	}{
 		{"no new heartbeat", 0, s, true},
--- a/internal/leader/reconcile_test.go
+++ b/internal/leader/reconcile_test.go
@@ -40,7 +40,7 @@
 			[]string{"clear j-000001/1", "start j-000001/1"}},
 	}
 	for _, s := range steps {
-		l.scheduler.PlannedAt = 0 // plans may follow each other at once
+		l.scheduler.PlannedAt = 0 // the leader may make a new plan at once
 		response, err := l.HandleHeartbeat(s.heartbeat)
 		if (err != nil) != (s.want == nil) {
 			t.Fatalf("%s: error %v, want an error: %t", s.name, err, s.want == nil)
@@ -66,8 +66,8 @@
 }
 
 // TestTasksOfJobsCancelledBeforeTerm checks the handling of tasks of a job that was cancelled before this term. Every
-// response renews the machine's lease, so it must stop these tasks even if the heartbeat is not used otherwise. The
-// tasks count against their team's limit until they have left their machine.
+// response renews the machine's lease. So it must stop the cancelled tasks even if the leader ignores the rest of the
+// heartbeat. The tasks count against their team's limit until they have left their machine.
 func TestTasksOfJobsCancelledBeforeTerm(t *testing.T) {
 	l, _ := newTestLeader(t)
 	l.workload.SetTeam(settings.Team{Name: "blue", MaxCPUs: 3})
@@ -146,7 +146,7 @@
 		}
 		m, j := l.fleet.Machines["i-1"], l.jobs["j-000001"]
 		if used, assigned := l.teamUsage["blue"].CPU, int64(1000*len(m.Attempts)); used != assigned || m.Free.CPU != 4000-assigned || len(j.Attempts) != len(m.Attempts) || j.DoneCount != 0 {
-			t.Errorf("%s: %d tasks on the machine, %d of the job, CPU usage of the team %d, free CPU %d, %d tasks done; want the same tasks in all counts and none done", c.name, len(m.Attempts), len(j.Attempts), used, m.Free.CPU, j.DoneCount)
+			t.Errorf("%s: %d tasks on the machine, %d of the job, CPU usage of the team %d, free CPU %d, %d tasks done; want as many tasks of the job as on the machine, a usage of %d, free CPU %d and none done", c.name, len(m.Attempts), len(j.Attempts), used, m.Free.CPU, j.DoneCount, assigned, 4000-assigned)
 		}
 	}
 }
--- a/internal/leader/task_counts_test.go
+++ b/internal/leader/task_counts_test.go
@@ -10,9 +10,9 @@
 	"caperlatch/internal/wire"
 )
 
-// TestTaskCountsOfLargeFleet checks that the task counts of 16,000 running jobs are all published to the other nodes
-// and fit into one message. Single-task jobs on 4,000 machines can be that many. The counts of jobs beyond the first
-// 2,000 were once left out.
+// TestTaskCountsOfLargeFleet checks that AllTaskCounts returns the counts of all of 16,000 running jobs, and that these
+// counts fit into one message to another node. A fleet of 4,000 machines can run 16,000 single-task jobs. The counts of
+// jobs beyond the first 2,000 were once left out.
 func TestTaskCountsOfLargeFleet(t *testing.T) {
 	const jobs, messageBytes = 16000, 1 << 20
 	l, _ := newTestLeader(t)
--- a/internal/leader/task_queries_test.go
+++ b/internal/leader/task_queries_test.go
@@ -62,13 +62,13 @@
 			}
 			if c.during != nil {
 				if _, err := l.HandleHeartbeat(c.during); err != nil {
-					t.Errorf("%s: heartbeat during the query: %v", c.name, err)
+					t.Errorf("%s: heartbeat during the query: unexpected error: %v", c.name, err)
 				}
 			}
 			return c.worker(request)
 		}))
 		if done := l.taskQueries.Query(t.Context(), m); done != c.done || m.TasksKnown() != c.done {
-			t.Errorf("%s: query done: %v, tasks known: %v, want %v", c.name, done, m.TasksKnown(), c.done)
+			t.Errorf("%s: query done: %v, tasks known: %v, want both %v", c.name, done, m.TasksKnown(), c.done)
 		}
 		if c.done && m.Attempts["j-000001/0"] == nil {
 			t.Errorf("%s: the running task is not known after the query", c.name)
--- a/internal/leader/writes_test.go
+++ b/internal/leader/writes_test.go
@@ -34,20 +34,20 @@
 	// The autoscaler's record is written before job progress. When it was written after progress, a busy leader never
 	// wrote it, and the next leader did not know the quarantined jobs.
 	if len(writes) < 3 || !more || writes[0].Key != replica.JobPrefix+"j-000001" || writes[1].Key != fleet.ListKey(0) || writes[2].Key != replica.AutoscalerKey {
-		t.Fatalf("first writes %+v, more pending: %t; want the job, the machine list and the autoscaler's record first, and more pending", writes, more)
+		t.Fatalf("first batch of writes %+v, more pending: %t; want the job, the machine list and the autoscaler's record first, and more pending", writes, more)
 	}
 	if writes, _ = l.writes.Collect(); len(writes) == 0 {
-		t.Error("no writes after the first ones, want those for the terminated machines")
+		t.Error("the second batch of writes is empty, want the writes for the terminated machines")
 	}
 	for _, write := range writes {
 		if !strings.HasPrefix(write.Key, replica.LaunchIntentPrefix) {
-			t.Errorf("the second writes include %s, want only the launch intents of terminated machines", write.Key)
+			t.Errorf("the second batch of writes includes %s, want only the launch intents of terminated machines", write.Key)
 		}
 	}
 }
 
-// TestDeleteOrphanedKeys checks that the keys of writes that the state service carried out after the keys were no
-// longer needed are deleted, and that keys in use are not.
+// TestDeleteOrphanedKeys checks that stored keys of launch intents and jobs that no longer exist are deleted, and that
+// keys in use are not. A key is orphaned if the state service carries out a delayed write of it after its deletion.
 func TestDeleteOrphanedKeys(t *testing.T) {
 	l, _ := newTestLeader(t)
 	orphaned := []string{replica.LaunchIntentPrefix + "r-9", state.ProgressKey("j-000009", 0)}
@@ -69,7 +69,7 @@
 }
 
 // TestFinalStateKeepsCancellation checks that the final state of a job that the leader has found done does not
-// overwrite a cancellation that the replica received after that decision. This once happened, and the simulator's
+// overwrite a cancellation that the replica has received since. Such an overwrite once happened, and the simulator's
 // checker reported it as a violation of its rule went_back.
 func TestFinalStateKeepsCancellation(t *testing.T) {
 	l, _ := newTestLeader(t)
@@ -80,7 +80,7 @@
 	}
 	l.finishIfDone(j)
 	if writes, _ := l.writes.Collect(); len(writes) != 1 || writes[0].ModRevision != 1 {
-		t.Fatalf("writes %+v, want the final state at the mod revision at which the job was found done", writes)
+		t.Fatalf("writes %+v, want only the final state, at mod revision 1, which the job had when it was found done", writes)
 	}
 	l.writes.Enqueue(replica.JobPrefix + "j-000001")
 	l.Replica.ApplyPut(replica.JobPrefix+"j-000001", replica.Job{State: wire.JobCancelled}, 2)
--- a/internal/leader/zone_cutoff_test.go
+++ b/internal/leader/zone_cutoff_test.go
@@ -9,9 +9,9 @@
 	"caperlatch/internal/zone"
 )
 
-// TestZoneCutOff checks when a zone counts as cut off because its machines are silent. While it does, nothing is
-// launched in it. Once its silent machines have been terminated, it no longer counts as cut off, because no machine is
-// left that could show that it is reachable again.
+// TestZoneCutOff checks when a zone counts as cut off because its machines are silent. Nothing is launched in a zone
+// that is cut off. Once its silent machines have been terminated, the zone no longer counts as cut off, because no
+// machine is left that could show that the zone is reachable again.
 func TestZoneCutOff(t *testing.T) {
 	steps := []struct {
 		name     string
@@ -39,7 +39,8 @@
 			}
 		}
 		l.zones.Observe(now)
-		// The leader has machines only in this zone, so most of the whole network is silent as well.
+		// If this zone is cut off, most of the fleet is silent, because all machines are in this zone. So silent
+		// machines are retained as well.
 		want := zone.Decision{MaxMachines: zone.Unlimited, Reachable: true, OpenShare: 1}
 		if s.cutOff {
 			want = zone.Decision{RetainSilentMachines: true, OpenShare: 1}
--- a/internal/leader/zones_test.go
+++ b/internal/leader/zones_test.go
@@ -14,8 +14,8 @@
 	"caperlatch/internal/zone"
 )
 
-// newZonesTest returns a leader with the lifecycle policy and two zones, a and b, of ten machines each, which sent
-// their latest heartbeat at the returned time.
+// newZonesTest returns a leader with the lifecycle policy and two zones, a and b, of ten machines each. All machines
+// sent their latest heartbeat at the returned time now.
 func newZonesTest(t *testing.T) (l *Leader, now micros.Micros) {
 	t.Helper()
 	l, term := newTestLeader(t)
