--- a/internal/standby/bench_test.go
+++ b/internal/standby/bench_test.go
@@ -46,7 +46,7 @@
 	return len(body)
 }
 
-// BenchmarkPull measures how a follower fetches and applies pages of 100 entries.
+// BenchmarkPull measures the time to publish 100 entries and to fetch and apply the page that holds them.
 func BenchmarkPull(b *testing.B) {
 	p, f := newBenchPublisher(), NewFollower("host-1")
 	for !f.Progress().Complete || f.Progress().LagEntries > 0 {
@@ -64,7 +64,7 @@
 	b.ReportMetric(float64(size)/float64(i), "bytes/entry")
 }
 
-// BenchmarkSnapshot measures how a new follower fetches and applies a complete snapshot.
+// BenchmarkSnapshot measures the time in which a new follower fetches and applies a complete snapshot.
 func BenchmarkSnapshot(b *testing.B) {
 	p := newBenchPublisher()
 	size, snapshots := 0, 0
--- a/internal/standby/entry.go
+++ b/internal/standby/entry.go
@@ -3,12 +3,12 @@
 //
 // Each term has one Publisher, which appends entries to a bounded log and never waits for a follower. A Follower
 // queries the publisher for the entries after its own position, and applies pages of entries in order. A follower
-// that has just started, or that is further behind than the log reaches, first fetches a snapshot in pages. Failover
-// tracks the phases that a node passes from following the leader to leading.
+// that has just started, or that needs entries which the log no longer holds, first fetches a snapshot in pages.
+// Failover tracks the phases that a node passes through from following the leader to leading.
 //
 // The package owns the replication between publisher and follower, the follower's view and its lag, and the phases
-// of a failover with their evidence. It must never decide anything about jobs or machines. It sends nothing itself
-// and knows no transport. A view is a hint, except after a complete handover: see View.ProvesAssignments and
+// of a failover with their evidence. The package must never decide anything about jobs or machines. Its callers
+// transmit the queries and pages. A view is a hint, except after a complete handover: see View.ProvesAssignments and
 // docs/standby.md.
 package standby
 
@@ -18,8 +18,9 @@
 )
 
 // Entry is one decision or observation of a leader. Exactly one field is set, which gives the entry's kind. Each
-// entry states the resulting state rather than a difference, so that applying entries again, in order, changes
-// nothing. The encoding is fixed, because followers of other versions read it.
+// entry states the resulting state rather than a difference, so that entries whose effects a view already contains may
+// be applied to it again, in order. Machines and tasks are named by their IDs. The encoding is fixed, because
+// followers of other versions read it.
 type Entry struct {
 	TaskAssigned       *TaskAssigned       `json:"placed,omitempty"`
 	TaskRemoved        *TaskRemoved        `json:"left,omitempty"`
@@ -32,8 +33,8 @@
 
 // TaskAssigned states that a task is on a machine, or that its start or stop there is pending.
 type TaskAssigned struct {
-	Machine string `json:"machine"` // ID, as in all entries
-	Task    string `json:"task"`    // ID
+	Machine string `json:"machine"`
+	Task    string `json:"task"`
 	TaskState
 }
 
@@ -65,27 +66,27 @@
 	TasksKnown bool `json:"resolved"`
 }
 
-// MachineTerminating states that the leader is asking the cloud to terminate a machine. This is never revoked.
+// MachineTerminating states that the leader is asking the cloud to terminate a machine. The request is never withdrawn.
 type MachineTerminating struct {
 	Machine string `json:"machine"`
 	Reason  string `json:"why"`
 }
 
-// MachineTerminated states that a machine is terminated.
+// MachineTerminated states that a machine is terminated. The view then holds neither the machine nor its tasks.
 type MachineTerminated struct {
 	Machine string `json:"machine"`
 }
 
-// EstimateUpdated states how the run times of a class of jobs compare with their owners' estimates. It carries an
-// update of the autoscaler's model that is not in the state service.
+// EstimateUpdated states how the run times of a class of jobs compare with their owners' estimates. This update
+// of the autoscaler's model is not stored in the state service.
 type EstimateUpdated struct {
 	Class   string    `json:"class"`
-	Moments []float64 `json:"moments"` // statistical moments of the ratio's distribution
+	Moments []float64 `json:"moments"` // state of the class's run time estimator
 }
 
 // Handover is the last entry of a term: after it, the term's leader makes no more decisions.
 type Handover struct {
-	// To is the member that is to lead next. The other members let it campaign first.
+	// To is the member that is to lead next, or "" if none is named. The other members let it campaign first.
 	To string `json:"to,omitempty"`
 	// Complete is set when the tasks of all machines were known, and all starts ever sent are in the entries before
 	// this one.
@@ -100,7 +101,8 @@
 	ErrGap       = errors.New("entries are missing")
 )
 
-// check returns an error that wraps ErrMalformed unless exactly one field is set and its IDs are not empty.
+// check returns an error that wraps ErrMalformed unless exactly one field is set, and the machine, task or
+// class in it is not empty.
 func (e *Entry) check() error {
 	fieldsSet, namesSet := 0, true
 	addField := func(names ...string) {
--- a/internal/standby/failover.go
+++ b/internal/standby/failover.go
@@ -13,10 +13,10 @@
 // The phases, in the order in which a failover passes through them.
 const (
 	Following   Phase = iota // the leader answers
-	Suspecting               // the leader has not answered for a while; a hint that only speeds up the preparations
-	Campaigning              // the leader key is free, or the leader has handed over to this node, which tries to take the key
+	Suspecting               // the leader has not answered for a while; a hint that only speeds up preparations
+	Campaigning              // the node tries to take the leader key, which is free or whose holder has handed over to it
 	Confirming               // the node has taken the key, and reads what earlier terms have stored
-	Adopting                 // the stored state is read, and is compared with what the machines hold
+	Adopting                 // the node has read the stored state, and compares it with the tasks that the machines hold
 	Active                   // the tasks of all machines that may hold any are known
 )
 
@@ -30,13 +30,13 @@
 
 // Evidence is the proof that the previous leader no longer makes decisions.
 type Evidence struct {
-	// FencingToken is the token of the new term, which was increased in the transaction that took the leader key.
+	// FencingToken is the fencing token of the new term. The transaction that took the leader key increased it.
 	FencingToken uint64 `json:"token"`
-	// Revision is the revision of that transaction. The transaction succeeds only if there is no leader key, which
-	// means that the previous leader's session has ended, or if it replaces the key of a leader that has handed over
-	// to this node.
+	// Revision is the revision of the transaction that took the leader key. The transaction succeeds in two cases only.
+	// Either there is no leader key, which means that the previous leader's session has ended; or the key is that of a
+	// leader that has handed over to this node.
 	Revision uint64 `json:"revision"`
-	// ReadThrough is the revision of the read barrier that was started after the transaction.
+	// ReadThrough is the revision of the read barrier that was started after that transaction.
 	ReadThrough uint64 `json:"read_through"`
 	// HandedOver is set if the previous leader has handed over, and this node's view of that leader's term proves which
 	// tasks may be on machines.
@@ -62,14 +62,15 @@
 	Phases   []PhaseTime `json:"phases"`
 }
 
-// Failover tracks the phases of a node's failovers. The caller reports events to its methods. Except for TermWon, each of
-// them enters a phase only from a phase that may precede it. It is safe for concurrent use.
+// Failover tracks the phases of a node's failovers. The caller reports events by calling its methods.
+// TermWon enters the phase Confirming from any phase; the other methods enter a phase only from one that may precede it.
+// A Failover is safe for concurrent use.
 type Failover struct {
 	mu         sync.Mutex
 	phase      Phase
 	phaseSince micros.Micros
-	current    FailoverRecord  // zero in the phase Following
-	last       *FailoverRecord // the last failover that reached Confirming; the record is never modified once set
+	current    FailoverRecord  // the failover in progress; cleared when the phase Following is entered
+	last       *FailoverRecord // the last failover that reached Confirming; replaced at each phase, never modified
 }
 
 // NewFailover returns the Failover of a node in the phase Following.
@@ -122,8 +123,9 @@
 }
 
 // StateRead records that the node has read everything that earlier terms stored up to the revision readThrough, and
-// whether the previous leader handed over with proof. It reports whether the node was in the phase Confirming, and the
-// evidence is sufficient for the node to make decisions. Otherwise the phase does not change.
+// whether the previous leader handed over with proof. If the node is in the phase Confirming and the evidence is
+// sufficient for decisions, StateRead enters the phase Adopting and returns true. Otherwise it only records the
+// evidence.
 func (f *Failover) StateRead(readThrough uint64, handedOver bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -156,7 +158,8 @@
 	}
 }
 
-// enter enters a phase. The caller must hold mu.
+// enter enters a phase, and adds it to the record of the current failover. The phase Following clears the record
+// instead. The caller must hold mu.
 func (f *Failover) enter(to Phase) {
 	now := micros.Now()
 	took := now - f.phaseSince
@@ -167,7 +170,8 @@
 		return
 	}
 	record := f.current
-	// A caller of LastRecord may still read the last record, so its phases are not appended to in place.
+	// A caller of LastRecord may still be reading the previous record. The capacity limit makes append copy the phases,
+	// so that the two records do not share them.
 	record.Phases = append(record.Phases[:len(record.Phases):len(record.Phases)], PhaseTime{to.String(), micros.WallTime(), took.Seconds()})
 	f.current = record
 	if to >= Confirming {
--- a/internal/standby/failover_test.go
+++ b/internal/standby/failover_test.go
@@ -65,13 +65,13 @@
 	failover.LeaderSuspected()
 	last := failover.LastRecord()
 	if last == nil || last.Evidence != (Evidence{FencingToken: 8, Revision: 100, ReadThrough: 104, HandedOver: true}) || !last.Warm {
-		t.Fatalf("last record %+v, want token 8, revision 100, read through 104, handed over and warm", last)
+		t.Fatalf("LastRecord() = %+v, want token 8, revision 100, read through 104, handed over and warm", last)
 	}
 	var names []string
 	for _, p := range last.Phases {
 		names = append(names, p.Phase)
 	}
 	if want := []string{"suspecting", "campaigning", "confirming", "adopting", "active"}; !slices.Equal(names, want) {
-		t.Errorf("phases %v, want %v", names, want)
+		t.Errorf("LastRecord() has the phases %v, want %v", names, want)
 	}
 }
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -17,10 +17,10 @@
 	member string
 
 	mu             sync.Mutex
-	view           *View             // nil until the follower has followed a leader, and after TakeView has returned the view
-	snapshot       *snapshotProgress // nil if the view is complete
-	latestPosition uint64            // position of the leader's newest entry, as last reported
-	caughtUpAt     micros.Micros     // send time of the last query whose page brought the view up to date; 0 if none
+	view           *View             // nil before the first query, and from its return by TakeView to the next query
+	snapshot       *snapshotProgress // nil if no snapshot is being fetched
+	latestPosition uint64            // highest LatestPosition of the pages applied to the view
+	caughtUpAt     micros.Micros     // send time of the last query after whose page the view was up to date; 0 if none
 	lastPageAt     micros.Micros     // when the last accepted page arrived; 0 if never
 	rejected       map[string]int    // number of rejected pages by kind, see countRejected
 }
@@ -31,7 +31,8 @@
 }
 
 // NextQuery returns the next query to send to the leader with the given fencing token. If the follower has no view, or
-// one with a lower token, it starts with an empty view of the new term.
+// one with a lower token, it starts with an empty view of that leader's term. If its view has a higher token, the
+// query is for the term of the view.
 func (f *Follower) NextQuery(token uint64) *Query {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,6 +47,7 @@
 }
 
 // resetView replaces the view by an empty one of the term with the given token, and starts to fetch a snapshot.
+// The caller must hold mu.
 func (f *Follower) resetView(token uint64) {
 	f.view = NewView(token)
 	f.snapshot = &snapshotProgress{}
@@ -83,7 +85,7 @@
 		f.resetView(page.FencingToken)
 		return fmt.Errorf("%w: view is at position %d, page starts after %d", ErrGap, f.view.Position, page.AfterPosition)
 	}
-	alreadyApplied := f.view.Position - page.AfterPosition // number of the page's entries that earlier pages contained
+	alreadyApplied := f.view.Position - page.AfterPosition // number of entries after AfterPosition already in the view
 	for i := range page.Entries {
 		if uint64(i) >= alreadyApplied {
 			f.view.apply(&page.Entries[i])
@@ -99,8 +101,8 @@
 	return nil
 }
 
-// check returns the error for which a page is rejected, or nil if the page is valid. If entries may be missing after
-// the rejected page, check resets the view, so that the follower fetches a snapshot.
+// check returns the error for which a page is rejected, or nil if the page is valid. If the page is malformed, check
+// also resets the view, so that the follower fetches a snapshot: entries may be missing. The caller must hold mu.
 func (f *Follower) check(page *Page) error {
 	switch {
 	case page.Version != Version:
@@ -120,12 +122,13 @@
 	return nil
 }
 
-// applySnapshotPage applies the next page of a snapshot. Once all pages are applied, the follower continues with the
-// entries after the first page's position. Some of these entries repeat what later pages already contain.
+// applySnapshotPage applies the next page of a snapshot. Once all pages are applied, the follower queries the entries
+// after the first page's position. Later pages already contain the effects of some of these entries. The caller must
+// hold mu.
 func (f *Follower) applySnapshotPage(page *Page) {
 	s := f.snapshot
 	if !s.needsPage() {
-		return // a late copy of a page
+		return // no snapshot page is awaited, so this is a late copy of one
 	}
 	if s.phase == awaitingFirstPage {
 		s.phase, f.view.Position = awaitingLaterPages, page.LatestPosition
@@ -144,11 +147,11 @@
 	}
 }
 
-// rejectionKinds lists the errors that are counted separately.
+// rejectionKinds lists the errors by which rejected pages are counted.
 var rejectionKinds = []error{ErrMalformed, ErrVersion, ErrTerm, ErrGap}
 
-// countRejected counts a page that was rejected with err. Its kind is the text of the error in rejectionKinds that err
-// wraps. Only the first page of each kind is logged.
+// countRejected counts a page that was rejected with err under its kind: the text of the error in rejectionKinds that
+// err wraps, or "other" if err wraps none. Only the first page of each kind is logged. The caller must hold mu.
 func (f *Follower) countRejected(err error) {
 	kind := "other"
 	for _, k := range rejectionKinds {
@@ -201,7 +204,8 @@
 	return f.view != nil && f.snapshot == nil && f.view.FencingToken == token && f.view.Handover != nil && f.view.Handover.To == f.member
 }
 
-// Progress returns the follower's replication progress.
+// Progress returns the follower's replication progress. Without a view, only the numbers of
+// rejected pages are known, and LagS is -1.
 func (f *Follower) Progress() Progress {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -10,8 +10,8 @@
 )
 
 // Publisher holds the decisions and observations of one term's leader, and answers the queries of followers. No
-// decision waits for a follower: the leader appends to a log of bounded length, and a follower that is further behind
-// than the log reaches fetches a snapshot. It is safe for concurrent use.
+// decision waits for a follower: the leader appends to a log of bounded length, and a follower that needs entries
+// which the log no longer holds fetches a snapshot. It is safe for concurrent use.
 type Publisher struct {
 	maxEntries int
 
@@ -94,7 +94,8 @@
 }
 
 // MostUpToDateFollower returns the state of the follower that has applied the most entries, among those that sent a
-// query within the given duration before now. It returns the zero value if none of these has a complete view.
+// query within the given duration before now. Only followers whose state is Complete
+// are considered; if there is none, it returns the zero value.
 func (p *Publisher) MostUpToDateFollower(within micros.Micros) (best FollowerState) {
 	for _, f := range p.Followers() {
 		if f.Complete && micros.Now()-f.LastQueryAt <= within && (best.Member == "" || f.Position > best.Position) {
@@ -104,7 +105,8 @@
 	return best
 }
 
-// HasApplied reports whether a follower has applied all entries up to and including the given position.
+// HasApplied reports whether a follower's last query shows that it has applied all entries up to and including the
+// given position.
 func (p *Publisher) HasApplied(member string, position uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standby/snapshot.go
+++ b/internal/standby/snapshot.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// snapshotPage returns the machines of the view after the ID afterMachine, as many as one message may hold.
+// snapshotPage returns a page with the machines whose IDs sort after afterMachine, up to the bounds of one page. The
+// last page also holds the estimates and the handover.
 func (v *View) snapshotPage(afterMachine string) *SnapshotPage {
 	names := slices.Sorted(maps.Keys(v.Machines))
 	first, found := slices.BinarySearch(names, afterMachine)
@@ -62,15 +63,15 @@
 const (
 	awaitingFirstPage snapshotPhase = iota
 	awaitingLaterPages
-	// awaitingEntries means that all pages are applied, but not yet all entries up to position completeAt. Until then,
-	// the view may mix older and newer states, because the pages were made at different positions.
+	// awaitingEntries means that all pages are applied, but some entries up to position completeAt are not. The view may
+	// therefore mix older and newer states, because the pages were made at different positions.
 	awaitingEntries
 )
 
 // snapshotProgress is the state of a follower that is fetching a snapshot.
 type snapshotProgress struct {
 	phase        snapshotPhase
-	afterMachine string // ID of the last machine in the pages applied so far
+	afterMachine string // ID of the last machine in the page applied last
 	completeAt   uint64 // in phase awaitingEntries: the position at which the view is consistent
 }
 
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -107,7 +107,7 @@
 			switch r.IntN(6) {
 			case 0: // the page is lost
 			case 1: // a late copy of an earlier page arrives before the current page
-				_ = f.ApplyPage(earlierPages[r.IntN(len(earlierPages))], micros.Now()) // rejected, or without effect
+				_ = f.ApplyPage(earlierPages[r.IntN(len(earlierPages))], micros.Now()) // may be rejected
 				_ = f.ApplyPage(page, micros.Now())
 			case 2: // the page arrives twice
 				_ = f.ApplyPage(page, micros.Now())
@@ -143,7 +143,7 @@
 	pages := 0
 	for !f.Progress().Complete || f.Progress().Position < p.Position() {
 		if pages++; pages > 200 {
-			t.Fatal("snapshot is not complete after 200 pages")
+			t.Fatalf("follower has not caught up after 200 pages: progress %+v, want position %d", f.Progress(), p.Position())
 		}
 		page := p.HandleQuery(f.NextQuery(testToken))
 		if b, err := wire.Marshal(page); err != nil || len(b) > messageBytes {
@@ -275,7 +275,7 @@
 			if v.ProvesAssignments(testToken+1) != tc.wantProof {
 				t.Errorf("view proves assignments to the next term: %v, want %v", v.ProvesAssignments(testToken+1), tc.wantProof)
 			}
-			// A token higher by two means that another term came in between; an equal token is of the same term.
+			// The term with token testToken+2 does not immediately follow the view's term, which has testToken.
 			if v.ProvesAssignments(testToken+2) || v.ProvesAssignments(testToken) {
 				t.Errorf("view proves assignments to the term with token %d: %v, with token %d: %v; want neither",
 					testToken+2, v.ProvesAssignments(testToken+2), testToken, v.ProvesAssignments(testToken))
--- a/internal/standby/view.go
+++ b/internal/standby/view.go
@@ -1,11 +1,11 @@
 package standby
 
-// View is the state that results from a term's entries up to Position. It has no lock of its own.
+// View is the state that results from a term's entries up to Position. It is not safe for concurrent use.
 type View struct {
 	FencingToken uint64 // of the view's term
 	Position     uint64
 	Machines     map[string]*Machine  // by ID
-	Estimates    map[string][]float64 // statistical moments by class of jobs, see EstimateUpdated
+	Estimates    map[string][]float64 // EstimateUpdated.Moments by class of jobs
 	// Handover is the term's last entry, or nil if the leader has not handed over.
 	Handover *Handover
 }
@@ -23,8 +23,8 @@
 }
 
 // ProvesAssignments reports whether the view proves to the leader with the given fencing token which tasks may be on
-// machines. It does if the view is of the term immediately before, and that term's leader handed over while the tasks
-// of all machines were known. Otherwise the view is only a hint.
+// machines. The proof needs a view of the term immediately before, whose leader handed over while the tasks of all
+// machines were known. Any other view is only a hint.
 func (v *View) ProvesAssignments(token uint64) bool {
 	return v.Handover != nil && v.Handover.Complete && v.FencingToken+1 == token
 }
