--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -29,7 +29,7 @@
 }
 
 // NewDetector returns the detector of a node that has just started. The incarnation should be higher than those of the
-// node's earlier starts. If it is not, the detector raises it when it receives the other members' responses.
+// node's earlier starts. If another member's heartbeat shows a higher one, the detector raises its own above that.
 func NewDetector(self string, others []string, config Config, incarnation uint64, now micros.Micros) *Detector {
 	d := &Detector{
 		config:      config,
@@ -67,7 +67,7 @@
 func (d *Detector) HandleHeartbeat(now micros.Micros, h *Heartbeat) {
 	sender := d.members[h.Member]
 	if sender == nil || h.Incarnation < sender.incarnation {
-		return // from an unknown member, or of an earlier incarnation
+		return // the sender is unknown, or the heartbeat is of an earlier incarnation of it
 	}
 	d.applySender(now, sender, h)
 	for i := range h.Views {
@@ -83,8 +83,8 @@
 	}
 }
 
-// HandleAck records that a member responded to a heartbeat, and the round-trip time. A member of a version without
-// heartbeats responds as well, but without a heartbeat of its own.
+// HandleAck records that a member responded to a heartbeat, and the round-trip time. The response may make the member
+// alive again. A member of a version without heartbeats responds as well, but without a heartbeat of its own.
 func (d *Detector) HandleAck(now micros.Micros, name string, roundTrip micros.Micros) {
 	m := d.members[name]
 	if m == nil {
@@ -96,7 +96,8 @@
 	case m.state == Suspected:
 		d.transition(now, m, Alive, ReasonReachable)
 	case m.state == Failed && now-roundTrip > m.stateSince, m.state == Left && now-roundTrip > m.stateSince+d.config.SuspectAfter:
-		// The member responded to a heartbeat that was sent after the transition, which proves that it was alive then.
+		// The member responded to a heartbeat that was sent after it had failed, or more than SuspectAfter after it had
+		// left. This proves that it was alive after the transition.
 		d.transition(now, m, Alive, ReasonReachable)
 	}
 }
@@ -136,7 +137,7 @@
 // applyView updates the state of the member subject from the sender's view of it.
 func (d *Detector) applyView(now micros.Micros, sender, subject *member, view *MemberView) {
 	if view.Incarnation < subject.incarnation {
-		return // of an earlier incarnation
+		return // the view is of an earlier incarnation of subject
 	}
 	newer := view.Incarnation > subject.incarnation
 	subject.incarnation = view.Incarnation
@@ -158,7 +159,7 @@
 }
 
 // Tick checks all members. The caller must call it once every HeartbeatInterval. Time during which this node itself was
-// paused does not count as silence of other members.
+// paused counts neither as silence of other members nor towards the timeouts of suspicions.
 func (d *Detector) Tick(now micros.Micros, environment Environment) {
 	d.environment = environment
 	if paused := d.localHealth.tick(now); paused > 0 {
@@ -171,8 +172,8 @@
 	}
 }
 
-// checkMember suspects a member that has been silent for too long, and declares it failed when the suspicion times
-// out.
+// checkMember suspects a member that has been silent for longer than SuspectAfter, and declares it failed when the
+// suspicion times out. As long as the failure is withheld, the timeout restarts at each check.
 func (d *Detector) checkMember(now micros.Micros, m *member) {
 	if m.state == Alive && m.silence(now) > d.config.SuspectAfter {
 		d.counts.Suspicions++
@@ -192,14 +193,14 @@
 	}
 }
 
-// isFailureWithheld reports whether a suspected member must not be declared failed for now. This is so if the member
-// is the leader and its session is alive, which shows that the member was alive within the session's TTL. It is also
-// so if this node is isolated, because then it cannot tell the failure of other members from its own.
+// isFailureWithheld reports whether a suspected member must not be declared failed for now. There are two reasons. The
+// member may be the leader with a live session, which shows that the member was alive within the session's TTL. Or this
+// node may be isolated, and then it cannot tell the failure of other members from its own.
 func (d *Detector) isFailureWithheld(m *member) bool {
 	return d.environment.Leader == m.name || d.isIsolated()
 }
 
-// isIsolated reports whether this node reaches neither the state service nor any other member.
+// isIsolated reports whether this node does not reach the state service, and has no other member in the state Alive.
 func (d *Detector) isIsolated() bool {
 	if d.environment.StateServiceReachable {
 		return false
@@ -249,7 +250,7 @@
 	m.state, m.stateSince = to, now
 }
 
-// recordTransition records a transition, which the next call of TakeTransitions returns.
+// recordTransition records a transition for the next call of TakeTransitions. It does not change the member's state.
 func (d *Detector) recordTransition(now micros.Micros, m *member, to State, reason Reason) {
 	t := Transition{Member: m.name, From: m.state, To: to, Reason: reason, Silence: m.silence(now)}
 	if to.isSuspicion() {
--- a/internal/membership/local_health.go
+++ b/internal/membership/local_health.go
@@ -4,20 +4,20 @@
 
 // Thresholds for the health of this node.
 const (
-	// maxTickGapIntervals is the longest time between two ticks, in tick intervals, that does not count as a pause of
-	// this node.
+	// maxTickGapIntervals is the maximum time between two ticks, in tick intervals. A longer time means that this node
+	// was paused.
 	maxTickGapIntervals = 2
 	// slowPeriodAfterPause is how long the node counts as slow after a pause.
 	slowPeriodAfterPause = 30 * micros.Second
 	// slowRoundTripThreshold is the round-trip time above which a round trip is slow. The node counts as slow if the
-	// round trips to most members are.
+	// round trips to most live members are slow.
 	slowRoundTripThreshold = micros.Second
 	// slowTimeoutFactor is the factor by which the suspicions of a slow node last longer.
 	slowTimeoutFactor = 2
 )
 
 // localHealth detects pauses of this node by the gaps between its ticks, because a node that was paused sees other
-// members as silent. As in Lifeguard, a node's own health lengthens the timeouts of its suspicions, see isSlow.
+// members as silent. As in Lifeguard, a node that is itself slow lengthens the timeouts of its suspicions, see isSlow.
 type localHealth struct {
 	interval     micros.Micros // between ticks
 	lastTickAt   micros.Micros
@@ -45,8 +45,8 @@
 	return h.pauseEndedAt != 0 && now-h.pauseEndedAt < slowPeriodAfterPause
 }
 
-// isSlow reports whether this node itself is slow: it was paused recently, or round trips to most of the members are
-// slow, which would not be so if only one of the members were slow.
+// isSlow reports whether this node itself is slow: it was paused recently, or the last round trips to most live members
+// were slow. At least two round trips must have been measured, because a single slow one may be the member's fault.
 func (d *Detector) isSlow(now micros.Micros) bool {
 	if d.localHealth.hasPausedRecently(now) {
 		return true
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -9,11 +9,11 @@
 	stateSince  micros.Micros // start of the state
 	incarnation uint64        // the highest known
 	lastHeard   micros.Micros // when a message from the member last arrived here
-	// lastHeardIndirectly is when another member, heardThrough, last heard from this member, according to that
-	// member's heartbeat. It ignores the heartbeat's transmission time, so it is slightly too late.
+	// lastHeardIndirectly is the latest time at which another member, heardThrough, heard from this member. It is
+	// computed from a heartbeat of heardThrough and ignores the transmission time, so it is slightly too late.
 	lastHeardIndirectly micros.Micros
 	heardThrough        string
-	suspectedAt         micros.Micros         // start of the suspicion's timeout
+	suspectedAt         micros.Micros         // when the suspicion's timeout last (re)started
 	roundTrip           micros.Micros         // of the last heartbeat that the member answered; 0 if it answered none
 	views               map[string]MemberView // the member's latest views of other members, by name
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,15 +1,15 @@
 // Package membership determines from heartbeats which controller nodes are alive, suspected, failed, or have left. It
 // implements a failure detector based on SWIM (Das, Gupta and Motivala) with the Lifeguard extensions (Dadgar, Phillips
 // and Currey). A suspicion lasts until a message from the suspected member reaches this node or another one, or until
-// it times out. The member is then failed until it refutes that with a higher incarnation, or responds to a heartbeat
-// that was sent afterwards. Confirmations by other members shorten the timeout, and a node that is itself slow
-// lengthens it. Unlike in SWIM, the members are few and fixed, so each member sends heartbeats with its views of all
-// members to all others.
+// it times out. The member is then failed until it refutes the failure with a higher incarnation, or responds to a
+// heartbeat that was sent after it had been declared failed. Confirmations by other members shorten the timeout, and a
+// node that is itself slow lengthens it. Unlike in SWIM, the members are few and fixed, so each member sends heartbeats
+// with its views of all members to all others.
 //
 // The package owns the states of the members as one node sees them, the timeouts of suspicions, and the incarnation
 // numbers by which a member refutes a suspicion. It is pure: it does no I/O, and time is an argument. The caller sends
-// the heartbeats and does the locking. That a member has failed is a hint, and must never be more: which node leads,
-// and what may start where, is proved only by the state service's sessions and by fencing tokens.
+// the heartbeats and does the locking. The state of a member is a hint, and must never be more: which node leads, and
+// which tasks may start where, is proved only by the state service's sessions and by fencing tokens.
 package membership
 
 import (
@@ -119,7 +119,7 @@
 type Environment struct {
 	// StateServiceReachable is set when the state service has answered recently.
 	StateServiceReachable bool
-	// Leader is the leader whose session was alive when the state service was last read, if that was recently. It is
-	// empty if no session is known to be alive.
+	// Leader is the leader whose session was alive when the state service was last read. It is empty if there was no
+	// such session, or if that read was not recent.
 	Leader string
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -22,7 +22,7 @@
 		c := DefaultConfig()
 		tc.change(&c)
 		if err := c.Check(); !errors.Is(err, tc.want) {
-			t.Errorf("%s: error %v, want %v", tc.name, err, tc.want)
+			t.Errorf("%s: Check() = %v, want %v", tc.name, err, tc.want)
 		}
 	}
 }
--- a/internal/membership/scenario_test.go
+++ b/internal/membership/scenario_test.go
@@ -38,12 +38,13 @@
 	seen := c.transitionsTo(from, Failed, subject)
 	for _, i := range observers {
 		if !slices.ContainsFunc(seen, func(o observedTransition) bool { return o.observer == c.nodes[i].name }) {
-			c.t.Errorf("%s did not declare %s failed in time: %+v", c.nodes[i].name, c.nodes[subject].name, c.state(i, subject))
+			c.t.Errorf("%s did not declare %s failed within %v; its status of that member: %+v",
+				c.nodes[i].name, c.nodes[subject].name, failureTimeout.Duration(), c.state(i, subject))
 		}
 	}
 }
 
-// expectAll checks that every running node with heartbeats assigns a state to every other running node.
+// expectAll checks that every running node with heartbeats has every other running node in the given state.
 func (c *scenarioRun) expectAll(state State) {
 	c.t.Helper()
 	for observer, n := range c.nodes {
@@ -165,8 +166,9 @@
 	}
 }
 
-// pauseScenario returns steps that pause node 1, and check whether the others suspect it or declare it failed. Node 1
-// must never suspect the others, although it received no heartbeats during its pause.
+// pauseScenario returns steps that pause node 1. The others must declare it failed if failed is set, and must not
+// otherwise. They must not suspect it unless suspected is set. Node 1 must never suspect the others, although it
+// received no heartbeats during its pause.
 func pauseScenario(seconds micros.Micros, suspected, failed bool) []scenarioStep {
 	steps := []scenarioStep{pauseNode(1, seconds), advanceTime(seconds), expectAllAlive, expectOthersNeverEntered(Suspected)}
 	if failed {
@@ -202,7 +204,7 @@
 	before := c.state(0, 1).Incarnation
 	c.nodes[0].detector.HandleHeartbeat(c.now, &Heartbeat{Member: "host-1", Incarnation: 7, Leaving: true})
 	if after := c.state(0, 1); after.State != Alive || after.Incarnation != before {
-		c.t.Errorf("after a late heartbeat: %+v, want alive with incarnation %d", after, before)
+		c.t.Errorf("node 0's status of node 1 after a late heartbeat: %+v, want alive with incarnation %d", after, before)
 	}
 }
 
@@ -214,7 +216,7 @@
 	return c.state(0, 1).Incarnation == c.nodes[1].detector.incarnation
 }
 
-// restartRepeatedly restarts node 1 20 times, each time within 200 ms.
+// restartRepeatedly stops node 1 for 200 ms and then runs it for 3 s, 20 times.
 func restartRepeatedly(c *scenarioRun) {
 	for range 20 {
 		c.stop(1)
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -23,7 +23,7 @@
 	cut              func(from, to int) bool
 	leader           int
 	stateServiceDown bool
-	lastArrival      map[[2]int]micros.Micros // of the last message on a path; streams keep the order
+	lastArrival      map[[2]int]micros.Micros // of the last message on each path; messages on a path keep their order
 	observed         []observedTransition
 }
 
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -20,7 +20,7 @@
 	Incarnation     uint64   `json:"incarnation"`
 	SilenceS        float64  `json:"heard_s"`              // time since this node last heard from the member
 	HeardThrough    string   `json:"through,omitempty"`    // a member that heard from it recently, if this node has not
-	RoundTripS      float64  `json:"round_trip_s"`         // of the last heartbeat that it answered; 0 if none
+	RoundTripS      float64  `json:"round_trip_s"`         // of the last heartbeat that the member answered; 0 if none
 	SuspicionLeftS  float64  `json:"verdict_s,omitempty"`  // time until the suspicion times out
 	FailureWithheld bool     `json:"withheld,omitempty"`   // the suspected member is not declared failed for now
 	ConfirmedBy     []string `json:"doubted_by,omitempty"` // other members that suspect it or declared it failed
