--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -8,24 +8,25 @@
 	"caperlatch/internal/micros"
 )
 
-// Config holds the settings of the LifecyclePolicy. Shares are fractions of the zone's running machines, from 0 to 1.
+// Config holds the settings of the LifecyclePolicy. Shares are fractions from 0 to 1, and of the zone's running
+// machines unless another base is named.
 type Config struct {
 	EvacuationOrder []string // classes in the order in which their jobs move, after urgent jobs; other classes come last
-	ExemptZones     []string // zones that always count as normal
+	ExemptZones     []string // zones that always stay in state Normal
 
 	PartialDisruptionShare float64       // share of machines not ready above which a zone is partially disrupted
 	FullDisruptionShare    float64       // share of unreachable machines above which a zone may be fully disrupted
 	NormalShare            float64       // share of machines not ready at or below which a partial disruption is over
 	ConfirmationTime       micros.Micros // how long the evidence of a full disruption must last
-	MinMachines            int           // fewer machines are no evidence of a disruption
-	MaxRelapseShare        float64       // share of machines that may fall silent again in a step of reopening
+	MinMachines            int           // fewer machines are no evidence of a disruption; see also LifecyclePolicy.Decide
+	MaxRelapseShare        float64       // share of machines falling silent again above which a step of reopening is undone
 	OpenShares             []float64     // share of open machines in each step of reopening; increasing to 1
 	MinStepTime            micros.Micros // minimum duration of a step
 	HeartbeatInterval      micros.Micros // interval of the workers' heartbeats
 
 	InitialHoldDown micros.Micros // hold-down after the first full disruption; each flap doubles it
 	MaxHoldDown     micros.Micros
-	FlapExpiry      micros.Micros // time without a full disruption after which one flap no longer counts
+	FlapExpiry      micros.Micros // time after which one flap expires, counted from the return to state Normal
 
 	ReplacementShare float64 // share of the unusable machines that are replaced in other zones
 }
@@ -113,8 +114,8 @@
 	return e.unreachable() >= c.MinMachines && float64(e.unreachable()) > c.FullDisruptionShare*float64(e.Running)
 }
 
-// hasRecovered reports whether enough machines have recovered: at least one has, and the share of those that have not
-// is at most FullDisruptionShare, too low for a full disruption.
+// hasRecovered reports whether enough machines have recovered: at least one, and at least the share
+// 1-FullDisruptionShare of the running machines. The remaining machines are then too few for a full disruption.
 func (c *Config) hasRecovered(e Evidence) bool {
 	return e.Recovered > 0 && float64(e.Recovered) >= (1-c.FullDisruptionShare)*float64(e.Running)
 }
--- a/internal/zone/helpers_test.go
+++ b/internal/zone/helpers_test.go
@@ -23,8 +23,8 @@
 	noMachines    = Evidence{}
 )
 
-// observe passes the same evidence of zones a and b to a policy repeatedly, and advances now by afterS seconds before each
-// observation.
+// observe passes the same evidence of zones a and b to a policy the given number of times. It advances now by afterS
+// seconds before each observation.
 func observe(p *LifecyclePolicy, now *micros.Micros, afterS float64, times int, a, b Evidence) {
 	for range times {
 		*now += micros.FromSeconds(afterS)
--- a/internal/zone/lifecycle.go
+++ b/internal/zone/lifecycle.go
@@ -24,7 +24,7 @@
 	holdDownUntil        micros.Micros // when the hold-down may end
 	retainSilentMachines bool          // set if the disruption affects a large part of the fleet
 
-	disruptedSince  micros.Micros // since when the evidence shows a full disruption; 0 if it does not
+	disruptedSince  micros.Micros // since when the evidence shows a full disruption; 0 if the last evidence shows none
 	observerAtFault bool          // the fault is more likely the observer's than the zone's
 	countersAtStart counters      // counters when the state or step began
 }
@@ -74,8 +74,8 @@
 }
 
 // nextFromPartialDisruption returns the lifecycle after an observation of a partially disrupted zone. The zone becomes
-// normal once most heartbeats arrive, and fully disrupted once a full disruption is confirmed. While the observer is at
-// fault, a full disruption cannot be confirmed. The zone is held down once no machine is left there.
+// normal once few enough machines are not ready, and fully disrupted once a full disruption is confirmed. While the
+// observer is at fault, a full disruption cannot be confirmed. The zone is held down once no machine is left there.
 func (z lifecycle) nextFromPartialDisruption(c *Config, e Evidence, now micros.Micros) lifecycle {
 	switch {
 	case e.Running == 0: // all machines were terminated one by one
@@ -91,7 +91,8 @@
 }
 
 // nextFromFullDisruption returns the lifecycle after an observation of a fully disrupted zone. The disruption is over
-// when enough machines have recovered, or when no machine is left that could recover.
+// when enough machines have recovered and the evidence no longer shows a full disruption, or when no machine is left
+// that could recover.
 func (z lifecycle) nextFromFullDisruption(c *Config, e Evidence, now micros.Micros) lifecycle {
 	reason := ReasonHeartbeatsResumed
 	switch {
@@ -104,7 +105,7 @@
 }
 
 // nextFromHeldDown returns the lifecycle after an observation of a held-down zone. The zone reopens after the hold-down,
-// unless it is disrupted again.
+// once enough machines have recovered or none is left. A confirmed full disruption ends the hold-down early.
 func (z lifecycle) nextFromHeldDown(c *Config, e Evidence, now micros.Micros) lifecycle {
 	switch {
 	case z.isConfirmed(c, now):
@@ -150,15 +151,15 @@
 	return z.enterHeldDown(c, reason, e, now)
 }
 
-// enterHeldDown starts a hold-down, until the end of which the zone is not used.
+// enterHeldDown starts a hold-down. The zone is not used before the hold-down ends.
 func (z lifecycle) enterHeldDown(c *Config, reason Reason, e Evidence, now micros.Micros) lifecycle {
 	z = z.enter(HeldDown, reason, e, now)
 	z.holdDownUntil = now + c.holdDownAfter(z.flaps)
 	return z
 }
 
-// enterFullDisruption enters the state FullDisruption and counts the disruption as a flap. For each FlapExpiry since
-// the zone became normal, one earlier flap no longer counts.
+// enterFullDisruption enters the state FullDisruption and counts the disruption as a flap. If the zone had become
+// normal before, one earlier flap expires for each FlapExpiry since then.
 func (z lifecycle) enterFullDisruption(c *Config, e Evidence, now micros.Micros) lifecycle {
 	if z.state == PartialDisruption && z.normalSince != 0 {
 		z.flaps -= min(z.flaps, int((now-z.normalSince)/c.FlapExpiry))
--- a/internal/zone/lifecycle_policy.go
+++ b/internal/zone/lifecycle_policy.go
@@ -101,7 +101,8 @@
 		d.OpenShare, d.ReplacementShare = p.config.OpenShares[z.step], p.config.ReplacementShare
 		switch {
 		case p.evidence[name].Running == 0:
-			d.MaxMachines = p.config.MinMachines // their heartbeats show whether the zone has recovered
+			// Without machines, no heartbeats would show whether the zone has recovered. So a few are launched.
+			d.MaxMachines = p.config.MinMachines
 		case d.OpenShare < minLaunchShare:
 			d.MaxMachines = 0
 		}
--- a/internal/zone/lifecycle_policy_test.go
+++ b/internal/zone/lifecycle_policy_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// TestObserverAtFaultDisruptsNoZone guards against an evacuation that the observer's own fault causes: evidence that
-// speaks against the observer rather than a zone must not make a zone fully disrupted or replace any machine.
+// TestObserverAtFaultDisruptsNoZone guards against an evacuation that the observer's own fault causes: if the evidence
+// points to a fault of the observer, no zone may become fully disrupted and no machine may be replaced.
 func TestObserverAtFaultDisruptsNoZone(t *testing.T) {
 	cases := []struct {
 		name          string
@@ -91,7 +91,8 @@
 		observe(p, &now, 3, 2, mostSilent, Evidence{Running: others})
 		observe(p, &now, 0, 1, Evidence{Running: 20, Silent: 20}, Evidence{Running: others + 200})
 		if d := p.Decide("a"); p.zones["a"].state != FullDisruption || d.RetainSilentMachines != want {
-			t.Errorf("with %d machines in the other zone: state %v, decision %+v, want full disruption, machines retained: %v", others, p.zones["a"].state, d, want)
+			t.Errorf("with %d machines in the other zone: state %v, RetainSilentMachines %v; want %v, %v",
+				others, p.zones["a"].state, d.RetainSilentMachines, FullDisruption, want)
 		}
 	}
 }
@@ -131,7 +132,8 @@
 	}
 	open := Decision{MaxMachines: Unlimited, Reachable: true, OpenShare: 1}
 	if p.Decide("unknown") != open || exempt.Decide("x") != open || threshold.Decide("x") != (Decision{OpenShare: 1}) {
-		t.Errorf("decisions: unknown zone %+v, exempt zone %+v, want both fully open; ThresholdPolicy %+v, want open share 1 only", p.Decide("unknown"), exempt.Decide("x"), threshold.Decide("x"))
+		t.Errorf("decisions: unknown zone %+v, exempt zone %+v, want %+v for both; ThresholdPolicy %+v, want %+v",
+			p.Decide("unknown"), exempt.Decide("x"), open, threshold.Decide("x"), Decision{OpenShare: 1})
 	}
 	if rank, r, s := threshold.EvacuationRank("scan", true), threshold.Record(0, 0), threshold.Status(0); rank != 0 || r != nil || s != nil {
 		t.Errorf("ThresholdPolicy: evacuation rank %d, record %+v, status %+v; want 0, nil, nil", rank, r, s)
--- a/internal/zone/lifecycle_test.go
+++ b/internal/zone/lifecycle_test.go
@@ -6,7 +6,8 @@
 	"caperlatch/internal/micros"
 )
 
-// observedStep is an observation after a number of seconds, with the lifecycle that is expected after it.
+// observedStep is an observation made afterS seconds after the previous one, with the state, step and reason that the
+// lifecycle must have after it.
 type observedStep struct {
 	afterS float64
 	e      Evidence
--- a/internal/zone/status.go
+++ b/internal/zone/status.go
@@ -15,8 +15,8 @@
 	Work      WorkStatus `json:"work"`
 }
 
-// WorkStatus describes what happened to a zone's tasks in this term, in numbers of tasks by class, and which of the zone's
-// machines are not fully used now.
+// WorkStatus counts what happened to a zone's tasks in this term, by class of jobs, and the zone's machines that are not
+// fully used now.
 type WorkStatus struct {
 	Displaced map[string]int `json:"displaced,omitempty"` // tasks lost with the zone
 	Moved     map[string]int `json:"moved,omitempty"`     // displaced tasks that were started in another zone
@@ -31,7 +31,8 @@
 	ReplacedMachines int     `json:"replaced,omitempty"`   // machines that do not count as supply
 }
 
-// AddLease adds a machine whose tasks must wait until its lease expires in endS seconds.
+// AddLease counts a machine with the given number of tasks, whose lease expires in endS seconds. Its tasks may not start
+// elsewhere before then.
 func (w *WorkStatus) AddLease(tasks int, endS float64) {
 	if w.LeasedMachines == 0 || endS < w.NextLeaseEndS {
 		w.NextLeaseEndS = endS
--- a/internal/zone/threshold_policy.go
+++ b/internal/zone/threshold_policy.go
@@ -4,7 +4,7 @@
 
 const (
 	// minCutOffMachines is the minimum number of cut-off machines in a zone that is cut off, and in the fleet in a mass
-	// outage. Fewer are no evidence.
+	// outage. Fewer machines are no evidence of either.
 	minCutOffMachines = 3
 	// cutOffDivisor sets the share 1/cutOffDivisor of cut-off machines above which a zone is cut off.
 	cutOffDivisor = 2
@@ -13,8 +13,9 @@
 	massOutageDivisor = 3
 )
 
-// ThresholdPolicy is the default policy. A zone is cut off for as long as most of its machines are. The policy prevents
-// launches in a zone that is cut off, and decides nothing else about zones.
+// ThresholdPolicy is the default policy. A zone is cut off for as long as more than half of its machines are, and at
+// least minCutOffMachines. In such a zone, the policy prevents launches and reports commands as unlikely to arrive. In a
+// mass outage, it retains the silent machines of all zones.
 type ThresholdPolicy struct {
 	cutOff     map[string]bool
 	massOutage bool // see isMassOutage
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -19,12 +19,14 @@
 // State is the state of a zone. Its numeric values are stored.
 type State int
 
-// The states of a zone, with the names that operators see.
+// The states of a zone, with the names that operators see. A zone is held down after enough machines of a disrupted zone
+// have recovered, after none is left there, or after the first step of reopening has failed. While no zone is
+// usable, even held-down and fully disrupted zones are open, see LifecyclePolicy.Decide.
 const (
 	Normal            State = iota // "healthy": all of the zone's capacity is used
 	PartialDisruption              // "suspected": many machines are late; capacity in other zones is launched ahead
 	FullDisruption                 // "lost": the zone's jobs move to other zones
-	HeldDown                       // "held down": the zone is not used for a while, after enough machines have recovered, none is left, or reopening has failed
+	HeldDown                       // "held down": the zone is not used until its hold-down ends
 	Reopening                      // "returning": the zone's capacity opens in steps
 )
 
