--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -16,9 +16,9 @@
 	maxEntries int
 
 	mu        sync.Mutex
-	view      *View   // with all entries applied
-	entries   []Entry // the newest entries; the last one is at the view's position
-	followers map[string]FollowerState
+	view      *View                    // with all entries applied
+	entries   []Entry                  // the newest entries; the last one is at the view's position
+	followers map[string]FollowerState // by member name
 }
 
 // NewPublisher returns the publisher of the term with the given fencing token. Its log retains at least the newest
--- a/internal/standby/snapshot.go
+++ b/internal/standby/snapshot.go
@@ -8,19 +8,19 @@
 // snapshotPage returns a page with the machines whose IDs sort after afterMachine, up to the bounds of one page. The
 // last page also holds the estimates and the handover.
 func (v *View) snapshotPage(afterMachine string) *SnapshotPage {
-	names := slices.Sorted(maps.Keys(v.Machines))
-	first, found := slices.BinarySearch(names, afterMachine)
+	ids := slices.Sorted(maps.Keys(v.Machines))
+	first, found := slices.BinarySearch(ids, afterMachine)
 	if found {
 		first++
 	}
 	page := &SnapshotPage{Machines: []MachineRecord{}}
 	tasks := 0
-	for _, name := range names[first:] {
+	for _, id := range ids[first:] {
 		if len(page.Machines) >= maxPageEntries || tasks >= maxPageTasks {
 			page.HasMore = true
 			return page
 		}
-		record := v.Machines[name].record(name)
+		record := v.Machines[id].record(id)
 		tasks += len(record.Tasks)
 		page.Machines = append(page.Machines, record)
 	}
@@ -31,9 +31,9 @@
 	return page
 }
 
-// record returns the machine in the form that snapshots use.
-func (m *Machine) record(name string) MachineRecord {
-	record := MachineRecord{Name: name, MachineState: m.MachineState, Terminating: m.Terminating}
+// record returns the machine, which has the given ID, as a MachineRecord with its tasks sorted by ID.
+func (m *Machine) record(id string) MachineRecord {
+	record := MachineRecord{Name: id, MachineState: m.MachineState, Terminating: m.Terminating}
 	for _, task := range slices.Sorted(maps.Keys(m.Tasks)) {
 		record.Tasks = append(record.Tasks, TaskRecord{task, m.Tasks[task]})
 	}
