--- a/internal/standby/snapshot.go
+++ b/internal/standby/snapshot.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// snapshotPage returns the machines of the view after the ID afterMachine, as many as one message may hold.
+// snapshotPage returns a page with the machines whose IDs sort after afterMachine, up to the bounds of one page. The
+// last page also holds the estimates and the handover.
 func (v *View) snapshotPage(afterMachine string) *SnapshotPage {
-	names := slices.Sorted(maps.Keys(v.Machines))
-	first, found := slices.BinarySearch(names, afterMachine)
+	ids := slices.Sorted(maps.Keys(v.Machines))
+	first, found := slices.BinarySearch(ids, afterMachine)
 	if found {
 		first++
 	}
 	page := &SnapshotPage{Machines: []MachineRecord{}}
 	tasks := 0
-	for _, name := range names[first:] {
+	for _, id := range ids[first:] {
 		if len(page.Machines) >= maxPageEntries || tasks >= maxPageTasks {
 			page.HasMore = true
 			return page
 		}
-		record := v.Machines[name].record(name)
+		record := v.Machines[id].record(id)
 		tasks += len(record.Tasks)
 		page.Machines = append(page.Machines, record)
 	}
@@ -30,9 +31,9 @@
 	return page
 }
 
-// record returns the machine in the form that snapshots use.
-func (m *Machine) record(name string) MachineRecord {
-	record := MachineRecord{Name: name, MachineState: m.MachineState, Terminating: m.Terminating}
+// record returns the machine, which has the given ID, as a MachineRecord with its tasks sorted by ID.
+func (m *Machine) record(id string) MachineRecord {
+	record := MachineRecord{Name: id, MachineState: m.MachineState, Terminating: m.Terminating}
 	for _, task := range slices.Sorted(maps.Keys(m.Tasks)) {
 		record.Tasks = append(record.Tasks, TaskRecord{task, m.Tasks[task]})
 	}
@@ -62,15 +63,15 @@
 const (
 	awaitingFirstPage snapshotPhase = iota
 	awaitingLaterPages
-	// awaitingEntries means that all pages are applied, but not yet all entries up to position completeAt. Until then,
-	// the view may mix older and newer states, because the pages were made at different positions.
+	// awaitingEntries means that all pages are applied, but some entries up to position completeAt are not. The view may
+	// therefore mix older and newer states, because the pages were made at different positions.
 	awaitingEntries
 )
 
 // snapshotProgress is the state of a follower that is fetching a snapshot.
 type snapshotProgress struct {
 	phase        snapshotPhase
-	afterMachine string // ID of the last machine in the pages applied so far
+	afterMachine string // ID of the last machine in the page applied last
 	completeAt   uint64 // in phase awaitingEntries: the position at which the view is consistent
 }
 
